--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -11,6 +11,7 @@
 use crate::jobs::{End, JobId};
 use crate::scheduling::wishes::Wishes;
 
+/// Planning windows, as something that operators declare.
 pub struct Window;
 
 /// What is known of a job that was accepted: one that is neither open nor known to have ended is over.
--- a/src/calendar/round.rs
+++ b/src/calendar/round.rs
@@ -45,6 +45,7 @@
 }
 
 impl Round {
+    /// The open jobs that belong to each of these windows.
     pub fn of<'a>(windows: &[Standing], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
         let mut by_class: HashMap<(&str, &str), Vec<&Standing>> = HashMap::new();
         let mut claimed: HashSet<&JobId> = HashSet::new();
@@ -79,6 +80,7 @@
         Self { comers }
     }
 
+    /// The jobs that belong to this window.
     pub fn comers(&self, window: &str) -> &[Comer] {
         self.comers.get(window).map_or(&[], Vec::as_slice)
     }
--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -36,14 +36,17 @@
     600
 }
 
+/// A planning window as operators declare it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
+    /// The team whose jobs belong to it.
     pub team: String,
     /// Jobs of these may claim its turns.
     pub classes: Vec<String>,
     /// Time of day, as 06:00.
     pub opens: String,
+    /// The time of day at which it closes, as `HH:MM`.
     pub closes: String,
     /// The closing is that of the day after the opening.
     #[serde(default)]
@@ -54,6 +57,7 @@
     /// As 2026-12-24, once.
     #[serde(default)]
     pub date: Option<String>,
+    /// Minutes that local time is ahead of UTC.
     #[serde(default)]
     pub utc_offset_min: i32,
     /// Jobs that have to be done by the closing.
--- a/src/calendar/status.rs
+++ b/src/calendar/status.rs
@@ -140,6 +140,7 @@
     pub like: JobSpec,
 }
 
+/// What the owner has stored of a window.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Status {
     /// When an owner first saw it, where its spec does not tell since when it is.
@@ -148,17 +149,22 @@
     /// The instance that ended last. None up to this day is ever looked at again.
     #[serde(default)]
     pub last: Option<Ended>,
+    /// The instance that is to end next, once anything is stored of it.
     #[serde(default)]
     pub current: Option<Instance>,
+    /// Instances that were missed and that nobody has confirmed yet.
     #[serde(default)]
     pub missed: Vec<Ended>,
+    /// What was dropped of these unconfirmed, since there were too many.
     #[serde(default)]
     pub dropped: Option<Dropped>,
+    /// What the jobs of the last claimed instance took.
     #[serde(default)]
     pub used: Option<Used>,
 }
 
 impl Status {
+    /// The day of the instance that ended last.
     pub fn last_day(&self) -> Option<Day> {
         self.last.as_ref().map(|ended| ended.day)
     }
@@ -170,6 +176,7 @@
         self.current.clone().or_else(next)
     }
 
+    /// Notes an instance that has ended.
     pub fn note(&mut self, ended: Ended) {
         if ended.outcome != Outcome::Met {
             self.missed.push(ended.clone());
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -75,6 +75,7 @@
     Declared(verbs::Verb),
 }
 
+/// Runs the command line; the exit status is the README's.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -36,10 +36,13 @@
 /// One change of a status.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Write {
+    /// The kind of what is declared.
     pub kind: Kind,
+    /// Its name.
     pub name: String,
     /// 0: the spec is gone, and its status goes after it.
     pub spec_stamp: u64,
+    /// The version of the status that is replaced; 0 for a first one.
     pub status_stamp: u64,
     /// None where it is dropped.
     pub value: Option<Value>,
@@ -64,6 +67,7 @@
     std::iter::once(Condition::at(ASSIGNMENT, token)).chain(writes.iter().flat_map(of)).collect()
 }
 
+/// The changes of a transaction that makes these writes.
 pub fn changes(writes: &[Write]) -> Vec<Change> {
     writes.iter().map(Write::change).collect()
 }
@@ -75,12 +79,15 @@
     pub writes: Vec<Write>,
     /// There is nothing more to store: all that was is heard of.
     pub settled: bool,
+    /// The owner's token, on which the writes are conditional.
     pub token: u64,
+    /// What is logged once the writes are stored.
     pub news: News,
     /// Jobs of which it has to be known how they ended.
     pub unknown: BTreeSet<JobId>,
 }
 
+/// Brings statuses up to what is declared, one transaction at a time.
 pub struct Driver {
     kinds: &'static [Entry],
     /// Where to go on among the kinds, and in each kind: whoever wants changes each second keeps nobody
@@ -94,6 +101,7 @@
 }
 
 impl Driver {
+    /// A driver of these kinds that knows nothing yet.
     pub fn new(kinds: &'static [Entry]) -> Self {
         Self { kinds, turn: 0, last: BTreeMap::new(), stored: 0, too_large: BTreeSet::new() }
     }
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -35,11 +35,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {why}")]
 pub struct Problem {
+    /// The field's name.
     pub field: String,
+    /// What is wrong with it.
     pub why: String,
 }
 
 impl Problem {
+    /// A field and what is wrong with it.
     pub fn new(field: impl Into<String>, why: impl Into<String>) -> Self {
         Self { field: field.into(), why: why.into() }
     }
@@ -47,14 +50,18 @@
 
 /// What a spec may name, for checks without any I/O.
 pub struct Names<'a> {
+    /// The teams.
     pub teams: &'a [Team],
     /// Those that the objectives name.
     pub classes: Vec<&'a str>,
+    /// The zones.
     pub zones: &'a [String],
+    /// All parameters.
     pub params: &'a Params,
 }
 
 impl<'a> Names<'a> {
+    /// The part of the settings that specs are checked against.
     pub fn of(settings: &'a Settings) -> Self {
         let params = &settings.params;
         let mut classes: Vec<&str> = params.objectives.iter().map(|o| o.class.as_str()).collect();
@@ -67,16 +74,19 @@
 
 /// State and time: all that a decision may look at.
 pub struct View<'a> {
+    /// The owner's state.
     pub book: &'a Book,
     /// What is known here of ended jobs; not all is.
     pub ended: &'a dyn Fn(&str) -> Option<End>,
     /// All specs and statuses.
     pub shelf: &'a Shelf,
+    /// By the steady clock.
     pub now: Instant,
     /// Time of day in ms since 1970. It may step, back as well.
     pub now_ms: u64,
     /// The owner's token.
     pub epoch: u64,
+    /// What the platform has handed over.
     pub settings: &'a Settings,
     /// Which window each open job belongs to, worked out when it is first asked for.
     pub round: OnceCell<Round>,
@@ -100,6 +110,7 @@
 /// What an operator's verb makes of a spec.
 #[derive(Debug)]
 pub struct Acted<S> {
+    /// What operators have declared.
     pub spec: S,
     /// A job to be withdrawn as its user would, before the spec is written.
     pub withdraw: Option<JobId>,
@@ -107,8 +118,11 @@
 
 /// One kind of declared thing. All of it is pure.
 pub trait Declared {
+    /// Its kind, which names its keys.
     const KIND: Kind;
+    /// What operators declare.
     type Spec: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
+    /// What the owner stores of it.
     type Status: Serialize + DeserializeOwned + Clone + PartialEq + Default + Send + Sync + 'static;
 
     /// Names the first field that cannot be used.
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -37,6 +37,7 @@
 /// Why a verb was not carried out. What was refused has left nothing behind.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Failed {
+    /// The spec is refused, for these reasons.
     Refused(Vec<String>),
     /// No answer that says so, for as long as was waited.
     NoAnswer(String),
@@ -85,13 +86,19 @@
 /// One declared thing, as operators see it.
 #[derive(Debug, serde::Serialize)]
 pub struct Shown {
+    /// The kind of what is declared.
     pub kind: Kind,
+    /// Its name.
     pub name: String,
+    /// The stored spec.
     pub spec: Option<Value>,
+    /// The stored status.
     pub status: Option<Value>,
+    /// The same in words.
     pub lines: Vec<String>,
 }
 
+/// The operators' side: reads and writes specs directly in the store.
 pub struct Operator {
     kinds: &'static [Entry],
     settings: Settings,
@@ -102,6 +109,7 @@
 }
 
 impl Operator {
+    /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, kinds: &'static [Entry], patience: Duration) -> Self {
         let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
         let requests = Budget::new(limits.rps * PART, BURST, now);
@@ -177,6 +185,7 @@
         .await
     }
 
+    /// Takes back what was declared.
     pub async fn remove(&self, kind: Kind, name: &str) -> Result<(), Failed> {
         let gone = self.change(kind, async |known: &Known, again| match known.standing(kind, name) {
             Ok(_) => Ok(Writes::from([(name.to_owned(), None)])),
--- a/src/declared/records.rs
+++ b/src/declared/records.rs
@@ -6,7 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Prefix of what operators declare.
 pub const SPECS: &str = "c/s/";
+/// Prefix of what the owner stores of it.
 pub const STATUSES: &str = "c/t/";
 /// Every write of an operator moves this key, so that a copy of an earlier one that comes late finds
 /// another stamp. It lies before what controllers list.
@@ -18,18 +20,25 @@
 pub const MOST_TOGETHER: usize = 2 * 1024 * 1024;
 const LONGEST_NAME: usize = 64;
 
+/// What can be declared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
+    /// A planning window (`calendar`).
     Window,
+    /// A heat rule (`heat`).
     Heat,
+    /// A sensor's reading (`heat::readings`).
     Reading,
+    /// A rollout (`rollouts`).
     Rollout,
 }
 
 impl Kind {
+    /// Every kind.
     pub const ALL: [Self; 4] = [Self::Window, Self::Heat, Self::Reading, Self::Rollout];
 
+    /// The kind's name in keys and commands.
     pub fn word(self) -> &'static str {
         match self {
             Self::Window => "window",
@@ -39,6 +48,7 @@
         }
     }
 
+    /// The kind of this name.
     pub fn of_word(word: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.word() == word)
     }
@@ -56,14 +66,18 @@
 /// What a key holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
+    /// What an operator wrote.
     Spec,
+    /// What the owner wrote.
     Status,
 }
 
+/// Key of a spec.
 pub fn spec_key(kind: Kind, name: &str) -> String {
     format!("{SPECS}{}/{name}", kind.word())
 }
 
+/// Key of a status.
 pub fn status_key(kind: Kind, name: &str) -> String {
     format!("{STATUSES}{}/{name}", kind.word())
 }
--- a/src/declared/shelf.rs
+++ b/src/declared/shelf.rs
@@ -47,7 +47,9 @@
 /// A status that was stored over another, or dropped after its spec.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Changed {
+    /// The kind of what has changed.
     pub kind: Kind,
+    /// Its name.
     pub name: String,
     before: Option<Box<str>>,
     after: Option<Box<str>>,
@@ -56,10 +58,12 @@
 }
 
 impl Changed {
+    /// The value before the change.
     pub fn before(&self) -> Option<Value> {
         self.before.as_deref().map(value)
     }
 
+    /// The value after the change.
     pub fn after(&self) -> Option<Value> {
         self.after.as_deref().map(value)
     }
@@ -67,6 +71,7 @@
 
 type Of = BTreeMap<Kind, BTreeMap<String, Kept>>;
 
+/// What is declared, as this controller has read it from the store.
 #[derive(Debug, Default)]
 pub struct Shelf {
     specs: Of,
@@ -75,6 +80,7 @@
 }
 
 impl Shelf {
+    /// Whether nothing is declared.
     pub fn is_empty(&self) -> bool {
         self.entries() == 0
     }
@@ -95,20 +101,24 @@
             .filter_map(|(name, kept)| kept.read(D::KIND, name).map(|spec| (name.as_str(), spec, kept.stamp)))
     }
 
+    /// A spec with its version; none if it cannot be read.
     pub fn spec<D: Declared>(&self, name: &str) -> Option<(D::Spec, u64)> {
         let kept = self.specs.get(&D::KIND)?.get(name)?;
         kept.read(D::KIND, name).map(|spec| (spec, kept.stamp))
     }
 
+    /// A status with its version; none if it cannot be read.
     pub fn status<D: Declared>(&self, name: &str) -> Option<(D::Status, u64)> {
         let kept = self.statuses.get(&D::KIND)?.get(name)?;
         kept.read(D::KIND, name).map(|status| (status, kept.stamp))
     }
 
+    /// A spec as it is stored, with its version.
     pub fn raw_spec(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
         self.specs.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.stamp))
     }
 
+    /// A status as it is stored, with its version.
     pub fn raw_status(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
         self.statuses.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.stamp))
     }
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -25,26 +25,33 @@
 /// A status that is to be stored, and what it was worked out from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decided {
+    /// The version of the spec that the status is of.
     pub spec_stamp: u64,
     /// 0: there is none yet.
     pub status_stamp: u64,
+    /// The status.
     pub value: Value,
 }
 
 /// One declared thing as it stands in the store.
 #[derive(Debug, Clone, Copy)]
 pub struct Standing<'a> {
+    /// Its name.
     pub name: &'a str,
+    /// The stored spec.
     pub spec: &'a Value,
+    /// The stored status.
     pub status: Option<&'a Value>,
 }
 
 /// Log lines.
 pub type News = Vec<(Level, String)>;
+/// Lines for an operator, or what is wrong.
 pub type Lines = Result<Vec<String>, Problem>;
 
 /// What can be done with a kind.
 pub struct Entry {
+    /// The kind that this entry serves.
     pub kind: Kind,
     /// Reads and checks a spec.
     pub check: fn(&Value, &Names) -> Result<(), Problem>,
@@ -65,6 +72,7 @@
 }
 
 impl Entry {
+    /// The entry of a kind.
     pub const fn of<D: Declared>() -> Self {
         Self {
             kind: D::KIND,
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -19,12 +19,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Why {
+    /// Nothing has been decided yet.
     #[default]
     Undecided,
     /// The settled value went above the upper threshold, or is between the two and was above before.
     Hot(f64),
     /// The settled value went below the lower one, or is between them and was not above.
     Over(f64),
+    /// The day is declared hot.
     HotDay,
     /// No fresh reading, and the rule says that this is hot.
     AssumedHot,
@@ -57,9 +59,13 @@
 /// One change, as it is remembered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Turned {
+    /// Whether the rule applies.
     pub on: bool,
+    /// Why it does, or does not.
     pub why: Why,
+    /// The owner that decided.
     pub epoch: u64,
+    /// When it was decided, by time of day.
     pub at_ms: u64,
 }
 
@@ -67,12 +73,15 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
+    /// Whether the rule applies.
     pub on: bool,
+    /// Why.
     pub why: Why,
     /// Of the owner that decided.
     pub epoch: u64,
     /// Times of day in milliseconds since 1970: the last change, and when what is on ends by itself.
     pub since_ms: u64,
+    /// When it ends by itself, if it applies.
     pub until_ms: u64,
     /// When it went on that time that it ran out: it stays off for the rest of those hours.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/src/heat/readings.rs
+++ b/src/heat/readings.rs
@@ -18,6 +18,7 @@
 }
 
 impl Reading {
+    /// Whether the value can be a reading at all.
     pub fn sane(&self) -> bool {
         self.value.is_finite() && self.value.abs() <= MOST_VALUE
     }
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -18,7 +18,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Assume {
+    /// Hot.
     Hot,
+    /// Not hot.
     Not,
 }
 
@@ -26,12 +28,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
+    /// Classes of jobs that go ahead.
     #[serde(default)]
     pub classes: Vec<String>,
+    /// Teams whose jobs go ahead.
     #[serde(default)]
     pub teams: Vec<String>,
     /// Time of day, by `offset_min`. Where `to` is not later than `from` the hours end the next day.
     pub from: NaiveTime,
+    /// Until this time of day.
     pub to: NaiveTime,
     /// Minutes ahead of UTC.
     #[serde(default)]
@@ -40,7 +45,9 @@
     /// `over_below`; between them it stays as it is.
     #[serde(default)]
     pub sensors: Vec<String>,
+    /// A reading above this is hot.
     pub hot_above: Option<f64>,
+    /// A reading below this ends the heat.
     pub over_below: Option<f64>,
     /// Days whose hours are hot whatever is read; hours past midnight are of the day they began on.
     #[serde(default)]
@@ -63,19 +70,26 @@
 /// The hours of one day, as times of day in milliseconds since 1970: from the first to before the second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hours {
+    /// The local day.
     pub day: NaiveDate,
+    /// Its begin, by time of day.
     pub begin_ms: u64,
+    /// Its end, by time of day.
     pub end_ms: u64,
 }
 
 /// What the readings and the calendar say of one moment within the hours.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Weather {
+    /// The day is declared hot.
     HotDay,
+    /// A reading is above the threshold.
     Hot(f64),
     /// Between the two thresholds.
     Between(f64),
+    /// A reading is below the threshold that ends the heat.
     Over(f64),
+    /// There is no reading that counts.
     Unknown,
 }
 
@@ -149,6 +163,7 @@
         })
     }
 
+    /// The longest time for which it may apply in a day.
     pub fn longest_ms(&self) -> u64 {
         (self.longest_s * 1000.0) as u64
     }
--- a/src/heat/waits.rs
+++ b/src/heat/waits.rs
@@ -21,7 +21,9 @@
     pub jobs: u64,
     /// The one that waits longest, and for how long.
     pub oldest: Option<JobId>,
+    /// For how long that one has waited, in seconds.
     pub oldest_s: u64,
+    /// When this was counted, by time of day.
     pub as_of_ms: u64,
     /// How many of the stages were reached since the rule went on.
     pub stage: usize,
--- a/src/kinds.rs
+++ b/src/kinds.rs
@@ -7,8 +7,11 @@
 /// What can be rented: a type, in a zone, ordinary or spot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Kind {
+    /// The cloud's name of the machine type.
     pub type_name: String,
+    /// The zone in which such machines are offered.
     pub zone: String,
+    /// Whether the machine is a spot machine, which the cloud may take back.
     pub spot: bool,
 }
 
--- a/src/rollouts/against.rs
+++ b/src/rollouts/against.rs
@@ -7,6 +7,7 @@
 /// The old version fails alike if it fails at least half as often as the new one, and so often.
 const OLD_FAILS_TOO: u64 = 2;
 
+/// Why a step of a rollout is not to go on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// The new version is bad, and why.
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -21,6 +21,7 @@
 use spec::{Spec, Wanted};
 use status::{Phase, Status};
 
+/// Rollouts, as something that operators declare.
 pub struct Rollout;
 
 impl Declared for Rollout {
--- a/src/rollouts/seen.rs
+++ b/src/rollouts/seen.rs
@@ -8,6 +8,7 @@
     /// Never heard of.
     #[default]
     Unknown,
+    /// The job is open.
     Open,
     /// Done, withdrawn, or both forgotten.
     Over,
@@ -16,8 +17,11 @@
 /// A replica that has a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Replica {
+    /// Where it is bound.
     pub machine: String,
+    /// The machine's type.
     pub type_name: String,
+    /// The machine's zone.
     pub zone: String,
     /// By the last report.
     pub running: bool,
@@ -32,6 +36,7 @@
     pub sure: bool,
     /// Seconds for which this owner has known it running, and for which it has had its machine.
     pub ran_s: f64,
+    /// Seconds for which it has had its machine.
     pub bound_s: f64,
 }
 
@@ -45,12 +50,16 @@
 /// One of the two jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Side {
+    /// What is known of the job.
     pub known: Known,
+    /// Replicas that it was submitted with.
     pub tasks: u32,
+    /// Bound replicas, by number.
     pub replicas: BTreeMap<u32, Replica>,
     /// Failures of its replicas that this owner has heard of, and the machines of the latest of them, the
     /// latest last, with their types.
     pub failures: u64,
+    /// Machine and machine type of the latest failures.
     pub failed_lately: Vec<(String, String)>,
     /// Fails wherever it is tried (`scheduling::evidence`).
     pub suspected: bool,
@@ -81,6 +90,7 @@
         if self.known == Known::Over { 0 } else { self.replicas.keys().filter(|i| !may.contains(i)).count() }
     }
 
+    /// The zone of a replica; empty if it is not bound.
     pub fn zone(&self, index: u32) -> &str {
         self.replicas.get(&index).map_or("", |r| r.zone.as_str())
     }
@@ -89,7 +99,9 @@
 /// All that is looked at for one decision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Seen {
+    /// The version that is replaced.
     pub old: Side,
+    /// The version that replaces it.
     pub new: Side,
     /// Why these jobs can have no rollout as declared.
     pub unfit: Option<String>,
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -17,9 +17,12 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Wanted {
+    /// Go on.
     #[default]
     Forward,
+    /// Stay as it is.
     Paused,
+    /// Go back to the old version.
     Back,
     /// The old job is withdrawn; there is no way back.
     Finish,
@@ -43,10 +46,13 @@
     }
 }
 
+/// A rollout as operators declare it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
+    /// The service that is replaced.
     pub old: JobId,
+    /// The service that replaces it.
     pub new: JobId,
     /// Replicas of both together that have to run at every moment.
     pub replicas: u32,
@@ -65,8 +71,10 @@
     /// The gap of a rollout in place is accepted.
     #[serde(default)]
     pub allow_gap: bool,
+    /// When the new version counts as bad.
     #[serde(default)]
     pub bad: Bad,
+    /// Where it is to go.
     #[serde(default)]
     pub wanted: Wanted,
     /// Counts the operator's words, so that the same word said again is a new one.
@@ -78,6 +86,7 @@
 type Wrong = (&'static str, String);
 
 impl Spec {
+    /// Refuses what could never be carried out.
     pub fn check(&self) -> Result<(), Wrong> {
         for (field, id) in [("old", &self.old), ("new", &self.new)] {
             if !well_formed_id(id) {
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -7,6 +7,7 @@
 use super::spec::Spec;
 use crate::jobs::JobId;
 
+/// Where a rollout stands.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
@@ -21,7 +22,9 @@
     Shrinking,
     /// The step is whole, and has to stay so for its time.
     Holding,
+    /// An operator has paused it.
     Paused,
+    /// The old version takes its place again.
     GoingBack,
     /// The old version serves, the new one is held at no replicas.
     Back,
@@ -29,6 +32,7 @@
     Done,
     /// Both jobs are over.
     Ended,
+    /// It cannot be carried out.
     Refused,
 }
 
@@ -38,6 +42,7 @@
         !matches!(self, Self::Planned | Self::Ended | Self::Refused)
     }
 
+    /// The phase's name, as told to operators.
     pub fn word(self) -> &'static str {
         match self {
             Self::Planned => "planned",
@@ -94,7 +99,9 @@
 /// A machine on which the new version failed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FailedOn {
+    /// Where it failed.
     pub machine: String,
+    /// The machine's type.
     #[serde(rename = "type")]
     pub type_name: String,
     /// It came under suspicion: other work fails on it as well.
@@ -109,22 +116,28 @@
     pub failed_on: Vec<FailedOn>,
     /// Failures of replicas of the new and of the old version.
     pub new: u64,
+    /// Failures of replicas of the old version.
     pub old: u64,
     /// The owner that counted, and how far it had counted each job's failures. Another owner's own
     /// count begins at none.
     pub epoch: u64,
+    /// How far that owner had counted the new job's failures.
     pub counted_new: u64,
+    /// How far it had counted the old job's failures.
     pub counted_old: u64,
 }
 
+/// What the owner has stored of a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
+    /// Where it stands.
     pub phase: Phase,
     /// Why it is so, where that is not what was asked for.
     pub why: String,
     /// The jobs it has begun with. A spec that names others later does not change them.
     pub old: Option<JobId>,
+    /// The new version that it was begun with.
     pub new: Option<JobId>,
     /// From 0.
     pub step: u32,
@@ -138,6 +151,7 @@
     pub go_old: Indexes,
     /// Replicas of the new job that may run; all others are meant to go.
     pub may_new: Indexes,
+    /// What speaks against the new version.
     pub against: Against,
 }
 
--- a/src/scheduling/book/bindings.rs
+++ b/src/scheduling/book/bindings.rs
@@ -10,6 +10,7 @@
 use crate::wire::workers::TaskKey;
 
 impl Book {
+    /// Binds each placed task to its machine; its launch waits until that is stored.
     pub fn bind_all(&mut self, placements: Vec<Placement>, now: Instant) {
         let mut first_places: HashMap<JobId, f64> = HashMap::new();
         // What may go ahead is bounded by what is given out: it may be more after this.
--- a/src/scheduling/book/commands.rs
+++ b/src/scheduling/book/commands.rs
@@ -20,6 +20,7 @@
 const RAISE_GAP: Duration = Duration::from_secs(5);
 
 impl Book {
+    /// What the answer to this machine's report is to tell it.
     pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<Order> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet.
@@ -199,6 +200,7 @@
             && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.token))
     }
 
+    /// Goes on under a higher token of the same owner, which voids all earlier commands.
     pub fn raise_token(&mut self, token: u64) {
         self.token = self.token.max(token);
         self.raise = false;
--- a/src/scheduling/book/jobs.rs
+++ b/src/scheduling/book/jobs.rs
@@ -17,15 +17,19 @@
 use crate::wire::workers::{LegStatus, TaskKey};
 
 impl Book {
+    /// Every job that is held, open or ending.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, &JobState)> {
         self.jobs.iter()
     }
+    /// One job, if it is held.
     pub fn job(&self, id: &JobId) -> Option<&JobState> {
         self.jobs.get(id)
     }
+    /// Whether the job is held.
     pub fn has_job(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
+    /// How many jobs are held.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
@@ -35,10 +39,12 @@
         self.ended_at.peek(id).copied()
     }
 
+    /// Running and done tasks of a job, for display.
     pub fn counts(&self, id: &JobId) -> Counts {
         self.jobs.get(id).map_or_else(Counts::default, count)
     }
 
+    /// The same of every job.
     pub fn all_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
         self.jobs.iter().map(|(id, job)| (id, count(job)))
     }
--- a/src/scheduling/book/machine.rs
+++ b/src/scheduling/book/machine.rs
@@ -60,10 +60,12 @@
     }
 }
 
+/// Where a machine is between its rental and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
     /// Rented, not heard of yet.
     Booting,
+    /// Its worker has reported, and it takes work.
     Up,
     /// No new work; returned when empty.
     Draining,
@@ -71,24 +73,36 @@
     Condemned,
 }
 
+/// One machine: what it is, what it was heard to run, and what has been told to it.
 #[derive(Debug)]
 pub struct Machine {
+    /// The cloud's name of it.
     pub id: MachineId,
+    /// Its worker's address, once known.
     pub addr: Option<String>,
+    /// Its machine type; empty while only its name is known.
     pub type_name: String,
+    /// Its zone; empty while only its name is known.
     pub zone: String,
+    /// Whether the cloud may take it back.
     pub spot: bool,
+    /// Where it is between its rental and its return.
     pub standing: Standing,
     pub(super) session: u64,
     /// (session, seq) of the newest message of any kind, and of the newest true report.
     pub(super) newest: (u64, u64),
     pub(super) newest_report: (u64, u64),
+    /// The highest token that its worker has reported.
     pub token: u64,
+    /// When anything was last heard of it, by report or by reply.
     pub heard: Instant,
     /// Its last true report, or when it was first heard of: replies to commands renew no lease.
     pub reported_at: Instant,
+    /// When it was rented, as far as is known.
     pub since: Instant,
+    /// When the cloud takes it back, if it has given notice.
     pub recall: Option<Instant>,
+    /// The tasks that are bound to it.
     pub bound: BTreeSet<TaskKey>,
     pub(super) legs: Vec<Leg>,
     pub(super) command_under_way: bool,
@@ -101,6 +115,7 @@
     pub(super) next_command: Instant,
     /// Something new is to be told without waiting for a report.
     pub(super) tell: bool,
+    /// Since when nothing has been bound to it.
     pub idle_since: Option<Instant>,
     /// Something has failed on it since anything was done there.
     pub failed: bool,
@@ -193,6 +208,7 @@
         self.strays = self.legs.iter().any(|l| l.status != LegStatus::Exited && !self.bound.contains(&l.task));
     }
 
+    /// What its bound tasks take of it.
     pub fn taken(&self) -> Amounts {
         self.taken
     }
@@ -207,6 +223,7 @@
         self.taken.cpus <= self.idle.cpus + 1e-6 && self.taken.memory_gb <= self.idle.memory_gb + 1e-6
     }
 
+    /// The summed shares and returns of its tasks.
     pub fn load(&self) -> Load {
         self.load
     }
@@ -251,10 +268,12 @@
         self.load_at = None;
     }
 
+    /// Whether the image is expected to be in its cache or on its way there.
     pub fn holds_image(&self, image: u64) -> bool {
         self.images.iter().any(|(i, _)| *i == image)
     }
 
+    /// Whether its worker has ever been heard of.
     pub fn reported(&self) -> bool {
         self.newest.0 > 0
     }
@@ -348,6 +367,7 @@
         }
     }
 
+    /// Marks a machine to be returned with whatever is on it; `why` goes to the log.
     pub fn condemn(&mut self, id: &str, why: &str) {
         if let Some(machine) = self.machines.get_mut(id)
             && machine.standing != Standing::Condemned
--- a/src/scheduling/book/mod.rs
+++ b/src/scheduling/book/mod.rs
@@ -40,6 +40,7 @@
 use crate::standstill::Gap;
 use crate::wire::workers::{LegStatus, Order};
 
+/// The cloud's name of a machine, shared by all that refer to it.
 pub type MachineId = Arc<str>;
 
 /// Types, zones and kinds kept apart.
@@ -56,21 +57,28 @@
 /// How a message reached us: only true reports prove that an earlier answer is dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Via {
+    /// A report that the worker sent by itself.
     Report,
+    /// The reply to a direct command.
     Command,
 }
 
+/// Where a task is placed, and what is known of it there.
 #[derive(Debug, Clone)]
 pub struct Binding {
+    /// The machine that the task is bound to.
     pub machine: MachineId,
     /// The session in which this owner first told the worker, if it did.
     told: Option<u64>,
     /// Stored by an earlier owner, which may have told the worker under an older token.
     inherited: bool,
+    /// What the worker last reported of the task; none before the first report that shows it.
     pub status: Option<LegStatus>,
+    /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// Being stopped, with this much time to save.
     pub halting: Option<u64>,
+    /// When the binding was made or read from the store.
     pub since: Instant,
 }
 
@@ -85,17 +93,23 @@
     }
 }
 
+/// Where a task stands.
 #[derive(Debug, Clone)]
 pub enum Phase {
+    /// Not placed.
     Waiting,
     /// Boxed, so that the many that wait take little.
     Bound(Box<Binding>),
+    /// Completed; it never runs again.
     Done,
 }
 
+/// One task of an open job.
 #[derive(Debug, Clone)]
 pub struct Task {
+    /// The number of its last start; 0 if it never had one.
     pub attempt: u64,
+    /// Where it stands.
     pub phase: Phase,
     /// Whether the store says the same.
     pub stored: bool,
@@ -112,16 +126,24 @@
     }
 }
 
+/// A job as the owner schedules it: its record, its tasks and what is derived from them.
 pub struct JobState {
+    /// The job as it is stored.
     pub record: Arc<JobRecord>,
+    /// Run time, deadline, budget and penalty rate by which its tasks are admitted and ordered.
     pub agreement: Agreement,
     /// When its user first asked, by this process's steady clock.
     pub since: Instant,
+    /// All tasks, by number.
     pub tasks: Vec<Task>,
+    /// Numbers of the tasks that wait for a place.
     pub waiting: BTreeSet<u32>,
+    /// Numbers of the tasks that are bound to a machine.
     pub bound: BTreeSet<u32>,
+    /// How many tasks are done.
     pub done: u64,
     stamps: Vec<u64>,
+    /// When this process heard that the job ended, done or withdrawn.
     pub ended: Option<Instant>,
     /// Its end was not stored yet at this revision.
     ended_after: u64,
@@ -131,6 +153,7 @@
     pub not_before: Instant,
     /// The image's name, digested: what machines hold is compared by this.
     pub image: u64,
+    /// When a task of it last ended.
     pub last_end: Option<Instant>,
     /// All that its user was promised.
     pub promises: Box<[Promise]>,
@@ -143,6 +166,7 @@
 }
 
 impl JobState {
+    /// What was submitted.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
@@ -202,10 +226,12 @@
             && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= least))
     }
 
+    /// Whether nothing of it is left to run: all tasks are done, or one of a gang.
     pub fn complete(&self) -> bool {
         self.done == self.tasks.len() as u64 || (self.spec().is_gang() && self.done > 0)
     }
 
+    /// Where a task is bound, if it is.
     pub fn binding(&self, index: u32) -> Option<&Binding> {
         match &self.tasks.get(index as usize)?.phase {
             Phase::Bound(binding) => Some(binding),
@@ -231,19 +257,28 @@
 /// A command to be sent straight to a worker.
 #[derive(Debug)]
 pub struct Direct {
+    /// The machine that is to carry it out.
     pub machine: MachineId,
+    /// Its worker's address.
     pub addr: String,
+    /// The token under which it is given.
     pub token: u64,
+    /// The worker's session that it is meant for.
     pub session: u64,
+    /// Launches, stops and reaps, in this order.
     pub orders: Vec<Order>,
 }
 
 /// One chunk as it is about to be stored.
 #[derive(Debug, Clone)]
 pub struct ChunkWrite {
+    /// The job whose tasks these are.
     pub job: JobId,
+    /// Which chunk of the job's tasks.
     pub chunk: u64,
+    /// The version of the chunk that the write replaces; 0 for a first one.
     pub stamp: u64,
+    /// The tasks' states as they are to be stored.
     pub tasks: Vec<Stored>,
 }
 
@@ -254,16 +289,21 @@
 #[cfg(test)]
 type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
+/// What the owner knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads no clock.
 pub struct Book {
+    /// The fencing token of this owner, raised when commands have to be voided.
     pub token: u64,
     /// The token under which it began. Under later ones the same owner goes on, which knows what it has
     /// told under this one.
     pub first_token: u64,
+    /// Everything stored has been read; nothing is decided before.
     pub loaded: bool,
     /// Every end that stood in the store at this revision is in this book, once it is loaded.
     pub known: u64,
     watermark: u64,
+    /// What the platform has handed over.
     pub settings: Settings,
+    /// The operators' own settings.
     pub properties: Properties,
     jobs: HashMap<JobId, JobState, Hashing>,
     /// Jobs whose end is known and of which something is still bound.
@@ -272,6 +312,7 @@
     kinds: Vec<Kind>,
     /// Something that placement depends on has changed since the last plan.
     pub(super) stirred: bool,
+    /// Every machine that is held or was heard of, by name.
     pub machines: BTreeMap<MachineId, Machine>,
     gone: VecDeque<MachineId>,
     gone_set: HashSet<MachineId>,
@@ -280,6 +321,7 @@
     completed: VecDeque<JobId>,
     /// Chunks of jobs that are over, to be dropped.
     drops: VecDeque<(JobId, u64)>,
+    /// Cores and accelerators that each team's bound tasks take.
     pub usage: HashMap<String, (f64, f64)>,
     raised: Instant,
     raise: bool,
@@ -291,6 +333,7 @@
     loaded_at: Instant,
     /// By class: how observed run times compare with the owners' estimates (sum of logs, count).
     observed: LruCache<String, (f64, f64)>,
+    /// How fast tasks of each class have lately come.
     pub arrivals: BTreeMap<String, Arrivals>,
     /// What the largest gangs offer and earn.
     pub large: Large,
@@ -323,6 +366,7 @@
 pub struct Arrivals {
     faded: f64,
     at: Instant,
+    /// The latest job of the class.
     pub like: Arc<JobRecord>,
 }
 
@@ -342,12 +386,14 @@
         (self.at, self.like) = (now, record);
     }
 
+    /// Tasks a second, as of now.
     pub fn per_second(&self, now: Instant) -> f64 {
         self.fade(now) / ARRIVALS_FADE.as_secs_f64()
     }
 }
 
 impl Book {
+    /// An empty state for an owner that has just been assigned; `load` fills it.
     pub fn new(token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
         Self {
             token,
@@ -426,6 +472,7 @@
         self.reserved.get(id).filter(|h| h.until > now).or_else(|| self.holds.get(id))
     }
 
+    /// Every type, zone and kind that a machine was ever of; a machine's `kind` is a place in it.
     pub fn kinds(&self) -> &[Kind] {
         &self.kinds
     }
--- a/src/scheduling/book/reports.rs
+++ b/src/scheduling/book/reports.rs
@@ -11,6 +11,7 @@
 use crate::wire::workers::{Cause, Leg, LegStatus, Report, TaskKey};
 
 impl Book {
+    /// Takes in a worker's report, or its reply to a command.
     pub fn take_report(&mut self, report: Report, via: Via, catalog: Option<&Catalog>, now: Instant) {
         let id: MachineId = report.machine.as_str().into();
         if self.gone_set.contains(&id) {
@@ -79,6 +80,7 @@
         }
     }
 
+    /// Compares what every machine last reported with what is bound to it.
     pub fn reconcile_all(&mut self, now: Instant) {
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
--- a/src/scheduling/book/storing.rs
+++ b/src/scheduling/book/storing.rs
@@ -176,6 +176,7 @@
         }
     }
 
+    /// Notes the version that a chunk has in the store.
     pub fn set_stamp(&mut self, id: &JobId, chunk: u64, stamp: u64) {
         if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.stamps.get_mut(chunk as usize)) {
             *slot = stamp;
@@ -197,15 +198,18 @@
         self.dirty.put_start((id.clone(), chunk), false);
     }
 
+    /// Takes up to `most` chunks of ended jobs that are to be dropped from the store.
     pub fn next_drops(&mut self, most: usize) -> Vec<(JobId, u64)> {
         let n = self.drops.len().min(most);
         self.drops.drain(..n).collect()
     }
 
+    /// How many chunks wait to be dropped.
     pub fn drops_waiting(&self) -> usize {
         self.drops.len()
     }
 
+    /// Puts back chunks whose drop failed.
     pub fn drop_again(&mut self, drops: Vec<(JobId, u64)>) {
         self.drops.extend(drops);
     }
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -9,6 +9,7 @@
 /// The open ones of them, bounded however many there are.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Due {
+    /// Open jobs with a due time.
     pub open: usize,
     /// Not begun at the latest possible start, and not past their time yet.
     pub late: usize,
@@ -35,6 +36,7 @@
     }
 }
 
+/// Counts the open jobs that are late, or likely to be.
 pub fn due(book: &Book, now: Instant) -> Due {
     let mut due = Due::default();
     for (id, job) in book.jobs().filter(|(_, job)| job.ended.is_none() && !job.complete()) {
--- a/src/scheduling/evidence.rs
+++ b/src/scheduling/evidence.rs
@@ -55,13 +55,16 @@
     pub machine_row: usize,
 }
 
+/// Who is to blame for failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
+    /// Nobody yet.
     Unclear,
     /// The job fails by itself.
     Job,
     /// This task of a job that does well fails by itself.
     Task,
+    /// The machine.
     Machine,
 }
 
@@ -126,8 +129,11 @@
 
 /// A failure as the book knows it.
 pub struct Failure<'a> {
+    /// The task that failed.
     pub task: &'a TaskKey,
+    /// Its job's class.
     pub class: &'a str,
+    /// Where it failed.
     pub machine: &'a MachineId,
     /// As in `Seen`.
     pub job_does_well: bool,
@@ -168,6 +174,7 @@
 }
 
 impl Evidence {
+    /// Takes in one failure and judges it. `enough`: unexplained failures in a row after which a machine is suspected.
     pub fn failed(&mut self, failure: &Failure, enough: usize, now: Instant) -> Judged {
         let Failure { task, class, machine, job_does_well, at_once } = *failure;
         let trial = self.jobs.entry(task.job.clone()).or_default();
@@ -303,6 +310,7 @@
         }
     }
 
+    /// Forgets a machine that was returned.
     pub fn machine_gone(&mut self, id: &MachineId) {
         self.machines.remove(id);
     }
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -19,6 +19,7 @@
 /// A machine's room now and as it is expected to come free, in seconds from now.
 #[derive(Debug, Clone)]
 pub struct Timeline<'a> {
+    /// The room that is left on the machine, as of the times below.
     pub room: Room<'a>,
     from_s: f64,
     /// Earliest first.
@@ -26,6 +27,7 @@
 }
 
 impl<'a> Timeline<'a> {
+    /// A machine whose room is free from `from_s` seconds from now on.
     pub fn new(room: Room<'a>, from_s: f64) -> Self {
         Self { room, from_s, releases: Vec::new() }
     }
@@ -66,6 +68,7 @@
         Some(timeline)
     }
 
+    /// Seconds from now until a task of this job could start there; none if never.
     pub fn earliest(&self, spec: &JobSpec) -> Option<f64> {
         if self.room.fits(spec) {
             return Some(self.from_s);
@@ -98,8 +101,10 @@
 /// A place for the next task of a job; the earliest, then the least wasteful, is the least.
 #[derive(Clone, Copy)]
 pub struct Slot {
+    /// Seconds from now until the task could start.
     pub at_s: f64,
     wasteful: bool,
+    /// The place of its machine among the timelines.
     pub which: usize,
 }
 
@@ -128,6 +133,7 @@
 }
 
 impl<'j> Slots<'j> {
+    /// Places for the tasks of `job` on the kinds of machine that are `open` to it.
     pub fn new(timelines: &[Timeline], job: &'j JobState, open: &[bool]) -> Self {
         let mut slots = Self { job, heap: BinaryHeap::new() };
         let places = timelines.iter().enumerate().filter(|(_, t)| open.get(t.room.kind) == Some(&true));
--- a/src/scheduling/hearing.rs
+++ b/src/scheduling/hearing.rs
@@ -37,9 +37,12 @@
     pub many: bool,
 }
 
+/// Whether a machine receives what is sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
+    /// It does.
     Hears,
+    /// Too little was seen to tell.
     Unclear,
     /// No new work.
     Deaf,
@@ -93,6 +96,7 @@
 }
 
 impl Hearing {
+    /// Nothing seen yet.
     pub fn new(now: Instant) -> Self {
         Self {
             unheard: 0,
@@ -182,6 +186,7 @@
         self.since.get_or_insert(now);
     }
 
+    /// What was seen so far, as the judgement takes it. `many`: many machines show the same.
     pub fn signs(&self, many: bool, now: Instant) -> Signs {
         let for_ = self.since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         Signs { unheard: self.unheard, lost: self.lost, for_, many }
--- a/src/scheduling/served/floor.rs
+++ b/src/scheduling/served/floor.rs
@@ -18,6 +18,7 @@
 }
 
 impl Names {
+    /// The classes and teams among these names.
     pub fn of<'a>(names: impl Iterator<Item = (Whose, &'a str)>) -> Self {
         let mut of = Self::default();
         for (whose, name) in names {
@@ -36,6 +37,7 @@
         self.teams.extend(other.teams);
     }
 
+    /// Whether the job's class or team is among them.
     pub fn has(&self, spec: &JobSpec) -> bool {
         self.classes.contains(&spec.class) || self.teams.contains(&spec.team)
     }
@@ -44,7 +46,9 @@
 /// Of whom less than the floor was served lately, and who of them goes first.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Below {
+    /// Those below the floor.
     pub short: Names,
+    /// Those of them that go first.
     pub first: Names,
 }
 
@@ -79,6 +83,7 @@
 }
 
 impl Lane {
+    /// Cores that late work may take before others.
     pub fn credit(&self) -> f64 {
         self.credit
     }
--- a/src/scheduling/served/mod.rs
+++ b/src/scheduling/served/mod.rs
@@ -32,7 +32,9 @@
 /// How often a promise was kept and missed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
+    /// Weight of the promises that were kept.
     pub kept: f64,
+    /// Weight of the promises that were missed.
     pub missed: f64,
 }
 
@@ -54,7 +56,9 @@
 /// What was seen of one class or team.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tally {
+    /// Jobs that were submitted.
     pub offered: u64,
+    /// Jobs that were done.
     pub done: u64,
     /// Withdrawn by their users.
     pub given_up: u64,
@@ -86,7 +90,9 @@
 /// What a name stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Whose {
+    /// A class of jobs.
     Class,
+    /// A team.
     Team,
     /// The largest gangs of a class: told, and given their floor by `scheduling::large`.
     Largest,
@@ -122,11 +128,15 @@
 
 /// An open job as the account looks at it.
 pub struct Open<'a> {
+    /// What was submitted.
     pub spec: &'a JobSpec,
+    /// What its user was promised.
     pub promises: &'a [Promise],
+    /// Time since its submission.
     pub age: Duration,
     /// What a task of it still to be started would run.
     pub run: Duration,
+    /// Whether a task of it waits for a place.
     pub waits: bool,
     /// The part of its tasks that never had a place.
     pub untouched: f64,
@@ -137,15 +147,23 @@
 /// One line of the account, for operators and for the other controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    /// What the name stands for.
     pub whose: Whose,
+    /// The class or team.
     pub name: String,
+    /// Jobs that were submitted within the window.
     pub offered: u64,
+    /// Jobs that were done within the window.
     pub done: u64,
+    /// Jobs that their users withdrew.
     pub given_up: u64,
+    /// Open jobs that have missed a promise.
     pub overdue: u64,
+    /// Starts that came to nothing.
     pub lost: u64,
     /// Starts and ends within what was promised, and not; those that count the worst promise.
     pub started: Kept,
+    /// The same of ends.
     pub ended: Kept,
     /// The served part: the worst promise's kept part against the part asked for; 1 at most, and
     /// 1 as well where too little was seen.
@@ -177,6 +195,7 @@
 }
 
 impl Account {
+    /// An empty account.
     pub fn new(settings: &Settings, properties: &Properties, now: Instant) -> Self {
         let window = properties.served_window;
         Self {
@@ -193,6 +212,7 @@
         }
     }
 
+    /// The account's lines, as of the last look.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
--- a/src/scheduling/served/promises.rs
+++ b/src/scheduling/served/promises.rs
@@ -15,17 +15,23 @@
 /// The same for the time within which the largest gangs of a class are to begin.
 pub const LARGEST: u16 = u16::MAX - 1;
 
+/// What is to happen in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum What {
+    /// The job's tasks have started.
     Started,
+    /// The job is done.
     Done,
 }
 
 /// One promise: its objective's number, and within how many seconds from the job's submission.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Promise {
+    /// The number of its objective in the settings, `OWN` or `LARGEST`.
     pub at: u16,
+    /// What is to happen.
     pub what: What,
+    /// Seconds from the submission.
     pub within_s: f64,
 }
 
--- a/src/scheduling/wishes.rs
+++ b/src/scheduling/wishes.rs
@@ -21,13 +21,16 @@
 /// A job's place in the order of its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Turn {
+    /// The name of the window.
     pub window: String,
+    /// Its number in the window's order.
     pub number: u32,
 }
 
 /// Who goes ahead of others of the same urgency.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ahead {
+    /// The classes and teams that go ahead.
     pub names: Names,
     /// The part of all cores given out that they may hold so; beyond it they go by return.
     pub most_part: f64,
@@ -38,6 +41,7 @@
 pub struct RoomWish {
     /// The shape of each task.
     pub like: JobSpec,
+    /// How many tasks.
     pub tasks: u64,
     /// Seconds from now; 0: now.
     pub in_s: f64,
@@ -52,21 +56,27 @@
     pub stop: BTreeSet<u32>,
     /// Sparing machines leaves them where they are.
     pub stay: bool,
+    /// They go ahead of others of the same urgency.
     pub ahead: bool,
 }
 
+/// All that scheduling follows of what operators have declared.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Wishes {
     /// Jobs whose turn in their window has come: of one window the lesser number first.
     pub turns: HashMap<JobId, Turn>,
     /// Jobs whose turn has not come: not placed yet, and nothing is held or rented for them.
     pub not_yet: HashSet<JobId>,
+    /// Classes and teams that go ahead at the moment.
     pub ahead: Option<Ahead>,
+    /// Room that is to be there in time.
     pub room: Vec<RoomWish>,
+    /// Services whose replicas are decided elsewhere.
     pub replicas: HashMap<JobId, Replicas>,
 }
 
 impl Wishes {
+    /// Whether nothing is asked for.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
--- a/src/sla/mod.rs
+++ b/src/sla/mod.rs
@@ -25,11 +25,17 @@
 /// The four parameters of the paper's agreement, derived for one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Agreement {
+    /// Whether the deadline is the user's own.
     pub hard: bool,
+    /// Expected run time.
     pub run: Duration,
+    /// Deadline from the submission.
     pub deadline: Duration,
+    /// What its completion in time is worth.
     pub budget: f64,
+    /// What each second of delay takes from that.
     pub penalty_rate: f64,
+    /// Cores that it holds.
     pub cores: f64,
 }
 
@@ -87,7 +93,9 @@
 /// A machine as admission sees it: what its tasks share and return.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
+    /// Summed deadline shares, in cores.
     pub share: f64,
+    /// Summed returns.
     pub total_return: f64,
 }
 
--- a/src/standstill.rs
+++ b/src/standstill.rs
@@ -20,9 +20,12 @@
 /// A question is given up by its user after this long.
 const ASKED_FOR: Duration = Duration::from_secs(2);
 
+/// A time in which this process did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gap {
+    /// The last moment at which it is known to have run before.
     pub began: Instant,
+    /// The first moment at which it ran again.
     pub ended: Instant,
 }
 
@@ -36,6 +39,7 @@
 }
 
 impl Gap {
+    /// How long it lasted.
     pub fn length(&self) -> Duration {
         self.ended.saturating_duration_since(self.began)
     }
@@ -75,6 +79,7 @@
 }
 
 impl Pulse {
+    /// A process that runs at this moment.
     pub fn new(now: Instant) -> Self {
         Self { beaten: now, last: None, gaps: 0 }
     }
@@ -91,6 +96,7 @@
         Some(gap)
     }
 
+    /// The latest gap, if there was any.
     pub fn last(&self) -> Option<Gap> {
         self.last
     }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -50,10 +50,12 @@
 }
 
 impl Traffic {
+    /// Counts one.
     pub fn count(&self, passage: Passage) {
         self.add(passage, 1);
     }
 
+    /// Counts several.
     pub fn add(&self, passage: Passage, n: u64) {
         self.0[passage as usize].fetch_add(n, Ordering::Relaxed);
     }
