--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,32 +1,42 @@
-//! What the cloud is asked and answers.
+//! Messages of the cloud's interface: its catalog, rentals and the list of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A type of machines: prices an hour, sizes in GB, the usual boot in seconds.
+/// A type of machine that the cloud rents out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// Its name, unique in the catalog.
     pub name: String,
+    /// Cores of one machine.
     pub cpus: f64,
+    /// Accelerators of one machine; 0 if it has none.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
+    /// Memory of one machine, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
+    /// Rate at which one machine fetches images, in GB per second.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: f64,
-    /// What a machine keeps of the images it has used, if the cloud says.
+    /// Capacity of a machine's image cache in GB, if the cloud states it.
     #[serde(rename = "localGb", default)]
     pub cache_gb: Option<f64>,
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "rate")]
     pub price: f64,
+    /// Price of a spot machine per hour; it varies over time.
     #[serde(rename = "spotPrice")]
     pub spot_price: f64,
+    /// Usual time from the request until the machine is up, in seconds.
     #[serde(rename = "startupS")]
     pub boot_s: f64,
+    /// Zones in which the type is offered.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
+    /// Price per hour: of a spot machine if `spot`, else of an on-demand one.
     pub fn price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
@@ -35,60 +45,77 @@
 /// What the cloud offers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
+    /// All machine types, each name once.
     #[serde(rename = "fleets")]
     pub types: Vec<MachineType>,
 }
 
 impl Catalog {
+    /// Looks a type up by its name.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| t.name == name)
     }
 }
 
-/// Machines asked for. The name is used once only: asked again, it gets the same machines.
+/// A request for machines. It is idempotent by its name: repeated, it returns the same machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
+    /// The request's own name, which makes it idempotent.
     #[serde(rename = "charter")]
     pub request: String,
+    /// Name of the [`MachineType`] asked for.
     #[serde(rename = "fleet")]
     pub type_name: String,
+    /// Zone in which the machines are wanted.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether spot machines are wanted in place of on-demand ones.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// Number of machines wanted; the cloud may grant fewer.
     pub count: u64,
 }
 
-/// A machine as the cloud lists it; `held_s` is its age in seconds as of the time the list describes.
+/// A machine as the cloud lists it. The list may lag behind the machine's present state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
+    /// The cloud's name of the machine.
     #[serde(rename = "uid")]
     pub id: String,
+    /// Address (`host:port`) of its worker, once the cloud knows it.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
+    /// Name of its [`MachineType`].
     #[serde(rename = "fleet")]
     pub type_name: String,
+    /// Zone in which it runs.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// `starting`, `running` or `failed`.
     #[serde(rename = "status")]
     pub state: String,
+    /// Its age in seconds since it was rented, as of the time that the list describes.
     #[serde(rename = "heldS", default)]
     pub held_s: f64,
 }
 
-/// A part of the list, in the order of the names.
+/// A page of the list of machines, ordered by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListPage {
+    /// The machines of this page.
     #[serde(rename = "berths")]
     pub machines: Vec<Listed>,
+    /// Whether further machines follow; the next page starts after the last name of this one.
     pub more: bool,
 }
 
-/// Machines rented, or to be returned.
+/// Names of machines: those a rental brought, or those to return.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Names {
+    /// The cloud's names of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<String>,
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Bodies as MessagePack: maps keyed by text, with nothing binary.
+//! Message bodies: MessagePack maps keyed by text, without binary values.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -11,10 +11,13 @@
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
+/// Why a body was not decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
+    /// The body is empty or its outermost value is not a map.
     #[error("the body is not a map")]
     NotAMap,
+    /// The body is a map but not MessagePack of the expected type.
     #[error("{0}")]
     Malformed(#[from] rmp_serde::decode::Error),
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -12,7 +12,9 @@
 /// Watch answers have no size limit of their own; this bounds what one answer may cost us. Read
 /// into values it takes some ten times as much. Listings stay below half of it by themselves.
 const ANSWER_LIMIT: usize = 1024 * 1024;
+/// Limit for opening a connection; part of the deadline of a call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Idle connections kept per host.
 const IDLE_PER_HOST: usize = 4;
 /// Connections to machines are many; what is not used again soon is closed.
 const IDLE_FOR: Duration = Duration::from_secs(10);
@@ -20,14 +22,18 @@
 /// Why a call has no answer. Only `NotSent` says that the other side cannot have acted on it.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
 pub enum CallError {
+    /// The request was never sent: the connection failed or the request could not be built.
     #[error("could not connect")]
     NotSent,
+    /// The request may have been sent, but no complete answer arrived before the deadline.
     #[error("no answer; it may have been, or may yet be, carried out")]
     Unanswered,
+    /// The request was carried out, but the answer exceeds the size limit.
     #[error("carried out, but the answer is larger than can be read")]
     TooLarge,
 }
 
+/// An HTTP/1.1 client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -1,81 +1,111 @@
-//! A job as users send it, and its checks.
+//! Job descriptions as users submit them, and their validation.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
+/// The most tasks that one job may have.
 pub const MOST_TASKS: u64 = 100_000;
 
-/// Job ids are shared by every map that speaks of a job.
+/// The id of a job, `run-` and digits. It is reference-counted because many maps are keyed by it.
 pub type JobId = std::sync::Arc<str>;
 
+/// How the tasks of a job depend on each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// Independent tasks, each with a result of its own.
     #[serde(rename = "sweep")]
     Array,
+    /// Tasks that start together and fail together (gang scheduling).
     #[serde(rename = "group")]
     Gang,
+    /// Replicas that run until they are stopped.
     #[serde(rename = "service")]
     Service,
 }
 
-/// Ordered from the least to the most urgent.
+/// The priority of a job, ordered from the least to the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Urgency {
+    /// Runs on capacity that nobody else wants.
     #[serde(rename = "idle")]
     Idle,
+    /// The usual priority.
     #[serde(rename = "normal")]
     Normal,
+    /// Before normal jobs.
     #[serde(rename = "high")]
     High,
+    /// Before all others.
     #[serde(rename = "prod")]
     Prod,
 }
 
-/// A job as submitted. The names on the wire are the deployment's.
+/// A job as submitted. The names on the wire differ from the field names; see the serde renames.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Unique id, chosen by the user; it makes submission idempotent.
     #[serde(rename = "uid")]
     pub id: JobId,
+    /// Kind of work; jobs of one class resemble each other in run time and needs.
     #[serde(rename = "jobFamily")]
     pub class: String,
+    /// Team that submits the job and whose quota it counts against.
     #[serde(rename = "desk")]
     pub team: String,
+    /// How its tasks depend on each other.
     pub shape: Shape,
+    /// Its priority.
     pub urgency: Urgency,
+    /// Number of tasks, from 1 to [`MOST_TASKS`].
     #[serde(rename = "legs")]
     pub tasks: u64,
+    /// Cores that one task needs.
     pub cpus: f64,
+    /// Accelerators that one task needs.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
+    /// Memory that one task needs, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
+    /// Name of the image that a machine fetches before a task starts.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Size of the image, in GB.
     #[serde(rename = "imageGb")]
     pub image_gb: f64,
+    /// Names of the machine types allowed; any type if absent.
     #[serde(rename = "fleets", default)]
     pub types: Option<Vec<String>>,
+    /// Zone required; any zone if absent.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
+    /// Whether no zone may hold more than half of its tasks, rounded up.
     #[serde(rename = "scatter")]
     pub spread: bool,
+    /// Whether its tasks may run on spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// The user's estimate of one task's run time, in seconds.
     #[serde(rename = "expectedS")]
     pub estimate_s: f64,
+    /// Interval of checkpoints in seconds; 0 if a task cannot save its progress.
     #[serde(rename = "milestoneS")]
     pub checkpoint_s: f64,
+    /// Time that saving takes when a task is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub save_s: f64,
+    /// Deadline in seconds after the submission, if there is one.
     #[serde(rename = "dueS", default)]
     pub due_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// What is wrong with it in itself, whatever machines and teams there are.
+    /// Checks the fields by themselves, whatever machines and teams there are. The error names the field as it is
+    /// on the wire.
     pub fn check(&self) -> Result<(), String> {
         if !well_formed_id(&self.id) {
             return Err(format!("uid: {:?} is not in its form", self.id));
@@ -102,26 +132,29 @@
         Ok(())
     }
 
+    /// The deadline, counted from the submission.
     pub fn due(&self) -> Option<Duration> {
         self.due_s.map(Duration::from_secs_f64)
     }
 
+    /// The user's estimate of one task's run time.
     pub fn estimate(&self) -> Duration {
         Duration::from_secs_f64(self.estimate_s)
     }
 
-    /// Fills what others leave over.
+    /// Whether it only fills capacity that other jobs leave unused.
     pub fn is_idle(&self) -> bool {
         self.urgency == Urgency::Idle
     }
 
-    /// A gang stands or falls together; everything else goes task by task.
+    /// Whether its tasks start and fail together.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
 }
 
-/// `run-` and up to twenty digits: bounded, and free of what a key or a path would trip over.
+/// Whether an id is `run-` and one to twenty digits: bounded, and free of characters that are special in a key or a
+/// path.
 pub fn well_formed_id(id: &str) -> bool {
     id.strip_prefix("run-")
         .is_some_and(|digits| (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit()))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,11 @@
-//! What hollylanding says to users, workers, the cloud and the state service, and hears from them.
+//! The messages that hollylanding exchanges with users, workers, the cloud and the state service.
 //!
-//! Every message is written once, here: the daemon is one side of it, stand-ins and clients the
-//! other. Names are the field's; the deployment's words appear only in serde renames. Bodies are
+//! Every message is defined once, here, for the daemon as well as for the emulator and clients. Rust names are the
+//! standard terms of the field; the names of the deployment's protocol appear only in serde renames. Bodies are
 //! MessagePack over HTTP/1.1 ([`encode`], [`decode`], [`Http`]).
 
+#![warn(missing_docs)]
+
 pub mod cloud;
 mod codec;
 mod http;
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,136 +1,171 @@
-//! What the state service is asked and answers.
+//! Messages of the state service: transactions, listings, watches and leases.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// That a key has this version; 0: that it does not exist.
+/// A condition of a transaction: the key has this version, or does not exist if the version is 0.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Condition {
+    /// The key.
     pub path: String,
+    /// The version required; 0: the key must not exist.
     pub stamp: u64,
 }
 
 impl Condition {
+    /// The key must have this version.
     pub fn at(path: impl Into<String>, stamp: u64) -> Self {
         Self { path: path.into(), stamp }
     }
+    /// The key must not exist.
     pub fn absent(path: impl Into<String>) -> Self {
         Self::at(path, 0)
     }
 }
 
-/// A key written, on a lease if one is named, or dropped.
+/// One change of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Change {
+    /// Sets a key.
     Write {
+        /// The key.
         write: String,
+        /// Its new value.
         value: Value,
+        /// The lease that the key is attached to, if any: it is deleted when the lease ends.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         permit: Option<u64>,
     },
+    /// Deletes a key.
     Drop {
+        /// The key.
         drop: String,
     },
 }
 
 impl Change {
+    /// Sets a key without a lease.
     pub fn write(path: impl Into<String>, value: Value) -> Self {
         Self::Write { write: path.into(), value, permit: None }
     }
 }
 
-/// A transaction: all changes at once if every condition holds. Without changes it compares.
+/// A transaction: all changes are applied atomically if every condition holds. Without changes it only compares.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Txn<'a> {
+    /// All of these must hold.
     #[serde(default, rename = "if")]
     pub conditions: Cow<'a, [Condition]>,
+    /// The changes, applied in this order.
     #[serde(default)]
     pub apply: Cow<'a, [Change]>,
 }
 
 impl<'a> Txn<'a> {
+    /// A transaction that borrows its parts.
     pub fn new(conditions: &'a [Condition], apply: &'a [Change]) -> Self {
         Self { conditions: conditions.into(), apply: apply.into() }
     }
 }
 
-/// A key as it stands: the stamp is the revision of its last change.
+/// A key with its current value.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Item {
+    /// The key.
     pub path: String,
+    /// Its value.
     pub value: Value,
+    /// The revision of its last change.
     pub stamp: u64,
 }
 
-/// A part of a listing in the order of the keys, as of one revision.
+/// A page of a listing, ordered by key, consistent as of one revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Page {
+    /// The keys of this page.
     pub items: Vec<Item>,
+    /// Whether further keys follow; the next page starts after the last key of this one.
     pub more: bool,
+    /// The revision that the page describes.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// The names and versions alone of such a part.
+/// A page of a listing of which only keys and versions are decoded.
 #[derive(Debug, Deserialize)]
 pub struct Names {
+    /// The keys of this page.
     pub items: Vec<Name>,
+    /// Whether further keys follow.
     pub more: bool,
 }
 
+/// A key with its version and without its value.
 #[derive(Debug, Deserialize)]
 pub struct Name {
+    /// The key.
     pub path: String,
+    /// The revision of its last change.
     pub stamp: u64,
 }
 
-/// One change as a watch tells it: a key written or dropped.
+/// One change as a watch reports it: exactly one of `write` and `drop` is present.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Event {
+    /// The key that was set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write: Option<String>,
+    /// The key that was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drop: Option<String>,
+    /// The new value; null for a deletion.
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub value: Value,
+    /// The revision of the change.
     pub stamp: u64,
 }
 
 impl Event {
-    /// The key that changed.
+    /// The key that changed, whether set or deleted.
     pub fn path(&self) -> &str {
         self.write.as_deref().or(self.drop.as_deref()).unwrap_or_default()
     }
 }
 
-/// All changes since the revision asked for, up to this one.
+/// The answer of a watch: all changes after the revision asked for, up to `revision`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Followed {
+    /// The revision up to which `log` is complete; the next watch starts from it.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
+    /// The changes in the order of their revisions.
     pub log: Vec<Event>,
 }
 
-/// The revision after a transaction, or the present one.
+/// The revision after a transaction, or the current one.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Revised {
+    /// The store's revision.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// The keys that had other versions than asked.
+/// The answer to a transaction whose conditions did not hold. Nothing was changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
+    /// The keys whose versions were not the ones required.
     pub failed: Vec<String>,
+    /// The store's revision.
     #[serde(default, rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// A lease.
+/// The answer to a request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Granted {
+    /// The id of the lease.
     pub permit: u64,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,45 +1,62 @@
-//! What workers report and are told.
+//! Messages between controllers and workers: reports (heartbeats) and orders.
 
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::JobId;
 
+/// The state of a task's attempt on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LegStatus {
+    /// The machine fetches the image.
     Fetching,
+    /// The attempt has its image and waits for the rest of its gang.
     #[serde(rename = "gathering")]
     Waiting,
+    /// It runs.
     Running,
+    /// It was told to stop and saves its progress.
     Saving,
+    /// It has ended; its [`Cause`] says why.
     #[serde(rename = "ended")]
     Exited,
 }
 
+/// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
+    /// It finished with a result.
     #[serde(rename = "done")]
     Done,
+    /// It was told to stop.
     #[serde(rename = "halted")]
     Stopped,
+    /// Another member of its gang was lost.
     #[serde(rename = "peers")]
     Peers,
+    /// Its gang was not complete in time.
     #[serde(rename = "alone")]
     Alone,
+    /// It failed.
     #[serde(rename = "error")]
     Error,
+    /// The machine has too little free capacity for it.
     #[serde(rename = "full")]
     NoRoom,
+    /// Another attempt of the same task is on the machine.
     #[serde(rename = "busy")]
     Busy,
+    /// The worker does not know the attempt.
     #[serde(rename = "no_such")]
     Unknown,
 }
 
-/// `run-000412/3` on the wire.
+/// One task of a job; `run-000412/3` on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
+    /// The job.
     pub job: JobId,
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
@@ -58,44 +75,62 @@
     }
 }
 
+/// One attempt of a task as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leg {
+    /// The task.
     #[serde(rename = "leg")]
     pub task: TaskKey,
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// The attempt's state.
     pub status: LegStatus,
+    /// Why it ended; present exactly if it has.
     #[serde(default, rename = "cause")]
     pub cause: Option<Cause>,
+    /// Whether its progress was saved, for an attempt that ended.
     #[serde(default, rename = "kept")]
     pub saved: Option<bool>,
 }
 
+/// A worker's report (heartbeat): what it is and all attempts on it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
+    /// The cloud's name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
+    /// Address (`host:port`) at which the worker takes orders.
     #[serde(rename = "endpoint")]
     pub addr: String,
+    /// Name of the machine's type.
     #[serde(rename = "fleet")]
     pub type_name: String,
+    /// Zone in which it runs.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// Number of the worker's session, from 1; it grows when the worker loses its lease and with it all its
+    /// attempts.
     #[serde(rename = "shift")]
     pub session: u64,
+    /// Sequence number of the report; an older report has a smaller one.
     #[serde(rename = "tally")]
     pub seq: u64,
+    /// The highest fencing token that the worker has seen; it refuses orders under a smaller one.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Seconds until the cloud takes the machine away, once it has given notice.
     #[serde(default, rename = "recallS")]
     pub notice_s: Option<f64>,
+    /// All attempts on the worker, and those that ended and are not yet reaped.
     pub legs: Vec<Leg>,
 }
 
 impl Report {
-    /// Whether it makes sense in itself.
+    /// Whether the fields are consistent with each other and within their bounds.
     pub fn check(&self) -> bool {
         self.session >= 1
             && !self.machine.is_empty()
@@ -105,39 +140,52 @@
     }
 }
 
-/// What a worker is to do; it executes them in order.
+/// An order to a worker, which executes orders in sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
+    /// Starts an attempt. Repeated, it changes nothing.
     Launch {
+        /// The task.
         #[serde(rename = "leg")]
         task: TaskKey,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
+    /// Stops an attempt.
     Halt {
+        /// The task.
         #[serde(rename = "leg")]
         task: TaskKey,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Seconds that it has to save its progress; 0: none.
         #[serde(rename = "windDownS")]
         grace_s: u64,
     },
+    /// Removes an attempt that has ended from the worker's reports.
     Reap {
+        /// The task.
         #[serde(rename = "leg")]
         task: TaskKey,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Orders under a token: in the answer to a report, or sent directly to a session.
+/// Orders under a fencing token: the answer to a report, or sent directly to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
+    /// The fencing token of the controller that sends them.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// The worker session they are meant for; absent in the answer to a report.
     #[serde(default, rename = "shift", skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
+    /// The orders, executed in sequence.
     pub orders: Vec<Order>,
 }
 
