--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -21,10 +21,18 @@
 /// How long a verb of the command line may take.
 const VERB_WITHIN: Duration = Duration::from_secs(10);
 
+/// Why controllers could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
+    /// A file, a port or a process failed.
     #[error("{what}: {error}")]
-    Io { what: String, error: std::io::Error },
+    Io {
+        /// What was being done, or the path concerned.
+        what: String,
+        /// The operating system's error.
+        error: std::io::Error,
+    },
+    /// The daemon's program does not exist at this path.
     #[error("{0} is not built: run `cargo build --release` first")]
     NotBuilt(String),
 }
@@ -52,11 +60,11 @@
     /// Settings for operators, whose way to the state service is never cut.
     operators: PathBuf,
     list: Vec<Controller>,
-    /// Where users reach each of them, past the link that may be cut.
+    /// Addresses for users, by controller; they pass through the links that a scenario may cut.
     pub for_users: Vec<String>,
-    /// Where they listen themselves.
+    /// Addresses on which the controllers listen themselves, by controller.
     pub direct: Vec<String>,
-    /// Times that one ended by itself.
+    /// Number of times that a controller's process exited without being stopped by the scenario.
     pub own_ends: usize,
 }
 
@@ -159,12 +167,13 @@
         Ok(())
     }
 
-    /// Whether all run and none stands still.
+    /// Whether every controller runs and none is paused.
     pub fn all_well(&self) -> bool {
         self.list.iter().all(|c| c.starts.is_none() && c.resumes.is_none())
     }
 
-    /// Runs the daemon's command line with these arguments whenever called: its exit status and what it said.
+    /// A command that runs the daemon's command line with these arguments each time it is called, and returns the
+    /// exit status and the output.
     pub fn verbs(&self, args: Vec<String>) -> impl Fn() -> BoxFuture<(Option<i32>, String)> + Send + use<> {
         let (binary, config) = (self.binary.clone(), self.operators.display().to_string());
         let args: Vec<String> = args.iter().map(|arg| arg.replace("{config}", &config)).collect();
@@ -184,11 +193,12 @@
         }
     }
 
+    /// Number of controllers, running or not.
     pub fn count(&self) -> usize {
         self.list.len()
     }
 
-    /// Ends one without a word, and starts it again later.
+    /// Kills one without warning, and restarts it after `again`.
     pub async fn end(&mut self, i: usize, again: Duration) {
         let Some(controller) = self.list.get_mut(i) else { return };
         if let Some(mut child) = controller.child.take() {
@@ -204,7 +214,7 @@
         }
     }
 
-    /// One stands still for a while, its clocks running on.
+    /// Pauses one controller's process (SIGSTOP) for a while; its clocks run on.
     pub fn pause(&mut self, i: usize, time: Duration) {
         self.signal(i, Signal::SIGSTOP);
         if let Some(controller) = self.list.get_mut(i) {
@@ -212,7 +222,7 @@
         }
     }
 
-    /// Starts and resumes what is due, and counts who has ended by itself.
+    /// Restarts and resumes the controllers that are due, and counts those that have exited by themselves.
     pub fn tick(&mut self) -> Result<(), ControllerError> {
         for i in 0..self.list.len() {
             let controller = &mut self.list[i];
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -35,52 +35,68 @@
 const NEXT_AFTER: Duration = Duration::from_secs(1);
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 
-/// A poisoned lock means a panic elsewhere; the state itself is whole.
+/// Locks a mutex. A poisoned lock means a panic elsewhere; the state itself is consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
+/// The parameters of an emulated world.
 pub struct Params {
+    /// Limits of the state service.
     pub limits: Limits,
+    /// Types, capacity and behaviour of the cloud.
     pub cloud: cloud::Params,
+    /// Timeouts of the workers.
     pub fleet: fleet::Params,
+    /// How new machines boot.
     pub boots: Boots,
-    /// Between two reports of a worker; a quarter more or less.
+    /// Interval between two reports of a worker; each one varies by up to a quarter.
     pub report: Duration,
-    /// Keys of a listing and machines of a list at the most, whatever is asked.
+    /// The most keys or machines on one page of a listing, whatever the request asks for.
     pub page_most: usize,
+    /// Seed of all randomness.
     pub seed: u64,
-    /// Whether everything that happens is kept for the judge.
+    /// Whether events are recorded for the judge.
     pub judged: bool,
 }
 
-/// Which of a controller's links.
+/// One of a controller's network links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Link {
+    /// To the state service.
     Store,
+    /// To the cloud.
     Cloud,
+    /// To and from the workers.
     Workers,
+    /// From the users.
     Users,
     /// To the controller of this number.
     Peer(usize),
 }
 
-/// A controller, as workers turn to it.
+/// A controller as workers address it.
 #[derive(Debug, Clone)]
 pub struct Node {
+    /// The controller's name.
     pub name: String,
+    /// The address (`host:port`) to which workers report.
     pub addr: String,
 }
 
-/// Everything outside the controllers.
+/// Everything outside the controllers: the state service, the cloud and the workers.
 pub struct World {
+    /// The state service.
     pub state: Mutex<State>,
+    /// The cloud.
     pub cloud: Mutex<Cloud>,
+    /// The workers.
     pub fleet: Mutex<Fleet>,
+    /// The controllers that workers report to.
     pub nodes: Mutex<Vec<Node>>,
-    /// Tasks in the order in which they were started.
+    /// Tasks (`job/index`) in the order in which they were started.
     pub starts: Mutex<Vec<String>>,
-    /// What the judge sees, if anybody judges.
+    /// Events for the judge; empty unless [`Params::judged`].
     pub record: Mutex<Vec<Entry>>,
     /// Where each machine's worker listens, by controller; once for all where there are no gates.
     addrs: Mutex<HashMap<String, Vec<String>>>,
@@ -92,6 +108,7 @@
 }
 
 impl World {
+    /// Starts a world whose time runs from now on. It must be called within a Tokio runtime.
     pub fn open(params: Params) -> Arc<Self> {
         let mut cloud = Cloud::new(params.cloud.clone(), params.seed);
         cloud.set_boots(params.boots);
@@ -118,23 +135,24 @@
         self.begun.elapsed()
     }
 
-    /// Requests that came to the cloud so far.
+    /// Number of requests that the cloud has received so far.
     pub fn cloud_calls(&self) -> u64 {
         *lock(&self.calls)
     }
 
+    /// The switch of one link of a controller.
     pub fn gate(&self, controller: usize, link: Link) -> Arc<Gate> {
         lock(&self.gates).entry((controller, link)).or_default().clone()
     }
 
-    /// Keeps what happened, if anybody judges.
+    /// Records an event, if anybody judges.
     pub fn note(&self, event: Event) {
         if self.params.judged {
             lock(&self.record).push(Entry { at: self.now(), event });
         }
     }
 
-    /// Does something to the workers, and keeps what came of it before anybody hears.
+    /// Runs an action on the workers, and records what it brought about before anybody else sees it.
     pub fn with_fleet<T>(&self, act: impl FnOnce(&mut Fleet, Duration) -> T) -> T {
         // In whole steps, so that what comes within one is one moment to the workers.
         let steps = self.now().as_millis() / STEP.as_millis();
@@ -150,7 +168,7 @@
         outcome
     }
 
-    /// A user uploads a job for the workers.
+    /// Makes a job's description available to the workers.
     pub fn upload(&self, upload: Upload) {
         self.with_fleet(|fleet, _| fleet.upload(upload));
     }
@@ -219,11 +237,12 @@
         }
     }
 
+    /// The cloud gives notice to a machine's worker that it will be taken away after `left`.
     pub fn notice(&self, machine: &str, left: Duration) {
         self.with_fleet(|fleet, now| fleet.recall(machine, now + left));
     }
 
-    /// A machine stops with all that is on it, unnoticed by the cloud for a while.
+    /// A machine fails with everything on it; the cloud's list shows that only after a while.
     pub fn kill(&self, machine: &str) {
         self.with_fleet(|fleet, now| fleet.gone(machine, now));
         lock(&self.cloud).kill(machine, self.now());
@@ -481,7 +500,7 @@
     }
 }
 
-/// Serves on whatever port of loopback the system gives.
+/// Serves a router on a free port of the loopback interface, and returns its address.
 pub async fn listen(router: Router) -> String {
     let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
     let addr = acceptor.inner().local_addr().map(|a| a.to_string()).unwrap_or_default();
--- a/crates/emulator/src/driver/relay.rs
+++ b/crates/emulator/src/driver/relay.rs
@@ -16,17 +16,18 @@
 /// What a link does with what passes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Passing {
+    /// Everything passes at once.
     #[default]
     Open,
-    /// Nothing passes; it is delivered later.
+    /// Nothing passes; it is delivered once the link is open again.
     Held,
-    /// Everything takes this much longer, connection by connection.
+    /// Each chunk takes this much longer, connection by connection.
     Delayed(Duration),
-    /// Connections are closed, and new ones at once.
+    /// Connections are closed, and new ones are closed at once.
     Reset,
 }
 
-/// Opens and closes one link.
+/// The switch of one link.
 #[derive(Debug)]
 pub struct Gate(watch::Sender<Passing>);
 
@@ -37,6 +38,7 @@
 }
 
 impl Gate {
+    /// Sets what the link does from now on, for open connections too.
     pub fn set(&self, passing: Passing) {
         self.0.send_replace(passing);
     }
@@ -56,7 +58,7 @@
     }
 }
 
-/// Listens on a free port of loopback and passes connections on; its address.
+/// Listens on a free port of the loopback interface and forwards connections to `to`. Returns the address.
 pub async fn relay(to: String, gate: Arc<Gate>) -> std::io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -8,60 +8,66 @@
 
 use crate::world::store::{Limits, Refusal, Store};
 
-/// What goes wrong with writes, on command.
+/// Faults of the state service that are injected on command.
 #[derive(Debug, Default)]
 pub struct Faults {
+    /// All transactions are refused as unavailable.
     pub refuse_writes: bool,
-    /// Answers that make no sense.
+    /// Transactions are answered with a value of the wrong form, and not applied.
     pub garble_writes: bool,
-    /// Writes still served; all later ones are refused.
+    /// Number of writes that are still served; all later ones are refused.
     pub writes_left: Option<u64>,
-    /// So many writes are acknowledged and never carried out.
+    /// Number of writes still to be acknowledged without being applied.
     pub lose: u32,
-    /// So many were.
+    /// Number of writes that were acknowledged without being applied.
     pub lost: u32,
-    /// So many writes are carried out and not answered.
+    /// Number of writes still to be applied without an answer.
     pub unanswered: u32,
-    /// So many writes are carried out this much later, and not answered.
+    /// Number of writes still to be applied with this delay and without an answer.
     pub late: (u32, Duration),
-    /// Where set, only writes of keys with this prefix are `unanswered` or `late`.
+    /// If set, only writes of keys with this prefix are `unanswered` or `late`.
     pub only: Option<&'static str>,
-    /// So many late writes have had their time, whether they were carried out or refused by then.
+    /// Number of late writes whose delay has passed, whether they were applied or refused then.
     pub late_over: u32,
-    /// Watches that wait are told nothing before their time is over; those that do not wait are.
+    /// Watches that wait receive nothing before their time is over; those that do not wait do.
     pub quiet_watches: bool,
-    /// Answers come so much later.
+    /// Delay of every answer.
     pub slow: Duration,
-    /// Watches hear nothing until then.
+    /// Until then, watches receive no changes.
     pub stalled_until: Option<Instant>,
 }
 
-/// What became of a request.
+/// The result of a transaction.
 pub enum Outcome {
+    /// Answered at once.
     Answer(Result<Value, Refusal>),
-    /// Never answered.
+    /// Never answered, though it may have been applied.
     Silence,
-    /// Never answered, and carried out only after this long.
+    /// Never answered, and applied only after this delay.
     Later(Duration),
 }
 
-/// The emulated state service, and what is counted of it.
+/// The emulated state service with its injected faults and its counters.
 pub struct State {
+    /// The keys, leases and limits.
     pub store: Store,
+    /// The faults in effect.
     pub faults: Faults,
     begun: Instant,
-    /// Keys of a page at the most, whatever is asked.
+    /// The most keys on one page, whatever the request asks for.
     pub page_most: usize,
+    /// Number of requests received.
     pub requests: u64,
-    /// Requests beyond the limits.
+    /// Number of requests refused for being beyond the limits.
     pub refused: u64,
-    /// Puts and deletes.
+    /// Number of keys written or deleted by requests.
     pub changes: u64,
-    /// Bytes of the largest answer.
+    /// Size of the largest answer, in bytes.
     pub largest: usize,
 }
 
 impl State {
+    /// An empty state service.
     pub fn new(limits: Limits, page_most: usize) -> Self {
         Self {
             store: Store::new(limits),
@@ -75,21 +81,22 @@
         }
     }
 
-    /// Begins afresh, with limits.
+    /// Starts again with an empty store under these limits.
     pub fn limit(&mut self, limits: Limits) {
         self.store = Store::new(limits);
     }
 
-    /// What watches are told of, too.
+    /// Writes a key without a request; watches report it.
     pub fn put(&mut self, key: String, value: &Value) {
         let _ = self.store.apply_if(&[], &[Change::write(key, value.clone())]);
     }
 
-    /// How many keys there are under a prefix.
+    /// Number of keys under a prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.store.under(prefix).count()
     }
 
+    /// Time since the state service was started.
     pub fn now(&self) -> Duration {
         self.begun.elapsed()
     }
@@ -206,7 +213,7 @@
         }
     }
 
-    /// That nothing has changed.
+    /// The answer of a watch that reports no change.
     pub fn nothing_new(&self) -> Value {
         json!({"ledgerRev": self.store.revision(), "log": []})
     }
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -15,66 +15,100 @@
 use crate::declared::Declared;
 use crate::world::fleet::Happening;
 
-/// What a user asked.
+/// The kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ask {
+    /// Submits a job, or repeats the submission.
     Submit,
+    /// Asks for a job's status.
     Status,
+    /// Asks that a job be withdrawn.
     Withdraw,
 }
 
+/// Something that happened, as the judge sees it.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A user is about to submit a job for the first time.
     Submitted(Arc<JobSpec>),
     /// A user is about to ask for the first time that a job be withdrawn.
     WithdrawalAsked(JobId),
-    /// What a user was answered; no status: not answered at all.
+    /// The answer to a user's request.
     Answered {
+        /// The job that the request is about.
         job: JobId,
+        /// The kind of the request.
         ask: Ask,
+        /// HTTP status code; none if there was no answer.
         code: Option<u16>,
+        /// The job's status, if the answer contains one.
         status: Option<Status>,
     },
     /// A machine came up.
     Up {
+        /// The cloud's name of the machine.
         machine: String,
+        /// Name of its type.
         type_name: String,
+        /// Its zone.
         zone: String,
+        /// Whether it is a spot machine.
         spot: bool,
     },
+    /// Something happened to a task on a machine.
     Machine(Happening),
-    /// The controllers stored a status of something declared.
+    /// The controllers stored the status of a declared object.
     Declared {
+        /// Kind of the object, such as `window` or `heat`.
         kind: String,
+        /// The object's name.
         name: String,
+        /// The specification that was in force.
         spec: Value,
+        /// The status stored.
         status: Value,
     },
-    /// Nothing is wrong any more: every job has to be answered from now on.
+    /// All faults are over: from now on every request about a job has to be answered.
     Quiet,
 }
 
+/// An event with its time.
 #[derive(Debug, Clone)]
 pub struct Entry {
+    /// Time since the world began.
     pub at: Duration,
+    /// What happened.
     pub event: Event,
 }
 
+/// A rule of the protocol that the judge checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A task ran on two machines at once.
     RanTwice,
+    /// A team used more than its quota.
     Quota,
+    /// A task started on a machine that its job does not allow.
     WrongPlace,
+    /// A task ran too long after its job was reported withdrawn.
     RanCancelled,
+    /// An accepted job was answered as unknown, was refused, or was not answered while others were.
     Forgotten,
+    /// A job that nobody submitted was answered as known.
     Invented,
+    /// A job was reported done before all its tasks were.
     NotDone,
+    /// A final status changed, or a job was reported withdrawn although nobody asked.
     WentBack,
+    /// No task started at all.
     NothingRan,
+    /// With all faults over, no request about a job was answered for [`SILENT`].
     Unanswered,
+    /// Replicas of a service were stopped until fewer than required were left.
     Gap,
+    /// The stored status of a window contradicts itself, or the window never ended.
     Window,
+    /// Jobs that a heat rule puts first waited while many others started.
     Vents,
 }
 
@@ -83,6 +117,7 @@
 const PASSED_AFTER: Duration = Duration::from_secs(10);
 
 impl Rule {
+    /// All rules, in the order of reports.
     pub const ALL: [Self; 13] = [
         Self::RanTwice,
         Self::Quota,
@@ -99,6 +134,7 @@
         Self::Vents,
     ];
 
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::RanTwice => "ran_twice",
@@ -118,26 +154,30 @@
     }
 }
 
-/// What the rules are held against.
+/// The parameters of the rules.
 #[derive(Debug, Clone, Default)]
 pub struct Terms {
-    /// Cores and accelerators that a team's tasks may take; 0: as many as there are.
+    /// The most cores and accelerators that each team's tasks may use; 0: unlimited.
     pub quotas: HashMap<String, (f64, f64)>,
-    /// From being told that a job is withdrawn until all of it must be gone.
+    /// Time from the report that a job is withdrawn until none of its tasks may run.
     pub cancel: Duration,
-    /// Services that stand for one another, and how many of their replicas together have to run.
+    /// Sets of services that replace one another, with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
-    /// Time of day at the beginning, in ms since 1970.
+    /// Wall-clock time at which the world began, in ms since 1970.
     pub begun_ms: u64,
 }
 
-/// What became of a class's largest jobs: its top tenth by tasks, more where sizes are equal.
+/// The outcome of a class's largest jobs: its top tenth by number of tasks, more where sizes are equal.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Largest {
+    /// The class.
     pub class: String,
+    /// Number of these jobs.
     pub jobs: usize,
+    /// Number of them that are done.
     pub done: usize,
-    /// All of a gang, or the first of an array, on machines within `BEGIN_WITHIN` of the acceptance.
+    /// Number of them that started within [`BEGIN_WITHIN`] of the acceptance: all tasks of a gang, or the first
+    /// task of an array.
     pub begun: usize,
 }
 
@@ -147,39 +187,49 @@
     }
 }
 
+/// A broken rule.
 #[derive(Debug, Clone)]
 pub struct Break {
+    /// The rule.
     pub rule: Rule,
+    /// Time since the world began.
     pub at: Duration,
+    /// A description of what broke it.
     pub what: String,
-    /// What had happened to the job until then, the last of it.
+    /// The last events of the job until then, one a line.
     pub history: Vec<String>,
 }
 
+/// The result of judging a history.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// In the order in which they came.
+    /// Broken rules in the order in which they were found.
     pub breaks: Vec<Break>,
-    /// Tasks of accepted jobs whose users did not withdraw them, and how many of these have a result.
+    /// Number of tasks of accepted jobs that were not withdrawn.
     pub expected: usize,
+    /// Number of expected tasks that have a result.
     pub delivered: usize,
-    /// Results that came more than once, each from a run of its own.
+    /// Number of results that came more than once, each from a run of its own.
     pub repeated: usize,
+    /// Expected tasks without a result.
     pub lost: Vec<TaskKey>,
+    /// The largest jobs of each class.
     pub largest: Vec<Largest>,
 }
 
 impl Verdict {
+    /// Whether no rule was broken, every expected task has exactly one result, and the largest jobs were served.
     pub fn clean(&self) -> bool {
         let whole = self.breaks.is_empty() && self.delivered == self.expected && self.repeated == 0;
         whole && self.largest.iter().all(Largest::served)
     }
 
+    /// The first break of a rule, if there is one.
     pub fn first(&self, rule: Rule) -> Option<&Break> {
         self.breaks.iter().find(|b| b.rule == rule)
     }
 
-    /// The last line of a rehearsal.
+    /// A summary in one line, the last of a rehearsal's output.
     pub fn line(&self) -> String {
         let rules: BTreeSet<&str> = self.breaks.iter().map(|b| b.rule.name()).collect();
         let rules: Vec<&str> = rules.into_iter().collect();
@@ -201,9 +251,9 @@
 const HISTORY: usize = 40;
 /// Every poll failing for this long, while most others are answered, is forgetting.
 const UNANSWERED: Duration = Duration::from_secs(90);
-/// Once troubles are over, a job about which no question is answered for this long is forgotten, however others fare.
+/// With all faults over, a job about which no request is answered for this long counts as unanswered.
 pub const SILENT: Duration = Duration::from_secs(75);
-/// The largest have to begin within this.
+/// Time after the acceptance within which the largest jobs have to start.
 pub const BEGIN_WITHIN: Duration = Duration::from_secs(240);
 const SLACK: f64 = 1e-6;
 
@@ -250,7 +300,7 @@
     breaks: Vec<Break>,
 }
 
-/// Judges a whole history, in the order of its times.
+/// Judges a whole history, whose entries must be ordered by time.
 pub fn judge(history: &[Entry], terms: &Terms) -> Verdict {
     let mut court = Court { terms: terms.clone(), ..Court::default() };
     let mut end = Duration::ZERO;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,12 @@
-//! What hollylanding runs against, emulated: a cloud, a state service and a fleet.
+//! An emulator of what hollylanding runs against: a cloud, a state service and a fleet of workers.
 //!
-//! The [`world`] is pure: state and time in, state and answers out; luck comes from a seed. The
-//! [`driver`] plays it in real time and serves it over HTTP on loopback. The [`judge`] looks at
-//! what happened, apart from both. With the feature `commands` there is more: [`sizes`] and
-//! [`scenario`] read what is to be played, [`rehearsal`] plays it against controllers that run as
-//! processes, and [`report`] tells of it.
+//! The [`world`] consists of pure state machines: state and time in, state and answers out; all randomness comes from a
+//! seed. The [`driver`] runs it in real time and serves it over HTTP on the loopback interface. The [`judge`] checks
+//! what happened, independently of both. The feature `commands` adds the rest: [`sizes`] and [`scenario`] read what is
+//! to be simulated, [`rehearsal`] runs it against controllers that are real processes, and [`report`] renders the
+//! results.
+
+#![warn(missing_docs)]
 
 mod declared;
 pub mod driver;
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -42,37 +42,54 @@
 const LONGEST_MS: u64 = 120_000;
 const DIGITS: u8 = 3;
 
-/// What was counted at a moment.
+/// Counters of the world at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sample {
+    /// Seconds since the world began.
     pub at_s: f64,
+    /// Tasks on machines that have not ended.
     pub running: usize,
+    /// Submitted tasks that are neither on a machine nor done.
     pub waiting: usize,
+    /// Tasks with a result.
     pub done: usize,
+    /// Machines that are booting.
     pub booting: usize,
+    /// Machines that are up.
     pub up: usize,
+    /// Spot machines that are up.
     pub spot: usize,
-    /// Since the sample before, a second.
+    /// Requests to the state service per second since the previous sample.
     pub store_requests: f64,
+    /// Changes of keys per second since the previous sample.
     pub store_changes: f64,
+    /// Requests to the cloud per second since the previous sample.
     pub cloud_calls: f64,
 }
 
+/// The results of a rehearsal.
 pub struct Outcome {
+    /// The judge's verdict.
     pub verdict: Verdict,
+    /// Counters over time.
     pub samples: Vec<Sample>,
-    /// What was done when, and to whom.
+    /// Faults and what they affected, with their times in seconds.
     pub faults: Vec<(f64, String)>,
-    /// Of submissions, in milliseconds, from the first attempt to the acceptance.
+    /// Time from the first attempt to submit a job until its acceptance, in milliseconds.
     pub accepted_ms: Histogram<u64>,
+    /// Number of jobs.
     pub jobs: usize,
+    /// Number of times that a controller exited by itself.
     pub own_ends: usize,
-    /// From when nothing was wrong any more until every controller had answered about every job accepted by then.
+    /// Time from the end of all faults until every controller had answered about every job accepted by then.
     pub settled: Option<Duration>,
-    /// Verbs of operators that did not do what was wanted.
+    /// Operator commands that did not have the expected result.
     pub failed: Vec<String>,
+    /// Requests that the state service refused for being beyond its limits.
     pub refused: u64,
+    /// Cost of all machines.
     pub spent: f64,
+    /// Duration of the rehearsal.
     pub seconds: f64,
 }
 
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -13,10 +13,13 @@
 
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
+/// Why a report could not be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
+    /// The page's template failed.
     #[error("the page: {0}")]
     Page(#[from] minijinja::Error),
+    /// A plot could not be drawn.
     #[error("a plot: {0}")]
     Plot(String),
 }
@@ -101,7 +104,7 @@
     rows.into_iter().map(|(title, lines)| Ok((title, plot(&lines, &outcome.faults, seconds)?))).collect()
 }
 
-/// The whole page.
+/// Renders the whole page as HTML.
 pub fn page(title: &str, sizes: &Sizes, outcome: &Outcome) -> Result<String, ReportError> {
     let verdict = &outcome.verdict;
     let rules: Vec<_> = Rule::ALL
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -12,22 +12,28 @@
 use crate::driver::{Link, lock};
 use crate::world::cloud::Boots;
 
-/// Controllers that something happens to.
+/// The controllers that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
+    /// The controller of this number, from 0.
     Number(usize),
+    /// The controller that schedules at the moment of the fault.
     Owner,
+    /// All controllers.
     All,
 }
 
-/// How many machines: a part of them, or so many.
+/// A number of machines, relative or absolute.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Many {
+    /// A fraction of all machines, from 0 to 1.
     Part(f64),
+    /// This many machines, or all if there are fewer.
     Count(usize),
 }
 
 impl Many {
+    /// The number of machines out of `all`.
     pub fn of(self, all: usize) -> usize {
         match self {
             Self::Part(part) => (all as f64 * part).round() as usize,
@@ -36,62 +42,88 @@
     }
 }
 
+/// A fault or another intervention of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
+    /// Machines fail.
     LoseMachines(Many),
-    /// All machines of a zone vanish.
+    /// All machines of a zone fail.
     LoseZone(String),
-    /// A machine that holds a finished result vanishes.
+    /// A machine fails that holds a finished result not yet collected.
     LoseHolder,
+    /// The cloud takes back this fraction of the spot machines.
     TakeSpot(f64),
+    /// Workers do nothing for this long, and continue afterwards.
     Hang(Many, Duration),
+    /// Workers fail every task that they start, for this long.
     Sick(Many, Duration),
+    /// Machines run this many times slower.
     Slow(Many, f64),
-    /// Workers' steady clocks run this many times as fast.
+    /// The workers' monotonic clocks run this many times as fast.
     Drift(Many, f64),
+    /// How machines rented from now on boot.
     Boots(Boots),
+    /// One link of controllers is disturbed for this long.
     Link(Who, Link, Passing, Duration),
-    /// All links to the other controllers.
+    /// All links to and from the other controllers are disturbed for this long.
     Peers(Who, Passing, Duration),
+    /// The state service is unavailable for this long.
     Outage(Duration),
+    /// The cloud is unavailable for this long.
     CloudOutage(Duration),
+    /// The state service refuses these controllers for this long.
     Refuse(Who, Duration),
-    /// Writes acknowledged and never carried out.
+    /// This many writes are acknowledged and never applied.
     LoseWrites(u32),
-    /// The newest keys under a prefix vanish.
+    /// This many of the newest keys under a prefix vanish.
     Vanish(String, usize),
+    /// This many writes are applied and not answered.
     Unanswered(u32),
+    /// This many writes are applied only after this delay, and not answered.
     LateWrites(u32, Duration),
+    /// All leases of the state service end at once.
     DropLeases,
+    /// Watches receive no changes for this long.
     StallWatches(Duration),
-    /// The state service carries out what it is asked at once, and answers so much later, for so long.
+    /// The state service applies requests at once, and answers with the first duration's delay, for the second
+    /// duration.
     SlowStore(Duration, Duration),
+    /// The state service discards its log of changes, so that watches have to list again.
     ForgetLog,
-    /// Reports arrive, answers and commands do not.
+    /// A one-way partition of workers: their reports arrive, answers and commands do not.
     Deaf(Many, Duration),
-    /// Copies of the reports of the last duration come again between the first and the second later.
+    /// Reports of workers within the last duration are delivered again, between the first and the second duration
+    /// later.
     LateCopies(Many, Duration, Duration, Duration),
-    /// Without the state service and the other controllers; workers and users still reach it.
+    /// Controllers are partitioned from the state service and the other controllers; workers and users still reach
+    /// them.
     Lone(Who, Duration),
-    /// Ended without a word, and started again this much later.
+    /// Controllers are killed without warning, and restarted after this delay.
     End(Who, Duration),
+    /// Controllers' processes are paused for this long.
     Pause(Who, Duration),
-    /// One after the other, so far apart.
+    /// A rolling restart of all controllers, at this interval.
     Roll(Duration),
+    /// An operator runs a command.
     Operator(Verb),
-    /// Somebody who is no user of the rehearsal is about to withdraw a job.
+    /// Announces that somebody other than the rehearsal's users is about to withdraw a job.
     WillWithdraw(JobId),
-    /// This part of the users whose jobs are accepted and not over withdraw them now.
+    /// This fraction of the users whose jobs are accepted and not over withdraw them now.
     WithdrawShare(f64),
     /// Breaks a rule on purpose: a running task is started on a second machine.
     StartTwice,
 }
 
+/// A state of the system on which a fault can wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
+    /// A machine holds a finished result that is not yet collected.
     HoldsResult,
+    /// A task has started since the last look.
     JustPlaced,
+    /// A write was acknowledged and not applied.
     AcknowledgedOnly,
+    /// The leader or the owner has changed or is missing.
     Election,
 }
 
@@ -102,28 +134,31 @@
     ("an election is under way", Condition::Election),
 ];
 
+/// When a fault is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trigger {
+    /// At this time since the world began.
     At(Duration),
-    /// The first time that it is so, from this time on.
+    /// The first time that the condition holds, from this time on.
     When(Condition, Duration),
 }
 
-/// Everything that is to go wrong, in the order in which it was written.
+/// A scenario that was read: its faults in the order in which they were written, and its settings.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
+    /// The faults with their triggers.
     pub steps: Vec<(Trigger, Fault)>,
-    /// The file of sizes that the script asks for, beside it.
+    /// Name of the file of sizes that the script asks for, in the scenario's folder.
     pub sizes: Option<String>,
-    /// Users ask so many times as often.
+    /// Factor by which users ask more often than usual.
     pub often: f64,
-    /// Once nothing is wrong any more, every job is asked about for so long at the least.
+    /// Least time for which users ask about every job once all faults are over.
     pub quiet: Duration,
-    /// Jobs of services, and how many of their replicas together have to run.
+    /// Sets of services with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
 }
 
-/// A verb of the daemon's command line, as an operator runs it.
+/// A command of the daemon's command line, as an operator runs it, with the result expected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Verb {
     /// `{config}` stands for a settings file, `{spec}` for the file that `spec` is written to, `{file:NAME}` for a file
@@ -131,15 +166,19 @@
     pub args: Vec<String>,
     /// JSON; `{clock:S}` in it stands for the time of day S seconds after the beginning, `{time:S}` for the whole date.
     pub spec: Option<String>,
-    /// The exit status and the words wanted; tried again for a while.
+    /// Exit status expected; the command is retried for a while.
     pub exit: i32,
+    /// Text that the output has to contain.
     pub says: String,
 }
 
+/// An error in a scenario.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {why}")]
 pub struct ScriptError {
+    /// Line of the script, from 1.
     pub line: usize,
+    /// Description of the error.
     pub why: String,
 }
 
@@ -323,7 +362,7 @@
         .register_fn("will_withdraw", |job: &str| Fault::WillWithdraw(job.into()));
 }
 
-/// Reads a script; luck comes from the seed.
+/// Reads a script. `seed` determines what it draws at random.
 pub fn read(script: &str, seed: u64) -> Result<Plan, ScriptError> {
     let plan = Arc::new(Mutex::new(Plan::default()));
     let mut engine = engine();
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -13,96 +13,143 @@
 use crate::world::fleet;
 use crate::world::store::Limits;
 
-/// What there is without a file.
+/// The sizes used if no file is given.
 pub const DEFAULT: &str = include_str!("../../../scenarios/default.toml");
 
+/// Why sizes were not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum SizesError {
-    /// Says line and column itself.
+    /// The text is not TOML of the expected form; the message contains line and column.
     #[error("{0}")]
     Form(#[from] toml::de::Error),
+    /// A value is out of its bounds.
     #[error("{field}: {problem}")]
-    Value { field: String, problem: String },
+    Value {
+        /// Path of the field.
+        field: String,
+        /// What is wrong with its value.
+        problem: String,
+    },
 }
 
-/// Times are in seconds, amounts as in a job's description.
+/// The sizes of a rehearsal. Times are in seconds, amounts as in a job's description.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
+    /// Number of controllers, from 1 to 9.
     pub controllers: usize,
-    /// Longest play; what is not done by then is lost.
+    /// Longest duration of the rehearsal; what is not done by then counts as lost.
     pub seconds: f64,
+    /// Limits of the state service.
     pub state: State,
+    /// Behaviour of the cloud.
     pub cloud: Cloud,
+    /// Timeouts of the workers.
     pub workers: Workers,
+    /// Machine types; at least one.
     pub machines: Vec<Machine>,
+    /// Teams with their shares; if empty, the teams are those that the work names.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// Kinds of work; at least one.
     pub work: Vec<Work>,
 }
 
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
+    /// Requests per second.
     pub requests_per_second: f64,
+    /// Changes of keys per second.
     pub changes_per_second: f64,
+    /// Largest value, in kB.
     pub value_kb: f64,
+    /// The most changes in one transaction.
     pub txn_ops: usize,
 }
 
+/// Behaviour of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cloud {
+    /// Requests per second.
     pub requests_per_second: f64,
+    /// Usual age of the list of machines, in seconds.
     pub list_lag_s: f64,
+    /// Usual time from the notice to a spot machine until it is taken, in seconds.
     pub notice_s: f64,
-    /// Parts of the machines: spot ones taken without notice, ones that never come up, slow ones.
+    /// Fraction of taken spot machines that receive no notice.
     #[serde(default)]
     pub silent: f64,
+    /// Fraction of machines that never come up.
     #[serde(default)]
     pub never_up: f64,
+    /// Fraction of machines that take several times as long to boot.
     #[serde(default)]
     pub slow_up: f64,
 }
 
+/// Timeouts of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
+    /// Interval between two reports.
     pub report_s: f64,
+    /// A worker ends its session and its tasks if no report was answered for this long.
     pub lease_s: f64,
+    /// How long a member of a gang waits for the others before it gives up.
     pub gang_wait_s: f64,
+    /// How long the members of a gang take to notice that one is missing.
     pub gang_peer_s: f64,
+    /// Time within which all tasks of a withdrawn job have to be gone.
     pub cancel_s: f64,
 }
 
+/// A machine type.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
+    /// The type's name.
     pub name: String,
+    /// Cores of one machine.
     pub cpus: f64,
+    /// Accelerators of one machine.
     #[serde(default)]
     pub accelerators: f64,
+    /// Memory of one machine, in GB.
     pub memory_gb: f64,
+    /// Price of an on-demand machine per hour.
     pub price: f64,
+    /// Nominal price of a spot machine per hour.
     pub spot_price: f64,
+    /// Usual time to boot, in seconds.
     pub boot_s: f64,
+    /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
+    /// Capacity of the image cache in GB, if the type states one.
     #[serde(default)]
     pub cache_gb: Option<f64>,
-    /// Zones with how many there are, ordinary and spot ones.
+    /// Zones, each with the number of on-demand and of spot machines available.
     pub zones: Vec<(String, u64, u64)>,
 }
 
+/// A team's share of the cluster.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
+    /// The team's name.
     pub name: String,
+    /// Cores that the team is entitled to.
     #[serde(default)]
     pub cpus: f64,
+    /// The most cores that it may use; 0: unlimited.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Accelerators that the team is entitled to.
     #[serde(default)]
     pub accelerators: f64,
+    /// The most accelerators that it may use; 0: unlimited.
     #[serde(default)]
     pub accelerators_max: f64,
 }
@@ -115,59 +162,79 @@
     Urgency::Normal
 }
 
+/// A kind of work: the jobs of one class and when they are submitted.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Work {
+    /// The kind's name.
     pub name: String,
-    /// The class of its jobs, where it is not the name.
+    /// Class of its jobs, if it differs from the name.
     #[serde(default)]
     pub class: Option<String>,
+    /// Team that submits the jobs.
     pub team: String,
+    /// How the tasks of a job depend on each other.
     pub shape: Shape,
+    /// Priority of the jobs.
     #[serde(default = "normal")]
     pub urgency: Urgency,
+    /// Tasks of each job.
     pub tasks: u64,
+    /// Cores of one task.
     pub cpus: f64,
+    /// Accelerators of one task.
     #[serde(default)]
     pub accelerators: f64,
+    /// Memory of one task, in GB.
     pub memory_gb: f64,
+    /// Size of the image, in GB.
     #[serde(default)]
     pub image_gb: f64,
-    /// How long a task runs, and how many times that its owner expects.
+    /// Usual run time of a task, in seconds; the real one varies.
     pub run_s: f64,
+    /// The user's estimate as a multiple of `run_s`.
     #[serde(default = "one")]
     pub estimate: f64,
+    /// Interval of checkpoints in seconds; 0: none.
     #[serde(default)]
     pub checkpoint_s: f64,
+    /// Time that saving takes when a task is stopped, in seconds.
     #[serde(default)]
     pub save_s: f64,
+    /// Deadline in seconds after the submission, if there is one.
     #[serde(default)]
     pub due_s: Option<f64>,
+    /// Whether the tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Whether all tasks of a job must run in one zone.
     #[serde(default)]
     pub same_zone: bool,
+    /// Whether no zone may hold more than half of a job's tasks, rounded up.
     #[serde(default)]
     pub spread: bool,
-    /// Jobs at `from_s`, and more of them a second for so long.
+    /// Number of jobs submitted at `from_s`.
     #[serde(default)]
     pub jobs: u64,
+    /// Rate at which further jobs are submitted afterwards, per second.
     #[serde(default)]
     pub per_second: f64,
+    /// Duration of these submissions, in seconds.
     #[serde(default)]
     pub for_s: f64,
+    /// Time of the first submission, in seconds since the world began.
     #[serde(default)]
     pub from_s: f64,
-    /// Submitted with a mistake: fails everywhere, and is withdrawn at the end, as services are.
+    /// Whether the jobs are faulty: they fail everywhere, and are withdrawn at the end, as services are.
     #[serde(default)]
     pub broken: bool,
-    /// The part of them whose users withdraw them a few seconds later.
+    /// Fraction of the jobs that their users withdraw a few seconds after the acceptance.
     #[serde(default)]
     pub withdrawn: f64,
 }
 
 impl Work {
-    /// A job of this kind.
+    /// The description of a job of this kind with this id.
     pub fn spec(&self, id: &str) -> JobSpec {
         JobSpec {
             id: id.into(),
@@ -193,7 +260,7 @@
         }
     }
 
-    /// When each of its jobs comes.
+    /// Times of submission of all its jobs, in seconds since the world began.
     pub fn arrivals(&self) -> impl Iterator<Item = f64> {
         let later = (self.per_second * self.for_s) as u64;
         let every = 1.0 / self.per_second.max(1e-9);
@@ -205,6 +272,7 @@
 const MOST: f64 = 100_000.0;
 
 impl Sizes {
+    /// Reads sizes from TOML and checks them.
     pub fn parse(text: &str) -> Result<Self, SizesError> {
         let sizes: Self = toml::from_str(text)?;
         sizes.check()?;
@@ -279,6 +347,7 @@
         names
     }
 
+    /// All zones, each once, in order.
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> =
             self.machines.iter().flat_map(|m| m.zones.iter().map(|(zone, ..)| zone.clone())).collect();
@@ -287,6 +356,7 @@
         zones
     }
 
+    /// The parameters of the emulated world.
     pub fn world(&self, seed: u64, judged: bool) -> driver::Params {
         let types = self.machines.iter().map(|m| MachineType {
             name: m.name.clone(),
@@ -340,12 +410,13 @@
         }
     }
 
+    /// The parameters of the judge's rules.
     pub fn terms(&self) -> Terms {
         let quotas = self.teams.iter().map(|t| (t.name.clone(), (t.cpus_max, t.accelerators_max)));
         Terms { quotas: quotas.collect(), cancel: Duration::from_secs_f64(self.workers.cancel_s), ..Terms::default() }
     }
 
-    /// `params` of a controller's settings.
+    /// The `params` of a controller's settings file.
     pub fn settings(&self) -> Value {
         let team = |name: String| {
             let of = self.teams.iter().find(|t| t.name == name);
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -10,8 +10,11 @@
 
 use super::bucket::Bucket;
 
+/// The most machines that one rental may ask for.
 pub const MOST_RENTED: u64 = 50;
+/// The most machines that one request may return.
 pub const MOST_RETURNED: usize = 100;
+/// The most machines on one page of the list.
 pub const MOST_LISTED: usize = 500;
 /// Bursts of requests, in seconds' worth.
 const BURST_S: f64 = 2.0;
@@ -23,54 +26,67 @@
 const PRICE_SWING: f64 = 1.0 / 3.0;
 const PRICE_PERIOD_S: f64 = 1800.0;
 
-/// How many machines of a type there are in a zone, ordinary and spot ones.
+/// The number of machines of a type that a zone has.
 #[derive(Debug, Clone)]
 pub struct Capacity {
+    /// Name of the machine type.
     pub type_name: String,
+    /// The zone.
     pub zone: String,
+    /// Number of on-demand machines.
     pub ordinary: u64,
+    /// Number of spot machines.
     pub spot: u64,
 }
 
+/// The parameters of the cloud.
 #[derive(Debug, Clone)]
 pub struct Params {
+    /// The machine types of its catalog, with nominal prices.
     pub types: Vec<MachineType>,
+    /// The machines available, by type and zone; none where there is no entry.
     pub capacity: Vec<Capacity>,
+    /// Limit of requests per second.
     pub requests_per_second: f64,
+    /// Usual age of the list of machines.
     pub list_lag: Duration,
-    /// The usual time between a spot notice and the end.
+    /// Usual time from the notice to a spot machine until it is taken.
     pub notice: Duration,
-    /// The part of spot machines that is taken without a notice.
+    /// Fraction of taken spot machines that receive no notice.
     pub silent: f64,
-    /// The part of machines that never come up, and of those that take several times as long.
+    /// Fraction of machines that never come up.
     pub never_up: f64,
+    /// Fraction of machines that take several times as long to boot.
     pub slow_up: f64,
 }
 
-/// How new machines come up, on command.
+/// How new machines boot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Boots {
+    /// As the parameters say: some late, some never.
     #[default]
     Usual,
+    /// Within one to two seconds.
     AtOnce,
+    /// They stay booting.
     Never,
 }
 
 /// Why a request was not carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// 400
+    /// Status 400: the request is invalid.
     Malformed(&'static str),
-    /// 429
+    /// Status 429: the rate limit is exceeded.
     TooMany,
-    /// 503, of this type, zone and kind.
+    /// Status 503: no machine of this type, zone and kind is left.
     NoCapacity,
-    /// 503, of everything.
+    /// Status 503: an outage.
     Trouble,
 }
 
 impl Refusal {
-    /// The status on the wire, and the text of its `error`.
+    /// The HTTP status, and the text of the answer's `error` field.
     pub fn wire(&self) -> (u16, &'static str) {
         match self {
             Self::Malformed(why) => (400, why),
@@ -81,12 +97,14 @@
     }
 }
 
-/// What happens to a machine by itself, for whoever plays its worker.
+/// A change of a machine's state that its worker has to follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
+    /// The machine of this name came up.
     Up(String),
-    /// Taken away after this long.
+    /// The machine of this name will be taken after this time.
     Notice(String, Duration),
+    /// The machine of this name was taken.
     Taken(String),
 }
 
@@ -120,7 +138,7 @@
     }
 }
 
-/// Its whole state. Times are since the world began.
+/// The cloud's whole state. Times are since the world began.
 #[derive(Debug)]
 pub struct Cloud {
     params: Params,
@@ -137,6 +155,7 @@
 }
 
 impl Cloud {
+    /// A cloud without rented machines. `seed` determines everything random.
     pub fn new(params: Params, seed: u64) -> Self {
         Self {
             requests: Bucket::new(params.requests_per_second, BURST_S),
@@ -152,6 +171,7 @@
         }
     }
 
+    /// Begins or ends an outage, during which every request is refused.
     pub fn set_out(&mut self, out: bool) {
         self.out = out;
     }
@@ -240,7 +260,7 @@
         name
     }
 
-    /// Where a machine's worker listens, once somebody plays it.
+    /// Sets the address at which a machine's worker listens.
     pub fn set_addr(&mut self, name: &str, addr: String) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.addr = Some(addr);
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -9,28 +9,32 @@
 use hollylanding_wire::jobs::{JobId, JobSpec};
 use hollylanding_wire::workers::{Cause, Leg, LegStatus, Order, Orders, Report, TaskKey};
 
-/// An answer that comes later than this after its report is dropped.
+/// A worker ignores an answer that arrives later than this after its report.
 pub const ANSWER_TAKEN: Duration = Duration::from_secs(4);
 /// Gigabytes of images kept where a type says nothing.
 const CACHE_GB: f64 = 100.0;
 /// Copies of reports on their way at the most; no more are made then.
 const MOST_COPIES: usize = 20_000;
 
-/// The workers' part of the settings.
+/// Timeouts of the workers.
 #[derive(Debug, Clone, Copy)]
 pub struct Params {
+    /// A worker ends its session and its tasks if no report was answered for this long.
     pub lease: Duration,
+    /// How long a member of a gang waits for the others before it gives up.
     pub gang_wait: Duration,
+    /// How long the members of a gang take to notice that one is missing.
     pub gang_peer: Duration,
 }
 
-/// A job as its user uploaded it for the workers: its description, and what only they find out.
+/// A job as its user uploaded it for the workers: its description, and what only running it shows.
 #[derive(Debug, Clone)]
 pub struct Upload {
+    /// The job's description.
     pub spec: JobSpec,
-    /// How long a task really runs on a machine of ordinary speed.
+    /// Real run time of a task on a machine of ordinary speed; zero for services, which do not end.
     pub run: Duration,
-    /// Submitted with a mistake: fails everywhere.
+    /// Whether the job is faulty: its tasks fail on every machine.
     pub broken: bool,
 }
 
@@ -68,12 +72,15 @@
 /// A machine as its worker sees it.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Where its worker listens.
+    /// Address (`host:port`) at which its worker listens.
     pub addr: String,
+    /// The machine's type.
     pub of: MachineType,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// 1 for a machine of ordinary speed.
+    /// Its speed; 1 for a machine of ordinary speed.
     pub speed: f64,
 }
 
@@ -102,25 +109,36 @@
     clock: f64,
 }
 
-/// A task began to run, or the workers' verdict on it.
+/// What happened to a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Happening {
-    /// It has its image and is on its machine from now on.
+    /// The task has its image and occupies the machine from now on.
     Started {
+        /// The task.
         task: TaskKey,
+        /// Number of the attempt.
         attempt: u64,
+        /// The machine.
         machine: String,
     },
+    /// The attempt ended.
     Ended {
+        /// The task.
         task: TaskKey,
+        /// Number of the attempt.
         attempt: u64,
+        /// The machine.
         machine: String,
+        /// Why it ended.
         cause: Cause,
     },
-    /// Gone with its machine, or with the worker's session.
+    /// The attempt was lost with its machine, or with the worker's session.
     Lost {
+        /// The task.
         task: TaskKey,
+        /// Number of the attempt.
         attempt: u64,
+        /// The machine.
         machine: String,
     },
 }
@@ -132,8 +150,7 @@
     told: BTreeSet<u32>,
 }
 
-/// All workers, and what outlives them: uploads, results, checkpoints. Times are since the world
-/// began.
+/// All workers, and what outlives them: uploads, results, checkpoints. Times are since the world began.
 #[derive(Debug)]
 pub struct Fleet {
     params: Params,
@@ -167,6 +184,7 @@
 }
 
 impl Fleet {
+    /// A fleet without machines.
     pub fn new(params: Params) -> Self {
         Self {
             params,
@@ -259,7 +277,7 @@
         false
     }
 
-    /// Its steady clock, by which it counts its lease, runs this fast from now on.
+    /// Sets the rate of the worker's monotonic clock, by which it measures its lease; 1 is exact.
     pub fn set_clock(&mut self, name: &str, clock: f64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.clock = clock;
@@ -288,28 +306,31 @@
         }
     }
 
+    /// Names of the machines in a zone.
     pub fn in_zone(&self, zone: &str) -> impl Iterator<Item = &String> {
         self.workers.iter().filter(move |(_, worker)| worker.machine.zone == zone).map(|(name, _)| name)
     }
 
+    /// Names of all machines that are up.
     pub fn names(&self) -> impl Iterator<Item = &String> {
         self.workers.keys()
     }
 
-    /// It does nothing until then, and goes on after that.
+    /// The worker does nothing until then, and continues afterwards.
     pub fn hang(&mut self, name: &str, until: Duration) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.hangs_until = until;
         }
     }
 
-    /// What is sent to it does not arrive until then; what it sends does.
+    /// A one-way partition until then: the worker's messages arrive, messages to it do not.
     pub fn deafen(&mut self, name: &str, until: Duration) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.deaf_until = until;
         }
     }
 
+    /// Whether answers and commands reach the worker.
     pub fn hears(&self, name: &str, now: Duration) -> bool {
         self.workers.get(name).is_some_and(|w| w.deaf_until <= now)
     }
@@ -328,13 +349,14 @@
         due.into_iter().map(|(_, report): (Duration, Report)| report).collect()
     }
 
+    /// Sets whether the worker fails every task that it runs.
     pub fn set_sick(&mut self, name: &str, sick: bool) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.sick = sick;
         }
     }
 
-    /// The cloud's notice: taken away at that time.
+    /// The cloud's notice: the machine will be taken at that time.
     pub fn recall(&mut self, name: &str, at: Duration) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.recall = Some(at);
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated services as state machines.
+//! The emulated services as pure state machines: time and requests in, answers and events out.
 
 pub mod bucket;
 pub mod cloud;
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -10,26 +10,31 @@
 
 use super::bucket::Bucket;
 
-/// Changes kept for those who follow.
+/// Number of changes kept for watches; an older watch has to list again.
 pub const CHANGES_KEPT: usize = 10_000;
-/// Items and bytes of one listing at the most.
+/// The most items on one page of a listing.
 pub const MOST_ITEMS: usize = 1000;
+/// The most bytes on one page of a listing.
 pub const MOST_LISTED: usize = 512 * 1024;
-/// Bytes of a transaction, and of a key, at the most.
+/// The most bytes of a transaction.
 pub const MOST_TXN: usize = 64 * 1024;
+/// The most bytes of a key.
 pub const MOST_KEY: usize = 200;
 /// Conditions of a transaction for each change that it may have.
 const CONDITIONS: usize = 4;
 /// A lease's life, in milliseconds.
 const LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
-/// What the settings say of it; infinite where nothing is limited.
+/// Limits of the state service; infinite where nothing is limited.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Requests per second.
     pub requests_per_second: f64,
+    /// Changes of keys per second.
     pub changes_per_second: f64,
+    /// Largest value, in kB.
     pub value_kb: f64,
-    /// Changes of one transaction.
+    /// The most changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -44,25 +49,25 @@
     }
 }
 
-/// Why a request has no answer of its own kind. None of these was executed.
+/// Why a request was refused. None of these was carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// 400
+    /// Status 400: the request is invalid.
     Malformed(&'static str),
-    /// 400: a write on a lease that is over.
+    /// Status 400: the lease named has ended.
     NoSuchLease,
-    /// 404
+    /// Status 404: the key does not exist.
     Absent,
-    /// 410: the watch begins before what is kept.
+    /// Status 410: the watch starts before the changes that are kept.
     TooOld,
-    /// 429
+    /// Status 429: a rate limit is exceeded.
     TooMany,
-    /// 503: an outage, or this node alone is refused.
+    /// Status 503: an outage, or this node alone is refused.
     Unavailable,
 }
 
 impl Refusal {
-    /// The status on the wire.
+    /// The HTTP status.
     pub fn status(&self) -> u16 {
         match self {
             Self::Malformed(_) | Self::NoSuchLease => 400,
@@ -88,13 +93,14 @@
     keys: BTreeSet<String>,
 }
 
-/// Its whole state. Times are since the world began.
+/// The state service's whole state. Times are since the world began.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
     requests: Bucket,
     changes: Bucket,
     keys: BTreeMap<String, Kept>,
+    /// The revision of the last change.
     revision: u64,
     log: VecDeque<Event>,
     /// The last revision of which a change is no longer kept.
@@ -122,6 +128,7 @@
 }
 
 impl Store {
+    /// An empty store.
     pub fn new(limits: Limits) -> Self {
         Self {
             requests: Bucket::new(limits.requests_per_second, 1.0),
@@ -204,10 +211,12 @@
         }
     }
 
+    /// The revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Whether a key exists.
     pub fn has(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
@@ -217,6 +226,7 @@
         self.keys.get(key).map_or(0, |kept| kept.stamp)
     }
 
+    /// The value of a key, if it exists.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.keys.get(key).map(|kept| &kept.value)
     }
