--- /dev/null
+++ b/crates/emulator/src/world/fleet/reports.rs
@@ -0,0 +1,110 @@
+//! Reports of the workers, answers to them, and delayed copies of them.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
+
+use hollylanding_wire::workers::{Cause, Leg, LegStatus, Orders, Report, TaskKey};
+
+use super::worker::{Doing, Task};
+use super::{ANSWER_TAKEN, Fleet};
+
+/// The most copies of reports that wait for delivery; no more are made then.
+const MOST_COPIES: usize = 20_000;
+
+/// Which reports of a worker are copied, and how long after the report a copy is delivered.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct CopyWindow {
+    /// Reports before this time are copied.
+    pub(super) until: Duration,
+    /// Least delay of a copy.
+    pub(super) least_delay: Duration,
+    /// Greatest delay of a copy; not below the least.
+    pub(super) most_delay: Duration,
+}
+
+/// A copy of a report that will be delivered later.
+#[derive(Debug)]
+pub(super) struct ReportCopy {
+    due: Duration,
+    report: Report,
+}
+
+/// The task's attempt as reports state it.
+fn leg(task: &Task) -> Leg {
+    let (status, cause, saved) = match task.doing {
+        Doing::Fetching => (LegStatus::Fetching, None, None),
+        Doing::Gathering(_) => (LegStatus::Waiting, None, None),
+        Doing::Running => (LegStatus::Running, None, None),
+        Doing::Saving(_) => (LegStatus::Saving, None, None),
+        Doing::Ended(cause, kept) => (LegStatus::Exited, Some(cause), kept.then_some(true)),
+    };
+    Leg { task: task.key.clone(), attempt: task.attempt, status, cause, saved }
+}
+
+/// An attempt whose launch was refused because the worker knows no such job or task.
+fn unknown_leg((task, attempt): &(TaskKey, u64)) -> Leg {
+    let (task, attempt) = (task.clone(), *attempt);
+    Leg { task, attempt, status: LegStatus::Exited, cause: Some(Cause::Unknown), saved: None }
+}
+
+/// A number from 0 to 1 that depends on the report alone.
+fn fraction_of(name: &str, report: &Report) -> f64 {
+    let mut hasher = DefaultHasher::new();
+    (name, report.session, report.seq).hash(&mut hasher);
+    f64::from(hasher.finish() as u8) / f64::from(u8::MAX)
+}
+
+impl Fleet {
+    /// A report of a worker, unless it hangs or is gone.
+    pub fn report(&mut self, name: &str, now: Duration) -> Option<Report> {
+        let report = self.tell(name, now)?;
+        let window = self.workers.get(name)?.copied;
+        if now < window.until && self.copies.len() < MOST_COPIES {
+            let range = window.most_delay - window.least_delay;
+            let due = now + window.least_delay + range.mul_f64(fraction_of(name, &report));
+            self.copies.push(ReportCopy { due, report: report.clone() });
+        }
+        Some(report)
+    }
+
+    /// Removes and returns the copies of reports that are due, also those of machines that are gone.
+    pub fn copies_due(&mut self, now: Duration) -> Vec<Report> {
+        let (due, rest) = std::mem::take(&mut self.copies).into_iter().partition(|copy| copy.due <= now);
+        self.copies = rest;
+        let due: Vec<ReportCopy> = due;
+        due.into_iter().map(|copy| copy.report).collect()
+    }
+
+    /// The report's content; it counts as one of the worker's reports.
+    pub(super) fn tell(&mut self, name: &str, now: Duration) -> Option<Report> {
+        self.tick(now);
+        let worker = self.workers.get_mut(name).filter(|worker| worker.awake(now))?;
+        worker.seq += 1;
+        Some(Report {
+            machine: name.to_owned(),
+            addr: worker.machine.addr.clone(),
+            type_name: worker.machine.of.name.clone(),
+            zone: worker.machine.zone.clone(),
+            spot: worker.machine.spot,
+            session: worker.session,
+            seq: worker.seq,
+            token: worker.token,
+            notice_s: worker.recall.map(|at| at.saturating_sub(now).as_secs_f64()),
+            legs: worker.tasks.iter().map(leg).chain(worker.unknown.iter().map(unknown_leg)).collect(),
+        })
+    }
+
+    /// An answer to a report of this session, sent then. False if it was dropped.
+    pub fn answer(&mut self, name: &str, session: u64, sent: Duration, orders: &Orders, now: Duration) -> bool {
+        self.tick(now);
+        let Some(worker) = self.workers.get_mut(name) else { return false };
+        let late = now.saturating_sub(sent) > ANSWER_TAKEN || !worker.receives(now);
+        if late || worker.session != session || orders.token < worker.token {
+            return false;
+        }
+        worker.token = orders.token;
+        worker.renewed = worker.renewed.max(sent);
+        self.execute(name, &orders.orders, now);
+        true
+    }
+}
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use hollylanding_wire::jobs::{Shape, Urgency};
+use hollylanding_wire::workers::{LegStatus, Order, Orders, Report};
 
 const PARAMS: Params =
     Params { lease: Duration::from_secs(24), gang_wait: Duration::from_secs(35), gang_peer: Duration::from_secs(8) };
