--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -1,5 +1,7 @@
+use super::verdict::{JobResult, largest};
 use super::*;
-use hollylanding_wire::jobs::Urgency;
+use hollylanding_wire::jobs::{Shape, Urgency};
+use hollylanding_wire::workers::{Cause, TaskKey};
 use serde_json::json;
 
 fn spec(id: &str) -> JobSpec {
@@ -210,7 +212,8 @@
         (&[], (0, 0, 0), true),
     ];
     for (jobs, want, served) in rows {
-        let told = largest("c", jobs.to_vec());
+        let results = jobs.iter().map(|(tasks, done, begun)| JobResult { tasks: *tasks, done: *done, begun: *begun });
+        let told = largest("c", results.collect());
         assert_eq!((told.jobs, told.done, told.begun), want, "{jobs:?}");
         let verdict = Verdict { largest: vec![told], ..Verdict::default() };
         assert_eq!((verdict.clean(), verdict.line().contains("under half: c")), (served, !served), "{jobs:?}");
