--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -1,39 +1,30 @@
-//! Drives the world in real time and serves it over HTTP on loopback, on whatever ports the system
-//! gives: the state service and the cloud to each controller by itself, and a listener a worker.
+//! Drives the world in real time and serves it over HTTP on the loopback interface, on whatever ports the system gives:
+//! the state service and the cloud to each controller by itself, and a listener for each worker.
 
+mod machines;
 pub mod relay;
+mod server;
 pub mod state;
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use hollylanding_wire::cloud::{Names, Rental};
+use hollylanding_wire::Http;
 use hollylanding_wire::jobs::{JobSpec, Shape};
-use hollylanding_wire::workers::{Orders, Report};
-use hollylanding_wire::{self as wire, Http};
-use hyper::Method;
-use salvo::conn::tcp::TcpListener;
-use salvo::http::StatusCode;
-use salvo::prelude::*;
-use serde_json::{Value, json};
 
 use crate::judge::{Entry, Event};
 use crate::world::cloud::{self, Boots, Cloud};
 use crate::world::fleet::{self, Fleet, Happening, Upload};
-use crate::world::store::{Limits, Refusal};
-use relay::{Gate, relay};
-use state::{Outcome, State};
+use crate::world::store::Limits;
+use relay::Gate;
+pub use server::listen;
+use state::State;
 
-/// How often time goes by.
+/// Interval at which the world advances.
 const STEP: Duration = Duration::from_millis(20);
-/// What is never answered is held for this long: longer than anybody waits.
-const SILENCE: Duration = Duration::from_secs(20);
-/// Workers report a change no sooner than this after the last report, and turn to the next
-/// controller after this long.
-const CHANGE_GAP: Duration = Duration::from_millis(500);
-const NEXT_AFTER: Duration = Duration::from_secs(1);
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+/// Prefix of the keys under which the controllers store jobs.
+const JOBS: &str = "c/o/";
 
 /// Locks a mutex. A poisoned lock means a panic elsewhere; the state itself is consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -173,36 +164,33 @@
         self.with_fleet(|fleet, _| fleet.upload(upload));
     }
 
-    /// Workers fetch a job's description by themselves. Where nobody uploads, it is taken from what the
-    /// controllers store, and each task then runs for as long as its owner expects, or for `usual`.
+    /// Workers fetch a job's description by themselves. Where nobody uploads it, it is taken from what the controllers
+    /// store, and each task then runs for as long as its user estimates, or for `usual`.
     pub fn learn_uploads(self: &Arc<Self>, usual: Duration) {
         let world = self.clone();
         tokio::spawn(async move {
-            let mut seen = 0;
+            let mut revision = 0;
             loop {
-                let told = lock(&world.state).store.follow("c/o/", seen);
-                let log = match told {
-                    Ok(told) => {
-                        seen = told.revision;
-                        told.log
-                    }
-                    Err(_) => Vec::new(),
-                };
-                for event in log.into_iter().filter(|e| e.write.is_some()) {
-                    if let Ok(spec) = serde_json::from_value::<JobSpec>(event.value["spec"].clone()) {
-                        let run = if spec.estimate_s > 0.0 { spec.estimate() } else { usual };
-                        let run = if spec.shape == Shape::Service { Duration::ZERO } else { run };
-                        world.upload(Upload { spec, run, broken: false });
-                    }
-                }
+                revision = world.learn_since(revision, usual);
                 tokio::time::sleep(STEP).await;
             }
         });
     }
 
-    /// The state service and the cloud as one listener, for the controller of this number.
-    pub async fn door(self: &Arc<Self>, controller: usize) -> String {
-        listen(router(Door { world: self.clone(), machine: None, node: controller.to_string() })).await
+    /// Uploads the jobs stored after a revision. Returns the revision up to which they are known.
+    fn learn_since(&self, revision: u64, usual: Duration) -> u64 {
+        let changes = lock(&self.state).store.follow(JOBS, revision);
+        let Ok(changes) = changes else { return revision };
+        for event in changes.log.into_iter().filter(|event| event.write.is_some()) {
+            let Ok(spec) = serde_json::from_value::<JobSpec>(event.value["spec"].clone()) else { continue };
+            let run = match spec.shape {
+                Shape::Service => Duration::ZERO,
+                _ if spec.estimate_s > 0.0 => spec.estimate(),
+                _ => usual,
+            };
+            self.upload(Upload { spec, run, broken: false });
+        }
+        changes.revision
     }
 
     /// Time goes by: machines come up, are told that they will be taken, and are.
@@ -225,285 +213,4 @@
             tokio::time::sleep(STEP).await;
         }
     }
-
-    /// A late copy comes to every controller, whoever leads by now; what they answer reaches nobody.
-    fn deliver_copy(self: &Arc<Self>, mut report: Report) {
-        for (at, node) in lock(&self.nodes).clone().into_iter().enumerate() {
-            report.addr = self.addr_for(&report.machine, at).unwrap_or(report.addr);
-            let (world, body) = (self.clone(), Some(wire::encode(&report)));
-            tokio::spawn(
-                async move { world.http.call(Method::POST, &node.addr, "/v1/report", body, ANSWER_WITHIN).await },
-            );
-        }
-    }
-
-    /// The cloud gives notice to a machine's worker that it will be taken away after `left`.
-    pub fn notice(&self, machine: &str, left: Duration) {
-        self.with_fleet(|fleet, now| fleet.recall(machine, now + left));
-    }
-
-    /// A machine fails with everything on it; the cloud's list shows that only after a while.
-    pub fn kill(&self, machine: &str) {
-        self.with_fleet(|fleet, now| fleet.gone(machine, now));
-        lock(&self.cloud).kill(machine, self.now());
-    }
-
-    async fn up(self: &Arc<Self>, name: &str) {
-        let Some(rented) = lock(&self.cloud).machine(name) else { return };
-        let addr =
-            listen(router(Door { world: self.clone(), machine: Some(name.to_owned()), node: String::new() })).await;
-        let gated: Vec<usize> =
-            lock(&self.gates).keys().filter(|(_, link)| *link == Link::Workers).map(|(n, _)| *n).collect();
-        let mut addrs = vec![addr.clone(); gated.iter().max().map_or(1, |n| n + 1)];
-        for controller in gated {
-            if let Ok(behind) = relay(addr.clone(), self.gate(controller, Link::Workers)).await {
-                addrs[controller] = behind;
-            }
-        }
-        lock(&self.addrs).insert(name.to_owned(), addrs);
-        lock(&self.cloud).set_addr(name, addr.clone());
-        let (of, zone, spot) = rented;
-        self.note(Event::Up { machine: name.to_owned(), type_name: of.name.clone(), zone: zone.clone(), spot });
-        let machine = fleet::Machine { addr, of, zone, spot, speed: 1.0 };
-        self.with_fleet(|fleet, now| fleet.up(name, machine, now));
-        tokio::spawn(self.clone().work(name.to_owned()));
-    }
-
-    /// The address of a machine's worker as the controller of this number reaches it.
-    fn addr_for(&self, machine: &str, controller: usize) -> Option<String> {
-        let addrs = lock(&self.addrs);
-        let of = addrs.get(machine)?;
-        of.get(controller).or(of.first()).cloned()
-    }
-
-    /// A machine reports for as long as it is rented, to whichever controller takes it.
-    async fn work(self: Arc<Self>, name: String) {
-        let report_every = self.params.report;
-        let (gap, next_after) = (CHANGE_GAP.min(report_every), NEXT_AFTER.min(report_every));
-        let mut turn = name.bytes().map(usize::from).sum::<usize>();
-        let (mut told, mut due, mut earliest) = (None, self.now(), self.now());
-        loop {
-            let Some(digest) = lock(&self.fleet).digest(&name) else { return };
-            let sent = self.now();
-            if sent < earliest || (sent < due && told == Some(digest)) {
-                tokio::time::sleep(STEP).await;
-                continue;
-            }
-            // A hanging machine says nothing, and goes on later.
-            let Some(mut report) = self.with_fleet(|fleet, now| fleet.report(&name, now)) else {
-                tokio::time::sleep(STEP * 5).await;
-                continue;
-            };
-            (told, earliest) = (Some(digest), sent + gap);
-            let part = f64::from(digest as u8) / 255.0;
-            due = sent + report_every.mul_f64(0.75 + part / 2.0);
-            let nodes = lock(&self.nodes).clone();
-            let at = turn % nodes.len().max(1);
-            let Some(node) = nodes.get(at) else {
-                tokio::time::sleep(STEP).await;
-                continue;
-            };
-            report.addr = self.addr_for(&name, at).unwrap_or(report.addr);
-            let body = Some(wire::encode(&report));
-            let answer = self.http.call(Method::POST, &node.addr, "/v1/report", body, ANSWER_WITHIN).await;
-            // What does not hear waits as long as for no answer, and turns to the next.
-            let hears = lock(&self.fleet).hears(&name, self.now());
-            if !hears {
-                tokio::time::sleep((sent + ANSWER_WITHIN).saturating_sub(self.now())).await;
-            }
-            match answer {
-                _ if !hears => {
-                    turn += 1;
-                    (told, earliest) = (None, self.now() + next_after);
-                }
-                Ok((200, body)) => {
-                    if let Ok(orders) = wire::decode::<Orders>(&body) {
-                        self.with_fleet(|fleet, now| fleet.answer(&name, report.session, sent, &orders, now));
-                    }
-                }
-                Ok((421, body)) => {
-                    let answer: Value = wire::decode(&body).unwrap_or_default();
-                    let named = nodes.iter().position(|n| answer["dispatcher"] == n.name.as_str());
-                    match named.filter(|n| *n != at) {
-                        Some(owner) => (turn, due, earliest) = (owner, sent, sent),
-                        None => {
-                            turn += 1;
-                            (told, earliest) = (None, self.now() + next_after);
-                        }
-                    }
-                }
-                _ => {
-                    turn += 1;
-                    (told, earliest) = (None, self.now() + next_after);
-                }
-            }
-        }
-    }
-
-    /// What the cloud answers.
-    fn of_cloud(&self, node: usize, path: &str, req: &mut Request, body: Value) -> Result<Value, cloud::Refusal> {
-        let now = self.now();
-        *lock(&self.calls) += 1;
-        let mut cloud = lock(&self.cloud);
-        cloud.admit(now)?;
-        let malformed = |_| cloud::Refusal::Malformed("not in its form");
-        let answer = match (path, req.method().as_str()) {
-            ("/catalog", _) => serde_json::to_value(cloud.catalog(now)),
-            ("/rentals", "POST") => {
-                let rental: Rental = serde_json::from_value(body).map_err(malformed)?;
-                serde_json::to_value(Names { machines: cloud.rent(&rental, now)? })
-            }
-            ("/rentals/return", _) => {
-                let names: Names = serde_json::from_value(body).map_err(malformed)?;
-                let held = cloud.give_back(&names.machines, now)?;
-                drop(cloud);
-                self.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.gone(name, now)));
-                serde_json::to_value(Names { machines: held })
-            }
-            _ => {
-                let most = param(req, "most").parse().unwrap_or(usize::MAX).min(self.params.page_most);
-                let mut page = cloud.list(&param(req, "since"), most, now);
-                drop(cloud);
-                for machine in &mut page.machines {
-                    machine.addr = self.addr_for(&machine.id, node);
-                }
-                serde_json::to_value(page)
-            }
-        };
-        answer.map_err(malformed)
-    }
-
-    /// A watch is answered when there is something to tell, or when its time is over.
-    async fn watch(&self, node: &str, req: &mut Request) -> (u16, Value) {
-        let wait: u64 = param(req, "waitMs").parse().unwrap_or(0);
-        let until = Instant::now() + Duration::from_millis(wait);
-        let (prefix, since) = (param(req, "prefix"), param(req, "since").parse().unwrap_or(0));
-        loop {
-            {
-                let mut state = lock(&self.state);
-                // During an outage open watches wait; the store tells nothing to one it refuses.
-                let quiet = state.faults.quiet_watches && Instant::now() < until;
-                if state.store.serves(node) && !quiet {
-                    match state.follow(&prefix, since) {
-                        Some(Ok(told)) => return (200, told),
-                        Some(Err(refusal)) => return (refusal.status(), Value::Null),
-                        None => {}
-                    }
-                    if Instant::now() >= until {
-                        return (200, state.nothing_new());
-                    }
-                }
-            }
-            tokio::time::sleep(Duration::from_millis(5)).await;
-        }
-    }
-
-    async fn transact(self: &Arc<Self>, body: Value) -> Result<Value, Refusal> {
-        // Taken apart from the waiting: no lock is held over it.
-        let outcome = lock(&self.state).txn(&body);
-        match outcome {
-            Outcome::Answer(answer) => return answer,
-            Outcome::Silence => {}
-            Outcome::Later(after) => {
-                let world = self.clone();
-                tokio::spawn(async move {
-                    tokio::time::sleep(after).await;
-                    lock(&world.state).apply_late(&body);
-                });
-            }
-        }
-        tokio::time::sleep(SILENCE).await;
-        Err(Refusal::Unavailable)
-    }
-
-    async fn answer(self: &Arc<Self>, door: &Door, req: &mut Request) -> (u16, Value) {
-        let path = req.uri().path().to_owned();
-        let body: Value = match req.payload().await {
-            Ok(body) if !body.is_empty() => wire::decode(body).unwrap_or_default(),
-            _ => Value::Null,
-        };
-        if let Some(name) = &door.machine {
-            let Ok(orders) = serde_json::from_value::<Orders>(body) else { return (400, Value::Null) };
-            return match self.with_fleet(|fleet, now| fleet.command(name, &orders, now)) {
-                Some((taken, report)) => {
-                    (if taken { 200 } else { 409 }, serde_json::to_value(report).unwrap_or_default())
-                }
-                None => {
-                    // It hangs, or it is gone: either way it says nothing.
-                    tokio::time::sleep(SILENCE).await;
-                    (503, Value::Null)
-                }
-            };
-        }
-        if path.starts_with("/rentals") || path == "/catalog" {
-            return match self.of_cloud(door.node.parse().unwrap_or(0), &path, req, body) {
-                Ok(answer) => (200, answer),
-                Err(refusal) => {
-                    let (status, why) = refusal.wire();
-                    (status, json!({"error": why}))
-                }
-            };
-        }
-        let answer = self.of_state(door, &path, req, body).await;
-        let slow = lock(&self.state).faults.slow;
-        tokio::time::sleep(slow).await;
-        answer
-    }
-
-    async fn of_state(self: &Arc<Self>, door: &Door, path: &str, req: &mut Request, body: Value) -> (u16, Value) {
-        if let Err(refusal) = lock(&self.state).admit(&door.node) {
-            return (refusal.status(), json!({"error": format!("{refusal:?}")}));
-        }
-        if path == "/follow" {
-            return self.watch(&door.node, req).await;
-        }
-        let answered = if path == "/txn" {
-            self.transact(body).await
-        } else {
-            let method = req.method().to_string();
-            lock(&self.state).answer(path, &method, |name| param(req, name), &body)
-        };
-        match answered {
-            Ok(answer) if answer.get("failed").is_some() => (409, answer),
-            Ok(answer) => (200, answer),
-            Err(refusal) => (refusal.status(), json!({"error": format!("{refusal:?}")})),
-        }
-    }
-}
-
-fn param(req: &Request, name: &str) -> String {
-    req.query::<String>(name).unwrap_or_default()
-}
-
-/// One listener: of a machine's worker, or of the state service and the cloud for one controller.
-struct Door {
-    world: Arc<World>,
-    machine: Option<String>,
-    node: String,
-}
-
-fn router(door: Door) -> Router {
-    Router::with_path("{**rest}").goal(door)
-}
-
-#[async_trait]
-impl Handler for Door {
-    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let (status, body) = self.world.answer(self, req).await;
-        res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
-        let body = wire::encode(&body);
-        if self.machine.is_none() {
-            let mut state = lock(&self.world.state);
-            state.largest = state.largest.max(body.len());
-        }
-        let _ = res.write_body(body);
-    }
-}
-
-/// Serves a router on a free port of the loopback interface, and returns its address.
-pub async fn listen(router: Router) -> String {
-    let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
-    let addr = acceptor.inner().local_addr().map(|a| a.to_string()).unwrap_or_default();
-    tokio::spawn(Server::new(acceptor).serve(router));
-    addr
 }
--- /dev/null
+++ b/crates/emulator/src/driver/server.rs
@@ -0,0 +1,262 @@
+//! The HTTP listeners: of each worker, and of the state service and the cloud for each controller.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use hollylanding_wire as wire;
+use hollylanding_wire::cloud::{Names, Rental};
+use hollylanding_wire::workers::Orders;
+use salvo::conn::tcp::TcpListener;
+use salvo::http::StatusCode;
+use salvo::prelude::*;
+use serde_json::{Value, json};
+
+use super::state::Outcome;
+use super::{World, lock};
+use crate::world::cloud;
+use crate::world::store::Refusal;
+
+/// A request that is never answered is held for this long, which is longer than any client waits.
+const SILENCE: Duration = Duration::from_secs(20);
+/// Interval at which an open watch looks for changes.
+const WATCH_STEP: Duration = Duration::from_millis(5);
+
+/// The status and the body of an answer.
+struct Answer {
+    status: u16,
+    body: Value,
+}
+
+impl Answer {
+    fn new(status: u16, body: Value) -> Self {
+        Self { status, body }
+    }
+
+    fn empty(status: u16) -> Self {
+        Self::new(status, Value::Null)
+    }
+}
+
+impl From<Refusal> for Answer {
+    fn from(refusal: Refusal) -> Self {
+        Self::new(refusal.status(), json!({"error": format!("{refusal:?}")}))
+    }
+}
+
+impl From<cloud::Refusal> for Answer {
+    fn from(refusal: cloud::Refusal) -> Self {
+        let (status, why) = refusal.wire();
+        Self::new(status, json!({"error": why}))
+    }
+}
+
+fn param(req: &Request, name: &str) -> String {
+    req.query::<String>(name).unwrap_or_default()
+}
+
+/// The body of a request; null if there is none or it is malformed.
+async fn body(req: &mut Request) -> Value {
+    match req.payload().await {
+        Ok(body) if !body.is_empty() => wire::decode(body).unwrap_or_default(),
+        _ => Value::Null,
+    }
+}
+
+/// Serves a router on a free port of the loopback interface, and returns its address.
+pub async fn listen(router: Router) -> String {
+    let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
+    let addr = acceptor.inner().local_addr().map(|a| a.to_string()).unwrap_or_default();
+    tokio::spawn(Server::new(acceptor).serve(router));
+    addr
+}
+
+fn router(handler: impl Handler) -> Router {
+    Router::with_path("{**rest}").goal(handler)
+}
+
+/// Starts the listener of a machine's worker, and returns its address.
+pub(super) async fn serve_worker(world: &Arc<World>, machine: &str) -> String {
+    listen(router(WorkerDoor { world: world.clone(), machine: machine.to_owned() })).await
+}
+
+impl World {
+    /// Starts a listener that is the state service and the cloud for the controller of this number, and returns its
+    /// address.
+    pub async fn door(self: &Arc<Self>, controller: usize) -> String {
+        listen(router(Door { world: self.clone(), controller, node: controller.to_string() })).await
+    }
+}
+
+fn write_answer(res: &mut Response, status: u16, body: Vec<u8>) {
+    res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
+    let _ = res.write_body(body);
+}
+
+/// The listener of a machine's worker.
+struct WorkerDoor {
+    world: Arc<World>,
+    machine: String,
+}
+
+impl WorkerDoor {
+    async fn answer(&self, req: &mut Request) -> Answer {
+        let Ok(orders) = serde_json::from_value::<Orders>(body(req).await) else { return Answer::empty(400) };
+        let outcome = self.world.with_fleet(|fleet, now| fleet.command(&self.machine, &orders, now));
+        match outcome {
+            Some((taken, report)) => {
+                let status = if taken { 200 } else { 409 };
+                Answer::new(status, serde_json::to_value(report).unwrap_or_default())
+            }
+            None => {
+                // It hangs, or it is gone: either way it does not answer.
+                tokio::time::sleep(SILENCE).await;
+                Answer::empty(503)
+            }
+        }
+    }
+}
+
+#[async_trait]
+impl Handler for WorkerDoor {
+    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        let answer = self.answer(req).await;
+        write_answer(res, answer.status, wire::encode(&answer.body));
+    }
+}
+
+/// The listener of the state service and the cloud for one controller.
+struct Door {
+    world: Arc<World>,
+    controller: usize,
+    /// The controller's number as the state service knows it.
+    node: String,
+}
+
+impl Door {
+    async fn answer(&self, req: &mut Request) -> Answer {
+        let path = req.uri().path().to_owned();
+        let body = body(req).await;
+        if path.starts_with("/rentals") || path == "/catalog" {
+            return match self.cloud(&path, req, body) {
+                Ok(answer) => Answer::new(200, answer),
+                Err(refusal) => refusal.into(),
+            };
+        }
+        let answer = self.state(&path, req, body).await;
+        let slow = lock(&self.world.state).faults.slow;
+        tokio::time::sleep(slow).await;
+        answer
+    }
+
+    /// A request to the cloud.
+    fn cloud(&self, path: &str, req: &Request, body: Value) -> Result<Value, cloud::Refusal> {
+        let world = &self.world;
+        let now = world.now();
+        *lock(&world.calls) += 1;
+        let mut cloud = lock(&world.cloud);
+        cloud.admit(now)?;
+        let malformed = |_| cloud::Refusal::Malformed("not in its form");
+        let answer = match (path, req.method().as_str()) {
+            ("/catalog", _) => serde_json::to_value(cloud.catalog(now)),
+            ("/rentals", "POST") => {
+                let rental: Rental = serde_json::from_value(body).map_err(malformed)?;
+                serde_json::to_value(Names { machines: cloud.rent(&rental, now)? })
+            }
+            ("/rentals/return", _) => {
+                let names: Names = serde_json::from_value(body).map_err(malformed)?;
+                let held = cloud.give_back(&names.machines, now)?;
+                drop(cloud);
+                world.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.gone(name, now)));
+                serde_json::to_value(Names { machines: held })
+            }
+            _ => {
+                let most = param(req, "most").parse().unwrap_or(usize::MAX).min(world.params.page_most);
+                let mut page = cloud.list(&param(req, "since"), most, now);
+                drop(cloud);
+                for machine in &mut page.machines {
+                    machine.addr = world.addr_for(&machine.id, self.controller);
+                }
+                serde_json::to_value(page)
+            }
+        };
+        answer.map_err(malformed)
+    }
+
+    /// A request to the state service.
+    async fn state(&self, path: &str, req: &Request, body: Value) -> Answer {
+        let admitted = lock(&self.world.state).admit(&self.node);
+        if let Err(refusal) = admitted {
+            return refusal.into();
+        }
+        if path == "/follow" {
+            return self.watch(req).await;
+        }
+        let answered = if path == "/txn" {
+            self.transact(body).await
+        } else {
+            let method = req.method().to_string();
+            lock(&self.world.state).answer(path, &method, |name| param(req, name), &body)
+        };
+        match answered {
+            Ok(answer) if answer.get("failed").is_some() => Answer::new(409, answer),
+            Ok(answer) => Answer::new(200, answer),
+            Err(refusal) => refusal.into(),
+        }
+    }
+
+    /// Answers a watch when there are changes, or when its time is over.
+    async fn watch(&self, req: &Request) -> Answer {
+        let wait: u64 = param(req, "waitMs").parse().unwrap_or(0);
+        let until = Instant::now() + Duration::from_millis(wait);
+        let (prefix, since) = (param(req, "prefix"), param(req, "since").parse().unwrap_or(0));
+        loop {
+            {
+                let mut state = lock(&self.world.state);
+                // During an outage open watches wait; a refused node receives nothing.
+                let quiet = state.faults.quiet_watches && Instant::now() < until;
+                if state.store.serves(&self.node) && !quiet {
+                    match state.follow(&prefix, since) {
+                        Some(Ok(told)) => return Answer::new(200, told),
+                        Some(Err(refusal)) => return Answer::empty(refusal.status()),
+                        None => {}
+                    }
+                    if Instant::now() >= until {
+                        return Answer::new(200, state.nothing_new());
+                    }
+                }
+            }
+            tokio::time::sleep(WATCH_STEP).await;
+        }
+    }
+
+    /// A transaction, with whatever fault it meets.
+    async fn transact(&self, body: Value) -> Result<Value, Refusal> {
+        // Taken apart from the waiting: no lock is held over it.
+        let outcome = lock(&self.world.state).txn(&body);
+        match outcome {
+            Outcome::Answer(answer) => return answer,
+            Outcome::Silence => {}
+            Outcome::Later(after) => {
+                let world = self.world.clone();
+                tokio::spawn(async move {
+                    tokio::time::sleep(after).await;
+                    lock(&world.state).apply_late(&body);
+                });
+            }
+        }
+        tokio::time::sleep(SILENCE).await;
+        Err(Refusal::Unavailable)
+    }
+}
+
+#[async_trait]
+impl Handler for Door {
+    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        let answer = self.answer(req).await;
+        let body = wire::encode(&answer.body);
+        let mut state = lock(&self.world.state);
+        state.largest = state.largest.max(body.len());
+        drop(state);
+        write_answer(res, answer.status, body);
+    }
+}
