--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -60,6 +60,22 @@
     pub slow_up: f64,
 }
 
+impl Default for Params {
+    /// A cloud without machines to rent, in which nothing fails.
+    fn default() -> Self {
+        Self {
+            types: vec![],
+            capacity: vec![],
+            requests_per_second: 10.0,
+            list_lag: Duration::from_secs(1),
+            notice: Duration::from_secs(10),
+            silent: 0.0,
+            never_up: 0.0,
+            slow_up: 0.0,
+        }
+    }
+}
+
 /// How new machines boot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Boots {
--- a/crates/emulator/src/world/fleet/faults.rs
+++ b/crates/emulator/src/world/fleet/faults.rs
@@ -6,24 +6,27 @@
 
 use super::Fleet;
 use super::reports::CopyWindow;
-use super::worker::Doing;
+use super::worker::{Doing, Worker};
 
 /// Added to the number of an attempt that is started a second time, so that it differs from any real one.
 const SECOND_ATTEMPT: u64 = 1000;
 
 impl Fleet {
-    /// The worker does nothing until then, and continues afterwards.
-    pub fn hang(&mut self, name: &str, until: Duration) {
+    /// Changes a worker, if its machine is there.
+    fn on_worker(&mut self, name: &str, change: impl FnOnce(&mut Worker)) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.hangs_until = until;
+            change(worker);
         }
     }
 
+    /// The worker does nothing until then, and continues afterwards.
+    pub fn hang(&mut self, name: &str, until: Duration) {
+        self.on_worker(name, |worker| worker.hangs_until = until);
+    }
+
     /// A one-way partition until then: the worker's messages arrive, messages to it do not.
     pub fn deafen(&mut self, name: &str, until: Duration) {
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.deaf_until = until;
-        }
+        self.on_worker(name, |worker| worker.deaf_until = until);
     }
 
     /// Whether answers and commands reach the worker.
@@ -33,30 +36,24 @@
 
     /// A copy of each of its reports until then comes between `from` and `to` later, in whatever order.
     pub fn copy_reports(&mut self, name: &str, until: Duration, from: Duration, to: Duration) {
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.copied = CopyWindow { until, least_delay: from, most_delay: to.max(from) };
-        }
+        self.on_worker(name, |worker| {
+            worker.copied = CopyWindow { until, least_delay: from, most_delay: to.max(from) }
+        });
     }
 
     /// Sets whether the worker fails every task that it runs.
     pub fn set_sick(&mut self, name: &str, sick: bool) {
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.sick = sick;
-        }
+        self.on_worker(name, |worker| worker.sick = sick);
     }
 
     /// Sets the rate of the worker's monotonic clock, by which it measures its lease; 1 is exact.
     pub fn set_clock(&mut self, name: &str, clock: f64) {
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.clock = clock;
-        }
+        self.on_worker(name, |worker| worker.clock = clock);
     }
 
     /// Runs this many times as fast as an ordinary machine.
     pub fn set_speed(&mut self, name: &str, speed: f64) {
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.machine.speed = speed;
-        }
+        self.on_worker(name, |worker| worker.machine.speed = speed);
     }
 
     /// Starts a running task on a second machine too: a rule broken on purpose. False if nothing runs, or no other
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -80,12 +80,7 @@
     let params = cloud::Params {
         types: vec![of()],
         capacity: vec![Capacity { type_name: "c8".into(), zone: "a".into(), ordinary: 9, spot: 9 }],
-        requests_per_second: 10.0,
-        list_lag: s(1),
-        notice: s(10),
-        silent: 0.0,
-        never_up: 0.0,
-        slow_up: 0.0,
+        ..cloud::Params::default()
     };
     let mut cloud = Cloud::new(params, 1);
     fault(&mut cloud);
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -16,16 +16,7 @@
     let s = Duration::from_secs;
     Params {
         limits: Limits::default(),
-        cloud: cloud::Params {
-            types: vec![],
-            capacity: vec![],
-            requests_per_second: 10.0,
-            list_lag: s(1),
-            notice: s(10),
-            silent: 0.0,
-            never_up: 0.0,
-            slow_up: 0.0,
-        },
+        cloud: cloud::Params::default(),
         fleet: fleet::Params { lease: s(24), gang_wait: s(30), gang_peer: s(5) },
         boots: Boots::Usual,
         report: s(1),
