--- a/crates/emulator/src/driver/machines.rs
+++ b/crates/emulator/src/driver/machines.rs
@@ -152,8 +152,8 @@
         report.addr = self.world.addr_for(&self.name, at).unwrap_or(report.addr);
         let body = Some(wire::encode(&report));
         let answer = self.world.http.call(Method::POST, &node.addr, REPORT_PATH, body, ANSWER_WITHIN).await;
-        let hears = lock(&self.world.fleet).hears(&self.name, self.world.now());
-        if hears {
+        let reachable = lock(&self.world.fleet).is_reachable(&self.name, self.world.now());
+        if reachable {
             self.take(answer, report.session, sent, at, &nodes);
         } else {
             // A worker that receives nothing waits as long as for no answer, and turns to the next controller.
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -117,7 +117,7 @@
             begun: Instant::now(),
             http: Http::default(),
         });
-        tokio::spawn(world.clone().play());
+        tokio::spawn(world.clone().run());
         world
     }
 
@@ -193,8 +193,8 @@
         changes.revision
     }
 
-    /// Time goes by: machines come up, are told that they will be taken, and are.
-    async fn play(self: Arc<Self>) {
+    /// Advances the world: machines come up, receive notice that they will be taken, and are taken.
+    async fn run(self: Arc<Self>) {
         loop {
             let now = self.now();
             let events = lock(&self.cloud).tick(now);
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -17,7 +17,7 @@
 use crate::world::store::Refusal;
 
 /// A request that is never answered is held for this long, which is longer than any client waits.
-const SILENCE: Duration = Duration::from_secs(20);
+const UNANSWERED_FOR: Duration = Duration::from_secs(20);
 /// Interval at which an open watch looks for changes.
 const WATCH_STEP: Duration = Duration::from_millis(5);
 
@@ -76,14 +76,14 @@
 
 /// Starts the listener of a machine's worker, and returns its address.
 pub(super) async fn serve_worker(world: &Arc<World>, machine: &str) -> String {
-    listen(router(WorkerDoor { world: world.clone(), machine: machine.to_owned() })).await
+    listen(router(WorkerEndpoint { world: world.clone(), machine: machine.to_owned() })).await
 }
 
 impl World {
     /// Starts a listener that is the state service and the cloud for the controller of this number, and returns its
     /// address.
     pub async fn door(self: &Arc<Self>, controller: usize) -> String {
-        listen(router(Door { world: self.clone(), controller, node: controller.to_string() })).await
+        listen(router(ControllerEndpoint { world: self.clone(), controller, node: controller.to_string() })).await
     }
 }
 
@@ -93,12 +93,12 @@
 }
 
 /// The listener of a machine's worker.
-struct WorkerDoor {
+struct WorkerEndpoint {
     world: Arc<World>,
     machine: String,
 }
 
-impl WorkerDoor {
+impl WorkerEndpoint {
     async fn answer(&self, req: &mut Request) -> Answer {
         let Ok(orders) = serde_json::from_value::<Orders>(body(req).await) else { return Answer::empty(400) };
         let outcome = self.world.with_fleet(|fleet, now| fleet.command(&self.machine, &orders, now));
@@ -109,7 +109,7 @@
             }
             None => {
                 // It hangs, or it is gone: either way it does not answer.
-                tokio::time::sleep(SILENCE).await;
+                tokio::time::sleep(UNANSWERED_FOR).await;
                 Answer::empty(503)
             }
         }
@@ -117,7 +117,7 @@
 }
 
 #[async_trait]
-impl Handler for WorkerDoor {
+impl Handler for WorkerEndpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = self.answer(req).await;
         write_answer(res, answer.status, wire::encode(&answer.body));
@@ -125,14 +125,14 @@
 }
 
 /// The listener of the state service and the cloud for one controller.
-struct Door {
+struct ControllerEndpoint {
     world: Arc<World>,
     controller: usize,
     /// The controller's number as the state service knows it.
     node: String,
 }
 
-impl Door {
+impl ControllerEndpoint {
     async fn answer(&self, req: &mut Request) -> Answer {
         let path = req.uri().path().to_owned();
         let body = body(req).await;
@@ -244,13 +244,13 @@
                 });
             }
         }
-        tokio::time::sleep(SILENCE).await;
+        tokio::time::sleep(UNANSWERED_FOR).await;
         Err(Refusal::Unavailable)
     }
 }
 
 #[async_trait]
-impl Handler for Door {
+impl Handler for ControllerEndpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = self.answer(req).await;
         let body = wire::encode(&answer.body);
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -4,8 +4,8 @@
 //! It is pure, and independent of the world and of whoever drives it.
 
 mod answers;
-mod court;
 mod rule;
+mod state;
 mod tasks;
 mod verdict;
 
@@ -19,8 +19,8 @@
 
 use crate::world::fleet::Happening;
 pub use answers::SILENT;
-use court::Court;
 pub use rule::Rule;
+use state::Judge;
 pub use verdict::{BEGIN_WITHIN, Break, Largest, Verdict};
 
 /// The kind of a user's request.
@@ -104,12 +104,12 @@
 
 /// Judges a whole history, whose entries must be ordered by time.
 pub fn judge(history: &[Entry], terms: &Terms) -> Verdict {
-    let mut court = Court::new(terms.clone());
+    let mut judge = Judge::new(terms.clone());
     for entry in history {
-        court.hear(entry);
+        judge.take(entry);
     }
     let end = history.last().map_or(Duration::ZERO, |entry| entry.at);
-    court.close(end)
+    judge.close(end)
 }
 
 #[cfg(test)]
--- a/crates/emulator/src/judge/answers.rs
+++ b/crates/emulator/src/judge/answers.rs
@@ -5,7 +5,7 @@
 use hollylanding_wire::jobs::{JobId, Shape};
 use hollylanding_wire::users::Status;
 
-use super::court::Court;
+use super::state::Judge;
 use super::{Ask, Rule};
 
 /// A job counts as forgotten if every poll fails for this long while most polls of others are answered.
@@ -28,7 +28,7 @@
     polls: PollCounts,
 }
 
-impl Court {
+impl Judge {
     /// A user was answered, or not.
     pub(super) fn answered(&mut self, at: Duration, id: &JobId, ask: Ask, code: Option<u16>, status: Option<Status>) {
         self.write(at, id, format!("{ask:?} answered {code:?} {status:?}"));
@@ -41,13 +41,13 @@
         let (known, accepted) = (job.spec.is_some(), job.accepted.is_some());
         match code {
             Some(200 | 201) if !known => {
-                return self.find(Rule::Invented, at, id, format!("{id}, which nobody submitted, is answered"));
+                return self.report(Rule::Invented, at, id, format!("{id}, which nobody submitted, is answered"));
             }
             Some(404) if accepted => {
-                return self.find(Rule::Forgotten, at, id, format!("{id} is answered 404"));
+                return self.report(Rule::Forgotten, at, id, format!("{id} is answered 404"));
             }
             Some(400 | 422) if accepted && ask == Ask::Submit => {
-                return self.find(Rule::Forgotten, at, id, format!("{id}, accepted before, is answered {code:?}"));
+                return self.report(Rule::Forgotten, at, id, format!("{id}, accepted before, is answered {code:?}"));
             }
             Some(200 | 201) => drop(job.accepted.get_or_insert(at)),
             _ => {}
@@ -56,11 +56,11 @@
             if answered {
                 (job.unanswered, job.silent) = (None, None);
             } else if let Some((rule, what)) = self.silence(at, id) {
-                return self.find(rule, at, id, what);
+                return self.report(rule, at, id, what);
             }
         }
         if let Some(status) = status.filter(|_| answered) {
-            self.said(at, id, status);
+            self.check_status(at, id, status);
         }
     }
 
@@ -84,25 +84,25 @@
     }
 
     /// A user was told this state.
-    fn said(&mut self, at: Duration, id: &JobId, status: Status) {
+    fn check_status(&mut self, at: Duration, id: &JobId, status: Status) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let before = job.told.map(|(told, _)| told);
+        let before = job.final_status.map(|(told, _)| told);
         let complete = job.spec.as_ref().is_none_or(|spec| match spec.shape {
             Shape::Gang => !job.done.is_empty(),
             _ => job.done.len() as u64 == spec.tasks,
         });
         let asked = job.withdrawal_asked;
         if matches!(status, Status::Done | Status::Withdrawn) {
-            job.told.get_or_insert((status, at));
+            job.final_status.get_or_insert((status, at));
         }
         if let Some(before) = before.filter(|before| *before != status) {
-            return self.find(Rule::WentBack, at, id, format!("{id} was {before:?} and is called {status:?}"));
+            return self.report(Rule::WentBack, at, id, format!("{id} was {before:?} and is called {status:?}"));
         }
         if status == Status::Withdrawn && !asked {
-            return self.find(Rule::WentBack, at, id, format!("{id} is called withdrawn, and nobody asked"));
+            return self.report(Rule::WentBack, at, id, format!("{id} is called withdrawn, and nobody asked"));
         }
         if status == Status::Done && before.is_none() && !complete {
-            self.find(Rule::NotDone, at, id, format!("{id} is called done before all of its tasks are"));
+            self.report(Rule::NotDone, at, id, format!("{id} is called done before all of its tasks are"));
         }
     }
 }
--- a/crates/emulator/src/judge/court.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -27,7 +27,7 @@
     pub(super) begun: Option<Duration>,
     pub(super) withdrawal_asked: bool,
     /// The final status that a user was told, and when first.
-    pub(super) told: Option<(Status, Duration)>,
+    pub(super) final_status: Option<(Status, Duration)>,
     /// Tasks with a result.
     pub(super) done: BTreeSet<u32>,
     history: Vec<String>,
@@ -45,7 +45,7 @@
 
     /// Whether it is or may be withdrawn, so that no results are expected.
     fn withdrawn(&self) -> bool {
-        match self.told {
+        match self.final_status {
             Some((status, _)) => status == Status::Withdrawn,
             None => self.withdrawal_asked,
         }
@@ -75,7 +75,7 @@
 
 /// The judge's state.
 #[derive(Default)]
-pub(super) struct Court {
+pub(super) struct Judge {
     pub(super) terms: Terms,
     pub(super) jobs: HashMap<JobId, Job>,
     pub(super) machines: HashMap<String, Place>,
@@ -98,13 +98,13 @@
     breaks: Vec<Break>,
 }
 
-impl Court {
+impl Judge {
     pub(super) fn new(terms: Terms) -> Self {
         Self { terms, ..Self::default() }
     }
 
     /// A rule is broken by a job.
-    pub(super) fn find(&mut self, rule: Rule, at: Duration, job: &JobId, what: String) {
+    pub(super) fn report(&mut self, rule: Rule, at: Duration, job: &JobId, what: String) {
         let history = self.jobs.get(job).map(|j| j.history.clone()).unwrap_or_default();
         self.breaks.push(Break { rule, at, what, history });
     }
@@ -119,7 +119,7 @@
     }
 
     /// Takes in one entry.
-    pub(super) fn hear(&mut self, entry: &Entry) {
+    pub(super) fn take(&mut self, entry: &Entry) {
         let at = entry.at;
         match &entry.event {
             Event::Submitted(spec) => {
@@ -138,7 +138,7 @@
             Event::Machine(happening) => self.machine(at, happening),
             Event::Declared { kind, name, spec, status } => {
                 for wrong in self.declared.stored(at, kind, name, spec, status) {
-                    self.find(Rule::Window, at, &name.as_str().into(), wrong);
+                    self.report(Rule::Window, at, &name.as_str().into(), wrong);
                 }
             }
             Event::Quiet => {
@@ -175,11 +175,11 @@
             self.gone_in_time(end, &task);
         }
         if !self.started {
-            self.find_at_end(Rule::NothingRan, end, "no task started".into());
+            self.report_at_end(Rule::NothingRan, end, "no task started".into());
         }
         let end_ms = self.terms.begun_ms + end.as_millis() as u64;
         for what in self.declared.close(end_ms, |job| self.jobs.get(job)?.begun) {
-            self.find_at_end(Rule::Window, end, what);
+            self.report_at_end(Rule::Window, end, what);
         }
         let mut verdict = Verdict { repeated: self.repeated, ..Verdict::default() };
         self.count_results(&mut verdict);
@@ -188,7 +188,7 @@
     }
 
     /// A rule is broken by no job in particular.
-    fn find_at_end(&mut self, rule: Rule, at: Duration, what: String) {
+    fn report_at_end(&mut self, rule: Rule, at: Duration, what: String) {
         self.breaks.push(Break { rule, at, what, history: vec![] });
     }
 
--- a/crates/emulator/src/judge/tasks.rs
+++ b/crates/emulator/src/judge/tasks.rs
@@ -7,7 +7,7 @@
 use hollylanding_wire::workers::TaskKey;
 
 use super::Rule;
-use super::court::{Attempt, Court, Job, Place};
+use super::state::{Attempt, Job, Judge, Place};
 
 /// Vents are passed over once they have waited for longer than a takeover, a place and a start told take: what
 /// begins sooner had its place before them.
@@ -33,7 +33,7 @@
     }
 }
 
-impl Court {
+impl Judge {
     /// A result came.
     pub(super) fn deliver(&mut self, task: &TaskKey) {
         if !self.results.insert(task.clone()) {
@@ -71,28 +71,28 @@
     fn check_single(&mut self, at: Duration, task: &TaskKey, machine: &str) {
         let Some(other) = self.on.get(task).and_then(|on| on.first()) else { return };
         let what = format!("{}/{} starts on {machine} while it is on {}", task.job, task.index, other.machine);
-        self.find(Rule::RanTwice, at, &task.job, what);
+        self.report(Rule::RanTwice, at, &task.job, what);
     }
 
     /// A task does not start long after its job was reported withdrawn.
     fn check_withdrawn(&mut self, at: Duration, task: &TaskKey) {
-        let told = self.jobs.get(&task.job).and_then(|job| job.told);
+        let told = self.jobs.get(&task.job).and_then(|job| job.final_status);
         if let Some((Status::Withdrawn, told)) = told
             && at.saturating_sub(told) > self.terms.cancel
         {
             let what = format!("{}/{} starts though its job is withdrawn", task.job, task.index);
-            self.find(Rule::RanCancelled, at, &task.job, what);
+            self.report(Rule::RanCancelled, at, &task.job, what);
         }
     }
 
     /// Jobs that a heat rule puts first are not passed over.
     fn check_order(&mut self, at: Duration, spec: &JobSpec) {
         let long = |since: Duration| at.saturating_sub(since) >= PASSED_AFTER;
-        let waits = |j: &&Job| j.accepted.is_some_and(long) && j.begun.is_none() && j.told.is_none();
+        let waits = |j: &&Job| j.accepted.is_some_and(long) && j.begun.is_none() && j.final_status.is_none();
         let waiting = self.jobs.values().filter(waits).filter_map(|j| j.spec.as_deref());
         for job in self.declared.begins(spec, waiting) {
             let what = format!("{job} waits while it is hot, and {} is one of many that begin ahead", spec.id);
-            self.find(Rule::Vents, at, &job, what);
+            self.report(Rule::Vents, at, &job, what);
         }
     }
 
@@ -108,7 +108,7 @@
             .collect();
         if let Some(why) = misplaced(spec, place, &zones) {
             let what = format!("{}/{} starts on {machine} in spite of {why}", task.job, task.index);
-            self.find(Rule::WrongPlace, at, &task.job, what);
+            self.report(Rule::WrongPlace, at, &task.job, what);
         }
     }
 
@@ -123,7 +123,7 @@
         if above(most.0, used.cpus) || above(most.1, used.gpus) {
             let (team, cpus, gpus) = (&spec.team, used.cpus, used.gpus);
             let what = format!("{team}: {cpus} cores and {gpus} accelerators of {} and {}", most.0, most.1);
-            self.find(Rule::Quota, at, &task.job, what);
+            self.report(Rule::Quota, at, &task.job, what);
         }
     }
 
@@ -155,7 +155,7 @@
             let (left, least) = (self.together(n), *least);
             if jobs.contains(&task.job) && !jobs.iter().any(asked) && self.full.contains(&n) && left < least {
                 let what = format!("{}/{} is stopped, and {left} of {least} are left", task.job, task.index);
-                self.find(Rule::Gap, at, &task.job, what);
+                self.report(Rule::Gap, at, &task.job, what);
             }
         }
     }
@@ -184,12 +184,12 @@
 
     /// A task that leaves its machine now does so within the time allowed after a withdrawal.
     pub(super) fn gone_in_time(&mut self, at: Duration, task: &TaskKey) {
-        let told = self.jobs.get(&task.job).and_then(|j| j.told);
+        let told = self.jobs.get(&task.job).and_then(|j| j.final_status);
         if let Some((Status::Withdrawn, told)) = told
             && at.saturating_sub(told) > self.terms.cancel
         {
             let what = format!("{}/{} is on a machine {:?} after its withdrawal", task.job, task.index, at - told);
-            self.find(Rule::RanCancelled, at, &task.job, what);
+            self.report(Rule::RanCancelled, at, &task.job, what);
         }
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use hollylanding_emulator::controllers::{Controllers, daemon};
 use hollylanding_emulator::driver::World;
-use hollylanding_emulator::rehearsal::{self, Setup, play};
+use hollylanding_emulator::rehearsal::{self, Setup};
 use hollylanding_emulator::report;
 use hollylanding_emulator::scenario::{self, Plan};
 use hollylanding_emulator::sizes::{DEFAULT, Sizes};
@@ -79,11 +79,11 @@
     Sizes::parse(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// A scenario with its sizes: those given, those it asks for beside itself, or the default.
+/// A scenario with its sizes: those given, those it asks for scenario_folder itself, or the default.
 fn read_scenario(path: &Path, sizes: Option<&Path>, seed: u64) -> Result<(Plan, Sizes), String> {
     let plan = scenario::read(&read(path)?, seed).map_err(|e| format!("{}: {e}", path.display()))?;
-    let beside = plan.sizes.as_ref().map(|name| path.with_file_name(name));
-    let sizes = read_sizes(sizes.or(beside.as_deref()))?;
+    let scenario_folder = plan.sizes.as_ref().map(|name| path.with_file_name(name));
+    let sizes = read_sizes(sizes.or(scenario_folder.as_deref()))?;
     Ok((plan, sizes))
 }
 
@@ -136,7 +136,7 @@
     })
 }
 
-/// Plays one plan, writes its report, and says whether all went well.
+/// Runs one plan, writes its report, and returns whether all went well.
 fn rehearse(
     title: &str,
     file: Option<&Path>,
@@ -146,17 +146,17 @@
     folder: &Path,
 ) -> Result<bool, String> {
     let binary = daemon().map_err(|e| e.to_string())?;
-    let beside = file.and_then(Path::parent).unwrap_or(Path::new(""));
+    let scenario_folder = file.and_then(Path::parent).unwrap_or(Path::new(""));
     let runtime = Runtime::new().map_err(|e| e.to_string())?;
     let style = ProgressStyle::with_template("{msg} [{elapsed}] {bar:40} {pos} of {len} tasks done")
         .map_err(|e| e.to_string())?;
     let bar = ProgressBar::new(0).with_style(style).with_message(title.to_owned());
-    let told = |done: usize, all: usize| {
+    let progress = |done: usize, all: usize| {
         bar.set_length(all as u64);
         bar.set_position(done as u64);
     };
-    let setup = Setup { sizes, plan, seed, binary: &binary, folder, beside };
-    let outcome: rehearsal::Outcome = runtime.block_on(play(&setup, told)).map_err(|e| e.to_string())?;
+    let setup = Setup { sizes, plan, seed, binary: &binary, folder, scenario_folder };
+    let outcome: rehearsal::Outcome = runtime.block_on(rehearsal::run(&setup, progress)).map_err(|e| e.to_string())?;
     // What still waits to answer somebody must not keep the program.
     runtime.shutdown_background();
     bar.finish_and_clear();
@@ -179,7 +179,7 @@
 }
 
 /// Faults that a soak draws pairs of, in the words of scenarios.
-const DRAWN: [&str; 25] = [
+const SOAK_FAULTS: [&str; 25] = [
     "lose_machines(0.5)",
     "lose_holder()",
     "take_spot(1.0)",
@@ -207,13 +207,13 @@
     "end(\"all\", 0.3)",
 ];
 
-/// Pairs of faults by seed until the time is over; a failure can be played again by its own seed.
+/// Pairs of faults by seed until the time is over; a failure can be reproduced by its own seed.
 fn soak(minutes: f64, seed: u64, sizes: &Sizes, folder: &Path) -> Result<bool, String> {
     let until = Instant::now() + Duration::from_secs_f64(minutes.clamp(0.0, 1440.0) * 60.0);
     let mut seed = seed;
     while Instant::now() < until {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut draw = || (rng.random_range(3.0..14.0_f64), DRAWN[rng.random_range(0..DRAWN.len())]);
+        let mut draw = || (rng.random_range(3.0..14.0_f64), SOAK_FAULTS[rng.random_range(0..SOAK_FAULTS.len())]);
         let ((first_at, first), (second_at, second)) = (draw(), draw());
         let script = format!("at({first_at:.2}, {first}); at({second_at:.2}, {second});");
         println!("seed {seed}: {script}");
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -24,11 +24,11 @@
 use crate::scenario::{Fault, Plan, Trigger};
 use crate::sizes::Sizes;
 use faults::Planned;
-use jobs::{Coming, jobs};
+use jobs::{PendingJob, jobs};
 use operators::{DeclaredWatch, Operators};
 pub use samples::Sample;
 use samples::Sampler;
-use users::{Desk, ROUND};
+use users::{ROUND, Users};
 
 /// Interval at which everything is looked at.
 const STEP: Duration = Duration::from_millis(50);
@@ -84,12 +84,12 @@
     /// Where settings and logs go.
     pub folder: &'a Path,
     /// The scenario's folder, for the files that it names.
-    pub beside: &'a Path,
+    pub scenario_folder: &'a Path,
 }
 
 /// The time without active faults.
 #[derive(Default)]
-struct Calm {
+struct QuietPeriod {
     /// Since when no fault is active.
     since: Option<Duration>,
     /// Number of jobs accepted by then.
@@ -97,35 +97,35 @@
     /// When every controller had answered about each of these jobs.
     settled: Option<Duration>,
     /// Tasks that ask each controller about every job.
-    askers: JoinSet<()>,
+    poll_tasks: JoinSet<()>,
 }
 
-impl Calm {
+impl QuietPeriod {
     /// A fault is active.
     fn interrupt(&mut self) {
         self.since = None;
         self.settled = None;
-        self.askers.abort_all();
+        self.poll_tasks.abort_all();
     }
 
     /// No fault is active.
-    fn go_on(&mut self, now: Duration, world: &World, desk: &Arc<Desk>) {
+    fn proceed(&mut self, now: Duration, world: &World, users: &Arc<Users>) {
         if self.since.is_none() {
             self.since = Some(now);
-            self.accepted = desk.accepted();
+            self.accepted = users.accepted();
             world.note(Event::Quiet);
-            desk.forget_answers();
-            self.askers = (0..desk.controllers()).map(|n| desk.clone().ask_on(n)).collect();
+            users.forget_answers();
+            self.poll_tasks = (0..users.controllers()).map(|n| users.clone().ask_repeatedly(n)).collect();
         }
-        if desk.all_answered(self.accepted) {
+        if users.all_answered(self.accepted) {
             self.settled = self.settled.or(Some(now));
         }
     }
 
     /// Whether every job was asked about for long enough, at least for `quiet`.
-    fn over(&self, now: Duration, quiet: Duration, desk: &Desk) -> bool {
+    fn over(&self, now: Duration, quiet: Duration, users: &Users) -> bool {
         let Some(since) = self.since else { return false };
-        let answered = now >= since + quiet && desk.all_answered(usize::MAX);
+        let answered = now >= since + quiet && users.all_answered(usize::MAX);
         // Longer than a job may stay unanswered there is nothing to wait for.
         answered || now > since + quiet.max(SILENT) + ROUND.mul_f64(LAST_ROUNDS)
     }
@@ -136,17 +136,17 @@
 }
 
 /// A rehearsal that is running.
-struct Play {
+struct Rehearsal {
     world: Arc<World>,
-    desk: Arc<Desk>,
+    users: Arc<Users>,
     controllers: Controllers,
     operators: Operators,
     declared: DeclaredWatch,
     sampler: Sampler,
-    calm: Calm,
+    quiet_period: QuietPeriod,
     rng: ChaCha8Rng,
     /// Jobs that have yet to be submitted.
-    coming: VecDeque<Coming>,
+    pending: VecDeque<PendingJob>,
     /// Ids of all jobs.
     ids: Vec<JobId>,
     /// Number of tasks of all jobs, and of those submitted so far.
@@ -156,60 +156,60 @@
     steps: Vec<(Trigger, Fault)>,
     /// Faults that have yet to end.
     undo: Vec<Planned>,
-    told: Vec<Note>,
+    notes: Vec<Note>,
     /// Number of starts at the last look.
-    placed: usize,
+    starts_seen: usize,
     /// The leader and the owner at the last look.
-    led: [String; 2],
+    leadership: [String; 2],
     /// Wall-clock time at which the world began, in ms since 1970.
     begun_ms: u64,
 }
 
-impl Play {
+impl Rehearsal {
     async fn start(setup: &Setup<'_>) -> Result<Self, ControllerError> {
         let Setup { sizes, plan, seed, .. } = *setup;
         let world = World::open(sizes.world(seed, true));
         let begun_ms = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as u64;
         let controllers = Controllers::start(&world, sizes, setup.binary.to_owned(), setup.folder).await?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let coming = jobs(sizes, &mut rng);
-        let all: Vec<&Coming> = coming.iter().collect();
-        let desk = Desk::new(world.clone(), controllers.for_users.clone(), &all, plan.often, seed ^ 1);
+        let pending = jobs(sizes, &mut rng);
+        let all: Vec<&PendingJob> = pending.iter().collect();
+        let users = Users::new(world.clone(), controllers.for_users.clone(), &all, plan.often, seed ^ 1);
         Ok(Self {
-            desk: Arc::new(desk),
+            users: Arc::new(users),
             controllers,
-            operators: Operators::new(setup.folder, setup.beside, begun_ms / 1000),
+            operators: Operators::new(setup.folder, setup.scenario_folder, begun_ms / 1000),
             declared: DeclaredWatch::default(),
             sampler: Sampler::default(),
-            calm: Calm::default(),
+            quiet_period: QuietPeriod::default(),
             rng,
-            ids: coming.iter().map(|job| job.spec.id.clone()).collect(),
-            tasks: coming.iter().map(|job| job.spec.tasks as usize).sum(),
+            ids: pending.iter().map(|job| job.spec.id.clone()).collect(),
+            tasks: pending.iter().map(|job| job.spec.tasks as usize).sum(),
             submitted: 0,
-            coming,
+            pending,
             steps: plan.steps.clone(),
             undo: vec![],
-            told: vec![],
-            placed: 0,
-            led: Default::default(),
+            notes: vec![],
+            starts_seen: 0,
+            leadership: Default::default(),
             begun_ms,
             world,
         })
     }
 
     /// Notes what was done.
-    fn tell(&mut self, what: String) {
+    fn add_note(&mut self, what: String) {
         let at_s = self.world.now().as_secs_f64();
-        self.told.push(Note { at_s, what });
+        self.notes.push(Note { at_s, what });
     }
 
     /// Lets the users submit the jobs that are due.
     fn submit_due(&mut self, now: Duration) {
-        while self.coming.front().is_some_and(|job| job.at_s <= now.as_secs_f64()) {
-            let Some(job) = self.coming.pop_front() else { break };
+        while self.pending.front().is_some_and(|job| job.at_s <= now.as_secs_f64()) {
+            let Some(job) = self.pending.pop_front() else { break };
             self.submitted += job.spec.tasks as usize;
             self.world.upload(job.upload());
-            tokio::spawn(self.desk.clone().user(job));
+            tokio::spawn(self.users.clone().user(job));
         }
     }
 
@@ -230,7 +230,7 @@
     /// Notes what finished commands printed.
     fn collect_commands(&mut self) {
         for said in self.operators.finished() {
-            self.tell(format!("an operator was told: {said}"));
+            self.add_note(format!("an operator was told: {said}"));
         }
     }
 
@@ -242,8 +242,8 @@
 
     /// Whether the rehearsal is over.
     fn over(&self, now: Duration, quiet: Duration) -> bool {
-        let idle = self.desk.all_ended() && self.operators.idle();
-        idle && self.calm.over(now, quiet, &self.desk) && self.desk.close()
+        let idle = self.users.all_ended() && self.operators.idle();
+        idle && self.quiet_period.over(now, quiet, &self.users) && self.users.close()
     }
 
     /// Looks at everything once. Returns whether the rehearsal is over.
@@ -255,24 +255,24 @@
         self.inject_due(now).await;
         self.collect_commands();
         self.declared.look(&self.world);
-        self.placed = lock(&self.world.starts).len();
-        self.led = self.leads();
+        self.starts_seen = lock(&self.world.starts).len();
+        self.leadership = self.leadership();
         if let Some(sample) = self.sampler.sample(&self.world, now, self.submitted) {
             progress(sample.done, self.tasks);
         }
         if self.disturbed() {
-            self.calm.interrupt();
+            self.quiet_period.interrupt();
         } else {
-            self.calm.go_on(now, &self.world, &self.desk);
+            self.quiet_period.proceed(now, &self.world, &self.users);
         }
         Ok(self.over(now, quiet))
     }
 
     /// Asks for the last time, and judges what happened.
     async fn finish(mut self, setup: &Setup<'_>) -> Outcome {
-        self.calm.askers.abort_all();
-        if self.desk.all_ended() {
-            self.desk.ask_all(&self.ids).await;
+        self.quiet_period.poll_tasks.abort_all();
+        if self.users.all_ended() {
+            self.users.ask_all(&self.ids).await;
         }
         self.collect_commands();
         let record = std::mem::take(&mut *lock(&self.world.record));
@@ -281,11 +281,11 @@
         let terms = Terms { capacity, begun_ms: self.begun_ms, ..setup.sizes.terms() };
         Outcome {
             verdict: judge(&record, &terms),
-            settled: self.calm.took(),
+            settled: self.quiet_period.took(),
             failed: self.operators.failures(),
             samples: self.sampler.samples,
-            faults: self.told,
-            accepted_ms: self.desk.accepted_ms(),
+            faults: self.notes,
+            accepted_ms: self.users.accepted_ms(),
             jobs: self.ids.len(),
             own_ends: self.controllers.own_ends,
             refused,
@@ -297,13 +297,13 @@
 
 /// Runs a plan to its end, or until the sizes' seconds are over. `progress` is told the number of results, and of the
 /// results expected.
-pub async fn play(setup: &Setup<'_>, progress: impl Fn(usize, usize)) -> Result<Outcome, ControllerError> {
-    let mut play = Play::start(setup).await?;
+pub async fn run(setup: &Setup<'_>, progress: impl Fn(usize, usize)) -> Result<Outcome, ControllerError> {
+    let mut rehearsal = Rehearsal::start(setup).await?;
     let limit = Duration::from_secs_f64(setup.sizes.seconds);
-    while play.world.now() < limit && !play.step(setup.plan.quiet, &progress).await? {
+    while rehearsal.world.now() < limit && !rehearsal.step(setup.plan.quiet, &progress).await? {
         tokio::time::sleep(STEP).await;
     }
-    Ok(play.finish(setup).await)
+    Ok(rehearsal.finish(setup).await)
 }
 
 #[cfg(test)]
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -4,7 +4,7 @@
 
 use rand::seq::IndexedRandom;
 
-use super::{Play, STEP};
+use super::{Rehearsal, STEP};
 use crate::driver::relay::Passing;
 use crate::driver::{Link, lock};
 use crate::judge::Event;
@@ -23,21 +23,21 @@
     /// Opens a link of a controller.
     Open(usize, Link),
     /// Ends an outage of the state service.
-    StoreBack,
+    EndStoreOutage,
     /// Ends the delay of the state service's answers.
-    StoreQuick,
+    EndStoreDelay,
     /// Ends an outage of the cloud.
-    CloudBack,
+    EndCloudOutage,
     /// The state service serves a controller again.
     Serve(usize),
     /// Workers no longer fail their tasks.
-    Well(Vec<String>),
+    Heal(Vec<String>),
     /// Restarts a controller.
     End(usize),
     /// Retries to start a task twice.
     StartTwice,
     /// Nothing is to be done: the fault ends by itself.
-    Over,
+    Nothing,
 }
 
 /// An [`Undo`] with its time.
@@ -46,7 +46,7 @@
     undo: Undo,
 }
 
-impl Play {
+impl Rehearsal {
     /// Number of the controller that schedules.
     fn owner(&self) -> usize {
         let state = lock(&self.world.state);
@@ -55,13 +55,13 @@
     }
 
     /// The records of the leader and of the owner, as they are stored.
-    pub(super) fn leads(&self) -> [String; 2] {
+    pub(super) fn leadership(&self) -> [String; 2] {
         let state = lock(&self.world.state);
         [LEADER, OWNER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
     }
 
     /// Numbers of the controllers meant.
-    fn these(&self, who: Who) -> Vec<usize> {
+    fn controllers_meant(&self, who: Who) -> Vec<usize> {
         match who {
             Who::All => (0..self.controllers.count()).collect(),
             Who::Owner => vec![self.owner()],
@@ -80,10 +80,10 @@
     pub(super) fn holds(&self, condition: Condition) -> bool {
         match condition {
             Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.holders().next().is_some()),
-            Condition::JustPlaced => lock(&self.world.starts).len() > self.placed,
+            Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
             Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost > 0,
-            // Somebody led, and now nobody or another does; or who leads does not own yet.
-            Condition::Election => !self.led[0].is_empty() && self.leads() != self.led,
+            // Somebody leadership, and now nobody or another does; or who leads does not own yet.
+            Condition::Election => !self.leadership[0].is_empty() && self.leadership() != self.leadership,
         }
     }
 
@@ -105,17 +105,17 @@
     async fn undo(&mut self, undo: Undo) {
         match undo {
             Undo::Open(of, link) => self.world.gate(of, link).set(Passing::Open),
-            Undo::StoreBack => {
+            Undo::EndStoreOutage => {
                 let mut state = lock(&self.world.state);
                 let now = state.now();
                 state.store.set_out(false, now);
             }
-            Undo::StoreQuick => lock(&self.world.state).faults.slow = Duration::ZERO,
-            Undo::CloudBack => lock(&self.world.cloud).set_out(false),
+            Undo::EndStoreDelay => lock(&self.world.state).faults.slow = Duration::ZERO,
+            Undo::EndCloudOutage => lock(&self.world.cloud).set_out(false),
             Undo::Serve(of) => lock(&self.world.state).store.set_refused(&of.to_string(), false),
-            Undo::Well(machines) => self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, false)),
+            Undo::Heal(machines) => self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, false)),
             Undo::StartTwice => self.start_twice(),
-            Undo::Over => {}
+            Undo::Nothing => {}
             Undo::End(of) => self.controllers.end(of, RESTART_AFTER).await,
         }
     }
@@ -178,22 +178,22 @@
             Fault::Hang(many, time) => {
                 let machines = self.some_machines(*many);
                 self.on_fleet(&machines, |fleet, machine, now| fleet.hang(machine, now + *time));
-                self.later(*time, Undo::Over);
+                self.later(*time, Undo::Nothing);
             }
             Fault::Deaf(many, time) => {
                 let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.deafen(machine, now + *time));
-                self.later(*time, Undo::Over);
+                self.on_fleet(&machines, |fleet, machine, now| fleet.cut_off(machine, now + *time));
+                self.later(*time, Undo::Nothing);
             }
             Fault::LateCopies(many, from, to, time) => {
                 let machines = self.some_machines(*many);
                 self.on_fleet(&machines, |fleet, machine, now| fleet.copy_reports(machine, now + *time, *from, *to));
-                self.later(*time + *to, Undo::Over);
+                self.later(*time + *to, Undo::Nothing);
             }
             Fault::Sick(many, time) => {
                 let machines = self.some_machines(*many);
                 self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, true));
-                self.later(*time, Undo::Well(machines));
+                self.later(*time, Undo::Heal(machines));
             }
             Fault::Slow(many, by) => {
                 let machines = self.some_machines(*many);
@@ -220,12 +220,12 @@
         match fault {
             Fault::Outage(time) => {
                 state.store.set_out(true, now);
-                self.later(*time, Undo::StoreBack);
+                self.later(*time, Undo::EndStoreOutage);
             }
             Fault::LoseWrites(n) => state.faults.lose += n,
             Fault::Vanish(prefix, n) => {
                 let lost = state.store.vanish(prefix, *n);
-                self.tell(format!("vanished: {}", lost.join(", ")));
+                self.add_note(format!("vanished: {}", lost.join(", ")));
             }
             Fault::Unanswered(n) => state.faults.unanswered += n,
             Fault::LateWrites(n, by) => state.faults.late = (*n, *by),
@@ -233,7 +233,7 @@
             Fault::StallWatches(time) => state.faults.stalled_until = Some(Instant::now() + *time),
             Fault::SlowStore(by, time) => {
                 state.faults.slow = *by;
-                self.later(*time, Undo::StoreQuick);
+                self.later(*time, Undo::EndStoreDelay);
             }
             Fault::ForgetLog => state.store.forget_log(),
             _ => {}
@@ -242,39 +242,39 @@
 
     /// Injects a fault, and plans its end.
     pub(super) async fn apply(&mut self, fault: &Fault) {
-        self.tell(format!("{fault:?}"));
+        self.add_note(format!("{fault:?}"));
         match fault {
             Fault::Link(who, link, passing, time) => {
-                for of in self.these(*who) {
+                for of in self.controllers_meant(*who) {
                     self.link(of, *link, *passing, *time);
                 }
             }
             Fault::Peers(who, passing, time) => {
-                self.these(*who).into_iter().for_each(|of| self.peers(of, *passing, *time));
+                self.controllers_meant(*who).into_iter().for_each(|of| self.peers(of, *passing, *time));
             }
             Fault::Lone(who, time) => {
-                for of in self.these(*who) {
+                for of in self.controllers_meant(*who) {
                     self.link(of, Link::Store, Passing::Held, *time);
                     self.peers(of, Passing::Held, *time);
                 }
             }
             Fault::Refuse(who, time) => {
-                for of in self.these(*who) {
+                for of in self.controllers_meant(*who) {
                     lock(&self.world.state).store.set_refused(&of.to_string(), true);
                     self.later(*time, Undo::Serve(of));
                 }
             }
             Fault::CloudOutage(time) => {
                 lock(&self.world.cloud).set_out(true);
-                self.later(*time, Undo::CloudBack);
+                self.later(*time, Undo::EndCloudOutage);
             }
             Fault::End(who, again) => {
-                for of in self.these(*who) {
+                for of in self.controllers_meant(*who) {
                     self.controllers.end(of, *again).await;
                 }
             }
             Fault::Pause(who, time) => {
-                for of in self.these(*who) {
+                for of in self.controllers_meant(*who) {
                     self.controllers.pause(of, *time);
                 }
             }
@@ -283,11 +283,11 @@
                     self.later(every.mul_f64(of as f64), Undo::End(of));
                 }
             }
-            Fault::Operator(verb) => self.operators.operate(verb, &self.controllers, self.told.len()),
+            Fault::Operator(verb) => self.operators.operate(verb, &self.controllers, self.notes.len()),
             Fault::WillWithdraw(job) => self.world.note(Event::WithdrawalAsked(job.clone())),
             Fault::WithdrawShare(part) => {
-                let n = self.desk.withdraw_share(*part);
-                self.tell(format!("{n} users withdraw their jobs"));
+                let n = self.users.withdraw_share(*part);
+                self.add_note(format!("{n} users withdraw their jobs"));
             }
             other => {
                 self.on_machines(other);
--- a/crates/emulator/src/rehearsal/jobs.rs
+++ b/crates/emulator/src/rehearsal/jobs.rs
@@ -16,7 +16,7 @@
 const RUN_FACTOR: std::ops::Range<f64> = 0.7..1.3;
 
 /// A job that will be submitted.
-pub(super) struct Coming {
+pub(super) struct PendingJob {
     /// When its user first submits it, in seconds since the world began.
     pub(super) at_s: f64,
     pub(super) spec: JobSpec,
@@ -26,7 +26,7 @@
     broken: bool,
 }
 
-impl Coming {
+impl PendingJob {
     /// Whether it never ends by itself, and is withdrawn at the end of the rehearsal.
     pub(super) fn lingers(&self) -> bool {
         self.withdrawn.is_none() && (self.broken || self.spec.shape == Shape::Service)
@@ -61,13 +61,13 @@
 }
 
 /// All jobs in the order in which they are submitted.
-pub(super) fn jobs(sizes: &Sizes, rng: &mut ChaCha8Rng) -> VecDeque<Coming> {
+pub(super) fn jobs(sizes: &Sizes, rng: &mut ChaCha8Rng) -> VecDeque<PendingJob> {
     let arrivals = arrivals(sizes, rng);
     let job = |(n, arrival): (usize, Arrival)| {
         let Arrival { at_s, work, withdrawn } = arrival;
         let spec = work.spec(&format!("run-{:06}", n + 1));
         let run_s = work.run_s * rng.random_range(RUN_FACTOR);
-        Coming { at_s, spec, run_s, withdrawn, broken: work.broken }
+        PendingJob { at_s, spec, run_s, withdrawn, broken: work.broken }
     };
     arrivals.into_iter().enumerate().map(job).collect()
 }
--- a/crates/emulator/src/rehearsal/operators.rs
+++ b/crates/emulator/src/rehearsal/operators.rs
@@ -6,14 +6,14 @@
 
 use tokio::task::JoinSet;
 
-use super::users::COME_AGAIN;
+use super::users::RETRY_AFTER;
 use crate::controllers::Controllers;
 use crate::driver::{World, lock};
 use crate::judge::Event;
 use crate::scenario::Verb;
 
 /// A command that did not have the expected result is retried for this long.
-const VERB_FOR: Duration = Duration::from_secs(20);
+const RETRY_VERB_FOR: Duration = Duration::from_secs(20);
 /// Keys of the statuses, and of the specifications, of declared objects.
 const STATUSES: &str = "c/t/";
 const SPECS: &str = "c/s/";
@@ -38,7 +38,7 @@
     /// Where files for the commands are written.
     folder: PathBuf,
     /// The scenario's folder.
-    beside: PathBuf,
+    scenario_folder: PathBuf,
     /// Wall-clock time at which the world began, in seconds since 1970.
     begun_s: u64,
     running: JoinSet<Result<String, String>>,
@@ -46,9 +46,9 @@
 }
 
 impl Operators {
-    pub(super) fn new(folder: &Path, beside: &Path, begun_s: u64) -> Self {
-        let (folder, beside) = (folder.to_owned(), beside.to_owned());
-        Self { folder, beside, begun_s, running: JoinSet::new(), failed: vec![] }
+    pub(super) fn new(folder: &Path, scenario_folder: &Path, begun_s: u64) -> Self {
+        let (folder, scenario_folder) = (folder.to_owned(), scenario_folder.to_owned());
+        Self { folder, scenario_folder, begun_s, running: JoinSet::new(), failed: vec![] }
     }
 
     /// Starts a command, which is retried until it has the expected result or its time is over. `number` makes the name
@@ -62,7 +62,7 @@
         }
         let args = verb.args.iter().map(|arg| self.argument(arg, &file)).collect();
         let runs = controllers.verbs(args);
-        let (verb, until) = (verb.clone(), Instant::now() + VERB_FOR);
+        let (verb, until) = (verb.clone(), Instant::now() + RETRY_VERB_FOR);
         self.running.spawn(async move {
             loop {
                 let (exit, said) = runs().await;
@@ -72,7 +72,7 @@
                 if Instant::now() > until {
                     return Err(format!("{}: exit {exit:?}: {said}", verb.args.join(" ")));
                 }
-                tokio::time::sleep(COME_AGAIN).await;
+                tokio::time::sleep(RETRY_AFTER).await;
             }
         });
     }
@@ -81,7 +81,7 @@
     fn argument(&self, arg: &str, spec_file: &Path) -> String {
         let arg = times(arg, self.begun_s).replace("{spec}", &spec_file.display().to_string());
         match arg.strip_prefix("{file:").and_then(|name| name.strip_suffix('}')) {
-            Some(name) => self.beside.join(name).display().to_string(),
+            Some(name) => self.scenario_folder.join(name).display().to_string(),
             None => arg,
         }
     }
--- a/crates/emulator/src/rehearsal/users.rs
+++ b/crates/emulator/src/rehearsal/users.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::STEP;
-use super::jobs::Coming;
+use super::jobs::PendingJob;
 use crate::driver::{World, lock};
 use crate::judge::{Ask, Event};
 
@@ -24,7 +24,7 @@
 /// How long users wait for the answer to any other request.
 const ASK_WITHIN: Duration = Duration::from_secs(2);
 /// Time until a request is retried.
-pub(super) const COME_AGAIN: Duration = Duration::from_secs(1);
+pub(super) const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Interval at which a user asks for the job's status.
 const POLL: Duration = Duration::from_millis(1000);
 /// Once no fault is active any more, each controller is asked about every job within this time.
@@ -43,14 +43,14 @@
 }
 
 /// What all users share.
-pub(super) struct Desk {
+pub(super) struct Users {
     world: Arc<World>,
     /// Addresses of the controllers.
     addrs: Vec<String>,
     http: Http,
     accepted_ms: Mutex<Histogram<u64>>,
     /// Jobs that have yet to end, without those that are withdrawn only at the end.
-    left: Mutex<usize>,
+    active: Mutex<usize>,
     /// Jobs that are withdrawn only at the end, as far as they have yet to end.
     lingering: Mutex<usize>,
     /// Whether the end has come.
@@ -65,16 +65,16 @@
     rng: Mutex<ChaCha8Rng>,
 }
 
-impl Desk {
+impl Users {
     /// The users of these jobs. They ask `often` times as often as usual.
-    pub(super) fn new(world: Arc<World>, addrs: Vec<String>, jobs: &[&Coming], often: f64, seed: u64) -> Self {
+    pub(super) fn new(world: Arc<World>, addrs: Vec<String>, jobs: &[&PendingJob], often: f64, seed: u64) -> Self {
         let lingering = jobs.iter().filter(|job| job.lingers()).count();
         Self {
             world,
             addrs,
             http: Http::default(),
             accepted_ms: Mutex::new(Histogram::new(DIGITS).expect("three digits are allowed")),
-            left: Mutex::new(jobs.len() - lingering),
+            active: Mutex::new(jobs.len() - lingering),
             lingering: Mutex::new(lingering),
             closing: AtomicBool::new(false),
             often: often.max(1.0),
@@ -97,7 +97,7 @@
 
     /// Whether all jobs have ended but for those that are withdrawn only at the end.
     pub(super) fn all_ended(&self) -> bool {
-        *lock(&self.left) == 0
+        *lock(&self.active) == 0
     }
 
     /// Lets the remaining jobs be withdrawn; whether they are.
@@ -149,9 +149,9 @@
     }
 
     /// A user, from the first attempt to submit a job until the job has ended.
-    pub(super) async fn user(self: Arc<Self>, coming: Coming) {
-        let (lingers, withdrawn) = (coming.lingers(), coming.withdrawn);
-        let job = self.submit(coming.spec).await;
+    pub(super) async fn user(self: Arc<Self>, pending: PendingJob) {
+        let (lingers, withdrawn) = (pending.lingers(), pending.withdrawn);
+        let job = self.submit(pending.spec).await;
         while lingers && !self.closing.load(Ordering::Relaxed) {
             self.poll(&job).await;
         }
@@ -161,7 +161,7 @@
         } else {
             while !is_final(self.poll(&job).await) {}
         }
-        *lock(if lingers { &self.lingering } else { &self.left }) -= 1;
+        *lock(if lingers { &self.lingering } else { &self.active }) -= 1;
     }
 
     /// Submits a job until it is accepted.
@@ -170,7 +170,7 @@
         let body = wire::encode(&spec);
         self.world.note(Event::Submitted(Arc::new(spec)));
         while self.ask(&self.any(), &job, Ask::Submit, Some(body.clone())).await.is_none() {
-            tokio::time::sleep(COME_AGAIN).await;
+            tokio::time::sleep(RETRY_AFTER).await;
         }
         let took = u64::try_from(begun.elapsed().as_millis()).unwrap_or(LONGEST_MS);
         let _ = lock(&self.accepted_ms).record(took.clamp(1, LONGEST_MS));
@@ -182,7 +182,7 @@
     async fn withdraw(&self, job: &JobId) {
         self.world.note(Event::WithdrawalAsked(job.clone()));
         while !is_final(self.ask(&self.any(), job, Ask::Withdraw, None).await) {
-            tokio::time::sleep(COME_AGAIN).await;
+            tokio::time::sleep(RETRY_AFTER).await;
         }
     }
 
@@ -196,23 +196,23 @@
         let n = (jobs.len() as f64 * part).round() as usize;
         let drawn: Vec<JobId> = jobs.choose_multiple(&mut *lock(&self.rng), n).cloned().collect();
         for job in drawn {
-            let desk = self.clone();
-            tokio::spawn(async move { desk.withdraw(&job).await });
+            let users = self.clone();
+            tokio::spawn(async move { users.withdraw(&job).await });
         }
         n
     }
 
     /// Asks one controller about every job, round after round, spread over time.
-    pub(super) async fn ask_on(self: Arc<Self>, controller: usize) {
+    pub(super) async fn ask_repeatedly(self: Arc<Self>, controller: usize) {
         let Some(addr) = self.addrs.get(controller).cloned() else { return };
         loop {
             let jobs = self.asked_about(usize::MAX);
             let pause = ROUND.div_f64(self.often * jobs.len().max(1) as f64);
             for job in jobs {
-                let (desk, addr) = (self.clone(), addr.clone());
+                let (users, addr) = (self.clone(), addr.clone());
                 tokio::spawn(async move {
-                    if desk.ask(&addr, &job, Ask::Status, None).await.is_some() {
-                        lock(&desk.answered).insert((controller, job));
+                    if users.ask(&addr, &job, Ask::Status, None).await.is_some() {
+                        lock(&users.answered).insert((controller, job));
                     }
                 });
                 tokio::time::sleep(pause).await;
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -182,7 +182,7 @@
     pub why: String,
 }
 
-type Told<T> = Result<T, Box<EvalAltResult>>;
+type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
 /// Steps of a plan, and seconds of a scenario, at the most.
 const MOST_STEPS: usize = 1000;
@@ -195,7 +195,7 @@
     number.map_err(|kind| format!("a number is wanted and not a {kind}"))
 }
 
-fn number(value: &Dynamic) -> Told<f64> {
+fn number(value: &Dynamic) -> ScriptResult<f64> {
     let number = unbounded(value)?;
     if (0.0..=MOST_SECONDS).contains(&number) {
         Ok(number)
@@ -205,7 +205,7 @@
 }
 
 /// A fault's number within its own bounds, named in the error.
-fn within(name: &str, value: &Dynamic, least: f64, most: f64) -> Told<f64> {
+fn within(name: &str, value: &Dynamic, least: f64, most: f64) -> ScriptResult<f64> {
     let number = unbounded(value).map_err(|error| format!("{name}: {error}"))?;
     if (least..=most).contains(&number) {
         Ok(number)
@@ -214,11 +214,11 @@
     }
 }
 
-fn seconds(value: &Dynamic) -> Told<Duration> {
+fn seconds(value: &Dynamic) -> ScriptResult<Duration> {
     number(value).map(Duration::from_secs_f64)
 }
 
-fn many(value: &Dynamic) -> Told<Many> {
+fn many(value: &Dynamic) -> ScriptResult<Many> {
     if let Ok(n) = value.as_int() {
         return Ok(Many::Count(usize::try_from(n).map_err(|_| format!("{n} machines"))?));
     }
@@ -228,7 +228,7 @@
     }
 }
 
-fn who(value: &Dynamic) -> Told<Who> {
+fn who(value: &Dynamic) -> ScriptResult<Who> {
     if let Ok(n) = value.as_int() {
         return Ok(Who::Number(usize::try_from(n).map_err(|_| format!("controller {n}"))?));
     }
@@ -239,7 +239,7 @@
     }
 }
 
-fn link_fault(of: &Dynamic, link: &str, passing: Passing, time: &Dynamic) -> Told<Fault> {
+fn link_fault(of: &Dynamic, link: &str, passing: Passing, time: &Dynamic) -> ScriptResult<Fault> {
     let (of, time) = (who(of)?, seconds(time)?);
     let link = match link {
         "store" => Link::Store,
@@ -252,13 +252,13 @@
     Ok(Fault::Link(of, link, passing, time))
 }
 
-fn condition(so: &str) -> Told<Condition> {
+fn condition(so: &str) -> ScriptResult<Condition> {
     let names: Vec<&str> = CONDITIONS.iter().map(|(name, _)| *name).collect();
     let known = CONDITIONS.iter().find(|(name, _)| *name == so);
     known.map(|(_, condition)| *condition).ok_or_else(|| format!("{so:?} is none of: {}", names.join("; ")).into())
 }
 
-fn add(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> Told<()> {
+fn add(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> ScriptResult<()> {
     let mut plan = lock(plan);
     if plan.steps.len() >= MOST_STEPS {
         return Err(format!("more than {MOST_STEPS} faults").into());
@@ -287,17 +287,17 @@
         .register_fn("lose_zone", |zone: &str| Fault::LoseZone(zone.into()))
         .register_fn("lose_holder", || Fault::LoseHolder)
         .register_fn("take_spot", |part: Dynamic| number(&part).map(Fault::TakeSpot))
-        .register_fn("hang", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Hang(many(&n)?, seconds(&s)?)))
-        .register_fn("sick", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Sick(many(&n)?, seconds(&s)?)))
-        .register_fn("slow", |n: Dynamic, by: Dynamic| Told::Ok(Fault::Slow(many(&n)?, number(&by)?.max(1.0))))
-        .register_fn("deaf", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Deaf(many(&n)?, seconds(&s)?)))
+        .register_fn("hang", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Hang(many(&n)?, seconds(&s)?)))
+        .register_fn("sick", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Sick(many(&n)?, seconds(&s)?)))
+        .register_fn("slow", |n: Dynamic, by: Dynamic| ScriptResult::Ok(Fault::Slow(many(&n)?, number(&by)?.max(1.0))))
+        .register_fn("deaf", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Deaf(many(&n)?, seconds(&s)?)))
         .register_fn("late_copies", |n: Dynamic, from: Dynamic, to: Dynamic, s: Dynamic| {
-            Told::Ok(Fault::LateCopies(many(&n)?, seconds(&from)?, seconds(&to)?, seconds(&s)?))
+            ScriptResult::Ok(Fault::LateCopies(many(&n)?, seconds(&from)?, seconds(&to)?, seconds(&s)?))
         })
-        .register_fn("drift", |n: Dynamic, by: Dynamic| Told::Ok(Fault::Drift(many(&n)?, number(&by)?)))
+        .register_fn("drift", |n: Dynamic, by: Dynamic| ScriptResult::Ok(Fault::Drift(many(&n)?, number(&by)?)))
         .register_fn("start_twice", || Fault::StartTwice)
         .register_fn("boots", |how: &str| {
-            Told::Ok(Fault::Boots(match how {
+            ScriptResult::Ok(Fault::Boots(match how {
                 "usual" => Boots::Usual,
                 "at once" => Boots::AtOnce,
                 "never" => Boots::Never,
@@ -307,20 +307,24 @@
 }
 
 fn store_faults(engine: &mut Engine) {
-    let count = |n: i64| -> Told<u32> { u32::try_from(n).map_err(|_| format!("{n} is no count").into()) };
+    let count = |n: i64| -> ScriptResult<u32> { u32::try_from(n).map_err(|_| format!("{n} is no count").into()) };
     engine
         .register_fn("outage", |s: Dynamic| seconds(&s).map(Fault::Outage))
         .register_fn("cloud_outage", |s: Dynamic| seconds(&s).map(Fault::CloudOutage))
-        .register_fn("refuse", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Refuse(who(&of)?, seconds(&s)?)))
+        .register_fn("refuse", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Refuse(who(&of)?, seconds(&s)?)))
         .register_fn("lose_writes", move |n: i64| count(n).map(Fault::LoseWrites))
-        .register_fn("vanish", move |prefix: &str, n: i64| Told::Ok(Fault::Vanish(prefix.into(), count(n)? as usize)))
+        .register_fn("vanish", move |prefix: &str, n: i64| {
+            ScriptResult::Ok(Fault::Vanish(prefix.into(), count(n)? as usize))
+        })
         .register_fn("unanswered", move |n: i64| count(n).map(Fault::Unanswered))
-        .register_fn("late_writes", move |n: i64, s: Dynamic| Told::Ok(Fault::LateWrites(count(n)?, seconds(&s)?)))
+        .register_fn("late_writes", move |n: i64, s: Dynamic| {
+            ScriptResult::Ok(Fault::LateWrites(count(n)?, seconds(&s)?))
+        })
         .register_fn("drop_leases", || Fault::DropLeases)
         .register_fn("stall_watches", |s: Dynamic| seconds(&s).map(Fault::StallWatches))
         .register_fn("slow_store", |ms: Dynamic, s: Dynamic| {
             let ms = within("slow_store", &ms, 1.0, SLOWEST_MS)?;
-            Told::Ok(Fault::SlowStore(Duration::from_secs_f64(ms / 1000.0), seconds(&s)?))
+            ScriptResult::Ok(Fault::SlowStore(Duration::from_secs_f64(ms / 1000.0), seconds(&s)?))
         })
         .register_fn("forget_log", || Fault::ForgetLog);
 }
@@ -332,13 +336,13 @@
         .register_fn("delay", |of: Dynamic, link: &str, by: Dynamic, s: Dynamic| {
             link_fault(&of, link, Passing::Delayed(seconds(&by)?), &s)
         })
-        .register_fn("lone", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Lone(who(&of)?, seconds(&s)?)))
-        .register_fn("end", |of: Dynamic, s: Dynamic| Told::Ok(Fault::End(who(&of)?, seconds(&s)?)))
-        .register_fn("pause", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Pause(who(&of)?, seconds(&s)?)))
+        .register_fn("lone", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Lone(who(&of)?, seconds(&s)?)))
+        .register_fn("end", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::End(who(&of)?, seconds(&s)?)))
+        .register_fn("pause", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Pause(who(&of)?, seconds(&s)?)))
         .register_fn("roll", |every: Dynamic| seconds(&every).map(Fault::Roll));
 }
 
-fn verb(args: rhai::Array, spec: Option<String>) -> Told<Fault> {
+fn verb(args: rhai::Array, spec: Option<String>) -> ScriptResult<Fault> {
     let args: Result<Vec<String>, _> = args.into_iter().map(|arg| arg.into_string()).collect();
     let args = args.map_err(|kind| format!("arguments are strings, and not {kind}"))?;
     Ok(Fault::Operator(Verb { args, spec, exit: 0, says: String::new() }))
@@ -349,11 +353,11 @@
         .register_fn("operator", |args: rhai::Array| verb(args, None))
         .register_fn("operator", |args: rhai::Array, spec: rhai::Map| verb(args, Some(rhai::format_map_as_json(&spec))))
         .register_fn("says", |words: &str, fault: Fault| match fault {
-            Fault::Operator(verb) => Told::Ok(Fault::Operator(Verb { says: words.into(), ..verb })),
+            Fault::Operator(verb) => ScriptResult::Ok(Fault::Operator(Verb { says: words.into(), ..verb })),
             other => Err(format!("{other:?} says nothing").into()),
         })
         .register_fn("exits", |status: i64, fault: Fault| match fault {
-            Fault::Operator(verb) => Told::Ok(Fault::Operator(Verb { exit: status as i32, ..verb })),
+            Fault::Operator(verb) => ScriptResult::Ok(Fault::Operator(Verb { exit: status as i32, ..verb })),
             other => Err(format!("{other:?} has no exit status").into()),
         })
         .register_fn("withdraw_share", |part: Dynamic| {
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -22,7 +22,7 @@
 
 use gangs::{GangAttempt, Stop};
 use reports::ReportCopy;
-use worker::{Doing, Task, Worker};
+use worker::{Task, TaskState, Worker};
 
 /// A worker ignores an answer that arrives later than this after its report.
 pub const ANSWER_TAKEN: Duration = Duration::from_secs(4);
@@ -166,14 +166,14 @@
         let mut hasher = DefaultHasher::new();
         (worker.session, worker.token, worker.recall, worker.unknown.len()).hash(&mut hasher);
         for task in &worker.tasks {
-            (&task.key, task.attempt, std::mem::discriminant(&task.doing)).hash(&mut hasher);
+            (&task.key, task.attempt, std::mem::discriminant(&task.state)).hash(&mut hasher);
         }
         Some(hasher.finish())
     }
 
     /// Machines on which a finished task waits to be reaped.
     pub fn holders(&self) -> impl Iterator<Item = &String> {
-        let holds = |w: &Worker| w.tasks.iter().any(|t| matches!(t.doing, Doing::Ended(Cause::Done, _)));
+        let holds = |w: &Worker| w.tasks.iter().any(|t| matches!(t.state, TaskState::Ended(Cause::Done, _)));
         self.workers.iter().filter(move |(_, w)| holds(w)).map(|(name, _)| name)
     }
 
@@ -210,7 +210,7 @@
     /// All that time has brought about since the last call.
     pub fn tick(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.at);
-        // Every message is a call: many come at the same moment, and looking at all is dear.
+        // Every message calls this: many arrive at the same moment, and advancing all workers is expensive.
         if passed.is_zero() && self.at > Duration::ZERO {
             return;
         }
@@ -252,7 +252,7 @@
 
     /// What is lost of a task that ends without having saved.
     fn lose(&mut self, task: &Task) {
-        if matches!(task.doing, Doing::Running | Doing::Saving(_)) {
+        if matches!(task.state, TaskState::Running | TaskState::Saving(_)) {
             let kept = task.checkpoint();
             let saved = self.saved.entry(task.save_key()).or_default();
             *saved = (*saved).max(kept);
--- a/crates/emulator/src/world/fleet/faults.rs
+++ b/crates/emulator/src/world/fleet/faults.rs
@@ -6,7 +6,7 @@
 
 use super::Fleet;
 use super::reports::CopyWindow;
-use super::worker::{Doing, Worker};
+use super::worker::{TaskState, Worker};
 
 /// Added to the number of an attempt that is started a second time, so that it differs from any real one.
 const SECOND_ATTEMPT: u64 = 1000;
@@ -25,13 +25,13 @@
     }
 
     /// A one-way partition until then: the worker's messages arrive, messages to it do not.
-    pub fn deafen(&mut self, name: &str, until: Duration) {
-        self.on_worker(name, |worker| worker.deaf_until = until);
+    pub fn cut_off(&mut self, name: &str, until: Duration) {
+        self.on_worker(name, |worker| worker.unreachable_until = until);
     }
 
     /// Whether answers and commands reach the worker.
-    pub fn hears(&self, name: &str, now: Duration) -> bool {
-        self.workers.get(name).is_some_and(|w| w.deaf_until <= now)
+    pub fn is_reachable(&self, name: &str, now: Duration) -> bool {
+        self.workers.get(name).is_some_and(|w| w.unreachable_until <= now)
     }
 
     /// A copy of each of its reports until then comes between `from` and `to` later, in whatever order.
@@ -72,7 +72,7 @@
     fn running_attempts(&self) -> Vec<(String, TaskKey, u64)> {
         let tasks = self.workers.iter().flat_map(|(name, worker)| worker.tasks.iter().map(move |task| (name, task)));
         tasks
-            .filter(|(_, task)| task.doing == Doing::Running)
+            .filter(|(_, task)| task.state == TaskState::Running)
             .map(|(name, task)| (name.clone(), task.key.clone(), task.attempt))
             .collect()
     }
--- a/crates/emulator/src/world/fleet/gangs.rs
+++ b/crates/emulator/src/world/fleet/gangs.rs
@@ -7,7 +7,7 @@
 use hollylanding_wire::workers::{Cause, TaskKey};
 
 use super::Fleet;
-use super::worker::{Doing, Task, Worker};
+use super::worker::{Task, TaskState, Worker};
 
 /// One attempt of a gang.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,7 +37,7 @@
     /// Members whose workers do not hang.
     awake: usize,
     /// Members that wait for the others.
-    gathered: usize,
+    waiting: usize,
     /// Whether a member has begun to run.
     begun: bool,
     /// Speed of the slowest machine.
@@ -84,8 +84,8 @@
         Some(GangState {
             size: first.job.spec.tasks as usize,
             awake: found.iter().filter(|(worker, _)| worker.awake(now)).count(),
-            gathered: found.iter().filter(|(_, task)| matches!(task.doing, Doing::Gathering(_))).count(),
-            begun: found.iter().any(|(_, task)| matches!(task.doing, Doing::Running | Doing::Saving(_))),
+            waiting: found.iter().filter(|(_, task)| matches!(task.state, TaskState::WaitingForGang(_))).count(),
+            begun: found.iter().any(|(_, task)| matches!(task.state, TaskState::Running | TaskState::Saving(_))),
             speed: found.iter().map(|(worker, _)| worker.machine.speed).fold(f64::INFINITY, f64::min),
         })
     }
@@ -93,11 +93,11 @@
     fn gang(&mut self, attempt: &GangAttempt, members: &[Member], passed: Duration, now: Duration) {
         let Some(state) = self.gang_state(members, now) else { return };
         if !state.begun {
-            self.gather(attempt, members, &state, now);
+            self.assemble(attempt, members, &state, now);
         } else if self.stops.contains_key(attempt) {
             self.stop_gang(attempt, members, &state, now);
         } else if members.len() < state.size || state.awake < members.len() {
-            self.miss_peers(attempt, members, now);
+            self.notice_missing_peers(attempt, members, now);
         } else {
             self.broken.remove(attempt);
             self.advance_gang(members, passed.mul_f64(state.speed));
@@ -105,17 +105,17 @@
     }
 
     /// Members start once all are there; one that has waited too long gives up.
-    fn gather(&mut self, attempt: &GangAttempt, members: &[Member], state: &GangState, now: Duration) {
-        let complete = state.gathered == state.size && state.awake == state.size;
+    fn assemble(&mut self, attempt: &GangAttempt, members: &[Member], state: &GangState, now: Duration) {
+        let complete = state.waiting == state.size && state.awake == state.size;
         let starts = complete || self.gangs_done.contains(&attempt.job);
         let save_key = TaskKey { job: attempt.job.clone(), index: 0 };
         let progress = self.saved.get(&save_key).copied().unwrap_or_default();
         let gang_wait = self.params.gang_wait;
         for member in members {
             let Some(task) = self.member_mut(member) else { continue };
-            let Doing::Gathering(since) = task.doing else { continue };
+            let TaskState::WaitingForGang(since) = task.state else { continue };
             if starts {
-                task.doing = Doing::Running;
+                task.state = TaskState::Running;
                 task.progress = progress;
             } else if now.saturating_sub(since) > gang_wait {
                 self.end(&member.machine, member.index, Cause::Alone, false);
@@ -130,19 +130,19 @@
         let late = now.saturating_sub(stop.first) > self.params.gang_peer;
         let all_told = stop.told.len() == state.size;
         let mut found = members.iter().filter_map(|member| self.member(member));
-        let saved = all_told && found.all(|(_, task)| matches!(task.doing, Doing::Saving(until) if until <= now));
+        let saved = all_told && found.all(|(_, task)| matches!(task.state, TaskState::Saving(until) if until <= now));
         if !saved && !late {
             return;
         }
         for member in members {
-            let was_told = self.member(member).is_some_and(|(_, task)| matches!(task.doing, Doing::Saving(_)));
+            let was_told = self.member(member).is_some_and(|(_, task)| matches!(task.state, TaskState::Saving(_)));
             let cause = if was_told { Cause::Stopped } else { Cause::Peers };
             self.end(&member.machine, member.index, cause, saved);
         }
     }
 
     /// A member is gone or hangs: after a while the others notice, and end.
-    fn miss_peers(&mut self, attempt: &GangAttempt, members: &[Member], now: Duration) {
+    fn notice_missing_peers(&mut self, attempt: &GangAttempt, members: &[Member], now: Duration) {
         let missing_since = *self.broken.entry(attempt.clone()).or_insert(now);
         if now.saturating_sub(missing_since) < self.params.gang_peer {
             return;
--- a/crates/emulator/src/world/fleet/images.rs
+++ b/crates/emulator/src/world/fleet/images.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use super::worker::{Doing, Worker};
+use super::worker::{TaskState, Worker};
 use super::{Fleet, Happening};
 
 /// Capacity of an image cache in GB, if the machine's type states none.
@@ -42,7 +42,7 @@
 
     /// Names of the images that tasks wait for.
     fn wanted_images(&self) -> HashSet<String> {
-        let fetching = self.tasks.iter().filter(|task| task.doing == Doing::Fetching);
+        let fetching = self.tasks.iter().filter(|task| task.state == TaskState::Fetching);
         fetching.map(|task| task.job.spec.image.clone()).collect()
     }
 
@@ -81,10 +81,11 @@
         worker.fetch_images(&wanted, passed);
         worker.evict_images(&wanted);
         let images = worker.complete_images();
-        let ready = |task: &&mut super::Task| task.doing == Doing::Fetching && images.contains(&task.job.spec.image);
+        let ready =
+            |task: &&mut super::Task| task.state == TaskState::Fetching && images.contains(&task.job.spec.image);
         for task in worker.tasks.iter_mut().filter(ready) {
             task.progress = self.saved.get(&task.save_key()).copied().unwrap_or_default();
-            task.doing = if task.in_gang() { Doing::Gathering(now) } else { Doing::Running };
+            task.state = if task.in_gang() { TaskState::WaitingForGang(now) } else { TaskState::Running };
             let (key, attempt) = (task.key.clone(), task.attempt);
             self.happened.push(Happening::Started { task: key, attempt, machine: name.to_owned() });
         }
--- a/crates/emulator/src/world/fleet/orders.rs
+++ b/crates/emulator/src/world/fleet/orders.rs
@@ -5,7 +5,7 @@
 
 use hollylanding_wire::workers::{Cause, Order, Orders, Report, TaskKey};
 
-use super::worker::{Doing, Task};
+use super::worker::{Task, TaskState};
 use super::{Fleet, Happening, Upload};
 
 impl Fleet {
@@ -18,7 +18,7 @@
             worker.token = orders.token;
             self.execute(name, &orders.orders, now);
         }
-        Some((taken, self.tell(name, now)?))
+        Some((taken, self.build_report(name, now)?))
     }
 
     /// Executes orders in sequence.
@@ -55,15 +55,15 @@
             worker.unknown.insert((key.clone(), attempt));
             return;
         };
-        let doing = if worker.tasks.iter().any(|task| task.key == *key && task.live()) {
-            Doing::Ended(Cause::Busy, false)
+        let state = if worker.tasks.iter().any(|task| task.key == *key && task.live()) {
+            TaskState::Ended(Cause::Busy, false)
         } else if !worker.has_room(&job.spec) {
-            Doing::Ended(Cause::NoRoom, false)
+            TaskState::Ended(Cause::NoRoom, false)
         } else {
             worker.use_image(&job.spec.image, job.spec.image_gb);
-            Doing::Fetching
+            TaskState::Fetching
         };
-        worker.tasks.push(Task { key: key.clone(), attempt, job, doing, progress: Duration::ZERO });
+        worker.tasks.push(Task { key: key.clone(), attempt, job, state, progress: Duration::ZERO });
     }
 
     fn halt(&mut self, name: &str, key: &TaskKey, attempt: u64, grace_s: u64, now: Duration) {
@@ -72,15 +72,15 @@
         let task = &mut worker.tasks[index];
         let spec = &task.job.spec;
         let can_save = spec.checkpoint_s > 0.0 && grace_s as f64 >= spec.save_s;
-        match task.doing {
-            Doing::Running if can_save => {
-                task.doing = Doing::Saving(now + Duration::from_secs_f64(spec.save_s));
+        match task.state {
+            TaskState::Running if can_save => {
+                task.state = TaskState::Saving(now + Duration::from_secs_f64(spec.save_s));
                 if spec.is_gang() {
                     self.stop_member(key, attempt, now);
                 }
             }
             // Only a second order without any time ends an attempt that saves.
-            Doing::Saving(_) if grace_s > 0 => {}
+            TaskState::Saving(_) if grace_s > 0 => {}
             _ => self.end(name, index, Cause::Stopped, false),
         }
     }
@@ -99,7 +99,7 @@
         } else {
             self.lose(&task);
         }
-        task.doing = Doing::Ended(cause, kept);
+        task.state = TaskState::Ended(cause, kept);
         let (key, attempt) = (task.key.clone(), task.attempt);
         self.happened.push(Happening::Ended { task: key, attempt, machine: name.to_owned(), cause });
         if let Some(worker) = self.workers.get_mut(name) {
--- a/crates/emulator/src/world/fleet/reports.rs
+++ b/crates/emulator/src/world/fleet/reports.rs
@@ -5,7 +5,7 @@
 
 use hollylanding_wire::workers::{Cause, Leg, LegStatus, Orders, Report, TaskKey};
 
-use super::worker::{Doing, Task};
+use super::worker::{Task, TaskState};
 use super::{ANSWER_TAKEN, Fleet};
 
 /// The most copies of reports that wait for delivery; no more are made then.
@@ -31,12 +31,12 @@
 
 /// The task's attempt as reports state it.
 fn leg(task: &Task) -> Leg {
-    let (status, cause, saved) = match task.doing {
-        Doing::Fetching => (LegStatus::Fetching, None, None),
-        Doing::Gathering(_) => (LegStatus::Waiting, None, None),
-        Doing::Running => (LegStatus::Running, None, None),
-        Doing::Saving(_) => (LegStatus::Saving, None, None),
-        Doing::Ended(cause, kept) => (LegStatus::Exited, Some(cause), kept.then_some(true)),
+    let (status, cause, saved) = match task.state {
+        TaskState::Fetching => (LegStatus::Fetching, None, None),
+        TaskState::WaitingForGang(_) => (LegStatus::Waiting, None, None),
+        TaskState::Running => (LegStatus::Running, None, None),
+        TaskState::Saving(_) => (LegStatus::Saving, None, None),
+        TaskState::Ended(cause, kept) => (LegStatus::Exited, Some(cause), kept.then_some(true)),
     };
     Leg { task: task.key.clone(), attempt: task.attempt, status, cause, saved }
 }
@@ -57,7 +57,7 @@
 impl Fleet {
     /// A report of a worker, unless it hangs or is gone.
     pub fn report(&mut self, name: &str, now: Duration) -> Option<Report> {
-        let report = self.tell(name, now)?;
+        let report = self.build_report(name, now)?;
         let window = self.workers.get(name)?.copied;
         if now < window.until && self.copies.len() < MOST_COPIES {
             let range = window.most_delay - window.least_delay;
@@ -76,7 +76,7 @@
     }
 
     /// The report's content; it counts as one of the worker's reports.
-    pub(super) fn tell(&mut self, name: &str, now: Duration) -> Option<Report> {
+    pub(super) fn build_report(&mut self, name: &str, now: Duration) -> Option<Report> {
         self.tick(now);
         let worker = self.workers.get_mut(name).filter(|worker| worker.awake(now))?;
         worker.seq += 1;
--- a/crates/emulator/src/world/fleet/running.rs
+++ b/crates/emulator/src/world/fleet/running.rs
@@ -5,7 +5,7 @@
 use hollylanding_wire::workers::Cause;
 
 use super::Fleet;
-use super::worker::{Doing, Task};
+use super::worker::{Task, TaskState};
 
 /// An attempt that ends now.
 struct Ending {
@@ -26,11 +26,11 @@
     fn ending(&self, task: &Task, sick: bool, now: Duration) -> Option<(Cause, bool)> {
         // Services run until they are stopped.
         let complete = task.progress >= task.job.run && !task.job.run.is_zero();
-        match task.doing {
-            Doing::Running if self.finished(task) => Some((Cause::Done, false)),
-            Doing::Running if sick || task.job.broken => Some((Cause::Error, false)),
-            Doing::Running if complete => Some((Cause::Done, false)),
-            Doing::Saving(until) if until <= now && !task.in_gang() => Some((Cause::Stopped, true)),
+        match task.state {
+            TaskState::Running if self.finished(task) => Some((Cause::Done, false)),
+            TaskState::Running if sick || task.job.broken => Some((Cause::Error, false)),
+            TaskState::Running if complete => Some((Cause::Done, false)),
+            TaskState::Saving(until) if until <= now && !task.in_gang() => Some((Cause::Stopped, true)),
             _ => None,
         }
     }
@@ -39,7 +39,7 @@
     pub(super) fn run(&mut self, name: &str, passed: Duration, now: Duration) {
         let Some(worker) = self.workers.get_mut(name).filter(|worker| worker.awake(now)) else { return };
         let (progress, sick) = (passed.mul_f64(worker.machine.speed), worker.sick);
-        for task in worker.tasks.iter_mut().filter(|task| task.doing == Doing::Running && !task.in_gang()) {
+        for task in worker.tasks.iter_mut().filter(|task| task.state == TaskState::Running && !task.in_gang()) {
             task.progress += progress;
         }
         let Some(worker) = self.workers.get(name) else { return };
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -215,7 +215,7 @@
 #[test]
 fn deaf_machines_and_copies_of_reports() {
     let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
-    fleet.deafen("m0", s(60.0));
+    fleet.cut_off("m0", s(60.0));
     fleet.copy_reports("m0", s(30.0), s(10.0), s(50.0));
     let orders = Orders { token: 1, session: Some(1), orders: vec![launch("run-1", 0, 1)] };
     assert!(fleet.command("m0", &orders, s(0.5)).is_none());
--- a/crates/emulator/src/world/fleet/worker.rs
+++ b/crates/emulator/src/world/fleet/worker.rs
@@ -15,10 +15,10 @@
 const SLACK: f64 = 1e-6;
 
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum Doing {
+pub(super) enum TaskState {
     Fetching,
     /// Of a gang, waiting for the others since then.
-    Gathering(Duration),
+    WaitingForGang(Duration),
     Running,
     /// Told to stop, and saved by then.
     Saving(Duration),
@@ -30,7 +30,7 @@
     pub(super) key: TaskKey,
     pub(super) attempt: u64,
     pub(super) job: Arc<Upload>,
-    pub(super) doing: Doing,
+    pub(super) state: TaskState,
     /// Run time done so far, what was saved before included.
     pub(super) progress: Duration,
 }
@@ -38,7 +38,7 @@
 impl Task {
     /// Whether it has not ended.
     pub(super) fn live(&self) -> bool {
-        !matches!(self.doing, Doing::Ended(..))
+        !matches!(self.state, TaskState::Ended(..))
     }
 
     /// Whether it is this attempt of this task.
@@ -84,7 +84,7 @@
     pub(super) images: VecDeque<CachedImage>,
     pub(super) hangs_until: Duration,
     /// Hears neither answers nor commands until then, though its own reports arrive.
-    pub(super) deaf_until: Duration,
+    pub(super) unreachable_until: Duration,
     /// Which of its reports are copied.
     pub(super) copied: CopyWindow,
     /// Fails every task that it starts.
@@ -107,7 +107,7 @@
             unknown: BTreeSet::new(),
             images: VecDeque::new(),
             hangs_until: Duration::ZERO,
-            deaf_until: Duration::ZERO,
+            unreachable_until: Duration::ZERO,
             copied: CopyWindow::default(),
             sick: false,
             clock: 1.0,
@@ -121,7 +121,7 @@
 
     /// Whether messages to it arrive and are acted on.
     pub(super) fn receives(&self, now: Duration) -> bool {
-        self.awake(now) && self.deaf_until <= now
+        self.awake(now) && self.unreachable_until <= now
     }
 
     /// The attempt, if it is on the worker, ended or not.
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -197,12 +197,12 @@
         }
         for key in lease.keys {
             self.keys.remove(&key);
-            self.tell(Event { write: None, drop: Some(key), value: Value::Null, stamp: self.revision });
+            self.append(Event { write: None, drop: Some(key), value: Value::Null, stamp: self.revision });
         }
         true
     }
 
-    fn tell(&mut self, event: Event) {
+    fn append(&mut self, event: Event) {
         self.log.push_back(event);
         if self.log.len() > CHANGES_KEPT
             && let Some(oldest) = self.log.pop_front()
@@ -357,11 +357,11 @@
                         lease.keys.insert(write.clone());
                     }
                     self.keys.insert(write.clone(), Kept { value: value.clone(), stamp, permit: *permit });
-                    self.tell(Event { write: Some(write.clone()), drop: None, value: value.clone(), stamp });
+                    self.append(Event { write: Some(write.clone()), drop: None, value: value.clone(), stamp });
                 }
                 Change::Drop { drop } => {
                     if self.keys.remove(drop).is_some() {
-                        self.tell(Event { write: None, drop: Some(drop.clone()), value: Value::Null, stamp });
+                        self.append(Event { write: None, drop: Some(drop.clone()), value: Value::Null, stamp });
                     }
                 }
             }
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -1,4 +1,4 @@
-//! Every fault by a belief of a naive scheduler: it holds as long as nothing goes wrong, and does not
+//! Every fault by an assumption of a naive scheduler: it holds as long as nothing goes wrong, and does not
 //! once the fault is commanded.
 
 #![allow(clippy::unwrap_used)]
@@ -104,9 +104,9 @@
 }
 
 #[test]
-fn what_a_naive_scheduler_believes() {
-    type Belief = fn(bool) -> bool;
-    let rows: [(&str, Belief); 20] = [
+fn what_a_naive_scheduler_assumes() {
+    type Assumption = fn(bool) -> bool;
+    let rows: [(&str, Assumption); 20] = [
         ("what was started ends", |f| {
             done_with(|fleet, at| {
                 if f && at == 5 {
@@ -144,7 +144,7 @@
             let mut heard = false;
             fleet(|fleet, at| {
                 if f {
-                    fleet.deafen("m1", s(30));
+                    fleet.cut_off("m1", s(30));
                 }
                 heard |= fleet.command("m1", &Orders { token: 1, session: Some(1), orders: vec![] }, s(at)).is_some();
             });
@@ -219,8 +219,8 @@
             state.admit("0").is_ok() == state.admit("1").is_ok()
         }),
     ];
-    for (belief, holds) in rows {
-        assert!(holds(false), "{belief}: without the fault");
-        assert!(!holds(true), "{belief}: with it");
+    for (assumption, holds) in rows {
+        assert!(holds(false), "{assumption}: without the fault");
+        assert!(!holds(true), "{assumption}: with it");
     }
 }
