--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -12,22 +12,28 @@
 use crate::driver::{Link, lock};
 use crate::world::cloud::Boots;
 
-/// Controllers that something happens to.
+/// The controllers that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
+    /// The controller of this number, from 0.
     Number(usize),
+    /// The controller that schedules at the moment of the fault.
     Owner,
+    /// All controllers.
     All,
 }
 
-/// How many machines: a part of them, or so many.
+/// A number of machines, relative or absolute.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Many {
+    /// A fraction of all machines, from 0 to 1.
     Part(f64),
+    /// This many machines, or all if there are fewer.
     Count(usize),
 }
 
 impl Many {
+    /// The number of machines out of `all`.
     pub fn of(self, all: usize) -> usize {
         match self {
             Self::Part(part) => (all as f64 * part).round() as usize,
@@ -36,62 +42,88 @@
     }
 }
 
+/// A fault or another intervention of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
+    /// Machines fail.
     LoseMachines(Many),
-    /// All machines of a zone vanish.
+    /// All machines of a zone fail.
     LoseZone(String),
-    /// A machine that holds a finished result vanishes.
+    /// A machine fails that holds a finished result not yet collected.
     LoseHolder,
+    /// The cloud takes back this fraction of the spot machines.
     TakeSpot(f64),
+    /// Workers do nothing for this long, and continue afterwards.
     Hang(Many, Duration),
+    /// Workers fail every task that they start, for this long.
     Sick(Many, Duration),
+    /// Machines run this many times slower.
     Slow(Many, f64),
-    /// Workers' steady clocks run this many times as fast.
+    /// The workers' monotonic clocks run this many times as fast.
     Drift(Many, f64),
+    /// How machines rented from now on boot.
     Boots(Boots),
+    /// One link of controllers is disturbed for this long.
     Link(Who, Link, Passing, Duration),
-    /// All links to the other controllers.
+    /// All links to and from the other controllers are disturbed for this long.
     Peers(Who, Passing, Duration),
+    /// The state service is unavailable for this long.
     Outage(Duration),
+    /// The cloud is unavailable for this long.
     CloudOutage(Duration),
+    /// The state service refuses these controllers for this long.
     Refuse(Who, Duration),
-    /// Writes acknowledged and never carried out.
+    /// This many writes are acknowledged and never applied.
     LoseWrites(u32),
-    /// The newest keys under a prefix vanish.
+    /// This many of the newest keys under a prefix vanish.
     Vanish(String, usize),
+    /// This many writes are applied and not answered.
     Unanswered(u32),
+    /// This many writes are applied only after this delay, and not answered.
     LateWrites(u32, Duration),
+    /// All leases of the state service end at once.
     DropLeases,
+    /// Watches receive no changes for this long.
     StallWatches(Duration),
-    /// The state service carries out what it is asked at once, and answers so much later, for so long.
+    /// The state service applies requests at once, and answers with the first duration's delay, for the second
+    /// duration.
     SlowStore(Duration, Duration),
+    /// The state service discards its log of changes, so that watches have to list again.
     ForgetLog,
-    /// Reports arrive, answers and commands do not.
+    /// A one-way partition of workers: their reports arrive, answers and commands do not.
     Deaf(Many, Duration),
-    /// Copies of the reports of the last duration come again between the first and the second later.
+    /// Reports of workers within the last duration are delivered again, between the first and the second duration
+    /// later.
     LateCopies(Many, Duration, Duration, Duration),
-    /// Without the state service and the other controllers; workers and users still reach it.
+    /// Controllers are partitioned from the state service and the other controllers; workers and users still reach
+    /// them.
     Lone(Who, Duration),
-    /// Ended without a word, and started again this much later.
+    /// Controllers are killed without warning, and restarted after this delay.
     End(Who, Duration),
+    /// Controllers' processes are paused for this long.
     Pause(Who, Duration),
-    /// One after the other, so far apart.
+    /// A rolling restart of all controllers, at this interval.
     Roll(Duration),
+    /// An operator runs a command.
     Operator(Verb),
-    /// Somebody who is no user of the rehearsal is about to withdraw a job.
+    /// Announces that somebody other than the rehearsal's users is about to withdraw a job.
     WillWithdraw(JobId),
-    /// This part of the users whose jobs are accepted and not over withdraw them now.
+    /// This fraction of the users whose jobs are accepted and not over withdraw them now.
     WithdrawShare(f64),
     /// Breaks a rule on purpose: a running task is started on a second machine.
     StartTwice,
 }
 
+/// A state of the system on which a fault can wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
+    /// A machine holds a finished result that is not yet collected.
     HoldsResult,
+    /// A task has started since the last look.
     JustPlaced,
+    /// A write was acknowledged and not applied.
     AcknowledgedOnly,
+    /// The leader or the owner has changed or is missing.
     Election,
 }
 
@@ -102,28 +134,31 @@
     ("an election is under way", Condition::Election),
 ];
 
+/// When a fault is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trigger {
+    /// At this time since the world began.
     At(Duration),
-    /// The first time that it is so, from this time on.
+    /// The first time that the condition holds, from this time on.
     When(Condition, Duration),
 }
 
-/// Everything that is to go wrong, in the order in which it was written.
+/// A scenario that was read: its faults in the order in which they were written, and its settings.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
+    /// The faults with their triggers.
     pub steps: Vec<(Trigger, Fault)>,
-    /// The file of sizes that the script asks for, beside it.
+    /// Name of the file of sizes that the script asks for, in the scenario's folder.
     pub sizes: Option<String>,
-    /// Users ask so many times as often.
+    /// Factor by which users ask more often than usual.
     pub often: f64,
-    /// Once nothing is wrong any more, every job is asked about for so long at the least.
+    /// Least time for which users ask about every job once all faults are over.
     pub quiet: Duration,
-    /// Jobs of services, and how many of their replicas together have to run.
+    /// Sets of services with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
 }
 
-/// A verb of the daemon's command line, as an operator runs it.
+/// A command of the daemon's command line, as an operator runs it, with the result expected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Verb {
     /// `{config}` stands for a settings file, `{spec}` for the file that `spec` is written to, `{file:NAME}` for a file
@@ -131,19 +166,23 @@
     pub args: Vec<String>,
     /// JSON; `{clock:S}` in it stands for the time of day S seconds after the beginning, `{time:S}` for the whole date.
     pub spec: Option<String>,
-    /// The exit status and the words wanted; tried again for a while.
+    /// Exit status expected; the command is retried for a while.
     pub exit: i32,
+    /// Text that the output has to contain.
     pub says: String,
 }
 
+/// An error in a scenario.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {why}")]
 pub struct ScriptError {
+    /// Line of the script, from 1.
     pub line: usize,
+    /// Description of the error.
     pub why: String,
 }
 
-type Told<T> = Result<T, Box<EvalAltResult>>;
+type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
 /// Steps of a plan, and seconds of a scenario, at the most.
 const MOST_STEPS: usize = 1000;
@@ -156,7 +195,7 @@
     number.map_err(|kind| format!("a number is wanted and not a {kind}"))
 }
 
-fn number(value: &Dynamic) -> Told<f64> {
+fn number(value: &Dynamic) -> ScriptResult<f64> {
     let number = unbounded(value)?;
     if (0.0..=MOST_SECONDS).contains(&number) {
         Ok(number)
@@ -166,7 +205,7 @@
 }
 
 /// A fault's number within its own bounds, named in the error.
-fn within(name: &str, value: &Dynamic, least: f64, most: f64) -> Told<f64> {
+fn within(name: &str, value: &Dynamic, least: f64, most: f64) -> ScriptResult<f64> {
     let number = unbounded(value).map_err(|error| format!("{name}: {error}"))?;
     if (least..=most).contains(&number) {
         Ok(number)
@@ -175,11 +214,11 @@
     }
 }
 
-fn seconds(value: &Dynamic) -> Told<Duration> {
+fn seconds(value: &Dynamic) -> ScriptResult<Duration> {
     number(value).map(Duration::from_secs_f64)
 }
 
-fn many(value: &Dynamic) -> Told<Many> {
+fn many(value: &Dynamic) -> ScriptResult<Many> {
     if let Ok(n) = value.as_int() {
         return Ok(Many::Count(usize::try_from(n).map_err(|_| format!("{n} machines"))?));
     }
@@ -189,7 +228,7 @@
     }
 }
 
-fn who(value: &Dynamic) -> Told<Who> {
+fn who(value: &Dynamic) -> ScriptResult<Who> {
     if let Ok(n) = value.as_int() {
         return Ok(Who::Number(usize::try_from(n).map_err(|_| format!("controller {n}"))?));
     }
@@ -200,7 +239,7 @@
     }
 }
 
-fn link_fault(of: &Dynamic, link: &str, passing: Passing, time: &Dynamic) -> Told<Fault> {
+fn link_fault(of: &Dynamic, link: &str, passing: Passing, time: &Dynamic) -> ScriptResult<Fault> {
     let (of, time) = (who(of)?, seconds(time)?);
     let link = match link {
         "store" => Link::Store,
@@ -213,13 +252,13 @@
     Ok(Fault::Link(of, link, passing, time))
 }
 
-fn condition(so: &str) -> Told<Condition> {
+fn condition(so: &str) -> ScriptResult<Condition> {
     let names: Vec<&str> = CONDITIONS.iter().map(|(name, _)| *name).collect();
     let known = CONDITIONS.iter().find(|(name, _)| *name == so);
     known.map(|(_, condition)| *condition).ok_or_else(|| format!("{so:?} is none of: {}", names.join("; ")).into())
 }
 
-fn add(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> Told<()> {
+fn add(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> ScriptResult<()> {
     let mut plan = lock(plan);
     if plan.steps.len() >= MOST_STEPS {
         return Err(format!("more than {MOST_STEPS} faults").into());
@@ -248,17 +287,17 @@
         .register_fn("lose_zone", |zone: &str| Fault::LoseZone(zone.into()))
         .register_fn("lose_holder", || Fault::LoseHolder)
         .register_fn("take_spot", |part: Dynamic| number(&part).map(Fault::TakeSpot))
-        .register_fn("hang", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Hang(many(&n)?, seconds(&s)?)))
-        .register_fn("sick", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Sick(many(&n)?, seconds(&s)?)))
-        .register_fn("slow", |n: Dynamic, by: Dynamic| Told::Ok(Fault::Slow(many(&n)?, number(&by)?.max(1.0))))
-        .register_fn("deaf", |n: Dynamic, s: Dynamic| Told::Ok(Fault::Deaf(many(&n)?, seconds(&s)?)))
+        .register_fn("hang", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Hang(many(&n)?, seconds(&s)?)))
+        .register_fn("sick", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Sick(many(&n)?, seconds(&s)?)))
+        .register_fn("slow", |n: Dynamic, by: Dynamic| ScriptResult::Ok(Fault::Slow(many(&n)?, number(&by)?.max(1.0))))
+        .register_fn("deaf", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Deaf(many(&n)?, seconds(&s)?)))
         .register_fn("late_copies", |n: Dynamic, from: Dynamic, to: Dynamic, s: Dynamic| {
-            Told::Ok(Fault::LateCopies(many(&n)?, seconds(&from)?, seconds(&to)?, seconds(&s)?))
+            ScriptResult::Ok(Fault::LateCopies(many(&n)?, seconds(&from)?, seconds(&to)?, seconds(&s)?))
         })
-        .register_fn("drift", |n: Dynamic, by: Dynamic| Told::Ok(Fault::Drift(many(&n)?, number(&by)?)))
+        .register_fn("drift", |n: Dynamic, by: Dynamic| ScriptResult::Ok(Fault::Drift(many(&n)?, number(&by)?)))
         .register_fn("start_twice", || Fault::StartTwice)
         .register_fn("boots", |how: &str| {
-            Told::Ok(Fault::Boots(match how {
+            ScriptResult::Ok(Fault::Boots(match how {
                 "usual" => Boots::Usual,
                 "at once" => Boots::AtOnce,
                 "never" => Boots::Never,
@@ -268,20 +307,24 @@
 }
 
 fn store_faults(engine: &mut Engine) {
-    let count = |n: i64| -> Told<u32> { u32::try_from(n).map_err(|_| format!("{n} is no count").into()) };
+    let count = |n: i64| -> ScriptResult<u32> { u32::try_from(n).map_err(|_| format!("{n} is no count").into()) };
     engine
         .register_fn("outage", |s: Dynamic| seconds(&s).map(Fault::Outage))
         .register_fn("cloud_outage", |s: Dynamic| seconds(&s).map(Fault::CloudOutage))
-        .register_fn("refuse", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Refuse(who(&of)?, seconds(&s)?)))
+        .register_fn("refuse", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Refuse(who(&of)?, seconds(&s)?)))
         .register_fn("lose_writes", move |n: i64| count(n).map(Fault::LoseWrites))
-        .register_fn("vanish", move |prefix: &str, n: i64| Told::Ok(Fault::Vanish(prefix.into(), count(n)? as usize)))
+        .register_fn("vanish", move |prefix: &str, n: i64| {
+            ScriptResult::Ok(Fault::Vanish(prefix.into(), count(n)? as usize))
+        })
         .register_fn("unanswered", move |n: i64| count(n).map(Fault::Unanswered))
-        .register_fn("late_writes", move |n: i64, s: Dynamic| Told::Ok(Fault::LateWrites(count(n)?, seconds(&s)?)))
+        .register_fn("late_writes", move |n: i64, s: Dynamic| {
+            ScriptResult::Ok(Fault::LateWrites(count(n)?, seconds(&s)?))
+        })
         .register_fn("drop_leases", || Fault::DropLeases)
         .register_fn("stall_watches", |s: Dynamic| seconds(&s).map(Fault::StallWatches))
         .register_fn("slow_store", |ms: Dynamic, s: Dynamic| {
             let ms = within("slow_store", &ms, 1.0, SLOWEST_MS)?;
-            Told::Ok(Fault::SlowStore(Duration::from_secs_f64(ms / 1000.0), seconds(&s)?))
+            ScriptResult::Ok(Fault::SlowStore(Duration::from_secs_f64(ms / 1000.0), seconds(&s)?))
         })
         .register_fn("forget_log", || Fault::ForgetLog);
 }
@@ -293,13 +336,13 @@
         .register_fn("delay", |of: Dynamic, link: &str, by: Dynamic, s: Dynamic| {
             link_fault(&of, link, Passing::Delayed(seconds(&by)?), &s)
         })
-        .register_fn("lone", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Lone(who(&of)?, seconds(&s)?)))
-        .register_fn("end", |of: Dynamic, s: Dynamic| Told::Ok(Fault::End(who(&of)?, seconds(&s)?)))
-        .register_fn("pause", |of: Dynamic, s: Dynamic| Told::Ok(Fault::Pause(who(&of)?, seconds(&s)?)))
+        .register_fn("lone", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Lone(who(&of)?, seconds(&s)?)))
+        .register_fn("end", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::End(who(&of)?, seconds(&s)?)))
+        .register_fn("pause", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Pause(who(&of)?, seconds(&s)?)))
         .register_fn("roll", |every: Dynamic| seconds(&every).map(Fault::Roll));
 }
 
-fn verb(args: rhai::Array, spec: Option<String>) -> Told<Fault> {
+fn verb(args: rhai::Array, spec: Option<String>) -> ScriptResult<Fault> {
     let args: Result<Vec<String>, _> = args.into_iter().map(|arg| arg.into_string()).collect();
     let args = args.map_err(|kind| format!("arguments are strings, and not {kind}"))?;
     Ok(Fault::Operator(Verb { args, spec, exit: 0, says: String::new() }))
@@ -310,11 +353,11 @@
         .register_fn("operator", |args: rhai::Array| verb(args, None))
         .register_fn("operator", |args: rhai::Array, spec: rhai::Map| verb(args, Some(rhai::format_map_as_json(&spec))))
         .register_fn("says", |words: &str, fault: Fault| match fault {
-            Fault::Operator(verb) => Told::Ok(Fault::Operator(Verb { says: words.into(), ..verb })),
+            Fault::Operator(verb) => ScriptResult::Ok(Fault::Operator(Verb { says: words.into(), ..verb })),
             other => Err(format!("{other:?} says nothing").into()),
         })
         .register_fn("exits", |status: i64, fault: Fault| match fault {
-            Fault::Operator(verb) => Told::Ok(Fault::Operator(Verb { exit: status as i32, ..verb })),
+            Fault::Operator(verb) => ScriptResult::Ok(Fault::Operator(Verb { exit: status as i32, ..verb })),
             other => Err(format!("{other:?} has no exit status").into()),
         })
         .register_fn("withdraw_share", |part: Dynamic| {
@@ -323,7 +366,7 @@
         .register_fn("will_withdraw", |job: &str| Fault::WillWithdraw(job.into()));
 }
 
-/// Reads a script; luck comes from the seed.
+/// Reads a script. `seed` determines what it draws at random.
 pub fn read(script: &str, seed: u64) -> Result<Plan, ScriptError> {
     let plan = Arc::new(Mutex::new(Plan::default()));
     let mut engine = engine();
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -1,4 +1,4 @@
-//! Every fault by a belief of a naive scheduler: it holds as long as nothing goes wrong, and does not
+//! Every fault by an assumption of a naive scheduler: it holds as long as nothing goes wrong, and does not
 //! once the fault is commanded.
 
 #![allow(clippy::unwrap_used)]
@@ -80,12 +80,7 @@
     let params = cloud::Params {
         types: vec![of()],
         capacity: vec![Capacity { type_name: "c8".into(), zone: "a".into(), ordinary: 9, spot: 9 }],
-        requests_per_second: 10.0,
-        list_lag: s(1),
-        notice: s(10),
-        silent: 0.0,
-        never_up: 0.0,
-        slow_up: 0.0,
+        ..cloud::Params::default()
     };
     let mut cloud = Cloud::new(params, 1);
     fault(&mut cloud);
@@ -109,9 +104,9 @@
 }
 
 #[test]
-fn what_a_naive_scheduler_believes() {
-    type Belief = fn(bool) -> bool;
-    let rows: [(&str, Belief); 20] = [
+fn what_a_naive_scheduler_assumes() {
+    type Assumption = fn(bool) -> bool;
+    let rows: [(&str, Assumption); 20] = [
         ("what was started ends", |f| {
             done_with(|fleet, at| {
                 if f && at == 5 {
@@ -149,7 +144,7 @@
             let mut heard = false;
             fleet(|fleet, at| {
                 if f {
-                    fleet.deafen("m1", s(30));
+                    fleet.cut_off("m1", s(30));
                 }
                 heard |= fleet.command("m1", &Orders { token: 1, session: Some(1), orders: vec![] }, s(at)).is_some();
             });
@@ -224,8 +219,8 @@
             state.admit("0").is_ok() == state.admit("1").is_ok()
         }),
     ];
-    for (belief, holds) in rows {
-        assert!(holds(false), "{belief}: without the fault");
-        assert!(!holds(true), "{belief}: with it");
+    for (assumption, holds) in rows {
+        assert!(holds(false), "{assumption}: without the fault");
+        assert!(!holds(true), "{assumption}: with it");
     }
 }
