--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -1,9 +1,18 @@
 //! Placement and the book by cases.
 
+mod absences;
+mod hangs;
 mod hearing;
+mod leader_changes;
 mod meetings;
-mod more_meetings;
+mod new_machines;
+mod play;
+mod room_after_troubles;
+mod steady_load;
+mod team_limits;
+mod unreachable_workers;
 mod watermark;
+mod zones;
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- /dev/null
+++ b/src/scheduling/tests/absences.rs
@@ -0,0 +1,123 @@
+//! All controllers are away, or a zone is cut off, for longer than a lease.
+
+use super::play::*;
+use super::world::*;
+use super::*;
+
+// All controllers are away for longer than a lease.
+
+/// The workers have killed their tasks and go on with the next session, all at once or one long after. What each had is
+/// placed again once it has heard the new owner, and none that reports is returned. Away for less, all goes on.
+#[test]
+fn after_all_controllers_were_away_past_the_lease_nothing_is_lost_or_returned() {
+    for (shape, away_s, late) in [
+        (Shape::Array, 20.0, false),
+        (Shape::Array, 30.0, false),
+        (Shape::Array, 30.0, true),
+        (Shape::Gang, 20.0, false),
+        (Shape::Gang, 30.0, true),
+        (Shape::Gang, 300.0, false),
+    ] {
+        let name = format!("{shape:?}, away {away_s} s, one late: {late}");
+        let names = ["m1", "m2", "m3"];
+        let mut play = Play::new(&names.map(|m| (m, "a")), |j| {
+            (j.shape, j.tasks, j.cpus, j.estimate_s) = (shape, 3, 8.0, 900.0);
+        });
+        play.plans = true;
+        play.run(6.0);
+        assert_eq!(play.live(&JOB.into()).len(), 3, "{name}");
+        // Nobody answers, commands, or takes anything in.
+        let lease = play.book.settings.params.workers.lease();
+        for _ in 0..(away_s / STEP) as usize {
+            play.world.now += s(STEP);
+            let now = play.world.now;
+            for m in names {
+                if now - play.world.workers[m].renewed.unwrap() > lease {
+                    play.world.lease_ends(m);
+                }
+            }
+        }
+        play.heir();
+        if late {
+            play.mute = vec!["m3"];
+            play.unreached = vec!["m3"];
+            play.run(9.0);
+            (play.mute, play.unreached) = (vec![], vec![]);
+        }
+        play.run(15.0);
+        let live = play.live(&JOB.into());
+        assert_eq!((live.len(), play.returned.len()), (3, 0), "{name}: {live:?}, returned {:?}", play.returned);
+        let attempts: Vec<u64> = (0..3).map(|i| on(&play.book, i).unwrap().0).collect();
+        let want = if away_s < 24.0 { 1 } else { 2 };
+        assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
+    }
+}
+
+// A zone with workers and a controller is cut off for longer than a lease.
+
+/// The owner outside goes on; within, workers find nobody who may act, or the deposed one goes on answering for a
+/// while. The zone comes back before or after its machines are given up; the withdrawn task in it is gone in time.
+#[test]
+fn a_zone_that_is_cut_off_past_the_lease_comes_back_and_runs_nothing_twice() {
+    for (cut_s, inside_s, changes) in [
+        (20.0, 0.0, false),
+        (30.0, 0.0, false),
+        (40.0, 0.0, false),
+        (40.0, 20.0, false),
+        (70.0, 0.0, false),
+        (70.0, 40.0, false),
+        (70.0, 70.0, false),
+        (70.0, 70.0, true),
+    ] {
+        let name = format!("cut for {cut_s} s, the old owner within answers for {inside_s} s, changes: {changes}");
+        let (within, outside) = (["m1", "m2", "m3", "m4"], ["m5", "m6", "m7"]);
+        let machines: Vec<(&str, &str)> =
+            within.iter().map(|m| (*m, "a")).chain(outside.iter().map(|m| (*m, "b"))).collect();
+        let mut play = Play::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
+        // Of the seven one, within, runs what is withdrawn.
+        let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
+        let called_off = play.world.accept(&mut play.book, 2, first);
+        let key = TaskKey { job: called_off.clone(), index: 0 };
+        play.book.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], play.world.now);
+        play.plans = true;
+        play.run(6.0);
+        assert_eq!((play.live(&JOB.into()).len(), play.live(&called_off).len()), (6, 1), "{name}");
+        let mut old = None;
+        if inside_s > 0.0 {
+            // Within is the old owner, without the store: it acts for its zone until it lets go.
+            let heir = play.world.owner();
+            old = Some(std::mem::replace(&mut play.book, heir));
+            play.listed();
+        }
+        (play.mute, play.unreached) = (within.into(), within.into());
+        for step in 0..(cut_s / STEP) as usize {
+            let t = step as f64 * STEP;
+            if t == 0.5 {
+                play.withdraw(&called_off);
+            }
+            if changes && t > 0.0 && t % 12.0 == 0.0 {
+                play.heir();
+            }
+            if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % REPORT_STEPS == 0) {
+                for m in within {
+                    if play.world.workers[m].gone {
+                        continue;
+                    }
+                    let answer = play.world.asks(old, m);
+                    assert_eq!(launches(&answer.orders), 0, "{name}");
+                    play.world.hears(&answer);
+                }
+            }
+            play.step();
+        }
+        (play.mute, play.unreached) = (vec![], vec![]);
+        let before = play.returned.len();
+        play.run(30.0);
+        let live = play.live(&JOB.into());
+        let left = play.world.workers.values().filter(|w| !w.gone).count();
+        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", play.returned);
+        let back = &play.returned[before..];
+        assert!(back.iter().all(|m| *m == "m1"), "{name}: none that is back, but for what was withdrawn: {back:?}");
+        assert!(cut_s > 45.0 || left >= 6, "{name}: at most the one with what was withdrawn: {:?}", play.returned);
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/hangs.rs
@@ -0,0 +1,45 @@
+//! A withdrawn task goes on after its machine hung.
+
+use super::play::*;
+use super::world::*;
+
+/// It hangs before, at or after the withdrawal, with the stop lying there or refused, and goes on within its lease: the
+/// task is stopped or its machine returned in time, whether or not the cloud answers and whoever owns by then.
+#[test]
+fn a_withdrawn_task_that_goes_on_after_a_hang_is_gone_in_time() {
+    for (hangs_at, hang_s) in
+        [-10.0, -1.0, 0.0, 0.5, 1.0].into_iter().flat_map(|at| [2.0, 8.0, 15.0, 22.0].map(|s| (at, s)))
+    {
+        for (stop_lies, cloud, heir) in
+            [(true, true, false), (true, false, false), (false, false, true), (true, false, true), (false, true, true)]
+        {
+            let name =
+                format!("hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, heir {heir}");
+            let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
+            play.world.place(&mut play.book, "m1");
+            play.reports("m1");
+            play.reports("m1");
+            (play.cloud, play.plans) = (cloud, true);
+            play.unreached = if stop_lies { vec![] } else { vec!["m1"] };
+            for step in -24..140 {
+                let t = f64::from(step) * STEP;
+                if t == hangs_at {
+                    play.hang = vec!["m1"];
+                }
+                if t == 0.0 {
+                    play.withdraw(&JOB.into());
+                }
+                if t == 6.0 && heir {
+                    play.heir();
+                }
+                if t == hangs_at + hang_s {
+                    play.hang.clear();
+                }
+                play.step();
+            }
+            assert_eq!(play.live(&JOB.into()), [], "{name}");
+            assert!(!play.book.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
+            assert!(!play.world.workers["m2"].gone, "{name}");
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/leader_changes.rs
@@ -0,0 +1,121 @@
+//! Leaders change again and again, and old reports meet a new leader.
+
+use super::play::*;
+use super::world::*;
+use super::*;
+use crate::wire::workers::Cause;
+
+// Leaders change ten times in two minutes, also inside an outage.
+
+/// The machine of a withdrawn task hangs while owners come and go, with or without the store between: it is gone in
+/// time by the first withdrawal, and what runs on the others goes on.
+#[test]
+fn ten_leaders_in_two_minutes_begin_no_patience_anew_and_lose_nothing() {
+    for (gap_s, outage) in [(12.0, false), (12.0, true), (5.0, false), (2.0, true)] {
+        for goes_on_at in [8.0, 20.0, 1000.0] {
+            let name = format!("every {gap_s} s, outage {outage}, the machine goes on at {goes_on_at} s");
+            let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
+            play.world.place(&mut play.book, "m1");
+            play.reports("m1");
+            play.reports("m1");
+            let long = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
+            play.plans = true;
+            play.run(5.0);
+            assert_eq!(play.live(&long).len(), 3, "{name}");
+            play.withdraw(&JOB.into());
+            play.hang = vec!["m1"];
+            for step in 0..240 {
+                let t = f64::from(step) * STEP;
+                if t == goes_on_at {
+                    play.hang.clear();
+                }
+                if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
+                    play.heir();
+                }
+                play.store = !outage || !(10.0..30.0).contains(&t);
+                play.step();
+            }
+            let attempts: Vec<u64> = play.book.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
+            assert_eq!((play.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
+            assert!(play.returned.iter().all(|m| *m == "m1"), "{name}: {:?}", play.returned);
+            assert_eq!(play.live(&JOB.into()), [], "{name}");
+        }
+    }
+}
+
+// An old report reaches every controller just as a new leader begins.
+
+/// A copy of a report of each moment of a task's life comes to the owner, to its heir before it has read the store,
+/// after that, and once the worker has reported to it, and to the heir of that one: the task runs once, wherever, and
+/// what was done stays done.
+#[test]
+fn an_old_report_to_every_controller_as_a_new_leader_begins_changes_nothing() {
+    for (copied_at, again_on) in (0..5).flat_map(|at| ["m1", "m2"].map(|m| (at, m))) {
+        for done in [false, true] {
+            let name = format!("copied at {copied_at}, again on {again_on}, done: {done}");
+            let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| j.tasks = 2);
+            let mut copies = Vec::new();
+            let mut copy = |play: &mut Play, step: usize| {
+                if step == copied_at {
+                    copies.push(play.world.report("m1"));
+                }
+            };
+            copy(&mut play, 0);
+            play.world.place_these(&mut play.book, &[0], "m1");
+            play.reports("m1");
+            copy(&mut play, 1);
+            play.reports("m1");
+            // Its first attempt ends, by a stop or by the end of a lease, and it runs again, here or there.
+            if copied_at == 3 {
+                play.world.lease_ends("m1");
+            } else {
+                play.book.halt(&task(0), 0, play.world.now);
+            }
+            for _ in 0..3 {
+                play.reports("m1");
+                copy(&mut play, 2);
+            }
+            play.world.place_these(&mut play.book, &[0], again_on);
+            for m in ["m1", "m2", "m1", "m2"] {
+                play.reports(m);
+            }
+            copy(&mut play, 3);
+            bound(&play.book, 0, 2, again_on);
+            assert_eq!(play.live(&JOB.into()), [(0, again_on)], "{name}");
+            if done {
+                play.world.exits(again_on, 0, 2, Cause::Done);
+                play.reports(again_on);
+                play.world.store(&mut play.book);
+            }
+            copy(&mut play, 4);
+            let arrive = |play: &mut Play| {
+                for copy in &copies {
+                    play.book.take_report(copy.clone(), Via::Report, None, play.world.now);
+                    // Whoever sent it waits for no answer.
+                    drop(play.book.orders_in_answer("m1", play.world.now));
+                }
+            };
+            arrive(&mut play);
+            play.plans = true;
+            for heir in 0..2 {
+                play.book = play.world.assigned();
+                arrive(&mut play);
+                play.world.load(&mut play.book);
+                play.listed();
+                arrive(&mut play);
+                play.step();
+                arrive(&mut play);
+                play.run(8.0);
+                arrive(&mut play);
+                play.run(8.0);
+                let live = play.live(&JOB.into());
+                let runs: Vec<u32> = live.iter().map(|(index, _)| *index).collect();
+                assert_eq!(runs, if done { vec![1] } else { vec![0, 1] }, "{name}, heir {heir}");
+                assert_eq!(play.book.job(&JOB.into()).unwrap().done, u64::from(done), "{name}, heir {heir}");
+                let attempt = play.book.job(&JOB.into()).unwrap().tasks[0].attempt;
+                assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, heir {heir}: what is done has none");
+                assert_eq!(play.returned.len(), 0, "{name}, heir {heir}");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/new_machines.rs
@@ -0,0 +1,85 @@
+//! New machines are up within two seconds and get work at once while writes lag, and the leader ends.
+
+use super::world::*;
+use super::*;
+use crate::scheduling::book::Direct;
+
+/// The write that binds has no answer; it is carried out at once, late (and then refused, since another is assigned),
+/// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the heir knows all
+/// that stands and starts nothing that the deposed one may yet start.
+#[test]
+fn no_launch_before_its_binding_stands_whatever_the_heir_reads() {
+    for (stands, answered_at) in [true, false].into_iter().flat_map(|s| (0..8).map(move |at| (s, at))) {
+        let name = format!("stands {stands}, answered at {answered_at}");
+        let mut world = World::new(&["m1", "m2"], |j| (j.tasks, j.cpus) = (2, 4.0));
+        let mut old = world.owner();
+        // Rented, up, and work at once.
+        let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+        old.expect("m1", &kind, None, s(2.0), world.now);
+        drop(world.asks(&mut old, "m1"));
+        let decisions = plan::place(&mut old, &catalog(), world.now);
+        assert_eq!(decisions.len(), 2, "{name}");
+        old.bind_all(decisions, world.now);
+        let (_, writes) = old.next_writes(99, world.now);
+        assert_eq!(writes.len(), 1, "{name}");
+        let mut held: Vec<Direct> = Vec::new();
+        if stands {
+            world.stamp += 1;
+            world.chunk = Some((world.stamp, writes[0].tasks.clone()));
+        }
+        let mut heir = None;
+        for step in 0..16 {
+            world.now += s(0.5);
+            if step == answered_at && stands {
+                let stamp = world.chunk.as_ref().unwrap().0;
+                old.chunks_stored(&writes, stamp);
+            }
+            if step == 4 {
+                heir = Some(world.owner());
+            }
+            // The old one is not told that it was deposed, and goes on as long as the machine's token is its own.
+            let known = step >= answered_at && stands;
+            if world.workers["m1"].token <= old.token {
+                let answer = world.asks(&mut old, "m1");
+                assert!(known || launches(&answer.orders) == 0, "{name}, step {step}");
+                if step % 2 == 0 {
+                    world.hears(&answer);
+                }
+            }
+            for direct in old.direct_commands(world.now) {
+                assert!(known || launches(&direct.orders) == 0, "{name}, step {step}");
+                old.command_over(&direct.machine, direct.token, false, world.now);
+                held.push(direct);
+            }
+            if let Some(heir) = &mut heir {
+                if step == 4 {
+                    let usage = heir.usage.get("blue").copied().unwrap_or_default().0;
+                    assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the heir knows what stands");
+                }
+                if step >= 6 {
+                    world.turn(heir, "m1");
+                    world.turn(heir, "m2");
+                }
+                let decisions = plan::place(heir, &catalog(), world.now);
+                heir.bind_all(decisions, world.now);
+                world.store(heir);
+            }
+            // What was held up comes at every step after; the world checks what it starts.
+            if step >= 5 {
+                held.iter().for_each(|direct| drop(world.arrives(direct)));
+            }
+        }
+        let mut heir = heir.unwrap();
+        for _ in 0..8 {
+            world.turn(&mut heir, "m1");
+            world.turn(&mut heir, "m2");
+            let decisions = plan::place(&mut heir, &catalog(), world.now);
+            heir.bind_all(decisions, world.now);
+            world.store(&mut heir);
+        }
+        for index in 0..2 {
+            let live = world.workers.values().filter(|w| w.live(&task(index))).count();
+            assert_eq!(live, 1, "{name}: task {index} runs, once");
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/play.rs
@@ -0,0 +1,206 @@
+//! A play of fixed steps in which time passes, leases end, the book decides by itself, and the rules are checked at
+//! every step: a team's limit, where tasks may be, and what is withdrawn gone in time (docs/meetings.md).
+
+use std::collections::BTreeMap;
+
+use super::world::*;
+use super::*;
+use crate::jobs::JobId;
+use crate::scheduling::book::Direct;
+
+pub(super) const STEP: f64 = 0.5;
+/// Steps from one report to the next.
+pub(super) const REPORT_STEPS: usize = 6;
+
+/// One owner at a time, and who reaches whom.
+pub(super) struct Play {
+    pub(super) world: World,
+    pub(super) book: Book,
+    pub(super) steps: usize,
+    /// Reports of these reach nobody.
+    pub(super) mute: Vec<&'static str>,
+    /// No direct command reaches these.
+    pub(super) unreached: Vec<&'static str>,
+    /// These stand still: they report nothing, and what is sent to them lies there until they go on.
+    pub(super) hang: Vec<&'static str>,
+    pub(super) lying: Vec<Direct>,
+    /// Their reports arrive; answers and commands to them are lost.
+    pub(super) deaf: Vec<&'static str>,
+    pub(super) cloud: bool,
+    /// The store takes what is to be written.
+    pub(super) store: bool,
+    /// The owner decides what is placed.
+    pub(super) plans: bool,
+    pub(super) withdrawn: BTreeMap<JobId, Instant>,
+    /// Live tasks that leases have ended.
+    pub(super) lost: usize,
+    /// Machines that were returned.
+    pub(super) returned: Vec<&'static str>,
+}
+
+impl Play {
+    pub(super) fn new(machines: &[(&'static str, &'static str)], change: impl FnOnce(&mut JobSpec)) -> Self {
+        let names: Vec<&'static str> = machines.iter().map(|(m, _)| *m).collect();
+        let mut world = World::new(&names, change);
+        for (m, zone) in machines {
+            world.workers.get_mut(m).unwrap().zone = zone;
+        }
+        let book = world.owner();
+        let mut play = Self {
+            world,
+            book,
+            steps: 0,
+            mute: Vec::new(),
+            unreached: Vec::new(),
+            hang: Vec::new(),
+            lying: Vec::new(),
+            deaf: Vec::new(),
+            cloud: true,
+            store: true,
+            plans: false,
+            withdrawn: BTreeMap::new(),
+            lost: 0,
+            returned: Vec::new(),
+        };
+        // Everybody has reported, and has heard the owner.
+        for _ in 0..2 {
+            for m in &names {
+                play.reports(m);
+            }
+        }
+        play
+    }
+
+    pub(super) fn reports(&mut self, m: &'static str) {
+        let answer = self.world.asks(&mut self.book, m);
+        if !self.deaf.contains(&m) {
+            self.world.hears(&answer);
+        }
+    }
+
+    pub(super) fn run(&mut self, seconds: f64) {
+        for _ in 0..(seconds / STEP) as usize {
+            self.step();
+        }
+    }
+
+    pub(super) fn step(&mut self) {
+        self.world.now += s(STEP);
+        self.steps += 1;
+        let (now, lease) = (self.world.now, self.book.settings.params.workers.lease());
+        let names: Vec<&'static str> = self.world.workers.keys().copied().collect();
+        for m in &names {
+            let w = self.world.workers.get_mut(m).unwrap();
+            if !w.gone && now - *w.renewed.get_or_insert(now) > lease {
+                self.lost += w.legs.iter().filter(|l| l.status != LegStatus::Exited).count();
+                self.world.lease_ends(m);
+            }
+        }
+        let hang = self.hang.clone();
+        let (go_on, lying) = std::mem::take(&mut self.lying).into_iter().partition(|d| !hang.contains(&&*d.machine));
+        self.lying = lying;
+        let go_on: Vec<Direct> = go_on;
+        for direct in go_on {
+            // Whoever sent it has given it up.
+            drop(self.world.arrives(&direct));
+        }
+        for (n, m) in names.iter().enumerate() {
+            let silent = self.world.workers[m].gone || self.mute.contains(m) || hang.contains(m);
+            if (self.steps + n).is_multiple_of(REPORT_STEPS) && !silent {
+                self.reports(m);
+            }
+        }
+        for direct in self.book.direct_commands(now) {
+            let m = &*direct.machine;
+            if self.unreached.contains(&m) {
+                self.book.command_over(&direct.machine, direct.token, true, now);
+            } else if hang.contains(&m) || self.deaf.contains(&m) {
+                self.book.command_over(&direct.machine, direct.token, false, now);
+                if hang.contains(&m) {
+                    self.lying.push(direct);
+                }
+            } else if let Some(reply) = self.world.arrives(&direct) {
+                self.world.replied(&mut self.book, &direct, reply);
+            } else {
+                self.book.command_over(&direct.machine, direct.token, true, now);
+            }
+        }
+        self.book.tick(now);
+        if self.cloud {
+            let out: Vec<&'static str> = names.iter().copied().filter(|m| condemned(&self.book).contains(m)).collect();
+            for m in out {
+                self.world.returned(&mut self.book, m);
+                self.returned.push(m);
+            }
+        }
+        if self.store {
+            self.world.raise(&mut self.book);
+        }
+        if self.plans && self.book.loaded {
+            let decisions = plan::place(&mut self.book, &catalog(), now);
+            self.book.bind_all(decisions, now);
+        }
+        if self.store {
+            self.world.store(&mut self.book);
+        }
+        self.check();
+    }
+
+    /// Another owns: it is told by the cloud's list what there is.
+    pub(super) fn heir(&mut self) {
+        self.book = self.world.owner();
+        self.listed();
+    }
+
+    pub(super) fn listed(&mut self) {
+        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
+            let kind = Kind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
+            self.book.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
+            self.book.listed_up(m, self.world.now);
+        }
+    }
+
+    pub(super) fn withdraw(&mut self, id: &JobId) {
+        self.world.withdraw(&mut self.book, id);
+        self.withdrawn.insert(id.clone(), self.world.now);
+    }
+
+    /// Live tasks of a job, with their machines, hanging ones and such that nobody hears included.
+    pub(super) fn live(&self, id: &JobId) -> Vec<(u32, &'static str)> {
+        let mut live = Vec::new();
+        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
+            let legs = w.legs.iter().filter(|l| l.task.job == *id && l.status != LegStatus::Exited);
+            live.extend(legs.map(|l| (l.task.index, *m)));
+        }
+        live.sort_unstable();
+        live
+    }
+
+    pub(super) fn cores(&self, team: &str) -> f64 {
+        let legs = self.world.workers.values().filter(|w| !w.gone).flat_map(|w| &w.legs);
+        let live = legs.filter(|l| l.status != LegStatus::Exited).map(|l| self.world.spec_of(&l.task.job));
+        live.filter(|spec| spec.team == team).map(|spec| spec.cpus).sum()
+    }
+
+    /// `quota`, `wrong_place` and `ran_cancelled`; the world checks the others at each start.
+    pub(super) fn check(&self) {
+        assert!(self.cores("red") <= 20.0, "above the limit: {}", self.cores("red"));
+        let cancel = self.book.settings.params.workers.cancel();
+        for (id, at) in &self.withdrawn {
+            let live = self.live(id);
+            let age = self.world.now - *at;
+            assert!(live.is_empty() || age <= cancel, "{id} is withdrawn since {age:?} and runs: {live:?}");
+        }
+        for id in self.world.more.keys().cloned().chain([JOB.into()]) {
+            let spec = self.world.spec_of(&id);
+            let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
+            for (_, m) in self.live(&id) {
+                *zones.entry(self.world.workers[m].zone).or_default() += 1;
+            }
+            assert!(!spec.same_zone || zones.len() <= 1, "{id} is in several zones: {zones:?}");
+            let half = spec.tasks.div_ceil(2);
+            assert!(!spec.spread || zones.values().all(|n| *n <= half), "{id}: more than half in one zone: {zones:?}");
+            assert!(spec.zone.as_ref().is_none_or(|only| zones.keys().all(|z| *z == only)), "{id}: {zones:?}");
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/team_limits.rs
@@ -0,0 +1,89 @@
+//! Teams at their limits while jobs are withdrawn whose machines are cut off or hang, and the leader changes.
+
+use super::play::*;
+use super::world::*;
+use super::*;
+
+/// A team of 20 cores has five tasks of four on three machines: one is well, one hangs, one is cut off. They are
+/// withdrawn under the owner, or under its heir while the two can't be asked; the next five of the team wait. The
+/// play checks at every step that never more than 20 cores of it run, wherever. In the end all five do.
+#[test]
+fn a_withdrawn_task_counts_for_its_team_until_it_is_proven_gone() {
+    // Seconds from the trouble's begin to the withdrawal, and to the changes of leaders.
+    let orders: [(f64, &[f64]); 6] =
+        [(0.0, &[]), (0.0, &[0.5]), (3.0, &[0.5]), (10.0, &[2.0]), (6.0, &[2.0, 4.0, 7.0]), (15.0, &[1.0, 14.5, 15.5])];
+    for (withdrawn_at, changes) in orders {
+        for (cloud, back_at) in [(true, 1000.0), (true, 15.0), (false, 15.0), (false, 40.0)] {
+            let name = format!("withdrawn {withdrawn_at}, changes {changes:?}, cloud {cloud}, back {back_at}");
+            let machines = [("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")];
+            let mut play =
+                Play::new(&machines, |j| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0));
+            for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
+                play.world.place_these(&mut play.book, indices, m);
+                play.reports(m);
+                play.reports(m);
+            }
+            let next = |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0);
+            let next = play.world.accept(&mut play.book, 2, next);
+            (play.plans, play.cloud) = (true, cloud);
+            play.run(3.0);
+            assert_eq!((play.cores("red"), play.live(&next).len()), (20.0, 0), "{name}");
+            (play.hang, play.mute, play.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
+            let mut most = 0;
+            for step in 0..160 {
+                let t = f64::from(step) * STEP;
+                if changes.contains(&t) {
+                    play.heir();
+                }
+                if t == withdrawn_at {
+                    play.withdraw(&JOB.into());
+                }
+                if t == back_at {
+                    (play.hang, play.mute, play.unreached) = (vec![], vec![], vec![]);
+                }
+                play.step();
+                assert!(play.book.usage["red"].0 <= 20.0, "{name}: at {t}");
+                most = most.max(play.live(&next).len());
+                // Only the well one's task is proven gone while the others can't be asked.
+                if t < withdrawn_at + 18.0 && t < back_at && t < 11.0 {
+                    assert!(most <= 1, "{name}: at {t} s {most} of the next run");
+                }
+            }
+            assert_eq!(play.live(&next).len(), 5, "{name}: the room is used");
+        }
+    }
+}
+
+/// The heir knows of a job that is over by its end alone: its chunk names what is bound, and the record is read for
+/// it. Until it is, nothing is decided; then it counts, and no record means that nothing of its team starts.
+#[test]
+fn what_an_heir_reads_of_ended_jobs_counts_before_anything_is_placed() {
+    let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
+        (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into());
+    });
+    for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
+        play.world.place_these(&mut play.book, indices, m);
+        play.reports(m);
+    }
+    play.withdraw(&JOB.into());
+    play.book = play.world.assigned();
+    let next = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
+    play.plans = true;
+    (play.mute, play.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
+    play.listed();
+    // Reports come before everything is read, and are answered with nothing to start.
+    for m in ["m1", "m2", "m3", "m4", "m5"] {
+        let answer = play.world.asks(&mut play.book, m);
+        assert!(answer.orders.is_empty());
+    }
+    assert_eq!(placed(&mut play.book, play.world.now), [], "not read yet");
+    play.world.load(&mut play.book);
+    assert_eq!(play.book.usage["red"].0, 20.0);
+    for _ in 0..20 {
+        play.step();
+        assert_eq!(play.live(&next), [], "all count that nobody has proven gone");
+    }
+    (play.mute, play.unreached) = (vec![], vec![]);
+    play.run(20.0);
+    assert_eq!((play.live(&JOB.into()).len(), play.live(&next).len()), (0, 5));
+}
