--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -118,8 +118,12 @@
     pub max_sockets: u64,
 }
 
-/// A worker's clock that runs slow, and the way of a report and its answer: 4 s at the most.
+/// A worker's clock that runs slow, and the way of a report and its answer: at least this much.
 const LEASE_MARGIN_S: f64 = 5.0;
+/// The way of a report and its answer: a worker takes no later one.
+const ANSWER_TAKEN_S: f64 = 4.0;
+/// How far the steady clocks of two machines drift apart, as a part of the time that passes.
+const CLOCK_DRIFT: f64 = 0.0005;
 
 impl StateParams {
     /// Conditions that a transaction may have: four for each change that it may have.
@@ -139,10 +143,16 @@
         Duration::from_secs_f64(self.lease_s)
     }
 
+    /// What lies between the end of a worker's lease as it is known here and the moment at which its tasks are gone.
+    /// Over long times the drift of its clock is what counts.
+    fn lease_margin_s(&self) -> f64 {
+        LEASE_MARGIN_S.max(ANSWER_TAKEN_S + self.cancel_s * CLOCK_DRIFT)
+    }
+
     /// Of the time in which a withdrawn task must be gone, what is left where only the end of its machine's
     /// lease ends it: a report may have been answered last so long after the withdrawal was told.
     pub fn spare(&self) -> Duration {
-        Duration::try_from_secs_f64(self.cancel_s - self.lease_s - LEASE_MARGIN_S).unwrap_or_default()
+        Duration::try_from_secs_f64(self.cancel_s - self.lease_s - self.lease_margin_s()).unwrap_or_default()
     }
 }
 
@@ -189,10 +199,11 @@
             }
         }
         // What a machine that is told nothing any more still runs is gone with its lease.
-        let least = p.workers.lease_s + p.workers.report_s + LEASE_MARGIN_S;
+        let margin = p.workers.lease_margin_s();
+        let least = p.workers.lease_s + p.workers.report_s + margin;
         if p.workers.cancel_s < least {
             return Err(format!(
-                "params.workers.cancel_s: {} is below {least}, which is lease_s, report_s and {LEASE_MARGIN_S} s together: \
+                "params.workers.cancel_s: {} is below {least}, which is lease_s, report_s and {margin} s together: \
                  withdrawn work could not be gone in time",
                 p.workers.cancel_s
             ));
