--- a/src/scheduling/book/commands.rs
+++ b/src/scheduling/book/commands.rs
@@ -22,8 +22,9 @@
 impl Book {
     pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<Order> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
-        // One way at a time: with a direct command under way, what it did is not known yet.
-        let orders = if m.command_under_way { Vec::new() } else { self.orders(m) };
+        // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
+        // never wrong, and this answer renews the lease, which is what else would end the task.
+        let orders = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.orders(m) };
         self.note_told(&orders, machine);
         let token = self.token;
         if let Some(m) = self.machines.get_mut(machine) {
