--- a/src/scheduling/book/watermark.rs
+++ b/src/scheduling/book/watermark.rs
@@ -5,9 +5,14 @@
 //! moment after it has told. So a withdrawal counts only once every machine that may run a task of it, from an
 //! earlier owner, has seen this owner's token: from then on it obeys nobody else but a later owner, which reads
 //! the end before it owns. Until then the machine proves itself, or is returned as one with an overdue task is.
+//!
+//! Nor does a withdrawal count while a launch of it may still arrive: a command that is held up on its way starts its
+//! task as long as token and session match. Once the machine has shown the attempt, or has proven it absent, no launch
+//! of it can start anything, and no further one is sent.
 
 use super::{Book, JobState};
 use crate::jobs::JobId;
+use crate::wire::workers::Leg;
 
 impl Book {
     /// Everything that stood in the store at this revision has been heard here.
@@ -24,19 +29,36 @@
         }
     }
 
-    /// Every withdrawal that stood in the store at this revision is in this book, and every machine that may run
-    /// a task of it obeys this owner or a later one. Never goes back.
+    /// Every withdrawal that stood in the store at this revision is in this book, every machine that may run
+    /// a task of it obeys this owner or a later one, and no launch of it is in flight. Never goes back.
     pub fn watermark(&mut self) -> u64 {
-        // Nothing that this owner starts is inherited: once all is heard, it stays so.
+        // Nothing that this owner starts is inherited, and it starts nothing that is withdrawn: once all is heard, it
+        // stays so.
         let withdrawn = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
-        let least = withdrawn.filter(|job| self.may_obey_another(job)).map(|job| job.ended_after).min();
+        let least = withdrawn.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
         self.watermark = self.watermark.max(least.map_or(self.known, |after| after.min(self.known)));
         self.watermark
     }
 
     /// Whether this withdrawal may be told of now, whatever the watermark.
     pub fn obeyed_in(&self, id: &JobId) -> bool {
-        !self.jobs.get(id).is_some_and(|job| self.may_obey_another(job))
+        !self.jobs.get(id).is_some_and(|job| self.may_start_yet(job))
+    }
+
+    /// Whether some machine may still start a task of this job: for an earlier owner, or by a launch in flight.
+    fn may_start_yet(&self, job: &JobState) -> bool {
+        self.may_obey_another(job) || self.launch_in_flight(job)
+    }
+
+    /// Whether a launch of this job was given by this owner and its machine has neither shown nor disproven the task.
+    fn launch_in_flight(&self, job: &JobState) -> bool {
+        job.bound.iter().any(|index| {
+            let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.told.is_some()) else { return false };
+            let Some(machine) = self.machines.get(&binding.machine) else { return false };
+            let attempt = job.tasks[*index as usize].attempt;
+            let shows = |leg: &Leg| leg.task.job == job.spec().id && leg.task.index == *index && leg.attempt == attempt;
+            !machine.legs.iter().any(shows)
+        })
     }
 
     /// Whether some machine with a task of this job may still obey an earlier owner.
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -130,6 +130,7 @@
         let elsewhere = self.workers.iter().find(|o| o.live(&task));
         assert!(elsewhere.is_none(), "ran twice: {task:?} on {} and {}", self.workers[w].id, elsewhere.unwrap().id);
         if let Some(at) = self.withdrawn.get(&task.job) {
+            assert!(!self.users.on, "started {task:?} though its user was told that it is withdrawn");
             assert!(self.now - *at < CANCEL, "started {task:?} long after its withdrawal");
         }
         let again = self.workers[w].reaped.contains(&(task.clone(), attempt));
