--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -1,6 +1,8 @@
 //! Placement and the book by cases.
 
 mod absences;
+mod beyond_room;
+mod confirmed_withdrawals;
 mod hangs;
 mod hearing;
 mod leader_changes;
--- /dev/null
+++ b/src/scheduling/tests/beyond_room.rs
@@ -0,0 +1,158 @@
+//! More work than room, urgent and not, over slow links: answers are late or lost, commands are held up and carried
+//! out seconds later, work is stopped for other work, and the leader changes.
+
+use std::collections::BTreeMap;
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use super::play::*;
+use super::world::*;
+use super::*;
+use crate::jobs::JobId;
+use crate::scheduling::book::{Direct, MachineId};
+use crate::wire::workers::Cause;
+
+/// After this long nobody waits for the reply to a command.
+const COMMAND_WAITED: Duration = Duration::from_millis(2500);
+const MACHINES: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
+
+/// The links of a play on which nothing is prompt.
+struct Links {
+    rng: StdRng,
+    /// Answers on their way, with the moment at which they arrive: late ones are dropped by the worker.
+    answers: Vec<(Instant, Answer)>,
+    /// Commands on their way, with the moment at which they are carried out.
+    commands: Vec<(Instant, Direct)>,
+    /// Commands that are given up at this moment if no reply has come.
+    waited_for: Vec<(Instant, MachineId, u64)>,
+}
+
+impl Links {
+    /// A report, whose answer arrives within 4 s or never.
+    fn report(&mut self, play: &mut Play, machine: &'static str) {
+        let waits = self.answers.iter().any(|(_, answer)| answer.to == machine);
+        if waits || play.world.workers[machine].gone {
+            return;
+        }
+        let answer = play.world.asks(&mut play.book, machine);
+        if self.rng.random_bool(0.8) {
+            self.answers.push((play.world.now + s(self.rng.random_range(0.0..4.0)), answer));
+        }
+    }
+
+    /// A command is prompt, or is held up for 2 to 16 s and given up meanwhile.
+    fn command(&mut self, play: &mut Play, direct: Direct) {
+        if self.rng.random_bool(0.5) {
+            match play.world.arrives(&direct) {
+                Some(reply) => play.world.replied(&mut play.book, &direct, reply),
+                None => play.book.command_over(&direct.machine, direct.token, true, play.world.now),
+            }
+            return;
+        }
+        self.waited_for.push((play.world.now + COMMAND_WAITED, direct.machine.clone(), direct.token));
+        self.commands.push((play.world.now + s(self.rng.random_range(2.0..16.0)), direct));
+    }
+
+    /// What is due by now arrives, or is given up.
+    fn deliver(&mut self, play: &mut Play) {
+        let now = play.world.now;
+        for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
+            play.world.hears(&answer);
+        }
+        for (_, machine, token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
+            play.book.command_over(&machine, token, false, now);
+        }
+        for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
+            drop(play.world.arrives(&direct));
+        }
+    }
+}
+
+/// A job that leaves no room: urgent or not, of one task, several or a gang.
+fn draw(rng: &mut StdRng, spec: &mut JobSpec) {
+    spec.shape = [Shape::Array, Shape::Array, Shape::Gang][rng.random_range(0..3usize)];
+    spec.urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
+    spec.team = if rng.random_bool(0.4) { "red".into() } else { "blue".into() };
+    spec.tasks = rng.random_range(1..5);
+    spec.cpus = [1.0, 2.0, 4.0][rng.random_range(0..3usize)];
+    spec.spread = rng.random_bool(0.2);
+    spec.estimate_s = [5.0, 20.0, 60.0][rng.random_range(0..3usize)];
+    (spec.checkpoint_s, spec.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
+}
+
+/// Tasks that have run for as long as was estimated are done.
+fn tasks_end(play: &mut Play, ends: &mut BTreeMap<(TaskKey, u64), Instant>) {
+    let now = play.world.now;
+    for machine in MACHINES {
+        for leg in play.world.workers[machine].legs.clone() {
+            let spec = play.world.spec_of(&leg.task.job);
+            let run = s(spec.estimate_s);
+            // A gang's tasks wait for one another, and the first that is done ends it.
+            if spec.is_gang() && (play.live(&leg.task.job).len() as u64) < spec.tasks {
+                continue;
+            }
+            let at = *ends.entry((leg.task.clone(), leg.attempt)).or_insert(now + run);
+            if leg.status == LegStatus::Running && at <= now {
+                play.world.exits_of(machine, &leg.task, leg.attempt, Cause::Done);
+            }
+        }
+    }
+}
+
+/// Two minutes of it, and then as long as it takes to serve all; the rules are checked at every start, by the world, and
+/// at every step, by the play. Gives how often running work was stopped for other work.
+fn overload(seed: u64) -> usize {
+    let mut play = Play::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
+    let rng = StdRng::seed_from_u64(seed + 1000);
+    let mut links = Links { rng, answers: Vec::new(), commands: Vec::new(), waited_for: Vec::new() };
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut ends = BTreeMap::new();
+    let (mut jobs, mut stopped) = (1, 0);
+    for step in 0..2400 {
+        play.world.now += s(STEP);
+        let now = play.world.now;
+        let overloaded = step < 240;
+        if overloaded && rng.random_bool(0.5) {
+            jobs += 1;
+            play.world.accept(&mut play.book, jobs, |spec| draw(&mut rng, spec));
+        }
+        if overloaded && rng.random_bool(0.01) {
+            // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
+            links.waited_for.clear();
+            play.heir();
+        }
+        links.deliver(&mut play);
+        tasks_end(&mut play, &mut ends);
+        for (n, machine) in MACHINES.into_iter().enumerate() {
+            if (step + n).is_multiple_of(REPORT_STEPS) {
+                links.report(&mut play, machine);
+            }
+        }
+        preempt::preempt(&mut play.book, &catalog(), now);
+        let halting = |book: &Book| -> usize {
+            let bound = book.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
+            bound.filter(|binding| binding.halting.is_some()).count()
+        };
+        stopped += halting(&play.book);
+        for direct in play.book.direct_commands(now) {
+            links.command(&mut play, direct);
+        }
+        play.book.tick(now);
+        play.world.raise(&mut play.book);
+        let decisions = plan::place(&mut play.book, &catalog(), now);
+        play.book.bind_all(decisions, now);
+        play.world.store(&mut play.book);
+        play.check();
+    }
+    let unserved: Vec<&JobId> =
+        play.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+    assert!(unserved.is_empty(), "seed {seed}: {unserved:?} of {jobs} were never served");
+    stopped
+}
+
+#[test]
+fn more_work_than_room_over_slow_links_breaks_no_rule() {
+    let stopped: usize = (0..12).map(overload).sum();
+    assert!(stopped > 50, "hardly anything was stopped for other work: {stopped}");
+}
--- /dev/null
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -0,0 +1,156 @@
+//! From the moment at which a withdrawal is confirmed: no task of it starts by any path, and whatever the settings
+//! that `check` accepts, a stop or the end of the worker's lease ends what runs within `cancel_s`.
+
+use super::play::*;
+use super::world::*;
+use super::*;
+use crate::jobs::{End, JobId};
+use crate::scheduling::book::Direct;
+use crate::settings::tests::EXAMPLE;
+use crate::settings::{Settings, WorkerParams};
+
+/// How far the steady clocks of two machines drift apart, by the protocol.
+const DRIFT: f64 = 0.0005;
+
+/// A worker takes no answer later than this after its report, by the protocol.
+const ANSWER_TAKEN_S: f64 = 4.0;
+
+fn accepted(report_s: f64, lease_s: f64, cancel_s: f64) -> Option<WorkerParams> {
+    let text = EXAMPLE
+        .replacen("\"report_s\":3", &format!("\"report_s\":{report_s}"), 1)
+        .replacen("\"lease_s\":24", &format!("\"lease_s\":{lease_s}"), 1)
+        .replacen("\"cancel_s\":49", &format!("\"cancel_s\":{cancel_s}"), 1);
+    let workers = Settings::parse(&text).ok()?.params.workers;
+    let same = |read: f64, meant: f64| (read - meant).abs() <= meant * 1e-12;
+    assert!(same(workers.report_s, report_s) && same(workers.lease_s, lease_s) && same(workers.cancel_s, cancel_s));
+    Some(workers)
+}
+
+/// The least `cancel_s` that `check` accepts, to a millionth.
+fn least_cancel(report_s: f64, lease_s: f64) -> Option<f64> {
+    let (mut refused, mut taken) = (0.0, 1e6);
+    accepted(report_s, lease_s, taken)?;
+    while taken - refused > 1e-6 * taken {
+        let middle = (refused + taken) / 2.0;
+        match accepted(report_s, lease_s, middle) {
+            Some(_) => taken = middle,
+            None => refused = middle,
+        }
+    }
+    Some(taken)
+}
+
+/// No controller has a loaded book. The last report that is answered without a stop was sent at the withdrawal, or by an
+/// owner that has read nothing yet up to `spare` after it; the worker's clock is the slowest that the protocol allows,
+/// and the machine hangs from then on. Over all settings that are accepted, the tightest of each kind among them.
+#[test]
+fn the_lease_ends_what_nobody_stops_in_time_whatever_the_settings() {
+    let mut tried = 0;
+    for report_s in [0.01, 0.5, 3.0, 6.0, 30.0, 1000.0, 1e5] {
+        for lease_s in [0.1, 5.0, 24.0, 36.0, 300.0, 1990.0, 2010.0, 1e4, 1e5, 9e5] {
+            let Some(least) = least_cancel(report_s, lease_s) else { continue };
+            for cancel_s in [least, least + 1.0, least * 1.3, least * 20.0, 1e6] {
+                let Some(workers) = accepted(report_s, lease_s, cancel_s) else { continue };
+                let slow = |time: Duration| time.as_secs_f64() * (1.0 + DRIFT);
+                let name = format!("report_s {report_s}, lease_s {lease_s}, cancel_s {cancel_s}");
+                let unstopped = slow(workers.lease());
+                assert!(unstopped + ANSWER_TAKEN_S <= cancel_s, "{name}: the lease ends after {unstopped} s");
+                let held = slow(workers.spare()) + if workers.spare().is_zero() { 0.0 } else { slow(workers.lease()) };
+                assert!(held + ANSWER_TAKEN_S <= cancel_s + 1e-6, "{name}: held for {held} s");
+                tried += 1;
+            }
+        }
+    }
+    assert!(tried > 150, "only {tried} settings were accepted");
+}
+
+/// Every answer renews the lease, so every answer has the stop, also while a direct command is under way.
+#[test]
+fn no_answer_renews_a_lease_without_the_stop() {
+    for under_way in [false, true] {
+        let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
+        play.world.place(&mut play.book, "m1");
+        play.reports("m1");
+        play.reports("m1");
+        play.withdraw(&JOB.into());
+        let held = under_way.then(|| play.world.command(&mut play.book, "m1").expect("the stop is news"));
+        let answer = play.world.asks(&mut play.book, "m1");
+        assert_eq!(launches(&answer.orders), 0);
+        play.world.hears(&answer);
+        assert_eq!(play.live(&JOB.into()), [], "a command is under way: {under_way}");
+        // The command comes all the same, and changes nothing.
+        held.iter().for_each(|direct| drop(play.world.arrives(direct)));
+        assert_eq!(play.live(&JOB.into()), [], "a command is under way: {under_way}");
+    }
+}
+
+/// How a launch is on its way when its job is withdrawn.
+#[derive(Debug, Clone, Copy)]
+enum Launch {
+    /// By a direct command, which is held up.
+    Direct,
+    /// In the answer to a report, which is held up.
+    InAnswer,
+}
+
+/// The withdrawal is stored while a launch is held up: by a direct command for 2 to 16 s, or in an answer for less
+/// than 4 s. It may be told only once that launch can start nothing more; the launch is executed then, and starts
+/// nothing that was told.
+#[test]
+fn nothing_starts_once_its_withdrawal_is_confirmed() {
+    for (launch, late_s) in [
+        (Launch::Direct, 2.0),
+        (Launch::Direct, 4.0),
+        (Launch::Direct, 9.0),
+        (Launch::Direct, 16.0),
+        (Launch::InAnswer, 0.5),
+        (Launch::InAnswer, 3.5),
+    ] {
+        let name = format!("{launch:?}, {late_s} s late");
+        let id: JobId = JOB.into();
+        let mut play = Play::new(&[("m1", "a")], |_| ());
+        play.book.holds_ends(Some(1000));
+        play.world.now += s(10.0);
+        let mut held: Option<Direct> = None;
+        let mut answer = None;
+        play.world.place(&mut play.book, "m1");
+        match launch {
+            Launch::Direct => held = play.world.command(&mut play.book, "m1"),
+            Launch::InAnswer => answer = Some(play.world.asks(&mut play.book, "m1")),
+        }
+        let orders = held.as_ref().map(|d| &d.orders).or(answer.as_ref().map(|a| &a.orders));
+        assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
+        let begun = play.world.now;
+        // Stored at revision 1001; whether it is told is the book's word alone, so the world is not told yet.
+        play.book.end_job(&id, Some(End::Withdrawn), play.world.now);
+        play.book.holds_ends(Some(1001));
+        let mut told = None;
+        for _ in 0..120 {
+            play.world.now += s(0.5);
+            let age = (play.world.now - begun).as_secs_f64();
+            if age == 2.5
+                && let Some(direct) = &held
+            {
+                play.book.command_over(&direct.machine, direct.token, false, play.world.now);
+            }
+            if age >= late_s {
+                held.take().iter().for_each(|direct| drop(play.world.arrives(direct)));
+                answer.take().iter().for_each(|answer| play.world.hears(answer));
+            }
+            if told.is_none() && play.book.obeyed_in(&id) {
+                assert!(play.book.watermark() >= 1001, "{name}: both say the same");
+                told = Some(age);
+                play.withdraw(&id);
+            }
+            // One report at a time.
+            if answer.is_none() && age % 1.5 == 0.0 {
+                play.reports("m1");
+            }
+            play.book.tick(play.world.now);
+            play.world.raise(&mut play.book);
+        }
+        let told = told.unwrap_or_else(|| panic!("{name}: never told"));
+        assert!(told <= 12.0, "{name}: told only after {told} s");
+        assert_eq!(play.live(&id), [], "{name}");
+    }
+}
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -119,3 +119,41 @@
         }
     }
 }
+
+/// The machine of a withdrawn task hears a deposed owner alone, which renews its lease and knows of no withdrawal, while
+/// ten others own one after the other and nobody reaches it: it is returned in time by the first withdrawal, which
+/// the play checks at every step.
+#[test]
+fn ten_leaders_while_a_deposed_one_renews_a_lease_stop_the_withdrawn_in_time() {
+    for gap_s in [12.0, 6.0, 5.0, 4.0, 2.0] {
+        let name = format!("every {gap_s} s");
+        let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
+        play.world.place(&mut play.book, "m1");
+        play.reports("m1");
+        play.reports("m1");
+        let long = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
+        play.plans = true;
+        play.run(6.0);
+        assert_eq!((play.live(&JOB.into()).len(), play.live(&long).len()), (1, 3), "{name}");
+        let heir = play.world.owner();
+        let mut deposed = std::mem::replace(&mut play.book, heir);
+        play.listed();
+        (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
+        play.withdraw(&JOB.into());
+        for step in 0..240 {
+            let t = f64::from(step) * STEP;
+            if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
+                play.heir();
+            }
+            if step % REPORT_STEPS as i32 == 0 {
+                play.answered_by(&mut deposed, &["m1"]);
+            }
+            play.step();
+        }
+        // Each heir returns it again until the cloud's list, which lags, does not name it any more.
+        assert!(play.returned.iter().all(|m| *m == "m1") && play.world.workers["m1"].gone, "{name}");
+        assert_eq!(play.lost, 0, "{name}: its lease never ended");
+        let attempts: Vec<u64> = play.book.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
+        assert_eq!((play.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
+    }
+}
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/play.rs
@@ -78,6 +78,16 @@
         }
     }
 
+    /// These report to a deposed owner, and hear its answers.
+    pub(super) fn answered_by(&mut self, deposed: &mut Book, machines: &[&'static str]) {
+        for m in machines {
+            if !self.world.workers[m].gone {
+                let answer = self.world.asks(deposed, m);
+                self.world.hears(&answer);
+            }
+        }
+    }
+
     pub(super) fn run(&mut self, seconds: f64) {
         for _ in 0..(seconds / STEP) as usize {
             self.step();
@@ -184,7 +194,10 @@
 
     /// `quota`, `wrong_place` and `ran_cancelled`; the world checks the others at each start.
     pub(super) fn check(&self) {
-        assert!(self.cores("red") <= 20.0, "above the limit: {}", self.cores("red"));
+        for team in self.world.settings.params.teams.iter().filter(|team| team.cpus_max > 0.0) {
+            let cores = self.cores(&team.name);
+            assert!(cores <= team.cpus_max, "{} is above its limit: {cores}", team.name);
+        }
         let cancel = self.book.settings.params.workers.cancel();
         for (id, at) in &self.withdrawn {
             let live = self.live(id);
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -3,6 +3,7 @@
 use super::play::*;
 use super::world::*;
 use super::*;
+use crate::jobs::JobId;
 
 /// A team of 20 cores has five tasks of four on three machines: one is well, one hangs, one is cut off. They are
 /// withdrawn under the owner, or under its heir while the two can't be asked; the next five of the team wait. The
@@ -87,3 +88,69 @@
     play.run(20.0);
     assert_eq!((play.live(&JOB.into()).len(), play.live(&next).len()), (0, 5));
 }
+
+/// Both teams are at their limits on machines that are well, hang, are cut off, or are cut off with a deposed owner that
+/// goes on answering them and knows of no withdrawal. All their jobs are withdrawn around changes of leaders; the play
+/// checks at every step that no team is above its limit and that what is withdrawn is gone in time. In the end the
+/// next jobs of both teams run.
+#[test]
+fn every_team_at_its_limit_while_its_withdrawn_tasks_cannot_be_stopped() {
+    let orders: [(f64, &[f64]); 4] = [
+        (0.0, &[]),
+        (1.0, &[0.5, 6.0]),
+        (3.0, &[0.5, 2.5, 3.5, 9.0]),
+        (2.0, &[1.0, 6.0, 11.0, 16.0, 21.0, 26.0, 31.0]),
+    ];
+    for (withdrawn_at, changes) in orders {
+        for back_at in [12.0, 70.0] {
+            let name = format!("withdrawn at {withdrawn_at} s, changes {changes:?}, back at {back_at} s");
+            let full = |team: &'static str| {
+                move |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, team.into(), 9000.0)
+            };
+            let machines = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"].map(|m| (m, "a"));
+            let mut play = Play::new(&machines, full("red"));
+            for team in play.world.settings.params.teams.iter_mut().chain(&mut play.book.settings.params.teams) {
+                team.cpus_max = 20.0;
+            }
+            let blue = play.world.accept(&mut play.book, 2, full("blue"));
+            play.plans = true;
+            play.run(6.0);
+            let (red, mut withdrawn) = (JobId::from(JOB), false);
+            let next = [(3, "red"), (4, "blue")].map(|(n, team)| play.world.accept(&mut play.book, n, full(team)));
+            assert_eq!((play.cores("red"), play.cores("blue")), (20.0, 20.0), "{name}");
+            let mut used: Vec<&'static str> = play.live(&red).into_iter().map(|(_, m)| m).collect();
+            used.extend(play.live(&blue).into_iter().map(|(_, m)| m));
+            used.sort_unstable();
+            used.dedup();
+            assert_eq!(used.len(), 5, "{name}: two tasks on each");
+            play.hang = vec![used[0]];
+            (play.mute, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
+            let held_by_deposed = &used[2..4];
+            let heir = play.world.owner();
+            let mut deposed = std::mem::replace(&mut play.book, heir);
+            play.listed();
+            for step in 0..200 {
+                let t = f64::from(step) * STEP;
+                if changes.contains(&t) {
+                    play.heir();
+                }
+                if t == withdrawn_at {
+                    withdrawn = true;
+                    play.withdraw(&red);
+                    play.withdraw(&blue);
+                }
+                if t == back_at {
+                    (play.hang, play.mute, play.unreached) = (vec![], vec![], vec![]);
+                }
+                if t < back_at && step % REPORT_STEPS as i32 == 0 {
+                    play.answered_by(&mut deposed, held_by_deposed);
+                }
+                play.step();
+                let counted = |team: &str| play.book.usage.get(team).map_or(0.0, |used| used.0);
+                assert!(counted("red") <= 20.0 && counted("blue") <= 20.0, "{name}: at {t} s");
+            }
+            assert!(withdrawn, "{name}");
+            assert_eq!(next.map(|id| play.live(&id).len()), [5, 5], "{name}: the room is used");
+        }
+    }
+}
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -6,6 +6,7 @@
 use crate::jobs::{End, JobId};
 use crate::scheduling::book::Direct;
 use crate::scheduling::plan::Placement;
+use crate::settings::Settings;
 use crate::wire::workers::{Cause, Order};
 use std::collections::{BTreeMap, HashSet};
 
@@ -72,6 +73,8 @@
     pub(super) workers: BTreeMap<&'static str, Worker>,
     /// Further jobs.
     pub(super) more: BTreeMap<JobId, Kept>,
+    /// What every owner is given.
+    pub(super) settings: Settings,
 }
 
 impl World {
@@ -95,6 +98,7 @@
             forgotten: HashSet::new(),
             workers,
             more: BTreeMap::new(),
+            settings: example(),
         }
     }
 
@@ -140,7 +144,7 @@
     /// The same before it has read anything.
     pub(super) fn assigned(&mut self) -> Book {
         self.stamp += 10;
-        Book::new(self.stamp, example(), Properties::default(), self.now)
+        Book::new(self.stamp, self.settings.clone(), Properties::default(), self.now)
     }
 
     pub(super) fn load(&self, book: &mut Book) {
