--- a/src/node.rs
+++ b/src/node.rs
@@ -108,7 +108,7 @@
 }
 
 /// An owner writes most; the others keep enough for users and for a campaign.
-const WRITES: Parts = Parts { owner: 0.7, others: 0.25 };
+pub(crate) const WRITES: Parts = Parts { owner: 0.7, others: 0.25 };
 /// Users ask every controller alike; an owner needs few requests more than the others, since its
 /// writes go many at a time.
 const REQUESTS: Parts = Parts { owner: 0.5, others: 0.45 };
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -3,7 +3,12 @@
 use std::collections::BTreeMap;
 
 use super::play::*;
+use super::world::*;
 use super::*;
+use crate::history::moves;
+use crate::jobs::{End, JobId};
+use crate::node::WRITES;
+use crate::store::budget::{Budget, Urgent};
 use crate::wire::workers::Cause;
 
 /// With a change of leaders in the middle: everything that could grow is small at each moment, and all are served.
@@ -61,3 +66,101 @@
     let kept = play.world.drop_chunks(&mut play.book);
     assert_eq!((play.book.job_count(), left, kept), (0, 0, 0), "{:?}", play.book.held());
 }
+
+/// What one part of the day took of the state service, and how long its users waited.
+#[derive(Debug, Default)]
+struct Part {
+    changes_of_owner: usize,
+    changes_of_others: usize,
+    transactions: usize,
+    /// From the acceptance until a task starts, and from its exit until everybody says `done`: the longest.
+    start_s: f64,
+    done_s: f64,
+}
+
+const PART_S: f64 = 50.0;
+const PARTS: usize = 4;
+const OTHER_CONTROLLERS: usize = 2;
+
+/// The owner stores no more than its part of the limit lets it, as it does in the service, and the others accept and
+/// withdraw. In each part of the day the changes, the transactions and the time that users wait are the same.
+#[test]
+fn four_jobs_a_second_for_minutes_need_the_same_of_the_state_service_and_of_users_patience() {
+    let names = ["m1", "m2", "m3", "m4", "m5"];
+    let mut play = Play::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
+    (play.plans, play.store) = (true, false);
+    let limits = play.book.settings.params.state.clone();
+    let of_owner = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
+    let of_others = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
+    let mut budget = Budget::new(of_owner, of_owner, play.world.now);
+    let mut parts: Vec<Part> = (0..PARTS).map(|_| Part::default()).collect();
+    let mut accepted: BTreeMap<JobId, Instant> = BTreeMap::new();
+    let (mut started, mut exited): (BTreeMap<JobId, Instant>, BTreeMap<JobId, Instant>) = Default::default();
+    for step in 0..(PART_S / STEP) as u32 * PARTS as u32 {
+        let (now, part) = (play.world.now, &mut parts[(f64::from(step) * STEP / PART_S) as usize]);
+        for n in [2 * step + 2, 2 * step + 3] {
+            let id = play.world.accept(&mut play.book, n, |j| j.estimate_s = 2.0);
+            part.changes_of_others += moves::accept(&play.book.job(&id).unwrap().record, false).changes.len();
+            part.transactions += 1;
+            accepted.insert(id, now);
+        }
+        // Each fourth is called off while it waits or runs.
+        if step % 2 == 1 {
+            let id = JobId::from(format!("run-{:06}", 2 * step - (step % 5)).as_str());
+            if let Some(record) = play.book.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone()) {
+                part.changes_of_others += moves::withdraw(&record, None, 0).changes.len();
+                part.transactions += 1;
+                play.withdraw(&id);
+            }
+        }
+        if step == 200 {
+            play.heir();
+        }
+        for m in names {
+            for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+                let id = &leg.task.job;
+                let since = *started.entry(id.clone()).or_insert(now);
+                if let Some(at) = accepted.get(id) {
+                    part.start_s = part.start_s.max((since - *at).as_secs_f64());
+                }
+                if now - since >= s(2.0) {
+                    play.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
+                    exited.insert(id.clone(), now);
+                }
+            }
+        }
+        play.step();
+        // As group commit: what the budget holds goes in one transaction, and clean-up gives way.
+        let now = play.world.now;
+        let part = &mut parts[(f64::from(step) * STEP / PART_S) as usize];
+        let most = (budget.ready(Urgent::Second, now).max(0.0) as usize).min(limits.txn_ops as usize);
+        let stored = play.world.store_some(&mut play.book, most, now);
+        assert!(stored == 0 || budget.take(stored as f64, Urgent::First, now).is_ok(), "step {step}");
+        let room = (budget.ready(Urgent::Last, now).max(0.0) as usize).min(limits.txn_ops as usize);
+        let dropped = play.world.drop_some(&mut play.book, room);
+        assert!(dropped == 0 || budget.take(dropped as f64, Urgent::Last, now).is_ok(), "step {step}");
+        part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
+        part.changes_of_owner += stored + dropped;
+        for (id, at) in exited.extract_if(.., |id, _| play.world.more.get(id).is_some_and(|kept| kept.ended.is_some()))
+        {
+            if play.world.more[&id].ended == Some(End::Done) {
+                part.done_s = part.done_s.max((now - at).as_secs_f64());
+            }
+        }
+    }
+    let jobs = PART_S * 4.0;
+    for (n, part) in parts.iter().enumerate() {
+        let name = format!("part {n} of {parts:?}");
+        assert!(part.changes_of_owner as f64 <= jobs * 3.6, "a start and a drop a job, two changes an end: {name}");
+        assert!(part.changes_of_owner as f64 <= of_owner * PART_S * 0.6, "much of the budget is left: {name}");
+        assert!(part.changes_of_others as f64 <= of_others * PART_S, "{name}");
+        assert!(part.transactions as f64 <= limits.rps * PART_S * 0.15, "{name}");
+        assert!(part.start_s <= 2.0 && part.done_s <= 3.0, "{name}");
+        let first = &parts[0];
+        let flat = |now: usize, then: usize| now as f64 <= then as f64 * 1.1;
+        assert!(flat(part.changes_of_owner, first.changes_of_owner), "{name}");
+        assert!(flat(part.changes_of_others, first.changes_of_others), "{name}");
+        assert!(flat(part.transactions, first.transactions), "{name}");
+    }
+    assert!(exited.len() <= 20, "what has exited is called done: {}", exited.len());
+}
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -7,6 +7,7 @@
 use crate::scheduling::book::Direct;
 use crate::scheduling::plan::Placement;
 use crate::settings::Settings;
+use crate::store::commit::Batch;
 use crate::wire::workers::{Cause, Order};
 use std::collections::{BTreeMap, HashSet};
 
@@ -324,16 +325,23 @@
 
     /// Everything that is to be stored is, on the conditions that the owner's commits have. Not done too early.
     pub(super) fn store(&mut self, book: &mut Book) {
-        let (ends, writes) = book.next_writes(99, self.now + s(2.0));
-        self.stamp += u64::from(!writes.is_empty());
-        for write in &writes {
+        self.store_some(book, 99, self.now + s(2.0));
+    }
+
+    /// The same in one transaction of at most so many changes; how many it had.
+    pub(super) fn store_some(&mut self, book: &mut Book, most: usize, now: Instant) -> usize {
+        let (ends, chunks) = book.next_writes(most, now);
+        let batch = Batch { ends, chunks, at_ms: 0 };
+        self.stamp += u64::from(!batch.chunks.is_empty());
+        for write in &batch.chunks {
             let next = (self.stamp, write.tasks.clone());
             let chunk = self.chunk_of(&write.job);
             assert_eq!(write.stamp, chunk.as_ref().map_or(0, |(stamp, _)| *stamp));
             *chunk = Some(next);
         }
-        book.chunks_stored(&writes, self.stamp);
-        for end in ends {
+        book.chunks_stored(&batch.chunks, self.stamp);
+        let changes = batch.changes().len();
+        for end in batch.ends {
             let mut done = (0..end.spec.tasks as u32)
                 .map(|index| self.completed.contains(&TaskKey { job: end.spec.id.clone(), index }));
             let enough = if end.spec.is_gang() { done.any(|d| d) } else { done.all(|d| d) };
@@ -344,17 +352,25 @@
             }
             book.end_job(&end.spec.id, Some(End::Done), self.now);
         }
+        changes
     }
 
     /// Chunks of jobs that are over go; how many of such are left.
     pub(super) fn drop_chunks(&mut self, book: &mut Book) -> usize {
-        for (id, chunk) in book.next_drops(1000) {
-            assert!(chunk == 0 && self.over(&id), "{id}: what is open is kept");
-            *self.chunk_of(&id) = None;
-        }
+        self.drop_some(book, 1000);
         self.more.values().filter(|kept| kept.ended.is_some() && kept.chunk.is_some()).count()
     }
 
+    /// At most so many of them go; how many did.
+    pub(super) fn drop_some(&mut self, book: &mut Book, most: usize) -> usize {
+        let drops = book.next_drops(most);
+        for (id, chunk) in &drops {
+            assert!(*chunk == 0 && self.over(id), "{id}: what is open is kept");
+            *self.chunk_of(id) = None;
+        }
+        drops.len()
+    }
+
     pub(super) fn raise(&mut self, book: &mut Book) -> bool {
         let wanted = book.raise_wanted(self.now);
         if wanted {
