--- a/src/node.rs
+++ b/src/node.rs
@@ -358,8 +358,8 @@
         lock(&self.book).as_ref().filter(|b| b.loaded).map(|b| b.token)
     }
 
-    /// A withdrawal was stored while this controller owned under this token. True if its book has it now, and no
-    /// machine may run it for an earlier owner: an owner that came since has read it.
+    /// A withdrawal was stored while this controller owned under this token. True if its book has it now, no machine
+    /// may run it for an earlier owner, and no launch of it is in flight: an owner that came since has read it.
     pub fn withdrew(&self, id: &JobId, token: u64) -> bool {
         let mut held = lock(&self.book);
         let Some(book) = held.as_mut().filter(|b| b.loaded && b.first_token <= token) else { return false };
