--- a/src/scheduling/book/machine.rs
+++ b/src/scheduling/book/machine.rs
@@ -373,6 +373,15 @@
         self.inherited = orders;
     }
 
+    /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
+    pub fn take_back(&mut self, id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        if machine.standing == Standing::Draining && machine.spared {
+            (machine.standing, machine.spared) = (Standing::Up, false);
+            info!(machine = %id, "not drained any more: work waits that fits there alone");
+        }
+    }
+
     /// No new work for a machine that can be spared; these tasks of it save and move.
     pub fn drain(&mut self, id: &MachineId, moves: &[(TaskKey, u64)], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
--- a/src/scheduling/book/mod.rs
+++ b/src/scheduling/book/mod.rs
@@ -27,6 +27,7 @@
 use super::evidence::Evidence;
 use super::holds::Hold;
 use super::large::Large;
+use super::plan::beside::BesideRoom;
 use super::served::Note;
 use super::served::floor::{Below, Lane};
 use super::served::promises::{Promise, next_start_s};
@@ -300,6 +301,8 @@
     pub reserved: HashMap<MachineId, Hold>,
     /// Since when plans have kept room for a gang.
     pub(super) keeping: Option<Instant>,
+    /// Jobs that wait although machines have room for them.
+    pub(super) beside_room: BesideRoom,
     /// Classes and teams that go first, by the account.
     pub below: Below,
     /// Whose fault failures are.
@@ -378,6 +381,7 @@
             holds: HashMap::new(),
             reserved: HashMap::new(),
             keeping: None,
+            beside_room: BesideRoom::default(),
             below: Below::default(),
             evidence: Evidence::default(),
             lane: Lane::default(),
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -4,8 +4,10 @@
 //! Like tasks of one job are placed together: each machine is looked at once per job, and the
 //! best is taken from a heap until it is full or another is better.
 
+pub mod beside;
+
 use std::cmp::Ordering;
-use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -26,7 +28,8 @@
 const MOST_PLACEMENTS: usize = 1000;
 /// Work that was started so often in vain gets the machines least likely to be lost.
 const LOST_STARTS: u64 = 2;
-/// Room is kept for gangs for so long in a row; then whoever waits may have it, for this long.
+/// Room is kept for gangs for so long in a row, and not once anybody has waited so long beside room; then whoever waits
+/// may have it, for this long.
 const KEPT_FOR: Duration = Duration::from_secs(60);
 const KEPT_PAUSE: Duration = Duration::from_secs(5);
 /// Idle work that was started so often goes to no machine that is being left.
@@ -210,6 +213,8 @@
     apt_only: bool,
     /// Since it came.
     waited: Duration,
+    /// It has waited beside room for so long that hardly anything is kept from it (`beside`).
+    overdue: bool,
     share: f64,
     task_return: f64,
     hard: bool,
@@ -231,6 +236,7 @@
         filler: Option<Rc<Filler>>,
         open: Vec<bool>,
         sought: Rc<[bool]>,
+        overdue: bool,
         now: Instant,
     ) -> Self {
         let (job, age) = (turn.job, turn.age);
@@ -246,6 +252,7 @@
             filler,
             apt_only: false,
             waited: age,
+            overdue,
             share: sla::share(agreement.run, agreement.deadline.saturating_sub(age), agreement.cores),
             task_return: agreement.task_return(age + agreement.run),
             hard: agreement.within_reach(age),
@@ -263,6 +270,9 @@
     }
 
     fn may_use(&self, room: &Room) -> bool {
+        if self.overdue {
+            return self.is_open(room.kind) && self.may_use_overdue(room);
+        }
         self.is_open(room.kind)
             && match &self.filler {
                 Some(filler) => {
@@ -271,13 +281,25 @@
                 }
                 None => !room.leaving,
             }
-            && room.hold.is_none_or(|hold| {
-                ((self.pressed && !self.ahead.contains(&&hold.job))
-                    || self.first
-                    || hold.job == *self.id
-                    || self.over <= hold.until)
-                    || self.passes.contains(&&hold.job)
-            })
+            && self.passes_hold(room)
+    }
+
+    /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
+    /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
+    fn may_use_overdue(&self, room: &Room) -> bool {
+        let for_arrivals = room.kept && self.filler.is_some() && !self.job.bound.is_empty();
+        !for_arrivals && (!room.reserved || self.passes_hold(room))
+    }
+
+    /// Whether what the room is held for, if it is, leaves it to this work.
+    fn passes_hold(&self, room: &Room) -> bool {
+        room.hold.is_none_or(|hold| {
+            ((self.pressed && !self.ahead.contains(&&hold.job))
+                || self.first
+                || hold.job == *self.id
+                || self.over <= hold.until)
+                || self.passes.contains(&&hold.job)
+        })
     }
 
     fn candidate(&self, at: usize, room: &Room) -> Option<Candidate> {
@@ -291,7 +313,7 @@
         // Fit-now is the whole test for hard work; soft work must also be admitted.
         let new_return = match sla::admit(room.load, room.of.cpus, self.share, self.task_return) {
             Some(new_return) => new_return,
-            None if self.hard => room.load.total_return + self.task_return,
+            None if self.hard || self.overdue => room.load.total_return + self.task_return,
             None => return None,
         };
         Some(Candidate {
@@ -345,6 +367,10 @@
     ground: Ground<'a>,
     rooms: Vec<Room<'a>>,
     unfit: Vec<Unfit<'a>>,
+    /// What fits nowhere even if nothing is kept from it.
+    full: Vec<Unfit<'a>>,
+    /// Pieces of rooms that were kept for gangs, as (room, tasks, like these).
+    set_aside: Vec<(usize, u64, &'a JobSpec)>,
     /// What more urgent work than idle found no room for.
     wanted: Rc<Filler>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
@@ -361,14 +387,13 @@
         let ground = Ground::new(book, catalog);
         let suspect = super::room::suspect_after(book);
         let least = turns.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
-        let idle = turns.iter().any(|t| t.rank == Rank::Idle);
         let rooms = book
             .machines
             .values()
-            .filter(|m| usable(m, suspect, now) || (idle && usable_until_left(m, suspect, now)))
+            .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
             .filter_map(|m| ground.room(m))
             .filter(|r| r.cpus + SLACK >= least)
-            .map(|r| Room { hold: r.machine.and_then(|m| book.hold(&m.id, now)), ..r })
+            .map(|r| held(book, r, now))
             .collect();
         let giving = giving(book, &ground, suspect, now);
         let sought = sought(&ground, turns);
@@ -381,6 +406,8 @@
             ground,
             rooms,
             unfit: Vec::new(),
+            full: Vec::new(),
+            set_aside: Vec::new(),
             wanted: Rc::default(),
             now,
             kept: Vec::new(),
@@ -430,19 +457,20 @@
     pub fn place_job(
         &mut self,
         turn: &Turn<'a>,
-        mut zones: Zones<'a>,
+        zones: &mut Zones<'a>,
         most: usize,
         keep: bool,
     ) -> Vec<(u32, MachineId)> {
         let (job, spec) = (turn.job, turn.job.spec());
-        let open = self.ground.open_to(spec, &zones);
+        let open = self.ground.open_to(spec, zones);
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let filler = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
-        let mut demand = Demand::new(turn, self.evidence, filler, open, self.sought.clone(), self.now);
+        let overdue = self.book.beside_room.overdue(turn.id, self.now);
+        let mut demand = Demand::new(turn, self.evidence, filler, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.wishes.stopped(turn.id));
         let waiting = self.wishes.waiting(turn.id, job);
-        demand.apt_only = !spec.is_idle() && self.gives_way(spec, &demand.open, waiting as u64);
+        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if turn.ahead {
             demand.passes = wishes::holders(self.book, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
@@ -451,6 +479,7 @@
         let holds = |room: &Room| room.hold.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
         let keep = keep && spec.is_gang();
         if !demand.pressed
+            && !overdue
             && !keep
             && self.unfit.iter().any(|u| u.covers(job, tasks, &demand.open))
             && !self.rooms.iter().any(holds)
@@ -458,11 +487,8 @@
             self.note_waits(spec, &demand.open, turn.suspected);
             return Vec::new();
         }
-        let placed = if spec.is_gang() {
-            self.place_gang(&demand, &mut zones)
-        } else {
-            self.fill(&demand, &mut zones, most, None)
-        };
+        let placed =
+            if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
         let short = if spec.is_gang() { placed.is_empty() } else { placed.len() < most.min(waiting) };
         if short {
             self.note_waits(spec, &demand.open, turn.suspected);
@@ -500,6 +526,7 @@
             for _ in 0..units {
                 self.rooms[at].take(spec);
             }
+            self.set_aside.push((at, units, spec));
             left -= units;
         }
     }
@@ -601,6 +628,13 @@
     }
 }
 
+/// The room with what it is held for.
+fn held<'a>(book: &'a Book, room: Room<'a>, now: Instant) -> Room<'a> {
+    let hold = room.machine.and_then(|m| book.hold(&m.id, now));
+    let reserved = room.machine.is_some_and(|m| book.reserved.get(&m.id).is_some_and(|h| h.until > now));
+    Room { hold, reserved, ..room }
+}
+
 /// Ordinary kinds open to work that waits and may use no cheap ones.
 fn sought(ground: &Ground, turns: &[Turn]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
@@ -631,23 +665,44 @@
     }
     book.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
+    if book.keeping.is_some() && book.beside_room.longest(now) >= KEPT_FOR {
+        book.keeping = now.checked_sub(KEPT_FOR).or(book.keeping);
+    }
     let spell = book.keeping.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
-    let (decisions, looked, kept) = decide(book, catalog, may_keep, now);
+    let Decided { placements, looked, kept, passed_over } = decide(book, catalog, may_keep, now);
+    for placement in &placements {
+        if book.beside_room.overdue(&placement.task.job, now) {
+            book.take_back(&placement.machine);
+        }
+    }
+    book.beside_room.note(passed_over, now);
     if kept {
         book.keeping.get_or_insert(now);
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
         book.keeping = None;
     }
-    (decisions, looked)
+    (placements, looked)
+}
+
+/// What one plan comes to.
+#[derive(Default)]
+struct Decided {
+    placements: Vec<Placement>,
+    /// How many rooms were looked at.
+    looked: u64,
+    /// Whether any was kept for a gang.
+    kept: bool,
+    /// Jobs that wait although a room fits.
+    passed_over: HashSet<JobId>,
 }
 
-/// What to place, how many rooms were looked at, and whether any was kept.
-fn decide(book: &Book, catalog: &Catalog, may_keep: bool, now: Instant) -> (Vec<Placement>, u64, bool) {
+fn decide(book: &Book, catalog: &Catalog, may_keep: bool, now: Instant) -> Decided {
     let mut decisions = Vec::new();
+    let mut passed_over = HashSet::new();
     let mut turns = queue(book, now);
     if turns.is_empty() {
-        return (decisions, 0, false);
+        return Decided::default();
     }
     // Late work goes first as far as it has earned, the oldest of it.
     let mut earned = None;
@@ -686,10 +741,14 @@
             }
             most = n;
         }
-        if let Some((_, tasks)) = earned.filter(|(id, _)| *id == turn.id && !spec.is_gang()) {
+        let overdue = book.beside_room.overdue(turn.id, now);
+        if let Some((_, tasks)) = earned.filter(|(id, _)| *id == turn.id && !overdue && !spec.is_gang()) {
             most = most.min(tasks);
         }
-        if turn.suspected && !spec.is_gang() {
+        if overdue && turn.rank == Rank::Idle && !spec.is_gang() && job.bound.is_empty() {
+            most = most.min(1);
+        }
+        if turn.suspected && !overdue && !spec.is_gang() {
             most = most.min(PROBES.saturating_sub(job.bound.len()));
         }
         if most == 0 {
@@ -697,11 +756,15 @@
         }
         let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
         let keep = may_keep && (turn.owed || earned.is_some_and(|(id, _)| id == turn.id));
-        let placed = plan.place_job(&turn, Zones::new(book, job), most, keep);
+        let mut zones = Zones::new(book, job);
+        let placed = plan.place_job(&turn, &mut zones, most, keep);
+        quotas.take(spec, placed.len() as f64);
+        if plan.leaves_beside_room(&turn, &zones, placed.len(), &quotas) {
+            passed_over.insert(turn.id.clone());
+        }
         if placed.is_empty() {
             continue;
         }
-        quotas.take(spec, placed.len() as f64);
         // The tasks of a gang find one another by a common attempt number.
         let gang_attempt = if spec.is_gang() { job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1 } else { 0 };
         decisions.extend(placed.into_iter().map(|(index, machine)| Placement {
@@ -710,5 +773,5 @@
             machine,
         }));
     }
-    (decisions, plan.looked, !plan.kept.is_empty())
+    Decided { placements: decisions, looked: plan.looked, kept: !plan.kept.is_empty(), passed_over }
 }
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -92,6 +92,7 @@
             leaving: machine.standing == Standing::Draining,
             kept: false,
             hold: None,
+            reserved: false,
         })
     }
 
@@ -132,6 +133,8 @@
     pub kept: bool,
     /// For whom it is held, if it is.
     pub hold: Option<&'a Hold>,
+    /// Others were stopped there for whom it is held for.
+    pub reserved: bool,
 }
 
 impl<'a> Room<'a> {
@@ -148,6 +151,7 @@
             leaving: false,
             kept: false,
             hold: None,
+            reserved: false,
         }
     }
 
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -3,6 +3,7 @@
 mod hearing;
 mod meetings;
 mod more_meetings;
+mod waiting;
 mod watermark;
 
 use std::collections::HashMap;
--- a/src/scheduling/tests/more_meetings.rs
+++ b/src/scheduling/tests/more_meetings.rs
@@ -14,29 +14,29 @@
 use crate::scheduling::served::Account;
 use crate::wire::workers::Cause;
 
-const STEP: f64 = 0.5;
+pub(super) const STEP: f64 = 0.5;
 /// Steps from one report to the next.
 const REPORT_STEPS: usize = 6;
 
 /// One owner at a time, and who reaches whom.
-struct Play {
-    world: World,
-    book: Book,
+pub(super) struct Play {
+    pub(super) world: World,
+    pub(super) book: Book,
     steps: usize,
     /// Reports of these reach nobody.
-    mute: Vec<&'static str>,
+    pub(super) mute: Vec<&'static str>,
     /// No direct command reaches these.
-    unreached: Vec<&'static str>,
+    pub(super) unreached: Vec<&'static str>,
     /// These stand still: they report nothing, and what is sent to them lies there until they go on.
-    hang: Vec<&'static str>,
+    pub(super) hang: Vec<&'static str>,
     lying: Vec<Direct>,
     /// Their reports arrive; answers and commands to them are lost.
-    deaf: Vec<&'static str>,
+    pub(super) deaf: Vec<&'static str>,
     cloud: bool,
     /// The store takes what is to be written.
-    store: bool,
+    pub(super) store: bool,
     /// The owner decides what is placed.
-    plans: bool,
+    pub(super) plans: bool,
     withdrawn: BTreeMap<JobId, Instant>,
     /// Live tasks that leases have ended.
     lost: usize,
@@ -45,7 +45,7 @@
 }
 
 impl Play {
-    fn new(machines: &[(&'static str, &'static str)], change: impl FnOnce(&mut JobSpec)) -> Self {
+    pub(super) fn new(machines: &[(&'static str, &'static str)], change: impl FnOnce(&mut JobSpec)) -> Self {
         let names: Vec<&'static str> = machines.iter().map(|(m, _)| *m).collect();
         let mut world = World::new(&names, change);
         for (m, zone) in machines {
@@ -90,7 +90,7 @@
         }
     }
 
-    fn step(&mut self) {
+    pub(super) fn step(&mut self) {
         self.world.now += s(STEP);
         self.steps += 1;
         let (now, lease) = (self.world.now, self.book.settings.params.workers.lease());
@@ -153,7 +153,7 @@
     }
 
     /// Another owns: it is told by the cloud's list what there is.
-    fn heir(&mut self) {
+    pub(super) fn heir(&mut self) {
         self.book = self.world.owner();
         self.listed();
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    fn withdraw(&mut self, id: &JobId) {
+    pub(super) fn withdraw(&mut self, id: &JobId) {
         self.world.withdraw(&mut self.book, id);
         self.withdrawn.insert(id.clone(), self.world.now);
     }
--- /dev/null
+++ b/src/scheduling/tests/waiting.rs
@@ -0,0 +1,256 @@
+//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn plays of the book, plans,
+//! holds, preemption and draining, with idle work among the rest.
+
+use std::collections::BTreeMap;
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use super::more_meetings::{Play, STEP};
+use super::world::*;
+use super::*;
+use crate::jobs::JobId;
+use crate::scheduling::room::{SLACK, Zones, allowed};
+use crate::scheduling::served::Account;
+use crate::settings::Objective;
+use crate::wire::workers::Cause;
+
+const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
+/// These have no troubles, so that there is anything to wait for.
+const SOUND: [&str; 3] = ["m0", "m1", "m8"];
+const TROUBLES_S: f64 = 100.0;
+const END_S: f64 = 270.0;
+/// No job waits so long beside room.
+const LIMIT_S: f64 = 90.0;
+
+/// What is left of a machine, as (cpus, gpus, GB), by what runs on it and what is bound to it. One that is
+/// drained since it can be spared has room for as long as it is there; one on which tasks fail has none.
+fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
+    let worker = &play.world.workers[m];
+    let machine = play.book.machines.get(m)?;
+    let stays = machine.standing == Standing::Up || (machine.standing == Standing::Draining && machine.spared);
+    if worker.gone || !stays || machine.recall.is_some() {
+        return None;
+    }
+    let of = catalog().get(worker.type_name)?.clone();
+    let taken = machine.taken();
+    let mut left = (of.cpus - taken.cpus, of.gpus - taken.gpus, of.memory_gb - taken.memory_gb);
+    for leg in worker.legs.iter().filter(|l| l.status != LegStatus::Exited && !machine.bound.contains(&l.task)) {
+        let spec = play.world.spec_of(&leg.task.job);
+        left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
+    }
+    Some(left)
+}
+
+/// Whether a job could start something now: one task of an array or a service, all of a gang.
+fn could_start(play: &Play, id: &JobId) -> bool {
+    let Some(job) = play.book.job(id) else { return false };
+    let spec = job.spec();
+    let gang = spec.is_gang();
+    if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
+        return false;
+    }
+    let need = if gang { job.waiting.len() } else { 1 };
+    if !plan::Quotas::new(&play.book).allows(spec, need as f64) {
+        return false;
+    }
+    let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
+    zones.iter().any(|zones| {
+        let mut at = Zones::new(&play.book, job);
+        let mut found = 0;
+        for (m, worker) in &play.world.workers {
+            let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
+            let Some(mut left) = room_left(play, m).filter(|_| open) else { continue };
+            let fits = |left: (f64, f64, f64)| {
+                spec.cpus <= left.0 + SLACK && spec.gpus <= left.1 + SLACK && spec.memory_gb <= left.2 + SLACK
+            };
+            while found < need && at.allow(worker.zone) && fits(left) {
+                left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
+                at.take(worker.zone);
+                found += 1;
+            }
+        }
+        found == need
+    })
+}
+
+/// One play: its draws, and how long jobs have waited beside room.
+struct Day {
+    seed: u64,
+    rng: StdRng,
+    play: Play,
+    account: Account,
+    /// Users are promised a start sooner than machines boot, so that room is kept for arrivals.
+    prompt: bool,
+    /// Work comes after the troubles as well.
+    steady: bool,
+    jobs: u32,
+    ends: BTreeMap<(TaskKey, u64), Instant>,
+    waits: BTreeMap<JobId, f64>,
+    longest: (f64, String),
+}
+
+impl Day {
+    fn new(seed: u64) -> Self {
+        let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
+        let mut play = Play::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
+        for m in &NAMES[7..] {
+            play.world.workers.get_mut(m).unwrap().type_name = "g2";
+        }
+        play.plans = true;
+        let account = Account::new(&play.book.settings, &play.book.properties, play.world.now);
+        Self {
+            seed,
+            rng: StdRng::seed_from_u64(seed),
+            play,
+            account,
+            prompt: seed % 4 >= 2,
+            steady: seed.is_multiple_of(2),
+            jobs: 1,
+            ends: BTreeMap::new(),
+            waits: BTreeMap::new(),
+            longest: (0.0, String::new()),
+        }
+    }
+
+    fn submit(&mut self) {
+        self.jobs += 1;
+        let rng = &mut self.rng;
+        let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
+        let urgencies = [Urgency::Prod, Urgency::High, Urgency::Normal, Urgency::Idle, Urgency::Idle];
+        let urgency = urgencies[rng.random_range(0..urgencies.len())];
+        let id = self.play.world.accept(&mut self.play.book, self.jobs, |j| {
+            (j.shape, j.urgency) = (shape, urgency);
+            j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
+            j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
+            j.tasks = if shape == Shape::Service { 1 } else { rng.random_range(1..6) };
+            j.cpus = [0.25, 1.0, 2.0, 4.0][rng.random_range(0..4usize)];
+            j.gpus = if rng.random_bool(0.1) { 1.0 } else { 0.0 };
+            j.same_zone = rng.random_bool(0.2);
+            j.spread = !j.same_zone && rng.random_bool(0.2);
+            j.zone = rng.random_bool(0.1).then(|| "a".into()).filter(|_| !j.spread);
+            j.estimate_s = if shape == Shape::Service { 0.0 } else { [5.0, 30.0, 300.0][rng.random_range(0..3usize)] };
+            j.due_s = rng.random_bool(0.4).then_some(j.estimate_s * 2.0 + 20.0);
+            (j.checkpoint_s, j.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
+        });
+        if rng.random_bool(0.15) {
+            self.play.withdraw(&id);
+        }
+    }
+
+    fn trouble(&mut self) {
+        let m = NAMES[self.rng.random_range(0..10usize)];
+        let play = &mut self.play;
+        match self.rng.random_range(0..7) {
+            0 => play.mute.push(m),
+            1 => play.hang.push(m),
+            2 => play.deaf.push(m),
+            3 => (play.mute.push(m), play.unreached.push(m)).0,
+            4 => (play.mute, play.hang, play.deaf, play.unreached) = Default::default(),
+            5 => play.heir(),
+            _ => play.store = !play.store,
+        }
+        for list in [&mut play.mute, &mut play.hang, &mut play.deaf, &mut play.unreached] {
+            list.retain(|m| !SOUND.contains(m));
+        }
+    }
+
+    /// Tasks end, or fail while there are troubles.
+    fn tasks_end(&mut self, trouble: bool) {
+        let now = self.play.world.now;
+        for m in NAMES.into_iter().filter(|m| !self.play.hang.contains(m)) {
+            if self.play.world.workers[m].gone {
+                continue;
+            }
+            for leg in self.play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+                let run = self.play.world.spec_of(&leg.task.job).estimate_s;
+                let rng = &mut self.rng;
+                let at = self
+                    .ends
+                    .entry((leg.task.clone(), leg.attempt))
+                    .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
+                let fails = trouble && rng.random_bool(0.01);
+                if *at <= now || fails {
+                    let cause = if fails { Cause::Error } else { Cause::Done };
+                    self.play.world.exits_of(m, &leg.task, leg.attempt, cause);
+                }
+            }
+        }
+    }
+
+    /// The owner's decisions but for placement; of the machines that can be spared at most one is drained at a time.
+    fn decide(&mut self, step: u32) {
+        let (book, now) = (&mut self.play.book, self.play.world.now);
+        if self.prompt && book.settings.params.objectives.is_empty() {
+            let objective = Objective { kind: "wait".into(), class: "c".into(), within_s: 1.0, times: 0.0, share: 0.8 };
+            book.settings.params.objectives.push(objective);
+        }
+        if step.is_multiple_of(4) && book.loaded {
+            crate::scheduling::look(&mut self.account, book, now);
+            book.holds = crate::scheduling::holds::choose(book, &catalog(), now);
+        }
+        let up = book.machines.values().filter(|m| m.standing == Standing::Up).count();
+        let draining = book.machines.values().any(|m| m.standing == Standing::Draining);
+        if step % 40 == 39 && book.loaded && up > 6 && !draining {
+            let chosen = drain::choose(book, &catalog(), now);
+            if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
+                book.drain(&drain.machine, &drain.moves, now);
+            }
+        }
+        preempt::preempt(book, &catalog(), now);
+    }
+
+    /// What idle work that runs already has no claim to is the room kept for prompt arrivals.
+    fn counts(&self, id: &JobId) -> bool {
+        let begun_idle = |j: &crate::scheduling::book::JobState| j.spec().is_idle() && !j.bound.is_empty();
+        !(self.prompt && self.play.book.job(id).is_some_and(begun_idle))
+    }
+
+    fn note_waits(&mut self, t: f64) {
+        let ids: Vec<JobId> = self.play.book.jobs().map(|(id, _)| id.clone()).collect();
+        self.waits.retain(|id, _| ids.contains(id));
+        for id in ids {
+            let waits = self.counts(&id) && could_start(&self.play, &id);
+            let waited = self.waits.entry(id.clone()).or_default();
+            *waited = if waits { *waited + STEP } else { 0.0 };
+            if *waited > self.longest.0 {
+                let job = self.play.book.job(&id);
+                let (bound, spec) = (job.map(|j| j.bound.len()), job.map(|j| j.spec()));
+                self.longest = (*waited, format!("seed {}, at {t} s: bound {bound:?}, {spec:?}", self.seed));
+            }
+        }
+    }
+
+    /// The longest wait beside room once the troubles are over, in seconds, and whose it was.
+    fn play(mut self) -> (f64, String) {
+        for step in 0..(END_S / STEP) as u32 {
+            let t = f64::from(step) * STEP;
+            let trouble = t < TROUBLES_S;
+            if (trouble || self.steady) && self.rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
+                self.submit();
+            }
+            if trouble && self.rng.random_bool(0.15) {
+                self.trouble();
+            }
+            if !trouble {
+                let play = &mut self.play;
+                (play.mute, play.hang, play.deaf, play.unreached) = Default::default();
+                play.store = true;
+            }
+            self.tasks_end(trouble);
+            self.decide(step);
+            self.play.step();
+            if !trouble {
+                self.note_waits(t);
+            }
+        }
+        self.longest
+    }
+}
+
+#[test]
+fn once_the_troubles_are_over_no_job_of_any_urgency_waits_beside_room() {
+    let longest: Vec<(f64, String)> = (0..32).map(|seed| Day::new(seed).play()).collect();
+    let late: Vec<&(f64, String)> = longest.iter().filter(|(waited, _)| *waited >= LIMIT_S).collect();
+    assert!(late.is_empty(), "waited for {LIMIT_S} s or more: {late:#?}");
+}
