--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -13,6 +13,7 @@
 mod steady_load;
 mod team_limits;
 mod unreachable_workers;
+mod waiting;
 mod watermark;
 mod zones;
 
