--- a/src/users/feasibility/tests.rs
+++ b/src/users/feasibility/tests.rs
@@ -8,7 +8,7 @@
     let of = machine_type("c8", 8.0, 0.0, 1.0);
     let catalog = Catalog { types: vec![of] };
     type Case = (&'static str, fn(&mut JobSpec), bool);
-    let cases: [Case; 10] = [
+    let cases: [Case; 14] = [
         ("fits", |_| (), true),
         ("unknown team", |j| j.team = "green".into(), false),
         ("too many cores for any type", |j| j.cpus = 9.0, false),
@@ -22,6 +22,10 @@
             |j| (j.team, j.cpus, j.tasks, j.shape) = ("red".into(), 8.0, 3, Shape::Service),
             false,
         ),
+        ("an array apart in its only zone", |j| (j.tasks, j.spread) = (5, true), true),
+        ("a gang apart in its only zone", |j| (j.tasks, j.spread, j.shape) = (2, true, Shape::Gang), false),
+        ("a service apart in its only zone", |j| (j.tasks, j.spread, j.shape) = (2, true, Shape::Service), false),
+        ("a gang of one apart in its only zone", |j| (j.spread, j.shape) = (true, Shape::Gang), true),
         ("a gang at the limit", |j| (j.team, j.cpus, j.tasks, j.shape) = ("red".into(), 5.0, 4, Shape::Gang), true),
     ];
     for (name, change, good) in cases {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -37,6 +37,7 @@
     }
 }
 
+/// An end that may be told.
 pub(super) fn ended(id: &str, end: End) -> Reply {
     let status = match end {
         End::Done => Status::Done,
@@ -52,6 +53,7 @@
     Reply::Job(200, JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
+/// The number of tasks of a job that is open, as far as the mirror has heard.
 pub(super) fn open_tasks(node: &Node, id: &str) -> Option<u64> {
     lock(&node.mirror).open(id).map(|record| record.spec.tasks)
 }
--- a/src/users/reply.rs
+++ b/src/users/reply.rs
@@ -17,13 +17,16 @@
     Job(u16, JobAnswer),
     Refused(Refusal),
     /// 503: what cannot be answered now, and after how many seconds to come again.
-    Later(String, u64),
+    Later {
+        why: &'static str,
+        after_s: u64,
+    },
 }
 
 impl Reply {
     /// 503, where the reason should soon be over.
-    pub(super) fn later(why: &str) -> Self {
-        Self::Later(why.to_owned(), COME_AGAIN_S)
+    pub(super) fn later(why: &'static str) -> Self {
+        Self::Later { why, after_s: COME_AGAIN_S }
     }
 }
 
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -24,6 +24,7 @@
     path: Path,
 }
 
+/// What a handler serves.
 #[derive(Clone, Copy)]
 enum Path {
     Submit,
@@ -48,8 +49,9 @@
     }
 }
 
+/// The answer to a user.
 fn render_reply(node: &Node, res: &mut Response, reply: Reply) {
-    let later = matches!(reply, Reply::Later(..));
+    let later = matches!(reply, Reply::Later { .. });
     node.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match reply {
         Reply::Job(status, job) => render(res, status, wire::encode(&job)),
@@ -57,13 +59,32 @@
             let problem = serde_json::json!({"error": refusal.to_string()});
             render(res, refusal.status(), wire::encode(&problem));
         }
-        Reply::Later(why, after_s) => {
+        Reply::Later { why, after_s } => {
             render(res, 503, wire::encode(&serde_json::json!({"error": why})));
             come_again(res, after_s);
         }
     }
 }
 
+/// The answer to a worker's report.
+fn render_answer(node: &Node, res: &mut Response, answer: Answer) {
+    match answer {
+        Answer::Orders(orders) => {
+            node.traffic.count(Passage::Report);
+            render(res, 200, wire::encode(&orders));
+        }
+        Answer::Elsewhere(owner) => {
+            node.traffic.count(Passage::ReportElsewhere);
+            render(res, 421, wire::encode(&serde_json::json!({"dispatcher": owner})));
+        }
+        Answer::Nobody => {
+            node.traffic.count(Passage::ReportElsewhere);
+            render(res, 503, Vec::new());
+        }
+        Answer::Malformed => render(res, 400, Vec::new()),
+    }
+}
+
 #[async_trait]
 impl Handler for Handle {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
@@ -87,21 +108,7 @@
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
             Path::Withdraw => render_reply(node, res, withdraw(node, &self.follow_ups, &id).await),
             Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Report => match workers::take_report(node, &body) {
-                Answer::Orders(orders) => {
-                    node.traffic.count(Passage::Report);
-                    render(res, 200, wire::encode(&orders));
-                }
-                Answer::Elsewhere(owner) => {
-                    node.traffic.count(Passage::ReportElsewhere);
-                    render(res, 421, wire::encode(&serde_json::json!({"dispatcher": owner})));
-                }
-                Answer::Nobody => {
-                    node.traffic.count(Passage::ReportElsewhere);
-                    render(res, 503, Vec::new());
-                }
-                Answer::Malformed => render(res, 400, Vec::new()),
-            },
+            Path::Report => render_answer(node, res, workers::take_report(node, &body)),
         }
     }
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -24,6 +24,7 @@
 
 /// Tries at a write that the limits refused, before its user is told to come again.
 const RETRIES: u32 = 2;
+/// Between two of them.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
 /// Which job a submission speaks of, whatever else is wrong with it.
@@ -42,6 +43,7 @@
     }
 }
 
+/// A body that describes a job, whatever machines and teams there are.
 fn parse(body: &[u8]) -> Result<JobSpec, Refusal> {
     let spec: JobSpec = wire::decode_whole(body)?;
     spec.check()?;
@@ -73,42 +75,50 @@
     accept(node, follow_ups, spec).await
 }
 
+/// A job that could run is accepted, if there is room for one more and its turn has come.
 async fn accept(node: &Node, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
     let id = spec.id.clone();
-    let limits = &node.settings.params;
     let (open, old_kept) = {
         let mirror = lock(&node.mirror);
         (mirror.held(), mirror.old_kept())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
-    let size = serde_json::to_vec(&record).map_or(usize::MAX, |v| v.len().saturating_add(ENDED_EXTRA));
-    if size as f64 > limits.state.value_kb * 1024.0 {
+    if !can_be_kept(node, &record) {
         return unless_accepted(node, &id, Refusal::TooLarge).await;
     }
-    if !can_hold(&record.spec, open, limits.limits.memory_mb) {
+    if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
         // A retry of a job that is already held must not be told so.
         return match look_up(node, &id).await {
             Reply::Refused(Refusal::NoSuchJob) => {
-                Reply::Later("more work is open than can be held".into(), COME_AGAIN_LATER_S)
+                Reply::Later { why: "more work is open than can be held", after_s: COME_AGAIN_LATER_S }
             }
             other => other,
         };
     }
-    let outcome = {
-        let mut admission = lock(&node.admission);
-        let (wait, per_second) = node.store.wait_for_writes(admission.waiting() as f64 + 1.0);
-        admission.admit(&record.spec, wait, per_second, rand::random(), Instant::now())
-    };
-    if let Err(after_s) = outcome {
+    let admitted = match admit(node, &record.spec) {
+        Ok(admitted) => admitted,
         // At once, without a question to the store; a retry of a job that is held is told later.
-        return Reply::Later("too many jobs are submitted at once".into(), after_s);
-    }
-    let admitted = Admitted { node, spec: record.spec.clone() };
+        Err(after_s) => return Reply::Later { why: "too many jobs are submitted at once", after_s },
+    };
     let reply = write_acceptance(node, follow_ups, Arc::new(record), old_kept).await;
     drop(admitted);
     reply
 }
 
+/// Whether the store takes a value of this size, for ever.
+fn can_be_kept(node: &Node, record: &JobRecord) -> bool {
+    let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
+    size as f64 <= node.settings.params.state.value_kb * 1024.0
+}
+
+/// Whether the job's turn has come, or after how many seconds its user is to come again.
+fn admit<'a>(node: &'a Node, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
+    let mut admission = lock(&node.admission);
+    let (wait, per_second) = node.store.wait_for_writes(admission.waiting() as f64 + 1.0);
+    admission.admit(spec, wait, per_second, rand::random(), Instant::now())?;
+    Ok(Admitted { node, spec: spec.clone() })
+}
+
 /// Leaves admission control whatever becomes of the request.
 struct Admitted<'a> {
     node: &'a Node,
