--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -4,6 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::text;
+
 /// The most tasks that one job may have.
 pub const MOST_TASKS: u64 = 100_000;
 
@@ -45,17 +47,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Unique id, chosen by the user; it makes submission idempotent.
-    #[serde(rename = "uid")]
+    #[serde(rename = "uid", deserialize_with = "text::required")]
     pub id: JobId,
     /// Kind of work; jobs of one class resemble each other in run time and needs.
-    #[serde(rename = "jobFamily")]
+    #[serde(rename = "jobFamily", deserialize_with = "text::required")]
     pub class: String,
     /// Team that submits the job and whose quota it counts against.
-    #[serde(rename = "desk")]
+    #[serde(rename = "desk", deserialize_with = "text::required")]
     pub team: String,
     /// How its tasks depend on each other.
+    #[serde(deserialize_with = "text::variant")]
     pub shape: Shape,
     /// Its priority.
+    #[serde(deserialize_with = "text::variant")]
     pub urgency: Urgency,
     /// Number of tasks, from 1 to [`MOST_TASKS`].
     #[serde(rename = "legs")]
@@ -69,16 +73,16 @@
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
     /// Name of the image that a machine fetches before a task starts.
-    #[serde(rename = "kit")]
+    #[serde(rename = "kit", deserialize_with = "text::required")]
     pub image: String,
     /// Size of the image, in GB.
     #[serde(rename = "imageGb")]
     pub image_gb: f64,
     /// Names of the machine types allowed; any type if absent.
-    #[serde(rename = "fleets", default)]
+    #[serde(rename = "fleets", default, deserialize_with = "text::optional_list")]
     pub types: Option<Vec<String>>,
     /// Zone required; any zone if absent.
-    #[serde(rename = "yard", default)]
+    #[serde(rename = "yard", default, deserialize_with = "text::optional")]
     pub zone: Option<String>,
     /// Whether all tasks must run in one zone.
     #[serde(rename = "samePlace")]
@@ -103,15 +107,29 @@
     pub due_s: Option<f64>,
 }
 
+/// A field of a job that holds what it must not.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("{field}: {value} is not {wanted}")]
+pub struct InvalidField {
+    /// The field's name on the wire.
+    pub field: &'static str,
+    /// What it holds.
+    pub value: String,
+    /// What it may hold.
+    pub wanted: String,
+}
+
 impl JobSpec {
     /// Checks the fields by themselves, whatever machines and teams there are. The error names the field as it is
     /// on the wire.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), InvalidField> {
+        let invalid =
+            |field, value: String, wanted: &str| Err(InvalidField { field, value, wanted: wanted.to_owned() });
         if !well_formed_id(&self.id) {
-            return Err(format!("uid: {:?} is not in its form", self.id));
+            return invalid("uid", format!("{:?}", self.id), "in its form");
         }
         if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return Err(format!("legs: {} is not between 1 and {MOST_TASKS}", self.tasks));
+            return invalid("legs", self.tasks.to_string(), &format!("between 1 and {MOST_TASKS}"));
         }
         let amounts = [
             ("cpus", self.cpus),
@@ -126,7 +144,7 @@
         for (field, value) in amounts {
             // Far above any real amount; larger ones would overflow the time types.
             if !(0.0..=1e12).contains(&value) {
-                return Err(format!("{field}: {value} is not an amount"));
+                return invalid(field, value.to_string(), "an amount");
             }
         }
         Ok(())
--- /dev/null
+++ b/src/users/submission.rs
@@ -0,0 +1,167 @@
+//! Submissions: parsed, checked and written.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use serde::Deserialize;
+use tracing::debug;
+
+use super::feasibility::can_ever_run;
+use super::follow_ups::{FollowUps, Write};
+use super::lookup::{look_up, moved_on, open_tasks};
+use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
+use crate::history::moves;
+use crate::jobs::JobSpec;
+use crate::jobs::limits::can_hold;
+use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
+use crate::node::Node;
+use crate::store::audit::Held;
+use crate::store::budget::Urgent;
+use crate::store::{StoreError, TxnOutcome};
+use crate::sync::lock;
+use crate::wire;
+use crate::wire::users::{JobAnswer, Status};
+
+/// Tries at a write that the limits refused, before its user is told to come again.
+const RETRIES: u32 = 2;
+/// Between two of them.
+const RETRY_PAUSE: Duration = Duration::from_millis(120);
+
+/// Which job a submission speaks of, whatever else is wrong with it.
+#[derive(Deserialize)]
+struct Named {
+    #[serde(rename = "uid")]
+    id: String,
+}
+
+/// A submission that is refused for good, unless its job was accepted: that stays so, whoever accepted it and
+/// whatever its repeat says.
+async fn unless_accepted(node: &Node, id: &str, refusal: Refusal) -> Reply {
+    match look_up(node, id).await {
+        Reply::Refused(Refusal::NoSuchJob) => Reply::Refused(refusal),
+        other => other,
+    }
+}
+
+/// A body that describes a job, whatever machines and teams there are.
+fn parse(body: &[u8]) -> Result<JobSpec, Refusal> {
+    let spec: JobSpec = wire::decode_whole(body)?;
+    spec.check()?;
+    Ok(spec)
+}
+
+/// A job as its user sends it, for the first time or again.
+pub(super) async fn submit(node: &Node, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
+    let spec = match parse(body) {
+        Ok(spec) => spec,
+        Err(refusal) => {
+            let Ok(named) = wire::decode::<Named>(body) else { return Reply::Refused(refusal) };
+            return unless_accepted(node, &named.id, refusal).await;
+        }
+    };
+    if !lock(&node.mirror).ready {
+        return Reply::later("the state service has not been read yet");
+    }
+    let id = spec.id.clone();
+    if open_tasks(node, &id).is_some() || node.history.ended(&id).is_some() {
+        return look_up(node, &id).await;
+    }
+    let Some(catalog) = node.catalog() else {
+        return Reply::later("the machine types are not known yet");
+    };
+    if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
+        return unless_accepted(node, &id, impossible.into()).await;
+    }
+    accept(node, follow_ups, spec).await
+}
+
+/// A job that could run is accepted, if there is room for one more and its turn has come.
+async fn accept(node: &Node, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
+    let id = spec.id.clone();
+    let (open, old_kept) = {
+        let mirror = lock(&node.mirror);
+        (mirror.held(), mirror.old_kept())
+    };
+    let record = JobRecord { spec, at_ms: time_of_day_ms() };
+    if !can_be_kept(node, &record) {
+        return unless_accepted(node, &id, Refusal::TooLarge).await;
+    }
+    if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
+        // A retry of a job that is already held must not be told so.
+        return match look_up(node, &id).await {
+            Reply::Refused(Refusal::NoSuchJob) => {
+                Reply::Later { why: "more work is open than can be held", after_s: COME_AGAIN_LATER_S }
+            }
+            other => other,
+        };
+    }
+    let admitted = match admit(node, &record.spec) {
+        Ok(admitted) => admitted,
+        // At once, without a question to the store; a retry of a job that is held is told later.
+        Err(after_s) => return Reply::Later { why: "too many jobs are submitted at once", after_s },
+    };
+    let reply = write_acceptance(node, follow_ups, Arc::new(record), old_kept).await;
+    drop(admitted);
+    reply
+}
+
+/// Whether the store takes a value of this size, for ever.
+fn can_be_kept(node: &Node, record: &JobRecord) -> bool {
+    let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
+    size as f64 <= node.settings.params.state.value_kb * 1024.0
+}
+
+/// Whether the job's turn has come, or after how many seconds its user is to come again.
+fn admit<'a>(node: &'a Node, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
+    let mut admission = lock(&node.admission);
+    let (wait, per_second) = node.store.wait_for_writes(admission.waiting() as f64 + 1.0);
+    admission.admit(spec, wait, per_second, rand::random(), Instant::now())?;
+    Ok(Admitted { node, spec: spec.clone() })
+}
+
+/// Leaves admission control whatever becomes of the request.
+struct Admitted<'a> {
+    node: &'a Node,
+    spec: JobSpec,
+}
+
+impl Drop for Admitted<'_> {
+    fn drop(&mut self) {
+        lock(&self.node.admission).leave(&self.spec);
+    }
+}
+
+/// Writes a job where there is none, and tells its user.
+async fn write_acceptance(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>, old_kept: bool) -> Reply {
+    let id = record.spec.id.clone();
+    let accept = moves::accept(&record, old_kept);
+    for _ in 0..RETRIES {
+        let sent = follow_ups.begin(Write::Acceptance, &record);
+        match node.store.txn(&accept.conditions, &accept.changes, Urgent::First).await {
+            Ok(TxnOutcome::Applied(_)) => {
+                sent.applied();
+                lock(&node.audit).note(Held::Accepted(record));
+                let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
+                return Reply::Job(201, job);
+            }
+            Ok(TxnOutcome::Failed(keys)) => {
+                sent.refused();
+                return moved_on(node, &id, &keys).await;
+            }
+            Err(StoreError::Unavailable(429)) => {
+                sent.refused();
+                tokio::time::sleep(RETRY_PAUSE).await;
+            }
+            Err(StoreError::Unavailable(status)) => {
+                sent.refused();
+                debug!(status, job = %id, "accepting");
+                return Reply::later("the state service cannot be written");
+            }
+            outcome => {
+                debug!(?outcome, job = %id, "accepting");
+                return Reply::later("the state service cannot be written");
+            }
+        }
+    }
+    Reply::later("too many changes at once")
+}
