--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -100,6 +100,8 @@
         Some(path) => Properties::load(path)?,
         None => Properties::default(),
     };
+    let file = files.properties.as_deref().unwrap_or(config).display().to_string();
+    settings.check_with(&properties).map_err(|problem| SettingsError { file, problem })?;
     Ok((settings, properties))
 }
 
--- /dev/null
+++ b/src/settings/check.rs
@@ -0,0 +1,170 @@
+//! Which settings are refused: those by which no time that is promised could be kept. Every refusal names
+//! the field and its value.
+
+use std::net::SocketAddr;
+
+use super::{LEASE_MARGIN_S, Params, Properties, Settings, WorkerParams};
+
+/// Largest rate, duration in seconds or size that is taken for meant.
+const MOST: f64 = 1e6;
+/// Largest memory in megabytes, and largest difference of clocks in milliseconds.
+const MOST_WIDE: f64 = 1e9;
+/// Shorter durations are no durations that a timer could keep.
+const LEAST_SECONDS: f64 = 0.001;
+/// A worker reports every `report_s`, plus or minus a quarter.
+const LONGEST_REPORT: f64 = 1.25;
+/// An acceptance and an end take two changes each.
+const LEAST_TXN_OPS: u64 = 2;
+/// Connections to the store, the cloud, workers, users and other controllers.
+const LEAST_SOCKETS: u64 = 16;
+
+impl Settings {
+    /// Names the first field whose value cannot be worked with.
+    pub(super) fn check(&self) -> Result<(), String> {
+        self.check_addresses()?;
+        self.check_peers()?;
+        let params = &self.params;
+        check_limits(params)?;
+        check_times(&params.workers)?;
+        check_objectives(params)?;
+        if self.node.is_empty() {
+            return Err("host_name: \"\" names nobody".into());
+        }
+        if params.zones.is_empty() {
+            return Err("params.zones: [] leaves nowhere to run".into());
+        }
+        check_teams(params)
+    }
+
+    /// Whether the operators' own settings keep the times that the platform sets: where the end of a leader
+    /// outlasts the leases of workers, it costs all that runs.
+    pub fn check_with(&self, properties: &Properties) -> Result<(), String> {
+        let workers = &self.params.workers;
+        let leader_lease = properties.leader_lease.as_secs_f64();
+        let most = workers.lease_s - workers.report_s * LONGEST_REPORT;
+        if leader_lease > most {
+            return Err(format!(
+                "leader.lease.seconds: {leader_lease} is above {most}, which is lease_s without the longest pause \
+                 between two reports: workers would lose their work before another controller leads"
+            ));
+        }
+        Ok(())
+    }
+
+    fn check_addresses(&self) -> Result<(), String> {
+        let mut addresses = vec![
+            ("api_addr", &self.listen),
+            ("mesh_addr", &self.mesh_listen),
+            ("endpoints.cloud", &self.endpoints.cloud),
+            ("endpoints.state", &self.endpoints.state),
+        ];
+        addresses.extend(self.peers.iter().map(|peer| ("peers.endpoint", &peer.addr)));
+        for (field, value) in addresses {
+            if value.parse::<SocketAddr>().is_err() {
+                return Err(format!("{field}: {value:?} is not an IP address with a port"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_peers(&self) -> Result<(), String> {
+        match self.params.size {
+            Some(0) => Err("params.size: 0 is below 1".into()),
+            Some(size) if size > 1 && self.peers.is_empty() => {
+                Err(format!("peers: [] names no other controller, and params.size is {size}"))
+            }
+            _ => Ok(()),
+        }
+    }
+}
+
+/// Limits of the platform's services and of this controller.
+fn check_limits(params: &Params) -> Result<(), String> {
+    let positive = [
+        ("params.state.rps", params.state.rps),
+        ("params.state.write_rps", params.state.write_rps),
+        ("params.state.value_kb", params.state.value_kb),
+        ("params.cloud.rps", params.cloud.rps),
+    ];
+    for (field, value) in positive {
+        if !(value > 0.0 && value <= MOST) {
+            return Err(format!("{field}: {value} is not above 0 and at most {MOST}"));
+        }
+    }
+    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MOST_WIDE)) {
+        return Err(format!("params.resources.memory_mb: {mb} is not above 0 and at most {MOST_WIDE}"));
+    }
+    if !(0.0..=MOST_WIDE).contains(&params.skew_ms) {
+        return Err(format!("params.skew_ms: {} is not between 0 and {MOST_WIDE}", params.skew_ms));
+    }
+    if params.state.txn_ops < LEAST_TXN_OPS {
+        return Err(format!("params.state.txn_ops: {} is below {LEAST_TXN_OPS}", params.state.txn_ops));
+    }
+    if params.limits.max_sockets < LEAST_SOCKETS {
+        return Err(format!("params.resources.max_sockets: {} is below {LEAST_SOCKETS}", params.limits.max_sockets));
+    }
+    Ok(())
+}
+
+/// Times between workers and controllers, one by one and against each other.
+fn check_times(workers: &WorkerParams) -> Result<(), String> {
+    let durations = [
+        ("params.workers.report_s", workers.report_s),
+        ("params.workers.lease_s", workers.lease_s),
+        ("params.workers.cancel_s", workers.cancel_s),
+    ];
+    for (field, value) in durations {
+        if !(LEAST_SECONDS..=MOST).contains(&value) {
+            return Err(format!("{field}: {value} is not above 0 and at most {MOST}"));
+        }
+    }
+    let longest_pause = workers.report_s * LONGEST_REPORT;
+    if workers.lease_s <= longest_pause {
+        return Err(format!(
+            "params.workers.lease_s: {} is not above {longest_pause}, the longest pause between two reports: \
+             no lease would last until it is renewed",
+            workers.lease_s
+        ));
+    }
+    // What a machine that is told nothing any more still runs is gone with its lease.
+    let least = workers.lease_s + workers.report_s + LEASE_MARGIN_S;
+    if workers.cancel_s < least {
+        return Err(format!(
+            "params.workers.cancel_s: {} is below {least}, which is lease_s, report_s and {LEASE_MARGIN_S} s together: \
+             withdrawn work could not be gone in time",
+            workers.cancel_s
+        ));
+    }
+    Ok(())
+}
+
+/// What is promised to classes of jobs.
+fn check_objectives(params: &Params) -> Result<(), String> {
+    for (number, objective) in params.objectives.iter().enumerate() {
+        let amounts = [
+            ("within_s", objective.within_s, MOST_WIDE),
+            ("times", objective.times, MOST),
+            ("share", objective.share, 1.0),
+        ];
+        for (field, value, most) in amounts {
+            if !(0.0..=most).contains(&value) {
+                return Err(format!("params.objectives.{number}.{field}: {value} is not between 0 and {most}"));
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Guarantees and limits of the teams.
+fn check_teams(params: &Params) -> Result<(), String> {
+    for team in &params.teams {
+        let amounts =
+            [("cpus", team.cpus), ("cpus_max", team.cpus_max), ("gpus", team.gpus), ("gpus_max", team.gpus_max)];
+        for (field, value) in amounts {
+            if !(value.is_finite() && value >= 0.0) {
+                return Err(format!("params.teams.{}.{field}: {value} is negative", team.name));
+            }
+        }
+    }
+    Ok(())
+}
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,6 @@
 //! What the platform hands over (a JSON file) and what operators set themselves (properties).
 
+mod check;
 mod properties;
 
 pub use properties::Properties;
@@ -47,6 +48,9 @@
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
+    /// How many controllers there are; builds of the platform that do not say are taken at their `peers`.
+    #[serde(default)]
+    pub size: Option<u64>,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     #[serde(default)]
@@ -154,79 +158,13 @@
     }
 
     pub fn parse(text: &str) -> Result<Self, String> {
-        let settings: Self = serde_json::from_str(text).map_err(|e| e.to_string())?;
+        let mut reader = serde_json::Deserializer::from_str(text);
+        let settings: Self = serde_path_to_error::deserialize(&mut reader).map_err(|error| error.to_string())?;
+        reader.end().map_err(|error| error.to_string())?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Names the first field whose value cannot be worked with.
-    fn check(&self) -> Result<(), String> {
-        let p = &self.params;
-        let mut addresses = vec![
-            ("api_addr", &self.listen),
-            ("mesh_addr", &self.mesh_listen),
-            ("endpoints.cloud", &self.endpoints.cloud),
-            ("endpoints.state", &self.endpoints.state),
-        ];
-        addresses.extend(self.peers.iter().map(|x| ("peers.endpoint", &x.addr)));
-        for (field, value) in addresses {
-            if value.parse::<std::net::SocketAddr>().is_err() {
-                return Err(format!("{field}: {value:?} is not an IP address with a port"));
-            }
-        }
-        let positive = [
-            ("params.workers.report_s", p.workers.report_s),
-            ("params.workers.lease_s", p.workers.lease_s),
-            ("params.workers.cancel_s", p.workers.cancel_s),
-            ("params.state.rps", p.state.rps),
-            ("params.state.write_rps", p.state.write_rps),
-            ("params.state.value_kb", p.state.value_kb),
-            ("params.cloud.rps", p.cloud.rps),
-        ];
-        for (field, value) in positive {
-            if !(value > 0.0 && value <= 1e6) {
-                return Err(format!("{field}: {value} is not above 0 and at most 1000000"));
-            }
-        }
-        // What a machine that is told nothing any more still runs is gone with its lease.
-        let least = p.workers.lease_s + p.workers.report_s + LEASE_MARGIN_S;
-        if p.workers.cancel_s < least {
-            return Err(format!(
-                "params.workers.cancel_s: {} is below {least}, which is lease_s, report_s and {LEASE_MARGIN_S} s together: \
-                 withdrawn work could not be gone in time",
-                p.workers.cancel_s
-            ));
-        }
-        if let Some(mb) = p.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= 1e9)) {
-            return Err(format!("params.resources.memory_mb: {mb} is not above 0 and at most 1000000000"));
-        }
-        if !(p.skew_ms >= 0.0 && p.skew_ms <= 1e9) {
-            return Err(format!("params.skew_ms: {} is not between 0 and 1000000000", p.skew_ms));
-        }
-        if p.state.txn_ops < 2 {
-            return Err(format!("params.state.txn_ops: {} is below 2", p.state.txn_ops));
-        }
-        if p.limits.max_sockets < 16 {
-            return Err(format!("params.resources.max_sockets: {} is below 16", p.limits.max_sockets));
-        }
-        if self.node.is_empty() {
-            return Err("host_name: \"\" names nobody".into());
-        }
-        if p.zones.is_empty() {
-            return Err("params.zones: [] leaves nowhere to run".into());
-        }
-        for team in &p.teams {
-            for (field, value) in
-                [("cpus", team.cpus), ("cpus_max", team.cpus_max), ("gpus", team.gpus), ("gpus_max", team.gpus_max)]
-            {
-                if !(value.is_finite() && value >= 0.0) {
-                    return Err(format!("params.teams.{}.{field}: {value} is negative", team.name));
-                }
-            }
-        }
-        Ok(())
-    }
-
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.params.teams.iter().find(|t| t.name == name)
     }
--- a/src/settings/properties/tests.rs
+++ b/src/settings/properties/tests.rs
@@ -8,6 +8,9 @@
     for (text, want) in [
         ("machines.idel.seconds=3", "machines.idel.seconds: unknown property"),
         ("machines.idle.seconds=soon", "machines.idle.seconds: \"soon\""),
+        ("machines.idle.seconds=NaN", "machines.idle.seconds: NaN is not between"),
+        ("leader.lease.seconds=inf", "leader.lease.seconds: inf is not between"),
+        ("leader.lease.seconds=0", "leader.lease.seconds: 0 is not between"),
         ("machines.idle.seconds=-1", "machines.idle.seconds: -1 is not between"),
     ] {
         let problem = Properties::parse(text.as_bytes()).unwrap_err();
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -45,3 +45,92 @@
         assert!(problem.contains(want), "{problem}");
     }
 }
+
+/// What could not keep the times is refused by name; the replacement is made in the example, which is accepted.
+#[test]
+fn settings_that_cannot_keep_the_times_are_refused_by_cases() {
+    for (from, to, want) in [
+        ("\"lease_s\":24", "\"lease_s\":3.75", "params.workers.lease_s: 3.75 is not above 3.75"),
+        ("\"lease_s\":24", "\"lease_s\":41.5", "params.workers.cancel_s: 49 is below 49.5"),
+        ("\"report_s\":3", "\"report_s\":21", "params.workers.lease_s: 24 is not above 26.25"),
+        ("\"report_s\":3", "\"report_s\":0", "params.workers.report_s: 0 is not above 0"),
+        ("\"report_s\":3", "\"report_s\":1e-12", "params.workers.report_s: 0.000000000001 is not above 0"),
+        ("\"lease_s\":24", "\"lease_s\":-24", "params.workers.lease_s: -24 is not above 0"),
+        ("\"cancel_s\":49", "\"cancel_s\":0", "params.workers.cancel_s: 0 is not above 0"),
+        ("\"cancel_s\":49", "\"cancel_s\":1e7", "params.workers.cancel_s: 10000000"),
+        ("\"cancel_s\":49", "\"cancel_s\":NaN", "params.workers.cancel_s: "),
+        ("\"cancel_s\":49", "\"cancel_s\":1e999", "params.workers.cancel_s: "),
+        ("\"cancel_s\":49", "\"cancel_s\":\"49\"", "params.workers.cancel_s: invalid type: string \"49\""),
+        (
+            "\"peers\":[{\"host_name\":\"node-1\",\"area\":\"b\",\"endpoint\":\"127.0.0.1:3\"}]",
+            "\"peers\":[]",
+            "peers: [] names no other controller, and params.size is 3",
+        ),
+        ("\"size\":3", "\"size\":0", "params.size: 0"),
+        ("\"rps\":100", "\"rps\":0", "params.state.rps: 0"),
+        ("\"write_rps\":40", "\"write_rps\":0", "params.state.write_rps: 0"),
+        ("\"value_kb\":8", "\"value_kb\":0", "params.state.value_kb: 0"),
+        ("\"rps\":8", "\"rps\":0", "params.cloud.rps: 0"),
+        ("\"max_sockets\":700", "\"max_sockets\":0", "params.resources.max_sockets: 0"),
+        ("\"max_sockets\":700", "\"max_sockets\":-1", "params.resources.max_sockets: invalid value: integer `-1`"),
+        (
+            "\"objectives\":[]",
+            "\"objectives\":[{\"kind\":\"wait\",\"within_s\":-1}]",
+            "params.objectives.0.within_s: -1",
+        ),
+        ("\"objectives\":[]", "\"objectives\":[{\"kind\":\"wait\",\"share\":1.5}]", "params.objectives.0.share: 1.5"),
+    ] {
+        let text = EXAMPLE.replacen(from, to, 1);
+        assert_ne!(text, EXAMPLE, "{from}");
+        let problem = Settings::parse(&text).unwrap_err();
+        assert!(problem.contains(want), "{to}: {problem}");
+    }
+    let alone = EXAMPLE.replacen("\"size\":3,", "", 1);
+    assert_eq!(Settings::parse(&alone).unwrap().params.size, None, "a platform that does not say");
+}
+
+/// An end of the leader that outlasts the leases of workers costs all that runs.
+#[test]
+fn the_lease_of_the_leader_is_held_against_that_of_workers() {
+    for (text, refused) in [
+        ("", false),
+        ("leader.lease.seconds=20.25", false),
+        ("leader.lease.seconds=20.5", true),
+        ("leader.lease.seconds=600", true),
+    ] {
+        let outcome = example().check_with(&Properties::parse(text.as_bytes()).unwrap());
+        assert_eq!(outcome.is_err(), refused, "{text}: {outcome:?}");
+        let named = outcome.err().is_none_or(|problem| problem.contains(&text.replace('=', ": ")));
+        assert!(named, "{text}");
+    }
+}
+
+/// A machine that hangs and is returned by nobody, since no controller has a loaded book: the last answer that
+/// held it without naming a withdrawal was given `spare` after that was told at the latest (`Node::may_hold_blindly`),
+/// to a report that was sent before. So by the worker's clock its lease is over `spare` and `lease_s` after the
+/// withdrawal, and what it goes on with after that is nothing (protocol: it kills and forgets its tasks). By a clock that
+/// is right this is within `cancel_s`, with the margin left over for one that runs slow and for an answer on its way.
+#[test]
+fn a_lease_ends_what_was_withdrawn_on_a_hung_machine_by_all_settings_that_are_accepted() {
+    let (mut accepted, mut refused) = (0, 0);
+    for report_s in [0.1, 1.0, 3.0, 5.0, 10.0] {
+        for lease_s in [0.5, 2.0, 8.0, 12.0, 24.0, 36.0, 60.0, 600.0] {
+            for cancel_s in [5.0, 10.0, 20.0, 32.0, 49.0, 56.0, 75.0, 100.0, 700.0] {
+                let workers = WorkerParams { report_s, lease_s, cancel_s };
+                let mut settings = example();
+                settings.params.workers = workers.clone();
+                if settings.check().is_err() {
+                    refused += 1;
+                    continue;
+                }
+                accepted += 1;
+                let margin = Duration::from_secs_f64(LEASE_MARGIN_S);
+                let over = workers.spare() + workers.lease() + margin;
+                assert!(over <= workers.cancel(), "{workers:?}: gone after {over:?} only");
+                let pause = workers.report();
+                assert!(workers.spare() >= pause, "{workers:?}: every owner that reads nothing lets all machines go");
+            }
+        }
+    }
+    assert!(accepted > 50 && refused > 50, "{accepted} accepted, {refused} refused");
+}
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -129,7 +129,7 @@
         others.iter().map(|n| json!({"host_name": n, "area": "a", "endpoint": "127.0.0.1:1"})).collect();
     json!({"host_name": me, "area": "a", "api_addr": "127.0.0.1:0", "mesh_addr": "127.0.0.1:0",
         "peers": peers, "endpoints": {"cloud": door, "state": door},
-        "params": {"size": 2, "zones": ["a"], "teams": [{"name": "blue"}], "objectives": [],
+        "params": {"size": others.len() + 1, "zones": ["a"], "teams": [{"name": "blue"}], "objectives": [],
             "workers": {"report_s": 1, "lease_s": 24, "cancel_s": 49},
             "state": {"rps": 2000, "write_rps": 2000, "value_kb": 8, "txn_ops": 24},
             "cloud": {"rps": 100}, "resources": {"max_sockets": 700}}})
