--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -18,6 +18,8 @@
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::store::budget::Urgent;
+use crate::store::client::Item;
+use crate::store::log_limit::LogLimit;
 use crate::store::{StateClient, StoreError, TxnOutcome};
 use crate::sync::lock;
 
@@ -40,6 +42,8 @@
     sweep_wanted: Notify,
     /// When the mirror told of ends, of the last ones.
     heard: Mutex<LruCache<JobId, Instant>>,
+    /// Ends of earlier builds that cannot be read: their users ask again and again.
+    unreadable: Mutex<LogLimit>,
 }
 
 impl History {
@@ -52,6 +56,7 @@
             sweep: Mutex::default(),
             sweep_wanted: Notify::new(),
             heard: Mutex::new(LruCache::new(HEARD)),
+            unreadable: Mutex::default(),
         }
     }
 
@@ -238,10 +243,22 @@
     }
 }
 
+/// How a job of an earlier build ended. One that cannot be read is known to nobody: its users are told to come again.
+fn read_old_end(item: &Item, limit: &mut LogLimit) -> Verdict {
+    match OldEnd::deserialize(&item.value) {
+        Ok(old) => Verdict::Ended(old.end),
+        Err(error) => {
+            if limit.due(Instant::now()) {
+                warn!(%error, path = item.path, "an unreadable end of an earlier build in the store");
+            }
+            Verdict::Later
+        }
+    }
+}
+
 async fn old_verdict(node: &Node, id: &JobId) -> Result<Verdict, StoreError> {
     if let Some(item) = node.store.get(&old_end_key(id), Urgent::Asked).await? {
-        let end = OldEnd::deserialize(&item.value).map_err(|e| StoreError::Malformed(e.to_string()))?;
-        return Ok(Verdict::Ended(end.end));
+        return Ok(read_old_end(&item, &mut lock(&node.history.unreadable)));
     }
     // An acceptance that the earlier build never heard the answer of, applied after the upgrade.
     let Some(item) = node.store.get(&old_job_key(id), Urgent::Asked).await? else { return Ok(Verdict::Later) };
@@ -257,3 +274,6 @@
         _ => Ok(Verdict::Later),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -64,7 +64,7 @@
         let mut path = format!("/keys?prefix={}&most={PAGE}", self.prefix);
         if let Some(since) = &self.since {
             path.push_str("&since=");
-            path.push_str(since);
+            path.push_str(&escaped(since));
         }
         let page: Page = match self.client.call(Method::GET, &path, None, ANSWER_WITHIN * 2, Urgent::First).await? {
             (200, body) => parse(&body)?,
@@ -108,6 +108,20 @@
     wire::decode(body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
+/// A key as part of an address: one that holds what no address may hold would end every listing at itself.
+pub(super) fn escaped(key: &str) -> String {
+    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte);
+    let mut text = String::with_capacity(key.len());
+    for byte in key.bytes() {
+        if plain(byte) {
+            text.push(char::from(byte));
+        } else {
+            text.push_str(&format!("%{byte:02X}"));
+        }
+    }
+    text
+}
+
 impl StateClient {
     pub fn new(http: Http, addr: String, requests: Budget, writes: Budget, traffic: Arc<Traffic>) -> Self {
         let (requests, writes) = (Mutex::new(requests), Mutex::new(writes));
@@ -244,7 +258,7 @@
 
     /// The value and version of a key, or none.
     pub async fn get(&self, key: &str, urgent: Urgent) -> Result<Option<Item>, StoreError> {
-        let path = format!("/keys/{key}");
+        let path = format!("/keys/{}", escaped(key));
         match self.call(Method::GET, &path, None, ANSWER_WITHIN, urgent).await? {
             (200, body) => Ok(Some(parse(&body)?)),
             (404, _) => Ok(None),
@@ -277,7 +291,7 @@
         most: usize,
         urgent: Urgent,
     ) -> Result<(Vec<Name>, bool), StoreError> {
-        let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
+        let since = since.map(|key| format!("&since={}", escaped(key))).unwrap_or_default();
         let path = format!("/keys?prefix={prefix}&most={most}{since}");
         match self.call(Method::GET, &path, None, ANSWER_WITHIN * 2, urgent).await? {
             (200, body) => parse::<Names>(&body).map(|n| (n.items, n.more)),
@@ -331,3 +345,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -23,12 +23,45 @@
 /// Descriptions kept of jobs that are over: about half a KiB each.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 
+/// One key with its version. What cannot be read is there all the same, and is written over by its version:
+/// taken for absent, it would keep everybody from leading and owning for ever.
+#[derive(Debug, Default)]
+enum Slot<T> {
+    #[default]
+    Absent,
+    Read((T, u64)),
+    Unreadable(u64),
+}
+
+impl<T: DeserializeOwned> Slot<T> {
+    fn of(path: &str, value: &Value, stamp: u64) -> Self {
+        read(path, value).map_or(Self::Unreadable(stamp), |value| Self::Read((value, stamp)))
+    }
+}
+
+impl<T> Slot<T> {
+    fn value(&self) -> Option<&(T, u64)> {
+        match self {
+            Self::Read(value) => Some(value),
+            Self::Absent | Self::Unreadable(_) => None,
+        }
+    }
+
+    /// The version of the key; 0 if there is none.
+    fn stamp(&self) -> u64 {
+        match self {
+            Self::Absent => 0,
+            Self::Read((_, stamp)) | Self::Unreadable(stamp) => *stamp,
+        }
+    }
+}
+
 /// The few keys that are not jobs.
 #[derive(Debug, Default)]
 struct Control {
-    leader: Option<(Leader, u64)>,
-    assignment: Option<(Assignment, u64)>,
-    plea: Option<Plea>,
+    leader: Slot<Leader>,
+    assignment: Slot<Assignment>,
+    plea: Slot<Plea>,
     watermark: Option<Watermark>,
     upgraded: Option<Upgraded>,
 }
@@ -37,11 +70,12 @@
     /// False if the key is none of these.
     fn put(&mut self, path: &str, value: &Value, stamp: u64) -> bool {
         match path {
-            LEADER => self.leader = read(path, value).map(|l| (l, stamp)),
-            ASSIGNMENT => self.assignment = read(path, value).map(|a| (a, stamp)),
-            PLEA => self.plea = read(path, value),
-            WATERMARK => self.watermark = read(path, value),
-            UPGRADED => self.upgraded = read(path, value),
+            LEADER => self.leader = Slot::of(path, value, stamp),
+            ASSIGNMENT => self.assignment = Slot::of(path, value, stamp),
+            PLEA => self.plea = Slot::of(path, value, stamp),
+            WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, stamp)),
+            // It is written once and never again, and none that can be read would be waited for for ever.
+            UPGRADED => self.upgraded = Some(read(path, value).unwrap_or(Upgraded { old_kept: true })),
             _ => return false,
         }
         true
@@ -49,9 +83,9 @@
 
     fn drop(&mut self, path: &str) -> bool {
         match path {
-            LEADER => self.leader = None,
-            ASSIGNMENT => self.assignment = None,
-            PLEA => self.plea = None,
+            LEADER => self.leader = Slot::Absent,
+            ASSIGNMENT => self.assignment = Slot::Absent,
+            PLEA => self.plea = Slot::Absent,
             WATERMARK => self.watermark = None,
             _ => return false,
         }
@@ -119,6 +153,26 @@
     T::deserialize(value).map_err(|e| warn!(path, %e, "unreadable value in the store")).ok()
 }
 
+/// Nobody has heard of what came after the watermark itself.
+fn possible(path: &str, told: &Watermark, stamp: u64) -> bool {
+    let possible = told.revision <= stamp && told.token <= stamp;
+    if !possible {
+        warn!(path, ?told, stamp, "a watermark ahead of the store; passed over");
+    }
+    possible
+}
+
+/// A job that can be worked with, by its key. Numbers that no acceptance lets through would overflow times and
+/// memory of whoever takes them in.
+fn read_job(id: &str, path: &str, value: &Value) -> Option<JobRecord> {
+    let record = read::<JobRecord>(path, value)?;
+    let problem = if &*record.spec.id == id { record.spec.check().err() } else { Some("the id of another job".into()) };
+    if let Some(problem) = &problem {
+        warn!(path, problem, "a job in the store that cannot be run; passed over");
+    }
+    problem.is_none().then_some(record)
+}
+
 impl Default for Mirror {
     fn default() -> Self {
         Self {
@@ -168,15 +222,34 @@
     }
 
     pub fn leader(&self) -> Option<&(Leader, u64)> {
-        self.control.leader.as_ref()
+        self.control.leader.value()
+    }
+
+    /// The version of the leader's key, readable or not; 0 if nobody leads.
+    pub fn leader_stamp(&self) -> u64 {
+        self.control.leader.stamp()
+    }
+
+    /// The version of a leader's key that cannot be read.
+    pub fn unreadable_leader(&self) -> Option<u64> {
+        match self.control.leader {
+            Slot::Unreadable(stamp) => Some(stamp),
+            Slot::Absent | Slot::Read(_) => None,
+        }
     }
 
     pub fn assignment(&self) -> Option<&(Assignment, u64)> {
-        self.control.assignment.as_ref()
+        self.control.assignment.value()
+    }
+
+    /// The version of the assignment, readable or not; 0 if there is none.
+    pub fn assignment_stamp(&self) -> u64 {
+        self.control.assignment.stamp()
     }
 
-    pub fn plea(&self) -> Option<&Plea> {
-        self.control.plea.as_ref()
+    /// The last plea, and its version.
+    pub fn plea(&self) -> Option<&(Plea, u64)> {
+        self.control.plea.value()
     }
 
     /// What an owner has stored for controllers that do not hear it.
@@ -202,17 +275,16 @@
     /// moment, and so of what came after it, the watch is right: it would not tell of it again.
     pub fn note_leader(&mut self, leader: Leader, stamp: u64) {
         if stamp > self.revision {
-            self.control.leader = Some((leader, stamp));
+            self.control.leader = Slot::Read((leader, stamp));
         }
     }
 
     /// The same of its assignment, and whether that still stands as far as is known.
     pub fn note_assignment(&mut self, assignment: Assignment, stamp: u64) -> bool {
-        let known = |control: &Control| control.assignment.as_ref().map_or(0, |(_, stamp)| *stamp);
-        if stamp > self.revision && stamp > known(&self.control) {
-            self.control.assignment = Some((assignment, stamp));
+        if stamp > self.revision && stamp > self.assignment_stamp() {
+            self.control.assignment = Slot::Read((assignment, stamp));
         }
-        known(&self.control) == stamp
+        self.assignment_stamp() == stamp
     }
 
     /// What a watch asks for: all changes after this revision.
@@ -309,7 +381,7 @@
         if self.open.contains_key(id) {
             return;
         }
-        let Some(record) = read::<JobRecord>(path, value) else { return };
+        let Some(record) = read_job(id, path, value) else { return };
         let id: JobId = id.into();
         self.held += limits::cost(&record.spec);
         news.opened.push(id.clone());
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -103,3 +103,108 @@
     assert!(mirror.shelf().is_empty());
     assert!(!read_whole(&mut mirror, vec![page(vec![opened(2, 2)], 11)]).declared);
 }
+
+fn written(path: &str, value: Value, stamp: u64) -> Event {
+    Event { write: Some(path.into()), drop: None, value, stamp }
+}
+
+fn job_with(id: &str, change: impl FnOnce(&mut crate::jobs::JobSpec)) -> Value {
+    let mut spec = crate::jobs::JobSpec { id: id.into(), ..spec() };
+    change(&mut spec);
+    serde_json::to_value(JobRecord { spec, at_ms: 5 }).unwrap()
+}
+
+/// Whatever stands under any of the mirrored keys, a controller reads the rest; told by a page or by a watch.
+#[test]
+fn what_cannot_be_read_costs_nothing_but_itself() {
+    let nonsense = [json!(null), json!("x"), json!(["x", 2]), json!({}), json!({"node": 7}), json!(-1e300)];
+    let paths = [
+        "c/o/run-000002",
+        "c/o/",
+        "c/owner/0",
+        "c/leader",
+        "c/plea",
+        "c/watermark",
+        "c/s/window/a",
+        "c/s/later/a",
+        "c/t/heat/a",
+        "c/t/",
+        "c/zzz",
+    ];
+    for path in paths {
+        for value in &nonsense {
+            let all = [opened(1, 1), written(path, value.clone(), 2), opened(3, 3)];
+            let mut paged = Mirror::default();
+            read_whole(&mut paged, vec![page(all.to_vec(), 3)]);
+            let mut watched = Mirror::default();
+            read_whole(&mut watched, vec![]);
+            watched.apply(&followed(all.to_vec(), 3));
+            for mirror in [&paged, &watched] {
+                let open = mirror.open_jobs().count();
+                assert!(mirror.ready && open == 2, "{path} {value}: {open} jobs are read");
+                assert!(mirror.leader().is_none() && mirror.assignment().is_none() && mirror.plea().is_none());
+                assert!(mirror.watermark().is_none(), "{path} {value}");
+            }
+        }
+    }
+}
+
+/// A key that cannot be read has a version all the same, by which it is written over: taken for absent, nobody
+/// could lead or own any more.
+#[test]
+fn unreadable_leaders_and_owners_are_known_by_their_version() {
+    let mut mirror = Mirror::default();
+    read_whole(&mut mirror, vec![]);
+    assert_eq!((mirror.leader_stamp(), mirror.assignment_stamp(), mirror.unreadable_leader()), (0, 0, None));
+    mirror.apply(&followed(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
+    assert_eq!((mirror.leader_stamp(), mirror.assignment_stamp(), mirror.unreadable_leader()), (3, 4, Some(3)));
+    let leader = json!({"node": "a", "incarnation": "1", "later": true});
+    mirror.apply(&followed(vec![written("c/leader", leader, 5)], 5));
+    assert_eq!(
+        (mirror.leader_stamp(), mirror.unreadable_leader()),
+        (5, None),
+        "fields of a later build are passed over"
+    );
+}
+
+/// The mark of an upgrade is written once; unreadable, it was waited for without end.
+#[test]
+fn an_unreadable_mark_of_an_upgrade_is_a_mark() {
+    let mut mirror = Mirror::default();
+    let mut loading = mirror.load();
+    mirror.take_page(&mut loading, &page(vec![written("c/upgraded", json!("x"), 2)], 2));
+    assert!(loading.upgraded());
+    mirror.loaded(loading);
+    assert!(mirror.old_kept(), "jobs may stand under the keys of an earlier build");
+}
+
+#[test]
+fn jobs_that_nobody_could_have_accepted_are_passed_over_by_cases() {
+    type Change = fn(&mut crate::jobs::JobSpec);
+    let cases: [(&str, Change, bool); 6] = [
+        ("as accepted", |_| {}, true),
+        ("another's id", |spec| spec.id = "run-000009".into(), false),
+        ("more tasks than memory", |spec| spec.tasks = u64::MAX, false),
+        ("no task", |spec| spec.tasks = 0, false),
+        ("a time that overflows", |spec| spec.estimate_s = 1e300, false),
+        ("a time before all times", |spec| spec.due_s = Some(-1.0), false),
+    ];
+    for (name, change, taken) in cases {
+        let mut mirror = Mirror::default();
+        read_whole(&mut mirror, vec![page(vec![written("c/o/run-000002", job_with("run-000002", change), 2)], 2)]);
+        assert_eq!(mirror.open("run-000002").is_some(), taken, "{name}");
+    }
+}
+
+/// A watermark ahead of the store would let users hear of withdrawals that no owner knows.
+#[test]
+fn a_stored_watermark_ahead_of_the_store_is_not_believed() {
+    for (token, revision, believed) in
+        [(3, 8, true), (3, 9, true), (3, 10, false), (10, 8, false), (3, u64::MAX, false)]
+    {
+        let mut mirror = Mirror::default();
+        let value = json!({"token": token, "revision": revision});
+        read_whole(&mut mirror, vec![page(vec![written("c/watermark", value, 9)], 9)]);
+        assert_eq!(mirror.watermark().is_some(), believed, "{token} {revision}");
+    }
+}
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -8,6 +8,7 @@
 pub mod follow;
 #[cfg(test)]
 mod late_transactions;
+pub mod log_limit;
 pub mod mirror;
 pub mod share;
 
