--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -2,35 +2,38 @@
 //! display, and its watermark. Of these only the watermark says what users may hear; it stays true however
 //! late it comes, and without it they hear less.
 
+mod line;
+
+pub use line::MOST_ROWS;
+
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
 use tracing::{debug, warn};
 
+use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
+
 use crate::jobs::{Counts, JobId};
 use crate::membership::records::{Assignment, Watermark};
 use crate::node::Node;
 use crate::scheduling::served::Row;
 use crate::settings::Peer;
+use crate::store::log_limit::LogLimit;
 use crate::store::share::Want;
 use crate::sync::lock;
 
 const EVERY: Duration = Duration::from_secs(1);
 /// Between two lines at the least, where the watermark is waited for.
 const PROMPT: Duration = Duration::from_millis(100);
-/// Lines that make no sense are logged this often at the most.
-const LOG_EVERY: Duration = Duration::from_secs(60);
 /// The account is told this often: what its successor may lack of it.
 const SERVED_EVERY: Duration = Duration::from_secs(20);
-/// A line is dropped with its connection past this size.
-const LINE_LIMIT: u64 = 256 * 1024;
 const WRITE_WITHIN: Duration = Duration::from_secs(2);
-/// Counts told per line, the most recently changed first.
-const MOST_COUNTS: usize = 2000;
+/// Connections that are read at once, of all peers and strangers.
+const MOST_CONNECTIONS: usize = 32;
 /// Counts kept before those of ended jobs are looked for; open jobs are what remains.
 const MOST_HEARD: usize = 10_000;
 /// A connection to a peer that says nothing itself is made anew after this.
@@ -38,28 +41,6 @@
 /// What was heard longer ago says nothing.
 const STALE: Duration = Duration::from_secs(4);
 
-#[derive(Debug, Serialize, Deserialize)]
-struct Line {
-    node: String,
-    /// Whether the sender can answer questions by what is stored.
-    store_serves: bool,
-    /// What the sender wants of the state service, in requests and in changes.
-    #[serde(default)]
-    wants: [Want; 2],
-    /// Counts of jobs that changed since the last line, from the owner.
-    #[serde(default)]
-    counts: Vec<(JobId, Counts)>,
-    /// The owner's account of who is served, once in a while.
-    #[serde(default)]
-    served: Vec<Row>,
-    /// The owner's own watermark; builds before 0.3 tell none.
-    #[serde(default)]
-    watermark: Option<Watermark>,
-    /// The highest watermark that the sender has heard of, from whomever.
-    #[serde(default)]
-    acknowledged: u64,
-}
-
 /// What one other controller said last.
 #[derive(Debug, Clone, Copy)]
 struct Told {
@@ -70,10 +51,13 @@
     at: Instant,
 }
 
+/// What the other controllers have said.
 #[derive(Debug, Default)]
 pub struct Heard {
     peers: HashMap<String, Told>,
-    logged: Option<Instant>,
+    /// Lines that are dropped, and connections.
+    odd_lines: LogLimit,
+    too_many: LogLimit,
     pub counts: HashMap<JobId, Counts>,
     /// What the owner told last of who is served, and when that was heard.
     pub served: Option<(Vec<Row>, Instant)>,
@@ -113,15 +97,6 @@
         let of = |peer: &Peer| self.peers.get(&peer.node).filter(|told| told.fresh(now)).map_or(0, |t| t.acknowledged);
         peers.iter().map(of).min().unwrap_or(u64::MAX)
     }
-
-    /// Whether a line that makes no sense is to be logged now.
-    fn logs(&mut self, now: Instant) -> bool {
-        let due = self.logged.is_none_or(|at| now.saturating_duration_since(at) >= LOG_EVERY);
-        if due {
-            self.logged = Some(now);
-        }
-        due
-    }
 }
 
 impl Told {
@@ -137,6 +112,14 @@
     (owner.node == from && *stamp == told.token).then_some(told.revision)
 }
 
+/// Whether no owner can have told this watermark, by all that the store has told up to this revision: its token is
+/// newer than the last assignment and not newer than that, or the last assignment is another's.
+fn never_was(from: &str, told: Option<Watermark>, known: Option<&(Assignment, u64)>, through: Option<u64>) -> bool {
+    let (Some(told), Some((owner, stamp)), Some(through)) = (told, known, through) else { return false };
+    let missed = told.token > *stamp && told.token <= through;
+    missed || (told.token == *stamp && owner.node != from)
+}
+
 pub async fn listen(node: Arc<Node>) {
     let listener = loop {
         match TcpListener::bind(&node.settings.mesh_listen).await {
@@ -147,54 +130,77 @@
             }
         }
     };
+    let free = Arc::new(Semaphore::new(MOST_CONNECTIONS));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(read_lines(node.clone(), stream))),
+            Ok((stream, _)) => accept(&node, &free, stream),
             Err(_) => tokio::time::sleep(EVERY).await,
         }
     }
 }
 
+/// Reads from one more connection, if there are not too many: each may hold a line.
+fn accept(node: &Arc<Node>, free: &Arc<Semaphore>, stream: TcpStream) {
+    let Ok(permit) = free.clone().try_acquire_owned() else {
+        if lock(&node.heard).too_many.due(Instant::now()) {
+            warn!(most = MOST_CONNECTIONS, "too many connections between controllers: one is dropped");
+        }
+        return;
+    };
+    let node = node.clone();
+    tokio::spawn(async move {
+        read_lines(node, stream).await;
+        drop(permit);
+    });
+}
+
 async fn read_lines(node: Arc<Node>, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
-    let mut text = String::new();
+    let mut text = Vec::new();
     loop {
         text.clear();
         // A peer that has nothing to say for this long is gone or cut off.
-        let read = tokio::time::timeout(STALE * 4, (&mut reader).take(LINE_LIMIT).read_line(&mut text)).await;
-        if !matches!(read, Ok(Ok(n)) if n > 0) {
+        let mut limited = (&mut reader).take(LINE_LIMIT);
+        let read = limited.read_until(b'\n', &mut text);
+        if !matches!(tokio::time::timeout(STALE * 4, read).await, Ok(Ok(n)) if n > 0) {
             return;
         }
-        let known = |line: &Line| node.settings.peers.iter().any(|p| p.node == line.node);
-        let line = match serde_json::from_str::<Line>(&text) {
-            Ok(line) if text.ends_with('\n') && known(&line) => line,
-            outcome => {
-                if lock(&node.heard).logs(Instant::now()) {
-                    let error = outcome.err().map(|e| e.to_string());
-                    warn!(
-                        bytes = text.len(),
-                        ?error,
-                        "a line of no controller that is known, or none that can be read"
-                    );
-                }
-                return;
+        if let Err(problem) = take_line(&node, &text, Instant::now()) {
+            if lock(&node.heard).odd_lines.due(Instant::now()) {
+                warn!(bytes = text.len(), %problem, "a line between controllers is dropped, and its connection");
             }
-        };
-        let watermark = believed(&line.node, line.watermark, lock(&node.mirror).assignment());
-        node.history.advance(watermark.unwrap_or(0));
-        let many = {
-            let mut heard = lock(&node.heard);
-            heard.told(line.node, line.store_serves, line.wants, line.acknowledged, Instant::now());
-            heard.counts.extend(line.counts);
-            if !line.served.is_empty() {
-                heard.served = Some((line.served, Instant::now()));
-            }
-            heard.counts.len() > MOST_HEARD
-        };
-        if many {
-            node.tidy_counts();
+            return;
+        }
+    }
+}
+
+/// Takes in what a peer has said, or nothing at all of it.
+fn take_line(node: &Node, text: &[u8], now: Instant) -> Result<(), BadLine> {
+    let line = Line::read(text, &node.settings.peers)?;
+    let (watermark, owns) = {
+        let mirror = lock(&node.mirror);
+        let assignment = mirror.assignment();
+        if never_was(&line.node, line.watermark, assignment, mirror.asking()) {
+            return Err(BadLine::Token(line.node));
         }
+        let owns = assignment.is_some_and(|(owner, _)| owner.node == line.node);
+        (believed(&line.node, line.watermark, assignment), owns)
+    };
+    node.history.advance(watermark.unwrap_or(0));
+    let many = {
+        let mut heard = lock(&node.heard);
+        heard.told(line.node, line.store_serves, line.wants, line.acknowledged, now);
+        heard.counts.extend(line.counts);
+        // Whoever does not own has no account to tell.
+        if owns && !line.served.is_empty() {
+            heard.served = Some((line.served, now));
+        }
+        heard.counts.len() > MOST_HEARD
+    };
+    if many {
+        node.tidy_counts();
     }
+    Ok(())
 }
 
 /// One connection to one peer, made again whenever it breaks.
--- /dev/null
+++ b/src/membership/mesh/line/tests.rs
@@ -0,0 +1,95 @@
+use serde_json::json;
+
+use super::*;
+
+fn peers() -> Vec<Peer> {
+    vec![Peer { node: "node-1".into(), addr: "127.0.0.1:3".into() }]
+}
+
+fn whole() -> Value {
+    json!({
+        "node": "node-1", "store_serves": true,
+        "wants": [{"owner": true, "per_second": 2.5}, {"owner": true, "per_second": 1.0}],
+        "counts": [["run-000001", {"running": 2, "done": 1}]],
+        "served": [],
+        "watermark": {"token": 7, "revision": 50}, "acknowledged": 40
+    })
+}
+
+fn read(value: &Value) -> Result<Line, BadLine> {
+    Line::read(format!("{value}\n").as_bytes(), &peers())
+}
+
+#[test]
+fn lines_that_are_dropped_by_cases() {
+    let unreadable = |outcome: &Result<Line, BadLine>| matches!(outcome, Err(BadLine::Unreadable(_)));
+    let long = vec![b' '; LINE_LIMIT as usize];
+    let deep = format!("{}\n", "[".repeat(100_000));
+    let texts: [&[u8]; 9] = [
+        b"\n",
+        b"hello\n",
+        b"GET / HTTP/1.1\r\n",
+        b"\xff\xfe\x00\n",
+        b"{\"node\":\"node-1\"}\n",
+        b"{\"store_serves\":true}\n",
+        b"{\"node\":7,\"store_serves\":true}\n",
+        b"{\"node\":\"node-1\",\"store_serves\":true,\"acknowledged\":1e999}\n",
+        deep.as_bytes(),
+    ];
+    for text in texts {
+        let outcome = Line::read(text, &peers());
+        assert!(unreadable(&outcome), "{outcome:?}");
+    }
+    assert_eq!(Line::read(&long, &peers()).unwrap_err(), BadLine::TooLong);
+    assert_eq!(Line::read(b"{\"node\":", &peers()).unwrap_err(), BadLine::Unfinished);
+    let stranger = json!({"node": "node-9", "store_serves": true});
+    assert_eq!(read(&stranger).unwrap_err(), BadLine::Stranger("node-9".into()));
+}
+
+/// An earlier build tells less and a later one more: what both know counts, and the line of neither is lost.
+#[test]
+fn lines_of_other_builds_by_cases() {
+    let default = || (0, None, 0);
+    let told = |line: &Line| (line.counts.len(), line.watermark.map(|w| w.revision), line.acknowledged);
+    let with = |field: &str, value: Value| {
+        let mut line = whole();
+        line[field] = value;
+        line
+    };
+    let row = json!({"whose": "Planet", "name": "x"});
+    for (name, line, want) in [
+        ("this build's", whole(), (1, Some(50), 40)),
+        ("the least that there is", json!({"node": "node-1", "store_serves": true}), default()),
+        ("a field of a later build", with("weather", json!({"wind": [1]})), (1, Some(50), 40)),
+        ("a watermark of another form", with("watermark", json!({"token": "7"})), (1, None, 40)),
+        ("a watermark without its token", with("watermark", json!({"revision": 50})), (1, None, 40)),
+        ("a watermark below all", with("watermark", json!({"token": -7, "revision": 50})), (1, None, 40)),
+        ("an acknowledgement of another form", with("acknowledged", json!([40])), (1, Some(50), 0)),
+        ("wants of another form", with("wants", json!({"a": 1})), (1, Some(50), 40)),
+        ("more wants", with("wants", json!([{}, {}, {}])), (1, Some(50), 40)),
+        ("rows of another form", with("served", json!([row])), (1, Some(50), 40)),
+        ("counts of another form", with("counts", json!({"run-000001": 2})), (0, Some(50), 40)),
+        (
+            "one count of another form",
+            with("counts", json!([["run-000001", {}], ["run-000002", {"running": 1, "done": 0}]])),
+            (1, Some(50), 40),
+        ),
+    ] {
+        let line = read(&line).unwrap_or_else(|problem| panic!("{name}: {problem}"));
+        assert_eq!(told(&line), want, "{name}");
+        assert!(line.store_serves && line.served.is_empty(), "{name}");
+    }
+}
+
+/// What is kept of lines is bounded: ids are short, and of counts no more are taken than a line holds.
+#[test]
+fn counts_are_taken_of_jobs_that_can_be() {
+    let count = json!({"running": 1, "done": 0});
+    let long = format!("run-{}", "1".repeat(100_000));
+    let mut line = whole();
+    line["counts"] = json!([["run-000001", count], [long, count], ["../x", count], ["", count]]);
+    assert_eq!(read(&line).unwrap().counts.len(), 1);
+    let many: Vec<Value> = (0..MOST_COUNTS + 5).map(|n| json!([format!("run-{n}"), count])).collect();
+    line["counts"] = json!(many);
+    assert_eq!(read(&line).unwrap().counts.len(), MOST_COUNTS);
+}
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -21,3 +21,99 @@
     }
     assert!(heard.hears("b", t + s(23)) && !heard.hears("b", t + s(24)) && !heard.hears("c", t + s(20)));
 }
+
+fn assigned(node: &str, stamp: u64) -> (Assignment, u64) {
+    (Assignment { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
+}
+
+#[test]
+fn tokens_that_never_were_by_cases() {
+    for (name, from, token, known, through, want) in [
+        ("the owner's", "b", 7, Some(("b", 7)), Some(9), false),
+        ("an earlier owner's, on its way", "b", 5, Some(("c", 7)), Some(9), false),
+        ("one that was not heard of yet", "b", 12, Some(("c", 7)), Some(9), false),
+        ("one that the store would have told of", "b", 8, Some(("b", 7)), Some(9), true),
+        ("the last that it would have told of", "b", 9, Some(("b", 7)), Some(9), true),
+        ("another's", "b", 7, Some(("c", 7)), Some(9), true),
+        ("the store is not read", "b", 8, Some(("b", 7)), None, false),
+        ("nobody owns, as far as is known", "b", 8, None, Some(9), false),
+    ] {
+        let known = known.map(|(node, stamp)| assigned(node, stamp));
+        let told = Some(Watermark { token, revision: 50 });
+        assert_eq!(never_was(from, told, known.as_ref(), through), want, "{name}");
+    }
+    assert!(!never_was("b", None, Some(&assigned("c", 7)), Some(9)), "no watermark at all");
+}
+
+/// A controller for whose peer `node-1` owns by the store.
+fn node_that_knows_an_owner() -> Arc<Node> {
+    let node = Node::new(crate::settings::tests::example(), crate::settings::Properties::default());
+    let mut mirror = lock(&node.mirror);
+    let loading = mirror.load();
+    mirror.loaded(loading);
+    mirror.note_assignment(assigned("node-1", 7).0, 7);
+    drop(mirror);
+    node
+}
+
+/// What cannot be trusted leaves no trace, and what can counts.
+#[test]
+fn a_line_is_taken_whole_or_not_at_all() {
+    let node = node_that_knows_an_owner();
+    let now = Instant::now();
+    let counts = r#""counts":[["run-000001",{"running":1,"done":0}]]"#;
+    for text in [
+        "nonsense\n".to_owned(),
+        format!(r#"{{"node":"node-9","store_serves":true,{counts}}}{}"#, "\n"),
+        format!(r#"{{"node":"node-1","store_serves":true,{counts}"#),
+    ] {
+        take_line(&node, text.as_bytes(), now).unwrap_err();
+        let heard = lock(&node.heard);
+        assert!(!heard.hears("node-1", now) && heard.counts.is_empty(), "{text}");
+    }
+    let line =
+        format!(r#"{{"node":"node-1","store_serves":true,{counts},"watermark":{{"token":7,"revision":50}}}}{}"#, "\n");
+    take_line(&node, line.as_bytes(), now).unwrap();
+    assert!(lock(&node.heard).hears("node-1", now));
+    assert_eq!((lock(&node.heard).counts.len(), node.history.watermark()), (1, 50));
+}
+
+/// By a token that the store would have told of, nothing of the line counts.
+#[test]
+fn a_line_under_a_token_that_never_was_is_dropped() {
+    let node = node_that_knows_an_owner();
+    let read_on = crate::store::client::Followed { revision: 90, log: Vec::new() };
+    lock(&node.mirror).apply(&read_on);
+    let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
+    let outcome = take_line(&node, format!("{line}\n").as_bytes(), Instant::now());
+    assert_eq!(outcome, Err(BadLine::Token("node-1".into())));
+    assert_eq!(node.history.watermark(), 0);
+}
+
+/// Connections that say nothing that can be read are closed, however many come; those past the bound at once.
+#[test]
+fn strangers_are_closed_and_bounded() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let node = node_that_knows_an_owner();
+        let free = Arc::new(Semaphore::new(1));
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let addr = listener.local_addr().unwrap();
+        let connect = async || {
+            let client = TcpStream::connect(addr).await.unwrap();
+            accept(&node, &free, listener.accept().await.unwrap().0);
+            client
+        };
+        let mut end = [0];
+        let mut first = connect().await;
+        let mut second = connect().await;
+        assert_eq!(second.read(&mut end).await.unwrap(), 0, "one too many");
+        // Too long, without the end of a line; the reader hangs up in the middle of it.
+        let long = vec![b'x'; LINE_LIMIT as usize];
+        first.write_all(&long).await.unwrap();
+        assert!(matches!(first.read(&mut end).await, Ok(0) | Err(_)));
+        let regained = free.acquire().await.unwrap();
+        drop(regained);
+        assert!(!lock(&node.heard).hears("node-1", Instant::now()));
+    });
+}
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -8,9 +8,12 @@
 pub mod records;
 pub mod standing;
 pub mod stranded;
+mod turns;
+mod unreadable;
 pub mod watermark;
 #[cfg(test)]
 mod watermark_tests;
+mod yielding;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,21 +26,24 @@
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
 use crate::sync::lock;
 use records::{Assignment, Leader, Watermark};
+use turns::{Pace, in_turn};
+use unreadable::UnreadableLeader;
 use watermark::Lag;
-
-/// After yielding, the others get this long to take over before this controller tries again.
-const BACK_OFF: Duration = Duration::from_secs(10);
+use yielding::Yielding;
 
 /// A process ends the leadership of those before it on its address this often at the most: two controllers
 /// that were given one name by mistake must not do so to each other for ever.
 const MOST_EXPIRED: u32 = 2;
 
+/// Stands for a leader whose key cannot be read; no incarnation is empty.
+const UNREADABLE: &str = "";
+
 /// What this controller is to do next, from what it knows.
 #[derive(Debug, PartialEq, Eq)]
 enum Step {
     Wait,
     /// The process that leads was this one's predecessor on its address, so it is gone: its leadership is
-    /// ended before its lease runs out.
+    /// ended before its lease runs out. The same of a leader whose key cannot be read.
     Expire,
     Campaign,
     Renew,
@@ -45,7 +51,7 @@
 }
 
 /// Pure, so that every combination can be tried. `predecessor`: another incarnation of this controller's
-/// name leads.
+/// name leads, or nobody whose key can be read.
 fn next_step(
     me: &str,
     leader: Option<&str>,
@@ -70,79 +76,171 @@
     assignment.is_some_and(|(owner, stamp)| owner == me && token.is_none_or(|token| token < stamp))
 }
 
-pub async fn run(node: Arc<Node>) {
-    let life = node.properties.leader_lease;
-    let renew_every = life / 4;
-    let mut permit: Option<u64> = None;
-    let mut renewed = Instant::now();
-    let mut backs_off_until = Instant::now();
-    let mut expired = 0;
-    let mut lag = Lag::default();
-    loop {
-        let _ = tokio::time::timeout(renew_every / 2, node.wake.membership.notified()).await;
-        let (ready, leader, assignment) = {
-            let mirror = lock(&node.mirror);
-            (mirror.ready, mirror.leader().cloned(), mirror.assignment().cloned())
-        };
-        if !ready {
-            continue;
+/// What this controller knows of who leads and owns at the moment it looks.
+struct View {
+    leader: Option<Leader>,
+    leader_stamp: u64,
+    unreadable_leader: Option<u64>,
+    assignment: Option<(Assignment, u64)>,
+    assignment_stamp: u64,
+}
+
+impl View {
+    /// None while the store is not read.
+    fn of(node: &Node) -> Option<Self> {
+        let mirror = lock(&node.mirror);
+        mirror.ready.then(|| Self {
+            leader: mirror.leader().map(|(leader, _)| leader.clone()),
+            leader_stamp: mirror.leader_stamp(),
+            unreadable_leader: mirror.unreadable_leader(),
+            assignment: mirror.assignment().cloned(),
+            assignment_stamp: mirror.assignment_stamp(),
+        })
+    }
+
+    /// Who leads; a name that no process has where that cannot be read.
+    fn leads(&self) -> Option<&str> {
+        let unreadable = self.unreadable_leader.map(|_| UNREADABLE);
+        self.leader.as_ref().map(|leader| leader.incarnation.as_str()).or(unreadable)
+    }
+}
+
+/// What this controller keeps of its own part in who leads.
+struct Member {
+    pace: Pace,
+    /// The lease on which it leads, or led last.
+    permit: Option<u64>,
+    renewed: Instant,
+    assigned_last: bool,
+    /// Predecessors whose leadership it has ended.
+    expired: u32,
+    yielding: Yielding,
+    unreadable: UnreadableLeader,
+}
+
+impl Member {
+    fn new(life: Duration) -> Self {
+        Self {
+            pace: Pace { life },
+            permit: None,
+            renewed: Instant::now(),
+            assigned_last: false,
+            expired: 0,
+            yielding: Yielding::default(),
+            unreadable: UnreadableLeader::default(),
         }
-        node.check_deposed();
-        if let Some(lease) = permit
-            && node.should_yield(Instant::now())
+    }
+
+    /// Gives the leadership up where workers reach another controller. False if there is nothing to give up.
+    async fn yields(&mut self, node: &Node) -> bool {
+        if let (Some(lease), Some(plea)) = (self.permit, node.plea_to_answer(Instant::now()))
+            && self.yielding.begins(plea, lease, Instant::now())
         {
             warn!("yields: workers reach another controller and not this one");
-            if node.store.release(lease).await.is_ok() {
-                permit = None;
-                backs_off_until = Instant::now() + BACK_OFF;
-            }
-            continue;
         }
-        if leader.is_none() && Instant::now() < backs_off_until {
-            continue;
+        let Some(lease) = self.yielding.to_release() else { return false };
+        match node.store.release(lease).await {
+            Ok(()) => {
+                self.permit = None;
+                self.yielding.released(Instant::now());
+            }
+            Err(error) => {
+                debug!(%error, "giving up the leadership");
+                tokio::time::sleep(crate::sync::jitter(self.pace.retry())).await;
+            }
         }
+        true
+    }
+
+    /// What is to be done next.
+    fn next(&mut self, node: &Node, view: &View) -> Step {
         let token = lock(&node.book).as_ref().map(|book| book.token);
-        let assigned = assignment.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
+        let assigned = view.assignment.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
+        let own_name = view.leader.as_ref().is_some_and(|leader| leader.node == node.settings.node);
+        let nobody = self.unreadable.expires(view.unreadable_leader, self.pace.life, Instant::now());
+        let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
         let step = next_step(
             &node.incarnation,
-            leader.as_ref().map(|(l, _)| l.incarnation.as_str()),
-            expired < MOST_EXPIRED && leader.as_ref().is_some_and(|(l, _)| l.node == node.settings.node),
+            view.leads(),
+            nobody || (own_name && self.expired < MOST_EXPIRED),
             assigned.map(|(owner, _)| owner),
             node.raise_wanted() || unheard(&node.incarnation, assigned, token),
-            renewed.elapsed() >= renew_every,
+            renew_due,
         );
-        let outcome = match step {
+        in_turn(step, self.assigned_last, renew_due)
+    }
+
+    async fn take(&mut self, node: &Arc<Node>, view: &View, step: &Step) -> Result<(), StoreError> {
+        self.assigned_last = *step == Step::Assign;
+        match step {
             Step::Wait => Ok(()),
-            Step::Expire => expire_predecessor(&node, leader.map_or(0, |(_, s)| s)).await.map(|()| expired += 1),
-            Step::Campaign => campaign(&node, &mut permit, life).await.map(|()| renewed = Instant::now()),
-            Step::Renew => match permit {
-                Some(lease) => node.store.renew(lease).await.map(|alive| {
-                    renewed = Instant::now();
-                    if !alive {
-                        info!("leadership lost: its lease has ended");
-                        permit = None;
-                    }
-                }),
-                None => Ok(()),
-            },
-            Step::Assign => assign(&node, leader.map_or(0, |(_, s)| s), assignment.map_or(0, |(_, s)| s)).await,
-        };
-        if let Err(error) = outcome {
-            debug!(%error, ?step, "membership");
-            tokio::time::sleep(crate::sync::jitter(Duration::from_millis(150))).await;
+            Step::Expire => {
+                expire(node, view.leader_stamp).await?;
+                self.expired += u32::from(view.unreadable_leader.is_none());
+                Ok(())
+            }
+            Step::Campaign => {
+                campaign(node, &mut self.permit, self.pace.life).await?;
+                self.renewed = Instant::now();
+                Ok(())
+            }
+            Step::Renew => self.renew(node).await,
+            Step::Assign => {
+                let assigning = assign(node, view.leader_stamp, view.assignment_stamp);
+                let outcome = tokio::time::timeout(self.pace.assign_within(), assigning).await;
+                outcome.unwrap_or(Err(StoreError::Unanswered))
+            }
         }
-        let [_, waiting] = node.history.hidden();
-        if let Some(long) = lag.tells(waiting, node.history.watermark(), Instant::now()) {
-            warn!(
-                waiting,
-                for_s = long.as_secs(),
-                owner = node.owner_node(),
-                "withdrawals are stored and not confirmed by the owner: their users are told to come again"
-            );
+    }
+
+    async fn renew(&mut self, node: &Node) -> Result<(), StoreError> {
+        let Some(lease) = self.permit else { return Ok(()) };
+        let alive = node.store.renew(lease).await?;
+        self.renewed = Instant::now();
+        if !alive {
+            info!("leadership lost: its lease has ended");
+            self.permit = None;
         }
-        if let Some(watermark) = node.watermark_to_store(Instant::now()) {
-            store_watermark(&node, watermark).await;
+        Ok(())
+    }
+}
+
+/// Leads, or waits until it can, for ever.
+pub async fn run(node: Arc<Node>) {
+    let mut member = Member::new(node.properties.leader_lease);
+    let mut lag = Lag::default();
+    loop {
+        let _ = tokio::time::timeout(member.pace.look_every(), node.wake.membership.notified()).await;
+        let Some(view) = View::of(&node) else { continue };
+        node.check_deposed();
+        if member.yields(&node).await {
+            continue;
+        }
+        if view.leads().is_none() && member.yielding.stands_back(Instant::now()) {
+            continue;
+        }
+        let step = member.next(&node, &view);
+        if let Err(error) = member.take(&node, &view, &step).await {
+            debug!(%error, ?step, "membership");
+            tokio::time::sleep(crate::sync::jitter(member.pace.retry())).await;
         }
+        tend_watermark(&node, &mut lag).await;
+    }
+}
+
+/// Tells of a watermark that stands still, and stores it for those who do not hear it.
+async fn tend_watermark(node: &Node, lag: &mut Lag) {
+    let [_, waiting] = node.history.hidden();
+    if let Some(long) = lag.tells(waiting, node.history.watermark(), Instant::now()) {
+        warn!(
+            waiting,
+            for_s = long.as_secs(),
+            owner = node.owner_node(),
+            "withdrawals are stored and not confirmed by the owner: their users are told to come again"
+        );
+    }
+    if let Some(watermark) = node.watermark_to_store(Instant::now()) {
+        store_watermark(node, watermark).await;
     }
 }
 
@@ -152,10 +250,10 @@
     (Condition::at(LEADER, stamp), Change::Drop { drop: LEADER.into() })
 }
 
-async fn expire_predecessor(node: &Node, stamp: u64) -> Result<(), StoreError> {
+async fn expire(node: &Node, stamp: u64) -> Result<(), StoreError> {
     let (condition, change) = expiry(stamp);
     let outcome = node.store.txn(&[condition], &[change], Urgent::First).await?;
-    info!(?outcome, "its predecessor led: that is over");
+    info!(?outcome, "its predecessor led, or nobody whose key can be read: that is over");
     node.fresh.wait().await;
     Ok(())
 }
--- /dev/null
+++ b/src/membership/turns.rs
@@ -0,0 +1,53 @@
+//! Turns of the leader between what it writes and the renewal of its lease.
+//!
+//! An assignment may get no answer for as long as an answer is waited for, and is then written again. Were that
+//! to go on, the lease would end meanwhile. So an assignment is given a part of the lease, and after each a
+//! renewal that is due goes next: the lease ends only where renewals themselves are not answered. Pure.
+
+use std::time::Duration;
+
+use super::Step;
+
+/// The lease is renewed so many times in its life.
+const RENEWALS: u32 = 4;
+/// Of a lease's life the part that one assignment may take.
+const ASSIGN_PART: u32 = 3;
+/// Between two tries, with the part of a short lease that it may take.
+const RETRY: Duration = Duration::from_millis(150);
+const RETRY_PART: u32 = 20;
+
+/// How long this leader's steps may take, by the life of its lease.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Pace {
+    pub life: Duration,
+}
+
+impl Pace {
+    /// Between two renewals.
+    pub fn renew_every(self) -> Duration {
+        self.life / RENEWALS
+    }
+
+    /// The longest wait for something to do.
+    pub fn look_every(self) -> Duration {
+        self.renew_every() / 2
+    }
+
+    /// An assignment that has got no answer by then is written again.
+    pub fn assign_within(self) -> Duration {
+        self.life / ASSIGN_PART
+    }
+
+    /// After a step that failed, to be spread by `sync::jitter`.
+    pub fn retry(self) -> Duration {
+        RETRY.min(self.life / RETRY_PART)
+    }
+}
+
+/// The step that goes next: a renewal that is due before a second assignment.
+pub(super) fn in_turn(step: Step, assigned_last: bool, renew_due: bool) -> Step {
+    if step == Step::Assign && assigned_last && renew_due { Step::Renew } else { step }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/membership/turns/tests.rs
@@ -0,0 +1,54 @@
+use super::super::next_step;
+use super::*;
+
+/// The most that `sync::jitter` makes of a pause.
+const MOST_JITTER: f64 = 1.5;
+/// An answer of the store that is slow and comes.
+const SLOW_ANSWER: Duration = Duration::from_millis(30);
+
+/// The longest time between two renewals of a leader that is to assign and never gets an answer, each step and
+/// pause taking as long as it may.
+fn longest_without_renewal(pace: Pace) -> Duration {
+    let (mut now, mut renewed, mut longest) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
+    let mut assigned_last = false;
+    while now < pace.life * 20 {
+        now += pace.look_every();
+        let due = now - renewed >= pace.renew_every();
+        let step = in_turn(next_step("a", Some("a"), false, Some("b"), true, due), assigned_last, due);
+        assigned_last = step == Step::Assign;
+        match step {
+            Step::Assign => now += pace.assign_within() + pace.retry().mul_f64(MOST_JITTER),
+            Step::Renew => {
+                now += SLOW_ANSWER;
+                longest = longest.max(now - renewed);
+                renewed = now;
+            }
+            other => panic!("{other:?} of a leader that is to assign"),
+        }
+    }
+    longest.max(now - renewed)
+}
+
+/// A run of assignments without an answer cost the leader its lease, and the work a change of owner.
+#[test]
+fn assignments_without_an_answer_cost_no_lease() {
+    for life_ms in [500, 1000, 3000, 10_000, 600_000] {
+        let pace = Pace { life: Duration::from_millis(life_ms) };
+        let longest = longest_without_renewal(pace);
+        assert!(longest < pace.life, "a lease of {life_ms} ms is renewed after {longest:?}");
+    }
+}
+
+#[test]
+fn whose_turn_it_is_by_cases() {
+    for (name, step, assigned_last, due, want) in [
+        ("a first assignment goes at once", Step::Assign, false, true, Step::Assign),
+        ("a second one waits for a renewal", Step::Assign, true, true, Step::Renew),
+        ("a second one, and none is due", Step::Assign, true, false, Step::Assign),
+        ("nothing is led", Step::Campaign, true, true, Step::Campaign),
+        ("another leads", Step::Wait, true, true, Step::Wait),
+        ("its predecessor leads", Step::Expire, true, true, Step::Expire),
+    ] {
+        assert_eq!(in_turn(step, assigned_last, due), want, "{name}");
+    }
+}
--- a/src/node.rs
+++ b/src/node.rs
@@ -69,9 +69,6 @@
     pub mesh: tokio::sync::watch::Sender<()>,
 }
 
-/// Rows of the account told at once: a line between controllers is bounded.
-const MOST_ROWS: usize = 200;
-
 pub struct Node {
     pub settings: Settings,
     pub properties: Properties,
@@ -105,6 +102,8 @@
     /// Withdrawals that other controllers may not have heard this owner confirm.
     unconfirmed: Mutex<Unconfirmed>,
     owner_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
+    /// Orders that are marked as done wait for a higher token (`fleet::orders`).
+    marks_pressed: AtomicBool,
 }
 
 /// An owner writes most; the others keep enough for users and for a campaign.
@@ -152,6 +151,7 @@
             let_go: Mutex::default(),
             unconfirmed: Mutex::default(),
             owner_tasks: Mutex::default(),
+            marks_pressed: AtomicBool::new(false),
             settings,
             properties,
         })
@@ -299,6 +299,7 @@
 
     /// This controller's record stands as the assignment, under this token.
     pub fn owns(self: &Arc<Self>, token: u64) {
+        self.press_marks(false);
         let mut held = lock(&self.book);
         if let Some(book) = held.as_mut() {
             book.raise_token(token);
@@ -432,8 +433,15 @@
         }
     }
 
+    /// Whether the owner's token is to be raised: commands are to be made void, or marks of orders to be dropped.
     pub fn raise_wanted(&self) -> bool {
-        lock(&self.book).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()))
+        let marks = self.marks_pressed.load(Ordering::Relaxed);
+        lock(&self.book).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
+    }
+
+    /// Whether so many orders are marked as done that a higher token is wanted, under which they can be dropped.
+    pub fn press_marks(&self, pressed: bool) {
+        self.marks_pressed.store(pressed, Ordering::Relaxed);
     }
 
     /// A worker was sent to the owner. If workers keep coming back, the owner is told through the
@@ -450,10 +458,11 @@
         });
     }
 
-    /// Whether another controller pleads for workers that this owner has indeed lost.
-    pub fn should_yield(&self, now: Instant) -> bool {
-        let Some(plea) = lock(&self.mirror).plea().cloned() else { return false };
-        lock(&self.book).as_ref().is_some_and(|b| b.token == plea.token && b.lost_most(now))
+    /// The version of a plea of another controller for workers that this owner has indeed lost.
+    pub fn plea_to_answer(&self, now: Instant) -> Option<u64> {
+        let (plea, stamp) = lock(&self.mirror).plea().cloned()?;
+        let lost = lock(&self.book).as_ref().is_some_and(|b| b.token == plea.token && b.lost_most(now));
+        lost.then_some(stamp)
     }
 
     /// The node that workers should report to, as far as known here.
@@ -565,7 +574,7 @@
         if lock(&self.book).is_none() {
             return Vec::new();
         }
-        lock(&self.served).rows().iter().take(MOST_ROWS).cloned().collect()
+        lock(&self.served).rows().iter().take(mesh::MOST_ROWS).cloned().collect()
     }
 
     /// Drops the counts of jobs that are not open.
