--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -42,6 +42,8 @@
 const RENT_TRIES: u32 = 6;
 /// So many are too many to wait for an idle moment: a new owner carries them all out once more.
 const TIDY_PRESSED: usize = 12;
+/// Keys of orders that stay marked as done under one token, and one clean-up more at the most.
+const MOST_MARKED: usize = 64;
 /// Clean-up of orders gives way after this.
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
@@ -102,6 +104,11 @@
         &self.finished
     }
 
+    /// Whether so many are marked that a higher token is wanted, under which they can be dropped.
+    fn marks_press(&self) -> bool {
+        self.marked.len() >= MOST_MARKED
+    }
+
     /// These were cleaned up under this token.
     fn cleaned_up(&mut self, keys: &[String], token: u64) {
         self.finished.retain(|key| !keys.contains(key));
@@ -338,7 +345,9 @@
     }
     let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.txn(&conditions, &changes, urgent)).await;
     if matches!(outcome, Ok(Ok(TxnOutcome::Applied(_)))) {
-        lock(dealings).cleaned_up(&keys, token);
+        let mut dealings = lock(dealings);
+        dealings.cleaned_up(&keys, token);
+        node.press_marks(dealings.marks_press());
     }
 }
 
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -11,6 +11,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
+use super::cloud::{MOST_RENTED, MOST_RETURNED};
 use crate::jobs::record::ASSIGNMENT;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
 use crate::wire::cloud::Rental;
@@ -31,6 +32,22 @@
     Done,
 }
 
+impl What {
+    /// Whether a controller can have meant it: each call is as large as the cloud takes it.
+    fn check(&self) -> Result<(), String> {
+        match self {
+            Self::Rent(rentals) => match rentals.iter().find(|rental| !(1..=MOST_RENTED).contains(&rental.count)) {
+                Some(rental) => Err(format!("count: {} is not between 1 and {MOST_RENTED}", rental.count)),
+                None => Ok(()),
+            },
+            Self::Return(names) if names.len() > MOST_RETURNED => {
+                Err(format!("return: {} machines are more than {MOST_RETURNED}", names.len()))
+            }
+            Self::Return(_) | Self::Done => Ok(()),
+        }
+    }
+}
+
 /// One order. Its epoch is the assignment under which it was first meant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
@@ -90,10 +107,11 @@
     }
 
     pub fn read(item: &Item) -> Option<Self> {
-        match Stored::deserialize(&item.value) {
+        let read = Stored::deserialize(&item.value).map_err(|error| error.to_string());
+        match read.and_then(|stored| stored.what.check().map(|()| stored)) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, what: stored.what }),
             Err(problem) => {
-                error!(path = item.path, %problem, "an unreadable order in the store");
+                error!(path = item.path, problem, "an order in the store that cannot be carried out; left as it is");
                 None
             }
         }
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -3,7 +3,7 @@
 use hollylanding_emulator::world::store::Store;
 
 use super::*;
-use crate::fleet::Dealings;
+use crate::fleet::{Dealings, MOST_MARKED};
 
 fn rental() -> Rental {
     Rental { request: name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
@@ -100,3 +100,26 @@
     dealings.cleaned_up(&[unsure], 9);
     assert!(dealings.due_for_clean_up(10).is_empty() && dealings.late.is_empty() && dealings.marked.is_empty());
 }
+
+/// Every try of every order goes unanswered, for as long as one owner stays: the marks are as many as one token
+/// may leave, and not one for each order.
+#[test]
+fn marks_stay_few_in_a_long_term() {
+    let (mut token, mut raises, mut most) = (7, 0, 0);
+    let mut dealings = Dealings::default();
+    for number in 1..=1000 {
+        let key = format!("{ORDERS}{}", name("me", token, number));
+        dealings.late.insert(key.clone(), token);
+        dealings.finished.push(key);
+        let keys: Vec<String> = dealings.due_for_clean_up(token).iter().take(24).cloned().collect();
+        dealings.cleaned_up(&keys, token);
+        most = most.max(dealings.marked.len());
+        if dealings.marks_press() {
+            token += 1;
+            raises += 1;
+        }
+    }
+    assert!(most <= MOST_MARKED + 24, "{most} marks");
+    assert!(dealings.late.len() <= MOST_MARKED * 2 + 24, "{} orders in mind", dealings.late.len());
+    assert!(raises <= 1000 / MOST_MARKED + 1, "{raises} tokens");
+}
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -4,6 +4,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use super::*;
+use serde_json::json;
 
 fn failed(keys: &[&str]) -> Result<TxnOutcome, StoreError> {
     Ok(TxnOutcome::Failed(keys.iter().map(|k| (*k).to_owned()).collect()))
@@ -172,3 +173,31 @@
     assert_eq!(harm(true), 0);
     assert!(harm(false) > 0, "without stored orders the play finds it");
 }
+
+/// What cannot be carried out is left as it is; a controller goes on with the other orders.
+#[test]
+fn stored_orders_by_cases() {
+    let rental = |count: u64| json!({"request": "r", "typeName": "g8", "zone": "a", "spot": false, "count": count});
+    let written = |what: What| serde_json::to_value(Stored { epoch: 7, what }).unwrap();
+    let of = |count: u64| {
+        let rental = Rental { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
+        written(What::Rent(vec![rental]))
+    };
+    let names = |n: usize| written(What::Return(vec!["m".into(); n]));
+    for (name, value, read) in [
+        ("a rental", of(MOST_RENTED), true),
+        ("of none", of(0), false),
+        ("of more than the cloud rents at once", of(u64::MAX), false),
+        ("a return", names(MOST_RETURNED), true),
+        ("of more than the cloud takes at once", names(MOST_RETURNED + 1), false),
+        ("done", written(What::Done), true),
+        ("of a later build", json!({"epoch": 7, "what": {"move": []}}), false),
+        ("with a field of a later build", json!({"epoch": 7, "what": "done", "why": "x"}), true),
+        ("without its epoch", json!({"what": "done"}), false),
+        ("half a rental", json!({"epoch": 7, "what": {"rent": [rental(1)["zone"]]}}), false),
+        ("nothing", json!(null), false),
+    ] {
+        let item = Item { path: "d/me-7-1".into(), value, stamp: 1 };
+        assert_eq!(CloudOrder::read(&item).is_some(), read, "{name}");
+    }
+}
