--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -3,7 +3,7 @@
 use hollylanding_emulator::world::store::Store;
 
 use super::*;
-use crate::fleet::{Dealings, MOST_MARKED};
+use crate::fleet::dealings::{Dealings, MOST_MARKED};
 
 fn rental() -> Rental {
     Rental { request: name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
--- /dev/null
+++ b/src/fleet/rentals.rs
@@ -0,0 +1,128 @@
+//! Rentals: what to rent now, and carrying it out.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tracing::{debug, info, warn};
+
+use super::RETRY;
+use super::cloud::{CloudError, MOST_RENTED, Rental};
+use super::dealings::Shared;
+use super::order_log::store;
+use super::orders::{self, What};
+use super::rent as plan;
+use crate::kinds::Kind;
+use crate::node::Node;
+use crate::sync::{jitter, lock};
+
+/// Rentals of one kind asked for at once, each of up to `MOST_RENTED` machines.
+const MOST_RENTALS: u64 = 8;
+/// An unanswered rental is asked again under its own name this often before it is let go; what
+/// it may still bring is adopted when it reports.
+const RENT_TRIES: u32 = 6;
+
+/// What to rent, the requests of each kind together.
+pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<Rental>> {
+    let now = Instant::now();
+    let Some(catalog) = node.catalog() else { return Vec::new() };
+    let held = lock(&node.book);
+    let Some(book) = held.as_ref() else { return Vec::new() };
+    let mut dealings = lock(dealings);
+    dealings.refusals.holds(&plan::held_by_kind(book));
+    let wanted = plan::plan(book, &catalog, &dealings.refusals, &dealings.asked, now);
+    let mut rentals = Vec::new();
+    for (kind, count) in wanted {
+        let mut left = count.min(MOST_RENTALS * MOST_RENTED);
+        *dealings.asked.entry(kind.clone()).or_default() += left;
+        let mut of_kind = Vec::new();
+        while left > 0 {
+            let count = left.min(MOST_RENTED);
+            left -= count;
+            dealings.next += 1;
+            of_kind.push(Rental {
+                request: orders::name(&node.incarnation, book.token, dealings.next),
+                type_name: kind.type_name.clone(),
+                zone: kind.zone.clone(),
+                spot: kind.spot,
+                count,
+            });
+        }
+        rentals.push(of_kind);
+    }
+    rentals
+}
+
+/// The requests of one kind, stored before the first is made.
+pub(super) async fn rent(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>) {
+    match store(&node, &dealings, What::Rent(rentals.clone()), || false).await {
+        Ok(key) => carry_out(node, dealings, rentals, key).await,
+        Err(_) => {
+            let mut dealings = lock(&dealings);
+            for rental in &rentals {
+                dealings.no_longer_asked(&kind_of(rental), rental.count);
+            }
+        }
+    }
+}
+
+/// One after another: once one was not filled, the rest would only use up the cloud's calls.
+pub(super) async fn carry_out(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>, key: String) {
+    let mut rentals = rentals.into_iter();
+    for rental in rentals.by_ref() {
+        if !carry_out_one(&node, &dealings, rental).await {
+            break;
+        }
+    }
+    let mut dealings = lock(&dealings);
+    for rental in rentals {
+        dealings.no_longer_asked(&kind_of(&rental), rental.count);
+    }
+    dealings.finished.push(key);
+}
+
+/// The kind of machine that a rental asks for.
+pub(super) fn kind_of(rental: &Rental) -> Kind {
+    Kind { type_name: rental.type_name.clone(), zone: rental.zone.clone(), spot: rental.spot }
+}
+
+/// Whether it was filled.
+async fn carry_out_one(node: &Node, dealings: &Shared, rental: Rental) -> bool {
+    let kind = kind_of(&rental);
+    let mut outcome = Err(CloudError::Unanswered);
+    for _ in 0..RENT_TRIES {
+        outcome = node.cloud.rent(&rental).await;
+        match &outcome {
+            Ok(_) | Err(CloudError::NoCapacity) => break,
+            Err(error) => debug!(%error, request = rental.request, "renting"),
+        }
+        tokio::time::sleep(jitter(RETRY)).await;
+    }
+    let now = Instant::now();
+    let rented = match outcome {
+        Ok(names) => names,
+        Err(CloudError::NoCapacity) => Vec::new(),
+        Err(error) => {
+            warn!(%error, request = rental.request, "a rental is let go");
+            Vec::new()
+        }
+    };
+    let short = (rented.len() as u64) < rental.count;
+    info!(kind = %kind, asked = rental.count, got = rented.len(), "rented");
+    {
+        let mut held = lock(&node.book);
+        if let Some(book) = held.as_mut() {
+            for name in &rented {
+                book.expect(name, &kind, None, Duration::ZERO, now);
+            }
+        }
+    }
+    let mut dealings = lock(dealings);
+    dealings.no_longer_asked(&kind, rental.count);
+    if short {
+        dealings.refusals.note(kind, node.properties.refusal, now);
+    } else {
+        dealings.refusals.clear(&kind);
+    }
+    node.wake.fleet.notify_one();
+    !short
+}
--- /dev/null
+++ b/src/fleet/returns.rs
@@ -0,0 +1,72 @@
+//! Returns of machines that are condemned.
+
+use std::sync::Arc;
+use std::time::Instant;
+
+use tracing::debug;
+
+use super::RETRY;
+use super::cloud::MOST_RETURNED;
+use super::dealings::Shared;
+use super::order_log::store;
+use super::orders::{Next, What};
+use crate::node::Node;
+use crate::scheduling::book::Standing;
+use crate::sync::{jitter, lock};
+
+/// Machines to be returned now, in calls of as many as the cloud takes.
+pub(super) fn to_return(node: &Node, dealings: &Shared) -> Vec<Vec<String>> {
+    let held = lock(&node.book);
+    let Some(book) = held.as_ref() else { return Vec::new() };
+    let mut dealings = lock(dealings);
+    let names: Vec<String> = book
+        .machines
+        .values()
+        .filter(|m| m.standing == Standing::Condemned && !dealings.returning.contains(&*m.id))
+        .map(|m| m.id.to_string())
+        .collect();
+    dealings.returning.extend(names.iter().cloned());
+    // What is urgent goes by itself, so that it takes nothing else along.
+    let overdue = book.overdue(Instant::now());
+    let (urgent, rest): (Vec<String>, Vec<String>) = names.into_iter().partition(|n| overdue.contains(n.as_str()));
+    urgent.chunks(MOST_RETURNED).chain(rest.chunks(MOST_RETURNED)).map(<[String]>::to_vec).collect()
+}
+
+/// Returns machines once the order for it is stored. A controller that was deposed without knowing, as
+/// after standing still, stores none; one that stands still between the two returns what its
+/// successor has read to be returned. Only what a withdrawal makes urgent goes without where the store
+/// does not answer, since too late would be worse than too much.
+pub(super) async fn return_all(node: Arc<Node>, dealings: Shared, names: Vec<String>) {
+    let urgent = || {
+        let overdue = lock(&node.book).as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
+        names.iter().any(|n| overdue.contains(n.as_str()))
+    };
+    match store(&node, &dealings, What::Return(names.clone()), urgent).await {
+        Ok(key) => give_back(node.clone(), dealings, names.clone(), vec![key]).await,
+        Err(Next::Again) => give_back(node.clone(), dealings, names.clone(), Vec::new()).await,
+        Err(_) => {}
+    }
+}
+
+/// Asked again until answered: only the answer proves that the machines and all on them are gone.
+pub(super) async fn give_back(node: Arc<Node>, dealings: Shared, names: Vec<String>, keys: Vec<String>) {
+    if lock(&node.book).is_none() {
+        return;
+    }
+    while let Err(error) = node.cloud.give_back(names.clone()).await {
+        debug!(%error, "returning machines");
+        tokio::time::sleep(jitter(RETRY)).await;
+    }
+    let now = Instant::now();
+    if let Some(book) = lock(&node.book).as_mut() {
+        for name in &names {
+            book.machine_gone(&name.as_str().into(), now);
+        }
+    }
+    let mut dealings = lock(&dealings);
+    for name in &names {
+        dealings.returning.remove(name);
+    }
+    dealings.finished.extend(keys);
+    node.wake.plan.notify_one();
+}
