--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -108,12 +108,14 @@
         let mut first = connect().await;
         let mut second = connect().await;
         assert_eq!(second.read(&mut end).await.unwrap(), 0, "one too many");
+        assert!(!lock(&node.heard).too_many.due(Instant::now()), "closed at once and told, and not for its silence");
         // Too long, without the end of a line; the reader hangs up in the middle of it.
         let long = vec![b'x'; LINE_LIMIT as usize];
         first.write_all(&long).await.unwrap();
         assert!(matches!(first.read(&mut end).await, Ok(0) | Err(_)));
         let regained = free.acquire().await.unwrap();
         drop(regained);
+        assert!(!lock(&node.heard).odd_lines.due(Instant::now()), "told");
         assert!(!lock(&node.heard).hears("node-1", Instant::now()));
     });
 }
