--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -29,6 +29,8 @@
 const STEP: Duration = Duration::from_millis(20);
 /// What is never answered is held for this long: longer than anybody waits.
 const SILENCE: Duration = Duration::from_secs(20);
+/// How soon an answer that was held back goes on once it may.
+const HELD_BACK_STEP: Duration = Duration::from_millis(5);
 /// Workers report a change no sooner than this after the last report, and turn to the next
 /// controller after this long.
 const CHANGE_GAP: Duration = Duration::from_millis(500);
@@ -428,9 +430,19 @@
         let answer = self.of_state(door, &path, req, body).await;
         let slow = lock(&self.state).faults.slow;
         tokio::time::sleep(slow).await;
+        self.hold_back(&door.node, &path).await;
         answer
     }
 
+    /// Waits for as long as this answer is held back.
+    async fn hold_back(&self, controller: &str, path: &str) {
+        let Some(by) = lock(&self.state).faults.hold_back(controller, path) else { return };
+        let until = Instant::now() + by;
+        while Instant::now() < until && lock(&self.state).faults.holds_back(controller, path) {
+            tokio::time::sleep(HELD_BACK_STEP).await;
+        }
+    }
+
     async fn of_state(self: &Arc<Self>, door: &Door, path: &str, req: &mut Request, body: Value) -> (u16, Value) {
         if let Err(refusal) = lock(&self.state).admit(&door.node) {
             return (refusal.status(), json!({"error": format!("{refusal:?}")}));
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -8,7 +8,19 @@
 
 use crate::world::store::{Limits, Refusal, Store};
 
-/// What goes wrong with writes, on command.
+/// Answers to one controller that are held back on their way: they say what stood when they were made.
+#[derive(Debug, Clone)]
+pub struct HeldBack {
+    /// The controller's number, as its listener has it.
+    pub controller: String,
+    /// The path that is asked, in full.
+    pub path: &'static str,
+    /// So many answers still pass at once.
+    pub passing: u32,
+    pub by: Duration,
+}
+
+/// What goes wrong with writes and answers, on command.
 #[derive(Debug, Default)]
 pub struct Faults {
     pub refuse_writes: bool,
@@ -34,6 +46,25 @@
     pub slow: Duration,
     /// Watches hear nothing until then.
     pub stalled_until: Option<Instant>,
+    /// An answer goes on as soon as what holds it back is taken from here.
+    pub held_back: Vec<HeldBack>,
+}
+
+impl Faults {
+    /// An answer is on its way: for how long at the most it is held back, if it is.
+    pub fn hold_back(&mut self, controller: &str, path: &str) -> Option<Duration> {
+        let held = self.held_back.iter_mut().find(|held| held.controller == controller && held.path == path)?;
+        if held.passing > 0 {
+            held.passing -= 1;
+            return None;
+        }
+        Some(held.by)
+    }
+
+    /// Whether this controller's answers of this path are still held back.
+    pub fn holds_back(&self, controller: &str, path: &str) -> bool {
+        self.held_back.iter().any(|held| held.controller == controller && held.path == path)
+    }
 }
 
 /// What became of a request.
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -3,15 +3,15 @@
 use std::future::Future;
 use std::sync::Arc;
 use std::task::Poll;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use hollylanding::wire::{self, Http};
-use hollylanding_emulator::driver::state::Faults;
+use hollylanding_emulator::driver::state::{Faults, HeldBack};
 use hyper::Method;
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
 
-use super::{Controller, World, ask, job, params, settings, until, upload};
+use super::{Controller, LONG, World, ask, job, params, settings, until, upload};
 
 /// How far a job is, by what is stored of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,6 +32,10 @@
 pub const LOOKS: [How; 2] = [How::LookUp, How::Submit];
 pub const ALL: [How; 3] = [How::LookUp, How::Submit, How::Withdraw];
 
+/// Answers of one kind by one node, where all are asked at once.
+const ANSWERS: usize = 3;
+const BETWEEN_LOOKS: Duration = Duration::from_millis(5);
+
 pub struct Stage {
     pub outside: Runtime,
     pub world: Arc<World>,
@@ -51,25 +55,33 @@
 
 /// The owner and another controller, which do not hear each other, and how long a leader's lease is.
 pub fn stage(lease_s: u64) -> (Stage, Controller, Controller) {
+    stage_among(&["node-a", "node-b"], lease_s)
+}
+
+/// The first two of these controllers, none of which hears another; the first owns.
+pub fn stage_among(names: &[&str], lease_s: u64) -> (Stage, Controller, Controller) {
     let outside = Runtime::new().unwrap();
     // Workers' leases outlast these tests: what is gone was stopped.
     let mut params = params();
     params.fleet.lease = Duration::from_secs(3600);
-    let (world, doors) = outside.block_on(async {
-        let world = World::open(params);
-        let doors = [world.door(0).await, world.door(1).await];
-        (world, doors)
-    });
-    let lease = format!("leader.lease.seconds={lease_s}");
-    let a = Controller::start_with(&world, &settings("node-a", &["node-b"], &doors[0]), &lease);
-    outside.block_on(until("the first owns", || async { a.node.watermark().is_some() }));
-    let b = Controller::start_with(&world, &settings("node-b", &["node-a"], &doors[1]), &lease);
+    let world = outside.block_on(async { World::open(params) });
     let stage = Stage { outside, world, http: Http::default() };
+    let a = stage.starts(names, 0, lease_s);
+    stage.outside.block_on(until("the first owns", || async { a.node.watermark().is_some() }));
+    let b = stage.starts(names, 1, lease_s);
     stage.outside.block_on(until("the second is healthy", || stage.healthy(&b)));
     (stage, a, b)
 }
 
 impl Stage {
+    /// The controller of this number among these.
+    pub fn starts(&self, names: &[&str], at: usize, lease_s: u64) -> Controller {
+        let others: Vec<&str> = names.iter().copied().filter(|name| *name != names[at]).collect();
+        let door = self.outside.block_on(self.world.door(at));
+        let lease = format!("leader.lease.seconds={lease_s}");
+        Controller::start_with(&self.world, &settings(names[at], &others, &door), &lease)
+    }
+
     pub async fn healthy(&self, at: &Controller) -> bool {
         ask(&self.http, Method::GET, &at.addr, "/healthz", None).await.0 == 200
     }
@@ -148,7 +160,7 @@
     }
 
     /// All nodes one after another, in all these ways, so often. How many were answered.
-    pub async fn looks(&self, nodes: [&Controller; 2], n: u64, ways: &[How], rounds: usize) -> usize {
+    pub async fn looks<const N: usize>(&self, nodes: [&Controller; N], n: u64, ways: &[How], rounds: usize) -> usize {
         let mut told = 0;
         for _ in 0..rounds {
             for how in ways {
@@ -160,8 +172,51 @@
         told
     }
 
+    /// All nodes at once, in all these ways, within milliseconds, until each has answered each a few times.
+    pub async fn all_answer(&self, nodes: &[&Controller], n: u64, ways: &[How]) {
+        let each = nodes.iter().flat_map(|at| ways.iter().map(|how| self.answers(at, n, *how)));
+        join_all(each.collect()).await;
+    }
+
+    async fn answers(&self, at: &Controller, n: u64, how: How) {
+        let (begun, mut answered) = (Instant::now(), 0);
+        while answered < ANSWERS {
+            assert!(begun.elapsed() < LONG, "{how:?} of {n} at {}: not answered", at.node.settings.node);
+            answered += usize::from(self.look(at, n, how).await.is_some());
+            tokio::time::sleep(BETWEEN_LOOKS).await;
+        }
+    }
+
+    /// From now on answers of this path to the controller of this number come so much later, but for the next few.
+    pub fn hold_back(&self, controller: usize, path: &'static str, passing: u32, by: Duration) {
+        let held = HeldBack { controller: controller.to_string(), path, passing, by };
+        self.faults(|faults| faults.held_back.push(held));
+    }
+
+    /// They come at once again, also those that are on their way.
+    pub fn let_go(&self, controller: usize, path: &str) {
+        let controller = controller.to_string();
+        self.faults(|faults| faults.held_back.retain(|held| held.controller != controller || held.path != path));
+    }
+
+    /// How many of the answers that may pass have not been asked for.
+    pub fn still_passing(&self, controller: usize, path: &str) -> u32 {
+        let (state, controller) = (self.world.state.lock().unwrap(), controller.to_string());
+        let mut of = state.faults.held_back.iter().filter(|held| held.controller == controller && held.path == path);
+        of.next().map_or(0, |held| held.passing)
+    }
+
+    /// Somebody's loaded book has the withdrawal of this job.
+    pub fn some_book_has(&self, nodes: &[&Controller], n: u64) -> bool {
+        let stamp = self.stamp(&format!("h/w/{}", id(n)));
+        // What was stored under its own token an owner has put into its book itself, ahead of its watch.
+        let has =
+            |at: &&Controller| at.node.watermark().is_some_and(|book| book.token < stamp || book.revision >= stamp);
+        stamp > 0 && nodes.iter().any(has)
+    }
+
     /// Everybody says so, in every way, again and again.
-    pub async fn all_say(&self, nodes: [&Controller; 2], n: u64, want: &str) {
+    pub async fn all_say<const N: usize>(&self, nodes: [&Controller; N], n: u64, want: &str) {
         for at in nodes {
             until(want, || async { self.look(at, n, How::LookUp).await.as_deref() == Some(want) }).await;
         }
