--- /dev/null
+++ b/tests/lost_answers.rs
@@ -0,0 +1,238 @@
+//! A transaction of the owner is carried out at once and only its answer is lost, while other nodes read what it wrote:
+//! placements, assignments and rental orders. Nothing runs twice, nothing is rented twice, nobody owns twice under one
+//! token, and work goes on. Acceptances, withdrawals and ends are in `close_looks.rs`.
+
+// A stand-in that panics fails its test, as it should.
+#![allow(clippy::unwrap_used)]
+
+mod stand_in;
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use stand_in::observer::{How, LOOKS, Stage, id, stage};
+use stand_in::{Controller, ENDLESS, SHORT, job, until, upload};
+
+const PLACEMENTS: &str = "t/";
+const ASSIGNMENTS: &str = "c/owner/";
+const ORDERS: &str = "d/";
+
+const ASSIGNMENT: &str = "c/owner/0";
+
+/// A leader's lease that outlives an answer that is waited for.
+const LONG_LEASE_S: u64 = 10;
+/// A takeover is to come soon.
+const SHORT_LEASE_S: u64 = 3;
+
+fn chunk(n: u64) -> String {
+    format!("{PLACEMENTS}{}/00000", id(n))
+}
+
+impl Stage {
+    /// The next transaction that writes such a key is carried out and not answered.
+    fn lose_an_answer(&self, of: &'static str) {
+        self.faults(|faults| (faults.unanswered, faults.only) = (1, Some(of)));
+    }
+
+    fn answers_to_lose(&self) -> u32 {
+        self.world.state.lock().unwrap().faults.unanswered
+    }
+
+    fn machines(&self) -> usize {
+        self.world.cloud.lock().unwrap().held(self.world.now())
+    }
+
+    fn orders(&self) -> usize {
+        self.world.state.lock().unwrap().count(ORDERS)
+    }
+
+    /// A new job is accepted, runs and is done: work goes on.
+    async fn goes_on(&self, at: &Controller, n: u64) {
+        self.accepted(at, n, SHORT).await;
+        until("done", || async { self.look(at, n, How::LookUp).await.as_deref() == Some("done") }).await;
+        assert_eq!(self.started(n), 3);
+    }
+}
+
+/// Each of its tasks takes an ordinary machine by itself: there are no spot ones, so that asking for those rents nothing.
+fn whole_machines(n: u64) -> Value {
+    let mut job = job(n, TASKS as u64);
+    (job["cpus"], job["memGb"], job["borrowed"]) = (json!(8.0), json!(8.0), json!(false));
+    job
+}
+
+/// The owner finds its own placement in the store, and launches it once.
+#[test]
+fn a_placement_whose_answer_is_lost_runs_once() {
+    let (stage, owner, other) = stage(LONG_LEASE_S);
+    stage.outside.block_on(async {
+        for n in 1..=3 {
+            stage.lose_an_answer(PLACEMENTS);
+            stage.accepted(&other, n, ENDLESS).await;
+            until("placed", || async { stage.has(&chunk(n)) }).await;
+            let stamp = stage.stamp(&chunk(n));
+            assert_eq!(stage.answers_to_lose(), 0, "and its owner was not told so");
+            stage.looks([&other, &owner], n, &LOOKS, 5).await;
+            stage.running(n).await;
+            stage.all_answer(&[&other, &owner], n, &LOOKS).await;
+            assert_eq!((stage.stamp(&chunk(n)), stage.live(n)), (stamp, 3), "placed once");
+        }
+        stage.goes_on(&other, 4).await;
+        for n in 1..=3 {
+            assert_eq!((stage.started(n), stage.live(n)), (3, 3), "{n} runs once");
+        }
+    });
+    stage.end([owner, other]);
+}
+
+/// The same where the owner ends before it hears: its successor reads the placement, of which nothing was launched.
+#[test]
+fn a_placement_whose_owner_ends_unanswered_runs_once() {
+    let (stage, owner, other) = stage(SHORT_LEASE_S);
+    stage.outside.block_on(async {
+        stage.lose_an_answer(PLACEMENTS);
+        stage.accepted(&other, 1, ENDLESS).await;
+        until("placed", || async { stage.has(&chunk(1)) }).await;
+    });
+    drop(owner);
+    stage.outside.block_on(async {
+        stage.all_answer(&[&other], 1, &LOOKS).await;
+        stage.running(1).await;
+        stage.goes_on(&other, 2).await;
+        assert_eq!((stage.started(1), stage.live(1)), (3, 3), "it runs once");
+    });
+    stage.end([other]);
+}
+
+/// Tokens under which each node was seen to own.
+#[derive(Default)]
+struct Owned(BTreeMap<u64, String>);
+
+impl Owned {
+    fn note(&mut self, node: &Controller) {
+        let Some(book) = node.node.watermark() else { return };
+        let name = &node.node.settings.node;
+        let by = self.0.entry(book.token).or_insert_with(|| name.clone());
+        assert_eq!(by, name, "two own under token {}", book.token);
+    }
+}
+
+/// A successor is assigned and does not hear so, while a third controller reads it and users ask there: it is assigned
+/// anew, and owns under that token only.
+#[test]
+fn an_assignment_whose_answer_is_lost_at_a_takeover_is_written_anew() {
+    let (stage, first, second) = stage(SHORT_LEASE_S);
+    let mut owned = Owned::default();
+    owned.note(&first);
+    stage.outside.block_on(async {
+        stage.accepted(&second, 1, ENDLESS).await;
+        stage.running(1).await;
+    });
+    let third = stage.starts(&["node-a", "node-b", "node-c"], 2, SHORT_LEASE_S);
+    stage.outside.block_on(until("the third is healthy", || stage.healthy(&third)));
+    stage.lose_an_answer(ASSIGNMENTS);
+    let before = stage.stamp(ASSIGNMENT);
+    drop(first);
+    stage.outside.block_on(async {
+        until("assigned", || async { stage.stamp(ASSIGNMENT) > before }).await;
+        let unheard = stage.stamp(ASSIGNMENT);
+        assert_eq!(stage.answers_to_lose(), 0, "and it was not told so");
+        let both = [&second, &third];
+        let asked = stage.all_answer(&both, 1, &LOOKS);
+        let taken_over = async {
+            until("it owns", || async { second.node.watermark().or(third.node.watermark()).is_some() }).await;
+        };
+        tokio::join!(asked, taken_over);
+        owned.note(&second);
+        owned.note(&third);
+        let assigned = stage.stamp(ASSIGNMENT);
+        assert!(assigned > unheard, "it owns under the token that it heard of");
+        assert_eq!(owned.0.last_key_value().unwrap().0, &assigned, "who owns does so by what is stored");
+        stage.goes_on(&third, 2).await;
+        assert_eq!((stage.started(1), stage.live(1)), (3, 3), "what ran runs on");
+    });
+    stage.end([second, third]);
+}
+
+/// More machines than were ever needed at a time would have been rented twice.
+#[derive(Default)]
+struct Peak(AtomicUsize);
+
+impl Peak {
+    fn note(&self, stage: &Stage) -> usize {
+        let machines = stage.machines();
+        self.0.fetch_max(machines, Ordering::Relaxed).max(machines)
+    }
+
+    /// All tasks of this job run, and for a while after it nothing more is rented.
+    async fn until_settled(&self, stage: &Stage, n: u64) -> usize {
+        until("running", || async {
+            self.note(stage);
+            stage.live(n) == TASKS
+        })
+        .await;
+        for _ in 0..LOOKS_AT_MACHINES {
+            self.note(stage);
+            tokio::time::sleep(BETWEEN_LOOKS_AT_MACHINES).await;
+        }
+        self.note(stage)
+    }
+}
+
+const LOOKS_AT_MACHINES: u32 = 30;
+const BETWEEN_LOOKS_AT_MACHINES: Duration = Duration::from_millis(100);
+
+/// Machines that a job of whole machines takes where nothing is lost.
+const TASKS: usize = 4;
+
+/// The owner finds its own order in the store, and rents once.
+#[test]
+fn a_rental_order_whose_answer_is_lost_rents_once() {
+    let (stage, owner, other) = stage(LONG_LEASE_S);
+    let job = whole_machines(1);
+    upload(&stage.world, &job, ENDLESS);
+    stage.lose_an_answer(ORDERS);
+    stage.outside.block_on(async {
+        until("accepted", || async { stage.submit(&other, &job).await.0 / 100 == 2 }).await;
+        until("ordered", || async { stage.answers_to_lose() == 0 }).await;
+        stage.looks([&other, &owner], 1, &[How::LookUp], 5).await;
+        let most = Peak::default().until_settled(&stage, 1).await;
+        assert_eq!(most, TASKS, "as many as are needed");
+        assert_eq!(stage.started(1), TASKS, "each task was started once");
+        until("the order is cleaned up", || async { owner_has_only_marks(&stage) }).await;
+        until("withdrawn", || async { stage.look(&owner, 1, How::Withdraw).await.is_some() }).await;
+        stage.goes_on(&other, 2).await;
+        assert_eq!(stage.started(1), TASKS, "nothing was started again");
+    });
+    stage.end([owner, other]);
+}
+
+/// Orders with an unanswered try stay as marks for as long as their owner's token stands.
+fn owner_has_only_marks(stage: &Stage) -> bool {
+    let state = stage.world.state.lock().unwrap();
+    state.store.under(ORDERS).all(|(_, order, _)| order["what"] == "done")
+}
+
+/// The same where the owner ends before it hears: its successor reads the order and carries it out under its name.
+#[test]
+fn a_rental_order_whose_owner_ends_unanswered_is_carried_out_once() {
+    let (stage, owner, other) = stage(SHORT_LEASE_S);
+    let job = whole_machines(1);
+    upload(&stage.world, &job, ENDLESS);
+    stage.lose_an_answer(ORDERS);
+    stage.outside.block_on(async {
+        until("accepted", || async { stage.submit(&other, &job).await.0 / 100 == 2 }).await;
+        until("ordered", || async { stage.answers_to_lose() == 0 }).await;
+    });
+    drop(owner);
+    assert_eq!((stage.machines(), stage.orders()), (0, 1), "ordered, and nothing rented");
+    stage.outside.block_on(async {
+        let most = Peak::default().until_settled(&stage, 1).await;
+        assert_eq!(most, TASKS, "as many as are needed");
+        assert_eq!(stage.started(1), TASKS, "each task was started once");
+        until("the order is cleaned up", || async { stage.orders() == 0 }).await;
+    });
+    stage.end([other]);
+}
