--- /dev/null
+++ b/tests/odd_requests.rs
@@ -0,0 +1,141 @@
+//! Odd requests: accepted jobs that are submitted again in other words, and jobs that can never run, at every moment.
+
+// A stand-in that panics fails its test, as it should.
+#![allow(clippy::unwrap_used)]
+
+mod stand_in;
+
+use serde_json::{Value, json};
+use stand_in::observer::{How, Stage, Stands, small, stage};
+use stand_in::{Controller, ENDLESS, SHORT, settings, until};
+
+/// The same job, described in other ways: nobody submits it so the first time.
+fn other_bodies(n: u64) -> Vec<(&'static str, Value)> {
+    let with = |change: &dyn Fn(&mut Value)| {
+        let mut job = small(n);
+        change(&mut job);
+        job
+    };
+    vec![
+        ("the same", small(n)),
+        ("other tasks", with(&|job| job["legs"] = json!(5))),
+        ("fits no machine", with(&|job| job["cpus"] = json!(99.0))),
+        ("of no team", with(&|job| job["desk"] = json!("green"))),
+        ("no tasks", with(&|job| job["legs"] = json!(0))),
+        ("less than nothing", with(&|job| job["memGb"] = json!(-1.0))),
+        ("text for a number", with(&|job| job["cpus"] = json!("many"))),
+        ("a field is missing", with(&|job| drop(job.as_object_mut().unwrap().remove("memGb")))),
+        ("larger than can be kept", with(&|job| job["kit"] = json!("i".repeat(9000)))),
+    ]
+}
+
+impl Stage {
+    /// A job that was accepted is submitted again in every way. Whether all were answered with its state.
+    async fn repeats(&self, at: &Controller, n: u64) -> bool {
+        let mut all = true;
+        for (what, body) in other_bodies(n) {
+            let (code, answer) = self.submit(at, &body).await;
+            let node = &at.node.settings.node;
+            assert!(matches!(code, 200 | 503), "{n} again at {node}, {what}: {code} {answer}");
+            all &= code == 200;
+        }
+        all
+    }
+
+    /// What can never run, of ids that nobody has accepted. Whether all were refused for good.
+    async fn hopeless(&self, at: &Controller, ids: std::ops::Range<u64>) -> bool {
+        let mut all = true;
+        for n in ids {
+            for (what, body) in other_bodies(n).into_iter().skip(2) {
+                let want = if matches!(what, "fits no machine" | "of no team") { 422 } else { 400 };
+                let (code, answer) = self.submit(at, &body).await;
+                let node = &at.node.settings.node;
+                assert!(code == want || code == 503, "{what} at {node}: {code} {answer}");
+                all &= code == want;
+            }
+            assert_eq!(self.stands(n), Stands::Nowhere);
+        }
+        all
+    }
+}
+
+/// Odd requests on a quiet day, while a withdrawal is under way, while the work changes hands, and to a node that
+/// has just started and hears nothing of the cloud: what is accepted is never refused for good, whatever else its
+/// repeat says, and what can never run is never accepted.
+#[test]
+fn odd_requests_by_whatever_moment() {
+    let (stage, a, b) = stage(3);
+    stage.outside.block_on(async {
+        for (n, run) in [(1, ENDLESS), (2, SHORT), (3, ENDLESS)] {
+            stage.accepted(&b, n, run).await;
+        }
+        stage.running(1).await;
+        stage.running(3).await;
+        stage.all_say([&a, &b], 2, "done").await;
+        for at in [&a, &b] {
+            for n in 1..=3 {
+                assert!(stage.repeats(at, n).await, "all well, and not all of {n} were answered");
+            }
+            assert!(stage.hopeless(at, 11..13).await);
+        }
+
+        // Accepted so lately that the other has not heard: what is wrong with a repeat is looked at there.
+        for (n, at, other) in [(4, &a, &b), (5, &b, &a)] {
+            stage.quiet_watches();
+            stage.accepted(at, n, ENDLESS).await;
+            assert!(stage.repeats(other, n).await, "all well, and not all of {n} were answered");
+            stage.faults(|faults| faults.quiet_watches = false);
+        }
+
+        // The owner is refused: the withdrawal is stored, and cannot be told.
+        stage.world.state.lock().unwrap().store.set_refused("0", true);
+        let (code, answer) = stage.ask(&b, 3, How::Withdraw).await;
+        assert_eq!((code, stage.stands(3)), (503, Stands::Withdrawn), "{answer}");
+        for at in [&b, &a] {
+            for n in 1..=3 {
+                stage.repeats(at, n).await;
+            }
+            stage.hopeless(at, 13..14).await;
+        }
+        assert_eq!(stage.look(&b, 2, How::Withdraw).await.as_deref(), Some("done"));
+        stage.world.state.lock().unwrap().store.set_refused("0", false);
+    });
+    // The owner ends, if it still is the owner; somebody takes over.
+    drop(a);
+    stage.outside.block_on(async {
+        until("taken over", || async {
+            for n in 1..=3 {
+                stage.repeats(&b, n).await;
+                stage.look(&b, n, How::LookUp).await;
+            }
+            stage.hopeless(&b, 14..15).await;
+            b.node.watermark().is_some()
+        })
+        .await;
+        stage.all_say([&b, &b], 3, "withdrawn").await;
+        until("gone", || async { stage.live(3) == 0 }).await;
+    });
+    let door = stage.outside.block_on(stage.world.door(2));
+    let mut blind = settings("node-c", &["node-a", "node-b"], &door);
+    // Nobody listens there.
+    blind["endpoints"]["cloud"] = json!("127.0.0.1:1");
+    let c = Controller::start(&stage.world, &blind);
+    stage.outside.block_on(async {
+        until("all are answered", || async {
+            let mut all = true;
+            for n in 1..=3 {
+                all &= stage.repeats(&c, n).await;
+            }
+            stage.hopeless(&c, 15..16).await;
+            all
+        })
+        .await;
+        assert!(c.node.catalog().is_none());
+        let (code, answer) = stage.submit(&c, &other_bodies(16)[2].1).await;
+        assert_eq!(code, 503, "it cannot know that it fits no machine: {answer}");
+        assert_eq!((stage.started(1), stage.live(1)), (3, 3), "none of this was taken for the job");
+        let stored = stage.world.state.lock().unwrap().store.value("c/o/run-000001").unwrap()["spec"].clone();
+        assert_eq!((&stored["legs"], &stored["cpus"]), (&json!(3), &json!(0.1)));
+    });
+    stage.end([b, c]);
+}
