--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -62,6 +62,9 @@
     }
 }
 
+/// How soon an answer that was held back goes on once it may.
+const HELD_BACK_STEP: Duration = Duration::from_millis(5);
+
 /// Serves a router on a free port of the loopback interface, and returns its address.
 pub async fn listen(router: Router) -> String {
     let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
@@ -145,9 +148,19 @@
         let answer = self.state(&path, req, body).await;
         let slow = lock(&self.world.state).faults.slow;
         tokio::time::sleep(slow).await;
+        self.hold_back(&path).await;
         answer
     }
 
+    /// Waits for as long as this answer is held back.
+    async fn hold_back(&self, path: &str) {
+        let Some(by) = lock(&self.world.state).faults.hold_back(&self.node, path) else { return };
+        let until = Instant::now() + by;
+        while Instant::now() < until && lock(&self.world.state).faults.holds_back(&self.node, path) {
+            tokio::time::sleep(HELD_BACK_STEP).await;
+        }
+    }
+
     /// A request to the cloud.
     fn cloud(&self, path: &str, req: &Request, body: Value) -> Result<Value, cloud::Refusal> {
         let world = &self.world;
