--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -268,8 +268,80 @@
     }
 }
 
-/// Jobs of a rehearsal at the most, and machines.
-const MOST: f64 = 100_000.0;
+/// The most jobs of one kind of work.
+const MOST_JOBS: f64 = 100_000.0;
+/// The largest amount of anything that has no bound of its own.
+const MOST_AMOUNT: f64 = 1e6;
+/// Seconds of an hour, and of a day.
+const HOUR_S: f64 = 3600.0;
+const DAY_S: f64 = 86_400.0;
+
+fn invalid(field: impl Into<String>, problem: impl Into<String>) -> SizesError {
+    SizesError::Value { field: field.into(), problem: problem.into() }
+}
+
+/// A value with the bounds that it has to keep.
+struct Bound {
+    field: String,
+    value: f64,
+    least: f64,
+    most: f64,
+}
+
+impl Bound {
+    fn new(field: impl Into<String>, value: f64, least: f64, most: f64) -> Self {
+        Self { field: field.into(), value, least, most }
+    }
+
+    fn check(&self) -> Result<(), SizesError> {
+        let Self { value, least, most, .. } = *self;
+        if (least..=most).contains(&value) {
+            Ok(())
+        } else {
+            Err(invalid(self.field.clone(), format!("{value} is not between {least} and {most}")))
+        }
+    }
+}
+
+impl Machine {
+    fn field(&self, name: &str) -> String {
+        format!("machines.{}.{name}", self.name)
+    }
+
+    fn check(&self) -> Result<(), SizesError> {
+        if self.zones.is_empty() { Err(invalid(self.field("zones"), "none is given")) } else { Ok(()) }
+    }
+
+    /// Whether a task of this work fits on an empty machine.
+    fn fits(&self, work: &Work) -> bool {
+        work.cpus <= self.cpus && work.memory_gb <= self.memory_gb && work.accelerators <= self.accelerators
+    }
+
+    fn bounds(&self) -> [Bound; 4] {
+        [
+            Bound::new(self.field("cpus"), self.cpus, 0.01, MOST_AMOUNT),
+            Bound::new(self.field("memory_gb"), self.memory_gb, 0.01, MOST_AMOUNT),
+            Bound::new(self.field("boot_s"), self.boot_s, 0.0, HOUR_S),
+            Bound::new(self.field("fetch_gb_per_s"), self.fetch_gb_per_s, 0.001, MOST_AMOUNT),
+        ]
+    }
+}
+
+impl Work {
+    fn field(&self, name: &str) -> String {
+        format!("work.{}.{name}", self.name)
+    }
+
+    fn bounds(&self) -> [Bound; 4] {
+        let jobs = self.jobs as f64 + self.per_second * self.for_s;
+        [
+            Bound::new(self.field("run_s"), self.run_s, 0.0, DAY_S),
+            Bound::new(self.field("from_s"), self.from_s, 0.0, DAY_S),
+            Bound::new(self.field("withdrawn"), self.withdrawn, 0.0, 1.0),
+            Bound::new(self.field("jobs"), jobs, 0.0, MOST_JOBS),
+        ]
+    }
+}
 
 impl Sizes {
     /// Reads sizes from TOML and checks them.
@@ -280,64 +352,57 @@
     }
 
     fn check(&self) -> Result<(), SizesError> {
-        let fail = |field: String, problem: String| Err(SizesError::Value { field, problem });
-        let mut amounts = vec![
-            ("seconds".to_owned(), self.seconds, 1.0, 86_400.0),
-            ("controllers".into(), self.controllers as f64, 1.0, 9.0),
-            ("state.requests_per_second".into(), self.state.requests_per_second, 5.0, 1e6),
-            ("state.changes_per_second".into(), self.state.changes_per_second, 2.0, 1e6),
-            ("state.value_kb".into(), self.state.value_kb, 8.0, 64.0),
-            ("state.txn_ops".into(), self.state.txn_ops as f64, 4.0, 1000.0),
-            ("cloud.requests_per_second".into(), self.cloud.requests_per_second, 1.0, 1e6),
-            ("cloud.list_lag_s".into(), self.cloud.list_lag_s, 0.0, 600.0),
-            ("cloud.notice_s".into(), self.cloud.notice_s, 0.0, 3600.0),
-            ("workers.report_s".into(), self.workers.report_s, 0.05, 60.0),
-            ("workers.lease_s".into(), self.workers.lease_s, 1.0, 600.0),
-            ("workers.cancel_s".into(), self.workers.cancel_s, 1.0, 600.0),
-        ];
-        for part in [("cloud.silent", self.cloud.silent), ("cloud.never_up", self.cloud.never_up)] {
-            amounts.push((part.0.to_owned(), part.1, 0.0, 1.0));
-        }
         for machine in &self.machines {
-            let field = |name: &str| format!("machines.{}.{name}", machine.name);
-            amounts.push((field("cpus"), machine.cpus, 0.01, 1e6));
-            amounts.push((field("memory_gb"), machine.memory_gb, 0.01, 1e6));
-            amounts.push((field("boot_s"), machine.boot_s, 0.0, 3600.0));
-            amounts.push((field("fetch_gb_per_s"), machine.fetch_gb_per_s, 0.001, 1e6));
-            if machine.zones.is_empty() {
-                return fail(field("zones"), "none is given".into());
-            }
+            machine.check()?;
         }
         for work in &self.work {
-            let field = |name: &str| format!("work.{}.{name}", work.name);
-            amounts.push((field("run_s"), work.run_s, 0.0, 86_400.0));
-            amounts.push((field("from_s"), work.from_s, 0.0, 86_400.0));
-            amounts.push((field("withdrawn"), work.withdrawn, 0.0, 1.0));
-            amounts.push((field("jobs"), work.jobs as f64 + work.per_second * work.for_s, 0.0, MOST));
-            if let Err(problem) = work.spec("run-1").check() {
-                return fail(format!("work.{}", work.name), problem);
-            }
-            if !self.teams.is_empty() && !self.teams.iter().any(|t| t.name == work.team) {
-                return fail(field("team"), format!("{:?} is no team", work.team));
-            }
-            let fits = |m: &&Machine| {
-                work.cpus <= m.cpus && work.memory_gb <= m.memory_gb && work.accelerators <= m.accelerators
-            };
-            if !self.machines.iter().any(|m| fits(&m)) {
-                return fail(field("cpus"), "a task fits no machine".into());
-            }
-        }
-        for (field, value, least, most) in amounts {
-            if !(least..=most).contains(&value) {
-                return fail(field, format!("{value} is not between {least} and {most}"));
-            }
+            self.check_work(work)?;
         }
+        self.bounds().iter().try_for_each(Bound::check)?;
         if self.machines.is_empty() || self.work.is_empty() {
-            return fail("machines, work".into(), "at least one of each is needed".into());
+            return Err(invalid("machines, work", "at least one of each is needed"));
+        }
+        Ok(())
+    }
+
+    /// A kind of work has a valid job and a known team, and fits on a machine.
+    fn check_work(&self, work: &Work) -> Result<(), SizesError> {
+        if let Err(problem) = work.spec("run-1").check() {
+            return Err(invalid(format!("work.{}", work.name), problem));
+        }
+        if !self.teams.is_empty() && !self.teams.iter().any(|team| team.name == work.team) {
+            return Err(invalid(work.field("team"), format!("{:?} is no team", work.team)));
+        }
+        if !self.machines.iter().any(|machine| machine.fits(work)) {
+            return Err(invalid(work.field("cpus"), "a task fits no machine"));
         }
         Ok(())
     }
 
+    /// The bounds of all values, in the order in which they are checked.
+    fn bounds(&self) -> Vec<Bound> {
+        let (state, cloud, workers) = (&self.state, &self.cloud, &self.workers);
+        let mut bounds = vec![
+            Bound::new("seconds", self.seconds, 1.0, DAY_S),
+            Bound::new("controllers", self.controllers as f64, 1.0, 9.0),
+            Bound::new("state.requests_per_second", state.requests_per_second, 5.0, MOST_AMOUNT),
+            Bound::new("state.changes_per_second", state.changes_per_second, 2.0, MOST_AMOUNT),
+            Bound::new("state.value_kb", state.value_kb, 8.0, 64.0),
+            Bound::new("state.txn_ops", state.txn_ops as f64, 4.0, 1000.0),
+            Bound::new("cloud.requests_per_second", cloud.requests_per_second, 1.0, MOST_AMOUNT),
+            Bound::new("cloud.list_lag_s", cloud.list_lag_s, 0.0, 600.0),
+            Bound::new("cloud.notice_s", cloud.notice_s, 0.0, HOUR_S),
+            Bound::new("workers.report_s", workers.report_s, 0.05, 60.0),
+            Bound::new("workers.lease_s", workers.lease_s, 1.0, 600.0),
+            Bound::new("workers.cancel_s", workers.cancel_s, 1.0, 600.0),
+            Bound::new("cloud.silent", cloud.silent, 0.0, 1.0),
+            Bound::new("cloud.never_up", cloud.never_up, 0.0, 1.0),
+        ];
+        bounds.extend(self.machines.iter().flat_map(Machine::bounds));
+        bounds.extend(self.work.iter().flat_map(Work::bounds));
+        bounds
+    }
+
     fn team_names(&self) -> Vec<String> {
         let named = self.teams.iter().map(|t| t.name.clone());
         let of_work = self.work.iter().map(|w| w.team.clone());
