--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -7,7 +7,7 @@
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use serde_json::json;
+use serde_json::{Value, json};
 use tokio::process::{Child, Command};
 
 use crate::driver::relay::relay;
@@ -90,6 +90,77 @@
     if beside.is_file() { Ok(beside) } else { Err(ControllerError::NotBuilt(beside.display().to_string())) }
 }
 
+/// The name of the controller of this number.
+fn name(i: usize) -> String {
+    format!("node-{i}")
+}
+
+fn write(path: &Path, text: &str) -> Result<(), ControllerError> {
+    std::fs::write(path, text).map_err(io(path.display().to_string()))
+}
+
+fn write_json(path: &Path, value: &Value) -> Result<(), ControllerError> {
+    write(path, &serde_json::to_string_pretty(value).unwrap_or_default())
+}
+
+/// Settings with other endpoints of the cloud and the state service.
+fn with_endpoints(mut settings: Value, cloud: &str, state: &str) -> Value {
+    settings["endpoints"] = json!({"cloud": cloud, "state": state});
+    settings
+}
+
+/// Listens on a port of its own, and forwards to `to` what the link lets pass.
+async fn relayed(world: &World, to: String, i: usize, link: Link) -> Result<String, ControllerError> {
+    relay(to, world.gate(i, link)).await.map_err(io("a link"))
+}
+
+/// Addresses and common settings of all controllers.
+struct Cluster {
+    zones: Vec<String>,
+    params: Value,
+    /// Where each listens to users and workers.
+    apis: Vec<String>,
+    /// Where each listens to the other controllers.
+    meshes: Vec<String>,
+}
+
+impl Cluster {
+    fn new(sizes: &Sizes) -> Result<Self, ControllerError> {
+        let (mut apis, mut meshes) = (Vec::new(), Vec::new());
+        for _ in 0..sizes.controllers {
+            apis.push(free_addr().map_err(io("a free port"))?);
+            meshes.push(free_addr().map_err(io("a free port"))?);
+        }
+        Ok(Self { zones: sizes.zones(), params: sizes.settings(), apis, meshes })
+    }
+
+    fn zone(&self, i: usize) -> &str {
+        &self.zones[i % self.zones.len()]
+    }
+
+    /// The address of a controller behind one of its links.
+    async fn link(&self, world: &World, i: usize, link: Link) -> Result<String, ControllerError> {
+        relayed(world, self.apis[i].clone(), i, link).await
+    }
+
+    /// A controller's settings, in which everything else is behind links.
+    async fn settings(&self, world: &Arc<World>, i: usize) -> Result<Value, ControllerError> {
+        let services = world.door(i).await;
+        let state = relayed(world, services.clone(), i, Link::Store).await?;
+        let cloud = relayed(world, services, i, Link::Cloud).await?;
+        let mut peers = Vec::new();
+        for j in (0..self.meshes.len()).filter(|j| *j != i) {
+            let endpoint = relayed(world, self.meshes[j].clone(), i, Link::Peer(j)).await?;
+            peers.push(json!({"host_name": name(j), "area": self.zone(j), "endpoint": endpoint}));
+        }
+        let settings = json!({
+            "host_name": name(i), "area": self.zone(i), "api_addr": self.apis[i], "mesh_addr": self.meshes[i],
+            "peers": peers, "params": self.params,
+        });
+        Ok(with_endpoints(settings, &cloud, &state))
+    }
+}
+
 impl Controllers {
     /// Writes their settings into a folder and starts them, each behind links of its own.
     pub async fn start(
@@ -100,45 +171,28 @@
     ) -> Result<Self, ControllerError> {
         std::fs::create_dir_all(folder).map_err(io(folder.display().to_string()))?;
         let properties = folder.join("rehearsal.properties");
-        std::fs::write(&properties, PROPERTIES).map_err(io(properties.display().to_string()))?;
-        let n = sizes.controllers;
-        let (mut apis, mut meshes) = (Vec::new(), Vec::new());
-        for _ in 0..n {
-            apis.push(free_addr().map_err(io("a free port"))?);
-            meshes.push(free_addr().map_err(io("a free port"))?);
-        }
-        let (zones, params) = (sizes.zones(), sizes.settings());
-        let name = |i: usize| format!("node-{i}");
-        let zone = |i: usize| zones[i % zones.len()].clone();
-        let operators = folder.join("operator.json");
-        let mut all =
-            Self { binary, properties, operators, list: vec![], for_users: vec![], direct: apis.clone(), own_ends: 0 };
-        for i in 0..n {
-            let door = world.door(i).await;
-            let state = relay(door.clone(), world.gate(i, Link::Store)).await.map_err(io("a link"))?;
-            let cloud = relay(door, world.gate(i, Link::Cloud)).await.map_err(io("a link"))?;
-            let users = relay(apis[i].clone(), world.gate(i, Link::Users)).await.map_err(io("a link"))?;
-            let workers = relay(apis[i].clone(), world.gate(i, Link::Workers)).await.map_err(io("a link"))?;
-            let mut peers = Vec::new();
-            for j in (0..n).filter(|j| *j != i) {
-                let to = relay(meshes[j].clone(), world.gate(i, Link::Peer(j))).await.map_err(io("a link"))?;
-                peers.push(json!({"host_name": name(j), "area": zone(j), "endpoint": to}));
-            }
-            let mut settings = json!({
-                "host_name": name(i), "area": zone(i), "api_addr": apis[i], "mesh_addr": meshes[i], "peers": peers,
-                "endpoints": {"cloud": cloud, "state": state}, "params": params,
-            });
+        write(&properties, PROPERTIES)?;
+        let cluster = Cluster::new(sizes)?;
+        let mut all = Self {
+            binary,
+            properties,
+            operators: folder.join("operator.json"),
+            list: vec![],
+            for_users: vec![],
+            direct: cluster.apis.clone(),
+            own_ends: 0,
+        };
+        for i in 0..sizes.controllers {
+            let settings = cluster.settings(world, i).await?;
             let config = folder.join(format!("{}.json", name(i)));
-            let text = serde_json::to_string_pretty(&settings).unwrap_or_default();
-            std::fs::write(&config, text).map_err(io(config.display().to_string()))?;
+            write_json(&config, &settings)?;
             if i == 0 {
-                let door = world.door(n).await;
-                settings["endpoints"] = json!({"cloud": door.clone(), "state": door});
-                let text = serde_json::to_string_pretty(&settings).unwrap_or_default();
-                std::fs::write(&all.operators, text).map_err(io("operator.json"))?;
+                let direct = world.door(sizes.controllers).await;
+                write_json(&all.operators, &with_endpoints(settings, &direct, &direct))?;
             }
+            let workers = cluster.link(world, i, Link::Workers).await?;
             lock(&world.nodes).push(Node { name: name(i), addr: workers });
-            all.for_users.push(users);
+            all.for_users.push(cluster.link(world, i, Link::Users).await?);
             let log = folder.join(format!("{}.log", name(i)));
             let _ = std::fs::remove_file(&log);
             all.list.push(Controller { config, log, child: None, starts: None, resumes: None });
