--- a/crates/emulator/src/declared.rs
+++ b/crates/emulator/src/declared.rs
@@ -1,4 +1,4 @@
-//! What the judge makes of declared windows and heat rules, from what the controllers stored of them alone.
+//! Checks of declared windows and heat rules, based only on the statuses that the controllers stored.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -6,8 +6,9 @@
 use hollylanding_wire::jobs::{JobId, JobSpec};
 use serde_json::Value;
 
-/// A window may end this much later than it closes; a turn be seen stored this much later than it was.
+/// A window may end this much later than it closes.
 const ENDS_WITHIN_MS: u64 = 30_000;
+/// A stored turn may be observed this much later than it was stored.
 const SEEN_WITHIN: Duration = Duration::from_millis(500);
 /// Tasks of others that begin ahead of vents that wait, before these count as passed over: a rule takes
 /// only a part of all cores, and a large job of its own needs room together.
--- a/crates/emulator/src/judge/answers.rs
+++ b/crates/emulator/src/judge/answers.rs
@@ -83,7 +83,7 @@
         Some((Rule::Forgotten, what))
     }
 
-    /// A user was told this state.
+    /// An answer contained this status of a job.
     fn check_status(&mut self, at: Duration, id: &JobId, status: Status) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let before = job.final_status.map(|(told, _)| told);
--- a/crates/emulator/src/judge/tasks.rs
+++ b/crates/emulator/src/judge/tasks.rs
@@ -9,8 +9,8 @@
 use super::Rule;
 use super::state::{Attempt, Job, Judge, Place};
 
-/// Vents are passed over once they have waited for longer than a takeover, a place and a start told take: what
-/// begins sooner had its place before them.
+/// A job that a heat rule puts first counts as passed over only after it has waited for longer than a takeover, a
+/// placement and a start take: what starts sooner was placed before it.
 const PASSED_AFTER: Duration = Duration::from_secs(10);
 /// Tolerance when a team's use is compared with its quota.
 const SLACK: f64 = 1e-6;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -23,7 +23,7 @@
 
 /// An emulated cloud, state service and fleet on loopback, with hollylanding's controllers as real processes.
 ///
-/// Exit status: 0 done; 1 a rule was broken, a result was lost, or it could not be played; 2 a wrong file.
+/// Exit status: 0 done; 1 a rule was broken, a result was lost, or it could not be run; 2 a wrong file.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Cli {
@@ -42,7 +42,7 @@
         #[arg(long, value_name = "DIR", default_value = "target/rehearsal/up")]
         folder: PathBuf,
     },
-    /// Plays a scenario and judges what happened
+    /// Runs a scenario and judges what happened
     Rehearse {
         /// The scenario (rhai); without it nothing goes wrong
         file: Option<PathBuf>,
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// Runs a plan to its end, or until the sizes' seconds are over. `progress` is told the number of results, and of the
+/// Runs a plan to its end, or until the sizes' seconds are over. `progress` receives the number of results, and of the
 /// results expected.
 pub async fn run(setup: &Setup<'_>, progress: impl Fn(usize, usize)) -> Result<Outcome, ControllerError> {
     let mut rehearsal = Rehearsal::start(setup).await?;
--- a/crates/emulator/src/rehearsal/users.rs
+++ b/crates/emulator/src/rehearsal/users.rs
@@ -31,7 +31,7 @@
 pub(super) const ROUND: Duration = Duration::from_secs(5);
 /// The most jobs that a round asks about; of more jobs, evenly chosen ones.
 const MOST_ASKED: usize = 2000;
-/// Longest answer time that is told apart, in milliseconds.
+/// Longest answer time that the histogram distinguishes, in milliseconds.
 const LONGEST_MS: u64 = 120_000;
 /// Significant decimal digits of answer times.
 const DIGITS: u8 = 3;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! One self-contained page about a rehearsal: verdicts, faults and plots, as HTML with SVG inside.
+//! The report of a rehearsal: one self-contained HTML page with verdicts, faults and SVG plots.
 
 use minijinja::{Environment, context};
 use plotters::prelude::*;
@@ -8,7 +8,7 @@
 use crate::sizes::Sizes;
 
 const SIZE: (u32, u32) = (920, 260);
-/// Tasks told by name that have no result.
+/// The most tasks without a result that are listed by name.
 const MOST_LOST: usize = 200;
 
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: which faults come when, from a script that is read once and bounded in all it does.
+//! Scenarios: which faults are injected when, read from a script whose run is bounded.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud: machines rented by the second, with capacity, boots, moving spot prices, notices, and
-//! a list that lags.
+//! The cloud: machines charged by the second, with limited capacity, boot times, varying spot prices, notices before spot
+//! machines are taken, and a list that lags behind.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -346,7 +346,7 @@
         }
     }
 
-    /// A part of the spot machines is taken back; some are told before.
+    /// Takes back a fraction of the spot machines; some receive notice before.
     pub fn take_spot(&mut self, share: f64, now: Duration) -> Vec<Event> {
         let mut told = Vec::new();
         let (rng, params) = (&mut self.rng, &self.params);
@@ -400,8 +400,8 @@
         }
     }
 
-    /// What time has brought about since the last call, and what it has cost. Machines that are
-    /// long gone are forgotten.
+    /// Advances to this time: returns what happened since the last call, and charges for it. Machines that are no
+    /// longer listed are removed.
     pub fn tick(&mut self, now: Duration) -> Vec<Event> {
         self.advance(now);
         let mut events = Vec::new();
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -179,7 +179,7 @@
         !self.out && !self.refused.contains(node)
     }
 
-    /// Ends what is due. Nothing ends during an outage.
+    /// Ends the leases that have expired. None expires during an outage.
     pub fn end_leases(&mut self, now: Duration) {
         if self.out {
             return;
@@ -241,7 +241,7 @@
             .map(|(key, kept)| (key.as_str(), &kept.value, kept.stamp))
     }
 
-    /// What breaks the service's promise: the newest keys under a prefix vanish, and nobody is told.
+    /// Breaks the service's guarantees: the newest keys under a prefix vanish, and no watch reports it.
     pub fn vanish(&mut self, prefix: &str, n: usize) -> Vec<String> {
         let mut found: Vec<(u64, String)> = self.under(prefix).map(|(key, _, stamp)| (stamp, key.to_owned())).collect();
         found.sort_unstable();
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Forgets all changes: whoever follows has to read anew.
+    /// Discards the log of changes: every watch has to list again.
     pub fn forget_log(&mut self) {
         self.log.clear();
         self.forgotten = self.revision;
