--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -16,10 +16,10 @@
 
 /// What is known of a job that was accepted: one that is neither open nor known to have ended is over.
 fn fate(view: &View, id: &JobId) -> Fate {
-    match ((view.ended)(id), view.book.job(id)) {
+    match ((view.ended)(id), view.cluster.job(id)) {
         (Some(End::Done), _) => Fate::Done {
             // However late its window's turn to be stored comes.
-            at_ms: view.book.ended_at(id).map(|at| {
+            at_ms: view.cluster.ended_at(id).map(|at| {
                 let ago = view.now.saturating_duration_since(at).as_millis();
                 view.now_ms.saturating_sub(u64::try_from(ago).unwrap_or(u64::MAX))
             }),
@@ -44,7 +44,7 @@
             Standing::new(name, spec, status)
         };
         let windows: Vec<Standing> = view.shelf.specs::<Window>().map(standing).collect();
-        let open = view.book.jobs().filter(|(_, job)| job.ended.is_none());
+        let open = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
         Round::of(&windows, open.map(|(_, job)| &job.record))
     })
 }
@@ -73,13 +73,13 @@
 
     fn wish(name: &str, spec: &Spec, status: &Status, view: &View, wishes: &mut Wishes) {
         let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), comers: round(view).comers(name) };
-        let (cpus, gpus) = view.book.usage.get(&spec.team).copied().unwrap_or_default();
+        let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         let within = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
         let left = view.settings.team(&spec.team).map_or(Left { cpus: 0.0, gpus: 0.0 }, |team| Left {
             cpus: within(team.cpus_max, cpus),
             gpus: within(team.gpus_max, gpus),
         });
-        let shape = |id: &JobId| view.book.job(id).map(|job| job.spec().clone());
+        let shape = |id: &JobId| view.cluster.job(id).map(|job| job.spec().clone());
         wish(name, spec, status, &facts, &shape, left, wishes);
     }
 
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -79,10 +79,11 @@
     fn follow(&mut self, at: usize) {
         self.stage.follow(at, true);
         let Controller { mirror, owner, own, .. } = &mut self.stage.controllers[at];
-        let Some((book, _)) = owner.as_mut() else { return };
-        let gone: Vec<JobId> = book.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned().collect();
-        gone.iter().for_each(|id| book.end_job(id, own.get(id).copied(), Instant::now()));
-        mirror.open_jobs().for_each(|(_, record)| book.add_job(record.clone(), Instant::now()));
+        let Some((cluster, _)) = owner.as_mut() else { return };
+        let gone: Vec<JobId> =
+            cluster.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned().collect();
+        gone.iter().for_each(|id| cluster.end_job(id, own.get(id).copied(), Instant::now()));
+        mirror.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
     }
 
     /// Another owns, or the same process anew.
@@ -90,11 +91,11 @@
         self.stage.assign(at);
         let Controller { mirror, owner, own, .. } = &mut self.stage.controllers[at];
         own.clear();
-        let (book, _) = owner.as_mut().unwrap();
+        let (cluster, _) = owner.as_mut().unwrap();
         for (id, record) in mirror.open_jobs() {
-            book.add_job(record.clone(), Instant::now());
+            cluster.add_job(record.clone(), Instant::now());
             if self.begun.contains(id) {
-                book.load_chunk(id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
+                cluster.load_chunk(id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
             }
         }
         self.owner = at;
@@ -166,16 +167,16 @@
     /// The owner places a job that it may: the lesser turn first.
     fn begin(&mut self) {
         let Controller { mirror, owner, own, skew_ms, .. } = &mut self.stage.controllers[self.owner];
-        let Some((book, _)) = owner.as_mut() else { return };
-        if book.wishes_due {
+        let Some((cluster, _)) = owner.as_mut() else { return };
+        if cluster.wishes_due {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
-            refresh(&KINDS, book, mirror.shelf(), &|id| own.get(id).copied(), Instant::now(), now_ms);
+            refresh(&KINDS, cluster, mirror.shelf(), &|id| own.get(id).copied(), Instant::now(), now_ms);
         }
-        let may = |id: &&JobId| self.without == Without::Turns || !book.wishes.not_yet.contains(*id);
-        let number = |id: &JobId| book.wishes.turns.get(id).map(|t| t.number);
-        let open = book.jobs().filter(|(id, j)| j.ended.is_none() && !self.begun.contains(*id)).map(|(id, _)| id);
+        let may = |id: &&JobId| self.without == Without::Turns || !cluster.wishes.not_yet.contains(*id);
+        let number = |id: &JobId| cluster.wishes.turns.get(id).map(|t| t.number);
+        let open = cluster.jobs().filter(|(id, j)| j.ended.is_none() && !self.begun.contains(*id)).map(|(id, _)| id);
         let Some(id) = open.filter(may).min_by_key(|id| (number(id), (*id).clone())).cloned() else { return };
-        book.load_chunk(&id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
+        cluster.load_chunk(&id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
         self.begun.insert(id.clone());
         // Out of turn: another of its window waits for an earlier turn that has not been passed over.
         for name in NAMES {
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -20,7 +20,7 @@
 use super::table::{Decided, Entry, News, entry};
 use crate::jobs::record::ASSIGNMENT;
 use crate::jobs::{End, JobId};
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::scheduling::wishes::Wishes;
 use crate::store::mirror::Mirror;
 use crate::store::{Change, Condition};
@@ -119,20 +119,27 @@
         self.stored = self.stored.max(revision);
     }
 
-    /// Everything that follows from how things stand. Nothing where the book is not whole yet, or the
+    /// Everything that follows from how things stand. Nothing where the cluster state is not whole yet, or the
     /// mirror is being read anew: jobs unknown to it would look as if they were over.
-    pub fn look(&mut self, book: &mut Book, mirror: &mut Mirror, ended: Ended, now: Instant, now_ms: u64) -> Looked {
-        if !book.loaded || !mirror.ready {
+    pub fn look(
+        &mut self,
+        cluster: &mut ClusterState,
+        mirror: &mut Mirror,
+        ended: Ended,
+        now: Instant,
+        now_ms: u64,
+    ) -> Looked {
+        if !cluster.loaded || !mirror.ready {
             return Looked::default();
         }
         let changed = mirror.shelf_mut().take_changed();
-        refresh(self.kinds, book, mirror.shelf(), ended, now, now_ms);
-        let mut looked = Looked { token: book.token, ..Looked::default() };
+        refresh(self.kinds, cluster, mirror.shelf(), ended, now, now_ms);
+        let mut looked = Looked { token: cluster.token, ..Looked::default() };
         for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < TOLD_BEFORE) {
             looked.news.extend(news(self.kinds, change));
         }
         if mirror.revision >= self.stored {
-            let view = view(book, mirror.shelf(), ended, now, now_ms);
+            let view = view(cluster, mirror.shelf(), ended, now, now_ms);
             looked.writes = self.decide(&view, &mut looked.news);
             looked.unknown = view.unknown.into_inner();
             looked.settled = looked.writes.is_empty();
@@ -201,15 +208,15 @@
     }
 }
 
-fn view<'a>(book: &'a Book, shelf: &'a Shelf, ended: Ended<'a>, now: Instant, now_ms: u64) -> View<'a> {
+fn view<'a>(cluster: &'a ClusterState, shelf: &'a Shelf, ended: Ended<'a>, now: Instant, now_ms: u64) -> View<'a> {
     View {
-        book,
+        cluster,
         ended,
         shelf,
         now,
         now_ms,
-        epoch: book.token,
-        settings: &book.settings,
+        epoch: cluster.token,
+        settings: &cluster.settings,
         round: OnceCell::new(),
         unknown: RefCell::default(),
     }
@@ -217,15 +224,15 @@
 
 /// Works out anew what is asked for by what is stored: before anything is decided after a takeover, when
 /// jobs have come, and each second. Does nothing as long as nothing is declared.
-pub fn refresh(kinds: &[Entry], book: &mut Book, shelf: &Shelf, ended: Ended, now: Instant, now_ms: u64) {
-    book.wishes_due = false;
-    if shelf.is_empty() && book.wishes.is_empty() {
+pub fn refresh(kinds: &[Entry], cluster: &mut ClusterState, shelf: &Shelf, ended: Ended, now: Instant, now_ms: u64) {
+    cluster.wishes_due = false;
+    if shelf.is_empty() && cluster.wishes.is_empty() {
         return;
     }
     let mut wishes = Wishes::default();
-    let view = view(book, shelf, ended, now, now_ms);
+    let view = view(cluster, shelf, ended, now, now_ms);
     for entry in kinds {
         (entry.wish)(&view, &mut wishes);
     }
-    book.set_wishes(wishes);
+    cluster.set_wishes(wishes);
 }
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -3,7 +3,7 @@
 //! A spec is written by operators only, a status by the owner only: conditional on its assignment, on
 //! the spec's stamp and on the status's own. Whoever owns next reads both and goes on from there, at
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
-//! sparing (`scheduling::wishes`) follows from statuses as the mirror has them, the book and the time.
+//! sparing (`scheduling::wishes`) follows from statuses as the mirror has them, the cluster state and the time.
 
 pub mod driver;
 pub mod operator;
@@ -24,7 +24,7 @@
 
 use crate::calendar::Round;
 use crate::jobs::{End, JobId};
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::scheduling::wishes::Wishes;
 use crate::settings::{Params, Settings, Team};
 
@@ -75,7 +75,7 @@
 /// State and time: all that a decision may look at.
 pub struct View<'a> {
     /// The owner's state.
-    pub book: &'a Book,
+    pub cluster: &'a ClusterState,
     /// What is known here of ended jobs; not all is.
     pub ended: &'a dyn Fn(&str) -> Option<End>,
     /// All specs and statuses.
--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -10,7 +10,7 @@
 use super::table::KINDS;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
 use crate::store::mirror::Mirror;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
@@ -31,7 +31,7 @@
     /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
     fn quiet(&self) -> bool;
     /// Runs this on how things stand; none if nothing may be decided at the moment.
-    fn look<T>(&self, look: impl FnOnce(&mut Book, &mut Mirror, Ended) -> T) -> Option<T>;
+    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T>;
     /// Asks the store how a job ended; `look` is told once it has answered.
     fn ask(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
@@ -98,7 +98,7 @@
             let _ = tokio::time::timeout(EVERY, hands.woken()).await;
         }
         let now = Instant::now();
-        let looked = hands.look(|book, mirror, ended| driver.look(book, mirror, ended, now, time_of_day_ms()));
+        let looked = hands.look(|cluster, mirror, ended| driver.look(cluster, mirror, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
         let Looked { mut writes, settled, token, news, unknown } = looked.unwrap_or_default();
         unknown.iter().for_each(|id| hands.ask(id));
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -25,7 +25,7 @@
 use super::{Declared, Kind, Names, Problem, View};
 use crate::jobs::JobId;
 use crate::jobs::record::{ASSIGNMENT, MIRRORED, MIRRORED_AFTER};
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::scheduling::wishes::Wishes;
 use crate::store::budget::Urgent;
 use crate::store::mirror::Mirror;
@@ -135,10 +135,10 @@
             *controller.own.entry(line).or_default() += 1;
         }
         // What is asked for is what this controller's mirror has, never what is only decided.
-        let (shelf, (book, _)) = (controller.mirror.shelf(), controller.owner.as_ref().unwrap());
+        let (shelf, (cluster, _)) = (controller.mirror.shelf(), controller.owner.as_ref().unwrap());
         for (name, _, _) in shelf.specs::<Heat>().filter(|_| controller.mirror.ready) {
             let at = shelf.status::<Heat>(name).map_or(0, |(status, _)| status.at);
-            assert!(book.wishes.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
+            assert!(cluster.wishes.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
     }
 
@@ -359,8 +359,8 @@
     let shelf = stage.controllers[0].mirror.shelf();
     assert_eq!(shelf.entries(), 5, "the larger one and the unknown kind are not taken in");
     assert!(shelf.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
-    let (book, _) = stage.controllers[0].owner.as_ref().unwrap();
-    assert_eq!(book.wishes.not_yet.len(), 1, "nothing is asked for by what cannot be read");
+    let (cluster, _) = stage.controllers[0].owner.as_ref().unwrap();
+    assert_eq!(cluster.wishes.not_yet.len(), 1, "nothing is asked for by what cannot be read");
 }
 
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
@@ -388,7 +388,7 @@
     fn quiet(&self) -> bool {
         true
     }
-    fn look<T>(&self, _: impl FnOnce(&mut Book, &mut Mirror, Ended) -> T) -> Option<T> {
+    fn look<T>(&self, _: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         None
     }
--- a/src/declared/tests/play.rs
+++ b/src/declared/tests/play.rs
@@ -12,7 +12,7 @@
 use crate::declared::table::Entry;
 use crate::jobs::End;
 use crate::jobs::record::{ASSIGNMENT, MIRRORED, MIRRORED_AFTER};
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
 use crate::store::mirror::{Loading, Mirror};
@@ -24,7 +24,7 @@
 pub struct Controller<T> {
     pub mirror: Mirror,
     loading: Option<(Loading, String)>,
-    pub owner: Option<(Book, Driver)>,
+    pub owner: Option<(ClusterState, Driver)>,
     /// Decided, and not sent yet.
     decided: Option<(Vec<Write>, u64)>,
     /// Its time of day is off by so much.
@@ -86,18 +86,18 @@
         let token = self.store.apply_if(&[], &[Change::write(ASSIGNMENT, json!(at))]).unwrap();
         // A new owner proves its mirror fresh before it decides.
         self.follow(at, true);
-        let mut book = Book::new(token, example(), Properties::default(), Instant::now());
-        book.loaded = true;
-        self.controllers[at].owner = Some((book, Driver::new(self.kinds)));
+        let mut cluster = ClusterState::new(token, example(), Properties::default(), Instant::now());
+        cluster.loaded = true;
+        self.controllers[at].owner = Some((cluster, Driver::new(self.kinds)));
         self.controllers[at].decided = None;
     }
 
     /// None where it never owned. What is to be stored waits to be sent.
     pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<Looked> {
         let Controller { mirror, owner, decided, skew_ms, own, .. } = &mut self.controllers[at];
-        let (book, driver) = owner.as_mut()?;
+        let (cluster, driver) = owner.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
-        let looked = driver.look(book, mirror, &|id| ended(own, id), Instant::now(), now_ms);
+        let looked = driver.look(cluster, mirror, &|id| ended(own, id), Instant::now(), now_ms);
         if !looked.writes.is_empty() {
             driver.sent(&looked.writes);
             *decided = Some((looked.writes.clone(), looked.token));
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -5,7 +5,7 @@
 
 use crate::jobs::JobSpec;
 use crate::kinds::Catalog;
-use crate::scheduling::book::{Book, Machine, MachineId, Standing};
+use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
 use crate::scheduling::filler;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
@@ -51,10 +51,10 @@
 }
 
 impl<'a> Pool<'a> {
-    fn new(book: &'a Book, catalog: &'a Catalog, now: Instant) -> Self {
-        let ground = Ground::new(book, catalog);
-        let suspect = suspect_after(book);
-        let mut rooms: Vec<Room> = book
+    fn new(cluster: &'a ClusterState, catalog: &'a Catalog, now: Instant) -> Self {
+        let ground = Ground::new(cluster, catalog);
+        let suspect = suspect_after(cluster);
+        let mut rooms: Vec<Room> = cluster
             .machines
             .values()
             .filter(|m| usable(m, suspect, now) || m.standing == Standing::Booting)
@@ -67,7 +67,7 @@
             let (a_key, b_key) = (dear(a), dear(b));
             (a_key.0.cmp(&b_key.0)).then(a_key.1.total_cmp(&b_key.1)).then(a.cpus.total_cmp(&b.cpus))
         });
-        let wanted = rooms.iter().map(|r| r.machine.is_some_and(|m| book.holds.contains_key(&m.id))).collect();
+        let wanted = rooms.iter().map(|r| r.machine.is_some_and(|m| cluster.holds.contains_key(&m.id))).collect();
         let short = vec![false; ground.offers.len()];
         Self { ground, rooms, wanted, short }
     }
@@ -112,30 +112,30 @@
 }
 
 /// The dearest machines that can be spared, emptier ones first among equals.
-pub fn choose(book: &Book, catalog: &Catalog, now: Instant) -> Vec<Drain> {
-    let mut pool = Pool::new(book, catalog, now);
+pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<Drain> {
+    let mut pool = Pool::new(cluster, catalog, now);
     // Waiting work, then what is expected while a machine would boot, takes its room first; idle work,
     // what of it runs included, what is left.
-    for turn in queue(book, now).into_iter().filter(|t| !t.suspected && !t.job.spec().is_idle()) {
-        let (job, waiting) = (turn.job, book.wishes.waiting(turn.id, turn.job) as u64);
-        pool.keep(job.spec(), &Zones::new(book, job), waiting, turn.ahead || turn.age > job.agreement.run);
+    for turn in queue(cluster, now).into_iter().filter(|t| !t.suspected && !t.job.spec().is_idle()) {
+        let (job, waiting) = (turn.job, cluster.wishes.waiting(turn.id, turn.job) as u64);
+        pool.keep(job.spec(), &Zones::new(cluster, job), waiting, turn.ahead || turn.age > job.agreement.run);
     }
-    for (wish, _) in wishes::room_kept(book, &pool.ground) {
+    for (wish, _) in wishes::room_kept(cluster, &pool.ground) {
         pool.keep(&wish.like, &Zones::none(&wish.like), wish.tasks, false);
     }
-    for (class, expected) in book.arrivals.iter().filter(|(_, a)| !a.like.spec.is_idle()) {
+    for (class, expected) in cluster.arrivals.iter().filter(|(_, a)| !a.like.spec.is_idle()) {
         let spec = &expected.like.spec;
         let open = pool.ground.open_to(spec, &Zones::none(spec));
         let boot_s = pool.ground.longest_boot_s(&open);
-        let asked = &book.settings.params.objectives;
+        let asked = &cluster.settings.params.objectives;
         let prompt = asked.iter().any(|o| o.kind == "wait" && o.class == *class && o.within_s < boot_s);
         let boots = if prompt { SPARE_BOOTS_PROMPT } else { SPARE_BOOTS };
         let tasks = (expected.per_second(now) * boot_s * boots).round() as u64;
         pool.keep(spec, &Zones::none(spec), tasks, false);
     }
-    for (id, job) in book.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
-        let tasks = (book.wishes.waiting(id, job) + job.bound.len()) as u64;
-        if tasks > 0 && !book.evidence.suspects(id) {
+    for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
+        let tasks = (cluster.wishes.waiting(id, job) + job.bound.len()) as u64;
+        if tasks > 0 && !cluster.evidence.suspects(id) {
             pool.keep(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
     }
@@ -158,7 +158,7 @@
             continue;
         }
         tried += usize::from(!machine.bound.is_empty());
-        if let Some(moves) = spared(book, machine, &mut pool, at, now) {
+        if let Some(moves) = spared(cluster, machine, &mut pool, at, now) {
             // Nothing goes to a machine that is about to be left.
             pool.rooms[at].cpus = -1.0;
             chosen.push(Drain { machine: machine.id.clone(), moves });
@@ -168,17 +168,23 @@
 }
 
 /// What of a machine's work would have to move, if all of that fits elsewhere.
-fn spared(book: &Book, machine: &Machine, pool: &mut Pool, at: usize, now: Instant) -> Option<Vec<(TaskKey, u64)>> {
+fn spared(
+    cluster: &ClusterState,
+    machine: &Machine,
+    pool: &mut Pool,
+    at: usize,
+    now: Instant,
+) -> Option<Vec<(TaskKey, u64)>> {
     let of = pool.rooms[at].of;
     let (mut moves, mut stops) = (Vec::new(), Vec::new());
     for key in &machine.bound {
-        let Some(job) = book.job(&key.job) else { continue };
+        let Some(job) = cluster.job(&key.job) else { continue };
         let Some(binding) = job.binding(key.index) else { continue };
         let spec = job.spec();
         if job.ended.is_some() || binding.halting.is_some() {
             continue;
         }
-        if book.wishes.stays(&key.job) || book.wishes.ahead.as_ref().is_some_and(|a| a.names.has(spec)) {
+        if cluster.wishes.stays(&key.job) || cluster.wishes.ahead.as_ref().is_some_and(|a| a.names.has(spec)) {
             return None;
         }
         let ran = binding.running_since.filter(|_| binding.status == Some(LegStatus::Running));
@@ -207,7 +213,7 @@
     }
     let before = pool.rooms.clone();
     for (key, _) in &moves {
-        let Some(job) = book.job(&key.job) else { continue };
+        let Some(job) = cluster.job(&key.job) else { continue };
         let open = pool.ground.open_to(job.spec(), &Zones::none(job.spec()));
         if !pool.put(job.spec(), &open, 1, Some(at)) {
             pool.rooms = before;
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -1,4 +1,4 @@
-//! What the cloud lists, taken into the book, and the fleet as operators see it.
+//! What the cloud lists, taken into the cluster state, and the fleet as operators see it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,22 +8,22 @@
 use super::cloud;
 use crate::kinds::Kind;
 use crate::node::Node;
-use crate::scheduling::book::Standing;
+use crate::scheduling::cluster::Standing;
 use crate::scheduling::room::Ground;
 use crate::sync::lock;
 
 /// Machines that the cloud lists, with their ages and states.
 pub(super) fn take_list(node: &Node, machines: Vec<cloud::Listed>) {
     let now = Instant::now();
-    let mut held = lock(&node.book);
-    let Some(book) = held.as_mut() else { return };
+    let mut held = lock(&node.cluster);
+    let Some(cluster) = held.as_mut() else { return };
     for machine in machines {
         let age = Duration::try_from_secs_f64(machine.held_s).unwrap_or_default();
         let kind = Kind { type_name: machine.type_name, zone: machine.zone, spot: machine.spot };
-        book.expect(&machine.id, &kind, machine.addr.as_deref(), age, now);
+        cluster.expect(&machine.id, &kind, machine.addr.as_deref(), age, now);
         match machine.state.as_str() {
-            "failed" => book.condemn(&machine.id, "failed by the cloud's word"),
-            "running" => book.listed_up(&machine.id, now),
+            "failed" => cluster.condemn(&machine.id, "failed by the cloud's word"),
+            "running" => cluster.listed_up(&machine.id, now),
             _ => {}
         }
     }
@@ -32,11 +32,11 @@
 
 /// What is held of each kind and how full it is, for whoever looks at costs.
 pub(super) fn tell_fleet(node: &Node) {
-    let (Some(catalog), held) = (node.catalog(), lock(&node.book)) else { return };
-    let Some(book) = held.as_ref() else { return };
-    let ground = Ground::new(book, &catalog);
+    let (Some(catalog), held) = (node.catalog(), lock(&node.cluster)) else { return };
+    let Some(cluster) = held.as_ref() else { return };
+    let ground = Ground::new(cluster, &catalog);
     let mut held_of = BTreeMap::<usize, (u32, u32, u32, u32, f64, f64)>::new();
-    for machine in book.machines.values() {
+    for machine in cluster.machines.values() {
         let Some(room) = ground.room(machine) else { continue };
         let of = held_of.entry(room.kind).or_default();
         match machine.standing {
@@ -53,7 +53,7 @@
     for (kind, (booting, up, leaving, empty, cpus, gpus)) in held_of {
         let n = f64::from((up + leaving).max(1));
         let (cpus_used, gpus_used) = ((100.0 * cpus / n).round(), (100.0 * gpus / n).round());
-        let kind = &book.kinds()[kind];
+        let kind = &cluster.kinds()[kind];
         debug!(%kind, booting, up, leaving, empty, cpus_used, gpus_used, "fleet");
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -49,7 +49,7 @@
     let mut tidying = tokio::task::JoinSet::new();
     loop {
         let _ = tokio::time::timeout(EVERY, node.wake.fleet.notified()).await;
-        if node.unproven() || !lock(&node.book).as_ref().is_some_and(|b| b.loaded) {
+        if node.unproven() || !lock(&node.cluster).as_ref().is_some_and(|b| b.loaded) {
             continue;
         }
         if listed.is_none_or(|at| at.elapsed() >= LIST_EVERY) {
@@ -96,18 +96,18 @@
 fn drain_some(node: &Node) {
     let now = Instant::now();
     let Some(catalog) = node.catalog() else { return };
-    let mut held = lock(&node.book);
-    let Some(book) = held.as_mut() else { return };
-    for (id, why) in rent::to_give_up(book, &catalog, now) {
-        book.condemn(&id, why);
+    let mut held = lock(&node.cluster);
+    let Some(cluster) = held.as_mut() else { return };
+    for (id, why) in rent::to_give_up(cluster, &catalog, now) {
+        cluster.condemn(&id, why);
     }
-    let chosen = drain::choose(book, &catalog, now);
+    let chosen = drain::choose(cluster, &catalog, now);
     if chosen.is_empty() {
         return;
     }
     for drain in chosen {
-        book.drain(&drain.machine, &drain.moves, now);
+        cluster.drain(&drain.machine, &drain.moves, now);
     }
-    book.tick(now);
+    cluster.tick(now);
     node.wake.dispatch.notify_one();
 }
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -22,7 +22,7 @@
 
 /// What an earlier owner has left, once; from here on it is this owner's.
 pub(super) fn inherited(node: &Node, dealings: &Shared) -> Inherited {
-    let orders = lock(&node.book).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
+    let orders = lock(&node.cluster).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
     let inherited = Inherited::of(orders, MOST_RETURNED);
     let mut dealings = lock(dealings);
     for (rentals, key) in &inherited.rentals {
@@ -40,7 +40,7 @@
 }
 
 fn token(node: &Node) -> Option<u64> {
-    lock(&node.book).as_ref().map(|b| b.token)
+    lock(&node.cluster).as_ref().map(|b| b.token)
 }
 
 /// Stores an order under this owner's assignment; its key, once it stands. None where another owns
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -1,11 +1,11 @@
-//! What to rent and what to give up: pure functions of the book and the time.
+//! What to rent and what to give up: pure functions of the cluster state and the time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
 use crate::kinds::{Catalog, Kind};
-use crate::scheduling::book::{Book, Machine, MachineId, Standing};
+use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
 use crate::scheduling::filler;
 use crate::scheduling::forecast::{Slots, Timeline};
 use crate::scheduling::plan::{Quotas, Turn, queue};
@@ -120,34 +120,34 @@
 const MOST_FOLLOWED: usize = 500;
 
 /// How many machines of each kind there are, whatever they stand for.
-pub fn held_by_kind(book: &Book) -> HashMap<Kind, u64> {
-    let mut counts = vec![0u64; book.kinds().len()];
-    for kind in book.machines.values().filter_map(|m| m.kind) {
+pub fn held_by_kind(cluster: &ClusterState) -> HashMap<Kind, u64> {
+    let mut counts = vec![0u64; cluster.kinds().len()];
+    for kind in cluster.machines.values().filter_map(|m| m.kind) {
         if let Some(count) = counts.get_mut(kind) {
             *count += 1;
         }
     }
-    book.kinds().iter().cloned().zip(counts).filter(|(_, n)| *n > 0).collect()
+    cluster.kinds().iter().cloned().zip(counts).filter(|(_, n)| *n > 0).collect()
 }
 
 /// What to rent so that waiting work starts in time: cheap kinds soon, dear ones only when the
 /// slack of the work asks for it.
 pub fn plan(
-    book: &Book,
+    cluster: &ClusterState,
     catalog: &Catalog,
     refusals: &Refusals,
     asked: &HashMap<Kind, u64>,
     now: Instant,
 ) -> Vec<(Kind, u64)> {
     // For what fails everywhere nothing is rented.
-    let turns = queue(book, now).into_iter().filter(|t| !t.suspected);
+    let turns = queue(cluster, now).into_iter().filter(|t| !t.suspected);
     let (idle, urgent): (Vec<Turn>, Vec<Turn>) = turns.partition(|t| t.job.spec().is_idle());
-    let room = !book.wishes.room.is_empty();
+    let room = !cluster.wishes.room.is_empty();
     if idle.is_empty() && urgent.is_empty() && !room {
         return Vec::new();
     }
-    let ground = Ground::with_all_offers(book, catalog);
-    let mut wishes = Wishes::new(book, &ground, refusals, asked, now);
+    let ground = Ground::with_all_offers(cluster, catalog);
+    let mut wishes = Wishes::new(cluster, &ground, refusals, asked, now);
     // Idle tasks give way, so that their room counts for others; what they wait for themselves is looked
     // at after that, on the machines as they are.
     if !urgent.is_empty() || room {
@@ -158,7 +158,7 @@
         wishes.follow(fresh, &mut timelines);
         wishes.follow_room(&mut timelines);
         if !waited.is_empty() {
-            expect_arrivals(book, &ground, &mut timelines, now);
+            expect_arrivals(cluster, &ground, &mut timelines, now);
         }
         wishes.follow(waited, &mut timelines);
     }
@@ -171,7 +171,7 @@
 
 /// What is to be rented, as it is found out job by job.
 struct Wishes<'a> {
-    book: &'a Book,
+    cluster: &'a ClusterState,
     ground: &'a Ground<'a>,
     asked: &'a HashMap<Kind, u64>,
     kinds: Vec<Option<Kind>>,
@@ -187,35 +187,35 @@
 
 impl<'a> Wishes<'a> {
     fn new(
-        book: &'a Book,
+        cluster: &'a ClusterState,
         ground: &'a Ground<'a>,
         refusals: &Refusals,
         asked: &'a HashMap<Kind, u64>,
         now: Instant,
     ) -> Self {
         let kinds: Vec<Option<Kind>> = ground.offers.iter().map(|o| o.map(|o| o.kind())).collect();
-        let held = held_by_kind(book);
+        let held = held_by_kind(cluster);
         let refused = |k: &Kind| refusals.refused(k, held.get(k).copied().unwrap_or(0), now);
         let refused = kinds.iter().map(|k| k.as_ref().is_none_or(refused)).collect();
-        let total = book.machines.values().filter(|m| m.standing != Standing::Condemned).count() as u64
+        let total = cluster.machines.values().filter(|m| m.standing != Standing::Condemned).count() as u64
             + kinds.iter().flatten().filter_map(|k| asked.get(k)).sum::<u64>();
-        let (wanted, quotas) = (BTreeMap::new(), Quotas::new(book));
-        Self { book, ground, asked, kinds, refused, total, wanted, quotas, followed: 0, jobs: 0, now }
+        let (wanted, quotas) = (BTreeMap::new(), Quotas::new(cluster));
+        Self { cluster, ground, asked, kinds, refused, total, wanted, quotas, followed: 0, jobs: 0, now }
     }
 
     /// The machines there are and those asked for.
     fn timelines(&self, for_urgent: bool) -> Vec<Timeline<'a>> {
         // Those that do not hear take no work, nor may there be any of whom only old reports tell. A second fleet would hear no more where most don't.
-        let most_deaf = self.book.most_deaf();
+        let most_deaf = self.cluster.most_deaf();
         let stays = |m: &&Machine| {
             !matches!(m.standing, Standing::Condemned | Standing::Draining)
                 && m.recall.is_none()
                 && m.known
                 && (!m.deaf || most_deaf)
         };
-        let held = self.book.machines.values().filter(stays);
+        let held = self.cluster.machines.values().filter(stays);
         let mut timelines: Vec<Timeline> =
-            held.filter_map(|m| Timeline::of(self.book, self.ground, m, for_urgent, self.now)).collect();
+            held.filter_map(|m| Timeline::of(self.cluster, self.ground, m, for_urgent, self.now)).collect();
         for (at, offer) in self.ground.offers.iter().enumerate() {
             let count = self.kinds[at].as_ref().and_then(|k| self.asked.get(k)).copied().unwrap_or(0);
             if let Some(offer) = offer {
@@ -237,20 +237,20 @@
     }
 
     fn follow_job(&mut self, turn: &Turn<'a>, timelines: &mut Vec<Timeline<'a>>) {
-        let (book, ground) = (self.book, self.ground);
+        let (cluster, ground) = (self.cluster, self.ground);
         let job = turn.job;
         let spec = job.spec();
         if spec.is_gang() && !self.quotas.allows(spec, spec.tasks as f64) {
             return;
         }
         let promises = starts_left_s(&job.promises, job.agreement.run, turn.age);
-        let mut zones = Zones::new(book, job);
+        let mut zones = Zones::new(cluster, job);
         let open = ground.open_to(spec, &zones);
         let least = cheapest(ground, spec, spec.tasks, |at, _| open[at]).map_or(f64::INFINITY, |(.., cost)| cost);
         let least = least.max(1e-9);
-        let short = (book.below.short.has(spec) && !spec.is_idle()) || turn.ahead;
+        let short = (cluster.below.short.has(spec) && !spec.is_idle()) || turn.ahead;
         let mut slots = Slots::new(timelines, job, &open);
-        let mut missing = book.wishes.waiting(turn.id, job) as u64;
+        let mut missing = cluster.wishes.waiting(turn.id, job) as u64;
         let mut offer = None;
         while missing > 0 && self.followed < MOST_FORECAST && self.quotas.allows(spec, 1.0) {
             self.followed += 1;
@@ -268,11 +268,17 @@
                 // Who is below the floor has no time to wait for something cheaper.
                 let patience = if short { 0.0 } else { (PATIENCE * cost / least).min(1.0) };
                 let bearable = slack * patience;
-                self.total < book.properties.most_machines as u64
+                self.total < cluster.properties.most_machines as u64
                     && start > bearable
                     && boot_s + GAIN_S < start
-                    && filler::may(spec, offer, cost / least, book.properties.idle_dearer, turn.age > job.agreement.run)
-                        .rent
+                    && filler::may(
+                        spec,
+                        offer,
+                        cost / least,
+                        cluster.properties.idle_dearer,
+                        turn.age > job.agreement.run,
+                    )
+                    .rent
             });
             let slot = match (rent, existing) {
                 (Some((at, chosen, _)), _) => {
@@ -301,10 +307,10 @@
     /// Room that operators have declared: what will not be there in time is rented as late as a machine
     /// takes to boot and fetch, and counts as taken for all that follows.
     fn follow_room(&mut self, timelines: &mut Vec<Timeline<'a>>) {
-        let mut room: Vec<&RoomWish> = self.book.wishes.room.iter().collect();
+        let mut room: Vec<&RoomWish> = self.cluster.wishes.room.iter().collect();
         room.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
         for wish in room {
-            let mut like = self.book.as_if(&wish.like, self.now);
+            let mut like = self.cluster.as_if(&wish.like, self.now);
             // All of it at one time: no place counts twice.
             like.agreement.run = HELD_FOR_ROOM;
             let (spec, zones) = (&wish.like, Zones::none(&wish.like));
@@ -324,7 +330,7 @@
                     start > wish.in_s
                         && boot_s + GAIN_S < start
                         && wish.in_s <= boot_s + fetch_s
-                        && self.total < self.book.properties.most_machines as u64
+                        && self.total < self.cluster.properties.most_machines as u64
                 });
                 if let Some((at, chosen, _)) = offer {
                     timelines.push(Timeline::new(Room::empty(chosen.of, at), chosen.of.boot_s));
@@ -342,9 +348,9 @@
 }
 
 /// Places what is expected to come while a machine would boot, each task when it comes.
-fn expect_arrivals<'a>(book: &'a Book, ground: &Ground<'a>, timelines: &mut [Timeline<'a>], now: Instant) {
-    for arrivals in book.arrivals.values() {
-        let Some(like) = book.like(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
+fn expect_arrivals<'a>(cluster: &'a ClusterState, ground: &Ground<'a>, timelines: &mut [Timeline<'a>], now: Instant) {
+    for arrivals in cluster.arrivals.values() {
+        let Some(like) = cluster.like(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
         let zones = Zones::none(like.spec());
         let open = ground.open_to(like.spec(), &zones);
         let within_s = ground.longest_boot_s(&open);
@@ -363,26 +369,26 @@
 }
 
 /// Machines that boot for too long or stand idle for too long.
-pub fn to_give_up(book: &Book, catalog: &Catalog, now: Instant) -> Vec<(MachineId, &'static str)> {
+pub fn to_give_up(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<(MachineId, &'static str)> {
     let mut out = Vec::new();
-    let kept = wishes::idle_kept(book, catalog, now);
-    for machine in book.machines.values() {
+    let kept = wishes::idle_kept(cluster, catalog, now);
+    for machine in cluster.machines.values() {
         let age = now.saturating_duration_since(machine.since);
         match machine.standing {
-            // What should be up has its own patience (`Book::tick`).
+            // What should be up has its own patience (`ClusterState::tick`).
             Standing::Booting if machine.awaited() => {}
             Standing::Booting => {
                 let usual = catalog.get(&machine.type_name).map_or(60.0, |t| t.boot_s);
-                let patience = Duration::from_secs_f64(usual * book.properties.boot_patience) + BOOT_GRACE;
+                let patience = Duration::from_secs_f64(usual * cluster.properties.boot_patience) + BOOT_GRACE;
                 // A new owner has not heard of machines that were up long before it.
                 let known = now.saturating_duration_since(machine.heard);
-                if age > patience && known > book.properties.silence {
+                if age > patience && known > cluster.properties.silence {
                     out.push((machine.id.clone(), "never came up"));
                 }
             }
             Standing::Up => {
                 let idle = machine.idle_since.map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
-                if machine.bound.is_empty() && idle > book.properties.idle && !kept.contains(&machine.id) {
+                if machine.bound.is_empty() && idle > cluster.properties.idle && !kept.contains(&machine.id) {
                     out.push((machine.id.clone(), "idle"));
                 }
             }
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -25,11 +25,11 @@
 pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<Rental>> {
     let now = Instant::now();
     let Some(catalog) = node.catalog() else { return Vec::new() };
-    let held = lock(&node.book);
-    let Some(book) = held.as_ref() else { return Vec::new() };
+    let held = lock(&node.cluster);
+    let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut dealings = lock(dealings);
-    dealings.refusals.holds(&plan::held_by_kind(book));
-    let wanted = plan::plan(book, &catalog, &dealings.refusals, &dealings.asked, now);
+    dealings.refusals.holds(&plan::held_by_kind(cluster));
+    let wanted = plan::plan(cluster, &catalog, &dealings.refusals, &dealings.asked, now);
     let mut rentals = Vec::new();
     for (kind, count) in wanted {
         let mut left = count.min(MOST_RENTALS * MOST_RENTED);
@@ -40,7 +40,7 @@
             left -= count;
             dealings.next += 1;
             of_kind.push(Rental {
-                request: orders::name(&node.incarnation, book.token, dealings.next),
+                request: orders::name(&node.incarnation, cluster.token, dealings.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
@@ -109,10 +109,10 @@
     let short = (rented.len() as u64) < rental.count;
     info!(kind = %kind, asked = rental.count, got = rented.len(), "rented");
     {
-        let mut held = lock(&node.book);
-        if let Some(book) = held.as_mut() {
+        let mut held = lock(&node.cluster);
+        if let Some(cluster) = held.as_mut() {
             for name in &rented {
-                book.expect(name, &kind, None, Duration::ZERO, now);
+                cluster.expect(name, &kind, None, Duration::ZERO, now);
             }
         }
     }
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -11,15 +11,15 @@
 use super::order_log::store;
 use super::orders::{Next, What};
 use crate::node::Node;
-use crate::scheduling::book::Standing;
+use crate::scheduling::cluster::Standing;
 use crate::sync::{jitter, lock};
 
 /// Machines to be returned now, in calls of as many as the cloud takes.
 pub(super) fn to_return(node: &Node, dealings: &Shared) -> Vec<Vec<String>> {
-    let held = lock(&node.book);
-    let Some(book) = held.as_ref() else { return Vec::new() };
+    let held = lock(&node.cluster);
+    let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut dealings = lock(dealings);
-    let names: Vec<String> = book
+    let names: Vec<String> = cluster
         .machines
         .values()
         .filter(|m| m.standing == Standing::Condemned && !dealings.returning.contains(&*m.id))
@@ -27,7 +27,7 @@
         .collect();
     dealings.returning.extend(names.iter().cloned());
     // What is urgent goes by itself, so that it takes nothing else along.
-    let overdue = book.overdue(Instant::now());
+    let overdue = cluster.overdue(Instant::now());
     let (urgent, rest): (Vec<String>, Vec<String>) = names.into_iter().partition(|n| overdue.contains(n.as_str()));
     urgent.chunks(MOST_RETURNED).chain(rest.chunks(MOST_RETURNED)).map(<[String]>::to_vec).collect()
 }
@@ -38,7 +38,7 @@
 /// does not answer, since too late would be worse than too much.
 pub(super) async fn return_all(node: Arc<Node>, dealings: Shared, names: Vec<String>) {
     let urgent = || {
-        let overdue = lock(&node.book).as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
+        let overdue = lock(&node.cluster).as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
         names.iter().any(|n| overdue.contains(n.as_str()))
     };
     match store(&node, &dealings, What::Return(names.clone()), urgent).await {
@@ -50,7 +50,7 @@
 
 /// Asked again until answered: only the answer proves that the machines and all on them are gone.
 pub(super) async fn give_back(node: Arc<Node>, dealings: Shared, names: Vec<String>, keys: Vec<String>) {
-    if lock(&node.book).is_none() {
+    if lock(&node.cluster).is_none() {
         return;
     }
     while let Err(error) = node.cloud.give_back(names.clone()).await {
@@ -58,9 +58,9 @@
         tokio::time::sleep(jitter(RETRY)).await;
     }
     let now = Instant::now();
-    if let Some(book) = lock(&node.book).as_mut() {
+    if let Some(cluster) = lock(&node.cluster).as_mut() {
         for name in &names {
-            book.machine_gone(&name.as_str().into(), now);
+            cluster.machine_gone(&name.as_str().into(), now);
         }
     }
     let mut dealings = lock(&dealings);
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -56,8 +56,8 @@
         let readings: Vec<Reading> =
             spec.sensors.iter().filter_map(|name| Some(view.shelf.spec::<Reading>(name)?.0)).collect();
         decide(spec, status, readings.iter(), view.epoch, view.now_ms).or_else(|| {
-            let held = status.holds(view.now_ms) && view.book.loaded;
-            let waits = held.then(|| Waits::count(view.book, &spec.names(), view.now, view.now_ms))?;
+            let held = status.holds(view.now_ms) && view.cluster.loaded;
+            let waits = held.then(|| Waits::count(view.cluster, &spec.names(), view.now, view.now_ms))?;
             let next = Waits::next(status.waits.as_ref(), waits)?;
             Some(Status { waits: Some(next), ..status.clone() })
         })
--- a/src/heat/waits.rs
+++ b/src/heat/waits.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::JobId;
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::scheduling::served::floor::Names;
 
 /// Seconds that the oldest has waited, at which it is told once each.
@@ -32,11 +32,11 @@
 impl Waits {
     /// What waits now. A job that was lost with its machine waits from then on; one that fails everywhere is
     /// told elsewhere.
-    pub fn count(book: &Book, names: &Names, now: Instant, now_ms: u64) -> Self {
+    pub fn count(cluster: &ClusterState, names: &Names, now: Instant, now_ms: u64) -> Self {
         let mut waits = Self { as_of_ms: now_ms, ..Self::default() };
         let mut longest: Option<(Duration, &JobId)> = None;
-        let waiting = book.jobs().filter(|(_, job)| job.ended.is_none() && job.bound.is_empty() && job.done == 0);
-        for (id, job) in waiting.filter(|(id, job)| names.has(job.spec()) && !book.evidence.suspects(id)) {
+        let waiting = cluster.jobs().filter(|(_, job)| job.ended.is_none() && job.bound.is_empty() && job.done == 0);
+        for (id, job) in waiting.filter(|(id, job)| names.has(job.spec()) && !cluster.evidence.suspects(id)) {
             let since = job.last_end.map_or(job.since, |end| end.max(job.since));
             let waited = now.saturating_duration_since(since);
             waits.jobs += 1;
--- a/src/history/desk.rs
+++ b/src/history/desk.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A withdrawal stands in the owner's loaded book.
+    /// A withdrawal stands in the owner's loaded cluster state.
     pub fn show(&mut self, id: &JobId) {
         self.ends.put(id, End::Withdrawn);
         self.ends.show(id);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// An owner's loaded book holds all ends up to this revision.
+    /// An owner's loaded cluster state holds all ends up to this revision.
     pub fn advance(&mut self, watermark: u64) {
         self.visibility.advance(watermark);
     }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -95,12 +95,12 @@
         lock(&self.desk).note_withdrawal(id, stamp);
     }
 
-    /// A withdrawal that stands in this owner's loaded book.
+    /// A withdrawal that stands in this owner's loaded cluster state.
     pub fn show(&self, id: &JobId) {
         lock(&self.desk).show(id);
     }
 
-    /// An owner's loaded book holds all ends up to this revision.
+    /// An owner's loaded cluster state holds all ends up to this revision.
     pub fn advance(&self, watermark: u64) {
         lock(&self.desk).advance(watermark);
     }
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -106,7 +106,7 @@
 }
 
 /// An owner tells its users at once, so its withdrawal has to fail where another was assigned before it: that
-/// one's book may be read, and lack it.
+/// one's cluster state may be read, and lack it.
 #[test]
 fn what_an_owner_tells_at_once_is_stored_only_under_its_assignment() {
     for (name, replaced, owner, stands) in [
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -2,9 +2,9 @@
 //!
 //! A withdrawal is stored by any controller and carried out by the owner. An owner that the state service
 //! refuses hears of none, and goes on answering workers: whatever was told meanwhile would run on. So the
-//! owner tells its watermark, the revision up to which its loaded book holds every end (a read index, as a
+//! owner tells its watermark, the revision up to which its loaded cluster state holds every end (a read index, as a
 //! replicated log has it), and a withdrawal is told to users only at or below a watermark. That one was
-//! reached stays true: the owner of the time has the end in its book, and every later one reads it there
+//! reached stays true: the owner of the time has the end in its cluster state, and every later one reads it there
 //! before it owns. A `done` needs none: nothing is to be stopped. Pure.
 
 use std::num::NonZeroUsize;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Visible {
     Yes,
-    /// Stored, and not yet known to be in the owner's book.
+    /// Stored, and not yet known to be in the owner's cluster state.
     NotYet,
     /// When it was stored is not known here.
     Unknown,
@@ -57,7 +57,7 @@
         self.watermark
     }
 
-    /// An owner's loaded book holds all ends up to this revision.
+    /// An owner's loaded cluster state holds all ends up to this revision.
     pub fn advance(&mut self, watermark: u64) {
         if watermark > self.watermark {
             self.watermark = watermark;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The slices follow duties: `sla` holds the paper's pure arithmetic, `jobs` what a job is and
 //! how it is stored, `users` the public API, `workers` reports and commands, `scheduling` the
-//! book of who runs what and the placement decisions, `fleet` the machines and the cloud,
+//! cluster state of who runs what and the placement decisions, `fleet` the machines and the cloud,
 //! `store` the state service, `traffic` counts of what passes, `history` what has ended,
 //! `membership` who leads and who owns, `declared` what operators ask for beside jobs, `heat` who
 //! goes ahead on hot days, `settings` what an operator hands over and `cli` the commands; `kinds` and `sync` are what all of them
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -48,7 +48,7 @@
     mirror.apply(&store.follow(MIRRORED, mirror.revision).unwrap());
 }
 
-/// What `run` does next, by the mirror and by the token of the book, if there is one.
+/// What `run` does next, by the mirror and by the token of the cluster state, if there is one.
 fn next(me: &str, mirror: &Mirror, held: Option<u64>) -> Step {
     let assigned = mirror.assignment().map(|(a, token)| (a.incarnation.as_str(), *token));
     let leads = mirror.leader().map(|(l, _)| l.incarnation.as_str());
@@ -63,7 +63,7 @@
         let mut store = Store::default();
         let mut mirror = mirror();
         lead(&mut store, "a1");
-        // A book that owns already raises its token.
+        // A cluster state that owns already raises its token.
         let held = held.map(|()| own(&mut store, "a1").unwrap());
         hear(&mut mirror, &store);
         // Carried out, and nobody hears of it but by the watch.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -154,7 +154,7 @@
 
     /// What is to be done next.
     fn next(&mut self, node: &Node, view: &View) -> Step {
-        let token = lock(&node.book).as_ref().map(|book| book.token);
+        let token = lock(&node.cluster).as_ref().map(|cluster| cluster.token);
         let assigned = view.assignment.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
         let own_name = view.leader.as_ref().is_some_and(|leader| leader.node == node.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_leader, self.pace.life, Instant::now());
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -19,7 +19,7 @@
     pub teams: Vec<String>,
 }
 
-/// The loaded book of the owner with this token holds every end up to this revision of the store.
+/// The loaded cluster state of the owner with this token holds every end up to this revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
     pub token: u64,
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -39,16 +39,16 @@
         let (assignment, stamp) = assignment("a", stamp);
         (Assignment { incarnation: incarnation.into(), ..assignment }, stamp)
     };
-    for (name, book, known, tells) in [
+    for (name, cluster, known, tells) in [
         ("the owner", Some((7, 50)), Some(assigned("1", 7)), true),
-        ("its book is not loaded", None, Some(assigned("1", 7)), false),
+        ("its cluster state is not loaded", None, Some(assigned("1", 7)), false),
         ("another was assigned", Some((7, 50)), Some(assigned("2", 9)), false),
         ("another process of its name was", Some((7, 50)), Some(assigned("0", 7)), false),
         ("assigned again, and not heard of it", Some((7, 50)), Some(assigned("1", 9)), false),
         ("nobody is", Some((7, 50)), None, false),
     ] {
         let want = tells.then_some(Watermark { token: 7, revision: 50 });
-        assert_eq!(own("1", book, known.as_ref()), want, "{name}");
+        assert_eq!(own("1", cluster, known.as_ref()), want, "{name}");
     }
 }
 
@@ -87,7 +87,7 @@
     assert!(!unconfirmed.due(start + Duration::from_secs(60)));
 }
 
-/// A controller that was replaced cannot store what its book holds: it may lack what its heir has confirmed.
+/// A controller that was replaced cannot store what its cluster state holds: it may lack what its heir has confirmed.
 #[test]
 fn only_under_its_assignment_is_a_watermark_stored() {
     let mut store = Store::default();
--- a/src/node.rs
+++ b/src/node.rs
@@ -32,7 +32,7 @@
 use crate::membership::stranded::Stranded;
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::scheduling::served::Account;
 use crate::settings::{Properties, Settings};
 use crate::standstill::{BEAT, Pulse};
@@ -72,8 +72,8 @@
     pub history: Arc<History>,
     pub audit: Mutex<Audit>,
     pub catalog: Mutex<Option<Arc<Catalog>>>,
-    /// The book of tasks and machines, while this controller owns them.
-    pub book: Mutex<Option<Book>>,
+    /// The cluster state of tasks and machines, while this controller owns them.
+    pub cluster: Mutex<Option<ClusterState>>,
     pub heard: Mutex<Heard>,
     /// Submissions that wait to be written.
     pub admission: Mutex<Admission>,
@@ -118,7 +118,7 @@
             history: Arc::new(History::new(&settings)),
             audit: Mutex::default(),
             catalog: Mutex::default(),
-            book: Mutex::default(),
+            cluster: Mutex::default(),
             heard: Mutex::default(),
             admission: Mutex::new(Admission::new(now)),
             served: Mutex::new(Account::new(&settings, &properties, now)),
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -24,8 +24,8 @@
             self.unproven.store(true, Ordering::Relaxed);
             self.fresh.was_absent();
         }
-        if let Some(book) = lock(&self.book).as_mut() {
-            book.was_absent(gap);
+        if let Some(cluster) = lock(&self.cluster).as_mut() {
+            cluster.was_absent(gap);
         }
         *lock(&self.stranded) = Stranded::default();
         self.store.was_absent(gap);
@@ -44,7 +44,7 @@
         self.check_deposed();
         lock(&self.let_go).clear();
         if self.unproven.swap(false, Ordering::Relaxed) {
-            info!(owns = lock(&self.book).is_some(), "what was known before the standstill is proven or dropped");
+            info!(owns = lock(&self.cluster).is_some(), "what was known before the standstill is proven or dropped");
         }
     }
 
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -13,18 +13,18 @@
 impl Node {
     /// How many tasks of a job run and are done, as far as is known here.
     pub fn counts(&self, id: &JobId) -> Counts {
-        if let Some(book) = lock(&self.book).as_ref() {
-            return book.counts(id);
+        if let Some(cluster) = lock(&self.cluster).as_ref() {
+            return cluster.counts(id);
         }
         lock(&self.heard).counts.get(id).copied().unwrap_or_default()
     }
 
     /// What changed since the peer was last told, at most `most` of it.
     pub fn counts_to_tell(&self, told: &mut HashMap<JobId, Counts>, most: usize) -> Vec<(JobId, Counts)> {
-        let held = lock(&self.book);
-        let Some(book) = held.as_ref() else { return Vec::new() };
+        let held = lock(&self.cluster);
+        let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut changed = Vec::new();
-        for (id, counts) in book.all_counts() {
+        for (id, counts) in cluster.all_counts() {
             if changed.len() >= most {
                 break;
             }
@@ -32,14 +32,14 @@
                 changed.push((id.clone(), counts));
             }
         }
-        told.retain(|id, _| book.has_job(id));
+        told.retain(|id, _| cluster.has_job(id));
         told.extend(changed.iter().cloned());
         changed
     }
 
     /// The account as the owner sees it, for whoever may succeed it.
     pub fn served_to_tell(&self) -> Vec<Row> {
-        if lock(&self.book).is_none() {
+        if lock(&self.cluster).is_none() {
             return Vec::new();
         }
         lock(&self.served).rows().iter().take(mesh::MOST_ROWS).cloned().collect()
@@ -70,8 +70,8 @@
         held.push(("counts_heard", lock(&self.heard).counts.len()));
         held.push(("stranded", lock(&self.stranded).remembered()));
         held.push(("let_go", lock(&self.let_go).remembered()));
-        if let Some(book) = lock(&self.book).as_ref() {
-            held.extend(book.held());
+        if let Some(cluster) = lock(&self.cluster).as_ref() {
+            held.extend(cluster.held());
         }
         held
     }
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -4,7 +4,7 @@
 use crate::declared::driver::Ended;
 use crate::declared::run::Hands;
 use crate::jobs::JobId;
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
 use crate::store::mirror::Mirror;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
@@ -14,16 +14,16 @@
     fn quiet(&self) -> bool {
         let mirror = lock(&self.mirror);
         let nothing = mirror.shelf().is_empty() && !mirror.shelf().any_changed();
-        nothing && lock(&self.book).as_ref().is_none_or(|b| b.wishes.is_empty())
+        nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.wishes.is_empty())
     }
 
-    fn look<T>(&self, look: impl FnOnce(&mut Book, &mut Mirror, Ended) -> T) -> Option<T> {
+    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
-        let (mut mirror, mut held) = (lock(&self.mirror), lock(&self.book));
-        let book = held.as_mut()?;
-        Some(look(book, &mut mirror, &|id| self.history.ended(id)))
+        let (mut mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+        let cluster = held.as_mut()?;
+        Some(look(cluster, &mut mirror, &|id| self.history.ended(id)))
     }
 
     fn ask(&self, id: &JobId) {
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -7,7 +7,7 @@
 use crate::declared::table::KINDS;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
-use crate::scheduling::Book;
+use crate::scheduling::ClusterState;
 use crate::store::mirror::{Mirror, News};
 use crate::sync::lock;
 
@@ -15,9 +15,9 @@
     /// Hands what the mirror learned to whoever acts on it.
     pub fn spread(&self, news: News) {
         if news.is_empty() {
-            let (mirror, mut held) = (lock(&self.mirror), lock(&self.book));
-            if let Some(book) = held.as_mut() {
-                book.holds_ends(mirror.asking());
+            let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+            if let Some(cluster) = held.as_mut() {
+                cluster.holds_ends(mirror.asking());
             }
             return;
         }
@@ -44,23 +44,23 @@
                 }
             }
         }
-        let mut held = lock(&self.book);
-        if let Some(book) = held.as_mut().filter(|b| b.loaded) {
+        let mut held = lock(&self.cluster);
+        if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
             for id in &news.opened {
                 if let Some(record) = mirror.open(id) {
-                    book.add_job(record.clone(), now);
+                    cluster.add_job(record.clone(), now);
                 }
             }
             for id in &news.ended {
                 let how = self.history.ended(id);
-                book.end_job(id, how, now);
+                cluster.end_job(id, how, now);
                 // What this owner has stored as done needs no confirmation; of the rest any may be withdrawn.
                 if how != Some(End::Done) {
                     lock(&self.unconfirmed).heard(mirror.ended_by(id).unwrap_or(mirror.revision), now);
                     self.wake.mesh.send_replace(());
                 }
             }
-            book.holds_ends(mirror.asking());
+            cluster.holds_ends(mirror.asking());
             self.wake.plan.notify_one();
             self.wake.dispatch.notify_one();
         }
@@ -68,14 +68,14 @@
 
     /// What is declared asks something of jobs that have just come, before they are placed.
     pub fn refresh_wishes(&self, now: Instant) {
-        let (mirror, mut held) = (lock(&self.mirror), lock(&self.book));
-        if let Some(book) = held.as_mut().filter(|b| b.wishes_due) {
-            self.wishes_of(book, &mirror, now);
+        let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+        if let Some(cluster) = held.as_mut().filter(|b| b.wishes_due) {
+            self.wishes_of(cluster, &mirror, now);
         }
     }
 
-    /// What is declared asks of this book, by what is stored; to be called before anything is placed by it.
-    pub fn wishes_of(&self, book: &mut Book, mirror: &Mirror, now: Instant) {
-        driver::refresh(KINDS, book, mirror.shelf(), &|id| self.history.ended(id), now, time_of_day_ms());
+    /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
+    pub fn wishes_of(&self, cluster: &mut ClusterState, mirror: &Mirror, now: Instant) {
+        driver::refresh(KINDS, cluster, mirror.shelf(), &|id| self.history.ended(id), now, time_of_day_ms());
     }
 }
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,4 +1,4 @@
-//! Jobs of a worker's report that are over, where the book alone may not decide.
+//! Jobs of a worker's report that are over, where the cluster state alone may not decide.
 
 use std::collections::HashSet;
 
@@ -22,11 +22,11 @@
 }
 
 impl Node {
-    /// Which jobs of a report are over, as far as the mirror tells. Only looked for where the book alone may
+    /// Which jobs of a report are over, as far as the mirror tells. Only looked for where the cluster state alone may
     /// not decide: it is not loaded, or `acts` is false.
     pub fn over_among(&self, report: &Report, acts: bool) -> Over {
-        let token = match lock(&self.book).as_ref() {
-            Some(book) if !(acts && book.loaded) => book.token,
+        let token = match lock(&self.cluster).as_ref() {
+            Some(cluster) if !(acts && cluster.loaded) => cluster.token,
             _ => return Over::default(),
         };
         let mirror = lock(&self.mirror);
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -10,7 +10,7 @@
 use crate::declared;
 use crate::fleet;
 use crate::membership::records::Plea;
-use crate::scheduling::{self, Book};
+use crate::scheduling::{self, ClusterState};
 use crate::store::budget::Urgent;
 use crate::store::commit;
 use crate::sync::lock;
@@ -20,9 +20,9 @@
     /// This controller's record stands as the assignment, under this token.
     pub fn owns(self: &Arc<Self>, token: u64) {
         self.press_marks(false);
-        let mut held = lock(&self.book);
-        if let Some(book) = held.as_mut() {
-            book.raise_token(token);
+        let mut held = lock(&self.cluster);
+        if let Some(cluster) = held.as_mut() {
+            cluster.raise_token(token);
             info!(token, "token raised");
             return;
         }
@@ -30,7 +30,7 @@
         if let Some((rows, told)) = lock(&self.heard).served.take() {
             lock(&self.served).take_over(&rows, told);
         }
-        *held = Some(Book::new(token, self.settings.clone(), self.properties.clone(), Instant::now()));
+        *held = Some(ClusterState::new(token, self.settings.clone(), self.properties.clone(), Instant::now()));
         drop(held);
         self.share();
         let mut tasks = lock(&self.owner_tasks);
@@ -43,9 +43,9 @@
 
     /// Stops owning at once: somebody newer does.
     pub fn step_down(&self, why: &str) {
-        let owned = lock(&self.book).take();
-        if let Some(book) = owned {
-            warn!(token = book.token, why, "no longer owns");
+        let owned = lock(&self.cluster).take();
+        if let Some(cluster) = owned {
+            warn!(token = cluster.token, why, "no longer owns");
             for task in lock(&self.owner_tasks).drain(..) {
                 task.abort();
             }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Compares the book's token with the assignment as mirrored.
+    /// Compares the cluster state's token with the assignment as mirrored.
     pub fn check_deposed(&self) {
         let newer =
             lock(&self.mirror).assignment().filter(|(a, _)| a.incarnation != self.incarnation).map(|(_, stamp)| *stamp);
-        let token = lock(&self.book).as_ref().map(|b| b.token);
+        let token = lock(&self.cluster).as_ref().map(|b| b.token);
         if let (Some(newer), Some(token)) = (newer, token)
             && newer > token
         {
@@ -68,7 +68,7 @@
     /// Whether the owner's token is to be raised: commands are to be made void, or marks of orders to be dropped.
     pub fn raise_wanted(&self) -> bool {
         let marks = self.marks_pressed.load(Ordering::Relaxed);
-        lock(&self.book).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
+        lock(&self.cluster).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
     }
 
     /// Whether so many orders are marked as done that a higher token is wanted, under which they can be dropped.
@@ -93,7 +93,7 @@
     /// The version of a plea of another controller for workers that this owner has indeed lost.
     pub fn plea_to_answer(&self, now: Instant) -> Option<u64> {
         let (plea, stamp) = lock(&self.mirror).plea().cloned()?;
-        let lost = lock(&self.book).as_ref().is_some_and(|b| b.token == plea.token && b.lost_most(now));
+        let lost = lock(&self.cluster).as_ref().is_some_and(|b| b.token == plea.token && b.lost_most(now));
         lost.then_some(stamp)
     }
 
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -24,7 +24,7 @@
 impl Node {
     /// What this controller lately wanted of the state service, in requests and in changes.
     pub fn wants(&self) -> [Want; 2] {
-        let owner = lock(&self.book).is_some();
+        let owner = lock(&self.cluster).is_some();
         let (requests, writes) = self.store.wants();
         [requests, writes].map(|per_second| Want { owner, per_second })
     }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -1,4 +1,4 @@
-//! Both jobs of a rollout, read off the owner's book.
+//! Both jobs of a rollout, read off the owner's cluster state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use super::status::{Phase, Status};
 use crate::declared::View;
 use crate::jobs::{JobId, JobSpec, Shape};
-use crate::scheduling::book::Standing;
+use crate::scheduling::cluster::Standing;
 use crate::scheduling::room::{SLACK, suspect_after};
 use crate::wire::workers::LegStatus;
 
 pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Seen {
     let begun = status.phase.begun();
     let [old, new] = status.jobs(spec);
-    let suspected = view.book.machines.values().filter(|m| m.suspected).map(|m| m.id.to_string()).collect();
+    let suspected = view.cluster.machines.values().filter(|m| m.suspected).map(|m| m.id.to_string()).collect();
     let mut seen = Seen {
         old: side(old, begun, view),
         new: side(new, begun, view),
@@ -24,7 +24,7 @@
         no_room: None,
         suspected,
         now_ms: view.now_ms,
-        epoch: view.book.first_token,
+        epoch: view.cluster.first_token,
     };
     seen.unfit = rival(name, spec, status, view);
     if !begun {
@@ -35,16 +35,16 @@
 }
 
 fn side(id: &JobId, begun: bool, view: &View) -> Side {
-    let book = view.book;
-    if !book.loaded {
+    let cluster = view.cluster;
+    if !cluster.loaded {
         return Side::default();
     }
-    let Some(job) = book.job(id).filter(|job| job.ended.is_none()) else {
-        // The book holds all that is open: what was there once and is not is over.
-        let over = begun || (view.ended)(id).is_some() || book.has_job(id);
+    let Some(job) = cluster.job(id).filter(|job| job.ended.is_none()) else {
+        // The cluster state holds all that is open: what was there once and is not is over.
+        let over = begun || (view.ended)(id).is_some() || cluster.has_job(id);
         return Side { known: if over { Known::Over } else { Known::Unknown }, ..Side::default() };
     };
-    let suspect = suspect_after(book);
+    let suspect = suspect_after(cluster);
     let since = |at: std::time::Instant| view.now.saturating_duration_since(at);
     let replica = |index: &u32| {
         let binding = job.binding(*index)?;
@@ -57,25 +57,25 @@
             bound_s: since(binding.since).as_secs_f64(),
             ..Replica::default()
         };
-        if let Some(machine) = book.machines.get(&binding.machine) {
+        if let Some(machine) = cluster.machines.get(&binding.machine) {
             (replica.type_name, replica.zone) = (machine.type_name.clone(), machine.zone.clone());
             replica.heard = machine.reported() && since(machine.heard) < suspect;
             // One that can be spared goes on with what can't move.
             let stays = machine.standing != Standing::Condemned && machine.recall.is_none();
             replica.leaving = !stays;
-            replica.sure = running && replica.heard && stays && machine.token >= book.first_token;
+            replica.sure = running && replica.heard && stays && machine.token >= cluster.first_token;
         }
         Some((*index, replica))
     };
-    let (failures, lately) = book.evidence.failures(id);
-    let type_of = |m: &crate::scheduling::book::MachineId| book.machines.get(m).map(|m| m.type_name.clone());
+    let (failures, lately) = cluster.evidence.failures(id);
+    let type_of = |m: &crate::scheduling::cluster::MachineId| cluster.machines.get(m).map(|m| m.type_name.clone());
     Side {
         known: Known::Open,
         tasks: job.tasks.len().min(MOST_REPLICAS as usize) as u32,
         replicas: job.bound.iter().filter_map(replica).collect(),
         failures,
         failed_lately: lately.map(|m| (m.to_string(), type_of(m).unwrap_or_default())).collect(),
-        suspected: book.evidence.suspects(id),
+        suspected: cluster.evidence.suspects(id),
     }
 }
 
@@ -100,7 +100,7 @@
 /// Why these two jobs can have no rollout.
 fn unfit(spec: &Spec, view: &View) -> Option<String> {
     for (field, id) in [("old", &spec.old), ("new", &spec.new)] {
-        let Some(job) = view.book.job(id) else { continue };
+        let Some(job) = view.cluster.job(id) else { continue };
         let tasks = job.tasks.len();
         if job.spec().shape != Shape::Service {
             return Some(format!("{field}: {id} is no service"));
@@ -119,14 +119,14 @@
 
 /// The team's limit has to hold all that is asked of either version, with the surge of the other.
 fn no_room(spec: &Spec, view: &View) -> Option<String> {
-    let (old, new) = (view.book.job(&spec.old)?, view.book.job(&spec.new)?);
+    let (old, new) = (view.cluster.job(&spec.old)?, view.cluster.job(&spec.new)?);
     let teams: BTreeSet<&str> = [old, new].iter().map(|job| job.spec().team.as_str()).collect();
     for name in teams {
         let Some(team) = view.settings.team(name) else { continue };
         let of = |job: &JobSpec, n: u32, amount: Amount| {
             if job.team == name { amount(job) * f64::from(n) } else { 0.0 }
         };
-        let used = view.book.usage.get(name).copied().unwrap_or_default();
+        let used = view.cluster.usage.get(name).copied().unwrap_or_default();
         let (cpus, gpus): (Amount, Amount) = (|job| job.cpus, |job| job.gpus);
         let amounts = [("cpus", team.cpus_max, used.0, cpus), ("gpus", team.gpus_max, used.1, gpus)];
         for (what, limit, used, amount) in amounts {
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,7 +1,7 @@
 //! A new version of a service takes the place of the old one in steps, without a gap (docs/rollouts.md).
 //!
 //! `spec` is what an operator declares, `status` what the owner stores; `look` reads both jobs off the
-//! book, `against` judges the new version, `step` decides what is next and `wish` what is asked of
+//! cluster state, `against` judges the new version, `step` decides what is next and `wish` what is asked of
 //! placing and stopping. All of it is pure; the service never submits or withdraws a job.
 
 pub mod against;
@@ -34,7 +34,7 @@
     }
 
     fn step(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<Status> {
-        if !view.book.loaded {
+        if !view.cluster.loaded {
             return None;
         }
         step::decide(spec, status, &look::look(name, spec, status, view))
--- a/src/rollouts/seen.rs
+++ b/src/rollouts/seen.rs
@@ -1,4 +1,4 @@
-//! What a rollout looks at: both jobs as the owner sees them, without the book.
+//! What a rollout looks at: both jobs as the owner sees them, without the cluster state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/rollouts/tests/book.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A rollout on the real book: what its wishes change of placing, renting, stopping and sparing.
+//! A rollout on the real cluster state: what its wishes change of placing, renting, stopping and sparing.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::kinds::{Catalog, MachineType};
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{Phase, Status};
-use crate::scheduling::book::{Book, Via};
+use crate::scheduling::cluster::{ClusterState, Via};
 use crate::scheduling::plan;
 use crate::scheduling::wishes::{Replicas, Wishes};
 use crate::settings::Properties;
@@ -25,7 +25,7 @@
 use crate::wire::workers::{Leg, LegStatus, Report, TaskKey};
 
 struct Bench {
-    book: Book,
+    cluster: ClusterState,
     shelf: Shelf,
     catalog: Catalog,
     now: Instant,
@@ -38,10 +38,10 @@
     fn new() -> Self {
         let of = MachineType { zones: vec!["a".into(), "b".into()], ..machine_type("c8", 8.0, 0.0, 1.0) };
         let now = Instant::now();
-        let mut book = Book::new(7, example(), Properties::default(), now);
-        book.loaded = true;
+        let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
+        cluster.loaded = true;
         let mut bench =
-            Self { book, shelf: Shelf::default(), catalog: Catalog { types: vec![of] }, now, seq: 0, stamp: 0 };
+            Self { cluster, shelf: Shelf::default(), catalog: Catalog { types: vec![of] }, now, seq: 0, stamp: 0 };
         bench.report();
         bench
     }
@@ -51,7 +51,7 @@
             JobSpec { id: format!("run-{n}").into(), shape: Shape::Service, tasks: 4, cpus: 2.0, ..job_spec() };
         (job.estimate_s, job.checkpoint_s, job.team) = (5000.0, 10.0, "blue".into());
         change(&mut job);
-        self.book.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), self.now);
+        self.cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), self.now);
     }
 
     fn put(&mut self, path: &str, value: Value) {
@@ -70,9 +70,9 @@
         self.seq += 1;
         for n in 0..4 {
             let id = format!("m{n}");
-            let bound = self.book.machines.get(id.as_str()).map(|m| m.bound.clone()).unwrap_or_default();
+            let bound = self.cluster.machines.get(id.as_str()).map(|m| m.bound.clone()).unwrap_or_default();
             let runs = |key: &TaskKey| {
-                let job = self.book.job(&key.job).unwrap();
+                let job = self.cluster.job(&key.job).unwrap();
                 let attempt = job.tasks[key.index as usize].attempt;
                 let stops = job.binding(key.index).unwrap().halting.is_some();
                 let leg = Leg { task: key.clone(), attempt, status: LegStatus::Running, cause: None, saved: None };
@@ -90,21 +90,21 @@
                 notice_s: None,
                 legs: bound.iter().filter_map(runs).collect(),
             };
-            self.book.take_report(report, Via::Report, Some(&self.catalog), self.now);
+            self.cluster.take_report(report, Via::Report, Some(&self.catalog), self.now);
         }
     }
 
     fn with_view<T>(&self, f: impl FnOnce(&View) -> T) -> T {
-        let (book, shelf, now) = (&self.book, &self.shelf, self.now);
-        let now_ms = 1_000_000 + (now - self.book.machines["m0"].since).as_millis() as u64;
+        let (cluster, shelf, now) = (&self.cluster, &self.shelf, self.now);
+        let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].since).as_millis() as u64;
         f(&View {
-            book,
+            cluster,
             ended: &|_| None,
             shelf,
             now,
             now_ms,
             epoch: 7,
-            settings: &book.settings,
+            settings: &cluster.settings,
             round: Default::default(),
             unknown: Default::default(),
         })
@@ -123,15 +123,15 @@
             };
             names.iter().map(of).collect()
         });
-        self.book.set_wishes(wishes);
+        self.cluster.set_wishes(wishes);
         for (name, status) in next {
             if let Some(status) = status {
                 self.put(&status_key(Kind::Rollout, &name), serde_json::to_value(status).unwrap());
             }
         }
-        let placed = plan::place(&mut self.book, &self.catalog, self.now);
+        let placed = plan::place(&mut self.cluster, &self.catalog, self.now);
         let names = placed.iter().map(|p| format!("{}/{}", p.task.job, p.task.index)).collect();
-        self.book.bind_all(placed, self.now);
+        self.cluster.bind_all(placed, self.now);
         names
     }
 
@@ -140,7 +140,7 @@
     }
 
     fn running(&self, n: u32) -> u64 {
-        self.book.counts(&format!("run-{n}").as_str().into()).running
+        self.cluster.counts(&format!("run-{n}").as_str().into()).running
     }
 
     fn pass(&mut self, seconds: u64) {
@@ -151,7 +151,7 @@
 
 /// From nothing of the new version to nothing of the old one, with no fewer than four at any moment.
 #[test]
-fn a_rollout_on_the_book() {
+fn a_rollout_on_the_cluster_state() {
     let mut bench = Bench::new();
     bench.add(1, |_| ());
     assert_eq!(bench.turn().len(), 4);
@@ -160,7 +160,7 @@
     bench.add(2, |_| ());
     assert!(bench.turn().is_empty());
     let refusals = Refusals::default();
-    assert!(rent::plan(&bench.book, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
+    assert!(rent::plan(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
     let mut phases = Vec::new();
     for _ in 0..120 {
         bench.pass(1);
@@ -172,21 +172,21 @@
         let (old, new) = (bench.running(1), bench.running(2));
         assert!(old + new >= 4 && old + new <= 5, "{old} and {new} run, {phase:?}");
         // What a rollout moves is not moved to spare a machine as well.
-        let moved = drain::choose(&bench.book, &bench.catalog, bench.now);
+        let moved = drain::choose(&bench.cluster, &bench.catalog, bench.now);
         assert!(phase == Phase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
     }
     assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
     assert_eq!(phases.last(), Some(&Phase::Done));
-    assert!(bench.book.has_job(&"run-1".into()), "held at no replicas, and known");
+    assert!(bench.cluster.has_job(&"run-1".into()), "held at no replicas, and known");
     // Withdrawn as its user would, and removed: the new job is as any other.
-    bench.book.end_job(&"run-1".into(), None, bench.now);
+    bench.cluster.end_job(&"run-1".into(), None, bench.now);
     bench.pass(1);
     assert!(bench.turn().is_empty());
     bench.shelf.drop_key(&spec_key(Kind::Rollout, "r"), 1000);
-    assert!(bench.turn().is_empty() && bench.book.wishes.is_empty());
+    assert!(bench.turn().is_empty() && bench.cluster.wishes.is_empty());
 }
 
-/// Refused, or kept from beginning, by what the book says of the jobs and the team.
+/// Refused, or kept from beginning, by what the cluster state says of the jobs and the team.
 #[test]
 fn who_may_not_begin_by_cases() {
     type Change = fn(&mut JobSpec);
@@ -258,25 +258,25 @@
     // Two fill the first machine.
     assert_eq!(bench.turn().len(), 3);
     for gone in ["m2", "m3"] {
-        bench.book.machine_gone(&gone.into(), bench.now);
+        bench.cluster.machine_gone(&gone.into(), bench.now);
     }
     bench.pass(1);
     let ask = |stop: &[u32], stay| {
         let of = Replicas { most: 3, stop: stop.iter().copied().collect(), stay, ahead: false };
         Wishes { replicas: [("run-1".into(), of)].into(), ..Wishes::default() }
     };
-    bench.book.set_wishes(ask(&[0], false));
+    bench.cluster.set_wishes(ask(&[0], false));
     bench.pass(100);
     assert_eq!(bench.running(1), 2, "stopped, and only that one");
-    assert!(plan::place(&mut bench.book, &bench.catalog, bench.now).is_empty(), "and not placed again");
+    assert!(plan::place(&mut bench.cluster, &bench.catalog, bench.now).is_empty(), "and not placed again");
     let moved =
-        |bench: &Bench| drain::choose(&bench.book, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
+        |bench: &Bench| drain::choose(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
     assert!(moved(&bench), "the two others fit on one machine");
-    bench.book.set_wishes(ask(&[0], true));
+    bench.cluster.set_wishes(ask(&[0], true));
     assert!(!moved(&bench));
-    bench.book.set_wishes(ask(&[0, 1], true));
+    bench.cluster.set_wishes(ask(&[0, 1], true));
     bench.pass(1);
-    bench.book.set_wishes(ask(&[0], true));
-    let placed = plan::place(&mut bench.book, &bench.catalog, bench.now);
+    bench.cluster.set_wishes(ask(&[0], true));
+    let placed = plan::place(&mut bench.cluster, &bench.catalog, bench.now);
     assert_eq!(placed.iter().map(|p| p.task.index).collect::<Vec<_>>(), [1], "only the one that may");
 }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -1,6 +1,6 @@
 //! A rollout by cases; `model` plays them with failing controllers.
 
-mod book;
+mod cluster;
 mod model;
 
 use std::collections::BTreeSet;
--- a/src/scheduling/book/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::{Binding, Book, JobState, Phase};
+use super::{Binding, ClusterState, JobState, Phase};
 use crate::jobs::JobId;
 use crate::scheduling::plan::Placement;
 use crate::scheduling::served::Note;
 use crate::wire::workers::TaskKey;
 
-impl Book {
+impl ClusterState {
     /// Binds each placed task to its machine; its launch waits until that is stored.
     pub fn bind_all(&mut self, placements: Vec<Placement>, now: Instant) {
         let mut first_places: HashMap<JobId, f64> = HashMap::new();
--- a/src/scheduling/book/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use super::{Book, Direct, Machine, MachineId, Phase, Standing};
+use super::{ClusterState, Direct, Machine, MachineId, Phase, Standing};
 use crate::jobs::JobId;
 use crate::wire::workers::{Leg, LegStatus, Order};
 
@@ -19,7 +19,7 @@
 /// Tokens are raised at most this often.
 const RAISE_GAP: Duration = Duration::from_secs(5);
 
-impl Book {
+impl ClusterState {
     /// What the answer to this machine's report is to tell it.
     pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<Order> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
@@ -43,7 +43,7 @@
 
     /// What a machine is to be told by an owner that cannot prove that it is one, or has not read everything
     /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
-    /// token, so neither can be wrong. `over`: jobs known to be so beside those in this book.
+    /// token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
     pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<Order> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// All that a machine should be told now, as a function of the book alone.
+    /// All that a machine should be told now, as a function of the cluster state alone.
     fn orders(&self, m: &Machine) -> Vec<Order> {
         let mut orders = Vec::new();
         if !self.loaded {
@@ -73,7 +73,7 @@
         }
         for leg in &m.legs {
             let (task, attempt) = (leg.task.clone(), leg.attempt);
-            // A job that is not in a loaded book is over: whatever was ever launched had been
+            // A job that is not in a loaded cluster state is over: whatever was ever launched had been
             // accepted before, and all open jobs are here.
             let job = self.jobs.get(&task.job);
             let known = job.and_then(|j| j.tasks.get(task.index as usize).map(|t| (j, t)));
@@ -178,7 +178,7 @@
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
     pub fn command_over(&mut self, machine: &MachineId, token: u64, settled: bool, now: Instant) {
-        // Of an earlier book of this process, which lost ownership and has it again: the command that is
+        // Of an earlier cluster state of this process, which lost ownership and has it again: the command that is
         // under way now is another one.
         if token < self.first_token {
             return;
--- a/src/scheduling/book/deaf.rs
+++ b/src/scheduling/cluster/deaf.rs
@@ -6,10 +6,10 @@
 use tracing::{info, warn};
 
 use super::machine::{MOST, TOGETHER};
-use super::{Book, Machine, MachineId};
+use super::{ClusterState, Machine, MachineId};
 use crate::scheduling::hearing::{Verdict, judge};
 
-impl Book {
+impl ClusterState {
     /// At least three machines, and one in `part` of those that should be heard of, of the zone if one is
     /// named, hear nothing.
     pub(super) fn many_deaf(&self, part: usize, zone: Option<&str>) -> bool {
--- a/src/scheduling/book/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -4,7 +4,7 @@
 
 use tracing::{info, warn};
 
-use super::{Book, JobState, MachineId, Standing};
+use super::{ClusterState, JobState, MachineId, Standing};
 use crate::scheduling::evidence::{Failure, PROBES};
 use crate::wire::workers::{LegStatus, TaskKey};
 
@@ -23,7 +23,7 @@
             .any(|b| b.status == Some(LegStatus::Running) && b.machine != *except && b.ran(now) >= WELL_AFTER)
 }
 
-impl Book {
+impl ClusterState {
     fn enough_failures(&self) -> usize {
         self.properties.machine_failures.ceil() as usize
     }
--- a/src/scheduling/book/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use super::machine::image_id;
-use super::{Arrivals, Binding, Book, JobState, MOST_CLASSES, Machine, MachineId, Phase, Task};
+use super::{Arrivals, Binding, ClusterState, JobState, MOST_CLASSES, Machine, MachineId, Phase, Task};
 use crate::jobs::Counts;
 use crate::jobs::record::{CHUNK, JobRecord, Stored, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
@@ -16,7 +16,7 @@
 use crate::sla::Agreement;
 use crate::wire::workers::{LegStatus, TaskKey};
 
-impl Book {
+impl ClusterState {
     /// Every job that is held, open or ending.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, &JobState)> {
         self.jobs.iter()
@@ -77,7 +77,7 @@
         self.jobs.insert(id, job);
     }
 
-    /// One task of a job that is not in the book.
+    /// One task of a job that is not in the cluster state.
     pub fn as_if(&self, spec: &JobSpec, now: Instant) -> JobState {
         let spec = JobSpec { tasks: 1, ..spec.clone() };
         self.begin(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Everything stored was loaded: from here on the book decides.
+    /// Everything stored was loaded: from here on the cluster state decides.
     pub fn finish_load(&mut self, now: Instant) {
         let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.complete());
         self.completed.extend(complete.map(|(id, _)| id.clone()));
--- a/src/scheduling/book/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -6,7 +6,7 @@
 
 use tracing::info;
 
-use super::{Binding, Book, JobState, MachineId};
+use super::{Binding, ClusterState, JobState, MachineId};
 use crate::fleet::orders::{CloudOrder, What};
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
@@ -133,7 +133,7 @@
     pub(super) images: VecDeque<(u64, f64)>,
     /// What it keeps of them, if the cloud says.
     pub(super) cache_gb: Option<f64>,
-    /// Type, zone and kind, by their place in the book's list.
+    /// Type, zone and kind, by their place in the cluster state's list.
     pub kind: Option<usize>,
     /// What the bound tasks take together, kept with every binding.
     taken: Amounts,
@@ -307,7 +307,7 @@
     (share, job.agreement.task_return(age + rest))
 }
 
-impl Book {
+impl ClusterState {
     /// Counts shares and returns again where a task has left or where they have grown old.
     pub fn refresh_loads(&mut self, now: Instant) {
         for machine in self.machines.values_mut() {
--- a/src/scheduling/book/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! The owner's book: tasks, machines and the bindings between them.
+//! The owner's cluster state: tasks, machines and the bindings between them.
 //!
 //! A task is bound to its machine from the moment it is chosen until something proves it gone:
 //! its exit, a report newer than every command that may still arrive, a new worker session, or
-//! a completed return of the machine. The book is changed by reports, by what was stored and by
+//! a completed return of the machine. The cluster state is changed by reports, by what was stored and by
 //! decisions; it does no I/O and reads no clock.
 
 mod bindings;
@@ -291,7 +291,7 @@
 type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
 /// What the owner knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads no clock.
-pub struct Book {
+pub struct ClusterState {
     /// The fencing token of this owner, raised when commands have to be voided.
     pub token: u64,
     /// The token under which it began. Under later ones the same owner goes on, which knows what it has
@@ -299,7 +299,7 @@
     pub first_token: u64,
     /// Everything stored has been read; nothing is decided before.
     pub loaded: bool,
-    /// Every end that stood in the store at this revision is in this book, once it is loaded.
+    /// Every end that stood in the store at this revision is in this cluster state, once it is loaded.
     pub known: u64,
     watermark: u64,
     /// What the platform has handed over.
@@ -395,7 +395,7 @@
     }
 }
 
-impl Book {
+impl ClusterState {
     /// An empty state for an owner that has just been assigned; `load` fills it.
     pub fn new(token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
         Self {
--- a/src/scheduling/book/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -4,13 +4,13 @@
 
 use tracing::{debug, info, warn};
 
-use super::{Book, Machine, MachineId, Phase, Standing, Via};
+use super::{ClusterState, Machine, MachineId, Phase, Standing, Via};
 use crate::jobs::Shape;
 use crate::kinds::Catalog;
 use crate::sla;
 use crate::wire::workers::{Cause, Leg, LegStatus, Report, TaskKey};
 
-impl Book {
+impl ClusterState {
     /// Takes in a worker's report, or its reply to a command.
     pub fn take_report(&mut self, report: Report, via: Via, catalog: Option<&Catalog>, now: Instant) {
         let id: MachineId = report.machine.as_str().into();
--- a/src/scheduling/book/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{Book, ChunkWrite, Phase, Task};
+use super::{ChunkWrite, ClusterState, Phase, Task};
 use crate::jobs::JobId;
 use crate::jobs::record::{CHUNK, JobRecord};
 use crate::wire::workers::TaskKey;
@@ -82,7 +82,7 @@
     }
 }
 
-impl Book {
+impl ClusterState {
     /// Whether something is to be stored now.
     pub fn anything_to_store(&self, now: Instant) -> bool {
         let late = |since: &Instant| now.saturating_duration_since(*since) >= NEWS_KEPT;
--- a/src/scheduling/book/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -1,6 +1,6 @@
 //! Up to which revision withdrawals may be told of: the owner's watermark.
 //!
-//! That an end is in this book does not do. A machine that has not heard of this owner goes on obeying the one
+//! That an end is in this cluster state does not do. A machine that has not heard of this owner goes on obeying the one
 //! before, which knows of no such end and answers it for as long as an outage lasts; and this owner may end a
 //! moment after it has told. So a withdrawal counts only once every machine that may run a task of it, from an
 //! earlier owner, has seen this owner's token: from then on it obeys nobody else but a later owner, which reads
@@ -10,11 +10,11 @@
 //! task as long as token and session match. Once the machine has shown the attempt, or has proven it absent, no launch
 //! of it can start anything, and no further one is sent.
 
-use super::{Book, JobState};
+use super::{ClusterState, JobState};
 use crate::jobs::JobId;
 use crate::wire::workers::Leg;
 
-impl Book {
+impl ClusterState {
     /// Everything that stood in the store at this revision has been heard here.
     pub fn holds_ends(&mut self, revision: Option<u64>) {
         if let Some(revision) = revision.filter(|_| self.loaded) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Every withdrawal that stood in the store at this revision is in this book, every machine that may run
+    /// Every withdrawal that stood in the store at this revision is in this cluster state, every machine that may run
     /// a task of it obeys this owner or a later one, and no launch of it is in flight. Never goes back.
     pub fn watermark(&mut self) -> u64 {
         // Nothing that this owner starts is inherited, and it starts nothing that is withdrawn: once all is heard, it
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Book;
+use super::ClusterState;
 use crate::jobs::JobId;
 
 /// The open ones of them, bounded however many there are.
@@ -37,9 +37,9 @@
 }
 
 /// Counts the open jobs that are late, or likely to be.
-pub fn due(book: &Book, now: Instant) -> Due {
+pub fn due(cluster: &ClusterState, now: Instant) -> Due {
     let mut due = Due::default();
-    for (id, job) in book.jobs().filter(|(_, job)| job.ended.is_none() && !job.complete()) {
+    for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.complete()) {
         if let Some(within) = job.spec().due() {
             let age = now.saturating_duration_since(job.since);
             due.note(id, within, job.agreement.run, age, job.untouched() < 1.0);
--- a/src/scheduling/evidence.rs
+++ b/src/scheduling/evidence.rs
@@ -12,7 +12,7 @@
 
 use lru::LruCache;
 
-use super::book::MachineId;
+use super::cluster::MachineId;
 use crate::jobs::JobId;
 use crate::wire::workers::TaskKey;
 
@@ -127,7 +127,7 @@
     suspected: Option<Instant>,
 }
 
-/// A failure as the book knows it.
+/// A failure as the cluster state knows it.
 pub struct Failure<'a> {
     /// The task that failed.
     pub task: &'a TaskKey,
@@ -141,7 +141,7 @@
     pub at_once: usize,
 }
 
-/// What the book is to do after a failure.
+/// What the cluster state is to do after a failure.
 #[derive(Debug, Default, PartialEq)]
 pub struct Judged {
     /// The job is under suspicion from now on, or still: not to be tried before this.
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
-use crate::scheduling::book::{Book, JobState, Machine, Standing};
+use crate::scheduling::cluster::{ClusterState, JobState, Machine, Standing};
 use crate::scheduling::room::{Ground, Room, Zones};
 use crate::sla;
 
@@ -32,10 +32,10 @@
         Self { room, from_s, releases: Vec::new() }
     }
 
-    /// A machine of the book with what its tasks still have to run. `for_urgent`: for work that may have
+    /// A machine of the cluster state with what its tasks still have to run. `for_urgent`: for work that may have
     /// the room of idle tasks as soon as these have saved.
     pub fn of(
-        book: &'a Book,
+        cluster: &'a ClusterState,
         ground: &Ground<'a>,
         machine: &'a Machine,
         for_urgent: bool,
@@ -50,7 +50,7 @@
         };
         let mut timeline = Self::new(room, from.as_secs_f64());
         for key in &machine.bound {
-            let Some(job) = book.job(&key.job) else { continue };
+            let Some(job) = cluster.job(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
             let rest = match (job.ended, binding.halting) {
                 (None, None) => sla::remaining(job.agreement.run, binding.ran(now)),
--- a/src/scheduling/hearing.rs
+++ b/src/scheduling/hearing.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::book::Via;
+use super::cluster::Via;
 use crate::standstill::Gap;
 use crate::wire::workers::{Order, Report, TaskKey};
 
--- a/src/scheduling/holds.rs
+++ b/src/scheduling/holds.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::book::{Book, MachineId};
+use super::cluster::{ClusterState, MachineId};
 use super::plan::{Quotas, Turn, queue};
 use super::room::{Ground, Room, Zones, suspect_after, usable};
 use super::wishes;
@@ -30,9 +30,9 @@
 }
 
 /// What to hold now, by machine.
-pub fn choose(book: &Book, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Hold> {
+pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Hold> {
     let mut holds = HashMap::new();
-    let mut turns: Vec<Turn> = queue(book, now)
+    let mut turns: Vec<Turn> = queue(cluster, now)
         .into_iter()
         .filter(|t| t.job.spec().is_gang() && !t.suspected && (t.age >= HOLD_AFTER || t.ahead))
         .collect();
@@ -42,12 +42,12 @@
     turns.sort_by_key(|t| (Reverse(t.owed), t.rank, Reverse(t.age)));
     wishes::ahead_first(&mut turns);
     turns.truncate(MOST_HOLDERS);
-    let ground = Ground::new(book, catalog);
-    let suspect = suspect_after(book);
-    let usable = book.machines.values().filter(|m| usable(m, suspect, now));
-    let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(book, &ground, m, false, now)).collect();
+    let ground = Ground::new(cluster, catalog);
+    let suspect = suspect_after(cluster);
+    let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
+    let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(cluster, &ground, m, false, now)).collect();
     let most = timelines.len() / PART;
-    let quotas = Quotas::new(book);
+    let quotas = Quotas::new(cluster);
     for turn in turns {
         if holds.len() >= most {
             break;
@@ -55,7 +55,7 @@
         if !quotas.allows(turn.job.spec(), turn.job.spec().tasks as f64) {
             continue;
         }
-        let Some((within_s, taken)) = gather(book, &ground, &mut timelines, &turn) else { continue };
+        let Some((within_s, taken)) = gather(cluster, &ground, &mut timelines, &turn) else { continue };
         let until = now + Duration::from_secs_f64(within_s);
         for which in taken {
             if let Some(machine) = timelines[which].room.machine {
@@ -69,14 +69,14 @@
 /// The machines on which a gang would soonest fit together, and when. Machines with accelerators
 /// are left to work that needs them, unless there are too few others.
 fn gather<'a>(
-    book: &'a Book,
+    cluster: &'a ClusterState,
     ground: &Ground<'a>,
     timelines: &mut [Timeline<'a>],
     turn: &Turn<'a>,
 ) -> Option<(f64, Vec<usize>)> {
     let (job, spec) = (turn.job, turn.job.spec());
     let need = job.waiting.len();
-    let open = ground.open_to(spec, &Zones::new(book, job));
+    let open = ground.open_to(spec, &Zones::new(cluster, job));
     let apt = |kind: usize| ground.offers[kind].is_some_and(|o| o.apt(spec));
     let zones: Vec<&str> = if spec.same_zone {
         let mut zones: Vec<&str> = ground.offers.iter().flatten().map(|o| o.zone).collect();
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -86,7 +86,7 @@
     }
 
     /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new session:
-    /// an heir that cannot load its book in an outage knows no machine to return. Worlds without users have
+    /// an heir that cannot load its cluster state in an outage knows no machine to return. Worlds without users have
     /// machines that hang on and on, and so have the plays of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
@@ -291,7 +291,7 @@
     let endless = world.runs_endlessly(&id, 4);
     world.workers.iter_mut().for_each(|w| w.hangs_until = endless);
     let (owner, told) = (world.owner, world.now);
-    let token = world.owners[owner].as_ref().expect("it owns").book.token;
+    let token = world.owners[owner].as_ref().expect("it owns").cluster.token;
     let sent = crate::history::moves::withdraw(&world.records[&id], Some(token), 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the owner");
     world.withdrew(owner, &id, token);
@@ -337,7 +337,7 @@
     let sent = crate::history::moves::withdraw(&world.records[&id], None, 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
     let heir = world.owner;
-    while world.owners[heir].as_ref().is_some_and(|owner| !owner.book.loaded) {
+    while world.owners[heir].as_ref().is_some_and(|owner| !owner.cluster.loaded) {
         world.step();
     }
     (0..20).for_each(|_| world.step());
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded interleavings: the real book, placement and transactions in a small model of store,
+//! Seeded interleavings: the real cluster state, placement and transactions in a small model of store,
 //! workers and cloud where messages and transactions come late, twice or are lost, owners go on after
 //! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are withdrawn. The model checks the rules itself.
 
@@ -18,7 +18,7 @@
 use users::{Seat, Users};
 use workers::Worker;
 
-use super::book::{Book, MachineId, Standing, Via};
+use super::cluster::{ClusterState, MachineId, Standing, Via};
 use super::plan;
 use crate::history::moves::{self, Move, Place, end_among, place_of};
 use crate::jobs::record::{
@@ -55,7 +55,7 @@
 }
 
 struct Owner {
-    book: Book,
+    cluster: ClusterState,
     batch: Option<(Batch, Instant)>,
     /// What its watch will tell, and when: jobs opened and ended, with the revision.
     news: Vec<(Instant, JobId, bool, u64)>,
@@ -232,17 +232,17 @@
             .store
             .apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[Change::write(ASSIGNMENT, Value::from(self.owners.len()))])
             .expect("the model's leader knows the stamp");
-        let mut book = Book::new(token, example(), Properties::default(), self.now);
+        let mut cluster = ClusterState::new(token, example(), Properties::default(), self.now);
         self.trace(&format!("owner {} under {token}", self.owners.len()));
         self.users.assigned.push((token, self.owners.len()));
         let seat = if self.users.on { self.new_seat(token) } else { Seat::new(token, self.now, self.now) };
         if !self.users.on {
-            self.load(&mut book);
+            self.load(&mut cluster);
         }
         self.owner = self.owners.len();
-        let inherited = book.machines.keys().cloned().collect();
+        let inherited = cluster.machines.keys().cloned().collect();
         self.owners.push(Some(Owner {
-            book,
+            cluster,
             batch: None,
             news: Vec::new(),
             returning: HashSet::new(),
@@ -254,8 +254,8 @@
         }));
     }
 
-    /// What is stored, into an heir's book.
-    fn load(&self, book: &mut Book) {
+    /// What is stored, into an heir's cluster state.
+    fn load(&self, cluster: &mut ClusterState) {
         let mut chunks: HashMap<JobId, Vec<_>> = HashMap::new();
         for (key, value, stamp) in self.store.under(TASKS) {
             let (id, chunk) = parse_chunk_key(key).expect("own keys");
@@ -266,19 +266,19 @@
             let mut stored = chunks.remove(id).unwrap_or_default();
             if self.store.has(&ended_key(id, End::Done)) {
                 // What is done has exited: its chunks are only dropped.
-                book.drop_again(stored.drain(..).map(|(chunk, ..)| (id.clone(), chunk)).collect());
+                cluster.drop_again(stored.drain(..).map(|(chunk, ..)| (id.clone(), chunk)).collect());
             }
             if self.store.has(&open_key(id)) || !stored.is_empty() {
-                book.load_job(record.clone(), stored, self.now);
+                cluster.load_job(record.clone(), stored, self.now);
             }
             if over {
                 // When it was heard of, by the heir's mirror or the end's record (`scheduling::load`).
                 let at = self.ended_since.get(id).copied().unwrap_or(self.now);
-                book.end_job(id, None, at);
-                book.ended_after(id, self.users.ended_after(id));
+                cluster.end_job(id, None, at);
+                cluster.ended_after(id, self.users.ended_after(id));
             }
         }
-        book.finish_load(self.now);
+        cluster.finish_load(self.now);
     }
 
     fn submit(&mut self) {
@@ -342,7 +342,7 @@
                 return;
             }
             owner.frozen = None;
-            owner.book.was_absent(Gap { began, ended });
+            owner.cluster.was_absent(Gap { began, ended });
             owner.seat.unproven = self.users.on;
         }
         owner.cut = owner.cut.filter(|(_, until)| *until > now);
@@ -351,13 +351,13 @@
         owner.news = later;
         for (_, id, opened, stamp) in due {
             // What one hears before it has loaded, it loads.
-            if !owner.book.loaded {
+            if !owner.cluster.loaded {
                 continue;
             }
             if opened {
-                owner.book.add_job(self.records[&id].clone(), now);
+                owner.cluster.add_job(self.records[&id].clone(), now);
             } else {
-                owner.book.end_job(&id, None, now);
+                owner.cluster.end_job(&id, None, now);
                 self.heard_end(&mut owner, &id, stamp);
             }
         }
@@ -371,18 +371,18 @@
                 }
             }
         }
-        owner.book.tick(now);
-        let decisions = plan::place(&mut owner.book, &self.catalog, now);
+        owner.cluster.tick(now);
+        let decisions = plan::place(&mut owner.cluster, &self.catalog, now);
         self.check_places(i, &owner, &decisions);
-        owner.book.bind_all(decisions, now);
+        owner.cluster.bind_all(decisions, now);
         // What is kept with every binding is what a count afresh gives.
-        for machine in owner.book.machines.values() {
-            let (kept, afresh) = (machine.taken(), owner.book.taken_afresh(machine));
+        for machine in owner.cluster.machines.values() {
+            let (kept, afresh) = (machine.taken(), owner.cluster.taken_afresh(machine));
             assert!((kept.cpus - afresh.cpus).abs() < 1e-6 && (kept.memory_gb - afresh.memory_gb).abs() < 1e-6);
         }
         let mut deposed = false;
         if owner.batch.is_none() {
-            let (ends, chunks) = owner.book.next_writes(12, now);
+            let (ends, chunks) = owner.cluster.next_writes(12, now);
             let batch = Batch { ends, chunks, at_ms: 0 };
             if !batch.is_empty() {
                 owner.batch = Some((batch, now));
@@ -395,7 +395,7 @@
                 deposed = self.store_batch(&mut owner, batch);
             }
         }
-        for direct in owner.book.direct_commands(now) {
+        for direct in owner.cluster.direct_commands(now) {
             let w = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
             let (token, session, machine) = (direct.token, direct.session, direct.machine);
             self.commands += 1;
@@ -405,8 +405,8 @@
             self.send(Message::Command { id, worker: w, from: i, token, session, orders: direct.orders });
         }
         // Without the store no order stands, and only what a withdrawal makes urgent goes without.
-        let overdue = if cut { owner.book.overdue(now) } else { Default::default() };
-        let condemned = owner.book.machines.values().filter(|m| m.standing == Standing::Condemned);
+        let overdue = if cut { owner.cluster.overdue(now) } else { Default::default() };
+        let condemned = owner.cluster.machines.values().filter(|m| m.standing == Standing::Condemned);
         let condemned: Vec<MachineId> =
             condemned.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
         for machine in condemned {
@@ -424,7 +424,7 @@
 
     /// True if the owner learned that it is one no longer.
     fn store_batch(&mut self, owner: &mut Owner, batch: Batch) -> bool {
-        let (conditions, changes) = (batch.conditions(owner.book.token), batch.changes());
+        let (conditions, changes) = (batch.conditions(owner.cluster.token), batch.changes());
         let fate = if self.quiet { 1.0 } else { self.rng.random::<f64>() };
         let unanswered = if self.slow() { 0.4 } else { 0.05 };
         if owner.cut.is_some() || self.store_out() {
@@ -455,28 +455,28 @@
         }
         match outcome {
             Ok(stamp) => {
-                owner.book.chunks_stored(&batch.chunks, stamp);
+                owner.cluster.chunks_stored(&batch.chunks, stamp);
                 for job in &batch.ends {
-                    owner.book.end_job(&job.spec.id, Some(End::Done), self.now);
+                    owner.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
             }
             Err(keys) if keys.iter().any(|k| k == ASSIGNMENT) => return true,
             Err(keys) => {
                 for id in batch.jobs() {
                     if let Some(end) = end_among(&keys, id) {
-                        owner.book.end_job(id, Some(end), self.now);
+                        owner.cluster.end_job(id, Some(end), self.now);
                     }
                 }
                 for write in &batch.chunks {
                     let key = chunk_key(&write.job, write.chunk);
                     let stamp = self.store.stamp(&key);
                     if self.store.value(&key).and_then(decode_chunk).is_some_and(|t| t == write.tasks) {
-                        owner.book.chunks_stored(std::slice::from_ref(write), stamp);
+                        owner.cluster.chunks_stored(std::slice::from_ref(write), stamp);
                     } else {
-                        owner.book.set_stamp(&write.job, write.chunk, stamp);
+                        owner.cluster.set_stamp(&write.job, write.chunk, stamp);
                     }
                 }
-                owner.book.to_store_again(&batch.ended_ids(), &batch.chunks);
+                owner.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
             }
         }
         false
@@ -543,7 +543,7 @@
                 let to = if copy { self.reader() } else { self.reborn.get(&to).copied().unwrap_or(to) };
                 let Some(w) = self.workers.iter().position(|w| w.id == report.machine) else { return };
                 let Some(mut owner) = self.owners.get_mut(to).and_then(Option::take) else { return };
-                if report.token > owner.book.token {
+                if report.token > owner.cluster.token {
                     return;
                 }
                 let session = report.session;
@@ -554,16 +554,16 @@
                 let mut held = false;
                 if !rights.silent() {
                     let over = self.over_among(&owner, &report);
-                    owner.book.take_report(report, Via::Report, Some(&self.catalog), now);
+                    owner.cluster.take_report(report, Via::Report, Some(&self.catalog), now);
                     orders = if rights.whole() {
-                        owner.book.orders_in_answer(&id, now)
+                        owner.cluster.orders_in_answer(&id, now)
                     } else {
-                        owner.book.stops_only(&id, &over)
+                        owner.cluster.stops_only(&id, &over)
                     };
                     held = self.holds(&mut owner, rights, &id);
                     self.users.tally.stops += usize::from(!rights.whole() && !orders.is_empty());
                 }
-                let (token, whole) = (owner.book.token, rights.whole());
+                let (token, whole) = (owner.cluster.token, rights.whole());
                 self.owners[to] = Some(owner);
                 self.trace(&format!("{id} s{session} to {to}: {rights:?} held {held} {orders:?}"));
                 if !held {
@@ -624,14 +624,14 @@
             Message::Reply { id, to, machine, token, report } => {
                 let first = self.over.insert(id);
                 if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-                    owner.book.command_over(&machine, token, true, now);
-                    owner.book.take_report(report, Via::Command, Some(&self.catalog), now);
+                    owner.cluster.command_over(&machine, token, true, now);
+                    owner.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
                 }
             }
             Message::GivenUp { id, to, machine, token } => {
                 let first = self.over.insert(id);
                 if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-                    owner.book.command_over(&machine, token, false, now);
+                    owner.cluster.command_over(&machine, token, false, now);
                 }
             }
             Message::Txn { conditions, changes } => {
@@ -652,7 +652,7 @@
             }
             Message::Returned { to, machine } => {
                 if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut) {
-                    owner.book.machine_gone(&machine, now);
+                    owner.cluster.machine_gone(&machine, now);
                 }
             }
         }
@@ -686,7 +686,7 @@
         if self.owners[self.owner].as_ref().is_some_and(gone) {
             self.take_over();
         }
-        // One whose book is raised writes the assignment again, as the leader would.
+        // One whose cluster state is raised writes the assignment again, as the leader would.
         let owner = self.owner;
         if self.owners[owner].is_none() {
             if self.now >= self.owns_from {
@@ -696,7 +696,7 @@
             o.frozen.is_none()
                 && o.cut.is_none()
                 && self.users.out.is_none()
-                && o.book.raise_wanted(self.now)
+                && o.cluster.raise_wanted(self.now)
                 && o.batch.is_none()
         }) {
             let stamp = self.store.stamp(ASSIGNMENT);
@@ -704,7 +704,7 @@
             if let Ok(token) = self.store.apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[change])
                 && let Some(o) = self.owners[owner].as_mut()
             {
-                o.book.raise_token(token);
+                o.cluster.raise_token(token);
                 self.users.assigned.push((token, owner));
             }
         }
@@ -750,9 +750,10 @@
             let pick = self.rng.random_range(0..1000usize);
             if let Some(owner) = self.owners[self.owner].as_mut() {
                 // As preemption and draining do.
-                let bound: Vec<TaskKey> = owner.book.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
+                let bound: Vec<TaskKey> =
+                    owner.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
                 if !bound.is_empty() {
-                    owner.book.halt(&bound[pick % bound.len()], 3, now);
+                    owner.cluster.halt(&bound[pick % bound.len()], 3, now);
                 }
             }
         }
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -36,7 +36,7 @@
     served: Option<Instant>,
 }
 
-/// What an owner knows beside its book.
+/// What an owner knows beside its cluster state.
 pub(super) struct Seat {
     heard: u64,
     watermark: u64,
@@ -81,7 +81,7 @@
     pub(super) stored_marks: usize,
     pub(super) outages: usize,
     pub(super) beyond_cancel: usize,
-    /// Reports to heirs that had not loaded their book.
+    /// Reports to heirs that had not loaded their cluster state.
     pub(super) unloaded: usize,
     pub(super) stops: usize,
     pub(super) nobody: usize,
@@ -237,30 +237,30 @@
                 owner.seat.unproven = false;
             }
             let assigned = self.users.assignment(owner.seat.heard);
-            let other = assigned.is_some_and(|(_, stamp)| stamp > owner.book.token);
+            let other = assigned.is_some_and(|(_, stamp)| stamp > owner.cluster.token);
             if other && std::mem::replace(&mut owner.seat.deposed, true) && self.rng.random_bool(0.3) {
                 self.trace(&format!("owner {i} steps down"));
                 return None;
             }
-            if !owner.book.loaded && owner.seat.load_at <= now && !other {
-                owner.book.forget_all();
-                self.load(&mut owner.book);
+            if !owner.cluster.loaded && owner.seat.load_at <= now && !other {
+                owner.cluster.forget_all();
+                self.load(&mut owner.cluster);
                 self.trace(&format!("owner {i} loads at {revision}"));
                 owner.news.clear();
                 owner.seat.heard = revision;
                 owner.seat.unconfirmed = Unconfirmed::default();
                 owner.seat.unconfirmed.heard(revision, now);
-                owner.inherited = owner.book.machines.keys().cloned().collect();
+                owner.inherited = owner.cluster.machines.keys().cloned().collect();
                 self.users.moment = true;
             }
-            owner.book.holds_ends(Some(owner.seat.heard));
+            owner.cluster.holds_ends(Some(owner.seat.heard));
             owner.seat.watermark = owner.seat.watermark.max(self.users.stored_mark(owner.seat.heard));
         }
         if let Some(watermark) = self.watermark(i, owner) {
             owner.seat.watermark = owner.seat.watermark.max(watermark.revision);
             self.tell_others(i, owner, watermark, cut);
         }
-        Some(owner.book.loaded && !owner.seat.unproven)
+        Some(owner.cluster.loaded && !owner.seat.unproven)
     }
 
     /// An owner heard of an end.
@@ -273,8 +273,9 @@
     /// As `Node::watermark` has it.
     fn watermark(&self, i: usize, owner: &mut Owner) -> Option<Watermark> {
         let (of, stamp) = self.users.assignment(owner.seat.heard)?;
-        let mine = of.incarnation == i.to_string() && stamp == owner.book.token;
-        (owner.book.loaded && mine).then_some(Watermark { token: owner.book.token, revision: owner.book.watermark() })
+        let mine = of.incarnation == i.to_string() && stamp == owner.cluster.token;
+        (owner.cluster.loaded && mine)
+            .then_some(Watermark { token: owner.cluster.token, revision: owner.cluster.watermark() })
     }
 
     fn tell_others(&mut self, i: usize, owner: &mut Owner, watermark: Watermark, cut: bool) {
@@ -339,7 +340,7 @@
         let seen = Seen { proof, refused, peers: FOLLOWERS, heard, answering };
         let knows = seen.standing(Patience::of_ownership(LEADER_LEASE)).speaks();
         let serves = refused < Duration::from_secs(2);
-        Rights { loaded: owner.book.loaded, knows, unproven: owner.seat.unproven, serves }
+        Rights { loaded: owner.cluster.loaded, knows, unproven: owner.seat.unproven, serves }
     }
 
     /// Jobs of a report that are over by this owner's mirror (as `Node::over_among` has it).
@@ -357,7 +358,7 @@
             owner.seat.let_go.clear();
         }
         let let_go = &mut owner.seat.let_go;
-        rights.holds(owner.seat.heard >= owner.book.token, || fresh, || let_go.holds(machine, FOLLOWERS, LEASE, now))
+        rights.holds(owner.seat.heard >= owner.cluster.token, || fresh, || let_go.holds(machine, FOLLOWERS, LEASE, now))
     }
 
     /// A user of some controller: of a follower that the store serves, or of whoever thinks that it owns.
@@ -381,27 +382,27 @@
             }
             return;
         }
-        let owns = |o: &Owner| o.book.loaded && o.cut.is_none() && o.frozen.is_none();
+        let owns = |o: &Owner| o.cluster.loaded && o.cut.is_none() && o.frozen.is_none();
         let owners: Vec<usize> =
             (0..self.owners.len()).filter(|i| self.owners[*i].as_ref().is_some_and(owns)).collect();
         if owners.is_empty() {
             return;
         }
         let at = owners[self.rng.random_range(0..owners.len())];
-        let token = self.owners[at].as_ref().expect("it owns").book.token;
+        let token = self.owners[at].as_ref().expect("it owns").cluster.token;
         let sent = moves::withdraw(&self.records[&id], Some(token), 0);
         if self.apply(&sent.conditions, &sent.changes).is_ok() && !(self.slow() && self.rng.random_bool(0.4)) {
             self.send(Message::Withdrawn { to: at, id, token });
         }
     }
 
-    /// As `Node::withdrew` has it: told at once if the book has it.
+    /// As `Node::withdrew` has it: told at once if the cluster state has it.
     pub(super) fn withdrew(&mut self, at: usize, id: &JobId, token: u64) {
         let now = self.now;
-        let owner = self.owners[at].as_mut().filter(|o| o.book.loaded && o.book.first_token <= token);
+        let owner = self.owners[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_token <= token);
         let Some(owner) = owner else { return };
-        owner.book.end_job(id, Some(End::Withdrawn), now);
-        if owner.book.obeyed_in(id) {
+        owner.cluster.end_job(id, Some(End::Withdrawn), now);
+        if owner.cluster.obeyed_in(id) {
             self.users.tally.told_by_owner += 1;
             self.tell_user(id);
         }
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -13,7 +13,7 @@
 
 use lru::LruCache;
 
-use super::book::{JobState, MOST_CLASSES};
+use super::cluster::{JobState, MOST_CLASSES};
 use super::plan::Turn;
 use super::served::floor::Lane;
 use crate::jobs::{JobId, JobSpec};
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -1,4 +1,4 @@
-//! Takeover: from what is stored to a book, a page at a time.
+//! Takeover: from what is stored to a cluster state, a page at a time.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -47,17 +47,17 @@
     }
 }
 
-/// Reads every page of tasks into the book, which decides nothing until the last one is in.
+/// Reads every page of tasks into the cluster state, which decides nothing until the last one is in.
 pub async fn fill(node: &Arc<Node>) -> Result<(), StoreError> {
     let begun = Instant::now();
     // Open jobs first: the mirror was proven fresh after this controller's assignment stood.
     {
         let mirror = lock(&node.mirror);
-        let mut held = lock(&node.book);
-        let Some(book) = held.as_mut() else { return Ok(()) };
-        book.forget_all();
+        let mut held = lock(&node.cluster);
+        let Some(cluster) = held.as_mut() else { return Ok(()) };
+        cluster.forget_all();
         for (_, record) in mirror.open_jobs() {
-            book.add_job(record.clone(), begun);
+            cluster.add_job(record.clone(), begun);
         }
     }
     let mut ended = HashSet::new();
@@ -80,27 +80,27 @@
     let now = Instant::now();
     {
         let mirror = lock(&node.mirror);
-        let mut held = lock(&node.book);
-        let Some(book) = held.as_mut() else { return Ok(()) };
+        let mut held = lock(&node.cluster);
+        let Some(cluster) = held.as_mut() else { return Ok(()) };
         // What came and what ended while the tasks were being read.
         for (_, record) in mirror.open_jobs() {
-            book.add_job(record.clone(), now);
+            cluster.add_job(record.clone(), now);
         }
-        ended.extend(book.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned());
+        ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned());
         for id in &ended {
             let read = read_ends.get(id).copied();
             let at = node.history.heard_at(id).or(read.map(|(at, _)| at));
-            book.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
-            book.ended_after(id, mirror.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
+            cluster.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
+            cluster.ended_after(id, mirror.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
         }
         let inherited = orders.len();
-        book.inherit_orders(orders, now);
-        book.finish_load(now);
-        book.holds_ends(mirror.asking());
-        node.took_over(book.known, now);
+        cluster.inherit_orders(orders, now);
+        cluster.finish_load(now);
+        cluster.holds_ends(mirror.asking());
+        node.took_over(cluster.known, now);
         // Before anything else is decided.
-        node.wishes_of(book, &mirror, now);
-        let (jobs, machines) = (book.job_count(), book.machines.len());
+        node.wishes_of(cluster, &mirror, now);
+        let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
         info!(
             jobs,
             machines,
@@ -127,17 +127,17 @@
     read_ends: &mut HashMap<JobId, (Instant, u64)>,
 ) -> Result<(), StoreError> {
     let over: BTreeSet<JobId> = {
-        let held = lock(&node.book);
-        let Some(book) = held.as_ref() else { return Ok(()) };
-        page.iter().filter(|c| !book.has_job(&c.job) && c.anything_bound()).map(|c| c.job.clone()).collect()
+        let held = lock(&node.cluster);
+        let Some(cluster) = held.as_ref() else { return Ok(()) };
+        page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound()).map(|c| c.job.clone()).collect()
     };
     let done = done_among(node, over).await?;
     let mut records: HashMap<JobId, Arc<JobRecord>> = HashMap::new();
     let mut unknown: HashSet<JobId> = HashSet::new();
     {
-        let (mirror, held) = (lock(&node.mirror), lock(&node.book));
-        let Some(book) = held.as_ref() else { return Ok(()) };
-        for chunk in page.iter().filter(|c| !book.has_job(&c.job) && c.anything_bound() && !done.contains(&c.job)) {
+        let (mirror, held) = (lock(&node.mirror), lock(&node.cluster));
+        let Some(cluster) = held.as_ref() else { return Ok(()) };
+        for chunk in page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound() && !done.contains(&c.job)) {
             match mirror.ended_record(&chunk.job) {
                 Some(record) => drop(records.insert(chunk.job.clone(), record)),
                 None => drop(unknown.insert(chunk.job.clone())),
@@ -162,19 +162,19 @@
         }
     }
     let now = Instant::now();
-    let mut held = lock(&node.book);
-    let Some(book) = held.as_mut() else { return Ok(()) };
+    let mut held = lock(&node.cluster);
+    let Some(cluster) = held.as_mut() else { return Ok(()) };
     for (id, record) in records {
-        book.add_job(record, now);
+        cluster.add_job(record, now);
         ended.insert(id);
     }
     for chunk in page {
-        if book.has_job(&chunk.job) {
-            book.load_chunk(&chunk.job, chunk.number, chunk.stamp, chunk.tasks, now);
+        if cluster.has_job(&chunk.job) {
+            cluster.load_chunk(&chunk.job, chunk.number, chunk.stamp, chunk.tasks, now);
         } else if chunk.anything_bound() && !done.contains(&chunk.job) {
             error!(job = %chunk.job, chunk = chunk.number, "tasks of a job that is not in the store");
         } else {
-            book.drop_again(vec![(chunk.job, chunk.number)]);
+            cluster.drop_again(vec![(chunk.job, chunk.number)]);
         }
     }
     Ok(())
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,6 +1,6 @@
-//! Which task runs where: the owner's book, the decisions taken on it, and their loop.
+//! Which task runs where: the owner's cluster state, the decisions taken on it, and their loop.
 
-pub mod book;
+pub mod cluster;
 pub mod due;
 pub mod evidence;
 pub mod filler;
@@ -24,7 +24,7 @@
 
 use tracing::{debug, info};
 
-pub use book::Book;
+pub use cluster::ClusterState;
 use served::{Account, Open, Row};
 
 use crate::jobs::JobId;
@@ -62,34 +62,34 @@
         let now = Instant::now();
         let mut placed = None;
         node.refresh_wishes(now);
-        if let (Some(book), Some(catalog)) = (lock(&node.book).as_mut(), node.catalog()) {
+        if let (Some(cluster), Some(catalog)) = (lock(&node.cluster).as_mut(), node.catalog()) {
             if now.saturating_duration_since(ticked) >= TICK {
                 ticked = now;
-                book.tick(now);
+                cluster.tick(now);
             }
-            if now >= look_next && book.loaded {
+            if now >= look_next && cluster.loaded {
                 look_next = now + LOOK_EVERY;
                 let mut account = lock(&node.served);
-                look(&mut account, book, now);
+                look(&mut account, cluster, now);
                 if now >= tell_next {
                     tell_next = now + TELL_EVERY;
                     tell(account.rows());
-                    tell_due(&due(book, now));
+                    tell_due(&due(cluster, now));
                 }
             }
             if now >= hold_next {
-                book.holds = holds::choose(book, &catalog, now);
+                cluster.holds = holds::choose(cluster, &catalog, now);
                 hold_next = now + HOLD_EVERY.max(now.elapsed() * REST * 2);
             }
             // Nothing that placement depends on changed: it would decide the same.
-            if book.take_stirred() || planned.is_none_or(|at| now.saturating_duration_since(at) >= EVERY) {
+            if cluster.take_stirred() || planned.is_none_or(|at| now.saturating_duration_since(at) >= EVERY) {
                 planned = Some(now);
-                let decisions = plan::place(book, &catalog, now);
+                let decisions = plan::place(cluster, &catalog, now);
                 placed = Some(decisions.len());
-                book.bind_all(decisions, now);
+                cluster.bind_all(decisions, now);
                 if now >= preempt_next {
                     preempt_next = now + PREEMPT_EVERY;
-                    preempt::preempt(book, &catalog, now);
+                    preempt::preempt(cluster, &catalog, now);
                 }
             }
         }
@@ -104,17 +104,17 @@
     }
 }
 
-/// The account of who is served, with what the book has to tell it.
-fn look(account: &mut Account, book: &mut Book, now: Instant) {
-    for (id, note, at) in book.take_notes() {
-        if let Some(job) = book.job(&id) {
+/// The account of who is served, with what the cluster state has to tell it.
+fn look(account: &mut Account, cluster: &mut ClusterState, now: Instant) {
+    for (id, note, at) in cluster.take_notes() {
+        if let Some(job) = cluster.job(&id) {
             account.note(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
         }
     }
     // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
-    let (evidence, large, wishes) = (&book.evidence, &book.large, &book.wishes);
+    let (evidence, large, wishes) = (&cluster.evidence, &cluster.large, &cluster.wishes);
     let left_out = |id| evidence.suspects(id) || wishes.not_yet.contains(id);
-    let open = book.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
+    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
     let held = |id: &JobId, job| wishes.replicas.contains_key(id) && wishes.waiting(id, job) == 0;
     let open = open.filter(|(id, job)| !held(id, job));
     let open = open.map(|(_, job)| Open {
@@ -127,8 +127,8 @@
         large_waits: !job.waiting.is_empty() && !job.begun() && large.is(job.spec()),
     });
     let below = Account::below(account.look(open, now));
-    book.set_below(below);
-    book.bound_lane(now);
+    cluster.set_below(below);
+    cluster.bound_lane(now);
 }
 
 fn tell(rows: &[Row]) {
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use super::book::{Book, JobState, MachineId};
+use super::cluster::{ClusterState, JobState, MachineId};
 use super::evidence::{Evidence, PROBES};
 use super::filler::{self, Filler};
 use super::room::{Ground, Room, Zones, usable, usable_until_left};
@@ -67,24 +67,28 @@
 
 /// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can still be in time, then
 /// by return; work of no return by age.
-pub fn queue(book: &Book, now: Instant) -> Vec<Turn<'_>> {
-    let mut turns: Vec<Turn> = book
+pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<Turn<'_>> {
+    let mut turns: Vec<Turn> = cluster
         .jobs()
         .filter(|(_, job)| !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before)
-        .filter(|(id, job)| book.wishes.waiting(id, job) > 0)
+        .filter(|(id, job)| cluster.wishes.waiting(id, job) > 0)
         .filter(|(_, job)| !job.spec().is_gang() || job.bound.is_empty())
-        .filter(|(id, _)| !book.wishes.not_yet.contains(*id))
+        .filter(|(id, _)| !cluster.wishes.not_yet.contains(*id))
         .map(|(id, job)| {
             let age = now.saturating_duration_since(job.since);
             let late = job.too_late(age);
             Turn {
                 id,
                 job,
-                guaranteed: within_guarantee(book, job.spec()),
-                rank: Rank::of(book.below.first.has(job.spec()) || book.wishes.short(id), late, job.spec().is_idle()),
+                guaranteed: within_guarantee(cluster, job.spec()),
+                rank: Rank::of(
+                    cluster.below.first.has(job.spec()) || cluster.wishes.short(id),
+                    late,
+                    job.spec().is_idle(),
+                ),
                 late,
                 owed: false,
-                suspected: book.evidence.suspects(id),
+                suspected: cluster.evidence.suspects(id),
                 task_return: job.agreement.task_return(age + job.agreement.run),
                 age,
                 ahead: false,
@@ -92,8 +96,8 @@
             }
         })
         .collect();
-    let owed = book.large.owed(&turns, book.properties.large_begin);
-    let to_begin = book.large.to_begin(&turns, book.properties.large_begin);
+    let owed = cluster.large.owed(&turns, cluster.properties.large_begin);
+    let to_begin = cluster.large.to_begin(&turns, cluster.properties.large_begin);
     for turn in &mut turns {
         turn.owed = owed == Some(turn.id);
         if to_begin == Some(turn.id) {
@@ -109,33 +113,33 @@
             .then(b.age.cmp(&a.age))
             .then(a.id.cmp(b.id))
     });
-    wishes::order(book, &mut turns);
+    wishes::order(cluster, &mut turns);
     turns
 }
 
-fn within_guarantee(book: &Book, spec: &JobSpec) -> bool {
-    let Some(team) = book.settings.team(&spec.team) else { return false };
+fn within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
+    let Some(team) = cluster.settings.team(&spec.team) else { return false };
     if team.cpus <= 0.0 && team.gpus <= 0.0 {
         return false;
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
-    let used = book.usage.get(&spec.team).copied().unwrap_or_default();
+    let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
     used.0 + n * spec.cpus <= team.cpus + SLACK && used.1 + n * spec.gpus <= team.gpus + SLACK
 }
 
 /// What a team may still use, as (cpus, gpus).
 pub struct Quotas<'a> {
-    book: &'a Book,
+    cluster: &'a ClusterState,
     used: HashMap<&'a str, (f64, f64)>,
 }
 
 impl<'a> Quotas<'a> {
-    pub fn new(book: &'a Book) -> Self {
-        Self { book, used: book.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
+    pub fn new(cluster: &'a ClusterState) -> Self {
+        Self { cluster, used: cluster.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
     }
 
     pub fn allows(&self, spec: &JobSpec, n: f64) -> bool {
-        let Some(team) = self.book.settings.team(&spec.team) else { return false };
+        let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
         let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
         let within = |limit: f64, used: f64, more: f64| limit <= 0.0 || used + more <= limit + SLACK;
         within(team.cpus_max, used.0, n * spec.cpus) && within(team.gpus_max, used.1, n * spec.gpus)
@@ -361,7 +365,7 @@
 
 /// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
 pub struct Plan<'a> {
-    book: &'a Book,
+    cluster: &'a ClusterState,
     evidence: &'a Evidence,
     wishes: &'a Wishes,
     ground: Ground<'a>,
@@ -383,24 +387,24 @@
 }
 
 impl<'a> Plan<'a> {
-    pub fn new(book: &'a Book, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
-        let ground = Ground::new(book, catalog);
-        let suspect = super::room::suspect_after(book);
+    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
+        let ground = Ground::new(cluster, catalog);
+        let suspect = super::room::suspect_after(cluster);
         let least = turns.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
-        let rooms = book
+        let rooms = cluster
             .machines
             .values()
             .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
             .filter_map(|m| ground.room(m))
             .filter(|r| r.cpus + SLACK >= least)
-            .map(|r| held(book, r, now))
+            .map(|r| held(cluster, r, now))
             .collect();
-        let giving = giving(book, &ground, suspect, now);
+        let giving = giving(cluster, &ground, suspect, now);
         let sought = sought(&ground, turns);
         Self {
-            book,
-            evidence: &book.evidence,
-            wishes: &book.wishes,
+            cluster,
+            evidence: &cluster.evidence,
+            wishes: &cluster.wishes,
             giving,
             sought,
             ground,
@@ -466,15 +470,15 @@
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let filler = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.book.beside_room.overdue(turn.id, self.now);
+        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
         let mut demand = Demand::new(turn, self.evidence, filler, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.wishes.stopped(turn.id));
         let waiting = self.wishes.waiting(turn.id, job);
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if turn.ahead {
-            demand.passes = wishes::holders(self.book, |other, ahead| !ahead && other <= spec.urgency);
+            demand.passes = wishes::holders(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
-            demand.ahead = wishes::holders(self.book, |other, ahead| ahead && other >= spec.urgency);
+            demand.ahead = wishes::holders(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
         let holds = |room: &Room| room.hold.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
         let keep = keep && spec.is_gang();
@@ -552,16 +556,16 @@
     }
 
     /// Before idle work is placed: rooms for what arrives while it would give way.
-    fn keep_for_arrivals(&mut self, book: &Book) {
-        for arrivals in book.arrivals.values() {
+    fn keep_for_arrivals(&mut self, cluster: &ClusterState) {
+        for arrivals in cluster.arrivals.values() {
             let spec = &arrivals.like.spec;
             let open = self.ground.open_to(spec, &Zones::none(spec));
             let boot_s = self.ground.longest_boot_s(&open);
-            let objectives = &book.settings.params.objectives;
+            let objectives = &cluster.settings.params.objectives;
             let mut left = filler::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
-        for (wish, open) in wishes::room_kept(book, &self.ground) {
+        for (wish, open) in wishes::room_kept(cluster, &self.ground) {
             self.keep(&wish.like, &open, &mut wish.tasks.clone());
         }
     }
@@ -629,9 +633,9 @@
 }
 
 /// The room with what it is held for.
-fn held<'a>(book: &'a Book, room: Room<'a>, now: Instant) -> Room<'a> {
-    let hold = room.machine.and_then(|m| book.hold(&m.id, now));
-    let reserved = room.machine.is_some_and(|m| book.reserved.get(&m.id).is_some_and(|h| h.until > now));
+fn held<'a>(cluster: &'a ClusterState, room: Room<'a>, now: Instant) -> Room<'a> {
+    let hold = room.machine.and_then(|m| cluster.hold(&m.id, now));
+    let reserved = room.machine.is_some_and(|m| cluster.reserved.get(&m.id).is_some_and(|h| h.until > now));
     Room { hold, reserved, ..room }
 }
 
@@ -647,40 +651,40 @@
 }
 
 /// Machines without accelerators, and free of holds, on which idle work would give way.
-fn giving<'a>(book: &'a Book, ground: &Ground<'a>, suspect: Duration, now: Instant) -> Vec<Room<'a>> {
-    let held = book.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
-    let free = held.filter(|m| book.hold(&m.id, now).is_none());
+fn giving<'a>(cluster: &'a ClusterState, ground: &Ground<'a>, suspect: Duration, now: Instant) -> Vec<Room<'a>> {
+    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
+    let free = held.filter(|m| cluster.hold(&m.id, now).is_none());
     free.filter_map(|m| ground.room(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
 
 /// All placements that can be made now.
-pub fn place(book: &mut Book, catalog: &Catalog, now: Instant) -> Vec<Placement> {
-    place_counted(book, catalog, now).0
+pub fn place(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> Vec<Placement> {
+    place_counted(cluster, catalog, now).0
 }
 
 /// The same, with how many rooms were looked at.
-pub fn place_counted(book: &mut Book, catalog: &Catalog, now: Instant) -> (Vec<Placement>, u64) {
-    if !book.loaded {
+pub fn place_counted(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> (Vec<Placement>, u64) {
+    if !cluster.loaded {
         return (Vec::new(), 0);
     }
-    book.refresh_loads(now);
+    cluster.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
-    if book.keeping.is_some() && book.beside_room.longest(now) >= KEPT_FOR {
-        book.keeping = now.checked_sub(KEPT_FOR).or(book.keeping);
+    if cluster.keeping.is_some() && cluster.beside_room.longest(now) >= KEPT_FOR {
+        cluster.keeping = now.checked_sub(KEPT_FOR).or(cluster.keeping);
     }
-    let spell = book.keeping.map(|since| now.saturating_duration_since(since));
+    let spell = cluster.keeping.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
-    let Decided { placements, looked, kept, passed_over } = decide(book, catalog, may_keep, now);
+    let Decided { placements, looked, kept, passed_over } = decide(cluster, catalog, may_keep, now);
     for placement in &placements {
-        if book.beside_room.overdue(&placement.task.job, now) {
-            book.take_back(&placement.machine);
+        if cluster.beside_room.overdue(&placement.task.job, now) {
+            cluster.take_back(&placement.machine);
         }
     }
-    book.beside_room.note(passed_over, now);
+    cluster.beside_room.note(passed_over, now);
     if kept {
-        book.keeping.get_or_insert(now);
+        cluster.keeping.get_or_insert(now);
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
-        book.keeping = None;
+        cluster.keeping = None;
     }
     (placements, looked)
 }
@@ -697,10 +701,10 @@
     passed_over: HashSet<JobId>,
 }
 
-fn decide(book: &Book, catalog: &Catalog, may_keep: bool, now: Instant) -> Decided {
+fn decide(cluster: &ClusterState, catalog: &Catalog, may_keep: bool, now: Instant) -> Decided {
     let mut decisions = Vec::new();
     let mut passed_over = HashSet::new();
-    let mut turns = queue(book, now);
+    let mut turns = queue(cluster, now);
     if turns.is_empty() {
         return Decided::default();
     }
@@ -710,18 +714,18 @@
         turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.suspected && t.rank != Rank::Idle);
     let oldest = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)));
     if let Some((at, needs)) =
-        oldest.map(|(at, t)| (at, t.job.cores_at_once())).filter(|(_, n)| *n <= book.lane.credit())
+        oldest.map(|(at, t)| (at, t.job.cores_at_once())).filter(|(_, n)| *n <= cluster.lane.credit())
     {
         let turn = turns.remove(at);
         turns.insert(turns.iter().take_while(|t| t.guaranteed).count(), turn);
-        earned = Some((turn.id, (book.lane.credit() / needs.max(SLACK)) as usize));
+        earned = Some((turn.id, (cluster.lane.credit() / needs.max(SLACK)) as usize));
     }
-    let mut plan = Plan::new(book, catalog, &turns, now);
-    let mut quotas = Quotas::new(book);
+    let mut plan = Plan::new(cluster, catalog, &turns, now);
+    let mut quotas = Quotas::new(cluster);
     let mut idle_begun = false;
     for turn in turns {
         if turn.rank == Rank::Idle && !std::mem::replace(&mut idle_begun, true) {
-            plan.keep_for_arrivals(book);
+            plan.keep_for_arrivals(cluster);
         }
         if decisions.len() >= MOST_PLACEMENTS {
             break;
@@ -736,12 +740,12 @@
         } else {
             // Few teams have limits; counting up to the limit is cheap next to placing.
             let mut n = 0;
-            while n < most.min(book.wishes.waiting(turn.id, job)) && quotas.allows(spec, (n + 1) as f64) {
+            while n < most.min(cluster.wishes.waiting(turn.id, job)) && quotas.allows(spec, (n + 1) as f64) {
                 n += 1;
             }
             most = n;
         }
-        let overdue = book.beside_room.overdue(turn.id, now);
+        let overdue = cluster.beside_room.overdue(turn.id, now);
         if let Some((_, tasks)) = earned.filter(|(id, _)| *id == turn.id && !overdue && !spec.is_gang()) {
             most = most.min(tasks);
         }
@@ -756,7 +760,7 @@
         }
         let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
         let keep = may_keep && (turn.owed || earned.is_some_and(|(id, _)| id == turn.id));
-        let mut zones = Zones::new(book, job);
+        let mut zones = Zones::new(cluster, job);
         let placed = plan.place_job(&turn, &mut zones, most, keep);
         quotas.take(spec, placed.len() as f64);
         if plan.leaves_beside_room(&turn, &zones, placed.len(), &quotas) {
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -7,7 +7,7 @@
 
 use super::{Plan, Quotas, Turn, Unfit};
 use crate::jobs::JobId;
-use crate::scheduling::book::JobState;
+use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
 
 /// After this long beside room, over all reasons together, a job takes any room that fits, but for two: what others were
@@ -47,7 +47,7 @@
     /// own words and its team's limit alone.
     pub fn leaves_beside_room(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
         let (job, spec) = (turn.job, turn.job.spec());
-        let waiting = self.book.wishes.waiting(turn.id, job);
+        let waiting = self.cluster.wishes.waiting(turn.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
             return false;
         }
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -6,7 +6,7 @@
 
 use tracing::info;
 
-use super::book::{Book, JobState, Machine, MachineId, Phase};
+use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase};
 use super::holds::Hold;
 use super::plan::{Quotas, SLACK, Turn, queue};
 use super::room::{Ground, Zones, suspect_after, usable};
@@ -43,30 +43,34 @@
 }
 
 /// Makes room for the first job of the queue that may stop others and finds none.
-pub fn preempt(book: &mut Book, catalog: &Catalog, now: Instant) {
-    if !book.loaded {
+pub fn preempt(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) {
+    if !cluster.loaded {
         return;
     }
-    let Some((job, stops)) = find(book, catalog, now) else { return };
+    let Some((job, stops)) = find(cluster, catalog, now) else { return };
     let stopped: usize = stops.iter().map(|(_, victims)| victims.len()).sum();
     info!(%job, machines = stops.len(), stopped, "preempts");
     for (machine, victims) in stops {
         let longest = victims.iter().map(|(_, grace)| *grace).max().unwrap_or(0);
         let until = now + Duration::from_secs(longest) + HELD_PAST_SAVING;
-        book.reserved.insert(machine, Hold { job: job.clone(), until });
+        cluster.reserved.insert(machine, Hold { job: job.clone(), until });
         for (key, grace) in victims {
-            book.halt(&key, grace, now);
+            cluster.halt(&key, grace, now);
         }
     }
 }
 
-fn find(book: &Book, catalog: &Catalog, now: Instant) -> Option<(crate::jobs::JobId, Vec<(MachineId, Victims)>)> {
-    let quotas = Quotas::new(book);
-    let suspect = suspect_after(book);
-    let ground = Ground::new(book, catalog);
+fn find(
+    cluster: &ClusterState,
+    catalog: &Catalog,
+    now: Instant,
+) -> Option<(crate::jobs::JobId, Vec<(MachineId, Victims)>)> {
+    let quotas = Quotas::new(cluster);
+    let suspect = suspect_after(cluster);
+    let ground = Ground::new(cluster, catalog);
     // Whoever may stop nothing need not look.
-    let lowest = book.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
-    let turns = queue(book, now);
+    let lowest = cluster.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
+    let turns = queue(cluster, now);
     let may = turns.iter().filter(|t| !t.suspected && (lowest < t.job.spec().urgency || t.guaranteed));
     for turn in may.take(MOST_JOBS) {
         let (job, spec) = (turn.job, turn.job.spec());
@@ -76,13 +80,13 @@
         if waited < after || !quotas.allows(spec, need as f64) {
             continue;
         }
-        let zones = Zones::new(book, job);
+        let zones = Zones::new(cluster, job);
         let open = ground.open_to(spec, &zones);
-        let usable = book.machines.values().filter(|m| usable(m, suspect, now));
-        let free = usable.filter(|m| book.hold(&m.id, now).is_none_or(|h| h.job == *turn.id));
-        let places: Vec<Place> = free.filter_map(|m| place(book, &ground, m, turn, &open, need, now)).collect();
+        let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
+        let free = usable.filter(|m| cluster.hold(&m.id, now).is_none_or(|h| h.job == *turn.id));
+        let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, turn, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
-        let waiting = book.wishes.waiting(turn.id, job) as u64;
+        let waiting = cluster.wishes.waiting(turn.id, job) as u64;
         let wish = if spec.is_gang() { need } else { waiting.min(MOST_MACHINES as u64) };
         let Some(chosen) = choose(places, spec, &zones, need, wish) else { continue };
         let stops: Vec<(MachineId, Victims)> = chosen.into_iter().map(|p| (p.machine.id.clone(), p.victims)).collect();
@@ -138,7 +142,7 @@
 /// What would have to be stopped on a machine for as many tasks as it could then hold, the cheapest
 /// loss first; none if it holds no task of the job even so.
 fn place<'a>(
-    book: &'a Book,
+    cluster: &'a ClusterState,
     ground: &Ground<'a>,
     machine: &'a Machine,
     turn: &Turn,
@@ -149,11 +153,11 @@
     let spec = turn.job.spec();
     let mut room = ground.room(machine).filter(|r| open[r.kind])?;
     let may_stop = |other: &JobSpec| {
-        other.urgency < spec.urgency || (turn.guaranteed && other.team != spec.team && beyond_guarantee(book, other))
+        other.urgency < spec.urgency || (turn.guaranteed && other.team != spec.team && beyond_guarantee(cluster, other))
     };
     let mut stoppable: Vec<(f64, TaskKey, &JobSpec)> = Vec::new();
     for key in &machine.bound {
-        let Some(other) = book.job(&key.job) else { continue };
+        let Some(other) = cluster.job(&key.job) else { continue };
         let Some(task) = other.tasks.get(key.index as usize) else { continue };
         let Phase::Bound(binding) = &task.phase else { continue };
         if binding.halting.is_some() {
@@ -166,7 +170,7 @@
     stoppable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let (mut victims, mut lost) = (Vec::new(), 0.0);
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
-    let most = if spec.is_gang() { need } else { book.wishes.waiting(turn.id, turn.job) as u64 };
+    let most = if spec.is_gang() { need } else { cluster.wishes.waiting(turn.id, turn.job) as u64 };
     let mut emptied = room;
     stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
     let most_here = emptied.units(spec, most).max(1);
@@ -203,8 +207,8 @@
     seconds * spec.cpus.max(0.01) * tasks
 }
 
-fn beyond_guarantee(book: &Book, spec: &JobSpec) -> bool {
-    let Some(team) = book.settings.team(&spec.team) else { return true };
-    let used = book.usage.get(&spec.team).copied().unwrap_or_default();
+fn beyond_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
+    let Some(team) = cluster.settings.team(&spec.team) else { return true };
+    let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
     used.0 - spec.cpus >= team.cpus - SLACK && used.1 - spec.gpus >= team.gpus - SLACK
 }
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::book::{Book, JobState, Machine, Standing};
+use super::cluster::{ClusterState, JobState, Machine, Standing};
 use super::holds::Hold;
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Every type, zone and kind: those that machines are of first, at the places the book gives
+/// Every type, zone and kind: those that machines are of first, at the places the cluster state gives
 /// them, then what else the cloud offers. Rooms name theirs by its place, so that what a job
 /// allows is worked out once per job and not once per machine.
 pub struct Ground<'a> {
@@ -52,14 +52,14 @@
 }
 
 impl<'a> Ground<'a> {
-    pub fn new(book: &'a Book, catalog: &'a Catalog) -> Self {
+    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
         let offer = |k: &'a Kind| Some(Offer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
-        Self { offers: book.kinds().iter().map(offer).collect() }
+        Self { offers: cluster.kinds().iter().map(offer).collect() }
     }
 
     /// With what the cloud offers and no machine is of yet.
-    pub fn with_all_offers(book: &'a Book, catalog: &'a Catalog) -> Self {
-        let mut ground = Self::new(book, catalog);
+    pub fn with_all_offers(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
+        let mut ground = Self::new(cluster, catalog);
         for of in &catalog.types {
             for zone in &of.zones {
                 for spot in [true, false] {
@@ -256,8 +256,8 @@
 }
 
 /// After this long without a report a machine gets no new work.
-pub fn suspect_after(book: &Book) -> Duration {
-    book.settings.params.workers.report().mul_f64(SUSPECT_REPORTS)
+pub fn suspect_after(cluster: &ClusterState) -> Duration {
+    cluster.settings.params.workers.report().mul_f64(SUSPECT_REPORTS)
 }
 
 /// The zone of a machine of which only the name is known.
@@ -270,11 +270,11 @@
 }
 
 impl<'a> Zones<'a> {
-    pub fn new(book: &'a Book, job: &'a JobState) -> Self {
+    pub fn new(cluster: &'a ClusterState, job: &'a JobState) -> Self {
         let mut counts = HashMap::new();
         if job.spec().same_zone || job.spec().spread {
             for index in &job.bound {
-                let machine = job.binding(*index).and_then(|b| book.machines.get(&b.machine));
+                let machine = job.binding(*index).and_then(|b| cluster.machines.get(&b.machine));
                 *counts.entry(machine.map_or(UNKNOWN, |m| m.zone.as_str())).or_default() += 1;
             }
         }
--- a/src/scheduling/served/mod.rs
+++ b/src/scheduling/served/mod.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// What the owner alone knows, told to the account by whoever holds the book.
+/// What the owner alone knows, told to the account by whoever holds the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
     /// Tasks that were given their first place, as a part of their job's.
--- a/src/scheduling/served/tests/ahead.rs
+++ b/src/scheduling/served/tests/ahead.rs
@@ -1,4 +1,4 @@
-//! Who goes ahead when asked, on the book itself in counted time: what it gives, and what it leaves to others.
+//! Who goes ahead when asked, on the cluster state itself in counted time: what it gives, and what it leaves to others.
 
 use std::collections::BTreeMap;
 
@@ -25,12 +25,12 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::new(10, Properties { served_window: s(120.0), ..Properties::default() });
     if let Some(part) = asked {
-        world.book.set_wishes(wish(&[hot], part));
+        world.cluster.set_wishes(wish(&[hot], part));
     }
     let mut waiting: BTreeMap<JobId, (u32, bool)> = BTreeMap::new();
     let mut waits = Waits { all: Vec::new(), largest: Vec::new() };
     for t in 0..1500u32 {
-        if t >= 300 && world.book.job_count() == 0 {
+        if t >= 300 && world.cluster.job_count() == 0 {
             break;
         }
         if t < 300 {
@@ -48,7 +48,7 @@
         }
         world.step(|_| true);
         waiting.retain(|id, (came, largest)| {
-            let waits_still = world.book.job(id).is_some_and(|job| !job.waiting.is_empty());
+            let waits_still = world.cluster.job(id).is_some_and(|job| !job.waiting.is_empty());
             if !waits_still {
                 waits.all.push(t - *came);
                 waits.largest.extend(largest.then_some(t - *came));
@@ -73,7 +73,7 @@
         for seed in 0..6 {
             for (asked, waits, served) in [(None, &mut off, &mut served_off), (Some(0.5), &mut on, &mut served_on)] {
                 let (world, more) = hot_day(asked, hot, flood, seed);
-                assert_eq!(world.book.job_count(), 0, "and nothing is left undone");
+                assert_eq!(world.cluster.job_count(), 0, "and nothing is left undone");
                 waits.all.extend(more.all);
                 waits.largest.extend(more.largest);
                 *served += world.part(flood) / 6.0;
@@ -112,7 +112,7 @@
         let ((flood, flooding), (other, n)) = (served(classes[which]), served(classes[1 - which]));
         let all = (other * n + flood * flooding) / (n + flooding).max(1.0);
         prop_assert!(n < 10.0 || other >= 0.75 * all, "{}: {other} of {n}, all {all}", classes[1 - which]);
-        prop_assert_eq!(world.book.job_count(), 0, "and nothing is left undone");
+        prop_assert_eq!(world.cluster.job_count(), 0, "and nothing is left undone");
     }
 }
 
@@ -127,22 +127,22 @@
         (Urgency::Idle, false, 1),
     ] {
         let now = Instant::now();
-        let mut book = Book::new(7, settings(), Properties::default(), now);
-        book.loaded = true;
-        book.take_report(report("m1", false, 1, vec![]), Via::Report, None, now);
+        let mut cluster = ClusterState::new(7, settings(), Properties::default(), now);
+        cluster.loaded = true;
+        cluster.take_report(report("m1", false, 1, vec![]), Via::Report, None, now);
         let mut runs = job(1, "other", "blue");
         (runs.cpus, runs.urgency) = (8.0, running);
-        book.add_job(record(runs), now);
-        let placed = plan::place(&mut book, &catalog(), now);
-        book.bind_all(placed, now);
+        cluster.add_job(record(runs), now);
+        let placed = plan::place(&mut cluster, &catalog(), now);
+        cluster.bind_all(placed, now);
         let mut hot = job(2, "hot", "blue");
         hot.cpus = 8.0;
-        book.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
+        cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
         if asks {
-            book.set_wishes(wish(&["hot"], 0.9));
+            cluster.set_wishes(wish(&["hot"], 0.9));
         }
-        preempt::preempt(&mut book, &catalog(), now);
-        let stopped = book.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
+        preempt::preempt(&mut cluster, &catalog(), now);
+        let stopped = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
         assert_eq!(usize::from(stopped), want, "{running:?}, asked {asks}");
     }
 }
--- a/src/scheduling/served/tests/large.rs
+++ b/src/scheduling/served/tests/large.rs
@@ -22,12 +22,12 @@
             }
         }
         world.step(|_| true);
-        for (id, job) in world.book.jobs().filter(|(_, job)| job.begun()) {
+        for (id, job) in world.cluster.jobs().filter(|(_, job)| job.begun()) {
             if job.ended.is_none() {
                 begun.entry(id.clone()).or_insert(t);
             }
         }
-        world.book.jobs().filter(|(id, _)| came.contains_key(*id)).for_each(|(id, job)| {
+        world.cluster.jobs().filter(|(id, _)| came.contains_key(*id)).for_each(|(id, job)| {
             assert!(job.bound.is_empty() || job.waiting.is_empty(), "{id}: a gang is placed whole");
         });
     }
@@ -87,14 +87,14 @@
     let begins = |large_begin: f64| {
         let mut world = World::new(2, Properties { large_begin: s(large_begin), ..Properties::default() });
         let idle = |n: u32| JobSpec { urgency: Urgency::Idle, tasks: 5, cpus: 4.0, ..job(n, "guests", "blue") };
-        (900..903).for_each(|n| world.book.add_job(record(idle(n)), world.now()));
+        (900..903).for_each(|n| world.cluster.add_job(record(idle(n)), world.now()));
         world.runs_s.insert("guests".into(), 20);
         for _ in 0..90 {
             // Fresh work for more than all machines, always.
             (0..2).for_each(|_| world.submit("small", 8.0, 1));
             world.step(|_| true);
         }
-        let guests = world.book.jobs().filter(|(_, job)| job.spec().class == "guests");
+        let guests = world.cluster.jobs().filter(|(_, job)| job.spec().class == "guests");
         guests.map(|(_, job)| job.tasks.iter().filter(|t| t.attempt > 0).count()).collect::<Vec<_>>()
     };
     assert_eq!(begins(86400.0), [0, 0, 0], "behind all else");
--- a/src/scheduling/served/tests/mod.rs
+++ b/src/scheduling/served/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Who is served, by cases, by properties on the book itself in counted time, and through a takeover.
+//! Who is served, by cases, by properties on the cluster state itself in counted time, and through a takeover.
 
 mod ahead;
 mod large;
@@ -19,7 +19,7 @@
 use crate::jobs::{JobId, Shape};
 use crate::kinds::Catalog;
 use crate::kinds::tests::machine_type;
-use crate::scheduling::book::{Book, Via};
+use crate::scheduling::cluster::{ClusterState, Via};
 use crate::scheduling::plan;
 use crate::scheduling::wishes::Wishes;
 use crate::settings::tests::example;
@@ -104,22 +104,22 @@
     }
 }
 
-/// A book with these jobs waiting, as (class, team, estimate, age).
-fn waiting(jobs: &[(&str, &str, f64, f64)], now: Instant) -> Book {
-    let mut book = Book::new(7, settings(), Properties::default(), now);
-    book.loaded = true;
+/// A cluster state with these jobs waiting, as (class, team, estimate, age).
+fn waiting(jobs: &[(&str, &str, f64, f64)], now: Instant) -> ClusterState {
+    let mut cluster = ClusterState::new(7, settings(), Properties::default(), now);
+    cluster.loaded = true;
     for (n, (class, team, estimate_s, age_s)) in (1..).zip(jobs) {
         let mut job = job(n, class, team);
         job.estimate_s = *estimate_s;
         let at_ms = time_of_day_ms() - (*age_s * 1000.0) as u64;
-        book.add_job(Arc::new(JobRecord { spec: job, at_ms }), now);
+        cluster.add_job(Arc::new(JobRecord { spec: job, at_ms }), now);
     }
-    book
+    cluster
 }
 
-fn order(book: &Book, now: Instant) -> Vec<u32> {
+fn order(cluster: &ClusterState, now: Instant) -> Vec<u32> {
     let number = |id: &JobId| id.trim_start_matches("run-").parse().unwrap();
-    plan::queue(book, now).iter().map(|t| number(t.id)).collect()
+    plan::queue(cluster, now).iter().map(|t| number(t.id)).collect()
 }
 
 #[test]
@@ -143,10 +143,10 @@
     for (name, classes, teams, want) in cases {
         let now = Instant::now();
         // Without guarantees: those of teams go before everything, as they did.
-        let mut book = waiting(&jobs, now);
-        book.settings.params.teams.iter_mut().for_each(|t| t.cpus = 0.0);
-        book.below = first(classes, teams);
-        assert_eq!(order(&book, now), want, "{name}");
+        let mut cluster = waiting(&jobs, now);
+        cluster.settings.params.teams.iter_mut().for_each(|t| t.cpus = 0.0);
+        cluster.below = first(classes, teams);
+        assert_eq!(order(&cluster, now), want, "{name}");
     }
 }
 
@@ -162,14 +162,14 @@
         let now = Instant::now();
         let classes = ["small", "big", "other"];
         let jobs: Vec<_> = jobs.iter().map(|(c, run, age)| (classes[*c], "blue", *run, *age)).collect();
-        let book = waiting(&jobs, now);
+        let cluster = waiting(&jobs, now);
         let worth = |n: u32| {
             let (.., run, age) = jobs[n as usize - 1];
             let (budget, deadline) = (priority_worth(spec().urgency) * run, run * 4.0);
             let delay = (age + run - deadline).max(0.0);
             ((budget - delay * budget / deadline) / run / deadline).max(0.0)
         };
-        let order = order(&book, now);
+        let order = order(&cluster, now);
         prop_assert_eq!(order.len(), jobs.len());
         for pair in order.windows(2) {
             prop_assert!(worth(pair[0]) >= worth(pair[1]) - 1e-4, "{:?}", pair);
@@ -177,11 +177,11 @@
     }
 }
 
-/// Machines that run what they are told, in whole seconds, under the book itself.
+/// Machines that run what they are told, in whole seconds, under the cluster state itself.
 struct World {
     start: Instant,
     t: u32,
-    book: Book,
+    cluster: ClusterState,
     account: Account,
     /// Running: machine, task, attempt, when it ends.
     running: Vec<(String, TaskKey, u64, u32)>,
@@ -199,13 +199,13 @@
         let start = Instant::now();
         let settings = settings();
         let account = Account::new(&settings, &properties, start);
-        let mut book = Book::new(7, settings, properties, start);
-        book.loaded = true;
+        let mut cluster = ClusterState::new(7, settings, properties, start);
+        cluster.loaded = true;
         let machines = (0..machines).map(|n| (format!("m{n:02}"), false)).collect();
         let mut world = Self {
             start,
             t: 0,
-            book,
+            cluster,
             account,
             running: Vec::new(),
             runs_s: HashMap::from([("small".into(), 20), ("big".into(), 40)]),
@@ -235,7 +235,7 @@
         let came = self.came.entry(class.into()).or_default();
         self.numbers.insert(job.id.clone(), came.len());
         came.push((self.t, false));
-        self.book.add_job(record(job), now);
+        self.cluster.add_job(record(job), now);
     }
 
     /// One second: what has ended is reported, what can be placed is, and whoever `up` names works.
@@ -256,31 +256,31 @@
             };
             let legs = self.running.iter().filter(|(m, ..)| *m == machine);
             let legs = legs.map(|(_, task, attempt, ends)| leg(task, *attempt, *ends)).collect();
-            self.book.take_report(report(&machine, spot, self.seq, legs), Via::Report, None, now);
+            self.cluster.take_report(report(&machine, spot, self.seq, legs), Via::Report, None, now);
             self.running.retain(|(m, .., ends)| *m != machine || *ends > t);
         }
         self.look();
         if t.is_multiple_of(2) {
-            self.book.holds = crate::scheduling::holds::choose(&self.book, &catalog(), now);
+            self.cluster.holds = crate::scheduling::holds::choose(&self.cluster, &catalog(), now);
         }
-        let placed = plan::place(&mut self.book, &catalog(), now);
-        self.book.bind_all(placed, now);
-        let (ends, chunks) = self.book.next_writes(10_000, now);
-        self.book.chunks_stored(&chunks, u64::from(t));
+        let placed = plan::place(&mut self.cluster, &catalog(), now);
+        self.cluster.bind_all(placed, now);
+        let (ends, chunks) = self.cluster.next_writes(10_000, now);
+        self.cluster.chunks_stored(&chunks, u64::from(t));
         for job in ends {
-            let age = self.book.job(&job.spec.id).map_or(Duration::ZERO, |j| now.saturating_duration_since(j.since));
+            let age = self.cluster.job(&job.spec.id).map_or(Duration::ZERO, |j| now.saturating_duration_since(j.since));
             self.account.ended(&job, Some(End::Done), age, now);
             let within = if job.spec.class == "small" { 100.0 } else { 200.0 };
             if age.as_secs_f64() <= within {
                 let n = self.numbers[&job.spec.id];
                 self.came.get_mut(&job.spec.class).unwrap()[n].1 = true;
             }
-            self.book.end_job(&job.spec.id, Some(End::Done), now);
+            self.cluster.end_job(&job.spec.id, Some(End::Done), now);
         }
         for (machine, _) in self.machines.clone().iter().filter(|(m, _)| up(m)) {
-            for order in self.book.orders_in_answer(machine, now) {
+            for order in self.cluster.orders_in_answer(machine, now) {
                 if let Order::Launch { task, attempt } = order {
-                    let run_s = self.book.job(&task.job).map_or(1, |j| self.runs_s[&j.record.spec.class]);
+                    let run_s = self.cluster.job(&task.job).map_or(1, |j| self.runs_s[&j.record.spec.class]);
                     if !self.running.iter().any(|(.., key, a, _)| *key == task && *a == attempt) {
                         self.running.push((machine.clone(), task, attempt, t + run_s));
                     }
@@ -291,7 +291,7 @@
 
     fn look(&mut self) {
         let now = self.now();
-        crate::scheduling::look(&mut self.account, &mut self.book, now);
+        crate::scheduling::look(&mut self.account, &mut self.cluster, now);
     }
 
     /// The part done in time of what came in this time, and how much came.
@@ -307,8 +307,8 @@
 
     /// No machine has room for a task of an array that waits.
     fn assert_work_conserving(&self) {
-        for (_, job) in self.book.jobs().filter(|(_, j)| !j.waiting.is_empty() && !j.spec().is_gang()) {
-            for machine in self.book.machines.values() {
+        for (_, job) in self.cluster.jobs().filter(|(_, j)| !j.waiting.is_empty() && !j.spec().is_gang()) {
+            for machine in self.cluster.machines.values() {
                 let free = 8.0 - machine.taken().cpus;
                 assert!(free + 1e-6 < job.spec().cpus, "{} has room at {}", machine.id, self.t);
             }
@@ -327,9 +327,9 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world =
         World::new(10, Properties { served_floor: floor, served_window: s(120.0), ..Properties::default() });
-    world.book.set_wishes(wishes);
+    world.cluster.set_wishes(wishes);
     for t in 0..1500u32 {
-        if t >= 300 && world.book.job_count() == 0 {
+        if t >= 300 && world.cluster.job_count() == 0 {
             break;
         }
         if t < 300 {
@@ -368,7 +368,7 @@
         let ((flood, flooding), (other, n)) = (served(classes[which]), served(classes[1 - which]));
         let all = (other * n + flood * flooding) / (n + flooding).max(1.0);
         prop_assert!(n < 10.0 || other >= 0.75 * all, "{}: {other} of {n}, all {all}", classes[1 - which]);
-        prop_assert_eq!(world.book.job_count(), 0, "and nothing is left undone");
+        prop_assert_eq!(world.cluster.job_count(), 0, "and nothing is left undone");
     }
 }
 
@@ -391,14 +391,14 @@
         let mut world = World::new(2, Properties { served_late: part, served_floor: 0.0, ..Properties::default() });
         world.submit("big", 8.0, 1);
         let late = JobId::from("run-000001");
-        world.book.machines.values_mut().for_each(|m| m.standing = crate::scheduling::book::Standing::Draining);
+        world.cluster.machines.values_mut().for_each(|m| m.standing = crate::scheduling::cluster::Standing::Draining);
         (0..420).for_each(|_| world.step(|_| true));
-        world.book.machines.values_mut().for_each(|m| m.standing = crate::scheduling::book::Standing::Up);
+        world.cluster.machines.values_mut().for_each(|m| m.standing = crate::scheduling::cluster::Standing::Up);
         for t in 0..300 {
             // Fresh work for more than all machines, always.
             (0..2).for_each(|_| world.submit("small", 8.0, 1));
             world.step(|_| true);
-            if world.book.job(&late).is_none_or(|j| j.waiting.is_empty()) {
+            if world.cluster.job(&late).is_none_or(|j| j.waiting.is_empty()) {
                 return Some(t);
             }
         }
@@ -434,14 +434,14 @@
 fn work_lost_twice_gets_machines_that_last() {
     for (lost, want) in [(0, "cheap"), (1, "cheap"), (2, "steady")] {
         let now = Instant::now();
-        let mut book = Book::new(7, settings(), Properties::default(), now);
-        book.loaded = true;
+        let mut cluster = ClusterState::new(7, settings(), Properties::default(), now);
+        cluster.loaded = true;
         for (machine, spot) in [("cheap", true), ("steady", false)] {
-            book.take_report(report(machine, spot, 1, vec![]), Via::Report, None, now);
+            cluster.take_report(report(machine, spot, 1, vec![]), Via::Report, None, now);
         }
         let stored = vec![(0, 1, vec![crate::jobs::record::Stored::Waiting(lost)])];
-        book.load_job(record(job(1, "small", "blue")), stored, now);
-        let placed = plan::place(&mut book, &catalog(), now);
+        cluster.load_job(record(job(1, "small", "blue")), stored, now);
+        let placed = plan::place(&mut cluster, &catalog(), now);
         assert_eq!(&*placed[0].machine, want, "after {lost} lost starts");
     }
 }
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -27,7 +27,7 @@
         play.run(6.0);
         assert_eq!(play.live(&JOB.into()).len(), 3, "{name}");
         // Nobody answers, commands, or takes anything in.
-        let lease = play.book.settings.params.workers.lease();
+        let lease = play.cluster.settings.params.workers.lease();
         for _ in 0..(away_s / STEP) as usize {
             play.world.now += s(STEP);
             let now = play.world.now;
@@ -47,7 +47,7 @@
         play.run(15.0);
         let live = play.live(&JOB.into());
         assert_eq!((live.len(), play.returned.len()), (3, 0), "{name}: {live:?}, returned {:?}", play.returned);
-        let attempts: Vec<u64> = (0..3).map(|i| on(&play.book, i).unwrap().0).collect();
+        let attempts: Vec<u64> = (0..3).map(|i| on(&play.cluster, i).unwrap().0).collect();
         let want = if away_s < 24.0 { 1 } else { 2 };
         assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
     }
@@ -76,9 +76,9 @@
         let mut play = Play::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
         // Of the seven one, within, runs what is withdrawn.
         let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
-        let called_off = play.world.accept(&mut play.book, 2, first);
+        let called_off = play.world.accept(&mut play.cluster, 2, first);
         let key = TaskKey { job: called_off.clone(), index: 0 };
-        play.book.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], play.world.now);
+        play.cluster.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], play.world.now);
         play.plans = true;
         play.run(6.0);
         assert_eq!((play.live(&JOB.into()).len(), play.live(&called_off).len()), (6, 1), "{name}");
@@ -86,7 +86,7 @@
         if inside_s > 0.0 {
             // Within is the old owner, without the store: it acts for its zone until it lets go.
             let heir = play.world.owner();
-            old = Some(std::mem::replace(&mut play.book, heir));
+            old = Some(std::mem::replace(&mut play.cluster, heir));
             play.listed();
         }
         (play.mute, play.unreached) = (within.into(), within.into());
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -10,7 +10,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::book::{Direct, MachineId};
+use crate::scheduling::cluster::{Direct, MachineId};
 use crate::wire::workers::Cause;
 
 /// After this long nobody waits for the reply to a command.
@@ -35,7 +35,7 @@
         if waits || play.world.workers[machine].gone {
             return;
         }
-        let answer = play.world.asks(&mut play.book, machine);
+        let answer = play.world.asks(&mut play.cluster, machine);
         if self.rng.random_bool(0.8) {
             self.answers.push((play.world.now + s(self.rng.random_range(0.0..4.0)), answer));
         }
@@ -45,8 +45,8 @@
     fn command(&mut self, play: &mut Play, direct: Direct) {
         if self.rng.random_bool(0.5) {
             match play.world.arrives(&direct) {
-                Some(reply) => play.world.replied(&mut play.book, &direct, reply),
-                None => play.book.command_over(&direct.machine, direct.token, true, play.world.now),
+                Some(reply) => play.world.replied(&mut play.cluster, &direct, reply),
+                None => play.cluster.command_over(&direct.machine, direct.token, true, play.world.now),
             }
             return;
         }
@@ -61,7 +61,7 @@
             play.world.hears(&answer);
         }
         for (_, machine, token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
-            play.book.command_over(&machine, token, false, now);
+            play.cluster.command_over(&machine, token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
             drop(play.world.arrives(&direct));
@@ -115,7 +115,7 @@
         let overloaded = step < 240;
         if overloaded && rng.random_bool(0.5) {
             jobs += 1;
-            play.world.accept(&mut play.book, jobs, |spec| draw(&mut rng, spec));
+            play.world.accept(&mut play.cluster, jobs, |spec| draw(&mut rng, spec));
         }
         if overloaded && rng.random_bool(0.01) {
             // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
@@ -129,20 +129,20 @@
                 links.report(&mut play, machine);
             }
         }
-        preempt::preempt(&mut play.book, &catalog(), now);
-        let halting = |book: &Book| -> usize {
-            let bound = book.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
+        preempt::preempt(&mut play.cluster, &catalog(), now);
+        let halting = |cluster: &ClusterState| -> usize {
+            let bound = cluster.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
             bound.filter(|binding| binding.halting.is_some()).count()
         };
-        stopped += halting(&play.book);
-        for direct in play.book.direct_commands(now) {
+        stopped += halting(&play.cluster);
+        for direct in play.cluster.direct_commands(now) {
             links.command(&mut play, direct);
         }
-        play.book.tick(now);
-        play.world.raise(&mut play.book);
-        let decisions = plan::place(&mut play.book, &catalog(), now);
-        play.book.bind_all(decisions, now);
-        play.world.store(&mut play.book);
+        play.cluster.tick(now);
+        play.world.raise(&mut play.cluster);
+        let decisions = plan::place(&mut play.cluster, &catalog(), now);
+        play.cluster.bind_all(decisions, now);
+        play.world.store(&mut play.cluster);
         play.check();
     }
     let unserved: Vec<&JobId> =
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -5,7 +5,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::{End, JobId};
-use crate::scheduling::book::Direct;
+use crate::scheduling::cluster::Direct;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Settings, WorkerParams};
 
@@ -40,7 +40,7 @@
     Some(taken)
 }
 
-/// No controller has a loaded book. The last report that is answered without a stop was sent at the withdrawal, or by an
+/// No controller has a loaded cluster state. The last report that is answered without a stop was sent at the withdrawal, or by an
 /// owner that has read nothing yet up to `spare` after it; the worker's clock is the slowest that the protocol allows,
 /// and the machine hangs from then on. Over all settings that are accepted, the tightest of each kind among them.
 #[test]
@@ -69,12 +69,12 @@
 fn no_answer_renews_a_lease_without_the_stop() {
     for under_way in [false, true] {
         let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
-        play.world.place(&mut play.book, "m1");
+        play.world.place(&mut play.cluster, "m1");
         play.reports("m1");
         play.reports("m1");
         play.withdraw(&JOB.into());
-        let held = under_way.then(|| play.world.command(&mut play.book, "m1").expect("the stop is news"));
-        let answer = play.world.asks(&mut play.book, "m1");
+        let held = under_way.then(|| play.world.command(&mut play.cluster, "m1").expect("the stop is news"));
+        let answer = play.world.asks(&mut play.cluster, "m1");
         assert_eq!(launches(&answer.orders), 0);
         play.world.hears(&answer);
         assert_eq!(play.live(&JOB.into()), [], "a command is under way: {under_way}");
@@ -109,21 +109,21 @@
         let name = format!("{launch:?}, {late_s} s late");
         let id: JobId = JOB.into();
         let mut play = Play::new(&[("m1", "a")], |_| ());
-        play.book.holds_ends(Some(1000));
+        play.cluster.holds_ends(Some(1000));
         play.world.now += s(10.0);
         let mut held: Option<Direct> = None;
         let mut answer = None;
-        play.world.place(&mut play.book, "m1");
+        play.world.place(&mut play.cluster, "m1");
         match launch {
-            Launch::Direct => held = play.world.command(&mut play.book, "m1"),
-            Launch::InAnswer => answer = Some(play.world.asks(&mut play.book, "m1")),
+            Launch::Direct => held = play.world.command(&mut play.cluster, "m1"),
+            Launch::InAnswer => answer = Some(play.world.asks(&mut play.cluster, "m1")),
         }
         let orders = held.as_ref().map(|d| &d.orders).or(answer.as_ref().map(|a| &a.orders));
         assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
         let begun = play.world.now;
-        // Stored at revision 1001; whether it is told is the book's word alone, so the world is not told yet.
-        play.book.end_job(&id, Some(End::Withdrawn), play.world.now);
-        play.book.holds_ends(Some(1001));
+        // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
+        play.cluster.end_job(&id, Some(End::Withdrawn), play.world.now);
+        play.cluster.holds_ends(Some(1001));
         let mut told = None;
         for _ in 0..120 {
             play.world.now += s(0.5);
@@ -131,14 +131,14 @@
             if age == 2.5
                 && let Some(direct) = &held
             {
-                play.book.command_over(&direct.machine, direct.token, false, play.world.now);
+                play.cluster.command_over(&direct.machine, direct.token, false, play.world.now);
             }
             if age >= late_s {
                 held.take().iter().for_each(|direct| drop(play.world.arrives(direct)));
                 answer.take().iter().for_each(|answer| play.world.hears(answer));
             }
-            if told.is_none() && play.book.obeyed_in(&id) {
-                assert!(play.book.watermark() >= 1001, "{name}: both say the same");
+            if told.is_none() && play.cluster.obeyed_in(&id) {
+                assert!(play.cluster.watermark() >= 1001, "{name}: both say the same");
                 told = Some(age);
                 play.withdraw(&id);
             }
@@ -146,8 +146,8 @@
             if answer.is_none() && age % 1.5 == 0.0 {
                 play.reports("m1");
             }
-            play.book.tick(play.world.now);
-            play.world.raise(&mut play.book);
+            play.cluster.tick(play.world.now);
+            play.world.raise(&mut play.cluster);
         }
         let told = told.unwrap_or_else(|| panic!("{name}: never told"));
         assert!(told <= 12.0, "{name}: told only after {told} s");
--- a/src/scheduling/tests/hangs.rs
+++ b/src/scheduling/tests/hangs.rs
@@ -16,7 +16,7 @@
             let name =
                 format!("hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, heir {heir}");
             let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
-            play.world.place(&mut play.book, "m1");
+            play.world.place(&mut play.cluster, "m1");
             play.reports("m1");
             play.reports("m1");
             (play.cloud, play.plans) = (cloud, true);
@@ -38,7 +38,7 @@
                 play.step();
             }
             assert_eq!(play.live(&JOB.into()), [], "{name}");
-            assert!(!play.book.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
+            assert!(!play.cluster.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
             assert!(!play.world.workers["m2"].gone, "{name}");
         }
     }
