--- a/src/scheduling/tests/hearing.rs
+++ b/src/scheduling/tests/hearing.rs
@@ -12,59 +12,59 @@
 #[test]
 fn late_copies_of_reports_by_cases() {
     let now = Instant::now();
-    let place = |book: &mut Book| {
-        add(book, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
-        plan::place(book, &catalog(), now).len()
+    let place = |cluster: &mut ClusterState| {
+        add(cluster, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
+        plan::place(cluster, &catalog(), now).len()
     };
     let heir = || {
-        let mut book = Book::new(9, example(), Properties::default(), now);
-        book.loaded = true;
-        book
+        let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
+        cluster.loaded = true;
+        cluster
     };
     let copy = |seq: u64, token: u64| Report { token, ..report("m", "c8", "a", false, seq, vec![]) };
-    let take = |book: &mut Book, report: Report, at: Instant| {
-        book.take_report(report, Via::Report, None, at);
-        book.orders_in_answer("m", at);
+    let take = |cluster: &mut ClusterState, report: Report, at: Instant| {
+        cluster.take_report(report, Via::Report, None, at);
+        cluster.orders_in_answer("m", at);
     };
-    type Known<'a> = &'a dyn Fn(&mut Book);
+    type Known<'a> = &'a dyn Fn(&mut ClusterState);
     let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
     let cases: [(&str, Known, u64, bool); 4] = [
         ("nobody else tells of it", &|_| {}, 3, false),
         ("the worker has heard the heir", &|_| {}, 9, true),
-        ("rented or listed", &|book| book.expect("m", &kind, None, s(60), now), 3, true),
+        ("rented or listed", &|cluster| cluster.expect("m", &kind, None, s(60), now), 3, true),
         (
             "returned by this owner",
-            &|book| {
-                book.expect("m", &kind, None, s(60), now);
-                book.machine_gone(&"m".into(), now);
+            &|cluster| {
+                cluster.expect("m", &kind, None, s(60), now);
+                cluster.machine_gone(&"m".into(), now);
             },
             9,
             false,
         ),
     ];
     for (name, known, token, want) in cases {
-        let mut book = heir();
-        known(&mut book);
-        take(&mut book, copy(5, token), now);
-        assert_eq!(place(&mut book) > 0, want, "{name}");
+        let mut cluster = heir();
+        known(&mut cluster);
+        take(&mut cluster, copy(5, token), now);
+        assert_eq!(place(&mut cluster) > 0, want, "{name}");
     }
     // Copies of older reports keep no machine from being silent, and many of such machines excuse nobody.
-    let mut book = heir();
+    let mut cluster = heir();
     for seq in [9, 3, 9, 8] {
         for m in ["m", "x", "y", "z"] {
             let old = Report { machine: m.into(), ..copy(seq, 3) };
-            book.take_report(old, Via::Report, None, now + s(if seq == 9 { 0 } else { 11 }));
+            cluster.take_report(old, Via::Report, None, now + s(if seq == 9 { 0 } else { 11 }));
         }
     }
-    assert!(!book.lost_most(now + s(12)), "nobody was lost");
-    book.tick(now + s(13));
-    assert!(book.machines.values().all(|m| m.standing == Standing::Condemned), "to be returned, should they exist");
+    assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
+    cluster.tick(now + s(13));
+    assert!(cluster.machines.values().all(|m| m.standing == Standing::Condemned), "to be returned, should they exist");
     // Nor does a session that is over come back.
-    let mut book = heir();
+    let mut cluster = heir();
     let done = Report { session: 2, ..copy(1, 9) };
-    take(&mut book, done, now);
-    take(&mut book, Report { session: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
-    assert!(book.machines["m"].recall.is_none(), "a notice of an earlier session");
+    take(&mut cluster, done, now);
+    take(&mut cluster, Report { session: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
+    assert!(cluster.machines["m"].recall.is_none(), "a notice of an earlier session");
 }
 
 /// A machine whose reports arrive and that hears nothing was given its tasks again every lease.
@@ -78,8 +78,8 @@
         ("three of sixty, all of a zone", 3, 60, 20, false),
     ] {
         let start = Instant::now();
-        let mut book = Book::new(7, example(), Properties::default(), start);
-        book.loaded = true;
+        let mut cluster = ClusterState::new(7, example(), Properties::default(), start);
+        cluster.loaded = true;
         let zone = |m: u64| format!("z{}", m / (of / zones));
         let mut session = 1;
         for t in 0..60u64 {
@@ -90,25 +90,25 @@
             for m in (0..of).filter(|m| t % if *m < deaf { 5 } else { 3 } == 0) {
                 let session = if m < deaf { session } else { 1 };
                 let report = report(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
-                book.take_report(Report { session, ..report }, Via::Report, None, now);
-                book.orders_in_answer(&format!("m{m:02}"), now);
+                cluster.take_report(Report { session, ..report }, Via::Report, None, now);
+                cluster.orders_in_answer(&format!("m{m:02}"), now);
             }
-            book.tick(now);
-            let hears = book.machines.values().filter(|m| !m.deaf).count() as u64;
+            cluster.tick(now);
+            let hears = cluster.machines.values().filter(|m| !m.deaf).count() as u64;
             assert_eq!(hears, if t < 25 { of } else { of - deaf }, "{name}: at {t} s");
         }
-        let out = book.machines.values().filter(|m| m.standing == Standing::Condemned).count() as u64;
+        let out = cluster.machines.values().filter(|m| m.standing == Standing::Condemned).count() as u64;
         assert_eq!(out, if returned { deaf } else { 0 }, "{name}");
-        assert_eq!(book.lost_most(start + s(60)), deaf * 3 >= of, "{name}");
+        assert_eq!(cluster.lost_most(start + s(60)), deaf * 3 >= of, "{name}");
         // It hears again: it is well with the next report.
         let now = start + s(61);
-        book.take_report(
+        cluster.take_report(
             Report { session, ..report("m00", "c8", &zone(0), false, 99, vec![]) },
             Via::Command,
             None,
             now,
         );
-        assert!(!book.machines["m00"].deaf);
+        assert!(!cluster.machines["m00"].deaf);
     }
 }
 
@@ -117,24 +117,25 @@
 #[test]
 fn what_only_a_return_proves_gone_is_not_kept_for_ever() {
     let start = Instant::now();
-    let mut book = Book::new(9, example(), Properties::default(), start);
+    let mut cluster = ClusterState::new(9, example(), Properties::default(), start);
     let mut job = spec();
     (job.tasks, job.team) = (2, "blue".into());
     let bound = (0..2).map(|i| Stored::Bound(1, format!("m{i}"))).collect();
-    book.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], start);
-    book.finish_load(start);
+    cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], start);
+    cluster.finish_load(start);
     let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for t in 0..70u64 {
         let now = start + s(t);
         for m in (0..4).filter(|_| t % 5 == 0) {
-            book.expect(&format!("m{m}"), &kind, None, s(900), start);
+            cluster.expect(&format!("m{m}"), &kind, None, s(900), start);
             let report =
                 Report { token: 3, session: 1 + t / 25, ..report(&format!("m{m}"), "c8", "a", false, t + 1, vec![]) };
-            book.take_report(report, Via::Report, None, now);
-            book.orders_in_answer(&format!("m{m}"), now);
+            cluster.take_report(report, Via::Report, None, now);
+            cluster.orders_in_answer(&format!("m{m}"), now);
         }
-        book.tick(now);
+        cluster.tick(now);
     }
-    let out: Vec<&str> = book.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect();
+    let out: Vec<&str> =
+        cluster.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect();
     assert_eq!(out, ["m0", "m1"], "those that hold something, and no others");
 }
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -15,10 +15,10 @@
         for goes_on_at in [8.0, 20.0, 1000.0] {
             let name = format!("every {gap_s} s, outage {outage}, the machine goes on at {goes_on_at} s");
             let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
-            play.world.place(&mut play.book, "m1");
+            play.world.place(&mut play.cluster, "m1");
             play.reports("m1");
             play.reports("m1");
-            let long = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
+            let long = play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
             play.plans = true;
             play.run(5.0);
             assert_eq!(play.live(&long).len(), 3, "{name}");
@@ -35,7 +35,7 @@
                 play.store = !outage || !(10.0..30.0).contains(&t);
                 play.step();
             }
-            let attempts: Vec<u64> = play.book.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
+            let attempts: Vec<u64> = play.cluster.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
             assert_eq!((play.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
             assert!(play.returned.iter().all(|m| *m == "m1"), "{name}: {:?}", play.returned);
             assert_eq!(play.live(&JOB.into()), [], "{name}");
@@ -61,7 +61,7 @@
                 }
             };
             copy(&mut play, 0);
-            play.world.place_these(&mut play.book, &[0], "m1");
+            play.world.place_these(&mut play.cluster, &[0], "m1");
             play.reports("m1");
             copy(&mut play, 1);
             play.reports("m1");
@@ -69,38 +69,38 @@
             if copied_at == 3 {
                 play.world.lease_ends("m1");
             } else {
-                play.book.halt(&task(0), 0, play.world.now);
+                play.cluster.halt(&task(0), 0, play.world.now);
             }
             for _ in 0..3 {
                 play.reports("m1");
                 copy(&mut play, 2);
             }
-            play.world.place_these(&mut play.book, &[0], again_on);
+            play.world.place_these(&mut play.cluster, &[0], again_on);
             for m in ["m1", "m2", "m1", "m2"] {
                 play.reports(m);
             }
             copy(&mut play, 3);
-            bound(&play.book, 0, 2, again_on);
+            bound(&play.cluster, 0, 2, again_on);
             assert_eq!(play.live(&JOB.into()), [(0, again_on)], "{name}");
             if done {
                 play.world.exits(again_on, 0, 2, Cause::Done);
                 play.reports(again_on);
-                play.world.store(&mut play.book);
+                play.world.store(&mut play.cluster);
             }
             copy(&mut play, 4);
             let arrive = |play: &mut Play| {
                 for copy in &copies {
-                    play.book.take_report(copy.clone(), Via::Report, None, play.world.now);
+                    play.cluster.take_report(copy.clone(), Via::Report, None, play.world.now);
                     // Whoever sent it waits for no answer.
-                    drop(play.book.orders_in_answer("m1", play.world.now));
+                    drop(play.cluster.orders_in_answer("m1", play.world.now));
                 }
             };
             arrive(&mut play);
             play.plans = true;
             for heir in 0..2 {
-                play.book = play.world.assigned();
+                play.cluster = play.world.assigned();
                 arrive(&mut play);
-                play.world.load(&mut play.book);
+                play.world.load(&mut play.cluster);
                 play.listed();
                 arrive(&mut play);
                 play.step();
@@ -111,8 +111,8 @@
                 let live = play.live(&JOB.into());
                 let runs: Vec<u32> = live.iter().map(|(index, _)| *index).collect();
                 assert_eq!(runs, if done { vec![1] } else { vec![0, 1] }, "{name}, heir {heir}");
-                assert_eq!(play.book.job(&JOB.into()).unwrap().done, u64::from(done), "{name}, heir {heir}");
-                let attempt = play.book.job(&JOB.into()).unwrap().tasks[0].attempt;
+                assert_eq!(play.cluster.job(&JOB.into()).unwrap().done, u64::from(done), "{name}, heir {heir}");
+                let attempt = play.cluster.job(&JOB.into()).unwrap().tasks[0].attempt;
                 assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, heir {heir}: what is done has none");
                 assert_eq!(play.returned.len(), 0, "{name}, heir {heir}");
             }
@@ -128,15 +128,15 @@
     for gap_s in [12.0, 6.0, 5.0, 4.0, 2.0] {
         let name = format!("every {gap_s} s");
         let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
-        play.world.place(&mut play.book, "m1");
+        play.world.place(&mut play.cluster, "m1");
         play.reports("m1");
         play.reports("m1");
-        let long = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
+        let long = play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
         play.plans = true;
         play.run(6.0);
         assert_eq!((play.live(&JOB.into()).len(), play.live(&long).len()), (1, 3), "{name}");
         let heir = play.world.owner();
-        let mut deposed = std::mem::replace(&mut play.book, heir);
+        let mut deposed = std::mem::replace(&mut play.cluster, heir);
         play.listed();
         (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
         play.withdraw(&JOB.into());
@@ -153,7 +153,7 @@
         // Each heir returns it again until the cloud's list, which lags, does not name it any more.
         assert!(play.returned.iter().all(|m| *m == "m1") && play.world.workers["m1"].gone, "{name}");
         assert_eq!(play.lost, 0, "{name}: its lease never ended");
-        let attempts: Vec<u64> = play.book.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
+        let attempts: Vec<u64> = play.cluster.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
         assert_eq!((play.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
     }
 }
--- a/src/scheduling/tests/meetings.rs
+++ b/src/scheduling/tests/meetings.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a play of fixed steps with the book, a store
+//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a play of fixed steps with the cluster state, a store
 //! that keeps what it was given, and workers that do as the protocol says and check the rules at every start.
 //! What may come late is tried at every step of its play.
 
@@ -17,12 +17,12 @@
 fn a_launch_held_up_is_void_before_its_task_goes_elsewhere() {
     for late_at in 0..8 {
         let mut world = World::new(&["m1", "m2"], |_| ());
-        let mut book = world.owner();
-        world.turn(&mut book, "m1");
-        world.turn(&mut book, "m2");
+        let mut cluster = world.owner();
+        world.turn(&mut cluster, "m1");
+        world.turn(&mut cluster, "m2");
         world.now += s(10.0);
-        world.place(&mut book, "m1");
-        let held = world.command(&mut book, "m1").unwrap();
+        world.place(&mut cluster, "m1");
+        let held = world.command(&mut cluster, "m1").unwrap();
         assert_eq!(launches(&held.orders), 1);
         let mut started = false;
         for step in 0..8 {
@@ -31,27 +31,27 @@
                 // Whoever sent it waits no longer after the first step.
                 let reply = world.arrives(&held).unwrap();
                 if step == 0 {
-                    world.replied(&mut book, &held, reply);
+                    world.replied(&mut cluster, &held, reply);
                 }
             }
             if step == 0 {
                 if late_at != 0 {
-                    world.given_up(&mut book, &held);
+                    world.given_up(&mut cluster, &held);
                 }
-                book.halt(&task(0), 0, world.now);
+                cluster.halt(&task(0), 0, world.now);
             }
             if step == 3 {
-                assert_eq!(world.raise(&mut book), late_at != 0 && on(&book, 0).is_some(), "late at {late_at}");
+                assert_eq!(world.raise(&mut cluster), late_at != 0 && on(&cluster, 0).is_some(), "late at {late_at}");
             }
-            world.turn(&mut book, "m1");
+            world.turn(&mut cluster, "m1");
             if step < 4 && !started {
                 // Absent from every report so far, and yet it may start there.
-                bound(&book, 0, 1, "m1");
+                bound(&cluster, 0, 1, "m1");
             }
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
         }
-        bound(&book, 0, 2, "m2");
+        bound(&cluster, 0, 2, "m2");
         assert!(world.workers["m2"].live(&task(0)) && !world.workers["m1"].live(&task(0)), "late at {late_at}");
     }
 }
@@ -62,15 +62,15 @@
 fn a_reap_waits_until_no_launch_can_come_by_the_other_way() {
     for (cause, late_at) in [Cause::Done, Cause::Stopped].into_iter().flat_map(|c| (0..7).map(move |at| (c, at))) {
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
-        let mut book = world.owner();
-        world.turn(&mut book, "m1");
+        let mut cluster = world.owner();
+        world.turn(&mut cluster, "m1");
         world.now += s(10.0);
         // Its answer launches; a moment later something else is stored, which is told directly.
-        world.place_these(&mut book, &[0], "m1");
-        let answer = world.asks(&mut book, "m1");
+        world.place_these(&mut cluster, &[0], "m1");
+        let answer = world.asks(&mut cluster, "m1");
         assert_eq!(launches(&answer.orders), 1);
-        world.place_these(&mut book, &[1], "m1");
-        let held = world.command(&mut book, "m1").unwrap();
+        world.place_these(&mut cluster, &[1], "m1");
+        let held = world.command(&mut cluster, "m1").unwrap();
         assert_eq!(launches(&held.orders), 2, "nothing has shown the first");
         world.hears(&answer);
         world.exits("m1", 0, 1, cause);
@@ -78,24 +78,24 @@
             if step == late_at {
                 let reply = world.arrives(&held).unwrap();
                 if step < 2 {
-                    world.replied(&mut book, &held, reply);
+                    world.replied(&mut cluster, &held, reply);
                 }
             }
             match step {
-                1 => assert!(world.asks(&mut book, "m1").orders.is_empty() || late_at < 2, "one way at a time"),
+                1 => assert!(world.asks(&mut cluster, "m1").orders.is_empty() || late_at < 2, "one way at a time"),
                 2 if late_at >= 2 => {
-                    world.given_up(&mut book, &held);
-                    world.store(&mut book);
-                    let orders = world.asks(&mut book, "m1").orders;
+                    world.given_up(&mut cluster, &held);
+                    world.store(&mut cluster);
+                    let orders = world.asks(&mut cluster, "m1").orders;
                     assert_eq!(reaps(&orders), 0, "it may yet start again");
                 }
-                4 => drop(world.raise(&mut book)),
+                4 => drop(world.raise(&mut cluster)),
                 _ => {}
             }
-            world.turn(&mut book, "m1");
-            world.store(&mut book);
+            world.turn(&mut cluster, "m1");
+            world.store(&mut cluster);
         }
-        world.turn(&mut book, "m1");
+        world.turn(&mut cluster, "m1");
         assert!(world.workers["m1"].reaped.contains(&(task(0), 1)), "{cause:?}, late at {late_at}: reaped in the end");
     }
 }
@@ -106,31 +106,31 @@
 fn the_reply_to_a_command_proves_nothing_of_an_answer_on_its_way() {
     for heard in [true, false] {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-        let mut book = world.owner();
-        world.turn(&mut book, "m1");
-        world.turn(&mut book, "m2");
-        world.turn(&mut book, "m1");
-        world.place_these(&mut book, &[0], "m1");
-        let answer = world.asks(&mut book, "m1");
+        let mut cluster = world.owner();
+        world.turn(&mut cluster, "m1");
+        world.turn(&mut cluster, "m2");
+        world.turn(&mut cluster, "m1");
+        world.place_these(&mut cluster, &[0], "m1");
+        let answer = world.asks(&mut cluster, "m1");
         assert_eq!(launches(&answer.orders), 1);
-        book.halt(&task(0), 0, world.now);
-        world.place_these(&mut book, &[1], "m1");
-        let direct = world.command(&mut book, "m1").unwrap();
+        cluster.halt(&task(0), 0, world.now);
+        world.place_these(&mut cluster, &[1], "m1");
+        let direct = world.command(&mut cluster, "m1").unwrap();
         assert!(direct.orders.iter().all(|o| matches!(o, Order::Launch { task, .. } if task.index == 1)));
         let reply = world.arrives(&direct).unwrap();
-        world.replied(&mut book, &direct, reply);
-        bound(&book, 0, 1, "m1");
-        world.place(&mut book, "m2");
-        world.turn(&mut book, "m2");
+        world.replied(&mut cluster, &direct, reply);
+        bound(&cluster, 0, 1, "m1");
+        world.place(&mut cluster, "m2");
+        world.turn(&mut cluster, "m2");
         if heard {
             world.hears(&answer);
             assert!(world.workers["m1"].live(&task(0)));
         }
         // The next report was made once that answer was heard or dropped.
         for _ in 0..3 {
-            world.turn(&mut book, "m1");
-            world.place_these(&mut book, &[0], "m2");
-            world.turn(&mut book, "m2");
+            world.turn(&mut cluster, "m1");
+            world.place_these(&mut cluster, &[0], "m2");
+            world.turn(&mut cluster, "m2");
         }
         assert!(world.workers["m2"].live(&task(0)) && world.workers["m1"].live(&task(1)));
     }
@@ -141,33 +141,33 @@
 #[test]
 fn a_reply_older_than_the_newest_report_changes_nothing() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-    let mut book = world.owner();
-    world.turn(&mut book, "m1");
-    world.turn(&mut book, "m2");
-    world.place_these(&mut book, &[0], "m1");
-    let direct = world.command(&mut book, "m1").unwrap();
+    let mut cluster = world.owner();
+    world.turn(&mut cluster, "m1");
+    world.turn(&mut cluster, "m2");
+    world.place_these(&mut cluster, &[0], "m1");
+    let direct = world.command(&mut cluster, "m1").unwrap();
     let reply = world.arrives(&direct).unwrap();
     assert_eq!(reply.legs[0].status, LegStatus::Running);
     world.exits("m1", 0, 1, Cause::Done);
-    let answer = world.asks(&mut book, "m1");
-    assert_eq!((answer.orders.len(), book.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
-    world.store(&mut book);
-    world.replied(&mut book, &direct, reply);
-    assert_eq!(book.counts(&JOB.into()).done, 1);
-    let answer = world.asks(&mut book, "m1");
+    let answer = world.asks(&mut cluster, "m1");
+    assert_eq!((answer.orders.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
+    world.store(&mut cluster);
+    world.replied(&mut cluster, &direct, reply);
+    assert_eq!(cluster.counts(&JOB.into()).done, 1);
+    let answer = world.asks(&mut cluster, "m1");
     assert_eq!(reaps(&answer.orders), 1);
     // An older reply, which shows nothing, comes after a report that shows the second task running.
     world.hears(&answer);
     let old = world.report("m1");
-    world.place(&mut book, "m1");
-    let direct = world.command(&mut book, "m1").unwrap();
+    world.place(&mut cluster, "m1");
+    let direct = world.command(&mut cluster, "m1").unwrap();
     drop(world.arrives(&direct).unwrap());
-    world.turn(&mut book, "m1");
-    book.halt(&task(1), 0, world.now);
-    world.replied(&mut book, &direct, old);
-    bound(&book, 1, 1, "m1");
-    world.place(&mut book, "m2");
-    world.turn(&mut book, "m2");
+    world.turn(&mut cluster, "m1");
+    cluster.halt(&task(1), 0, world.now);
+    world.replied(&mut cluster, &direct, old);
+    bound(&cluster, 1, 1, "m1");
+    world.place(&mut cluster, "m2");
+    world.turn(&mut cluster, "m2");
     assert!(world.workers["m1"].live(&task(1)));
 }
 
@@ -176,58 +176,58 @@
 #[test]
 fn while_a_raise_of_the_token_is_put_off_only_the_others_are_reaped() {
     let mut world = World::new(&["m1", "m2", "m3"], |j| j.tasks = 3);
-    let mut book = world.owner();
+    let mut cluster = world.owner();
     for m in ["m1", "m2", "m3"] {
-        world.turn(&mut book, m);
+        world.turn(&mut cluster, m);
     }
     world.now += s(1.2);
     let mut held = Vec::new();
     for (index, m) in [(0, "m1"), (1, "m2")] {
-        world.place_these(&mut book, &[index], m);
-        let direct = world.command(&mut book, m).unwrap();
-        world.given_up(&mut book, &direct);
+        world.place_these(&mut cluster, &[index], m);
+        let direct = world.command(&mut cluster, m).unwrap();
+        world.given_up(&mut cluster, &direct);
         held.push(direct);
         if index == 0 {
-            assert!(world.raise(&mut book));
+            assert!(world.raise(&mut cluster));
         }
     }
     // The first is void once its worker knows; the second was given under the raised token.
     let (first, second) = (held.remove(0), held.remove(0));
     assert!(second.token > first.token);
     let mut waited = 0;
-    while !book.raise_wanted(world.now) {
-        book.halt(&task(1), 0, world.now);
-        world.turn(&mut book, "m2");
-        bound(&book, 1, 1, "m2");
-        world.place_these(&mut book, &[2], "m3");
-        world.turn(&mut book, "m3");
+    while !cluster.raise_wanted(world.now) {
+        cluster.halt(&task(1), 0, world.now);
+        world.turn(&mut cluster, "m2");
+        bound(&cluster, 1, 1, "m2");
+        world.place_these(&mut cluster, &[2], "m3");
+        world.turn(&mut cluster, "m3");
         world.exits("m3", 2, 1, Cause::Done);
-        world.turn(&mut book, "m3");
-        world.store(&mut book);
-        world.turn(&mut book, "m3");
+        world.turn(&mut cluster, "m3");
+        world.store(&mut cluster);
+        world.turn(&mut cluster, "m3");
         waited += 1;
         assert!(waited < 20, "raised in the end");
     }
     assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task(2), 1)), "the others go on");
-    world.raise(&mut book);
-    world.turn(&mut book, "m2");
-    bound(&book, 1, 1, "m2");
+    world.raise(&mut cluster);
+    world.turn(&mut cluster, "m2");
+    bound(&cluster, 1, 1, "m2");
     // It has heard the token now: the launch that was held up is refused, and then its task goes elsewhere.
     drop(world.arrives(&second));
     assert!(!world.workers["m2"].live(&task(1)));
-    world.turn(&mut book, "m2");
-    assert_eq!(on(&book, 1), None);
-    world.place_these(&mut book, &[1], "m3");
-    world.turn(&mut book, "m3");
+    world.turn(&mut cluster, "m2");
+    assert_eq!(on(&cluster, 1), None);
+    world.place_these(&mut cluster, &[1], "m3");
+    world.turn(&mut cluster, "m3");
     assert!(world.workers["m3"].live(&task(1)));
 }
 
 // Meeting 8: controllers hand over and back, all end and one returns, within a second too.
 
 /// A controller that owns again within the time of a command: what became of a command of its first time comes to the
-/// second book while that has a launch of its own on its way, and settles nothing of it.
+/// second cluster state while that has a launch of its own on its way, and settles nothing of it.
 #[test]
-fn what_became_of_an_earlier_command_settles_none_of_a_later_book() {
+fn what_became_of_an_earlier_command_settles_none_of_a_later_cluster_state() {
     for (name, given_up) in [("given up", true), ("answered", false)] {
         for late_at in 0..8 {
             let mut world = World::new(&["m1", "m2"], |_| ());
@@ -236,37 +236,37 @@
             let before = world.owner_greets(&mut first, "m1");
             // Deposed, and owner again within a second.
             drop(first);
-            let mut book = world.owner();
-            world.turn(&mut book, "m1");
-            world.turn(&mut book, "m2");
-            world.place(&mut book, "m1");
-            let held = world.command(&mut book, "m1").unwrap();
+            let mut cluster = world.owner();
+            world.turn(&mut cluster, "m1");
+            world.turn(&mut cluster, "m2");
+            world.place(&mut cluster, "m1");
+            let held = world.command(&mut cluster, "m1").unwrap();
             assert_eq!(launches(&held.orders), 1);
             if given_up {
-                book.command_over(&before.machine, before.token, false, world.now);
+                cluster.command_over(&before.machine, before.token, false, world.now);
             } else {
                 let reply = world.arrives(&before).unwrap();
-                world.replied(&mut book, &before, reply);
+                world.replied(&mut cluster, &before, reply);
             }
-            assert!(world.asks(&mut book, "m1").orders.is_empty(), "{name}: a command is on its way");
-            book.halt(&task(0), 0, world.now);
+            assert!(world.asks(&mut cluster, "m1").orders.is_empty(), "{name}: a command is on its way");
+            cluster.halt(&task(0), 0, world.now);
             let mut started = false;
             for step in 0..8 {
                 if step == late_at {
                     started = held.token >= world.workers["m1"].token;
                     drop(world.arrives(&held).unwrap());
                 }
-                world.turn(&mut book, "m1");
+                world.turn(&mut cluster, "m1");
                 if !started && step < 4 {
-                    bound(&book, 0, 1, "m1");
+                    bound(&cluster, 0, 1, "m1");
                 }
                 if step == 3 {
-                    world.given_up(&mut book, &held);
+                    world.given_up(&mut cluster, &held);
                     world.now += s(5.0);
-                    world.raise(&mut book);
+                    world.raise(&mut cluster);
                 }
-                world.place(&mut book, "m2");
-                world.turn(&mut book, "m2");
+                world.place(&mut cluster, "m2");
+                world.turn(&mut cluster, "m2");
             }
             assert!(world.workers["m2"].live(&task(0)), "{name}, late at {late_at}");
         }
@@ -274,7 +274,7 @@
 }
 
 /// It owned, lost and owns again. A launch of its first time is still on its way; the one between never heard of the
-/// machine. Nothing is kept from one book to the next, so the task stays bound until the worker has heard the newest
+/// machine. Nothing is kept from one cluster state to the next, so the task stays bound until the worker has heard the newest
 /// token, or its session is over, or the machine was returned.
 #[test]
 fn who_owns_again_believes_nothing_gone_that_its_first_time_may_yet_start() {
@@ -293,8 +293,8 @@
         world.turn(&mut between, "m2");
         assert_eq!(world.command(&mut between, "m1").map(|d| d.orders.len()), None, "no address to send it to");
         drop(between);
-        let mut book = world.owner();
-        assert!(book.first_token > held.token + 10);
+        let mut cluster = world.owner();
+        assert!(cluster.first_token > held.token + 10);
         let late = |world: &mut World, step: usize| {
             if step == late_at {
                 drop(world.arrives(&held));
@@ -303,74 +303,74 @@
         // Its reports come, answers to it are lost: its token is the first.
         for step in 0..3 {
             late(&mut world, step);
-            drop(world.asks(&mut book, "m1"));
-            bound(&book, 0, 1, "m1");
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            drop(world.asks(&mut cluster, "m1"));
+            bound(&cluster, 0, 1, "m1");
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
         }
         match proof {
-            "token" => world.turn(&mut book, "m1"),
+            "token" => world.turn(&mut cluster, "m1"),
             "session" => {
                 world.lease_ends("m1");
                 // What was shown in the last session is over with it; what never was needs the token still.
-                drop(world.asks(&mut book, "m1"));
-                assert_eq!(on(&book, 0).is_none(), late_at < 3);
-                world.turn(&mut book, "m1");
+                drop(world.asks(&mut cluster, "m1"));
+                assert_eq!(on(&cluster, 0).is_none(), late_at < 3);
+                world.turn(&mut cluster, "m1");
             }
-            _ => world.returned(&mut book, "m1"),
+            _ => world.returned(&mut cluster, "m1"),
         }
         for step in 3..6 {
             late(&mut world, step);
             if proof != "return" {
-                world.turn(&mut book, "m1");
+                world.turn(&mut cluster, "m1");
             }
             // Inherited and shown, it is adopted; stopped here, so that it goes elsewhere.
-            book.halt(&task(0), 0, world.now);
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            cluster.halt(&task(0), 0, world.now);
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
         }
         for _ in 0..3 {
             if proof != "return" {
-                world.turn(&mut book, "m1");
+                world.turn(&mut cluster, "m1");
             }
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
         }
         assert!(world.workers["m2"].live(&task(0)), "{proof}, late at {late_at}");
     }
 }
 
-/// The timers of the one that owns again begin anew: a machine is as old as its last book, so that nothing is returned
+/// The timers of the one that owns again begin anew: a machine is as old as its last cluster state, so that nothing is returned
 /// for a silence in which nobody listened, and what is withdrawn is stopped with the first answer whoever owns.
 #[test]
 fn who_owns_again_counts_no_silence_of_before() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-    let mut book = world.owner();
-    world.turn(&mut book, "m1");
-    world.turn(&mut book, "m2");
-    world.place_these(&mut book, &[0], "m1");
-    world.place_these(&mut book, &[1], "m2");
-    world.turn(&mut book, "m1");
-    world.turn(&mut book, "m2");
+    let mut cluster = world.owner();
+    world.turn(&mut cluster, "m1");
+    world.turn(&mut cluster, "m2");
+    world.place_these(&mut cluster, &[0], "m1");
+    world.place_these(&mut cluster, &[1], "m2");
+    world.turn(&mut cluster, "m1");
+    world.turn(&mut cluster, "m2");
     for hand_over in 0..4 {
         world.now += s(11.0);
-        book.tick(world.now);
-        assert_eq!(condemned(&book), Vec::<&str>::new(), "hand-over {hand_over}");
-        book = world.owner();
+        cluster.tick(world.now);
+        assert_eq!(condemned(&cluster), Vec::<&str>::new(), "hand-over {hand_over}");
+        cluster = world.owner();
     }
     // Withdrawn under this one, and handed over once more before it was told.
     world.ended = Some(End::Withdrawn);
-    book = world.owner();
-    world.turn(&mut book, "m1");
+    cluster = world.owner();
+    world.turn(&mut cluster, "m1");
     assert!(!world.workers["m1"].live(&task(0)), "stopped with the first answer");
-    // The other one says nothing: alone it is returned after 12 s of this book, however old its silence is.
+    // The other one says nothing: alone it is returned after 12 s of this cluster state, however old its silence is.
     world.now += s(10.8);
-    world.turn(&mut book, "m1");
-    book.tick(world.now);
-    assert_eq!(condemned(&book), Vec::<&str>::new());
+    world.turn(&mut cluster, "m1");
+    cluster.tick(world.now);
+    assert_eq!(condemned(&cluster), Vec::<&str>::new());
     world.now += s(0.4);
-    book.tick(world.now);
-    assert_eq!(condemned(&book), ["m2"]);
+    cluster.tick(world.now);
+    assert_eq!(condemned(&cluster), ["m2"]);
 }
 
 // Meeting 2: an owner ends while machines with long tasks are unreachable, or do not hear the heir.
@@ -394,32 +394,32 @@
     let held = world.command(&mut old, "m2").unwrap();
     assert_eq!(launches(&held.orders), 1);
     drop(old);
-    let mut book = world.owner();
+    let mut cluster = world.owner();
     for t in 0..40 {
-        world.turn(&mut book, "m0");
-        world.turn(&mut book, "m5");
+        world.turn(&mut cluster, "m0");
+        world.turn(&mut cluster, "m5");
         // Reports of the next two come; what they are told is lost.
-        drop(world.asks(&mut book, "m1"));
+        drop(world.asks(&mut cluster, "m1"));
         if t < 20 {
-            drop(world.asks(&mut book, "m2"));
+            drop(world.asks(&mut cluster, "m2"));
         }
         if t == 10 {
             world.lease_ends("m3");
         }
         if t != 10 {
-            let answer = world.asks(&mut book, "m3");
+            let answer = world.asks(&mut cluster, "m3");
             assert_eq!(launches(&answer.orders), 0, "what is inherited is never launched again");
         }
         for index in 0..3 {
-            bound(&book, index, 1, names[index as usize]);
+            bound(&cluster, index, 1, names[index as usize]);
         }
         let lost_its_lease = [Some(1), None, Some(2)][usize::from(t > 10) + usize::from(t > 11)];
-        assert_eq!(on(&book, 3).map(|(attempt, _)| attempt), lost_its_lease, "at step {t}");
-        bound(&book, 4, 1, "m4");
-        world.place(&mut book, "m5");
-        world.turn(&mut book, "m5");
-        assert_eq!(book.usage["blue"].0, 5.0, "all of it counts for the team, heard of or not");
-        book.tick(world.now);
+        assert_eq!(on(&cluster, 3).map(|(attempt, _)| attempt), lost_its_lease, "at step {t}");
+        bound(&cluster, 4, 1, "m4");
+        world.place(&mut cluster, "m5");
+        world.turn(&mut cluster, "m5");
+        assert_eq!(cluster.usage["blue"].0, 5.0, "all of it counts for the team, heard of or not");
+        cluster.tick(world.now);
         world.now += s(0.1);
         if t == 20 {
             // It goes on: the launch of the old owner is carried out, and that is what was stored.
@@ -427,11 +427,11 @@
         }
     }
     // Twelve seconds without a word: the last is returned, which proves its task gone.
-    assert!(condemned(&book).contains(&"m4"));
-    world.returned(&mut book, "m4");
-    world.place(&mut book, "m5");
-    world.turn(&mut book, "m5");
-    bound(&book, 4, 2, "m5");
+    assert!(condemned(&cluster).contains(&"m4"));
+    world.returned(&mut cluster, "m4");
+    world.place(&mut cluster, "m5");
+    world.turn(&mut cluster, "m5");
+    bound(&cluster, 4, 2, "m5");
     assert_eq!(names.map(|m| world.workers[m].legs.len()), [1, 1, 1, 0, 1, 2]);
 }
 
@@ -453,22 +453,22 @@
         world.turn(&mut old, "m0");
         world.turn(&mut old, "m1");
         drop(old);
-        let mut book = world.owner();
+        let mut cluster = world.owner();
         world.lease_ends("m0");
         for step in 0..6 {
             for m in ["m0", "m2", "m3"] {
-                world.turn(&mut book, m);
+                world.turn(&mut cluster, m);
             }
-            world.store(&mut book);
-            assert_eq!(on(&book, 0).is_none(), step > 0, "gone once its worker knows the heir");
-            bound(&book, 1, 1, "m1");
-            assert_eq!(placed(&mut book, world.now), [], "at step {step}, in one zone: {same_zone}");
+            world.store(&mut cluster);
+            assert_eq!(on(&cluster, 0).is_none(), step > 0, "gone once its worker knows the heir");
+            bound(&cluster, 1, 1, "m1");
+            assert_eq!(placed(&mut cluster, world.now), [], "at step {step}, in one zone: {same_zone}");
         }
         // Reached again, it is stopped: part of an attempt is of no use.
-        world.turn(&mut book, "m1");
+        world.turn(&mut cluster, "m1");
         assert!(!world.workers["m1"].live(&task(1)));
-        world.turn(&mut book, "m1");
-        assert_eq!(placed(&mut book, world.now).len(), 2);
+        world.turn(&mut cluster, "m1");
+        assert_eq!(placed(&mut cluster, world.now).len(), 2);
     }
 }
 
@@ -485,21 +485,21 @@
         world.turn(&mut old, m);
     }
     drop(old);
-    let mut book = world.owner();
-    let cancel = book.settings.params.workers.cancel();
+    let mut cluster = world.owner();
+    let cancel = cluster.settings.params.workers.cancel();
     world.ended = Some(End::Withdrawn);
-    book.end_job(&JOB.into(), world.ended, world.now);
+    cluster.end_job(&JOB.into(), world.ended, world.now);
     let told = world.now;
     let mut returned_after = None;
     while world.now - told < cancel {
-        world.turn(&mut book, "m0");
+        world.turn(&mut cluster, "m0");
         assert!(!world.workers["m0"].live(&task(0)), "told with its first answer");
-        book.tick(world.now);
-        if !condemned(&book).is_empty() {
+        cluster.tick(world.now);
+        if !condemned(&cluster).is_empty() {
             returned_after.get_or_insert(world.now - told);
         }
     }
-    assert_eq!(condemned(&book), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
+    assert_eq!(condemned(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
     assert!(returned_after.unwrap() < cancel.mul_f64(0.45) + s(1.0), "{returned_after:?}");
 }
 
@@ -509,31 +509,31 @@
 fn a_machine_to_be_returned_is_still_told_to_stop_what_is_withdrawn() {
     for (name, withdrawn_first) in [("withdrawn after it was given up", false), ("given up for the withdrawal", true)] {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-        let mut book = world.owner();
-        world.turn(&mut book, "m1");
-        world.place_these(&mut book, &[0], "m1");
-        world.turn(&mut book, "m1");
+        let mut cluster = world.owner();
+        world.turn(&mut cluster, "m1");
+        world.place_these(&mut cluster, &[0], "m1");
+        world.turn(&mut cluster, "m1");
         // Another was placed there, and not told yet.
-        world.place_these(&mut book, &[1], "m1");
-        let withdraw = |world: &mut World, book: &mut Book| {
+        world.place_these(&mut cluster, &[1], "m1");
+        let withdraw = |world: &mut World, cluster: &mut ClusterState| {
             world.ended = Some(End::Withdrawn);
-            book.end_job(&JOB.into(), world.ended, world.now);
+            cluster.end_job(&JOB.into(), world.ended, world.now);
         };
         if withdrawn_first {
-            withdraw(&mut world, &mut book);
+            withdraw(&mut world, &mut cluster);
         }
         // It hangs, within its lease, until it is given up.
         for _ in 0..23 {
             world.now += s(1.0);
-            book.tick(world.now);
+            cluster.tick(world.now);
         }
-        assert_eq!(condemned(&book), ["m1"], "{name}");
+        assert_eq!(condemned(&cluster), ["m1"], "{name}");
         if !withdrawn_first {
-            assert_eq!(world.asks(&mut book, "m1").orders, [], "nothing starts there");
-            withdraw(&mut world, &mut book);
+            assert_eq!(world.asks(&mut cluster, "m1").orders, [], "nothing starts there");
+            withdraw(&mut world, &mut cluster);
         }
         // No return is answered.
-        world.turn(&mut book, "m1");
+        world.turn(&mut cluster, "m1");
         assert!(!world.workers["m1"].live(&task(0)), "{name}: stopped with its first answer");
     }
 }
@@ -569,26 +569,26 @@
         }
         drop(old);
         for takeover in 0..3 {
-            let mut book = world.owner();
-            assert_eq!(book.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
+            let mut cluster = world.owner();
+            assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
-            book.take_report(running.clone(), Via::Report, None, world.now);
-            drop(book.orders_in_answer("m0", world.now));
+            cluster.take_report(running.clone(), Via::Report, None, world.now);
+            drop(cluster.orders_in_answer("m0", world.now));
             for _ in 0..3 {
-                world.turn(&mut book, "m0");
-                world.store(&mut book);
-                assert_eq!((book.counts(&JOB.into()).done, world.ended), (1, None), "{tasks} tasks, {takeover}");
-                assert_eq!(placed(&mut book, world.now), [], "none waits");
+                world.turn(&mut cluster, "m0");
+                world.store(&mut cluster);
+                assert_eq!((cluster.counts(&JOB.into()).done, world.ended), (1, None), "{tasks} tasks, {takeover}");
+                assert_eq!(placed(&mut cluster, world.now), [], "none waits");
             }
             world.now += s(100.0);
         }
         // The others end one after the other, each under another owner.
         for (index, m) in (1..tasks as u32).zip(&names[1..]) {
             assert_eq!(world.ended, None);
-            let mut book = world.owner();
+            let mut cluster = world.owner();
             world.exits(m, index, 1, Cause::Done);
-            world.turn(&mut book, m);
-            world.store(&mut book);
+            world.turn(&mut cluster, m);
+            world.store(&mut cluster);
         }
         assert_eq!(world.ended, Some(End::Done), "{tasks} tasks");
     }
@@ -622,21 +622,21 @@
             assert!(world.workers["m0"].reaped.is_empty(), "its end is not stored");
         }
         drop(old);
-        let mut book = world.owner();
+        let mut cluster = world.owner();
         assert_eq!(world.ended, None);
         if heard == "as a late copy" {
             let copy = world.report("m0");
             world.workers.get_mut("m0").unwrap().gone = true;
-            book.take_report(copy, Via::Report, None, world.now);
+            cluster.take_report(copy, Via::Report, None, world.now);
         } else {
-            world.turn(&mut book, "m0");
+            world.turn(&mut cluster, "m0");
         }
-        world.store(&mut book);
+        world.store(&mut cluster);
         assert_eq!(world.ended, Some(End::Done), "{heard}");
         // What is left is on a machine that nobody hears. It is none of a withdrawal's, and starts nowhere.
         world.now += s(40.0);
-        assert!(book.overdue(world.now).is_empty());
-        assert_eq!(placed(&mut book, world.now), []);
+        assert!(cluster.overdue(world.now).is_empty());
+        assert_eq!(placed(&mut cluster, world.now), []);
         let mut heir = world.owner();
         assert_eq!(placed(&mut heir, world.now), []);
     }
@@ -673,61 +673,61 @@
     ];
     for (name, made, reader, stands) in cases {
         let mut world = World::new(&["m1", "m2"], |_| ());
-        let mut book = world.owner();
+        let mut cluster = world.owner();
         let mut copies = Vec::new();
-        world.turn(&mut book, "m1");
+        world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
-        world.place(&mut book, "m1");
-        world.turn(&mut book, "m1");
+        world.place(&mut cluster, "m1");
+        world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
         world.exits("m1", 0, 1, Cause::Error);
         copies.push(world.report("m1"));
-        world.turn(&mut book, "m1");
-        world.turn(&mut book, "m1");
+        world.turn(&mut cluster, "m1");
+        world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
         // The second attempt is lost with the lease, and the third runs there in the next session.
-        world.place(&mut book, "m1");
-        world.turn(&mut book, "m1");
+        world.place(&mut cluster, "m1");
+        world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
         world.lease_ends("m1");
-        world.turn(&mut book, "m1");
-        world.place(&mut book, "m1");
-        world.turn(&mut book, "m1");
-        world.turn(&mut book, "m1");
-        bound(&book, 0, 3, "m1");
+        world.turn(&mut cluster, "m1");
+        world.place(&mut cluster, "m1");
+        world.turn(&mut cluster, "m1");
+        world.turn(&mut cluster, "m1");
+        bound(&cluster, 0, 3, "m1");
         assert!(world.workers["m1"].live(&task(0)));
         match reader {
             Owner => {}
-            Heir => book = world.owner(),
+            Heir => cluster = world.owner(),
             OwnerAgain => {
                 drop(world.owner());
-                book = world.owner();
+                cluster = world.owner();
             }
         }
         // The machine itself can't be reached for a while; copies come, one after the other.
         for n in 0..3 {
-            book.take_report(copies[made].clone(), Via::Report, None, world.now);
-            drop(book.orders_in_answer("m1", world.now));
+            cluster.take_report(copies[made].clone(), Via::Report, None, world.now);
+            drop(cluster.orders_in_answer("m1", world.now));
             if n == 1 {
-                book.halt(&task(0), 0, world.now);
+                cluster.halt(&task(0), 0, world.now);
             }
-            assert_eq!(on(&book, 0).is_some(), stands, "{name}, read by {reader:?}");
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            assert_eq!(on(&cluster, 0).is_some(), stands, "{name}, read by {reader:?}");
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
             world.now += s(2.0);
         }
         assert!(!world.workers["m2"].live(&task(0)));
         // It is reached again: stopped, and on its way elsewhere.
         for _ in 0..4 {
-            world.turn(&mut book, "m1");
-            world.place(&mut book, "m2");
-            world.turn(&mut book, "m2");
+            world.turn(&mut cluster, "m1");
+            world.place(&mut cluster, "m2");
+            world.turn(&mut cluster, "m2");
         }
         assert!(world.workers["m2"].live(&task(0)), "{name}, read by {reader:?}");
     }
 }
 
-/// A machine that was returned in its first time as owner: a book of its second time knows nothing of that. A copy
+/// A machine that was returned in its first time as owner: a cluster state of its second time knows nothing of that. A copy
 /// of a report made under the first token makes it no machine to place on; one under the newest could.
 #[test]
 fn what_was_returned_in_an_earlier_time_takes_no_work_by_a_copy() {
@@ -740,21 +740,21 @@
     world.returned(&mut first, "m1");
     drop(first);
     drop(world.owner());
-    let mut book = world.owner();
+    let mut cluster = world.owner();
     for raised in [false, true] {
         if raised {
             // Under a token that it raises the same owner goes on.
             world.stamp += 1;
-            book.raise_token(world.stamp);
+            cluster.raise_token(world.stamp);
         }
-        book.take_report(Report { seq: copy.seq + u64::from(raised), ..copy.clone() }, Via::Report, None, world.now);
-        drop(book.orders_in_answer("m1", world.now));
-        assert_eq!(placed(&mut book, world.now), [], "raised: {raised}");
+        cluster.take_report(Report { seq: copy.seq + u64::from(raised), ..copy.clone() }, Via::Report, None, world.now);
+        drop(cluster.orders_in_answer("m1", world.now));
+        assert_eq!(placed(&mut cluster, world.now), [], "raised: {raised}");
     }
-    // A machine that is there learns the first token of this book and counts, whatever was raised since.
-    let known = Report { token: book.first_token, ..world.report("m2") };
-    book.take_report(known, Via::Report, None, world.now);
-    assert_eq!(placed(&mut book, world.now), [(0, "m2".to_owned())]);
+    // A machine that is there learns the first token of this cluster state and counts, whatever was raised since.
+    let known = Report { token: cluster.first_token, ..world.report("m2") };
+    cluster.take_report(known, Via::Report, None, world.now);
+    assert_eq!(placed(&mut cluster, world.now), [(0, "m2".to_owned())]);
 }
 
 /// Each takeover began the patience with a withdrawn task anew: two within it, and a machine that hangs held the
@@ -776,10 +776,10 @@
         world.turn(&mut old, "m1");
         world.place_these(&mut old, &[0], "m1");
         world.turn(&mut old, "m1");
-        let mut book = world.owner();
+        let mut cluster = world.owner();
         let ended = world.now - s(ended_before);
-        book.end_job(&JOB.into(), Some(End::Withdrawn), ended);
-        assert_eq!(book.overdue(world.now + s(after)).len(), usize::from(due), "{name}");
+        cluster.end_job(&JOB.into(), Some(End::Withdrawn), ended);
+        assert_eq!(cluster.overdue(world.now + s(after)).len(), usize::from(due), "{name}");
     }
 }
 
@@ -791,20 +791,20 @@
 fn what_an_heir_has_not_heard_of_counts_in_every_zone() {
     let now = Instant::now();
     for (zone, other) in [("a", "m3"), ("b", "m2")] {
-        let mut book = Book::new(7, example(), Properties::default(), now);
+        let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
         let mut job = spec();
         job.id = JOB.into();
         (job.tasks, job.spread) = (4, true);
         let stored = (0..4).map(|i| if i < 2 { Stored::Bound(1, "m1".into()) } else { Stored::Untouched }).collect();
-        book.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, stored)], now);
-        book.finish_load(now);
-        book.take_report(report("m2", "c8", "a", false, 1, vec![]), Via::Report, None, now);
-        book.take_report(report("m3", "c8", "b", false, 1, vec![]), Via::Report, None, now);
-        assert_eq!(placed(&mut book, now), [], "m1 in {zone} is not heard of");
+        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, stored)], now);
+        cluster.finish_load(now);
+        cluster.take_report(report("m2", "c8", "a", false, 1, vec![]), Via::Report, None, now);
+        cluster.take_report(report("m3", "c8", "b", false, 1, vec![]), Via::Report, None, now);
+        assert_eq!(placed(&mut cluster, now), [], "m1 in {zone} is not heard of");
         let legs = (0..2)
             .map(|i| Leg { task: task(i), attempt: 1, status: LegStatus::Running, cause: None, saved: None })
             .collect();
-        book.take_report(report("m1", "c8", zone, false, 1, legs), Via::Report, None, now);
-        assert_eq!(placed(&mut book, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
+        cluster.take_report(report("m1", "c8", zone, false, 1, legs), Via::Report, None, now);
+        assert_eq!(placed(&mut cluster, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
     }
 }
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -2,7 +2,7 @@
 
 use super::world::*;
 use super::*;
-use crate::scheduling::book::Direct;
+use crate::scheduling::cluster::Direct;
 
 /// The write that binds has no answer; it is carried out at once, late (and then refused, since another is assigned),
 /// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the heir knows all
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/play.rs
@@ -1,4 +1,4 @@
-//! A play of fixed steps in which time passes, leases end, the book decides by itself, and the rules are checked at
+//! A play of fixed steps in which time passes, leases end, the cluster state decides by itself, and the rules are checked at
 //! every step: a team's limit, where tasks may be, and what is withdrawn gone in time (docs/meetings.md).
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::book::Direct;
+use crate::scheduling::cluster::Direct;
 
 pub(super) const STEP: f64 = 0.5;
 /// Steps from one report to the next.
@@ -15,7 +15,7 @@
 /// One owner at a time, and who reaches whom.
 pub(super) struct Play {
     pub(super) world: World,
-    pub(super) book: Book,
+    pub(super) cluster: ClusterState,
     pub(super) steps: usize,
     /// Reports of these reach nobody.
     pub(super) mute: Vec<&'static str>,
@@ -45,10 +45,10 @@
         for (m, zone) in machines {
             world.workers.get_mut(m).unwrap().zone = zone;
         }
-        let book = world.owner();
+        let cluster = world.owner();
         let mut play = Self {
             world,
-            book,
+            cluster,
             steps: 0,
             mute: Vec::new(),
             unreached: Vec::new(),
@@ -72,14 +72,14 @@
     }
 
     pub(super) fn reports(&mut self, m: &'static str) {
-        let answer = self.world.asks(&mut self.book, m);
+        let answer = self.world.asks(&mut self.cluster, m);
         if !self.deaf.contains(&m) {
             self.world.hears(&answer);
         }
     }
 
     /// These report to a deposed owner, and hear its answers.
-    pub(super) fn answered_by(&mut self, deposed: &mut Book, machines: &[&'static str]) {
+    pub(super) fn answered_by(&mut self, deposed: &mut ClusterState, machines: &[&'static str]) {
         for m in machines {
             if !self.world.workers[m].gone {
                 let answer = self.world.asks(deposed, m);
@@ -97,7 +97,7 @@
     pub(super) fn step(&mut self) {
         self.world.now += s(STEP);
         self.steps += 1;
-        let (now, lease) = (self.world.now, self.book.settings.params.workers.lease());
+        let (now, lease) = (self.world.now, self.cluster.settings.params.workers.lease());
         let names: Vec<&'static str> = self.world.workers.keys().copied().collect();
         for m in &names {
             let w = self.world.workers.get_mut(m).unwrap();
@@ -120,58 +120,59 @@
                 self.reports(m);
             }
         }
-        for direct in self.book.direct_commands(now) {
+        for direct in self.cluster.direct_commands(now) {
             let m = &*direct.machine;
             if self.unreached.contains(&m) {
-                self.book.command_over(&direct.machine, direct.token, true, now);
+                self.cluster.command_over(&direct.machine, direct.token, true, now);
             } else if hang.contains(&m) || self.deaf.contains(&m) {
-                self.book.command_over(&direct.machine, direct.token, false, now);
+                self.cluster.command_over(&direct.machine, direct.token, false, now);
                 if hang.contains(&m) {
                     self.lying.push(direct);
                 }
             } else if let Some(reply) = self.world.arrives(&direct) {
-                self.world.replied(&mut self.book, &direct, reply);
+                self.world.replied(&mut self.cluster, &direct, reply);
             } else {
-                self.book.command_over(&direct.machine, direct.token, true, now);
+                self.cluster.command_over(&direct.machine, direct.token, true, now);
             }
         }
-        self.book.tick(now);
+        self.cluster.tick(now);
         if self.cloud {
-            let out: Vec<&'static str> = names.iter().copied().filter(|m| condemned(&self.book).contains(m)).collect();
+            let out: Vec<&'static str> =
+                names.iter().copied().filter(|m| condemned(&self.cluster).contains(m)).collect();
             for m in out {
-                self.world.returned(&mut self.book, m);
+                self.world.returned(&mut self.cluster, m);
                 self.returned.push(m);
             }
         }
         if self.store {
-            self.world.raise(&mut self.book);
+            self.world.raise(&mut self.cluster);
         }
-        if self.plans && self.book.loaded {
-            let decisions = plan::place(&mut self.book, &catalog(), now);
-            self.book.bind_all(decisions, now);
+        if self.plans && self.cluster.loaded {
+            let decisions = plan::place(&mut self.cluster, &catalog(), now);
+            self.cluster.bind_all(decisions, now);
         }
         if self.store {
-            self.world.store(&mut self.book);
+            self.world.store(&mut self.cluster);
         }
         self.check();
     }
 
     /// Another owns: it is told by the cloud's list what there is.
     pub(super) fn heir(&mut self) {
-        self.book = self.world.owner();
+        self.cluster = self.world.owner();
         self.listed();
     }
 
     pub(super) fn listed(&mut self) {
         for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
             let kind = Kind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
-            self.book.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
-            self.book.listed_up(m, self.world.now);
+            self.cluster.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
+            self.cluster.listed_up(m, self.world.now);
         }
     }
 
     pub(super) fn withdraw(&mut self, id: &JobId) {
-        self.world.withdraw(&mut self.book, id);
+        self.world.withdraw(&mut self.cluster, id);
         self.withdrawn.insert(id.clone(), self.world.now);
     }
 
@@ -198,7 +199,7 @@
             let cores = self.cores(&team.name);
             assert!(cores <= team.cpus_max, "{} is above its limit: {cores}", team.name);
         }
-        let cancel = self.book.settings.params.workers.cancel();
+        let cancel = self.cluster.settings.params.workers.cancel();
         for (id, at) in &self.withdrawn {
             let live = self.live(id);
             let age = self.world.now - *at;
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -15,7 +15,7 @@
 /// What is left of a machine by what is on it and what is bound to it.
 fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
     let worker = &play.world.workers[m];
-    let machine = play.book.machines.get(m)?;
+    let machine = play.cluster.machines.get(m)?;
     if worker.gone || machine.standing != Standing::Up || machine.recall.is_some() {
         return None;
     }
@@ -32,19 +32,19 @@
 
 /// Whether a job could start something now: one task of an array or a service, all of a gang.
 fn could_start(play: &Play, id: &JobId) -> bool {
-    let Some(job) = play.book.job(id) else { return false };
+    let Some(job) = play.cluster.job(id) else { return false };
     let spec = job.spec();
     let gang = spec.is_gang();
     if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
         return false;
     }
     let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&play.book).allows(spec, need as f64) {
+    if !plan::Quotas::new(&play.cluster).allows(spec, need as f64) {
         return false;
     }
     let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
     zones.iter().any(|zones| {
-        let mut at = crate::scheduling::room::Zones::new(&play.book, job);
+        let mut at = crate::scheduling::room::Zones::new(&play.cluster, job);
         let mut found = 0;
         for (m, worker) in &play.world.workers {
             let allowed = crate::scheduling::room::allowed(spec, worker.type_name, worker.zone, false);
@@ -76,7 +76,7 @@
         play.world.workers.get_mut(m).unwrap().type_name = "g2";
     }
     play.plans = true;
-    let mut account = Account::new(&play.book.settings, &play.book.properties, play.world.now);
+    let mut account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
     let mut ends: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
     let mut waits: BTreeMap<JobId, f64> = BTreeMap::new();
     let (mut longest, mut jobs) = ((0.0, String::new()), 1);
@@ -87,7 +87,7 @@
             jobs += 1;
             let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
             let urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
-            let id = play.world.accept(&mut play.book, jobs, |j| {
+            let id = play.world.accept(&mut play.cluster, jobs, |j| {
                 (j.shape, j.urgency) = (shape, urgency);
                 j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
                 j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -143,20 +143,21 @@
                 }
             }
         }
-        if step % 4 == 0 && play.book.loaded {
-            crate::scheduling::look(&mut account, &mut play.book, now);
-            play.book.holds = crate::scheduling::holds::choose(&play.book, &catalog(), now);
+        if step % 4 == 0 && play.cluster.loaded {
+            crate::scheduling::look(&mut account, &mut play.cluster, now);
+            play.cluster.holds = crate::scheduling::holds::choose(&play.cluster, &catalog(), now);
         }
-        preempt::preempt(&mut play.book, &catalog(), now);
+        preempt::preempt(&mut play.cluster, &catalog(), now);
         play.step();
         if !trouble {
-            let ids: Vec<JobId> = play.book.jobs().map(|(id, _)| id.clone()).collect();
+            let ids: Vec<JobId> = play.cluster.jobs().map(|(id, _)| id.clone()).collect();
             waits.retain(|id, _| ids.contains(id));
             for id in ids {
                 let waited = waits.entry(id.clone()).or_default();
                 *waited = if could_start(&play, &id) { *waited + STEP } else { 0.0 };
                 if *waited > longest.0 {
-                    longest = (*waited, format!("seed {seed}, at {t} s: {:?}", play.book.job(&id).map(|j| j.spec())));
+                    longest =
+                        (*waited, format!("seed {seed}, at {t} s: {:?}", play.cluster.job(&id).map(|j| j.spec())));
                 }
             }
         }
@@ -179,23 +180,23 @@
     let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Service, 1, 8.0, 0.0);
     });
-    play.world.place(&mut play.book, "m1");
+    play.world.place(&mut play.cluster, "m1");
     play.reports("m1");
     play.plans = true;
-    let gang = play.world.accept(&mut play.book, 2, |j| {
+    let gang = play.world.accept(&mut play.cluster, 2, |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 2, 8.0, 5.0);
     });
-    let mut account = Account::new(&play.book.settings, &play.book.properties, play.world.now);
+    let mut account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
     let (mut small, mut came) = (None, 0.0);
     for step in 0..400 {
         let t = f64::from(step) * STEP;
         if t == 40.0 {
-            play.book.lane.note(1000.0, false, 1.0);
-            small = Some(play.world.accept(&mut play.book, 3, |j| j.estimate_s = 100.0));
+            play.cluster.lane.note(1000.0, false, 1.0);
+            small = Some(play.world.accept(&mut play.cluster, 3, |j| j.estimate_s = 100.0));
             came = t;
         }
         if step % 4 == 0 {
-            crate::scheduling::look(&mut account, &mut play.book, play.world.now);
+            crate::scheduling::look(&mut account, &mut play.cluster, play.world.now);
         }
         play.step();
         assert_eq!(play.live(&gang), []);
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -23,7 +23,7 @@
         if step < 400 {
             for _ in 0..2 {
                 jobs += 1;
-                let id = play.world.accept(&mut play.book, jobs, |j| j.estimate_s = 2.0);
+                let id = play.world.accept(&mut play.cluster, jobs, |j| j.estimate_s = 2.0);
                 last.push((step, id));
             }
         }
@@ -44,9 +44,9 @@
             }
         }
         play.step();
-        let kept = play.world.drop_chunks(&mut play.book);
+        let kept = play.world.drop_chunks(&mut play.cluster);
         assert!(kept <= 20, "chunks of jobs that are over: {kept}");
-        for (what, n) in play.book.held() {
+        for (what, n) in play.cluster.held() {
             assert!(n <= 60, "{what} at step {step}: {n}");
         }
         assert!(play.world.workers.values().all(|w| w.legs.len() <= 40), "exits are reaped");
@@ -57,14 +57,14 @@
     let withdrawn = play.withdrawn.len();
     assert!(jobs == 801 && (150..250).contains(&withdrawn), "{withdrawn} of {jobs} were withdrawn");
     let left: usize = play
-        .book
+        .cluster
         .held()
         .into_iter()
         .filter(|(what, _)| ["ending", "to_store", "to_drop"].contains(what))
         .map(|(_, n)| n)
         .sum();
-    let kept = play.world.drop_chunks(&mut play.book);
-    assert_eq!((play.book.job_count(), left, kept), (0, 0, 0), "{:?}", play.book.held());
+    let kept = play.world.drop_chunks(&mut play.cluster);
+    assert_eq!((play.cluster.job_count(), left, kept), (0, 0, 0), "{:?}", play.cluster.held());
 }
 
 /// What one part of the day took of the state service, and how long its users waited.
@@ -89,7 +89,7 @@
     let names = ["m1", "m2", "m3", "m4", "m5"];
     let mut play = Play::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
     (play.plans, play.store) = (true, false);
-    let limits = play.book.settings.params.state.clone();
+    let limits = play.cluster.settings.params.state.clone();
     let of_owner = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
     let of_others = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
     let mut budget = Budget::new(of_owner, of_owner, play.world.now);
@@ -99,15 +99,16 @@
     for step in 0..(PART_S / STEP) as u32 * PARTS as u32 {
         let (now, part) = (play.world.now, &mut parts[(f64::from(step) * STEP / PART_S) as usize]);
         for n in [2 * step + 2, 2 * step + 3] {
-            let id = play.world.accept(&mut play.book, n, |j| j.estimate_s = 2.0);
-            part.changes_of_others += moves::accept(&play.book.job(&id).unwrap().record, false).changes.len();
+            let id = play.world.accept(&mut play.cluster, n, |j| j.estimate_s = 2.0);
+            part.changes_of_others += moves::accept(&play.cluster.job(&id).unwrap().record, false).changes.len();
             part.transactions += 1;
             accepted.insert(id, now);
         }
         // Each fourth is called off while it waits or runs.
         if step % 2 == 1 {
             let id = JobId::from(format!("run-{:06}", 2 * step - (step % 5)).as_str());
-            if let Some(record) = play.book.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone()) {
+            if let Some(record) = play.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
+            {
                 part.changes_of_others += moves::withdraw(&record, None, 0).changes.len();
                 part.transactions += 1;
                 play.withdraw(&id);
@@ -134,10 +135,10 @@
         let now = play.world.now;
         let part = &mut parts[(f64::from(step) * STEP / PART_S) as usize];
         let most = (budget.ready(Urgent::Second, now).max(0.0) as usize).min(limits.txn_ops as usize);
-        let stored = play.world.store_some(&mut play.book, most, now);
+        let stored = play.world.store_some(&mut play.cluster, most, now);
         assert!(stored == 0 || budget.take(stored as f64, Urgent::First, now).is_ok(), "step {step}");
         let room = (budget.ready(Urgent::Last, now).max(0.0) as usize).min(limits.txn_ops as usize);
-        let dropped = play.world.drop_some(&mut play.book, room);
+        let dropped = play.world.drop_some(&mut play.cluster, room);
         assert!(dropped == 0 || budget.take(dropped as f64, Urgent::Last, now).is_ok(), "step {step}");
         part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
         part.changes_of_owner += stored + dropped;
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -20,12 +20,12 @@
             let mut play =
                 Play::new(&machines, |j| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0));
             for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-                play.world.place_these(&mut play.book, indices, m);
+                play.world.place_these(&mut play.cluster, indices, m);
                 play.reports(m);
                 play.reports(m);
             }
             let next = |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0);
-            let next = play.world.accept(&mut play.book, 2, next);
+            let next = play.world.accept(&mut play.cluster, 2, next);
             (play.plans, play.cloud) = (true, cloud);
             play.run(3.0);
             assert_eq!((play.cores("red"), play.live(&next).len()), (20.0, 0), "{name}");
@@ -43,7 +43,7 @@
                     (play.hang, play.mute, play.unreached) = (vec![], vec![], vec![]);
                 }
                 play.step();
-                assert!(play.book.usage["red"].0 <= 20.0, "{name}: at {t}");
+                assert!(play.cluster.usage["red"].0 <= 20.0, "{name}: at {t}");
                 most = most.max(play.live(&next).len());
                 // Only the well one's task is proven gone while the others can't be asked.
                 if t < withdrawn_at + 18.0 && t < back_at && t < 11.0 {
@@ -63,23 +63,23 @@
         (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into());
     });
     for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-        play.world.place_these(&mut play.book, indices, m);
+        play.world.place_these(&mut play.cluster, indices, m);
         play.reports(m);
     }
     play.withdraw(&JOB.into());
-    play.book = play.world.assigned();
-    let next = play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
+    play.cluster = play.world.assigned();
+    let next = play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
     play.plans = true;
     (play.mute, play.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
     play.listed();
     // Reports come before everything is read, and are answered with nothing to start.
     for m in ["m1", "m2", "m3", "m4", "m5"] {
-        let answer = play.world.asks(&mut play.book, m);
+        let answer = play.world.asks(&mut play.cluster, m);
         assert!(answer.orders.is_empty());
     }
-    assert_eq!(placed(&mut play.book, play.world.now), [], "not read yet");
-    play.world.load(&mut play.book);
-    assert_eq!(play.book.usage["red"].0, 20.0);
+    assert_eq!(placed(&mut play.cluster, play.world.now), [], "not read yet");
+    play.world.load(&mut play.cluster);
+    assert_eq!(play.cluster.usage["red"].0, 20.0);
     for _ in 0..20 {
         play.step();
         assert_eq!(play.live(&next), [], "all count that nobody has proven gone");
@@ -109,14 +109,14 @@
             };
             let machines = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"].map(|m| (m, "a"));
             let mut play = Play::new(&machines, full("red"));
-            for team in play.world.settings.params.teams.iter_mut().chain(&mut play.book.settings.params.teams) {
+            for team in play.world.settings.params.teams.iter_mut().chain(&mut play.cluster.settings.params.teams) {
                 team.cpus_max = 20.0;
             }
-            let blue = play.world.accept(&mut play.book, 2, full("blue"));
+            let blue = play.world.accept(&mut play.cluster, 2, full("blue"));
             play.plans = true;
             play.run(6.0);
             let (red, mut withdrawn) = (JobId::from(JOB), false);
-            let next = [(3, "red"), (4, "blue")].map(|(n, team)| play.world.accept(&mut play.book, n, full(team)));
+            let next = [(3, "red"), (4, "blue")].map(|(n, team)| play.world.accept(&mut play.cluster, n, full(team)));
             assert_eq!((play.cores("red"), play.cores("blue")), (20.0, 20.0), "{name}");
             let mut used: Vec<&'static str> = play.live(&red).into_iter().map(|(_, m)| m).collect();
             used.extend(play.live(&blue).into_iter().map(|(_, m)| m));
@@ -127,7 +127,7 @@
             (play.mute, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
             let held_by_deposed = &used[2..4];
             let heir = play.world.owner();
-            let mut deposed = std::mem::replace(&mut play.book, heir);
+            let mut deposed = std::mem::replace(&mut play.cluster, heir);
             play.listed();
             for step in 0..200 {
                 let t = f64::from(step) * STEP;
@@ -146,7 +146,7 @@
                     play.answered_by(&mut deposed, held_by_deposed);
                 }
                 play.step();
-                let counted = |team: &str| play.book.usage.get(team).map_or(0.0, |used| used.0);
+                let counted = |team: &str| play.cluster.usage.get(team).map_or(0.0, |used| used.0);
                 assert!(counted("red") <= 20.0 && counted("blue") <= 20.0, "{name}: at {t} s");
             }
             assert!(withdrawn, "{name}");
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -12,7 +12,7 @@
         for (after_s, heir) in [0.0, 4.0, 11.0, 20.0].into_iter().flat_map(|t| (0..3).map(move |heir| (t, heir))) {
             let name = format!("commands {commands}, cloud {cloud}, after {after_s} s, heir {heir}");
             let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
-            play.world.place(&mut play.book, "m1");
+            play.world.place(&mut play.cluster, "m1");
             play.reports("m1");
             // Or it has never shown the task, which then no command can name.
             let shown = after_s > 0.0;
@@ -52,16 +52,16 @@
 #[test]
 fn a_mute_machine_gets_no_work_that_it_loses_without_end() {
     let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
-    play.world.place(&mut play.book, "m2");
+    play.world.place(&mut play.cluster, "m2");
     play.reports("m2");
     play.plans = true;
     play.mute = vec!["m1"];
     // One small job after the other, soon withdrawn: each a command, and each reply a report. And long ones.
-    play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (4, 1.0, 600.0));
+    play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (4, 1.0, 600.0));
     let mut small = None;
     for n in 0..300 {
         if n % 4 == 0 {
-            small = Some(play.world.accept(&mut play.book, 100 + n, |j| j.estimate_s = 1.0));
+            small = Some(play.world.accept(&mut play.cluster, 100 + n, |j| j.estimate_s = 1.0));
         }
         play.step();
         if n % 4 == 2 {
@@ -77,21 +77,21 @@
 #[test]
 fn a_mute_machine_that_answers_commands_is_returned_after_two_leases() {
     let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
-    play.world.place(&mut play.book, "m2");
+    play.world.place(&mut play.cluster, "m2");
     play.reports("m2");
     (play.plans, play.mute) = (true, vec!["m1"]);
     for t in 1..60 {
         if t == 9 {
-            play.world.accept(&mut play.book, 2, |j| (j.tasks, j.cpus) = (1, 1.0));
+            play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus) = (1, 1.0));
         }
         if t % 5 == 0 {
             play.world.stamp += 1;
             let token = play.world.stamp;
-            play.book.raise_token(token);
+            play.cluster.raise_token(token);
         }
         play.run(1.0);
         let m1 = &play.world.workers["m1"];
-        assert!(m1.gone || m1.token + 2 >= play.book.token, "at {t} s: commands reach it");
+        assert!(m1.gone || m1.token + 2 >= play.cluster.token, "at {t} s: commands reach it");
         assert_eq!(m1.gone, t >= 51, "at {t} s");
     }
     assert_eq!((play.lost, play.live(&"run-000002".into())), (0, vec![]));
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn plays of the book, plans,
+//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn plays of the cluster state, plans,
 //! holds, preemption and draining, with idle work among the rest.
 
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 /// drained since it can be spared has room for as long as it is there; one on which tasks fail has none.
 fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
     let worker = &play.world.workers[m];
-    let machine = play.book.machines.get(m)?;
+    let machine = play.cluster.machines.get(m)?;
     let stays = machine.standing == Standing::Up || (machine.standing == Standing::Draining && machine.spared);
     if worker.gone || !stays || machine.recall.is_some() {
         return None;
@@ -44,19 +44,19 @@
 
 /// Whether a job could start something now: one task of an array or a service, all of a gang.
 fn could_start(play: &Play, id: &JobId) -> bool {
-    let Some(job) = play.book.job(id) else { return false };
+    let Some(job) = play.cluster.job(id) else { return false };
     let spec = job.spec();
     let gang = spec.is_gang();
     if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
         return false;
     }
     let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&play.book).allows(spec, need as f64) {
+    if !plan::Quotas::new(&play.cluster).allows(spec, need as f64) {
         return false;
     }
     let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
     zones.iter().any(|zones| {
-        let mut at = Zones::new(&play.book, job);
+        let mut at = Zones::new(&play.cluster, job);
         let mut found = 0;
         for (m, worker) in &play.world.workers {
             let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
@@ -98,7 +98,7 @@
             play.world.workers.get_mut(m).unwrap().type_name = "g2";
         }
         play.plans = true;
-        let account = Account::new(&play.book.settings, &play.book.properties, play.world.now);
+        let account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
         Self {
             seed,
             rng: StdRng::seed_from_u64(seed),
@@ -119,7 +119,7 @@
         let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
         let urgencies = [Urgency::Prod, Urgency::High, Urgency::Normal, Urgency::Idle, Urgency::Idle];
         let urgency = urgencies[rng.random_range(0..urgencies.len())];
-        let id = self.play.world.accept(&mut self.play.book, self.jobs, |j| {
+        let id = self.play.world.accept(&mut self.play.cluster, self.jobs, |j| {
             (j.shape, j.urgency) = (shape, urgency);
             j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
             j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -180,41 +180,41 @@
 
     /// The owner's decisions but for placement; of the machines that can be spared at most one is drained at a time.
     fn decide(&mut self, step: u32) {
-        let (book, now) = (&mut self.play.book, self.play.world.now);
-        if self.prompt && book.settings.params.objectives.is_empty() {
+        let (cluster, now) = (&mut self.play.cluster, self.play.world.now);
+        if self.prompt && cluster.settings.params.objectives.is_empty() {
             let objective = Objective { kind: "wait".into(), class: "c".into(), within_s: 1.0, times: 0.0, share: 0.8 };
-            book.settings.params.objectives.push(objective);
+            cluster.settings.params.objectives.push(objective);
         }
-        if step.is_multiple_of(4) && book.loaded {
-            crate::scheduling::look(&mut self.account, book, now);
-            book.holds = crate::scheduling::holds::choose(book, &catalog(), now);
+        if step.is_multiple_of(4) && cluster.loaded {
+            crate::scheduling::look(&mut self.account, cluster, now);
+            cluster.holds = crate::scheduling::holds::choose(cluster, &catalog(), now);
         }
-        let up = book.machines.values().filter(|m| m.standing == Standing::Up).count();
-        let draining = book.machines.values().any(|m| m.standing == Standing::Draining);
-        if step % 40 == 39 && book.loaded && up > 6 && !draining {
-            let chosen = drain::choose(book, &catalog(), now);
+        let up = cluster.machines.values().filter(|m| m.standing == Standing::Up).count();
+        let draining = cluster.machines.values().any(|m| m.standing == Standing::Draining);
+        if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
+            let chosen = drain::choose(cluster, &catalog(), now);
             if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
-                book.drain(&drain.machine, &drain.moves, now);
+                cluster.drain(&drain.machine, &drain.moves, now);
             }
         }
-        preempt::preempt(book, &catalog(), now);
+        preempt::preempt(cluster, &catalog(), now);
     }
 
     /// What idle work that runs already has no claim to is the room kept for prompt arrivals.
     fn counts(&self, id: &JobId) -> bool {
-        let begun_idle = |j: &crate::scheduling::book::JobState| j.spec().is_idle() && !j.bound.is_empty();
-        !(self.prompt && self.play.book.job(id).is_some_and(begun_idle))
+        let begun_idle = |j: &crate::scheduling::cluster::JobState| j.spec().is_idle() && !j.bound.is_empty();
+        !(self.prompt && self.play.cluster.job(id).is_some_and(begun_idle))
     }
 
     fn note_waits(&mut self, t: f64) {
-        let ids: Vec<JobId> = self.play.book.jobs().map(|(id, _)| id.clone()).collect();
+        let ids: Vec<JobId> = self.play.cluster.jobs().map(|(id, _)| id.clone()).collect();
         self.waits.retain(|id, _| ids.contains(id));
         for id in ids {
             let waits = self.counts(&id) && could_start(&self.play, &id);
             let waited = self.waits.entry(id.clone()).or_default();
             *waited = if waits { *waited + STEP } else { 0.0 };
             if *waited > self.longest.0 {
-                let job = self.play.book.job(&id);
+                let job = self.play.cluster.job(&id);
                 let (bound, spec) = (job.map(|j| j.bound.len()), job.map(|j| j.spec()));
                 self.longest = (*waited, format!("seed {}, at {t} s: bound {bound:?}, {spec:?}", self.seed));
             }
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -7,22 +7,22 @@
 const TOKEN: u64 = 50;
 
 /// An heir whose store holds job 1 with a task on `m1`, bound by an earlier owner; ended, if it is, after revision 40.
-fn heir(ended: Option<End>, now: Instant) -> Book {
-    let mut book = Book::new(TOKEN, example(), Properties::default(), now);
+fn heir(ended: Option<End>, now: Instant) -> ClusterState {
+    let mut cluster = ClusterState::new(TOKEN, example(), Properties::default(), now);
     let mut job = spec();
     job.id = "run-000001".into();
     let record = Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() });
-    book.load_job(record, vec![(0, 30, vec![Stored::Bound(1, "m1".into())])], now);
+    cluster.load_job(record, vec![(0, 30, vec![Stored::Bound(1, "m1".into())])], now);
     if ended.is_some() {
-        book.end_job(&"run-000001".into(), ended, now);
-        book.ended_after(&"run-000001".into(), 40);
+        cluster.end_job(&"run-000001".into(), ended, now);
+        cluster.ended_after(&"run-000001".into(), 40);
     }
-    book.finish_load(now);
-    book.holds_ends(Some(60));
-    book
+    cluster.finish_load(now);
+    cluster.holds_ends(Some(60));
+    cluster
 }
 
-fn says(book: &mut Book, token: u64, seq: u64, now: Instant) {
+fn says(cluster: &mut ClusterState, token: u64, seq: u64, now: Instant) {
     let leg = Leg {
         task: TaskKey { job: "run-000001".into(), index: 0 },
         attempt: 1,
@@ -31,14 +31,14 @@
         saved: None,
     };
     let report = Report { token, ..report("m1", "c8", "a", false, seq, vec![leg]) };
-    book.take_report(report, Via::Report, None, now);
+    cluster.take_report(report, Via::Report, None, now);
 }
 
 /// Found by reading: an heir told a withdrawal as soon as it had loaded, and ended; machines that it had not reached
 /// yet went on obeying the owner of before, and an outage longer than the time allowed let their tasks run on.
 #[test]
 fn what_an_earlier_owners_machines_may_run_is_not_told_by_cases() {
-    type Then = fn(&mut Book, Instant);
+    type Then = fn(&mut ClusterState, Instant);
     let cases: [(&str, Option<End>, Then, u64, bool); 9] = [
         ("withdrawn before, its machine not heard of", Some(End::Withdrawn), |_, _| (), 40, false),
         ("only heard below this owner's token", Some(End::Withdrawn), |b, now| says(b, TOKEN - 1, 1, now), 40, false),
@@ -80,12 +80,12 @@
     ];
     for (name, ended, then, want, obeyed) in cases {
         let now = Instant::now();
-        let mut book = heir(ended, now);
-        let before = book.watermark();
-        then(&mut book, now);
-        assert_eq!(book.watermark(), want, "{name}");
-        assert_eq!(book.obeyed_in(&"run-000001".into()), obeyed, "{name}");
-        assert!(book.watermark() >= before, "{name}: it went back");
+        let mut cluster = heir(ended, now);
+        let before = cluster.watermark();
+        then(&mut cluster, now);
+        assert_eq!(cluster.watermark(), want, "{name}");
+        assert_eq!(cluster.obeyed_in(&"run-000001".into()), obeyed, "{name}");
+        assert!(cluster.watermark() >= before, "{name}: it went back");
     }
 }
 
@@ -94,14 +94,14 @@
 #[test]
 fn one_that_waits_keeps_back_only_what_was_stored_since() {
     let now = Instant::now();
-    let mut book = heir(None, now);
-    add(&mut book, 2, now, |_| ());
-    book.end_job(&"run-000002".into(), Some(End::Withdrawn), now);
-    book.holds_ends(Some(65));
-    assert_eq!(book.watermark(), 65, "nothing of it was ever started");
-    book.end_job(&"run-000001".into(), Some(End::Withdrawn), now);
-    book.holds_ends(Some(90));
-    assert_eq!(book.watermark(), 65, "the one on the machine that was not heard of");
-    says(&mut book, TOKEN, 1, now);
-    assert_eq!(book.watermark(), 90);
+    let mut cluster = heir(None, now);
+    add(&mut cluster, 2, now, |_| ());
+    cluster.end_job(&"run-000002".into(), Some(End::Withdrawn), now);
+    cluster.holds_ends(Some(65));
+    assert_eq!(cluster.watermark(), 65, "nothing of it was ever started");
+    cluster.end_job(&"run-000001".into(), Some(End::Withdrawn), now);
+    cluster.holds_ends(Some(90));
+    assert_eq!(cluster.watermark(), 65, "the one on the machine that was not heard of");
+    says(&mut cluster, TOKEN, 1, now);
+    assert_eq!(cluster.watermark(), 90);
 }
--- a/src/scheduling/tests/wishes.rs
+++ b/src/scheduling/tests/wishes.rs
@@ -18,24 +18,24 @@
     format!("run-{n:06}").as_str().into()
 }
 
-fn order(book: &Book, now: Instant) -> Vec<u32> {
-    plan::queue(book, now).iter().map(|t| t.id[4..].parse().unwrap()).collect()
+fn order(cluster: &ClusterState, now: Instant) -> Vec<u32> {
+    plan::queue(cluster, now).iter().map(|t| t.id[4..].parse().unwrap()).collect()
 }
 
 /// Jobs of all sorts, some of them placed, some waiting for long, on machines of all sorts.
-fn busy(seed: u64, start: Instant) -> (Book, Instant) {
+fn busy(seed: u64, start: Instant) -> (ClusterState, Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let names: Vec<String> = (0..rng.random_range(1..12)).map(|n| format!("m{n:02}")).collect();
-    let mut book = book(&[], start);
+    let mut cluster = cluster(&[], start);
     for name in &names {
         let (of, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
-        book.take_report(report(name, of, zone, rng.random(), 1, vec![]), Via::Report, None, start);
+        cluster.take_report(report(name, of, zone, rng.random(), 1, vec![]), Via::Report, None, start);
     }
     let now = start + Duration::from_secs(100);
     for n in 1..rng.random_range(4..30) {
         if n == 8 {
-            let first = plan::place(&mut book, &catalog(), start);
-            book.bind_all(first, start);
+            let first = plan::place(&mut cluster, &catalog(), start);
+            cluster.bind_all(first, start);
         }
         let mut j = spec();
         j.id = id(n);
@@ -51,31 +51,31 @@
         j.checkpoint_s = f64::from(rng.random_range(0..3)) * 10.0;
         // Of no age by any time of day, so that a seed is always the same.
         let record = JobRecord { spec: j, at_ms: u64::MAX };
-        book.add_job(Arc::new(record), if n < 8 { start } else { now });
+        cluster.add_job(Arc::new(record), if n < 8 { start } else { now });
     }
     if rng.random() {
-        book.set_below(Below { short: class("d"), first: class("d") });
+        cluster.set_below(Below { short: class("d"), first: class("d") });
     }
     for (name, seq) in names.iter().zip(2..) {
         let (type_name, zone, spot) = {
-            let m = &book.machines[name.as_str()];
+            let m = &cluster.machines[name.as_str()];
             (m.type_name.clone(), m.zone.clone(), m.spot)
         };
-        book.take_report(report(name, &type_name, &zone, spot, seq + 10, vec![]), Via::Report, None, now);
+        cluster.take_report(report(name, &type_name, &zone, spot, seq + 10, vec![]), Via::Report, None, now);
     }
-    (book, now)
+    (cluster, now)
 }
 
 /// Every decision that wishes may touch.
-fn decided(book: &mut Book, now: Instant) -> String {
+fn decided(cluster: &mut ClusterState, now: Instant) -> String {
     let catalog = catalog();
-    let queue: Vec<_> = plan::queue(book, now).iter().map(|t| t.id.clone()).collect();
-    let mut holds: Vec<_> = super::super::holds::choose(book, &catalog, now).into_iter().collect();
+    let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
+    let mut holds: Vec<_> = super::super::holds::choose(cluster, &catalog, now).into_iter().collect();
     holds.sort_by(|a, b| a.0.cmp(&b.0));
-    let rented = rent::plan(book, &catalog, &Refusals::default(), &Default::default(), now);
-    let given_up = rent::to_give_up(book, &catalog, now);
-    let drained = drain::choose(book, &catalog, now);
-    let placed = plan::place(book, &catalog, now);
+    let rented = rent::plan(cluster, &catalog, &Refusals::default(), &Default::default(), now);
+    let given_up = rent::to_give_up(cluster, &catalog, now);
+    let drained = drain::choose(cluster, &catalog, now);
+    let placed = plan::place(cluster, &catalog, now);
     let holds: Vec<_> = holds.into_iter().map(|(m, h)| (m, h.job)).collect();
     format!("{queue:?} {holds:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
 }
@@ -86,15 +86,15 @@
     let start = Instant::now();
     for seed in 0..300 {
         let (mut plain, now) = busy(seed, start);
-        let (mut book, _) = busy(seed, start);
-        book.set_wishes(Wishes {
+        let (mut cluster, _) = busy(seed, start);
+        cluster.set_wishes(Wishes {
             turns: [(id(900), Turn { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
             room: vec![RoomWish { like: spec(), tasks: 0, in_s: 0.0 }],
             ..Wishes::default()
         });
-        assert_eq!(decided(&mut book, now), decided(&mut plain, now), "seed {seed}");
+        assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
     }
 }
 
@@ -103,19 +103,19 @@
     let now = Instant::now();
     // By return: 1 (high) before 2 (short), 3, 4, 5; 6 is idle; 7 within its team's guarantee.
     let make = || {
-        let mut book = book(&[("m1", "c8", "a", false)], now);
+        let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
         for (n, class, estimate_s) in [(1, "x", 5.0), (2, "x", 10.0), (3, "h", 20.0), (4, "x", 40.0), (5, "h", 80.0)] {
-            add(&mut book, n, now, |j| (j.class, j.estimate_s) = (class.into(), estimate_s));
+            add(&mut cluster, n, now, |j| (j.class, j.estimate_s) = (class.into(), estimate_s));
         }
-        add(&mut book, 6, now, |j| (j.class, j.urgency) = ("h".into(), Urgency::Idle));
-        add(&mut book, 7, now, |j| (j.class, j.team, j.estimate_s) = ("x".into(), "red".into(), 90.0));
-        add(&mut book, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
-        book
+        add(&mut cluster, 6, now, |j| (j.class, j.urgency) = ("h".into(), Urgency::Idle));
+        add(&mut cluster, 7, now, |j| (j.class, j.team, j.estimate_s) = ("x".into(), "red".into(), 90.0));
+        add(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
+        cluster
     };
     let turn = |n: u32, window: &str, number| (id(n), Turn { window: window.into(), number });
     let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
-    let given = |book: &mut Book| book.usage.insert("blue".into(), (100.0, 0.0));
-    type Change<'a> = &'a dyn Fn(&mut Book);
+    let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), (100.0, 0.0));
+    type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("none", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
         ("not yet", &|b| b.wishes.not_yet = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
@@ -162,9 +162,9 @@
         ("one job in any case", &|b| b.wishes.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
     ];
     for (name, change, want) in cases {
-        let mut book = make();
-        change(&mut book);
-        assert_eq!(order(&book, now), want, "{name}");
+        let mut cluster = make();
+        change(&mut cluster);
+        assert_eq!(order(&cluster, now), want, "{name}");
     }
 }
 
@@ -172,12 +172,12 @@
 #[test]
 fn an_array_goes_ahead_as_far_as_the_bound() {
     let now = Instant::now();
-    let mut book = book(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
-    add(&mut book, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
-    add(&mut book, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
-    book.usage.insert("red".into(), (20.0, 0.0));
-    book.wishes.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
-    let placed = plan::place(&mut book, &catalog(), now);
+    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
+    add(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
+    add(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
+    cluster.usage.insert("red".into(), (20.0, 0.0));
+    cluster.wishes.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
+    let placed = plan::place(&mut cluster, &catalog(), now);
     let of = |n: u32| placed.iter().filter(|p| p.task.job == id(n)).count();
     assert_eq!((of(1), of(2)), (4, 12));
 }
@@ -190,18 +190,18 @@
     /// window a later turn stands before an earlier one.
     #[test]
     fn bounds_of_wishes(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
-        let (mut book, now) = busy(seed, Instant::now());
-        let plain: Vec<_> = plan::queue(&book, now).iter().map(|t| t.id.clone()).collect();
+        let (mut cluster, now) = busy(seed, Instant::now());
+        let plain: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
         let ids: Vec<_> = plain.iter().cloned().enumerate().collect();
-        book.wishes.ahead = Some(Ahead { names: class("c"), most_part });
+        cluster.wishes.ahead = Some(Ahead { names: class("c"), most_part });
         {
-            let turns = plan::queue(&book, now);
-            let held = |n: usize, job: &super::super::book::JobState| n as f64 * job.spec().cpus;
-            let theirs = book.jobs().filter(|(_, j)| j.spec().class == "c");
+            let turns = plan::queue(&cluster, now);
+            let held = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
+            let theirs = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
             let before: f64 = theirs.map(|(_, j)| held(j.bound.len(), j)).sum();
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
-            let given: f64 = book.usage.values().map(|u| u.0).sum();
+            let given: f64 = cluster.usage.values().map(|u| u.0).sum();
             let by_return = |t: &&plan::Turn| !t.guaranteed && t.rank != Rank::First && !t.suspected;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
@@ -215,13 +215,13 @@
             }
         }
         let mut rng = StdRng::seed_from_u64(seed);
-        book.wishes.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
+        cluster.wishes.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
             (id.clone(), Turn { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
         }).collect();
-        let turns = plan::queue(&book, now);
+        let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
         for window in ["w1", "w2"] {
-            let of = turns.iter().filter(|t| !t.suspected).filter_map(|t| book.wishes.turns.get(t.id));
+            let of = turns.iter().filter(|t| !t.suspected).filter_map(|t| cluster.wishes.turns.get(t.id));
             let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.number).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
@@ -243,10 +243,10 @@
         ("there already", 2, 4, 0.0, 0),
         ("half there", 1, 4, 20.0, 1),
     ] {
-        let mut book = many(machines, start);
-        book.wishes.room = room(tasks, in_s);
+        let mut cluster = many(machines, start);
+        cluster.wishes.room = room(tasks, in_s);
         let rent = |asked: &HashMap<Kind, u64>| {
-            let wanted = rent::plan(&book, &catalog(), &Refusals::default(), asked, start);
+            let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), asked, start);
             wanted.into_iter().collect::<HashMap<Kind, u64>>()
         };
         let wanted = rent(&HashMap::new());
@@ -255,18 +255,18 @@
     }
     let long = start + Duration::from_secs(500);
     for (name, tasks, in_s, kept) in [("not asked", 0, 0.0, 0), ("asked", 3, 20.0, 2), ("much later", 3, 300.0, 0)] {
-        let mut book = many(5, start);
+        let mut cluster = many(5, start);
         for n in 0..5 {
             let report = report(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
-            book.take_report(report, Via::Report, None, long);
+            cluster.take_report(report, Via::Report, None, long);
         }
-        book.wishes.room = room(tasks, in_s);
-        assert_eq!(rent::to_give_up(&book, &catalog(), long).len(), 5 - kept, "{name}: given up");
+        cluster.wishes.room = room(tasks, in_s);
+        assert_eq!(rent::to_give_up(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
         // One at a time is drained of so few.
-        let drained = drain::choose(&book, &catalog(), long);
+        let drained = drain::choose(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
-        book.wishes.room = room(10, in_s);
-        let spared = drain::choose(&book, &catalog(), long).len();
+        cluster.wishes.room = room(10, in_s);
+        let spared = drain::choose(&cluster, &catalog(), long).len();
         assert_eq!(spared, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
 }
@@ -276,22 +276,22 @@
 fn who_goes_ahead_is_not_kept_waiting() {
     let now = Instant::now();
     let make = |ahead: bool| {
-        let mut book = many(12, now);
-        add(&mut book, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
-        let first = plan::place(&mut book, &catalog(), now);
-        book.bind_all(first, now);
-        add(&mut book, 2, now, |j| {
+        let mut cluster = many(12, now);
+        add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
+        let first = plan::place(&mut cluster, &catalog(), now);
+        cluster.bind_all(first, now);
+        add(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
-        book.wishes.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
-        book.arrivals.clear();
-        book
+        cluster.wishes.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
+        cluster.arrivals.clear();
+        cluster
     };
     for ahead in [false, true] {
-        let book = make(ahead);
-        assert_eq!(!super::super::holds::choose(&book, &catalog(), now).is_empty(), ahead, "held at once");
-        let rented = rent::plan(&book, &catalog(), &Refusals::default(), &HashMap::new(), now);
+        let cluster = make(ahead);
+        assert_eq!(!super::super::holds::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
+        let rented = rent::plan(&cluster, &catalog(), &Refusals::default(), &HashMap::new(), now);
         assert_eq!(!rented.is_empty(), ahead, "rented at once");
     }
 }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -1,10 +1,10 @@
-//! What plays of fixed steps with the book share: a store that keeps what it was given, and workers that do as the
+//! What plays of fixed steps with the cluster state share: a store that keeps what it was given, and workers that do as the
 //! protocol says and check the rules at every start.
 
 use super::*;
 use crate::jobs::record::Stored;
 use crate::jobs::{End, JobId};
-use crate::scheduling::book::Direct;
+use crate::scheduling::cluster::Direct;
 use crate::scheduling::plan::Placement;
 use crate::settings::Settings;
 use crate::store::commit::Batch;
@@ -104,23 +104,23 @@
     }
 
     /// One more job, accepted: of one chunk.
-    pub(super) fn accept(&mut self, book: &mut Book, n: u32, change: impl FnOnce(&mut JobSpec)) -> JobId {
+    pub(super) fn accept(&mut self, cluster: &mut ClusterState, n: u32, change: impl FnOnce(&mut JobSpec)) -> JobId {
         let mut job = spec();
         job.id = format!("run-{n:06}").into();
         change(&mut job);
         let (id, record) = (job.id.clone(), Arc::new(JobRecord { spec: job, at_ms: u64::MAX }));
-        book.add_job(record.clone(), self.now);
+        cluster.add_job(record.clone(), self.now);
         self.more.insert(id.clone(), Kept { record, chunk: None, ended: None, ended_at: None });
         id
     }
 
     /// Its user withdraws it: stored, and told to the owner.
-    pub(super) fn withdraw(&mut self, book: &mut Book, id: &JobId) {
+    pub(super) fn withdraw(&mut self, cluster: &mut ClusterState, id: &JobId) {
         match self.more.get_mut(id) {
             Some(kept) => (kept.ended, kept.ended_at) = (Some(End::Withdrawn), Some(self.now)),
             None => (self.ended, self.ended_at) = (Some(End::Withdrawn), Some(self.now)),
         }
-        book.end_job(id, Some(End::Withdrawn), self.now);
+        cluster.end_job(id, Some(End::Withdrawn), self.now);
     }
 
     fn over(&self, id: &JobId) -> bool {
@@ -135,32 +135,32 @@
     }
 
     /// A new owner, with a token above all before, that has read what is stored. It may be a process that owned
-    /// before: nothing but what is stored goes from one book to the next.
-    pub(super) fn owner(&mut self) -> Book {
-        let mut book = self.assigned();
-        self.load(&mut book);
-        book
+    /// before: nothing but what is stored goes from one cluster state to the next.
+    pub(super) fn owner(&mut self) -> ClusterState {
+        let mut cluster = self.assigned();
+        self.load(&mut cluster);
+        cluster
     }
 
     /// The same before it has read anything.
-    pub(super) fn assigned(&mut self) -> Book {
+    pub(super) fn assigned(&mut self) -> ClusterState {
         self.stamp += 10;
-        Book::new(self.stamp, self.settings.clone(), Properties::default(), self.now)
+        ClusterState::new(self.stamp, self.settings.clone(), Properties::default(), self.now)
     }
 
-    pub(super) fn load(&self, book: &mut Book) {
+    pub(super) fn load(&self, cluster: &mut ClusterState) {
         let first = (&self.record, &self.chunk, self.ended, self.ended_at);
         let more = self.more.values().map(|k| (&k.record, &k.chunk, k.ended, k.ended_at));
         for (record, chunk, ended, ended_at) in std::iter::once(first).chain(more) {
             let chunks: Vec<_> = chunk.iter().map(|(stamp, tasks)| (0, *stamp, tasks.clone())).collect();
             if ended.is_none() || !chunks.is_empty() {
-                book.load_job(record.clone(), chunks, self.now);
+                cluster.load_job(record.clone(), chunks, self.now);
             }
             if ended.is_some() {
-                book.end_job(&record.spec.id, ended, ended_at.unwrap_or(self.now));
+                cluster.end_job(&record.spec.id, ended, ended_at.unwrap_or(self.now));
             }
         }
-        book.finish_load(self.now);
+        cluster.finish_load(self.now);
     }
 
     pub(super) fn spec_of(&self, id: &JobId) -> &JobSpec {
@@ -174,11 +174,11 @@
     }
 
     /// A report reaches the owner, and its answer is on its way.
-    pub(super) fn asks(&mut self, book: &mut Book, m: &'static str) -> Answer {
+    pub(super) fn asks(&mut self, cluster: &mut ClusterState, m: &'static str) -> Answer {
         let report = self.report(m);
         let session = report.session;
-        book.take_report(report, Via::Report, None, self.now);
-        Answer { to: m, session, token: book.token, orders: book.orders_in_answer(m, self.now), sent: self.now }
+        cluster.take_report(report, Via::Report, None, self.now);
+        Answer { to: m, session, token: cluster.token, orders: cluster.orders_in_answer(m, self.now), sent: self.now }
     }
 
     /// The worker hears an answer; within 4 s, that is.
@@ -192,8 +192,8 @@
     }
 
     /// A report with a prompt answer.
-    pub(super) fn turn(&mut self, book: &mut Book, m: &'static str) {
-        let answer = self.asks(book, m);
+    pub(super) fn turn(&mut self, cluster: &mut ClusterState, m: &'static str) {
+        let answer = self.asks(cluster, m);
         self.hears(&answer);
         self.now += s(0.5);
     }
@@ -211,24 +211,24 @@
         Some(self.report(m))
     }
 
-    pub(super) fn replied(&mut self, book: &mut Book, direct: &Direct, reply: Report) {
-        book.command_over(&direct.machine, direct.token, true, self.now);
-        book.take_report(reply, Via::Command, None, self.now);
+    pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &Direct, reply: Report) {
+        cluster.command_over(&direct.machine, direct.token, true, self.now);
+        cluster.take_report(reply, Via::Command, None, self.now);
     }
 
-    pub(super) fn given_up(&mut self, book: &mut Book, direct: &Direct) {
+    pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &Direct) {
         self.now += s(2.5);
-        book.command_over(&direct.machine, direct.token, false, self.now);
+        cluster.command_over(&direct.machine, direct.token, false, self.now);
     }
 
     /// The command that is due to this machine. All others are refused a connection.
-    pub(super) fn command(&mut self, book: &mut Book, m: &str) -> Option<Direct> {
+    pub(super) fn command(&mut self, cluster: &mut ClusterState, m: &str) -> Option<Direct> {
         let mut found = None;
-        for direct in book.direct_commands(self.now) {
+        for direct in cluster.direct_commands(self.now) {
             if *direct.machine == *m {
                 found = Some(direct);
             } else {
-                book.command_over(&direct.machine, direct.token, true, self.now);
+                cluster.command_over(&direct.machine, direct.token, true, self.now);
             }
         }
         found
@@ -304,33 +304,33 @@
     }
 
     /// What waits is bound to this machine, and all that is to be stored is.
-    pub(super) fn place(&mut self, book: &mut Book, m: &str) {
-        let job = book.job(&JOB.into());
+    pub(super) fn place(&mut self, cluster: &mut ClusterState, m: &str) {
+        let job = cluster.job(&JOB.into());
         let waiting: Vec<u32> = job.map(|j| j.waiting.iter().copied().collect()).unwrap_or_default();
-        self.place_these(book, &waiting, m);
+        self.place_these(cluster, &waiting, m);
     }
 
-    pub(super) fn place_these(&mut self, book: &mut Book, indices: &[u32], m: &str) {
-        let Some(job) = book.job(&JOB.into()) else { return };
+    pub(super) fn place_these(&mut self, cluster: &mut ClusterState, indices: &[u32], m: &str) {
+        let Some(job) = cluster.job(&JOB.into()) else { return };
         let gang = job.spec().is_gang();
         let last = job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0);
         let attempt = |i: u32| if gang { last } else { job.tasks[i as usize].attempt } + 1;
         let placements =
             indices.iter().map(|i| Placement { task: task(*i), attempt: attempt(*i), machine: m.into() }).collect();
         if !job.complete() {
-            book.bind_all(placements, self.now);
+            cluster.bind_all(placements, self.now);
         }
-        self.store(book);
+        self.store(cluster);
     }
 
     /// Everything that is to be stored is, on the conditions that the owner's commits have. Not done too early.
-    pub(super) fn store(&mut self, book: &mut Book) {
-        self.store_some(book, 99, self.now + s(2.0));
+    pub(super) fn store(&mut self, cluster: &mut ClusterState) {
+        self.store_some(cluster, 99, self.now + s(2.0));
     }
 
     /// The same in one transaction of at most so many changes; how many it had.
-    pub(super) fn store_some(&mut self, book: &mut Book, most: usize, now: Instant) -> usize {
-        let (ends, chunks) = book.next_writes(most, now);
+    pub(super) fn store_some(&mut self, cluster: &mut ClusterState, most: usize, now: Instant) -> usize {
+        let (ends, chunks) = cluster.next_writes(most, now);
         let batch = Batch { ends, chunks, at_ms: 0 };
         self.stamp += u64::from(!batch.chunks.is_empty());
         for write in &batch.chunks {
@@ -339,7 +339,7 @@
             assert_eq!(write.stamp, chunk.as_ref().map_or(0, |(stamp, _)| *stamp));
             *chunk = Some(next);
         }
-        book.chunks_stored(&batch.chunks, self.stamp);
+        cluster.chunks_stored(&batch.chunks, self.stamp);
         let changes = batch.changes().len();
         for end in batch.ends {
             let mut done = (0..end.spec.tasks as u32)
@@ -350,20 +350,20 @@
                 Some(kept) => kept.ended = Some(End::Done),
                 None => self.ended = Some(End::Done),
             }
-            book.end_job(&end.spec.id, Some(End::Done), self.now);
+            cluster.end_job(&end.spec.id, Some(End::Done), self.now);
         }
         changes
     }
 
     /// Chunks of jobs that are over go; how many of such are left.
-    pub(super) fn drop_chunks(&mut self, book: &mut Book) -> usize {
-        self.drop_some(book, 1000);
+    pub(super) fn drop_chunks(&mut self, cluster: &mut ClusterState) -> usize {
+        self.drop_some(cluster, 1000);
         self.more.values().filter(|kept| kept.ended.is_some() && kept.chunk.is_some()).count()
     }
 
     /// At most so many of them go; how many did.
-    pub(super) fn drop_some(&mut self, book: &mut Book, most: usize) -> usize {
-        let drops = book.next_drops(most);
+    pub(super) fn drop_some(&mut self, cluster: &mut ClusterState, most: usize) -> usize {
+        let drops = cluster.next_drops(most);
         for (id, chunk) in &drops {
             assert!(*chunk == 0 && self.over(id), "{id}: what is open is kept");
             *self.chunk_of(id) = None;
@@ -371,30 +371,30 @@
         drops.len()
     }
 
-    pub(super) fn raise(&mut self, book: &mut Book) -> bool {
-        let wanted = book.raise_wanted(self.now);
+    pub(super) fn raise(&mut self, cluster: &mut ClusterState) -> bool {
+        let wanted = cluster.raise_wanted(self.now);
         if wanted {
             self.stamp += 1;
-            book.raise_token(self.stamp);
+            cluster.raise_token(self.stamp);
         }
         wanted
     }
 
     /// The machine is returned.
-    pub(super) fn returned(&mut self, book: &mut Book, m: &'static str) {
+    pub(super) fn returned(&mut self, cluster: &mut ClusterState, m: &'static str) {
         self.forget(m);
         self.workers.get_mut(m).unwrap().gone = true;
-        book.machine_gone(&m.into(), self.now);
+        cluster.machine_gone(&m.into(), self.now);
     }
 }
 
-pub(super) fn on(book: &Book, index: u32) -> Option<(u64, String)> {
-    let job = book.job(&JOB.into())?;
+pub(super) fn on(cluster: &ClusterState, index: u32) -> Option<(u64, String)> {
+    let job = cluster.job(&JOB.into())?;
     Some((job.tasks[index as usize].attempt, job.binding(index)?.machine.to_string()))
 }
 
-pub(super) fn bound(book: &Book, index: u32, attempt: u64, m: &str) {
-    assert_eq!(on(book, index), Some((attempt, m.to_owned())), "task {index} is bound to {m}");
+pub(super) fn bound(cluster: &ClusterState, index: u32, attempt: u64, m: &str) {
+    assert_eq!(on(cluster, index), Some((attempt, m.to_owned())), "task {index} is bound to {m}");
 }
 
 pub(super) fn launches(orders: &[Order]) -> usize {
@@ -405,18 +405,18 @@
     orders.iter().filter(|o| matches!(o, Order::Reap { .. })).count()
 }
 
-pub(super) fn condemned(book: &Book) -> Vec<&str> {
-    book.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect()
+pub(super) fn condemned(cluster: &ClusterState) -> Vec<&str> {
+    cluster.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect()
 }
 
 impl World {
     /// A greeting of this owner to a machine that has not seen its token.
-    pub(super) fn owner_greets(&mut self, book: &mut Book, m: &str) -> Direct {
+    pub(super) fn owner_greets(&mut self, cluster: &mut ClusterState, m: &str) -> Direct {
         self.workers.get_mut(m).unwrap().token = 0;
         let mut before = None;
         for _ in 0..3 {
             self.now += s(1.1);
-            before = before.or_else(|| self.command(book, m));
+            before = before.or_else(|| self.command(cluster, m));
         }
         before.expect("a greeting is due")
     }
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -28,7 +28,7 @@
                 change(j);
             });
             // Room for it in one zone alone, at first.
-            let full = play.world.accept(&mut play.book, 2, |j| {
+            let full = play.world.accept(&mut play.cluster, 2, |j| {
                 (j.tasks, j.cpus, j.zone, j.shape, j.estimate_s) = (4, 8.0, Some("b".into()), Shape::Service, 0.0);
             });
             let scattered = play.world.record.spec.spread;
@@ -53,7 +53,7 @@
                 }),
             }
             if heir {
-                play.book = play.world.owner();
+                play.cluster = play.world.owner();
                 if listed {
                     play.listed();
                 }
@@ -61,7 +61,7 @@
             // One of its tasks that are well ends up stopped, and waits again: so something is to be placed meanwhile.
             play.run(4.0);
             if let Some((index, _)) = play.live(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
-                play.book.halt(&task(index), 0, play.world.now);
+                play.cluster.halt(&task(index), 0, play.world.now);
             }
             play.run(80.0);
             let live = play.live(&JOB.into());
@@ -79,11 +79,11 @@
         let mut play = Play::new(&[("m1", zone), ("m2", "a")], |j| {
             (j.tasks, j.same_zone, j.spread, j.estimate_s) = (4, !scattered, scattered, 600.0);
         });
-        play.world.place_these(&mut play.book, &[0, 1], "m1");
+        play.world.place_these(&mut play.cluster, &[0, 1], "m1");
         play.reports("m1");
         assert_eq!(play.live(&JOB.into()).len(), 2);
         (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
-        play.book = play.world.owner();
+        play.cluster = play.world.owner();
         play.reports("m2");
         play.reports("m2");
         play.plans = true;
--- a/src/scheduling/wishes.rs
+++ b/src/scheduling/wishes.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Instant;
 
-use super::book::{Book, JobState, MachineId, Standing};
+use super::cluster::{ClusterState, JobState, MachineId, Standing};
 use super::plan;
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use super::served::floor::{Names, Rank};
@@ -104,7 +104,7 @@
     }
 }
 
-impl Book {
+impl ClusterState {
     /// What is asked for from now on. Replicas are stopped at once: what was looked at for them still
     /// holds at this moment.
     pub fn set_wishes(&mut self, wishes: Wishes) {
@@ -122,13 +122,13 @@
 }
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
-pub fn order(book: &Book, turns: &mut [plan::Turn]) {
-    if let Some(ahead) = &book.wishes.ahead {
-        mark_ahead(book, ahead, turns);
+pub fn order(cluster: &ClusterState, turns: &mut [plan::Turn]) {
+    if let Some(ahead) = &cluster.wishes.ahead {
+        mark_ahead(cluster, ahead, turns);
         ahead_first(turns);
     }
-    if !book.wishes.turns.is_empty() {
-        in_turn(&book.wishes.turns, turns);
+    if !cluster.wishes.turns.is_empty() {
+        in_turn(&cluster.wishes.turns, turns);
     }
 }
 
@@ -139,9 +139,9 @@
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
-fn mark_ahead(book: &Book, ahead: &Ahead, turns: &mut [plan::Turn]) {
-    let given: f64 = book.usage.values().map(|(cpus, _)| cpus).sum();
-    let theirs = book.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
+fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, turns: &mut [plan::Turn]) {
+    let given: f64 = cluster.usage.values().map(|(cpus, _)| cpus).sum();
+    let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
     let most = given * ahead.most_part;
     let mut asked: Vec<&mut plan::Turn> =
@@ -180,13 +180,13 @@
 
 /// Jobs for which machines are held, of these urgencies and going ahead or not. None for which others were
 /// stopped, and none while nobody is asked to go ahead.
-pub fn holders(book: &Book, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
-    let Some(ahead) = &book.wishes.ahead else { return Vec::new() };
-    let mut jobs: Vec<&JobId> = book.holds.values().map(|hold| &hold.job).collect();
+pub fn holders(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
+    let Some(ahead) = &cluster.wishes.ahead else { return Vec::new() };
+    let mut jobs: Vec<&JobId> = cluster.holds.values().map(|hold| &hold.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
-    jobs.retain(|id| book.job(id).is_some_and(|job| of(job.spec().urgency, ahead.names.has(job.spec()))));
-    jobs.retain(|id| !book.reserved.values().any(|hold| hold.job == **id));
+    jobs.retain(|id| cluster.job(id).is_some_and(|job| of(job.spec().urgency, ahead.names.has(job.spec()))));
+    jobs.retain(|id| !cluster.reserved.values().any(|hold| hold.job == **id));
     jobs
 }
 
@@ -229,24 +229,24 @@
 }
 
 /// Room for which what there is is kept by now, with the kinds that may give it.
-pub fn room_kept<'b>(book: &'b Book, ground: &Ground) -> Vec<(&'b RoomWish, Vec<bool>)> {
+pub fn room_kept<'b>(cluster: &'b ClusterState, ground: &Ground) -> Vec<(&'b RoomWish, Vec<bool>)> {
     let open = |wish: &'b RoomWish| (wish, ground.open_to(&wish.like, &Zones::none(&wish.like)));
     let near = |(wish, open): &(&RoomWish, Vec<bool>)| wish.in_s <= ready_s(&wish.like, ground, open) + KEPT_S;
-    book.wishes.room.iter().map(open).filter(near).collect()
+    cluster.wishes.room.iter().map(open).filter(near).collect()
 }
 
 /// Idle machines that are needed for room that is asked for, beside those that run something.
-pub fn idle_kept(book: &Book, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
+pub fn idle_kept(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
     let mut kept = HashSet::new();
-    if book.wishes.room.is_empty() {
+    if cluster.wishes.room.is_empty() {
         return kept;
     }
-    let ground = Ground::new(book, catalog);
-    let suspect = suspect_after(book);
-    let there = book.machines.values().filter(|m| m.standing == Standing::Up && usable(m, suspect, now));
+    let ground = Ground::new(cluster, catalog);
+    let suspect = suspect_after(cluster);
+    let there = cluster.machines.values().filter(|m| m.standing == Standing::Up && usable(m, suspect, now));
     let mut rooms: Vec<Room> = there.filter_map(|m| ground.room(m)).collect();
     rooms.sort_by_key(|room| room.machine.is_some_and(|m| m.bound.is_empty()));
-    for (wish, open) in room_kept(book, &ground) {
+    for (wish, open) in room_kept(cluster, &ground) {
         let mut left = wish.tasks;
         for room in rooms.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
             let units = room.units(&wish.like, left);
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -136,9 +136,9 @@
 
 /// Everything that the owner knows to be stored.
 fn owned(node: &Node) -> Vec<Held> {
-    let held = lock(&node.book);
-    let Some(book) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
-    let open = book.jobs().filter(|(_, job)| job.ended.is_none());
+    let held = lock(&node.cluster);
+    let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
+    let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
         let chunks = job.settled_chunks().map(|(chunk, stamp)| Held::Chunk(id.clone(), chunk, stamp));
         std::iter::once(Held::Open(id.clone())).chain(chunks)
@@ -153,7 +153,7 @@
         Held::Open(id) => lock(&node.mirror).open(id).is_some() && node.history.ended(id).is_none(),
         Held::Ended(..) => true,
         Held::Chunk(id, chunk, stamp) => {
-            let held = lock(&node.book);
+            let held = lock(&node.cluster);
             let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
             job.is_some_and(|j| j.settled_chunks().any(|settled| settled == (*chunk, *stamp)))
         }
@@ -222,8 +222,8 @@
         Held::Chunk(id, chunk, stamp) => {
             let item = node.store.get(&chunk_key(id, *chunk), Urgent::First).await?;
             let found = item.map_or(0, |i| i.stamp);
-            if let Some(book) = lock(&node.book).as_mut() {
-                book.store_chunk_again(id, *chunk, *stamp, found);
+            if let Some(cluster) = lock(&node.cluster).as_mut() {
+                cluster.store_chunk_again(id, *chunk, *stamp, found);
             }
             node.wake.commit.notify_one();
             Ok(())
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -20,7 +20,7 @@
 };
 use crate::jobs::{End, JobId};
 use crate::node::Node;
-use crate::scheduling::book::ChunkWrite;
+use crate::scheduling::cluster::ChunkWrite;
 use crate::sync::jitter;
 use crate::sync::lock;
 
@@ -93,7 +93,7 @@
             if !store(&node, batch).await {
                 return;
             }
-            if lock(&node.book).as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
+            if lock(&node.cluster).as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
                 drop_some(&node, Urgent::Second).await;
             }
         }
@@ -104,19 +104,19 @@
 fn next(node: &Node) -> Option<Batch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
     let most = (node.settings.params.state.txn_ops as usize).min(node.store.writes_ready(Urgent::Second).max(1));
-    let mut held = lock(&node.book);
-    let book = held.as_mut().filter(|b| b.loaded)?;
+    let mut held = lock(&node.cluster);
+    let cluster = held.as_mut().filter(|b| b.loaded)?;
     let now = Instant::now();
-    if !book.anything_to_store(now) {
+    if !cluster.anything_to_store(now) {
         return None;
     }
-    let (mut ends, mut chunks) = book.next_writes(most, now);
+    let (mut ends, mut chunks) = cluster.next_writes(most, now);
     let mut bytes = 0;
     let size = |job: &Arc<JobRecord>| serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_EXTRA + FRAME;
     let late_ends = ends.split_off(fitting(&mut bytes, ends.iter().map(size)));
     let rest = chunks.split_off(fitting(&mut bytes, chunks.iter().map(|c| chunk_size(&c.tasks) + FRAME)));
     let late_ends: Vec<JobId> = late_ends.iter().map(|job| job.spec.id.clone()).collect();
-    book.to_store_again(&late_ends, &rest);
+    cluster.to_store_again(&late_ends, &rest);
     let batch = Batch { ends, chunks, at_ms: time_of_day_ms() };
     (!batch.is_empty()).then_some(batch)
 }
@@ -127,7 +127,7 @@
     let urgent = if batch.ends.is_empty() { Urgent::Second } else { Urgent::First };
     let mut unanswered = false;
     loop {
-        let Some(token) = lock(&node.book).as_ref().map(|b| b.token) else { return false };
+        let Some(token) = lock(&node.cluster).as_ref().map(|b| b.token) else { return false };
         match node.store.txn(&batch.conditions(token), &changes, urgent).await {
             Ok(TxnOutcome::Applied(stamp)) => {
                 stored(node, &batch, stamp);
@@ -135,7 +135,7 @@
             }
             Ok(TxnOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
-                let now_token = lock(&node.book).as_ref().map(|b| b.token);
+                let now_token = lock(&node.cluster).as_ref().map(|b| b.token);
                 if keys.iter().any(|k| k == ASSIGNMENT) {
                     if now_token.is_some_and(|t| t > token) {
                         continue;
@@ -159,8 +159,8 @@
 }
 
 fn stored(node: &Node, batch: &Batch, stamp: u64) {
-    if let Some(book) = lock(&node.book).as_mut() {
-        book.chunks_stored(&batch.chunks, stamp);
+    if let Some(cluster) = lock(&node.cluster).as_mut() {
+        cluster.chunks_stored(&batch.chunks, stamp);
     }
     for job in &batch.ends {
         note_end(node, &job.spec.id, End::Done);
@@ -169,12 +169,12 @@
     node.wake.dispatch.notify_one();
 }
 
-/// An end stands in the store: the book acts on it at once, ahead of the watch.
+/// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
 fn note_end(node: &Node, id: &JobId, end: End) {
     info!(job = %id, ?end, "ended");
     node.history.note_end(id, end);
-    if let Some(book) = lock(&node.book).as_mut() {
-        book.end_job(id, Some(end), Instant::now());
+    if let Some(cluster) = lock(&node.cluster).as_mut() {
+        cluster.end_job(id, Some(end), Instant::now());
     }
     node.wake.plan.notify_one();
 }
@@ -192,7 +192,7 @@
             continue;
         }
         let item = loop {
-            if lock(&node.book).is_none() {
+            if lock(&node.cluster).is_none() {
                 return false;
             }
             match node.store.get(key, Urgent::First).await {
@@ -203,20 +203,20 @@
                 }
             }
         };
-        let mut held = lock(&node.book);
-        let Some(book) = held.as_mut() else { return false };
+        let mut held = lock(&node.cluster);
+        let Some(cluster) = held.as_mut() else { return false };
         let stamp = item.as_ref().map_or(0, |i| i.stamp);
         let same = item.and_then(|i| decode_chunk(&i.value)).is_some_and(|t| t == write.tasks);
         if same {
             // An earlier copy of this transaction did apply.
-            book.chunks_stored(std::slice::from_ref(write), stamp);
+            cluster.chunks_stored(std::slice::from_ref(write), stamp);
         } else {
-            warn!(key, "tasks in the store differ from the book");
-            book.set_stamp(&write.job, write.chunk, stamp);
+            warn!(key, "tasks in the store differ from the cluster state");
+            cluster.set_stamp(&write.job, write.chunk, stamp);
         }
     }
-    if let Some(book) = lock(&node.book).as_mut() {
-        book.to_store_again(&batch.ended_ids(), &batch.chunks);
+    if let Some(cluster) = lock(&node.cluster).as_mut() {
+        cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
     }
     node.wake.dispatch.notify_one();
     true
@@ -240,8 +240,8 @@
 /// Chunks of jobs that are over, whenever the budget has room.
 async fn drop_some(node: &Arc<Node>, urgent: Urgent) {
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
-    let (drops, token) = match lock(&node.book).as_mut() {
-        Some(book) => (book.next_drops(most), book.token),
+    let (drops, token) = match lock(&node.cluster).as_mut() {
+        Some(cluster) => (cluster.next_drops(most), cluster.token),
         None => return,
     };
     if drops.is_empty() {
@@ -254,7 +254,7 @@
         Ok(Ok(TxnOutcome::Failed(keys))) => keys,
         _ => Vec::new(),
     };
-    if let Some(book) = lock(&node.book).as_mut() {
-        book.drop_again(still_to_drop(drops, &failed));
+    if let Some(cluster) = lock(&node.cluster).as_mut() {
+        cluster.drop_again(still_to_drop(drops, &failed));
     }
 }
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -21,7 +21,7 @@
 use crate::jobs::{End, JobId, JobSpec};
 use crate::membership::records::{Assignment, Leader, Plea};
 use crate::membership::{candidacy, expiry, naming};
-use crate::scheduling::book::ChunkWrite;
+use crate::scheduling::cluster::ChunkWrite;
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
 const TAKEN: [&str; 4] = ["plea", "chunks dropped", "order cleaned up", "order marked as done"];
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -3,7 +3,7 @@
 /// What an owner knows when a report comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rights {
-    /// Its book is loaded.
+    /// Its cluster state is loaded.
     pub loaded: bool,
     /// What is known here of who owns may be acted on towards workers (`membership::standing`).
     pub knows: bool,
@@ -29,13 +29,13 @@
         self.acts() && self.loaded
     }
 
-    /// Whether ends may have been stored that neither its book nor its mirror has. `through`: the mirror has
+    /// Whether ends may have been stored that neither its cluster state nor its mirror has. `through`: the mirror has
     /// heard all that was stored before its assignment.
     pub fn blind(&self, through: bool) -> bool {
         !self.loaded && !through
     }
 
-    /// Whether the machine is answered. What has ended since its last proof is in no book of one that is blind:
+    /// Whether the machine is answered. What has ended since its last proof is in no cluster state of one that is blind:
     /// whoever is not held may run on nowhere. `spare`: its leases still end in time; `kept`: whether one that
     /// may be owner no more holds this machine, asked only where it matters.
     pub fn holds(&self, through: bool, spare: impl FnOnce() -> bool, kept: impl FnOnce() -> bool) -> bool {
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -8,7 +8,7 @@
 
 use super::{Orders, Report};
 use crate::node::Node;
-use crate::scheduling::book::{Direct, Via};
+use crate::scheduling::cluster::{Direct, Via};
 use crate::sync::lock;
 use crate::traffic::Passage;
 use crate::wire::{self, CallError};
@@ -24,8 +24,8 @@
         if node.unproven() {
             continue;
         }
-        let due = match lock(&node.book).as_mut() {
-            Some(book) => book.direct_commands(Instant::now()),
+        let due = match lock(&node.cluster).as_mut() {
+            Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
         // At most one command per machine is under way, which bounds these.
@@ -42,8 +42,8 @@
     let now = Instant::now();
     let catalog = node.catalog();
     {
-        let mut held = lock(&node.book);
-        let Some(book) = held.as_mut() else { return };
+        let mut held = lock(&node.cluster);
+        let Some(cluster) = held.as_mut() else { return };
         let report = match &outcome {
             Ok((200 | 409, body)) => wire::decode::<Report>(body).ok().filter(Report::check),
             _ => None,
@@ -53,9 +53,9 @@
         if let Err(error) = &outcome {
             debug!(machine = %direct.machine, %error, "direct command");
         }
-        book.command_over(&direct.machine, direct.token, settled, now);
+        cluster.command_over(&direct.machine, direct.token, settled, now);
         if let Some(report) = report {
-            book.take_report(report, Via::Command, catalog.as_deref(), now);
+            cluster.take_report(report, Via::Command, catalog.as_deref(), now);
         }
     }
     node.wake.commit.notify_one();
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -12,7 +12,7 @@
 
 use self::answer::Rights;
 use crate::node::Node;
-use crate::scheduling::book::Via;
+use crate::scheduling::cluster::Via;
 use crate::sync::lock;
 pub use crate::wire::workers::{Cause, Leg, LegStatus, Order, Orders, Report, TaskKey};
 
@@ -50,18 +50,21 @@
     // Of jobs that are over by the mirror an owner stops what runs, whatever else it may do.
     let over = node.over_among(&report, rights.acts());
     {
-        let mut held = lock(&node.book);
-        if let Some(book) = held.as_mut() {
-            if report.token > book.token {
+        let mut held = lock(&node.cluster);
+        if let Some(cluster) = held.as_mut() {
+            if report.token > cluster.token {
                 deposed = true;
             } else {
                 let catalog = node.catalog();
                 let name = report.machine.clone();
-                book.take_report(report, Via::Report, catalog.as_deref(), now);
-                rights.loaded = book.loaded;
-                let orders =
-                    if rights.whole() { book.orders_in_answer(&name, now) } else { book.stops_only(&name, &over.jobs) };
-                let token = book.token;
+                cluster.take_report(report, Via::Report, catalog.as_deref(), now);
+                rights.loaded = cluster.loaded;
+                let orders = if rights.whole() {
+                    cluster.orders_in_answer(&name, now)
+                } else {
+                    cluster.stops_only(&name, &over.jobs)
+                };
+                let token = cluster.token;
                 drop(held);
                 node.wake.plan.notify_one();
                 node.wake.commit.notify_one();
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -24,7 +24,7 @@
         ),
         ("may be owner no more", lone, true, false, false, (false, false, false)),
         ("may be owner no more, the machine found nobody", lone, true, false, true, (false, false, true)),
-        ("has not read its book, knows every end", unread, true, false, false, (false, false, true)),
+        ("has not read its cluster state, knows every end", unread, true, false, false, (false, false, true)),
         ("has read nothing", unread, false, true, false, (false, false, true)),
         ("has read nothing, for too long", unread, false, false, false, (false, false, false)),
         (
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -221,8 +221,8 @@
     (code, again, wire::decode(&answer[split + 4..]).unwrap_or_default())
 }
 
-/// Jobs are withdrawn in the seconds in which the work changes hands, until somebody owns and has loaded its book:
-/// each is answered at once, told only once that book has it, and confirmed soon after.
+/// Jobs are withdrawn in the seconds in which the work changes hands, until somebody owns and has loaded its cluster state:
+/// each is answered at once, told only once that cluster state has it, and confirmed soon after.
 #[test]
 fn withdrawals_while_the_work_changes_hands() {
     let (stage, a, b) = stage(2);
@@ -254,9 +254,10 @@
                 if code == 200 {
                     assert_eq!(answer["status"], "withdrawn");
                     let stamp = stage.stamp(&format!("h/w/{}", id(n)));
-                    // What was stored under its own token it has put into its book itself, ahead of its watch.
-                    let has = b.node.watermark().is_some_and(|book| book.token < stamp || book.revision >= stamp);
-                    assert!(has && stamp > 0, "{n} was told with no loaded book that has it");
+                    // What was stored under its own token it has put into its cluster state itself, ahead of its watch.
+                    let has =
+                        b.node.watermark().is_some_and(|cluster| cluster.token < stamp || cluster.revision >= stamp);
+                    assert!(has && stamp > 0, "{n} was told with no loaded cluster state that has it");
                     told.push(n);
                 } else {
                     assert!(code == 503 && again.is_some_and(|s| (1..=30).contains(&s)), "{code} {again:?} {answer}");
@@ -269,7 +270,7 @@
             }
         }
         let took = loaded.unwrap().elapsed();
-        assert!(took < Duration::from_secs(10), "confirmed {took:?} after the book was loaded");
+        assert!(took < Duration::from_secs(10), "confirmed {took:?} after the cluster state was loaded");
         for n in jobs {
             until("gone", || async { stage.live(n) == 0 }).await;
         }
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -112,10 +112,10 @@
 
 impl Owned {
     fn note(&mut self, node: &Controller) {
-        let Some(book) = node.node.watermark() else { return };
+        let Some(cluster) = node.node.watermark() else { return };
         let name = &node.node.settings.node;
-        let by = self.0.entry(book.token).or_insert_with(|| name.clone());
-        assert_eq!(by, name, "two own under token {}", book.token);
+        let by = self.0.entry(cluster.token).or_insert_with(|| name.clone());
+        assert_eq!(by, name, "two own under token {}", cluster.token);
     }
 }
 
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -206,12 +206,13 @@
         of.next().map_or(0, |held| held.passing)
     }
 
-    /// Somebody's loaded book has the withdrawal of this job.
-    pub fn some_book_has(&self, nodes: &[&Controller], n: u64) -> bool {
+    /// Somebody's loaded cluster state has the withdrawal of this job.
+    pub fn some_cluster_has(&self, nodes: &[&Controller], n: u64) -> bool {
         let stamp = self.stamp(&format!("h/w/{}", id(n)));
-        // What was stored under its own token an owner has put into its book itself, ahead of its watch.
-        let has =
-            |at: &&Controller| at.node.watermark().is_some_and(|book| book.token < stamp || book.revision >= stamp);
+        // What was stored under its own token an owner has put into its cluster state itself, ahead of its watch.
+        let has = |at: &&Controller| {
+            at.node.watermark().is_some_and(|cluster| cluster.token < stamp || cluster.revision >= stamp)
+        };
         stamp > 0 && nodes.iter().any(has)
     }
 
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -141,7 +141,7 @@
         stage.outside.block_on(async {
             let is_withdrawn = async {
                 stage.told(at, n, How::Withdraw, "withdrawn").await;
-                assert!(stage.some_book_has(&[&owner, &lagging, &starting], n), "told before an owner has it");
+                assert!(stage.some_cluster_has(&[&owner, &lagging, &starting], n), "told before an owner has it");
                 stage.everybody_answers([&owner, &lagging, &starting], n, &ALL).await;
             };
             stage.while_looked_up(&lagging, n, is_withdrawn).await;
@@ -201,7 +201,7 @@
         };
         let between = async {
             stage.told(&lagging, withdrawn_between, How::Withdraw, "withdrawn").await;
-            assert!(stage.some_book_has(&both, withdrawn_between), "told before an owner has it");
+            assert!(stage.some_cluster_has(&both, withdrawn_between), "told before an owner has it");
             stage.let_go(STARTING, PAGES);
             stage.all_answer(&both, withdrawn_between, &ALL).await;
         };
