--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -182,7 +182,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Guards: an heir that looks only once comes to what one that looked each second came to, whatever
+    /// Guards: a successor that looks only once comes to what one that looked each second came to, whatever
     /// users submitted meanwhile.
     #[test]
     fn catching_up_equals_stepping_each_second(
@@ -193,7 +193,7 @@
     ) {
         let begin = MIDNIGHT + 6 * HOUR - 1_800_000;
         let mut world = World::at(begin);
-        let (mut each, mut heir) = (Status::default(), None);
+        let (mut each, mut successor) = (Status::default(), None);
         let mut arrivals: Vec<(u64, usize)> = arrivals.into_iter().collect();
         arrivals.reverse();
         let mut jobs = 0;
@@ -210,14 +210,14 @@
                     each = world.step(&spec, &each);
                 }
                 if day == 0 && second == before {
-                    heir = Some(each.clone());
+                    successor = Some(each.clone());
                 }
             }
         }
-        let heir = world.step(&spec, &heir.unwrap());
-        prop_assert_eq!(each.missed.iter().map(same).collect::<Vec<_>>(), heir.missed.iter().map(same).collect::<Vec<_>>());
-        prop_assert_eq!(each.last.as_ref().map(same), heir.last.as_ref().map(same));
-        prop_assert_eq!(&each.current, &heir.current);
-        prop_assert_eq!(each.used, heir.used);
+        let successor = world.step(&spec, &successor.unwrap());
+        prop_assert_eq!(each.missed.iter().map(same).collect::<Vec<_>>(), successor.missed.iter().map(same).collect::<Vec<_>>());
+        prop_assert_eq!(each.last.as_ref().map(same), successor.last.as_ref().map(same));
+        prop_assert_eq!(&each.current, &successor.current);
+        prop_assert_eq!(each.used, successor.used);
     }
 }
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Open orders as their heir carries them out: rentals one by one under their names, returns together.
+/// Open orders as their successor carries them out: rentals one by one under their names, returns together.
 #[derive(Debug, Default, PartialEq)]
 pub struct Inherited {
     /// Requests of one order, and its key.
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -20,7 +20,7 @@
     Inherited::of(store.under(ORDERS).map(read).collect(), 100)
 }
 
-/// The key was free again once the order was carried out, and a copy that came late made it anew: an heir
+/// The key was free again once the order was carried out, and a copy that came late made it anew: a successor
 /// asked for the machines once more, got those that had been refused before, and waited for those that had
 /// gone long ago.
 #[test]
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -1,7 +1,7 @@
 //! Midday heat: while a rule holds, the work that it names goes ahead of others of the same urgency.
 //!
 //! Operators declare rules and hand in readings. The owner decides on and off and stores it; everybody acts on
-//! what is stored, so every controller and every heir acts alike (docs/heat.md). All of it is pure.
+//! what is stored, so every controller and every successor acts alike (docs/heat.md). All of it is pure.
 
 pub mod decide;
 pub mod readings;
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn on_and_off_are_decided_once_and_an_heir_goes_on() {
+fn on_and_off_are_decided_once_and_a_successor_goes_on() {
     let (mut turns, mut ons) = (0, 0);
     for seed in 0..60 {
         let mut play = Play::new(seed);
@@ -132,7 +132,7 @@
             }
             before = status.clone();
         }
-        // At noon of a later day, whatever was left half done: an heir ends what is over and decides anew.
+        // At noon of a later day, whatever was left half done: a successor ends what is over and decides anew.
         play.now_ms = DAY + 11 * HOUR + (play.now_ms - DAY).div_ceil(24 * HOUR) * 24 * HOUR;
         let on = play.settle(40.0);
         assert!(on.on && on.holds(play.now_ms), "seed {seed}: {on:?}");
--- a/src/heat/tests/mod.rs
+++ b/src/heat/tests/mod.rs
@@ -232,7 +232,7 @@
     let on = decided(&Status::default(), 33.0, at).unwrap();
     assert_eq!((on.until_ms, on.epoch), (at + 2 * HOUR, 9));
     assert!(on.holds(at + 2 * HOUR - 1) && !on.holds(at + 2 * HOUR), "without anybody who writes");
-    // An heir whose clock is behind undoes nothing, though it is before the hours by its own.
+    // A successor whose clock is behind undoes nothing, though it is before the hours by its own.
     let early = decided(&Status::default(), 33.0, DAY + 10 * HOUR).unwrap();
     assert_eq!(decided(&early, 31.0, DAY + 10 * HOUR - 20_000), None);
     assert!(early.holds(DAY + 10 * HOUR - 20_000));
--- a/src/membership/standing/tests.rs
+++ b/src/membership/standing/tests.rs
@@ -61,15 +61,15 @@
     assert!(!health.judge(false, sound, start + s(627)), "not before all is read");
 }
 
-/// A worker asks controllers in turn, as the protocol has it. Whoever can find an heir does so before
+/// A worker asks controllers in turn, as the protocol has it. Whoever can find a successor does so before
 /// that takes it for silent; whoever cannot never loses its lease by looking.
 #[test]
-fn machines_find_the_heir_or_are_held() {
+fn machines_find_the_successor_or_are_held() {
     let lease = s(24);
-    for (name, heir_from, cost_of_others, found_by) in [
-        ("an heir at once", Some(0), 0, Some(3)),
-        ("an heir that others know", Some(0), 4, Some(6)),
-        ("an heir later", Some(60), 4, Some(95)),
+    for (name, successor_from, cost_of_others, found_by) in [
+        ("a successor at once", Some(0), 0, Some(3)),
+        ("a successor that others know", Some(0), 4, Some(6)),
+        ("a successor later", Some(60), 4, Some(95)),
         ("nobody, others refuse", None, 0, None),
         ("nobody, others do not answer", None, 4, None),
     ] {
@@ -86,7 +86,7 @@
                 }
                 0 => {}
                 1 => at += cost_of_others,
-                _ if heir_from.is_some_and(|from| at >= from) => found = Some(at),
+                _ if successor_from.is_some_and(|from| at >= from) => found = Some(at),
                 _ => at += cost_of_others,
             }
             assert!(s(at - answered) < lease, "{name}: its lease ended at {at} s");
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// One that was replaced and follows the store would confirm what its heir has not heard of.
+/// One that was replaced and follows the store would confirm what its successor has not heard of.
 #[test]
 fn who_tells_a_watermark_by_cases() {
     let assigned = |incarnation: &str, stamp| {
@@ -87,7 +87,7 @@
     assert!(!unconfirmed.due(start + Duration::from_secs(60)));
 }
 
-/// A controller that was replaced cannot store what its cluster state holds: it may lack what its heir has confirmed.
+/// A controller that was replaced cannot store what its cluster state holds: it may lack what its successor has confirmed.
 #[test]
 fn only_under_its_assignment_is_a_watermark_stored() {
     let mut store = Store::default();
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -1,4 +1,4 @@
-//! What an owner stores of a rollout: all that an heir needs to go on with it.
+//! What an owner stores of a rollout: all that a successor needs to go on with it.
 
 use std::collections::BTreeSet;
 
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -344,7 +344,7 @@
     }
 }
 
-/// An heir counts from none and must not count twice what was stored, nor again on each look.
+/// A successor counts from none and must not count twice what was stored, nor again on each look.
 #[test]
 fn failures_are_counted_once() {
     let mut seen = seen(&OLD, &[]);
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -86,7 +86,7 @@
     }
 
     /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new session:
-    /// an heir that cannot load its cluster state in an outage knows no machine to return. Worlds without users have
+    /// a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without users have
     /// machines that hang on and on, and so have the plays of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
@@ -176,7 +176,7 @@
             12 => self.in_turn(&[WITHDRAWAL, HANG, HAND_OVER, LONG_OUTAGE]),
             13 => self.in_turn(&[HAND_OVER, WITHDRAWAL, REFUSED_ALONE, LONG_OUTAGE]),
             APART => {
-                // A zone with the owner and half of the machines is cut off; at times its heir tells and is gone.
+                // A zone with the owner and half of the machines is cut off; at times its successor tells and is gone.
                 let (at, until) = (self.owner, now + self.ms(20_000..90_000));
                 if let Some(owner) = self.owners[at].as_mut().filter(|o| o.cut.is_none()) {
                     owner.cut = Some((now, until));
@@ -281,7 +281,7 @@
 }
 
 /// Told by the owner while machines hang on, as many as may hang by the network. Owners end, at these times after the telling, before they have waited
-/// for long enough, and the last heir returns them in time all the same; the rule is checked at every step.
+/// for long enough, and the last successor returns them in time all the same; the rule is checked at every step.
 fn hangs_on_across_takeovers(ends_at_s: &[u64]) {
     let mut world = World::with_users(3, 6);
     world.quiet = true;
@@ -318,11 +318,11 @@
     hangs_on_across_takeovers(&[15, 33]);
 }
 
-/// An heir tells of a withdrawal and ends, having reached a machine neither by an answer nor by a command; then the
+/// A successor tells of a withdrawal and ends, having reached a machine neither by an answer nor by a command; then the
 /// store is out for all, for longer than a withdrawn task may run on, while the machine reports to the owner of
 /// before, which goes on answering it and knows of no end.
 #[test]
-fn told_by_an_heir_that_ends_before_a_machine_has_heard_it() {
+fn told_by_a_successor_that_ends_before_a_machine_has_heard_it() {
     let mut world = World::with_users(1, 3);
     world.quiet = true;
     world.submit();
@@ -336,13 +336,13 @@
     world.take_over();
     let sent = crate::history::moves::withdraw(&world.records[&id], None, 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
-    let heir = world.owner;
-    while world.owners[heir].as_ref().is_some_and(|owner| !owner.cluster.loaded) {
+    let successor = world.owner;
+    while world.owners[successor].as_ref().is_some_and(|owner| !owner.cluster.loaded) {
         world.step();
     }
     (0..20).for_each(|_| world.step());
     // Ended for good, and nobody can come to own until the store is back; the rule is checked at every step.
-    world.owners[heir] = None;
+    world.owners[successor] = None;
     world.owns_from = world.now + LEADER_LEASE;
     world.out_for(Duration::from_secs(68));
     (0..1200).for_each(|_| world.step());
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -254,7 +254,7 @@
         }));
     }
 
-    /// What is stored, into an heir's cluster state.
+    /// What is stored, into a successor's cluster state.
     fn load(&self, cluster: &mut ClusterState) {
         let mut chunks: HashMap<JobId, Vec<_>> = HashMap::new();
         for (key, value, stamp) in self.store.under(TASKS) {
@@ -272,7 +272,7 @@
                 cluster.load_job(record.clone(), stored, self.now);
             }
             if over {
-                // When it was heard of, by the heir's mirror or the end's record (`scheduling::load`).
+                // When it was heard of, by the successor's mirror or the end's record (`scheduling::load`).
                 let at = self.ended_since.get(id).copied().unwrap_or(self.now);
                 cluster.end_job(id, None, at);
                 cluster.ended_after(id, self.users.ended_after(id));
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -81,9 +81,9 @@
         self.owns_from = self.now + Duration::from_millis(ms);
         self.restarts += 1;
         if self.rng.random_bool(0.7) {
-            let heir = self.owners.len();
-            self.reborn.values_mut().filter(|to| **to == at).for_each(|to| *to = heir);
-            self.reborn.insert(at, heir);
+            let successor = self.owners.len();
+            self.reborn.values_mut().filter(|to| **to == at).for_each(|to| *to = successor);
+            self.reborn.insert(at, successor);
         }
     }
 
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -81,7 +81,7 @@
     pub(super) stored_marks: usize,
     pub(super) outages: usize,
     pub(super) beyond_cancel: usize,
-    /// Reports to heirs that had not loaded their cluster state.
+    /// Reports to successors that had not loaded their cluster state.
     pub(super) unloaded: usize,
     pub(super) stops: usize,
     pub(super) nobody: usize,
@@ -214,7 +214,7 @@
         self.users.moment = true;
     }
 
-    /// An heir's seat: it may load at once or only some steps later, and its mirror lags.
+    /// A successor's seat: it may load at once or only some steps later, and its mirror lags.
     pub(super) fn new_seat(&mut self, token: u64) -> Seat {
         let heard = if self.rng.random_bool(0.5) { token } else { token.saturating_sub(self.rng.random_range(1..9)) };
         let mut seat = Seat::new(heard, self.now, self.now);
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -291,7 +291,7 @@
     }
 
     pub fn allow(&self, zone: &str) -> bool {
-        // What an heir has inherited on machines of which nobody has told it more than their names may be anywhere.
+        // What a successor has inherited on machines of which nobody has told it more than their names may be anywhere.
         let unknown = if zone == UNKNOWN { 0 } else { self.counts.get(UNKNOWN).copied().unwrap_or(0) };
         let here = self.counts.get(zone).copied().unwrap_or(0) + unknown;
         (!self.spec.same_zone || self.counts.iter().all(|(z, n)| *n == 0 || *z == zone))
--- a/src/scheduling/served/tests/mod.rs
+++ b/src/scheduling/served/tests/mod.rs
@@ -549,15 +549,15 @@
         // A job that has missed its start and is open still: both see it, and it counts once.
         let late = || [open(&one, &promises, 120.0, 1.0)].into_iter();
         let rows = accounts[owner].look(late(), at(t + 5.0)).to_vec();
-        let heir = 1 - owner;
-        accounts[heir].take_over(&rows, at(t + 5.0));
+        let successor = 1 - owner;
+        accounts[successor].take_over(&rows, at(t + 5.0));
         // What is told late, by one that was replaced since, is passed over.
-        accounts[heir].take_over(&rows, at(t));
-        let inherited = accounts[heir].look(late(), at(t + 5.0)).to_vec();
+        accounts[successor].take_over(&rows, at(t));
+        let inherited = accounts[successor].look(late(), at(t + 5.0)).to_vec();
         assert_eq!(tally(&inherited, "small").started, tally(&rows, "small").started, "round {round}");
         assert_eq!(inherited, rows, "round {round}");
         assert_eq!(tally(&rows, "small").started.kept, 3.0 * f64::from(round + 1), "round {round}");
         assert!(tally(&inherited, "small").below && !tally(&inherited, "small").first, "alone it is all there is");
-        owner = heir;
+        owner = successor;
     }
 }
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -37,7 +37,7 @@
                 }
             }
         }
-        play.heir();
+        play.successor();
         if late {
             play.mute = vec!["m3"];
             play.unreached = vec!["m3"];
@@ -85,8 +85,8 @@
         let mut old = None;
         if inside_s > 0.0 {
             // Within is the old owner, without the store: it acts for its zone until it lets go.
-            let heir = play.world.owner();
-            old = Some(std::mem::replace(&mut play.cluster, heir));
+            let successor = play.world.owner();
+            old = Some(std::mem::replace(&mut play.cluster, successor));
             play.listed();
         }
         (play.mute, play.unreached) = (within.into(), within.into());
@@ -96,7 +96,7 @@
                 play.withdraw(&called_off);
             }
             if changes && t > 0.0 && t % 12.0 == 0.0 {
-                play.heir();
+                play.successor();
             }
             if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % REPORT_STEPS == 0) {
                 for m in within {
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -120,7 +120,7 @@
         if overloaded && rng.random_bool(0.01) {
             // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
             links.waited_for.clear();
-            play.heir();
+            play.successor();
         }
         links.deliver(&mut play);
         tasks_end(&mut play, &mut ends);
--- a/src/scheduling/tests/hangs.rs
+++ b/src/scheduling/tests/hangs.rs
@@ -10,11 +10,12 @@
     for (hangs_at, hang_s) in
         [-10.0, -1.0, 0.0, 0.5, 1.0].into_iter().flat_map(|at| [2.0, 8.0, 15.0, 22.0].map(|s| (at, s)))
     {
-        for (stop_lies, cloud, heir) in
+        for (stop_lies, cloud, successor) in
             [(true, true, false), (true, false, false), (false, false, true), (true, false, true), (false, true, true)]
         {
-            let name =
-                format!("hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, heir {heir}");
+            let name = format!(
+                "hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, successor {successor}"
+            );
             let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
             play.world.place(&mut play.cluster, "m1");
             play.reports("m1");
@@ -29,8 +30,8 @@
                 if t == 0.0 {
                     play.withdraw(&JOB.into());
                 }
-                if t == 6.0 && heir {
-                    play.heir();
+                if t == 6.0 && successor {
+                    play.successor();
                 }
                 if t == hangs_at + hang_s {
                     play.hang.clear();
--- a/src/scheduling/tests/hearing.rs
+++ b/src/scheduling/tests/hearing.rs
@@ -7,7 +7,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Copies of reports that come late: only what is newer by (session, seq) counts, and an heir gives no work to a
+/// Copies of reports that come late: only what is newer by (session, seq) counts, and a successor gives no work to a
 /// machine that it knows from an old report alone, though it answers it.
 #[test]
 fn late_copies_of_reports_by_cases() {
@@ -16,7 +16,7 @@
         add(cluster, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
         plan::place(cluster, &catalog(), now).len()
     };
-    let heir = || {
+    let successor = || {
         let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
         cluster.loaded = true;
         cluster
@@ -30,7 +30,7 @@
     let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
     let cases: [(&str, Known, u64, bool); 4] = [
         ("nobody else tells of it", &|_| {}, 3, false),
-        ("the worker has heard the heir", &|_| {}, 9, true),
+        ("the worker has heard the successor", &|_| {}, 9, true),
         ("rented or listed", &|cluster| cluster.expect("m", &kind, None, s(60), now), 3, true),
         (
             "returned by this owner",
@@ -43,13 +43,13 @@
         ),
     ];
     for (name, known, token, want) in cases {
-        let mut cluster = heir();
+        let mut cluster = successor();
         known(&mut cluster);
         take(&mut cluster, copy(5, token), now);
         assert_eq!(place(&mut cluster) > 0, want, "{name}");
     }
     // Copies of older reports keep no machine from being silent, and many of such machines excuse nobody.
-    let mut cluster = heir();
+    let mut cluster = successor();
     for seq in [9, 3, 9, 8] {
         for m in ["m", "x", "y", "z"] {
             let old = Report { machine: m.into(), ..copy(seq, 3) };
@@ -60,7 +60,7 @@
     cluster.tick(now + s(13));
     assert!(cluster.machines.values().all(|m| m.standing == Standing::Condemned), "to be returned, should they exist");
     // Nor does a session that is over come back.
-    let mut cluster = heir();
+    let mut cluster = successor();
     let done = Report { session: 2, ..copy(1, 9) };
     take(&mut cluster, done, now);
     take(&mut cluster, Report { session: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -30,7 +30,7 @@
                     play.hang.clear();
                 }
                 if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
-                    play.heir();
+                    play.successor();
                 }
                 play.store = !outage || !(10.0..30.0).contains(&t);
                 play.step();
@@ -45,8 +45,8 @@
 
 // An old report reaches every controller just as a new leader begins.
 
-/// A copy of a report of each moment of a task's life comes to the owner, to its heir before it has read the store,
-/// after that, and once the worker has reported to it, and to the heir of that one: the task runs once, wherever, and
+/// A copy of a report of each moment of a task's life comes to the owner, to its successor before it has read the store,
+/// after that, and once the worker has reported to it, and to the successor of that one: the task runs once, wherever, and
 /// what was done stays done.
 #[test]
 fn an_old_report_to_every_controller_as_a_new_leader_begins_changes_nothing() {
@@ -97,7 +97,7 @@
             };
             arrive(&mut play);
             play.plans = true;
-            for heir in 0..2 {
+            for successor in 0..2 {
                 play.cluster = play.world.assigned();
                 arrive(&mut play);
                 play.world.load(&mut play.cluster);
@@ -110,11 +110,15 @@
                 play.run(8.0);
                 let live = play.live(&JOB.into());
                 let runs: Vec<u32> = live.iter().map(|(index, _)| *index).collect();
-                assert_eq!(runs, if done { vec![1] } else { vec![0, 1] }, "{name}, heir {heir}");
-                assert_eq!(play.cluster.job(&JOB.into()).unwrap().done, u64::from(done), "{name}, heir {heir}");
+                assert_eq!(runs, if done { vec![1] } else { vec![0, 1] }, "{name}, successor {successor}");
+                assert_eq!(
+                    play.cluster.job(&JOB.into()).unwrap().done,
+                    u64::from(done),
+                    "{name}, successor {successor}"
+                );
                 let attempt = play.cluster.job(&JOB.into()).unwrap().tasks[0].attempt;
-                assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, heir {heir}: what is done has none");
-                assert_eq!(play.returned.len(), 0, "{name}, heir {heir}");
+                assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, successor {successor}: what is done has none");
+                assert_eq!(play.returned.len(), 0, "{name}, successor {successor}");
             }
         }
     }
@@ -135,22 +139,22 @@
         play.plans = true;
         play.run(6.0);
         assert_eq!((play.live(&JOB.into()).len(), play.live(&long).len()), (1, 3), "{name}");
-        let heir = play.world.owner();
-        let mut deposed = std::mem::replace(&mut play.cluster, heir);
+        let successor = play.world.owner();
+        let mut deposed = std::mem::replace(&mut play.cluster, successor);
         play.listed();
         (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
         play.withdraw(&JOB.into());
         for step in 0..240 {
             let t = f64::from(step) * STEP;
             if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
-                play.heir();
+                play.successor();
             }
             if step % REPORT_STEPS as i32 == 0 {
                 play.answered_by(&mut deposed, &["m1"]);
             }
             play.step();
         }
-        // Each heir returns it again until the cloud's list, which lags, does not name it any more.
+        // Each successor returns it again until the cloud's list, which lags, does not name it any more.
         assert!(play.returned.iter().all(|m| *m == "m1") && play.world.workers["m1"].gone, "{name}");
         assert_eq!(play.lost, 0, "{name}: its lease never ended");
         let attempts: Vec<u64> = play.cluster.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
--- a/src/scheduling/tests/meetings.rs
+++ b/src/scheduling/tests/meetings.rs
@@ -373,12 +373,12 @@
     assert_eq!(condemned(&cluster), ["m2"]);
 }
 
-// Meeting 2: an owner ends while machines with long tasks are unreachable, or do not hear the heir.
+// Meeting 2: an owner ends while machines with long tasks are unreachable, or do not hear the successor.
 
-/// Five machines with long tasks at a takeover: one is well, one hears nothing of the heir, one hangs with a command
+/// Five machines with long tasks at a takeover: one is well, one hears nothing of the successor, one hangs with a command
 /// of the old owner before it, one loses its lease, one is gone. Only what is proven gone is placed again.
 #[test]
-fn an_heir_adopts_what_runs_and_places_again_only_what_is_proven_gone() {
+fn a_successor_adopts_what_runs_and_places_again_only_what_is_proven_gone() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 5);
     let mut old = world.owner();
@@ -435,10 +435,10 @@
     assert_eq!(names.map(|m| world.workers[m].legs.len()), [1, 1, 1, 0, 1, 2]);
 }
 
-/// An heir hears that one machine of a gang has lost its lease, and cannot reach the other: the next attempt, in one
+/// A successor hears that one machine of a gang has lost its lease, and cannot reach the other: the next attempt, in one
 /// zone or in several, is placed nowhere until that one is proven gone as well.
 #[test]
-fn a_gang_begins_anew_only_when_the_machine_that_an_heir_cannot_reach_is_gone() {
+fn a_gang_begins_anew_only_when_the_machine_that_a_successor_cannot_reach_is_gone() {
     for same_zone in [true, false] {
         let names = ["m0", "m1", "m2", "m3"];
         let mut world =
@@ -460,7 +460,7 @@
                 world.turn(&mut cluster, m);
             }
             world.store(&mut cluster);
-            assert_eq!(on(&cluster, 0).is_none(), step > 0, "gone once its worker knows the heir");
+            assert_eq!(on(&cluster, 0).is_none(), step > 0, "gone once its worker knows the successor");
             bound(&cluster, 1, 1, "m1");
             assert_eq!(placed(&mut cluster, world.now), [], "at step {step}, in one zone: {same_zone}");
         }
@@ -475,7 +475,7 @@
 /// Withdrawn while many machines cannot be reached at once: for silence they would get two leases, but for a withdrawn
 /// task that is not proven gone each is returned within 45% of the time allowed, and those that hear are told at once.
 #[test]
-fn withdrawn_tasks_on_machines_that_an_heir_never_hears_are_returned_in_time() {
+fn withdrawn_tasks_on_machines_that_a_successor_never_hears_are_returned_in_time() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 6);
     let mut old = world.owner();
@@ -540,7 +540,7 @@
 
 // Meeting 3: the tasks of a job end far apart across a takeover.
 
-/// Arrays of two and three: the first exit is stored or not yet when the owner ends. It is known to the heir either
+/// Arrays of two and three: the first exit is stored or not yet when the owner ends. It is known to the successor either
 /// way, its task never runs again, and the job is done with the last exit, neither before nor never.
 #[test]
 fn the_first_of_ends_far_apart_survives_a_takeover() {
@@ -594,11 +594,11 @@
     }
 }
 
-/// A gang of which one task is reported done is done. The end is not stored when the owner ends; the heir hears of
+/// A gang of which one task is reported done is done. The end is not stored when the owner ends; the successor hears of
 /// it from the first machine, which reaped nothing, and never hears the other one.
 #[test]
-fn a_gang_is_done_by_the_one_exit_that_the_heir_hears() {
-    for heard in ["by the old owner", "by the heir alone", "as a late copy"] {
+fn a_gang_is_done_by_the_one_exit_that_the_successor_hears() {
+    for heard in ["by the old owner", "by the successor alone", "as a late copy"] {
         let mut world = World::new(&["m0", "m1"], |j| (j.shape, j.tasks) = (Shape::Gang, 2));
         let mut old = world.owner();
         for m in ["m0", "m1"] {
@@ -637,38 +637,38 @@
         world.now += s(40.0);
         assert!(cluster.overdue(world.now).is_empty());
         assert_eq!(placed(&mut cluster, world.now), []);
-        let mut heir = world.owner();
-        assert_eq!(placed(&mut heir, world.now), []);
+        let mut successor = world.owner();
+        assert_eq!(placed(&mut successor, world.now), []);
     }
 }
 
 // Meeting 7: old reports after newer ones.
 
-/// What a report of an earlier time says to the owner, to an heir, and to one that owned before, by cases: the task's
+/// What a report of an earlier time says to the owner, to a successor, and to one that owned before, by cases: the task's
 /// attempt on the machine that the store names stays bound to it, or is gone because the copy proves just that.
 #[test]
 fn old_reports_by_cases() {
     #[derive(Clone, Copy, Debug, PartialEq)]
     enum Reader {
         Owner,
-        Heir,
+        Successor,
         OwnerAgain,
     }
     use Reader::*;
     // (what the copy is, when it was made, who reads it, whether the binding stands after it)
     let cases = [
         ("before the launch", 0, Owner, true),
-        ("before the launch", 0, Heir, true),
+        ("before the launch", 0, Successor, true),
         ("before the launch", 0, OwnerAgain, true),
         ("an earlier attempt runs", 1, Owner, true),
-        ("an earlier attempt runs", 1, Heir, true),
+        ("an earlier attempt runs", 1, Successor, true),
         ("an earlier attempt runs", 1, OwnerAgain, true),
         ("an earlier attempt failed", 2, Owner, true),
-        ("an earlier attempt failed", 2, Heir, true),
+        ("an earlier attempt failed", 2, Successor, true),
         ("an earlier attempt failed", 2, OwnerAgain, true),
-        ("an earlier attempt was reaped", 3, Heir, true),
+        ("an earlier attempt was reaped", 3, Successor, true),
         ("an earlier session", 4, Owner, true),
-        ("an earlier session", 4, Heir, true),
+        ("an earlier session", 4, Successor, true),
         ("an earlier session", 4, OwnerAgain, true),
     ];
     for (name, made, reader, stands) in cases {
@@ -698,7 +698,7 @@
         assert!(world.workers["m1"].live(&task(0)));
         match reader {
             Owner => {}
-            Heir => cluster = world.owner(),
+            Successor => cluster = world.owner(),
             OwnerAgain => {
                 drop(world.owner());
                 cluster = world.owner();
@@ -758,15 +758,15 @@
 }
 
 /// Each takeover began the patience with a withdrawn task anew: two within it, and a machine that hangs held the
-/// task past `cancel_s`. An heir counts from when the end was stored, as far as it knows, and gives machines two
+/// task past `cancel_s`. A successor counts from when the end was stored, as far as it knows, and gives machines two
 /// reports' time to prove to it what they have proven to the one before, unless hardly any time is left.
 #[test]
-fn an_heir_begins_no_new_patience_with_what_was_withdrawn_before_it() {
+fn a_successor_begins_no_new_patience_with_what_was_withdrawn_before_it() {
     for (name, ended_before, after, due) in [
         ("withdrawn under it, within its patience", 0.0, 21.0, false),
         ("withdrawn under it, past its patience", 0.0, 23.0, true),
         ("within the patience", 15.0, 6.5, false),
-        ("past it, and the heir has hardly listened", 20.0, 3.0, false),
+        ("past it, and the successor has hardly listened", 20.0, 3.0, false),
         ("past it, and machines had time to tell", 20.0, 6.5, true),
         ("just told, and just taken over", 0.0, 0.5, false),
         ("nearly all the time is gone", 37.0, 0.5, true),
@@ -785,10 +785,10 @@
 
 // Meeting 2 again, for jobs that are scattered over zones.
 
-/// Two of four tasks are on a machine that the heir has not heard of, in a zone that it does not know: nothing of the job
+/// Two of four tasks are on a machine that the successor has not heard of, in a zone that it does not know: nothing of the job
 /// is placed where it might make three, and the rest goes to the other zone once it is heard where they are.
 #[test]
-fn what_an_heir_has_not_heard_of_counts_in_every_zone() {
+fn what_a_successor_has_not_heard_of_counts_in_every_zone() {
     let now = Instant::now();
     for (zone, other) in [("a", "m3"), ("b", "m2")] {
         let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -5,10 +5,10 @@
 use crate::scheduling::cluster::Direct;
 
 /// The write that binds has no answer; it is carried out at once, late (and then refused, since another is assigned),
-/// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the heir knows all
+/// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the successor knows all
 /// that stands and starts nothing that the deposed one may yet start.
 #[test]
-fn no_launch_before_its_binding_stands_whatever_the_heir_reads() {
+fn no_launch_before_its_binding_stands_whatever_the_successor_reads() {
     for (stands, answered_at) in [true, false].into_iter().flat_map(|s| (0..8).map(move |at| (s, at))) {
         let name = format!("stands {stands}, answered at {answered_at}");
         let mut world = World::new(&["m1", "m2"], |j| (j.tasks, j.cpus) = (2, 4.0));
@@ -27,7 +27,7 @@
             world.stamp += 1;
             world.chunk = Some((world.stamp, writes[0].tasks.clone()));
         }
-        let mut heir = None;
+        let mut successor = None;
         for step in 0..16 {
             world.now += s(0.5);
             if step == answered_at && stands {
@@ -35,7 +35,7 @@
                 old.chunks_stored(&writes, stamp);
             }
             if step == 4 {
-                heir = Some(world.owner());
+                successor = Some(world.owner());
             }
             // The old one is not told that it was deposed, and goes on as long as the machine's token is its own.
             let known = step >= answered_at && stands;
@@ -51,31 +51,31 @@
                 old.command_over(&direct.machine, direct.token, false, world.now);
                 held.push(direct);
             }
-            if let Some(heir) = &mut heir {
+            if let Some(successor) = &mut successor {
                 if step == 4 {
-                    let usage = heir.usage.get("blue").copied().unwrap_or_default().0;
-                    assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the heir knows what stands");
+                    let usage = successor.usage.get("blue").copied().unwrap_or_default().0;
+                    assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the successor knows what stands");
                 }
                 if step >= 6 {
-                    world.turn(heir, "m1");
-                    world.turn(heir, "m2");
+                    world.turn(successor, "m1");
+                    world.turn(successor, "m2");
                 }
-                let decisions = plan::place(heir, &catalog(), world.now);
-                heir.bind_all(decisions, world.now);
-                world.store(heir);
+                let decisions = plan::place(successor, &catalog(), world.now);
+                successor.bind_all(decisions, world.now);
+                world.store(successor);
             }
             // What was held up comes at every step after; the world checks what it starts.
             if step >= 5 {
                 held.iter().for_each(|direct| drop(world.arrives(direct)));
             }
         }
-        let mut heir = heir.unwrap();
+        let mut successor = successor.unwrap();
         for _ in 0..8 {
-            world.turn(&mut heir, "m1");
-            world.turn(&mut heir, "m2");
-            let decisions = plan::place(&mut heir, &catalog(), world.now);
-            heir.bind_all(decisions, world.now);
-            world.store(&mut heir);
+            world.turn(&mut successor, "m1");
+            world.turn(&mut successor, "m2");
+            let decisions = plan::place(&mut successor, &catalog(), world.now);
+            successor.bind_all(decisions, world.now);
+            world.store(&mut successor);
         }
         for index in 0..2 {
             let live = world.workers.values().filter(|w| w.live(&task(index))).count();
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/play.rs
@@ -158,7 +158,7 @@
     }
 
     /// Another owns: it is told by the cloud's list what there is.
-    pub(super) fn heir(&mut self) {
+    pub(super) fn successor(&mut self) {
         self.cluster = self.world.owner();
         self.listed();
     }
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -114,7 +114,7 @@
                 2 => play.deaf.push(m),
                 3 => (play.mute.push(m), play.unreached.push(m)).0,
                 4 => (play.mute, play.hang, play.deaf, play.unreached) = Default::default(),
-                5 => play.heir(),
+                5 => play.successor(),
                 _ => play.store = !play.store,
             }
             // Three machines stay, so that there is anything to wait for.
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -34,7 +34,7 @@
             }
         }
         if step == 200 {
-            play.heir();
+            play.successor();
         }
         for m in names {
             for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
@@ -115,7 +115,7 @@
             }
         }
         if step == 200 {
-            play.heir();
+            play.successor();
         }
         for m in names {
             for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -6,7 +6,7 @@
 use crate::jobs::JobId;
 
 /// A team of 20 cores has five tasks of four on three machines: one is well, one hangs, one is cut off. They are
-/// withdrawn under the owner, or under its heir while the two can't be asked; the next five of the team wait. The
+/// withdrawn under the owner, or under its successor while the two can't be asked; the next five of the team wait. The
 /// play checks at every step that never more than 20 cores of it run, wherever. In the end all five do.
 #[test]
 fn a_withdrawn_task_counts_for_its_team_until_it_is_proven_gone() {
@@ -34,7 +34,7 @@
             for step in 0..160 {
                 let t = f64::from(step) * STEP;
                 if changes.contains(&t) {
-                    play.heir();
+                    play.successor();
                 }
                 if t == withdrawn_at {
                     play.withdraw(&JOB.into());
@@ -55,10 +55,10 @@
     }
 }
 
-/// The heir knows of a job that is over by its end alone: its chunk names what is bound, and the record is read for
+/// The successor knows of a job that is over by its end alone: its chunk names what is bound, and the record is read for
 /// it. Until it is, nothing is decided; then it counts, and no record means that nothing of its team starts.
 #[test]
-fn what_an_heir_reads_of_ended_jobs_counts_before_anything_is_placed() {
+fn what_a_successor_reads_of_ended_jobs_counts_before_anything_is_placed() {
     let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
         (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into());
     });
@@ -126,13 +126,13 @@
             play.hang = vec![used[0]];
             (play.mute, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
             let held_by_deposed = &used[2..4];
-            let heir = play.world.owner();
-            let mut deposed = std::mem::replace(&mut play.cluster, heir);
+            let successor = play.world.owner();
+            let mut deposed = std::mem::replace(&mut play.cluster, successor);
             play.listed();
             for step in 0..200 {
                 let t = f64::from(step) * STEP;
                 if changes.contains(&t) {
-                    play.heir();
+                    play.successor();
                 }
                 if t == withdrawn_at {
                     withdrawn = true;
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -9,8 +9,10 @@
 #[test]
 fn what_is_withdrawn_on_a_mute_machine_is_gone_in_time() {
     for (commands, cloud) in [(true, true), (true, false), (false, true), (false, false)] {
-        for (after_s, heir) in [0.0, 4.0, 11.0, 20.0].into_iter().flat_map(|t| (0..3).map(move |heir| (t, heir))) {
-            let name = format!("commands {commands}, cloud {cloud}, after {after_s} s, heir {heir}");
+        for (after_s, successor) in
+            [0.0, 4.0, 11.0, 20.0].into_iter().flat_map(|t| (0..3).map(move |successor| (t, successor)))
+        {
+            let name = format!("commands {commands}, cloud {cloud}, after {after_s} s, successor {successor}");
             let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
             play.world.place(&mut play.cluster, "m1");
             play.reports("m1");
@@ -24,24 +26,24 @@
             play.unreached = if commands { vec![] } else { vec!["m1"] };
             play.cloud = cloud;
             play.run(after_s);
-            if heir == 1 {
-                play.heir();
+            if successor == 1 {
+                play.successor();
                 play.run(0.5);
             }
             let runs = !play.live(&JOB.into()).is_empty();
             play.withdraw(&JOB.into());
             play.run(1.5);
             // One that is to be returned is told by answers alone.
-            if commands && shown && heir == 0 && (cloud || after_s < 12.0) {
+            if commands && shown && successor == 0 && (cloud || after_s < 12.0) {
                 assert_eq!(play.live(&JOB.into()), [], "{name}: by command, at once");
             }
-            if heir == 2 {
-                play.heir();
+            if successor == 2 {
+                play.successor();
             }
             play.run(60.0);
             assert_eq!(play.live(&JOB.into()), [], "{name}");
             // All that is to be gone was withdrawn: the machine goes alone, if the cloud answers.
-            assert!(!runs || !cloud || (commands && heir == 0) || play.world.workers["m1"].gone, "{name}");
+            assert!(!runs || !cloud || (commands && successor == 0) || play.world.workers["m1"].gone, "{name}");
             assert!(!play.world.workers["m2"].gone, "{name}");
         }
     }
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -147,7 +147,7 @@
             2 => play.deaf.push(m),
             3 => (play.mute.push(m), play.unreached.push(m)).0,
             4 => (play.mute, play.hang, play.deaf, play.unreached) = Default::default(),
-            5 => play.heir(),
+            5 => play.successor(),
             _ => play.store = !play.store,
         }
         for list in [&mut play.mute, &mut play.hang, &mut play.deaf, &mut play.unreached] {
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -6,8 +6,8 @@
 
 const TOKEN: u64 = 50;
 
-/// An heir whose store holds job 1 with a task on `m1`, bound by an earlier owner; ended, if it is, after revision 40.
-fn heir(ended: Option<End>, now: Instant) -> ClusterState {
+/// A successor whose store holds job 1 with a task on `m1`, bound by an earlier owner; ended, if it is, after revision 40.
+fn successor(ended: Option<End>, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(TOKEN, example(), Properties::default(), now);
     let mut job = spec();
     job.id = "run-000001".into();
@@ -34,7 +34,7 @@
     cluster.take_report(report, Via::Report, None, now);
 }
 
-/// Found by reading: an heir told a withdrawal as soon as it had loaded, and ended; machines that it had not reached
+/// Found by reading: a successor told a withdrawal as soon as it had loaded, and ended; machines that it had not reached
 /// yet went on obeying the owner of before, and an outage longer than the time allowed let their tasks run on.
 #[test]
 fn what_an_earlier_owners_machines_may_run_is_not_told_by_cases() {
@@ -80,7 +80,7 @@
     ];
     for (name, ended, then, want, obeyed) in cases {
         let now = Instant::now();
-        let mut cluster = heir(ended, now);
+        let mut cluster = successor(ended, now);
         let before = cluster.watermark();
         then(&mut cluster, now);
         assert_eq!(cluster.watermark(), want, "{name}");
@@ -94,7 +94,7 @@
 #[test]
 fn one_that_waits_keeps_back_only_what_was_stored_since() {
     let now = Instant::now();
-    let mut cluster = heir(None, now);
+    let mut cluster = successor(None, now);
     add(&mut cluster, 2, now, |_| ());
     cluster.end_job(&"run-000002".into(), Some(End::Withdrawn), now);
     cluster.holds_ends(Some(65));
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -65,7 +65,7 @@
     /// What the store holds of the job: its one chunk, and its end.
     pub(super) chunk: Option<(u64, Vec<Stored>)>,
     pub(super) ended: Option<End>,
-    /// When, as heirs are told; their own beginning where nobody says.
+    /// When, as successors are told; their own beginning where nobody says.
     ended_at: Option<Instant>,
     /// Tasks that were done on a worker.
     pub(super) completed: HashSet<TaskKey>,
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -4,7 +4,7 @@
 use super::world::*;
 use super::*;
 
-/// Four tasks, then machines of theirs hang, are cut off, or an heir has never heard them and is told no list: the
+/// Four tasks, then machines of theirs hang, are cut off, or a successor has never heard them and is told no list: the
 /// others are placed only where the rule allows by all that is not proven gone, which the play checks at each step;
 /// and in the end all run, in the other zone where the first has no room left.
 #[test]
@@ -18,10 +18,10 @@
         ("one zone allowed", |j| j.zone = Some("a".into()), 0),
     ];
     for (name, change, left) in jobs {
-        for (trouble, heir, listed) in
+        for (trouble, successor, listed) in
             ["hang", "cut", "gone"].into_iter().flat_map(|t| [(t, false, true), (t, true, true), (t, true, false)])
         {
-            let name = format!("{name}: {trouble}, heir {heir}, listed {listed}");
+            let name = format!("{name}: {trouble}, successor {successor}, listed {listed}");
             let machines = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "b"), ("m5", "b"), ("m6", "b")];
             let mut play = Play::new(&machines, |j| {
                 (j.tasks, j.cpus, j.estimate_s) = (4, 4.0, 600.0);
@@ -52,7 +52,7 @@
                     play.hang = lost.into();
                 }),
             }
-            if heir {
+            if successor {
                 play.cluster = play.world.owner();
                 if listed {
                     play.listed();
@@ -70,7 +70,7 @@
     }
 }
 
-/// An heir is not told yet in which zone a machine is that holds half of a scattered job, nor has it heard it: it may
+/// A successor is not told yet in which zone a machine is that holds half of a scattered job, nor has it heard it: it may
 /// be the zone of those that it has heard. The same for an array in one zone.
 #[test]
 fn where_an_inherited_task_is_has_to_be_known() {
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -185,7 +185,7 @@
 }
 
 /// A job whose end the store has lost is put back and placed again: a copy of the drop from before took what
-/// was bound since, and an heir would have placed it a second time.
+/// was bound since, and a successor would have placed it a second time.
 #[test]
 fn a_late_drop_of_chunks_takes_nothing_of_a_job_that_was_put_back() {
     let (mut store, job, token) = (Store::default(), record(1), 1);
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -392,7 +392,7 @@
         let day = format!("from the owner's end on, controllers {how} each other");
         stage.outside.block_on(stage.measured(&day, [("node-b", &all[0]), ("node-c", &all[1])]));
         let owner = stage.world.state.lock().unwrap().store.value("c/owner/0").unwrap()["node"].clone();
-        println!("  the heir was {owner}");
+        println!("  the successor was {owner}");
         stage.end(all);
 
         let (stage, all) = three(hear);
--- a/tests/lone.rs
+++ b/tests/lone.rs
@@ -15,11 +15,11 @@
 use tokio::runtime::Runtime;
 
 #[test]
-fn workers_of_a_lone_owner_find_its_heir() {
+fn workers_of_a_lone_owner_find_its_successor() {
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     let other_door = outside.block_on(world.door(1));
-    // The heir cannot turn to workers by itself: they have to find it.
+    // The successor cannot turn to workers by itself: they have to find it.
     world.gate(1, Link::Workers).set(Passing::Reset);
     upload(&world, &job(1, 3), ENDLESS);
     let http = Http::default();
@@ -41,9 +41,9 @@
         };
         until("running", || running(a.addr.clone())).await;
         world.state.lock().unwrap().store.set_refused("0", true);
-        until("the heir has heard of every task", || running(b.addr.clone())).await;
+        until("the successor has heard of every task", || running(b.addr.clone())).await;
         until("nobody is sent to the lone one", || async { !healthy(a.addr.clone()).await }).await;
-        assert!(healthy(b.addr.clone()).await, "the heir hears nobody either, but can prove what it says");
+        assert!(healthy(b.addr.clone()).await, "the successor hears nobody either, but can prove what it says");
         assert_eq!(world.starts.lock().unwrap().len(), 3, "nothing was started again");
         assert_eq!(world.fleet.lock().unwrap().live("run-000001"), 3, "and nothing was lost");
         world.state.lock().unwrap().store.set_refused("0", false);
