--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -26,7 +26,7 @@
 pub const LEADER: &str = "c/leader";
 pub const ASSIGNMENT: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the owner.
-pub const PLEA: &str = "c/plea";
+pub const TAKEOVER_REQUEST: &str = "c/plea";
 /// The owner's watermark, stored where a controller does not hear it (`membership::watermark`).
 pub const WATERMARK: &str = "c/watermark";
 pub const TASKS: &str = "t/";
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -6,7 +6,7 @@
 use crate::wire::state::Txn;
 use hollylanding_emulator::world::store::Store;
 
-use super::records::Plea;
+use super::records::TakeoverRequest;
 use super::*;
 use crate::jobs::record::MIRRORED;
 use crate::store::mirror::Mirror;
@@ -100,9 +100,9 @@
         let (condition, change) = expiry(store.stamp(LEADER));
         (vec![condition], vec![change])
     }
-    fn plea_now(store: &mut Store) -> Sent {
-        let plea = Plea { node: "b".into(), token: store.stamp(ASSIGNMENT), machines: 3 };
-        let (conditions, changes) = plea.transaction();
+    fn takeover_request_now(store: &mut Store) -> Sent {
+        let takeover_request = TakeoverRequest { node: "b".into(), token: store.stamp(ASSIGNMENT), machines: 3 };
+        let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
     fn again(store: &mut Store) {
@@ -120,8 +120,8 @@
     fn a_raises(store: &mut Store) {
         own(store, "a1").unwrap();
     }
-    fn b_pleads(store: &mut Store) {
-        let (conditions, changes) = plea_now(store);
+    fn b_requests_takeover(store: &mut Store) {
+        let (conditions, changes) = takeover_request_now(store);
         send(store, &conditions, &changes).unwrap();
     }
     let cases: [(&str, Make, Newer, bool); 11] = [
@@ -134,8 +134,8 @@
         ("candidacy, nobody leads and its lease is over", candidacy_now, Store::drop_leases, true),
         ("expiry, its successor leads", expiry_now, b_leads, true),
         ("expiry, nobody leads", expiry_now, Store::drop_leases, true),
-        ("plea, another owns", plea_now, b_owns, true),
-        ("plea, after another's for the same owner", plea_now, b_pleads, false),
+        ("takeover request, another owns", takeover_request_now, b_owns, true),
+        ("takeover request, after another's for the same owner", takeover_request_now, b_requests_takeover, false),
     ];
     for (name, make, newer, refused) in cases {
         let mut store = Store::default();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -133,8 +133,8 @@
 
     /// Gives the leadership up where workers reach another controller. False if there is nothing to give up.
     async fn yields(&mut self, node: &Node) -> bool {
-        if let (Some(lease), Some(plea)) = (self.permit, node.plea_to_answer(Instant::now()))
-            && self.yielding.begins(plea, lease, Instant::now())
+        if let (Some(lease), Some(takeover_request)) = (self.permit, node.takeover_request_to_answer(Instant::now()))
+            && self.yielding.begins(takeover_request, lease, Instant::now())
         {
             warn!("yields: workers reach another controller and not this one");
         }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::record::{ASSIGNMENT, PLEA};
+use crate::jobs::record::{ASSIGNMENT, TAKEOVER_REQUEST};
 use crate::store::{Change, Condition};
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -28,16 +28,16 @@
 
 /// Workers cannot reach the owner of this token, but reach this controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Plea {
+pub struct TakeoverRequest {
     pub node: String,
     pub token: u64,
     pub machines: usize,
 }
 
-impl Plea {
-    /// Whichever plea comes last stands; one for an owner that was replaced is refused.
+impl TakeoverRequest {
+    /// Whichever takeover request comes last stands; one for an owner that was replaced is refused.
     pub fn transaction(&self) -> ([Condition; 1], [Change; 1]) {
         let value = serde_json::to_value(self).unwrap_or_default();
-        ([Condition::at(ASSIGNMENT, self.token)], [Change::write(PLEA, value)])
+        ([Condition::at(ASSIGNMENT, self.token)], [Change::write(TAKEOVER_REQUEST, value)])
     }
 }
--- a/src/membership/stranded.rs
+++ b/src/membership/stranded.rs
@@ -9,7 +9,7 @@
 const APART: Duration = Duration::from_millis(500);
 /// This many stranded workers are no accident.
 const ENOUGH: usize = 3;
-const PLEA_GAP: Duration = Duration::from_secs(3);
+const TAKEOVER_REQUEST_GAP: Duration = Duration::from_secs(3);
 /// Names kept at the most.
 const MOST: usize = 10_000;
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Stranded {
     seen: HashMap<String, Seen>,
-    pleaded: Option<Instant>,
+    requested: Option<Instant>,
 }
 
 impl Stranded {
@@ -37,7 +37,7 @@
     }
 
     /// Notes a redirect of the report with this (session, seq). Gives the number of stranded workers when it
-    /// is time for a plea.
+    /// is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
         self.seen.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
         if let Some(seen) = self.seen.get_mut(machine) {
@@ -50,11 +50,11 @@
             self.seen.insert(machine.to_owned(), Seen { at: now, newest: report, back: false });
         }
         let n = self.seen.values().filter(|seen| seen.back).count();
-        let rested = self.pleaded.is_none_or(|at| now.saturating_duration_since(at) >= PLEA_GAP);
+        let rested = self.requested.is_none_or(|at| now.saturating_duration_since(at) >= TAKEOVER_REQUEST_GAP);
         if n < ENOUGH || !rested {
             return None;
         }
-        self.pleaded = Some(now);
+        self.requested = Some(now);
         Some(n)
     }
 }
--- a/src/membership/stranded/tests.rs
+++ b/src/membership/stranded/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(stranded.note("a", (1, 6), t + s(2)), None);
     assert_eq!(stranded.note("b", (1, 6), t + s(2)), None);
     assert_eq!(stranded.note("c", (2, 1), t + s(3)), Some(3));
-    assert_eq!(stranded.note("d", (1, 6), t + s(4)), None, "pleas keep their distance");
+    assert_eq!(stranded.note("d", (1, 6), t + s(4)), None, "takeover requests keep their distance");
     assert_eq!(stranded.note("a", (1, 9), t + s(60)), None, "long ago does not count");
 }
 
--- a/src/membership/yielding.rs
+++ b/src/membership/yielding.rs
@@ -1,6 +1,6 @@
 //! When a leader steps down because workers reach another controller and not this one.
 //!
-//! A plea is answered once: it stays in the store, and names the owner until another one is assigned. A release
+//! A takeover request is answered once: it stays in the store, and names the owner until another one is assigned. A release
 //! that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
 //! neither renews it nor campaigns. Pure.
 
@@ -14,7 +14,7 @@
 /// What a controller remembers of its yields.
 #[derive(Debug, Default)]
 pub struct Yielding {
-    /// The version of the last plea that was answered.
+    /// The version of the last takeover request that was answered.
     answered: u64,
     begun: Option<Instant>,
     /// The lease that is to be released.
@@ -23,13 +23,13 @@
 }
 
 impl Yielding {
-    /// Whether to step down now for the plea with this version, giving up this lease. Counts as answered.
-    pub fn begins(&mut self, plea: u64, lease: u64, now: Instant) -> bool {
+    /// Whether to step down now for the takeover request with this version, giving up this lease. Counts as answered.
+    pub fn begins(&mut self, takeover_request: u64, lease: u64, now: Instant) -> bool {
         let rested = self.begun.is_none_or(|at| now.saturating_duration_since(at) >= YIELD_GAP);
-        if plea <= self.answered || !rested {
+        if takeover_request <= self.answered || !rested {
             return false;
         }
-        self.answered = plea;
+        self.answered = takeover_request;
         self.begun = Some(now);
         self.lease = Some(lease);
         true
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use crate::declared;
 use crate::fleet;
-use crate::membership::records::Plea;
+use crate::membership::records::TakeoverRequest;
 use crate::scheduling::{self, ClusterState};
 use crate::store::budget::Urgent;
 use crate::store::commit;
@@ -82,18 +82,18 @@
         let Some(machines) = lock(&self.stranded).note(machine, report, now) else { return };
         let Some(token) = lock(&self.mirror).assignment().map(|(_, stamp)| *stamp) else { return };
         warn!(machines, "workers cannot reach the owner");
-        let plea = Plea { node: self.settings.node.clone(), token, machines };
+        let takeover_request = TakeoverRequest { node: self.settings.node.clone(), token, machines };
         let node = self.clone();
         tokio::spawn(async move {
-            let (conditions, changes) = plea.transaction();
+            let (conditions, changes) = takeover_request.transaction();
             let _ = node.store.txn(&conditions, &changes, Urgent::First).await;
         });
     }
 
-    /// The version of a plea of another controller for workers that this owner has indeed lost.
-    pub fn plea_to_answer(&self, now: Instant) -> Option<u64> {
-        let (plea, stamp) = lock(&self.mirror).plea().cloned()?;
-        let lost = lock(&self.cluster).as_ref().is_some_and(|b| b.token == plea.token && b.lost_most(now));
+    /// The version of a takeover request of another controller for workers that this owner has indeed lost.
+    pub fn takeover_request_to_answer(&self, now: Instant) -> Option<u64> {
+        let (takeover_request, stamp) = lock(&self.mirror).takeover_request().cloned()?;
+        let lost = lock(&self.cluster).as_ref().is_some_and(|b| b.token == takeover_request.token && b.lost_most(now));
         lost.then_some(stamp)
     }
 
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -19,7 +19,7 @@
 use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, Stored, chunk_key, old_job_key, open_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::membership::records::{Assignment, Leader, Plea};
+use crate::membership::records::{Assignment, Leader, TakeoverRequest};
 use crate::membership::{candidacy, expiry, naming};
 use crate::scheduling::cluster::ChunkWrite;
 
@@ -159,8 +159,8 @@
     life.declare(Change::write(spec_key(Kind::Window, "w"), json!(1)));
     life.status("first status of the next", token, Some(json!(1)));
 
-    let plea = Plea { node: "b".into(), token, machines: 2 };
-    let (conditions, changes) = plea.transaction();
+    let takeover_request = TakeoverRequest { node: "b".into(), token, machines: 2 };
+    let (conditions, changes) = takeover_request.transaction();
     life.send("plea", conditions, changes);
 
     // What the store has lost is put back.
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -17,8 +17,8 @@
 use crate::declared::{Shelf, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
-use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, OPEN, PLEA, UPGRADED, Upgraded, WATERMARK};
-use crate::membership::records::{Assignment, Leader, Plea, Watermark};
+use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::membership::records::{Assignment, Leader, TakeoverRequest, Watermark};
 
 /// Descriptions kept of jobs that are over: about half a KiB each.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
@@ -61,7 +61,7 @@
 struct Control {
     leader: Slot<Leader>,
     assignment: Slot<Assignment>,
-    plea: Slot<Plea>,
+    takeover_request: Slot<TakeoverRequest>,
     watermark: Option<Watermark>,
     upgraded: Option<Upgraded>,
 }
@@ -72,7 +72,7 @@
         match path {
             LEADER => self.leader = Slot::of(path, value, stamp),
             ASSIGNMENT => self.assignment = Slot::of(path, value, stamp),
-            PLEA => self.plea = Slot::of(path, value, stamp),
+            TAKEOVER_REQUEST => self.takeover_request = Slot::of(path, value, stamp),
             WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, stamp)),
             // It is written once and never again, and none that can be read would be waited for for ever.
             UPGRADED => self.upgraded = Some(read(path, value).unwrap_or(Upgraded { old_kept: true })),
@@ -85,7 +85,7 @@
         match path {
             LEADER => self.leader = Slot::Absent,
             ASSIGNMENT => self.assignment = Slot::Absent,
-            PLEA => self.plea = Slot::Absent,
+            TAKEOVER_REQUEST => self.takeover_request = Slot::Absent,
             WATERMARK => self.watermark = None,
             _ => return false,
         }
@@ -251,9 +251,9 @@
         self.control.assignment.stamp()
     }
 
-    /// The last plea, and its version.
-    pub fn plea(&self) -> Option<&(Plea, u64)> {
-        self.control.plea.value()
+    /// The last takeover request, and its version.
+    pub fn takeover_request(&self) -> Option<&(TakeoverRequest, u64)> {
+        self.control.takeover_request.value()
     }
 
     /// What an owner has stored for controllers that do not hear it.
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -142,7 +142,9 @@
             for mirror in [&paged, &watched] {
                 let open = mirror.open_jobs().count();
                 assert!(mirror.ready && open == 2, "{path} {value}: {open} jobs are read");
-                assert!(mirror.leader().is_none() && mirror.assignment().is_none() && mirror.plea().is_none());
+                assert!(
+                    mirror.leader().is_none() && mirror.assignment().is_none() && mirror.takeover_request().is_none()
+                );
                 assert!(mirror.watermark().is_none(), "{path} {value}");
             }
         }
