--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -1,6 +1,6 @@
 //! Seeded interleavings of operators, owners and the store: the real mirror, shelf and driver, with a
 //! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, owners
-//! are replaced and go on without knowing, and stand still between any two of looked, sent and answered.
+//! are replaced and go on without knowing, and are paused between any two of looked, sent and answered.
 
 pub mod play;
 
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -50,7 +50,7 @@
     assert_eq!(names.len(), terms.len() * 49);
 }
 
-/// A holder at some step of a return: it may stand still before any of them.
+/// A holder at some step of a return: it may be paused before any of them.
 #[derive(Clone)]
 struct Holder {
     token: u64,
@@ -165,7 +165,7 @@
     }
 }
 
-/// A controller that stood still between asking the store and calling the cloud returned machines on
+/// A controller that was paused between asking the store and calling the cloud returned machines on
 /// which its successor had placed work.
 #[test]
 fn a_replaced_holder_returns_nothing_that_its_successor_uses() {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -228,7 +228,7 @@
     }
 }
 
-/// Tells of a watermark that stands still, and stores it for those who do not hear it.
+/// Tells of a watermark that does not advance, and stores it for those who do not hear it.
 async fn tend_watermark(node: &Node, lag: &mut Lag) {
     let [_, waiting] = node.history.hidden();
     if let Some(long) = lag.tells(waiting, node.history.watermark(), Instant::now()) {
--- a/src/membership/standing/tests.rs
+++ b/src/membership/standing/tests.rs
@@ -19,7 +19,7 @@
         ("for longer than the leader's lease", Some(7), 7, 2, Some(99), Passed, Passed),
         ("served, but cannot prove anything", Some(5), 0, 2, Some(99), Passed, Sound),
         ("the same, for longer", Some(6), 0, 2, Some(99), Passed, Passed),
-        ("back from a standstill", None, 0, 2, Some(99), Passed, Passed),
+        ("back from a process pause", None, 0, 2, Some(99), Passed, Passed),
         ("the state service is out", Some(40), 40, 2, None, Outage, Outage),
         ("it is back, another was told sooner", Some(40), 40, 2, Some(1), Outage, Outage),
         ("for longer, and no lease can be over yet", Some(40), 40, 2, Some(2), Passed, Outage),
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -78,7 +78,7 @@
 const TOLD_AFTER: Duration = Duration::from_secs(10);
 const TOLD_EVERY: Duration = Duration::from_secs(60);
 
-/// Whether the watermark stands still while withdrawals wait for it.
+/// Whether the watermark does not advance while withdrawals wait for it.
 #[derive(Debug, Default)]
 pub struct Lag {
     /// The watermark, and since when it has been so with something waiting.
@@ -87,7 +87,7 @@
 }
 
 impl Lag {
-    /// For how long it has stood still, if that is to be told now. `waiting`: withdrawals above it.
+    /// For how long it has not advanced, if that is to be told now. `waiting`: withdrawals above it.
     pub fn tells(&mut self, waiting: usize, watermark: u64, now: Instant) -> Option<Duration> {
         let same = self.stands.filter(|(before, _)| *before == watermark && waiting > 0);
         self.stands = (waiting > 0).then(|| same.unwrap_or((watermark, now)));
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -101,7 +101,7 @@
     assert!(store.apply_if(&[condition], &[change]).is_err(), "nor does a late copy");
 }
 
-/// Operators hear of a watermark that stands still once it has for a while, and no more than once a minute.
+/// Operators hear of a watermark that does not advance once it has for a while, and no more than once a minute.
 #[test]
 fn a_watermark_that_stands_still_is_told_of() {
     let s = Duration::from_secs;
@@ -109,7 +109,7 @@
     let mut lag = Lag::default();
     let mut told = Vec::new();
     for second in 0..200 {
-        // It moves on every 5 s at first, stands still from 30 to 150 s, and then nothing waits.
+        // It moves on every 5 s at first, does not advance from 30 to 150 s, and then nothing waits.
         let watermark = second.min(30) / 5;
         let waiting = usize::from(second < 150);
         if let Some(long) = lag.tells(waiting, watermark, start + s(second)) {
--- a/src/node.rs
+++ b/src/node.rs
@@ -32,10 +32,10 @@
 use crate::membership::stranded::Stranded;
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
+use crate::process_pause::{BEAT, PauseDetector};
 use crate::scheduling::ClusterState;
 use crate::scheduling::served::Account;
 use crate::settings::{Properties, Settings};
-use crate::standstill::{BEAT, Pulse};
 use crate::store::audit::{self, Audit};
 use crate::store::follow::Fresh;
 use crate::store::mirror::Mirror;
@@ -80,9 +80,9 @@
     /// Who was served lately, kept by every controller.
     pub served: Mutex<Account>,
     pub wake: Wake,
-    /// Notices that this process stood still.
-    pulse: Mutex<Pulse>,
-    /// Stood still for so long that another may own by now; nothing is done until the store says.
+    /// Notices that this process was paused.
+    pause_detector: Mutex<PauseDetector>,
+    /// Was paused for so long that another may own by now; nothing is done until the store says.
     unproven: AtomicBool,
     stranded: Mutex<Stranded>,
     /// What users and machines are told while little can be proven.
@@ -123,7 +123,7 @@
             admission: Mutex::new(Admission::new(now)),
             served: Mutex::new(Account::new(&settings, &properties, now)),
             wake: Wake::default(),
-            pulse: Mutex::new(Pulse::new(now)),
+            pause_detector: Mutex::new(PauseDetector::new(now)),
             unproven: AtomicBool::new(false),
             stranded: Mutex::default(),
             health: Mutex::default(),
--- a/src/node/standing.rs
+++ b/src/node/standing.rs
@@ -30,7 +30,7 @@
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
     pub fn healthy(&self) -> bool {
-        // After a standstill a proof is a moment away, unless the store answers nobody.
+        // After a process pause a proof is a moment away, unless the store answers nobody.
         let proving = self.unproven() && self.store_serves();
         let read = {
             let mirror = lock(&self.mirror);
--- a/src/standstill.rs
+++ b/src/process_pause.rs
@@ -1,35 +1,35 @@
-//! This process's own standstill: noticed in one place, and handed to all that judge by time.
+//! Pauses of this process: noticed in one place, and handed to all that judge by time.
 //!
 //! A process that was stopped while its clocks ran on finds every timer due at once, every lease and
 //! silence long, and answers of before in its sockets. None of that is evidence against anybody: it
-//! was this process that was absent. What was begun before the gap proves nothing after it.
+//! was this process that was absent. What was begun before the pause proves nothing after it.
 
 use std::time::{Duration, Instant};
 
-/// Beats come this often; any judge by time beats as well, so none judges before the gap is known.
+/// Beats come this often; any judge by time beats as well, so none judges before the pause is known.
 pub const BEAT: Duration = Duration::from_millis(250);
-/// Without a beat for this long the process stood still. A share of a slice of a core holds single turns
+/// Without a beat for this long the process was paused. A share of a slice of a core holds single turns
 /// up for a second at the most (docs/measurements.md).
-pub const STANDSTILL: Duration = Duration::from_millis(2000);
+pub const SHORTEST_PAUSE: Duration = Duration::from_millis(2000);
 /// Workers need about this long to tell a controller that was absent what has happened.
 const TOLD_WITHIN: Duration = Duration::from_secs(5);
 /// Of the time a withdrawn task has to be gone in: past this part nothing is waited for any more.
 pub const PROOF_PART: f64 = 0.75;
-/// Questions read so soon after a gap were mostly asked within it.
+/// Questions read so soon after a pause were mostly asked within it.
 const BACKLOG: Duration = Duration::from_millis(300);
 /// A question is given up by its user after this long.
 const ASKED_FOR: Duration = Duration::from_secs(2);
 
 /// A time in which this process did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gap {
+pub struct ProcessPause {
     /// The last moment at which it is known to have run before.
     pub began: Instant,
     /// The first moment at which it ran again.
     pub ended: Instant,
 }
 
-/// What of all that was judged before a gap is void after it.
+/// What of all that was judged before a pause is void after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Void {
     /// Whether this controller still leads and owns has to be proven before it acts or answers.
@@ -38,20 +38,20 @@
     pub questions: bool,
 }
 
-impl Gap {
+impl ProcessPause {
     /// How long it lasted.
     pub fn length(&self) -> Duration {
         self.ended.saturating_duration_since(self.began)
     }
 
-    /// Proofs of freshness, silence and idleness of machines are void after any gap; this is what
+    /// Proofs of freshness, silence and idleness of machines are void after any pause; this is what
     /// depends on its length.
     pub fn void(&self, leader_lease: Duration) -> Void {
-        // The lease was renewed up to a quarter of it before the gap began.
+        // The lease was renewed up to a quarter of it before the pause began.
         Void { ownership: self.length() >= leader_lease.mul_f64(0.75), questions: self.length() >= ASKED_FOR }
     }
 
-    /// A moment before the gap, as one judges by how long ago it was for a process that was there.
+    /// A moment before the pause, as one judges by how long ago it was for a process that was there.
     pub fn forgive(&self, at: Instant) -> Instant {
         if at >= self.ended { at } else { (at + self.length()).min(self.ended) }
     }
@@ -64,46 +64,46 @@
             || now.saturating_duration_since(at) >= allowed.mul_f64(PROOF_PART)
     }
 
-    /// Whether a question read now was most likely asked within the gap.
+    /// Whether a question read now was most likely asked within the pause.
     pub fn stale_question(&self, now: Instant) -> bool {
         self.length() >= ASKED_FOR && now.saturating_duration_since(self.ended) <= BACKLOG
     }
 }
 
-/// Notices gaps.
+/// Notices pauses.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct PauseDetector {
     beaten: Instant,
-    last: Option<Gap>,
-    gaps: u64,
+    last: Option<ProcessPause>,
+    pauses: u64,
 }
 
-impl Pulse {
+impl PauseDetector {
     /// A process that runs at this moment.
     pub fn new(now: Instant) -> Self {
-        Self { beaten: now, last: None, gaps: 0 }
+        Self { beaten: now, last: None, pauses: 0 }
     }
 
-    /// To be called every `BEAT` and before anything is judged by time: the gap, if one has just ended.
-    pub fn beat(&mut self, now: Instant) -> Option<Gap> {
-        let gap = Gap { began: self.beaten, ended: now };
+    /// To be called every `BEAT` and before anything is judged by time: the pause, if one has just ended.
+    pub fn beat(&mut self, now: Instant) -> Option<ProcessPause> {
+        let pause = ProcessPause { began: self.beaten, ended: now };
         self.beaten = self.beaten.max(now);
-        if gap.length() < STANDSTILL {
+        if pause.length() < SHORTEST_PAUSE {
             return None;
         }
-        self.gaps += 1;
-        self.last = Some(gap);
-        Some(gap)
+        self.pauses += 1;
+        self.last = Some(pause);
+        Some(pause)
     }
 
-    /// The latest gap, if there was any.
-    pub fn last(&self) -> Option<Gap> {
+    /// The latest pause, if there was any.
+    pub fn last(&self) -> Option<ProcessPause> {
         self.last
     }
 
-    /// How often the process stood still: what spans a change of this proves nothing.
-    pub fn gaps(&self) -> u64 {
-        self.gaps
+    /// How often the process was paused: what spans a change of this proves nothing.
+    pub fn pauses(&self) -> u64 {
+        self.pauses
     }
 }
 
--- a/src/standstill/tests.rs
+++ b/src/process_pause/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn what_is_void_by_cases() {
     let lease = s(3.0);
-    for (name, length, gap, ownership, questions) in [
+    for (name, length, pause, ownership, questions) in [
         ("a busy turn", 0.9, false, false, false),
         ("just noticed", 2.1, true, false, true),
         ("most of the lease", 2.4, true, true, true),
@@ -15,11 +15,11 @@
         ("a minute", 60.0, true, true, true),
     ] {
         let start = Instant::now();
-        let mut pulse = Pulse::new(start);
-        assert_eq!(pulse.beat(start + BEAT), None);
-        let got = pulse.beat(start + BEAT + s(length));
-        assert_eq!((got.is_some(), pulse.gaps()), (gap, u64::from(gap)), "{name}");
-        assert_eq!(pulse.beat(start + BEAT + s(length) + BEAT), None, "{name}: told once");
+        let mut pause_detector = PauseDetector::new(start);
+        assert_eq!(pause_detector.beat(start + BEAT), None);
+        let got = pause_detector.beat(start + BEAT + s(length));
+        assert_eq!((got.is_some(), pause_detector.pauses()), (pause, u64::from(pause)), "{name}");
+        assert_eq!(pause_detector.beat(start + BEAT + s(length) + BEAT), None, "{name}: told once");
         if let Some(got) = got {
             assert_eq!(got.void(lease), Void { ownership, questions }, "{name}");
         }
@@ -29,16 +29,16 @@
 #[test]
 fn absence_is_no_evidence_by_cases() {
     let start = Instant::now();
-    let gap = Gap { began: start + s(100.0), ended: start + s(140.0) };
+    let pause = ProcessPause { began: start + s(100.0), ended: start + s(140.0) };
     for (name, at, as_of) in [
         ("heard just before", 99.0, 139.0),
         ("silent for 10 s before", 90.0, 130.0),
         ("heard since", 141.0, 141.0),
         ("heard within, as the clock has it", 120.0, 140.0),
     ] {
-        assert_eq!(gap.forgive(start + s(at)), start + s(as_of), "{name}");
+        assert_eq!(pause.forgive(start + s(at)), start + s(as_of), "{name}");
     }
-    // A cancellation has 49 s; without a gap its proof is asked for after 22.
+    // A cancellation has 49 s; without a pause its proof is asked for after 22.
     for (name, at, now, due) in [
         ("withdrawn before, just back", 95.0, 141.0, true),
         ("withdrawn shortly before, workers have not been heard", 120.0, 141.0, false),
@@ -46,7 +46,7 @@
         ("the same, with hardly any time left", 103.0, 141.0, true),
         ("withdrawn since", 141.0, 142.0, true),
     ] {
-        assert_eq!(gap.proof_due(start + s(at), s(49.0), start + s(now)), due, "{name}");
+        assert_eq!(pause.proof_due(start + s(at), s(49.0), start + s(now)), due, "{name}");
     }
-    assert!(gap.stale_question(start + s(140.1)) && !gap.stale_question(start + s(140.5)));
+    assert!(pause.stale_question(start + s(140.1)) && !pause.stale_question(start + s(140.5)));
 }
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -1,4 +1,4 @@
-//! Rollouts played in seconds that are counted: controllers stand still, end and are replaced between
+//! Rollouts played in seconds that are counted: controllers are paused, end and are replaced between
 //! deciding, storing and acting, go on without knowing it, and stops, reports and transactions come late.
 //! Every stop of a replica that runs is judged at the moment when it takes effect.
 
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -10,9 +10,9 @@
 use crate::fleet::orders::{CloudOrder, What};
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
+use crate::process_pause::{PROOF_PART, ProcessPause};
 use crate::scheduling::hearing::Hearing;
 use crate::sla::{self, Load};
-use crate::standstill::{Gap, PROOF_PART};
 use crate::wire::workers::{Leg, LegStatus, TaskKey};
 
 /// Names of returned machines kept, so that their late reports are not taken for news.
@@ -432,16 +432,16 @@
         }
     }
 
-    /// This controller stood still and has not listened: machines were not silent or idle for that long,
+    /// This controller was paused and has not listened: machines were not silent or idle for that long,
     /// and what it missed may still be on its way.
-    pub fn was_absent(&mut self, gap: Gap) {
+    pub fn after_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
-            machine.heard = gap.forgive(machine.heard);
-            machine.reported_at = gap.forgive(machine.reported_at);
-            machine.idle_since = machine.idle_since.map(|at| gap.forgive(at));
-            machine.hearing.was_absent(gap);
+            machine.heard = pause.forgive(machine.heard);
+            machine.reported_at = pause.forgive(machine.reported_at);
+            machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
+            machine.hearing.after_pause(pause);
         }
-        self.absent = Some(gap);
+        self.last_pause = Some(pause);
     }
 
     /// At least three machines, and one in `part` of those that should be heard of, have been
@@ -474,7 +474,7 @@
         let due = |at: Instant| {
             let age = now.saturating_duration_since(at);
             age > patience
-                && self.absent.is_none_or(|gap| gap.proof_due(at, allowed, now))
+                && self.last_pause.is_none_or(|pause| pause.proof_due(at, allowed, now))
                 && (at >= self.loaded_at || !new_here || age >= allowed.mul_f64(PROOF_PART))
         };
         let late = self.ending.iter().filter_map(|id| self.jobs.get(id));
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -36,9 +36,9 @@
 use crate::jobs::record::{CHUNK, JobRecord, Stored};
 use crate::jobs::{JobId, JobSpec};
 use crate::kinds::Kind;
+use crate::process_pause::ProcessPause;
 use crate::settings::{Properties, Settings};
 use crate::sla::Agreement;
-use crate::standstill::Gap;
 use crate::wire::workers::{LegStatus, Order};
 
 /// The cloud's name of a machine, shared by all that refer to it.
@@ -328,8 +328,8 @@
     raise: bool,
     /// When many machines were last silent together.
     many_silent_at: Option<Instant>,
-    /// When this controller last stood still.
-    absent: Option<Gap>,
+    /// When this controller last was paused.
+    last_pause: Option<ProcessPause>,
     /// When everything stored was read.
     loaded_at: Instant,
     /// By class: how observed run times compare with the owners' estimates (sum of logs, count).
@@ -419,7 +419,7 @@
             raised: now,
             raise: false,
             many_silent_at: None,
-            absent: None,
+            last_pause: None,
             loaded_at: now,
             observed: LruCache::new(MOST_CLASSES),
             arrivals: BTreeMap::new(),
--- a/src/scheduling/hearing.rs
+++ b/src/scheduling/hearing.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::Via;
-use crate::standstill::Gap;
+use crate::process_pause::ProcessPause;
 use crate::wire::workers::{Order, Report, TaskKey};
 
 /// So many answers in a row without effect are no chance: a lost one is made good by the next.
@@ -168,10 +168,10 @@
         }
     }
 
-    /// This controller stood still: what it reads and answers next was mostly given up meanwhile.
-    pub fn was_absent(&mut self, gap: Gap) {
-        self.since = self.since.map(|at| gap.forgive(at));
-        self.session_since = gap.forgive(self.session_since);
+    /// This controller was paused: what it reads and answers next was mostly given up meanwhile.
+    pub fn after_pause(&mut self, pause: ProcessPause) {
+        self.since = self.since.map(|at| pause.forgive(at));
+        self.session_since = pause.forgive(self.session_since);
         self.trial = None;
         self.answers.clear();
     }
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -16,7 +16,7 @@
 const OWNER_ENDS: usize = 22;
 const APART: usize = 14;
 const HANG: usize = 9;
-const STANDSTILL: usize = 8;
+const SHORTEST_PAUSE: usize = 8;
 const HAND_OVER: usize = 6;
 const REFUSED_ALONE: usize = 2;
 
@@ -162,7 +162,7 @@
                 self.users.tally.all_ended += 1;
             }
             8 => {
-                // The owner stands still, and has proven nothing when it goes on.
+                // The owner is paused, and has proven nothing when it goes on.
                 let until = now + self.ms(500..12_000);
                 if let Some(owner) = self.owners[self.owner].as_mut().filter(|o| o.frozen.is_none()) {
                     owner.frozen = Some((now, until));
@@ -172,7 +172,7 @@
             }
             // Some of them one after the other, with a withdrawal in between.
             10 => self.in_turn(&[REFUSED_ALONE, WITHDRAWAL, LONG_OUTAGE]),
-            11 => self.in_turn(&[WITHDRAWAL, HANG, STANDSTILL, LONG_OUTAGE]),
+            11 => self.in_turn(&[WITHDRAWAL, HANG, SHORTEST_PAUSE, LONG_OUTAGE]),
             12 => self.in_turn(&[WITHDRAWAL, HANG, HAND_OVER, LONG_OUTAGE]),
             13 => self.in_turn(&[HAND_OVER, WITHDRAWAL, REFUSED_ALONE, LONG_OUTAGE]),
             APART => {
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -30,9 +30,9 @@
 use crate::kinds::tests::machine_type;
 use crate::kinds::{Catalog, MachineType};
 use crate::membership::records::Watermark;
+use crate::process_pause::ProcessPause;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::standstill::Gap;
 use crate::store::commit::Batch;
 use crate::store::{Change, Condition};
 use crate::wire::workers::{LegStatus, Order, Report, TaskKey};
@@ -60,7 +60,7 @@
     /// What its watch will tell, and when: jobs opened and ended, with the revision.
     news: Vec<(Instant, JobId, bool, u64)>,
     returning: HashSet<MachineId>,
-    /// Stands still from and until then, while its clock runs on: what reaches it lies in its sockets.
+    /// Is paused from and until then, while its clock runs on: what reaches it lies in its sockets.
     frozen: Option<(Instant, Instant)>,
     /// Without the store and the other controllers from and until then, while workers and cloud reach it.
     cut: Option<(Instant, Instant)>,
@@ -158,7 +158,7 @@
     completed: HashSet<TaskKey>,
     catalog: Catalog,
     starts: usize,
-    standstills: usize,
+    process_pauses: usize,
     copies: usize,
     deaf: usize,
     cuts: usize,
@@ -193,7 +193,7 @@
             completed: HashSet::new(),
             catalog: Catalog { types: vec![of] },
             starts: 0,
-            standstills: 0,
+            process_pauses: 0,
             copies: 0,
             deaf: 0,
             cuts: 0,
@@ -342,7 +342,7 @@
                 return;
             }
             owner.frozen = None;
-            owner.cluster.was_absent(Gap { began, ended });
+            owner.cluster.after_pause(ProcessPause { began, ended });
             owner.seat.unproven = self.users.on;
         }
         owner.cut = owner.cut.filter(|(_, until)| *until > now);
@@ -518,7 +518,7 @@
         Ok(stamp)
     }
 
-    /// When an owner that stands still reads what was sent to it.
+    /// When an owner that is paused reads what was sent to it.
     fn read_at(&self, message: &Message) -> Option<Instant> {
         let to = match message {
             Message::Report { to, .. }
@@ -736,7 +736,7 @@
             let (ms, now) = (self.rng.random_range(500..40_000), self.now);
             if let Some(owner) = self.owners[i].as_mut().filter(|o| o.frozen.is_none()) {
                 owner.frozen = Some((now, now + Duration::from_millis(ms)));
-                self.standstills += 1;
+                self.process_pauses += 1;
                 self.workers.iter_mut().for_each(|w| w.unheard = (i, 0));
             }
         }
@@ -804,18 +804,18 @@
 
 #[test]
 fn rules_hold_whatever_the_order() {
-    let (mut starts, mut standstills, mut failures, mut troubles) = (0, 0, 0, [0; 4]);
+    let (mut starts, mut process_pauses, mut failures, mut troubles) = (0, 0, 0, [0; 4]);
     for seed in 0..40 {
         let mut world = World::new(seed, 6);
         world.play(1200);
         starts += world.starts;
-        standstills += world.standstills;
+        process_pauses += world.process_pauses;
         failures += world.failures;
         let of_world = [world.copies, world.deaf, world.cuts, world.restarts];
         troubles.iter_mut().zip(of_world).for_each(|(all, n)| *all += n);
     }
     assert!(starts > 5000, "the model has hardly worked: {starts} starts");
-    assert!(standstills > 50 && failures > 100, "{standstills} standstills, {failures} failures");
+    assert!(process_pauses > 50 && failures > 100, "{process_pauses} process pauses, {failures} failures");
     assert!(troubles.iter().all(|n| *n > 20), "copies, deaf, cut off, restarted: {troubles:?}");
 }
 
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -35,9 +35,9 @@
 use crate::kinds::Kind;
 use crate::kinds::tests::machine_type;
 use crate::kinds::{Catalog, MachineType};
+use crate::process_pause::ProcessPause;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::standstill::Gap;
 use crate::wire::workers::{Leg, LegStatus, Report, TaskKey};
 
 fn of(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
@@ -169,7 +169,7 @@
     assert_eq!(halting(&cluster), Some(1));
 }
 
-/// Incident ab99: an owner cut off from its workers, or one that had stood still, took the whole
+/// Incident ab99: an owner cut off from its workers, or one that had been paused, took the whole
 /// fleet for dead and returned it.
 #[test]
 fn a_fleet_that_falls_silent_together_is_not_given_up() {
@@ -187,7 +187,7 @@
                 cluster.take_report(report(machine, "c8", "a", false, t + 1, vec![]), Via::Report, None, now + s(t));
             }
             if paused && t == 13 {
-                cluster.was_absent(Gap { began: now, ended: now + s(13) });
+                cluster.after_pause(ProcessPause { began: now, ended: now + s(13) });
             }
             if !paused || t == 13 {
                 cluster.tick(now + s(t));
@@ -573,10 +573,10 @@
     assert!(rented.iter().map(|(_, n)| n).sum::<u64>() <= 1, "{rented:?}");
 }
 
-/// An owner that stood still for half a minute found idle machines idle for too long, and withdrawn tasks
+/// An owner that was paused for half a minute found idle machines idle for too long, and withdrawn tasks
 /// not proven gone for too long, since it had not been there to hear of anything.
 #[test]
-fn a_standstill_returns_nothing() {
+fn a_process_pause_returns_nothing() {
     let s = Duration::from_secs;
     let now = Instant::now();
     let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
@@ -592,10 +592,10 @@
     }
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Withdrawn), begun);
     let back = begun + s(30);
-    // Without being told of the gap: idle for 120 s, and 30 of 49 s since the withdrawal.
+    // Without being told of the pause: idle for 120 s, and 30 of 49 s since the withdrawal.
     assert_eq!(rent::to_give_up(&cluster, &catalog(), back).len(), 1);
     assert_eq!(cluster.overdue(back).len(), 1);
-    cluster.was_absent(Gap { began: begun, ended: back });
+    cluster.after_pause(ProcessPause { began: begun, ended: back });
     cluster.tick(back);
     assert!(rent::to_give_up(&cluster, &catalog(), back).is_empty());
     assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.standing == Standing::Up));
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/play.rs
@@ -21,7 +21,7 @@
     pub(super) mute: Vec<&'static str>,
     /// No direct command reaches these.
     pub(super) unreached: Vec<&'static str>,
-    /// These stand still: they report nothing, and what is sent to them lies there until they go on.
+    /// These are paused: they report nothing, and what is sent to them lies there until they go on.
     pub(super) hang: Vec<&'static str>,
     pub(super) lying: Vec<Direct>,
     /// Their reports arrive; answers and commands to them are lost.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -5,7 +5,7 @@
 
 use super::budget::{Budget, Urgent};
 use super::share::Meter;
-use crate::standstill::Gap;
+use crate::process_pause::ProcessPause;
 use crate::traffic::{Passage, Traffic};
 pub use crate::wire::state::{Change, Condition, Event, Followed, Item, Page};
 use crate::wire::state::{Granted, Name, Names, Refused, Revised, Txn};
@@ -141,10 +141,10 @@
         crate::sync::lock(&self.writes).change(writes, writes, now);
     }
 
-    /// This process stood still: the store was not failing meanwhile, as far as anybody knows here.
-    pub fn was_absent(&self, gap: Gap) {
+    /// This process was paused: the store was not failing meanwhile, as far as anybody knows here.
+    pub fn after_pause(&self, pause: ProcessPause) {
         let mut health = crate::sync::lock(&self.health);
-        health.served = health.served.map(|at| gap.forgive(at));
+        health.served = health.served.map(|at| pause.forgive(at));
     }
 
     /// What this controller lately wanted, in requests and changes a second.
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -113,12 +113,12 @@
         let pause = if fresh { PROOF_EVERY } else { PROOF_OVERDUE };
         let _ = tokio::time::timeout(pause, node.fresh.wanted.notified()).await;
         let ticket = node.fresh.ticket();
-        let gaps = node.gaps();
+        let pauses = node.pauses();
         let begun = Instant::now();
         let asking = lock(&node.mirror).asking();
         let Some(revision) = asking else {
             node.fresh.failed.send_replace(ticket);
-            // After a standstill each beat asks for a proof anew, the one above too.
+            // After a process pause each beat asks for a proof anew, the one above too.
             tokio::time::sleep(FRESH_GAP).await;
             continue;
         };
@@ -126,8 +126,8 @@
             Ok(followed) => {
                 let (taken, news) = lock(&node.mirror).apply(&followed);
                 node.spread(news);
-                // What was asked before a standstill proves nothing after it.
-                let taken = taken && node.gaps() == gaps;
+                // What was asked before a process pause proves nothing after it.
+                let taken = taken && node.pauses() == pauses;
                 if taken {
                     node.fresh.proved(begun);
                     node.proven();
@@ -184,8 +184,8 @@
         *lock(&self.last) = Some(begun);
     }
 
-    /// This process stood still: until the next proof nothing is known to be so.
-    pub fn was_absent(&self) {
+    /// This process was paused: until the next proof nothing is known to be so.
+    pub fn after_pause(&self) {
         *lock(&self.last) = None;
     }
 
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -103,7 +103,7 @@
             Path::Submit => render_reply(node, res, submit(node, &self.follow_ups, &body).await),
             // Its user has given up and asks again: told so without work for it.
             Path::LookUp if node.stale_question() => {
-                render_reply(node, res, Reply::later("this controller stood still"))
+                render_reply(node, res, Reply::later("this controller was paused"))
             }
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
             Path::Withdraw => render_reply(node, res, withdraw(node, &self.follow_ups, &id).await),
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -7,14 +7,14 @@
     pub loaded: bool,
     /// What is known here of who owns may be acted on towards workers (`membership::standing`).
     pub knows: bool,
-    /// Nothing was proven yet since a standstill.
+    /// Nothing was proven yet since a process pause.
     pub unproven: bool,
     /// The store answers somebody.
     pub serves: bool,
 }
 
 impl Rights {
-    /// After a standstill another may own: the worker finds it by asking elsewhere. Where the store answers
+    /// After a process pause another may own: the worker finds it by asking elsewhere. Where the store answers
     /// nobody, no other can own either, and the worker's lease is held without telling it anything new.
     pub fn silent(&self) -> bool {
         self.unproven && self.serves
--- a/tests/unread_standstill.rs
+++ b/tests/unread_process_pause.rs
@@ -1,4 +1,4 @@
-//! A controller that stood still before it had read anything, while the state service answers nobody: it waits, and
+//! A controller that was paused before it had read anything, while the state service answers nobody: it waits, and
 //! takes no processor time from those who share its machine.
 
 // A stand-in that panics fails its test, as it should.
@@ -16,7 +16,7 @@
 const FEW: usize = 60;
 
 #[test]
-fn who_stood_still_before_it_had_read_anything_waits_for_the_store() {
+fn who_was_paused_before_it_had_read_anything_waits_for_the_store() {
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     world.state.lock().unwrap().store.set_refused("0", true);
@@ -25,7 +25,7 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert!(a.node.mirror.lock().unwrap().asking().is_none(), "nothing is read yet");
         a.node.beat(Instant::now() + Duration::from_secs(5));
-        assert!(a.node.unproven(), "it stood still for longer than a lease of the leader");
+        assert!(a.node.unproven(), "it was paused for longer than a lease of the leader");
 
         let mut given_up = a.node.fresh.failed.subscribe();
         let until_then = Instant::now() + WATCHED;
