--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -180,7 +180,7 @@
                 self.on_fleet(&machines, |fleet, machine, now| fleet.hang(machine, now + *time));
                 self.later(*time, Undo::Nothing);
             }
-            Fault::Deaf(many, time) => {
+            Fault::InboundLost(many, time) => {
                 let machines = self.some_machines(*many);
                 self.on_fleet(&machines, |fleet, machine, now| fleet.cut_off(machine, now + *time));
                 self.later(*time, Undo::Nothing);
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -91,7 +91,7 @@
     /// The state service discards its log of changes, so that watches have to list again.
     ForgetLog,
     /// A one-way partition of workers: their reports arrive, answers and commands do not.
-    Deaf(Many, Duration),
+    InboundLost(Many, Duration),
     /// Reports of workers within the last duration are delivered again, between the first and the second duration
     /// later.
     LateCopies(Many, Duration, Duration, Duration),
@@ -290,7 +290,7 @@
         .register_fn("hang", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Hang(many(&n)?, seconds(&s)?)))
         .register_fn("sick", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Sick(many(&n)?, seconds(&s)?)))
         .register_fn("slow", |n: Dynamic, by: Dynamic| ScriptResult::Ok(Fault::Slow(many(&n)?, number(&by)?.max(1.0))))
-        .register_fn("deaf", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Deaf(many(&n)?, seconds(&s)?)))
+        .register_fn("deaf", |n: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::InboundLost(many(&n)?, seconds(&s)?)))
         .register_fn("late_copies", |n: Dynamic, from: Dynamic, to: Dynamic, s: Dynamic| {
             ScriptResult::Ok(Fault::LateCopies(many(&n)?, seconds(&from)?, seconds(&to)?, seconds(&s)?))
         })
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -210,10 +210,10 @@
     }
 }
 
-/// Deaf: reports go out, nothing comes in, and its lease ends again and again. Copies come in whatever order, also
+/// Partitioned one way: reports go out, nothing comes in, and its lease ends again and again. Copies come in whatever order, also
 /// when the machine is gone.
 #[test]
-fn deaf_machines_and_copies_of_reports() {
+fn one_way_partitions_and_copies_of_reports() {
     let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
     fleet.cut_off("m0", s(60.0));
     fleet.copy_reports("m0", s(30.0), s(10.0), s(50.0));
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -206,12 +206,12 @@
     /// The machines there are and those asked for.
     fn timelines(&self, for_urgent: bool) -> Vec<Timeline<'a>> {
         // Those that do not hear take no work, nor may there be any of whom only old reports tell. A second fleet would hear no more where most don't.
-        let most_deaf = self.cluster.most_deaf();
+        let most_inbound_lost = self.cluster.most_inbound_lost();
         let stays = |m: &&Machine| {
             !matches!(m.standing, Standing::Condemned | Standing::Draining)
                 && m.recall.is_none()
                 && m.known
-                && (!m.deaf || most_deaf)
+                && (!m.inbound_lost || most_inbound_lost)
         };
         let held = self.cluster.machines.values().filter(stays);
         let mut timelines: Vec<Timeline> =
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -301,7 +301,7 @@
     }
 
     /// For a minute now and then a machine's reports arrive, and nothing reaches it.
-    fn deaf(&self, machine: u64) -> bool {
+    fn inbound_lost(&self, machine: u64) -> bool {
         !self.quiet && (self.now / 64 + machine).is_multiple_of(4)
     }
 
@@ -332,7 +332,7 @@
                 }
                 // Answered at once: the token is seen, and what is to stop is told.
                 if self.machine_lives(machine)
-                    && !self.deaf(machine)
+                    && !self.inbound_lost(machine)
                     && epoch >= self.tokens.get(&machine).copied().unwrap_or(0)
                 {
                     self.tokens.insert(machine, epoch);
@@ -350,7 +350,7 @@
                 }
             }
             Message::Halt { key, attempt, machine, token } => {
-                if self.deaf(machine) {
+                if self.inbound_lost(machine) {
                     let due = now + 64 - now % 64 + self.seq % 5;
                     return self.messages.push((due, Message::Halt { key, attempt, machine, token }));
                 }
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -29,7 +29,7 @@
         self.note_told(&orders, machine);
         let token = self.token;
         if let Some(m) = self.machines.get_mut(machine) {
-            m.hearing.answered(token, m.token, &orders, now);
+            m.partition.answered(token, m.token, &orders, now);
             if orders.iter().any(|o| matches!(o, Order::Launch { .. })) {
                 m.launched_in = Some(m.newest_report);
             }
@@ -138,7 +138,7 @@
             } else if m.standing != Standing::Condemned && m.tell {
                 news.push(m.id.clone());
             } else if m.standing != Standing::Condemned && now >= m.next_command {
-                if m.deaf {
+                if m.inbound_lost {
                     probes.push(m.id.clone());
                 } else if m.token < self.token {
                     greetings.push(m.id.clone());
@@ -155,7 +155,7 @@
             let Some(m) = self.machines.get(&id) else { continue };
             let Some(addr) = m.addr.clone() else { continue };
             let mut orders = self.orders(m);
-            if m.deaf {
+            if m.inbound_lost {
                 // Launches would only keep what they are for from being proven gone; they go with answers.
                 orders.retain(|o| !matches!(o, Order::Launch { .. }));
             } else if orders.is_empty() && m.token >= self.token {
@@ -170,7 +170,7 @@
             m.command_under_way = true;
             m.launch_under_way = orders.iter().any(|o| matches!(o, Order::Launch { .. }));
             m.tell = false;
-            m.next_command = now + if m.deaf { PROBE_GAP } else { COMMAND_GAP };
+            m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
             due.push(Direct { machine: id, addr, token, session: m.session.max(1), orders });
         }
         due
@@ -185,7 +185,7 @@
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.command_under_way = false;
-        m.next_command = now + if m.deaf { PROBE_GAP } else { COMMAND_GAP };
+        m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
         // A late stop or reap does nothing that was not meant for ever; a late launch does.
         if !settled && std::mem::take(&mut m.launch_under_way) {
             m.unsettled = Some(m.unsettled.map_or(token, |t| t.max(token)));
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -11,7 +11,7 @@
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
 use crate::process_pause::{PROOF_PART, ProcessPause};
-use crate::scheduling::hearing::Hearing;
+use crate::scheduling::one_way_partition::PartitionDetector;
 use crate::sla::{self, Load};
 use crate::wire::workers::{Leg, LegStatus, TaskKey};
 
@@ -124,8 +124,8 @@
     /// Under suspicion: no new work until it is decided whose fault its failures are.
     pub suspected: bool,
     /// Its reports arrive and nothing reaches it: no new work until it hears again.
-    pub deaf: bool,
-    pub(super) hearing: Hearing,
+    pub inbound_lost: bool,
+    pub(super) partition: PartitionDetector,
     /// This owner has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
     /// that is known of it may be copies of reports of a machine that is gone: no work for it yet.
     pub known: bool,
@@ -177,8 +177,8 @@
             failed: false,
             spared: false,
             suspected: false,
-            deaf: false,
-            hearing: Hearing::new(now),
+            inbound_lost: false,
+            partition: PartitionDetector::new(now),
             known: false,
             images: VecDeque::new(),
             cache_gb: None,
@@ -439,7 +439,7 @@
             machine.heard = pause.forgive(machine.heard);
             machine.reported_at = pause.forgive(machine.reported_at);
             machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
-            machine.hearing.after_pause(pause);
+            machine.partition.after_pause(pause);
         }
         self.last_pause = Some(pause);
     }
@@ -459,7 +459,7 @@
     /// Most machines have missed two reports, or hear nothing: whoever they talk to, it is not this controller.
     pub fn lost_most(&self, now: Instant) -> bool {
         let missed = self.settings.params.workers.report().mul_f64(2.0);
-        self.many_silent(missed, MOST, now) || self.many_deaf(MOST, None)
+        self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
     }
 
     /// Machines that hold a task of a job that was withdrawn, and have not proven it gone for too
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -7,10 +7,10 @@
 
 mod bindings;
 mod commands;
-mod deaf;
 mod failures;
 mod jobs;
 mod machine;
+mod one_way_partition;
 mod reports;
 mod storing;
 mod watermark;
@@ -462,7 +462,7 @@
             ("book_jobs", self.jobs.len()),
             ("ending", self.ending.len()),
             ("machines", self.machines.len()),
-            ("deaf", self.machines.values().filter(|m| m.deaf).count()),
+            ("deaf", self.machines.values().filter(|m| m.inbound_lost).count()),
             ("returned", self.gone.len()),
             ("kinds", self.kinds.len()),
             ("classes", self.observed.len().max(self.arrivals.len())),
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -47,7 +47,7 @@
             machine.reported_at = now;
         }
         machine.heard = now;
-        machine.hearing.heard_of(&report, via, self.settings.params.workers.lease(), now);
+        machine.partition.heard_of(&report, via, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this owner, so it is no copy of before.
         if report.token >= self.first_token && !std::mem::replace(&mut machine.known, true) {
             self.stirred = true;
@@ -73,7 +73,7 @@
         if catalog.is_some() && of.is_none() {
             warn!(machine = %id, type_name = machine.type_name, "a machine of no known type");
         }
-        self.judge_hearing(&id, now);
+        self.judge_partition(&id, now);
         self.reconcile(&id, now);
         if news {
             self.recalled(&id, now);
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -191,8 +191,8 @@
             15 => {
                 let until = now + self.ms(5000..60_000);
                 let from = self.rng.random_range(0..2);
-                self.workers.iter_mut().skip(from).step_by(2).for_each(|w| w.mute_until = until);
-                self.users.tally.mute += 1;
+                self.workers.iter_mut().skip(from).step_by(2).for_each(|w| w.outbound_lost_until = until);
+                self.users.tally.outbound_lost += 1;
             }
             16 => {
                 // Ten leaders in two minutes, each for long enough to load, or not.
@@ -237,7 +237,7 @@
     assert!(tally.told > 100 && tally.not_told > 500 && tally.told_by_owner > 30, "{tally:?}");
     assert!(tally.outages > 80 && tally.beyond_cancel > 30 && tally.stored_marks > 30, "{tally:?}");
     assert!(tally.unloaded > 100 && tally.stops > 20 && tally.nobody > 100, "{tally:?}");
-    assert!(tally.apart > 20 && tally.mute > 20, "{tally:?}");
+    assert!(tally.apart > 20 && tally.outbound_lost > 20, "{tally:?}");
     assert!(tally.lone_refusals > 40 && tally.all_ended > 40 && tally.hand_overs > 40, "{tally:?}");
 }
 
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -160,7 +160,7 @@
     starts: usize,
     process_pauses: usize,
     copies: usize,
-    deaf: usize,
+    inbound_lost: usize,
     cuts: usize,
     restarts: usize,
     failures: usize,
@@ -195,7 +195,7 @@
             starts: 0,
             process_pauses: 0,
             copies: 0,
-            deaf: 0,
+            inbound_lost: 0,
             cuts: 0,
             restarts: 0,
             failures: 0,
@@ -580,7 +580,7 @@
             Message::Answer { worker, from, session, sent, token, orders, whole } => {
                 let w = &mut self.workers[worker];
                 let late = now - sent > ANSWER_TAKEN || w.waits_until.is_none();
-                if w.deaf_until > now {
+                if w.inbound_lost_until > now {
                     let tells = token > w.token || orders.iter().any(|o| matches!(o, Order::Launch { .. }));
                     let row = if w.unheard.0 == from { w.unheard.1 } else { 0 };
                     w.unheard = (from, row + u32::from(tells && !late && whole));
@@ -598,14 +598,14 @@
                 if w.gone {
                     return;
                 }
-                let deaf = w.deaf_until > now;
-                if deaf && id.is_multiple_of(2) {
+                let inbound_lost = w.inbound_lost_until > now;
+                if inbound_lost && id.is_multiple_of(2) {
                     return;
                 }
                 let apart = w.apart_until > now && w.home != Some(from);
-                if deaf || apart || w.hangs_until > now {
+                if inbound_lost || apart || w.hangs_until > now {
                     // Executed once the machine goes on, or once what was held back comes through.
-                    let due = w.hangs_until.max(w.deaf_until).max(if apart { w.apart_until } else { now });
+                    let due = w.hangs_until.max(w.inbound_lost_until).max(if apart { w.apart_until } else { now });
                     self.messages.push((due, Message::Command { id, worker, from, token, session, orders }));
                     return;
                 }
@@ -791,9 +791,9 @@
             }
             self.rent();
             // A machine that never hears again has to be returned, whatever else is well.
-            let deaf = |w: &Worker| !w.gone && w.deaf_until > self.now;
+            let inbound_lost = |w: &Worker| !w.gone && w.inbound_lost_until > self.now;
             let told = self.users.hidden.is_empty();
-            if told && self.records.keys().all(|id| ended(&self.store, id)) && !self.workers.iter().any(deaf) {
+            if told && self.records.keys().all(|id| ended(&self.store, id)) && !self.workers.iter().any(inbound_lost) {
                 return;
             }
         }
@@ -811,12 +811,12 @@
         starts += world.starts;
         process_pauses += world.process_pauses;
         failures += world.failures;
-        let of_world = [world.copies, world.deaf, world.cuts, world.restarts];
+        let of_world = [world.copies, world.inbound_lost, world.cuts, world.restarts];
         troubles.iter_mut().zip(of_world).for_each(|(all, n)| *all += n);
     }
     assert!(starts > 5000, "the model has hardly worked: {starts} starts");
     assert!(process_pauses > 50 && failures > 100, "{process_pauses} process pauses, {failures} failures");
-    assert!(troubles.iter().all(|n| *n > 20), "copies, deaf, cut off, restarted: {troubles:?}");
+    assert!(troubles.iter().all(|n| *n > 20), "copies, partitioned one way, cut off, restarted: {troubles:?}");
 }
 
 /// The same at a size where plans, chunks and commands no longer fit one turn.
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -37,13 +37,13 @@
             let w = self.rng.random_range(0..self.workers.len());
             let s = [8, 20, 27, 60, 100_000][self.rng.random_range(0..5usize)];
             let many = s < 1000 && self.rng.random_bool(0.2);
-            let for_ever = |w: &super::Worker| !w.gone && w.deaf_until > now + Duration::from_secs(1000);
+            let for_ever = |w: &super::Worker| !w.gone && w.inbound_lost_until > now + Duration::from_secs(1000);
             // Two of six that never hear again are still no sign against everybody.
             if s < 1000 || self.workers.iter().filter(|w| for_ever(w)).count() < 2 {
                 for (n, worker) in self.workers.iter_mut().enumerate() {
                     if n == w || (many && n % 2 == w % 2) {
-                        worker.deaf_until = worker.deaf_until.max(now + Duration::from_secs(s));
-                        self.deaf += 1;
+                        worker.inbound_lost_until = worker.inbound_lost_until.max(now + Duration::from_secs(s));
+                        self.inbound_lost += 1;
                     }
                 }
             }
@@ -93,8 +93,9 @@
             let worker = self.workers.iter().find(|w| *w.id == **machine).expect("known");
             let gone = worker.gone_at.is_some_and(|at| at < owner.since);
             assert!(!gone || owner.inherited.contains(machine), "{task:?} is placed on {machine}, gone long before");
-            let deaf = worker.deaf_until > self.now && worker.unheard.0 == i && worker.unheard.1 >= KNOWN_AFTER;
-            assert!(!deaf, "{task:?} is placed on {machine}, which hears nothing");
+            let inbound_lost =
+                worker.inbound_lost_until > self.now && worker.unheard.0 == i && worker.unheard.1 >= KNOWN_AFTER;
+            assert!(!inbound_lost, "{task:?} is placed on {machine}, which hears nothing");
         }
     }
 }
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -90,7 +90,7 @@
     pub(super) hand_overs: usize,
     /// Zones cut off with the owner, and spells in which machines reach nobody.
     pub(super) apart: usize,
-    pub(super) mute: usize,
+    pub(super) outbound_lost: usize,
 }
 
 impl std::ops::AddAssign for Tally {
@@ -108,7 +108,7 @@
         self.all_ended += o.all_ended;
         self.hand_overs += o.hand_overs;
         self.apart += o.apart;
-        self.mute += o.mute;
+        self.outbound_lost += o.outbound_lost;
     }
 }
 
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -23,7 +23,7 @@
     pub(super) waits_until: Option<Instant>,
     pub(super) hangs_until: Instant,
     /// Answers and commands do not reach it, while its reports arrive.
-    pub(super) deaf_until: Instant,
+    pub(super) inbound_lost_until: Instant,
     /// Answers in a row that it did not hear, and the owner that gave them.
     pub(super) unheard: (usize, u32),
     /// Reports to this owner, which answers it, whoever owns by now.
@@ -31,7 +31,7 @@
     /// Cut off until then with its home: others' commands are held back, and it finds nobody else.
     pub(super) apart_until: Instant,
     /// Reaches no controller until then, while direct commands and their replies go through.
-    pub(super) mute_until: Instant,
+    pub(super) outbound_lost_until: Instant,
     pub(super) gone: bool,
     pub(super) gone_at: Option<Instant>,
 }
@@ -50,11 +50,11 @@
             next_report: now,
             waits_until: None,
             hangs_until: now,
-            deaf_until: now,
+            inbound_lost_until: now,
             unheard: (0, 0),
             home: None,
             apart_until: now,
-            mute_until: now,
+            outbound_lost_until: now,
             gone: false,
             gone_at: None,
         }
@@ -175,7 +175,7 @@
             if worker.waits_until.is_some_and(|t| t <= now) {
                 worker.waits_until = None;
             }
-            if worker.waits_until.is_none() && worker.next_report <= now && worker.mute_until > now {
+            if worker.waits_until.is_none() && worker.next_report <= now && worker.outbound_lost_until > now {
                 // Connects to nobody; the next a second later.
                 worker.next_report = now + Duration::from_secs(1);
             } else if worker.waits_until.is_none() && worker.next_report <= now {
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -5,12 +5,12 @@
 pub mod evidence;
 pub mod filler;
 pub mod forecast;
-pub mod hearing;
 pub mod holds;
 #[cfg(test)]
 mod interleavings;
 pub mod large;
 pub mod load;
+pub mod one_way_partition;
 pub mod plan;
 pub mod preempt;
 pub mod room;
--- a/src/scheduling/hearing.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -41,11 +41,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It does.
-    Hears,
+    Reached,
     /// Too little was seen to tell.
     Unclear,
     /// No new work.
-    Deaf,
+    InboundLost,
     /// To be returned.
     GivenUp,
 }
@@ -54,10 +54,10 @@
 pub fn judge(signs: Signs, lease: Duration) -> Verdict {
     let long = signs.lost >= LOST_LEASES || signs.for_ > lease * LOST_LEASES + MARGIN;
     match signs.unheard {
-        0 => Verdict::Hears,
+        0 => Verdict::Reached,
         n if n < ENOUGH => Verdict::Unclear,
         _ if long && !signs.many => Verdict::GivenUp,
-        _ => Verdict::Deaf,
+        _ => Verdict::InboundLost,
     }
 }
 
@@ -80,7 +80,7 @@
 
 /// The evidence on one machine.
 #[derive(Debug)]
-pub struct Hearing {
+pub struct PartitionDetector {
     unheard: u32,
     lost: u32,
     /// When the first of the row was found to have had no effect.
@@ -95,7 +95,7 @@
     unanswered: bool,
 }
 
-impl Hearing {
+impl PartitionDetector {
     /// Nothing seen yet.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/src/scheduling/hearing/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -7,15 +7,15 @@
 fn who_hears_by_cases() {
     let s = Duration::from_secs;
     for (name, unheard, lost, for_, many, want) in [
-        ("nothing speaks against it", 0, 0, s(0), false, Verdict::Hears),
-        ("a lease lost long ago, and well since", 0, 1, s(0), false, Verdict::Hears),
+        ("nothing speaks against it", 0, 0, s(0), false, Verdict::Reached),
+        ("a lease lost long ago, and well since", 0, 1, s(0), false, Verdict::Reached),
         ("a lost answer", 1, 0, s(3), false, Verdict::Unclear),
         ("two, and a lease, as after a short cut", 2, 1, s(30), false, Verdict::Unclear),
-        ("three in a row", 3, 0, s(10), false, Verdict::Deaf),
-        ("a lease that ended while it was answered", 4, 1, s(0), false, Verdict::Deaf),
+        ("three in a row", 3, 0, s(10), false, Verdict::InboundLost),
+        ("a lease that ended while it was answered", 4, 1, s(0), false, Verdict::InboundLost),
         ("a second one", 8, 2, s(24), false, Verdict::GivenUp),
         ("too long, though its lease was not seen to end", 5, 0, s(51), false, Verdict::GivenUp),
-        ("many, however long", 40, 9, s(600), true, Verdict::Deaf),
+        ("many, however long", 40, 9, s(600), true, Verdict::InboundLost),
     ] {
         assert_eq!(judge(Signs { unheard, lost, for_, many }, LEASE), want, "{name}");
     }
@@ -26,7 +26,7 @@
 /// launch and to a worker that does not know the token, `+` without either; `l` and `t` show them.
 fn play(steps: &[(f64, &str)]) -> (u32, u32) {
     let start = Instant::now();
-    let mut hearing = Hearing::new(start);
+    let mut one_way_partition = PartitionDetector::new(start);
     let task = TaskKey { job: "run-1".into(), index: 0 };
     let (mut session, mut seq) = (1, 0);
     for (at, what) in steps {
@@ -49,15 +49,15 @@
         };
         let via = if message.starts_with('c') { Via::Command } else { Via::Report };
         if !message.starts_with('o') {
-            hearing.heard_of(&report, via, LEASE, now);
+            one_way_partition.heard_of(&report, via, LEASE, now);
         }
         if let Some(answer) = answer {
             let launch = [Order::Launch { task: task.clone(), attempt: 1 }];
             let orders: &[Order] = if answer.contains('l') { &launch } else { &[] };
-            hearing.answered(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
+            one_way_partition.answered(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
         }
     }
-    let signs = hearing.signs(false, start);
+    let signs = one_way_partition.signs(false, start);
     (signs.unheard, signs.lost)
 }
 
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -250,7 +250,7 @@
         && machine.recall.is_none()
         && machine.known
         && !machine.suspected
-        && !machine.deaf
+        && !machine.inbound_lost
         && now.saturating_duration_since(machine.reported_at) < suspect
         && !machine.has_strays()
 }
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -39,10 +39,10 @@
         }
         play.successor();
         if late {
-            play.mute = vec!["m3"];
+            play.outbound_lost = vec!["m3"];
             play.unreached = vec!["m3"];
             play.run(9.0);
-            (play.mute, play.unreached) = (vec![], vec![]);
+            (play.outbound_lost, play.unreached) = (vec![], vec![]);
         }
         play.run(15.0);
         let live = play.live(&JOB.into());
@@ -89,7 +89,7 @@
             old = Some(std::mem::replace(&mut play.cluster, successor));
             play.listed();
         }
-        (play.mute, play.unreached) = (within.into(), within.into());
+        (play.outbound_lost, play.unreached) = (within.into(), within.into());
         for step in 0..(cut_s / STEP) as usize {
             let t = step as f64 * STEP;
             if t == 0.5 {
@@ -110,7 +110,7 @@
             }
             play.step();
         }
-        (play.mute, play.unreached) = (vec![], vec![]);
+        (play.outbound_lost, play.unreached) = (vec![], vec![]);
         let before = play.returned.len();
         play.run(30.0);
         let live = play.live(&JOB.into());
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -142,7 +142,7 @@
         let successor = play.world.owner();
         let mut deposed = std::mem::replace(&mut play.cluster, successor);
         play.listed();
-        (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
+        (play.outbound_lost, play.unreached) = (vec!["m1"], vec!["m1"]);
         play.withdraw(&JOB.into());
         for step in 0..240 {
             let t = f64::from(step) * STEP;
--- a/src/scheduling/tests/hearing.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -70,7 +70,7 @@
 /// A machine whose reports arrive and that hears nothing was given its tasks again every lease.
 #[test]
 fn a_machine_that_hears_nothing_gets_no_work_and_is_returned_alone() {
-    for (name, deaf, of, zones, returned) in [
+    for (name, inbound_lost, of, zones, returned) in [
         ("one of twenty", 1, 20, 1, true),
         ("two of twenty", 2, 20, 1, true),
         ("three of twenty", 3, 20, 1, false),
@@ -87,19 +87,19 @@
             if t > 0 && t % 25 == 0 {
                 session += 1;
             }
-            for m in (0..of).filter(|m| t % if *m < deaf { 5 } else { 3 } == 0) {
-                let session = if m < deaf { session } else { 1 };
+            for m in (0..of).filter(|m| t % if *m < inbound_lost { 5 } else { 3 } == 0) {
+                let session = if m < inbound_lost { session } else { 1 };
                 let report = report(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
                 cluster.take_report(Report { session, ..report }, Via::Report, None, now);
                 cluster.orders_in_answer(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
-            let hears = cluster.machines.values().filter(|m| !m.deaf).count() as u64;
-            assert_eq!(hears, if t < 25 { of } else { of - deaf }, "{name}: at {t} s");
+            let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
+            assert_eq!(hears, if t < 25 { of } else { of - inbound_lost }, "{name}: at {t} s");
         }
         let out = cluster.machines.values().filter(|m| m.standing == Standing::Condemned).count() as u64;
-        assert_eq!(out, if returned { deaf } else { 0 }, "{name}");
-        assert_eq!(cluster.lost_most(start + s(60)), deaf * 3 >= of, "{name}");
+        assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
+        assert_eq!(cluster.lost_most(start + s(60)), inbound_lost * 3 >= of, "{name}");
         // It hears again: it is well with the next report.
         let now = start + s(61);
         cluster.take_report(
@@ -108,12 +108,12 @@
             None,
             now,
         );
-        assert!(!cluster.machines["m00"].deaf);
+        assert!(!cluster.machines["m00"].inbound_lost);
     }
 }
 
 /// What an earlier owner has stored and may yet launch is proven gone by nothing but a return where the worker
-/// never learns the token: the work goes on elsewhere, however many are deaf.
+/// never learns the token: the work goes on elsewhere, however many are partitioned one way.
 #[test]
 fn what_only_a_return_proves_gone_is_not_kept_for_ever() {
     let start = Instant::now();
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/play.rs
@@ -18,14 +18,14 @@
     pub(super) cluster: ClusterState,
     pub(super) steps: usize,
     /// Reports of these reach nobody.
-    pub(super) mute: Vec<&'static str>,
+    pub(super) outbound_lost: Vec<&'static str>,
     /// No direct command reaches these.
     pub(super) unreached: Vec<&'static str>,
     /// These are paused: they report nothing, and what is sent to them lies there until they go on.
     pub(super) hang: Vec<&'static str>,
     pub(super) lying: Vec<Direct>,
     /// Their reports arrive; answers and commands to them are lost.
-    pub(super) deaf: Vec<&'static str>,
+    pub(super) inbound_lost: Vec<&'static str>,
     pub(super) cloud: bool,
     /// The store takes what is to be written.
     pub(super) store: bool,
@@ -50,11 +50,11 @@
             world,
             cluster,
             steps: 0,
-            mute: Vec::new(),
+            outbound_lost: Vec::new(),
             unreached: Vec::new(),
             hang: Vec::new(),
             lying: Vec::new(),
-            deaf: Vec::new(),
+            inbound_lost: Vec::new(),
             cloud: true,
             store: true,
             plans: false,
@@ -73,7 +73,7 @@
 
     pub(super) fn reports(&mut self, m: &'static str) {
         let answer = self.world.asks(&mut self.cluster, m);
-        if !self.deaf.contains(&m) {
+        if !self.inbound_lost.contains(&m) {
             self.world.hears(&answer);
         }
     }
@@ -115,7 +115,7 @@
             drop(self.world.arrives(&direct));
         }
         for (n, m) in names.iter().enumerate() {
-            let silent = self.world.workers[m].gone || self.mute.contains(m) || hang.contains(m);
+            let silent = self.world.workers[m].gone || self.outbound_lost.contains(m) || hang.contains(m);
             if (self.steps + n).is_multiple_of(REPORT_STEPS) && !silent {
                 self.reports(m);
             }
@@ -124,7 +124,7 @@
             let m = &*direct.machine;
             if self.unreached.contains(&m) {
                 self.cluster.command_over(&direct.machine, direct.token, true, now);
-            } else if hang.contains(&m) || self.deaf.contains(&m) {
+            } else if hang.contains(&m) || self.inbound_lost.contains(&m) {
                 self.cluster.command_over(&direct.machine, direct.token, false, now);
                 if hang.contains(&m) {
                     self.lying.push(direct);
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -109,21 +109,21 @@
         if trouble && rng.random_bool(0.15) {
             let m = NAMES[rng.random_range(0..10usize)];
             match rng.random_range(0..7) {
-                0 => play.mute.push(m),
+                0 => play.outbound_lost.push(m),
                 1 => play.hang.push(m),
-                2 => play.deaf.push(m),
-                3 => (play.mute.push(m), play.unreached.push(m)).0,
-                4 => (play.mute, play.hang, play.deaf, play.unreached) = Default::default(),
+                2 => play.inbound_lost.push(m),
+                3 => (play.outbound_lost.push(m), play.unreached.push(m)).0,
+                4 => (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default(),
                 5 => play.successor(),
                 _ => play.store = !play.store,
             }
             // Three machines stay, so that there is anything to wait for.
-            for list in [&mut play.mute, &mut play.hang, &mut play.deaf, &mut play.unreached] {
+            for list in [&mut play.outbound_lost, &mut play.hang, &mut play.inbound_lost, &mut play.unreached] {
                 list.retain(|m| !["m0", "m1", "m8"].contains(m));
             }
         }
         if !trouble {
-            (play.mute, play.hang, play.deaf, play.unreached) = Default::default();
+            (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default();
             play.store = true;
         }
         // Tasks end, or fail while there are troubles.
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -29,7 +29,7 @@
             (play.plans, play.cloud) = (true, cloud);
             play.run(3.0);
             assert_eq!((play.cores("red"), play.live(&next).len()), (20.0, 0), "{name}");
-            (play.hang, play.mute, play.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
+            (play.hang, play.outbound_lost, play.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
             let mut most = 0;
             for step in 0..160 {
                 let t = f64::from(step) * STEP;
@@ -40,7 +40,7 @@
                     play.withdraw(&JOB.into());
                 }
                 if t == back_at {
-                    (play.hang, play.mute, play.unreached) = (vec![], vec![], vec![]);
+                    (play.hang, play.outbound_lost, play.unreached) = (vec![], vec![], vec![]);
                 }
                 play.step();
                 assert!(play.cluster.usage["red"].0 <= 20.0, "{name}: at {t}");
@@ -70,7 +70,7 @@
     play.cluster = play.world.assigned();
     let next = play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
     play.plans = true;
-    (play.mute, play.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
+    (play.outbound_lost, play.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
     play.listed();
     // Reports come before everything is read, and are answered with nothing to start.
     for m in ["m1", "m2", "m3", "m4", "m5"] {
@@ -84,7 +84,7 @@
         play.step();
         assert_eq!(play.live(&next), [], "all count that nobody has proven gone");
     }
-    (play.mute, play.unreached) = (vec![], vec![]);
+    (play.outbound_lost, play.unreached) = (vec![], vec![]);
     play.run(20.0);
     assert_eq!((play.live(&JOB.into()).len(), play.live(&next).len()), (0, 5));
 }
@@ -124,7 +124,7 @@
             used.dedup();
             assert_eq!(used.len(), 5, "{name}: two tasks on each");
             play.hang = vec![used[0]];
-            (play.mute, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
+            (play.outbound_lost, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
             let held_by_deposed = &used[2..4];
             let successor = play.world.owner();
             let mut deposed = std::mem::replace(&mut play.cluster, successor);
@@ -140,7 +140,7 @@
                     play.withdraw(&blue);
                 }
                 if t == back_at {
-                    (play.hang, play.mute, play.unreached) = (vec![], vec![], vec![]);
+                    (play.hang, play.outbound_lost, play.unreached) = (vec![], vec![], vec![]);
                 }
                 if t < back_at && step % REPORT_STEPS as i32 == 0 {
                     play.answered_by(&mut deposed, held_by_deposed);
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -3,11 +3,11 @@
 use super::play::*;
 use super::world::*;
 
-/// A task of a machine that has just become mute is withdrawn at once or later, with and without a takeover, whether
+/// A task of a machine whose reports have just begun to be lost is withdrawn at once or later, with and without a takeover, whether
 /// or not commands reach it and the cloud answers. By command, by return or by the end of its lease it is gone in
 /// time, which the play checks at every step.
 #[test]
-fn what_is_withdrawn_on_a_mute_machine_is_gone_in_time() {
+fn what_is_withdrawn_on_a_machine_whose_reports_are_lost_is_gone_in_time() {
     for (commands, cloud) in [(true, true), (true, false), (false, true), (false, false)] {
         for (after_s, successor) in
             [0.0, 4.0, 11.0, 20.0].into_iter().flat_map(|t| (0..3).map(move |successor| (t, successor)))
@@ -22,7 +22,7 @@
                 play.reports("m1");
             }
             assert_eq!(play.live(&JOB.into()), [(0, "m1")], "{name}");
-            play.mute = vec!["m1"];
+            play.outbound_lost = vec!["m1"];
             play.unreached = if commands { vec![] } else { vec!["m1"] };
             play.cloud = cloud;
             play.run(after_s);
@@ -52,12 +52,12 @@
 /// Commands start work on a machine that cannot report, and their replies look like signs of life. They renew no
 /// lease: what was started there is lost once, and then it gets no more.
 #[test]
-fn a_mute_machine_gets_no_work_that_it_loses_without_end() {
+fn a_machine_whose_reports_are_lost_gets_no_work_that_it_loses_without_end() {
     let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
     play.world.place(&mut play.cluster, "m2");
     play.reports("m2");
     play.plans = true;
-    play.mute = vec!["m1"];
+    play.outbound_lost = vec!["m1"];
     // One small job after the other, soon withdrawn: each a command, and each reply a report. And long ones.
     play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (4, 1.0, 600.0));
     let mut small = None;
@@ -74,14 +74,14 @@
     assert!(play.world.workers["m1"].gone, "silent, once it has no more to be told");
 }
 
-/// Higher tokens are told by commands again and again, and so a mute machine is never silent: it is returned after
+/// Higher tokens are told by commands again and again, and so a machine whose reports are lost is never silent: it is returned after
 /// two leases all the same, and has no new work from the time at which its reports are missed.
 #[test]
-fn a_mute_machine_that_answers_commands_is_returned_after_two_leases() {
+fn a_machine_whose_reports_are_lost_that_answers_commands_is_returned_after_two_leases() {
     let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
     play.world.place(&mut play.cluster, "m2");
     play.reports("m2");
-    (play.plans, play.mute) = (true, vec!["m1"]);
+    (play.plans, play.outbound_lost) = (true, vec!["m1"]);
     for t in 1..60 {
         if t == 9 {
             play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus) = (1, 1.0));
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -142,15 +142,15 @@
         let m = NAMES[self.rng.random_range(0..10usize)];
         let play = &mut self.play;
         match self.rng.random_range(0..7) {
-            0 => play.mute.push(m),
+            0 => play.outbound_lost.push(m),
             1 => play.hang.push(m),
-            2 => play.deaf.push(m),
-            3 => (play.mute.push(m), play.unreached.push(m)).0,
-            4 => (play.mute, play.hang, play.deaf, play.unreached) = Default::default(),
+            2 => play.inbound_lost.push(m),
+            3 => (play.outbound_lost.push(m), play.unreached.push(m)).0,
+            4 => (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default(),
             5 => play.successor(),
             _ => play.store = !play.store,
         }
-        for list in [&mut play.mute, &mut play.hang, &mut play.deaf, &mut play.unreached] {
+        for list in [&mut play.outbound_lost, &mut play.hang, &mut play.inbound_lost, &mut play.unreached] {
             list.retain(|m| !SOUND.contains(m));
         }
     }
@@ -234,7 +234,7 @@
             }
             if !trouble {
                 let play = &mut self.play;
-                (play.mute, play.hang, play.deaf, play.unreached) = Default::default();
+                (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default();
                 play.store = true;
             }
             self.tasks_end(trouble);
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -45,7 +45,7 @@
             let lost = ["m1", "m2"];
             match trouble {
                 "hang" => play.hang = lost.into(),
-                "cut" => (play.mute, play.unreached) = (lost.into(), lost.into()),
+                "cut" => (play.outbound_lost, play.unreached) = (lost.into(), lost.into()),
                 _ => lost.iter().for_each(|m| {
                     // Died, and nobody has told the owner.
                     play.world.workers.get_mut(m).unwrap().legs.clear();
@@ -82,7 +82,7 @@
         play.world.place_these(&mut play.cluster, &[0, 1], "m1");
         play.reports("m1");
         assert_eq!(play.live(&JOB.into()).len(), 2);
-        (play.mute, play.unreached) = (vec!["m1"], vec!["m1"]);
+        (play.outbound_lost, play.unreached) = (vec!["m1"], vec!["m1"]);
         play.cluster = play.world.owner();
         play.reports("m2");
         play.reports("m2");
