--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -5,8 +5,8 @@
 
 use crate::jobs::JobSpec;
 use crate::kinds::Catalog;
+use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
-use crate::scheduling::filler;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::scheduling::wishes;
@@ -79,7 +79,7 @@
         let mut open = self.ground.open_to(spec, zones);
         // Idle work keeps no machine with accelerators that it has no use for.
         for (open, offer) in open.iter_mut().zip(&self.ground.offers) {
-            *open &= offer.is_some_and(|o| filler::may(spec, &o, 1.0, f64::INFINITY, false).keep);
+            *open &= offer.is_some_and(|o| backfill::may(spec, &o, 1.0, f64::INFINITY, false).keep);
         }
         let waits = waits && !spec.is_idle();
         if !self.put(spec, &open, n, None) {
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -5,8 +5,8 @@
 
 use crate::jobs::JobSpec;
 use crate::kinds::{Catalog, Kind};
+use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
-use crate::scheduling::filler;
 use crate::scheduling::forecast::{Slots, Timeline};
 use crate::scheduling::plan::{Quotas, Turn, queue};
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
@@ -271,7 +271,7 @@
                 self.total < cluster.properties.most_machines as u64
                     && start > bearable
                     && boot_s + GAIN_S < start
-                    && filler::may(
+                    && backfill::may(
                         spec,
                         offer,
                         cost / least,
--- a/src/scheduling/filler.rs
+++ b/src/scheduling/backfill.rs
@@ -65,11 +65,11 @@
 
 /// What more urgent work found no room for in a plan.
 #[derive(Debug, Clone, Default)]
-pub struct Filler {
+pub struct Backfill {
     wanted: Vec<Wanted>,
 }
 
-impl Filler {
+impl Backfill {
     /// Work like this found no room. What fails everywhere keeps nobody out.
     pub fn waits(&mut self, spec: &JobSpec, open: &[bool], suspected: bool) {
         if spec.is_idle() || suspected || self.wanted.len() >= MOST_WAITING {
--- a/src/scheduling/filler/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -66,26 +66,26 @@
         let mut room = Room::empty(of, 0);
         (room.idle, room.leaving) = ((idle, 0.0, 0.0), leaving);
         room.add(-others - idle, 0.0, 0.0);
-        let mut filler = Filler::default();
+        let mut backfill = Backfill::default();
         if let Some(spec) = waits {
-            filler.waits(spec, &[true], false);
-            filler.waits(spec, &[true], false);
-            assert_eq!(filler.wanted.len(), 1, "like asks are one");
+            backfill.waits(spec, &[true], false);
+            backfill.waits(spec, &[true], false);
+            assert_eq!(backfill.wanted.len(), 1, "like asks are one");
         }
         let job = JobSpec { urgency: Urgency::Idle, checkpoint_s: 30.0, ..spec() };
-        assert_eq!(filler.may_use(&job, &room, Duration::ZERO), want, "{name}");
+        assert_eq!(backfill.may_use(&job, &room, Duration::ZERO), want, "{name}");
     }
     let mut shared = Room::empty(&plain, 0);
     shared.add(-4.0, 0.0, -4.0);
     let tiny = JobSpec { urgency: Urgency::Idle, cpus: 0.25, ..spec() };
-    assert!(Filler::default().may_use(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
+    assert!(Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
     shared.idle.0 = 1.0;
-    assert!(!Filler::default().may_use(&tiny, &shared, Duration::ZERO), "and no more than that");
-    assert!(Filler::default().may_use(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
+    assert!(!Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "and no more than that");
+    assert!(Backfill::default().may_use(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
     let mut kept = Room::empty(&plain, 0);
     kept.kept = true;
-    assert!(!Filler::default().may_use(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
-    let mut filler = Filler::default();
-    filler.waits(&gang, &[true], true);
-    assert!(filler.wanted.is_empty(), "what fails everywhere keeps nobody out");
+    assert!(!Backfill::default().may_use(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
+    let mut backfill = Backfill::default();
+    backfill.waits(&gang, &[true], true);
+    assert!(backfill.wanted.is_empty(), "what fails everywhere keeps nobody out");
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,9 +1,9 @@
 //! Which task runs where: the owner's cluster state, the decisions taken on it, and their loop.
 
+pub mod backfill;
 pub mod cluster;
 pub mod due;
 pub mod evidence;
-pub mod filler;
 pub mod forecast;
 pub mod holds;
 #[cfg(test)]
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use super::backfill::{self, Backfill};
 use super::cluster::{ClusterState, JobState, MachineId};
 use super::evidence::{Evidence, PROBES};
-use super::filler::{self, Filler};
 use super::room::{Ground, Room, Zones, usable, usable_until_left};
 use super::served::floor::Rank;
 use super::wishes::{self, Wishes};
@@ -211,7 +211,7 @@
     /// Holds for these stand against it even if it is pressed: they go ahead.
     ahead: Vec<&'a JobId>,
     /// Idle work, and what others wait for by now.
-    filler: Option<Rc<Filler>>,
+    backfill: Option<Rc<Backfill>>,
     /// Idle work gives way for it on machines as it needs them: it takes no cores that an accelerator
     /// will lack.
     apt_only: bool,
@@ -237,7 +237,7 @@
     fn new(
         turn: &Turn<'a>,
         evidence: &'a Evidence,
-        filler: Option<Rc<Filler>>,
+        backfill: Option<Rc<Backfill>>,
         open: Vec<bool>,
         sought: Rc<[bool]>,
         overdue: bool,
@@ -253,7 +253,7 @@
             first: turn.rank == Rank::First || turn.owed,
             passes: Vec::new(),
             ahead: Vec::new(),
-            filler,
+            backfill,
             apt_only: false,
             waited: age,
             overdue,
@@ -278,9 +278,9 @@
             return self.is_open(room.kind) && self.may_use_overdue(room);
         }
         self.is_open(room.kind)
-            && match &self.filler {
-                Some(filler) => {
-                    filler.may_use(self.job.spec(), room, self.waited)
+            && match &self.backfill {
+                Some(backfill) => {
+                    backfill.may_use(self.job.spec(), room, self.waited)
                         && (!room.leaving || !self.job.lost_starts(MOST_LEFT))
                 }
                 None => !room.leaving,
@@ -291,7 +291,7 @@
     /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
     /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
     fn may_use_overdue(&self, room: &Room) -> bool {
-        let for_arrivals = room.kept && self.filler.is_some() && !self.job.bound.is_empty();
+        let for_arrivals = room.kept && self.backfill.is_some() && !self.job.bound.is_empty();
         !for_arrivals && (!room.reserved || self.passes_hold(room))
     }
 
@@ -376,7 +376,7 @@
     /// Pieces of rooms that were kept for gangs, as (room, tasks, like these).
     set_aside: Vec<(usize, u64, &'a JobSpec)>,
     /// What more urgent work than idle found no room for.
-    wanted: Rc<Filler>,
+    wanted: Rc<Backfill>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
     giving: Vec<Room<'a>>,
     sought: Rc<[bool]>,
@@ -469,9 +469,9 @@
         let open = self.ground.open_to(spec, zones);
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
-        let filler = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
+        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
-        let mut demand = Demand::new(turn, self.evidence, filler, open, self.sought.clone(), overdue, self.now);
+        let mut demand = Demand::new(turn, self.evidence, backfill, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.wishes.stopped(turn.id));
         let waiting = self.wishes.waiting(turn.id, job);
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
@@ -562,7 +562,7 @@
             let open = self.ground.open_to(spec, &Zones::none(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
-            let mut left = filler::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
+            let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
         for (wish, open) in wishes::room_kept(cluster, &self.ground) {
