--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -67,7 +67,8 @@
             let (a_key, b_key) = (dear(a), dear(b));
             (a_key.0.cmp(&b_key.0)).then(a_key.1.total_cmp(&b_key.1)).then(a.cpus.total_cmp(&b.cpus))
         });
-        let wanted = rooms.iter().map(|r| r.machine.is_some_and(|m| cluster.holds.contains_key(&m.id))).collect();
+        let wanted =
+            rooms.iter().map(|r| r.machine.is_some_and(|m| cluster.reservations.contains_key(&m.id))).collect();
         let short = vec![false; ground.offers.len()];
         Self { ground, rooms, wanted, short }
     }
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -26,10 +26,11 @@
                 }
             }
             // A gang that starts needs nothing held any more.
-            if self.holds.get(&placement.machine).is_some_and(|h| h.job == placement.task.job) {
-                self.holds.retain(|_, hold| hold.job != placement.task.job);
+            if self.reservations.get(&placement.machine).is_some_and(|h| h.job == placement.task.job) {
+                self.reservations.retain(|_, reservation| reservation.job != placement.task.job);
             }
-            self.reserved.retain(|_, hold| hold.job != placement.task.job && hold.until > now);
+            self.preemption_reservations
+                .retain(|_, reservation| reservation.job != placement.task.job && reservation.until > now);
             self.bind(placement, now);
         }
         for (id, part) in first_places {
@@ -51,7 +52,7 @@
         job.waiting.remove(&p.task.index);
         job.bound.insert(p.task.index);
         machine.remember_image(job.image, job.record.spec.image_gb);
-        machine.hold(p.task.clone(), job, now);
+        machine.bind(p.task.clone(), job, now);
         let used = self.usage.entry(job.record.spec.team.clone()).or_default();
         used.0 += job.record.spec.cpus;
         used.1 += job.record.spec.gpus;
@@ -100,7 +101,7 @@
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(binding) = job.binding(key.index) else { return };
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
-            machine.let_go(key, &job.record.spec, now);
+            machine.unbind(key, &job.record.spec, now);
         }
         self.stirred = true;
         job.bound.remove(&key.index);
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -145,7 +145,7 @@
         }
         for (machine, index) in inherited {
             let machine = self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, now));
-            machine.hold(TaskKey { job: id.clone(), index }, job, now);
+            machine.bind(TaskKey { job: id.clone(), index }, job, now);
             machine.remember_image(job.image, job.record.spec.image_gb);
             let used = self.usage.entry(job.record.spec.team.clone()).or_default();
             used.0 += job.record.spec.cpus;
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -229,7 +229,7 @@
     }
 
     /// A task comes onto this machine.
-    pub(super) fn hold(&mut self, key: TaskKey, job: &JobState, now: Instant) {
+    pub(super) fn bind(&mut self, key: TaskKey, job: &JobState, now: Instant) {
         self.known = true;
         if self.bound.insert(key) {
             self.taken.add(job.spec(), 1.0);
@@ -244,7 +244,7 @@
     }
 
     /// A task leaves it. What is left of an empty machine is exact, whatever was summed before.
-    pub(super) fn let_go(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
+    pub(super) fn unbind(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
         if self.bound.remove(key) {
             self.taken.add(spec, -1.0);
             if spec.is_idle() {
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -25,9 +25,9 @@
 use storing::Dirty;
 
 use super::evidence::Evidence;
-use super::holds::Hold;
 use super::large::Large;
 use super::plan::beside::BesideRoom;
+use super::reservations::Reservation;
 use super::served::Note;
 use super::served::floor::{Below, Lane};
 use super::served::promises::{Promise, next_start_s};
@@ -339,9 +339,9 @@
     /// What the largest gangs offer and earn.
     pub large: Large,
     /// Machines kept for gangs that will soon fit.
-    pub holds: HashMap<MachineId, Hold>,
+    pub reservations: HashMap<MachineId, Reservation>,
     /// Machines on which others were stopped for a job, until it has come there.
-    pub reserved: HashMap<MachineId, Hold>,
+    pub preemption_reservations: HashMap<MachineId, Reservation>,
     /// Since when plans have kept room for a gang.
     pub(super) keeping: Option<Instant>,
     /// Jobs that wait although machines have room for them.
@@ -424,8 +424,8 @@
             observed: LruCache::new(MOST_CLASSES),
             arrivals: BTreeMap::new(),
             large: Large::new(&properties, now),
-            holds: HashMap::new(),
-            reserved: HashMap::new(),
+            reservations: HashMap::new(),
+            preemption_reservations: HashMap::new(),
             keeping: None,
             beside_room: BesideRoom::default(),
             below: Below::default(),
@@ -472,8 +472,8 @@
     }
 
     /// For whom a machine is held: first for whom others were stopped there.
-    pub fn hold(&self, id: &MachineId, now: Instant) -> Option<&Hold> {
-        self.reserved.get(id).filter(|h| h.until > now).or_else(|| self.holds.get(id))
+    pub fn reservation(&self, id: &MachineId, now: Instant) -> Option<&Reservation> {
+        self.preemption_reservations.get(id).filter(|h| h.until > now).or_else(|| self.reservations.get(id))
     }
 
     /// Every type, zone and kind that a machine was ever of; a machine's `kind` is a place in it.
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -5,7 +5,6 @@
 pub mod due;
 pub mod evidence;
 pub mod forecast;
-pub mod holds;
 #[cfg(test)]
 mod interleavings;
 pub mod large;
@@ -13,6 +12,7 @@
 pub mod one_way_partition;
 pub mod plan;
 pub mod preempt;
+pub mod reservations;
 pub mod room;
 pub mod served;
 #[cfg(test)]
@@ -38,7 +38,7 @@
 /// What time alone brings about is looked at this often.
 const TICK: Duration = Duration::from_millis(250);
 /// What is held for gangs is chosen anew this often.
-const HOLD_EVERY: Duration = Duration::from_millis(2000);
+const RESERVE_EVERY: Duration = Duration::from_millis(2000);
 /// Others are stopped for one job at a time, this often.
 const PREEMPT_EVERY: Duration = Duration::from_millis(300);
 /// The account is looked at this often, and told this often.
@@ -51,7 +51,7 @@
 /// Reads what is stored, then plans on every event until this controller no longer owns.
 pub async fn run(node: Arc<Node>) {
     load(&node).await;
-    let (mut ticked, mut planned, mut hold_next) = (Instant::now(), None::<Instant>, Instant::now());
+    let (mut ticked, mut planned, mut reserve_next) = (Instant::now(), None::<Instant>, Instant::now());
     let mut preempt_next = Instant::now();
     let (mut look_next, mut tell_next) = (Instant::now(), Instant::now() + TELL_EVERY);
     loop {
@@ -77,9 +77,9 @@
                     tell_due(&due(cluster, now));
                 }
             }
-            if now >= hold_next {
-                cluster.holds = holds::choose(cluster, &catalog, now);
-                hold_next = now + HOLD_EVERY.max(now.elapsed() * REST * 2);
+            if now >= reserve_next {
+                cluster.reservations = reservations::choose(cluster, &catalog, now);
+                reserve_next = now + RESERVE_EVERY.max(now.elapsed() * REST * 2);
             }
             // Nothing that placement depends on changed: it would decide the same.
             if cluster.take_stirred() || planned.is_none_or(|at| now.saturating_duration_since(at) >= EVERY) {
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -34,7 +34,7 @@
 const KEPT_PAUSE: Duration = Duration::from_secs(5);
 /// Idle work that was started so often goes to no machine that is being left.
 const MOST_LEFT: u64 = 4;
-/// Hard work that must start within this time to be done in time is not kept waiting for holds.
+/// Hard work that must start within this time to be done in time is not kept waiting for reservations.
 const PRESSED_WITHIN: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone, PartialEq)]
@@ -297,12 +297,12 @@
 
     /// Whether what the room is held for, if it is, leaves it to this work.
     fn passes_hold(&self, room: &Room) -> bool {
-        room.hold.is_none_or(|hold| {
-            ((self.pressed && !self.ahead.contains(&&hold.job))
+        room.reservation.is_none_or(|reservation| {
+            ((self.pressed && !self.ahead.contains(&&reservation.job))
                 || self.first
-                || hold.job == *self.id
-                || self.over <= hold.until)
-                || self.passes.contains(&&hold.job)
+                || reservation.job == *self.id
+                || self.over <= reservation.until)
+                || self.passes.contains(&&reservation.job)
         })
     }
 
@@ -322,7 +322,7 @@
         };
         Some(Candidate {
             failed: room.machine.is_some_and(|m| self.failed_on.contains(&m.id)),
-            held: room.hold.is_some_and(|hold| hold.job != *self.id),
+            held: room.reservation.is_some_and(|reservation| reservation.job != *self.id),
             risk: if self.wary { room.risk() } else { 0 },
             sought: spec.spot && self.sought.get(room.kind) == Some(&true),
             waste: room.waste(spec),
@@ -476,11 +476,12 @@
         let waiting = self.wishes.waiting(turn.id, job);
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if turn.ahead {
-            demand.passes = wishes::holders(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+            demand.passes = wishes::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
-            demand.ahead = wishes::holders(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+            demand.ahead = wishes::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
-        let holds = |room: &Room| room.hold.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
+        let holds =
+            |room: &Room| room.reservation.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
         let keep = keep && spec.is_gang();
         if !demand.pressed
             && !overdue
@@ -634,9 +635,10 @@
 
 /// The room with what it is held for.
 fn held<'a>(cluster: &'a ClusterState, room: Room<'a>, now: Instant) -> Room<'a> {
-    let hold = room.machine.and_then(|m| cluster.hold(&m.id, now));
-    let reserved = room.machine.is_some_and(|m| cluster.reserved.get(&m.id).is_some_and(|h| h.until > now));
-    Room { hold, reserved, ..room }
+    let reservation = room.machine.and_then(|m| cluster.reservation(&m.id, now));
+    let reserved =
+        room.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
+    Room { reservation, reserved, ..room }
 }
 
 /// Ordinary kinds open to work that waits and may use no cheap ones.
@@ -650,10 +652,10 @@
     sought.into()
 }
 
-/// Machines without accelerators, and free of holds, on which idle work would give way.
+/// Machines without accelerators, and free of reservations, on which idle work would give way.
 fn giving<'a>(cluster: &'a ClusterState, ground: &Ground<'a>, suspect: Duration, now: Instant) -> Vec<Room<'a>> {
     let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
-    let free = held.filter(|m| cluster.hold(&m.id, now).is_none());
+    let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
     free.filter_map(|m| ground.room(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
 
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -7,8 +7,8 @@
 use tracing::info;
 
 use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase};
-use super::holds::Hold;
 use super::plan::{Quotas, SLACK, Turn, queue};
+use super::reservations::Reservation;
 use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
 use crate::kinds::Catalog;
@@ -53,7 +53,7 @@
     for (machine, victims) in stops {
         let longest = victims.iter().map(|(_, grace)| *grace).max().unwrap_or(0);
         let until = now + Duration::from_secs(longest) + HELD_PAST_SAVING;
-        cluster.reserved.insert(machine, Hold { job: job.clone(), until });
+        cluster.preemption_reservations.insert(machine, Reservation { job: job.clone(), until });
         for (key, grace) in victims {
             cluster.halt(&key, grace, now);
         }
@@ -83,7 +83,7 @@
         let zones = Zones::new(cluster, job);
         let open = ground.open_to(spec, &zones);
         let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
-        let free = usable.filter(|m| cluster.hold(&m.id, now).is_none_or(|h| h.job == *turn.id));
+        let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *turn.id));
         let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, turn, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
         let waiting = cluster.wishes.waiting(turn.id, job) as u64;
--- a/src/scheduling/holds.rs
+++ b/src/scheduling/reservations.rs
@@ -1,4 +1,4 @@
-//! Holds: room kept for gangs that do not fit now but soon would, if smaller work did not take
+//! Reservations: room kept for gangs that do not fit now but soon would, if smaller work did not take
 //! each piece as it comes free. Held briefly, of a part of the machines, and open to whatever is
 //! expected to end in time.
 
@@ -15,33 +15,33 @@
 use crate::scheduling::forecast::{Slots, Timeline};
 
 /// A gang waits this long before anything is held for it.
-const HOLD_AFTER: Duration = Duration::from_secs(5);
+const RESERVE_AFTER: Duration = Duration::from_secs(5);
 /// Nothing is held that is not expected to be enough within this time.
-const HOLD_WITHIN_S: f64 = 60.0;
+const RESERVE_WITHIN_S: f64 = 60.0;
 /// At most one in so many machines is held.
 const PART: usize = 6;
 /// Gangs held for at once, the longest waiting first.
-const MOST_HOLDERS: usize = 40;
+const MOST_RESERVING: usize = 40;
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hold {
+pub struct Reservation {
     pub job: JobId,
     pub until: Instant,
 }
 
 /// What to hold now, by machine.
-pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Hold> {
-    let mut holds = HashMap::new();
+pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Reservation> {
+    let mut reservations = HashMap::new();
     let mut turns: Vec<Turn> = queue(cluster, now)
         .into_iter()
-        .filter(|t| t.job.spec().is_gang() && !t.suspected && (t.age >= HOLD_AFTER || t.ahead))
+        .filter(|t| t.job.spec().is_gang() && !t.suspected && (t.age >= RESERVE_AFTER || t.ahead))
         .collect();
     if turns.is_empty() {
-        return holds;
+        return reservations;
     }
     turns.sort_by_key(|t| (Reverse(t.owed), t.rank, Reverse(t.age)));
     wishes::ahead_first(&mut turns);
-    turns.truncate(MOST_HOLDERS);
+    turns.truncate(MOST_RESERVING);
     let ground = Ground::new(cluster, catalog);
     let suspect = suspect_after(cluster);
     let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
@@ -49,7 +49,7 @@
     let most = timelines.len() / PART;
     let quotas = Quotas::new(cluster);
     for turn in turns {
-        if holds.len() >= most {
+        if reservations.len() >= most {
             break;
         }
         if !quotas.allows(turn.job.spec(), turn.job.spec().tasks as f64) {
@@ -59,11 +59,11 @@
         let until = now + Duration::from_secs_f64(within_s);
         for which in taken {
             if let Some(machine) = timelines[which].room.machine {
-                holds.entry(machine.id.clone()).or_insert_with(|| Hold { job: turn.id.clone(), until });
+                reservations.entry(machine.id.clone()).or_insert_with(|| Reservation { job: turn.id.clone(), until });
             }
         }
     }
-    holds
+    reservations
 }
 
 /// The machines on which a gang would soonest fit together, and when. Machines with accelerators
@@ -114,7 +114,7 @@
     let (mut last, mut taken) = (0.0, Vec::new());
     for _ in 0..need {
         match slots.next(timelines, ground, &none) {
-            Some(slot) if slot.at_s <= HOLD_WITHIN_S => {
+            Some(slot) if slot.at_s <= RESERVE_WITHIN_S => {
                 undo.push((slot.which, timelines[slot.which].clone()));
                 last = slot.at_s.max(last);
                 taken.push(slot.which);
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::{ClusterState, JobState, Machine, Standing};
-use super::holds::Hold;
+use super::reservations::Reservation;
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
 use crate::kinds::{Catalog, MachineType};
@@ -91,7 +91,7 @@
             idle: (machine.idle().cpus, machine.idle().gpus, machine.idle().memory_gb),
             leaving: machine.standing == Standing::Draining,
             kept: false,
-            hold: None,
+            reservation: None,
             reserved: false,
         })
     }
@@ -132,7 +132,7 @@
     /// Kept free of idle work for what will soon arrive.
     pub kept: bool,
     /// For whom it is held, if it is.
-    pub hold: Option<&'a Hold>,
+    pub reservation: Option<&'a Reservation>,
     /// Others were stopped there for whom it is held for.
     pub reserved: bool,
 }
@@ -150,7 +150,7 @@
             idle: (0.0, 0.0, 0.0),
             leaving: false,
             kept: false,
-            hold: None,
+            reservation: None,
             reserved: false,
         }
     }
--- a/src/scheduling/served/tests/mod.rs
+++ b/src/scheduling/served/tests/mod.rs
@@ -261,7 +261,7 @@
         }
         self.look();
         if t.is_multiple_of(2) {
-            self.cluster.holds = crate::scheduling::holds::choose(&self.cluster, &catalog(), now);
+            self.cluster.reservations = crate::scheduling::reservations::choose(&self.cluster, &catalog(), now);
         }
         let placed = plan::place(&mut self.cluster, &catalog(), now);
         self.cluster.bind_all(placed, now);
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -400,7 +400,7 @@
             let name = format!("m{i:04}");
             cluster.take_report(report(&name, "c8", "a", false, 2, vec![]), Via::Report, None, now);
         }
-        cluster.holds = super::holds::choose(&cluster, &catalog(), now);
+        cluster.reservations = super::reservations::choose(&cluster, &catalog(), now);
         add(&mut cluster, 20, now, |j| (j.cpus, j.estimate_s, j.due_s) = (2.0, estimate_s, due_s));
         plan::place(&mut cluster, &catalog(), now).len()
     };
@@ -625,7 +625,11 @@
         let job = cluster.job(&"run-000001".into()).unwrap();
         (0..24).filter(|i| job.binding(*i).is_some_and(|b| b.halting.is_some())).count()
     };
-    assert_eq!((stopped(&cluster), cluster.reserved.len()), (10, 2), "five tasks on each of two machines");
+    assert_eq!(
+        (stopped(&cluster), cluster.preemption_reservations.len()),
+        (10, 2),
+        "five tasks on each of two machines"
+    );
     preempt::preempt(&mut cluster, &catalog(), now + Duration::from_secs(1));
     assert_eq!(stopped(&cluster), 10, "room is being made already");
     // More idle work takes none of what is held for the gang, nor what it waits for.
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -145,7 +145,7 @@
         }
         if step % 4 == 0 && play.cluster.loaded {
             crate::scheduling::look(&mut account, &mut play.cluster, now);
-            play.cluster.holds = crate::scheduling::holds::choose(&play.cluster, &catalog(), now);
+            play.cluster.reservations = crate::scheduling::reservations::choose(&play.cluster, &catalog(), now);
         }
         preempt::preempt(&mut play.cluster, &catalog(), now);
         play.step();
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -187,7 +187,7 @@
         }
         if step.is_multiple_of(4) && cluster.loaded {
             crate::scheduling::look(&mut self.account, cluster, now);
-            cluster.holds = crate::scheduling::holds::choose(cluster, &catalog(), now);
+            cluster.reservations = crate::scheduling::reservations::choose(cluster, &catalog(), now);
         }
         let up = cluster.machines.values().filter(|m| m.standing == Standing::Up).count();
         let draining = cluster.machines.values().any(|m| m.standing == Standing::Draining);
--- a/src/scheduling/tests/wishes.rs
+++ b/src/scheduling/tests/wishes.rs
@@ -70,14 +70,14 @@
 fn decided(cluster: &mut ClusterState, now: Instant) -> String {
     let catalog = catalog();
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
-    let mut holds: Vec<_> = super::super::holds::choose(cluster, &catalog, now).into_iter().collect();
-    holds.sort_by(|a, b| a.0.cmp(&b.0));
+    let mut reservations: Vec<_> = super::super::reservations::choose(cluster, &catalog, now).into_iter().collect();
+    reservations.sort_by(|a, b| a.0.cmp(&b.0));
     let rented = rent::plan(cluster, &catalog, &Refusals::default(), &Default::default(), now);
     let given_up = rent::to_give_up(cluster, &catalog, now);
     let drained = drain::choose(cluster, &catalog, now);
     let placed = plan::place(cluster, &catalog, now);
-    let holds: Vec<_> = holds.into_iter().map(|(m, h)| (m, h.job)).collect();
-    format!("{queue:?} {holds:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
+    let reservations: Vec<_> = reservations.into_iter().map(|(m, h)| (m, h.job)).collect();
+    format!("{queue:?} {reservations:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
 }
 
 /// Wishes that name nobody change nothing, as none do: no decision looks at them but for those named.
@@ -290,7 +290,7 @@
     };
     for ahead in [false, true] {
         let cluster = make(ahead);
-        assert_eq!(!super::super::holds::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
+        assert_eq!(!super::super::reservations::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
         let rented = rent::plan(&cluster, &catalog(), &Refusals::default(), &HashMap::new(), now);
         assert_eq!(!rented.is_empty(), ahead, "rented at once");
     }
--- a/src/scheduling/wishes.rs
+++ b/src/scheduling/wishes.rs
@@ -180,13 +180,13 @@
 
 /// Jobs for which machines are held, of these urgencies and going ahead or not. None for which others were
 /// stopped, and none while nobody is asked to go ahead.
-pub fn holders(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
+pub fn reserved_for(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
     let Some(ahead) = &cluster.wishes.ahead else { return Vec::new() };
-    let mut jobs: Vec<&JobId> = cluster.holds.values().map(|hold| &hold.job).collect();
+    let mut jobs: Vec<&JobId> = cluster.reservations.values().map(|reservation| &reservation.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
     jobs.retain(|id| cluster.job(id).is_some_and(|job| of(job.spec().urgency, ahead.names.has(job.spec()))));
-    jobs.retain(|id| !cluster.reserved.values().any(|hold| hold.job == **id));
+    jobs.retain(|id| !cluster.preemption_reservations.values().any(|reservation| reservation.job == **id));
     jobs
 }
 
