--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -136,7 +136,7 @@
     }
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
         let tasks = (cluster.wishes.waiting(id, job) + job.bound.len()) as u64;
-        if tasks > 0 && !cluster.evidence.suspects(id) {
+        if tasks > 0 && !cluster.attribution.suspects(id) {
             pool.keep(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
     }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -67,7 +67,7 @@
         }
         Some((*index, replica))
     };
-    let (failures, lately) = cluster.evidence.failures(id);
+    let (failures, lately) = cluster.attribution.failures(id);
     let type_of = |m: &crate::scheduling::cluster::MachineId| cluster.machines.get(m).map(|m| m.type_name.clone());
     Side {
         known: Known::Open,
@@ -75,7 +75,7 @@
         replicas: job.bound.iter().filter_map(replica).collect(),
         failures,
         failed_lately: lately.map(|m| (m.to_string(), type_of(m).unwrap_or_default())).collect(),
-        suspected: cluster.evidence.suspects(id),
+        suspected: cluster.attribution.suspects(id),
     }
 }
 
--- a/src/rollouts/seen.rs
+++ b/src/rollouts/seen.rs
@@ -61,7 +61,7 @@
     pub failures: u64,
     /// Machine and machine type of the latest failures.
     pub failed_lately: Vec<(String, String)>,
-    /// Fails wherever it is tried (`scheduling::evidence`).
+    /// Fails wherever it is tried (`scheduling::failure_attribution`).
     pub suspected: bool,
 }
 
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -5,7 +5,7 @@
 use tracing::{info, warn};
 
 use super::{ClusterState, JobState, MachineId, Standing};
-use crate::scheduling::evidence::{Failure, PROBES};
+use crate::scheduling::failure_attribution::{Failure, PROBES};
 use crate::wire::workers::{LegStatus, TaskKey};
 
 /// What has run for so long does well, as far as failures at the start are concerned.
@@ -38,8 +38,8 @@
             job_does_well: does_well(job, on, now),
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
-        let suspected = self.evidence.suspects(&key.job);
-        let judged = self.evidence.failed(&failure, enough, now);
+        let suspected = self.attribution.suspects(&key.job);
+        let judged = self.attribution.failed(&failure, enough, now);
         info!(task = %key.job, index = key.index, machine = %on, "task failed");
         if let Some(at) = judged.job_not_before {
             job.not_before = job.not_before.max(at);
@@ -63,8 +63,8 @@
     /// A task was done: its machine and its job are well.
     pub(super) fn did_well(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let suspected = self.evidence.suspects(&key.job);
-        self.evidence.done(key, &job.record.spec.class, on);
+        let suspected = self.attribution.suspects(&key.job);
+        self.attribution.done(key, &job.record.spec.class, on);
         if suspected {
             info!(job = %key.job, "does well after all");
         }
@@ -83,7 +83,7 @@
 
     /// Machines that have been under suspicion for long enough: out, or back.
     pub(super) fn decide_suspicions(&mut self, now: Instant) {
-        for (id, out) in self.evidence.decided(self.enough_failures(), now) {
+        for (id, out) in self.attribution.decided(self.enough_failures(), now) {
             if !out {
                 self.clear_machine(&id);
             } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.standing == Standing::Up) {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -217,7 +217,7 @@
         job.ended_after = self.known;
         self.ended_at.put(id.clone(), now);
         job.waiting.clear();
-        self.evidence.job_over(id);
+        self.attribution.job_over(id);
         self.ending.insert(id.clone());
         let bound: Vec<u32> = job.bound.iter().copied().collect();
         for index in bound {
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -421,7 +421,7 @@
             self.unbind(&key, now);
         }
         self.machines.remove(id);
-        self.evidence.machine_gone(id);
+        self.attribution.machine_gone(id);
         if self.gone_set.insert(id.clone()) {
             self.gone.push_back(id.clone());
         }
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -24,7 +24,7 @@
 pub use machine::{Machine, Standing};
 use storing::Dirty;
 
-use super::evidence::Evidence;
+use super::failure_attribution::FailureAttribution;
 use super::large::Large;
 use super::plan::beside::BesideRoom;
 use super::reservations::Reservation;
@@ -349,7 +349,7 @@
     /// Classes and teams that go first, by the account.
     pub below: Below,
     /// Whose fault failures are.
-    pub evidence: Evidence,
+    pub attribution: FailureAttribution,
     /// What work that is late for everything may take before others.
     pub lane: Lane,
     /// Orders to the cloud that an earlier owner has left, for whoever carries them out.
@@ -429,7 +429,7 @@
             keeping: None,
             beside_room: BesideRoom::default(),
             below: Below::default(),
-            evidence: Evidence::default(),
+            attribution: FailureAttribution::default(),
             lane: Lane::default(),
             inherited: Vec::new(),
             ended_at: LruCache::new(ENDED_KEPT),
@@ -454,7 +454,7 @@
 
     /// Entries of everything that could grow, by name.
     pub fn held(&self) -> [(&'static str, usize); 12] {
-        let [machines_suspected, jobs_suspected, jobs_failing] = self.evidence.held();
+        let [machines_suspected, jobs_suspected, jobs_failing] = self.attribution.held();
         [
             ("machines_suspected", machines_suspected),
             ("jobs_suspected", jobs_suspected),
@@ -498,14 +498,14 @@
         let late = self
             .jobs
             .iter()
-            .filter(|(id, _)| !self.evidence.suspects(id) && !self.wishes.not_yet.contains(*id))
+            .filter(|(id, _)| !self.attribution.suspects(id) && !self.wishes.not_yet.contains(*id))
             .filter(|(id, job)| self.wishes.waiting(id, job) > 0)
             .map(|(_, job)| job)
             .filter(waits);
         let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
         let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
         self.lane.bound(needs);
-        let waits = self.jobs.iter().filter(|(id, _)| !self.evidence.suspects(id)).map(|(_, job)| job).filter(waits);
+        let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
         self.large.bound(waits, self.properties.large_begin, now);
     }
 
--- a/src/scheduling/evidence.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -154,14 +154,14 @@
 
 /// All that is remembered of failures.
 #[derive(Debug)]
-pub struct Evidence {
+pub struct FailureAttribution {
     jobs: HashMap<JobId, JobTrial>,
     machines: BTreeMap<MachineId, MachineTrial>,
     /// Jobs of a class that came under suspicion since any of the class was done.
     classes: LruCache<String, Vec<JobId>>,
 }
 
-impl Default for Evidence {
+impl Default for FailureAttribution {
     fn default() -> Self {
         Self { jobs: HashMap::new(), machines: BTreeMap::new(), classes: LruCache::new(MOST_CLASSES) }
     }
@@ -173,7 +173,7 @@
     }
 }
 
-impl Evidence {
+impl FailureAttribution {
     /// Takes in one failure and judges it. `enough`: unexplained failures in a row after which a machine is suspected.
     pub fn failed(&mut self, failure: &Failure, enough: usize, now: Instant) -> Judged {
         let Failure { task, class, machine, job_does_well, at_once } = *failure;
--- a/src/scheduling/evidence/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -35,7 +35,7 @@
 /// the job runs well elsewhere. Gives the machines given up and the jobs suspected at the end.
 fn play(steps: &str) -> (Vec<String>, Vec<String>) {
     let start = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut attribution = FailureAttribution::default();
     let mut out = Vec::new();
     let mut jobs = std::collections::BTreeSet::new();
     for step in steps.split_whitespace() {
@@ -46,17 +46,17 @@
         let machine: MachineId = machine.into();
         jobs.insert(job.to_owned());
         if mark == Some('+') {
-            evidence.done(&task, job, &machine);
+            attribution.done(&task, job, &machine);
         } else {
             let failure =
                 Failure { task: &task, class: job, machine: &machine, job_does_well: mark == Some('?'), at_once: 1 };
-            evidence.failed(&failure, 2, start);
+            attribution.failed(&failure, 2, start);
         }
     }
-    let decided = evidence.decided(2, start + DECIDED_AFTER);
+    let decided = attribution.decided(2, start + DECIDED_AFTER);
     out.extend(decided.into_iter().filter(|(_, out)| *out).map(|(id, _)| id.to_string()));
     out.sort();
-    (out, jobs.into_iter().filter(|j| evidence.suspects(&j.as_str().into())).collect())
+    (out, jobs.into_iter().filter(|j| attribution.suspects(&j.as_str().into())).collect())
 }
 
 #[test]
@@ -93,12 +93,12 @@
 #[test]
 fn a_bad_class_is_known_after_a_few_jobs() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut attribution = FailureAttribution::default();
     let mut fail = |job: usize, machine: usize| {
         let task = TaskKey { job: format!("run-{job}").into(), index: 0 };
         let machine: MachineId = format!("m{machine}").into();
         let failure = Failure { task: &task, class: "tiny", machine: &machine, job_does_well: false, at_once: 1 };
-        evidence.failed(&failure, 2, now)
+        attribution.failed(&failure, 2, now)
     };
     (0..3).for_each(|job| (0..3).for_each(|m| drop(fail(job, job * 3 + m))));
     for job in 10..60 {
@@ -106,22 +106,22 @@
         assert!(judged.job_not_before.is_some() && !judged.machine, "job {job}");
     }
     for job in 0..60 {
-        evidence.job_over(&format!("run-{job}").into());
+        attribution.job_over(&format!("run-{job}").into());
     }
-    assert_eq!(evidence.held(), [0, 0, 0], "nothing is kept of what is over");
-    assert!(evidence.machines.is_empty());
+    assert_eq!(attribution.held(), [0, 0, 0], "nothing is kept of what is over");
+    assert!(attribution.machines.is_empty());
 }
 
 /// Failures of one round are one pause, or a large array would wait a minute after its first try.
 #[test]
 fn a_round_of_failures_is_one_pause() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut attribution = FailureAttribution::default();
     let mut fail = |index: u32, at: Instant| {
         let task = TaskKey { job: "run-1".into(), index };
         let machine: MachineId = format!("m{index}").into();
         let failure = Failure { task: &task, class: "c", machine: &machine, job_does_well: false, at_once: 1 };
-        evidence.failed(&failure, 2, at).job_not_before
+        attribution.failed(&failure, 2, at).job_not_before
     };
     let pauses: Vec<_> = (0..100).map(|index| fail(index, now)).collect();
     assert_eq!((pauses[1], pauses[2], pauses[99]), (None, Some(now + FIRST_PAUSE), Some(now + FIRST_PAUSE)));
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -3,7 +3,7 @@
 pub mod backfill;
 pub mod cluster;
 pub mod due;
-pub mod evidence;
+pub mod failure_attribution;
 pub mod forecast;
 #[cfg(test)]
 mod interleavings;
@@ -112,8 +112,8 @@
         }
     }
     // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
-    let (evidence, large, wishes) = (&cluster.evidence, &cluster.large, &cluster.wishes);
-    let left_out = |id| evidence.suspects(id) || wishes.not_yet.contains(id);
+    let (attribution, large, wishes) = (&cluster.attribution, &cluster.large, &cluster.wishes);
+    let left_out = |id| attribution.suspects(id) || wishes.not_yet.contains(id);
     let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
     let held = |id: &JobId, job| wishes.replicas.contains_key(id) && wishes.waiting(id, job) == 0;
     let open = open.filter(|(id, job)| !held(id, job));
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -13,7 +13,7 @@
 
 use super::backfill::{self, Backfill};
 use super::cluster::{ClusterState, JobState, MachineId};
-use super::evidence::{Evidence, PROBES};
+use super::failure_attribution::{FailureAttribution, PROBES};
 use super::room::{Ground, Room, Zones, usable, usable_until_left};
 use super::served::floor::Rank;
 use super::wishes::{self, Wishes};
@@ -88,7 +88,7 @@
                 ),
                 late,
                 owed: false,
-                suspected: cluster.evidence.suspects(id),
+                suspected: cluster.attribution.suspects(id),
                 task_return: job.agreement.task_return(age + job.agreement.run),
                 age,
                 ahead: false,
@@ -236,7 +236,7 @@
 impl<'a> Demand<'a> {
     fn new(
         turn: &Turn<'a>,
-        evidence: &'a Evidence,
+        attribution: &'a FailureAttribution,
         backfill: Option<Rc<Backfill>>,
         open: Vec<bool>,
         sought: Rc<[bool]>,
@@ -262,8 +262,8 @@
             hard: agreement.within_reach(age),
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
             wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
-            failed_on: evidence.failed_on(turn.id),
-            held_back: evidence.held_back(turn.id, now),
+            failed_on: attribution.failed_on(turn.id),
+            held_back: attribution.held_back(turn.id, now),
             open,
             sought,
         }
@@ -366,7 +366,7 @@
 /// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
 pub struct Plan<'a> {
     cluster: &'a ClusterState,
-    evidence: &'a Evidence,
+    attribution: &'a FailureAttribution,
     wishes: &'a Wishes,
     ground: Ground<'a>,
     rooms: Vec<Room<'a>>,
@@ -403,7 +403,7 @@
         let sought = sought(&ground, turns);
         Self {
             cluster,
-            evidence: &cluster.evidence,
+            attribution: &cluster.attribution,
             wishes: &cluster.wishes,
             giving,
             sought,
@@ -471,7 +471,7 @@
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
-        let mut demand = Demand::new(turn, self.evidence, backfill, open, self.sought.clone(), overdue, self.now);
+        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.wishes.stopped(turn.id));
         let waiting = self.wishes.waiting(turn.id, job);
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -551,7 +551,7 @@
     for (seq, placement) in (2..).zip(&first) {
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
-    assert_eq!(cluster.evidence.held(), [0, 1, 1], "the job is suspected, no machine is");
+    assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is suspected, no machine is");
     assert!(cluster.machines.values().all(|m| m.standing == Standing::Up && !m.suspected));
     let later = now + Duration::from_secs(6);
     // Beside work that ends, it comes last, a few tasks at a time.
