--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -2,14 +2,14 @@
 
 use tracing::Level;
 
+use super::intents::{Left, add_intents};
 use super::round::{Round, Standing};
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
-use super::wish::{Left, wish};
 use crate::declared::{Acted, Declared, Kind, Names, Problem, View};
 use crate::jobs::{End, JobId};
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 
 /// Planning windows, as something that operators declare.
 pub struct Window;
@@ -71,7 +71,7 @@
         (next != *status).then_some(next)
     }
 
-    fn wish(name: &str, spec: &Spec, status: &Status, view: &View, wishes: &mut Wishes) {
+    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
         let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), comers: round(view).comers(name) };
         let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         let within = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
@@ -80,7 +80,7 @@
             gpus: within(team.gpus_max, gpus),
         });
         let shape = |id: &JobId| view.cluster.job(id).map(|job| job.spec().clone());
-        wish(name, spec, status, &facts, &shape, left, wishes);
+        add_intents(name, spec, status, &facts, &shape, left, intents);
     }
 
     fn tell(_: &str, spec: &Spec, status: &Status, now_ms: u64) -> Vec<String> {
--- a/src/calendar/wish.rs
+++ b/src/calendar/intents.rs
@@ -7,7 +7,7 @@
 use super::status::{Instance, Status};
 use super::step::{Facts, Fate, claims, latest_ms, see, unclaimed_latest_ms};
 use crate::jobs::{JobId, JobSpec, Shape, Urgency};
-use crate::scheduling::wishes::{RoomWish, Turn, Wishes};
+use crate::scheduling::intents::{Intents, RoomIntent, Turn};
 
 /// Room for an opening is asked for from here on; whoever rents knows how long boot and fetch take.
 const AHEAD_MS: u64 = 900_000;
@@ -63,7 +63,13 @@
 }
 
 /// Room for turns that nobody claimed yet: from ahead of the opening until it is given back.
-fn room_to_claim(spec: &Spec, status: &Status, instance: &Instance, now_ms: u64, left: &mut Left) -> Option<RoomWish> {
+fn room_to_claim(
+    spec: &Spec,
+    status: &Status,
+    instance: &Instance,
+    now_ms: u64,
+    left: &mut Left,
+) -> Option<RoomIntent> {
     let kept = instance.opens_ms.saturating_add(u64::from(spec.room_s) * 1000);
     let until = kept.min(unclaimed_latest_ms(spec, status, instance));
     if instance.unclaimed || now_ms >= until || now_ms.saturating_add(AHEAD_MS) < instance.opens_ms {
@@ -78,19 +84,19 @@
     let tasks = if like.cpus > 0.0 { (cores / like.cpus - 1e-9).ceil().max(0.0) as u64 } else { like.tasks };
     let tasks = left.take(&like, tasks, f64::INFINITY);
     let in_s = instance.opens_ms.saturating_sub(now_ms) as f64 / 1000.0;
-    (tasks > 0).then_some(RoomWish { like, tasks, in_s })
+    (tasks > 0).then_some(RoomIntent { like, tasks, in_s })
 }
 
 /// `left`: what the window's team may still take; no room beyond it is of use to it.
 /// `shape`: the description of an open job.
-pub fn wish(
+pub fn add_intents(
     name: &str,
     spec: &Spec,
     status: &Status,
     facts: &Facts,
     shape: &dyn Fn(&JobId) -> Option<JobSpec>,
     mut left: Left,
-    wishes: &mut Wishes,
+    intents: &mut Intents,
 ) {
     let now_ms = facts.now_ms;
     let Some(mut instance) = status.instance(spec, now_ms) else { return };
@@ -102,14 +108,14 @@
     };
     for claim in claims(spec, &instance, facts.comers) {
         if still(instance.closes_ms, (facts.fate)(&claim.job)) {
-            wishes.not_yet.insert(claim.job);
+            intents.not_yet.insert(claim.job);
         }
     }
     // The instance before theirs is about to end.
     for comer in facts.comers.iter().filter(|comer| comer.day > instance.day) {
         let closes_ms = spec.on(comer.day).map_or(0, |span| span.closes_ms);
         if still(closes_ms, (facts.fate)(&comer.record.spec.id)) {
-            wishes.not_yet.insert(comer.record.spec.id.clone());
+            intents.not_yet.insert(comer.record.spec.id.clone());
         }
     }
     let soon = now_ms.saturating_add(AHEAD_MS) >= instance.opens_ms;
@@ -118,9 +124,9 @@
         let Fate::Open { begun, .. } = (facts.fate)(&claim.job) else { continue };
         let come = claim.turn <= instance.turn;
         if come {
-            wishes.turns.insert(claim.job.clone(), Turn { window: name.to_owned(), number: claim.turn });
+            intents.turns.insert(claim.job.clone(), Turn { window: name.to_owned(), number: claim.turn });
         } else {
-            wishes.not_yet.insert(claim.job.clone());
+            intents.not_yet.insert(claim.job.clone());
         }
         // What waits in its turn is rented for as all that waits is; it has the first of what is left.
         let Some(like) = shape(&claim.job).filter(|_| !begun && soon) else { continue };
@@ -135,7 +141,7 @@
         }
         expected -= tasks as f64 * like.cpus;
         let in_s = instance.opens_ms.saturating_sub(now_ms) as f64 / 1000.0;
-        wishes.room.push(RoomWish { like, tasks, in_s });
+        intents.room.push(RoomIntent { like, tasks, in_s });
     }
-    wishes.room.extend(room_to_claim(spec, status, &instance, now_ms, &mut left));
+    intents.room.extend(room_to_claim(spec, status, &instance, now_ms, &mut left));
 }
--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -4,13 +4,13 @@
 //! Jobs come from users alone: nothing here submits, withdraws or ends one.
 
 mod declare;
+mod intents;
 mod round;
 mod spec;
 mod status;
 mod step;
 #[cfg(test)]
 mod tests;
-mod wish;
 
 pub use declare::Window;
 pub use round::Round;
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -168,12 +168,12 @@
     fn begin(&mut self) {
         let Controller { mirror, owner, own, skew_ms, .. } = &mut self.stage.controllers[self.owner];
         let Some((cluster, _)) = owner.as_mut() else { return };
-        if cluster.wishes_due {
+        if cluster.intents_due {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
             refresh(&KINDS, cluster, mirror.shelf(), &|id| own.get(id).copied(), Instant::now(), now_ms);
         }
-        let may = |id: &&JobId| self.without == Without::Turns || !cluster.wishes.not_yet.contains(*id);
-        let number = |id: &JobId| cluster.wishes.turns.get(id).map(|t| t.number);
+        let may = |id: &&JobId| self.without == Without::Turns || !cluster.intents.not_yet.contains(*id);
+        let number = |id: &JobId| cluster.intents.turns.get(id).map(|t| t.number);
         let open = cluster.jobs().filter(|(id, j)| j.ended.is_none() && !self.begun.contains(*id)).map(|(id, _)| id);
         let Some(id) = open.filter(may).min_by_key(|id| (number(id), (*id).clone())).cloned() else { return };
         cluster.load_chunk(&id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -6,15 +6,15 @@
 
 use serde_json::{Value, json};
 
+use super::intents::{Left, add_intents};
 use super::round::{Round, Standing};
 use super::spec::{Day, Spec, date_of, day_of};
 use super::status::{Outcome, Over, Reason, Status, news, tell};
 use super::step::{Comer, Facts, Fate, GRACE_MS, next};
-use super::wish::{Left, wish};
 use crate::declared::Names;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, JobSpec, Shape};
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 
 const HOUR: u64 = 3_600_000;
 /// 2026-12-02, a Wednesday.
@@ -80,12 +80,12 @@
         next(spec, status, &self.facts(&comers, &|id| self.fate(id)))
     }
 
-    pub fn wishes(&self, spec: &Spec, status: &Status, left: Left) -> Wishes {
+    pub fn intents(&self, spec: &Spec, status: &Status, left: Left) -> Intents {
         let comers = self.comers("w", spec, status);
         let shape = |id: &JobId| self.jobs.iter().find(|r| r.spec.id == *id).map(|r| r.spec.clone());
-        let mut wishes = Wishes::default();
-        wish("w", spec, status, &self.facts(&comers, &|id| self.fate(id)), &shape, left, &mut wishes);
-        wishes
+        let mut intents = Intents::default();
+        add_intents("w", spec, status, &self.facts(&comers, &|id| self.fate(id)), &shape, left, &mut intents);
+        intents
     }
 
     fn fate(&self, id: &JobId) -> Fate {
@@ -270,7 +270,7 @@
     let turn = |status: &Status| status.current.as_ref().map_or(0, |i| i.turn);
     world.submit(2, "plan");
     let mut status = world.step(&spec, &Status::default());
-    assert_eq!((turn(&status), world.wishes(&spec, &status, PLENTY).not_yet.len()), (0, 1), "not open yet");
+    assert_eq!((turn(&status), world.intents(&spec, &status, PLENTY).not_yet.len()), (0, 1), "not open yet");
     world.now_ms += 60_000;
     status = world.step(&spec, &status);
     assert_eq!(turn(&status), 1, "turn 1 is awaited");
@@ -285,21 +285,21 @@
     world.now_ms = MIDNIGHT + 6 * HOUR + 60_000;
     world.submit(1, "roster");
     status = world.step(&spec, &status);
-    let wishes = world.wishes(&spec, &status, PLENTY);
-    assert_eq!((turn(&status), wishes.turns.len(), wishes.not_yet.len()), (1, 1, 1));
+    let intents = world.intents(&spec, &status, PLENTY);
+    assert_eq!((turn(&status), intents.turns.len(), intents.not_yet.len()), (1, 1, 1));
     // It waits for room: the other goes once it would be too late itself.
     let mut waits = status.clone();
     world.now_ms = MIDNIGHT + 8 * HOUR - (NEEDS_S * 1000.0) as u64;
     waits = world.step(&spec, &waits);
     assert_eq!((turn(&waits), waits.current.as_ref().unwrap().late), (2, true));
-    assert_eq!(world.wishes(&spec, &waits, PLENTY).turns[&JobId::from("run-1")].number, 1, "it stays the first");
+    assert_eq!(world.intents(&spec, &waits, PLENTY).turns[&JobId::from("run-1")].number, 1, "it stays the first");
 
     world.now_ms = MIDNIGHT + 6 * HOUR + 61_000;
     world.begin(1);
     let after = world.step(&spec, &status);
     assert_eq!(turn(&after), 2);
-    assert_eq!(world.wishes(&spec, &status, PLENTY).not_yet.len(), 1, "not before it is stored");
-    assert_eq!(world.wishes(&spec, &after, PLENTY).not_yet.len(), 0);
+    assert_eq!(world.intents(&spec, &status, PLENTY).not_yet.len(), 1, "not before it is stored");
+    assert_eq!(world.intents(&spec, &after, PLENTY).not_yet.len(), 0);
     world.now_ms = MIDNIGHT;
     assert_eq!(turn(&world.step(&spec, &after)), 2, "a clock that steps back takes no turn back");
 }
@@ -310,8 +310,8 @@
 fn room_by_cases() {
     let tasks = |fields: Value, hours: f64, left: Left| {
         let world = World::at(MIDNIGHT + (hours * HOUR as f64) as u64);
-        let wishes = world.wishes(&window(fields), &Status::default(), left);
-        wishes.room.iter().map(|room| (room.tasks, room.in_s)).collect::<Vec<_>>()
+        let intents = world.intents(&window(fields), &Status::default(), left);
+        intents.room.iter().map(|room| (room.tasks, room.in_s)).collect::<Vec<_>>()
     };
     let some = |cpus| Left { cpus, gpus: 0.0 };
     for (name, fields, hours, left, want) in [
@@ -336,10 +336,10 @@
     (1..=2).for_each(|n| world.set(n, Fate::Done { at_ms: None }));
     status = world.step(&spec, &status);
     world.now_ms += 24 * HOUR;
-    assert_eq!(world.wishes(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 2);
+    assert_eq!(world.intents(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 2);
     world.submit(3, "plan");
     status = world.step(&spec, &status);
-    assert_eq!(world.wishes(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 1);
+    assert_eq!(world.intents(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 1);
 
     // A gang whose turn has not come has whole room or none.
     for (cores, want) in [(7.0, 0), (8.0, 8)] {
@@ -350,7 +350,7 @@
         world.submit(1, "plan");
         world.jobs[0] = Arc::new(JobRecord { spec: gang, at_ms: world.now_ms });
         let status = world.step(&spec, &Status::default());
-        let room = world.wishes(&spec, &status, PLENTY).room;
+        let room = world.intents(&spec, &status, PLENTY).room;
         assert_eq!(room.iter().map(|r| r.tasks).sum::<u64>(), want, "{cores}");
     }
 }
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -73,7 +73,7 @@
 
 /// Whether a job may begin is asked of what is stored, as placing does.
 fn may_begin(world: &World, spec: &Spec, stored: &Status, n: usize) -> bool {
-    !world.wishes(spec, stored, PLENTY).not_yet.contains(format!("run-{n}").as_str())
+    !world.intents(spec, stored, PLENTY).not_yet.contains(format!("run-{n}").as_str())
 }
 
 /// Claims and turns are never taken back or given twice, and a turn comes only when those before it
@@ -130,8 +130,8 @@
                 Event::Submit { .. } => {}
                 Event::Begin { n } if n < jobs && may_begin(&world, &spec, &stored, n) => {
                     // In the order of their turns, as placing has them.
-                    let wishes = world.wishes(&spec, &stored, PLENTY);
-                    let number = |n: usize| wishes.turns.get(format!("run-{n}").as_str()).map(|t| t.number);
+                    let intents = world.intents(&spec, &stored, PLENTY);
+                    let number = |n: usize| intents.turns.get(format!("run-{n}").as_str()).map(|t| t.number);
                     let first = |m: &usize| {
                         matches!(world.fates.get(format!("run-{m}").as_str()), Some(Fate::Open { begun: false, .. }))
                             && number(*m) < number(n) && number(*m).is_some()
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -21,7 +21,7 @@
 use crate::jobs::record::ASSIGNMENT;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 use crate::store::mirror::Mirror;
 use crate::store::{Change, Condition};
 
@@ -225,14 +225,14 @@
 /// Works out anew what is asked for by what is stored: before anything is decided after a takeover, when
 /// jobs have come, and each second. Does nothing as long as nothing is declared.
 pub fn refresh(kinds: &[Entry], cluster: &mut ClusterState, shelf: &Shelf, ended: Ended, now: Instant, now_ms: u64) {
-    cluster.wishes_due = false;
-    if shelf.is_empty() && cluster.wishes.is_empty() {
+    cluster.intents_due = false;
+    if shelf.is_empty() && cluster.intents.is_empty() {
         return;
     }
-    let mut wishes = Wishes::default();
+    let mut intents = Intents::default();
     let view = view(cluster, shelf, ended, now, now_ms);
     for entry in kinds {
-        (entry.wish)(&view, &mut wishes);
+        (entry.add_intents)(&view, &mut intents);
     }
-    cluster.set_wishes(wishes);
+    cluster.set_intents(intents);
 }
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -3,7 +3,7 @@
 //! A spec is written by operators only, a status by the owner only: conditional on its assignment, on
 //! the spec's stamp and on the status's own. Whoever owns next reads both and goes on from there, at
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
-//! sparing (`scheduling::wishes`) follows from statuses as the mirror has them, the cluster state and the time.
+//! sparing (`scheduling::intents`) follows from statuses as the mirror has them, the cluster state and the time.
 
 pub mod driver;
 pub mod operator;
@@ -25,7 +25,7 @@
 use crate::calendar::Round;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 use crate::settings::{Params, Settings, Team};
 
 pub use records::Kind;
@@ -144,7 +144,7 @@
     fn step(name: &str, spec: &Self::Spec, status: &Self::Status, view: &View) -> Option<Self::Status>;
 
     /// What it asks of placing, renting, holding and sparing, by what is stored.
-    fn wish(name: &str, spec: &Self::Spec, status: &Self::Status, view: &View, wishes: &mut Wishes);
+    fn add_intents(name: &str, spec: &Self::Spec, status: &Self::Status, view: &View, intents: &mut Intents);
 
     /// Lines for operators.
     fn tell(name: &str, spec: &Self::Spec, status: &Self::Status, now_ms: u64) -> Vec<String>;
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -9,7 +9,7 @@
 use super::records::{Kind, MOST_BYTES};
 use super::{Acted, Declared, Names, Problem, View};
 use crate::heat;
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 
 /// All kinds that this build carries out.
 pub const KINDS: &[Entry] = &[
@@ -62,7 +62,7 @@
     /// The status that one is to have next, by name.
     pub step: fn(&str, &View) -> Option<Decided>,
     /// What all of the kind ask for.
-    pub wish: fn(&View, &mut Wishes),
+    pub add_intents: fn(&View, &mut Intents),
     /// Lines for operators at a time of day in ms.
     pub tell: fn(Standing, u64) -> Lines,
     /// What is owed for a change of a status, by name.
@@ -80,7 +80,7 @@
             check_all: check_all::<D>,
             declared: declared::<D>,
             step: step::<D>,
-            wish: wish::<D>,
+            add_intents: add_intents::<D>,
             tell: tell::<D>,
             news: news::<D>,
             act: act::<D>,
@@ -145,12 +145,12 @@
     Some(Decided { spec_stamp, status_stamp: stored.map_or(0, |(_, stamp)| stamp), value })
 }
 
-fn wish<D: Declared>(view: &View, wishes: &mut Wishes) {
+fn add_intents<D: Declared>(view: &View, intents: &mut Intents) {
     for (name, spec, _) in view.shelf.specs::<D>() {
         match view.shelf.status::<D>(name) {
-            Some((status, _)) => D::wish(name, &spec, &status, view, wishes),
+            Some((status, _)) => D::add_intents(name, &spec, &status, view, intents),
             None if !view.shelf.has_status(D::KIND, name) => {
-                D::wish(name, &spec, &D::Status::default(), view, wishes);
+                D::add_intents(name, &spec, &D::Status::default(), view, intents);
             }
             None => {}
         }
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -26,7 +26,7 @@
 use crate::jobs::JobId;
 use crate::jobs::record::{ASSIGNMENT, MIRRORED, MIRRORED_AFTER};
 use crate::scheduling::ClusterState;
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 use crate::store::budget::Urgent;
 use crate::store::mirror::Mirror;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
@@ -57,8 +57,8 @@
     fn step(_: &str, spec: &Goal, status: &Counted, view: &View) -> Option<Counted> {
         (status.at < spec.goal).then_some(Counted { at: status.at + 1, by: view.epoch })
     }
-    fn wish(name: &str, _: &Goal, status: &Counted, _: &View, wishes: &mut Wishes) {
-        wishes.not_yet.insert(format!("{name}-{}", status.at).as_str().into());
+    fn add_intents(name: &str, _: &Goal, status: &Counted, _: &View, intents: &mut Intents) {
+        intents.not_yet.insert(format!("{name}-{}", status.at).as_str().into());
     }
     fn tell(_: &str, spec: &Goal, status: &Counted, _: u64) -> Vec<String> {
         vec![format!("{} of {}", status.at, spec.goal)]
@@ -82,7 +82,7 @@
     fn step(_: &str, _: &Goal, status: &Counted, view: &View) -> Option<Counted> {
         Some(Counted { at: status.at + 1, by: view.epoch })
     }
-    fn wish(_: &str, _: &Goal, _: &Counted, _: &View, _: &mut Wishes) {}
+    fn add_intents(_: &str, _: &Goal, _: &Counted, _: &View, _: &mut Intents) {}
     fn tell(_: &str, _: &Goal, _: &Counted, _: u64) -> Vec<String> {
         Vec::new()
     }
@@ -138,7 +138,7 @@
         let (shelf, (cluster, _)) = (controller.mirror.shelf(), controller.owner.as_ref().unwrap());
         for (name, _, _) in shelf.specs::<Heat>().filter(|_| controller.mirror.ready) {
             let at = shelf.status::<Heat>(name).map_or(0, |(status, _)| status.at);
-            assert!(cluster.wishes.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
+            assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
     }
 
@@ -360,7 +360,7 @@
     assert_eq!(shelf.entries(), 5, "the larger one and the unknown kind are not taken in");
     assert!(shelf.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
     let (cluster, _) = stage.controllers[0].owner.as_ref().unwrap();
-    assert_eq!(cluster.wishes.not_yet.len(), 1, "nothing is asked for by what cannot be read");
+    assert_eq!(cluster.intents.not_yet.len(), 1, "nothing is asked for by what cannot be read");
 }
 
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -7,9 +7,9 @@
 use crate::kinds::Catalog;
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
+use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
-use crate::scheduling::wishes;
 use crate::sla;
 use crate::wire::workers::{LegStatus, TaskKey};
 
@@ -118,11 +118,11 @@
     // Waiting work, then what is expected while a machine would boot, takes its room first; idle work,
     // what of it runs included, what is left.
     for turn in queue(cluster, now).into_iter().filter(|t| !t.suspected && !t.job.spec().is_idle()) {
-        let (job, waiting) = (turn.job, cluster.wishes.waiting(turn.id, turn.job) as u64);
+        let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
         pool.keep(job.spec(), &Zones::new(cluster, job), waiting, turn.ahead || turn.age > job.agreement.run);
     }
-    for (wish, _) in wishes::room_kept(cluster, &pool.ground) {
-        pool.keep(&wish.like, &Zones::none(&wish.like), wish.tasks, false);
+    for (intent, _) in intents::room_kept(cluster, &pool.ground) {
+        pool.keep(&intent.like, &Zones::none(&intent.like), intent.tasks, false);
     }
     for (class, expected) in cluster.arrivals.iter().filter(|(_, a)| !a.like.spec.is_idle()) {
         let spec = &expected.like.spec;
@@ -135,7 +135,7 @@
         pool.keep(spec, &Zones::none(spec), tasks, false);
     }
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
-        let tasks = (cluster.wishes.waiting(id, job) + job.bound.len()) as u64;
+        let tasks = (cluster.intents.waiting(id, job) + job.bound.len()) as u64;
         if tasks > 0 && !cluster.attribution.suspects(id) {
             pool.keep(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
@@ -185,7 +185,7 @@
         if job.ended.is_some() || binding.halting.is_some() {
             continue;
         }
-        if cluster.wishes.stays(&key.job) || cluster.wishes.ahead.as_ref().is_some_and(|a| a.names.has(spec)) {
+        if cluster.intents.stays(&key.job) || cluster.intents.ahead.as_ref().is_some_and(|a| a.names.has(spec)) {
             return None;
         }
         let ran = binding.running_since.filter(|_| binding.status == Some(LegStatus::Running));
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -8,10 +8,10 @@
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
 use crate::scheduling::forecast::{Slots, Timeline};
+use crate::scheduling::intents::{self, RoomIntent};
 use crate::scheduling::plan::{Quotas, Turn, queue};
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
 use crate::scheduling::served::promises::starts_left_s;
-use crate::scheduling::wishes::{self, RoomWish};
 
 /// Grace on top of a type's usual boot time.
 const BOOT_GRACE: Duration = Duration::from_secs(10);
@@ -142,35 +142,35 @@
     // For what fails everywhere nothing is rented.
     let turns = queue(cluster, now).into_iter().filter(|t| !t.suspected);
     let (idle, urgent): (Vec<Turn>, Vec<Turn>) = turns.partition(|t| t.job.spec().is_idle());
-    let room = !cluster.wishes.room.is_empty();
+    let room = !cluster.intents.room.is_empty();
     if idle.is_empty() && urgent.is_empty() && !room {
         return Vec::new();
     }
     let ground = Ground::with_all_offers(cluster, catalog);
-    let mut wishes = Wishes::new(cluster, &ground, refusals, asked, now);
+    let mut intents = Intents::new(cluster, &ground, refusals, asked, now);
     // Idle tasks give way, so that their room counts for others; what they wait for themselves is looked
     // at after that, on the machines as they are.
     if !urgent.is_empty() || room {
-        let mut timelines = wishes.timelines(true);
+        let mut timelines = intents.timelines(true);
         // Work that has waited will have to wait for what is yet to come as well: fresh work has the
         // higher return. What ends on the machines is not all theirs.
         let (fresh, waited): (Vec<Turn>, Vec<Turn>) = urgent.into_iter().partition(|t| t.age < FRESH);
-        wishes.follow(fresh, &mut timelines);
-        wishes.follow_room(&mut timelines);
+        intents.follow(fresh, &mut timelines);
+        intents.follow_room(&mut timelines);
         if !waited.is_empty() {
             expect_arrivals(cluster, &ground, &mut timelines, now);
         }
-        wishes.follow(waited, &mut timelines);
+        intents.follow(waited, &mut timelines);
     }
     if !idle.is_empty() {
-        let mut timelines = wishes.timelines(false);
-        wishes.follow(idle, &mut timelines);
+        let mut timelines = intents.timelines(false);
+        intents.follow(idle, &mut timelines);
     }
-    wishes.wanted.into_iter().collect()
+    intents.wanted.into_iter().collect()
 }
 
 /// What is to be rented, as it is found out job by job.
-struct Wishes<'a> {
+struct Intents<'a> {
     cluster: &'a ClusterState,
     ground: &'a Ground<'a>,
     asked: &'a HashMap<Kind, u64>,
@@ -185,7 +185,7 @@
     now: Instant,
 }
 
-impl<'a> Wishes<'a> {
+impl<'a> Intents<'a> {
     fn new(
         cluster: &'a ClusterState,
         ground: &'a Ground<'a>,
@@ -250,7 +250,7 @@
         let least = least.max(1e-9);
         let short = (cluster.below.short.has(spec) && !spec.is_idle()) || turn.ahead;
         let mut slots = Slots::new(timelines, job, &open);
-        let mut missing = cluster.wishes.waiting(turn.id, job) as u64;
+        let mut missing = cluster.intents.waiting(turn.id, job) as u64;
         let mut offer = None;
         while missing > 0 && self.followed < MOST_FORECAST && self.quotas.allows(spec, 1.0) {
             self.followed += 1;
@@ -303,20 +303,20 @@
     }
 }
 
-impl<'a> Wishes<'a> {
+impl<'a> Intents<'a> {
     /// Room that operators have declared: what will not be there in time is rented as late as a machine
     /// takes to boot and fetch, and counts as taken for all that follows.
     fn follow_room(&mut self, timelines: &mut Vec<Timeline<'a>>) {
-        let mut room: Vec<&RoomWish> = self.cluster.wishes.room.iter().collect();
+        let mut room: Vec<&RoomIntent> = self.cluster.intents.room.iter().collect();
         room.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
-        for wish in room {
-            let mut like = self.cluster.as_if(&wish.like, self.now);
+        for intent in room {
+            let mut like = self.cluster.as_if(&intent.like, self.now);
             // All of it at one time: no place counts twice.
             like.agreement.run = HELD_FOR_ROOM;
-            let (spec, zones) = (&wish.like, Zones::none(&wish.like));
+            let (spec, zones) = (&intent.like, Zones::none(&intent.like));
             let open = self.ground.open_to(spec, &zones);
             let mut slots = Slots::new(timelines, &like, &open);
-            for n in 0..wish.tasks {
+            for n in 0..intent.tasks {
                 if self.followed >= MOST_FORECAST || !self.quotas.allows(spec, 1.0) {
                     break;
                 }
@@ -324,12 +324,12 @@
                 let existing = slots.next(timelines, self.ground, &zones);
                 let start = existing.map_or(f64::INFINITY, |slot| slot.at_s);
                 let may = |at: usize, _: &Offer| open[at] && !self.refused[at];
-                let offer = cheapest(self.ground, spec, wish.tasks - n, may).filter(|(_, offer, _)| {
+                let offer = cheapest(self.ground, spec, intent.tasks - n, may).filter(|(_, offer, _)| {
                     let boot_s = offer.of.boot_s;
                     let fetch_s = spec.image_gb / offer.of.fetch_gb_per_s.max(0.001);
-                    start > wish.in_s
+                    start > intent.in_s
                         && boot_s + GAIN_S < start
-                        && wish.in_s <= boot_s + fetch_s
+                        && intent.in_s <= boot_s + fetch_s
                         && self.total < self.cluster.properties.most_machines as u64
                 });
                 if let Some((at, chosen, _)) = offer {
@@ -339,7 +339,7 @@
                     self.total += 1;
                 }
                 let Some(mut slot) = slots.next(timelines, self.ground, &zones) else { break };
-                slot.at_s = slot.at_s.max(wish.in_s);
+                slot.at_s = slot.at_s.max(intent.in_s);
                 slots.take(timelines, slot);
                 self.quotas.take(spec, 1.0);
             }
@@ -371,7 +371,7 @@
 /// Machines that boot for too long or stand idle for too long.
 pub fn to_give_up(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<(MachineId, &'static str)> {
     let mut out = Vec::new();
-    let kept = wishes::idle_kept(cluster, catalog, now);
+    let kept = intents::idle_kept(cluster, catalog, now);
     for machine in cluster.machines.values() {
         let age = now.saturating_duration_since(machine.since);
         match machine.standing {
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -19,9 +19,9 @@
 
 use crate::declared::records::Kind;
 use crate::declared::{Declared, Names, Problem, View};
+use crate::scheduling::intents::{Ahead, Intents};
 use crate::scheduling::served::Whose;
 use crate::scheduling::served::floor;
-use crate::scheduling::wishes::{Ahead, Wishes};
 use waits::Waits;
 
 impl Rule {
@@ -65,15 +65,15 @@
 
     /// Several rules on at once: all that any of them names, and the largest part that one of them states,
     /// so that another rule takes no more from others than they have been told of.
-    fn wish(_: &str, spec: &Rule, status: &Status, view: &View, wishes: &mut Wishes) {
+    fn add_intents(_: &str, spec: &Rule, status: &Status, view: &View, intents: &mut Intents) {
         if !status.holds(view.now_ms) {
             return;
         }
-        let before = wishes.ahead.take();
+        let before = intents.ahead.take();
         let most_part = before.as_ref().map_or(0.0, |ahead| ahead.most_part).max(spec.most_part.min(rule::MOST_PART));
         let mut names = before.map(|ahead| ahead.names).unwrap_or_default();
         names.join(spec.names());
-        wishes.ahead = Some(Ahead { names, most_part });
+        intents.ahead = Some(Ahead { names, most_part });
     }
 
     fn tell(_: &str, spec: &Rule, status: &Status, now_ms: u64) -> Vec<String> {
@@ -140,7 +140,7 @@
         None
     }
 
-    fn wish(_: &str, _: &Reading, _: &(), _: &View, _: &mut Wishes) {}
+    fn add_intents(_: &str, _: &Reading, _: &(), _: &View, _: &mut Intents) {}
 
     fn tell(_: &str, spec: &Reading, _: &(), now_ms: u64) -> Vec<String> {
         let age = spec.age_ms(now_ms).map_or("at a time ahead of this clock: it does not count".to_owned(), |age| {
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -43,7 +43,7 @@
         // Whoever knows the same status acts alike: by what is stored and not by what was only decided.
         let known = controller.mirror.shelf().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
         let (cluster, _) = controller.owner.as_ref().unwrap();
-        assert_eq!(cluster.wishes.ahead.is_some(), known.holds(now_ms), "acts on what is not stored");
+        assert_eq!(cluster.intents.ahead.is_some(), known.holds(now_ms), "acts on what is not stored");
     }
 
     fn send(&mut self, at: usize) {
--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wish {
+enum Intent {
     Submit,
     Poll,
     Withdraw,
@@ -47,7 +47,7 @@
 /// A user's question on its way through a controller.
 struct Question {
     id: JobId,
-    wish: Wish,
+    intent: Intent,
     begun: u64,
     /// Waits for a proof that was asked for after this step.
     proof_after: Option<u64>,
@@ -277,9 +277,9 @@
 
     fn found_open(&mut self, at: usize, question: usize) {
         let Some((_, asked)) = self.questions.get(&question) else { return };
-        let (job, wish) = (asked.id.clone(), asked.wish);
+        let (job, intent) = (asked.id.clone(), asked.intent);
         match self.controllers[at].mirror.open(&job).cloned() {
-            Some(record) if wish == Wish::Withdraw => {
+            Some(record) if intent == Intent::Withdraw => {
                 self.withdrawn.entry(job).or_insert(self.step);
                 self.send(
                     at,
@@ -287,28 +287,28 @@
                     Waiting::Question(question, Told::Ended(End::Withdrawn)),
                 );
             }
-            None if wish == Wish::Withdraw => self.tell(question, None),
+            None if intent == Intent::Withdraw => self.tell(question, None),
             _ => self.tell(question, Some(Told::Open)),
         }
     }
 
     fn ask(&mut self) {
         let n = self.rng.random_range(0..JOBS);
-        let wish = match self.rng.random_range(0..10) {
-            0..4 => Wish::Submit,
-            4..9 => Wish::Poll,
-            _ => Wish::Withdraw,
+        let intent = match self.rng.random_range(0..10) {
+            0..4 => Intent::Submit,
+            4..9 => Intent::Poll,
+            _ => Intent::Withdraw,
         };
         // A few ids that nobody ever submits.
-        let job = if wish != Wish::Submit && self.rng.random_bool(0.1) { id(n + 100) } else { id(n) };
+        let job = if intent != Intent::Submit && self.rng.random_bool(0.1) { id(n + 100) } else { id(n) };
         let at = self.rng.random_range(0..CONTROLLERS);
         let question = self.asked;
         self.asked += 1;
-        let asked = Question { id: job.clone(), wish, begun: self.step, proof_after: None };
+        let asked = Question { id: job.clone(), intent, begun: self.step, proof_after: None };
         self.questions.insert(question, (at, asked));
         let controller = &mut self.controllers[at];
         let known = controller.mirror.open(&job).is_some() || controller.desk.ended(&job).is_some();
-        if wish == Wish::Submit && controller.mirror.ready && !known {
+        if intent == Intent::Submit && controller.mirror.ready && !known {
             let old_kept = controller.mirror.old_kept();
             let record = self.record(&job);
             return self.send(at, moves::accept(&record, old_kept), Waiting::Question(question, Told::Open));
@@ -490,7 +490,8 @@
                     }
                     for question in waiters {
                         // A withdrawal is asked for again; anything else is told.
-                        let withdraws = self.questions.get(&question).is_some_and(|(_, q)| q.wish == Wish::Withdraw);
+                        let withdraws =
+                            self.questions.get(&question).is_some_and(|(_, q)| q.intent == Intent::Withdraw);
                         self.tell(question, told.filter(|t| !withdraws || *t != Told::Open));
                     }
                 }
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -14,7 +14,7 @@
     fn quiet(&self) -> bool {
         let mirror = lock(&self.mirror);
         let nothing = mirror.shelf().is_empty() && !mirror.shelf().any_changed();
-        nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.wishes.is_empty())
+        nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
     fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T> {
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -67,15 +67,15 @@
     }
 
     /// What is declared asks something of jobs that have just come, before they are placed.
-    pub fn refresh_wishes(&self, now: Instant) {
+    pub fn refresh_intents(&self, now: Instant) {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
-        if let Some(cluster) = held.as_mut().filter(|b| b.wishes_due) {
-            self.wishes_of(cluster, &mirror, now);
+        if let Some(cluster) = held.as_mut().filter(|b| b.intents_due) {
+            self.intents_of(cluster, &mirror, now);
         }
     }
 
     /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
-    pub fn wishes_of(&self, cluster: &mut ClusterState, mirror: &Mirror, now: Instant) {
+    pub fn intents_of(&self, cluster: &mut ClusterState, mirror: &Mirror, now: Instant) {
         driver::refresh(KINDS, cluster, mirror.shelf(), &|id| self.history.ended(id), now, time_of_day_ms());
     }
 }
--- a/src/rollouts/wish.rs
+++ b/src/rollouts/intents.rs
@@ -6,7 +6,7 @@
 use super::spec::Spec;
 use super::status::{Phase, Status};
 use super::step::{floor, may_old, serving};
-use crate::scheduling::wishes::Replicas;
+use crate::scheduling::intents::Replicas;
 
 /// What is asked for the old and for the new job.
 pub fn asks(spec: &Spec, status: &Status, seen: &Seen) -> [Option<Replicas>; 2] {
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,10 +1,11 @@
 //! A new version of a service takes the place of the old one in steps, without a gap (docs/rollouts.md).
 //!
 //! `spec` is what an operator declares, `status` what the owner stores; `look` reads both jobs off the
-//! cluster state, `against` judges the new version, `step` decides what is next and `wish` what is asked of
+//! cluster state, `against` judges the new version, `step` decides what is next and `intents` what is asked of
 //! placing and stopping. All of it is pure; the service never submits or withdraws a job.
 
 pub mod against;
+pub mod intents;
 mod look;
 pub mod seen;
 pub mod spec;
@@ -12,12 +13,11 @@
 pub mod step;
 #[cfg(test)]
 mod tests;
-pub mod wish;
 
 use tracing::Level;
 
 use crate::declared::{Acted, Declared, Kind, Names, Problem, View};
-use crate::scheduling::wishes::Wishes;
+use crate::scheduling::intents::Intents;
 use spec::{Spec, Wanted};
 use status::{Phase, Status};
 
@@ -40,12 +40,12 @@
         step::decide(spec, status, &look::look(name, spec, status, view))
     }
 
-    fn wish(name: &str, spec: &Spec, status: &Status, view: &View, wishes: &mut Wishes) {
+    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
         let seen = look::look(name, spec, status, view);
         let jobs = status.jobs(spec);
-        for (job, ask) in jobs.into_iter().zip(wish::asks(spec, status, &seen)) {
+        for (job, ask) in jobs.into_iter().zip(intents::asks(spec, status, &seen)) {
             if let Some(ask) = ask {
-                wishes.replicas.insert(job.clone(), ask);
+                intents.replicas.insert(job.clone(), ask);
             }
         }
     }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A rollout on the real cluster state: what its wishes change of placing, renting, stopping and sparing.
+//! A rollout on the real cluster state: what its intents change of placing, renting, stopping and sparing.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{Phase, Status};
 use crate::scheduling::cluster::{ClusterState, Via};
+use crate::scheduling::intents::{Intents, Replicas};
 use crate::scheduling::plan;
-use crate::scheduling::wishes::{Replicas, Wishes};
 use crate::settings::Properties;
 use crate::settings::tests::example;
 use crate::wire::workers::{Leg, LegStatus, Report, TaskKey};
@@ -110,20 +110,20 @@
         })
     }
 
-    /// Wishes by what is stored, then the next statuses, as the owner's task does; then a plan.
+    /// Intents by what is stored, then the next statuses, as the owner's task does; then a plan.
     fn turn(&mut self) -> Vec<String> {
         let names: Vec<String> = self.shelf.names(Kind::Rollout).map(str::to_owned).collect();
-        let mut wishes = Wishes::default();
+        let mut intents = Intents::default();
         let next: Vec<(String, Option<Status>)> = self.with_view(|view| {
             let of = |name: &String| {
                 let (spec, _) = view.shelf.spec::<Rollout>(name).unwrap();
                 let status = view.shelf.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
-                Rollout::wish(name, &spec, &status, view, &mut wishes);
+                Rollout::add_intents(name, &spec, &status, view, &mut intents);
                 (name.clone(), Rollout::step(name, &spec, &status, view))
             };
             names.iter().map(of).collect()
         });
-        self.cluster.set_wishes(wishes);
+        self.cluster.set_intents(intents);
         for (name, status) in next {
             if let Some(status) = status {
                 self.put(&status_key(Kind::Rollout, &name), serde_json::to_value(status).unwrap());
@@ -183,7 +183,7 @@
     bench.pass(1);
     assert!(bench.turn().is_empty());
     bench.shelf.drop_key(&spec_key(Kind::Rollout, "r"), 1000);
-    assert!(bench.turn().is_empty() && bench.cluster.wishes.is_empty());
+    assert!(bench.turn().is_empty() && bench.cluster.intents.is_empty());
 }
 
 /// Refused, or kept from beginning, by what the cluster state says of the jobs and the team.
@@ -263,20 +263,20 @@
     bench.pass(1);
     let ask = |stop: &[u32], stay| {
         let of = Replicas { most: 3, stop: stop.iter().copied().collect(), stay, ahead: false };
-        Wishes { replicas: [("run-1".into(), of)].into(), ..Wishes::default() }
+        Intents { replicas: [("run-1".into(), of)].into(), ..Intents::default() }
     };
-    bench.cluster.set_wishes(ask(&[0], false));
+    bench.cluster.set_intents(ask(&[0], false));
     bench.pass(100);
     assert_eq!(bench.running(1), 2, "stopped, and only that one");
     assert!(plan::place(&mut bench.cluster, &bench.catalog, bench.now).is_empty(), "and not placed again");
     let moved =
         |bench: &Bench| drain::choose(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
     assert!(moved(&bench), "the two others fit on one machine");
-    bench.cluster.set_wishes(ask(&[0], true));
+    bench.cluster.set_intents(ask(&[0], true));
     assert!(!moved(&bench));
-    bench.cluster.set_wishes(ask(&[0, 1], true));
+    bench.cluster.set_intents(ask(&[0, 1], true));
     bench.pass(1);
-    bench.cluster.set_wishes(ask(&[0], true));
+    bench.cluster.set_intents(ask(&[0], true));
     let placed = plan::place(&mut bench.cluster, &bench.catalog, bench.now);
     assert_eq!(placed.iter().map(|p| p.task.index).collect::<Vec<_>>(), [1], "only the one that may");
 }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -5,12 +5,12 @@
 
 use std::collections::BTreeSet;
 
+use super::intents::asks;
 use super::seen::{Known, Replica, Seen, Side};
 use super::spec::tests::spec;
 use super::spec::{Spec, Wanted};
 use super::status::{Against, Indexes, Phase, Status};
 use super::step::decide;
-use super::wish::asks;
 
 fn running(ran_s: f64, zone: &str) -> Replica {
     let heard = Replica { machine: format!("m-{zone}-{ran_s}"), zone: zone.into(), heard: true, ..Replica::default() };
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -8,11 +8,11 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use super::super::intents::asks;
 use super::super::seen::{Known, Replica, Seen, Side};
 use super::super::spec::{Bad, Spec, Wanted};
 use super::super::status::{Phase, Status};
 use super::super::step::{decide, floor};
-use super::super::wish::asks;
 
 /// Seconds after which a machine that is silent is not counted on, and after which it is returned.
 const UNHEARD: u64 = 8;
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -14,7 +14,7 @@
     pub fn bind_all(&mut self, placements: Vec<Placement>, now: Instant) {
         let mut first_places: HashMap<JobId, f64> = HashMap::new();
         // What may go ahead is bounded by what is given out: it may be more after this.
-        self.stirred |= self.wishes.ahead.is_some() && !placements.is_empty();
+        self.stirred |= self.intents.ahead.is_some() && !placements.is_empty();
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.too_late(now.saturating_duration_since(job.since));
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -73,7 +73,7 @@
         self.large.offered(&record.spec, age, now);
         let job = self.begin(record, now.checked_sub(age).unwrap_or(now), now);
         self.stirred = true;
-        self.wishes_due = true;
+        self.intents_due = true;
         self.jobs.insert(id, job);
     }
 
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -25,13 +25,13 @@
 use storing::Dirty;
 
 use super::failure_attribution::FailureAttribution;
+use super::intents::Intents;
 use super::large::Large;
 use super::plan::beside::BesideRoom;
 use super::reservations::Reservation;
 use super::served::Note;
 use super::served::floor::{Below, Lane};
 use super::served::promises::{Promise, next_start_s};
-use super::wishes::Wishes;
 use crate::fleet::orders::CloudOrder;
 use crate::jobs::record::{CHUNK, JobRecord, Stored};
 use crate::jobs::{JobId, JobSpec};
@@ -357,9 +357,9 @@
     /// When jobs ended, of the last ones that this owner heard of.
     ended_at: LruCache<JobId, Instant>,
     /// What operators have declared asks for.
-    pub wishes: Wishes,
+    pub intents: Intents,
     /// Jobs have come since that was worked out.
-    pub wishes_due: bool,
+    pub intents_due: bool,
     /// What the account is to be told next.
     notes: Vec<(JobId, Note, Instant)>,
 }
@@ -433,8 +433,8 @@
             lane: Lane::default(),
             inherited: Vec::new(),
             ended_at: LruCache::new(ENDED_KEPT),
-            wishes: Wishes::default(),
-            wishes_due: true,
+            intents: Intents::default(),
+            intents_due: true,
             notes: Vec::new(),
             properties,
         }
@@ -498,8 +498,8 @@
         let late = self
             .jobs
             .iter()
-            .filter(|(id, _)| !self.attribution.suspects(id) && !self.wishes.not_yet.contains(*id))
-            .filter(|(id, job)| self.wishes.waiting(id, job) > 0)
+            .filter(|(id, _)| !self.attribution.suspects(id) && !self.intents.not_yet.contains(*id))
+            .filter(|(id, job)| self.intents.waiting(id, job) > 0)
             .map(|(_, job)| job)
             .filter(waits);
         let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
--- a/src/scheduling/wishes.rs
+++ b/src/scheduling/intents.rs
@@ -1,5 +1,5 @@
 //! What is asked of placing, renting, holding and sparing beyond the order of return. Whoever asks
-//! (`declared`) works it out from what is stored; here nobody knows why. With no wishes, not one
+//! (`declared`) works it out from what is stored; here nobody knows why. With no intents, not one
 //! decision differs.
 
 use std::cmp::Reverse;
@@ -38,7 +38,7 @@
 
 /// Room that is to be there for tasks yet to come.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoomWish {
+pub struct RoomIntent {
     /// The shape of each task.
     pub like: JobSpec,
     /// How many tasks.
@@ -62,7 +62,7 @@
 
 /// All that scheduling follows of what operators have declared.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Wishes {
+pub struct Intents {
     /// Jobs whose turn in their window has come: of one window the lesser number first.
     pub turns: HashMap<JobId, Turn>,
     /// Jobs whose turn has not come: not placed yet, and nothing is held or rented for them.
@@ -70,12 +70,12 @@
     /// Classes and teams that go ahead at the moment.
     pub ahead: Option<Ahead>,
     /// Room that is to be there in time.
-    pub room: Vec<RoomWish>,
+    pub room: Vec<RoomIntent>,
     /// Services whose replicas are decided elsewhere.
     pub replicas: HashMap<JobId, Replicas>,
 }
 
-impl Wishes {
+impl Intents {
     /// Whether nothing is asked for.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -107,9 +107,9 @@
 impl ClusterState {
     /// What is asked for from now on. Replicas are stopped at once: what was looked at for them still
     /// holds at this moment.
-    pub fn set_wishes(&mut self, wishes: Wishes) {
-        self.stirred |= self.wishes != wishes;
-        for (id, of) in &wishes.replicas {
+    pub fn set_intents(&mut self, intents: Intents) {
+        self.stirred |= self.intents != intents;
+        for (id, of) in &intents.replicas {
             let Some(job) = self.job(id).filter(|job| job.ended.is_none() && !job.spec().is_gang()) else { continue };
             let grace_s = job.spec().save_s.ceil() as u64 + 1;
             let stop: Vec<u32> = job.bound.intersection(&of.stop).copied().collect();
@@ -117,18 +117,18 @@
                 self.halt_one(&TaskKey { job: id.clone(), index }, grace_s);
             }
         }
-        self.wishes = wishes;
+        self.intents = intents;
     }
 }
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
 pub fn order(cluster: &ClusterState, turns: &mut [plan::Turn]) {
-    if let Some(ahead) = &cluster.wishes.ahead {
+    if let Some(ahead) = &cluster.intents.ahead {
         mark_ahead(cluster, ahead, turns);
         ahead_first(turns);
     }
-    if !cluster.wishes.turns.is_empty() {
-        in_turn(&cluster.wishes.turns, turns);
+    if !cluster.intents.turns.is_empty() {
+        in_turn(&cluster.intents.turns, turns);
     }
 }
 
@@ -181,7 +181,7 @@
 /// Jobs for which machines are held, of these urgencies and going ahead or not. None for which others were
 /// stopped, and none while nobody is asked to go ahead.
 pub fn reserved_for(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
-    let Some(ahead) = &cluster.wishes.ahead else { return Vec::new() };
+    let Some(ahead) = &cluster.intents.ahead else { return Vec::new() };
     let mut jobs: Vec<&JobId> = cluster.reservations.values().map(|reservation| &reservation.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
@@ -192,11 +192,11 @@
 
 /// Jobs of one window take the places that they have in the order of their turns. Where they stand
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
-fn in_turn(wished: &HashMap<JobId, Turn>, turns: &mut [plan::Turn]) {
+fn in_turn(intended: &HashMap<JobId, Turn>, turns: &mut [plan::Turn]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
     for (at, turn) in turns.iter().enumerate().filter(|(_, t)| !t.suspected) {
-        if let Some(wish) = wished.get(turn.id) {
-            windows.entry(&wish.window).or_default().push((at, wish.number));
+        if let Some(intent) = intended.get(turn.id) {
+            windows.entry(&intent.window).or_default().push((at, intent.number));
         }
     }
     // Where each is to stand: at its place, or right behind another's.
@@ -229,16 +229,16 @@
 }
 
 /// Room for which what there is is kept by now, with the kinds that may give it.
-pub fn room_kept<'b>(cluster: &'b ClusterState, ground: &Ground) -> Vec<(&'b RoomWish, Vec<bool>)> {
-    let open = |wish: &'b RoomWish| (wish, ground.open_to(&wish.like, &Zones::none(&wish.like)));
-    let near = |(wish, open): &(&RoomWish, Vec<bool>)| wish.in_s <= ready_s(&wish.like, ground, open) + KEPT_S;
-    cluster.wishes.room.iter().map(open).filter(near).collect()
+pub fn room_kept<'b>(cluster: &'b ClusterState, ground: &Ground) -> Vec<(&'b RoomIntent, Vec<bool>)> {
+    let open = |intent: &'b RoomIntent| (intent, ground.open_to(&intent.like, &Zones::none(&intent.like)));
+    let near = |(intent, open): &(&RoomIntent, Vec<bool>)| intent.in_s <= ready_s(&intent.like, ground, open) + KEPT_S;
+    cluster.intents.room.iter().map(open).filter(near).collect()
 }
 
 /// Idle machines that are needed for room that is asked for, beside those that run something.
 pub fn idle_kept(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
     let mut kept = HashSet::new();
-    if cluster.wishes.room.is_empty() {
+    if cluster.intents.room.is_empty() {
         return kept;
     }
     let ground = Ground::new(cluster, catalog);
@@ -246,12 +246,12 @@
     let there = cluster.machines.values().filter(|m| m.standing == Standing::Up && usable(m, suspect, now));
     let mut rooms: Vec<Room> = there.filter_map(|m| ground.room(m)).collect();
     rooms.sort_by_key(|room| room.machine.is_some_and(|m| m.bound.is_empty()));
-    for (wish, open) in room_kept(cluster, &ground) {
-        let mut left = wish.tasks;
+    for (intent, open) in room_kept(cluster, &ground) {
+        let mut left = intent.tasks;
         for room in rooms.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
-            let units = room.units(&wish.like, left);
+            let units = room.units(&intent.like, left);
             let n = units as f64;
-            room.add(-n * wish.like.cpus, -n * wish.like.gpus, -n * wish.like.memory_gb);
+            room.add(-n * intent.like.cpus, -n * intent.like.gpus, -n * intent.like.memory_gb);
             left -= units;
             if let Some(machine) = room.machine.filter(|m| units > 0 && m.bound.is_empty()) {
                 kept.insert(machine.id.clone());
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -99,7 +99,7 @@
         cluster.holds_ends(mirror.asking());
         node.took_over(cluster.known, now);
         // Before anything else is decided.
-        node.wishes_of(cluster, &mirror, now);
+        node.intents_of(cluster, &mirror, now);
         let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
         info!(
             jobs,
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -5,6 +5,7 @@
 pub mod due;
 pub mod failure_attribution;
 pub mod forecast;
+pub mod intents;
 #[cfg(test)]
 mod interleavings;
 pub mod large;
@@ -17,7 +18,6 @@
 pub mod served;
 #[cfg(test)]
 mod tests;
-pub mod wishes;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -61,7 +61,7 @@
         }
         let now = Instant::now();
         let mut placed = None;
-        node.refresh_wishes(now);
+        node.refresh_intents(now);
         if let (Some(cluster), Some(catalog)) = (lock(&node.cluster).as_mut(), node.catalog()) {
             if now.saturating_duration_since(ticked) >= TICK {
                 ticked = now;
@@ -112,10 +112,10 @@
         }
     }
     // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
-    let (attribution, large, wishes) = (&cluster.attribution, &cluster.large, &cluster.wishes);
-    let left_out = |id| attribution.suspects(id) || wishes.not_yet.contains(id);
+    let (attribution, large, intents) = (&cluster.attribution, &cluster.large, &cluster.intents);
+    let left_out = |id| attribution.suspects(id) || intents.not_yet.contains(id);
     let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
-    let held = |id: &JobId, job| wishes.replicas.contains_key(id) && wishes.waiting(id, job) == 0;
+    let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.waiting(id, job) == 0;
     let open = open.filter(|(id, job)| !held(id, job));
     let open = open.map(|(_, job)| Open {
         spec: job.spec(),
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -14,9 +14,9 @@
 use super::backfill::{self, Backfill};
 use super::cluster::{ClusterState, JobState, MachineId};
 use super::failure_attribution::{FailureAttribution, PROBES};
+use super::intents::{self, Intents};
 use super::room::{Ground, Room, Zones, usable, usable_until_left};
 use super::served::floor::Rank;
-use super::wishes::{self, Wishes};
 use crate::jobs::{JobId, JobSpec};
 use crate::kinds::Catalog;
 use crate::sla;
@@ -71,9 +71,9 @@
     let mut turns: Vec<Turn> = cluster
         .jobs()
         .filter(|(_, job)| !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before)
-        .filter(|(id, job)| cluster.wishes.waiting(id, job) > 0)
+        .filter(|(id, job)| cluster.intents.waiting(id, job) > 0)
         .filter(|(_, job)| !job.spec().is_gang() || job.bound.is_empty())
-        .filter(|(id, _)| !cluster.wishes.not_yet.contains(*id))
+        .filter(|(id, _)| !cluster.intents.not_yet.contains(*id))
         .map(|(id, job)| {
             let age = now.saturating_duration_since(job.since);
             let late = job.too_late(age);
@@ -82,7 +82,7 @@
                 job,
                 guaranteed: within_guarantee(cluster, job.spec()),
                 rank: Rank::of(
-                    cluster.below.first.has(job.spec()) || cluster.wishes.short(id),
+                    cluster.below.first.has(job.spec()) || cluster.intents.short(id),
                     late,
                     job.spec().is_idle(),
                 ),
@@ -113,7 +113,7 @@
             .then(b.age.cmp(&a.age))
             .then(a.id.cmp(b.id))
     });
-    wishes::order(cluster, &mut turns);
+    intents::order(cluster, &mut turns);
     turns
 }
 
@@ -367,7 +367,7 @@
 pub struct Plan<'a> {
     cluster: &'a ClusterState,
     attribution: &'a FailureAttribution,
-    wishes: &'a Wishes,
+    intents: &'a Intents,
     ground: Ground<'a>,
     rooms: Vec<Room<'a>>,
     unfit: Vec<Unfit<'a>>,
@@ -404,7 +404,7 @@
         Self {
             cluster,
             attribution: &cluster.attribution,
-            wishes: &cluster.wishes,
+            intents: &cluster.intents,
             giving,
             sought,
             ground,
@@ -472,13 +472,13 @@
         let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
         let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.wishes.stopped(turn.id));
-        let waiting = self.wishes.waiting(turn.id, job);
+        demand.held_back.extend(self.intents.stopped(turn.id));
+        let waiting = self.intents.waiting(turn.id, job);
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if turn.ahead {
-            demand.passes = wishes::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
-            demand.ahead = wishes::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
         let holds =
             |room: &Room| room.reservation.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
@@ -566,8 +566,8 @@
             let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
-        for (wish, open) in wishes::room_kept(cluster, &self.ground) {
-            self.keep(&wish.like, &open, &mut wish.tasks.clone());
+        for (intent, open) in intents::room_kept(cluster, &self.ground) {
+            self.keep(&intent.like, &open, &mut intent.tasks.clone());
         }
     }
 
@@ -742,7 +742,7 @@
         } else {
             // Few teams have limits; counting up to the limit is cheap next to placing.
             let mut n = 0;
-            while n < most.min(cluster.wishes.waiting(turn.id, job)) && quotas.allows(spec, (n + 1) as f64) {
+            while n < most.min(cluster.intents.waiting(turn.id, job)) && quotas.allows(spec, (n + 1) as f64) {
                 n += 1;
             }
             most = n;
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -47,7 +47,7 @@
     /// own words and its team's limit alone.
     pub fn leaves_beside_room(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
         let (job, spec) = (turn.job, turn.job.spec());
-        let waiting = self.cluster.wishes.waiting(turn.id, job);
+        let waiting = self.cluster.intents.waiting(turn.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
             return false;
         }
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -86,9 +86,9 @@
         let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *turn.id));
         let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, turn, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
-        let waiting = cluster.wishes.waiting(turn.id, job) as u64;
-        let wish = if spec.is_gang() { need } else { waiting.min(MOST_MACHINES as u64) };
-        let Some(chosen) = choose(places, spec, &zones, need, wish) else { continue };
+        let waiting = cluster.intents.waiting(turn.id, job) as u64;
+        let wanted = if spec.is_gang() { need } else { waiting.min(MOST_MACHINES as u64) };
+        let Some(chosen) = choose(places, spec, &zones, need, wanted) else { continue };
         let stops: Vec<(MachineId, Victims)> = chosen.into_iter().map(|p| (p.machine.id.clone(), p.victims)).collect();
         // Nothing is left to stop: room is being made already.
         if stops.iter().all(|(_, victims)| victims.is_empty()) {
@@ -99,13 +99,13 @@
     None
 }
 
-/// The places of the least loss that hold `need` tasks together, in one zone if they must; up to `wish`.
+/// The places of the least loss that hold `need` tasks together, in one zone if they must; up to `wanted`.
 fn choose<'a>(
     mut places: Vec<Place<'a>>,
     spec: &JobSpec,
     zones: &Zones,
     need: u64,
-    wish: u64,
+    wanted: u64,
 ) -> Option<Vec<Place<'a>>> {
     places.retain(|p| zones.allow(p.zone));
     let each = |p: &Place| p.loss / p.units.max(1) as f64;
@@ -130,7 +130,7 @@
     let (mut chosen, mut units) = (Vec::new(), 0);
     for place in places.into_iter().filter(|p| zone.is_none_or(|z| z == p.zone)) {
         // Past what is needed only where it costs nothing but idle work's time.
-        if units >= wish || chosen.len() >= MOST_MACHINES {
+        if units >= wanted || chosen.len() >= MOST_MACHINES {
             break;
         }
         units += place.units;
@@ -170,7 +170,7 @@
     stoppable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let (mut victims, mut lost) = (Vec::new(), 0.0);
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
-    let most = if spec.is_gang() { need } else { cluster.wishes.waiting(turn.id, turn.job) as u64 };
+    let most = if spec.is_gang() { need } else { cluster.intents.waiting(turn.id, turn.job) as u64 };
     let mut emptied = room;
     stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
     let most_here = emptied.units(spec, most).max(1);
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::{ClusterState, MachineId};
+use super::intents;
 use super::plan::{Quotas, Turn, queue};
 use super::room::{Ground, Room, Zones, suspect_after, usable};
-use super::wishes;
 use crate::jobs::JobId;
 use crate::kinds::Catalog;
 use crate::scheduling::forecast::{Slots, Timeline};
@@ -40,7 +40,7 @@
         return reservations;
     }
     turns.sort_by_key(|t| (Reverse(t.owed), t.rank, Reverse(t.age)));
-    wishes::ahead_first(&mut turns);
+    intents::ahead_first(&mut turns);
     turns.truncate(MOST_RESERVING);
     let ground = Ground::new(cluster, catalog);
     let suspect = suspect_after(cluster);
--- a/src/scheduling/served/tests/ahead.rs
+++ b/src/scheduling/served/tests/ahead.rs
@@ -4,12 +4,12 @@
 
 use super::*;
 use crate::jobs::Urgency;
+use crate::scheduling::intents::{Ahead, Intents};
 use crate::scheduling::preempt;
-use crate::scheduling::wishes::{Ahead, Wishes};
 
-fn wish(classes: &[&str], most_part: f64) -> Wishes {
+fn ahead_intents(classes: &[&str], most_part: f64) -> Intents {
     let names = Names::of(classes.iter().map(|name| (Whose::Class, *name)));
-    Wishes { ahead: Some(Ahead { names, most_part }), ..Wishes::default() }
+    Intents { ahead: Some(Ahead { names, most_part }), ..Intents::default() }
 }
 
 /// How long the jobs of a class waited until all of a gang, or the first of an array, had places; and the
@@ -25,7 +25,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::new(10, Properties { served_window: s(120.0), ..Properties::default() });
     if let Some(part) = asked {
-        world.cluster.set_wishes(wish(&[hot], part));
+        world.cluster.set_intents(ahead_intents(&[hot], part));
     }
     let mut waiting: BTreeMap<JobId, (u32, bool)> = BTreeMap::new();
     let mut waits = Waits { all: Vec::new(), largest: Vec::new() };
@@ -63,7 +63,7 @@
     waits.iter().sum::<u32>() as f64 / waits.len().max(1) as f64
 }
 
-/// What the wish is for: work that is asked to go ahead starts sooner in a flood, the largest of it too, and
+/// What the intent is for: work that is asked to go ahead starts sooner in a flood, the largest of it too, and
 /// those who flood lose no more than that. Fails where the order, or what is held, does not know of it.
 #[test]
 fn what_goes_ahead_starts_sooner_the_largest_too() {
@@ -103,7 +103,7 @@
         seed in any::<u64>(), which in 0..2usize, times in 3..7u32, gang in 1..3u64, most_part in 0.1..0.9f64,
     ) {
         let classes = ["small", "big"];
-        let hot = wish(&[classes[which]], most_part);
+        let hot = ahead_intents(&[classes[which]], most_part);
         let world = flooded_with(classes[which], times, gang, 0.75, seed, hot);
         let served = |class| {
             let (part, n) = world.part_of(class, 0, 300);
@@ -139,7 +139,7 @@
         hot.cpus = 8.0;
         cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
         if asks {
-            cluster.set_wishes(wish(&["hot"], 0.9));
+            cluster.set_intents(ahead_intents(&["hot"], 0.9));
         }
         preempt::preempt(&mut cluster, &catalog(), now);
         let stopped = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
--- a/src/scheduling/served/tests/mod.rs
+++ b/src/scheduling/served/tests/mod.rs
@@ -20,8 +20,8 @@
 use crate::kinds::Catalog;
 use crate::kinds::tests::machine_type;
 use crate::scheduling::cluster::{ClusterState, Via};
+use crate::scheduling::intents::Intents;
 use crate::scheduling::plan;
-use crate::scheduling::wishes::Wishes;
 use crate::settings::tests::example;
 use crate::sla::priority_worth;
 use crate::wire::workers::{Cause, Leg, LegStatus, Order, Report, TaskKey};
@@ -319,15 +319,15 @@
 /// A class in its ordinary numbers beside one that floods: both are served, whichever floods, and no
 /// machine stands idle while anything fits it.
 fn flooded(flood: &str, times: u32, gang: u64, floor: f64, seed: u64) -> World {
-    flooded_with(flood, times, gang, floor, seed, Wishes::default())
+    flooded_with(flood, times, gang, floor, seed, Intents::default())
 }
 
-fn flooded_with(flood: &str, times: u32, gang: u64, floor: f64, seed: u64, wishes: Wishes) -> World {
+fn flooded_with(flood: &str, times: u32, gang: u64, floor: f64, seed: u64, intents: Intents) -> World {
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world =
         World::new(10, Properties { served_floor: floor, served_window: s(120.0), ..Properties::default() });
-    world.cluster.set_wishes(wishes);
+    world.cluster.set_intents(intents);
     for t in 0..1500u32 {
         if t >= 300 && world.cluster.job_count() == 0 {
             break;
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-mod wishes;
+mod intents;
 mod world;
 
 use super::cluster::{ClusterState, Standing, Via};
--- a/src/scheduling/tests/wishes.rs
+++ b/src/scheduling/tests/intents.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
+use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
 use crate::scheduling::served::Whose;
 use crate::scheduling::served::floor::{Below, Names, Rank};
-use crate::scheduling::wishes::{Ahead, RoomWish, Turn, Wishes};
 
 fn class(name: &str) -> Names {
     Names::of([(Whose::Class, name)].into_iter())
@@ -66,7 +66,7 @@
     (cluster, now)
 }
 
-/// Every decision that wishes may touch.
+/// Every decision that intents may touch.
 fn decided(cluster: &mut ClusterState, now: Instant) -> String {
     let catalog = catalog();
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
@@ -80,26 +80,26 @@
     format!("{queue:?} {reservations:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
 }
 
-/// Wishes that name nobody change nothing, as none do: no decision looks at them but for those named.
+/// Intents that name nobody change nothing, as none do: no decision looks at them but for those named.
 #[test]
 fn nothing_differs_for_whom_nothing_is_asked() {
     let start = Instant::now();
     for seed in 0..300 {
         let (mut plain, now) = busy(seed, start);
         let (mut cluster, _) = busy(seed, start);
-        cluster.set_wishes(Wishes {
+        cluster.set_intents(Intents {
             turns: [(id(900), Turn { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
-            room: vec![RoomWish { like: spec(), tasks: 0, in_s: 0.0 }],
-            ..Wishes::default()
+            room: vec![RoomIntent { like: spec(), tasks: 0, in_s: 0.0 }],
+            ..Intents::default()
         });
         assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
     }
 }
 
 #[test]
-fn the_queue_with_wishes_by_cases() {
+fn the_queue_with_intents_by_cases() {
     let now = Instant::now();
     // By return: 1 (high) before 2 (short), 3, 4, 5; 6 is idle; 7 within its team's guarantee.
     let make = || {
@@ -118,27 +118,27 @@
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("none", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
-        ("not yet", &|b| b.wishes.not_yet = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
+        ("not yet", &|b| b.intents.not_yet = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
         (
             "in turn, in the places they have",
-            &|b| b.wishes.turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
+            &|b| b.intents.turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
             &[7, 8, 5, 2, 3, 4, 1, 6],
         ),
         (
             "two windows, beside each other",
-            &|b| b.wishes.turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
+            &|b| b.intents.turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
             &[7, 8, 3, 4, 1, 2, 5, 6],
         ),
         (
             "the later turn waits where the earlier has no guarantee",
-            &|b| b.wishes.turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
+            &|b| b.intents.turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
             &[8, 1, 2, 3, 4, 7, 5, 6],
         ),
         (
             "ahead, behind the guaranteed and the more urgent",
             &|b| {
                 given(b);
-                b.wishes.ahead = ahead(0.5);
+                b.intents.ahead = ahead(0.5);
             },
             &[7, 8, 3, 5, 1, 2, 4, 6],
         ),
@@ -146,7 +146,7 @@
             "behind who is below the floor",
             &|b| {
                 given(b);
-                b.wishes.ahead = ahead(0.5);
+                b.intents.ahead = ahead(0.5);
                 b.set_below(Below { short: Names::default(), first: class("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
@@ -155,11 +155,11 @@
             "up to their part",
             &|b| {
                 given(b);
-                b.wishes.ahead = ahead(0.011);
+                b.intents.ahead = ahead(0.011);
             },
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
-        ("one job in any case", &|b| b.wishes.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
+        ("one job in any case", &|b| b.intents.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
     ];
     for (name, change, want) in cases {
         let mut cluster = make();
@@ -176,7 +176,7 @@
     add(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
     add(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
     cluster.usage.insert("red".into(), (20.0, 0.0));
-    cluster.wishes.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
+    cluster.intents.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
     let of = |n: u32| placed.iter().filter(|p| p.task.job == id(n)).count();
     assert_eq!((of(1), of(2)), (4, 12));
@@ -189,11 +189,11 @@
     /// nobody of another urgency, within a guarantee or below the floor loses its place; and in no
     /// window a later turn stands before an earlier one.
     #[test]
-    fn bounds_of_wishes(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
+    fn bounds_of_intents(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
         let (mut cluster, now) = busy(seed, Instant::now());
         let plain: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
         let ids: Vec<_> = plain.iter().cloned().enumerate().collect();
-        cluster.wishes.ahead = Some(Ahead { names: class("c"), most_part });
+        cluster.intents.ahead = Some(Ahead { names: class("c"), most_part });
         {
             let turns = plan::queue(&cluster, now);
             let held = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
@@ -215,13 +215,13 @@
             }
         }
         let mut rng = StdRng::seed_from_u64(seed);
-        cluster.wishes.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
+        cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
             (id.clone(), Turn { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
         }).collect();
         let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
         for window in ["w1", "w2"] {
-            let of = turns.iter().filter(|t| !t.suspected).filter_map(|t| cluster.wishes.turns.get(t.id));
+            let of = turns.iter().filter(|t| !t.suspected).filter_map(|t| cluster.intents.turns.get(t.id));
             let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.number).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
@@ -233,7 +233,7 @@
 #[test]
 fn room_that_is_asked_for_by_cases() {
     let start = Instant::now();
-    let room = |tasks, in_s| vec![RoomWish { like: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
+    let room = |tasks, in_s| vec![RoomIntent { like: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
     // The type boots for 30 s, and a fetch takes one.
     for (name, machines, tasks, in_s, want) in [
         ("nothing asked", 0, 0, 0.0, 0),
@@ -244,7 +244,7 @@
         ("half there", 1, 4, 20.0, 1),
     ] {
         let mut cluster = many(machines, start);
-        cluster.wishes.room = room(tasks, in_s);
+        cluster.intents.room = room(tasks, in_s);
         let rent = |asked: &HashMap<Kind, u64>| {
             let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), asked, start);
             wanted.into_iter().collect::<HashMap<Kind, u64>>()
@@ -260,12 +260,12 @@
             let report = report(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
             cluster.take_report(report, Via::Report, None, long);
         }
-        cluster.wishes.room = room(tasks, in_s);
+        cluster.intents.room = room(tasks, in_s);
         assert_eq!(rent::to_give_up(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
         // One at a time is drained of so few.
         let drained = drain::choose(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
-        cluster.wishes.room = room(10, in_s);
+        cluster.intents.room = room(10, in_s);
         let spared = drain::choose(&cluster, &catalog(), long).len();
         assert_eq!(spared, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
@@ -284,7 +284,7 @@
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
-        cluster.wishes.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
+        cluster.intents.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
         cluster.arrivals.clear();
         cluster
     };
--- a/tests/declared.rs
+++ b/tests/declared.rs
@@ -12,7 +12,7 @@
 use hollylanding::declared::operator::{Failed, Operator};
 use hollylanding::declared::table::Entry;
 use hollylanding::declared::{Acted, Declared, Kind, Names, Problem, View};
-use hollylanding::scheduling::wishes::Wishes;
+use hollylanding::scheduling::intents::Intents;
 use hollylanding::settings::Settings;
 use serde::{Deserialize, Serialize};
 use stand_in::{World, open_world, settings};
@@ -41,7 +41,7 @@
     fn step(_: &str, _: &Plan, _: &bool, _: &View) -> Option<bool> {
         None
     }
-    fn wish(_: &str, _: &Plan, _: &bool, _: &View, _: &mut Wishes) {}
+    fn add_intents(_: &str, _: &Plan, _: &bool, _: &View, _: &mut Intents) {}
     fn tell(_: &str, spec: &Plan, _: &bool, _: u64) -> Vec<String> {
         vec![format!("team {}{}", spec.team, if spec.paused { ", paused" } else { "" })]
     }
