--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -1,4 +1,4 @@
-//! Seeded interleavings of users, controllers and the store: the real mirror, desk and moves, with
+//! Seeded interleavings of users, controllers and the store: the real mirror, query queue and moves, with
 //! answers that come late, get lost or overtake each other, transactions that are applied minutes
 //! later or twice, controllers that start, read anew and end between any two steps, and a store
 //! that an earlier build has left, with two controllers taking it over at once.
@@ -12,8 +12,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::desk::{Batch, Desk, Verdict};
 use super::moves::{self, Move, end_changes, not_ended, not_there, place_of};
+use super::query_queue::{Batch, QueryQueue, Verdict};
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, MIRRORED, MIRRORED_AFTER, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key,
     old_job_key, open_key,
@@ -76,7 +76,7 @@
 struct Controller {
     life: u64,
     mirror: Mirror,
-    desk: Desk<usize>,
+    queries: QueryQueue<usize>,
     loading: Option<(Loading, String, u64)>,
     upgrade: Option<Upgrade>,
     asked_page: bool,
@@ -89,7 +89,7 @@
         Self {
             life,
             mirror: Mirror::default(),
-            desk: Desk::new(3),
+            queries: QueryQueue::new(3),
             loading: None,
             upgrade: None,
             asked_page: false,
@@ -255,7 +255,7 @@
         let Some((_, asked)) = self.questions.get_mut(&question) else { return };
         let (job, now) = (asked.id.clone(), self.step);
         let controller = &mut self.controllers[at];
-        if let Some(end) = controller.desk.ended(&job) {
+        if let Some(end) = controller.queries.ended(&job) {
             return self.tell(question, Some(Told::Ended(end)));
         }
         if !controller.mirror.ready {
@@ -270,7 +270,7 @@
         }
         asked.proof_after = None;
         let instant = std::time::Instant::now();
-        if controller.desk.ask(&job, question, instant).is_err() {
+        if controller.queries.ask(&job, question, instant).is_err() {
             self.tell(question, None);
         }
     }
@@ -307,7 +307,7 @@
         let asked = Question { id: job.clone(), intent, begun: self.step, proof_after: None };
         self.questions.insert(question, (at, asked));
         let controller = &mut self.controllers[at];
-        let known = controller.mirror.open(&job).is_some() || controller.desk.ended(&job).is_some();
+        let known = controller.mirror.open(&job).is_some() || controller.queries.ended(&job).is_some();
         if intent == Intent::Submit && controller.mirror.ready && !known {
             let old_kept = controller.mirror.old_kept();
             let record = self.record(&job);
@@ -382,7 +382,7 @@
             }
             _ => {}
         }
-        let (batch, stale) = self.controllers[at].desk.next_batch(std::time::Instant::now());
+        let (batch, stale) = self.controllers[at].queries.next_batch(std::time::Instant::now());
         assert!(stale.is_empty());
         if !batch.is_empty() {
             let old_kept = self.controllers[at].mirror.old_kept();
@@ -464,7 +464,7 @@
                 }
             }
             Answer::Compared { batch, failed } => {
-                let (answers, old) = self.controllers[at].desk.answered(batch, &failed);
+                let (answers, old) = self.controllers[at].queries.answered(batch, &failed);
                 for (question, verdict) in answers {
                     match verdict {
                         Verdict::Never => self.tell(question, Some(Told::Never)),
@@ -486,7 +486,7 @@
                         }
                     };
                     if let Some(Told::Ended(end)) = told {
-                        self.controllers[at].desk.note_end(&job, end);
+                        self.controllers[at].queries.note_end(&job, end);
                     }
                     for question in waiters {
                         // A withdrawal is asked for again; anything else is told.
@@ -501,7 +501,7 @@
                     if let Some((_, asked)) = self.questions.get(&question)
                         && let Told::Ended(end) = told
                     {
-                        self.controllers[at].desk.note_end(&asked.id, end);
+                        self.controllers[at].queries.note_end(&asked.id, end);
                     }
                     self.tell(question, Some(told));
                 }
@@ -509,7 +509,7 @@
                     let Some((_, asked)) = self.questions.get(&question) else { return };
                     let job = asked.id.clone();
                     if let Some(end) = moves::end_among(&keys, &job) {
-                        self.controllers[at].desk.note_end(&job, end);
+                        self.controllers[at].queries.note_end(&job, end);
                     }
                     self.look_up(at, question, false);
                 }
@@ -517,7 +517,7 @@
             Answer::Swept { names } => {
                 for (id, place) in names.iter().filter_map(|name| place_of(name)) {
                     let moves::Place::Ended(end) = place else { panic!("{id} is not under an end's key") };
-                    self.controllers[at].desk.note_end(id, end);
+                    self.controllers[at].queries.note_end(id, end);
                 }
             }
             Answer::Ended { id, outcome } => {
@@ -526,7 +526,7 @@
                     Err(keys) => moves::end_among(&keys, &id),
                 };
                 if let Some(end) = end {
-                    self.controllers[at].desk.note_end(&id, end);
+                    self.controllers[at].queries.note_end(&id, end);
                 }
             }
         }
--- a/src/history/desk.rs
+++ b/src/history/query_queue.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Full;
 
-pub struct Desk<W> {
+pub struct QueryQueue<W> {
     ends: Ends,
     visibility: Visibility,
     /// Jobs in the order in which they were first asked about, and who waits for each.
@@ -69,7 +69,7 @@
     }
 }
 
-impl<W> Desk<W> {
+impl<W> QueryQueue<W> {
     /// `batch` jobs at the most are asked about at once.
     pub fn new(batch: usize) -> Self {
         Self {
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{Notify, Semaphore, oneshot};
 use tracing::{debug, warn};
 
-use super::desk::{Batch, Desk, Verdict};
 use super::moves::{self, not_there};
+use super::query_queue::{Batch, QueryQueue, Verdict};
 use super::sweep::Sweep;
 use super::visibility::Visible;
 use crate::jobs::record::{JobRecord, OldEnd, ended_key, old_end_key, old_job_key};
@@ -36,7 +36,7 @@
 
 /// The questions of one controller.
 pub struct History {
-    desk: Mutex<Desk<Waiter>>,
+    queries: Mutex<QueryQueue<Waiter>>,
     wanted: Notify,
     sweep: Mutex<Sweep>,
     sweep_wanted: Notify,
@@ -51,7 +51,7 @@
         // A transaction may hold four conditions for each change, and a job takes four at the most.
         let batch = settings.params.state.txn_ops as usize;
         Self {
-            desk: Mutex::new(Desk::new(batch)),
+            queries: Mutex::new(QueryQueue::new(batch)),
             wanted: Notify::new(),
             sweep: Mutex::default(),
             sweep_wanted: Notify::new(),
@@ -62,20 +62,20 @@
 
     /// How a job ended, if this controller has lately seen it stored.
     pub fn ended(&self, id: &str) -> Option<End> {
-        lock(&self.desk).ended(id)
+        lock(&self.queries).ended(id)
     }
 
     pub fn note_end(&self, id: &JobId, end: End) {
-        lock(&self.desk).note_end(id, end);
+        lock(&self.queries).note_end(id, end);
     }
 
     /// Ends with the revisions at which they were stored.
     pub fn note_ends<'a>(&self, ends: impl Iterator<Item = (&'a str, End, u64)>) {
-        let mut desk = lock(&self.desk);
+        let mut queries = lock(&self.queries);
         for (id, end, stamp) in ends {
             match end {
-                End::Done => desk.note_end(id, end),
-                End::Withdrawn => desk.note_withdrawal(&id.into(), stamp),
+                End::Done => queries.note_end(id, end),
+                End::Withdrawn => queries.note_withdrawal(&id.into(), stamp),
             }
         }
     }
@@ -92,27 +92,27 @@
 
     /// A withdrawal that was stored at this revision, or before.
     pub fn note_withdrawal(&self, id: &JobId, stamp: u64) {
-        lock(&self.desk).note_withdrawal(id, stamp);
+        lock(&self.queries).note_withdrawal(id, stamp);
     }
 
     /// A withdrawal that stands in this owner's loaded cluster state.
     pub fn show(&self, id: &JobId) {
-        lock(&self.desk).show(id);
+        lock(&self.queries).show(id);
     }
 
     /// An owner's loaded cluster state holds all ends up to this revision.
     pub fn advance(&self, watermark: u64) {
-        lock(&self.desk).advance(watermark);
+        lock(&self.queries).advance(watermark);
     }
 
     /// The highest watermark of any owner that was heard of here.
     pub fn watermark(&self) -> u64 {
-        lock(&self.desk).watermark()
+        lock(&self.queries).watermark()
     }
 
     /// Whether users may hear of this end (`visibility`).
     pub fn visible(&self, id: &JobId, end: End) -> Visible {
-        lock(&self.desk).visible(id, end)
+        lock(&self.queries).visible(id, end)
     }
 
     /// Asks the state service when a withdrawal was stored, for whoever was told of it without.
@@ -128,7 +128,7 @@
 
     /// Withdrawals whose stamps are kept, and those of them above the watermark.
     pub fn hidden(&self) -> [usize; 2] {
-        lock(&self.desk).hidden()
+        lock(&self.queries).hidden()
     }
 
     /// The reading of many ends at once.
@@ -146,8 +146,8 @@
         let (waiter, answer) = oneshot::channel();
         let now = Instant::now();
         let (taken, pressed) = {
-            let mut desk = lock(&self.desk);
-            (desk.ask(id, waiter, now).is_ok(), desk.pressed())
+            let mut queries = lock(&self.queries);
+            (queries.ask(id, waiter, now).is_ok(), queries.pressed())
         };
         if pressed {
             self.sweep(|sweep| sweep.want(now));
@@ -166,13 +166,13 @@
     /// Asks for nobody: once answered, `ended` knows it for a while.
     pub fn look_up(&self, id: &JobId) {
         let (waiter, _) = oneshot::channel();
-        if lock(&self.desk).ask(id, waiter, Instant::now()).is_ok() {
+        if lock(&self.queries).ask(id, waiter, Instant::now()).is_ok() {
             self.wanted.notify_one();
         }
     }
 
     pub fn held(&self) -> [usize; 3] {
-        lock(&self.desk).held()
+        lock(&self.queries).held()
     }
 }
 
@@ -180,7 +180,7 @@
 pub async fn run(node: Arc<Node>) {
     let free = Arc::new(Semaphore::new(UNDER_WAY));
     loop {
-        if !lock(&node.history.desk).anything_to_ask() {
+        if !lock(&node.history.queries).anything_to_ask() {
             node.history.wanted.notified().await;
         }
         tokio::time::sleep(GATHER).await;
@@ -189,7 +189,7 @@
         if let Err(error) = node.store.reserve(Urgent::Asked).await {
             debug!(%error, "questions wait");
         }
-        let (batch, stale) = lock(&node.history.desk).next_batch(Instant::now());
+        let (batch, stale) = lock(&node.history.queries).next_batch(Instant::now());
         tell(stale.all(Verdict::Later));
         if !batch.is_empty() {
             let node = node.clone();
@@ -213,7 +213,7 @@
     let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
     match node.store.compare_reserved(&conditions).await {
         Ok(failed) => {
-            let (answers, old) = lock(&node.history.desk).answered(batch, &failed);
+            let (answers, old) = lock(&node.history.queries).answered(batch, &failed);
             tell(answers);
             if !old.is_empty() {
                 look_up_old(node, old).await;
--- a/src/history/reckoning.rs
+++ b/src/history/reckoning.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::desk::{Batch, Desk};
 use super::moves::end_changes;
+use super::query_queue::{Batch, QueryQueue};
 use super::sweep::{COST, Sweep};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
@@ -30,7 +30,7 @@
 fn all_answered(jobs: usize, per_second: f64, txn_ops: usize, swept: bool) -> u64 {
     let start = Instant::now();
     let ids: Vec<JobId> = (0..jobs).map(|n| format!("run-{n:06}").into()).collect();
-    let (mut desk, mut sweep) = (Desk::new(txn_ops), Sweep::default());
+    let (mut queries, mut sweep) = (QueryQueue::new(txn_ops), Sweep::default());
     let mut budget = Budget::new(per_second, per_second, start);
     let mut due: BTreeMap<u64, Vec<Due>> = BTreeMap::new();
     let (mut under_way, mut reading) = (0, false);
@@ -52,12 +52,12 @@
                 Due::Compared(batch) => {
                     under_way -= 1;
                     let failed: Vec<String> = batch.ids().map(|id| format!("h/d/{id}")).collect();
-                    desk.answered(batch, &failed).0.into_iter().for_each(|(at, _)| _ = waiting.remove(&at));
+                    queries.answered(batch, &failed).0.into_iter().for_each(|(at, _)| _ = waiting.remove(&at));
                 }
                 Due::Page(from) => {
                     reading = false;
                     let upto = (from + NAMES).min(jobs);
-                    ids[from..upto].iter().for_each(|id| desk.note_end(id, End::Done));
+                    ids[from..upto].iter().for_each(|id| queries.note_end(id, End::Done));
                     sweep.took(ids.get(upto - 1).map(|id| id.to_string()), upto < jobs, now);
                 }
             }
@@ -65,20 +65,20 @@
         // In an order that has nothing to do with that of the names.
         for n in (ms as usize % POLL_EVERY_MS..jobs).step_by(POLL_EVERY_MS) {
             let at = n * 7919 % jobs;
-            if desk.ended(&ids[at]).is_some() {
+            if queries.ended(&ids[at]).is_some() {
                 waiting.remove(&at);
             } else {
-                let _ = desk.ask(&ids[at], at, now);
+                let _ = queries.ask(&ids[at], at, now);
             }
         }
-        if swept && desk.pressed() {
+        if swept && queries.pressed() {
             sweep.want(now);
         }
-        if under_way < 4 && desk.anything_to_ask() {
+        if under_way < 4 && queries.anything_to_ask() {
             let right = Urgent::Asked.after(MS * (ms - *asks.get_or_insert(ms)) as u32);
             if budget.take(1.0, right, now).is_ok() {
                 (asks, under_way) = (None, under_way + 1);
-                due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(desk.next_batch(now).0));
+                due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(queries.next_batch(now).0));
             }
         }
         if let Some(since) = sweep.next(now).filter(|_| !reading && ms >= page_at)
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -4,9 +4,9 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::desk::Desk;
 use super::ends::Ends;
 use super::moves;
+use super::query_queue::QueryQueue;
 use super::visibility::{Visible, visible};
 use crate::jobs::record::{ASSIGNMENT, JobRecord};
 use crate::jobs::tests::spec;
@@ -38,52 +38,52 @@
 /// a transaction's answer, a watch, a comparison or a page of ends.
 #[test]
 fn hidden_until_the_watermark_and_never_again() {
-    let mut desk: Desk<()> = Desk::new(4);
-    desk.note_withdrawal(&id(1), 10);
-    desk.note_withdrawal(&id(2), 20);
+    let mut queries: QueryQueue<()> = QueryQueue::new(4);
+    queries.note_withdrawal(&id(1), 10);
+    queries.note_withdrawal(&id(2), 20);
     // By a comparison, which tells no stamp.
-    desk.ask(&id(3), (), Instant::now()).unwrap();
-    let (batch, _) = desk.next_batch(Instant::now());
-    desk.answered(batch, &["h/w/run-000003".to_owned()]);
-    let seen = |desk: &mut Desk<()>| [1, 2, 3].map(|n| desk.visible(&id(n), End::Withdrawn));
+    queries.ask(&id(3), (), Instant::now()).unwrap();
+    let (batch, _) = queries.next_batch(Instant::now());
+    queries.answered(batch, &["h/w/run-000003".to_owned()]);
+    let seen = |queries: &mut QueryQueue<()>| [1, 2, 3].map(|n| queries.visible(&id(n), End::Withdrawn));
     use Visible::*;
-    assert_eq!(seen(&mut desk), [NotYet, NotYet, Unknown]);
-    desk.advance(15);
-    desk.advance(5);
-    assert_eq!(desk.watermark(), 15, "an older watermark that comes late takes nothing back");
-    assert_eq!(seen(&mut desk), [Yes, NotYet, Unknown]);
+    assert_eq!(seen(&mut queries), [NotYet, NotYet, Unknown]);
+    queries.advance(15);
+    queries.advance(5);
+    assert_eq!(queries.watermark(), 15, "an older watermark that comes late takes nothing back");
+    assert_eq!(seen(&mut queries), [Yes, NotYet, Unknown]);
     // A later and looser bound does not hide what an earlier one shows.
-    desk.note_withdrawal(&id(1), 999);
-    desk.note_withdrawal(&id(2), 15);
-    desk.note_withdrawal(&id(3), 16);
-    assert_eq!(seen(&mut desk), [Yes, Yes, NotYet]);
-    desk.show(&id(3));
-    assert_eq!(seen(&mut desk), [Yes, Yes, Yes]);
-    assert_eq!(desk.hidden(), [0, 0], "nothing is kept of what is shown");
+    queries.note_withdrawal(&id(1), 999);
+    queries.note_withdrawal(&id(2), 15);
+    queries.note_withdrawal(&id(3), 16);
+    assert_eq!(seen(&mut queries), [Yes, Yes, NotYet]);
+    queries.show(&id(3));
+    assert_eq!(seen(&mut queries), [Yes, Yes, Yes]);
+    assert_eq!(queries.hidden(), [0, 0], "nothing is kept of what is shown");
 }
 
 /// Ids that do not fit beside the packed ends are judged by their stamps, each time.
 #[test]
 fn long_ids_are_hidden_alike() {
-    let mut desk: Desk<()> = Desk::new(4);
+    let mut queries: QueryQueue<()> = QueryQueue::new(4);
     let long: JobId = "run-18446744073709551615".into();
-    desk.note_withdrawal(&long, 7);
-    assert_eq!(desk.visible(&long, End::Withdrawn), Visible::NotYet);
-    assert_eq!(desk.hidden(), [1, 1]);
-    desk.advance(7);
-    assert_eq!(desk.hidden(), [1, 0]);
-    assert_eq!(desk.visible(&long, End::Withdrawn), Visible::Yes);
-    assert_eq!(desk.visible(&long, End::Withdrawn), Visible::Yes);
+    queries.note_withdrawal(&long, 7);
+    assert_eq!(queries.visible(&long, End::Withdrawn), Visible::NotYet);
+    assert_eq!(queries.hidden(), [1, 1]);
+    queries.advance(7);
+    assert_eq!(queries.hidden(), [1, 0]);
+    assert_eq!(queries.visible(&long, End::Withdrawn), Visible::Yes);
+    assert_eq!(queries.visible(&long, End::Withdrawn), Visible::Yes);
 }
 
 /// A flood of withdrawals that nobody confirms is bounded; what is forgotten is asked for, not told.
 #[test]
 fn what_is_forgotten_is_unknown_and_never_told() {
-    let mut desk: Desk<()> = Desk::new(4);
-    (0..20_000).for_each(|n| desk.note_withdrawal(&id(n), 100));
-    assert_eq!(desk.hidden(), [8192, 8192]);
-    assert_eq!(desk.visible(&id(0), End::Withdrawn), Visible::Unknown);
-    assert_eq!(desk.visible(&id(19_999), End::Withdrawn), Visible::NotYet);
+    let mut queries: QueryQueue<()> = QueryQueue::new(4);
+    (0..20_000).for_each(|n| queries.note_withdrawal(&id(n), 100));
+    assert_eq!(queries.hidden(), [8192, 8192]);
+    assert_eq!(queries.visible(&id(0), End::Withdrawn), Visible::Unknown);
+    assert_eq!(queries.visible(&id(19_999), End::Withdrawn), Visible::NotYet);
 }
 
 /// The mark that an end may be told shares its slot with the end, and goes with it.
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 use super::lookup::open_tasks;
-use crate::history::desk::Verdict;
+use crate::history::query_queue::Verdict;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::node::Node;
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -3,8 +3,8 @@
 use tracing::debug;
 
 use super::reply::{Refusal, Reply};
-use crate::history::desk::Verdict;
 use crate::history::moves::end_among;
+use crate::history::query_queue::Verdict;
 use crate::history::visibility::Visible;
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::node::Node;
