--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -40,10 +40,10 @@
 fn round<'v>(view: &'v View) -> &'v Round {
     view.round.get_or_init(|| {
         let standing = |(name, spec, _): (&str, Spec, u64)| {
-            let status = view.shelf.status::<Window>(name).map(|(status, _)| status).unwrap_or_default();
+            let status = view.registry.status::<Window>(name).map(|(status, _)| status).unwrap_or_default();
             Standing::new(name, spec, status)
         };
-        let windows: Vec<Standing> = view.shelf.specs::<Window>().map(standing).collect();
+        let windows: Vec<Standing> = view.registry.specs::<Window>().map(standing).collect();
         let open = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
         Round::of(&windows, open.map(|(_, job)| &job.record))
     })
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -1,5 +1,5 @@
 //! Seeded interleavings of three controllers, users and the store, with two windows under way: the real
-//! mirror, shelf and driver. Owners are lost between any two of decided, sent and answered, copies come
+//! mirror, registry and driver. Owners are lost between any two of decided, sent and answered, copies come
 //! late, clocks differ and step back, and at times nobody looks for longer than a window.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -170,7 +170,7 @@
         let Some((cluster, _)) = owner.as_mut() else { return };
         if cluster.intents_due {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
-            refresh(&KINDS, cluster, mirror.shelf(), &|id| own.get(id).copied(), Instant::now(), now_ms);
+            refresh(&KINDS, cluster, mirror.registry(), &|id| own.get(id).copied(), Instant::now(), now_ms);
         }
         let may = |id: &&JobId| self.without == Without::Turns || !cluster.intents.not_yet.contains(*id);
         let number = |id: &JobId| cluster.intents.turns.get(id).map(|t| t.number);
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -16,7 +16,7 @@
 
 use super::View;
 use super::records::{Kind, MOST_BYTES, spec_key, status_key};
-use super::shelf::{Changed, Shelf};
+use super::registry::{Changed, Registry};
 use super::table::{Decided, Entry, News, entry};
 use crate::jobs::record::ASSIGNMENT;
 use crate::jobs::{End, JobId};
@@ -132,14 +132,14 @@
         if !cluster.loaded || !mirror.ready {
             return Looked::default();
         }
-        let changed = mirror.shelf_mut().take_changed();
-        refresh(self.kinds, cluster, mirror.shelf(), ended, now, now_ms);
+        let changed = mirror.registry_mut().take_changed();
+        refresh(self.kinds, cluster, mirror.registry(), ended, now, now_ms);
         let mut looked = Looked { token: cluster.token, ..Looked::default() };
         for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < TOLD_BEFORE) {
             looked.news.extend(news(self.kinds, change));
         }
         if mirror.revision >= self.stored {
-            let view = view(cluster, mirror.shelf(), ended, now, now_ms);
+            let view = view(cluster, mirror.registry(), ended, now, now_ms);
             looked.writes = self.decide(&view, &mut looked.news);
             looked.unknown = view.unknown.into_inner();
             looked.settled = looked.writes.is_empty();
@@ -149,7 +149,7 @@
 
     /// Up to `MOST_CHANGES`, of as many kinds as want any.
     fn decide(&mut self, view: &View, told: &mut News) -> Vec<Write> {
-        let mut writes: Vec<Write> = left_over(view.shelf).take(1).collect();
+        let mut writes: Vec<Write> = left_over(view.registry).take(1).collect();
         let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
         while writes.len() < MOST_CHANGES && !kinds.is_empty() {
             kinds.retain(|at| {
@@ -167,7 +167,8 @@
         let entry = &self.kinds[at];
         let kind = entry.kind;
         let last = self.last.get(&kind).cloned().unwrap_or_default();
-        let (before, after): (Vec<&str>, Vec<&str>) = view.shelf.names(kind).partition(|name| *name <= last.as_str());
+        let (before, after): (Vec<&str>, Vec<&str>) =
+            view.registry.names(kind).partition(|name| *name <= last.as_str());
         let most = MOST_BYTES.min((view.settings.params.state.value_kb * 1024.0) as usize);
         for name in after.into_iter().chain(before) {
             if writes.iter().any(|w| w.kind == kind && w.name == name) {
@@ -189,8 +190,8 @@
 }
 
 /// Statuses that are dropped since their spec is gone.
-fn left_over(shelf: &Shelf) -> impl Iterator<Item = Write> {
-    shelf.left_over().map(|(kind, name, status_stamp)| Write {
+fn left_over(registry: &Registry) -> impl Iterator<Item = Write> {
+    registry.left_over().map(|(kind, name, status_stamp)| Write {
         kind,
         name: name.to_owned(),
         spec_stamp: 0,
@@ -208,11 +209,17 @@
     }
 }
 
-fn view<'a>(cluster: &'a ClusterState, shelf: &'a Shelf, ended: Ended<'a>, now: Instant, now_ms: u64) -> View<'a> {
+fn view<'a>(
+    cluster: &'a ClusterState,
+    registry: &'a Registry,
+    ended: Ended<'a>,
+    now: Instant,
+    now_ms: u64,
+) -> View<'a> {
     View {
         cluster,
         ended,
-        shelf,
+        registry,
         now,
         now_ms,
         epoch: cluster.token,
@@ -224,13 +231,20 @@
 
 /// Works out anew what is asked for by what is stored: before anything is decided after a takeover, when
 /// jobs have come, and each second. Does nothing as long as nothing is declared.
-pub fn refresh(kinds: &[Entry], cluster: &mut ClusterState, shelf: &Shelf, ended: Ended, now: Instant, now_ms: u64) {
+pub fn refresh(
+    kinds: &[Entry],
+    cluster: &mut ClusterState,
+    registry: &Registry,
+    ended: Ended,
+    now: Instant,
+    now_ms: u64,
+) {
     cluster.intents_due = false;
-    if shelf.is_empty() && cluster.intents.is_empty() {
+    if registry.is_empty() && cluster.intents.is_empty() {
         return;
     }
     let mut intents = Intents::default();
-    let view = view(cluster, shelf, ended, now, now_ms);
+    let view = view(cluster, registry, ended, now, now_ms);
     for entry in kinds {
         (entry.add_intents)(&view, &mut intents);
     }
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -8,8 +8,8 @@
 pub mod driver;
 pub mod operator;
 pub mod records;
+pub mod registry;
 pub mod run;
-pub mod shelf;
 pub mod table;
 #[cfg(test)]
 pub(crate) mod tests;
@@ -29,7 +29,7 @@
 use crate::settings::{Params, Settings, Team};
 
 pub use records::Kind;
-pub use shelf::Shelf;
+pub use registry::Registry;
 
 /// A field of a spec that cannot be used, and why. Shown as `FIELD: WHY`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -79,7 +79,7 @@
     /// What is known here of ended jobs; not all is.
     pub ended: &'a dyn Fn(&str) -> Option<End>,
     /// All specs and statuses.
-    pub shelf: &'a Shelf,
+    pub registry: &'a Registry,
     /// By the steady clock.
     pub now: Instant,
     /// Time of day in ms since 1970. It may step, back as well.
--- a/src/declared/shelf.rs
+++ b/src/declared/registry.rs
@@ -73,13 +73,13 @@
 
 /// What is declared, as this controller has read it from the store.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct Registry {
     specs: Of,
     statuses: Of,
     changed: VecDeque<Changed>,
 }
 
-impl Shelf {
+impl Registry {
     /// Whether nothing is declared.
     pub fn is_empty(&self) -> bool {
         self.entries() == 0
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -133,9 +133,9 @@
 }
 
 fn step<D: Declared>(name: &str, view: &View) -> Option<Decided> {
-    let (spec, spec_stamp) = view.shelf.spec::<D>(name)?;
+    let (spec, spec_stamp) = view.registry.spec::<D>(name)?;
     // One that cannot be read stays as it is: to begin afresh could do again what was done.
-    let stored = if view.shelf.has_status(D::KIND, name) { Some(view.shelf.status::<D>(name)?) } else { None };
+    let stored = if view.registry.has_status(D::KIND, name) { Some(view.registry.status::<D>(name)?) } else { None };
     let before = stored.as_ref().map(|(status, _)| status.clone()).unwrap_or_default();
     let next = D::step(name, &spec, &before, view)?;
     if stored.is_some() && next == before {
@@ -146,10 +146,10 @@
 }
 
 fn add_intents<D: Declared>(view: &View, intents: &mut Intents) {
-    for (name, spec, _) in view.shelf.specs::<D>() {
-        match view.shelf.status::<D>(name) {
+    for (name, spec, _) in view.registry.specs::<D>() {
+        match view.registry.status::<D>(name) {
             Some((status, _)) => D::add_intents(name, &spec, &status, view, intents),
-            None if !view.shelf.has_status(D::KIND, name) => {
+            None if !view.registry.has_status(D::KIND, name) => {
                 D::add_intents(name, &spec, &D::Status::default(), view, intents);
             }
             None => {}
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -1,4 +1,4 @@
-//! Seeded interleavings of operators, owners and the store: the real mirror, shelf and driver, with a
+//! Seeded interleavings of operators, owners and the store: the real mirror, registry and driver, with a
 //! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, owners
 //! are replaced and go on without knowing, and are paused between any two of looked, sent and answered.
 
@@ -135,9 +135,9 @@
             *controller.own.entry(line).or_default() += 1;
         }
         // What is asked for is what this controller's mirror has, never what is only decided.
-        let (shelf, (cluster, _)) = (controller.mirror.shelf(), controller.owner.as_ref().unwrap());
-        for (name, _, _) in shelf.specs::<Heat>().filter(|_| controller.mirror.ready) {
-            let at = shelf.status::<Heat>(name).map_or(0, |(status, _)| status.at);
+        let (registry, (cluster, _)) = (controller.mirror.registry(), controller.owner.as_ref().unwrap());
+        for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.mirror.ready) {
+            let at = registry.status::<Heat>(name).map_or(0, |(status, _)| status.at);
             assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
     }
@@ -356,9 +356,9 @@
     let looked = stage.look(0, 0, |(), _| None).unwrap();
     let names: Vec<&str> = looked.writes.iter().map(|w| w.name.as_str()).collect();
     assert_eq!(names, ["good"]);
-    let shelf = stage.controllers[0].mirror.shelf();
-    assert_eq!(shelf.entries(), 5, "the larger one and the unknown kind are not taken in");
-    assert!(shelf.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
+    let registry = stage.controllers[0].mirror.registry();
+    assert_eq!(registry.entries(), 5, "the larger one and the unknown kind are not taken in");
+    assert!(registry.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
     let (cluster, _) = stage.controllers[0].owner.as_ref().unwrap();
     assert_eq!(cluster.intents.not_yet.len(), 1, "nothing is asked for by what cannot be read");
 }
@@ -366,16 +366,16 @@
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
 #[test]
 fn what_is_kept_is_bounded() {
-    let mut shelf = super::Shelf::default();
+    let mut registry = super::Registry::default();
     for n in (0..1000).rev() {
-        shelf.put(&spec_key(Kind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
+        registry.put(&spec_key(Kind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
     }
-    assert_eq!(shelf.entries(), 100);
-    assert_eq!(shelf.names(Kind::Heat).count(), 50);
+    assert_eq!(registry.entries(), 100);
+    assert_eq!(registry.names(Kind::Heat).count(), 50);
     for n in 0..1000 {
-        shelf.put(&status_key(Kind::Heat, "h"), &json!({"at": n}), n);
+        registry.put(&status_key(Kind::Heat, "h"), &json!({"at": n}), n);
     }
-    assert_eq!(shelf.take_changed().len(), 256);
+    assert_eq!(registry.take_changed().len(), 256);
 }
 
 /// A controller that is never asked for anything but whether there is something to do.
@@ -421,7 +421,7 @@
 /// add to a controller's start, and what is stored a second. A takeover reads none of it: every
 /// controller has it.
 #[test]
-fn the_cost_of_a_full_shelf() {
+fn the_cost_of_a_full_registry() {
     let mut entries = Vec::new();
     for (kind, n) in Kind::ALL.into_iter().zip([1000, 50, 200, 20]) {
         for name in (0..n).map(|n| format!("{}-{n:04}", kind.word())) {
--- a/src/declared/tests/play.rs
+++ b/src/declared/tests/play.rs
@@ -1,4 +1,4 @@
-//! Three controllers and their store, as the seeded plays of every kind have them: the real mirror, shelf
+//! Three controllers and their store, as the seeded plays of every kind have them: the real mirror, registry
 //! and driver. Each kind adds what it declares, what happens meanwhile, and what must never be.
 
 use std::time::Instant;
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -54,7 +54,7 @@
 
     fn step(_: &str, spec: &Rule, status: &Status, view: &View) -> Option<Status> {
         let readings: Vec<Reading> =
-            spec.sensors.iter().filter_map(|name| Some(view.shelf.spec::<Reading>(name)?.0)).collect();
+            spec.sensors.iter().filter_map(|name| Some(view.registry.spec::<Reading>(name)?.0)).collect();
         decide(spec, status, readings.iter(), view.epoch, view.now_ms).or_else(|| {
             let held = status.holds(view.now_ms) && view.cluster.loaded;
             let waits = held.then(|| Waits::count(view.cluster, &spec.names(), view.now, view.now_ms))?;
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -41,7 +41,7 @@
         let controller = &self.stage.controllers[at];
         let now_ms = self.now_ms.saturating_add_signed(controller.skew_ms);
         // Whoever knows the same status acts alike: by what is stored and not by what was only decided.
-        let known = controller.mirror.shelf().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
+        let known = controller.mirror.registry().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
         let (cluster, _) = controller.owner.as_ref().unwrap();
         assert_eq!(cluster.intents.ahead.is_some(), known.holds(now_ms), "acts on what is not stored");
     }
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -60,7 +60,7 @@
             held.push(("open_jobs", mirror.open_jobs().count()));
             held.push(("open_tasks", mirror.held().tasks as usize));
             held.push(("descriptions", mirror.ended_kept()));
-            held.push(("declared", mirror.shelf().entries()));
+            held.push(("declared", mirror.registry().entries()));
         }
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", lock(&self.audit).remembered()));
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -13,7 +13,7 @@
 impl Hands for Node {
     fn quiet(&self) -> bool {
         let mirror = lock(&self.mirror);
-        let nothing = mirror.shelf().is_empty() && !mirror.shelf().any_changed();
+        let nothing = mirror.registry().is_empty() && !mirror.registry().any_changed();
         nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -76,6 +76,6 @@
 
     /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
     pub fn intents_of(&self, cluster: &mut ClusterState, mirror: &Mirror, now: Instant) {
-        driver::refresh(KINDS, cluster, mirror.shelf(), &|id| self.history.ended(id), now, time_of_day_ms());
+        driver::refresh(KINDS, cluster, mirror.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
     }
 }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -84,9 +84,9 @@
 /// have stopped nothing yet: the first by name goes on.
 fn rival(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<String> {
     let mine = status.jobs(spec);
-    let stamp = view.shelf.specs::<Rollout>().find(|(n, ..)| *n == name).map_or(u64::MAX, |(_, _, stamp)| stamp);
-    view.shelf.specs::<Rollout>().filter(|(other, ..)| *other != name).find_map(|(other, theirs, written)| {
-        let theirs_status = view.shelf.status::<Rollout>(other).map(|(status, _)| status).unwrap_or_default();
+    let stamp = view.registry.specs::<Rollout>().find(|(n, ..)| *n == name).map_or(u64::MAX, |(_, _, stamp)| stamp);
+    view.registry.specs::<Rollout>().filter(|(other, ..)| *other != name).find_map(|(other, theirs, written)| {
+        let theirs_status = view.registry.status::<Rollout>(other).map(|(status, _)| status).unwrap_or_default();
         let first = match (status.phase.begun(), theirs_status.phase) {
             (true, phase) => phase.begun() && other < name,
             (false, Phase::Ended | Phase::Refused) => false,
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::declared::records::{spec_key, status_key};
-use crate::declared::{Declared, Kind, Shelf, View};
+use crate::declared::{Declared, Kind, Registry, View};
 use crate::fleet::drain;
 use crate::fleet::rent::{self, Refusals};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
@@ -26,7 +26,7 @@
 
 struct Bench {
     cluster: ClusterState,
-    shelf: Shelf,
+    registry: Registry,
     catalog: Catalog,
     now: Instant,
     seq: u64,
@@ -40,8 +40,14 @@
         let now = Instant::now();
         let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
         cluster.loaded = true;
-        let mut bench =
-            Self { cluster, shelf: Shelf::default(), catalog: Catalog { types: vec![of] }, now, seq: 0, stamp: 0 };
+        let mut bench = Self {
+            cluster,
+            registry: Registry::default(),
+            catalog: Catalog { types: vec![of] },
+            now,
+            seq: 0,
+            stamp: 0,
+        };
         bench.report();
         bench
     }
@@ -56,7 +62,7 @@
 
     fn put(&mut self, path: &str, value: Value) {
         self.stamp += 1;
-        assert!(self.shelf.put(path, &value, self.stamp));
+        assert!(self.registry.put(path, &value, self.stamp));
     }
 
     fn declare(&mut self, name: &str, change: Value) {
@@ -95,12 +101,12 @@
     }
 
     fn with_view<T>(&self, f: impl FnOnce(&View) -> T) -> T {
-        let (cluster, shelf, now) = (&self.cluster, &self.shelf, self.now);
+        let (cluster, registry, now) = (&self.cluster, &self.registry, self.now);
         let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].since).as_millis() as u64;
         f(&View {
             cluster,
             ended: &|_| None,
-            shelf,
+            registry,
             now,
             now_ms,
             epoch: 7,
@@ -112,12 +118,12 @@
 
     /// Intents by what is stored, then the next statuses, as the owner's task does; then a plan.
     fn turn(&mut self) -> Vec<String> {
-        let names: Vec<String> = self.shelf.names(Kind::Rollout).map(str::to_owned).collect();
+        let names: Vec<String> = self.registry.names(Kind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
         let next: Vec<(String, Option<Status>)> = self.with_view(|view| {
             let of = |name: &String| {
-                let (spec, _) = view.shelf.spec::<Rollout>(name).unwrap();
-                let status = view.shelf.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
+                let (spec, _) = view.registry.spec::<Rollout>(name).unwrap();
+                let status = view.registry.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
                 Rollout::add_intents(name, &spec, &status, view, &mut intents);
                 (name.clone(), Rollout::step(name, &spec, &status, view))
             };
@@ -136,7 +142,7 @@
     }
 
     fn status(&self, name: &str) -> Status {
-        self.shelf.status::<Rollout>(name).unwrap().0
+        self.registry.status::<Rollout>(name).unwrap().0
     }
 
     fn running(&self, n: u32) -> u64 {
@@ -182,7 +188,7 @@
     bench.cluster.end_job(&"run-1".into(), None, bench.now);
     bench.pass(1);
     assert!(bench.turn().is_empty());
-    bench.shelf.drop_key(&spec_key(Kind::Rollout, "r"), 1000);
+    bench.registry.drop_key(&spec_key(Kind::Rollout, "r"), 1000);
     assert!(bench.turn().is_empty() && bench.cluster.intents.is_empty());
 }
 
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -14,7 +14,7 @@
 use tracing::warn;
 
 use super::client::{Event, Followed, Page};
-use crate::declared::{Shelf, records};
+use crate::declared::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
 use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
@@ -104,7 +104,7 @@
     /// and reading them one by one took it seconds.
     ended: LruCache<JobId, Ended>,
     control: Control,
-    shelf: Shelf,
+    registry: Registry,
 }
 
 /// A job that has ended.
@@ -123,7 +123,7 @@
     newest: u64,
     seen: HashSet<JobId>,
     control: Control,
-    shelf: Shelf,
+    registry: Registry,
 }
 
 impl Loading {
@@ -186,7 +186,7 @@
             held: Held::default(),
             ended: LruCache::new(ENDED_KEPT),
             control: Control::default(),
-            shelf: Shelf::default(),
+            registry: Registry::default(),
         }
     }
 }
@@ -262,12 +262,12 @@
     }
 
     /// All that is declared.
-    pub fn shelf(&self) -> &Shelf {
-        &self.shelf
+    pub fn registry(&self) -> &Registry {
+        &self.registry
     }
 
-    pub fn shelf_mut(&mut self) -> &mut Shelf {
-        &mut self.shelf
+    pub fn registry_mut(&mut self) -> &mut Registry {
+        &mut self.registry
     }
 
     /// Whether jobs may stand under an earlier build's keys; true as long as that is not known.
@@ -306,7 +306,7 @@
             newest: 0,
             seen: HashSet::new(),
             control: Control::default(),
-            shelf: Shelf::default(),
+            registry: Registry::default(),
         }
     }
 
@@ -320,7 +320,7 @@
                 continue;
             }
             if records::declared(&item.path) {
-                loading.shelf.put(&item.path, &item.value, item.stamp);
+                loading.registry.put(&item.path, &item.value, item.stamp);
                 continue;
             }
             let Some(id) = item.path.strip_prefix(OPEN) else { continue };
@@ -335,7 +335,7 @@
     /// The last page was taken in: whatever was not among them has ended.
     pub fn loaded(&mut self, loading: Loading) -> News {
         let gone: Vec<JobId> = self.open.keys().filter(|id| !loading.seen.contains(*id)).cloned().collect();
-        let declared = self.shelf.replace(loading.shelf, self.revision == 0);
+        let declared = self.registry.replace(loading.registry, self.revision == 0);
         let mut news = News { ownership: true, declared, ..News::default() };
         for id in gone {
             self.end(&id, self.revision, loading.newest, &mut news);
@@ -366,7 +366,7 @@
             if self.control.put(path, &event.value, event.stamp) {
                 news.ownership = true;
             } else if records::declared(path) {
-                news.declared |= self.shelf.put(path, &event.value, event.stamp);
+                news.declared |= self.registry.put(path, &event.value, event.stamp);
             } else if let Some(id) = path.strip_prefix(OPEN) {
                 self.put(id, path, &event.value, news);
             }
@@ -374,7 +374,7 @@
             if self.control.drop(path) {
                 news.ownership = true;
             } else if records::declared(path) {
-                news.declared |= self.shelf.drop_key(path, event.stamp);
+                news.declared |= self.registry.drop_key(path, event.stamp);
             } else if let Some(id) = path.strip_prefix(OPEN) {
                 self.end(id, event.stamp.saturating_sub(1), event.stamp, news);
             }
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -88,19 +88,19 @@
     let (spec, status) = ("c/s/window/w", "c/t/window/w");
     let (_, news) = mirror.apply(&followed(vec![write(spec, 1, 4), write(status, 1, 5)], 5));
     assert_eq!(news, News { declared: true, ..News::default() });
-    assert_eq!(mirror.shelf().raw_status(Kind::Window, "w"), Some((json!({"n": 1}), 5)));
+    assert_eq!(mirror.registry().raw_status(Kind::Window, "w"), Some((json!({"n": 1}), 5)));
     // Read anew, and followed from its first page on: what a later page had already is passed over.
     let pages = vec![page(vec![opened(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
     assert!(read_whole(&mut mirror, pages).declared);
     mirror.apply(&followed(vec![write(status, 2, 7), write(status, 3, 8)], 8));
-    assert_eq!(mirror.shelf().raw_status(Kind::Window, "w"), Some((json!({"n": 3}), 8)));
-    let told: Vec<_> = mirror.shelf_mut().take_changed().into_iter().map(|c| c.after()).collect();
+    assert_eq!(mirror.registry().raw_status(Kind::Window, "w"), Some((json!({"n": 3}), 8)));
+    let told: Vec<_> = mirror.registry_mut().take_changed().into_iter().map(|c| c.after()).collect();
     assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
     let drop = Event { write: None, drop: Some(spec.into()), value: Value::Null, stamp: 9 };
     mirror.apply(&followed(vec![drop], 9));
-    assert_eq!(mirror.shelf().left_over().count(), 1, "a status whose spec is gone");
+    assert_eq!(mirror.registry().left_over().count(), 1, "a status whose spec is gone");
     assert!(read_whole(&mut mirror, vec![page(vec![opened(2, 2)], 10)]).declared, "nothing is declared any more");
-    assert!(mirror.shelf().is_empty());
+    assert!(mirror.registry().is_empty());
     assert!(!read_whole(&mut mirror, vec![page(vec![opened(2, 2)], 11)]).declared);
 }
 
