--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -3,7 +3,7 @@
 use tracing::Level;
 
 use super::intents::{Left, add_intents};
-use super::round::{Round, Standing};
+use super::round::{Round, DeclaredWindow};
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
@@ -39,11 +39,11 @@
 
 fn round<'v>(view: &'v View) -> &'v Round {
     view.round.get_or_init(|| {
-        let standing = |(name, spec, _): (&str, Spec, u64)| {
+        let declared_window = |(name, spec, _): (&str, Spec, u64)| {
             let status = view.registry.status::<Window>(name).map(|(status, _)| status).unwrap_or_default();
-            Standing::new(name, spec, status)
+            DeclaredWindow::new(name, spec, status)
         };
-        let windows: Vec<Standing> = view.registry.specs::<Window>().map(standing).collect();
+        let windows: Vec<DeclaredWindow> = view.registry.specs::<Window>().map(declared_window).collect();
         let open = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
         Round::of(&windows, open.map(|(_, job)| &job.record))
     })
--- a/src/calendar/round.rs
+++ b/src/calendar/round.rs
@@ -14,14 +14,14 @@
 use crate::jobs::{JobId, Shape};
 
 /// A window as it stands.
-pub struct Standing {
+pub struct DeclaredWindow {
     pub name: String,
     pub spec: Spec,
     pub status: Status,
     times: Option<Times>,
 }
 
-impl Standing {
+impl DeclaredWindow {
     pub fn new(name: &str, spec: Spec, status: Status) -> Self {
         Self { name: name.to_owned(), times: spec.times(), spec, status }
     }
@@ -46,8 +46,8 @@
 
 impl Round {
     /// The open jobs that belong to each of these windows.
-    pub fn of<'a>(windows: &[Standing], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
-        let mut by_class: HashMap<(&str, &str), Vec<&Standing>> = HashMap::new();
+    pub fn of<'a>(windows: &[DeclaredWindow], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
+        let mut by_class: HashMap<(&str, &str), Vec<&DeclaredWindow>> = HashMap::new();
         let mut claimed: HashSet<&JobId> = HashSet::new();
         for window in windows {
             for class in &window.spec.classes {
@@ -68,7 +68,7 @@
                 let named = window.spec.turns.iter().any(|turn| **turn == *job.id);
                 (!named, span.closes_ms, window.name.as_str())
             });
-            let open = |(window, span): &(&Standing, Span)| window.status.last_day().is_none_or(|last| span.day > last);
+            let open = |(window, span): &(&DeclaredWindow, Span)| window.status.last_day().is_none_or(|last| span.day > last);
             if let Some((window, span)) = first.filter(open) {
                 let comer = Comer { record: record.clone(), day: span.day };
                 comers.entry(window.name.clone()).or_default().push(comer);
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::intents::{Left, add_intents};
-use super::round::{Round, Standing};
+use super::round::{Round, DeclaredWindow};
 use super::spec::{Day, Spec, date_of, day_of};
 use super::status::{Outcome, Over, Reason, Status, news, tell};
 use super::step::{Comer, Facts, Fate, GRACE_MS, next};
@@ -70,9 +70,9 @@
     }
 
     pub fn comers(&self, name: &str, spec: &Spec, status: &Status) -> Vec<Comer> {
-        let standing = Standing::new(name, spec.clone(), status.clone());
+        let declared_window = DeclaredWindow::new(name, spec.clone(), status.clone());
         let open = |r: &&Arc<JobRecord>| matches!(self.fates.get(&r.spec.id), Some(Fate::Open { .. }));
-        Round::of(&[standing], self.jobs.iter().filter(open)).comers(name).to_vec()
+        Round::of(&[declared_window], self.jobs.iter().filter(open)).comers(name).to_vec()
     }
 
     pub fn step(&self, spec: &Spec, status: &Status) -> Status {
@@ -358,19 +358,19 @@
 /// A job has a turn in one window at the most, and a claim that is stored stays.
 #[test]
 fn jobs_belong_to_one_window() {
-    let standing = |name: &str, fields: Value| Standing::new(name, window(fields), Status::default());
+    let declared_window = |name: &str, fields: Value| DeclaredWindow::new(name, window(fields), Status::default());
     let at = MIDNIGHT + 7 * HOUR;
-    let of = |windows: &[Standing], record: &Arc<JobRecord>| -> Vec<String> {
+    let of = |windows: &[DeclaredWindow], record: &Arc<JobRecord>| -> Vec<String> {
         let round = Round::of(windows, std::iter::once(record));
         let names = windows.iter().filter(|w| !round.comers(&w.name).is_empty());
         names.map(|w| w.name.clone()).collect()
     };
     let mut windows = vec![
-        standing("a", json!({"closes": "09:00"})),
-        standing("b", json!({})),
-        standing("c", json!({})),
-        standing("d", json!({"closes": "10:00", "turns": ["run-7"]})),
-        standing("e", json!({"team": "blue"})),
+        declared_window("a", json!({"closes": "09:00"})),
+        declared_window("b", json!({})),
+        declared_window("c", json!({})),
+        declared_window("d", json!({"closes": "10:00", "turns": ["run-7"]})),
+        declared_window("e", json!({"team": "blue"})),
     ];
     assert_eq!(of(&windows, &job(1, "plan", at)), ["b"], "the first to close, then by name");
     assert_eq!(of(&windows, &job(7, "plan", at)), ["d"], "who names it");
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::records::{MOST_TOGETHER, OPERATORS, Part, SPECS, STATUSES, parse, spec_key, status_key, well_formed};
-use super::table::{Entry, Standing, entry};
+use super::table::{Entry, Declaration, entry};
 use super::{Kind, Names, Problem};
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
@@ -74,10 +74,10 @@
         }
     }
 
-    fn standing<'a>(&'a self, kind: Kind, name: &'a str) -> Result<Standing<'a>, Failed> {
+    fn declaration<'a>(&'a self, kind: Kind, name: &'a str) -> Result<Declaration<'a>, Failed> {
         let of = (kind, name.to_owned());
         match self.specs.get(&of) {
-            Some((spec, _)) => Ok(Standing { name, spec, status: self.statuses.get(&of) }),
+            Some((spec, _)) => Ok(Declaration { name, spec, status: self.statuses.get(&of) }),
             None => refused(format!("name: no {} {name:?} is declared", kind.word())),
         }
     }
@@ -187,7 +187,7 @@
 
     /// Takes back what was declared.
     pub async fn remove(&self, kind: Kind, name: &str) -> Result<(), Failed> {
-        let gone = self.change(kind, async |known: &Known, again| match known.standing(kind, name) {
+        let gone = self.change(kind, async |known: &Known, again| match known.declaration(kind, name) {
             Ok(_) => Ok(Writes::from([(name.to_owned(), None)])),
             Err(_) if again => Ok(Writes::new()),
             Err(failed) => Err(failed),
@@ -200,7 +200,7 @@
     pub async fn act(&self, kind: Kind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
         let entry = self.entry(kind)?;
         let acted = self.change(kind, async |known: &Known, _| {
-            let acted = (entry.act)(verb, known.standing(kind, name)?, time_of_day_ms())?;
+            let acted = (entry.act)(verb, known.declaration(kind, name)?, time_of_day_ms())?;
             if let Some(job) = acted.withdraw {
                 self.withdraw(node, &job).await?;
             }
@@ -244,7 +244,7 @@
     pub async fn show(&self, kind: Option<Kind>, name: Option<&str>) -> Result<Vec<Shown>, Failed> {
         let known = self.known(kind).await?;
         if let (Some(kind), Some(name)) = (kind, name) {
-            known.standing(kind, name)?;
+            known.declaration(kind, name)?;
         }
         let mut all: Vec<&(Kind, String)> = known.specs.keys().chain(known.statuses.keys()).collect();
         all.sort_unstable();
@@ -255,7 +255,7 @@
             let lines = match (spec, entry(self.kinds, of.0)) {
                 (None, _) => Ok(vec!["removed; its status goes as soon as that is told".to_owned()]),
                 (Some(_), None) => Ok(vec!["this build does not carry it out".to_owned()]),
-                (Some(spec), Some(entry)) => (entry.tell)(Standing { name: &of.1, spec, status }, now_ms),
+                (Some(spec), Some(entry)) => (entry.tell)(Declaration { name: &of.1, spec, status }, now_ms),
             };
             let lines = lines.unwrap_or_else(|problem| vec![problem.to_string()]);
             Shown { kind: of.0, name: of.1.clone(), spec: spec.cloned(), status: status.cloned(), lines }
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -35,7 +35,7 @@
 
 /// One declared thing as it stands in the store.
 #[derive(Debug, Clone, Copy)]
-pub struct Standing<'a> {
+pub struct Declaration<'a> {
     /// Its name.
     pub name: &'a str,
     /// The stored spec.
@@ -64,11 +64,11 @@
     /// What all of the kind ask for.
     pub add_intents: fn(&View, &mut Intents),
     /// Lines for operators at a time of day in ms.
-    pub tell: fn(Standing, u64) -> Lines,
+    pub tell: fn(Declaration, u64) -> Lines,
     /// What is owed for a change of a status, by name.
     pub news: fn(&str, Option<&Value>, &Value) -> News,
     /// What a verb makes of a spec at a time of day in ms.
-    pub act: fn(&str, Standing, u64) -> Result<Acted<Value>, Problem>,
+    pub act: fn(&str, Declaration, u64) -> Result<Acted<Value>, Problem>,
 }
 
 impl Entry {
@@ -157,7 +157,7 @@
     }
 }
 
-fn tell<D: Declared>(of: Standing, now_ms: u64) -> Lines {
+fn tell<D: Declared>(of: Declaration, now_ms: u64) -> Lines {
     Ok(D::tell(of.name, &read(of.spec)?, &read_status::<D>(of.status)?, now_ms))
 }
 
@@ -168,7 +168,7 @@
     }
 }
 
-fn act<D: Declared>(verb: &str, of: Standing, now_ms: u64) -> Result<Acted<Value>, Problem> {
+fn act<D: Declared>(verb: &str, of: Declaration, now_ms: u64) -> Result<Acted<Value>, Problem> {
     let acted = D::act(verb, &read(of.spec)?, &read_status::<D>(of.status)?, now_ms)?;
     Ok(Acted { spec: write(&acted.spec)?, withdraw: acted.withdraw })
 }
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -6,7 +6,7 @@
 use crate::jobs::JobSpec;
 use crate::kinds::Catalog;
 use crate::scheduling::backfill;
-use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
+use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
@@ -57,7 +57,7 @@
         let mut rooms: Vec<Room> = cluster
             .machines
             .values()
-            .filter(|m| usable(m, suspect, now) || m.standing == Standing::Booting)
+            .filter(|m| usable(m, suspect, now) || m.state == MachineState::Booting)
             // Idle tasks give way: their room is there for others, and they are put somewhere last.
             .filter_map(|m| ground.room(m))
             .map(|r| r.without_idle())
@@ -155,7 +155,7 @@
         }
         let Some(machine) = pool.rooms[at].machine else { continue };
         let old_enough = now.saturating_duration_since(machine.since) >= LEAST_CHARGED;
-        if pool.wanted[at] || pool.short[pool.rooms[at].kind] || machine.standing != Standing::Up || !old_enough {
+        if pool.wanted[at] || pool.short[pool.rooms[at].kind] || machine.state != MachineState::Up || !old_enough {
             continue;
         }
         tried += usize::from(!machine.bound.is_empty());
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -8,7 +8,7 @@
 use super::cloud;
 use crate::kinds::Kind;
 use crate::node::Node;
-use crate::scheduling::cluster::Standing;
+use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::Ground;
 use crate::sync::lock;
 
@@ -39,12 +39,12 @@
     for machine in cluster.machines.values() {
         let Some(room) = ground.room(machine) else { continue };
         let of = held_of.entry(room.kind).or_default();
-        match machine.standing {
-            Standing::Booting => of.0 += 1,
-            Standing::Up => of.1 += 1,
-            Standing::Draining | Standing::Condemned => of.2 += 1,
+        match machine.state {
+            MachineState::Booting => of.0 += 1,
+            MachineState::Up => of.1 += 1,
+            MachineState::Draining | MachineState::Condemned => of.2 += 1,
         }
-        if machine.standing != Standing::Booting {
+        if machine.state != MachineState::Booting {
             of.3 += u32::from(machine.bound.is_empty());
             of.4 += machine.taken().cpus / room.of.cpus;
             of.5 += if room.of.gpus > 0.0 { machine.taken().gpus / room.of.gpus } else { 0.0 };
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -6,7 +6,7 @@
 use crate::jobs::JobSpec;
 use crate::kinds::{Catalog, Kind};
 use crate::scheduling::backfill;
-use crate::scheduling::cluster::{ClusterState, Machine, MachineId, Standing};
+use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
 use crate::scheduling::forecast::{Slots, Timeline};
 use crate::scheduling::intents::{self, RoomIntent};
 use crate::scheduling::plan::{Quotas, Turn, queue};
@@ -197,7 +197,7 @@
         let held = held_by_kind(cluster);
         let refused = |k: &Kind| refusals.refused(k, held.get(k).copied().unwrap_or(0), now);
         let refused = kinds.iter().map(|k| k.as_ref().is_none_or(refused)).collect();
-        let total = cluster.machines.values().filter(|m| m.standing != Standing::Condemned).count() as u64
+        let total = cluster.machines.values().filter(|m| m.state != MachineState::Condemned).count() as u64
             + kinds.iter().flatten().filter_map(|k| asked.get(k)).sum::<u64>();
         let (wanted, quotas) = (BTreeMap::new(), Quotas::new(cluster));
         Self { cluster, ground, asked, kinds, refused, total, wanted, quotas, followed: 0, jobs: 0, now }
@@ -208,7 +208,7 @@
         // Those that do not hear take no work, nor may there be any of whom only old reports tell. A second fleet would hear no more where most don't.
         let most_inbound_lost = self.cluster.most_inbound_lost();
         let stays = |m: &&Machine| {
-            !matches!(m.standing, Standing::Condemned | Standing::Draining)
+            !matches!(m.state, MachineState::Condemned | MachineState::Draining)
                 && m.recall.is_none()
                 && m.known
                 && (!m.inbound_lost || most_inbound_lost)
@@ -374,10 +374,10 @@
     let kept = intents::idle_kept(cluster, catalog, now);
     for machine in cluster.machines.values() {
         let age = now.saturating_duration_since(machine.since);
-        match machine.standing {
+        match machine.state {
             // What should be up has its own patience (`ClusterState::tick`).
-            Standing::Booting if machine.awaited() => {}
-            Standing::Booting => {
+            MachineState::Booting if machine.awaited() => {}
+            MachineState::Booting => {
                 let usual = catalog.get(&machine.type_name).map_or(60.0, |t| t.boot_s);
                 let patience = Duration::from_secs_f64(usual * cluster.properties.boot_patience) + BOOT_GRACE;
                 // A new owner has not heard of machines that were up long before it.
@@ -386,13 +386,13 @@
                     out.push((machine.id.clone(), "never came up"));
                 }
             }
-            Standing::Up => {
+            MachineState::Up => {
                 let idle = machine.idle_since.map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
                 if machine.bound.is_empty() && idle > cluster.properties.idle && !kept.contains(&machine.id) {
                     out.push((machine.id.clone(), "idle"));
                 }
             }
-            Standing::Draining | Standing::Condemned => {}
+            MachineState::Draining | MachineState::Condemned => {}
         }
     }
     out
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -11,7 +11,7 @@
 use super::order_log::store;
 use super::orders::{Next, What};
 use crate::node::Node;
-use crate::scheduling::cluster::Standing;
+use crate::scheduling::cluster::MachineState;
 use crate::sync::{jitter, lock};
 
 /// Machines to be returned now, in calls of as many as the cloud takes.
@@ -22,7 +22,7 @@
     let names: Vec<String> = cluster
         .machines
         .values()
-        .filter(|m| m.standing == Standing::Condemned && !dealings.returning.contains(&*m.id))
+        .filter(|m| m.state == MachineState::Condemned && !dealings.returning.contains(&*m.id))
         .map(|m| m.id.to_string())
         .collect();
     dealings.returning.extend(names.iter().cloned());
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod mesh;
 pub mod records;
-pub mod standing;
+pub mod serving_state;
 pub mod stranded;
 mod turns;
 mod unreadable;
--- a/src/membership/standing.rs
+++ b/src/membership/serving_state.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServingState {
     /// Knows what is stored.
     Sound,
     /// Does not, and another does.
@@ -61,18 +61,18 @@
 }
 
 impl Seen {
-    pub fn standing(&self, patience: Patience) -> Standing {
+    pub fn serving_state(&self, patience: Patience) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
-            _ if knows => Standing::Sound,
-            Seen { answering: Some(long), .. } if *long >= patience.answering => Standing::Passed,
-            Seen { peers, heard, .. } if heard >= peers => Standing::Outage,
-            _ => Standing::Lone,
+            _ if knows => ServingState::Sound,
+            Seen { answering: Some(long), .. } if *long >= patience.answering => ServingState::Passed,
+            Seen { peers, heard, .. } if heard >= peers => ServingState::Outage,
+            _ => ServingState::Lone,
         }
     }
 }
 
-impl Standing {
+impl ServingState {
     /// Whether users are sent here, and workers held or sent on as the mirror has it. In an outage the load
     /// balancer must have someone, and ownership cannot change.
     pub fn speaks(self) -> bool {
@@ -97,7 +97,7 @@
         let patience = Patience::of_health(self.removed.len() as u32);
         // Whoever is out comes back by what it can do now, not by a longer patience.
         let patience = if self.out { Patience::of_health(0) } else { patience };
-        let well = begun && seen.standing(patience).speaks();
+        let well = begun && seen.serving_state(patience).speaks();
         if begun && !well && !self.out {
             self.removed.push(now);
         }
--- a/src/membership/standing/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn what_each_may_say_by_cases() {
-    use Standing::*;
+    use ServingState::*;
     let (health, owner) = (Patience::of_health(0), Patience::of_ownership(s(3)));
     // (name, proof, refused for, heard of two others, one answering for, towards users, towards workers)
     for (name, proof, refused, heard, answering, users, workers) in [
@@ -31,10 +31,10 @@
     ] {
         let (proof, answering) = (proof.map(s), answering.map(s));
         let seen = Seen { proof, refused: s(refused), peers: 2, heard, answering };
-        assert_eq!((seen.standing(health), seen.standing(owner)), (users, workers), "{name}");
+        assert_eq!((seen.serving_state(health), seen.serving_state(owner)), (users, workers), "{name}");
     }
     let alone = Seen { proof: Some(s(40)), refused: s(40), peers: 0, heard: 0, answering: None };
-    assert_eq!(alone.standing(owner), Outage, "the only controller there is");
+    assert_eq!(alone.serving_state(owner), Outage, "the only controller there is");
 }
 
 /// A controller that flaps is kept out for up to a minute by the load balancer, at each of its removals
--- a/src/node.rs
+++ b/src/node.rs
@@ -8,7 +8,7 @@
 mod over;
 mod ownership;
 mod shares;
-mod standing;
+mod serving_state;
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
@@ -28,7 +28,7 @@
 use crate::jobs::admission::Admission;
 use crate::kinds::Catalog;
 use crate::membership::mesh::Heard;
-use crate::membership::standing::{Health, LetGo};
+use crate::membership::serving_state::{Health, LetGo};
 use crate::membership::stranded::Stranded;
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
--- a/src/node/standing.rs
+++ b/src/node/standing.rs
@@ -1,11 +1,11 @@
-//! What this controller can prove, and may say of it to users and machines (`membership::standing`).
+//! What this controller can prove, and may say of it to users and machines (`membership::serving_state`).
 
 use std::time::{Duration, Instant};
 
 use tracing::warn;
 
 use super::Node;
-use crate::membership::standing::{Patience, Seen, Standing};
+use crate::membership::serving_state::{Patience, Seen, ServingState};
 use crate::sync::lock;
 
 impl Node {
@@ -25,7 +25,7 @@
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        lock(&self.mirror).ready && self.seen(now).standing(Patience::of_health(0)) == Standing::Sound
+        lock(&self.mirror).ready && self.seen(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
@@ -42,10 +42,10 @@
 
     /// Whether what is known here of who owns may be acted on towards workers.
     pub fn knows_owner(&self, now: Instant) -> bool {
-        self.seen(now).standing(Patience::of_ownership(self.properties.leader_lease)).speaks()
+        self.seen(now).serving_state(Patience::of_ownership(self.properties.leader_lease)).speaks()
     }
 
-    /// Whether this machine is held by an owner that may be one no more (`membership::standing`).
+    /// Whether this machine is held by an owner that may be one no more (`membership::serving_state`).
     pub fn holds(&self, machine: &str, now: Instant) -> bool {
         let (others, lease) = (self.settings.peers.len(), self.settings.params.workers.lease());
         let mut let_go = lock(&self.let_go);
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -9,7 +9,7 @@
 use super::status::{Phase, Status};
 use crate::declared::View;
 use crate::jobs::{JobId, JobSpec, Shape};
-use crate::scheduling::cluster::Standing;
+use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::{SLACK, suspect_after};
 use crate::wire::workers::LegStatus;
 
@@ -61,7 +61,7 @@
             (replica.type_name, replica.zone) = (machine.type_name.clone(), machine.zone.clone());
             replica.heard = machine.reported() && since(machine.heard) < suspect;
             // One that can be spared goes on with what can't move.
-            let stays = machine.standing != Standing::Condemned && machine.recall.is_none();
+            let stays = machine.state != MachineState::Condemned && machine.recall.is_none();
             replica.leaving = !stays;
             replica.sure = running && replica.heard && stays && machine.token >= cluster.first_token;
         }
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use super::{ClusterState, Direct, Machine, MachineId, Phase, Standing};
+use super::{ClusterState, Direct, Machine, MachineId, Phase, MachineState};
 use crate::jobs::JobId;
 use crate::wire::workers::{Leg, LegStatus, Order};
 
@@ -118,7 +118,7 @@
                 }
             }
         }
-        if m.standing == Standing::Condemned {
+        if m.state == MachineState::Condemned {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
             orders.retain(|o| matches!(o, Order::Halt { .. }));
         }
@@ -135,9 +135,9 @@
         for m in self.machines.values() {
             if m.command_under_way {
                 under_way += 1;
-            } else if m.standing != Standing::Condemned && m.tell {
+            } else if m.state != MachineState::Condemned && m.tell {
                 news.push(m.id.clone());
-            } else if m.standing != Standing::Condemned && now >= m.next_command {
+            } else if m.state != MachineState::Condemned && now >= m.next_command {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
                 } else if m.token < self.token {
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -4,7 +4,7 @@
 
 use tracing::{info, warn};
 
-use super::{ClusterState, JobState, MachineId, Standing};
+use super::{ClusterState, JobState, MachineId, MachineState};
 use crate::scheduling::failure_attribution::{Failure, PROBES};
 use crate::wire::workers::{LegStatus, TaskKey};
 
@@ -50,7 +50,7 @@
         }
         if let Some(machine) = self.machines.get_mut(on) {
             machine.failed = true;
-            if judged.machine && machine.standing == Standing::Up {
+            if judged.machine && machine.state == MachineState::Up {
                 info!(machine = %on, "under suspicion: no new work for now");
                 machine.suspected = true;
             }
@@ -86,9 +86,9 @@
         for (id, out) in self.attribution.decided(self.enough_failures(), now) {
             if !out {
                 self.clear_machine(&id);
-            } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.standing == Standing::Up) {
+            } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.state == MachineState::Up) {
                 warn!(machine = %id, "given up: task after task fails on it");
-                machine.standing = Standing::Draining;
+                machine.state = MachineState::Draining;
             }
         }
     }
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -62,7 +62,7 @@
 
 /// Where a machine is between its rental and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MachineState {
     /// Rented, not heard of yet.
     Booting,
     /// Its worker has reported, and it takes work.
@@ -87,7 +87,7 @@
     /// Whether the cloud may take it back.
     pub spot: bool,
     /// Where it is between its rental and its return.
-    pub standing: Standing,
+    pub state: MachineState,
     pub(super) session: u64,
     /// (session, seq) of the newest message of any kind, and of the newest true report.
     pub(super) newest: (u64, u64),
@@ -156,7 +156,7 @@
             type_name: String::new(),
             zone: String::new(),
             spot: false,
-            standing: Standing::Booting,
+            state: MachineState::Booting,
             session: 0,
             newest: (0, 0),
             newest_report: (0, 0),
@@ -370,10 +370,10 @@
     /// Marks a machine to be returned with whatever is on it; `why` goes to the log.
     pub fn condemn(&mut self, id: &str, why: &str) {
         if let Some(machine) = self.machines.get_mut(id)
-            && machine.standing != Standing::Condemned
+            && machine.state != MachineState::Condemned
         {
             info!(machine = id, why, bound = machine.bound.len(), "to be returned");
-            machine.standing = Standing::Condemned;
+            machine.state = MachineState::Condemned;
         }
     }
 
@@ -396,8 +396,8 @@
     /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
     pub fn take_back(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        if machine.standing == Standing::Draining && machine.spared {
-            (machine.standing, machine.spared) = (Standing::Up, false);
+        if machine.state == MachineState::Draining && machine.spared {
+            (machine.state, machine.spared) = (MachineState::Up, false);
             info!(machine = %id, "not drained any more: work waits that fits there alone");
         }
     }
@@ -405,7 +405,7 @@
     /// No new work for a machine that can be spared; these tasks of it save and move.
     pub fn drain(&mut self, id: &MachineId, moves: &[(TaskKey, u64)], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        (machine.standing, machine.spared) = (Standing::Draining, true);
+        (machine.state, machine.spared) = (MachineState::Draining, true);
         info!(machine = %id, bound = machine.bound.len(), moved = moves.len(), "drained: it can be spared");
         for (key, grace_s) in moves {
             self.halt(key, *grace_s, now);
@@ -507,7 +507,7 @@
                 condemn.push((machine.id.clone(), why));
             } else if machine.reported() && now.saturating_duration_since(machine.reported_at) > long {
                 condemn.push((machine.id.clone(), "commands reach it, and it reports nothing"));
-            } else if machine.standing == Standing::Draining && machine.bound.is_empty() {
+            } else if machine.state == MachineState::Draining && machine.bound.is_empty() {
                 condemn.push((machine.id.clone(), "drained"));
             }
         }
@@ -522,7 +522,7 @@
     /// Where the last of other work has left a machine that can be spared, idle work that can save goes as
     /// well; the rest of it runs out.
     fn stop_idle_on_the_spared(&mut self, now: Instant) {
-        let left = |m: &&Machine| m.standing == Standing::Draining && m.spared && m.idle().cpus > 0.0 && m.only_idle();
+        let left = |m: &&Machine| m.state == MachineState::Draining && m.spared && m.idle().cpus > 0.0 && m.only_idle();
         let keys: Vec<TaskKey> = self.machines.values().filter(left).flat_map(|m| m.bound.iter().cloned()).collect();
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 use lru::LruCache;
-pub use machine::{Machine, Standing};
+pub use machine::{Machine, MachineState};
 use storing::Dirty;
 
 use super::failure_attribution::FailureAttribution;
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -4,7 +4,7 @@
 
 use tracing::{debug, info, warn};
 
-use super::{ClusterState, Machine, MachineId, Phase, Standing, Via};
+use super::{ClusterState, Machine, MachineId, Phase, MachineState, Via};
 use crate::jobs::Shape;
 use crate::kinds::Catalog;
 use crate::sla;
@@ -27,8 +27,8 @@
             debug!(machine = %id, "an old report");
             return;
         }
-        if machine.standing == Standing::Booting {
-            machine.standing = Standing::Up;
+        if machine.state == MachineState::Booting {
+            machine.state = MachineState::Up;
             machine.reported_at = now;
             self.stirred = true;
             machine.idle_since = machine.bound.is_empty().then_some(now);
@@ -197,9 +197,9 @@
         let Some(recall) = machine.recall else { return };
         let left = recall.saturating_duration_since(now);
         info!(machine = %id, left_s = left.as_secs_f64(), "to be taken away");
-        machine.standing = match machine.standing {
-            Standing::Condemned => Standing::Condemned,
-            _ => Standing::Draining,
+        machine.state = match machine.state {
+            MachineState::Condemned => MachineState::Condemned,
+            _ => MachineState::Draining,
         };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
         for key in keys {
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
-use crate::scheduling::cluster::{ClusterState, JobState, Machine, Standing};
+use crate::scheduling::cluster::{ClusterState, JobState, Machine, MachineState};
 use crate::scheduling::room::{Ground, Room, Zones};
 use crate::sla;
 
@@ -42,8 +42,8 @@
         now: Instant,
     ) -> Option<Self> {
         let room = ground.room(machine)?;
-        let from = match machine.standing {
-            Standing::Booting => {
+        let from = match machine.state {
+            MachineState::Booting => {
                 Duration::from_secs_f64(room.of.boot_s).saturating_sub(now.saturating_duration_since(machine.since))
             }
             _ => Duration::ZERO,
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Instant;
 
-use super::cluster::{ClusterState, JobState, MachineId, Standing};
+use super::cluster::{ClusterState, JobState, MachineId, MachineState};
 use super::plan;
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use super::served::floor::{Names, Rank};
@@ -243,7 +243,7 @@
     }
     let ground = Ground::new(cluster, catalog);
     let suspect = suspect_after(cluster);
-    let there = cluster.machines.values().filter(|m| m.standing == Standing::Up && usable(m, suspect, now));
+    let there = cluster.machines.values().filter(|m| m.state == MachineState::Up && usable(m, suspect, now));
     let mut rooms: Vec<Room> = there.filter_map(|m| ground.room(m)).collect();
     rooms.sort_by_key(|room| room.machine.is_some_and(|m| m.bound.is_empty()));
     for (intent, open) in room_kept(cluster, &ground) {
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -18,7 +18,7 @@
 use users::{Seat, Users};
 use workers::Worker;
 
-use super::cluster::{ClusterState, MachineId, Standing, Via};
+use super::cluster::{ClusterState, MachineId, MachineState, Via};
 use super::plan;
 use crate::history::moves::{self, Move, Place, end_among, place_of};
 use crate::jobs::record::{
@@ -406,7 +406,7 @@
         }
         // Without the store no order stands, and only what a withdrawal makes urgent goes without.
         let overdue = if cut { owner.cluster.overdue(now) } else { Default::default() };
-        let condemned = owner.cluster.machines.values().filter(|m| m.standing == Standing::Condemned);
+        let condemned = owner.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
         let condemned: Vec<MachineId> =
             condemned.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
         for machine in condemned {
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, JobState, Machine, Standing};
+use super::cluster::{ClusterState, JobState, Machine, MachineState};
 use super::reservations::Reservation;
 use crate::jobs::JobSpec;
 use crate::kinds::Kind;
@@ -89,7 +89,7 @@
             memory_gb: of.memory_gb - taken.memory_gb,
             load: machine.load(),
             idle: (machine.idle().cpus, machine.idle().gpus, machine.idle().memory_gb),
-            leaving: machine.standing == Standing::Draining,
+            leaving: machine.state == MachineState::Draining,
             kept: false,
             reservation: None,
             reserved: false,
@@ -237,12 +237,12 @@
 
 /// Up, sane, lately reporting, not known from what may be late copies alone, hearing, and free of tasks that should not be there.
 pub fn usable(machine: &Machine, suspect: Duration, now: Instant) -> bool {
-    machine.standing == Standing::Up && sane(machine, suspect, now)
+    machine.state == MachineState::Up && sane(machine, suspect, now)
 }
 
 /// The same of one that can be spared and has not been left yet.
 pub fn usable_until_left(machine: &Machine, suspect: Duration, now: Instant) -> bool {
-    machine.standing == Standing::Draining && machine.spared && sane(machine, suspect, now)
+    machine.state == MachineState::Draining && machine.spared && sane(machine, suspect, now)
 }
 
 fn sane(machine: &Machine, suspect: Duration, now: Instant) -> bool {
--- a/src/scheduling/served/tests/mod.rs
+++ b/src/scheduling/served/tests/mod.rs
@@ -391,9 +391,9 @@
         let mut world = World::new(2, Properties { served_late: part, served_floor: 0.0, ..Properties::default() });
         world.submit("big", 8.0, 1);
         let late = JobId::from("run-000001");
-        world.cluster.machines.values_mut().for_each(|m| m.standing = crate::scheduling::cluster::Standing::Draining);
+        world.cluster.machines.values_mut().for_each(|m| m.state = crate::scheduling::cluster::MachineState::Draining);
         (0..420).for_each(|_| world.step(|_| true));
-        world.cluster.machines.values_mut().for_each(|m| m.standing = crate::scheduling::cluster::Standing::Up);
+        world.cluster.machines.values_mut().for_each(|m| m.state = crate::scheduling::cluster::MachineState::Up);
         for t in 0..300 {
             // Fresh work for more than all machines, always.
             (0..2).for_each(|_| world.submit("small", 8.0, 1));
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -24,7 +24,7 @@
 mod intents;
 mod world;
 
-use super::cluster::{ClusterState, Standing, Via};
+use super::cluster::{ClusterState, MachineState, Via};
 use super::plan;
 use super::preempt;
 use crate::fleet::drain;
@@ -193,7 +193,7 @@
                 cluster.tick(now + s(t));
             }
         }
-        let condemned = cluster.machines.values().filter(|m| m.standing == Standing::Condemned).count();
+        let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
         assert_eq!(condemned, given_up, "{name}");
         assert_eq!(cluster.lost_most(now + s(13)), reporting == 0, "{name}");
     }
@@ -227,7 +227,7 @@
                 }
                 cluster.tick(now + s(t));
             }
-            let condemned = cluster.machines.values().filter(|m| m.standing == Standing::Condemned).count();
+            let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
             assert_eq!(condemned, want, "{name}, after {after} s");
             assert_eq!(cluster.lost_most(now + s(after)), reporting < 5, "{name}: would hand over");
         }
@@ -251,7 +251,7 @@
         rent::to_give_up(&cluster, &catalog(), now + s(13)).into_iter().map(|(id, _)| id.to_string()).collect();
     assert_eq!(given_up, ["starting"]);
     (1..=13).for_each(|t| cluster.tick(now + s(t)));
-    assert_eq!(cluster.machines["running"].standing, Standing::Condemned, "but it is alone in its silence");
+    assert_eq!(cluster.machines["running"].state, MachineState::Condemned, "but it is alone in its silence");
 }
 
 #[test]
@@ -552,7 +552,7 @@
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
     assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is suspected, no machine is");
-    assert!(cluster.machines.values().all(|m| m.standing == Standing::Up && !m.suspected));
+    assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.suspected));
     let later = now + Duration::from_secs(6);
     // Beside work that ends, it comes last, a few tasks at a time.
     add(&mut cluster, 2, now, |j| (j.cpus, j.estimate_s) = (1.0, 1000.0));
@@ -598,7 +598,7 @@
     cluster.after_pause(ProcessPause { began: begun, ended: back });
     cluster.tick(back);
     assert!(rent::to_give_up(&cluster, &catalog(), back).is_empty());
-    assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.standing == Standing::Up));
+    assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up));
     // Heard of nothing for a few seconds more, the withdrawn task is proof enough.
     assert_eq!(cluster.overdue(back + s(6)).len(), 1);
 }
@@ -654,6 +654,6 @@
         cluster.tick(now);
         let job = cluster.job(&"run-000001".into()).unwrap();
         assert_eq!(job.binding(0).unwrap().halting.is_some(), stopped, "saves every {checkpoint_s} s");
-        assert_eq!(cluster.machines["m1"].standing, Standing::Draining, "not returned with it");
+        assert_eq!(cluster.machines["m1"].state, MachineState::Draining, "not returned with it");
     }
 }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -58,7 +58,7 @@
     }
     assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
     cluster.tick(now + s(13));
-    assert!(cluster.machines.values().all(|m| m.standing == Standing::Condemned), "to be returned, should they exist");
+    assert!(cluster.machines.values().all(|m| m.state == MachineState::Condemned), "to be returned, should they exist");
     // Nor does a session that is over come back.
     let mut cluster = successor();
     let done = Report { session: 2, ..copy(1, 9) };
@@ -97,7 +97,7 @@
             let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
             assert_eq!(hears, if t < 25 { of } else { of - inbound_lost }, "{name}: at {t} s");
         }
-        let out = cluster.machines.values().filter(|m| m.standing == Standing::Condemned).count() as u64;
+        let out = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count() as u64;
         assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
         assert_eq!(cluster.lost_most(start + s(60)), inbound_lost * 3 >= of, "{name}");
         // It hears again: it is well with the next report.
@@ -136,6 +136,6 @@
         cluster.tick(now);
     }
     let out: Vec<&str> =
-        cluster.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect();
+        cluster.machines.values().filter(|m| m.state == MachineState::Condemned).map(|m| &*m.id).collect();
     assert_eq!(out, ["m0", "m1"], "those that hold something, and no others");
 }
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -16,7 +16,7 @@
 fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
     let worker = &play.world.workers[m];
     let machine = play.cluster.machines.get(m)?;
-    if worker.gone || machine.standing != Standing::Up || machine.recall.is_some() {
+    if worker.gone || machine.state != MachineState::Up || machine.recall.is_some() {
         return None;
     }
     let of = catalog().get(worker.type_name)?.clone();
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -28,7 +28,7 @@
 fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
     let worker = &play.world.workers[m];
     let machine = play.cluster.machines.get(m)?;
-    let stays = machine.standing == Standing::Up || (machine.standing == Standing::Draining && machine.spared);
+    let stays = machine.state == MachineState::Up || (machine.state == MachineState::Draining && machine.spared);
     if worker.gone || !stays || machine.recall.is_some() {
         return None;
     }
@@ -189,8 +189,8 @@
             crate::scheduling::look(&mut self.account, cluster, now);
             cluster.reservations = crate::scheduling::reservations::choose(cluster, &catalog(), now);
         }
-        let up = cluster.machines.values().filter(|m| m.standing == Standing::Up).count();
-        let draining = cluster.machines.values().any(|m| m.standing == Standing::Draining);
+        let up = cluster.machines.values().filter(|m| m.state == MachineState::Up).count();
+        let draining = cluster.machines.values().any(|m| m.state == MachineState::Draining);
         if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
             let chosen = drain::choose(cluster, &catalog(), now);
             if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -406,7 +406,7 @@
 }
 
 pub(super) fn condemned(cluster: &ClusterState) -> Vec<&str> {
-    cluster.machines.values().filter(|m| m.standing == Standing::Condemned).map(|m| &*m.id).collect()
+    cluster.machines.values().filter(|m| m.state == MachineState::Condemned).map(|m| &*m.id).collect()
 }
 
 impl World {
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -5,7 +5,7 @@
 pub struct Rights {
     /// Its cluster state is loaded.
     pub loaded: bool,
-    /// What is known here of who owns may be acted on towards workers (`membership::standing`).
+    /// What is known here of who owns may be acted on towards workers (`membership::serving_state`).
     pub knows: bool,
     /// Nothing was proven yet since a process pause.
     pub unproven: bool,
