--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -7,7 +7,7 @@
 pub mod mesh;
 pub mod records;
 pub mod serving_state;
-pub mod stranded;
+pub mod unreachable_owner;
 mod turns;
 mod unreadable;
 pub mod watermark;
--- a/src/membership/stranded.rs
+++ b/src/membership/unreachable_owner.rs
@@ -7,7 +7,7 @@
 const BACK_WITHIN: Duration = Duration::from_secs(8);
 /// Redirects of one worker closer together than this are one.
 const APART: Duration = Duration::from_millis(500);
-/// This many stranded workers are no accident.
+/// This many workers that cannot reach the owner are no accident.
 const ENOUGH: usize = 3;
 const TAKEOVER_REQUEST_GAP: Duration = Duration::from_secs(3);
 /// Names kept at the most.
@@ -25,18 +25,18 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Stranded {
+pub struct UnreachableOwner {
     seen: HashMap<String, Seen>,
     requested: Option<Instant>,
 }
 
-impl Stranded {
+impl UnreachableOwner {
     /// Machines remembered.
     pub fn remembered(&self) -> usize {
         self.seen.len()
     }
 
-    /// Notes a redirect of the report with this (session, seq). Gives the number of stranded workers when it
+    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the owner when it
     /// is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
         self.seen.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
--- a/src/node.rs
+++ b/src/node.rs
@@ -29,7 +29,7 @@
 use crate::kinds::Catalog;
 use crate::membership::mesh::Heard;
 use crate::membership::serving_state::{Health, LetGo};
-use crate::membership::stranded::Stranded;
+use crate::membership::unreachable_owner::UnreachableOwner;
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
 use crate::process_pause::{BEAT, PauseDetector};
@@ -84,7 +84,7 @@
     pause_detector: Mutex<PauseDetector>,
     /// Was paused for so long that another may own by now; nothing is done until the store says.
     unproven: AtomicBool,
-    stranded: Mutex<Stranded>,
+    unreachable_owner: Mutex<UnreachableOwner>,
     /// What users and machines are told while little can be proven.
     health: Mutex<Health>,
     let_go: Mutex<LetGo>,
@@ -125,7 +125,7 @@
             wake: Wake::default(),
             pause_detector: Mutex::new(PauseDetector::new(now)),
             unproven: AtomicBool::new(false),
-            stranded: Mutex::default(),
+            unreachable_owner: Mutex::default(),
             health: Mutex::default(),
             let_go: Mutex::default(),
             unconfirmed: Mutex::default(),
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -6,7 +6,7 @@
 use tracing::{info, warn};
 
 use super::Node;
-use crate::membership::stranded::Stranded;
+use crate::membership::unreachable_owner::UnreachableOwner;
 use crate::sync::lock;
 
 impl Node {
@@ -27,7 +27,7 @@
         if let Some(cluster) = lock(&self.cluster).as_mut() {
             cluster.after_pause(pause);
         }
-        *lock(&self.stranded) = Stranded::default();
+        *lock(&self.unreachable_owner) = UnreachableOwner::default();
         self.store.after_pause(pause);
         self.fresh.wanted.notify_one();
         self.wake.membership.notify_one();
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -68,7 +68,7 @@
         held.push(("served", lock(&self.served).entries()));
         held.push(("in_admission", lock(&self.admission).waiting()));
         held.push(("counts_heard", lock(&self.heard).counts.len()));
-        held.push(("stranded", lock(&self.stranded).remembered()));
+        held.push(("stranded", lock(&self.unreachable_owner).remembered()));
         held.push(("let_go", lock(&self.let_go).remembered()));
         if let Some(cluster) = lock(&self.cluster).as_ref() {
             held.extend(cluster.held());
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -79,7 +79,7 @@
     /// A worker was sent to the owner. If workers keep coming back, the owner is told through the
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
-        let Some(machines) = lock(&self.stranded).note(machine, report, now) else { return };
+        let Some(machines) = lock(&self.unreachable_owner).note(machine, report, now) else { return };
         let Some(token) = lock(&self.mirror).assignment().map(|(_, stamp)| *stamp) else { return };
         warn!(machines, "workers cannot reach the owner");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), token, machines };
