--- a/src/history/mod.rs
+++ b/src/history/mod.rs
@@ -13,7 +13,7 @@
 pub mod query_queue;
 pub mod reader;
 #[cfg(test)]
-mod reckoning;
+mod answer_time;
 pub mod sweep;
 #[cfg(test)]
 mod tests;
