--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -20,8 +20,8 @@
 use crate::declared::records::Kind;
 use crate::declared::{Declared, Names, Problem, View};
 use crate::scheduling::intents::{Ahead, Intents};
-use crate::scheduling::served::Whose;
-use crate::scheduling::served::floor;
+use crate::scheduling::fairness::Whose;
+use crate::scheduling::fairness::floor;
 use waits::Waits;
 
 impl Rule {
--- a/src/heat/waits.rs
+++ b/src/heat/waits.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
-use crate::scheduling::served::floor::Names;
+use crate::scheduling::fairness::floor::Names;
 
 /// Seconds that the oldest has waited, at which it is told once each.
 pub const STAGES_S: [u64; 3] = [60, 240, 900];
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -20,7 +20,7 @@
 use crate::jobs::{Counts, JobId};
 use crate::membership::records::{Assignment, Watermark};
 use crate::node::Node;
-use crate::scheduling::served::Row;
+use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
 use crate::store::share::Want;
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -9,7 +9,7 @@
 
 use crate::jobs::{Counts, JobId, well_formed_id};
 use crate::membership::records::Watermark;
-use crate::scheduling::served::Row;
+use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::share::Want;
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -34,7 +34,7 @@
 use crate::membership::{self, mesh};
 use crate::process_pause::{BEAT, PauseDetector};
 use crate::scheduling::ClusterState;
-use crate::scheduling::served::Account;
+use crate::scheduling::fairness::Account;
 use crate::settings::{Properties, Settings};
 use crate::store::audit::{self, Audit};
 use crate::store::follow::Fresh;
@@ -78,7 +78,7 @@
     /// Submissions that wait to be written.
     pub admission: Mutex<Admission>,
     /// Who was served lately, kept by every controller.
-    pub served: Mutex<Account>,
+    pub fairness: Mutex<Account>,
     pub wake: Wake,
     /// Notices that this process was paused.
     pause_detector: Mutex<PauseDetector>,
@@ -121,7 +121,7 @@
             cluster: Mutex::default(),
             heard: Mutex::default(),
             admission: Mutex::new(Admission::new(now)),
-            served: Mutex::new(Account::new(&settings, &properties, now)),
+            fairness: Mutex::new(Account::new(&settings, &properties, now)),
             wake: Wake::default(),
             pause_detector: Mutex::new(PauseDetector::new(now)),
             unproven: AtomicBool::new(false),
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use crate::jobs::{Counts, JobId};
 use crate::membership::mesh;
-use crate::scheduling::served::Row;
+use crate::scheduling::fairness::Row;
 use crate::sync::lock;
 
 impl Node {
@@ -42,7 +42,7 @@
         if lock(&self.cluster).is_none() {
             return Vec::new();
         }
-        lock(&self.served).rows().iter().take(mesh::MOST_ROWS).cloned().collect()
+        lock(&self.fairness).rows().iter().take(mesh::MOST_ROWS).cloned().collect()
     }
 
     /// Drops the counts of jobs that are not open.
@@ -65,7 +65,7 @@
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", lock(&self.audit).remembered()));
         held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
-        held.push(("served", lock(&self.served).entries()));
+        held.push(("served", lock(&self.fairness).entries()));
         held.push(("in_admission", lock(&self.admission).waiting()));
         held.push(("counts_heard", lock(&self.heard).counts.len()));
         held.push(("stranded", lock(&self.unreachable_owner).remembered()));
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -33,7 +33,7 @@
             self.history.advance(stored.revision);
         }
         {
-            let mut served = lock(&self.served);
+            let mut served = lock(&self.fairness);
             for record in news.opened.iter().filter_map(|id| mirror.open(id)) {
                 served.offered(&record.spec, record.age(now_ms), now);
             }
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -28,7 +28,7 @@
         }
         info!(token, "owns teams and machines");
         if let Some((rows, told)) = lock(&self.heard).served.take() {
-            lock(&self.served).take_over(&rows, told);
+            lock(&self.fairness).take_over(&rows, told);
         }
         *held = Some(ClusterState::new(token, self.settings.clone(), self.properties.clone(), Instant::now()));
         drop(held);
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -6,7 +6,7 @@
 use super::{Binding, ClusterState, JobState, Phase};
 use crate::jobs::JobId;
 use crate::scheduling::plan::Placement;
-use crate::scheduling::served::Note;
+use crate::scheduling::fairness::Note;
 use crate::wire::workers::TaskKey;
 
 impl ClusterState {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -11,8 +11,8 @@
 use crate::jobs::Counts;
 use crate::jobs::record::{CHUNK, JobRecord, Stored, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
-use crate::scheduling::served::Note;
-use crate::scheduling::served::promises::promises_of;
+use crate::scheduling::fairness::Note;
+use crate::scheduling::fairness::promises::promises_of;
 use crate::sla::Agreement;
 use crate::wire::workers::{LegStatus, TaskKey};
 
--- a/src/scheduling/served/tests/weigh.rs
+++ b/src/scheduling/fairness/tests/weigh.rs
@@ -7,7 +7,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::scheduling::served::floor::{Lane, Rank};
+use crate::scheduling::fairness::floor::{Lane, Rank};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Way {
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -15,7 +15,7 @@
 
 use super::cluster::{JobState, MOST_CLASSES};
 use super::plan::Turn;
-use super::served::floor::Lane;
+use super::fairness::floor::Lane;
 use crate::jobs::{JobId, JobSpec};
 use crate::settings::Properties;
 
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -15,7 +15,7 @@
 pub mod preempt;
 pub mod reservations;
 pub mod room;
-pub mod served;
+pub mod fairness;
 #[cfg(test)]
 mod tests;
 
@@ -25,7 +25,7 @@
 use tracing::{debug, info};
 
 pub use cluster::ClusterState;
-use served::{Account, Open, Row};
+use fairness::{Account, Open, Row};
 
 use crate::jobs::JobId;
 use crate::node::Node;
@@ -69,7 +69,7 @@
             }
             if now >= look_next && cluster.loaded {
                 look_next = now + LOOK_EVERY;
-                let mut account = lock(&node.served);
+                let mut account = lock(&node.fairness);
                 look(&mut account, cluster, now);
                 if now >= tell_next {
                     tell_next = now + TELL_EVERY;
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -16,7 +16,7 @@
 use super::failure_attribution::{FailureAttribution, PROBES};
 use super::intents::{self, Intents};
 use super::room::{Ground, Room, Zones, usable, usable_until_left};
-use super::served::floor::Rank;
+use super::fairness::floor::Rank;
 use crate::jobs::{JobId, JobSpec};
 use crate::kinds::Catalog;
 use crate::sla;
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -7,8 +7,8 @@
 
 use super::*;
 use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
-use crate::scheduling::served::Whose;
-use crate::scheduling::served::floor::{Below, Names, Rank};
+use crate::scheduling::fairness::Whose;
+use crate::scheduling::fairness::floor::{Below, Names, Rank};
 
 fn class(name: &str) -> Names {
     Names::of([(Whose::Class, name)].into_iter())
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -9,7 +9,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::served::Account;
+use crate::scheduling::fairness::Account;
 use crate::wire::workers::Cause;
 
 /// What is left of a machine by what is on it and what is bound to it.
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::jobs::JobId;
 use crate::scheduling::room::{SLACK, Zones, allowed};
-use crate::scheduling::served::Account;
+use crate::scheduling::fairness::Account;
 use crate::settings::Objective;
 use crate::wire::workers::Cause;
 
