--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -232,13 +232,13 @@
 
 #[test]
 fn gangs_start_end_and_break_together() {
-    type Play = fn(&mut Fleet);
+    type Script = fn(&mut Fleet);
     let started = |fleet: &mut Fleet| {
         command(fleet, "m0", 1, 1, vec![launch("run-1", 0, 1)], 0.0);
         command(fleet, "m1", 1, 1, vec![launch("run-1", 1, 1)], 5.0);
         keep(fleet, 5.0, 30.0);
     };
-    type Row = (&'static str, Play, f64, Option<(LegStatus, Option<Cause>, Option<bool>)>);
+    type Row = (&'static str, Script, f64, Option<(LegStatus, Option<Cause>, Option<bool>)>);
     let running = Some((LegStatus::Running, None, None));
     let rows: [Row; 7] = [
         ("goes on", |_| (), 31.0, running),
@@ -262,10 +262,10 @@
             ended(Cause::Stopped),
         ),
     ];
-    for (name, play, until, want) in rows {
+    for (name, script, until, want) in rows {
         let mut fleet = fleet(2, vec![gang("run-1")]);
         started(&mut fleet);
-        play(&mut fleet);
+        script(&mut fleet);
         keep(&mut fleet, 31.0, until);
         assert_eq!(state(&mut fleet, "m0", 0, until), want, "{name}");
         if name == "one is not told in time" {
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -39,7 +39,7 @@
     fleet.command(machine, &Orders { token: 1, session: Some(1), orders }, s(at));
 }
 
-/// Two machines; a task of ten seconds begins on the first at one second. Played for 20 s.
+/// Two machines; a task of ten seconds begins on the first at one second. Simulated for 20 s.
 fn fleet(mut on: impl FnMut(&mut Fleet, u64)) -> Fleet {
     let mut fleet = Fleet::new(Params { lease: s(24), gang_wait: s(30), gang_peer: s(5) });
     fleet.upload(Upload { spec: spec(), run: s(10), broken: false });
@@ -115,12 +115,12 @@
             })
         }),
         ("a result can be learned from its machine", |f| {
-            let mut played = fleet(|fleet, at| {
+            let mut simulated = fleet(|fleet, at| {
                 if f && at == 15 {
                     fleet.gone("m1", s(at));
                 }
             });
-            played.report("m1", s(20)).is_some()
+            simulated.report("m1", s(20)).is_some()
         }),
         ("silence means gone", silence_means_gone),
         ("a task that failed needs only another try", |f| {
@@ -151,14 +151,14 @@
             heard
         }),
         ("a report is of a machine that is there", |f| {
-            let mut played = fleet(|fleet, at| {
+            let mut simulated = fleet(|fleet, at| {
                 if f {
                     fleet.copy_reports("m1", s(9), s(5), s(30));
                 }
                 fleet.report("m1", s(at));
             });
-            played.gone("m1", s(20));
-            played.copies_due(s(30)).is_empty()
+            simulated.gone("m1", s(20));
+            simulated.copies_due(s(30)).is_empty()
         }),
         ("what is rented comes up", |f| {
             let boots = if f { Boots::Never } else { Boots::Usual };
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -17,7 +17,7 @@
 use crate::declared::driver::refresh;
 use crate::declared::records::{spec_key, status_key};
 use crate::declared::table::Entry;
-use crate::declared::tests::play::{Controller, Sent, Stage};
+use crate::declared::tests::simulation::{Controller, Sent, Stage};
 use crate::jobs::record::{JobRecord, Stored, open_key};
 use crate::jobs::{End, JobId};
 use crate::store::Change;
@@ -25,7 +25,7 @@
 static KINDS: [Entry; 1] = [Entry::of::<Window>()];
 const NAMES: [&str; 2] = ["one", "two"];
 
-/// What the play leaves out.
+/// What the simulation leaves out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
@@ -35,7 +35,7 @@
     Turns,
 }
 
-struct Play {
+struct Simulation {
     /// Each controller keeps what it knows of ends; lost with the process, asked for again.
     stage: Stage<HashMap<JobId, End>>,
     specs: BTreeMap<&'static str, Spec>,
@@ -50,7 +50,7 @@
     broken: Vec<String>,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, without: Without) -> Self {
         let start = MIDNIGHT + 6 * HOUR - 120_000;
         let turns = |closes: &str, turns| window(json!({"closes": closes, "turns": turns, "declared_ms": start}));
@@ -59,7 +59,7 @@
         let stored = specs.iter().map(|(name, s)| (spec_key(Kind::Window, name), serde_json::to_value(s).unwrap()));
         let mut stage = Stage::new(seed, &KINDS, &stored.collect::<Vec<_>>());
         (0..3).for_each(|n| stage.controllers[n].skew_ms = (n as i64 - 1) * 900);
-        let mut play = Self {
+        let mut simulation = Self {
             stage,
             specs,
             owner: 0,
@@ -72,8 +72,8 @@
             claimed: HashMap::new(),
             broken: Vec::new(),
         };
-        play.assign(0);
-        play
+        simulation.assign(0);
+        simulation
     }
 
     fn follow(&mut self, at: usize) {
@@ -248,11 +248,11 @@
     }
 }
 
-fn play(seed: u64, without: Without) -> Play {
-    let mut play = Play::new(seed, without);
-    (0..700).for_each(|_| play.step());
-    play.settle();
-    play
+fn simulate(seed: u64, without: Without) -> Simulation {
+    let mut simulation = Simulation::new(seed, without);
+    (0..700).for_each(|_| simulation.step());
+    simulation.settle();
+    simulation
 }
 
 /// Each window ends once, in order; none slips past; turns and claims are never given twice or taken
@@ -261,22 +261,22 @@
 fn owners_come_and_go_and_no_window_slips_past() {
     let (mut met, mut claims, mut over) = (0, 0, 0);
     for seed in 0..120 {
-        let play = play(seed, Without::Nothing);
-        assert!(play.broken.is_empty(), "seed {seed}: {:?}", play.broken);
-        met += play.ended.values().filter(|end| **end == Outcome::Met).count();
-        claims += play.claimed.len();
-        let stored = |name| play.status(name).current.map_or(Vec::new(), |i| i.claims);
+        let simulation = simulate(seed, Without::Nothing);
+        assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
+        met += simulation.ended.values().filter(|end| **end == Outcome::Met).count();
+        claims += simulation.claimed.len();
+        let stored = |name| simulation.status(name).current.map_or(Vec::new(), |i| i.claims);
         over += NAMES.iter().flat_map(|n| stored(n)).filter(|c| matches!(c.over, Some(Over::Done(_)))).count();
     }
-    // The plays come to what they are to guard.
+    // The simulations come to what they are to guard.
     assert!(met > 20 && claims > 120, "{met} met, {claims} claims, {over} over");
 }
 
-/// The plays find what breaks without the condition on the status, and without waiting for turns.
+/// The simulations find what breaks without the condition on the status, and without waiting for turns.
 #[test]
-fn the_play_finds_what_breaks() {
+fn the_simulation_finds_what_breaks() {
     for without in [Without::Status, Without::Turns] {
-        let found = (0..60).find(|seed| !play(*seed, without).broken.is_empty());
+        let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
         assert!(found.is_some(), "{without:?}");
     }
 }
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -2,7 +2,7 @@
 //! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, owners
 //! are replaced and go on without knowing, and are paused between any two of looked, sent and answered.
 
-pub mod play;
+pub mod simulation;
 
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
@@ -16,7 +16,7 @@
 use serde_json::json;
 use tracing::Level;
 
-use self::play::{Sent, Stage};
+use self::simulation::{Sent, Stage};
 use super::driver::Ended;
 use super::operator::{Known, transaction};
 use super::records::{OPERATORS, spec_key, status_key};
@@ -97,7 +97,7 @@
 static BOTH: [Entry; 2] = [Entry::of::<Restless>(), Entry::of::<Heat>()];
 static ALL: [Entry; 4] = [Entry::of::<Toy<0>>(), Entry::of::<Heat>(), Entry::of::<Toy<2>>(), Entry::of::<Toy<3>>()];
 
-/// What the play leaves out of each transaction's conditions.
+/// What the simulation leaves out of each transaction's conditions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
@@ -107,7 +107,7 @@
     Operators,
 }
 
-struct Play {
+struct Simulation {
     /// Each controller keeps every line that it told, and how often.
     stage: Stage<HashMap<String, usize>>,
     without: Without,
@@ -119,7 +119,7 @@
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, without: Without) -> Self {
         // Read whole before anything is declared: a first reading tells nothing.
         let mut stage = Stage::new(seed, &TOYS, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
@@ -249,13 +249,13 @@
     }
 }
 
-fn play(seed: u64, without: Without) -> Play {
-    let mut play = Play::new(seed, without);
+fn simulate(seed: u64, without: Without) -> Simulation {
+    let mut simulation = Simulation::new(seed, without);
     for _ in 0..250 {
-        play.step();
+        simulation.step();
     }
-    play.settle();
-    play
+    simulation.settle();
+    simulation
 }
 
 /// A status is written by who owns, from the spec and the status as they stand, and counts on by one
@@ -263,33 +263,33 @@
 #[test]
 fn owners_come_and_go_and_every_status_goes_on() {
     for seed in 0..150 {
-        let play = play(seed, Without::Nothing);
-        assert!(play.broken.is_empty(), "seed {seed}: {:?}", play.broken);
+        let simulation = simulate(seed, Without::Nothing);
+        assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
         for name in NAMES {
             let (spec, status) = (spec_key(Kind::Heat, name), status_key(Kind::Heat, name));
-            let goal = play.stage.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
-            let at = play.stage.store.value(&status).map(|v| v["at"].as_u64().unwrap());
+            let goal = simulation.stage.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
+            let at = simulation.stage.store.value(&status).map(|v| v["at"].as_u64().unwrap());
             assert_eq!(goal, at, "seed {seed}: {name} is not where it is meant to be");
         }
-        for controller in &play.stage.controllers {
-            let often = |line: &String| play.lines.iter().filter(|l| *l == line).count();
+        for controller in &simulation.stage.controllers {
+            let often = |line: &String| simulation.lines.iter().filter(|l| *l == line).count();
             let twice: Vec<_> =
                 controller.own.iter().filter(|(l, n)| !l.ends_with("removed") && **n > often(l)).collect();
             assert!(twice.is_empty(), "seed {seed}: told twice: {twice:?}");
         }
         // A change that was stored over before anybody who owns had heard of it is told by who reads
         // anew only as far as it still shows.
-        let told = |line: &String| play.stage.controllers.iter().any(|c| c.own.contains_key(line));
-        let untold: Vec<&String> = play.lines.iter().filter(|line| !told(line)).collect();
-        assert!(untold.len() * 20 <= play.lines.len(), "seed {seed}: {untold:?} of {}", play.lines.len());
+        let told = |line: &String| simulation.stage.controllers.iter().any(|c| c.own.contains_key(line));
+        let untold: Vec<&String> = simulation.lines.iter().filter(|line| !told(line)).collect();
+        assert!(untold.len() * 20 <= simulation.lines.len(), "seed {seed}: {untold:?} of {}", simulation.lines.len());
     }
 }
 
-/// Each condition is there for a reason, which the same plays show.
+/// Each condition is there for a reason, which the same simulations show.
 #[test]
-fn without_any_of_its_conditions_the_play_finds_what_breaks() {
+fn without_any_of_its_conditions_the_simulation_finds_what_breaks() {
     for without in [Without::Assignment, Without::Spec, Without::Status, Without::Operators] {
-        let found = (0..60).find(|seed| !play(*seed, without).broken.is_empty());
+        let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
         assert!(found.is_some(), "{without:?}");
     }
 }
--- a/src/declared/tests/play.rs
+++ b/src/declared/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Three controllers and their store, as the seeded plays of every kind have them: the real mirror, registry
+//! Three controllers and their store, as the seeded simulations of every kind have them: the real mirror, registry
 //! and driver. Each kind adds what it declares, what happens meanwhile, and what must never be.
 
 use std::time::Instant;
@@ -29,7 +29,7 @@
     decided: Option<(Vec<Write>, u64)>,
     /// Its time of day is off by so much.
     pub skew_ms: i64,
-    /// What else its kind's play keeps of it.
+    /// What else its kind's simulation keeps of it.
     pub own: T,
 }
 
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -65,7 +65,7 @@
 /// Holders replace one another at any moment, and any of them may go on later. `fenced`: orders
 /// are stored, and read by the next one. Gives how often a machine was returned by one that no
 /// longer owned while its successor had work on it.
-fn play(seed: u64, fenced: bool) -> usize {
+fn simulate(seed: u64, fenced: bool) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut store = Store::new(Limits::default());
     let mut cloud: BTreeSet<String> = (0..12).map(|n| format!("m{n:02}")).collect();
@@ -148,7 +148,7 @@
                 if let Some((order, token)) = late.pop() {
                     let _ = store.apply_if(&order.conditions(token), &[order.change()]);
                 }
-                // New machines keep the play going.
+                // New machines keep the simulation going.
                 let name = format!("m{:02}-{step}", rng.random_range(0..99));
                 cloud.insert(name.clone());
                 holders[newest].fleet.insert(name);
@@ -169,9 +169,9 @@
 /// which its successor had placed work.
 #[test]
 fn a_replaced_holder_returns_nothing_that_its_successor_uses() {
-    let harm = |fenced| (0..200).map(|seed| play(seed, fenced)).sum::<usize>();
+    let harm = |fenced| (0..200).map(|seed| simulate(seed, fenced)).sum::<usize>();
     assert_eq!(harm(true), 0);
-    assert!(harm(false) > 0, "without stored orders the play finds it");
+    assert!(harm(false) > 0, "without stored orders the simulation finds it");
 }
 
 /// What cannot be carried out is left as it is; a controller goes on with the other orders.
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -7,11 +7,11 @@
 use super::*;
 use crate::declared::records::{spec_key, status_key};
 use crate::declared::table::KINDS;
-use crate::declared::tests::play::{Sent, Stage};
+use crate::declared::tests::simulation::{Sent, Stage};
 use crate::jobs::record::ASSIGNMENT;
 use crate::store::Change;
 
-struct Play {
+struct Simulation {
     stage: Stage<()>,
     now_ms: u64,
     /// Every status that was stored, in order.
@@ -22,7 +22,7 @@
 
 const SENSORS: [&str; 3] = ["a", "b", "c"];
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let rules = [(spec_key(Kind::Heat, "vents"), to_value(rule()).unwrap())];
         let mut stage = Stage::new(seed, KINDS, &rules);
@@ -111,12 +111,12 @@
 fn on_and_off_are_decided_once_and_a_successor_goes_on() {
     let (mut turns, mut ons) = (0, 0);
     for seed in 0..60 {
-        let mut play = Play::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..2500 {
-            play.step();
+            simulation.step();
         }
         let mut before = Status::default();
-        for (status, token) in play.stored.iter().zip(&play.tokens) {
+        for (status, token) in simulation.stored.iter().zip(&simulation.tokens) {
             let turned = status.history.last().unwrap();
             assert!(status.since_ms >= before.since_ms, "seed {seed}: time goes back: {before:?}, {status:?}");
             if status.since_ms != before.since_ms || status.on != before.on {
@@ -133,11 +133,11 @@
             before = status.clone();
         }
         // At noon of a later day, whatever was left half done: a successor ends what is over and decides anew.
-        play.now_ms = DAY + 11 * HOUR + (play.now_ms - DAY).div_ceil(24 * HOUR) * 24 * HOUR;
-        let on = play.settle(40.0);
-        assert!(on.on && on.holds(play.now_ms), "seed {seed}: {on:?}");
-        play.now_ms += HOUR;
-        assert_eq!(play.settle(20.0).why, Why::Over(20.0), "seed {seed}");
+        simulation.now_ms = DAY + 11 * HOUR + (simulation.now_ms - DAY).div_ceil(24 * HOUR) * 24 * HOUR;
+        let on = simulation.settle(40.0);
+        assert!(on.on && on.holds(simulation.now_ms), "seed {seed}: {on:?}");
+        simulation.now_ms += HOUR;
+        assert_eq!(simulation.settle(20.0).why, Why::Over(20.0), "seed {seed}");
     }
-    assert!(turns > 200 && ons > 80, "the plays hardly turned anything: {turns}, {ons}");
+    assert!(turns > 200 && ons > 80, "the simulations hardly turned anything: {turns}, {ons}");
 }
--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -538,7 +538,7 @@
         self.questions.retain(|_, (c, _)| *c != at);
     }
 
-    fn play(&mut self, steps: u64) {
+    fn simulate(&mut self, steps: u64) {
         while self.step < steps {
             self.step += 1;
             if self.rng.random_bool(0.5) {
@@ -587,7 +587,7 @@
     let mut tally = [0; 4];
     for seed in 0..200 {
         let mut world = World::new(seed);
-        world.play(1200);
+        world.simulate(1200);
         for (sum, n) in tally.iter_mut().zip(world.tally) {
             *sum += n;
         }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A rollout by cases; `model` plays them with failing controllers.
+//! A rollout by cases; `model` simulates them with failing controllers.
 
 mod cluster;
 mod model;
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -1,4 +1,4 @@
-//! Rollouts played in seconds that are counted: controllers are paused, end and are replaced between
+//! Rollouts simulated in seconds that are counted: controllers are paused, end and are replaced between
 //! deciding, storing and acting, go on without knowing it, and stops, reports and transactions come late.
 //! Every stop of a replica that runs is judged at the moment when it takes effect.
 
@@ -531,7 +531,7 @@
     }
 
     /// Trouble, then as long as it takes without any. Gives the last phase.
-    fn play(&mut self, troubled: u64) -> Phase {
+    fn simulate(&mut self, troubled: u64) -> Phase {
         for _ in 0..troubled {
             self.trouble();
             self.tick();
@@ -570,7 +570,7 @@
     let (mut stops, mut owners) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(game(seed));
-        assert_eq!(world.play(400), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(400), Phase::Done, "seed {seed}");
         (stops, owners) = (stops + world.stops, owners + world.owners.len());
     }
     assert!(stops >= 240 && owners > 200, "{stops} stops, {owners} owners");
@@ -582,7 +582,7 @@
     let mut lost = 0;
     for seed in 0..60 {
         let mut world = World::new(Game { losses: true, zones: 3, surge: 2, replicas: 6, old: 6, ..game(seed) });
-        assert_eq!(world.play(500), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(500), Phase::Done, "seed {seed}");
         lost += world.losses.len();
     }
     assert!(lost > 100, "{lost} lost");
@@ -596,7 +596,7 @@
             let wide = if flaw == Flaw::OneType { 9 } else { 4 };
             let of = Game { replicas: wide, old: wide, surge: wide / 3, steps: vec![], ..game(seed) };
             let mut world = World::new(Game { flaw, ..of });
-            assert_eq!(world.play(300), Phase::Back, "{flaw:?} seed {seed}: {:?}", world.stored.0);
+            assert_eq!(world.simulate(300), Phase::Back, "{flaw:?} seed {seed}: {:?}", world.stored.0);
         }
     }
 }
@@ -614,7 +614,7 @@
         let mut words: Vec<(u64, Wanted)> = (1..18).map(|n| word(n, &mut rng)).collect();
         words.push((560, Wanted::Forward));
         let mut world = World::new(Game { words, losses: seed % 4 == 0, ..game(seed) });
-        assert_eq!(world.play(600), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(600), Phase::Done, "seed {seed}");
     }
 }
 
@@ -633,6 +633,6 @@
     ) {
         let (old, surge) = (replicas + more, surge.min(replicas));
         let mut world = World::new(Game { replicas, old, steps: vec![step], surge, zones, losses, ..game(seed) });
-        prop_assert_eq!(world.play(150), Phase::Done);
+        prop_assert_eq!(world.simulate(150), Phase::Done);
     }
 }
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -284,7 +284,7 @@
 }
 
 /// Users choose the ids, so they are digested as nobody can foresee; in tests alike in every run, so that a
-/// seed plays the same interleaving again.
+/// seed runs the same interleaving again.
 #[cfg(not(test))]
 type Hashing = std::hash::RandomState;
 #[cfg(test)]
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -31,9 +31,9 @@
     assert_eq!(pause(0, 16).as_secs(), 40, "a gang of sixteen costs eight times as much to try");
 }
 
-/// Plays failures and ends on named machines: `x3@m1` fails, `+x3@m1` is done, `?x3@m1` fails while
+/// Feeds failures and ends on named machines: `x3@m1` fails, `+x3@m1` is done, `?x3@m1` fails while
 /// the job runs well elsewhere. Gives the machines given up and the jobs suspected at the end.
-fn play(steps: &str) -> (Vec<String>, Vec<String>) {
+fn simulate(steps: &str) -> (Vec<String>, Vec<String>) {
     let start = Instant::now();
     let mut attribution = FailureAttribution::default();
     let mut out = Vec::new();
@@ -80,7 +80,7 @@
         ("failures that are mended before they convict", "a0@m1 a0@m2 +a1@m4 ?a2@m3", none, none),
     ];
     for (name, steps, out, suspected) in cases {
-        let got = play(steps);
+        let got = simulate(steps);
         assert_eq!((got.0, got.1), (strings(out), strings(suspected)), "{name}");
     }
 }
--- a/src/scheduling/fairness/tests/weigh.rs
+++ b/src/scheduling/fairness/tests/weigh.rs
@@ -77,7 +77,7 @@
 const ENDS_S: u32 = 900;
 
 /// In time of all that came, by class, and in time over all.
-fn play(day: &Day, way: Way, seed: u64) -> Vec<f64> {
+fn simulate(day: &Day, way: Way, seed: u64) -> Vec<f64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let n = day.classes.len();
     let (mut waiting, mut running): (Vec<Job>, Vec<(Job, u32, usize)>) = (Vec::new(), Vec::new());
@@ -203,7 +203,7 @@
     let mut least = vec![(1.0f64, 0.0f64); ways.len()];
     for day in days() {
         for (at, way) in ways.into_iter().enumerate() {
-            let runs: Vec<Vec<f64>> = (0..5).map(|seed| play(&day, way, seed)).collect();
+            let runs: Vec<Vec<f64>> = (0..5).map(|seed| simulate(&day, way, seed)).collect();
             let mean: Vec<f64> = (0..day.classes.len()).map(|c| runs.iter().map(|r| r[c]).sum::<f64>() / 5.0).collect();
             let worst = mean.iter().copied().fold(1.0, f64::min);
             println!("{:22} {way:9?} worst {worst:.2}  each {mean:.2?}", day.name);
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -1,4 +1,4 @@
-//! Plays in which two and three troubles meet, mostly where something was just stored, acted on or answered.
+//! Simulations in which two and three troubles meet, mostly where something was just stored, acted on or answered.
 
 use std::time::{Duration, Instant};
 
@@ -87,7 +87,7 @@
 
     /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new session:
     /// a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without users have
-    /// machines that hang on and on, and so have the plays of fixed steps below.
+    /// machines that hang on and on, and so have the simulations of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
         if !self.users.on || rested {
@@ -230,7 +230,7 @@
     for seed in seeds() {
         println!("seed {seed}");
         let mut world = World::with_users(seed, 6);
-        world.play(2400);
+        world.simulate(2400);
         tally += world.users.tally;
     }
     println!("{tally:?}");
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -289,7 +289,7 @@
         job.shape = if n.is_multiple_of(3) { Shape::Gang } else { Shape::Array };
         job.tasks = if job.is_gang() { 2 } else { [1, 3, CHUNK + 2][n as usize % 3] };
         job.estimate_s = 5.0;
-        // Never any age by the time of day: a run takes as long as it takes, and plays the same again.
+        // Never any age by the time of day: a run takes as long as it takes, and runs the same again.
         let record = Arc::new(JobRecord { spec: job, at_ms: u64::MAX });
         self.records.insert(record.spec.id.clone(), record.clone());
         self.send_move(moves::accept(&record, false));
@@ -773,7 +773,7 @@
     }
 
     /// Two minutes of trouble, then as long as it takes without any.
-    fn play(&mut self, steps: usize) {
+    fn simulate(&mut self, steps: usize) {
         for step in 0..steps {
             self.trouble(step);
             self.step();
@@ -807,7 +807,7 @@
     let (mut starts, mut process_pauses, mut failures, mut troubles) = (0, 0, 0, [0; 4]);
     for seed in 0..40 {
         let mut world = World::new(seed, 6);
-        world.play(1200);
+        world.simulate(1200);
         starts += world.starts;
         process_pauses += world.process_pauses;
         failures += world.failures;
@@ -823,6 +823,6 @@
 #[test]
 fn rules_hold_with_hundreds_of_machines() {
     let mut world = World::new(7, 200);
-    world.play(300);
+    world.simulate(300);
     assert!(world.starts > 5000, "the model has hardly worked: {} starts", world.starts);
 }
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// What has to come about often enough for the plays to say anything.
+/// What has to come about often enough for the simulations to say anything.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Tally {
     pub(super) told: usize,
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -21,10 +21,10 @@
     }
 }
 
-/// Plays messages to and answers of one owner with token 7, as (seconds, what): `r` a report, `R` one of the
+/// Feeds messages to and answers of one owner with token 7, as (seconds, what): `r` a report, `R` one of the
 /// next session, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
 /// launch and to a worker that does not know the token, `+` without either; `l` and `t` show them.
-fn play(steps: &[(f64, &str)]) -> (u32, u32) {
+fn simulate(steps: &[(f64, &str)]) -> (u32, u32) {
     let start = Instant::now();
     let mut one_way_partition = PartitionDetector::new(start);
     let task = TaskKey { job: "run-1".into(), index: 0 };
@@ -110,6 +110,6 @@
         ("answers to old copies prove nothing", &[(0.0, "r+"), (1.0, "o+l"), (2.0, "o+l"), (9.0, "r+")], (0, 0)),
     ];
     for (name, steps, want) in cases {
-        assert_eq!(play(steps), want, "{name}");
+        assert_eq!(simulate(steps), want, "{name}");
     }
 }
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -8,7 +8,7 @@
 mod meetings;
 mod new_machines;
 mod one_way_partition;
-mod play;
+mod simulation;
 mod room_after_troubles;
 mod steady_load;
 mod team_limits;
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -1,6 +1,6 @@
 //! All controllers are away, or a zone is cut off, for longer than a lease.
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 
@@ -20,34 +20,34 @@
     ] {
         let name = format!("{shape:?}, away {away_s} s, one late: {late}");
         let names = ["m1", "m2", "m3"];
-        let mut play = Play::new(&names.map(|m| (m, "a")), |j| {
+        let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| {
             (j.shape, j.tasks, j.cpus, j.estimate_s) = (shape, 3, 8.0, 900.0);
         });
-        play.plans = true;
-        play.run(6.0);
-        assert_eq!(play.live(&JOB.into()).len(), 3, "{name}");
+        simulation.plans = true;
+        simulation.run(6.0);
+        assert_eq!(simulation.live(&JOB.into()).len(), 3, "{name}");
         // Nobody answers, commands, or takes anything in.
-        let lease = play.cluster.settings.params.workers.lease();
+        let lease = simulation.cluster.settings.params.workers.lease();
         for _ in 0..(away_s / STEP) as usize {
-            play.world.now += s(STEP);
-            let now = play.world.now;
+            simulation.world.now += s(STEP);
+            let now = simulation.world.now;
             for m in names {
-                if now - play.world.workers[m].renewed.unwrap() > lease {
-                    play.world.lease_ends(m);
+                if now - simulation.world.workers[m].renewed.unwrap() > lease {
+                    simulation.world.lease_ends(m);
                 }
             }
         }
-        play.successor();
+        simulation.successor();
         if late {
-            play.outbound_lost = vec!["m3"];
-            play.unreached = vec!["m3"];
-            play.run(9.0);
-            (play.outbound_lost, play.unreached) = (vec![], vec![]);
+            simulation.outbound_lost = vec!["m3"];
+            simulation.unreached = vec!["m3"];
+            simulation.run(9.0);
+            (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
         }
-        play.run(15.0);
-        let live = play.live(&JOB.into());
-        assert_eq!((live.len(), play.returned.len()), (3, 0), "{name}: {live:?}, returned {:?}", play.returned);
-        let attempts: Vec<u64> = (0..3).map(|i| on(&play.cluster, i).unwrap().0).collect();
+        simulation.run(15.0);
+        let live = simulation.live(&JOB.into());
+        assert_eq!((live.len(), simulation.returned.len()), (3, 0), "{name}: {live:?}, returned {:?}", simulation.returned);
+        let attempts: Vec<u64> = (0..3).map(|i| on(&simulation.cluster, i).unwrap().0).collect();
         let want = if away_s < 24.0 { 1 } else { 2 };
         assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
     }
@@ -73,51 +73,51 @@
         let (within, outside) = (["m1", "m2", "m3", "m4"], ["m5", "m6", "m7"]);
         let machines: Vec<(&str, &str)> =
             within.iter().map(|m| (*m, "a")).chain(outside.iter().map(|m| (*m, "b"))).collect();
-        let mut play = Play::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
+        let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
         // Of the seven one, within, runs what is withdrawn.
         let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
-        let called_off = play.world.accept(&mut play.cluster, 2, first);
+        let called_off = simulation.world.accept(&mut simulation.cluster, 2, first);
         let key = TaskKey { job: called_off.clone(), index: 0 };
-        play.cluster.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], play.world.now);
-        play.plans = true;
-        play.run(6.0);
-        assert_eq!((play.live(&JOB.into()).len(), play.live(&called_off).len()), (6, 1), "{name}");
+        simulation.cluster.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], simulation.world.now);
+        simulation.plans = true;
+        simulation.run(6.0);
+        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&called_off).len()), (6, 1), "{name}");
         let mut old = None;
         if inside_s > 0.0 {
             // Within is the old owner, without the store: it acts for its zone until it lets go.
-            let successor = play.world.owner();
-            old = Some(std::mem::replace(&mut play.cluster, successor));
-            play.listed();
+            let successor = simulation.world.owner();
+            old = Some(std::mem::replace(&mut simulation.cluster, successor));
+            simulation.listed();
         }
-        (play.outbound_lost, play.unreached) = (within.into(), within.into());
+        (simulation.outbound_lost, simulation.unreached) = (within.into(), within.into());
         for step in 0..(cut_s / STEP) as usize {
             let t = step as f64 * STEP;
             if t == 0.5 {
-                play.withdraw(&called_off);
+                simulation.withdraw(&called_off);
             }
             if changes && t > 0.0 && t % 12.0 == 0.0 {
-                play.successor();
+                simulation.successor();
             }
             if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % REPORT_STEPS == 0) {
                 for m in within {
-                    if play.world.workers[m].gone {
+                    if simulation.world.workers[m].gone {
                         continue;
                     }
-                    let answer = play.world.asks(old, m);
+                    let answer = simulation.world.asks(old, m);
                     assert_eq!(launches(&answer.orders), 0, "{name}");
-                    play.world.hears(&answer);
+                    simulation.world.hears(&answer);
                 }
             }
-            play.step();
+            simulation.step();
         }
-        (play.outbound_lost, play.unreached) = (vec![], vec![]);
-        let before = play.returned.len();
-        play.run(30.0);
-        let live = play.live(&JOB.into());
-        let left = play.world.workers.values().filter(|w| !w.gone).count();
-        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", play.returned);
-        let back = &play.returned[before..];
+        (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
+        let before = simulation.returned.len();
+        simulation.run(30.0);
+        let live = simulation.live(&JOB.into());
+        let left = simulation.world.workers.values().filter(|w| !w.gone).count();
+        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", simulation.returned);
+        let back = &simulation.returned[before..];
         assert!(back.iter().all(|m| *m == "m1"), "{name}: none that is back, but for what was withdrawn: {back:?}");
-        assert!(cut_s > 45.0 || left >= 6, "{name}: at most the one with what was withdrawn: {:?}", play.returned);
+        assert!(cut_s > 45.0 || left >= 6, "{name}: at most the one with what was withdrawn: {:?}", simulation.returned);
     }
 }
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
@@ -17,7 +17,7 @@
 const COMMAND_WAITED: Duration = Duration::from_millis(2500);
 const MACHINES: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
 
-/// The links of a play on which nothing is prompt.
+/// The links of a simulation on which nothing is prompt.
 struct Links {
     rng: StdRng,
     /// Answers on their way, with the moment at which they arrive: late ones are dropped by the worker.
@@ -30,41 +30,41 @@
 
 impl Links {
     /// A report, whose answer arrives within 4 s or never.
-    fn report(&mut self, play: &mut Play, machine: &'static str) {
+    fn report(&mut self, simulation: &mut Simulation, machine: &'static str) {
         let waits = self.answers.iter().any(|(_, answer)| answer.to == machine);
-        if waits || play.world.workers[machine].gone {
+        if waits || simulation.world.workers[machine].gone {
             return;
         }
-        let answer = play.world.asks(&mut play.cluster, machine);
+        let answer = simulation.world.asks(&mut simulation.cluster, machine);
         if self.rng.random_bool(0.8) {
-            self.answers.push((play.world.now + s(self.rng.random_range(0.0..4.0)), answer));
+            self.answers.push((simulation.world.now + s(self.rng.random_range(0.0..4.0)), answer));
         }
     }
 
     /// A command is prompt, or is held up for 2 to 16 s and given up meanwhile.
-    fn command(&mut self, play: &mut Play, direct: Direct) {
+    fn command(&mut self, simulation: &mut Simulation, direct: Direct) {
         if self.rng.random_bool(0.5) {
-            match play.world.arrives(&direct) {
-                Some(reply) => play.world.replied(&mut play.cluster, &direct, reply),
-                None => play.cluster.command_over(&direct.machine, direct.token, true, play.world.now),
+            match simulation.world.arrives(&direct) {
+                Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
+                None => simulation.cluster.command_over(&direct.machine, direct.token, true, simulation.world.now),
             }
             return;
         }
-        self.waited_for.push((play.world.now + COMMAND_WAITED, direct.machine.clone(), direct.token));
-        self.commands.push((play.world.now + s(self.rng.random_range(2.0..16.0)), direct));
+        self.waited_for.push((simulation.world.now + COMMAND_WAITED, direct.machine.clone(), direct.token));
+        self.commands.push((simulation.world.now + s(self.rng.random_range(2.0..16.0)), direct));
     }
 
     /// What is due by now arrives, or is given up.
-    fn deliver(&mut self, play: &mut Play) {
-        let now = play.world.now;
+    fn deliver(&mut self, simulation: &mut Simulation) {
+        let now = simulation.world.now;
         for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
-            play.world.hears(&answer);
+            simulation.world.hears(&answer);
         }
         for (_, machine, token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
-            play.cluster.command_over(&machine, token, false, now);
+            simulation.cluster.command_over(&machine, token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
-            drop(play.world.arrives(&direct));
+            drop(simulation.world.arrives(&direct));
         }
     }
 }
@@ -82,71 +82,71 @@
 }
 
 /// Tasks that have run for as long as was estimated are done.
-fn tasks_end(play: &mut Play, ends: &mut BTreeMap<(TaskKey, u64), Instant>) {
-    let now = play.world.now;
+fn tasks_end(simulation: &mut Simulation, ends: &mut BTreeMap<(TaskKey, u64), Instant>) {
+    let now = simulation.world.now;
     for machine in MACHINES {
-        for leg in play.world.workers[machine].legs.clone() {
-            let spec = play.world.spec_of(&leg.task.job);
+        for leg in simulation.world.workers[machine].legs.clone() {
+            let spec = simulation.world.spec_of(&leg.task.job);
             let run = s(spec.estimate_s);
             // A gang's tasks wait for one another, and the first that is done ends it.
-            if spec.is_gang() && (play.live(&leg.task.job).len() as u64) < spec.tasks {
+            if spec.is_gang() && (simulation.live(&leg.task.job).len() as u64) < spec.tasks {
                 continue;
             }
             let at = *ends.entry((leg.task.clone(), leg.attempt)).or_insert(now + run);
             if leg.status == LegStatus::Running && at <= now {
-                play.world.exits_of(machine, &leg.task, leg.attempt, Cause::Done);
+                simulation.world.exits_of(machine, &leg.task, leg.attempt, Cause::Done);
             }
         }
     }
 }
 
 /// Two minutes of it, and then as long as it takes to serve all; the rules are checked at every start, by the world, and
-/// at every step, by the play. Gives how often running work was stopped for other work.
+/// at every step, by the simulation. Gives how often running work was stopped for other work.
 fn overload(seed: u64) -> usize {
-    let mut play = Play::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
+    let mut simulation = Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
     let rng = StdRng::seed_from_u64(seed + 1000);
     let mut links = Links { rng, answers: Vec::new(), commands: Vec::new(), waited_for: Vec::new() };
     let mut rng = StdRng::seed_from_u64(seed);
     let mut ends = BTreeMap::new();
     let (mut jobs, mut stopped) = (1, 0);
     for step in 0..2400 {
-        play.world.now += s(STEP);
-        let now = play.world.now;
+        simulation.world.now += s(STEP);
+        let now = simulation.world.now;
         let overloaded = step < 240;
         if overloaded && rng.random_bool(0.5) {
             jobs += 1;
-            play.world.accept(&mut play.cluster, jobs, |spec| draw(&mut rng, spec));
+            simulation.world.accept(&mut simulation.cluster, jobs, |spec| draw(&mut rng, spec));
         }
         if overloaded && rng.random_bool(0.01) {
             // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
             links.waited_for.clear();
-            play.successor();
+            simulation.successor();
         }
-        links.deliver(&mut play);
-        tasks_end(&mut play, &mut ends);
+        links.deliver(&mut simulation);
+        tasks_end(&mut simulation, &mut ends);
         for (n, machine) in MACHINES.into_iter().enumerate() {
             if (step + n).is_multiple_of(REPORT_STEPS) {
-                links.report(&mut play, machine);
+                links.report(&mut simulation, machine);
             }
         }
-        preempt::preempt(&mut play.cluster, &catalog(), now);
+        preempt::preempt(&mut simulation.cluster, &catalog(), now);
         let halting = |cluster: &ClusterState| -> usize {
             let bound = cluster.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
             bound.filter(|binding| binding.halting.is_some()).count()
         };
-        stopped += halting(&play.cluster);
-        for direct in play.cluster.direct_commands(now) {
-            links.command(&mut play, direct);
+        stopped += halting(&simulation.cluster);
+        for direct in simulation.cluster.direct_commands(now) {
+            links.command(&mut simulation, direct);
         }
-        play.cluster.tick(now);
-        play.world.raise(&mut play.cluster);
-        let decisions = plan::place(&mut play.cluster, &catalog(), now);
-        play.cluster.bind_all(decisions, now);
-        play.world.store(&mut play.cluster);
-        play.check();
+        simulation.cluster.tick(now);
+        simulation.world.raise(&mut simulation.cluster);
+        let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
+        simulation.cluster.bind_all(decisions, now);
+        simulation.world.store(&mut simulation.cluster);
+        simulation.check();
     }
     let unserved: Vec<&JobId> =
-        play.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+        simulation.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
     assert!(unserved.is_empty(), "seed {seed}: {unserved:?} of {jobs} were never served");
     stopped
 }
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -1,7 +1,7 @@
 //! From the moment at which a withdrawal is confirmed: no task of it starts by any path, and whatever the settings
 //! that `check` accepts, a stop or the end of the worker's lease ends what runs within `cancel_s`.
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 use crate::jobs::{End, JobId};
@@ -68,19 +68,19 @@
 #[test]
 fn no_answer_renews_a_lease_without_the_stop() {
     for under_way in [false, true] {
-        let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
-        play.world.place(&mut play.cluster, "m1");
-        play.reports("m1");
-        play.reports("m1");
-        play.withdraw(&JOB.into());
-        let held = under_way.then(|| play.world.command(&mut play.cluster, "m1").expect("the stop is news"));
-        let answer = play.world.asks(&mut play.cluster, "m1");
+        let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
+        simulation.world.place(&mut simulation.cluster, "m1");
+        simulation.reports("m1");
+        simulation.reports("m1");
+        simulation.withdraw(&JOB.into());
+        let held = under_way.then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("the stop is news"));
+        let answer = simulation.world.asks(&mut simulation.cluster, "m1");
         assert_eq!(launches(&answer.orders), 0);
-        play.world.hears(&answer);
-        assert_eq!(play.live(&JOB.into()), [], "a command is under way: {under_way}");
+        simulation.world.hears(&answer);
+        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
         // The command comes all the same, and changes nothing.
-        held.iter().for_each(|direct| drop(play.world.arrives(direct)));
-        assert_eq!(play.live(&JOB.into()), [], "a command is under way: {under_way}");
+        held.iter().for_each(|direct| drop(simulation.world.arrives(direct)));
+        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
     }
 }
 
@@ -108,49 +108,49 @@
     ] {
         let name = format!("{launch:?}, {late_s} s late");
         let id: JobId = JOB.into();
-        let mut play = Play::new(&[("m1", "a")], |_| ());
-        play.cluster.holds_ends(Some(1000));
-        play.world.now += s(10.0);
+        let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
+        simulation.cluster.holds_ends(Some(1000));
+        simulation.world.now += s(10.0);
         let mut held: Option<Direct> = None;
         let mut answer = None;
-        play.world.place(&mut play.cluster, "m1");
+        simulation.world.place(&mut simulation.cluster, "m1");
         match launch {
-            Launch::Direct => held = play.world.command(&mut play.cluster, "m1"),
-            Launch::InAnswer => answer = Some(play.world.asks(&mut play.cluster, "m1")),
+            Launch::Direct => held = simulation.world.command(&mut simulation.cluster, "m1"),
+            Launch::InAnswer => answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
         }
         let orders = held.as_ref().map(|d| &d.orders).or(answer.as_ref().map(|a| &a.orders));
         assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
-        let begun = play.world.now;
+        let begun = simulation.world.now;
         // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
-        play.cluster.end_job(&id, Some(End::Withdrawn), play.world.now);
-        play.cluster.holds_ends(Some(1001));
+        simulation.cluster.end_job(&id, Some(End::Withdrawn), simulation.world.now);
+        simulation.cluster.holds_ends(Some(1001));
         let mut told = None;
         for _ in 0..120 {
-            play.world.now += s(0.5);
-            let age = (play.world.now - begun).as_secs_f64();
+            simulation.world.now += s(0.5);
+            let age = (simulation.world.now - begun).as_secs_f64();
             if age == 2.5
                 && let Some(direct) = &held
             {
-                play.cluster.command_over(&direct.machine, direct.token, false, play.world.now);
+                simulation.cluster.command_over(&direct.machine, direct.token, false, simulation.world.now);
             }
             if age >= late_s {
-                held.take().iter().for_each(|direct| drop(play.world.arrives(direct)));
-                answer.take().iter().for_each(|answer| play.world.hears(answer));
+                held.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
+                answer.take().iter().for_each(|answer| simulation.world.hears(answer));
             }
-            if told.is_none() && play.cluster.obeyed_in(&id) {
-                assert!(play.cluster.watermark() >= 1001, "{name}: both say the same");
+            if told.is_none() && simulation.cluster.obeyed_in(&id) {
+                assert!(simulation.cluster.watermark() >= 1001, "{name}: both say the same");
                 told = Some(age);
-                play.withdraw(&id);
+                simulation.withdraw(&id);
             }
             // One report at a time.
             if answer.is_none() && age % 1.5 == 0.0 {
-                play.reports("m1");
+                simulation.reports("m1");
             }
-            play.cluster.tick(play.world.now);
-            play.world.raise(&mut play.cluster);
+            simulation.cluster.tick(simulation.world.now);
+            simulation.world.raise(&mut simulation.cluster);
         }
         let told = told.unwrap_or_else(|| panic!("{name}: never told"));
         assert!(told <= 12.0, "{name}: told only after {told} s");
-        assert_eq!(play.live(&id), [], "{name}");
+        assert_eq!(simulation.live(&id), [], "{name}");
     }
 }
--- a/src/scheduling/tests/hangs.rs
+++ b/src/scheduling/tests/hangs.rs
@@ -1,6 +1,6 @@
 //! A withdrawn task goes on after its machine hung.
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 
 /// It hangs before, at or after the withdrawal, with the stop lying there or refused, and goes on within its lease: the
@@ -16,31 +16,31 @@
             let name = format!(
                 "hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, successor {successor}"
             );
-            let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |_| ());
-            play.world.place(&mut play.cluster, "m1");
-            play.reports("m1");
-            play.reports("m1");
-            (play.cloud, play.plans) = (cloud, true);
-            play.unreached = if stop_lies { vec![] } else { vec!["m1"] };
+            let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
+            simulation.world.place(&mut simulation.cluster, "m1");
+            simulation.reports("m1");
+            simulation.reports("m1");
+            (simulation.cloud, simulation.plans) = (cloud, true);
+            simulation.unreached = if stop_lies { vec![] } else { vec!["m1"] };
             for step in -24..140 {
                 let t = f64::from(step) * STEP;
                 if t == hangs_at {
-                    play.hang = vec!["m1"];
+                    simulation.hang = vec!["m1"];
                 }
                 if t == 0.0 {
-                    play.withdraw(&JOB.into());
+                    simulation.withdraw(&JOB.into());
                 }
                 if t == 6.0 && successor {
-                    play.successor();
+                    simulation.successor();
                 }
                 if t == hangs_at + hang_s {
-                    play.hang.clear();
+                    simulation.hang.clear();
                 }
-                play.step();
+                simulation.step();
             }
-            assert_eq!(play.live(&JOB.into()), [], "{name}");
-            assert!(!play.cluster.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
-            assert!(!play.world.workers["m2"].gone, "{name}");
+            assert_eq!(simulation.live(&JOB.into()), [], "{name}");
+            assert!(!simulation.cluster.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
+            assert!(!simulation.world.workers["m2"].gone, "{name}");
         }
     }
 }
--- a/src/scheduling/tests/meetings.rs
+++ b/src/scheduling/tests/meetings.rs
@@ -1,6 +1,6 @@
-//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a play of fixed steps with the cluster state, a store
+//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a simulation of fixed steps with the cluster state, a store
 //! that keeps what it was given, and workers that do as the protocol says and check the rules at every start.
-//! What may come late is tried at every step of its play.
+//! What may come late is tried at every step of its simulation.
 
 use super::world::*;
 use super::*;
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
@@ -13,9 +13,9 @@
 use crate::wire::workers::Cause;
 
 /// What is left of a machine by what is on it and what is bound to it.
-fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
-    let worker = &play.world.workers[m];
-    let machine = play.cluster.machines.get(m)?;
+fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
+    let worker = &simulation.world.workers[m];
+    let machine = simulation.cluster.machines.get(m)?;
     if worker.gone || machine.state != MachineState::Up || machine.recall.is_some() {
         return None;
     }
@@ -24,31 +24,31 @@
     let mut left = (of.cpus - machine.taken().cpus, of.gpus - machine.taken().gpus, of.memory_gb);
     left.2 -= machine.taken().memory_gb;
     for leg in strays {
-        let spec = play.world.spec_of(&leg.task.job);
+        let spec = simulation.world.spec_of(&leg.task.job);
         left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
     }
     Some(left)
 }
 
 /// Whether a job could start something now: one task of an array or a service, all of a gang.
-fn could_start(play: &Play, id: &JobId) -> bool {
-    let Some(job) = play.cluster.job(id) else { return false };
+fn could_start(simulation: &Simulation, id: &JobId) -> bool {
+    let Some(job) = simulation.cluster.job(id) else { return false };
     let spec = job.spec();
     let gang = spec.is_gang();
     if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
         return false;
     }
     let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&play.cluster).allows(spec, need as f64) {
+    if !plan::Quotas::new(&simulation.cluster).allows(spec, need as f64) {
         return false;
     }
     let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
     zones.iter().any(|zones| {
-        let mut at = crate::scheduling::room::Zones::new(&play.cluster, job);
+        let mut at = crate::scheduling::room::Zones::new(&simulation.cluster, job);
         let mut found = 0;
-        for (m, worker) in &play.world.workers {
+        for (m, worker) in &simulation.world.workers {
             let allowed = crate::scheduling::room::allowed(spec, worker.type_name, worker.zone, false);
-            let Some(mut left) = room_left(play, m).filter(|_| allowed && zones.contains(&worker.zone)) else {
+            let Some(mut left) = room_left(simulation, m).filter(|_| allowed && zones.contains(&worker.zone)) else {
                 continue;
             };
             while found < need
@@ -71,23 +71,23 @@
     const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
     let mut rng = StdRng::seed_from_u64(seed);
     let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
-    let mut play = Play::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
+    let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
     for m in &NAMES[7..] {
-        play.world.workers.get_mut(m).unwrap().type_name = "g2";
+        simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
     }
-    play.plans = true;
-    let mut account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
+    simulation.plans = true;
+    let mut account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let mut ends: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
     let mut waits: BTreeMap<JobId, f64> = BTreeMap::new();
     let (mut longest, mut jobs) = ((0.0, String::new()), 1);
     for step in 0..560 {
-        let (t, now) = (f64::from(step) * STEP, play.world.now);
+        let (t, now) = (f64::from(step) * STEP, simulation.world.now);
         let trouble = t < 120.0;
         if (trouble || steady) && rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
             jobs += 1;
             let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
             let urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
-            let id = play.world.accept(&mut play.cluster, jobs, |j| {
+            let id = simulation.world.accept(&mut simulation.cluster, jobs, |j| {
                 (j.shape, j.urgency) = (shape, urgency);
                 j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
                 j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -103,61 +103,61 @@
                 (j.checkpoint_s, j.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
             });
             if rng.random_bool(0.15) {
-                play.withdraw(&id);
+                simulation.withdraw(&id);
             }
         }
         if trouble && rng.random_bool(0.15) {
             let m = NAMES[rng.random_range(0..10usize)];
             match rng.random_range(0..7) {
-                0 => play.outbound_lost.push(m),
-                1 => play.hang.push(m),
-                2 => play.inbound_lost.push(m),
-                3 => (play.outbound_lost.push(m), play.unreached.push(m)).0,
-                4 => (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default(),
-                5 => play.successor(),
-                _ => play.store = !play.store,
+                0 => simulation.outbound_lost.push(m),
+                1 => simulation.hang.push(m),
+                2 => simulation.inbound_lost.push(m),
+                3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
+                4 => (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default(),
+                5 => simulation.successor(),
+                _ => simulation.store = !simulation.store,
             }
             // Three machines stay, so that there is anything to wait for.
-            for list in [&mut play.outbound_lost, &mut play.hang, &mut play.inbound_lost, &mut play.unreached] {
+            for list in [&mut simulation.outbound_lost, &mut simulation.hang, &mut simulation.inbound_lost, &mut simulation.unreached] {
                 list.retain(|m| !["m0", "m1", "m8"].contains(m));
             }
         }
         if !trouble {
-            (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default();
-            play.store = true;
+            (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default();
+            simulation.store = true;
         }
         // Tasks end, or fail while there are troubles.
         for m in NAMES {
-            if play.hang.contains(&m) || play.world.workers[m].gone {
+            if simulation.hang.contains(&m) || simulation.world.workers[m].gone {
                 continue;
             }
-            for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                let run = play.world.spec_of(&leg.task.job).estimate_s;
+            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+                let run = simulation.world.spec_of(&leg.task.job).estimate_s;
                 let at = ends
                     .entry((leg.task.clone(), leg.attempt))
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { Cause::Error } else { Cause::Done };
-                    play.world.exits_of(m, &leg.task, leg.attempt, cause);
+                    simulation.world.exits_of(m, &leg.task, leg.attempt, cause);
                 }
             }
         }
-        if step % 4 == 0 && play.cluster.loaded {
-            crate::scheduling::look(&mut account, &mut play.cluster, now);
-            play.cluster.reservations = crate::scheduling::reservations::choose(&play.cluster, &catalog(), now);
+        if step % 4 == 0 && simulation.cluster.loaded {
+            crate::scheduling::look(&mut account, &mut simulation.cluster, now);
+            simulation.cluster.reservations = crate::scheduling::reservations::choose(&simulation.cluster, &catalog(), now);
         }
-        preempt::preempt(&mut play.cluster, &catalog(), now);
-        play.step();
+        preempt::preempt(&mut simulation.cluster, &catalog(), now);
+        simulation.step();
         if !trouble {
-            let ids: Vec<JobId> = play.cluster.jobs().map(|(id, _)| id.clone()).collect();
+            let ids: Vec<JobId> = simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
             waits.retain(|id, _| ids.contains(id));
             for id in ids {
                 let waited = waits.entry(id.clone()).or_default();
-                *waited = if could_start(&play, &id) { *waited + STEP } else { 0.0 };
+                *waited = if could_start(&simulation, &id) { *waited + STEP } else { 0.0 };
                 if *waited > longest.0 {
                     longest =
-                        (*waited, format!("seed {seed}, at {t} s: {:?}", play.cluster.job(&id).map(|j| j.spec())));
+                        (*waited, format!("seed {seed}, at {t} s: {:?}", simulation.cluster.job(&id).map(|j| j.spec())));
                 }
             }
         }
@@ -177,31 +177,31 @@
 /// as with a service there and no machine to be had, others waited for ever on what was kept.
 #[test]
 fn what_is_kept_for_a_gang_that_never_fits_keeps_nobody_out_for_ever() {
-    let mut play = Play::new(&[("m1", "a"), ("m2", "a")], |j| {
+    let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Service, 1, 8.0, 0.0);
     });
-    play.world.place(&mut play.cluster, "m1");
-    play.reports("m1");
-    play.plans = true;
-    let gang = play.world.accept(&mut play.cluster, 2, |j| {
+    simulation.world.place(&mut simulation.cluster, "m1");
+    simulation.reports("m1");
+    simulation.plans = true;
+    let gang = simulation.world.accept(&mut simulation.cluster, 2, |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 2, 8.0, 5.0);
     });
-    let mut account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
+    let mut account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let (mut small, mut came) = (None, 0.0);
     for step in 0..400 {
         let t = f64::from(step) * STEP;
         if t == 40.0 {
-            play.cluster.lane.note(1000.0, false, 1.0);
-            small = Some(play.world.accept(&mut play.cluster, 3, |j| j.estimate_s = 100.0));
+            simulation.cluster.lane.note(1000.0, false, 1.0);
+            small = Some(simulation.world.accept(&mut simulation.cluster, 3, |j| j.estimate_s = 100.0));
             came = t;
         }
         if step % 4 == 0 {
-            crate::scheduling::look(&mut account, &mut play.cluster, play.world.now);
+            crate::scheduling::look(&mut account, &mut simulation.cluster, simulation.world.now);
         }
-        play.step();
-        assert_eq!(play.live(&gang), []);
+        simulation.step();
+        assert_eq!(simulation.live(&gang), []);
         if let Some(small) = &small {
-            assert!(!play.live(small).is_empty() || t < came + 85.0, "it waits since {} s", t - came);
+            assert!(!simulation.live(small).is_empty() || t < came + 85.0, "it waits since {} s", t - came);
         }
     }
 }
--- a/src/scheduling/tests/play.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A play of fixed steps in which time passes, leases end, the cluster state decides by itself, and the rules are checked at
+//! A simulation of fixed steps in which time passes, leases end, the cluster state decides by itself, and the rules are checked at
 //! every step: a team's limit, where tasks may be, and what is withdrawn gone in time (docs/meetings.md).
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 pub(super) const REPORT_STEPS: usize = 6;
 
 /// One owner at a time, and who reaches whom.
-pub(super) struct Play {
+pub(super) struct Simulation {
     pub(super) world: World,
     pub(super) cluster: ClusterState,
     pub(super) steps: usize,
@@ -38,7 +38,7 @@
     pub(super) returned: Vec<&'static str>,
 }
 
-impl Play {
+impl Simulation {
     pub(super) fn new(machines: &[(&'static str, &'static str)], change: impl FnOnce(&mut JobSpec)) -> Self {
         let names: Vec<&'static str> = machines.iter().map(|(m, _)| *m).collect();
         let mut world = World::new(&names, change);
@@ -46,7 +46,7 @@
             world.workers.get_mut(m).unwrap().zone = zone;
         }
         let cluster = world.owner();
-        let mut play = Self {
+        let mut simulation = Self {
             world,
             cluster,
             steps: 0,
@@ -65,10 +65,10 @@
         // Everybody has reported, and has heard the owner.
         for _ in 0..2 {
             for m in &names {
-                play.reports(m);
+                simulation.reports(m);
             }
         }
-        play
+        simulation
     }
 
     pub(super) fn reports(&mut self, m: &'static str) {
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 use crate::history::moves;
@@ -15,56 +15,56 @@
 #[test]
 fn four_jobs_a_second_for_minutes_grow_nothing() {
     let names = ["m1", "m2", "m3", "m4"];
-    let mut play = Play::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
-    play.plans = true;
+    let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
+    simulation.plans = true;
     let (mut jobs, mut last) = (1, Vec::new());
     let mut started: BTreeMap<(TaskKey, u64), usize> = BTreeMap::new();
     for step in 0..480 {
         if step < 400 {
             for _ in 0..2 {
                 jobs += 1;
-                let id = play.world.accept(&mut play.cluster, jobs, |j| j.estimate_s = 2.0);
+                let id = simulation.world.accept(&mut simulation.cluster, jobs, |j| j.estimate_s = 2.0);
                 last.push((step, id));
             }
         }
         // Each fourth is called off, at once or while it runs.
         for (at, id) in last.extract_if(.., |(at, _)| step >= *at + 3) {
             if (at + id.len()) % 2 == 0 && id.ends_with(['0', '2', '4', '6', '8']) {
-                play.withdraw(&id);
+                simulation.withdraw(&id);
             }
         }
         if step == 200 {
-            play.successor();
+            simulation.successor();
         }
         for m in names {
-            for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
                 if step > *started.entry((leg.task.clone(), leg.attempt)).or_insert(step) + 4 {
-                    play.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
+                    simulation.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
                 }
             }
         }
-        play.step();
-        let kept = play.world.drop_chunks(&mut play.cluster);
+        simulation.step();
+        let kept = simulation.world.drop_chunks(&mut simulation.cluster);
         assert!(kept <= 20, "chunks of jobs that are over: {kept}");
-        for (what, n) in play.cluster.held() {
+        for (what, n) in simulation.cluster.held() {
             assert!(n <= 60, "{what} at step {step}: {n}");
         }
-        assert!(play.world.workers.values().all(|w| w.legs.len() <= 40), "exits are reaped");
+        assert!(simulation.world.workers.values().all(|w| w.legs.len() <= 40), "exits are reaped");
     }
-    for id in play.world.more.keys() {
-        assert!(play.world.more[id].ended.is_some() || play.withdrawn.contains_key(id), "{id} was never served");
+    for id in simulation.world.more.keys() {
+        assert!(simulation.world.more[id].ended.is_some() || simulation.withdrawn.contains_key(id), "{id} was never served");
     }
-    let withdrawn = play.withdrawn.len();
+    let withdrawn = simulation.withdrawn.len();
     assert!(jobs == 801 && (150..250).contains(&withdrawn), "{withdrawn} of {jobs} were withdrawn");
-    let left: usize = play
+    let left: usize = simulation
         .cluster
         .held()
         .into_iter()
         .filter(|(what, _)| ["ending", "to_store", "to_drop"].contains(what))
         .map(|(_, n)| n)
         .sum();
-    let kept = play.world.drop_chunks(&mut play.cluster);
-    assert_eq!((play.cluster.job_count(), left, kept), (0, 0, 0), "{:?}", play.cluster.held());
+    let kept = simulation.world.drop_chunks(&mut simulation.cluster);
+    assert_eq!((simulation.cluster.job_count(), left, kept), (0, 0, 0), "{:?}", simulation.cluster.held());
 }
 
 /// What one part of the day took of the state service, and how long its users waited.
@@ -87,64 +87,64 @@
 #[test]
 fn four_jobs_a_second_for_minutes_need_the_same_of_the_state_service_and_of_users_patience() {
     let names = ["m1", "m2", "m3", "m4", "m5"];
-    let mut play = Play::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
-    (play.plans, play.store) = (true, false);
-    let limits = play.cluster.settings.params.state.clone();
+    let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
+    (simulation.plans, simulation.store) = (true, false);
+    let limits = simulation.cluster.settings.params.state.clone();
     let of_owner = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
     let of_others = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
-    let mut budget = Budget::new(of_owner, of_owner, play.world.now);
+    let mut budget = Budget::new(of_owner, of_owner, simulation.world.now);
     let mut parts: Vec<Part> = (0..PARTS).map(|_| Part::default()).collect();
     let mut accepted: BTreeMap<JobId, Instant> = BTreeMap::new();
     let (mut started, mut exited): (BTreeMap<JobId, Instant>, BTreeMap<JobId, Instant>) = Default::default();
     for step in 0..(PART_S / STEP) as u32 * PARTS as u32 {
-        let (now, part) = (play.world.now, &mut parts[(f64::from(step) * STEP / PART_S) as usize]);
+        let (now, part) = (simulation.world.now, &mut parts[(f64::from(step) * STEP / PART_S) as usize]);
         for n in [2 * step + 2, 2 * step + 3] {
-            let id = play.world.accept(&mut play.cluster, n, |j| j.estimate_s = 2.0);
-            part.changes_of_others += moves::accept(&play.cluster.job(&id).unwrap().record, false).changes.len();
+            let id = simulation.world.accept(&mut simulation.cluster, n, |j| j.estimate_s = 2.0);
+            part.changes_of_others += moves::accept(&simulation.cluster.job(&id).unwrap().record, false).changes.len();
             part.transactions += 1;
             accepted.insert(id, now);
         }
         // Each fourth is called off while it waits or runs.
         if step % 2 == 1 {
             let id = JobId::from(format!("run-{:06}", 2 * step - (step % 5)).as_str());
-            if let Some(record) = play.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
+            if let Some(record) = simulation.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
             {
                 part.changes_of_others += moves::withdraw(&record, None, 0).changes.len();
                 part.transactions += 1;
-                play.withdraw(&id);
+                simulation.withdraw(&id);
             }
         }
         if step == 200 {
-            play.successor();
+            simulation.successor();
         }
         for m in names {
-            for leg in play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
                 let id = &leg.task.job;
                 let since = *started.entry(id.clone()).or_insert(now);
                 if let Some(at) = accepted.get(id) {
                     part.start_s = part.start_s.max((since - *at).as_secs_f64());
                 }
                 if now - since >= s(2.0) {
-                    play.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
+                    simulation.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
                     exited.insert(id.clone(), now);
                 }
             }
         }
-        play.step();
+        simulation.step();
         // As group commit: what the budget holds goes in one transaction, and clean-up gives way.
-        let now = play.world.now;
+        let now = simulation.world.now;
         let part = &mut parts[(f64::from(step) * STEP / PART_S) as usize];
         let most = (budget.ready(Urgent::Second, now).max(0.0) as usize).min(limits.txn_ops as usize);
-        let stored = play.world.store_some(&mut play.cluster, most, now);
+        let stored = simulation.world.store_some(&mut simulation.cluster, most, now);
         assert!(stored == 0 || budget.take(stored as f64, Urgent::First, now).is_ok(), "step {step}");
         let room = (budget.ready(Urgent::Last, now).max(0.0) as usize).min(limits.txn_ops as usize);
-        let dropped = play.world.drop_some(&mut play.cluster, room);
+        let dropped = simulation.world.drop_some(&mut simulation.cluster, room);
         assert!(dropped == 0 || budget.take(dropped as f64, Urgent::Last, now).is_ok(), "step {step}");
         part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
         part.changes_of_owner += stored + dropped;
-        for (id, at) in exited.extract_if(.., |id, _| play.world.more.get(id).is_some_and(|kept| kept.ended.is_some()))
+        for (id, at) in exited.extract_if(.., |id, _| simulation.world.more.get(id).is_some_and(|kept| kept.ended.is_some()))
         {
-            if play.world.more[&id].ended == Some(End::Done) {
+            if simulation.world.more[&id].ended == Some(End::Done) {
                 part.done_s = part.done_s.max((now - at).as_secs_f64());
             }
         }
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -1,13 +1,13 @@
 //! Teams at their limits while jobs are withdrawn whose machines are cut off or hang, and the leader changes.
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
 
 /// A team of 20 cores has five tasks of four on three machines: one is well, one hangs, one is cut off. They are
 /// withdrawn under the owner, or under its successor while the two can't be asked; the next five of the team wait. The
-/// play checks at every step that never more than 20 cores of it run, wherever. In the end all five do.
+/// simulation checks at every step that never more than 20 cores of it run, wherever. In the end all five do.
 #[test]
 fn a_withdrawn_task_counts_for_its_team_until_it_is_proven_gone() {
     // Seconds from the trouble's begin to the withdrawal, and to the changes of leaders.
@@ -17,40 +17,40 @@
         for (cloud, back_at) in [(true, 1000.0), (true, 15.0), (false, 15.0), (false, 40.0)] {
             let name = format!("withdrawn {withdrawn_at}, changes {changes:?}, cloud {cloud}, back {back_at}");
             let machines = [("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")];
-            let mut play =
-                Play::new(&machines, |j| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0));
+            let mut simulation =
+                Simulation::new(&machines, |j| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0));
             for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-                play.world.place_these(&mut play.cluster, indices, m);
-                play.reports(m);
-                play.reports(m);
+                simulation.world.place_these(&mut simulation.cluster, indices, m);
+                simulation.reports(m);
+                simulation.reports(m);
             }
             let next = |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0);
-            let next = play.world.accept(&mut play.cluster, 2, next);
-            (play.plans, play.cloud) = (true, cloud);
-            play.run(3.0);
-            assert_eq!((play.cores("red"), play.live(&next).len()), (20.0, 0), "{name}");
-            (play.hang, play.outbound_lost, play.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
+            let next = simulation.world.accept(&mut simulation.cluster, 2, next);
+            (simulation.plans, simulation.cloud) = (true, cloud);
+            simulation.run(3.0);
+            assert_eq!((simulation.cores("red"), simulation.live(&next).len()), (20.0, 0), "{name}");
+            (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
             let mut most = 0;
             for step in 0..160 {
                 let t = f64::from(step) * STEP;
                 if changes.contains(&t) {
-                    play.successor();
+                    simulation.successor();
                 }
                 if t == withdrawn_at {
-                    play.withdraw(&JOB.into());
+                    simulation.withdraw(&JOB.into());
                 }
                 if t == back_at {
-                    (play.hang, play.outbound_lost, play.unreached) = (vec![], vec![], vec![]);
+                    (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec![], vec![], vec![]);
                 }
-                play.step();
-                assert!(play.cluster.usage["red"].0 <= 20.0, "{name}: at {t}");
-                most = most.max(play.live(&next).len());
+                simulation.step();
+                assert!(simulation.cluster.usage["red"].0 <= 20.0, "{name}: at {t}");
+                most = most.max(simulation.live(&next).len());
                 // Only the well one's task is proven gone while the others can't be asked.
                 if t < withdrawn_at + 18.0 && t < back_at && t < 11.0 {
                     assert!(most <= 1, "{name}: at {t} s {most} of the next run");
                 }
             }
-            assert_eq!(play.live(&next).len(), 5, "{name}: the room is used");
+            assert_eq!(simulation.live(&next).len(), 5, "{name}: the room is used");
         }
     }
 }
@@ -59,38 +59,38 @@
 /// it. Until it is, nothing is decided; then it counts, and no record means that nothing of its team starts.
 #[test]
 fn what_a_successor_reads_of_ended_jobs_counts_before_anything_is_placed() {
-    let mut play = Play::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
+    let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
         (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into());
     });
     for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-        play.world.place_these(&mut play.cluster, indices, m);
-        play.reports(m);
+        simulation.world.place_these(&mut simulation.cluster, indices, m);
+        simulation.reports(m);
     }
-    play.withdraw(&JOB.into());
-    play.cluster = play.world.assigned();
-    let next = play.world.accept(&mut play.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
-    play.plans = true;
-    (play.outbound_lost, play.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
-    play.listed();
+    simulation.withdraw(&JOB.into());
+    simulation.cluster = simulation.world.assigned();
+    let next = simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
+    simulation.plans = true;
+    (simulation.outbound_lost, simulation.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
+    simulation.listed();
     // Reports come before everything is read, and are answered with nothing to start.
     for m in ["m1", "m2", "m3", "m4", "m5"] {
-        let answer = play.world.asks(&mut play.cluster, m);
+        let answer = simulation.world.asks(&mut simulation.cluster, m);
         assert!(answer.orders.is_empty());
     }
-    assert_eq!(placed(&mut play.cluster, play.world.now), [], "not read yet");
-    play.world.load(&mut play.cluster);
-    assert_eq!(play.cluster.usage["red"].0, 20.0);
+    assert_eq!(placed(&mut simulation.cluster, simulation.world.now), [], "not read yet");
+    simulation.world.load(&mut simulation.cluster);
+    assert_eq!(simulation.cluster.usage["red"].0, 20.0);
     for _ in 0..20 {
-        play.step();
-        assert_eq!(play.live(&next), [], "all count that nobody has proven gone");
+        simulation.step();
+        assert_eq!(simulation.live(&next), [], "all count that nobody has proven gone");
     }
-    (play.outbound_lost, play.unreached) = (vec![], vec![]);
-    play.run(20.0);
-    assert_eq!((play.live(&JOB.into()).len(), play.live(&next).len()), (0, 5));
+    (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
+    simulation.run(20.0);
+    assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&next).len()), (0, 5));
 }
 
 /// Both teams are at their limits on machines that are well, hang, are cut off, or are cut off with a deposed owner that
-/// goes on answering them and knows of no withdrawal. All their jobs are withdrawn around changes of leaders; the play
+/// goes on answering them and knows of no withdrawal. All their jobs are withdrawn around changes of leaders; the simulation
 /// checks at every step that no team is above its limit and that what is withdrawn is gone in time. In the end the
 /// next jobs of both teams run.
 #[test]
@@ -108,49 +108,49 @@
                 move |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, team.into(), 9000.0)
             };
             let machines = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"].map(|m| (m, "a"));
-            let mut play = Play::new(&machines, full("red"));
-            for team in play.world.settings.params.teams.iter_mut().chain(&mut play.cluster.settings.params.teams) {
+            let mut simulation = Simulation::new(&machines, full("red"));
+            for team in simulation.world.settings.params.teams.iter_mut().chain(&mut simulation.cluster.settings.params.teams) {
                 team.cpus_max = 20.0;
             }
-            let blue = play.world.accept(&mut play.cluster, 2, full("blue"));
-            play.plans = true;
-            play.run(6.0);
+            let blue = simulation.world.accept(&mut simulation.cluster, 2, full("blue"));
+            simulation.plans = true;
+            simulation.run(6.0);
             let (red, mut withdrawn) = (JobId::from(JOB), false);
-            let next = [(3, "red"), (4, "blue")].map(|(n, team)| play.world.accept(&mut play.cluster, n, full(team)));
-            assert_eq!((play.cores("red"), play.cores("blue")), (20.0, 20.0), "{name}");
-            let mut used: Vec<&'static str> = play.live(&red).into_iter().map(|(_, m)| m).collect();
-            used.extend(play.live(&blue).into_iter().map(|(_, m)| m));
+            let next = [(3, "red"), (4, "blue")].map(|(n, team)| simulation.world.accept(&mut simulation.cluster, n, full(team)));
+            assert_eq!((simulation.cores("red"), simulation.cores("blue")), (20.0, 20.0), "{name}");
+            let mut used: Vec<&'static str> = simulation.live(&red).into_iter().map(|(_, m)| m).collect();
+            used.extend(simulation.live(&blue).into_iter().map(|(_, m)| m));
             used.sort_unstable();
             used.dedup();
             assert_eq!(used.len(), 5, "{name}: two tasks on each");
-            play.hang = vec![used[0]];
-            (play.outbound_lost, play.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
+            simulation.hang = vec![used[0]];
+            (simulation.outbound_lost, simulation.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
             let held_by_deposed = &used[2..4];
-            let successor = play.world.owner();
-            let mut deposed = std::mem::replace(&mut play.cluster, successor);
-            play.listed();
+            let successor = simulation.world.owner();
+            let mut deposed = std::mem::replace(&mut simulation.cluster, successor);
+            simulation.listed();
             for step in 0..200 {
                 let t = f64::from(step) * STEP;
                 if changes.contains(&t) {
-                    play.successor();
+                    simulation.successor();
                 }
                 if t == withdrawn_at {
                     withdrawn = true;
-                    play.withdraw(&red);
-                    play.withdraw(&blue);
+                    simulation.withdraw(&red);
+                    simulation.withdraw(&blue);
                 }
                 if t == back_at {
-                    (play.hang, play.outbound_lost, play.unreached) = (vec![], vec![], vec![]);
+                    (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec![], vec![], vec![]);
                 }
                 if t < back_at && step % REPORT_STEPS as i32 == 0 {
-                    play.answered_by(&mut deposed, held_by_deposed);
+                    simulation.answered_by(&mut deposed, held_by_deposed);
                 }
-                play.step();
-                let counted = |team: &str| play.cluster.usage.get(team).map_or(0.0, |used| used.0);
+                simulation.step();
+                let counted = |team: &str| simulation.cluster.usage.get(team).map_or(0.0, |used| used.0);
                 assert!(counted("red") <= 20.0 && counted("blue") <= 20.0, "{name}: at {t} s");
             }
             assert!(withdrawn, "{name}");
-            assert_eq!(next.map(|id| play.live(&id).len()), [5, 5], "{name}: the room is used");
+            assert_eq!(next.map(|id| simulation.live(&id).len()), [5, 5], "{name}: the room is used");
         }
     }
 }
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn plays of the cluster state, plans,
+//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn simulations of the cluster state, plans,
 //! holds, preemption and draining, with idle work among the rest.
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::play::{Play, STEP};
+use super::simulation::{Simulation, STEP};
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
@@ -25,9 +25,9 @@
 
 /// What is left of a machine, as (cpus, gpus, GB), by what runs on it and what is bound to it. One that is
 /// drained since it can be spared has room for as long as it is there; one on which tasks fail has none.
-fn room_left(play: &Play, m: &str) -> Option<(f64, f64, f64)> {
-    let worker = &play.world.workers[m];
-    let machine = play.cluster.machines.get(m)?;
+fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
+    let worker = &simulation.world.workers[m];
+    let machine = simulation.cluster.machines.get(m)?;
     let stays = machine.state == MachineState::Up || (machine.state == MachineState::Draining && machine.spared);
     if worker.gone || !stays || machine.recall.is_some() {
         return None;
@@ -36,31 +36,31 @@
     let taken = machine.taken();
     let mut left = (of.cpus - taken.cpus, of.gpus - taken.gpus, of.memory_gb - taken.memory_gb);
     for leg in worker.legs.iter().filter(|l| l.status != LegStatus::Exited && !machine.bound.contains(&l.task)) {
-        let spec = play.world.spec_of(&leg.task.job);
+        let spec = simulation.world.spec_of(&leg.task.job);
         left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
     }
     Some(left)
 }
 
 /// Whether a job could start something now: one task of an array or a service, all of a gang.
-fn could_start(play: &Play, id: &JobId) -> bool {
-    let Some(job) = play.cluster.job(id) else { return false };
+fn could_start(simulation: &Simulation, id: &JobId) -> bool {
+    let Some(job) = simulation.cluster.job(id) else { return false };
     let spec = job.spec();
     let gang = spec.is_gang();
     if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
         return false;
     }
     let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&play.cluster).allows(spec, need as f64) {
+    if !plan::Quotas::new(&simulation.cluster).allows(spec, need as f64) {
         return false;
     }
     let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
     zones.iter().any(|zones| {
-        let mut at = Zones::new(&play.cluster, job);
+        let mut at = Zones::new(&simulation.cluster, job);
         let mut found = 0;
-        for (m, worker) in &play.world.workers {
+        for (m, worker) in &simulation.world.workers {
             let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
-            let Some(mut left) = room_left(play, m).filter(|_| open) else { continue };
+            let Some(mut left) = room_left(simulation, m).filter(|_| open) else { continue };
             let fits = |left: (f64, f64, f64)| {
                 spec.cpus <= left.0 + SLACK && spec.gpus <= left.1 + SLACK && spec.memory_gb <= left.2 + SLACK
             };
@@ -74,11 +74,11 @@
     })
 }
 
-/// One play: its draws, and how long jobs have waited beside room.
+/// One simulation: its draws, and how long jobs have waited beside room.
 struct Day {
     seed: u64,
     rng: StdRng,
-    play: Play,
+    simulation: Simulation,
     account: Account,
     /// Users are promised a start sooner than machines boot, so that room is kept for arrivals.
     prompt: bool,
@@ -93,16 +93,16 @@
 impl Day {
     fn new(seed: u64) -> Self {
         let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
-        let mut play = Play::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
+        let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
         for m in &NAMES[7..] {
-            play.world.workers.get_mut(m).unwrap().type_name = "g2";
+            simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
         }
-        play.plans = true;
-        let account = Account::new(&play.cluster.settings, &play.cluster.properties, play.world.now);
+        simulation.plans = true;
+        let account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
         Self {
             seed,
             rng: StdRng::seed_from_u64(seed),
-            play,
+            simulation,
             account,
             prompt: seed % 4 >= 2,
             steady: seed.is_multiple_of(2),
@@ -119,7 +119,7 @@
         let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
         let urgencies = [Urgency::Prod, Urgency::High, Urgency::Normal, Urgency::Idle, Urgency::Idle];
         let urgency = urgencies[rng.random_range(0..urgencies.len())];
-        let id = self.play.world.accept(&mut self.play.cluster, self.jobs, |j| {
+        let id = self.simulation.world.accept(&mut self.simulation.cluster, self.jobs, |j| {
             (j.shape, j.urgency) = (shape, urgency);
             j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
             j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -134,36 +134,36 @@
             (j.checkpoint_s, j.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
         });
         if rng.random_bool(0.15) {
-            self.play.withdraw(&id);
+            self.simulation.withdraw(&id);
         }
     }
 
     fn trouble(&mut self) {
         let m = NAMES[self.rng.random_range(0..10usize)];
-        let play = &mut self.play;
+        let simulation = &mut self.simulation;
         match self.rng.random_range(0..7) {
-            0 => play.outbound_lost.push(m),
-            1 => play.hang.push(m),
-            2 => play.inbound_lost.push(m),
-            3 => (play.outbound_lost.push(m), play.unreached.push(m)).0,
-            4 => (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default(),
-            5 => play.successor(),
-            _ => play.store = !play.store,
+            0 => simulation.outbound_lost.push(m),
+            1 => simulation.hang.push(m),
+            2 => simulation.inbound_lost.push(m),
+            3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
+            4 => (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default(),
+            5 => simulation.successor(),
+            _ => simulation.store = !simulation.store,
         }
-        for list in [&mut play.outbound_lost, &mut play.hang, &mut play.inbound_lost, &mut play.unreached] {
+        for list in [&mut simulation.outbound_lost, &mut simulation.hang, &mut simulation.inbound_lost, &mut simulation.unreached] {
             list.retain(|m| !SOUND.contains(m));
         }
     }
 
     /// Tasks end, or fail while there are troubles.
     fn tasks_end(&mut self, trouble: bool) {
-        let now = self.play.world.now;
-        for m in NAMES.into_iter().filter(|m| !self.play.hang.contains(m)) {
-            if self.play.world.workers[m].gone {
+        let now = self.simulation.world.now;
+        for m in NAMES.into_iter().filter(|m| !self.simulation.hang.contains(m)) {
+            if self.simulation.world.workers[m].gone {
                 continue;
             }
-            for leg in self.play.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                let run = self.play.world.spec_of(&leg.task.job).estimate_s;
+            for leg in self.simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
+                let run = self.simulation.world.spec_of(&leg.task.job).estimate_s;
                 let rng = &mut self.rng;
                 let at = self
                     .ends
@@ -172,7 +172,7 @@
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { Cause::Error } else { Cause::Done };
-                    self.play.world.exits_of(m, &leg.task, leg.attempt, cause);
+                    self.simulation.world.exits_of(m, &leg.task, leg.attempt, cause);
                 }
             }
         }
@@ -180,7 +180,7 @@
 
     /// The owner's decisions but for placement; of the machines that can be spared at most one is drained at a time.
     fn decide(&mut self, step: u32) {
-        let (cluster, now) = (&mut self.play.cluster, self.play.world.now);
+        let (cluster, now) = (&mut self.simulation.cluster, self.simulation.world.now);
         if self.prompt && cluster.settings.params.objectives.is_empty() {
             let objective = Objective { kind: "wait".into(), class: "c".into(), within_s: 1.0, times: 0.0, share: 0.8 };
             cluster.settings.params.objectives.push(objective);
@@ -203,18 +203,18 @@
     /// What idle work that runs already has no claim to is the room kept for prompt arrivals.
     fn counts(&self, id: &JobId) -> bool {
         let begun_idle = |j: &crate::scheduling::cluster::JobState| j.spec().is_idle() && !j.bound.is_empty();
-        !(self.prompt && self.play.cluster.job(id).is_some_and(begun_idle))
+        !(self.prompt && self.simulation.cluster.job(id).is_some_and(begun_idle))
     }
 
     fn note_waits(&mut self, t: f64) {
-        let ids: Vec<JobId> = self.play.cluster.jobs().map(|(id, _)| id.clone()).collect();
+        let ids: Vec<JobId> = self.simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
         self.waits.retain(|id, _| ids.contains(id));
         for id in ids {
-            let waits = self.counts(&id) && could_start(&self.play, &id);
+            let waits = self.counts(&id) && could_start(&self.simulation, &id);
             let waited = self.waits.entry(id.clone()).or_default();
             *waited = if waits { *waited + STEP } else { 0.0 };
             if *waited > self.longest.0 {
-                let job = self.play.cluster.job(&id);
+                let job = self.simulation.cluster.job(&id);
                 let (bound, spec) = (job.map(|j| j.bound.len()), job.map(|j| j.spec()));
                 self.longest = (*waited, format!("seed {}, at {t} s: bound {bound:?}, {spec:?}", self.seed));
             }
@@ -222,7 +222,7 @@
     }
 
     /// The longest wait beside room once the troubles are over, in seconds, and whose it was.
-    fn play(mut self) -> (f64, String) {
+    fn simulate(mut self) -> (f64, String) {
         for step in 0..(END_S / STEP) as u32 {
             let t = f64::from(step) * STEP;
             let trouble = t < TROUBLES_S;
@@ -233,13 +233,13 @@
                 self.trouble();
             }
             if !trouble {
-                let play = &mut self.play;
-                (play.outbound_lost, play.hang, play.inbound_lost, play.unreached) = Default::default();
-                play.store = true;
+                let simulation = &mut self.simulation;
+                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default();
+                simulation.store = true;
             }
             self.tasks_end(trouble);
             self.decide(step);
-            self.play.step();
+            self.simulation.step();
             if !trouble {
                 self.note_waits(t);
             }
@@ -250,7 +250,7 @@
 
 #[test]
 fn once_the_troubles_are_over_no_job_of_any_urgency_waits_beside_room() {
-    let longest: Vec<(f64, String)> = (0..32).map(|seed| Day::new(seed).play()).collect();
+    let longest: Vec<(f64, String)> = (0..32).map(|seed| Day::new(seed).simulate()).collect();
     let late: Vec<&(f64, String)> = longest.iter().filter(|(waited, _)| *waited >= LIMIT_S).collect();
     assert!(late.is_empty(), "waited for {LIMIT_S} s or more: {late:#?}");
 }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -1,4 +1,4 @@
-//! What plays of fixed steps with the cluster state share: a store that keeps what it was given, and workers that do as the
+//! What simulations of fixed steps with the cluster state share: a store that keeps what it was given, and workers that do as the
 //! protocol says and check the rules at every start.
 
 use super::*;
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -1,11 +1,11 @@
 //! Jobs bound to one zone, arrays too, lose machines.
 
-use super::play::*;
+use super::simulation::*;
 use super::world::*;
 use super::*;
 
 /// Four tasks, then machines of theirs hang, are cut off, or a successor has never heard them and is told no list: the
-/// others are placed only where the rule allows by all that is not proven gone, which the play checks at each step;
+/// others are placed only where the rule allows by all that is not proven gone, which the simulation checks at each step;
 /// and in the end all run, in the other zone where the first has no room left.
 #[test]
 fn what_was_lost_is_replaced_only_where_the_rest_allows() {
@@ -23,48 +23,48 @@
         {
             let name = format!("{name}: {trouble}, successor {successor}, listed {listed}");
             let machines = [("m1", "a"), ("m2", "a"), ("m3", "b"), ("m4", "b"), ("m5", "b"), ("m6", "b")];
-            let mut play = Play::new(&machines, |j| {
+            let mut simulation = Simulation::new(&machines, |j| {
                 (j.tasks, j.cpus, j.estimate_s) = (4, 4.0, 600.0);
                 change(j);
             });
             // Room for it in one zone alone, at first.
-            let full = play.world.accept(&mut play.cluster, 2, |j| {
+            let full = simulation.world.accept(&mut simulation.cluster, 2, |j| {
                 (j.tasks, j.cpus, j.zone, j.shape, j.estimate_s) = (4, 8.0, Some("b".into()), Shape::Service, 0.0);
             });
-            let scattered = play.world.record.spec.spread;
-            play.plans = true;
+            let scattered = simulation.world.record.spec.spread;
+            simulation.plans = true;
             if scattered {
-                play.withdraw(&full);
+                simulation.withdraw(&full);
             }
-            play.run(6.0);
-            assert_eq!(play.live(&JOB.into()).len(), 4, "{name}");
+            simulation.run(6.0);
+            assert_eq!(simulation.live(&JOB.into()).len(), 4, "{name}");
             if !scattered {
-                play.withdraw(&full);
+                simulation.withdraw(&full);
             }
-            play.run(4.0);
+            simulation.run(4.0);
             let lost = ["m1", "m2"];
             match trouble {
-                "hang" => play.hang = lost.into(),
-                "cut" => (play.outbound_lost, play.unreached) = (lost.into(), lost.into()),
+                "hang" => simulation.hang = lost.into(),
+                "cut" => (simulation.outbound_lost, simulation.unreached) = (lost.into(), lost.into()),
                 _ => lost.iter().for_each(|m| {
                     // Died, and nobody has told the owner.
-                    play.world.workers.get_mut(m).unwrap().legs.clear();
-                    play.hang = lost.into();
+                    simulation.world.workers.get_mut(m).unwrap().legs.clear();
+                    simulation.hang = lost.into();
                 }),
             }
             if successor {
-                play.cluster = play.world.owner();
+                simulation.cluster = simulation.world.owner();
                 if listed {
-                    play.listed();
+                    simulation.listed();
                 }
             }
             // One of its tasks that are well ends up stopped, and waits again: so something is to be placed meanwhile.
-            play.run(4.0);
-            if let Some((index, _)) = play.live(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
-                play.cluster.halt(&task(index), 0, play.world.now);
+            simulation.run(4.0);
+            if let Some((index, _)) = simulation.live(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
+                simulation.cluster.halt(&task(index), 0, simulation.world.now);
             }
-            play.run(80.0);
-            let live = play.live(&JOB.into());
+            simulation.run(80.0);
+            let live = simulation.live(&JOB.into());
             assert_eq!(live.len(), left, "{name}: {live:?}");
         }
     }
@@ -76,21 +76,21 @@
 fn where_an_inherited_task_is_has_to_be_known() {
     // (its zone, scattered or in one zone, placed once it is known)
     for (zone, scattered, want) in [("a", true, 0), ("b", true, 2), ("a", false, 2), ("b", false, 0)] {
-        let mut play = Play::new(&[("m1", zone), ("m2", "a")], |j| {
+        let mut simulation = Simulation::new(&[("m1", zone), ("m2", "a")], |j| {
             (j.tasks, j.same_zone, j.spread, j.estimate_s) = (4, !scattered, scattered, 600.0);
         });
-        play.world.place_these(&mut play.cluster, &[0, 1], "m1");
-        play.reports("m1");
-        assert_eq!(play.live(&JOB.into()).len(), 2);
-        (play.outbound_lost, play.unreached) = (vec!["m1"], vec!["m1"]);
-        play.cluster = play.world.owner();
-        play.reports("m2");
-        play.reports("m2");
-        play.plans = true;
-        play.run(4.0);
-        assert_eq!(play.live(&JOB.into()).len(), 2, "zone {zone}, scattered {scattered}: nothing is known yet");
-        play.listed();
-        play.run(4.0);
-        assert_eq!(play.live(&JOB.into()).len(), 2 + want, "zone {zone}, scattered {scattered}");
+        simulation.world.place_these(&mut simulation.cluster, &[0, 1], "m1");
+        simulation.reports("m1");
+        assert_eq!(simulation.live(&JOB.into()).len(), 2);
+        (simulation.outbound_lost, simulation.unreached) = (vec!["m1"], vec!["m1"]);
+        simulation.cluster = simulation.world.owner();
+        simulation.reports("m2");
+        simulation.reports("m2");
+        simulation.plans = true;
+        simulation.run(4.0);
+        assert_eq!(simulation.live(&JOB.into()).len(), 2, "zone {zone}, scattered {scattered}: nothing is known yet");
+        simulation.listed();
+        simulation.run(4.0);
+        assert_eq!(simulation.live(&JOB.into()).len(), 2 + want, "zone {zone}, scattered {scattered}");
     }
 }
--- a/tests/half_the_fleet.rs
+++ b/tests/half_the_fleet.rs
@@ -36,7 +36,7 @@
     answer["status"].as_str().map(str::to_owned)
 }
 
-fn play(seed: u64) -> Verdict {
+fn simulate(seed: u64) -> Verdict {
     let outside = Runtime::new().unwrap();
     let mut params = params();
     (params.seed, params.judged, params.fleet.lease, params.boots) = (seed, true, LEASE, Boots::Usual);
@@ -90,7 +90,7 @@
 
 fn all_arrive(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let verdict = play(seed);
+        let verdict = simulate(seed);
         assert!(verdict.clean(), "seed {seed}: {} {:?} {:?}", verdict.line(), verdict.breaks, verdict.lost);
         assert_eq!(verdict.expected as u64, JOBS * TASKS - JOBS / 4 * (TASKS - 3), "seed {seed}");
     }
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! The emulator's world as these tests play it, and what it takes to run real controllers against it
+//! The emulator's world as these tests run it, and what it takes to run real controllers against it
 //! in the tests' own process. Every port is the system's choice.
 
 // A stand-in that panics fails its test, as it should; not every test uses all of it.
