--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -18,7 +18,7 @@
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.too_late(now.saturating_duration_since(job.since));
-                self.lane.note(job.spec().cpus, late, self.properties.served_late);
+                self.core_credit.note(job.spec().cpus, late, self.properties.served_late);
                 self.large.placed(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.touched += 1;
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -30,7 +30,7 @@
 use super::plan::beside::BesideRoom;
 use super::reservations::Reservation;
 use super::fairness::Note;
-use super::fairness::floor::{Below, Lane};
+use super::fairness::floor::{Below, CoreCredit};
 use super::fairness::promises::{Promise, next_start_s};
 use crate::fleet::orders::CloudOrder;
 use crate::jobs::record::{CHUNK, JobRecord, Stored};
@@ -351,7 +351,7 @@
     /// Whose fault failures are.
     pub attribution: FailureAttribution,
     /// What work that is late for everything may take before others.
-    pub lane: Lane,
+    pub core_credit: CoreCredit,
     /// Orders to the cloud that an earlier owner has left, for whoever carries them out.
     pub inherited: Vec<CloudOrder>,
     /// When jobs ended, of the last ones that this owner heard of.
@@ -430,7 +430,7 @@
             beside_room: BesideRoom::default(),
             below: Below::default(),
             attribution: FailureAttribution::default(),
-            lane: Lane::default(),
+            core_credit: CoreCredit::default(),
             inherited: Vec::new(),
             ended_at: LruCache::new(ENDED_KEPT),
             intents: Intents::default(),
@@ -493,7 +493,7 @@
     }
 
     /// What late work has earned is bounded by what the oldest of it needs.
-    pub fn bound_lane(&mut self, now: Instant) {
+    pub fn bound_core_credit(&mut self, now: Instant) {
         let waits = |job: &&JobState| !job.waiting.is_empty() && job.ended.is_none() && !job.complete();
         let late = self
             .jobs
@@ -504,7 +504,7 @@
             .filter(waits);
         let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
         let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.lane.bound(needs);
+        self.core_credit.bound(needs);
         let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
         self.large.bound(waits, self.properties.large_begin, now);
     }
--- a/src/scheduling/fairness/floor.rs
+++ b/src/scheduling/fairness/floor.rs
@@ -78,11 +78,11 @@
 /// Late work earns a part of what other work is given, in cores, and goes first as far as that
 /// reaches: behind what can be in time, but not for ever.
 #[derive(Debug, Clone, Default)]
-pub struct Lane {
+pub struct CoreCredit {
     credit: f64,
 }
 
-impl Lane {
+impl CoreCredit {
     /// Cores that late work may take before others.
     pub fn credit(&self) -> f64 {
         self.credit
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::floor::{Below, Lane, Names};
+use super::floor::{Below, CoreCredit, Names};
 use super::promises::{Promise, promises_of, starts_left_s};
 use super::*;
 use crate::jobs::record::time_of_day_ms;
@@ -384,7 +384,7 @@
 }
 
 /// Work that is too late for everything waits behind what can be in time; with more than fits coming
-/// for ever it would never start. The lane lets it: fails with no part for it.
+/// for ever it would never start. The core credit lets it: fails with no part for it.
 #[test]
 fn what_is_late_is_not_last_for_ever() {
     let starts = |part: f64| {
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn the_lane_earns_and_spends_by_cases() {
+fn the_core_credit_earns_and_spends_by_cases() {
     // (name, placements as (cores, late), needs of the oldest late, credit)
     type Case = (&'static str, &'static [(f64, bool)], Option<f64>, f64);
     let cases: [Case; 5] = [
@@ -421,10 +421,10 @@
         ("bounded by what the next one needs", &[(9000.0, false)], Some(480.0), 480.0),
     ];
     for (name, placed, needs, want) in cases {
-        let mut lane = Lane::default();
-        placed.iter().for_each(|(cores, late)| lane.note(*cores, *late, 0.1));
-        lane.bound(needs);
-        assert!((lane.credit() - want).abs() < 1e-9, "{name}: {}", lane.credit());
+        let mut core_credit = CoreCredit::default();
+        placed.iter().for_each(|(cores, late)| core_credit.note(*cores, *late, 0.1));
+        core_credit.bound(needs);
+        assert!((core_credit.credit() - want).abs() < 1e-9, "{name}: {}", core_credit.credit());
     }
 }
 
--- a/src/scheduling/fairness/tests/weigh.rs
+++ b/src/scheduling/fairness/tests/weigh.rs
@@ -7,7 +7,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::scheduling::fairness::floor::{Lane, Rank};
+use crate::scheduling::fairness::floor::{CoreCredit, Rank};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Way {
@@ -25,7 +25,7 @@
     Earliest,
     /// Below the floor first, by return.
     Absolute,
-    /// What was built: who is below the floor against all together goes first, by return; a lane for
+    /// What was built: who is below the floor against all together goes first, by return; a core credit for
     /// what is late.
     Floor,
 }
@@ -83,7 +83,7 @@
     let (mut waiting, mut running): (Vec<Job>, Vec<(Job, u32, usize)>) = (Vec::new(), Vec::new());
     let (mut came, mut kept) = (vec![0.0f64; n], vec![0.0f64; n]);
     let mut recent: VecDeque<(u32, usize, bool)> = VecDeque::new();
-    let (mut owed, mut lane) = (vec![0.0f64; n], Lane::default());
+    let (mut owed, mut core_credit) = (vec![0.0f64; n], CoreCredit::default());
     for t in 0..ENDS_S {
         for (at, class) in day.classes.iter().enumerate() {
             let (which, times, from, to) = day.flood;
@@ -163,8 +163,8 @@
                 .filter(|(_, j)| next(j).is_none())
                 .min_by_key(|(_, j)| (j.came_s, Reverse(j.class)));
             let late = late.map(|(at, j)| (at, day.classes[j.class].cores));
-            lane.bound(late.map(|(_, cores)| cores));
-            if let Some((at, _)) = late.filter(|(_, cores)| *cores <= lane.credit()) {
+            core_credit.bound(late.map(|(_, cores)| cores));
+            if let Some((at, _)) = late.filter(|(_, cores)| *cores <= core_credit.credit()) {
                 let job = waiting.remove(at);
                 waiting.insert(0, job);
             }
@@ -182,7 +182,7 @@
             let mine = taken[job.class] + class.cores <= (POOLS[0] + POOLS[1]) / n as f64 + 1.0;
             match pool.filter(|_| way != Way::Reserved || mine) {
                 Some(pool) => {
-                    lane.note(class.cores, next(&job).is_none(), LATE);
+                    core_credit.note(class.cores, next(&job).is_none(), LATE);
                     free[pool] -= class.cores;
                     taken[job.class] += class.cores;
                     owed[job.class] -= class.cores * f64::from(class.run_s);
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -15,7 +15,7 @@
 
 use super::cluster::{JobState, MOST_CLASSES};
 use super::plan::Turn;
-use super::fairness::floor::Lane;
+use super::fairness::floor::CoreCredit;
 use crate::jobs::{JobId, JobSpec};
 use crate::settings::Properties;
 
@@ -55,13 +55,13 @@
     fade: Duration,
     offered: (f64, f64),
     at: Instant,
-    lane: Lane,
+    core_credit: CoreCredit,
 }
 
 impl Large {
     pub fn new(properties: &Properties, now: Instant) -> Self {
         let (sizes, fade) = (LruCache::new(MOST_CLASSES), properties.served_window);
-        Self { sizes, fade, offered: (0.0, 0.0), at: now, lane: Lane::default() }
+        Self { sizes, fade, offered: (0.0, 0.0), at: now, core_credit: CoreCredit::default() }
     }
 
     /// Among the largest of its class, and of several tasks.
@@ -112,7 +112,7 @@
     pub fn placed(&mut self, spec: &JobSpec) {
         if !spec.is_idle() {
             let part = self.offered.0 / self.offered.1.max(1e-9);
-            self.lane.note(spec.cpus, self.is(spec), part);
+            self.core_credit.note(spec.cpus, self.is(spec), part);
         }
     }
 
@@ -124,16 +124,16 @@
     }
 
     /// Who of those that wait goes first now: the one that has waited longest, once enough is earned for it.
-    pub fn owed<'a>(&self, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
+    pub fn credited<'a>(&self, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
         let may = |t: &&Turn<'a>| !t.suspected && self.may(t.job, t.age, within);
         let oldest = turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
-        (oldest.job.cores_at_once() <= self.lane.credit()).then_some(oldest.id)
+        (oldest.job.cores_at_once() <= self.core_credit.credit()).then_some(oldest.id)
     }
 
     /// What is earned is bounded by what the oldest needs; nothing is earned where none waits.
     pub fn bound<'a>(&mut self, waiting: impl Iterator<Item = &'a JobState>, within: Duration, now: Instant) {
         let may = |job: &&JobState| self.may(job, now.saturating_duration_since(job.since), within);
         let needs = waiting.filter(may).min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.lane.bound(needs.map(|n| n * 2.0));
+        self.core_credit.bound(needs.map(|n| n * 2.0));
     }
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -128,7 +128,7 @@
     });
     let below = Account::below(account.look(open, now));
     cluster.set_below(below);
-    cluster.bound_lane(now);
+    cluster.bound_core_credit(now);
 }
 
 fn tell(rows: &[Row]) {
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -54,7 +54,7 @@
     /// Too late for all that was promised of it.
     pub late: bool,
     /// Needs much at once and has waited for long: it goes first within its rank, and room is kept for it.
-    pub owed: bool,
+    pub credited: bool,
     /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
     pub suspected: bool,
     task_return: f64,
@@ -87,7 +87,7 @@
                     job.spec().is_idle(),
                 ),
                 late,
-                owed: false,
+                credited: false,
                 suspected: cluster.attribution.suspects(id),
                 task_return: job.agreement.task_return(age + job.agreement.run),
                 age,
@@ -96,19 +96,19 @@
             }
         })
         .collect();
-    let owed = cluster.large.owed(&turns, cluster.properties.large_begin);
+    let credited = cluster.large.credited(&turns, cluster.properties.large_begin);
     let to_begin = cluster.large.to_begin(&turns, cluster.properties.large_begin);
     for turn in &mut turns {
-        turn.owed = owed == Some(turn.id);
+        turn.credited = credited == Some(turn.id);
         if to_begin == Some(turn.id) {
-            (turn.owed, turn.most, turn.rank) = (true, 1, turn.rank.min(Rank::ByReturn));
+            (turn.credited, turn.most, turn.rank) = (true, 1, turn.rank.min(Rank::ByReturn));
         }
     }
     turns.sort_by(|a, b| {
         (a.suspected.cmp(&b.suspected))
             .then(b.guaranteed.cmp(&a.guaranteed))
             .then(a.rank.cmp(&b.rank))
-            .then(b.owed.cmp(&a.owed))
+            .then(b.credited.cmp(&a.credited))
             .then(b.task_return.partial_cmp(&a.task_return).unwrap_or(Ordering::Equal))
             .then(b.age.cmp(&a.age))
             .then(a.id.cmp(b.id))
@@ -250,7 +250,7 @@
             job,
             over: now + agreement.run,
             pressed: agreement.within_reach(age) && !agreement.within_reach(age + PRESSED_WITHIN),
-            first: turn.rank == Rank::First || turn.owed,
+            first: turn.rank == Rank::First || turn.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
             backfill,
@@ -716,11 +716,11 @@
         turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.suspected && t.rank != Rank::Idle);
     let oldest = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)));
     if let Some((at, needs)) =
-        oldest.map(|(at, t)| (at, t.job.cores_at_once())).filter(|(_, n)| *n <= cluster.lane.credit())
+        oldest.map(|(at, t)| (at, t.job.cores_at_once())).filter(|(_, n)| *n <= cluster.core_credit.credit())
     {
         let turn = turns.remove(at);
         turns.insert(turns.iter().take_while(|t| t.guaranteed).count(), turn);
-        earned = Some((turn.id, (cluster.lane.credit() / needs.max(SLACK)) as usize));
+        earned = Some((turn.id, (cluster.core_credit.credit() / needs.max(SLACK)) as usize));
     }
     let mut plan = Plan::new(cluster, catalog, &turns, now);
     let mut quotas = Quotas::new(cluster);
@@ -761,7 +761,7 @@
             continue;
         }
         let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
-        let keep = may_keep && (turn.owed || earned.is_some_and(|(id, _)| id == turn.id));
+        let keep = may_keep && (turn.credited || earned.is_some_and(|(id, _)| id == turn.id));
         let mut zones = Zones::new(cluster, job);
         let placed = plan.place_job(&turn, &mut zones, most, keep);
         quotas.take(spec, placed.len() as f64);
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -39,7 +39,7 @@
     if turns.is_empty() {
         return reservations;
     }
-    turns.sort_by_key(|t| (Reverse(t.owed), t.rank, Reverse(t.age)));
+    turns.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
     intents::ahead_first(&mut turns);
     turns.truncate(MOST_RESERVING);
     let ground = Ground::new(cluster, catalog);
