--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -3,7 +3,7 @@
 use tracing::Level;
 
 use super::intents::{Left, add_intents};
-use super::round::{Round, DeclaredWindow};
+use super::jobs_by_window::{JobsByWindow, DeclaredWindow};
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
@@ -37,15 +37,15 @@
     }
 }
 
-fn round<'v>(view: &'v View) -> &'v Round {
-    view.round.get_or_init(|| {
+fn jobs_by_window<'v>(view: &'v View) -> &'v JobsByWindow {
+    view.jobs_by_window.get_or_init(|| {
         let declared_window = |(name, spec, _): (&str, Spec, u64)| {
             let status = view.registry.status::<Window>(name).map(|(status, _)| status).unwrap_or_default();
             DeclaredWindow::new(name, spec, status)
         };
         let windows: Vec<DeclaredWindow> = view.registry.specs::<Window>().map(declared_window).collect();
         let open = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
-        Round::of(&windows, open.map(|(_, job)| &job.record))
+        JobsByWindow::of(&windows, open.map(|(_, job)| &job.record))
     })
 }
 
@@ -66,13 +66,13 @@
     }
 
     fn step(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<Status> {
-        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), comers: round(view).comers(name) };
+        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let next = next(spec, status, &facts);
         (next != *status).then_some(next)
     }
 
     fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
-        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), comers: round(view).comers(name) };
+        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         let within = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
         let left = view.settings.team(&spec.team).map_or(Left { cpus: 0.0, gpus: 0.0 }, |team| Left {
--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -106,16 +106,16 @@
         Fate::Open { needs_s, .. } => now_ms < latest_ms(closes_ms, needs_s),
         _ => false,
     };
-    for claim in claims(spec, &instance, facts.comers) {
+    for claim in claims(spec, &instance, facts.arrivals) {
         if still(instance.closes_ms, (facts.fate)(&claim.job)) {
             intents.not_yet.insert(claim.job);
         }
     }
     // The instance before theirs is about to end.
-    for comer in facts.comers.iter().filter(|comer| comer.day > instance.day) {
-        let closes_ms = spec.on(comer.day).map_or(0, |span| span.closes_ms);
-        if still(closes_ms, (facts.fate)(&comer.record.spec.id)) {
-            intents.not_yet.insert(comer.record.spec.id.clone());
+    for arrival in facts.arrivals.iter().filter(|arrival| arrival.day > instance.day) {
+        let closes_ms = spec.on(arrival.day).map_or(0, |span| span.closes_ms);
+        if still(closes_ms, (facts.fate)(&arrival.record.spec.id)) {
+            intents.not_yet.insert(arrival.record.spec.id.clone());
         }
     }
     let soon = now_ms.saturating_add(AHEAD_MS) >= instance.opens_ms;
--- a/src/calendar/round.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -9,7 +9,7 @@
 
 use super::spec::{Span, Spec, Times};
 use super::status::Status;
-use super::step::Comer;
+use super::step::Arrival;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, Shape};
 
@@ -40,11 +40,11 @@
 
 /// Open jobs by window, as they were accepted.
 #[derive(Debug, Default)]
-pub struct Round {
-    comers: HashMap<String, Vec<Comer>>,
+pub struct JobsByWindow {
+    arrivals: HashMap<String, Vec<Arrival>>,
 }
 
-impl Round {
+impl JobsByWindow {
     /// The open jobs that belong to each of these windows.
     pub fn of<'a>(windows: &[DeclaredWindow], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
         let mut by_class: HashMap<(&str, &str), Vec<&DeclaredWindow>> = HashMap::new();
@@ -55,7 +55,7 @@
             }
             claimed.extend(window.status.current.iter().flat_map(|i| &i.claims).map(|claim| &claim.job));
         }
-        let mut comers: HashMap<String, Vec<Comer>> = HashMap::new();
+        let mut arrivals: HashMap<String, Vec<Arrival>> = HashMap::new();
         for record in jobs {
             let job = &record.spec;
             // A service never ends: it could not be done by a closing.
@@ -70,18 +70,18 @@
             });
             let open = |(window, span): &(&DeclaredWindow, Span)| window.status.last_day().is_none_or(|last| span.day > last);
             if let Some((window, span)) = first.filter(open) {
-                let comer = Comer { record: record.clone(), day: span.day };
-                comers.entry(window.name.clone()).or_default().push(comer);
+                let arrival = Arrival { record: record.clone(), day: span.day };
+                arrivals.entry(window.name.clone()).or_default().push(arrival);
             }
         }
-        for of_window in comers.values_mut() {
+        for of_window in arrivals.values_mut() {
             of_window.sort_by(|a, b| (a.record.at_ms, &a.record.spec.id).cmp(&(b.record.at_ms, &b.record.spec.id)));
         }
-        Self { comers }
+        Self { arrivals }
     }
 
     /// The jobs that belong to this window.
-    pub fn comers(&self, window: &str) -> &[Comer] {
-        self.comers.get(window).map_or(&[], Vec::as_slice)
+    pub fn arrivals(&self, window: &str) -> &[Arrival] {
+        self.arrivals.get(window).map_or(&[], Vec::as_slice)
     }
 }
--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -5,7 +5,7 @@
 
 mod declare;
 mod intents;
-mod round;
+mod jobs_by_window;
 mod spec;
 mod status;
 mod step;
@@ -13,6 +13,6 @@
 mod tests;
 
 pub use declare::Window;
-pub use round::Round;
+pub use jobs_by_window::JobsByWindow;
 pub use spec::Spec;
 pub use status::Status;
--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -43,7 +43,7 @@
 
 /// A job that belongs to the window, and the day of its instance.
 #[derive(Debug, Clone)]
-pub struct Comer {
+pub struct Arrival {
     pub record: Arc<JobRecord>,
     pub day: Day,
 }
@@ -53,7 +53,7 @@
     pub now_ms: u64,
     pub fate: &'a dyn Fn(&JobId) -> Fate,
     /// Open jobs of this window as they were accepted.
-    pub comers: &'a [Comer],
+    pub arrivals: &'a [Arrival],
 }
 
 /// Seconds that a task needs from its start to its end, by an estimate of its run time.
@@ -102,10 +102,10 @@
 }
 
 /// Jobs that would claim now, in order, with their turns.
-pub fn claims(spec: &Spec, instance: &Instance, comers: &[Comer]) -> Vec<Claim> {
+pub fn claims(spec: &Spec, instance: &Instance, arrivals: &[Arrival]) -> Vec<Claim> {
     let mut with = instance.clone();
-    for comer in comers.iter().filter(|comer| comer.day == instance.day) {
-        let job = &comer.record.spec;
+    for arrival in arrivals.iter().filter(|arrival| arrival.day == instance.day) {
+        let job = &arrival.record.spec;
         if let Some(turn) = turn_for(spec, &with, &job.id, &job.class) {
             with.claims.push(Claim { job: job.id.clone(), turn, over: None });
         }
@@ -193,10 +193,10 @@
 /// One instance as far as the time and the jobs have brought it.
 fn progress(spec: &Spec, status: &mut Status, instance: &mut Instance, facts: &Facts) {
     see(instance, facts);
-    let claims = claims(spec, instance, facts.comers);
+    let claims = claims(spec, instance, facts.arrivals);
     for claim in &claims {
-        if let Some(comer) = facts.comers.iter().find(|comer| comer.record.spec.id == claim.job) {
-            remember(&mut status.used, &comer.record, instance.day);
+        if let Some(arrival) = facts.arrivals.iter().find(|arrival| arrival.record.spec.id == claim.job) {
+            remember(&mut status.used, &arrival.record, instance.day);
         }
     }
     instance.claims.extend(claims);
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -7,10 +7,10 @@
 use serde_json::{Value, json};
 
 use super::intents::{Left, add_intents};
-use super::round::{Round, DeclaredWindow};
+use super::jobs_by_window::{JobsByWindow, DeclaredWindow};
 use super::spec::{Day, Spec, date_of, day_of};
 use super::status::{Outcome, Over, Reason, Status, news, tell};
-use super::step::{Comer, Facts, Fate, GRACE_MS, next};
+use super::step::{Arrival, Facts, Fate, GRACE_MS, next};
 use crate::declared::Names;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, JobSpec, Shape};
@@ -69,22 +69,22 @@
         }
     }
 
-    pub fn comers(&self, name: &str, spec: &Spec, status: &Status) -> Vec<Comer> {
+    pub fn arrivals(&self, name: &str, spec: &Spec, status: &Status) -> Vec<Arrival> {
         let declared_window = DeclaredWindow::new(name, spec.clone(), status.clone());
         let open = |r: &&Arc<JobRecord>| matches!(self.fates.get(&r.spec.id), Some(Fate::Open { .. }));
-        Round::of(&[declared_window], self.jobs.iter().filter(open)).comers(name).to_vec()
+        JobsByWindow::of(&[declared_window], self.jobs.iter().filter(open)).arrivals(name).to_vec()
     }
 
     pub fn step(&self, spec: &Spec, status: &Status) -> Status {
-        let comers = self.comers("w", spec, status);
-        next(spec, status, &self.facts(&comers, &|id| self.fate(id)))
+        let arrivals = self.arrivals("w", spec, status);
+        next(spec, status, &self.facts(&arrivals, &|id| self.fate(id)))
     }
 
     pub fn intents(&self, spec: &Spec, status: &Status, left: Left) -> Intents {
-        let comers = self.comers("w", spec, status);
+        let arrivals = self.arrivals("w", spec, status);
         let shape = |id: &JobId| self.jobs.iter().find(|r| r.spec.id == *id).map(|r| r.spec.clone());
         let mut intents = Intents::default();
-        add_intents("w", spec, status, &self.facts(&comers, &|id| self.fate(id)), &shape, left, &mut intents);
+        add_intents("w", spec, status, &self.facts(&arrivals, &|id| self.fate(id)), &shape, left, &mut intents);
         intents
     }
 
@@ -92,8 +92,8 @@
         self.fates.get(id).copied().unwrap_or(Fate::Unknown)
     }
 
-    fn facts<'a>(&self, comers: &'a [Comer], fate: &'a dyn Fn(&JobId) -> Fate) -> Facts<'a> {
-        Facts { now_ms: self.now_ms, fate, comers }
+    fn facts<'a>(&self, arrivals: &'a [Arrival], fate: &'a dyn Fn(&JobId) -> Fate) -> Facts<'a> {
+        Facts { now_ms: self.now_ms, fate, arrivals }
     }
 }
 
@@ -234,11 +234,11 @@
         ("no more than expected", json!(["roster"]), 2, &[(5, "plan"), (3, "plan")], &[(5, 2)]),
         ("another class", json!([]), 3, &[(5, "other"), (3, "plan")], &[(3, 1)]),
     ];
-    for (name, turns, jobs, comers, want) in cases {
+    for (name, turns, jobs, arrivals, want) in cases {
         let spec = window(json!({"turns": turns, "jobs": jobs}));
         let mut world = World::at(MIDNIGHT + 6 * HOUR);
         let mut status = Status::default();
-        for (n, class) in comers {
+        for (n, class) in arrivals {
             world.submit(*n, class);
             world.now_ms += 1000;
             status = world.step(&spec, &status);
@@ -361,8 +361,8 @@
     let declared_window = |name: &str, fields: Value| DeclaredWindow::new(name, window(fields), Status::default());
     let at = MIDNIGHT + 7 * HOUR;
     let of = |windows: &[DeclaredWindow], record: &Arc<JobRecord>| -> Vec<String> {
-        let round = Round::of(windows, std::iter::once(record));
-        let names = windows.iter().filter(|w| !round.comers(&w.name).is_empty());
+        let jobs = JobsByWindow::of(windows, std::iter::once(record));
+        let names = windows.iter().filter(|w| !jobs.arrivals(&w.name).is_empty());
         names.map(|w| w.name.clone()).collect()
     };
     let mut windows = vec![
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -224,7 +224,7 @@
         now_ms,
         epoch: cluster.token,
         settings: &cluster.settings,
-        round: OnceCell::new(),
+        jobs_by_window: OnceCell::new(),
         unknown: RefCell::default(),
     }
 }
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -22,7 +22,7 @@
 use serde::de::DeserializeOwned;
 use tracing::Level;
 
-use crate::calendar::Round;
+use crate::calendar::JobsByWindow;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
@@ -89,7 +89,7 @@
     /// What the platform has handed over.
     pub settings: &'a Settings,
     /// Which window each open job belongs to, worked out when it is first asked for.
-    pub round: OnceCell<Round>,
+    pub jobs_by_window: OnceCell<JobsByWindow>,
     /// Jobs that are over, and how is not known here: the store is asked.
     pub unknown: RefCell<BTreeSet<JobId>>,
 }
--- a/src/rollouts/intents.rs
+++ b/src/rollouts/intents.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use super::seen::{Known, Seen, Side};
+use super::observation::{Known, Observation, Side};
 use super::spec::Spec;
 use super::status::{Phase, Status};
-use super::step::{floor, may_old, serving};
+use super::step::{min_available, may_old, serving};
 use crate::scheduling::intents::Replicas;
 
 /// What is asked for the old and for the new job.
-pub fn asks(spec: &Spec, status: &Status, seen: &Seen) -> [Option<Replicas>; 2] {
+pub fn asks(spec: &Spec, status: &Status, seen: &Observation) -> [Option<Replicas>; 2] {
     match status.phase {
         Phase::Refused | Phase::Ended => return [None, None],
         // Nothing of the new version is placed before the rollout has begun.
@@ -23,13 +23,13 @@
         let nothing = Some(Replicas { most: 0, stop: BTreeSet::new(), stay: true, ahead: false });
         return [nothing.clone(), nothing];
     }
-    let floor = floor(spec, status, seen);
+    let min_available = min_available(spec, status, seen);
     let serving = serving(status, seen);
     // What is meant to go does not count, and goes only while enough others do: looked at again at the
     // very moment, since machines may have been lost after it was decided.
-    let stops = serving >= floor && status.phase != Phase::Paused;
+    let stops = serving >= min_available && status.phase != Phase::Paused;
     let moving = !matches!(status.phase, Phase::Done | Phase::Back);
-    let ahead = moving && serving < floor.min(seen.old.tasks as usize);
+    let ahead = moving && serving < min_available.min(seen.old.tasks as usize);
     let ask = |side: &Side, may: &BTreeSet<u32>| {
         let beyond = (0..side.tasks).filter(|i| !may.contains(i));
         let (stop, kept): (BTreeSet<u32>, BTreeSet<u32>) =
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Rollout;
-use super::seen::{Known, Replica, Seen, Side};
+use super::observation::{Known, Replica, Observation, Side};
 use super::spec::{MOST_REPLICAS, Spec};
 use super::status::{Phase, Status};
 use crate::declared::View;
@@ -13,11 +13,11 @@
 use crate::scheduling::room::{SLACK, suspect_after};
 use crate::wire::workers::LegStatus;
 
-pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Seen {
+pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Observation {
     let begun = status.phase.begun();
     let [old, new] = status.jobs(spec);
     let suspected = view.cluster.machines.values().filter(|m| m.suspected).map(|m| m.id.to_string()).collect();
-    let mut seen = Seen {
+    let mut seen = Observation {
         old: side(old, begun, view),
         new: side(new, begun, view),
         unfit: None,
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,13 +1,13 @@
 //! A new version of a service takes the place of the old one in steps, without a gap (docs/rollouts.md).
 //!
 //! `spec` is what an operator declares, `status` what the owner stores; `look` reads both jobs off the
-//! cluster state, `against` judges the new version, `step` decides what is next and `intents` what is asked of
+//! cluster state, `version_verdict` judges the new version, `step` decides what is next and `intents` what is asked of
 //! placing and stopping. All of it is pure; the service never submits or withdraws a job.
 
-pub mod against;
+pub mod version_verdict;
 pub mod intents;
 mod look;
-pub mod seen;
+pub mod observation;
 pub mod spec;
 pub mod status;
 pub mod step;
--- a/src/rollouts/seen.rs
+++ b/src/rollouts/observation.rs
@@ -98,7 +98,7 @@
 
 /// All that is looked at for one decision.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Seen {
+pub struct Observation {
     /// The version that is replaced.
     pub old: Side,
     /// The version that replaces it.
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -164,7 +164,7 @@
     }
 
     /// Replicas that have to run at every moment: in place, one fewer than asked.
-    pub fn floor(&self) -> u32 {
+    pub fn min_available(&self) -> u32 {
         if self.surge == 0 { self.replicas - 1 } else { self.replicas }
     }
 
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -111,7 +111,7 @@
 /// What was seen against the new version in this step.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Against {
+pub struct FailureCounts {
     /// Different machines on which replicas of the new version failed.
     pub failed_on: Vec<FailedOn>,
     /// Failures of replicas of the new and of the old version.
@@ -152,7 +152,7 @@
     /// Replicas of the new job that may run; all others are meant to go.
     pub may_new: Indexes,
     /// What speaks against the new version.
-    pub against: Against,
+    pub against: FailureCounts,
 }
 
 impl Status {
--- a/src/rollouts/status/tests.rs
+++ b/src/rollouts/status/tests.rs
@@ -7,7 +7,7 @@
     let odd = Indexes((0..MOST_REPLICAS).filter(|n| n % 2 == 1).collect());
     let on = |n| FailedOn { machine: format!("host-{n:012}"), type_name: "g8-of-a-long-name".into(), faulty: false };
     let failed_on = (0..8).map(on).collect();
-    let against = Against { failed_on, ..Against::default() };
+    let against = FailureCounts { failed_on, ..FailureCounts::default() };
     let status = Status { go_old: odd.clone(), may_new: odd, against, why: "x".repeat(400), ..Status::default() };
     let text = serde_json::to_string(&status).unwrap();
     assert!(text.len() < 8 * 1024, "{}", text.len());
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -6,13 +6,13 @@
 
 use std::collections::BTreeSet;
 
-use super::against::Verdict;
-use super::seen::{Known, Replica, Seen};
+use super::version_verdict::Verdict;
+use super::observation::{Known, Replica, Observation};
 use super::spec::{Spec, Wanted};
-use super::status::{Against, Phase, Status};
+use super::status::{FailureCounts, Phase, Status};
 
 /// The next status, or none if it stays.
-pub fn decide(spec: &Spec, status: &Status, seen: &Seen) -> Option<Status> {
+pub fn decide(spec: &Spec, status: &Status, seen: &Observation) -> Option<Status> {
     let mut turn = Turn { spec, seen, status: status.clone() };
     turn.go_on();
     let mut next = turn.status;
@@ -29,25 +29,25 @@
 
 struct Turn<'a> {
     spec: &'a Spec,
-    seen: &'a Seen,
+    seen: &'a Observation,
     status: Status,
 }
 
 /// The old replicas that may run.
-pub fn may_old(status: &Status, seen: &Seen) -> BTreeSet<u32> {
+pub fn may_old(status: &Status, seen: &Observation) -> BTreeSet<u32> {
     (0..seen.old.tasks).filter(|i| !status.go_old.0.contains(i)).collect()
 }
 
 /// What runs of both and counts.
-pub fn serving(status: &Status, seen: &Seen) -> usize {
+pub fn serving(status: &Status, seen: &Observation) -> usize {
     seen.old.live(&may_old(status, seen)).len() + seen.new.live(&status.may_new.0).len()
 }
 
 /// What has to run at every moment: on the way back no more than the old job has.
-pub fn floor(spec: &Spec, status: &Status, seen: &Seen) -> usize {
-    let floor = spec.floor();
+pub fn min_available(spec: &Spec, status: &Status, seen: &Observation) -> usize {
+    let min_available = spec.min_available();
     let back = matches!(status.phase, Phase::GoingBack | Phase::Back);
-    (if back { floor.min(seen.old.tasks) } else { floor }) as usize
+    (if back { min_available.min(seen.old.tasks) } else { min_available }) as usize
 }
 
 impl Turn<'_> {
@@ -93,7 +93,7 @@
             }
             Wanted::Forward | Wanted::Finish => {
                 if new_word {
-                    self.status.against = Against::afresh(self.seen);
+                    self.status.against = FailureCounts::afresh(self.seen);
                 }
                 self.forward("");
             }
@@ -132,7 +132,7 @@
             old: Some(spec.old.clone()),
             new: Some(spec.new.clone()),
             word: spec.word,
-            against: Against::afresh(seen),
+            against: FailureCounts::afresh(seen),
             ..Status::default()
         };
         // What of the new version runs already stays as far as it is wanted.
@@ -154,16 +154,16 @@
     /// Capacity first: where replicas were lost, old ones that were meant to go come back for them. True
     /// while fewer run than have to.
     fn repair(&mut self) -> bool {
-        let floor = floor(self.spec, &self.status, self.seen);
+        let min_available = min_available(self.spec, &self.status, self.seen);
         let serving = serving(&self.status, self.seen);
-        if serving >= floor || self.seen.old.known == Known::Over {
-            return serving < floor;
+        if serving >= min_available || self.seen.old.known == Known::Over {
+            return serving < min_available;
         }
         let (may, old, new) = (self.may_old(), &self.seen.old, &self.seen.new);
         // What is not known to be lost is not made up for: a new owner would bring back old ones each time.
         let left = old.not_lost(&may);
         let coming = may.len() - left;
-        for _ in coming..floor.saturating_sub(left + new.not_lost(&self.status.may_new.0)) {
+        for _ in coming..min_available.saturating_sub(left + new.not_lost(&self.status.may_new.0)) {
             self.unmark_old();
         }
         true
@@ -198,7 +198,7 @@
                 // The first step that has as many as are left of the new version.
                 let left = self.status.may_new.0.len();
                 self.status.step = targets.iter().take_while(|t| (**t as usize) < left).count() as u32;
-                self.status.against = Against::afresh(self.seen);
+                self.status.against = FailureCounts::afresh(self.seen);
                 self.be(Phase::Growing, why);
             }
             Phase::Paused => self.be(Phase::Growing, why),
@@ -252,9 +252,9 @@
     /// was changed.
     fn shrink_new(&mut self, target: u32) {
         while self.status.may_new.0.len() > target as usize {
-            let (live, floor) = (self.live_new(), floor(self.spec, &self.status, self.seen));
+            let (live, min_available) = (self.live_new(), min_available(self.spec, &self.status, self.seen));
             let old = self.seen.old.live(&self.may_old()).len();
-            let spare = live.len() + old > floor;
+            let spare = live.len() + old > min_available;
             let pick = self.status.may_new.0.iter().rev().copied().find(|i| spare || !live.contains(i));
             let Some(index) = pick else { return };
             self.status.may_new.0.remove(&index);
@@ -276,7 +276,7 @@
                 return;
             }
             let live = seen.old.live(&may);
-            let spare = live.len() + settled.len() > spec.floor() as usize;
+            let spare = live.len() + settled.len() > spec.min_available() as usize;
             let last = |i: &u32| live.iter().all(|o| o == i || seen.old.zone(*o) != seen.old.zone(*i));
             let new_there = |i: &u32| settled.iter().any(|n| seen.new.zone(*n) == seen.old.zone(*i));
             let allowed = |i: &u32| !live.contains(i) || (spare && !(doubt && last(i) && !new_there(i)));
@@ -325,7 +325,7 @@
                 return self.be(Phase::Done, why);
             }
             self.status.step += 1;
-            self.status.against = Against::afresh(seen);
+            self.status.against = FailureCounts::afresh(seen);
             self.be(Phase::Growing, why);
         }
     }
@@ -342,16 +342,16 @@
         let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(Replica::may_run);
         self.status.may_new.0.retain(|i| !new_over && may_run(i));
         self.grow_old(spec.replicas as usize);
-        let floor = floor(spec, &self.status, seen);
+        let min_available = min_available(spec, &self.status, seen);
         let settled = seen.old.running_for(&self.may_old(), spec.ready_s());
         loop {
             let live = self.live_new();
             let last = |i: &u32| live.iter().all(|o| o == i || seen.new.zone(*o) != seen.new.zone(*i));
             let pick = live.iter().copied().min_by_key(|i| (last(i), std::cmp::Reverse(*i)));
-            let Some(index) = pick.filter(|_| live.len() + settled.len() > floor) else { break };
+            let Some(index) = pick.filter(|_| live.len() + settled.len() > min_available) else { break };
             self.status.may_new.0.remove(&index);
         }
-        if self.status.may_new.0.is_empty() && settled.len() >= floor {
+        if self.status.may_new.0.is_empty() && settled.len() >= min_available {
             self.be(Phase::Back, why);
         }
     }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -111,7 +111,7 @@
             now_ms,
             epoch: 7,
             settings: &cluster.settings,
-            round: Default::default(),
+            jobs_by_window: Default::default(),
             unknown: Default::default(),
         })
     }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 
 use super::intents::asks;
-use super::seen::{Known, Replica, Seen, Side};
+use super::observation::{Known, Replica, Observation, Side};
 use super::spec::tests::spec;
 use super::spec::{Spec, Wanted};
-use super::status::{Against, Indexes, Phase, Status};
+use super::status::{FailureCounts, Indexes, Phase, Status};
 use super::step::decide;
 
 fn running(ran_s: f64, zone: &str) -> Replica {
@@ -30,8 +30,8 @@
 
 const OLD: [(u32, &str, f64); 4] = [(0, "a", 900.0), (1, "b", 900.0), (2, "a", 900.0), (3, "b", 900.0)];
 
-fn seen(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> Seen {
-    Seen { old: side(4, old), new: side(4, new), now_ms: 1_000_000, epoch: 7, ..Seen::default() }
+fn seen(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> Observation {
+    Observation { old: side(4, old), new: side(4, new), now_ms: 1_000_000, epoch: 7, ..Observation::default() }
 }
 
 fn status(phase: Phase, step: u32, go_old: &[u32], may_new: &[u32]) -> Status {
@@ -48,7 +48,7 @@
 #[test]
 fn what_is_next_by_cases() {
     use Phase::*;
-    type Change = fn(&mut Spec, &mut Seen, &mut Status);
+    type Change = fn(&mut Spec, &mut Observation, &mut Status);
     type Replicas = &'static [(u32, &'static str, f64)];
     // (name, phase, step, meant to go, may run, old, new, change, then: phase, meant to go, may run)
     type Case = (
@@ -299,7 +299,7 @@
     use Phase::{GoingBack, Growing, Paused};
     let on = |n: u32, t: &str| (format!("m{n}"), t.to_owned());
     // (name, failures of new and old, on these, suspected machines, change, phase, in the reason)
-    type Case<'a> = (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut Seen), Phase, &'a str);
+    type Case<'a> = (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut Observation), Phase, &'a str);
     let three: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g4")];
     let one_type: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g8")];
     let cases: [Case; 12] = [
@@ -349,7 +349,7 @@
 fn failures_are_counted_once() {
     let mut seen = seen(&OLD, &[]);
     seen.new.failures = 3;
-    let mut against = Against::afresh(&seen);
+    let mut against = FailureCounts::afresh(&seen);
     against.count(&seen);
     assert_eq!(against.new, 0, "failures of before the step");
     seen.new.failures = 5;
@@ -362,7 +362,7 @@
 
 #[test]
 fn what_is_asked_by_cases() {
-    let stop = |status: &Status, seen: &Seen| asks(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)));
+    let stop = |status: &Status, seen: &Observation| asks(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)));
     let set = |of: &[u32]| of.iter().copied().collect::<BTreeSet<u32>>();
     let new = [(0, "a", 50.0)];
     let growing = status(Phase::Growing, 0, &[3], &[0]);
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -9,10 +9,10 @@
 use rand::{Rng, SeedableRng};
 
 use super::super::intents::asks;
-use super::super::seen::{Known, Replica, Seen, Side};
+use super::super::observation::{Known, Replica, Observation, Side};
 use super::super::spec::{Bad, Spec, Wanted};
 use super::super::status::{Phase, Status};
-use super::super::step::{decide, floor};
+use super::super::step::{decide, min_available};
 
 /// Seconds after which a machine that is silent is not counted on, and after which it is returned.
 const UNHEARD: u64 = 8;
@@ -379,7 +379,7 @@
 
     /// An owner stops something that runs: beside what is meant to go, what is asked runs then, but for
     /// what was lost too lately for it to know.
-    fn judge_stop(&self, owner: &Owner, status: &Status, seen: &Seen) {
+    fn judge_stop(&self, owner: &Owner, status: &Status, seen: &Observation) {
         let blind = if self.now <= owner.frozen_until + UNHEARD + 3 { owner.frozen_from } else { self.now };
         let since = blind.min(self.now - UNHEARD - 3);
         let lost = self.losses.iter().filter(|at| **at >= since).count();
@@ -389,11 +389,11 @@
             _ => status.may_new.0.contains(index),
         };
         let running = self.there.keys().filter(runs).filter(meant).count();
-        let (at, seed, floor) = (self.now, self.game.seed, floor(&self.spec, status, seen));
-        assert!(running + lost >= floor, "seed {seed} at {at}: a stop, {running} run, {lost} lost, {floor} asked");
+        let (at, seed, min_available) = (self.now, self.game.seed, min_available(&self.spec, status, seen));
+        assert!(running + lost >= min_available, "seed {seed} at {at}: a stop, {running} run, {lost} lost, {min_available} asked");
     }
 
-    fn seen(&self, owner: &Owner) -> Seen {
+    fn seen(&self, owner: &Owner) -> Observation {
         let side = |which: usize, tasks: u32| {
             let replicas = owner.heard.iter().filter(|((side, _), _)| *side == which).map(|((_, index), h)| {
                 let heard = h.heard.is_some_and(|at| at + UNHEARD > self.now);
@@ -418,7 +418,7 @@
             Side { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, suspected }
         };
         let (old, new) = (side(0, self.game.old), side(1, self.game.replicas));
-        Seen { old, new, now_ms: self.now * 1000, epoch: owner.epoch, ..Seen::default() }
+        Observation { old, new, now_ms: self.now * 1000, epoch: owner.epoch, ..Observation::default() }
     }
 
     fn run_owner(&mut self, i: usize) {
@@ -523,11 +523,11 @@
         due.into_iter().for_each(|(_, message)| self.deliver(message));
         self.run_machines();
         (0..self.owners.len()).for_each(|i| self.run_owner(i));
-        self.reached |= self.running() >= self.spec.floor() as usize;
+        self.reached |= self.running() >= self.spec.min_available() as usize;
         // Where nothing is lost by itself there is no excuse at any moment.
-        let floor = self.spec.floor().min(self.game.old) as usize;
+        let min_available = self.spec.min_available().min(self.game.old) as usize;
         let excused = self.game.losses || self.game.flaw != Flaw::None || !self.reached;
-        assert!(excused || self.running() >= floor, "seed {}: {} run at {}", self.game.seed, self.running(), self.now);
+        assert!(excused || self.running() >= min_available, "seed {}: {} run at {}", self.game.seed, self.running(), self.now);
     }
 
     /// Trouble, then as long as it takes without any. Gives the last phase.
@@ -545,7 +545,7 @@
             self.tick();
             let (phase, idle) =
                 (self.stored.0.phase, self.messages.iter().all(|(_, m)| matches!(m, Message::Report { .. })));
-            let whole = self.running() >= self.spec.floor().min(self.game.old) as usize;
+            let whole = self.running() >= self.spec.min_available().min(self.game.old) as usize;
             if matches!(phase, Phase::Done | Phase::Back) && idle && whole && self.only_one_side(phase) {
                 return phase;
             }
--- a/src/rollouts/against.rs
+++ b/src/rollouts/version_verdict.rs
@@ -1,8 +1,8 @@
 //! Whose fault it is when replicas of the new version fail: the version's, or the machines'.
 
-use super::seen::Seen;
+use super::observation::Observation;
 use super::spec::{MOST_MACHINES, Spec};
-use super::status::{Against, FailedOn};
+use super::status::{FailureCounts, FailedOn};
 
 /// The old version fails alike if it fails at least half as often as the new one, and so often.
 const OLD_FAILS_TOO: u64 = 2;
@@ -16,16 +16,16 @@
     Both(String),
 }
 
-impl Against {
+impl FailureCounts {
     /// Nothing is held against a step that begins now.
-    pub fn afresh(seen: &Seen) -> Self {
+    pub fn afresh(seen: &Observation) -> Self {
         let (counted_new, counted_old) = (seen.new.failures, seen.old.failures);
         Self { epoch: seen.epoch, counted_new, counted_old, ..Self::default() }
     }
 
     /// Adds what has failed since the last look. An owner counts from none, so that nothing is counted
     /// twice, and what an earlier owner heard and did not store is lost.
-    pub fn count(&mut self, seen: &Seen) {
+    pub fn count(&mut self, seen: &Observation) {
         let same = self.epoch == seen.epoch;
         let since = |all: u64, counted: u64| if same { all.saturating_sub(counted) } else { all };
         let new = since(seen.new.failures, self.counted_new);
@@ -47,7 +47,7 @@
     }
 
     /// What has failed so far in this step.
-    pub fn judge(&self, spec: &Spec, seen: &Seen, may_new: &std::collections::BTreeSet<u32>) -> Option<Verdict> {
+    pub fn judge(&self, spec: &Spec, seen: &Observation, may_new: &std::collections::BTreeSet<u32>) -> Option<Verdict> {
         let sound: Vec<&FailedOn> = self.failed_on.iter().filter(|f| !f.faulty).collect();
         let bad = &spec.bad;
         let late = seen.new.replicas.iter().filter(|(i, r)| {
