--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -10,7 +10,7 @@
 
 /// What a judgement rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observations {
     /// Age of the last proof of freshness; none if there is none that counts.
     pub proof: Option<Duration>,
     /// The state service has answered nothing for this long.
@@ -60,13 +60,13 @@
     }
 }
 
-impl Seen {
+impl Observations {
     pub fn serving_state(&self, patience: Patience) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
             _ if knows => ServingState::Sound,
-            Seen { answering: Some(long), .. } if *long >= patience.answering => ServingState::Passed,
-            Seen { peers, heard, .. } if heard >= peers => ServingState::Outage,
+            Observations { answering: Some(long), .. } if *long >= patience.answering => ServingState::Passed,
+            Observations { peers, heard, .. } if heard >= peers => ServingState::Outage,
             _ => ServingState::Lone,
         }
     }
@@ -92,7 +92,7 @@
 
 impl Health {
     /// Whether users are to be sent here now; to be asked about once a second.
-    pub fn judge(&mut self, begun: bool, seen: Seen, now: Instant) -> bool {
+    pub fn judge(&mut self, begun: bool, seen: Observations, now: Instant) -> bool {
         self.removed.retain(|at| now.saturating_duration_since(*at) < REMEMBERED);
         let patience = Patience::of_health(self.removed.len() as u32);
         // Whoever is out comes back by what it can do now, not by a longer patience.
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -30,10 +30,10 @@
         ("cut off from the state service, hears one", Some(40), 40, 1, Some(99), Passed, Passed),
     ] {
         let (proof, answering) = (proof.map(s), answering.map(s));
-        let seen = Seen { proof, refused: s(refused), peers: 2, heard, answering };
+        let seen = Observations { proof, refused: s(refused), peers: 2, heard, answering };
         assert_eq!((seen.serving_state(health), seen.serving_state(owner)), (users, workers), "{name}");
     }
-    let alone = Seen { proof: Some(s(40)), refused: s(40), peers: 0, heard: 0, answering: None };
+    let alone = Observations { proof: Some(s(40)), refused: s(40), peers: 0, heard: 0, answering: None };
     assert_eq!(alone.serving_state(owner), Outage, "the only controller there is");
 }
 
@@ -47,16 +47,16 @@
     // Refused for 8 s of every 10, for ten minutes.
     for second in 0..600 {
         let refused = s((second % 10).min(8));
-        let seen = Seen { proof: Some(refused), refused, peers: 2, heard: 2, answering: Some(s(99)) };
+        let seen = Observations { proof: Some(refused), refused, peers: 2, heard: 2, answering: Some(s(99)) };
         let well = health.judge(true, seen, start + s(second));
         assert!(last || !well || second % 10 < 2, "whoever is out stays out until it can answer: {second} s");
         removals += u32::from(last && !well);
         last = well;
     }
     assert!((5..=20).contains(&removals), "at most four in two minutes, and not twelve: {removals}");
-    let sound = Seen { proof: Some(NOW), refused: NOW, peers: 2, heard: 2, answering: Some(s(99)) };
+    let sound = Observations { proof: Some(NOW), refused: NOW, peers: 2, heard: 2, answering: Some(s(99)) };
     assert!(health.judge(true, sound, start + s(601)), "and back at once");
-    let lost = Seen { proof: Some(s(25)), refused: s(25), ..sound };
+    let lost = Observations { proof: Some(s(25)), refused: s(25), ..sound };
     assert!(!health.judge(true, lost, start + s(626)), "whatever was before, it is out after 20 s");
     assert!(!health.judge(false, sound, start + s(627)), "not before all is read");
 }
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_owner.rs
@@ -15,7 +15,7 @@
 
 /// One machine.
 #[derive(Debug)]
-struct Seen {
+struct Redirected {
     /// When it was last redirected.
     at: Instant,
     /// (session, seq) of the newest report: a late copy of an older one is no coming back.
@@ -26,30 +26,30 @@
 
 #[derive(Debug, Default)]
 pub struct UnreachableOwner {
-    seen: HashMap<String, Seen>,
+    redirected: HashMap<String, Redirected>,
     requested: Option<Instant>,
 }
 
 impl UnreachableOwner {
     /// Machines remembered.
     pub fn remembered(&self) -> usize {
-        self.seen.len()
+        self.redirected.len()
     }
 
     /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the owner when it
     /// is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
-        self.seen.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
-        if let Some(seen) = self.seen.get_mut(machine) {
+        self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
+        if let Some(seen) = self.redirected.get_mut(machine) {
             if report <= seen.newest {
                 return None;
             }
             seen.back |= now.saturating_duration_since(seen.at) >= APART;
             (seen.at, seen.newest) = (now, report);
-        } else if self.seen.len() < MOST {
-            self.seen.insert(machine.to_owned(), Seen { at: now, newest: report, back: false });
+        } else if self.redirected.len() < MOST {
+            self.redirected.insert(machine.to_owned(), Redirected { at: now, newest: report, back: false });
         }
-        let n = self.seen.values().filter(|seen| seen.back).count();
+        let n = self.redirected.values().filter(|seen| seen.back).count();
         let rested = self.requested.is_none_or(|at| now.saturating_duration_since(at) >= TAKEOVER_REQUEST_GAP);
         if n < ENOUGH || !rested {
             return None;
--- a/src/node/standing.rs
+++ b/src/node/standing.rs
@@ -5,7 +5,7 @@
 use tracing::warn;
 
 use super::Node;
-use crate::membership::serving_state::{Patience, Seen, ServingState};
+use crate::membership::serving_state::{Patience, Observations, ServingState};
 use crate::sync::lock;
 
 impl Node {
@@ -15,17 +15,17 @@
     }
 
     /// What this controller can prove, and what it hears of the others.
-    fn seen(&self, now: Instant) -> Seen {
+    fn observations(&self, now: Instant) -> Observations {
         let (heard, answering) = lock(&self.heard).others(now);
         let proof = self.fresh.age(now);
         let refused = self.store.health().failing_for(now);
-        Seen { proof, refused, peers: self.settings.peers.len(), heard, answering }
+        Observations { proof, refused, peers: self.settings.peers.len(), heard, answering }
     }
 
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        lock(&self.mirror).ready && self.seen(now).serving_state(Patience::of_health(0)) == ServingState::Sound
+        lock(&self.mirror).ready && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
@@ -37,12 +37,12 @@
             mirror.ready || mirror.revision > 0
         };
         let now = Instant::now();
-        lock(&self.health).judge(read && !proving && self.catalog().is_some(), self.seen(now), now)
+        lock(&self.health).judge(read && !proving && self.catalog().is_some(), self.observations(now), now)
     }
 
     /// Whether what is known here of who owns may be acted on towards workers.
     pub fn knows_owner(&self, now: Instant) -> bool {
-        self.seen(now).serving_state(Patience::of_ownership(self.properties.leader_lease)).speaks()
+        self.observations(now).serving_state(Patience::of_ownership(self.properties.leader_lease)).speaks()
     }
 
     /// Whether this machine is held by an owner that may be one no more (`membership::serving_state`).
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -42,7 +42,7 @@
 
 /// What speaks for and against whom at the moment of a failure.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observations {
     /// Machines not themselves under suspicion on which the job has failed, this one included.
     pub job_failed_on: usize,
     /// Some task of the job was done, or runs on another machine for longer than failures take.
@@ -69,11 +69,11 @@
 }
 
 /// The whole judgement. `enough`: unexplained failures in a row after which a machine is suspected.
-pub fn judge(seen: Seen, enough: usize) -> Verdict {
+pub fn judge(seen: Observations, enough: usize) -> Verdict {
     if seen.job_does_well {
         return match seen {
-            Seen { task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => Verdict::Task,
-            Seen { machine_row, .. } if machine_row >= enough => Verdict::Machine,
+            Observations { task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => Verdict::Task,
+            Observations { machine_row, .. } if machine_row >= enough => Verdict::Machine,
             _ => Verdict::Unclear,
         };
     }
@@ -135,7 +135,7 @@
     pub class: &'a str,
     /// Where it failed.
     pub machine: &'a MachineId,
-    /// As in `Seen`.
+    /// As in `Observations`.
     pub job_does_well: bool,
     /// Tasks that one try of the job takes: all of a gang.
     pub at_once: usize,
@@ -222,10 +222,10 @@
         judged
     }
 
-    fn seen(&self, task: &TaskKey, machine: &MachineId) -> Seen {
-        let Some(trial) = self.jobs.get(&task.job) else { return Seen::default() };
+    fn seen(&self, task: &TaskKey, machine: &MachineId) -> Observations {
+        let Some(trial) = self.jobs.get(&task.job) else { return Observations::default() };
         let sound = |m: &&MachineId| self.machines.get(*m).is_none_or(|t| t.suspected.is_none());
-        Seen {
+        Observations {
             job_failed_on: trial.failed_on.iter().filter(sound).count(),
             job_does_well: trial.does_well,
             task_failed_on: trial.tasks.get(&task.index).map_or(0, |t| t.failed_on.len()),
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn whose_fault_by_cases() {
-    let seen = |job_failed_on, job_does_well, task_failed_on, class_fails, machine_row| Seen {
+    let seen = |job_failed_on, job_does_well, task_failed_on, class_fails, machine_row| Observations {
         job_failed_on,
         job_does_well,
         task_failed_on,
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -13,7 +13,7 @@
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::believed;
 use crate::membership::records::{Assignment, Watermark};
-use crate::membership::serving_state::{LetGo, Patience, Seen};
+use crate::membership::serving_state::{LetGo, Patience, Observations};
 use crate::membership::watermark::Unconfirmed;
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
@@ -337,7 +337,7 @@
         let alone = owner.cut.is_some() && !owner.seat.hears_others;
         let (heard, answering) = if alone { (0, None) } else { self.users.others(self.now) };
         let proof = owner.seat.proof.map(|at| self.now - at);
-        let seen = Seen { proof, refused, peers: FOLLOWERS, heard, answering };
+        let seen = Observations { proof, refused, peers: FOLLOWERS, heard, answering };
         let knows = seen.serving_state(Patience::of_ownership(LEADER_LEASE)).speaks();
         let serves = refused < Duration::from_secs(2);
         Rights { loaded: owner.cluster.loaded, knows, unproven: owner.seat.unproven, serves }
