--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -164,7 +164,8 @@
     /// `{config}` stands for a settings file, `{spec}` for the file that `spec` is written to, `{file:NAME}` for a file
     /// beside the scenario.
     pub args: Vec<String>,
-    /// JSON; `{clock:S}` in it stands for the time of day S seconds after the beginning, `"{offset}"` for the UTC offset.
+    /// JSON; `{clock:S}` in it stands for the time of day S seconds after the beginning, `"{offset}"` for the UTC
+    /// offset.
     pub spec: Option<String>,
     /// Exit status expected; the command is retried for a while.
     pub exit: i32,
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud: machines charged by the second, with limited capacity, boot times, varying spot prices, notices before spot
-//! machines are taken, and a list that lags behind.
+//! The cloud: machines charged by the second, with limited capacity, boot times, varying spot prices, notices before
+//! spot machines are taken, and a list that lags behind.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Partitioned one way: reports go out, nothing comes in, and its lease ends again and again. Copies come in whatever order, also
-/// when the machine is gone.
+/// Partitioned one way: reports go out, nothing comes in, and its lease ends again and again. Copies come in whatever
+/// order, also when the machine is gone.
 #[test]
 fn one_way_partitions_and_copies_of_reports() {
     let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
--- a/src/history/answer_time.rs
+++ b/src/history/answer_time.rs
@@ -26,7 +26,8 @@
     Page(usize),
 }
 
-/// Milliseconds until each of `jobs` was answered once (80 s are not waited for), at a controller that may send so many requests a second.
+/// Milliseconds until each of `jobs` was answered once (80 s are not waited for), at a controller that may send so many
+/// requests a second.
 fn all_answered(jobs: usize, per_second: f64, txn_ops: usize, swept: bool) -> u64 {
     let start = Instant::now();
     let ids: Vec<JobId> = (0..jobs).map(|n| format!("run-{n:06}").into()).collect();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //! cluster state of who runs what and the placement decisions, `fleet` the machines and the cloud,
 //! `store` the state service, `traffic` counts of what passes, `history` what has ended,
 //! `membership` who leads and who owns, `declared` what operators ask for beside jobs, `heat` who
-//! goes ahead on hot days, `settings` what an operator hands over and `cli` the commands; `kinds` and `sync` are what all of them
-//! know. I/O stays at the edges; decisions take state and time.
+//! goes ahead on hot days, `settings` what an operator hands over and `cli` the commands; `kinds` and `sync` are what
+//! all of them know. I/O stays at the edges; decisions take state and time.
 
 pub mod calendar;
 pub mod cli;
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_owner.rs
@@ -36,8 +36,8 @@
         self.redirected.len()
     }
 
-    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the owner when it
-    /// is time for a takeover request.
+    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the owner
+    /// when it is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
         self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
         if let Some(seen) = self.redirected.get_mut(machine) {
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -18,8 +18,8 @@
 /// withdrawal: it may know of one by a later revision than the one at which it was stored, as after a reading.
 const LAGS: Duration = Duration::from_secs(10);
 
-/// What a controller may tell as the owner's watermark: its loaded cluster state's token and what that holds, and only if
-/// by all that it has heard, which is no less, it is still the one that is assigned. Past the assignment of
+/// What a controller may tell as the owner's watermark: its loaded cluster state's token and what that holds, and only
+/// if by all that it has heard, which is no less, it is still the one that is assigned. Past the assignment of
 /// another it may hold ends that the successor has not heard of, whom workers obey by then.
 pub fn own(me: &str, cluster: Option<(u64, u64)>, assignment: Option<&(Assignment, u64)>) -> Option<Watermark> {
     let ((token, revision), (owner, stamp)) = (cluster?, assignment?);
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -87,7 +87,8 @@
     assert!(!unconfirmed.due(start + Duration::from_secs(60)));
 }
 
-/// A controller that was replaced cannot store what its cluster state holds: it may lack what its successor has confirmed.
+/// A controller that was replaced cannot store what its cluster state holds: it may lack what its successor has
+/// confirmed.
 #[test]
 fn only_under_its_assignment_is_a_watermark_stored() {
     let mut store = Store::default();
--- a/src/membership/yielding.rs
+++ b/src/membership/yielding.rs
@@ -1,7 +1,7 @@
 //! When a leader steps down because workers reach another controller and not this one.
 //!
-//! A takeover request is answered once: it stays in the store, and names the owner until another one is assigned. A release
-//! that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
+//! A takeover request is answered once: it stays in the store, and names the owner until another one is assigned. A
+//! release that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
 //! neither renews it nor campaigns. Pure.
 
 use std::time::{Duration, Instant};
--- a/src/membership/yielding/tests.rs
+++ b/src/membership/yielding/tests.rs
@@ -6,7 +6,8 @@
     start + Duration::from_secs(second)
 }
 
-/// Nobody else leads after a yield, and the takeover request stays: it was yielded to again every few seconds, for ever.
+/// Nobody else leads after a yield, and the takeover request stays: it was yielded to again every few seconds, for
+/// ever.
 #[test]
 fn a_takeover_request_that_stays_is_answered_once() {
     let start = Instant::now();
@@ -21,7 +22,8 @@
     assert_eq!(yields, 1);
 }
 
-/// Takeover requests go on every 3 s while nobody else leads: a yield a minute at the most, and the leadership is held between.
+/// Takeover requests go on every 3 s while nobody else leads: a yield a minute at the most, and the leadership is held
+/// between.
 #[test]
 fn takeover_requests_that_go_on_cost_a_yield_a_minute() {
     let start = Instant::now();
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -17,8 +17,8 @@
         self.wake.mesh.send_replace(());
     }
 
-    /// As the owner: up to which revision withdrawals are in its loaded cluster state, and obeyed (`cluster::watermark`). None
-    /// while it is not sure to be the one that is assigned, by all that it has heard.
+    /// As the owner: up to which revision withdrawals are in its loaded cluster state, and obeyed
+    /// (`cluster::watermark`). None while it is not sure to be the one that is assigned, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.token, b.watermark()));
@@ -47,8 +47,8 @@
         lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.token)
     }
 
-    /// A withdrawal was stored while this controller owned under this token. True if its cluster state has it now, no machine
-    /// may run it for an earlier owner, and no launch of it is in flight: an owner that came since has read it.
+    /// A withdrawal was stored while this controller owned under this token. True if its cluster state has it now, no
+    /// machine may run it for an earlier owner, and no launch of it is in flight: an owner that came since has read it.
     pub fn withdrew(&self, id: &JobId, token: u64) -> bool {
         let mut held = lock(&self.cluster);
         let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_token <= token) else { return false };
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -290,7 +290,8 @@
 #[cfg(test)]
 type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
-/// What the owner knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads no clock.
+/// What the owner knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
+/// no clock.
 pub struct ClusterState {
     /// The fencing token of this owner, raised when commands have to be voided.
     pub token: u64,
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new session:
-    /// a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without users have
-    /// machines that hang on and on, and so have the simulations of fixed steps below.
+    /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new
+    /// session: a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without
+    /// users have machines that hang on and on, and so have the simulations of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
         if !self.users.on || rested {
@@ -280,8 +280,9 @@
     }
 }
 
-/// Told by the owner while machines hang on, as many as may hang by the network. Owners end, at these times after the telling, before they have waited
-/// for long enough, and the last successor returns them in time all the same; the rule is checked at every step.
+/// Told by the owner while machines hang on, as many as may hang by the network. Owners end, at these times after the
+/// telling, before they have waited for long enough, and the last successor returns them in time all the same; the rule
+/// is checked at every step.
 fn hangs_on_across_takeovers(ends_at_s: &[u64]) {
     let mut world = World::with_users(3, 6);
     world.quiet = true;
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -9,7 +9,8 @@
 use crate::scheduling::plan::Placement;
 use crate::wire::workers::Report;
 
-/// By so many prompt answers in a row with something to do and without effect an owner knows that a machine does not hear.
+/// By so many prompt answers in a row with something to do and without effect an owner knows that a machine does not
+/// hear.
 const KNOWN_AFTER: u32 = 5;
 
 impl World {
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -65,8 +65,8 @@
     pub most: usize,
 }
 
-/// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can still be in time, then
-/// by return; work of no return by age.
+/// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
+/// still be in time, then by return; work of no return by age.
 pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<Turn<'_>> {
     let mut turns: Vec<Turn> = cluster
         .jobs()
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -10,9 +10,9 @@
 use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
 
-/// After this long beside room, over all reasons together, a job takes any room that fits, but for two: what others were
-/// stopped for stays theirs until they have come or their hold ends, and what is kept for a gang is kept until somebody
-/// has waited for `KEPT_FOR`.
+/// After this long beside room, over all reasons together, a job takes any room that fits, but for two: what others
+/// were stopped for stays theirs until they have come or their hold ends, and what is kept for a gang is kept until
+/// somebody has waited for `KEPT_FOR`.
 pub const PATIENCE: Duration = Duration::from_secs(45);
 
 /// Since when jobs have waited beside room without a break.
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -235,7 +235,8 @@
         && spec.types.as_ref().is_none_or(|t| t.iter().any(|t| t == type_name))
 }
 
-/// Up, sane, lately reporting, not known from what may be late copies alone, hearing, and free of tasks that should not be there.
+/// Up, sane, lately reporting, not known from what may be late copies alone, hearing, and free of tasks that should not
+/// be there.
 pub fn usable(machine: &Machine, suspect: Duration, now: Instant) -> bool {
     machine.state == MachineState::Up && sane(machine, suspect, now)
 }
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -40,9 +40,10 @@
     Some(taken)
 }
 
-/// No controller has a loaded cluster state. The last report that is answered without a stop was sent at the withdrawal, or by an
-/// owner that has read nothing yet up to `spare` after it; the worker's clock is the slowest that the protocol allows,
-/// and the machine hangs from then on. Over all settings that are accepted, the tightest of each kind among them.
+/// No controller has a loaded cluster state. The last report that is answered without a stop was sent at the
+/// withdrawal, or by an owner that has read nothing yet up to `spare` after it; the worker's clock is the slowest that
+/// the protocol allows, and the machine hangs from then on. Over all settings that are accepted, the tightest of each
+/// kind among them.
 #[test]
 fn the_lease_ends_what_nobody_stops_in_time_whatever_the_settings() {
     let mut tried = 0;
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -45,9 +45,9 @@
 
 // An old report reaches every controller just as a new leader begins.
 
-/// A copy of a report of each moment of a task's life comes to the owner, to its successor before it has read the store,
-/// after that, and once the worker has reported to it, and to the successor of that one: the task runs once, wherever, and
-/// what was done stays done.
+/// A copy of a report of each moment of a task's life comes to the owner, to its successor before it has read the
+/// store, after that, and once the worker has reported to it, and to the successor of that one: the task runs once,
+/// wherever, and what was done stays done.
 #[test]
 fn an_old_report_to_every_controller_as_a_new_leader_begins_changes_nothing() {
     for (copied_at, again_on) in (0..5).flat_map(|at| ["m1", "m2"].map(|m| (at, m))) {
@@ -124,9 +124,9 @@
     }
 }
 
-/// The machine of a withdrawn task hears a deposed owner alone, which renews its lease and knows of no withdrawal, while
-/// ten others own one after the other and nobody reaches it: it is returned in time by the first withdrawal, which
-/// the simulation checks at every step.
+/// The machine of a withdrawn task hears a deposed owner alone, which renews its lease and knows of no withdrawal,
+/// while ten others own one after the other and nobody reaches it: it is returned in time by the first withdrawal,
+/// which the simulation checks at every step.
 #[test]
 fn ten_leaders_while_a_deposed_one_renews_a_lease_stop_the_withdrawn_in_time() {
     for gap_s in [12.0, 6.0, 5.0, 4.0, 2.0] {
--- a/src/scheduling/tests/meetings.rs
+++ b/src/scheduling/tests/meetings.rs
@@ -1,6 +1,6 @@
-//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a simulation of fixed steps with the cluster state, a store
-//! that keeps what it was given, and workers that do as the protocol says and check the rules at every start.
-//! What may come late is tried at every step of its simulation.
+//! Meetings of troubles (issue 34, section 3: 2, 3, 6, 7 and 8): each a simulation of fixed steps with the cluster
+//! state, a store that keeps what it was given, and workers that do as the protocol says and check the rules at every
+//! start. What may come late is tried at every step of its simulation.
 
 use super::world::*;
 use super::*;
@@ -274,8 +274,8 @@
 }
 
 /// It owned, lost and owns again. A launch of its first time is still on its way; the one between never heard of the
-/// machine. Nothing is kept from one cluster state to the next, so the task stays bound until the worker has heard the newest
-/// token, or its session is over, or the machine was returned.
+/// machine. Nothing is kept from one cluster state to the next, so the task stays bound until the worker has heard the
+/// newest token, or its session is over, or the machine was returned.
 #[test]
 fn who_owns_again_believes_nothing_gone_that_its_first_time_may_yet_start() {
     for (proof, late_at) in
@@ -340,8 +340,9 @@
     }
 }
 
-/// The timers of the one that owns again begin anew: a machine is as old as its last cluster state, so that nothing is returned
-/// for a silence in which nobody listened, and what is withdrawn is stopped with the first answer whoever owns.
+/// The timers of the one that owns again begin anew: a machine is as old as its last cluster state, so that nothing is
+/// returned for a silence in which nobody listened, and what is withdrawn is stopped with the first answer whoever
+/// owns.
 #[test]
 fn who_owns_again_counts_no_silence_of_before() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
@@ -375,8 +376,8 @@
 
 // Meeting 2: an owner ends while machines with long tasks are unreachable, or do not hear the successor.
 
-/// Five machines with long tasks at a takeover: one is well, one hears nothing of the successor, one hangs with a command
-/// of the old owner before it, one loses its lease, one is gone. Only what is proven gone is placed again.
+/// Five machines with long tasks at a takeover: one is well, one hears nothing of the successor, one hangs with a
+/// command of the old owner before it, one loses its lease, one is gone. Only what is proven gone is placed again.
 #[test]
 fn a_successor_adopts_what_runs_and_places_again_only_what_is_proven_gone() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
@@ -435,8 +436,8 @@
     assert_eq!(names.map(|m| world.workers[m].legs.len()), [1, 1, 1, 0, 1, 2]);
 }
 
-/// A successor hears that one machine of a gang has lost its lease, and cannot reach the other: the next attempt, in one
-/// zone or in several, is placed nowhere until that one is proven gone as well.
+/// A successor hears that one machine of a gang has lost its lease, and cannot reach the other: the next attempt, in
+/// one zone or in several, is placed nowhere until that one is proven gone as well.
 #[test]
 fn a_gang_begins_anew_only_when_the_machine_that_a_successor_cannot_reach_is_gone() {
     for same_zone in [true, false] {
@@ -540,8 +541,8 @@
 
 // Meeting 3: the tasks of a job end far apart across a takeover.
 
-/// Arrays of two and three: the first exit is stored or not yet when the owner ends. It is known to the successor either
-/// way, its task never runs again, and the job is done with the last exit, neither before nor never.
+/// Arrays of two and three: the first exit is stored or not yet when the owner ends. It is known to the successor
+/// either way, its task never runs again, and the job is done with the last exit, neither before nor never.
 #[test]
 fn the_first_of_ends_far_apart_survives_a_takeover() {
     for (tasks, stored, known) in
@@ -644,8 +645,8 @@
 
 // Meeting 7: old reports after newer ones.
 
-/// What a report of an earlier time says to the owner, to a successor, and to one that owned before, by cases: the task's
-/// attempt on the machine that the store names stays bound to it, or is gone because the copy proves just that.
+/// What a report of an earlier time says to the owner, to a successor, and to one that owned before, by cases: the
+/// task's attempt on the machine that the store names stays bound to it, or is gone because the copy proves just that.
 #[test]
 fn old_reports_by_cases() {
     #[derive(Clone, Copy, Debug, PartialEq)]
@@ -727,8 +728,8 @@
     }
 }
 
-/// A machine that was returned in its first time as owner: a cluster state of its second time knows nothing of that. A copy
-/// of a report made under the first token makes it no machine to place on; one under the newest could.
+/// A machine that was returned in its first time as owner: a cluster state of its second time knows nothing of that. A
+/// copy of a report made under the first token makes it no machine to place on; one under the newest could.
 #[test]
 fn what_was_returned_in_an_earlier_time_takes_no_work_by_a_copy() {
     let mut world = World::new(&["m1", "m2"], |_| ());
@@ -785,8 +786,8 @@
 
 // Meeting 2 again, for jobs that are scattered over zones.
 
-/// Two of four tasks are on a machine that the successor has not heard of, in a zone that it does not know: nothing of the job
-/// is placed where it might make three, and the rest goes to the other zone once it is heard where they are.
+/// Two of four tasks are on a machine that the successor has not heard of, in a zone that it does not know: nothing of
+/// the job is placed where it might make three, and the rest goes to the other zone once it is heard where they are.
 #[test]
 fn what_a_successor_has_not_heard_of_counts_in_every_zone() {
     let now = Instant::now();
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -5,8 +5,8 @@
 use crate::scheduling::cluster::Direct;
 
 /// The write that binds has no answer; it is carried out at once, late (and then refused, since another is assigned),
-/// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the successor knows all
-/// that stands and starts nothing that the deposed one may yet start.
+/// or never. Until it is known to stand nothing is launched, by the owner or by the deposed one; the successor knows
+/// all that stands and starts nothing that the deposed one may yet start.
 #[test]
 fn no_launch_before_its_binding_stands_whatever_the_successor_reads() {
     for (stands, answered_at) in [true, false].into_iter().flat_map(|s| (0..8).map(move |at| (s, at))) {
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// The successor knows of a job that is over by its end alone: its chunk names what is bound, and the record is read for
-/// it. Until it is, nothing is decided; then it counts, and no record means that nothing of its team starts.
+/// The successor knows of a job that is over by its end alone: its chunk names what is bound, and the record is read
+/// for it. Until it is, nothing is decided; then it counts, and no record means that nothing of its team starts.
 #[test]
 fn what_a_successor_reads_of_ended_jobs_counts_before_anything_is_placed() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
@@ -89,10 +89,10 @@
     assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&next).len()), (0, 5));
 }
 
-/// Both teams are at their limits on machines that are well, hang, are cut off, or are cut off with a deposed owner that
-/// goes on answering them and knows of no withdrawal. All their jobs are withdrawn around changes of leaders; the simulation
-/// checks at every step that no team is above its limit and that what is withdrawn is gone in time. In the end the
-/// next jobs of both teams run.
+/// Both teams are at their limits on machines that are well, hang, are cut off, or are cut off with a deposed owner
+/// that goes on answering them and knows of no withdrawal. All their jobs are withdrawn around changes of leaders; the
+/// simulation checks at every step that no team is above its limit and that what is withdrawn is gone in time. In the
+/// end the next jobs of both teams run.
 #[test]
 fn every_team_at_its_limit_while_its_withdrawn_tasks_cannot_be_stopped() {
     let orders: [(f64, &[f64]); 4] = [
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -3,9 +3,9 @@
 use super::simulation::*;
 use super::world::*;
 
-/// A task of a machine whose reports have just begun to be lost is withdrawn at once or later, with and without a takeover, whether
-/// or not commands reach it and the cloud answers. By command, by return or by the end of its lease it is gone in
-/// time, which the simulation checks at every step.
+/// A task of a machine whose reports have just begun to be lost is withdrawn at once or later, with and without a
+/// takeover, whether or not commands reach it and the cloud answers. By command, by return or by the end of its lease
+/// it is gone in time, which the simulation checks at every step.
 #[test]
 fn what_is_withdrawn_on_a_machine_whose_reports_are_lost_is_gone_in_time() {
     for (commands, cloud) in [(true, true), (true, false), (false, true), (false, false)] {
@@ -74,8 +74,8 @@
     assert!(simulation.world.workers["m1"].gone, "silent, once it has no more to be told");
 }
 
-/// Higher tokens are told by commands again and again, and so a machine whose reports are lost is never silent: it is returned after
-/// two leases all the same, and has no new work from the time at which its reports are missed.
+/// Higher tokens are told by commands again and again, and so a machine whose reports are lost is never silent: it is
+/// returned after two leases all the same, and has no new work from the time at which its reports are missed.
 #[test]
 fn a_machine_whose_reports_are_lost_that_answers_commands_is_returned_after_two_leases() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn simulations of the cluster state, plans,
-//! holds, preemption and draining, with idle work among the rest.
+//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn simulations of the cluster
+//! state, plans, holds, preemption and draining, with idle work among the rest.
 
 use std::collections::BTreeMap;
 
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -6,7 +6,8 @@
 
 const TOKEN: u64 = 50;
 
-/// A successor whose store holds job 1 with a task on `m1`, bound by an earlier owner; ended, if it is, after revision 40.
+/// A successor whose store holds job 1 with a task on `m1`, bound by an earlier owner; ended, if it is, after revision
+/// 40.
 fn successor(ended: Option<End>, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(TOKEN, example(), Properties::default(), now);
     let mut job = spec();
@@ -34,8 +35,8 @@
     cluster.take_report(report, Via::Report, None, now);
 }
 
-/// Found by reading: a successor told a withdrawal as soon as it had loaded, and ended; machines that it had not reached
-/// yet went on obeying the owner of before, and an outage longer than the time allowed let their tasks run on.
+/// Found by reading: a successor told a withdrawal as soon as it had loaded, and ended; machines that it had not
+/// reached yet went on obeying the owner of before, and an outage longer than the time allowed let their tasks run on.
 #[test]
 fn what_an_earlier_owners_machines_may_run_is_not_told_by_cases() {
     type Then = fn(&mut ClusterState, Instant);
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -1,5 +1,5 @@
-//! What simulations of fixed steps with the cluster state share: a store that keeps what it was given, and workers that do as the
-//! protocol says and check the rules at every start.
+//! What simulations of fixed steps with the cluster state share: a store that keeps what it was given, and workers that
+//! do as the protocol says and check the rules at every start.
 
 use super::*;
 use crate::jobs::record::Stored;
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -5,8 +5,8 @@
 use super::*;
 
 /// Four tasks, then machines of theirs hang, are cut off, or a successor has never heard them and is told no list: the
-/// others are placed only where the rule allows by all that is not proven gone, which the simulation checks at each step;
-/// and in the end all run, in the other zone where the first has no room left.
+/// others are placed only where the rule allows by all that is not proven gone, which the simulation checks at each
+/// step; and in the end all run, in the other zone where the first has no room left.
 #[test]
 fn what_was_lost_is_replaced_only_where_the_rest_allows() {
     type Change = fn(&mut JobSpec);
@@ -70,8 +70,8 @@
     }
 }
 
-/// A successor is not told yet in which zone a machine is that holds half of a scattered job, nor has it heard it: it may
-/// be the zone of those that it has heard. The same for an array in one zone.
+/// A successor is not told yet in which zone a machine is that holds half of a scattered job, nor has it heard it: it
+/// may be the zone of those that it has heard. The same for an array in one zone.
 #[test]
 fn where_an_inherited_task_is_has_to_be_known() {
     // (its zone, scattered or in one zone, placed once it is known)
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -1,7 +1,8 @@
 //! The API that users, workers and health checks call.
 //!
-//! `routes` is the framework's side, with one handler per path. `submission` parses, checks and writes a job, `feasibility`
-//! says whether it could ever run, `lookup` tells what its users may hear of it, and `withdrawal` ends it.
+//! `routes` is the framework's side, with one handler per path. `submission` parses, checks and writes a job,
+//! `feasibility` says whether it could ever run, `lookup` tells what its users may hear of it, and `withdrawal` ends
+//! it.
 //! `follow_ups` finds out what became of writes that were not answered, and `reply` holds the answers to users.
 
 mod feasibility;
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -35,8 +35,8 @@
         !self.loaded && !through
     }
 
-    /// Whether the machine is answered. What has ended since its last proof is in no cluster state of one that is blind:
-    /// whoever is not held may run on nowhere. `spare`: its leases still end in time; `kept`: whether one that
+    /// Whether the machine is answered. What has ended since its last proof is in no cluster state of one that is
+    /// blind: whoever is not held may run on nowhere. `spare`: its leases still end in time; `kept`: whether one that
     /// may be owner no more holds this machine, asked only where it matters.
     pub fn holds(&self, through: bool, spare: impl FnOnce() -> bool, kept: impl FnOnce() -> bool) -> bool {
         (!self.blind(through) || spare()) && (self.knows || kept())
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -221,8 +221,8 @@
     (code, again, wire::decode(&answer[split + 4..]).unwrap_or_default())
 }
 
-/// Jobs are withdrawn in the seconds in which the work changes hands, until somebody owns and has loaded its cluster state:
-/// each is answered at once, told only once that cluster state has it, and confirmed soon after.
+/// Jobs are withdrawn in the seconds in which the work changes hands, until somebody owns and has loaded its cluster
+/// state: each is answered at once, told only once that cluster state has it, and confirmed soon after.
 #[test]
 fn withdrawals_while_the_work_changes_hands() {
     let (stage, a, b) = stage(2);
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -56,7 +56,8 @@
     }
 }
 
-/// Each of its tasks takes an ordinary machine by itself: there are no spot ones, so that asking for those rents nothing.
+/// Each of its tasks takes an ordinary machine by itself: there are no spot ones, so that asking for those rents
+/// nothing.
 fn whole_machines(n: u64) -> Value {
     let mut job = job(n, TASKS as u64);
     (job["cpus"], job["memGb"], job["borrowed"]) = (json!(8.0), json!(8.0), json!(false));
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -1,7 +1,7 @@
 //! Users who look closely where there are three controllers: one owns, one is lagging, since what its watches tell it
-//! arrives late, and one has just started and has not read everything. All are asked at once, within milliseconds, right
-//! after a job was accepted, has ended or was confirmed as withdrawn, and its submission is repeated at each. Every
-//! answer is held against what is stored before and after it (`stand_in::observer`).
+//! arrives late, and one has just started and has not read everything. All are asked at once, within milliseconds,
+//! right after a job was accepted, has ended or was confirmed as withdrawn, and its submission is repeated at each.
+//! Every answer is held against what is stored before and after it (`stand_in::observer`).
 
 // A stand-in that panics fails its test, as it should.
 #![allow(clippy::unwrap_used)]
@@ -61,8 +61,8 @@
         tokio::join!(others, self.all_answer(&starting, n, ways));
     }
 
-    /// Users look the job up at this node before, throughout and after what happens: in most moments a proof of freshness
-    /// is on its way to it, which was made before.
+    /// Users look the job up at this node before, throughout and after what happens: in most moments a proof of
+    /// freshness is on its way to it, which was made before.
     async fn while_looked_up(&self, at: &Controller, n: u64, happens: impl Future<Output = ()>) {
         let (looks, over) = (AtomicUsize::new(0), AtomicBool::new(false));
         let look_up = async {
