--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -3,7 +3,7 @@
 use tracing::Level;
 
 use super::intents::{Left, add_intents};
-use super::jobs_by_window::{JobsByWindow, DeclaredWindow};
+use super::jobs_by_window::{DeclaredWindow, JobsByWindow};
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
@@ -66,13 +66,15 @@
     }
 
     fn step(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<Status> {
-        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
+        let facts =
+            Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let next = next(spec, status, &facts);
         (next != *status).then_some(next)
     }
 
     fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
-        let facts = Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
+        let facts =
+            Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         let within = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
         let left = view.settings.team(&spec.team).map_or(Left { cpus: 0.0, gpus: 0.0 }, |team| Left {
--- a/src/calendar/jobs_by_window.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -68,7 +68,8 @@
                 let named = window.spec.turns.iter().any(|turn| **turn == *job.id);
                 (!named, span.closes_ms, window.name.as_str())
             });
-            let open = |(window, span): &(&DeclaredWindow, Span)| window.status.last_day().is_none_or(|last| span.day > last);
+            let open =
+                |(window, span): &(&DeclaredWindow, Span)| window.status.last_day().is_none_or(|last| span.day > last);
             if let Some((window, span)) = first.filter(open) {
                 let arrival = Arrival { record: record.clone(), day: span.day };
                 arrivals.entry(window.name.clone()).or_default().push(arrival);
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::intents::{Left, add_intents};
-use super::jobs_by_window::{JobsByWindow, DeclaredWindow};
+use super::jobs_by_window::{DeclaredWindow, JobsByWindow};
 use super::spec::{Day, Spec, date_of, day_of};
 use super::status::{Outcome, Over, Reason, Status, news, tell};
 use super::step::{Arrival, Facts, Fate, GRACE_MS, next};
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::records::{MOST_TOGETHER, OPERATORS, Part, SPECS, STATUSES, parse, spec_key, status_key, well_formed};
-use super::table::{Entry, Declaration, entry};
+use super::table::{Declaration, Entry, entry};
 use super::{Kind, Names, Problem};
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -7,11 +7,11 @@
 use crate::kinds::{Catalog, Kind};
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
+use crate::scheduling::fairness::promises::starts_left_s;
 use crate::scheduling::forecast::{Slots, Timeline};
 use crate::scheduling::intents::{self, RoomIntent};
 use crate::scheduling::plan::{Quotas, Turn, queue};
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
-use crate::scheduling::fairness::promises::starts_left_s;
 
 /// Grace on top of a type's usual boot time.
 const BOOT_GRACE: Duration = Duration::from_secs(10);
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -19,9 +19,9 @@
 
 use crate::declared::records::Kind;
 use crate::declared::{Declared, Names, Problem, View};
-use crate::scheduling::intents::{Ahead, Intents};
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor;
+use crate::scheduling::intents::{Ahead, Intents};
 use waits::Waits;
 
 impl Rule {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -7,8 +7,8 @@
 pub mod mesh;
 pub mod records;
 pub mod serving_state;
-pub mod unreachable_owner;
 mod turns;
+pub mod unreachable_owner;
 mod unreadable;
 pub mod watermark;
 #[cfg(test)]
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,8 +7,8 @@
 mod news;
 mod over;
 mod ownership;
-mod shares;
 mod serving_state;
+mod shares;
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
--- a/src/node/standing.rs
+++ b/src/node/serving_state.rs
@@ -5,7 +5,7 @@
 use tracing::warn;
 
 use super::Node;
-use crate::membership::serving_state::{Patience, Observations, ServingState};
+use crate::membership::serving_state::{Observations, Patience, ServingState};
 use crate::sync::lock;
 
 impl Node {
--- a/src/rollouts/intents.rs
+++ b/src/rollouts/intents.rs
@@ -5,7 +5,7 @@
 use super::observation::{Known, Observation, Side};
 use super::spec::Spec;
 use super::status::{Phase, Status};
-use super::step::{min_available, may_old, serving};
+use super::step::{may_old, min_available, serving};
 use crate::scheduling::intents::Replicas;
 
 /// What is asked for the old and for the new job.
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Rollout;
-use super::observation::{Known, Replica, Observation, Side};
+use super::observation::{Known, Observation, Replica, Side};
 use super::spec::{MOST_REPLICAS, Spec};
 use super::status::{Phase, Status};
 use crate::declared::View;
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -4,7 +4,6 @@
 //! cluster state, `version_verdict` judges the new version, `step` decides what is next and `intents` what is asked of
 //! placing and stopping. All of it is pure; the service never submits or withdraws a job.
 
-pub mod version_verdict;
 pub mod intents;
 mod look;
 pub mod observation;
@@ -13,6 +12,7 @@
 pub mod step;
 #[cfg(test)]
 mod tests;
+pub mod version_verdict;
 
 use tracing::Level;
 
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -6,10 +6,10 @@
 
 use std::collections::BTreeSet;
 
-use super::version_verdict::Verdict;
-use super::observation::{Known, Replica, Observation};
+use super::observation::{Known, Observation, Replica};
 use super::spec::{Spec, Wanted};
 use super::status::{FailureCounts, Phase, Status};
+use super::version_verdict::Verdict;
 
 /// The next status, or none if it stays.
 pub fn decide(spec: &Spec, status: &Status, seen: &Observation) -> Option<Status> {
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use super::intents::asks;
-use super::observation::{Known, Replica, Observation, Side};
+use super::observation::{Known, Observation, Replica, Side};
 use super::spec::tests::spec;
 use super::spec::{Spec, Wanted};
 use super::status::{FailureCounts, Indexes, Phase, Status};
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::super::intents::asks;
-use super::super::observation::{Known, Replica, Observation, Side};
+use super::super::observation::{Known, Observation, Replica, Side};
 use super::super::spec::{Bad, Spec, Wanted};
 use super::super::status::{Phase, Status};
 use super::super::step::{decide, min_available};
@@ -390,7 +390,10 @@
         };
         let running = self.there.keys().filter(runs).filter(meant).count();
         let (at, seed, min_available) = (self.now, self.game.seed, min_available(&self.spec, status, seen));
-        assert!(running + lost >= min_available, "seed {seed} at {at}: a stop, {running} run, {lost} lost, {min_available} asked");
+        assert!(
+            running + lost >= min_available,
+            "seed {seed} at {at}: a stop, {running} run, {lost} lost, {min_available} asked"
+        );
     }
 
     fn seen(&self, owner: &Owner) -> Observation {
@@ -527,7 +530,13 @@
         // Where nothing is lost by itself there is no excuse at any moment.
         let min_available = self.spec.min_available().min(self.game.old) as usize;
         let excused = self.game.losses || self.game.flaw != Flaw::None || !self.reached;
-        assert!(excused || self.running() >= min_available, "seed {}: {} run at {}", self.game.seed, self.running(), self.now);
+        assert!(
+            excused || self.running() >= min_available,
+            "seed {}: {} run at {}",
+            self.game.seed,
+            self.running(),
+            self.now
+        );
     }
 
     /// Trouble, then as long as it takes without any. Gives the last phase.
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -2,7 +2,7 @@
 
 use super::observation::Observation;
 use super::spec::{MOST_MACHINES, Spec};
-use super::status::{FailureCounts, FailedOn};
+use super::status::{FailedOn, FailureCounts};
 
 /// The old version fails alike if it fails at least half as often as the new one, and so often.
 const OLD_FAILS_TOO: u64 = 2;
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -5,8 +5,8 @@
 
 use super::{Binding, ClusterState, JobState, Phase};
 use crate::jobs::JobId;
-use crate::scheduling::plan::Placement;
 use crate::scheduling::fairness::Note;
+use crate::scheduling::plan::Placement;
 use crate::wire::workers::TaskKey;
 
 impl ClusterState {
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use super::{ClusterState, Direct, Machine, MachineId, Phase, MachineState};
+use super::{ClusterState, Direct, Machine, MachineId, MachineState, Phase};
 use crate::jobs::JobId;
 use crate::wire::workers::{Leg, LegStatus, Order};
 
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -25,13 +25,13 @@
 use storing::Dirty;
 
 use super::failure_attribution::FailureAttribution;
+use super::fairness::Note;
+use super::fairness::floor::{Below, CoreCredit};
+use super::fairness::promises::{Promise, next_start_s};
 use super::intents::Intents;
 use super::large::Large;
 use super::plan::beside::BesideRoom;
 use super::reservations::Reservation;
-use super::fairness::Note;
-use super::fairness::floor::{Below, CoreCredit};
-use super::fairness::promises::{Promise, next_start_s};
 use crate::fleet::orders::CloudOrder;
 use crate::jobs::record::{CHUNK, JobRecord, Stored};
 use crate::jobs::{JobId, JobSpec};
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -4,7 +4,7 @@
 
 use tracing::{debug, info, warn};
 
-use super::{ClusterState, Machine, MachineId, Phase, MachineState, Via};
+use super::{ClusterState, Machine, MachineId, MachineState, Phase, Via};
 use crate::jobs::Shape;
 use crate::kinds::Catalog;
 use crate::sla;
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use super::cluster::{ClusterState, JobState, MachineId, MachineState};
+use super::fairness::floor::{Names, Rank};
 use super::plan;
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
-use super::fairness::floor::{Names, Rank};
 use crate::jobs::{JobId, JobSpec, Urgency};
 use crate::kinds::Catalog;
 use crate::wire::workers::TaskKey;
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -13,7 +13,7 @@
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::believed;
 use crate::membership::records::{Assignment, Watermark};
-use crate::membership::serving_state::{LetGo, Patience, Observations};
+use crate::membership::serving_state::{LetGo, Observations, Patience};
 use crate::membership::watermark::Unconfirmed;
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -14,8 +14,8 @@
 use lru::LruCache;
 
 use super::cluster::{JobState, MOST_CLASSES};
-use super::plan::Turn;
 use super::fairness::floor::CoreCredit;
+use super::plan::Turn;
 use crate::jobs::{JobId, JobSpec};
 use crate::settings::Properties;
 
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -4,6 +4,7 @@
 pub mod cluster;
 pub mod due;
 pub mod failure_attribution;
+pub mod fairness;
 pub mod forecast;
 pub mod intents;
 #[cfg(test)]
@@ -15,7 +16,6 @@
 pub mod preempt;
 pub mod reservations;
 pub mod room;
-pub mod fairness;
 #[cfg(test)]
 mod tests;
 
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -46,7 +46,12 @@
         }
         simulation.run(15.0);
         let live = simulation.live(&JOB.into());
-        assert_eq!((live.len(), simulation.returned.len()), (3, 0), "{name}: {live:?}, returned {:?}", simulation.returned);
+        assert_eq!(
+            (live.len(), simulation.returned.len()),
+            (3, 0),
+            "{name}: {live:?}, returned {:?}",
+            simulation.returned
+        );
         let attempts: Vec<u64> = (0..3).map(|i| on(&simulation.cluster, i).unwrap().0).collect();
         let want = if away_s < 24.0 { 1 } else { 2 };
         assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
@@ -78,7 +83,9 @@
         let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
         let called_off = simulation.world.accept(&mut simulation.cluster, 2, first);
         let key = TaskKey { job: called_off.clone(), index: 0 };
-        simulation.cluster.bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], simulation.world.now);
+        simulation
+            .cluster
+            .bind_all(vec![plan::Placement { task: key, attempt: 1, machine: "m1".into() }], simulation.world.now);
         simulation.plans = true;
         simulation.run(6.0);
         assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&called_off).len()), (6, 1), "{name}");
@@ -118,6 +125,10 @@
         assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", simulation.returned);
         let back = &simulation.returned[before..];
         assert!(back.iter().all(|m| *m == "m1"), "{name}: none that is back, but for what was withdrawn: {back:?}");
-        assert!(cut_s > 45.0 || left >= 6, "{name}: at most the one with what was withdrawn: {:?}", simulation.returned);
+        assert!(
+            cut_s > 45.0 || left >= 6,
+            "{name}: at most the one with what was withdrawn: {:?}",
+            simulation.returned
+        );
     }
 }
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -103,7 +103,8 @@
 /// Two minutes of it, and then as long as it takes to serve all; the rules are checked at every start, by the world,
 /// and at every step, by the simulation. Gives how often running work was stopped for other work.
 fn overload(seed: u64) -> usize {
-    let mut simulation = Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
+    let mut simulation =
+        Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
     let rng = StdRng::seed_from_u64(seed + 1000);
     let mut links = Links { rng, answers: Vec::new(), commands: Vec::new(), waited_for: Vec::new() };
     let mut rng = StdRng::seed_from_u64(seed);
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -74,7 +74,8 @@
         simulation.reports("m1");
         simulation.reports("m1");
         simulation.withdraw(&JOB.into());
-        let held = under_way.then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("the stop is news"));
+        let held =
+            under_way.then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("the stop is news"));
         let answer = simulation.world.asks(&mut simulation.cluster, "m1");
         assert_eq!(launches(&answer.orders), 0);
         simulation.world.hears(&answer);
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
-use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor::{Below, Names, Rank};
+use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
 
 fn class(name: &str) -> Names {
     Names::of([(Whose::Class, name)].into_iter())
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -18,7 +18,9 @@
             simulation.world.place(&mut simulation.cluster, "m1");
             simulation.reports("m1");
             simulation.reports("m1");
-            let long = simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
+            let long = simulation
+                .world
+                .accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
             simulation.plans = true;
             simulation.run(5.0);
             assert_eq!(simulation.live(&long).len(), 3, "{name}");
@@ -135,7 +137,8 @@
         simulation.world.place(&mut simulation.cluster, "m1");
         simulation.reports("m1");
         simulation.reports("m1");
-        let long = simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
+        let long =
+            simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
         simulation.plans = true;
         simulation.run(6.0);
         assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&long).len()), (1, 3), "{name}");
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -113,17 +113,26 @@
                 1 => simulation.hang.push(m),
                 2 => simulation.inbound_lost.push(m),
                 3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
-                4 => (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default(),
+                4 => {
+                    (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                        Default::default()
+                }
                 5 => simulation.successor(),
                 _ => simulation.store = !simulation.store,
             }
             // Three machines stay, so that there is anything to wait for.
-            for list in [&mut simulation.outbound_lost, &mut simulation.hang, &mut simulation.inbound_lost, &mut simulation.unreached] {
+            for list in [
+                &mut simulation.outbound_lost,
+                &mut simulation.hang,
+                &mut simulation.inbound_lost,
+                &mut simulation.unreached,
+            ] {
                 list.retain(|m| !["m0", "m1", "m8"].contains(m));
             }
         }
         if !trouble {
-            (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default();
+            (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                Default::default();
             simulation.store = true;
         }
         // Tasks end, or fail while there are troubles.
@@ -145,7 +154,8 @@
         }
         if step % 4 == 0 && simulation.cluster.loaded {
             crate::scheduling::look(&mut account, &mut simulation.cluster, now);
-            simulation.cluster.reservations = crate::scheduling::reservations::choose(&simulation.cluster, &catalog(), now);
+            simulation.cluster.reservations =
+                crate::scheduling::reservations::choose(&simulation.cluster, &catalog(), now);
         }
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
         simulation.step();
@@ -156,8 +166,10 @@
                 let waited = waits.entry(id.clone()).or_default();
                 *waited = if could_start(&simulation, &id) { *waited + STEP } else { 0.0 };
                 if *waited > longest.0 {
-                    longest =
-                        (*waited, format!("seed {seed}, at {t} s: {:?}", simulation.cluster.job(&id).map(|j| j.spec())));
+                    longest = (
+                        *waited,
+                        format!("seed {seed}, at {t} s: {:?}", simulation.cluster.job(&id).map(|j| j.spec())),
+                    );
                 }
             }
         }
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -52,7 +52,10 @@
         assert!(simulation.world.workers.values().all(|w| w.legs.len() <= 40), "exits are reaped");
     }
     for id in simulation.world.more.keys() {
-        assert!(simulation.world.more[id].ended.is_some() || simulation.withdrawn.contains_key(id), "{id} was never served");
+        assert!(
+            simulation.world.more[id].ended.is_some() || simulation.withdrawn.contains_key(id),
+            "{id} was never served"
+        );
     }
     let withdrawn = simulation.withdrawn.len();
     assert!(jobs == 801 && (150..250).contains(&withdrawn), "{withdrawn} of {jobs} were withdrawn");
@@ -107,7 +110,8 @@
         // Each fourth is called off while it waits or runs.
         if step % 2 == 1 {
             let id = JobId::from(format!("run-{:06}", 2 * step - (step % 5)).as_str());
-            if let Some(record) = simulation.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
+            if let Some(record) =
+                simulation.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
             {
                 part.changes_of_others += moves::withdraw(&record, None, 0).changes.len();
                 part.transactions += 1;
@@ -142,7 +146,8 @@
         assert!(dropped == 0 || budget.take(dropped as f64, Urgent::Last, now).is_ok(), "step {step}");
         part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
         part.changes_of_owner += stored + dropped;
-        for (id, at) in exited.extract_if(.., |id, _| simulation.world.more.get(id).is_some_and(|kept| kept.ended.is_some()))
+        for (id, at) in
+            exited.extract_if(.., |id, _| simulation.world.more.get(id).is_some_and(|kept| kept.ended.is_some()))
         {
             if simulation.world.more[&id].ended == Some(End::Done) {
                 part.done_s = part.done_s.max((now - at).as_secs_f64());
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -68,7 +68,8 @@
     }
     simulation.withdraw(&JOB.into());
     simulation.cluster = simulation.world.assigned();
-    let next = simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
+    let next =
+        simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
     simulation.plans = true;
     (simulation.outbound_lost, simulation.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
     simulation.listed();
@@ -109,14 +110,17 @@
             };
             let machines = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"].map(|m| (m, "a"));
             let mut simulation = Simulation::new(&machines, full("red"));
-            for team in simulation.world.settings.params.teams.iter_mut().chain(&mut simulation.cluster.settings.params.teams) {
+            for team in
+                simulation.world.settings.params.teams.iter_mut().chain(&mut simulation.cluster.settings.params.teams)
+            {
                 team.cpus_max = 20.0;
             }
             let blue = simulation.world.accept(&mut simulation.cluster, 2, full("blue"));
             simulation.plans = true;
             simulation.run(6.0);
             let (red, mut withdrawn) = (JobId::from(JOB), false);
-            let next = [(3, "red"), (4, "blue")].map(|(n, team)| simulation.world.accept(&mut simulation.cluster, n, full(team)));
+            let next = [(3, "red"), (4, "blue")]
+                .map(|(n, team)| simulation.world.accept(&mut simulation.cluster, n, full(team)));
             assert_eq!((simulation.cores("red"), simulation.cores("blue")), (20.0, 20.0), "{name}");
             let mut used: Vec<&'static str> = simulation.live(&red).into_iter().map(|(_, m)| m).collect();
             used.extend(simulation.live(&blue).into_iter().map(|(_, m)| m));
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -6,12 +6,12 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{Simulation, STEP};
+use super::simulation::{STEP, Simulation};
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::scheduling::fairness::Account;
+use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
 use crate::wire::workers::Cause;
 
@@ -146,11 +146,19 @@
             1 => simulation.hang.push(m),
             2 => simulation.inbound_lost.push(m),
             3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
-            4 => (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default(),
+            4 => {
+                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                    Default::default()
+            }
             5 => simulation.successor(),
             _ => simulation.store = !simulation.store,
         }
-        for list in [&mut simulation.outbound_lost, &mut simulation.hang, &mut simulation.inbound_lost, &mut simulation.unreached] {
+        for list in [
+            &mut simulation.outbound_lost,
+            &mut simulation.hang,
+            &mut simulation.inbound_lost,
+            &mut simulation.unreached,
+        ] {
             list.retain(|m| !SOUND.contains(m));
         }
     }
@@ -234,7 +242,8 @@
             }
             if !trouble {
                 let simulation = &mut self.simulation;
-                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) = Default::default();
+                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                    Default::default();
                 simulation.store = true;
             }
             self.tasks_end(trouble);
