--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -36,6 +36,7 @@
     fn ask(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
     fn ready(&self, urgent: Urgent) -> usize;
+    /// Sends one transaction to the state service, with what is left of its limits for calls of this urgency.
     fn store(
         &self,
         conditions: &[Condition],
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -15,12 +15,16 @@
 use crate::wire::{self, Http};
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+/// Most machines in one rental request.
 pub const MOST_RENTED: u64 = 50;
+/// Most machines in one return request.
 pub const MOST_RETURNED: usize = 100;
 const MOST_LISTED: u64 = 500;
 
+/// Why a call to the cloud has no usable answer.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CloudError {
+    /// The cloud has no machine of the kind now. Nothing was rented.
     #[error("no capacity")]
     NoCapacity,
     /// Refused for now: not carried out.
@@ -29,10 +33,13 @@
     /// May have been, or may yet be, carried out.
     #[error("the cloud did not answer")]
     Unanswered,
+    /// The call was answered, so it may have been carried out, but the body cannot be read. The text says why.
     #[error("the cloud answered what cannot be read: {0}")]
     Malformed(String),
 }
 
+/// Client of the cloud's API. Calls wait until the rate limit allows them, and each waits a few seconds for its
+/// answer.
 pub struct CloudClient {
     http: Http,
     addr: String,
@@ -41,6 +48,7 @@
 }
 
 impl CloudClient {
+    /// A client that keeps to 0.8 of the cloud's request rate, since the other controllers read the catalog as well.
     pub fn new(http: Http, settings: &Settings, traffic: Arc<Traffic>, now: Instant) -> Self {
         // The owner calls nearly alone; the others only ask for the catalog now and then.
         let rps = settings.params.cloud.rps * 0.8;
@@ -64,6 +72,7 @@
         }
     }
 
+    /// The machine types on offer. A catalog without types is reported as malformed.
     pub async fn catalog(&self) -> Result<Catalog, CloudError> {
         match self.call(Method::GET, "/catalog", None).await? {
             (200, body) => {
@@ -77,6 +86,8 @@
         }
     }
 
+    /// Rents machines and returns their names, which may be fewer than asked for. The cloud answers a request name
+    /// (`Rental`) alike however often it is sent, so an unanswered call can be repeated.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<String>, CloudError> {
         match self.call(Method::POST, "/rentals", Some(wire::encode(rental))).await? {
             (200, body) => Ok(read::<Names>(&body)?.machines),
@@ -87,6 +98,7 @@
         }
     }
 
+    /// Returns machines, at most [`MOST_RETURNED`] in one call. May be repeated when it was not answered.
     pub async fn give_back(&self, machines: Vec<String>) -> Result<(), CloudError> {
         match self.call(Method::POST, "/rentals/return", Some(wire::encode(&Names { machines }))).await? {
             (200, _) => Ok(()),
@@ -94,6 +106,7 @@
         }
     }
 
+    /// All machines that are rented now, read page by page; machines that change meanwhile may or may not be included.
     pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
         let mut all: Vec<Listed> = Vec::new();
         loop {
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -34,7 +34,10 @@
 /// A machine to drain, and the tasks of it to move.
 #[derive(Debug)]
 pub struct Drain {
+    /// The machine that is no longer needed.
     pub machine: MachineId,
+    /// Tasks to stop there so that they go on elsewhere, each with its grace period in seconds: the time in which it
+    /// saves its progress.
     pub moves: Vec<(TaskKey, u64)>,
 }
 
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -20,6 +20,7 @@
 /// Open orders, one key each.
 pub const ORDERS: &str = "d/";
 
+/// What an order asks of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum What {
@@ -51,8 +52,11 @@
 /// One order. Its epoch is the assignment under which it was first meant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
+    /// Its key in the store: [`ORDERS`] followed by the order's unique [`name`].
     pub key: String,
+    /// Version of the assignment (the owner's token) under which the order was made.
     pub epoch: u64,
+    /// What is to be done, or that it was done.
     pub what: What,
 }
 
@@ -80,6 +84,8 @@
 }
 
 impl CloudOrder {
+    /// An order under a name of its own. `number` must be new among the orders and rentals of this incarnation and
+    /// epoch.
     pub fn new(incarnation: &str, epoch: u64, number: u64, what: What) -> Self {
         Self { key: format!("{ORDERS}{}", name(incarnation, epoch, number)), epoch, what }
     }
@@ -89,6 +95,7 @@
         [Condition::at(ASSIGNMENT, token), Condition::absent(&self.key)]
     }
 
+    /// The change that stores the order; to be sent with [`Self::conditions`].
     pub fn change(&self) -> Change {
         let stored = Stored { epoch: self.epoch, what: self.what.clone() };
         Change::write(&self.key, serde_json::to_value(stored).unwrap_or_default())
@@ -106,6 +113,8 @@
         }
     }
 
+    /// Reads a stored order. None, with an error in the log, if it cannot be read or asks for more than the cloud
+    /// takes in one call.
     pub fn read(item: &Item) -> Option<Self> {
         let read = Stored::deserialize(&item.value).map_err(|error| error.to_string());
         match read.and_then(|stored| stored.what.check().map(|()| stored)) {
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -43,6 +43,8 @@
 }
 
 impl Refusals {
+    /// Notes that the cloud refused this kind. The pause is `base` at first and doubles with each refusal in a row, up
+    /// to eight times `base` and 120 s.
     pub fn note(&mut self, kind: Kind, base: Duration, now: Instant) {
         let times = self.refused.get(&kind).map_or(0, |r| r.times).min(3);
         let pause = (base * 2u32.pow(times)).min(LONGEST_REFUSAL);
@@ -62,6 +64,7 @@
         }
     }
 
+    /// Forgets the refusals of a kind, once it was given again.
     pub fn clear(&mut self, kind: &Kind) {
         self.refused.remove(kind);
     }
--- a/src/history/ends.rs
+++ b/src/history/ends.rs
@@ -31,6 +31,8 @@
     Some(number << 6 | (digits.len() as u64) << 1)
 }
 
+/// A table of fixed size that maps job ids to how the jobs ended. An entry may be displaced by others, so absence says
+/// nothing; ids that cannot be packed into a slot are never held.
 #[derive(Debug)]
 pub struct Ends {
     slots: Vec<u64>,
@@ -52,6 +54,7 @@
         at..at + WAYS
     }
 
+    /// How the job ended; none if that is not held.
     pub fn get(&self, id: &str) -> Option<End> {
         let slot = self.slots[self.find(id)?];
         Some(if slot & WITHDRAWN != 0 { End::Withdrawn } else { End::Done })
@@ -90,6 +93,7 @@
         bucket[at] = packed | withdrawn | shown;
     }
 
+    /// Number of ends held.
     pub fn held(&self) -> usize {
         self.held
     }
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -16,14 +16,18 @@
 /// A transaction before it is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
+    /// Key versions that must hold for the transaction to be applied.
     pub conditions: Vec<Condition>,
+    /// Keys written and dropped if they do.
     pub changes: Vec<Change>,
 }
 
 /// Where a job was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
+    /// Under its open key.
     Open,
+    /// Under the key of its end.
     Ended(End),
     /// Under the key of an earlier build: ended, unless that build's acceptance came late.
     Old,
--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -24,8 +24,11 @@
 /// What the store said of a job, as of some moment after the question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
+    /// No key of the job exists: it was never accepted.
     Never,
+    /// The job is open.
     Open,
+    /// The job has ended, and how.
     Ended(End),
     /// Cannot be said now: the limits are used up, or the store did not answer.
     Later,
@@ -35,6 +38,8 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Full;
 
+/// Questions that wait to be sent to the store, and ends learned lately. `W` is whatever an answer is delivered
+/// through; this type never uses it.
 pub struct QueryQueue<W> {
     ends: Ends,
     visibility: Visibility,
@@ -51,14 +56,17 @@
 }
 
 impl<W> Batch<W> {
+    /// The jobs of the batch, each once.
     pub fn ids(&self) -> impl Iterator<Item = &JobId> {
         self.asked.iter().map(|(id, _)| id)
     }
 
+    /// Whether there is nothing to ask.
     pub fn is_empty(&self) -> bool {
         self.asked.is_empty()
     }
 
+    /// The jobs with everybody who waits for each.
     pub fn into_asked(self) -> Vec<(JobId, Vec<W>)> {
         self.asked
     }
@@ -115,6 +123,7 @@
         self.visibility.advance(watermark);
     }
 
+    /// The highest watermark heard of: all ends up to this revision are in an owner's loaded cluster state.
     pub fn watermark(&self) -> u64 {
         self.visibility.watermark()
     }
@@ -139,6 +148,7 @@
         self.queue.len() >= self.batch * MOST_BATCHES / 2
     }
 
+    /// Queues a question. It joins earlier ones about the same job that have not been sent; [`Full`] if too many wait.
     pub fn ask(&mut self, id: &JobId, waiter: W, now: Instant) -> Result<(), Full> {
         let full = self.waiters >= MOST_WAITING;
         if let Some(others) = self.waiting.get_mut(id).filter(|_| !full) {
@@ -153,6 +163,7 @@
         Ok(())
     }
 
+    /// Whether any job waits to be put into a batch.
     pub fn anything_to_ask(&self) -> bool {
         !self.queue.is_empty()
     }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -47,6 +47,7 @@
 }
 
 impl History {
+    /// Sized by the state service's limit of conditions in one transaction.
     pub fn new(settings: &Settings) -> Self {
         // A transaction may hold four conditions for each change, and a job takes four at the most.
         let batch = settings.params.state.txn_ops as usize;
@@ -65,6 +66,7 @@
         lock(&self.queries).ended(id)
     }
 
+    /// Notes an end that stands in the store, so that it is answered without asking.
     pub fn note_end(&self, id: &JobId, end: End) {
         lock(&self.queries).note_end(id, end);
     }
@@ -171,6 +173,7 @@
         }
     }
 
+    /// Ends at hand, jobs that wait to be asked about, and questions that wait, for display.
     pub fn held(&self) -> [usize; 3] {
         lock(&self.queries).held()
     }
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -20,6 +20,7 @@
 /// What users may hear of an end that stands in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Visible {
+    /// They may be told.
     Yes,
     /// Stored, and not yet known to be in the owner's cluster state.
     NotYet,
@@ -53,6 +54,7 @@
 }
 
 impl Visibility {
+    /// The highest watermark heard of; 0 before the first.
     pub fn watermark(&self) -> u64 {
         self.watermark
     }
@@ -80,6 +82,7 @@
         self.waiting.pop(id);
     }
 
+    /// Number of withdrawals whose stamps are kept.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -47,6 +47,7 @@
 }
 
 impl Admission {
+    /// Nothing waits yet, and nobody was refused.
     pub fn new(now: Instant) -> Self {
         Self { waiting: HashMap::new(), teams: HashMap::new(), all: 0, refused: 0.0, refused_at: now }
     }
@@ -85,6 +86,7 @@
         self.all = self.all.saturating_sub(1);
     }
 
+    /// Number of submissions that were admitted and have no answer yet.
     pub fn waiting(&self) -> usize {
         self.all
     }
--- a/src/jobs/limits.rs
+++ b/src/jobs/limits.rs
@@ -22,11 +22,14 @@
 /// What open jobs take of an owner's memory, by the sums above.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Held {
+    /// Number of jobs.
     pub jobs: u64,
+    /// Number of their tasks.
     pub tasks: u64,
 }
 
 impl Held {
+    /// Estimated bytes that they take in an owner's memory.
     pub fn bytes(self) -> u64 {
         self.jobs * JOB_BYTES + self.tasks * TASK_BYTES
     }
@@ -46,6 +49,7 @@
     }
 }
 
+/// What one more job of this description would add.
 pub fn cost(spec: &JobSpec) -> Held {
     Held { jobs: 1, tasks: spec.tasks }
 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -12,14 +12,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
+    /// All tasks finished.
     Done,
+    /// Its user cancelled it.
     Withdrawn,
 }
 
 /// How many tasks of a job run and are done, for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Counts {
+    /// Tasks that run now.
     pub running: u64,
+    /// Tasks that are done.
     pub done: u64,
 }
 
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -58,6 +58,7 @@
     /// Lines that are dropped, and connections.
     odd_lines: LogLimit,
     too_many: LogLimit,
+    /// Running and done tasks of open jobs, as the owner told them last. For display only.
     pub counts: HashMap<JobId, Counts>,
     /// What the owner told last of who is served, and when that was heard.
     pub served: Option<(Vec<Row>, Instant)>,
@@ -120,6 +121,8 @@
     missed || (told.token == *stamp && owner.node != from)
 }
 
+/// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
+/// tries again every second.
 pub async fn listen(node: Arc<Node>) {
     let listener = loop {
         match TcpListener::bind(&node.settings.mesh_listen).await {
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -5,32 +5,43 @@
 use crate::jobs::record::{ASSIGNMENT, TAKEOVER_REQUEST};
 use crate::store::{Change, Condition};
 
+/// Value of the leader's key, which lives as long as the leader's lease in the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Leader {
+    /// Name of the controller that leads.
     pub node: String,
+    /// The leading process ([`Node::incarnation`](crate::node::Node)).
     pub incarnation: String,
 }
 
 /// One owner's record. With several owners there is one record each, parting teams and machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Assignment {
+    /// Name of the controller that owns.
     pub node: String,
+    /// The owning process. A restarted controller has another one and does not own by its predecessor's record.
     pub incarnation: String,
+    /// Names of the teams whose jobs it owns; at present all teams of the settings.
     pub teams: Vec<String>,
 }
 
 /// The loaded cluster state of the owner with this token holds every end up to this revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
+    /// Token of the owner: the version of its assignment's key.
     pub token: u64,
+    /// Revision of the store up to which every end is included.
     pub revision: u64,
 }
 
 /// Workers cannot reach the owner of this token, but reach this controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TakeoverRequest {
+    /// Name of the controller that asks.
     pub node: String,
+    /// Token of the owner that the workers cannot reach.
     pub token: u64,
+    /// Number of workers that came back after they were redirected to it.
     pub machines: usize,
 }
 
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -17,11 +17,13 @@
     pub refused: Duration,
     /// Other controllers by the settings, and those heard of lately.
     pub peers: usize,
+    /// Other controllers that were heard of lately, at most `peers`.
     pub heard: usize,
     /// How long one of those has said without a break that it can answer.
     pub answering: Option<Duration>,
 }
 
+/// How far a controller's knowledge of the store can be relied on, in relation to the other controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
     /// Knows what is stored.
@@ -37,7 +39,9 @@
 /// How long it may take until something counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
+    /// From this age on the last proof of freshness does not count any more.
     pub proof: Duration,
+    /// After this long without any answer of the state service a recent proof does not count either.
     pub refused: Duration,
     /// After an outage some are answered sooner than others, and every lease has its full time again: what
     /// another has been able to for less than this says nothing.
@@ -61,6 +65,7 @@
 }
 
 impl Observations {
+    /// The state that follows from the observations and from how long each may take to count.
     pub fn serving_state(&self, patience: Patience) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
@@ -149,6 +154,7 @@
         matches!(errand, Errand::Held(_))
     }
 
+    /// Number of machines remembered.
     pub fn remembered(&self) -> usize {
         self.errands.len()
     }
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_owner.rs
@@ -24,6 +24,7 @@
     back: bool,
 }
 
+/// Workers that were redirected to the owner lately, and when a takeover request was last made for them. Pure.
 #[derive(Debug, Default)]
 pub struct UnreachableOwner {
     redirected: HashMap<String, Redirected>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -47,11 +47,17 @@
 /// Who is to look again because something changed.
 #[derive(Default)]
 pub struct Wake {
+    /// Wakes `membership`: ownership, the leader or this process's own proofs may have changed.
     pub membership: Notify,
+    /// Wakes placement (`scheduling`): reports, jobs or what is stored changed.
     pub plan: Notify,
+    /// Wakes the group commit (`store::commit`): the cluster state has something to store.
     pub commit: Notify,
+    /// Wakes `workers::dispatch`: commands may be due.
     pub dispatch: Notify,
+    /// Wakes `fleet`: what to rent or to return may have changed.
     pub fleet: Notify,
+    /// Wakes the driver of what is declared (`declared::run`): a spec or a status changed.
     pub declared: Notify,
     /// Other controllers are to hear the watermark at once.
     pub mesh: tokio::sync::watch::Sender<()>,
@@ -59,26 +65,39 @@
 
 /// All that the parts of one controller share.
 pub struct Node {
+    /// The platform's settings, as checked at the start.
     pub settings: Settings,
+    /// The operators' properties, as checked at the start.
     pub properties: Properties,
     /// Names this process among all that ever ran; rental names are made from it.
     pub incarnation: String,
+    /// Connections to the cloud, the state service and workers.
     pub http: Http,
+    /// Counts of requests and messages by kind, for operators.
     pub traffic: Arc<Traffic>,
+    /// Client of the state service, which keeps to this controller's share of its limits.
     pub store: Arc<StateClient>,
+    /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
+    /// Open jobs, ownership and what is declared, as the store has told them.
     pub mirror: Mutex<Mirror>,
+    /// Proofs that `mirror` is up to date.
     pub fresh: Fresh,
+    /// Answers questions about jobs that are not open by the mirror.
     pub history: Arc<History>,
+    /// What the store has acknowledged and is compared with from time to time.
     pub audit: Mutex<Audit>,
+    /// The machine types that the cloud offers, as last read; none before the first answer.
     pub catalog: Mutex<Option<Arc<Catalog>>>,
     /// The cluster state of tasks and machines, while this controller owns them.
     pub cluster: Mutex<Option<ClusterState>>,
+    /// What the other controllers said last.
     pub heard: Mutex<Heard>,
     /// Submissions that wait to be written.
     pub admission: Mutex<Admission>,
     /// Who was served lately, kept by every controller.
     pub fairness: Mutex<Account>,
+    /// Notifications between the tasks of this controller.
     pub wake: Wake,
     /// Notices that this process was paused.
     pause_detector: Mutex<PauseDetector>,
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -10,6 +10,7 @@
 /// Jobs that are over, by a mirror that holds everything up to a revision.
 #[derive(Debug, Default)]
 pub struct Over {
+    /// Jobs of the report that have ended by the mirror; their tasks are to be stopped.
     pub jobs: HashSet<JobId>,
     through: u64,
 }
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -59,6 +59,7 @@
 }
 
 impl Large {
+    /// Nothing offered or earned yet; what is offered fades over the property `served.window.seconds`.
     pub fn new(properties: &Properties, now: Instant) -> Self {
         let (sizes, fade) = (LruCache::new(MOST_CLASSES), properties.served_window);
         Self { sizes, fade, offered: (0.0, 0.0), at: now, core_credit: CoreCredit::default() }
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -23,9 +23,12 @@
 /// Gangs held for at once, the longest waiting first.
 const MOST_RESERVING: usize = 40;
 
+/// A machine that is held for a job that does not fit yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
+    /// The job that it is held for.
     pub job: JobId,
+    /// When the job is expected to start. Other work that ends by then may use the machine meanwhile.
     pub until: Instant,
 }
 
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -23,12 +23,16 @@
 /// A type, zone and kind, with what the cloud says of the type.
 #[derive(Debug, Clone, Copy)]
 pub struct Offer<'a> {
+    /// The machine type: its size, prices and usual boot time.
     pub of: &'a MachineType,
+    /// The zone in which it is offered.
     pub zone: &'a str,
+    /// Whether it is a spot machine, which is cheaper and may be taken back by the cloud.
     pub spot: bool,
 }
 
 impl Offer<'_> {
+    /// Price of the type for this kind (spot or ordinary), in the catalog's unit.
     pub fn price(&self) -> f64 {
         self.of.price(self.spot)
     }
@@ -38,6 +42,7 @@
         apt(self.of, spec)
     }
 
+    /// The same as a key that owns its names.
     pub fn kind(&self) -> Kind {
         Kind { type_name: self.of.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
     }
@@ -52,6 +57,7 @@
 }
 
 impl<'a> Ground<'a> {
+    /// The kinds that machines of the cluster state are of, and no others.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
         let offer = |k: &'a Kind| Some(Offer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
         Self { offers: cluster.kinds().iter().map(offer).collect() }
@@ -96,6 +102,7 @@
         })
     }
 
+    /// The zone of the kind at this place; empty if the cloud does not know its type.
     pub fn zone(&self, kind: usize) -> &'a str {
         self.offers.get(kind).copied().flatten().map_or("", |o| o.zone)
     }
@@ -119,11 +126,17 @@
 pub struct Room<'a> {
     /// None: one that could be rented.
     pub machine: Option<&'a Machine>,
+    /// The machine's type.
     pub of: &'a MachineType,
+    /// Place of the machine's kind among [`Ground::offers`].
     pub kind: usize,
+    /// Free cores. Below zero where more is bound than the type has.
     pub cpus: f64,
+    /// Free accelerators.
     pub gpus: f64,
+    /// Free memory, in GB.
     pub memory_gb: f64,
+    /// Deadline shares and returns of the tasks bound to it, by which soft work is admitted.
     pub load: Load,
     /// What idle work takes of it, as (cpus, gpus, GB): others may have it.
     pub idle: (f64, f64, f64),
@@ -138,6 +151,7 @@
 }
 
 impl<'a> Room<'a> {
+    /// An empty machine of a type that could be rented; `kind` is its place among [`Ground::offers`].
     pub fn empty(of: &'a MachineType, kind: usize) -> Self {
         Self {
             machine: None,
@@ -155,6 +169,7 @@
         }
     }
 
+    /// Whether one task of the job fits into what is free, with [`SLACK`].
     pub fn fits(&self, spec: &JobSpec) -> bool {
         spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
     }
@@ -196,16 +211,19 @@
         self.machine.map_or(0, |m| 2 * u8::from(m.spot) + u8::from(m.failed))
     }
 
+    /// Whether a task of the job needs no fetch here: it has no image, or the machine holds it.
     pub fn holds_image(&self, job: &JobState) -> bool {
         job.spec().image_gb <= 0.0 || self.machine.is_some_and(|m| m.holds_image(job.image))
     }
 
+    /// Adds to what is free; negative amounts take from it.
     pub fn add(&mut self, cpus: f64, gpus: f64, memory_gb: f64) {
         self.cpus += cpus;
         self.gpus += gpus;
         self.memory_gb += memory_gb;
     }
 
+    /// Takes one task's request from what is free. Idle work is also counted in `idle`. `load` is not changed.
     pub fn take(&mut self, spec: &JobSpec) {
         self.change(spec, -1.0);
     }
@@ -223,6 +241,7 @@
         }
     }
 
+    /// Price of the machine, by its type and whether it is a spot machine, in the catalog's unit.
     pub fn price(&self) -> f64 {
         self.of.price(self.machine.is_some_and(|m| m.spot))
     }
@@ -271,6 +290,8 @@
 }
 
 impl<'a> Zones<'a> {
+    /// Counts the job's bound tasks by zone, if its description restricts zones at all. Machines of which only the
+    /// name is known count as an unknown zone.
     pub fn new(cluster: &'a ClusterState, job: &'a JobState) -> Self {
         let mut counts = HashMap::new();
         if job.spec().same_zone || job.spec().spread {
@@ -287,10 +308,13 @@
         Self { spec, counts: HashMap::new() }
     }
 
+    /// Whether the job restricts zones (`same_zone` or `spread`); else every zone is allowed.
     pub fn matter(&self) -> bool {
         self.spec.same_zone || self.spec.spread
     }
 
+    /// Whether one more task may be placed in the zone: with `same_zone` only where all others are, with `spread` at
+    /// most half of the job's tasks, rounded up, in one zone.
     pub fn allow(&self, zone: &str) -> bool {
         // What a successor has inherited on machines of which nobody has told it more than their names may be anywhere.
         let unknown = if zone == UNKNOWN { 0 } else { self.counts.get(UNKNOWN).copied().unwrap_or(0) };
@@ -299,6 +323,7 @@
             && (!self.spec.spread || here < self.spec.tasks.div_ceil(2))
     }
 
+    /// Counts one more task in the zone.
     pub fn take(&mut self, zone: &'a str) {
         if self.matter() {
             *self.counts.entry(zone).or_default() += 1;
@@ -310,6 +335,7 @@
         self.counts.clone()
     }
 
+    /// Replaces the counts by those that [`Self::counts`] gave before.
     pub fn set_counts(&mut self, counts: HashMap<&'a str, u64>) {
         self.counts = counts;
     }
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -9,6 +9,8 @@
 
 macro_rules! properties {
     ($($(#[doc = $doc:literal])+ $field:ident: $kind:ident = $default:expr, $name:literal, $low:expr, $high:expr;)+) => {
+        /// Settings that operators may override, with a default and an allowed range each; durations are given in
+        /// seconds. [`Properties::lines`] names them as the properties file does.
         #[derive(Debug, Clone, PartialEq)]
         pub struct Properties { $($(#[doc = $doc])+ pub $field: properties!(@type $kind),)+ }
 
@@ -79,12 +81,15 @@
 }
 
 impl Properties {
+    /// Reads a properties file. What it does not mention keeps its default; an unknown name or a value out of range is
+    /// an error that names the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let fail = |problem: String| SettingsError { file: path.display().to_string(), problem };
         let text = std::fs::read(path).map_err(|e| fail(e.to_string()))?;
         Self::parse(&text).map_err(fail)
     }
 
+    /// Reads properties from the text of a file, by the same rules as [`Self::load`].
     pub fn parse(text: &[u8]) -> Result<Self, String> {
         let entries: HashMap<String, String> = java_properties::read(text).map_err(|e| e.to_string())?;
         let mut properties = Self::default();
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -36,6 +36,7 @@
     Accepted(Arc<JobRecord>),
     /// A job that is open, by the owner's watch.
     Open(JobId),
+    /// A job that has ended, and how, by this controller's own transaction.
     Ended(Arc<JobRecord>, End),
     /// A chunk of tasks at this version.
     Chunk(JobId, u64, u64),
@@ -129,6 +130,7 @@
         self.told.retain(|told| told != held);
     }
 
+    /// Number of entries held, of all sorts together, for display.
     pub fn remembered(&self) -> usize {
         self.told.len() + self.turn.len() + self.suspects.len()
     }
@@ -160,6 +162,7 @@
     }
 }
 
+/// Compares what is remembered with the store and writes again what is missing, for ever.
 pub async fn run(node: Arc<Node>) {
     let most = node.settings.params.state.conditions();
     loop {
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -28,6 +28,8 @@
     }
 }
 
+/// A token bucket. What it holds grows with time up to a burst and may fall below zero for overdue calls and for calls
+/// larger than the burst.
 #[derive(Debug)]
 pub struct Budget {
     per_second: f64,
@@ -37,6 +39,7 @@
 }
 
 impl Budget {
+    /// A full bucket that grows by `per_second` (at least 0.01) up to `burst` (at least 1).
     pub fn new(per_second: f64, burst: f64, now: Instant) -> Self {
         let burst = burst.max(1.0);
         Self { per_second: per_second.max(0.01), burst, held: burst, at: now }
@@ -49,6 +52,7 @@
         (self.per_second, self.burst, self.held) = (per_second.max(0.01), burst, self.held.min(burst));
     }
 
+    /// The rate at which it grows.
     pub fn per_second(&self) -> f64 {
         self.per_second
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -23,6 +23,7 @@
 /// Longest wait for this controller's own share of the limits.
 const BUDGET_WAIT: Duration = Duration::from_millis(2000);
 
+/// Why a call to the state service has no usable answer, and whether it can still take effect.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
 pub enum StoreError {
     /// Refused or never sent: not executed, now or later.
@@ -39,11 +40,14 @@
     TooOld,
 }
 
+/// The definite answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
+    /// Applied, at this revision: the version of every key that it wrote.
     Applied(u64),
     /// These keys had other versions than asked.
     Failed(Vec<String>),
+    /// A write was to be attached to a lease that does not exist any more. Nothing was applied.
     NoSuchLease,
 }
 
@@ -76,6 +80,8 @@
     }
 }
 
+/// Client of the state service. Every call first waits for this controller's share of the request rate, and every
+/// transaction for its share of the change rate.
 pub struct StateClient {
     http: Http,
     addr: String,
@@ -88,9 +94,12 @@
     traffic: Arc<Traffic>,
 }
 
+/// When the state service last answered and last failed to, by this process's steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
+    /// The last answer that was not a refusal; none before the first.
     pub served: Option<Instant>,
+    /// The last refusal, or call without an answer; none if there was none yet.
     pub failed: Option<Instant>,
 }
 
@@ -123,6 +132,7 @@
 }
 
 impl StateClient {
+    /// A client of the service at `addr`, with what this controller may use of its limits.
     pub fn new(http: Http, addr: String, requests: Budget, writes: Budget, traffic: Arc<Traffic>) -> Self {
         let (requests, writes) = (Mutex::new(requests), Mutex::new(writes));
         let now = Instant::now();
@@ -130,6 +140,7 @@
         Self { http, addr, requests, writes, health: Mutex::default(), wanted, traffic }
     }
 
+    /// When the service last answered and last failed to.
     pub fn health(&self) -> Health {
         *crate::sync::lock(&self.health)
     }
@@ -233,6 +244,7 @@
         }
     }
 
+    /// Applies all changes if all conditions hold, and nothing otherwise. Without changes it only compares.
     pub async fn txn(
         &self,
         conditions: &[Condition],
@@ -299,6 +311,8 @@
         }
     }
 
+    /// The changes under a prefix after revision `since`. If there are none yet, the service waits up to `wait` for
+    /// the first.
     pub async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> Result<Followed, StoreError> {
         self.reserve(Urgent::First).await?;
         self.follow_reserved(prefix, since, wait).await
@@ -315,6 +329,8 @@
         }
     }
 
+    /// Creates a lease that ends after `life` unless it is renewed, and returns its number. Keys attached to it are
+    /// dropped when it ends.
     pub async fn grant(&self, life: Duration) -> Result<u64, StoreError> {
         let body = wire::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
         match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, Urgent::First).await? {
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -85,6 +85,7 @@
     n
 }
 
+/// Stores the owner's changes for as long as this controller owns: in batches, one transaction at a time.
 pub async fn run(node: Arc<Node>) {
     loop {
         let _ = tokio::time::timeout(EVERY, node.wake.commit.notified()).await;
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -155,8 +155,11 @@
 /// Tickets: each asker draws one, and is served by a proof begun after that.
 pub struct Fresh {
     drawn: std::sync::atomic::AtomicU64,
+    /// Wakes `run_fresh`: somebody waits for a proof.
     pub wanted: tokio::sync::Notify,
+    /// The highest ticket for which a proof has succeeded.
     pub proven: tokio::sync::watch::Sender<u64>,
+    /// The highest ticket for which a proof has failed; those who hold it or a lower one give up at once.
     pub failed: tokio::sync::watch::Sender<u64>,
     /// When the last proof was asked for that came.
     last: Mutex<Option<Instant>>,
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -93,8 +93,10 @@
     }
 }
 
+/// Open jobs, the keys of leadership and ownership, and what is declared, as of one revision of the store.
 #[derive(Debug)]
 pub struct Mirror {
+    /// Everything stored up to this revision is included; 0 before the first reading.
     pub revision: u64,
     /// False until read whole once, and again while it is read anew after falling too far behind.
     pub ready: bool,
@@ -136,14 +138,18 @@
 /// What an update means to the rest of the process.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct News {
+    /// Jobs that are open now and were not known before.
     pub opened: Vec<JobId>,
+    /// Jobs that were open and have ended.
     pub ended: Vec<JobId>,
+    /// One of the keys of leadership or ownership changed, or the mirror was read anew.
     pub ownership: bool,
     /// A spec or a status changed.
     pub declared: bool,
 }
 
 impl News {
+    /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -197,6 +203,7 @@
         self.open.get(id)
     }
 
+    /// All open jobs, in no particular order.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&JobId, &Arc<JobRecord>)> {
         self.open.iter()
     }
@@ -221,10 +228,12 @@
         self.ended.peek(id).map(|ended| ended.after)
     }
 
+    /// Number of ended jobs whose descriptions are kept.
     pub fn ended_kept(&self) -> usize {
         self.ended.len()
     }
 
+    /// The leader and the version of its key; none if nobody leads or the value cannot be read.
     pub fn leader(&self) -> Option<&(Leader, u64)> {
         self.control.leader.value()
     }
@@ -242,6 +251,7 @@
         }
     }
 
+    /// The assignment and its version, which is the owner's token; none if there is none or it cannot be read.
     pub fn assignment(&self) -> Option<&(Assignment, u64)> {
         self.control.assignment.value()
     }
@@ -266,6 +276,7 @@
         &self.registry
     }
 
+    /// What is declared, to be read: values are parsed when they are first asked for.
     pub fn registry_mut(&mut self) -> &mut Registry {
         &mut self.registry
     }
--- a/src/store/share.rs
+++ b/src/store/share.rs
@@ -21,7 +21,9 @@
 /// Fixed shares: a part of a limit for the owner, and one that the others share.
 #[derive(Debug, Clone, Copy)]
 pub struct Parts {
+    /// Part of the limit for the owner, from 0 to 1.
     pub owner: f64,
+    /// Part of the limit that all other controllers share evenly, from 0 to 1.
     pub others: f64,
 }
 
@@ -39,7 +41,9 @@
 /// What a controller lately wanted of a limit, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Want {
+    /// Whether this controller owns, by its own knowledge.
     pub owner: bool,
+    /// What it wanted lately, per second.
     pub per_second: f64,
 }
 
@@ -73,10 +77,12 @@
 }
 
 impl Meter {
+    /// Nothing was counted yet.
     pub fn new(now: Instant) -> Self {
         Self { faded: 0.0, at: now }
     }
 
+    /// Counts `n` more requests or changes.
     pub fn count(&mut self, n: f64, now: Instant) {
         self.faded = self.faded(now) + n;
         self.at = now;
@@ -86,6 +92,7 @@
         self.faded * (-now.saturating_duration_since(self.at).as_secs_f64() / FADE.as_secs_f64()).exp()
     }
 
+    /// The rate of what was counted lately; older counts fade exponentially.
     pub fn per_second(&self, now: Instant) -> f64 {
         self.faded(now) / FADE.as_secs_f64()
     }
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -20,6 +20,7 @@
         self.unproven && self.serves
     }
 
+    /// Whether it may act as the owner: give orders beyond stopping what is over.
     pub fn acts(&self) -> bool {
         self.knows && !self.unproven
     }
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -18,6 +18,7 @@
 /// Looks again this often for what is due without having been told.
 const EVERY: Duration = Duration::from_millis(1000);
 
+/// Sends the commands that are due straight to their workers, for ever.
 pub async fn run(node: Arc<Node>) {
     loop {
         let _ = tokio::time::timeout(EVERY, node.wake.dispatch.notified()).await;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -18,11 +18,13 @@
 
 /// What a report is answered with.
 pub enum Answer {
+    /// 200: the report was taken in; what the worker is to do.
     Orders(Orders),
     /// 421, naming the owner.
     Elsewhere(String),
     /// 503: nobody known here may answer for the controllers.
     Nobody,
+    /// 400: the report cannot be read, or breaks a rule of the protocol.
     Malformed,
 }
 
