--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -12,32 +12,43 @@
 
 use super::{End, JobSpec};
 
+/// Prefix of what every controller mirrors.
 pub const MIRRORED: &str = "c/";
 /// Listings of what is mirrored begin after this, past all that earlier builds have left.
 pub const MIRRORED_AFTER: &str = "c/k";
+/// Prefix of the keys of open jobs; the job's id follows.
 pub const OPEN: &str = "c/o/";
+/// Prefix of the keys of jobs that are done; the job's id follows.
 pub const DONE: &str = "h/d/";
+/// Prefix of the keys of withdrawn jobs; the job's id follows.
 pub const WITHDRAWN: &str = "h/w/";
 /// Jobs and ends as builds before 0.2 kept them; ended ones stay there and are read when asked for.
 pub const OLD_JOBS: &str = "c/j/";
+/// Prefix of the ends of jobs as builds before 0.2 kept them; the job's id follows.
 pub const OLD_ENDS: &str = "c/e/";
 /// Written once nothing open is left under `OLD_JOBS`.
 pub const UPGRADED: &str = "c/upgraded";
+/// Key of the leader ([`Leader`](crate::membership::records::Leader)), attached to the leader's lease.
 pub const LEADER: &str = "c/leader";
+/// Key of the owner's record ([`Assignment`](crate::membership::records::Assignment)). Its version is the owner's
+/// token.
 pub const ASSIGNMENT: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the owner.
 pub const TAKEOVER_REQUEST: &str = "c/plea";
 /// The owner's watermark, stored where a controller does not hear it (`membership::watermark`).
 pub const WATERMARK: &str = "c/watermark";
+/// Prefix of chunks of tasks; `ID/NUMBER` follows.
 pub const TASKS: &str = "t/";
 
 /// Tasks of one chunk: a full one takes about 4 KiB, half of the smallest usual value, which leaves
 /// room for longer names of machines. Larger chunks mean fewer changes for jobs of hundreds.
 pub const CHUNK: u64 = 192;
 
+/// Key of an open job.
 pub fn open_key(id: &str) -> String {
     format!("{OPEN}{id}")
 }
+/// Key of a job that ended so.
 pub fn ended_key(id: &str, end: End) -> String {
     match end {
         End::Done => format!("{DONE}{id}"),
@@ -48,12 +59,15 @@
 pub fn ended_keys(id: &str) -> [String; 2] {
     [End::Done, End::Withdrawn].map(|end| ended_key(id, end))
 }
+/// Key of a job, open or ended, in builds before 0.2.
 pub fn old_job_key(id: &str) -> String {
     format!("{OLD_JOBS}{id}")
 }
+/// Key of a job's end in builds before 0.2.
 pub fn old_end_key(id: &str) -> String {
     format!("{OLD_ENDS}{id}")
 }
+/// Key of one chunk of a job's tasks: chunk n holds the tasks from n × [`CHUNK`] on.
 pub fn chunk_key(id: &str, chunk: u64) -> String {
     format!("{TASKS}{id}/{chunk:05}")
 }
@@ -67,7 +81,9 @@
 /// A stored job: what was submitted, and when by the accepting controller's time of day.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The job as its user described it.
     pub spec: JobSpec,
+    /// When it was accepted, in milliseconds since 1970 by the accepting controller's clock.
     pub at_ms: u64,
 }
 
@@ -81,8 +97,10 @@
 /// What is kept of a job for ever: its description, and when it ended by the writer's time of day.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EndedRecord {
+    /// The job as it was while open.
     #[serde(flatten)]
     pub job: JobRecord,
+    /// When it ended, in milliseconds since 1970 by the writer's clock.
     pub ended_ms: u64,
 }
 
@@ -92,15 +110,18 @@
 /// The end of a job as builds before 0.2 kept it.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct OldEnd {
+    /// How the job ended.
     pub end: End,
 }
 
 /// That a store holds no open job of an earlier build any more, and whether it holds ended ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upgraded {
+    /// Whether ended jobs remain under [`OLD_JOBS`] and [`OLD_ENDS`].
     pub old_kept: bool,
 }
 
+/// The time of day in milliseconds since 1970. May step in either direction.
 pub fn time_of_day_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
@@ -108,11 +129,14 @@
 /// What is stored of one task.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Stored {
+    /// Never bound to a machine.
     #[default]
     Untouched,
     /// Waiting after this many attempts.
     Waiting(u64),
+    /// Bound: the number of the attempt, and the name of the machine.
     Bound(u64, String),
+    /// Finished.
     Done,
 }
 
@@ -135,6 +159,7 @@
     tasks.iter().map(|task| if let Stored::Bound(_, machine) = task { machine.len() + 26 } else { 22 }).sum()
 }
 
+/// Reads back what [`encode_chunk`] made; none if any of its items cannot be read.
 pub fn decode_chunk(value: &Value) -> Option<Vec<Stored>> {
     value
         .as_array()?
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,8 @@
 //! goes ahead on hot days, `settings` what an operator hands over and `cli` the commands; `kinds` and `sync` are what
 //! all of them know. I/O stays at the edges; decisions take state and time.
 
+#![warn(missing_docs)]
+
 pub mod calendar;
 pub mod cli;
 pub mod declared;
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -37,19 +37,27 @@
 /// Hard work that must start within this time to be done in time is not kept waiting for reservations.
 const PRESSED_WITHIN: Duration = Duration::from_secs(30);
 
+/// A decision to start one attempt of a task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
+    /// The task.
     pub task: TaskKey,
+    /// Number of the attempt: one above the task's last, or for a gang one above the highest of all its tasks.
     pub attempt: u64,
+    /// The machine that it is to be bound to.
     pub machine: MachineId,
 }
 
 /// A job's place in the queue.
 #[derive(Clone, Copy)]
 pub struct Turn<'a> {
+    /// The job's id.
     pub id: &'a JobId,
+    /// The job, as of the moment of the plan.
     pub job: &'a JobState,
+    /// Whether the team stays within its guarantee with one more task of the job, or with all tasks of a gang.
     pub guaranteed: bool,
+    /// Its rank; within one rank work is ordered by return.
     pub rank: Rank,
     /// Too late for all that was promised of it.
     pub late: bool,
@@ -58,6 +66,7 @@
     /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
     pub suspected: bool,
     task_return: f64,
+    /// Time since the job was submitted, as far as this owner knows.
     pub age: Duration,
     /// Goes before others of its urgency, by what operators have declared.
     pub ahead: bool,
@@ -134,10 +143,12 @@
 }
 
 impl<'a> Quotas<'a> {
+    /// What every team uses in the cluster state.
     pub fn new(cluster: &'a ClusterState) -> Self {
         Self { cluster, used: cluster.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
     }
 
+    /// Whether `n` more tasks of the job stay within its team's limits; false if the settings do not list the team.
     pub fn allows(&self, spec: &JobSpec, n: f64) -> bool {
         let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
         let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
@@ -145,6 +156,7 @@
         within(team.cpus_max, used.0, n * spec.cpus) && within(team.gpus_max, used.1, n * spec.gpus)
     }
 
+    /// Counts `n` more tasks of the job as used by its team.
     pub fn take(&mut self, spec: &'a JobSpec, n: f64) {
         let used = self.used.entry(spec.team.as_str()).or_default();
         used.0 += n * spec.cpus;
@@ -383,10 +395,12 @@
     now: Instant,
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
     kept: Vec<&'a str>,
+    /// Number of rooms looked at so far, repeated looks included.
     pub looked: u64,
 }
 
 impl<'a> Plan<'a> {
+    /// The rooms of all usable machines with enough free cores for the smallest of the turns' tasks.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
         let ground = Ground::new(cluster, catalog);
         let suspect = super::room::suspect_after(cluster);
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -32,7 +32,7 @@
 }
 
 impl Offer<'_> {
-    /// Price of the type for this kind (spot or ordinary), in the catalog's unit.
+    /// Price per hour of a machine of this kind, spot or on demand.
     pub fn price(&self) -> f64 {
         self.of.price(self.spot)
     }
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Price of the machine, by its type and whether it is a spot machine, in the catalog's unit.
+    /// Price per hour of the machine; one that could be rented counts as on demand.
     pub fn price(&self) -> f64 {
         self.of.price(self.machine.is_some_and(|m| m.spot))
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -140,7 +140,7 @@
     /// Seconds from the sending of a report that was answered until the worker stops everything it runs, unless a
     /// later report is answered meanwhile.
     pub lease_s: f64,
-    /// Seconds after a withdrawal was confirmed by which no task of the job may run any more.
+    /// Seconds from the moment at which users are told of a withdrawal until no task of the job may run any more.
     pub cancel_s: f64,
 }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -97,9 +97,9 @@
 /// When the state service last answered and last failed to, by this process's steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// The last answer that was not a refusal; none before the first.
+    /// The last answer other than 503 (a refusal for its rate, 429, counts); none before the first.
     pub served: Option<Instant>,
-    /// The last refusal, or call without an answer; none if there was none yet.
+    /// The last call that was answered with 503 or not at all; none if there was none yet.
     pub failed: Option<Instant>,
 }
 
