--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,5 +1,8 @@
+//! Checks of job descriptions, and a description that tests of other modules start from.
+
 use super::*;
 
+/// An array of one task of class `c` and team `blue`: one core, 1 GB, 10 s, spot machines allowed.
 pub fn spec() -> JobSpec {
     JobSpec {
         id: "run-000001".into(),
--- a/src/kinds/tests.rs
+++ b/src/kinds/tests.rs
@@ -1,3 +1,5 @@
+//! A machine type that tests of other modules start from.
+
 use super::*;
 
 /// A machine type in zone `a`; cheap ones at half the price.
--- a/src/rollouts/spec/tests.rs
+++ b/src/rollouts/spec/tests.rs
@@ -1,5 +1,8 @@
+//! Checks of rollout specs, and a spec that tests of other modules start from.
+
 use super::*;
 
+/// Replaces `run-1` by `run-2`, four replicas each, with the steps 1 and 0.5 and a surge of 1.
 pub fn spec() -> Spec {
     let text = r#"{"old":"run-1","new":"run-2","replicas":4,"steps":[1,0.5],"hold_s":20,"ready_s":10,"surge":1}"#;
     serde_json::from_str(text).unwrap()
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,5 +1,8 @@
+//! Checks of the platform's settings, and settings that tests of other modules start from.
+
 use super::*;
 
+/// Settings of `node-0` with one peer, two zones, and the teams `red` and `blue`, as the platform writes them.
 pub const EXAMPLE: &str = r#"{
         "host_name":"node-0","area":"a","api_addr":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
         "peers":[{"host_name":"node-1","area":"b","endpoint":"127.0.0.1:3"}],
@@ -13,6 +16,7 @@
           "cloud":{"rps":8,"list_lag_s":8},
           "resources":{"cores":0.1,"memory_mb":100,"max_sockets":700},"skew_ms":25,"new":1}}"#;
 
+/// [`EXAMPLE`], read and checked.
 pub fn example() -> Settings {
     Settings::parse(EXAMPLE).unwrap()
 }
