--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -1,7 +1,7 @@
-//! The calendar of planning windows: what opens and closes when, whose turn it is, and that none
-//! slips past unclaimed without a word. docs/calendar.md has the argument.
+//! Planning windows: when they open and close, which job's turn it is, and that operators are told of each one that
+//! closes unclaimed (docs/calendar.md).
 //!
-//! Jobs come from users alone: nothing here submits, withdraws or ends one.
+//! Jobs come from users only: nothing here submits, withdraws or ends one.
 
 mod declare;
 mod intents;
--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -1,7 +1,8 @@
-//! The course of a window: who claims which turn, whose turn has come, how an instance ends. Pure.
+//! The course of one instance of a window: which job claims which turn, whose turn it is, and how the instance ends.
+//! Pure.
 //!
-//! Everything given only grows within an instance (claims, the turn, what was told), and the day of the
-//! last end only grows: a time of day that steps backwards takes nothing back.
+//! Within an instance the claims, the turn and what was reported only grow, and so does the day of the last end: a
+//! clock that steps backwards undoes nothing.
 
 use std::sync::Arc;
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: its commands and their arguments.
 
 mod verbs;
 
--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -1,4 +1,4 @@
-//! Operators' verbs: what is declared, written and read through the state service.
+//! Commands for operators: they read and write what is declared, through the state service.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -1,11 +1,10 @@
-//! The owner's work on what is declared, without any I/O: what to store next, what is asked for by
-//! what is stored, and what is to be told.
+//! The owner's work on declared things, without any I/O: which statuses to store next, which intents follow from those
+//! that are stored, and what is to be logged.
 //!
-//! Every status is written on condition of the assignment, of the spec's stamp and of the status's own:
-//! a replaced owner stores nothing, nothing is worked out from a spec that was changed since, and of two
-//! writes that began from one status the store takes one. So nothing has to be remembered of a write
-//! that was not answered: what is decided next begins from the same stamps, and a late copy of either is
-//! refused once the other stands.
+//! Every status is written on condition of the assignment, of the spec's version and of the status's own: a replaced
+//! owner stores nothing, no status is derived from a spec that has changed since, and of two writes that began from
+//! the same status the store takes one. So a write that was not answered needs no memory: the next decision begins
+//! from the same versions, and a late copy of either write is refused once the other is stored.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -1,4 +1,4 @@
-//! The owner's task: looks at what is declared, stores what follows, tells what is stored.
+//! The owner's task for declared things: works out the next status, stores it, and logs what is stored.
 
 use std::future::Future;
 use std::sync::Arc;
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -1,4 +1,4 @@
-//! Every kind of declared thing, whatever its types: one line each.
+//! The table of all kinds of declared things, one entry each, independent of their types.
 
 use std::collections::BTreeMap;
 
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! The types of machines that the cloud offers.
+//! Keeps the catalog up to date: the machine types that the cloud offers.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's API.
+//! Client of the cloud's API: the catalog, rentals, returns and the list of machines.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/src/fleet/dealings.rs
+++ b/src/fleet/dealings.rs
@@ -1,4 +1,5 @@
-//! What the owner remembers of its dealings with the cloud.
+//! The owner's memory of its calls to the cloud: refusals, machines asked for or being returned, and stored orders
+//! that are to be cleaned up.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -1,5 +1,5 @@
-//! Which machines are no longer needed: what they run, and what is expected meanwhile, fits on
-//! the others. Their tasks that can save move; the rest of them run out.
+//! Draining: which machines are no longer needed, because what they run, and the work expected meanwhile, fits on the
+//! others. Tasks that can save their progress are moved; the others run to their end.
 
 use std::time::{Duration, Instant};
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The machines: what the cloud offers, what to rent, what to return.
+//! The machines and the cloud: what it offers, what to rent and what to return.
 
 mod catalog;
 pub mod cloud;
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -1,5 +1,5 @@
-//! Orders as they pass through the store: stored before they are carried out, dropped afterwards, and taken over
-//! from an earlier owner.
+//! The life of an order in the store: stored before it is carried out, dropped afterwards, and taken over from an
+//! earlier owner.
 
 use std::time::Duration;
 
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -1,4 +1,4 @@
-//! Rentals: what to rent now, and carrying it out.
+//! Rentals: decides what to rent now, and carries it out.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -1,4 +1,4 @@
-//! Returns of machines that are condemned.
+//! Returning machines that are condemned, under a stored order.
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -1,8 +1,8 @@
-//! On and off: decided by the owner, stored, and the same for whoever reads it.
+//! Whether a rule is on: decided by the owner, stored, and read by every controller.
 //!
-//! From the rule, what was stored last, the readings and the time of day to what is to be stored next. The
-//! time only grows from one change to the next: a clock that steps back by less than a minute undoes nothing,
-//! and a change that is stamped further ahead than that was made by a wrong clock and is not believed.
+//! The decision is a function of the rule, of what was stored last, of the readings and of the time of day. The stored
+//! time only grows from one change to the next: a clock that steps back by less than a minute undoes nothing, and a
+//! change with a time further ahead than that was made by a wrong clock and is ignored.
 
 use std::fmt;
 
--- a/src/history/ends.rs
+++ b/src/history/ends.rs
@@ -1,8 +1,8 @@
-//! The ends that were told lately, packed: final, so never out of date.
+//! A fixed-size cache of how jobs ended. Ends are final, so an entry is never out of date.
 //!
-//! A job's users may ask about it for ever and one after another. A list that lets the least recently
-//! asked for go holds none of the next ones as soon as a round is longer than the list; this one
-//! lets any go, so that of a round twice its size still about a fifth is at hand.
+//! Entries are displaced without regard to their last use. Users may ask about all their jobs in turn, for ever; a
+//! least-recently-used list shorter than such a round would hold none of the next ones asked for, while here about a
+//! fifth of a round of twice the cache's size is still found.
 
 use crate::jobs::End;
 
--- a/src/history/sweep.rs
+++ b/src/history/sweep.rs
@@ -1,8 +1,8 @@
-//! Reads ends in pages while more is asked than can be compared.
+//! Reads ends in pages when more jobs are asked about than can be compared one by one.
 //!
-//! A comparison answers up to 24 jobs, a page of names up to 1,000. After all controllers were ended
-//! nobody has an end at hand, and once some ten thousand jobs are asked about every few seconds,
-//! comparisons alone take longer than users wait. Ends are final: whatever a page shows stands.
+//! A comparison answers up to 24 jobs, a page of names up to 1,000. After a restart of all controllers none has any
+//! end in memory, and if some ten thousand jobs are asked about every few seconds, comparisons alone take longer than
+//! users wait. Ends are final, so whatever a page shows stays true.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -1,11 +1,11 @@
-//! Which withdrawals users may be told of.
+//! Which withdrawals may be reported to users.
 //!
-//! A withdrawal is stored by any controller and carried out by the owner. An owner that the state service
-//! refuses hears of none, and goes on answering workers: whatever was told meanwhile would run on. So the
-//! owner tells its watermark, the revision up to which its loaded cluster state holds every end (a read index, as a
-//! replicated log has it), and a withdrawal is told to users only at or below a watermark. That one was
-//! reached stays true: the owner of the time has the end in its cluster state, and every later one reads it there
-//! before it owns. A `done` needs none: nothing is to be stopped. Pure.
+//! Any controller may store a withdrawal; the owner carries it out. An owner that the state service refuses hears of
+//! no withdrawal and goes on answering workers, so that work whose withdrawal was reported would run on. So the owner
+//! publishes a watermark, the revision up to which its loaded cluster state holds every end (a read index, as in
+//! replicated logs), and a withdrawal is reported only at or below a watermark. Once reached, that stays true: the
+//! owner of that time has the end in its cluster state, and every later one reads it before it owns. A `done` needs no
+//! watermark, since nothing is to be stopped. Pure.
 
 use std::num::NonZeroUsize;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,17 @@
 //! hollylanding: a cluster scheduler that admits work by deadline share and return.
 //!
-//! The slices follow duties: `sla` holds the paper's pure arithmetic, `jobs` what a job is and
-//! how it is stored, `users` the public API, `workers` reports and commands, `scheduling` the
-//! cluster state of who runs what and the placement decisions, `fleet` the machines and the cloud,
-//! `store` the state service, `traffic` counts of what passes, `history` what has ended,
-//! `membership` who leads and who owns, `declared` what operators ask for beside jobs, `heat` who
-//! goes ahead on hot days, `settings` what an operator hands over and `cli` the commands; `kinds` and `sync` are what
-//! all of them know. I/O stays at the edges; decisions take state and time.
+//! Several controllers run at once. One of them leads and assigns an owner; the owner places the tasks of all jobs,
+//! rents and returns machines and answers workers. Every controller serves users. Durable state is kept in the state
+//! service.
+//!
+//! `sla` holds the arithmetic of the paper that the scheduler follows, `jobs` what a job is and how it is stored,
+//! `users` the API for users, `workers` reports and commands, `scheduling` the owner's cluster state and the placement
+//! decisions, `fleet` machines and the cloud, `store` the state service, `history` jobs that have ended, and
+//! `membership` leadership and ownership. `declared` holds what operators ask for beside jobs; its kinds are in
+//! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
+//! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
+//! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `kinds`
+//! and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
 
 #![warn(missing_docs)]
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Who leads, and who owns teams and machines.
+//! Leadership and ownership: which controller leads, and which owns teams and machines.
 //!
-//! The leader's key hangs on a lease; the leader writes the assignment, whose stamp is the
-//! owner's token towards workers and the condition of its every placement. Clocks only decide
-//! how soon a new leader comes: a deposed owner is stopped by the stamp, not by the time.
+//! The leader's key is attached to a lease of the state service. The leader writes the assignment; the version of that
+//! key is the owner's token, which workers compare and on which every write of a placement is conditional. Clocks only
+//! decide how soon a new leader follows: a deposed owner is stopped by the version, not by the time.
 
 pub mod mesh;
 pub mod records;
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! What is stored of leadership and ownership.
+//! Values stored for leadership and ownership: the leader, the assignment, the watermark and takeover requests.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -1,9 +1,10 @@
-//! What a controller may still say, judged by what it can prove itself and by what the others say.
+//! How far a controller's knowledge can be relied on, by its own proofs and by what the other controllers report.
 //!
-//! A controller that the state service does not answer cannot tell whether that is so for all. If it is,
-//! nobody else can come to own, and the machines are best held where they are. If it is not, another owns
-//! after the leader's lease, and a 200 from here only keeps machines from it. The others' word tells the
-//! two apart; whoever hears nobody says less and less, and holds only the machines that come back.
+//! A controller that gets no answer from the state service cannot tell whether the others get one. If none does,
+//! nobody else can become owner, and workers should stay where they are. If some do, another controller becomes owner
+//! after the leader's lease, and an answer 200 from this one only keeps workers from it. What the others report tells
+//! the two cases apart. A controller that hears from nobody answers less and less, and holds only workers that come
+//! back after it has sent them away.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/membership/turns.rs
+++ b/src/membership/turns.rs
@@ -1,8 +1,8 @@
-//! Turns of the leader between what it writes and the renewal of its lease.
+//! How the leader's steps share the time of its lease, so that writing an assignment never keeps it from renewing.
 //!
-//! An assignment may get no answer for as long as an answer is waited for, and is then written again. Were that
-//! to go on, the lease would end meanwhile. So an assignment is given a part of the lease, and after each a
-//! renewal that is due goes next: the lease ends only where renewals themselves are not answered. Pure.
+//! An assignment that gets no answer in time is written again; repeated without a pause, this would let the lease end.
+//! So each try may take a part of the lease only, and a renewal that is due goes next: the lease ends only if renewals
+//! themselves are not answered. Pure.
 
 use std::time::Duration;
 
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_owner.rs
@@ -1,4 +1,4 @@
-//! Workers that cannot reach the owner: seen by the controllers that redirect them in vain.
+//! Detects that workers cannot reach the owner: they come back to a controller that has redirected them to it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/membership/unreadable.rs
+++ b/src/membership/unreadable.rs
@@ -1,6 +1,6 @@
-//! A leader's key that cannot be read. No build renews what it does not lead by, and a key without a lease would
-//! keep everybody from leading for ever. Who leads decides how soon there is an owner and nothing else, so such a
-//! key may be dropped by its version, once it has stood for a leader's lease. Pure.
+//! How a leader's key that cannot be read is removed. No build renews a leadership that it does not hold, and a key
+//! without a lease would keep everybody from leading for ever. Leadership only decides how soon there is an owner, so
+//! such a key may be dropped, on condition of its version, once it has stood for a leader's lease. Pure.
 
 use std::time::{Duration, Instant};
 
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -1,8 +1,8 @@
-//! When the owner stores its watermark: where telling it does not do.
+//! When the owner stores its watermark, because some controller does not hear it.
 //!
-//! Controllers tell each other watermarks (`mesh`), which costs nothing. One that does not hear the owner, as
-//! where connections between controllers are refused, would never tell its users of a withdrawal. The owner
-//! sees from what each acknowledges that one lags behind, and stores its watermark for it. Pure.
+//! Controllers tell each other watermarks (`mesh`), which costs no request to the store. A controller that does not
+//! hear the owner, as where connections between controllers are refused, would never report a withdrawal to its users.
+//! The owner sees from the acknowledgements that one lags behind, and stores the watermark for it. Pure.
 
 use std::time::{Duration, Instant};
 
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -1,4 +1,5 @@
-//! Process pauses of this process: what was known before one is void until it is proven anew.
+//! What follows from a pause of this process: everything known before it counts as unproven until the store confirms
+//! it.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -1,4 +1,4 @@
-//! What is told for display, to other controllers and to operators.
+//! Figures for display, for other controllers and for operators: running and done tasks, who is served.
 
 use std::collections::HashMap;
 
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -1,4 +1,4 @@
-//! What the driver of what is declared needs of a controller.
+//! Implements `declared::run::Hands` for a controller: what the driver of declared things may read and do.
 
 use super::Node;
 use crate::declared::driver::Ended;
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -1,4 +1,5 @@
-//! What the mirror learns, handed to whoever acts on it.
+//! Passes on changes of the mirror to the cluster state, the history, the account of who is served, and the tasks that
+//! wait for them.
 
 use std::time::Instant;
 
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,4 +1,5 @@
-//! Jobs of a worker's report that are over, where the cluster state alone may not decide.
+//! Which jobs in a worker's report have ended by the mirror. Needed where the cluster state alone may not decide: it
+//! is not loaded yet, or this controller may have been replaced as owner.
 
 use std::collections::HashSet;
 
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -1,4 +1,4 @@
-//! Owning: beginning to, ceasing to, and giving way to another controller.
+//! Ownership of teams and machines: starting the owner's tasks, ending them, and stepping down for another controller.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -1,8 +1,8 @@
-//! What is next: a pure function of the spec, the status as stored and what the owner sees.
+//! The next step of a rollout: a pure function of the spec, the status as stored and what the owner observes.
 //!
-//! Replicas that are meant to go never count as capacity, whether or not they were stopped yet: so it
-//! does not matter when, or by which owner, their stop is carried out. One is meant to go only while
-//! enough others, which are not, run for certain.
+//! A replica that is meant to stop never counts as capacity, whether or not it was stopped yet; so it does not matter
+//! when, or by which owner, the stop is carried out. A replica is chosen to stop only while enough others, which are
+//! not, are certain to run.
 
 use std::collections::BTreeSet;
 
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -1,4 +1,5 @@
-//! Whose fault it is when replicas of the new version fail: the version's, or the machines'.
+//! Whether failures of new replicas are due to the new version, to machines, or to something by which old replicas
+//! fail as often.
 
 use super::observation::Observation;
 use super::spec::{MOST_MACHINES, Spec};
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -1,8 +1,8 @@
-//! Idle work: what is over goes to it, and what it may cause (docs/fairness.md).
+//! Rules for idle work (urgency `idle`), which runs on capacity that nobody else needs (docs/fairness.md).
 //!
-//! It starts behind everything else and may be stopped for it. So that it is not stopped as soon as it
-//! has begun, it takes no room that work which waits could have; and nothing is paid for it but
-//! machines that have nothing dear it has no use for.
+//! It is placed after all other work and may be preempted by it. So that it is not preempted as soon as it has begun,
+//! it gets no room that waiting work could use. Machines are rented for it only if they have nothing expensive, such
+//! as accelerators, that it has no use for.
 
 use std::time::Duration;
 
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -1,4 +1,5 @@
-//! Machines that do not hear: who they are, how many, and which are given up (`scheduling/one_way_partition` judges).
+//! Machines with a one-way partition, in the cluster state: which they are, how many, and which are given up. The
+//! verdicts are those of `scheduling::one_way_partition`.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -1,13 +1,14 @@
-//! Up to which revision withdrawals may be told of: the owner's watermark.
+//! The owner's watermark: the revision up to which withdrawals may be reported to users.
 //!
-//! That an end is in this cluster state does not do. A machine that has not heard of this owner goes on obeying the one
-//! before, which knows of no such end and answers it for as long as an outage lasts; and this owner may end a
-//! moment after it has told. So a withdrawal counts only once every machine that may run a task of it, from an
-//! earlier owner, has seen this owner's token: from then on it obeys nobody else but a later owner, which reads
-//! the end before it owns. Until then the machine proves itself, or is returned as one with an overdue task is.
+//! It is not enough that the withdrawal is in this cluster state. A machine that has not yet heard of this owner still
+//! obeys the previous one, which may know nothing of the withdrawal and may answer the machine for as long as an
+//! outage lasts; and this owner may end at any moment. So a withdrawal counts only once every machine that may run a
+//! task of it, from an earlier owner, has seen this owner's token: from then on it obeys only this owner or a later
+//! one, which reads the end before it owns. A machine that does not prove this in time is returned, like one with an
+//! overdue task.
 //!
-//! Nor does a withdrawal count while a launch of it may still arrive: a command that is held up on its way starts its
-//! task as long as token and session match. Once the machine has shown the attempt, or has proven it absent, no launch
+//! Nor does a withdrawal count while a launch of one of its tasks may still arrive: a delayed command starts its task
+//! as long as token and session match. Once the machine has reported the attempt, or has proven it absent, no launch
 //! of it can start anything, and no further one is sent.
 
 use super::{ClusterState, JobState};
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -1,5 +1,5 @@
-//! Accepted jobs with a due time: each is a window by itself, open from its acceptance, claimed by
-//! itself, met if it is done in time. All of it follows from what is stored of the job already.
+//! Accepted jobs with a due time: how many are open, late or past their time, for operators. It follows from what is
+//! stored of each job and the cluster state; nothing more is stored.
 
 use std::time::{Duration, Instant};
 
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -1,10 +1,10 @@
-//! Whose fault a failure is: the job's, one task's or the machine's. Judged by what failed where and
-//! what did well there, never by a number of failures alone: a job submitted with a mistake fails on
-//! every machine, and a faulty machine fails every job (docs/operations.md, docs/design.md).
+//! Whether a failure is due to the job, to one of its tasks or to the machine. Judged by what failed where and what
+//! succeeded there, never by a number of failures alone: a job submitted with a mistake fails on every machine, and a
+//! faulty machine fails every job (docs/operations.md, docs/design.md).
 //!
-//! What is not clear yet costs neither much: the job goes elsewhere, the machine is left alone for a
-//! moment and has a way back. Kept by the owner in memory; a successor learns it anew at the price
-//! of a few starts. It does no I/O and reads no clock.
+//! As long as that is not clear, neither is treated as faulty for good: the job is tried elsewhere, and the machine
+//! gets no work for a moment and is then tried again. The owner keeps this in memory; a successor learns it anew at
+//! the cost of a few starts. There is no I/O here, and no clock is read.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::num::NonZeroUsize;
--- a/src/scheduling/fairness/floor.rs
+++ b/src/scheduling/fairness/floor.rs
@@ -1,6 +1,8 @@
-//! The floor: who goes first while something is short, and how what is late is not last for ever.
+//! The floor: which classes and teams go first because they were served less than a stated part of what they were
+//! promised or have offered, and the credit by which late work gets a part of the cores all the same.
 //!
-//! With nothing short nobody is below the floor and nothing is late, and the order is the paper's.
+//! If all are served enough, nobody is below the floor and nothing is late, and the order is that of the paper: by
+//! return.
 
 use std::collections::HashSet;
 
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -1,5 +1,5 @@
-//! When waiting work would start on the machines there are: a coarse simulation that renting is
-//! decided by. Each machine frees room as its tasks are expected to end.
+//! A coarse simulation of when waiting work would start on the machines that there are, each of which frees room as
+//! its tasks are expected to end. Renting and reservations are decided by it.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -1,6 +1,6 @@
-//! What is asked of placing, renting, holding and sparing beyond the order of return. Whoever asks
-//! (`declared`) works it out from what is stored; here nobody knows why. With no intents, not one
-//! decision differs.
+//! Constraints on placing, renting, reserving and draining that come from what operators have declared. `declared`
+//! works them out from what is stored; this module applies them and does not know the reasons. Without intents every
+//! decision is the same as if this module did not exist.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -1,12 +1,12 @@
-//! Whoever needs much at once has a floor as classes and teams have: the largest gangs of a class begin within a
-//! stated time, as far as what they offer reaches.
+//! A guarantee for gangs: the largest gangs of each class begin within a stated time (property `large.begin.seconds`),
+//! as far as their part of the offered work pays for it.
 //!
-//! A gang starts only where all of it fits. In order of return alone everything smaller takes each piece as it
-//! comes free, so that a large gang begins only once less comes than ends. So the largest earn of the cores that
-//! others are given, in the proportion of what both have offered. What is earned goes to the one that has
-//! waited longest and can still begin in time: it goes first within its rank, and the room that it finds is kept
-//! until the rest of it has come free (backfill with one reservation). Where no large gang has waited for
-//! long, nothing of this is there.
+//! A gang starts only where all of its tasks fit. In order of return alone, smaller work would take each piece of room
+//! as it comes free, and a large gang would begin only once less work arrives than ends. So the largest gangs earn
+//! credit from the cores that are given to others, in the proportion in which both have offered work. The credit goes
+//! to the gang that has waited longest and can still begin in time: it goes first within its rank, and the room found
+//! for it is reserved until the rest has come free (backfill with one reservation). Where no large gang has waited for
+//! long, nothing of this has an effect.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -1,9 +1,9 @@
-//! Whether a machine hears: its reports arrive, and so it looks alive, but answers and commands may not
-//! reach it. Judged by answers that had to show an effect in its next report and did not: a higher token
-//! to learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
+//! Detects machines with a one-way partition: their reports arrive, so that they look alive, but answers and commands
+//! may not reach them. Judged by answers that had to show an effect in the next report and did not: a higher token to
+//! learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
 //!
-//! Kept by the owner in memory; a successor judges anew. It does no I/O and reads no clock, and no rule
-//! rests on it: a task on a machine that does not hear stays bound until it is proven gone.
+//! The owner keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
+//! not depend on the verdict: a task on such a machine stays bound until it is proven gone.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -1,5 +1,8 @@
-//! Stopping others for work of higher urgency, and for a team short of its guarantee: the whole of
-//! what a job needs at once, at the least loss, and held for it until it has come.
+//! Preemption: running tasks are stopped to make room for work of higher urgency, or for a team that is short of its
+//! guarantee.
+//!
+//! It stops only what makes room for all that the job needs at once, chooses the tasks that lose least by it, and
+//! reserves the machines for the job until their tasks have gone and the job is placed.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -1,6 +1,6 @@
-//! Reservations: room kept for gangs that do not fit now but soon would, if smaller work did not take
-//! each piece as it comes free. Held briefly, of a part of the machines, and open to whatever is
-//! expected to end in time.
+//! Reservations: machines kept for gangs that do not fit now but soon would, if smaller work did not take each piece
+//! of room as it comes free. They last for a short time, cover a part of the machines only, and leave the room to
+//! other work that is expected to end in time.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -1,5 +1,4 @@
-//! Room: what is left of each machine, and which machines a job may use. Placement, renting and
-//! draining search it alike.
+//! Room: what is free on each machine, and which machines a job may use. Placing, renting and draining all search it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,5 +1,5 @@
-//! Which settings are refused: those by which no time that is promised could be kept. Every refusal names
-//! the field and its value.
+//! Checks of the settings. Refused are values out of range and combinations with which a promised time could not be
+//! kept; every refusal names the field and its value.
 
 use std::net::SocketAddr;
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! What the platform hands over (a JSON file) and what operators set themselves (properties).
+//! The two configuration files of a controller: settings, which the platform writes (JSON), and properties, which
+//! operators set.
 
 mod check;
 mod properties;
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -1,5 +1,5 @@
-//! Operators' own settings, Java-style properties. Every number that was chosen rather than
-//! given has its name, unit and default here.
+//! The operators' settings, a Java-style properties file: one name, default and range for each value that the platform
+//! does not give.
 
 use std::collections::HashMap;
 use std::path::Path;
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,4 +1,4 @@
-//! A token bucket with reserves: urgent calls may use what ordinary ones must leave.
+//! A token bucket for the limits of the state service, of which less urgent calls must leave a reserve.
 
 use std::time::{Duration, Instant};
 
--- a/src/store/log_limit.rs
+++ b/src/store/log_limit.rs
@@ -1,4 +1,4 @@
-//! Log lines that outside input brings about, no more often than once a minute.
+//! Limits log lines that input from outside can cause to one a minute.
 
 use std::time::{Duration, Instant};
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state service: its client, the share of its limits this controller keeps to, and the
-//! mirror of jobs, ends and ownership that every controller holds.
+//! The state service: its client, this controller's share of its limits, and the mirror of open jobs, ownership and
+//! declared things that every controller keeps.
 
 pub mod audit;
 pub mod budget;
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -1,4 +1,4 @@
-//! Short locks and uneven pauses, which every part needs and none owns.
+//! Helpers for locks and for randomized pauses, used by all parts.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -1,4 +1,4 @@
-//! Looking a job up: what its users may hear of it.
+//! Answers to questions about a job: its status as far as it may be reported to users.
 
 use tracing::debug;
 
--- a/src/users/withdrawal.rs
+++ b/src/users/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Withdrawals by users.
+//! Withdrawal of jobs by users.
 
 use std::sync::Arc;
 
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -1,4 +1,4 @@
-//! What an owner may answer a worker's report with, by what it knows of itself. Pure.
+//! What an owner may answer to a worker's report, depending on what it can prove of its ownership. Pure.
 
 /// What an owner knows when a report comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Commands sent straight to workers. The report's answer is the second way.
+//! Sends due commands to workers directly, so that they need not wait for the answer to their next report.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! What workers report and are told.
+//! Communication with workers: their reports, which are answered with orders, and commands sent to them directly.
 
 pub mod answer;
 pub mod dispatch;
