--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -1,7 +1,7 @@
-//! What a window asks of placing and renting, by what is stored of it. Pure.
+//! The intents of a window (placing and renting), derived from what is stored of it. Pure.
 //!
-//! Nothing is placed out of turn for want of a write: a job that would claim waits for its claim to be
-//! stored, until its latest start.
+//! A write that is delayed never lets a job be placed out of turn: a job that would claim waits until its claim is
+//! stored, or until its latest start.
 
 use super::spec::Spec;
 use super::status::{Instance, Status};
--- a/src/calendar/jobs_by_window.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -1,8 +1,8 @@
-//! Which window each open job belongs to, worked out once for all windows.
+//! Assigns open jobs to windows, once for all windows.
 //!
-//! By the specs alone a job belongs to one window at the most, so that two windows never give it a
-//! turn each: to one whose turns name it, else to the one that closes first, else to the first by
-//! name. A claim that is stored stays where it is, however specs change.
+//! By the specs a job belongs to one window at most, so that two windows never give it a turn each: to one whose turns
+//! name it, else to the one that closes first, else to the first by name. A stored claim stays where it is, however
+//! specs change.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -1,8 +1,8 @@
-//! What operators do, through the state service alone: read, work out, write on the stamps that were
-//! read, and again where somebody else has written meanwhile.
+//! Operators' writes through the state service: read, compute, write on condition of the versions read, and start
+//! again if somebody else has written meanwhile.
 //!
-//! Each write moves one key common to all operators, so that writes are one after another, bounds on
-//! how much is declared hold exactly, and a copy that comes late changes nothing.
+//! Each write also changes one key common to all operators. So writes are serialized, the bounds on how much is
+//! declared hold exactly, and a late copy of a write changes nothing.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
--- a/src/declared/registry.rs
+++ b/src/declared/registry.rs
@@ -1,8 +1,7 @@
-//! Everything declared as the mirror has it: specs, statuses, and which statuses changed last.
+//! All declared things in the mirror: specs, statuses, and which statuses changed last.
 //!
-//! A value is kept as the text it takes, and read as its kind's type when somebody first asks for it,
-//! which only owners do. One that cannot be read is kept as it is and told once; it stops neither a
-//! page nor anything else.
+//! A value is kept as text and parsed as its kind's type when it is first used, which only owners do. A value that
+//! cannot be parsed is kept as it is and logged once; it does not affect the reading of others.
 
 use std::any::Any;
 use std::collections::{BTreeMap, VecDeque};
--- a/src/heat/waits.rs
+++ b/src/heat/waits.rs
@@ -1,4 +1,4 @@
-//! Work of a rule that waits while it is hot: how much, for how long, and when that is told.
+//! Work named by a rule that waits while the rule is on: how much, for how long, and when that is logged.
 
 use std::time::{Duration, Instant};
 
--- a/src/history/sweep.rs
+++ b/src/history/sweep.rs
@@ -1,4 +1,4 @@
-//! Reads ends in pages when more jobs are asked about than can be compared one by one.
+//! Reads ends in pages when more jobs are asked about than comparisons can answer in time.
 //!
 //! A comparison answers up to 24 jobs, a page of names up to 1,000. After a restart of all controllers none has any
 //! end in memory, and if some ten thousand jobs are asked about every few seconds, comparisons alone take longer than
--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -1,9 +1,10 @@
-//! Admission control: which submissions may wait for their write while changes are short.
+//! Admission control: which submissions may wait for their write when more changes are wanted than this controller may
+//! write.
 //!
-//! Every controller may write so many changes a second, and an acceptance is one of them. What
-//! would wait for long is told at once when to come again, and the first to be told so is whoever
-//! already has more than a fair part of those that wait: a flood of one class or team leaves the
-//! others their answers. Nothing here delays anything.
+//! Each controller has a limited rate of changes, and an acceptance is one change. A submission that would wait for
+//! long is refused at once, with a time after which to try again. Those refused first are of classes and teams that
+//! have more than an equal part of the waiting submissions, so that a flood of one class or team does not keep others
+//! from their answers. Nothing here delays anything.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! hollylanding: a cluster scheduler that admits work by deadline share and return.
 //!
-//! Several controllers run at once. One of them leads and assigns an owner; the owner places the tasks of all jobs,
+//! Several controllers run at once. One of them leads and makes itself the owner: it places the tasks of all jobs,
 //! rents and returns machines and answers workers. Every controller serves users. Durable state is kept in the state
 //! service.
 //!
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -1,6 +1,6 @@
-//! What controllers tell one another, as JSON lines: whether the store serves them, the owner's counts for
-//! display, and its watermark. Of these only the watermark says what users may hear; it stays true however
-//! late it comes, and without it they hear less.
+//! Connections between controllers, which exchange JSON lines: whether the store serves the sender, the owner's counts
+//! for display, and its watermark. Only the watermark decides what users may be told; it stays true however late it
+//! arrives, and without it they are told less.
 
 mod line;
 
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -1,7 +1,7 @@
-//! One line between controllers, and which lines are taken.
+//! The format of one line between controllers, and which lines are accepted.
 //!
-//! A build beside this one may be older or newer. Fields that it does not know are passed over, and such as it
-//! lacks have a default; of fields and entries that are not as this build has them only they themselves are lost.
+//! The peer may run an older or a newer build. Unknown fields are ignored and missing ones have a default; if a field
+//! or an entry has another form than in this build, only that field or entry is lost.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize};
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -1,8 +1,8 @@
-//! Pauses of this process: noticed in one place, and handed to all that judge by time.
+//! Detects pauses of this process, in one place, for everything that judges by time.
 //!
-//! A process that was stopped while its clocks ran on finds every timer due at once, every lease and
-//! silence long, and answers of before in its sockets. None of that is evidence against anybody: it
-//! was this process that was absent. What was begun before the pause proves nothing after it.
+//! A process that was stopped while its clocks ran on finds every timer due at once, every lease and every silence too
+//! long, and old answers in its sockets. None of that is evidence against anybody else, since it was this process that
+//! was absent; and what was begun before the pause proves nothing after it.
 
 use std::time::{Duration, Instant};
 
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -1,9 +1,9 @@
-//! Who is served: what of each class and team was offered lately, and what of it was started and
-//! done as its users were promised. By this the floor (`floor`) tells who goes first.
+//! Accounting of who is served: what work each class and team has offered lately, and how much of it was started and
+//! done within the times promised to its users. The floor (`floor`) decides by it who goes first.
 //!
-//! Every controller keeps the account, from the openings and ends that the store tells all of
-//! them; only the starts are the owner's own knowledge. So it goes on when the owner is replaced
-//! (docs/fairness.md says what is lost), and no change is written for it.
+//! Every controller keeps the account, from the openings and ends of jobs that the store reports to all of them; only
+//! starts are known to the owner alone. So it continues when the owner is replaced (docs/fairness.md says what is
+//! lost), and nothing is written to the store for it.
 
 pub mod floor;
 pub mod promises;
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -1,12 +1,13 @@
-//! Whether the state service still holds what it has acknowledged.
+//! Checks that the state service still holds what it has acknowledged.
 //!
-//! Its protocol promises that. Should it break the promise, whatever this controller still knows is
-//! written again: acceptances and ends that it has told users of, and, as the owner, every open
-//! job and what is bound. Nothing is ever overwritten: a job is put back only while it has no key
-//! at all, an end only while there is none, and a chunk by its owner under the version found.
+//! The service's protocol promises that. Should it break the promise, whatever this controller still knows is written
+//! again: acceptances and ends that were reported to users, and, if it owns, every open job and the bindings of its
+//! tasks. Nothing is ever overwritten: a job is put back only while it has no key at all, an end only while there is
+//! none, and a chunk by its owner on condition of the version found.
 //!
-//! Each controller compares a batch a second, behind everything else. What is missing must be
-//! missing twice, with a proof of freshness in between: a key that was dropped rightly is told of.
+//! Each controller compares at most one batch a second, at the lowest priority. A key counts as lost only if it was
+//! missing twice, with a proof of freshness in between, because the mirror learns of keys that were dropped
+//! legitimately.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
--- a/src/store/share.rs
+++ b/src/store/share.rs
@@ -1,8 +1,9 @@
-//! Limits of the state service shared by need: what one controller does not use, another may.
+//! Sharing of the state service's limits by need: what one controller does not use, another may.
 //!
-//! Each tells the others once a second what it lately wanted (membership/mesh), and each works out its
-//! own share by the same function of what all have told. Where anybody has not been heard of, all
-//! keep to fixed shares. Nothing rests on it: too much is refused by the state service, and tried again.
+//! Once a second each controller tells the others what it lately wanted (`membership::mesh`), and each computes its
+//! own share by the same function of what all have told. If any controller was not heard from lately, all use fixed
+//! shares. Correctness does not depend on it: calls beyond the limits are refused by the state service and tried
+//! again.
 
 use std::time::{Duration, Instant};
 
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,5 +1,5 @@
-//! What passes through this controller, counted and told at `debug` once a second: after an
-//! incident an operator sees whether clients, workers or controllers came back all at once.
+//! Counts of requests and messages of this controller, logged once a second at `debug`: after an incident operators
+//! see whether clients, workers or controllers came back all at once.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -1,9 +1,9 @@
 //! Whether a job could ever run, by the settings and by what the cloud offers. Pure.
 //!
-//! An array runs with one task at a time if it must. A gang needs all of its tasks at once, and a service is whole
-//! only with all of its replicas: the protocol holds both against the team's limit with all tasks, and so does this
-//! with everything else. Whether the cloud has ordinary or spot machines of a type is not known: it names a price for
-//! both, and capacity shows only when machines are rented.
+//! An array can run one task at a time. A gang needs all of its tasks at once, and a service is complete only with all
+//! of its replicas: the protocol compares both with the team's limit with all tasks, and so does this module with
+//! everything else. Whether the cloud has ordinary or spot machines of a type is not known in advance: it names a
+//! price for both, and capacity shows only when machines are rented.
 
 use std::collections::BTreeSet;
 
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -1,10 +1,10 @@
-//! What became of writes that were not answered.
+//! Finds out the result of writes that were not answered.
 //!
-//! The state service may carry out a write whose answer is lost, or carry it out later. Its user comes again and
-//! hears what is stored, and the log has to tell the same: a count by the log takes a withdrawal without its line for
-//! work that was never served. So each write is followed from before it is sent, and until its answer or the store
-//! says what became of it. What the mirror tells is enough for an acceptance and costs nothing; of a job that has
-//! ended the store is asked how, once.
+//! The state service may carry out a write whose answer is lost, or carry it out later. The user asks again and is
+//! told what is stored, and the log has to agree: whoever counts by the log would take a job whose withdrawal has no
+//! line for work that was never served. So each write is tracked from before it is sent until its answer, or the
+//! store, tells the result. For an acceptance the mirror is enough, which costs nothing; for a job that has ended the
+//! store is asked once how it did.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
--- a/src/users/reply.rs
+++ b/src/users/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to users, without the framework.
+//! Answers to users, independent of the web framework.
 
 use super::feasibility::Impossible;
 use crate::wire::DecodeError;
