--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -1,7 +1,7 @@
 //! The intents of a window (placing and renting), derived from what is stored of it. Pure.
 //!
-//! A write that is delayed never lets a job be placed out of turn: a job that would claim waits until its claim is
-//! stored, or until its latest start.
+//! A job that would claim waits until its claim is stored, so that a delayed write does not let it be placed out of
+//! turn; but it does not wait past its latest start.
 
 use super::spec::Spec;
 use super::status::{Instance, Status};
