--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -1,5 +1,5 @@
-//! Which machines are no longer needed: what they run, and what is expected meanwhile, fits on
-//! the others. Their tasks that can save move; the rest of them run out.
+//! Draining: which machines are no longer needed, because what they run, and the work expected meanwhile, fits on the
+//! others. Tasks that can save their progress are moved; the others run to their end.
 
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,10 @@
 /// A machine to drain, and the tasks of it to move.
 #[derive(Debug)]
 pub struct Drain {
+    /// The machine that is no longer needed.
     pub machine: MachineId,
+    /// Tasks to stop there so that they go on elsewhere, each with its grace period in seconds: the time in which it
+    /// saves its progress.
     pub moves: Vec<(TaskKey, u64)>,
 }
 
--- a/src/history/ends.rs
+++ b/src/history/ends.rs
@@ -1,8 +1,8 @@
-//! The ends that were told lately, packed: final, so never out of date.
+//! A fixed-size cache of how jobs ended. Ends are final, so an entry is never out of date.
 //!
-//! A job's users may ask about it for ever and one after another. A list that lets the least recently
-//! asked for go holds none of the next ones as soon as a round is longer than the list; this one
-//! lets any go, so that of a round twice its size still about a fifth is at hand.
+//! Entries are displaced without regard to their last use. Users may ask about all their jobs in turn, for ever; a
+//! least-recently-used list shorter than such a round would hold none of the next ones asked for, while here about a
+//! fifth of a round of twice the cache's size is still found.
 
 use crate::jobs::End;
 
@@ -31,6 +31,8 @@
     Some(number << 6 | (digits.len() as u64) << 1)
 }
 
+/// A table of fixed size that maps job ids to how the jobs ended. An entry may be displaced by others, so absence says
+/// nothing; ids that cannot be packed into a slot are never held.
 #[derive(Debug)]
 pub struct Ends {
     slots: Vec<u64>,
@@ -52,6 +54,7 @@
         at..at + WAYS
     }
 
+    /// How the job ended; none if that is not held.
     pub fn get(&self, id: &str) -> Option<End> {
         let slot = self.slots[self.find(id)?];
         Some(if slot & WITHDRAWN != 0 { End::Withdrawn } else { End::Done })
@@ -90,6 +93,7 @@
         bucket[at] = packed | withdrawn | shown;
     }
 
+    /// Number of ends held.
     pub fn held(&self) -> usize {
         self.held
     }
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -1,11 +1,11 @@
-//! Which withdrawals users may be told of.
+//! Which withdrawals may be reported to users.
 //!
-//! A withdrawal is stored by any controller and carried out by the owner. An owner that the state service
-//! refuses hears of none, and goes on answering workers: whatever was told meanwhile would run on. So the
-//! owner tells its watermark, the revision up to which its loaded cluster state holds every end (a read index, as a
-//! replicated log has it), and a withdrawal is told to users only at or below a watermark. That one was
-//! reached stays true: the owner of the time has the end in its cluster state, and every later one reads it there
-//! before it owns. A `done` needs none: nothing is to be stopped. Pure.
+//! Any controller may store a withdrawal; the owner carries it out. An owner that the state service refuses hears of
+//! no withdrawal and goes on answering workers, so that work whose withdrawal was reported would run on. So the owner
+//! publishes a watermark, the revision up to which its loaded cluster state holds every end (a read index, as in
+//! replicated logs), and a withdrawal is reported only at or below a watermark. Once reached, that stays true: the
+//! owner of that time has the end in its cluster state, and every later one reads it before it owns. A `done` needs no
+//! watermark, since nothing is to be stopped. Pure.
 
 use std::num::NonZeroUsize;
 
@@ -20,6 +20,7 @@
 /// What users may hear of an end that stands in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Visible {
+    /// They may be told.
     Yes,
     /// Stored, and not yet known to be in the owner's cluster state.
     NotYet,
@@ -53,6 +54,7 @@
 }
 
 impl Visibility {
+    /// The highest watermark heard of; 0 before the first.
     pub fn watermark(&self) -> u64 {
         self.watermark
     }
@@ -80,6 +82,7 @@
         self.waiting.pop(id);
     }
 
+    /// Number of withdrawals whose stamps are kept.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -1,6 +1,6 @@
-//! What controllers tell one another, as JSON lines: whether the store serves them, the owner's counts for
-//! display, and its watermark. Of these only the watermark says what users may hear; it stays true however
-//! late it comes, and without it they hear less.
+//! Connections between controllers, which exchange JSON lines: whether the store serves the sender, the owner's counts
+//! for display, and its watermark. Only the watermark decides what users may be told; it stays true however late it
+//! arrives, and without it they are told less.
 
 mod line;
 
@@ -58,6 +58,7 @@
     /// Lines that are dropped, and connections.
     odd_lines: LogLimit,
     too_many: LogLimit,
+    /// Running and done tasks of open jobs, as the owner told them last. For display only.
     pub counts: HashMap<JobId, Counts>,
     /// What the owner told last of who is served, and when that was heard.
     pub served: Option<(Vec<Row>, Instant)>,
@@ -120,6 +121,8 @@
     missed || (told.token == *stamp && owner.node != from)
 }
 
+/// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
+/// tries again every second.
 pub async fn listen(node: Arc<Node>) {
     let listener = loop {
         match TcpListener::bind(&node.settings.mesh_listen).await {
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -1,9 +1,10 @@
-//! What a controller may still say, judged by what it can prove itself and by what the others say.
+//! How far a controller's knowledge can be relied on, by its own proofs and by what the other controllers report.
 //!
-//! A controller that the state service does not answer cannot tell whether that is so for all. If it is,
-//! nobody else can come to own, and the machines are best held where they are. If it is not, another owns
-//! after the leader's lease, and a 200 from here only keeps machines from it. The others' word tells the
-//! two apart; whoever hears nobody says less and less, and holds only the machines that come back.
+//! A controller that gets no answer from the state service cannot tell whether the others get one. If none does,
+//! nobody else can become owner, and workers should stay where they are. If some do, another controller becomes owner
+//! after the leader's lease, and an answer 200 from this one only keeps workers from it. What the others report tells
+//! the two cases apart. A controller that hears from nobody answers less and less, and holds only workers that come
+//! back after it has sent them away.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -17,11 +18,13 @@
     pub refused: Duration,
     /// Other controllers by the settings, and those heard of lately.
     pub peers: usize,
+    /// Other controllers that were heard of lately, at most `peers`.
     pub heard: usize,
     /// How long one of those has said without a break that it can answer.
     pub answering: Option<Duration>,
 }
 
+/// How far a controller's knowledge of the store can be relied on, in relation to the other controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
     /// Knows what is stored.
@@ -37,7 +40,9 @@
 /// How long it may take until something counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
+    /// From this age on the last proof of freshness does not count any more.
     pub proof: Duration,
+    /// After this long without any answer of the state service a recent proof does not count either.
     pub refused: Duration,
     /// After an outage some are answered sooner than others, and every lease has its full time again: what
     /// another has been able to for less than this says nothing.
@@ -61,6 +66,7 @@
 }
 
 impl Observations {
+    /// The state that follows from the observations and from how long each may take to count.
     pub fn serving_state(&self, patience: Patience) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
@@ -149,6 +155,7 @@
         matches!(errand, Errand::Held(_))
     }
 
+    /// Number of machines remembered.
     pub fn remembered(&self) -> usize {
         self.errands.len()
     }
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_owner.rs
@@ -1,4 +1,4 @@
-//! Workers that cannot reach the owner: seen by the controllers that redirect them in vain.
+//! Detects that workers cannot reach the owner: they come back to a controller that has redirected them to it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -24,6 +24,7 @@
     back: bool,
 }
 
+/// Workers that were redirected to the owner lately, and when a takeover request was last made for them. Pure.
 #[derive(Debug, Default)]
 pub struct UnreachableOwner {
     redirected: HashMap<String, Redirected>,
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,4 +1,5 @@
-//! Jobs of a worker's report that are over, where the cluster state alone may not decide.
+//! Which jobs in a worker's report have ended by the mirror. Needed where the cluster state alone may not decide: it
+//! is not loaded yet, or this controller may have been replaced as owner.
 
 use std::collections::HashSet;
 
@@ -10,6 +11,7 @@
 /// Jobs that are over, by a mirror that holds everything up to a revision.
 #[derive(Debug, Default)]
 pub struct Over {
+    /// Jobs of the report that have ended by the mirror; their tasks are to be stopped.
     pub jobs: HashSet<JobId>,
     through: u64,
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! What workers report and are told.
+//! Communication with workers: their reports, which are answered with orders, and commands sent to them directly.
 
 pub mod answer;
 pub mod dispatch;
@@ -18,11 +18,13 @@
 
 /// What a report is answered with.
 pub enum Answer {
+    /// 200: the report was taken in; what the worker is to do.
     Orders(Orders),
     /// 421, naming the owner.
     Elsewhere(String),
     /// 503: nobody known here may answer for the controllers.
     Nobody,
+    /// 400: the report cannot be read, or breaks a rule of the protocol.
     Malformed,
 }
 
