--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -5,7 +5,8 @@
 use rand::Rng;
 
 use super::users::{Tally, Users};
-use super::{LEADER_LEASE, LEASE, World};
+use super::world::World;
+use super::{LEADER_LEASE, LEASE};
 use crate::jobs::JobId;
 use crate::jobs::record::open_key;
 
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -5,7 +5,11 @@
 
 use rand::Rng;
 
-use super::{LEADER_LEASE, Message, Owner, World};
+use super::LEADER_LEASE;
+use super::messages::Message;
+use super::owners::Owner;
+use super::workers::Worker;
+use super::world::World;
 use crate::scheduling::plan::Placement;
 use crate::wire::workers::Report;
 
@@ -38,7 +42,7 @@
             let w = self.rng.random_range(0..self.workers.len());
             let s = [8, 20, 27, 60, 100_000][self.rng.random_range(0..5usize)];
             let many = s < 1000 && self.rng.random_bool(0.2);
-            let for_ever = |w: &super::Worker| !w.gone && w.inbound_lost_until > now + Duration::from_secs(1000);
+            let for_ever = |w: &Worker| !w.gone && w.inbound_lost_until > now + Duration::from_secs(1000);
             // Two of six that never hear again are still no sign against everybody.
             if s < 1000 || self.workers.iter().filter(|w| for_ever(w)).count() < 2 {
                 for (n, worker) in self.workers.iter_mut().enumerate() {
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -6,7 +6,11 @@
 
 use rand::Rng;
 
-use super::{CANCEL, LEADER_LEASE, LEASE, Message, Owner, World};
+use super::messages::Message;
+use super::owners::Owner;
+use super::workers::Worker;
+use super::world::World;
+use super::{CANCEL, LEADER_LEASE, LEASE};
 use crate::history::moves;
 use crate::history::visibility::{Visible, visible};
 use crate::jobs::record::{ASSIGNMENT, WATERMARK, open_key};
@@ -462,7 +466,7 @@
     /// Machines that hold a live task of what has ended.
     pub(super) fn busy_with_ended(&self) -> BTreeSet<usize> {
         let over = |id: &JobId| self.users.ended.contains_key(id);
-        let holds = |w: &&super::Worker| w.legs.iter().any(|l| over(&l.task.job) && w.live(&l.task));
+        let holds = |w: &&Worker| w.legs.iter().any(|l| over(&l.task.job) && w.live(&l.task));
         (0..self.workers.len()).filter(|w| holds(&&self.workers[*w])).collect()
     }
 }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -5,7 +5,11 @@
 
 use rand::Rng;
 
-use super::{ANSWER_TAKEN, CANCEL, LEASE, Message, World, bad, ended};
+use super::jobs::bad;
+use super::messages::Message;
+use super::store::ended;
+use super::world::World;
+use super::{ANSWER_TAKEN, CANCEL, LEASE};
 use crate::jobs::record::{CHUNK, Stored, chunk_key, decode_chunk};
 use crate::wire::workers::{Cause, Leg, LegStatus, Order, Report, TaskKey};
 
