--- /dev/null
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -0,0 +1,156 @@
+//! What each message does where it arrives.
+
+use std::time::Duration;
+
+use rand::Rng;
+
+use super::ANSWER_TAKEN;
+use super::messages::{Answer, Command, GivenUp, Message, Reply, SentReport};
+use super::world::World;
+use crate::scheduling::cluster::{MachineId, Via};
+use crate::store::{Change, Condition};
+use crate::wire::workers::Order;
+
+impl World {
+    /// An owner takes a report, and answers with what it has the right to say.
+    pub(super) fn deliver_report(&mut self, message: SentReport) {
+        let SentReport { to, report, sent, copy } = message;
+        let now = self.now;
+        let to = if copy { self.reader() } else { self.reborn.get(&to).copied().unwrap_or(to) };
+        let Some(w) = self.workers.iter().position(|w| w.id == report.machine) else { return };
+        let Some(mut owner) = self.owners.get_mut(to).and_then(Option::take) else { return };
+        if report.token > owner.cluster.token {
+            return;
+        }
+        let session = report.session;
+        let rights = self.rights(&owner);
+        self.users.tally.unloaded += usize::from(!rights.loaded);
+        let id = self.workers[w].id.clone();
+        let mut orders = Vec::new();
+        let mut held = false;
+        if !rights.silent() {
+            let over = self.over_among(&owner, &report);
+            owner.cluster.take_report(report, Via::Report, Some(&self.catalog), now);
+            orders = if rights.whole() {
+                owner.cluster.orders_in_answer(&id, now)
+            } else {
+                owner.cluster.stops_only(&id, &over)
+            };
+            held = self.holds(&mut owner, rights, &id);
+            self.users.tally.stops += usize::from(!rights.whole() && !orders.is_empty());
+        }
+        let (token, whole) = (owner.cluster.token, rights.whole());
+        self.owners[to] = Some(owner);
+        self.trace(&format!("{id} s{session} to {to}: {rights:?} held {held} {orders:?}"));
+        if !held {
+            // Asks elsewhere.
+            self.users.tally.nobody += 1;
+            let worker = &mut self.workers[w];
+            worker.home = worker.home.filter(|home| *home != to || worker.apart_until > now);
+            return;
+        }
+        if !copy {
+            self.send(Message::Answer(Answer { worker: w, from: to, session, sent, token, orders, whole }));
+        }
+    }
+
+    /// A worker carries out what an answer orders, unless it came too late or is void.
+    pub(super) fn deliver_answer(&mut self, message: Answer) {
+        let Answer { worker, from, session, sent, token, orders, whole } = message;
+        let now = self.now;
+        let w = &mut self.workers[worker];
+        let late = now - sent > ANSWER_TAKEN || w.waits_until.is_none();
+        if w.inbound_lost_until > now {
+            let tells = token > w.token || orders.iter().any(|o| matches!(o, Order::Launch { .. }));
+            let row = if w.unheard.0 == from { w.unheard.1 } else { 0 };
+            w.unheard = (from, row + u32::from(tells && !late && whole));
+            return;
+        }
+        w.unheard = (from, 0);
+        if w.gone || w.hangs_until > now || late || w.session != session || token < w.token {
+            return;
+        }
+        (w.token, w.renewed, w.waits_until) = (token, sent, None);
+        self.execute(worker, orders);
+    }
+
+    /// A worker carries out a direct command and replies with a report.
+    pub(super) fn deliver_command(&mut self, message: Command) {
+        let Command { id, worker, from, token, session, orders } = message;
+        let now = self.now;
+        let w = &mut self.workers[worker];
+        if w.gone {
+            return;
+        }
+        let inbound_lost = w.inbound_lost_until > now;
+        if inbound_lost && id.is_multiple_of(2) {
+            return;
+        }
+        let apart = w.apart_until > now && w.home != Some(from);
+        if inbound_lost || apart || w.hangs_until > now {
+            // Executed once the machine goes on, or once what was held back comes through.
+            let due = w.hangs_until.max(w.inbound_lost_until).max(if apart { w.apart_until } else { now });
+            self.messages.push((due, Message::Command(Command { id, worker, from, token, session, orders })));
+            return;
+        }
+        // A machine goes on within its lease, or without what it had: its lease ends first.
+        if self.users.on {
+            w.end_lease(now);
+        }
+        if token >= w.token && session == w.session {
+            w.token = token;
+            self.execute(worker, orders);
+        }
+        let report = self.workers[worker].report();
+        let machine: MachineId = report.machine.as_str().into();
+        self.send(Message::Reply(Reply { id, to: from, machine, token, report }));
+    }
+
+    /// The reply to a direct command, unless the command was given up before.
+    pub(super) fn deliver_reply(&mut self, message: Reply) {
+        let Reply { id, to, machine, token, report } = message;
+        let now = self.now;
+        let first = self.over.insert(id);
+        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
+            owner.cluster.command_over(&machine, token, true, now);
+            owner.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
+        }
+    }
+
+    /// An owner no longer waits for the reply to a direct command.
+    pub(super) fn deliver_given_up(&mut self, message: GivenUp) {
+        let GivenUp { id, to, machine, token } = message;
+        let now = self.now;
+        let first = self.over.insert(id);
+        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
+            owner.cluster.command_over(&machine, token, false, now);
+        }
+    }
+
+    /// The store applies a transaction, or does so after its outage.
+    pub(super) fn deliver_transaction(&mut self, conditions: Vec<Condition>, changes: Vec<Change>) {
+        if let Some((_, until)) = self.users.out {
+            let due = until + Duration::from_millis(self.rng.random_range(100..12_000));
+            self.messages.push((due, Message::Txn { conditions, changes }));
+            return;
+        }
+        let _ = self.apply(&conditions, &changes);
+    }
+
+    /// The cloud ends a machine, and tells so.
+    pub(super) fn deliver_return(&mut self, from: usize, machine: MachineId) {
+        let now = self.now;
+        if let Some(w) = self.workers.iter_mut().find(|w| *w.id == *machine) {
+            (w.gone, w.gone_at) = (true, w.gone_at.or(Some(now)));
+        }
+        self.send(Message::Returned { to: from, machine });
+    }
+
+    /// An owner hears from the cloud that a machine is gone.
+    pub(super) fn deliver_returned(&mut self, to: usize, machine: &MachineId) {
+        let now = self.now;
+        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut) {
+            owner.cluster.machine_gone(machine, now);
+        }
+    }
+}
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -3,6 +3,7 @@
 //! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are withdrawn. The
 //! model checks the rules itself.
 
+mod deliveries;
 mod jobs;
 mod meetings;
 mod messages;
--- a/src/scheduling/interleavings/owners.rs
+++ b/src/scheduling/interleavings/owners.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use super::COMMAND_WAITED;
-use super::messages::Message;
+use super::messages::{Command, GivenUp, Message};
 use super::store::ended;
 use super::users::Seat;
 use super::world::World;
@@ -165,8 +165,8 @@
             self.commands += 1;
             let id = self.commands;
             self.trace(&format!("owner {i} commands {machine} {:?}", direct.orders));
-            self.messages.push((now + COMMAND_WAITED, Message::GivenUp { id, to: i, machine, token }));
-            self.send(Message::Command { id, worker: w, from: i, token, session, orders: direct.orders });
+            self.messages.push((now + COMMAND_WAITED, Message::GivenUp(GivenUp { id, to: i, machine, token })));
+            self.send(Message::Command(Command { id, worker: w, from: i, token, session, orders: direct.orders }));
         }
         // Without the store no order stands, and only what a withdrawal makes urgent goes without.
         let overdue = if cut { owner.cluster.overdue(now) } else { Default::default() };
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use super::LEADER_LEASE;
-use super::messages::Message;
+use super::messages::{Message, SentReport};
 use super::owners::Owner;
 use super::workers::Worker;
 use super::world::World;
@@ -25,7 +25,8 @@
         }
         for _ in 0..self.rng.random_range(1..4) {
             let due = self.now + Duration::from_millis(self.rng.random_range(1000..120_000));
-            self.messages.push((due, Message::Report { to: 0, report: report.clone(), sent: self.now, copy: true }));
+            self.messages
+                .push((due, Message::Report(SentReport { to: 0, report: report.clone(), sent: self.now, copy: true })));
             self.copies += 1;
         }
     }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use super::jobs::bad;
-use super::messages::Message;
+use super::messages::{Message, SentReport};
 use super::store::ended;
 use super::world::World;
 use super::{ANSWER_TAKEN, CANCEL, LEASE};
@@ -192,7 +192,7 @@
                 let home = self.workers[w].home.filter(|home| apart || self.owners[*home].is_some());
                 let to = home.unwrap_or(self.owner.saturating_sub(back));
                 self.copy_late(&report);
-                self.send(Message::Report { to, report, sent: now, copy: false });
+                self.send(Message::Report(SentReport { to, report, sent: now, copy: false }));
             }
         }
     }
