--- a/src/scheduling/interleavings/owners.rs
+++ b/src/scheduling/interleavings/owners.rs
@@ -22,11 +22,27 @@
 use crate::store::commit::Batch;
 use crate::store::{Change, Condition};
 
+/// Writes that a batch takes at most.
+const WRITES_PER_BATCH: usize = 12;
+/// After this long without an answer of the store a batch is sent again.
+const BATCH_WAITED: Duration = Duration::from_millis(1500);
+
+/// A job that was opened or ended, as a watch tells it.
+pub(super) struct News {
+    /// When the watch tells it.
+    pub(super) due: Instant,
+    pub(super) job: JobId,
+    /// Opened, or else ended.
+    pub(super) opened: bool,
+    pub(super) revision: u64,
+}
+
+/// A controller that owns, or that did and has not learned that it owns no longer.
 pub(super) struct Owner {
     pub(super) cluster: ClusterState,
     pub(super) batch: Option<(Batch, Instant)>,
-    /// What its watch will tell, and when: jobs opened and ended, with the revision.
-    pub(super) news: Vec<(Instant, JobId, bool, u64)>,
+    /// What its watch will tell, in order.
+    pub(super) news: Vec<News>,
     pub(super) returning: HashSet<MachineId>,
     /// Is paused from and until then, while its clock runs on: what reaches it lies in its sockets.
     pub(super) frozen: Option<(Instant, Instant)>,
@@ -97,34 +113,17 @@
         cluster.finish_load(self.now);
     }
 
+    /// The turn of an owner in a step: it hears what is new, places, stores, commands and returns machines.
     pub(super) fn run_owner(&mut self, i: usize) {
-        let now = self.now;
         let Some(mut owner) = self.owners[i].take() else { return };
-        if let Some((began, ended)) = owner.frozen {
-            if now < ended {
-                self.owners[i] = Some(owner);
-                return;
-            }
-            owner.frozen = None;
-            owner.cluster.after_pause(ProcessPause { began, ended });
-            owner.seat.unproven = self.users.on;
+        if !self.resume(&mut owner) {
+            self.owners[i] = Some(owner);
+            return;
         }
+        let now = self.now;
         owner.cut = owner.cut.filter(|(_, until)| *until > now);
         let cut = owner.cut.is_some() || self.store_out();
-        let (due, later): (Vec<_>, Vec<_>) = owner.news.drain(..).partition(|(at, ..)| *at <= now && !cut);
-        owner.news = later;
-        for (_, id, opened, stamp) in due {
-            // What one hears before it has loaded, it loads.
-            if !owner.cluster.loaded {
-                continue;
-            }
-            if opened {
-                owner.cluster.add_job(self.records[&id].clone(), now);
-            } else {
-                owner.cluster.end_job(&id, None, now);
-                self.heard_end(&mut owner, &id, stamp);
-            }
-        }
+        self.hear_news(&mut owner, cut);
         if self.users.on {
             match self.hears(i, &mut owner, cut) {
                 None => return,
@@ -135,41 +134,97 @@
                 }
             }
         }
+        self.place_tasks(i, &mut owner);
+        let deposed = self.store_what_changed(&mut owner);
+        self.send_direct_commands(i, &mut owner);
+        self.return_machines(i, &mut owner, cut);
+        if !deposed {
+            self.owners[i] = Some(owner);
+        }
+    }
+
+    /// False while the owner is paused; at the end of a pause its cluster state learns of it.
+    fn resume(&self, owner: &mut Owner) -> bool {
+        let Some((began, ended)) = owner.frozen else { return true };
+        if self.now < ended {
+            return false;
+        }
+        owner.frozen = None;
+        owner.cluster.after_pause(ProcessPause { began, ended });
+        owner.seat.unproven = self.users.on;
+        true
+    }
+
+    /// Takes in what the owner's watch tells by now.
+    fn hear_news(&mut self, owner: &mut Owner, cut: bool) {
+        let now = self.now;
+        let (due, later): (Vec<_>, Vec<_>) = owner.news.drain(..).partition(|news| news.due <= now && !cut);
+        owner.news = later;
+        for News { job, opened, revision, .. } in due {
+            // What one hears before it has loaded, it loads.
+            if !owner.cluster.loaded {
+                continue;
+            }
+            if opened {
+                owner.cluster.add_job(self.records[&job].clone(), now);
+            } else {
+                owner.cluster.end_job(&job, None, now);
+                self.heard_end(owner, &job, revision);
+            }
+        }
+    }
+
+    /// Places what waits, and checks the machines and their sums.
+    fn place_tasks(&self, i: usize, owner: &mut Owner) {
+        let now = self.now;
         owner.cluster.tick(now);
         let decisions = plan::place(&mut owner.cluster, &self.catalog, now);
-        self.check_places(i, &owner, &decisions);
+        self.check_places(i, owner, &decisions);
         owner.cluster.bind_all(decisions, now);
         // What is kept with every binding is what a count afresh gives.
         for machine in owner.cluster.machines.values() {
             let (kept, afresh) = (machine.taken(), owner.cluster.taken_afresh(machine));
             assert!((kept.cpus - afresh.cpus).abs() < 1e-6 && (kept.memory_gb - afresh.memory_gb).abs() < 1e-6);
         }
-        let mut deposed = false;
+    }
+
+    /// Stores the batch that is due, the next one if there is none. True if the owner learned that it is one no
+    /// longer.
+    fn store_what_changed(&mut self, owner: &mut Owner) -> bool {
+        let now = self.now;
         if owner.batch.is_none() {
-            let (ends, chunks) = owner.cluster.next_writes(12, now);
+            let (ends, chunks) = owner.cluster.next_writes(WRITES_PER_BATCH, now);
             let batch = Batch { ends, chunks, at_ms: 0 };
             if !batch.is_empty() {
                 owner.batch = Some((batch, now));
             }
         }
-        if let Some((batch, at)) = owner.batch.take() {
-            if at > now {
-                owner.batch = Some((batch, at));
-            } else {
-                deposed = self.store_batch(&mut owner, batch);
-            }
+        let Some((batch, at)) = owner.batch.take() else { return false };
+        if at > now {
+            owner.batch = Some((batch, at));
+            return false;
         }
-        for direct in owner.cluster.direct_commands(now) {
-            let w = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
+        self.store_batch(owner, batch)
+    }
+
+    /// Sends direct commands, each given up after a time.
+    fn send_direct_commands(&mut self, i: usize, owner: &mut Owner) {
+        for direct in owner.cluster.direct_commands(self.now) {
+            let worker = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
             let (token, session, machine) = (direct.token, direct.session, direct.machine);
             self.commands += 1;
             let id = self.commands;
             self.trace(&format!("owner {i} commands {machine} {:?}", direct.orders));
-            self.messages.push((now + COMMAND_WAITED, Message::GivenUp(GivenUp { id, to: i, machine, token })));
-            self.send(Message::Command(Command { id, worker: w, from: i, token, session, orders: direct.orders }));
+            let given_up = GivenUp { id, to: i, machine, token };
+            self.messages.push((self.now + COMMAND_WAITED, Message::GivenUp(given_up)));
+            self.send(Message::Command(Command { id, worker, from: i, token, session, orders: direct.orders }));
         }
+    }
+
+    /// Asks the cloud to end condemned machines, each once or, as where an answer is lost, twice.
+    fn return_machines(&mut self, i: usize, owner: &mut Owner, cut: bool) {
         // Without the store no order stands, and only what a withdrawal makes urgent goes without.
-        let overdue = if cut { owner.cluster.overdue(now) } else { Default::default() };
+        let overdue = if cut { owner.cluster.overdue(self.now) } else { Default::default() };
         let condemned = owner.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
         let condemned: Vec<MachineId> =
             condemned.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
@@ -181,9 +236,6 @@
                 self.send(Message::Return { from: i, machine });
             }
         }
-        if !deposed {
-            self.owners[i] = Some(owner);
-        }
     }
 
     /// True if the owner learned that it is one no longer.
@@ -196,14 +248,14 @@
                 let due = self.now + self.delay() * 3;
                 self.messages.push((due, Message::Txn { conditions, changes }));
             }
-            owner.batch = Some((batch, self.now + Duration::from_millis(1500)));
+            owner.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         if fate < unanswered {
             // Not answered, and applied some time later; asked again as it was.
             let due = self.now + self.delay() * 3;
             self.messages.push((due, Message::Txn { conditions, changes }));
-            owner.batch = Some((batch, self.now + Duration::from_millis(1500)));
+            owner.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         let outcome = self.apply(&conditions, &changes);
@@ -214,7 +266,7 @@
         }
         if fate < unanswered + 0.05 {
             // Applied, and the answer lost.
-            owner.batch = Some((batch, self.now + Duration::from_millis(1500)));
+            owner.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         match outcome {
@@ -225,24 +277,27 @@
                 }
             }
             Err(keys) if keys.iter().any(|k| k == ASSIGNMENT) => return true,
-            Err(keys) => {
-                for id in batch.jobs() {
-                    if let Some(end) = end_among(&keys, id) {
-                        owner.cluster.end_job(id, Some(end), self.now);
-                    }
-                }
-                for write in &batch.chunks {
-                    let key = chunk_key(&write.job, write.chunk);
-                    let stamp = self.store.stamp(&key);
-                    if self.store.value(&key).and_then(decode_chunk).is_some_and(|t| t == write.tasks) {
-                        owner.cluster.chunks_stored(std::slice::from_ref(write), stamp);
-                    } else {
-                        owner.cluster.set_stamp(&write.job, write.chunk, stamp);
-                    }
-                }
-                owner.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
-            }
+            Err(keys) => self.take_refusal(owner, &batch, &keys),
         }
         false
     }
+
+    /// A batch was refused for these keys: what they say is taken over, and the rest is stored again.
+    fn take_refusal(&self, owner: &mut Owner, batch: &Batch, keys: &[String]) {
+        for id in batch.jobs() {
+            if let Some(end) = end_among(keys, id) {
+                owner.cluster.end_job(id, Some(end), self.now);
+            }
+        }
+        for write in &batch.chunks {
+            let key = chunk_key(&write.job, write.chunk);
+            let stamp = self.store.stamp(&key);
+            if self.store.value(&key).and_then(decode_chunk).is_some_and(|t| t == write.tasks) {
+                owner.cluster.chunks_stored(std::slice::from_ref(write), stamp);
+            } else {
+                owner.cluster.set_stamp(&write.job, write.chunk, stamp);
+            }
+        }
+        owner.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
+    }
 }
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -17,7 +17,13 @@
 use crate::store::{Change, Condition};
 use crate::wire::workers::{LegStatus, TaskKey};
 
+/// In so many steps without trouble everything has to end.
+const QUIET_STEPS: usize = 4000;
+/// Users withdraw what fails as often as this once there is no more trouble.
+const STEPS_BETWEEN_WITHDRAWALS: usize = 50;
+
 impl World {
+    /// Nothing of a withdrawn job is live beyond the time that is allowed.
     pub(super) fn check_withdrawn(&self) {
         for (id, at) in &self.withdrawn {
             if self.now - *at > CANCEL {
@@ -28,6 +34,7 @@
         }
     }
 
+    /// One step: messages that are due, workers, owners, then whoever owns next, users and the checks.
     pub(super) fn step(&mut self) {
         self.now += STEP;
         let (due, later) = std::mem::take(&mut self.messages).into_iter().partition(|(at, _)| *at <= self.now);
@@ -39,39 +46,53 @@
         for i in 0..self.owners.len() {
             self.run_owner(i);
         }
-        // Another owns once the leader's lease has run out.
+        self.replace_lost_owner();
+        if self.owners[self.owner].is_none() {
+            if self.now >= self.owns_from {
+                self.take_over();
+            }
+        } else if self.raise_wanted() {
+            self.raise_token();
+        }
+        self.run_users();
+        self.check_withdrawn();
+    }
+
+    /// Another owns once the leader's lease has run out.
+    fn replace_lost_owner(&mut self) {
         let lost =
             |since: Option<(Instant, Instant)>| since.is_some_and(|(began, _)| self.lost_for(began) > LEADER_LEASE);
         let gone = |o: &Owner| lost(o.frozen) || lost(o.cut);
         if self.owners[self.owner].as_ref().is_some_and(gone) {
             self.take_over();
         }
-        // One whose cluster state is raised writes the assignment again, as the leader would.
-        let owner = self.owner;
-        if self.owners[owner].is_none() {
-            if self.now >= self.owns_from {
-                self.take_over();
-            }
-        } else if self.owners[owner].as_ref().is_some_and(|o| {
+    }
+
+    /// Whether the owner's cluster state wants its token raised, and the owner can write that.
+    fn raise_wanted(&self) -> bool {
+        self.owners[self.owner].as_ref().is_some_and(|o| {
             o.frozen.is_none()
                 && o.cut.is_none()
                 && self.users.out.is_none()
                 && o.cluster.raise_wanted(self.now)
                 && o.batch.is_none()
-        }) {
-            let stamp = self.store.stamp(ASSIGNMENT);
-            let change = Change::write(ASSIGNMENT, Value::from(owner));
-            if let Ok(token) = self.store.apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[change])
-                && let Some(o) = self.owners[owner].as_mut()
-            {
-                o.cluster.raise_token(token);
-                self.users.assigned.push((token, owner));
-            }
+        })
+    }
+
+    /// One whose cluster state is raised writes the assignment again, as the leader would.
+    fn raise_token(&mut self) {
+        let owner = self.owner;
+        let stamp = self.store.stamp(ASSIGNMENT);
+        let change = Change::write(ASSIGNMENT, Value::from(owner));
+        if let Ok(token) = self.store.apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[change])
+            && let Some(o) = self.owners[owner].as_mut()
+        {
+            o.cluster.raise_token(token);
+            self.users.assigned.push((token, owner));
         }
-        self.run_users();
-        self.check_withdrawn();
     }
 
+    /// Draws the troubles of a step.
     pub(super) fn trouble(&mut self, step: usize) {
         let every = 360 / self.machines.clamp(1, 360);
         if step.is_multiple_of(every) && self.records.len() < self.jobs {
@@ -90,15 +111,7 @@
             self.take_over();
         }
         if self.rng.random_bool(0.004) {
-            // Under and over the lease, of an owner or of one that was replaced, at any point of its work.
-            let alive: Vec<usize> = (0..self.owners.len()).filter(|i| self.owners[*i].is_some()).collect();
-            let i = alive.get(self.rng.random_range(0..alive.len().max(1))).copied().unwrap_or(self.owner);
-            let (ms, now) = (self.rng.random_range(500..40_000), self.now);
-            if let Some(owner) = self.owners[i].as_mut().filter(|o| o.frozen.is_none()) {
-                owner.frozen = Some((now, now + Duration::from_millis(ms)));
-                self.process_pauses += 1;
-                self.workers.iter_mut().for_each(|w| w.unheard = (i, 0));
-            }
+            self.pause_an_owner();
         }
         if self.rng.random_bool(0.01) {
             let w = self.rng.random_range(0..self.workers.len());
@@ -106,16 +119,7 @@
             self.hang(w, until);
         }
         if self.rng.random_bool(0.05) {
-            let now = self.now;
-            let pick = self.rng.random_range(0..1000usize);
-            if let Some(owner) = self.owners[self.owner].as_mut() {
-                // As preemption and draining do.
-                let bound: Vec<TaskKey> =
-                    owner.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
-                if !bound.is_empty() {
-                    owner.cluster.halt(&bound[pick % bound.len()], 3, now);
-                }
-            }
+            self.halt_a_task();
         }
         self.more_trouble();
         if self.users.on {
@@ -124,6 +128,30 @@
         self.rent();
     }
 
+    /// Under and over the lease, of an owner or of one that was replaced, at any point of its work.
+    fn pause_an_owner(&mut self) {
+        let alive: Vec<usize> = (0..self.owners.len()).filter(|i| self.owners[*i].is_some()).collect();
+        let i = alive.get(self.rng.random_range(0..alive.len().max(1))).copied().unwrap_or(self.owner);
+        let (ms, now) = (self.rng.random_range(500..40_000), self.now);
+        if let Some(owner) = self.owners[i].as_mut().filter(|o| o.frozen.is_none()) {
+            owner.frozen = Some((now, now + Duration::from_millis(ms)));
+            self.process_pauses += 1;
+            self.workers.iter_mut().for_each(|w| w.unheard = (i, 0));
+        }
+    }
+
+    /// Stops a task of the owner, as preemption and draining do.
+    fn halt_a_task(&mut self) {
+        let now = self.now;
+        let pick = self.rng.random_range(0..1000usize);
+        if let Some(owner) = self.owners[self.owner].as_mut() {
+            let bound: Vec<TaskKey> = owner.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
+            if !bound.is_empty() {
+                owner.cluster.halt(&bound[pick % bound.len()], 3, now);
+            }
+        }
+    }
+
     /// Another machine for one that is gone.
     pub(super) fn rent(&mut self) {
         if self.workers.iter().filter(|w| !w.gone).count() < self.machines {
@@ -132,22 +160,27 @@
         }
     }
 
-    /// Two minutes of trouble, then as long as it takes without any.
+    /// Users withdraw the jobs that fail wherever they run.
+    fn withdraw_what_fails(&mut self) {
+        let open: Vec<JobId> =
+            self.records.keys().filter(|id| bad(id) && self.store.has(&open_key(id))).cloned().collect();
+        for id in open {
+            let withdrawal = moves::withdraw(&self.records[&id], None, 0);
+            self.send_move(withdrawal);
+        }
+    }
+
+    /// Trouble for so many steps, then as long as it takes without any.
     pub(super) fn simulate(&mut self, steps: usize) {
         for step in 0..steps {
             self.trouble(step);
             self.step();
         }
         self.quiet = true;
-        for step in 0..4000 {
+        for step in 0..QUIET_STEPS {
             self.step();
-            if step % 50 == 0 {
-                let open: Vec<JobId> =
-                    self.records.keys().filter(|id| bad(id) && self.store.has(&open_key(id))).cloned().collect();
-                for id in open {
-                    let withdrawal = moves::withdraw(&self.records[&id], None, 0);
-                    self.send_move(withdrawal);
-                }
+            if step % STEPS_BETWEEN_WITHDRAWALS == 0 {
+                self.withdraw_what_fails();
             }
             self.rent();
             // A machine that never hears again has to be returned, whatever else is well.
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -4,6 +4,7 @@
 
 use hollylanding_emulator::world::store::Store;
 
+use super::owners::News;
 use super::world::World;
 use crate::history::moves::{Place, place_of};
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
@@ -62,8 +63,8 @@
                 due = due.min(self.now + Duration::from_secs(5));
             }
             if let Some(owner) = self.owners[i].as_mut() {
-                let after = owner.news.last().map_or(due, |(at, ..)| due.max(*at));
-                owner.news.push((after, id.clone(), opened, stamp));
+                let after = owner.news.last().map_or(due, |news| due.max(news.due));
+                owner.news.push(News { due: after, job: id.clone(), opened, revision: stamp });
             }
         }
     }
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -232,7 +232,7 @@
     pub(super) fn hears(&mut self, i: usize, owner: &mut Owner, cut: bool) -> Option<bool> {
         let (now, revision) = (self.now, self.store.revision());
         if !cut {
-            let all = owner.news.first().map_or(revision, |news| news.3.saturating_sub(1));
+            let all = owner.news.first().map_or(revision, |news| news.revision.saturating_sub(1));
             if all > owner.seat.heard && self.rng.random_bool(0.5) {
                 owner.seat.heard = all;
             }
