--- /dev/null
+++ b/src/scheduling/tests/renting.rs
@@ -0,0 +1,168 @@
+//! Renting and draining: which machines are wanted and which can be spared.
+
+use std::collections::HashMap;
+
+use super::*;
+use crate::fleet::drain;
+use crate::fleet::rent::{self, Refusals};
+use crate::kinds::Kind;
+
+#[test]
+fn renting_by_cases() {
+    let now = Instant::now();
+    let kind = |t: &str, spot| Kind { type_name: t.into(), zone: "a".into(), spot };
+    let plan = |cluster: &ClusterState, refusals: &Refusals| {
+        rent::plan(cluster, &catalog(), refusals, &Default::default(), now)
+    };
+    let mut waiting = cluster(&[], now);
+    add(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
+    assert_eq!(plan(&waiting, &Refusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
+    let mut refusals = Refusals::default();
+    refusals.note(kind("c8", true), Duration::from_secs(15), now);
+    assert_eq!(plan(&waiting, &refusals), [(kind("c8", false), 2)], "what was refused is left alone");
+    assert!(!refusals.refused(&kind("c8", true), 0, now + Duration::from_secs(16)));
+    // Found on days of floods: machines were lost, and their kind was not asked for again for two minutes
+    // since it had been full before.
+    let mut refusals = Refusals::default();
+    refusals.holds(&HashMap::from([(kind("c8", true), 100)]));
+    (0..4).for_each(|_| refusals.note(kind("c8", true), Duration::from_secs(15), now));
+    for (held, after_s, refused) in
+        [(100, 16, true), (95, 16, true), (60, 14, true), (60, 16, false), (100, 121, false)]
+    {
+        let later = now + Duration::from_secs(after_s);
+        assert_eq!(refusals.refused(&kind("c8", true), held, later), refused, "{held} held after {after_s} s");
+    }
+    let mut accelerated = cluster(&[], now);
+    add(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
+    assert_eq!(plan(&accelerated, &Refusals::default()), [(kind("g2", false), 1)]);
+    let mut served = cluster(&[("m1", "c8", "a", false)], now);
+    add(&mut served, 1, now, |_| ());
+    assert_eq!(plan(&served, &Refusals::default()), [], "what fits now needs no machine");
+}
+
+#[test]
+fn a_spared_machine_is_drained_and_its_work_moved() {
+    let start = Instant::now();
+    let now = start + Duration::from_secs(100);
+    let machines = [("m1", "g2", "a", false), ("m2", "g2", "a", false)];
+    for (name, rest_s, checkpoint_s, want) in [
+        ("saves and has far to go", 500.0, 10.0, Some(1)),
+        ("cannot save", 500.0, 0.0, None),
+        ("nearly done", 110.0, 0.0, Some(0)),
+    ] {
+        let mut cluster = cluster(&machines, start);
+        for (n, machine) in [(1, "m1"), (2, "m2")] {
+            add(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
+            let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
+            cluster.bind_all(vec![plan::Placement { task: task.clone(), attempt: 1, machine: machine.into() }], start);
+            let leg = Leg { task, attempt: 1, status: LegStatus::Running, cause: None, saved: None };
+            cluster.take_report(report(machine, "g2", "a", false, 2, vec![leg.clone()]), Via::Report, None, start);
+            cluster.take_report(report(machine, "g2", "a", false, 3, vec![leg]), Via::Report, None, now);
+        }
+        cluster.arrivals.clear();
+        let drained = drain::choose(&cluster, &catalog(), now);
+        assert_eq!(drained.first().map(|d| d.moves.len()), want, "{name}");
+    }
+}
+
+/// Found on the grown sites: machines were drained while work that could use them waited, and
+/// rented again a minute later.
+#[test]
+fn nothing_is_spared_while_work_for_it_waits() {
+    let start = Instant::now();
+    let now = start + Duration::from_secs(100);
+    for (name, waiting, spared) in [("nothing waits", 0, 1), ("more waits than fits", 20, 0)] {
+        let mut cluster = many(10, start);
+        for i in 0..10 {
+            let name = format!("m{i:04}");
+            cluster.take_report(report(&name, "c8", "a", false, 2, vec![]), Via::Report, None, now);
+        }
+        if waiting > 0 {
+            add(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
+        }
+        cluster.arrivals.clear();
+        assert_eq!(drain::choose(&cluster, &catalog(), now).len(), spared, "{name}");
+    }
+}
+
+/// What ends on the machines goes to fresh work; work that has waited is rented for all the same.
+#[test]
+fn renting_counts_with_what_is_yet_to_come() {
+    let start = Instant::now();
+    for (name, arriving, rents) in [("nothing else comes", 0u32, false), ("more keeps coming", 30, true)] {
+        let mut cluster = many(4, start);
+        for n in 0..4 {
+            add(&mut cluster, n, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
+        }
+        let first = plan::place(&mut cluster, &catalog(), start);
+        cluster.bind_all(first, start);
+        add(&mut cluster, 9, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 40.0, Some("a".into())));
+        cluster.arrivals.clear();
+        let now = start + Duration::from_secs(25);
+        for n in 0..arriving {
+            add(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
+            cluster.end_job(&format!("run-{:06}", 100 + n).as_str().into(), None, now);
+        }
+        let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), &Default::default(), now);
+        assert_eq!(!wanted.is_empty(), rents, "{name}: {wanted:?}");
+    }
+}
+
+/// The opening of a grown day wants hundreds of machines in one look.
+#[test]
+fn hundreds_of_machines_are_wanted_at_once() {
+    let now = Instant::now();
+    let mut cluster = many(0, now);
+    for n in 0..50 {
+        add(&mut cluster, n, now, |j| {
+            (j.shape, j.tasks, j.cpus, j.same_zone, j.estimate_s) = (Shape::Gang, 6, 8.0, true, 100.0);
+        });
+    }
+    let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), &Default::default(), now);
+    assert_eq!(wanted.iter().map(|(_, n)| n).sum::<u64>(), 300, "{wanted:?}");
+}
+
+/// Found on fa-lima-grown: for a minute after a takeover nothing was drained, since every machine
+/// counted as new, and renting knew of no arrivals.
+#[test]
+fn a_new_owner_knows_how_old_things_are() {
+    let now = Instant::now();
+    let s = Duration::from_secs;
+    let mut cluster = many(2, now);
+    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    cluster.expect("m0000", &kind, None, s(300), now);
+    cluster.expect("m0001", &kind, None, s(10), now);
+    let drained: Vec<String> =
+        drain::choose(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
+    assert_eq!(drained, ["m0000"], "only what has been held for long enough");
+    for (n, age_s, at_least) in [(1, 0, 0.9), (2, 60, 0.3), (3, 6000, 0.0)] {
+        let mut cluster = many(0, now);
+        let mut job = spec();
+        (job.id, job.tasks) = (format!("run-{n:06}").into(), 60);
+        let at_ms = time_of_day_ms() - age_s * 1000;
+        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms }), Vec::new(), now);
+        let seen = cluster.arrivals["c"].per_second(now);
+        assert!((at_least..=at_least + 0.1).contains(&seen), "{age_s} s ago: {seen}");
+    }
+}
+
+/// Found on deti-klima-ops with a guest: tiny tasks that cannot save were stopped when the machine they had
+/// filled could be spared, again and again, and 17 were still open at the end of the day.
+#[test]
+fn what_cannot_save_runs_out_on_a_spared_machine() {
+    for (checkpoint_s, stopped) in [(30.0, true), (0.0, false)] {
+        let now = Instant::now();
+        let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
+        add(&mut cluster, 1, now, |j| (j.urgency, j.checkpoint_s) = (Urgency::Idle, checkpoint_s));
+        let first = plan::place(&mut cluster, &catalog(), now);
+        cluster.bind_all(first, now);
+        let (_, chunks) = cluster.next_writes(10, now);
+        cluster.chunks_stored(&chunks, 1);
+        cluster.orders_in_answer("m1", now);
+        cluster.drain(&"m1".into(), &[], now);
+        cluster.tick(now);
+        let job = cluster.job(&"run-000001".into()).unwrap();
+        assert_eq!(job.binding(0).unwrap().halting.is_some(), stopped, "saves every {checkpoint_s} s");
+        assert_eq!(cluster.machines["m1"].state, MachineState::Draining, "not returned with it");
+    }
+}
--- /dev/null
+++ b/src/scheduling/tests/silence.rs
@@ -0,0 +1,121 @@
+//! Machines that say nothing, and owners that could not hear them: which are given up, and which are not.
+
+use super::*;
+use crate::fleet::rent;
+use crate::kinds::Kind;
+use crate::process_pause::ProcessPause;
+
+/// Incident ab99: an owner cut off from its workers, or one that had been paused, took the whole
+/// fleet for dead and returned it.
+#[test]
+fn a_fleet_that_falls_silent_together_is_not_given_up() {
+    let s = Duration::from_secs;
+    let names = ["m1", "m2", "m3", "m4", "m5", "m6"];
+    let machines: Vec<_> = names.iter().map(|n| (*n, "c8", "a", false)).collect();
+    // (name, how many keep reporting, how it is ticked, who is given up after 13 s)
+    for (name, reporting, paused, given_up) in
+        [("one of six", 5, false, 1), ("all together", 0, false, 0), ("one, seen after a pause", 5, true, 0)]
+    {
+        let now = Instant::now();
+        let mut cluster = cluster(&machines, now);
+        for t in 1..=13 {
+            for machine in &names[..reporting] {
+                cluster.take_report(report(machine, "c8", "a", false, t + 1, vec![]), Via::Report, None, now + s(t));
+            }
+            if paused && t == 13 {
+                cluster.after_pause(ProcessPause { began: now, ended: now + s(13) });
+            }
+            if !paused || t == 13 {
+                cluster.tick(now + s(t));
+            }
+        }
+        let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
+        assert_eq!(condemned, given_up, "{name}");
+        assert_eq!(cluster.lost_most(now + s(13)), reporting == 0, "{name}");
+    }
+}
+
+/// Found on fa-lima-fleet: a zone was cut off when its owner was replaced, and after 12 s the new one
+/// returned all 767 machines there, since only machines that it had heard itself counted as silent
+/// together. Nor did such an owner ever hand over when it was the one cut off.
+#[test]
+fn inherited_machines_that_fall_silent_together_are_not_given_up() {
+    use crate::jobs::record::Stored;
+    let s = Duration::from_secs;
+    // (name, how many of six inherited machines report, who is given up after 13, 27 and 51 s)
+    for (name, reporting, given_up) in [("one of six", 5, [1, 1, 1]), ("half", 3, [0, 0, 3]), ("all", 0, [0, 0, 6])] {
+        let now = Instant::now();
+        let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
+        let mut job = spec();
+        (job.tasks, job.team) = (6, "blue".into());
+        let bound = (0..6).map(|i| Stored::Bound(1, format!("m{i}"))).collect();
+        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], now);
+        cluster.finish_load(now);
+        let lease = cluster.settings.params.workers.lease();
+        assert_eq!(lease, s(24));
+        let mut t = 0;
+        for (after, want) in [13, 27, 51].into_iter().zip(given_up) {
+            while t < after {
+                t += 1;
+                for machine in 0..reporting {
+                    let report = report(&format!("m{machine}"), "c8", "a", false, t + 1, vec![]);
+                    cluster.take_report(report, Via::Report, None, now + s(t));
+                }
+                cluster.tick(now + s(t));
+            }
+            let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
+            assert_eq!(condemned, want, "{name}, after {after} s");
+            assert_eq!(cluster.lost_most(now + s(after)), reporting < 5, "{name}: would hand over");
+        }
+    }
+}
+
+/// Found on fa-lima-fleet: an owner that nobody could reach returned 682 idle machines as never come
+/// up, though the cloud listed them as running.
+#[test]
+fn what_the_cloud_lists_as_running_has_come_up() {
+    let s = Duration::from_secs;
+    let now = Instant::now();
+    let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
+    cluster.loaded = true;
+    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    for name in ["starting", "running"] {
+        cluster.expect(name, &kind, None, s(900), now);
+    }
+    cluster.listed_up("running", now);
+    let given_up: Vec<String> =
+        rent::to_give_up(&cluster, &catalog(), now + s(13)).into_iter().map(|(id, _)| id.to_string()).collect();
+    assert_eq!(given_up, ["starting"]);
+    (1..=13).for_each(|t| cluster.tick(now + s(t)));
+    assert_eq!(cluster.machines["running"].state, MachineState::Condemned, "but it is alone in its silence");
+}
+
+/// An owner that was paused for half a minute found idle machines idle for too long, and withdrawn tasks
+/// not proven gone for too long, since it had not been there to hear of anything.
+#[test]
+fn a_process_pause_returns_nothing() {
+    let s = Duration::from_secs;
+    let now = Instant::now();
+    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
+    add(&mut cluster, 1, now, |j| j.cpus = 8.0);
+    let first = plan::place(&mut cluster, &catalog(), now);
+    cluster.bind_all(first, now);
+    let (_, chunks) = cluster.next_writes(10, now);
+    cluster.chunks_stored(&chunks, 1);
+    cluster.orders_in_answer("m1", now);
+    let begun = now + s(110);
+    for machine in ["m1", "m2"] {
+        cluster.take_report(report(machine, "c8", "a", false, 2, vec![]), Via::Report, None, begun);
+    }
+    cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Withdrawn), begun);
+    let back = begun + s(30);
+    // Without being told of the pause: idle for 120 s, and 30 of 49 s since the withdrawal.
+    assert_eq!(rent::to_give_up(&cluster, &catalog(), back).len(), 1);
+    assert_eq!(cluster.overdue(back).len(), 1);
+    cluster.after_pause(ProcessPause { began: begun, ended: back });
+    cluster.tick(back);
+    assert!(rent::to_give_up(&cluster, &catalog(), back).is_empty());
+    assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up));
+    // Heard of nothing for a few seconds more, the withdrawn task is proof enough.
+    assert_eq!(cluster.overdue(back + s(6)).len(), 1);
+}
--- /dev/null
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -0,0 +1,59 @@
+//! Chunks of tasks: how they are written, and a takeover that reads thousands.
+
+use super::*;
+
+/// Arrays trickle: what has only ended is stored together a little later, and starts at once.
+#[test]
+fn ends_of_tasks_share_a_change() {
+    let now = Instant::now();
+    let mut cluster = many(20, now);
+    add(&mut cluster, 1, now, |j| j.tasks = 150);
+    let decisions = plan::place(&mut cluster, &catalog(), now);
+    cluster.bind_all(decisions.clone(), now);
+    let (_, chunks) = cluster.next_writes(10, now);
+    assert_eq!(chunks.len(), 1, "one chunk for all starts, at once");
+    cluster.chunks_stored(&chunks, 1);
+    let mut writes = 0;
+    for (n, p) in decisions.iter().enumerate().take(100) {
+        let at = now + Duration::from_millis(50 * n as u64);
+        let leg = Leg {
+            task: p.task.clone(),
+            attempt: 1,
+            status: LegStatus::Exited,
+            cause: Some(crate::workers::Cause::Done),
+            saved: None,
+        };
+        cluster.take_report(report(&p.machine, "c8", "a", false, 2 + n as u64, vec![leg]), Via::Report, None, at);
+        if cluster.anything_to_store(at) {
+            let (_, chunks) = cluster.next_writes(10, at);
+            writes += chunks.len();
+            cluster.chunks_stored(&chunks, 2 + n as u64);
+        }
+    }
+    assert!((1..=4).contains(&writes), "5 s of ends in {writes} changes");
+}
+
+/// A new owner reads thousands of bindings; its sums are what a count afresh gives.
+#[test]
+fn a_takeover_of_thousands_of_tasks() {
+    use crate::jobs::record::{CHUNK, Stored};
+    let now = Instant::now();
+    let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
+    for n in 0..10u64 {
+        let mut job = spec();
+        (job.id, job.tasks, job.team) = (format!("run-{n:06}").into(), 600, "blue".into());
+        let chunk = |c: u64| {
+            let tasks = c * CHUNK..((c + 1) * CHUNK).min(600);
+            let bound = tasks.map(|i| Stored::Bound(1, format!("host-{:06}", (n * 600 + i) % 1000)));
+            (c, 5, bound.collect())
+        };
+        let chunks = (0..600u64.div_ceil(CHUNK)).map(chunk).collect();
+        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), chunks, now);
+    }
+    cluster.loaded = true;
+    assert_eq!((cluster.machines.len(), cluster.usage["blue"].0), (1000, 6000.0));
+    assert!(cluster.machines.values().all(|m| m.taken() == cluster.taken_afresh(m) && m.bound.len() == 6));
+    assert!(plan::place(&mut cluster, &catalog(), now).is_empty(), "all are bound, and nobody has reported");
+    let commands = cluster.direct_commands(now).len();
+    assert!(commands <= 700 / 8, "{commands} commands at once");
+}
