--- /dev/null
+++ b/src/scheduling/plan/available.rs
@@ -0,0 +1,40 @@
+//! What a plan finds when it begins: rooms with their reservations, room that idle work would give up, kinds in demand.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use super::queue::Turn;
+use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::fairness::floor::Rank;
+use crate::scheduling::room::{Ground, Room, Zones, usable};
+
+/// The room with what it is held for.
+pub(super) fn held<'a>(cluster: &'a ClusterState, room: Room<'a>, now: Instant) -> Room<'a> {
+    let reservation = room.machine.and_then(|m| cluster.reservation(&m.id, now));
+    let reserved =
+        room.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
+    Room { reservation, reserved, ..room }
+}
+
+/// Ordinary kinds open to work that waits and may use no cheap ones.
+pub(super) fn sought(ground: &Ground, turns: &[Turn]) -> Rc<[bool]> {
+    let mut sought = vec![false; ground.offers.len()];
+    for turn in turns.iter().filter(|t| !t.job.spec().spot && !t.suspected && t.rank != Rank::Idle) {
+        for (sought, open) in sought.iter_mut().zip(ground.open_to(turn.job.spec(), &Zones::none(turn.job.spec()))) {
+            *sought |= open;
+        }
+    }
+    sought.into()
+}
+
+/// Machines without accelerators, and free of reservations, on which idle work would give way.
+pub(super) fn giving<'a>(
+    cluster: &'a ClusterState,
+    ground: &Ground<'a>,
+    suspect: Duration,
+    now: Instant,
+) -> Vec<Room<'a>> {
+    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
+    let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
+    free.filter_map(|m| ground.room(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
+}
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -5,7 +5,10 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::{Plan, Quotas, Turn, Unfit};
+use super::queue::Turn;
+use super::quotas::Quotas;
+use super::search::Plan;
+use super::unfit::Unfit;
 use crate::jobs::JobId;
 use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
--- /dev/null
+++ b/src/scheduling/plan/demand.rs
@@ -0,0 +1,164 @@
+//! A task of one job, as machines are judged by it: which it may use, and how good each is.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use super::candidate::Candidate;
+use super::queue::Turn;
+use crate::jobs::JobId;
+use crate::scheduling::backfill::Backfill;
+use crate::scheduling::cluster::{JobState, MachineId};
+use crate::scheduling::failure_attribution::FailureAttribution;
+use crate::scheduling::fairness::floor::Rank;
+use crate::scheduling::room::Room;
+use crate::sla;
+
+/// Work that was started so often in vain gets the machines least likely to be lost.
+const LOST_STARTS: u64 = 2;
+/// Idle work that was started so often goes to no machine that is being left.
+const MOST_LEFT: u64 = 4;
+/// Hard work that must start within this time to be done in time is not kept waiting for reservations.
+const PRESSED_WITHIN: Duration = Duration::from_secs(30);
+
+/// A task of one job, as machines are judged by it.
+pub(super) struct Demand<'a> {
+    pub(super) id: &'a JobId,
+    pub(super) job: &'a JobState,
+    /// When it would be over; what is held for others is open to what ends in time.
+    pub(super) over: Instant,
+    /// Hard work that would be late for waiting; nothing is held against it.
+    pub(super) pressed: bool,
+    /// Who goes first is not kept out by what is held for others; who goes ahead not by what is held for these.
+    pub(super) first: bool,
+    pub(super) passes: Vec<&'a JobId>,
+    /// Holds for these stand against it even if it is pressed: they go ahead.
+    pub(super) ahead: Vec<&'a JobId>,
+    /// Idle work, and what others wait for by now.
+    pub(super) backfill: Option<Rc<Backfill>>,
+    /// Idle work gives way for it on machines as it needs them: it takes no cores that an accelerator
+    /// will lack.
+    pub(super) apt_only: bool,
+    /// Since it came.
+    pub(super) waited: Duration,
+    /// It has waited beside room for so long that hardly anything is kept from it (`beside`).
+    pub(super) overdue: bool,
+    pub(super) share: f64,
+    pub(super) task_return: f64,
+    pub(super) hard: bool,
+    /// It has lost starts enough to want a machine that lasts.
+    pub(super) wary: bool,
+    /// Machines on which it has failed.
+    pub(super) failed_on: &'a [MachineId],
+    /// Tasks of it that fail by themselves, and are not to be tried yet.
+    pub(super) held_back: Vec<u32>,
+    pub(super) open: Vec<bool>,
+    /// Kinds for which work waits that may use no cheap machine.
+    pub(super) sought: Rc<[bool]>,
+}
+
+impl<'a> Demand<'a> {
+    pub(super) fn new(
+        turn: &Turn<'a>,
+        attribution: &'a FailureAttribution,
+        backfill: Option<Rc<Backfill>>,
+        open: Vec<bool>,
+        sought: Rc<[bool]>,
+        overdue: bool,
+        now: Instant,
+    ) -> Self {
+        let (job, age) = (turn.job, turn.age);
+        let agreement = &job.agreement;
+        Self {
+            id: turn.id,
+            job,
+            over: now + agreement.run,
+            pressed: agreement.within_reach(age) && !agreement.within_reach(age + PRESSED_WITHIN),
+            first: turn.rank == Rank::First || turn.credited,
+            passes: Vec::new(),
+            ahead: Vec::new(),
+            backfill,
+            apt_only: false,
+            waited: age,
+            overdue,
+            share: sla::share(agreement.run, agreement.deadline.saturating_sub(age), agreement.cores),
+            task_return: agreement.task_return(age + agreement.run),
+            hard: agreement.within_reach(age),
+            // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
+            wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
+            failed_on: attribution.failed_on(turn.id),
+            held_back: attribution.held_back(turn.id, now),
+            open,
+            sought,
+        }
+    }
+
+    pub(super) fn is_open(&self, kind: usize) -> bool {
+        self.open.get(kind).copied().unwrap_or(false)
+    }
+
+    pub(super) fn may_use(&self, room: &Room) -> bool {
+        if self.overdue {
+            return self.is_open(room.kind) && self.may_use_overdue(room);
+        }
+        self.is_open(room.kind)
+            && match &self.backfill {
+                Some(backfill) => {
+                    backfill.may_use(self.job.spec(), room, self.waited)
+                        && (!room.leaving || !self.job.lost_starts(MOST_LEFT))
+                }
+                None => !room.leaving,
+            }
+            && self.passes_hold(room)
+    }
+
+    /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
+    /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
+    pub(super) fn may_use_overdue(&self, room: &Room) -> bool {
+        let for_arrivals = room.kept && self.backfill.is_some() && !self.job.bound.is_empty();
+        !for_arrivals && (!room.reserved || self.passes_hold(room))
+    }
+
+    /// Whether what the room is held for, if it is, leaves it to this work.
+    pub(super) fn passes_hold(&self, room: &Room) -> bool {
+        room.reservation.is_none_or(|reservation| {
+            ((self.pressed && !self.ahead.contains(&&reservation.job))
+                || self.first
+                || reservation.job == *self.id
+                || self.over <= reservation.until)
+                || self.passes.contains(&&reservation.job)
+        })
+    }
+
+    pub(super) fn candidate(&self, at: usize, room: &Room) -> Option<Candidate> {
+        let spec = self.job.spec();
+        if !room.fits(spec) || !self.may_use(room) {
+            return None;
+        }
+        if self.apt_only && room.waste(spec) > 1 {
+            return None;
+        }
+        // Fit-now is the whole test for hard work; soft work must also be admitted.
+        let new_return = match sla::admit(room.load, room.of.cpus, self.share, self.task_return) {
+            Some(new_return) => new_return,
+            None if self.hard || self.overdue => room.load.total_return + self.task_return,
+            None => return None,
+        };
+        Some(Candidate {
+            failed: room.machine.is_some_and(|m| self.failed_on.contains(&m.id)),
+            held: room.reservation.is_some_and(|reservation| reservation.job != *self.id),
+            risk: if self.wary { room.risk() } else { 0 },
+            sought: spec.spot && self.sought.get(room.kind) == Some(&true),
+            waste: room.waste(spec),
+            has_image: room.holds_image(self.job),
+            new_return,
+            left: room.cpus,
+            at,
+        })
+    }
+
+    pub(super) fn occupy(&self, room: &mut Room) {
+        room.take(self.job.spec());
+        room.load.share += self.share;
+        room.load.total_return += self.task_return;
+    }
+}
--- /dev/null
+++ b/src/scheduling/plan/kept.rs
@@ -0,0 +1,99 @@
+//! Room that a plan keeps free: for gangs, for work that is expected, and room that idle work would give way on.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use super::demand::Demand;
+use super::search::Plan;
+use crate::jobs::JobSpec;
+use crate::scheduling::backfill;
+use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::intents;
+use crate::scheduling::room::Zones;
+
+impl<'a> Plan<'a> {
+    /// Takes the room that there is for a gang, in the zone that has most of it, out of this plan.
+    pub(super) fn keep_pieces(&mut self, demand: &Demand<'a>) {
+        let spec = demand.job.spec();
+        let need = demand.job.waiting.len() as u64;
+        let mut zones = self.units_by_zone(demand);
+        zones.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
+        let free = |zone: &&str| !self.kept.iter().any(|k| k.is_empty() || zone.is_empty() || k == zone);
+        let Some((zone, _)) = zones.iter().find(|(zone, _)| free(zone)).copied() else { return };
+        self.kept.push(zone);
+        let mut left = need;
+        let mut order: Vec<usize> = (0..self.rooms.len()).collect();
+        order.sort_by_key(|at| self.rooms[*at].waste(spec));
+        for at in order {
+            let room = &self.rooms[at];
+            let here = zone.is_empty() || self.ground.zone(room.kind) == zone;
+            if left == 0 || !here || !demand.may_use(room) {
+                continue;
+            }
+            let units = room.units(spec, left);
+            for _ in 0..units {
+                self.rooms[at].take(spec);
+            }
+            self.set_aside.push((at, units, spec));
+            left -= units;
+        }
+    }
+
+    /// Work like this found no room. Shared with the idle jobs that are placed after it, not copied for each.
+    pub(super) fn note_waits(&mut self, spec: &JobSpec, open: &[bool], suspected: bool) {
+        if !spec.is_idle() {
+            Rc::make_mut(&mut self.wanted).waits(spec, open, suspected);
+        }
+    }
+
+    /// Before idle work is placed: rooms for what arrives while it would give way.
+    pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState) {
+        for arrivals in cluster.arrivals.values() {
+            let spec = &arrivals.like.spec;
+            let open = self.ground.open_to(spec, &Zones::none(spec));
+            let boot_s = self.ground.longest_boot_s(&open);
+            let objectives = &cluster.settings.params.objectives;
+            let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
+            self.keep(spec, &open, &mut left);
+        }
+        for (intent, open) in intents::room_kept(cluster, &self.ground) {
+            self.keep(&intent.like, &open, &mut intent.tasks.clone());
+        }
+    }
+
+    pub(super) fn keep(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
+        for room in self.rooms.iter_mut().filter(|r| !r.leaving && !r.kept && r.apt(spec)) {
+            if *left == 0 {
+                break;
+            }
+            let units = if open.get(room.kind) == Some(&true) { room.units(spec, *left) } else { 0 };
+            room.kept = units > 0;
+            *left -= units;
+        }
+    }
+
+    /// Whether idle work would make room for all these tasks on machines as they need them; what it
+    /// would give is then counted with.
+    pub(super) fn gives_way(&mut self, spec: &JobSpec, open: &[bool], need: u64) -> bool {
+        if self.giving.is_empty() || spec.gpus > 0.0 {
+            return false;
+        }
+        let mut units: BTreeMap<&str, u64> = BTreeMap::new();
+        for room in self.giving.iter().filter(|r| open.get(r.kind) == Some(&true)) {
+            let zone = if spec.same_zone { self.ground.zone(room.kind) } else { "" };
+            *units.entry(zone).or_default() += room.units(spec, need);
+        }
+        let Some(zone) = units.into_iter().find(|(_, n)| *n >= need).map(|(zone, _)| zone) else { return false };
+        let mut left = need;
+        for room in &mut self.giving {
+            let here = zone.is_empty() || self.ground.zone(room.kind) == zone;
+            if left == 0 || !here || open.get(room.kind) != Some(&true) {
+                continue;
+            }
+            let n = room.units(spec, left);
+            room.add(-(n as f64) * spec.cpus, 0.0, -(n as f64) * spec.memory_gb);
+            left -= n;
+        }
+        true
+    }
+}
--- /dev/null
+++ b/src/scheduling/plan/queue.rs
@@ -0,0 +1,93 @@
+//! The order in which waiting jobs are considered.
+
+use std::cmp::Ordering;
+use std::time::{Duration, Instant};
+
+use crate::jobs::{JobId, JobSpec};
+use crate::scheduling::cluster::{ClusterState, JobState};
+use crate::scheduling::fairness::floor::Rank;
+use crate::scheduling::intents;
+use crate::scheduling::room::SLACK;
+
+/// A job's place in the queue.
+#[derive(Clone, Copy)]
+pub struct Turn<'a> {
+    pub id: &'a JobId,
+    pub job: &'a JobState,
+    pub guaranteed: bool,
+    pub rank: Rank,
+    /// Too late for all that was promised of it.
+    pub late: bool,
+    /// Needs much at once and has waited for long: it goes first within its rank, and room is kept for it.
+    pub credited: bool,
+    /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
+    pub suspected: bool,
+    task_return: f64,
+    pub age: Duration,
+    /// Goes before others of its urgency, by what operators have declared.
+    pub ahead: bool,
+    /// Tasks that may be placed in its turn.
+    pub most: usize,
+}
+
+/// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
+/// still be in time, then by return; work of no return by age.
+pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<Turn<'_>> {
+    let mut turns: Vec<Turn> = cluster
+        .jobs()
+        .filter(|(_, job)| !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before)
+        .filter(|(id, job)| cluster.intents.waiting(id, job) > 0)
+        .filter(|(_, job)| !job.spec().is_gang() || job.bound.is_empty())
+        .filter(|(id, _)| !cluster.intents.not_yet.contains(*id))
+        .map(|(id, job)| {
+            let age = now.saturating_duration_since(job.since);
+            let late = job.too_late(age);
+            Turn {
+                id,
+                job,
+                guaranteed: within_guarantee(cluster, job.spec()),
+                rank: Rank::of(
+                    cluster.below.first.has(job.spec()) || cluster.intents.short(id),
+                    late,
+                    job.spec().is_idle(),
+                ),
+                late,
+                credited: false,
+                suspected: cluster.attribution.suspects(id),
+                task_return: job.agreement.task_return(age + job.agreement.run),
+                age,
+                ahead: false,
+                most: usize::MAX,
+            }
+        })
+        .collect();
+    let credited = cluster.large.credited(&turns, cluster.properties.large_begin);
+    let to_begin = cluster.large.to_begin(&turns, cluster.properties.large_begin);
+    for turn in &mut turns {
+        turn.credited = credited == Some(turn.id);
+        if to_begin == Some(turn.id) {
+            (turn.credited, turn.most, turn.rank) = (true, 1, turn.rank.min(Rank::ByReturn));
+        }
+    }
+    turns.sort_by(|a, b| {
+        (a.suspected.cmp(&b.suspected))
+            .then(b.guaranteed.cmp(&a.guaranteed))
+            .then(a.rank.cmp(&b.rank))
+            .then(b.credited.cmp(&a.credited))
+            .then(b.task_return.partial_cmp(&a.task_return).unwrap_or(Ordering::Equal))
+            .then(b.age.cmp(&a.age))
+            .then(a.id.cmp(b.id))
+    });
+    intents::order(cluster, &mut turns);
+    turns
+}
+
+fn within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
+    let Some(team) = cluster.settings.team(&spec.team) else { return false };
+    if team.cpus <= 0.0 && team.gpus <= 0.0 {
+        return false;
+    }
+    let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
+    let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
+    used.0 + n * spec.cpus <= team.cpus + SLACK && used.1 + n * spec.gpus <= team.gpus + SLACK
+}
--- /dev/null
+++ b/src/scheduling/plan/quotas.rs
@@ -0,0 +1,32 @@
+//! What the limits of each team leave for it to use.
+
+use std::collections::HashMap;
+
+use crate::jobs::JobSpec;
+use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::room::SLACK;
+
+/// What a team may still use, as (cpus, gpus).
+pub struct Quotas<'a> {
+    cluster: &'a ClusterState,
+    used: HashMap<&'a str, (f64, f64)>,
+}
+
+impl<'a> Quotas<'a> {
+    pub fn new(cluster: &'a ClusterState) -> Self {
+        Self { cluster, used: cluster.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
+    }
+
+    pub fn allows(&self, spec: &JobSpec, n: f64) -> bool {
+        let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
+        let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
+        let within = |limit: f64, used: f64, more: f64| limit <= 0.0 || used + more <= limit + SLACK;
+        within(team.cpus_max, used.0, n * spec.cpus) && within(team.gpus_max, used.1, n * spec.gpus)
+    }
+
+    pub fn take(&mut self, spec: &'a JobSpec, n: f64) {
+        let used = self.used.entry(spec.team.as_str()).or_default();
+        used.0 += n * spec.cpus;
+        used.1 += n * spec.gpus;
+    }
+}
--- /dev/null
+++ b/src/scheduling/plan/search.rs
@@ -0,0 +1,204 @@
+//! The search of one plan: the rooms that are left, and the machines for the tasks of one job after another.
+
+use std::collections::{BinaryHeap, HashMap};
+use std::rc::Rc;
+use std::time::Instant;
+
+use super::available::{giving, held, sought};
+use super::candidate::Candidate;
+use super::demand::Demand;
+use super::queue::Turn;
+use super::unfit::Unfit;
+use crate::jobs::JobSpec;
+use crate::kinds::Catalog;
+use crate::scheduling::backfill::Backfill;
+use crate::scheduling::cluster::{ClusterState, MachineId};
+use crate::scheduling::failure_attribution::FailureAttribution;
+use crate::scheduling::fairness::floor::Rank;
+use crate::scheduling::intents::{self, Intents};
+use crate::scheduling::room::{Ground, Room, SLACK, Zones, suspect_after, usable, usable_until_left};
+
+/// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
+pub struct Plan<'a> {
+    pub(super) cluster: &'a ClusterState,
+    pub(super) attribution: &'a FailureAttribution,
+    pub(super) intents: &'a Intents,
+    pub(super) ground: Ground<'a>,
+    pub(super) rooms: Vec<Room<'a>>,
+    pub(super) unfit: Vec<Unfit<'a>>,
+    /// What fits nowhere even if nothing is kept from it.
+    pub(super) full: Vec<Unfit<'a>>,
+    /// Pieces of rooms that were kept for gangs, as (room, tasks, like these).
+    pub(super) set_aside: Vec<(usize, u64, &'a JobSpec)>,
+    /// What more urgent work than idle found no room for.
+    pub(super) wanted: Rc<Backfill>,
+    /// What idle work would give up of machines without accelerators, and is not yet counted with.
+    pub(super) giving: Vec<Room<'a>>,
+    pub(super) sought: Rc<[bool]>,
+    pub(super) now: Instant,
+    /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
+    pub(super) kept: Vec<&'a str>,
+    pub looked: u64,
+}
+
+impl<'a> Plan<'a> {
+    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
+        let ground = Ground::new(cluster, catalog);
+        let suspect = suspect_after(cluster);
+        let least = turns.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
+        let rooms = cluster
+            .machines
+            .values()
+            .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
+            .filter_map(|m| ground.room(m))
+            .filter(|r| r.cpus + SLACK >= least)
+            .map(|r| held(cluster, r, now))
+            .collect();
+        let giving = giving(cluster, &ground, suspect, now);
+        let sought = sought(&ground, turns);
+        Self {
+            cluster,
+            attribution: &cluster.attribution,
+            intents: &cluster.intents,
+            giving,
+            sought,
+            ground,
+            rooms,
+            unfit: Vec::new(),
+            full: Vec::new(),
+            set_aside: Vec::new(),
+            wanted: Rc::default(),
+            now,
+            kept: Vec::new(),
+            looked: 0,
+        }
+    }
+
+    /// Places up to `most` tasks, the best machine first, and gives them with their rooms.
+    pub(super) fn fill(
+        &mut self,
+        demand: &Demand<'a>,
+        zones: &mut Zones<'a>,
+        most: usize,
+        only: Option<&str>,
+    ) -> Vec<(u32, usize)> {
+        let ground = &self.ground;
+        let in_zone = |room: &Room| only.is_none_or(|z| z == ground.zone(room.kind));
+        self.looked += self.rooms.len() as u64;
+        let mut heap: BinaryHeap<Candidate> = self
+            .rooms
+            .iter()
+            .enumerate()
+            .filter(|(_, room)| in_zone(room))
+            .filter_map(|(at, room)| demand.candidate(at, room))
+            .collect();
+        let mut placed = Vec::new();
+        let waiting = demand.job.waiting.iter().filter(|index| !demand.held_back.contains(index));
+        for index in waiting.take(most) {
+            let best = loop {
+                match heap.pop() {
+                    None => return placed,
+                    Some(c) if zones.allow(ground.zone(self.rooms[c.at].kind)) => break c.at,
+                    Some(_) => {}
+                }
+            };
+            self.looked += 1;
+            demand.occupy(&mut self.rooms[best]);
+            zones.take(ground.zone(self.rooms[best].kind));
+            placed.push((*index, best));
+            heap.extend(demand.candidate(best, &self.rooms[best]));
+        }
+        placed
+    }
+
+    /// Places as many tasks of one job as there is room for; all or none of a gang.
+    /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
+    pub fn place_job(
+        &mut self,
+        turn: &Turn<'a>,
+        zones: &mut Zones<'a>,
+        most: usize,
+        keep: bool,
+    ) -> Vec<(u32, MachineId)> {
+        let (job, spec) = (turn.job, turn.job.spec());
+        let open = self.ground.open_to(spec, zones);
+        let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
+        // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
+        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
+        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
+        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
+        demand.held_back.extend(self.intents.stopped(turn.id));
+        let waiting = self.intents.waiting(turn.id, job);
+        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
+        if turn.ahead {
+            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+        } else if demand.pressed {
+            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+        }
+        let holds =
+            |room: &Room| room.reservation.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
+        let keep = keep && spec.is_gang();
+        if !demand.pressed
+            && !overdue
+            && !keep
+            && self.unfit.iter().any(|u| u.covers(job, tasks, &demand.open))
+            && !self.rooms.iter().any(holds)
+        {
+            self.note_waits(spec, &demand.open, turn.suspected);
+            return Vec::new();
+        }
+        let placed =
+            if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
+        let short = if spec.is_gang() { placed.is_empty() } else { placed.len() < most.min(waiting) };
+        if short {
+            self.note_waits(spec, &demand.open, turn.suspected);
+        }
+        if short && keep {
+            self.keep_pieces(&demand);
+        }
+        // Spread work, and arrays that settled in one zone, were refused rooms that others may use.
+        if short && !spec.spread && (spec.is_gang() || !spec.same_zone) {
+            self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open: demand.open });
+        }
+        let rooms = &self.rooms;
+        placed.into_iter().filter_map(|(index, at)| Some((index, rooms[at].machine?.id.clone()))).collect()
+    }
+
+    /// How many tasks of a gang fit in each zone that it may use, or in all together.
+    pub(super) fn units_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
+        let spec = demand.job.spec();
+        let need = demand.job.waiting.len() as u64;
+        let mut units: HashMap<&str, u64> = HashMap::new();
+        let apt = |r: &Room| !demand.apt_only || r.waste(spec) <= 1;
+        for room in self.rooms.iter().filter(|r| demand.may_use(r) && apt(r)) {
+            let zone = if spec.same_zone { self.ground.zone(room.kind) } else { "" };
+            *units.entry(zone).or_default() += room.units(spec, need);
+        }
+        units.into_iter().collect()
+    }
+
+    /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<(u32, usize)> {
+        let spec = demand.job.spec();
+        let need = demand.job.waiting.len();
+        self.looked += self.rooms.len() as u64;
+        let mut enough: Vec<&str> =
+            self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
+        enough.sort_unstable();
+        for zone in enough {
+            let before = zones.counts();
+            let placed = self.fill(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
+            if placed.len() == need {
+                return placed;
+            }
+            for (_, at) in &placed {
+                let room = &mut self.rooms[*at];
+                room.give_back(spec);
+                room.load.share -= demand.share;
+                room.load.total_return -= demand.task_return;
+            }
+            zones.set_counts(before);
+        }
+        Vec::new()
+    }
+}
