--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -29,12 +29,17 @@
 /// Room is kept for gangs for so long in a row, and not once anybody has waited so long beside room; then whoever waits
 /// may have it, for this long.
 const KEPT_FOR: Duration = Duration::from_secs(60);
+/// For so long nothing is kept after that.
 const KEPT_PAUSE: Duration = Duration::from_secs(5);
 
+/// A decision that a task is to run on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
+    /// The task.
     pub task: TaskKey,
+    /// The number of this start of it; tasks of a gang start with the same one.
     pub attempt: u64,
+    /// The machine.
     pub machine: MachineId,
 }
 
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -91,8 +91,8 @@
     /// A room with what this plan has kept of it for gangs.
     fn with_set_aside(&self, at: usize) -> Room<'a> {
         let mut room = self.rooms[at];
-        for (_, units, spec) in self.set_aside.iter().filter(|(of, ..)| *of == at) {
-            (0..*units).for_each(|_| room.give_back(spec));
+        for piece in self.set_aside.iter().filter(|piece| piece.at == at) {
+            (0..piece.tasks).for_each(|_| room.give_back(piece.spec));
         }
         room
     }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use super::Placement;
-use super::queue::queue;
+use super::queue::{Turn, queue};
 use super::quotas::Quotas;
-use super::search::Plan;
-use crate::jobs::JobId;
+use super::search::{PlacedTask, Plan};
+use crate::jobs::{JobId, JobSpec};
 use crate::kinds::Catalog;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::failure_attribution::PROBES;
@@ -30,25 +30,21 @@
     pub(super) passed_over: HashSet<JobId>,
 }
 
+/// Late work that is due a share of the machines by the credit that it has earned.
+struct Earned<'a> {
+    job: &'a JobId,
+    /// How many of its tasks the credit covers.
+    tasks: usize,
+}
+
+/// What can be placed now, job after job in the order of the queue.
 pub(super) fn decide(cluster: &ClusterState, catalog: &Catalog, may_keep: bool, now: Instant) -> Decided {
-    let mut decisions = Vec::new();
-    let mut passed_over = HashSet::new();
+    let mut decided = Decided::default();
     let mut turns = queue(cluster, now);
     if turns.is_empty() {
-        return Decided::default();
-    }
-    // Late work goes first as far as it has earned, the oldest of it.
-    let mut earned = None;
-    let late =
-        turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.suspected && t.rank != Rank::Idle);
-    let oldest = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)));
-    if let Some((at, needs)) =
-        oldest.map(|(at, t)| (at, t.job.cores_at_once())).filter(|(_, n)| *n <= cluster.core_credit.credit())
-    {
-        let turn = turns.remove(at);
-        turns.insert(turns.iter().take_while(|t| t.guaranteed).count(), turn);
-        earned = Some((turn.id, (cluster.core_credit.credit() / needs.max(SLACK)) as usize));
+        return decided;
     }
+    let earned = advance_late_work(cluster, &mut turns);
     let mut plan = Plan::new(cluster, catalog, &turns, now);
     let mut quotas = Quotas::new(cluster);
     let mut idle_begun = false;
@@ -56,55 +52,92 @@
         if turn.rank == Rank::Idle && !std::mem::replace(&mut idle_begun, true) {
             plan.keep_for_arrivals(cluster);
         }
-        if decisions.len() >= MOST_PLACEMENTS {
+        if decided.placements.len() >= MOST_PLACEMENTS {
             break;
         }
-        let job = turn.job;
-        let spec = job.spec();
-        let mut most = turn.most.min(MOST_PLACEMENTS - decisions.len());
-        if spec.is_gang() {
-            if !quotas.allows(spec, spec.tasks as f64) {
-                continue;
-            }
-        } else {
-            // Few teams have limits; counting up to the limit is cheap next to placing.
-            let mut n = 0;
-            while n < most.min(cluster.intents.waiting(turn.id, job)) && quotas.allows(spec, (n + 1) as f64) {
-                n += 1;
-            }
-            most = n;
-        }
-        let overdue = cluster.beside_room.overdue(turn.id, now);
-        if let Some((_, tasks)) = earned.filter(|(id, _)| *id == turn.id && !overdue && !spec.is_gang()) {
-            most = most.min(tasks);
-        }
-        if overdue && turn.rank == Rank::Idle && !spec.is_gang() && job.bound.is_empty() {
-            most = most.min(1);
-        }
-        if turn.suspected && !overdue && !spec.is_gang() {
-            most = most.min(PROBES.saturating_sub(job.bound.len()));
-        }
+        let earned = earned.as_ref().filter(|earned| earned.job == turn.id);
+        let left = MOST_PLACEMENTS - decided.placements.len();
+        let most = most_tasks(cluster, &turn, earned, &quotas, left, now);
         if most == 0 {
             continue;
         }
-        let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
-        let keep = may_keep && (turn.credited || earned.is_some_and(|(id, _)| id == turn.id));
-        let mut zones = Zones::new(cluster, job);
+        let keep = may_keep && (turn.credited || earned.is_some());
+        let mut zones = Zones::new(cluster, turn.job);
         let placed = plan.place_job(&turn, &mut zones, most, keep);
-        quotas.take(spec, placed.len() as f64);
+        quotas.take(turn.job.spec(), placed.len() as f64);
         if plan.leaves_beside_room(&turn, &zones, placed.len(), &quotas) {
-            passed_over.insert(turn.id.clone());
-        }
-        if placed.is_empty() {
-            continue;
+            decided.passed_over.insert(turn.id.clone());
         }
-        // The tasks of a gang find one another by a common attempt number.
-        let gang_attempt = if spec.is_gang() { job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1 } else { 0 };
-        decisions.extend(placed.into_iter().map(|(index, machine)| Placement {
-            task: TaskKey { job: turn.id.clone(), index },
-            attempt: if spec.is_gang() { gang_attempt } else { attempt_of(index) },
-            machine,
-        }));
+        decided.placements.extend(placements(&turn, placed));
     }
-    Decided { placements: decisions, looked: plan.looked, kept: !plan.kept.is_empty(), passed_over }
+    decided.looked = plan.looked;
+    decided.kept = !plan.kept.is_empty();
+    decided
+}
+
+/// Late work goes first as far as it has earned, the oldest of it.
+fn advance_late_work<'a>(cluster: &ClusterState, turns: &mut Vec<Turn<'a>>) -> Option<Earned<'a>> {
+    let credit = cluster.core_credit.credit();
+    let late =
+        turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.suspected && t.rank != Rank::Idle);
+    let (at, oldest) = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
+    let needs = oldest.job.cores_at_once();
+    if needs > credit {
+        return None;
+    }
+    let turn = turns.remove(at);
+    let behind_guaranteed = turns.iter().take_while(|t| t.guaranteed).count();
+    turns.insert(behind_guaranteed, turn);
+    Some(Earned { job: turn.id, tasks: (credit / needs.max(SLACK)) as usize })
+}
+
+/// How many tasks of a job may be placed in its turn, of `left` that the plan may still place.
+fn most_tasks(
+    cluster: &ClusterState,
+    turn: &Turn,
+    earned: Option<&Earned>,
+    quotas: &Quotas,
+    left: usize,
+    now: Instant,
+) -> usize {
+    let (job, spec) = (turn.job, turn.job.spec());
+    let most = turn.most.min(left);
+    if spec.is_gang() {
+        return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
+    }
+    let mut most = within_quota(quotas, spec, most.min(cluster.intents.waiting(turn.id, job)));
+    let overdue = cluster.beside_room.overdue(turn.id, now);
+    if let Some(earned) = earned.filter(|_| !overdue) {
+        most = most.min(earned.tasks);
+    }
+    if overdue && turn.rank == Rank::Idle && job.bound.is_empty() {
+        most = most.min(1);
+    }
+    if turn.suspected && !overdue {
+        most = most.min(PROBES.saturating_sub(job.bound.len()));
+    }
+    most
+}
+
+/// How many single tasks, up to `most`, the team's limits allow.
+fn within_quota(quotas: &Quotas, spec: &JobSpec, most: usize) -> usize {
+    // Few teams have limits; counting up to the limit is cheap next to placing.
+    let mut tasks = 0;
+    while tasks < most && quotas.allows(spec, (tasks + 1) as f64) {
+        tasks += 1;
+    }
+    tasks
+}
+
+/// The placements of one job, with the numbers of their attempts.
+fn placements<'a>(turn: &Turn<'a>, placed: Vec<PlacedTask>) -> impl Iterator<Item = Placement> + use<'a> {
+    let (id, job) = (turn.id, turn.job);
+    // The tasks of a gang find one another by a common attempt number.
+    let gang_attempt = job.spec().is_gang().then(|| job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1);
+    let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
+    placed.into_iter().map(move |PlacedTask { index, machine }| Placement {
+        task: TaskKey { job: id.clone(), index },
+        attempt: gang_attempt.unwrap_or_else(|| attempt_of(index)),
+        machine,
+    })
 }
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -30,6 +30,7 @@
     pub(super) pressed: bool,
     /// Who goes first is not kept out by what is held for others; who goes ahead not by what is held for these.
     pub(super) first: bool,
+    /// Jobs whose reservations do not stand against it.
     pub(super) passes: Vec<&'a JobId>,
     /// Holds for these stand against it even if it is pressed: they go ahead.
     pub(super) ahead: Vec<&'a JobId>,
@@ -44,6 +45,7 @@
     pub(super) overdue: bool,
     pub(super) share: f64,
     pub(super) task_return: f64,
+    /// It can be done in time if it starts now.
     pub(super) hard: bool,
     /// It has lost starts enough to want a machine that lasts.
     pub(super) wary: bool,
@@ -51,12 +53,14 @@
     pub(super) failed_on: &'a [MachineId],
     /// Tasks of it that fail by themselves, and are not to be tried yet.
     pub(super) held_back: Vec<u32>,
+    /// Kinds of machines that the job allows, by their places in the cluster state.
     pub(super) open: Vec<bool>,
     /// Kinds for which work waits that may use no cheap machine.
     pub(super) sought: Rc<[bool]>,
 }
 
 impl<'a> Demand<'a> {
+    /// A task of the job whose turn it is.
     pub(super) fn new(
         turn: &Turn<'a>,
         attribution: &'a FailureAttribution,
@@ -92,10 +96,12 @@
         }
     }
 
+    /// Whether the job allows machines of this kind.
     pub(super) fn is_open(&self, kind: usize) -> bool {
         self.open.get(kind).copied().unwrap_or(false)
     }
 
+    /// Whether the rules leave the room to this work, whatever its size.
     pub(super) fn may_use(&self, room: &Room) -> bool {
         if self.overdue {
             return self.is_open(room.kind) && self.may_use_overdue(room);
@@ -129,6 +135,7 @@
         })
     }
 
+    /// The room as a place for a task; none if the task does not fit or may not go there.
     pub(super) fn candidate(&self, at: usize, room: &Room) -> Option<Candidate> {
         let spec = self.job.spec();
         if !room.fits(spec) || !self.may_use(room) {
@@ -156,9 +163,17 @@
         })
     }
 
+    /// Counts a task as placed in the room.
     pub(super) fn occupy(&self, room: &mut Room) {
         room.take(self.job.spec());
         room.load.share += self.share;
         room.load.total_return += self.task_return;
     }
+
+    /// Takes back what `occupy` did.
+    pub(super) fn vacate(&self, room: &mut Room) {
+        room.give_back(self.job.spec());
+        room.load.share -= self.share;
+        room.load.total_return -= self.task_return;
+    }
 }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::demand::Demand;
-use super::search::Plan;
+use super::search::{Plan, SetAside};
 use crate::jobs::JobSpec;
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::ClusterState;
@@ -34,7 +34,7 @@
             for _ in 0..units {
                 self.rooms[at].take(spec);
             }
-            self.set_aside.push((at, units, spec));
+            self.set_aside.push(SetAside { at, tasks: units, spec });
             left -= units;
         }
     }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -12,9 +12,13 @@
 /// A job's place in the queue.
 #[derive(Clone, Copy)]
 pub struct Turn<'a> {
+    /// The id of the job.
     pub id: &'a JobId,
+    /// Its state.
     pub job: &'a JobState,
+    /// Its team is short of its guarantee, and the job is within it.
     pub guaranteed: bool,
+    /// Its rank by the rules of fairness.
     pub rank: Rank,
     /// Too late for all that was promised of it.
     pub late: bool,
@@ -23,6 +27,7 @@
     /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
     pub suspected: bool,
     task_return: f64,
+    /// For how long it has waited.
     pub age: Duration,
     /// Goes before others of its urgency, by what operators have declared.
     pub ahead: bool,
@@ -35,51 +40,65 @@
 pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<Turn<'_>> {
     let mut turns: Vec<Turn> = cluster
         .jobs()
-        .filter(|(_, job)| !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before)
-        .filter(|(id, job)| cluster.intents.waiting(id, job) > 0)
-        .filter(|(_, job)| !job.spec().is_gang() || job.bound.is_empty())
-        .filter(|(id, _)| !cluster.intents.not_yet.contains(*id))
-        .map(|(id, job)| {
-            let age = now.saturating_duration_since(job.since);
-            let late = job.too_late(age);
-            Turn {
-                id,
-                job,
-                guaranteed: within_guarantee(cluster, job.spec()),
-                rank: Rank::of(
-                    cluster.below.first.has(job.spec()) || cluster.intents.short(id),
-                    late,
-                    job.spec().is_idle(),
-                ),
-                late,
-                credited: false,
-                suspected: cluster.attribution.suspects(id),
-                task_return: job.agreement.task_return(age + job.agreement.run),
-                age,
-                ahead: false,
-                most: usize::MAX,
-            }
-        })
+        .filter(|(id, job)| may_be_placed(cluster, id, job, now))
+        .map(|(id, job)| turn(cluster, id, job, now))
         .collect();
-    let credited = cluster.large.credited(&turns, cluster.properties.large_begin);
-    let to_begin = cluster.large.to_begin(&turns, cluster.properties.large_begin);
-    for turn in &mut turns {
+    mark_large(cluster, &mut turns);
+    turns.sort_by(by_precedence);
+    intents::order(cluster, &mut turns);
+    turns
+}
+
+/// Whether tasks of the job wait that may be placed now.
+fn may_be_placed(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
+    let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before;
+    waits
+        && cluster.intents.waiting(id, job) > 0
+        && (!job.spec().is_gang() || job.bound.is_empty())
+        && !cluster.intents.not_yet.contains(id)
+}
+
+fn turn<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> Turn<'a> {
+    let age = now.saturating_duration_since(job.since);
+    let late = job.too_late(age);
+    let first = cluster.below.first.has(job.spec()) || cluster.intents.short(id);
+    Turn {
+        id,
+        job,
+        guaranteed: within_guarantee(cluster, job.spec()),
+        rank: Rank::of(first, late, job.spec().is_idle()),
+        late,
+        credited: false,
+        suspected: cluster.attribution.suspects(id),
+        task_return: job.agreement.task_return(age + job.agreement.run),
+        age,
+        ahead: false,
+        most: usize::MAX,
+    }
+}
+
+/// Marks the large job for which room is kept, and the one of which a first task is to begin.
+fn mark_large(cluster: &ClusterState, turns: &mut [Turn]) {
+    let credited = cluster.large.credited(turns, cluster.properties.large_begin);
+    let to_begin = cluster.large.to_begin(turns, cluster.properties.large_begin);
+    for turn in turns {
         turn.credited = credited == Some(turn.id);
         if to_begin == Some(turn.id) {
-            (turn.credited, turn.most, turn.rank) = (true, 1, turn.rank.min(Rank::ByReturn));
+            turn.credited = true;
+            turn.most = 1;
+            turn.rank = turn.rank.min(Rank::ByReturn);
         }
     }
-    turns.sort_by(|a, b| {
-        (a.suspected.cmp(&b.suspected))
-            .then(b.guaranteed.cmp(&a.guaranteed))
-            .then(a.rank.cmp(&b.rank))
-            .then(b.credited.cmp(&a.credited))
-            .then(b.task_return.partial_cmp(&a.task_return).unwrap_or(Ordering::Equal))
-            .then(b.age.cmp(&a.age))
-            .then(a.id.cmp(b.id))
-    });
-    intents::order(cluster, &mut turns);
-    turns
+}
+
+fn by_precedence(a: &Turn, b: &Turn) -> Ordering {
+    (a.suspected.cmp(&b.suspected))
+        .then(b.guaranteed.cmp(&a.guaranteed))
+        .then(a.rank.cmp(&b.rank))
+        .then(b.credited.cmp(&a.credited))
+        .then(b.task_return.partial_cmp(&a.task_return).unwrap_or(Ordering::Equal))
+        .then(b.age.cmp(&a.age))
+        .then(a.id.cmp(b.id))
 }
 
 fn within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -13,10 +13,12 @@
 }
 
 impl<'a> Quotas<'a> {
+    /// The limits, with what the teams use now.
     pub fn new(cluster: &'a ClusterState) -> Self {
         Self { cluster, used: cluster.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
     }
 
+    /// Whether the team may use so many tasks of the job more.
     pub fn allows(&self, spec: &JobSpec, n: f64) -> bool {
         let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
         let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
@@ -24,6 +26,7 @@
         within(team.cpus_max, used.0, n * spec.cpus) && within(team.gpus_max, used.1, n * spec.gpus)
     }
 
+    /// Counts so many tasks of the job as used.
     pub fn take(&mut self, spec: &'a JobSpec, n: f64) {
         let used = self.used.entry(spec.team.as_str()).or_default();
         used.0 += n * spec.cpus;
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -18,6 +18,30 @@
 use crate::scheduling::intents::{self, Intents};
 use crate::scheduling::room::{Ground, Room, SLACK, Zones, suspect_after, usable, usable_until_left};
 
+/// A task of a job, and the machine on which it is placed.
+pub struct PlacedTask {
+    /// The index of the task within its job.
+    pub index: u32,
+    /// The machine.
+    pub machine: MachineId,
+}
+
+/// The same, with the place of the room among those of the plan.
+pub(super) struct Pick {
+    pub(super) index: u32,
+    pub(super) at: usize,
+}
+
+/// A piece of a room that is kept for tasks of a gang.
+pub(super) struct SetAside<'a> {
+    /// The place of the room among those of the plan.
+    pub(super) at: usize,
+    /// How many tasks it is for.
+    pub(super) tasks: u64,
+    /// What each of them asks for.
+    pub(super) spec: &'a JobSpec,
+}
+
 /// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
 pub struct Plan<'a> {
     pub(super) cluster: &'a ClusterState,
@@ -28,8 +52,8 @@
     pub(super) unfit: Vec<Unfit<'a>>,
     /// What fits nowhere even if nothing is kept from it.
     pub(super) full: Vec<Unfit<'a>>,
-    /// Pieces of rooms that were kept for gangs, as (room, tasks, like these).
-    pub(super) set_aside: Vec<(usize, u64, &'a JobSpec)>,
+    /// Pieces of rooms that were kept for gangs.
+    pub(super) set_aside: Vec<SetAside<'a>>,
     /// What more urgent work than idle found no room for.
     pub(super) wanted: Rc<Backfill>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
@@ -38,10 +62,12 @@
     pub(super) now: Instant,
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
     pub(super) kept: Vec<&'a str>,
+    /// How many rooms were looked at.
     pub looked: u64,
 }
 
 impl<'a> Plan<'a> {
+    /// A plan for these jobs, before anything is placed.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
         let ground = Ground::new(cluster, catalog);
         let suspect = suspect_after(cluster);
@@ -81,7 +107,7 @@
         zones: &mut Zones<'a>,
         most: usize,
         only: Option<&str>,
-    ) -> Vec<(u32, usize)> {
+    ) -> Vec<Pick> {
         let ground = &self.ground;
         let in_zone = |room: &Room| only.is_none_or(|z| z == ground.zone(room.kind));
         self.looked += self.rooms.len() as u64;
@@ -92,12 +118,12 @@
             .filter(|(_, room)| in_zone(room))
             .filter_map(|(at, room)| demand.candidate(at, room))
             .collect();
-        let mut placed = Vec::new();
+        let mut picks = Vec::new();
         let waiting = demand.job.waiting.iter().filter(|index| !demand.held_back.contains(index));
         for index in waiting.take(most) {
             let best = loop {
                 match heap.pop() {
-                    None => return placed,
+                    None => return picks,
                     Some(c) if zones.allow(ground.zone(self.rooms[c.at].kind)) => break c.at,
                     Some(_) => {}
                 }
@@ -105,51 +131,27 @@
             self.looked += 1;
             demand.occupy(&mut self.rooms[best]);
             zones.take(ground.zone(self.rooms[best].kind));
-            placed.push((*index, best));
+            picks.push(Pick { index: *index, at: best });
             heap.extend(demand.candidate(best, &self.rooms[best]));
         }
-        placed
+        picks
     }
 
     /// Places as many tasks of one job as there is room for; all or none of a gang.
     /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
-    pub fn place_job(
-        &mut self,
-        turn: &Turn<'a>,
-        zones: &mut Zones<'a>,
-        most: usize,
-        keep: bool,
-    ) -> Vec<(u32, MachineId)> {
+    pub fn place_job(&mut self, turn: &Turn<'a>, zones: &mut Zones<'a>, most: usize, keep: bool) -> Vec<PlacedTask> {
         let (job, spec) = (turn.job, turn.job.spec());
-        let open = self.ground.open_to(spec, zones);
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
-        // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
-        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
-        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped(turn.id));
         let waiting = self.intents.waiting(turn.id, job);
-        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
-        if turn.ahead {
-            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
-        } else if demand.pressed {
-            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
-        }
-        let holds =
-            |room: &Room| room.reservation.is_some_and(|h| h.job == *turn.id || demand.passes.contains(&&h.job));
         let keep = keep && spec.is_gang();
-        if !demand.pressed
-            && !overdue
-            && !keep
-            && self.unfit.iter().any(|u| u.covers(job, tasks, &demand.open))
-            && !self.rooms.iter().any(holds)
-        {
+        let demand = self.demand(turn, zones, waiting);
+        if !keep && self.known_unfit(&demand, tasks) {
             self.note_waits(spec, &demand.open, turn.suspected);
             return Vec::new();
         }
-        let placed =
+        let picks =
             if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
-        let short = if spec.is_gang() { placed.is_empty() } else { placed.len() < most.min(waiting) };
+        let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
         if short {
             self.note_waits(spec, &demand.open, turn.suspected);
         }
@@ -161,7 +163,36 @@
             self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open: demand.open });
         }
         let rooms = &self.rooms;
-        placed.into_iter().filter_map(|(index, at)| Some((index, rooms[at].machine?.id.clone()))).collect()
+        let placed = |pick: Pick| Some(PlacedTask { index: pick.index, machine: rooms[pick.at].machine?.id.clone() });
+        picks.into_iter().filter_map(placed).collect()
+    }
+
+    /// By what the machines are judged for a job of which so many tasks wait.
+    fn demand(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
+        let spec = turn.job.spec();
+        let open = self.ground.open_to(spec, zones);
+        // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
+        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
+        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
+        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
+        demand.held_back.extend(self.intents.stopped(turn.id));
+        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
+        if turn.ahead {
+            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+        } else if demand.pressed {
+            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+        }
+        demand
+    }
+
+    /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
+    fn known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
+        let is_held =
+            |room: &Room| room.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job));
+        !demand.pressed
+            && !demand.overdue
+            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.open))
+            && !self.rooms.iter().any(is_held)
     }
 
     /// How many tasks of a gang fit in each zone that it may use, or in all together.
@@ -178,7 +209,7 @@
     }
 
     /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
-    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<(u32, usize)> {
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
         self.looked += self.rooms.len() as u64;
@@ -187,15 +218,12 @@
         enough.sort_unstable();
         for zone in enough {
             let before = zones.counts();
-            let placed = self.fill(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
-            if placed.len() == need {
-                return placed;
+            let picks = self.fill(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
+            if picks.len() == need {
+                return picks;
             }
-            for (_, at) in &placed {
-                let room = &mut self.rooms[*at];
-                room.give_back(spec);
-                room.load.share -= demand.share;
-                room.load.total_return -= demand.task_return;
+            for pick in &picks {
+                demand.vacate(&mut self.rooms[pick.at]);
             }
             zones.set_counts(before);
         }
