--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -82,7 +82,8 @@
                 return true;
             }
         }
-        if !kept_from && !spec.spread && (spec.is_gang() || !spec.same_zone) {
+        // A spread gang was refused rooms that others may use; for single tasks `open` says all of it.
+        if !kept_from && !(spec.is_gang() && spec.spread) {
             self.full.push(Unfit { spec, run: Duration::ZERO, tasks: need, open });
         }
         false
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -96,6 +96,11 @@
         }
     }
 
+    /// Indices of the tasks that may be started now.
+    pub(super) fn startable(&self) -> impl Iterator<Item = u32> {
+        self.job.waiting.iter().copied().filter(|index| !self.held_back.contains(index))
+    }
+
     /// Whether the job allows machines of this kind.
     pub(super) fn is_open(&self, kind: usize) -> bool {
         self.open.get(kind).copied().unwrap_or(false)
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -119,24 +119,29 @@
             .filter_map(|(at, room)| demand.candidate(at, room))
             .collect();
         let mut picks = Vec::new();
-        let waiting = demand.job.waiting.iter().filter(|index| !demand.held_back.contains(index));
-        for index in waiting.take(most) {
-            let best = loop {
-                match heap.pop() {
-                    None => return picks,
-                    Some(c) if zones.allow(ground.zone(self.rooms[c.at].kind)) => break c.at,
-                    Some(_) => {}
-                }
-            };
+        for index in demand.startable().take(most) {
+            let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
             self.looked += 1;
             demand.occupy(&mut self.rooms[best]);
-            zones.take(ground.zone(self.rooms[best].kind));
-            picks.push(Pick { index: *index, at: best });
+            zones.take(self.ground.zone(self.rooms[best].kind));
+            picks.push(Pick { index, at: best });
             heap.extend(demand.candidate(best, &self.rooms[best]));
         }
         picks
     }
 
+    /// The room of the best candidate in a zone that is still open to the job. Where the best is in a zone that the
+    /// job has used up, all candidates in such zones are dropped in one pass.
+    fn pop_allowed(&self, heap: &mut BinaryHeap<Candidate>, demand: &Demand<'a>, zones: &Zones<'a>) -> Option<usize> {
+        let best = heap.pop()?.at;
+        if zones.allow(self.ground.zone(self.rooms[best].kind)) {
+            return Some(best);
+        }
+        let open = self.ground.open_to(demand.job.spec(), zones);
+        heap.retain(|candidate| open.get(self.rooms[candidate.at].kind) == Some(&true));
+        heap.pop().map(|candidate| candidate.at)
+    }
+
     /// Places as many tasks of one job as there is room for; all or none of a gang.
     /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
     pub fn place_job(&mut self, turn: &Turn<'a>, zones: &mut Zones<'a>, most: usize, keep: bool) -> Vec<PlacedTask> {
@@ -158,15 +163,31 @@
         if short && keep {
             self.keep_pieces(&demand);
         }
-        // Spread work, and arrays that settled in one zone, were refused rooms that others may use.
-        if short && !spec.spread && (spec.is_gang() || !spec.same_zone) {
-            self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open: demand.open });
+        if short {
+            self.note_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
         }
         let rooms = &self.rooms;
         let placed = |pick: Pick| Some(PlacedTask { index: pick.index, machine: rooms[pick.at].machine?.id.clone() });
         picks.into_iter().filter_map(placed).collect()
     }
 
+    /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
+    fn note_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
+        let (job, spec) = (demand.job, demand.job.spec());
+        // A spread gang was refused rooms that others may use.
+        if spec.is_gang() && spec.spread {
+            return;
+        }
+        // Rooms in zones that a job's own tasks have closed to it may be free for others: only of the kinds that are
+        // still open to it is it known that no room is left.
+        let closes_zones = zones.matter() && !spec.is_gang();
+        if closes_zones && !out_of_room {
+            return;
+        }
+        let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
+        self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open });
+    }
+
     /// By what the machines are judged for a job of which so many tasks wait.
     fn demand(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
         let spec = turn.job.spec();
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -8,6 +8,7 @@
 mod meetings;
 mod new_machines;
 mod one_way_partition;
+mod plan_work;
 mod room_after_troubles;
 mod simulation;
 mod steady_load;
