--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -83,7 +83,8 @@
             }
         }
         // A spread gang was refused rooms that others may use; for single tasks `open` says all of it.
-        if !kept_from && !(spec.is_gang() && spec.spread) {
+        let refused_by_spread = spec.is_gang() && spec.spread;
+        if !kept_from && !refused_by_spread {
             self.full.push(Unfit { spec, run: Duration::ZERO, tasks: need, open });
         }
         false
