--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/beside.rs
@@ -5,7 +5,10 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::{Plan, Quotas, Turn, Unfit};
+use super::queue::Turn;
+use super::quotas::Quotas;
+use super::search::Plan;
+use super::unfit::Unfit;
 use crate::jobs::JobId;
 use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
@@ -79,7 +82,9 @@
                 return true;
             }
         }
-        if !kept_from && !spec.spread && (spec.is_gang() || !spec.same_zone) {
+        // A spread gang was refused rooms that others may use; for single tasks `open` says all of it.
+        let refused_by_spread = spec.is_gang() && spec.spread;
+        if !kept_from && !refused_by_spread {
             self.full.push(Unfit { spec, run: Duration::ZERO, tasks: need, open });
         }
         false
@@ -88,8 +93,8 @@
     /// A room with what this plan has kept of it for gangs.
     fn with_set_aside(&self, at: usize) -> Room<'a> {
         let mut room = self.rooms[at];
-        for (_, units, spec) in self.set_aside.iter().filter(|(of, ..)| *of == at) {
-            (0..*units).for_each(|_| room.give_back(spec));
+        for piece in self.set_aside.iter().filter(|piece| piece.at == at) {
+            (0..piece.tasks).for_each(|_| room.give_back(piece.spec));
         }
         room
     }
--- /dev/null
+++ b/src/scheduling/plan/search.rs
@@ -0,0 +1,253 @@
+//! The search of one plan: the rooms that are left, and the machines for the tasks of one job after another.
+
+use std::collections::{BinaryHeap, HashMap};
+use std::rc::Rc;
+use std::time::Instant;
+
+use super::available::{giving, held, sought};
+use super::candidate::Candidate;
+use super::demand::Demand;
+use super::queue::Turn;
+use super::unfit::Unfit;
+use crate::jobs::JobSpec;
+use crate::kinds::Catalog;
+use crate::scheduling::backfill::Backfill;
+use crate::scheduling::cluster::{ClusterState, MachineId};
+use crate::scheduling::failure_attribution::FailureAttribution;
+use crate::scheduling::fairness::floor::Rank;
+use crate::scheduling::intents::{self, Intents};
+use crate::scheduling::room::{Ground, Room, SLACK, Zones, suspect_after, usable, usable_until_left};
+
+/// A task of a job, and the machine on which it is placed.
+pub struct PlacedTask {
+    /// The index of the task within its job.
+    pub index: u32,
+    /// The machine.
+    pub machine: MachineId,
+}
+
+/// The same, with the place of the room among those of the plan.
+pub(super) struct Pick {
+    pub(super) index: u32,
+    pub(super) at: usize,
+}
+
+/// A piece of a room that is kept for tasks of a gang.
+pub(super) struct SetAside<'a> {
+    /// The place of the room among those of the plan.
+    pub(super) at: usize,
+    /// How many tasks it is for.
+    pub(super) tasks: u64,
+    /// What each of them asks for.
+    pub(super) spec: &'a JobSpec,
+}
+
+/// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
+pub struct Plan<'a> {
+    pub(super) cluster: &'a ClusterState,
+    pub(super) attribution: &'a FailureAttribution,
+    pub(super) intents: &'a Intents,
+    pub(super) ground: Ground<'a>,
+    pub(super) rooms: Vec<Room<'a>>,
+    pub(super) unfit: Vec<Unfit<'a>>,
+    /// What fits nowhere even if nothing is kept from it.
+    pub(super) full: Vec<Unfit<'a>>,
+    /// Pieces of rooms that were kept for gangs.
+    pub(super) set_aside: Vec<SetAside<'a>>,
+    /// What more urgent work than idle found no room for.
+    pub(super) wanted: Rc<Backfill>,
+    /// What idle work would give up of machines without accelerators, and is not yet counted with.
+    pub(super) giving: Vec<Room<'a>>,
+    pub(super) sought: Rc<[bool]>,
+    pub(super) now: Instant,
+    /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
+    pub(super) kept: Vec<&'a str>,
+    /// How many rooms were looked at.
+    pub looked: u64,
+}
+
+impl<'a> Plan<'a> {
+    /// A plan for these jobs, before anything is placed.
+    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
+        let ground = Ground::new(cluster, catalog);
+        let suspect = suspect_after(cluster);
+        let least = turns.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
+        let rooms = cluster
+            .machines
+            .values()
+            .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
+            .filter_map(|m| ground.room(m))
+            .filter(|r| r.cpus + SLACK >= least)
+            .map(|r| held(cluster, r, now))
+            .collect();
+        let giving = giving(cluster, &ground, suspect, now);
+        let sought = sought(&ground, turns);
+        Self {
+            cluster,
+            attribution: &cluster.attribution,
+            intents: &cluster.intents,
+            giving,
+            sought,
+            ground,
+            rooms,
+            unfit: Vec::new(),
+            full: Vec::new(),
+            set_aside: Vec::new(),
+            wanted: Rc::default(),
+            now,
+            kept: Vec::new(),
+            looked: 0,
+        }
+    }
+
+    /// Places up to `most` tasks, the best machine first, and gives them with their rooms.
+    pub(super) fn fill(
+        &mut self,
+        demand: &Demand<'a>,
+        zones: &mut Zones<'a>,
+        most: usize,
+        only: Option<&str>,
+    ) -> Vec<Pick> {
+        let ground = &self.ground;
+        let in_zone = |room: &Room| only.is_none_or(|z| z == ground.zone(room.kind));
+        self.looked += self.rooms.len() as u64;
+        let mut heap: BinaryHeap<Candidate> = self
+            .rooms
+            .iter()
+            .enumerate()
+            .filter(|(_, room)| in_zone(room))
+            .filter_map(|(at, room)| demand.candidate(at, room))
+            .collect();
+        let mut picks = Vec::new();
+        for index in demand.startable().take(most) {
+            let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
+            self.looked += 1;
+            demand.occupy(&mut self.rooms[best]);
+            zones.take(self.ground.zone(self.rooms[best].kind));
+            picks.push(Pick { index, at: best });
+            heap.extend(demand.candidate(best, &self.rooms[best]));
+        }
+        picks
+    }
+
+    /// The room of the best candidate in a zone that is still open to the job. Where the best is in a zone that the
+    /// job has used up, all candidates in such zones are dropped in one pass.
+    fn pop_allowed(&self, heap: &mut BinaryHeap<Candidate>, demand: &Demand<'a>, zones: &Zones<'a>) -> Option<usize> {
+        let best = heap.pop()?.at;
+        if zones.allow(self.ground.zone(self.rooms[best].kind)) {
+            return Some(best);
+        }
+        let open = self.ground.open_to(demand.job.spec(), zones);
+        heap.retain(|candidate| open.get(self.rooms[candidate.at].kind) == Some(&true));
+        heap.pop().map(|candidate| candidate.at)
+    }
+
+    /// Places as many tasks of one job as there is room for; all or none of a gang.
+    /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
+    pub fn place_job(&mut self, turn: &Turn<'a>, zones: &mut Zones<'a>, most: usize, keep: bool) -> Vec<PlacedTask> {
+        let (job, spec) = (turn.job, turn.job.spec());
+        let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
+        let waiting = self.intents.waiting(turn.id, job);
+        let keep = keep && spec.is_gang();
+        let demand = self.demand(turn, zones, waiting);
+        if !keep && self.known_unfit(&demand, tasks) {
+            self.note_waits(spec, &demand.open, turn.suspected);
+            return Vec::new();
+        }
+        let picks =
+            if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
+        let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
+        if short {
+            self.note_waits(spec, &demand.open, turn.suspected);
+        }
+        if short && keep {
+            self.keep_pieces(&demand);
+        }
+        if short {
+            self.note_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
+        }
+        let rooms = &self.rooms;
+        let placed = |pick: Pick| Some(PlacedTask { index: pick.index, machine: rooms[pick.at].machine?.id.clone() });
+        picks.into_iter().filter_map(placed).collect()
+    }
+
+    /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
+    fn note_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
+        let (job, spec) = (demand.job, demand.job.spec());
+        // A spread gang was refused rooms that others may use.
+        if spec.is_gang() && spec.spread {
+            return;
+        }
+        // Rooms in zones that a job's own tasks have closed to it may be free for others: only of the kinds that are
+        // still open to it is it known that no room is left.
+        let closes_zones = zones.matter() && !spec.is_gang();
+        if closes_zones && !out_of_room {
+            return;
+        }
+        let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
+        self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open });
+    }
+
+    /// By what the machines are judged for a job of which so many tasks wait.
+    fn demand(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
+        let spec = turn.job.spec();
+        let open = self.ground.open_to(spec, zones);
+        // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
+        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
+        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
+        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
+        demand.held_back.extend(self.intents.stopped(turn.id));
+        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
+        if turn.ahead {
+            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+        } else if demand.pressed {
+            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+        }
+        demand
+    }
+
+    /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
+    fn known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
+        let is_held =
+            |room: &Room| room.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job));
+        !demand.pressed
+            && !demand.overdue
+            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.open))
+            && !self.rooms.iter().any(is_held)
+    }
+
+    /// How many tasks of a gang fit in each zone that it may use, or in all together.
+    pub(super) fn units_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
+        let spec = demand.job.spec();
+        let need = demand.job.waiting.len() as u64;
+        let mut units: HashMap<&str, u64> = HashMap::new();
+        let apt = |r: &Room| !demand.apt_only || r.waste(spec) <= 1;
+        for room in self.rooms.iter().filter(|r| demand.may_use(r) && apt(r)) {
+            let zone = if spec.same_zone { self.ground.zone(room.kind) } else { "" };
+            *units.entry(zone).or_default() += room.units(spec, need);
+        }
+        units.into_iter().collect()
+    }
+
+    /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
+        let spec = demand.job.spec();
+        let need = demand.job.waiting.len();
+        self.looked += self.rooms.len() as u64;
+        let mut enough: Vec<&str> =
+            self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
+        enough.sort_unstable();
+        for zone in enough {
+            let before = zones.counts();
+            let picks = self.fill(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
+            if picks.len() == need {
+                return picks;
+            }
+            for pick in &picks {
+                demand.vacate(&mut self.rooms[pick.at]);
+            }
+            zones.set_counts(before);
+        }
+        Vec::new()
+    }
+}
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -12,6 +12,7 @@
 mod old_reports;
 mod one_way_partition;
 mod placement;
+mod plan_work;
 mod preemption;
 mod renting;
 mod repeated_ownership;
