--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -10,16 +10,28 @@
 use crate::jobs::JobId;
 use crate::jobs::record::open_key;
 
-/// Kinds of trouble that are drawn.
+/// How many kinds of trouble are drawn: those below it.
 const KINDS: usize = 17;
+const OUTAGE: usize = 0;
+const OUTAGE_AGAIN: usize = 1;
+const REFUSED_ALONE: usize = 2;
+const FOLLOWER_REFUSED: usize = 3;
+const SLOW_STORE: usize = 4;
+const FOLLOWER_UNHEARD: usize = 5;
+const HAND_OVER: usize = 6;
+const ALL_END: usize = 7;
+const SHORTEST_PAUSE: usize = 8;
+const HANG: usize = 9;
+const REFUSED_THEN_OUTAGE: usize = 10;
+const HANG_THEN_PAUSE: usize = 11;
+const HANG_THEN_HAND_OVER: usize = 12;
+const HAND_OVER_THEN_REFUSED: usize = 13;
+const APART: usize = 14;
+const OUTBOUND_LOST: usize = 15;
+const TEN_LEADERS: usize = 16;
 const LONG_OUTAGE: usize = 20;
 const WITHDRAWAL: usize = 21;
 const OWNER_ENDS: usize = 22;
-const APART: usize = 14;
-const HANG: usize = 9;
-const SHORTEST_PAUSE: usize = 8;
-const HAND_OVER: usize = 6;
-const REFUSED_ALONE: usize = 2;
 
 impl World {
     /// A world with users.
@@ -120,107 +132,149 @@
         Duration::from_millis(self.rng.random_range(range))
     }
 
+    /// Begins a trouble of this kind.
     fn begin(&mut self, kind: usize) {
-        let now = self.now;
         match kind {
-            0 | 1 => {
-                let long = self.rng.random_bool(0.4);
-                let time = if long { self.ms(50_000..75_000) } else { self.ms(1000..20_000) };
-                // The store has to be there at times for anything to be stored.
-                if !self.store_out() && now - self.users.back > Duration::from_secs(15) {
-                    self.out_for(time);
-                }
-            }
-            2 => {
+            OUTAGE | OUTAGE_AGAIN => self.begin_outage(),
+            REFUSED_ALONE => {
                 let time = self.ms(1000..20_000);
                 self.refuse_owner(time);
             }
-            3 => {
-                let f = self.rng.random_range(0..self.users.followers.len());
-                self.users.followers[f].refused_until = now + self.ms(1000..20_000);
-            }
-            4 => self.users.slow_until = now + self.ms(1000..20_000),
-            5 => {
-                let f = self.rng.random_range(0..self.users.followers.len());
-                self.users.followers[f].unheard_until = now + self.ms(1000..40_000);
-            }
-            6 => {
-                // Handed over, and at times back within a second.
-                self.take_over();
-                self.users.tally.hand_overs += 1;
-                if self.rng.random_bool(0.3) {
-                    let at = now + self.ms(100..1500);
-                    self.users.plan.push((at, 6));
-                }
-            }
-            7 => {
-                // All controllers end, and one is back.
-                let lease = LEADER_LEASE.as_millis() as u64;
-                self.owners.iter_mut().for_each(|owner| *owner = None);
-                (0..self.users.followers.len()).for_each(|f| self.begin_follower(f));
-                let back = if self.rng.random_bool(0.5) { self.ms(50..1000) } else { self.ms(lease..20_000) };
-                self.owns_from = now + back;
-                self.users.tally.all_ended += 1;
-            }
-            8 => {
-                // The owner is paused, and has proven nothing when it goes on.
-                let until = now + self.ms(500..12_000);
-                if let Some(owner) = self.owners[self.owner].as_mut().filter(|o| o.frozen.is_none()) {
-                    owner.frozen = Some((now, until));
-                    let at = self.owner;
-                    self.workers.iter_mut().for_each(|w| w.unheard = (at, 0));
-                }
-            }
+            FOLLOWER_REFUSED => self.refuse_a_follower(),
+            SLOW_STORE => self.users.slow_until = self.now + self.ms(1000..20_000),
+            FOLLOWER_UNHEARD => self.silence_a_follower(),
+            HAND_OVER => self.hand_over(),
+            ALL_END => self.end_all(),
+            SHORTEST_PAUSE => self.pause_the_owner(),
             // Some of them one after the other, with a withdrawal in between.
-            10 => self.in_turn(&[REFUSED_ALONE, WITHDRAWAL, LONG_OUTAGE]),
-            11 => self.in_turn(&[WITHDRAWAL, HANG, SHORTEST_PAUSE, LONG_OUTAGE]),
-            12 => self.in_turn(&[WITHDRAWAL, HANG, HAND_OVER, LONG_OUTAGE]),
-            13 => self.in_turn(&[HAND_OVER, WITHDRAWAL, REFUSED_ALONE, LONG_OUTAGE]),
-            APART => {
-                // A zone with the owner and half of the machines is cut off; at times its successor tells and is gone.
-                let (at, until) = (self.owner, now + self.ms(20_000..90_000));
-                if let Some(owner) = self.owners[at].as_mut().filter(|o| o.cut.is_none()) {
-                    owner.cut = Some((now, until));
-                    owner.seat.hears_others = false;
-                    for worker in self.workers.iter_mut().step_by(2) {
-                        (worker.home, worker.apart_until) = (Some(at), until);
-                    }
-                    self.users.tally.apart += 1;
-                    self.in_turn(&[HAND_OVER, WITHDRAWAL, WITHDRAWAL, OWNER_ENDS, LONG_OUTAGE]);
-                }
-            }
-            15 => {
-                let until = now + self.ms(5000..60_000);
-                let from = self.rng.random_range(0..2);
-                self.workers.iter_mut().skip(from).step_by(2).for_each(|w| w.outbound_lost_until = until);
-                self.users.tally.outbound_lost += 1;
-            }
-            16 => {
-                // Ten leaders in two minutes, each for long enough to load, or not.
-                let mut at = now;
-                for _ in 0..10 {
-                    at += self.ms(1000..22_000);
-                    self.users.plan.push((at, HAND_OVER));
-                }
-            }
-            OWNER_ENDS => {
-                self.owners[self.owner] = None;
-                self.owns_from = now + LEADER_LEASE;
-            }
-            LONG_OUTAGE => {
-                let time = self.ms(50_000..75_000);
-                if !self.store_out() && now - self.users.back > Duration::from_secs(5) {
-                    self.out_for(time);
-                }
-            }
+            REFUSED_THEN_OUTAGE => self.in_turn(&[REFUSED_ALONE, WITHDRAWAL, LONG_OUTAGE]),
+            HANG_THEN_PAUSE => self.in_turn(&[WITHDRAWAL, HANG, SHORTEST_PAUSE, LONG_OUTAGE]),
+            HANG_THEN_HAND_OVER => self.in_turn(&[WITHDRAWAL, HANG, HAND_OVER, LONG_OUTAGE]),
+            HAND_OVER_THEN_REFUSED => self.in_turn(&[HAND_OVER, WITHDRAWAL, REFUSED_ALONE, LONG_OUTAGE]),
+            APART => self.cut_off_a_zone(),
+            OUTBOUND_LOST => self.lose_outbound(),
+            TEN_LEADERS => self.plan_ten_leaders(),
+            OWNER_ENDS => self.end_the_owner(),
+            LONG_OUTAGE => self.begin_long_outage(),
             WITHDRAWAL => self.withdraw(),
-            _ => {
-                // Those that hold what was just withdrawn hang.
-                let until = now + self.ms(1000..40_000);
-                for w in self.busy_with_ended() {
-                    self.hang(w, until);
-                }
+            _ => self.hang_what_ended(),
+        }
+    }
+
+    /// An outage of the store, short or long.
+    fn begin_outage(&mut self) {
+        let now = self.now;
+        let long = self.rng.random_bool(0.4);
+        let time = if long { self.ms(50_000..75_000) } else { self.ms(1000..20_000) };
+        // The store has to be there at times for anything to be stored.
+        if !self.store_out() && now - self.users.back > Duration::from_secs(15) {
+            self.out_for(time);
+        }
+    }
+
+    /// The store refuses one follower.
+    fn refuse_a_follower(&mut self) {
+        let now = self.now;
+        let f = self.rng.random_range(0..self.users.followers.len());
+        self.users.followers[f].refused_until = now + self.ms(1000..20_000);
+    }
+
+    /// Lines between one follower and the owners are refused.
+    fn silence_a_follower(&mut self) {
+        let now = self.now;
+        let f = self.rng.random_range(0..self.users.followers.len());
+        self.users.followers[f].unheard_until = now + self.ms(1000..40_000);
+    }
+
+    /// Another owns; at times one more within a second and a half.
+    fn hand_over(&mut self) {
+        let now = self.now;
+        self.take_over();
+        self.users.tally.hand_overs += 1;
+        if self.rng.random_bool(0.3) {
+            let at = now + self.ms(100..1500);
+            self.users.plan.push((at, HAND_OVER));
+        }
+    }
+
+    /// All controllers end, and one is back.
+    fn end_all(&mut self) {
+        let now = self.now;
+        let lease = LEADER_LEASE.as_millis() as u64;
+        self.owners.iter_mut().for_each(|owner| *owner = None);
+        (0..self.users.followers.len()).for_each(|f| self.begin_follower(f));
+        let back = if self.rng.random_bool(0.5) { self.ms(50..1000) } else { self.ms(lease..20_000) };
+        self.owns_from = now + back;
+        self.users.tally.all_ended += 1;
+    }
+
+    /// The owner is paused, and has proven nothing when it goes on.
+    fn pause_the_owner(&mut self) {
+        let now = self.now;
+        let until = now + self.ms(500..12_000);
+        if let Some(owner) = self.owners[self.owner].as_mut().filter(|o| o.frozen.is_none()) {
+            owner.frozen = Some((now, until));
+            let at = self.owner;
+            self.workers.iter_mut().for_each(|w| w.unheard = (at, 0));
+        }
+    }
+
+    /// A zone with the owner and half of the machines is cut off; at times its successor tells and is gone.
+    fn cut_off_a_zone(&mut self) {
+        let now = self.now;
+        let (at, until) = (self.owner, now + self.ms(20_000..90_000));
+        if let Some(owner) = self.owners[at].as_mut().filter(|o| o.cut.is_none()) {
+            owner.cut = Some((now, until));
+            owner.seat.hears_others = false;
+            for worker in self.workers.iter_mut().step_by(2) {
+                (worker.home, worker.apart_until) = (Some(at), until);
             }
+            self.users.tally.apart += 1;
+            self.in_turn(&[HAND_OVER, WITHDRAWAL, WITHDRAWAL, OWNER_ENDS, LONG_OUTAGE]);
+        }
+    }
+
+    /// Half of the machines reach no controller.
+    fn lose_outbound(&mut self) {
+        let now = self.now;
+        let until = now + self.ms(5000..60_000);
+        let from = self.rng.random_range(0..2);
+        self.workers.iter_mut().skip(from).step_by(2).for_each(|w| w.outbound_lost_until = until);
+        self.users.tally.outbound_lost += 1;
+    }
+
+    /// Ten leaders in two minutes, each for long enough to load, or not.
+    fn plan_ten_leaders(&mut self) {
+        let now = self.now;
+        let mut at = now;
+        for _ in 0..10 {
+            at += self.ms(1000..22_000);
+            self.users.plan.push((at, HAND_OVER));
+        }
+    }
+
+    /// The owner ends, and its lease runs out.
+    fn end_the_owner(&mut self) {
+        let now = self.now;
+        self.owners[self.owner] = None;
+        self.owns_from = now + LEADER_LEASE;
+    }
+
+    /// An outage for longer than a withdrawn task may run on.
+    fn begin_long_outage(&mut self) {
+        let now = self.now;
+        let time = self.ms(50_000..75_000);
+        if !self.store_out() && now - self.users.back > Duration::from_secs(5) {
+            self.out_for(time);
+        }
+    }
+
+    /// Those that hold what was just withdrawn hang.
+    fn hang_what_ended(&mut self) {
+        let now = self.now;
+        let until = now + self.ms(1000..40_000);
+        for w in self.busy_with_ended() {
+            self.hang(w, until);
         }
     }
 }
