--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,10 +7,10 @@
 use clap::{Parser, Subcommand};
 use hollylanding_emulator::controllers::{Controllers, daemon};
 use hollylanding_emulator::driver::World;
-use hollylanding_emulator::rehearsal::play;
+use hollylanding_emulator::rehearsal::{self, Setup, play};
+use hollylanding_emulator::report;
 use hollylanding_emulator::scenario::{self, Plan};
 use hollylanding_emulator::sizes::{DEFAULT, Sizes};
-use hollylanding_emulator::{rehearsal, report};
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -155,8 +155,8 @@
         bar.set_length(all as u64);
         bar.set_position(done as u64);
     };
-    let outcome: rehearsal::Outcome =
-        runtime.block_on(play(sizes, plan, seed, binary, folder, beside, told)).map_err(|e| e.to_string())?;
+    let setup = Setup { sizes, plan, seed, binary: &binary, folder, beside };
+    let outcome: rehearsal::Outcome = runtime.block_on(play(&setup, told)).map_err(|e| e.to_string())?;
     // What still waits to answer somebody must not keep the program.
     runtime.shutdown_background();
     bar.finish_and_clear();
--- /dev/null
+++ b/crates/emulator/src/rehearsal/samples.rs
@@ -0,0 +1,87 @@
+//! Counters of the world over time.
+
+use std::time::Duration;
+
+use crate::driver::{World, lock};
+
+/// Interval between two samples.
+const SAMPLE: Duration = Duration::from_millis(500);
+
+/// Counters of the world at one moment.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Sample {
+    /// Seconds since the world began.
+    pub at_s: f64,
+    /// Tasks on machines that have not ended.
+    pub running: usize,
+    /// Submitted tasks that are neither on a machine nor done.
+    pub waiting: usize,
+    /// Tasks with a result.
+    pub done: usize,
+    /// Machines that are booting.
+    pub booting: usize,
+    /// Machines that are up.
+    pub up: usize,
+    /// Spot machines that are up.
+    pub spot: usize,
+    /// Requests to the state service per second since the previous sample.
+    pub store_requests: f64,
+    /// Changes of keys per second since the previous sample.
+    pub store_changes: f64,
+    /// Requests to the cloud per second since the previous sample.
+    pub cloud_calls: f64,
+}
+
+/// Counters that only grow.
+#[derive(Debug, Clone, Copy, Default)]
+struct Totals {
+    requests: u64,
+    changes: u64,
+    cloud_calls: u64,
+}
+
+impl Totals {
+    fn of(world: &World) -> Self {
+        let cloud_calls = world.cloud_calls();
+        let state = lock(&world.state);
+        Self { requests: state.requests, changes: state.changes, cloud_calls }
+    }
+}
+
+/// Takes samples at a fixed interval.
+#[derive(Debug, Default)]
+pub(super) struct Sampler {
+    pub(super) samples: Vec<Sample>,
+    at: Duration,
+    totals: Totals,
+}
+
+impl Sampler {
+    /// Takes a sample if one is due. `submitted` is the number of tasks submitted so far.
+    pub(super) fn sample(&mut self, world: &World, now: Duration, submitted: usize) -> Option<Sample> {
+        let passed = now.saturating_sub(self.at);
+        if passed < SAMPLE {
+            return None;
+        }
+        let totals = Totals::of(world);
+        let before = std::mem::replace(&mut self.totals, totals);
+        let rate = |now: u64, then: u64| (now - then) as f64 / passed.as_secs_f64();
+        let (booting, up, spot) = lock(&world.cloud).counts();
+        let (running, done) = world.with_fleet(|fleet, _| (fleet.live_all(), fleet.results().len()));
+        let sample = Sample {
+            at_s: world.now().as_secs_f64(),
+            running,
+            waiting: submitted.saturating_sub(running + done),
+            done,
+            booting,
+            up,
+            spot,
+            store_requests: rate(totals.requests, before.requests),
+            store_changes: rate(totals.changes, before.changes),
+            cloud_calls: rate(totals.cloud_calls, before.cloud_calls),
+        };
+        self.samples.push(sample);
+        self.at = now;
+        Some(sample)
+    }
+}
--- a/crates/emulator/src/rehearsal/tests.rs
+++ b/crates/emulator/src/rehearsal/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::operators::times;
 
 #[test]
 fn times_of_day_are_around_noon_wherever_a_rehearsal_begins() {
--- /dev/null
+++ b/crates/emulator/src/rehearsal/users.rs
@@ -0,0 +1,246 @@
+//! The users of a rehearsal: they submit jobs, ask about them and withdraw them, and report every answer to the judge.
+
+use std::collections::HashSet;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use hdrhistogram::Histogram;
+use hollylanding_wire::jobs::{JobId, JobSpec};
+use hollylanding_wire::users::{JobAnswer, Status};
+use hollylanding_wire::{self as wire, Http};
+use hyper::Method;
+use rand::SeedableRng;
+use rand::seq::IndexedRandom;
+use rand_chacha::ChaCha8Rng;
+
+use super::STEP;
+use super::jobs::Coming;
+use crate::driver::{World, lock};
+use crate::judge::{Ask, Event};
+
+/// How long users wait for the answer to a submission.
+const SUBMIT_WITHIN: Duration = Duration::from_secs(5);
+/// How long users wait for the answer to any other request.
+const ASK_WITHIN: Duration = Duration::from_secs(2);
+/// Time until a request is retried.
+pub(super) const COME_AGAIN: Duration = Duration::from_secs(1);
+/// Interval at which a user asks for the job's status.
+const POLL: Duration = Duration::from_millis(1000);
+/// Once no fault is active any more, each controller is asked about every job within this time.
+pub(super) const ROUND: Duration = Duration::from_secs(5);
+/// The most jobs that a round asks about; of more jobs, evenly chosen ones.
+const MOST_ASKED: usize = 2000;
+/// Longest answer time that is told apart, in milliseconds.
+const LONGEST_MS: u64 = 120_000;
+/// Significant decimal digits of answer times.
+const DIGITS: u8 = 3;
+/// A job that nobody submits; every controller must answer that it does not know it.
+const NO_JOB: &str = "run-99999999";
+
+fn is_final(status: Option<Status>) -> bool {
+    matches!(status, Some(Status::Done | Status::Withdrawn))
+}
+
+/// What all users share.
+pub(super) struct Desk {
+    world: Arc<World>,
+    /// Addresses of the controllers.
+    addrs: Vec<String>,
+    http: Http,
+    accepted_ms: Mutex<Histogram<u64>>,
+    /// Jobs that have yet to end, without those that are withdrawn only at the end.
+    left: Mutex<usize>,
+    /// Jobs that are withdrawn only at the end, as far as they have yet to end.
+    lingering: Mutex<usize>,
+    /// Whether the end has come.
+    closing: AtomicBool,
+    /// Factor by which users ask more often than usual.
+    often: f64,
+    accepted: Mutex<Vec<JobId>>,
+    /// Controllers and the jobs that they have answered about since no fault is active.
+    answered: Mutex<HashSet<(usize, JobId)>>,
+    /// Jobs whose users were told a final status.
+    over: Mutex<HashSet<JobId>>,
+    rng: Mutex<ChaCha8Rng>,
+}
+
+impl Desk {
+    /// The users of these jobs. They ask `often` times as often as usual.
+    pub(super) fn new(world: Arc<World>, addrs: Vec<String>, jobs: &[&Coming], often: f64, seed: u64) -> Self {
+        let lingering = jobs.iter().filter(|job| job.lingers()).count();
+        Self {
+            world,
+            addrs,
+            http: Http::default(),
+            accepted_ms: Mutex::new(Histogram::new(DIGITS).expect("three digits are allowed")),
+            left: Mutex::new(jobs.len() - lingering),
+            lingering: Mutex::new(lingering),
+            closing: AtomicBool::new(false),
+            often: often.max(1.0),
+            accepted: Mutex::default(),
+            answered: Mutex::default(),
+            over: Mutex::default(),
+            rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
+        }
+    }
+
+    /// Answer times of submissions in milliseconds, from the first attempt to the acceptance.
+    pub(super) fn accepted_ms(&self) -> Histogram<u64> {
+        lock(&self.accepted_ms).clone()
+    }
+
+    /// Number of jobs accepted so far.
+    pub(super) fn accepted(&self) -> usize {
+        lock(&self.accepted).len()
+    }
+
+    /// Whether all jobs have ended but for those that are withdrawn only at the end.
+    pub(super) fn all_ended(&self) -> bool {
+        *lock(&self.left) == 0
+    }
+
+    /// Lets the remaining jobs be withdrawn; whether they are.
+    pub(super) fn close(&self) -> bool {
+        self.closing.store(true, Ordering::Relaxed);
+        *lock(&self.lingering) == 0
+    }
+
+    /// Forgets which controllers have answered about which jobs.
+    pub(super) fn forget_answers(&self) {
+        lock(&self.answered).clear();
+    }
+
+    /// Number of controllers.
+    pub(super) fn controllers(&self) -> usize {
+        self.addrs.len()
+    }
+
+    /// The address of a random controller.
+    fn any(&self) -> String {
+        self.addrs.choose(&mut *lock(&self.rng)).cloned().unwrap_or_default()
+    }
+
+    /// Sends a request, records the answer for the judge, and returns the status that it contains.
+    async fn ask(&self, to: &str, job: &JobId, ask: Ask, body: Option<Vec<u8>>) -> Option<Status> {
+        let (method, path, within) = match ask {
+            Ask::Submit => (Method::POST, "/work".to_owned(), SUBMIT_WITHIN),
+            Ask::Status => (Method::GET, format!("/work/{job}"), ASK_WITHIN),
+            Ask::Withdraw => (Method::POST, format!("/work/{job}/withdraw"), ASK_WITHIN),
+        };
+        let body = body.or_else(|| (ask == Ask::Withdraw).then(Vec::new));
+        let answer = self.http.call(method, to, &path, body, within).await;
+        let (code, status) = match answer {
+            Ok((code @ (200 | 201), body)) => (Some(code), wire::decode::<JobAnswer>(&body).ok().map(|a| a.status)),
+            Ok((code, _)) => (Some(code), None),
+            Err(_) => (None, None),
+        };
+        self.world.note(Event::Answered { job: job.clone(), ask, code, status });
+        if is_final(status) {
+            lock(&self.over).insert(job.clone());
+        }
+        status
+    }
+
+    /// Asks any controller for the job's status.
+    async fn poll(&self, job: &JobId) -> Option<Status> {
+        tokio::time::sleep(POLL.div_f64(self.often)).await;
+        self.ask(&self.any(), job, Ask::Status, None).await
+    }
+
+    /// A user, from the first attempt to submit a job until the job has ended.
+    pub(super) async fn user(self: Arc<Self>, coming: Coming) {
+        let (lingers, withdrawn) = (coming.lingers(), coming.withdrawn);
+        let job = self.submit(coming.spec).await;
+        while lingers && !self.closing.load(Ordering::Relaxed) {
+            self.poll(&job).await;
+        }
+        if withdrawn.is_some() || lingers {
+            tokio::time::sleep(withdrawn.unwrap_or_default()).await;
+            self.withdraw(&job).await;
+        } else {
+            while !is_final(self.poll(&job).await) {}
+        }
+        *lock(if lingers { &self.lingering } else { &self.left }) -= 1;
+    }
+
+    /// Submits a job until it is accepted.
+    async fn submit(&self, spec: JobSpec) -> JobId {
+        let (job, begun) = (spec.id.clone(), Instant::now());
+        let body = wire::encode(&spec);
+        self.world.note(Event::Submitted(Arc::new(spec)));
+        while self.ask(&self.any(), &job, Ask::Submit, Some(body.clone())).await.is_none() {
+            tokio::time::sleep(COME_AGAIN).await;
+        }
+        let took = u64::try_from(begun.elapsed().as_millis()).unwrap_or(LONGEST_MS);
+        let _ = lock(&self.accepted_ms).record(took.clamp(1, LONGEST_MS));
+        lock(&self.accepted).push(job.clone());
+        job
+    }
+
+    /// Withdraws a job through any controller, retrying until a final status is answered.
+    async fn withdraw(&self, job: &JobId) {
+        self.world.note(Event::WithdrawalAsked(job.clone()));
+        while !is_final(self.ask(&self.any(), job, Ask::Withdraw, None).await) {
+            tokio::time::sleep(COME_AGAIN).await;
+        }
+    }
+
+    /// This fraction of the users whose jobs are accepted and not over withdraw them now, and continue to ask for the
+    /// status. Returns their number.
+    pub(super) fn withdraw_share(self: &Arc<Self>, part: f64) -> usize {
+        let jobs: Vec<JobId> = {
+            let over = lock(&self.over);
+            lock(&self.accepted).iter().filter(|job| !over.contains(*job)).cloned().collect()
+        };
+        let n = (jobs.len() as f64 * part).round() as usize;
+        let drawn: Vec<JobId> = jobs.choose_multiple(&mut *lock(&self.rng), n).cloned().collect();
+        for job in drawn {
+            let desk = self.clone();
+            tokio::spawn(async move { desk.withdraw(&job).await });
+        }
+        n
+    }
+
+    /// Asks one controller about every job, round after round, spread over time.
+    pub(super) async fn ask_on(self: Arc<Self>, controller: usize) {
+        let Some(addr) = self.addrs.get(controller).cloned() else { return };
+        loop {
+            let jobs = self.asked_about(usize::MAX);
+            let pause = ROUND.div_f64(self.often * jobs.len().max(1) as f64);
+            for job in jobs {
+                let (desk, addr) = (self.clone(), addr.clone());
+                tokio::spawn(async move {
+                    if desk.ask(&addr, &job, Ask::Status, None).await.is_some() {
+                        lock(&desk.answered).insert((controller, job));
+                    }
+                });
+                tokio::time::sleep(pause).await;
+            }
+            tokio::time::sleep(STEP).await;
+        }
+    }
+
+    /// Whether every controller has answered about each of the first jobs that is asked about.
+    pub(super) fn all_answered(&self, first: usize) -> bool {
+        let (jobs, answered) = (self.asked_about(first), lock(&self.answered));
+        jobs.iter().all(|job| (0..self.addrs.len()).all(|n| answered.contains(&(n, job.clone()))))
+    }
+
+    /// The first jobs that were accepted, or evenly chosen ones of them.
+    fn asked_about(&self, first: usize) -> Vec<JobId> {
+        let jobs = lock(&self.accepted);
+        let step = jobs.len().div_ceil(MOST_ASKED).max(1);
+        jobs.iter().take(first).step_by(step).cloned().collect()
+    }
+
+    /// Asks every controller once more about every job: a final status must not change.
+    pub(super) async fn ask_all(&self, jobs: &[JobId]) {
+        for job in jobs {
+            for addr in &self.addrs {
+                self.ask(addr, job, Ask::Status, None).await;
+            }
+        }
+        self.ask(&self.any(), &NO_JOB.into(), Ask::Status, None).await;
+    }
+}
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -4,7 +4,7 @@
 use plotters::prelude::*;
 
 use crate::judge::Rule;
-use crate::rehearsal::{Outcome, Sample};
+use crate::rehearsal::{Note, Outcome, Sample};
 use crate::sizes::Sizes;
 
 const SIZE: (u32, u32) = (920, 260);
@@ -29,7 +29,7 @@
 }
 
 /// Lines over time, each fault as a mark.
-fn plot(lines: &[Line], faults: &[(f64, String)], seconds: f64) -> Result<String, ReportError> {
+fn plot(lines: &[Line], faults: &[Note], seconds: f64) -> Result<String, ReportError> {
     let fail = |error: &dyn std::fmt::Display| ReportError::Plot(error.to_string());
     let most = lines.iter().flat_map(|(.., points)| points).map(|(_, y)| *y).fold(1.0, f64::max);
     let mut svg = String::new();
@@ -43,8 +43,8 @@
             .build_cartesian_2d(0.0..seconds.max(1.0), 0.0..most * 1.08)
             .map_err(|e| fail(&e))?;
         chart.configure_mesh().x_desc("s").light_line_style(WHITE).draw().map_err(|e| fail(&e))?;
-        for (at, _) in faults {
-            let mark = [(*at, 0.0), (*at, most * 1.08)];
+        for Note { at_s, .. } in faults {
+            let mark = [(*at_s, 0.0), (*at_s, most * 1.08)];
             chart.draw_series(LineSeries::new(mark, RGBColor(220, 150, 150))).map_err(|e| fail(&e))?;
         }
         for (name, colour, points) in lines {
@@ -130,7 +130,8 @@
         ("money spent", format!("{:.3}", outcome.spent)),
     ];
     let lost: Vec<String> = verdict.lost.iter().take(MOST_LOST).map(|t| format!("{}/{}", t.job, t.index)).collect();
-    let faults: Vec<(String, &String)> = outcome.faults.iter().map(|(at, what)| (format!("{at:.1}"), what)).collect();
+    let faults: Vec<(String, &String)> =
+        outcome.faults.iter().map(|note| (format!("{:.1}", note.at_s), &note.what)).collect();
     let mut environment = Environment::new();
     environment.add_template("report.html", include_str!("report.html"))?;
     let page = environment.get_template("report.html")?.render(context! {
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -14,7 +14,7 @@
     let outcome = Outcome {
         verdict: Verdict { breaks: vec![broken], expected: 4, delivered: 4, ..Verdict::default() },
         samples: (0..9).map(|n| Sample { at_s: f64::from(n), running: 3, ..Sample::default() }).collect(),
-        faults: vec![(2.0, "DropLeases".into())],
+        faults: vec![Note { at_s: 2.0, what: "DropLeases".into() }],
         accepted_ms: hdrhistogram::Histogram::new(3).unwrap(),
         jobs: 2,
         own_ends: 0,
