--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -4,6 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::text;
+
 pub const MOST_TASKS: u64 = 100_000;
 
 /// Job ids are shared by every map that speaks of a job.
@@ -35,13 +37,15 @@
 /// A job as submitted. The names on the wire are the deployment's.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    #[serde(rename = "uid")]
+    #[serde(rename = "uid", deserialize_with = "text::required")]
     pub id: JobId,
-    #[serde(rename = "jobFamily")]
+    #[serde(rename = "jobFamily", deserialize_with = "text::required")]
     pub class: String,
-    #[serde(rename = "desk")]
+    #[serde(rename = "desk", deserialize_with = "text::required")]
     pub team: String,
+    #[serde(deserialize_with = "text::variant")]
     pub shape: Shape,
+    #[serde(deserialize_with = "text::variant")]
     pub urgency: Urgency,
     #[serde(rename = "legs")]
     pub tasks: u64,
@@ -50,13 +54,13 @@
     pub gpus: f64,
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    #[serde(rename = "kit")]
+    #[serde(rename = "kit", deserialize_with = "text::required")]
     pub image: String,
     #[serde(rename = "imageGb")]
     pub image_gb: f64,
-    #[serde(rename = "fleets", default)]
+    #[serde(rename = "fleets", default, deserialize_with = "text::optional_list")]
     pub types: Option<Vec<String>>,
-    #[serde(rename = "yard", default)]
+    #[serde(rename = "yard", default, deserialize_with = "text::optional")]
     pub zone: Option<String>,
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
@@ -74,14 +78,25 @@
     pub due_s: Option<f64>,
 }
 
+/// A field of a job that holds what it must not.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("{field}: {value} is not {wanted}")]
+pub struct InvalidField {
+    pub field: &'static str,
+    pub value: String,
+    pub wanted: String,
+}
+
 impl JobSpec {
     /// What is wrong with it in itself, whatever machines and teams there are.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), InvalidField> {
+        let invalid =
+            |field, value: String, wanted: &str| Err(InvalidField { field, value, wanted: wanted.to_owned() });
         if !well_formed_id(&self.id) {
-            return Err(format!("uid: {:?} is not in its form", self.id));
+            return invalid("uid", format!("{:?}", self.id), "in its form");
         }
         if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return Err(format!("legs: {} is not between 1 and {MOST_TASKS}", self.tasks));
+            return invalid("legs", self.tasks.to_string(), &format!("between 1 and {MOST_TASKS}"));
         }
         let amounts = [
             ("cpus", self.cpus),
@@ -96,7 +111,7 @@
         for (field, value) in amounts {
             // Far above any real amount; larger ones would overflow the time types.
             if !(0.0..=1e12).contains(&value) {
-                return Err(format!("{field}: {value} is not an amount"));
+                return invalid(field, value.to_string(), "an amount");
             }
         }
         Ok(())
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,8 +9,9 @@
 mod http;
 pub mod jobs;
 pub mod state;
+mod text;
 pub mod users;
 pub mod workers;
 
-pub use codec::{BODY_LIMIT, DecodeError, decode, encode};
+pub use codec::{BODY_LIMIT, DecodeError, decode, decode_whole, encode};
 pub use http::{CallError, Http};
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -2,7 +2,7 @@
 
 use tracing::debug;
 
-use super::reply::Reply;
+use super::reply::{Refusal, Reply};
 use crate::history::desk::Verdict;
 use crate::history::moves::end_among;
 use crate::history::visibility::Visible;
@@ -61,7 +61,7 @@
 /// which looks at every key that the job may have at one moment.
 pub(super) async fn look_up(node: &Node, id: &str) -> Reply {
     if !well_formed_id(id) {
-        return Reply::Problem(404, "no such job".into());
+        return Reply::Refused(Refusal::NoSuchJob);
     }
     let id: JobId = id.into();
     if let Some(end) = node.history.ended(&id) {
@@ -81,7 +81,7 @@
     }
     match node.history.ask(&id).await {
         Verdict::Ended(end) => tell_end(node, &id, end).await,
-        Verdict::Never => Reply::Problem(404, "no such job".into()),
+        Verdict::Never => Reply::Refused(Refusal::NoSuchJob),
         // Accepted so lately that the mirror has not heard.
         Verdict::Open => open(node, &id, u64::MAX),
         Verdict::Later => Reply::later("the state service cannot be asked, or too much is asked at once"),
--- a/src/users/reply.rs
+++ b/src/users/reply.rs
@@ -1,5 +1,8 @@
 //! Answers to users, without the framework.
 
+use super::feasibility::Impossible;
+use crate::wire::DecodeError;
+use crate::wire::jobs::InvalidField;
 use crate::wire::users::JobAnswer;
 
 /// When to come again, after a refusal that should soon be over, in seconds.
@@ -7,16 +10,47 @@
 /// The same where work has to end first.
 pub(super) const COME_AGAIN_LATER_S: u64 = 15;
 
-/// An answer to a user, without the framework.
+/// An answer to a user.
+#[derive(Debug)]
 pub(super) enum Reply {
+    /// What a job is, with 200 or 201.
     Job(u16, JobAnswer),
-    Problem(u16, String),
+    Refused(Refusal),
     /// 503: what cannot be answered now, and after how many seconds to come again.
     Later(String, u64),
 }
 
 impl Reply {
+    /// 503, where the reason should soon be over.
     pub(super) fn later(why: &str) -> Self {
         Self::Later(why.to_owned(), COME_AGAIN_S)
     }
 }
+
+/// Why a request is refused for good.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum Refusal {
+    #[error("no such job")]
+    NoSuchJob,
+    #[error("the body cannot be read: {0}")]
+    Unreadable(String),
+    #[error(transparent)]
+    Malformed(#[from] DecodeError),
+    #[error(transparent)]
+    Invalid(#[from] InvalidField),
+    #[error("the job is larger than can be kept")]
+    TooLarge,
+    #[error(transparent)]
+    Impossible(#[from] Impossible),
+}
+
+impl Refusal {
+    /// The status that the protocol gives it.
+    pub(super) fn status(&self) -> u16 {
+        match self {
+            Self::NoSuchJob => 404,
+            Self::Unreadable(_) | Self::Malformed(_) | Self::Invalid(_) | Self::TooLarge => 400,
+            Self::Impossible(_) => 422,
+        }
+    }
+}
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use super::lookup::look_up;
-use super::reply::{COME_AGAIN_S, Reply};
+use super::reply::{COME_AGAIN_S, Refusal, Reply};
 use super::submission::submit;
 use super::withdrawal::withdraw;
 use crate::node::Node;
@@ -51,7 +51,10 @@
     node.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match reply {
         Reply::Job(status, job) => render(res, status, wire::encode(&job)),
-        Reply::Problem(status, problem) => render(res, status, wire::encode(&serde_json::json!({"error": problem}))),
+        Reply::Refused(refusal) => {
+            let problem = serde_json::json!({"error": refusal.to_string()});
+            render(res, refusal.status(), wire::encode(&problem));
+        }
         Reply::Later(why, after_s) => {
             render(res, 503, wire::encode(&serde_json::json!({"error": why})));
             come_again(res, after_s);
@@ -68,7 +71,7 @@
             Path::Submit | Path::Report => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
-                    return render_reply(node, res, Reply::Problem(400, error.to_string()));
+                    return render_reply(node, res, Reply::Refused(Refusal::Unreadable(error.to_string())));
                 }
             },
             _ => Default::default(),
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -8,7 +8,7 @@
 
 use super::feasibility::can_ever_run;
 use super::lookup::{look_up, moved_on, open_tasks};
-use super::reply::{COME_AGAIN_LATER_S, Reply};
+use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
 use crate::history::moves;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::can_hold;
@@ -34,20 +34,26 @@
 
 /// A submission that is refused for good, unless its job was accepted: that stays so, whoever accepted it and
 /// whatever its repeat says.
-async fn unless_accepted(node: &Node, id: &str, status: u16, problem: String) -> Reply {
+async fn unless_accepted(node: &Node, id: &str, refusal: Refusal) -> Reply {
     match look_up(node, id).await {
-        Reply::Problem(404, _) => Reply::Problem(status, problem),
+        Reply::Refused(Refusal::NoSuchJob) => Reply::Refused(refusal),
         other => other,
     }
 }
 
+fn parse(body: &[u8]) -> Result<JobSpec, Refusal> {
+    let spec: JobSpec = wire::decode_whole(body)?;
+    spec.check()?;
+    Ok(spec)
+}
+
+/// A job as its user sends it, for the first time or again.
 pub(super) async fn submit(node: &Node, body: &[u8]) -> Reply {
-    let read = wire::decode::<JobSpec>(body).map_err(|e| e.to_string());
-    let spec = match read.and_then(|spec| spec.check().map(|()| spec)) {
+    let spec = match parse(body) {
         Ok(spec) => spec,
-        Err(problem) => {
-            let Ok(named) = wire::decode::<Named>(body) else { return Reply::Problem(400, problem) };
-            return unless_accepted(node, &named.id, 400, problem).await;
+        Err(refusal) => {
+            let Ok(named) = wire::decode::<Named>(body) else { return Reply::Refused(refusal) };
+            return unless_accepted(node, &named.id, refusal).await;
         }
     };
     if !lock(&node.mirror).ready {
@@ -60,8 +66,8 @@
     let Some(catalog) = node.catalog() else {
         return Reply::later("the machine types are not known yet");
     };
-    if let Err(problem) = can_ever_run(&spec, &node.settings, &catalog) {
-        return unless_accepted(node, &id, 422, problem).await;
+    if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
+        return unless_accepted(node, &id, impossible.into()).await;
     }
     accept(node, spec).await
 }
@@ -76,12 +82,14 @@
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
     let size = serde_json::to_vec(&record).map_or(usize::MAX, |v| v.len().saturating_add(ENDED_EXTRA));
     if size as f64 > limits.state.value_kb * 1024.0 {
-        return unless_accepted(node, &id, 400, "the job is larger than can be kept".into()).await;
+        return unless_accepted(node, &id, Refusal::TooLarge).await;
     }
     if !can_hold(&record.spec, open, limits.limits.memory_mb) {
         // A retry of a job that is already held must not be told so.
         return match look_up(node, &id).await {
-            Reply::Problem(404, _) => Reply::Later("more work is open than can be held".into(), COME_AGAIN_LATER_S),
+            Reply::Refused(Refusal::NoSuchJob) => {
+                Reply::Later("more work is open than can be held".into(), COME_AGAIN_LATER_S)
+            }
             other => other,
         };
     }
--- /dev/null
+++ b/tests/submissions.rs
@@ -0,0 +1,480 @@
+//! Submissions over HTTP: what can never run or lacks a field is never accepted, what can run is not refused, and
+//! what becomes of a write whose answer is late or lost.
+
+// A stand-in that panics fails its test, as it should.
+#![allow(clippy::unwrap_used)]
+
+mod stand_in;
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use hollylanding::wire::cloud::MachineType;
+use hollylanding::wire::{self, Http};
+use hollylanding_emulator::world::cloud::Capacity;
+use hyper::Method;
+use serde::ser::{Serialize, SerializeMap, Serializer};
+use serde_json::{Value, json};
+use stand_in::{Controller, LONG, SHORT, World, ask, job, params, settings, until, upload};
+use tokio::runtime::Runtime;
+
+/// What a field can hold in MessagePack, and in JSON cannot.
+#[derive(Clone)]
+enum Item {
+    Json(Value),
+    Number(f64),
+    Binary(&'static [u8]),
+}
+
+impl Serialize for Item {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        match self {
+            Self::Json(value) => value.serialize(serializer),
+            Self::Number(number) => serializer.serialize_f64(*number),
+            Self::Binary(bytes) => serializer.serialize_bytes(bytes),
+        }
+    }
+}
+
+/// A body: its fields in order, of which some may come twice or not be keyed by text.
+#[derive(Clone)]
+struct Body(Vec<(Item, Item)>);
+
+impl Serialize for Body {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut map = serializer.serialize_map(Some(self.0.len()))?;
+        for (field, item) in &self.0 {
+            map.serialize_entry(field, item)?;
+        }
+        map.end()
+    }
+}
+
+impl Body {
+    fn of(job: &Value) -> Self {
+        let fields = job.as_object().unwrap().iter();
+        Self(fields.map(|(field, value)| (Item::Json(json!(field)), Item::Json(value.clone()))).collect())
+    }
+
+    fn without(mut self, name: &str) -> Self {
+        self.0.retain(|(field, _)| !matches!(field, Item::Json(field) if field == name));
+        self
+    }
+
+    fn with(self, name: &str, item: Item) -> Self {
+        let mut body = self.without(name);
+        body.0.push((Item::Json(json!(name)), item));
+        body
+    }
+}
+
+/// Which of two ways of refusing for good.
+const MALFORMED: u16 = 400;
+const IMPOSSIBLE: u16 = 422;
+
+/// A body that is to be refused, by the number of its job.
+struct Case {
+    name: String,
+    status: u16,
+    body: Box<dyn Fn(u64) -> Vec<u8>>,
+    /// A repeat of an accepted job with this body hears that job's state: the body can be read, and names it.
+    names_its_job: bool,
+}
+
+/// One task that fits.
+fn plain(n: u64) -> Value {
+    job(n, 1)
+}
+
+fn case(name: String, status: u16, change: impl Fn(Body) -> Body + 'static) -> Case {
+    let names_its_job = !name.starts_with("uid");
+    Case { name, status, body: Box::new(move |n| wire::encode(&change(Body::of(&plain(n))))), names_its_job }
+}
+
+fn field_case(field: &'static str, problem: &str, item: Item) -> Case {
+    case(format!("{field} {problem}"), MALFORMED, move |body| body.with(field, item.clone()))
+}
+
+const TEXTS: [&str; 4] = ["uid", "jobFamily", "desk", "kit"];
+const NAMES: [&str; 2] = ["shape", "urgency"];
+const AMOUNTS: [&str; 7] = ["cpus", "accelerators", "memGb", "imageGb", "expectedS", "milestoneS", "stowS"];
+const FLAGS: [&str; 3] = ["samePlace", "scatter", "borrowed"];
+
+/// No number that is an amount.
+fn bad_numbers() -> [(&'static str, Item); 5] {
+    [
+        ("negative", Item::Json(json!(-1.0))),
+        ("NaN", Item::Number(f64::NAN)),
+        ("infinite", Item::Number(f64::INFINITY)),
+        ("negative infinite", Item::Number(f64::NEG_INFINITY)),
+        ("too large", Item::Number(1e300)),
+    ]
+}
+
+/// Values of the wrong type for every field that must be there.
+fn wrong_types(field: &str) -> Vec<(&'static str, Item)> {
+    let text = ("a text", Item::Json(json!("1")));
+    let number = ("a number", Item::Json(json!(0)));
+    let mut wrong = vec![
+        ("null", Item::Json(Value::Null)),
+        ("a list", Item::Json(json!(["sweep"]))),
+        ("a map", Item::Json(json!({"sweep": null}))),
+        ("binary", Item::Binary(b"sweep")),
+    ];
+    if !AMOUNTS.contains(&field) && field != "legs" {
+        wrong.push(number);
+    }
+    if !TEXTS.contains(&field) {
+        wrong.push(text);
+    }
+    if !FLAGS.contains(&field) {
+        wrong.push(("a boolean", Item::Json(json!(true))));
+    }
+    wrong
+}
+
+fn field_cases() -> Vec<Case> {
+    let mut cases = Vec::new();
+    for field in TEXTS.into_iter().chain(NAMES).chain(AMOUNTS).chain(FLAGS).chain(["legs"]) {
+        cases.push(case(format!("{field} missing"), MALFORMED, move |body| body.without(field)));
+        cases.extend(wrong_types(field).into_iter().map(|(what, item)| field_case(field, what, item)));
+    }
+    for field in AMOUNTS.into_iter().chain(["legs", "dueS"]) {
+        cases.extend(bad_numbers().into_iter().map(|(what, item)| field_case(field, what, item)));
+    }
+    let others = [
+        ("uid", "of another form", json!("job-1")),
+        ("uid", "a path", json!("run-1/2")),
+        ("uid", "without digits", json!("run-")),
+        ("uid", "too long", json!("run-000000000000000000001")),
+        ("shape", "unknown", json!("gang")),
+        ("urgency", "unknown", json!("urgent")),
+        ("legs", "none", json!(0)),
+        ("legs", "too many", json!(100_001)),
+        ("legs", "far too many", json!(u64::MAX)),
+        ("legs", "no count", json!(1.5)),
+        ("fleets", "a text", json!("c8")),
+        ("fleets", "a number", json!(8)),
+        ("fleets", "a list of numbers", json!([8])),
+        ("fleets", "a list with null", json!(["c8", null])),
+        ("yard", "a number", json!(1)),
+        ("yard", "a list", json!(["a"])),
+        ("dueS", "a text", json!("900")),
+        ("dueS", "a boolean", json!(true)),
+        ("kit", "larger than can be kept", json!("i".repeat(9000))),
+    ];
+    cases.extend(others.into_iter().map(|(field, what, value)| field_case(field, what, Item::Json(value))));
+    cases.push(field_case("yard", "binary", Item::Binary(b"a")));
+    cases
+}
+
+fn raw_case(name: &str, names_its_job: bool, change: impl Fn(Vec<u8>, &Body) -> Vec<u8> + 'static) -> Case {
+    let body = move |n| {
+        let body = Body::of(&plain(n));
+        change(wire::encode(&body), &body)
+    };
+    Case { name: name.into(), status: MALFORMED, body: Box::new(body), names_its_job }
+}
+
+fn raw_cases() -> Vec<Case> {
+    let deep = |depth: usize| [vec![0x91; depth], vec![0xc0]].concat();
+    vec![
+        raw_case("empty", false, |_, _| Vec::new()),
+        raw_case("JSON", false, |_, body| serde_json::to_vec(body).unwrap_or_default()),
+        raw_case("cut short", false, |mut bytes, _| {
+            bytes.pop();
+            bytes
+        }),
+        raw_case("a reserved byte", false, |_, _| vec![0xc1]),
+        raw_case("null", false, |_, _| vec![0xc0]),
+        raw_case("a list of maps", false, |bytes, _| [vec![0x91], bytes].concat()),
+        raw_case("an empty map", false, |_, _| vec![0x80]),
+        raw_case("nested without end", false, move |_, body| {
+            let mut bytes = wire::encode(body);
+            // One field more than the map had.
+            let header = [0xde, 0, (body.0.len() + 1) as u8];
+            let fields = bytes.split_off(if bytes[0] == 0xde { 3 } else { 1 });
+            [header.to_vec(), fields, wire::encode(&"more"), deep(50_000)].concat()
+        }),
+        raw_case("above the limit", false, |_, body| {
+            wire::encode(&body.clone().with("more", Item::Json(json!("x".repeat(70_000)))))
+        }),
+        raw_case("with bytes after it", true, |bytes, _| [bytes, vec![0xc0]].concat()),
+        raw_case("twice", true, |bytes, _| [bytes.clone(), bytes].concat()),
+        raw_case("keyed by numbers", false, |_, body| {
+            let order =
+                ["uid", "jobFamily", "desk", "shape", "urgency", "legs", "cpus", "accelerators", "memGb", "kit"];
+            let order = order.into_iter().chain(["imageGb", "fleets", "yard", "samePlace", "scatter", "borrowed"]);
+            let order = order.chain(["expectedS", "milestoneS", "stowS", "dueS"]);
+            let of = |name: &str| body.0.iter().find(|(field, _)| matches!(field, Item::Json(f) if f == name));
+            let items = order.map(|name| of(name).unwrap().1.clone());
+            wire::encode(&Body((0u64..).map(|at| Item::Json(json!(at))).zip(items).collect()))
+        }),
+    ]
+}
+
+/// A job that can never run by what it asks for in several fields.
+fn impossible(name: &str, fields: Value) -> Case {
+    case(name.into(), IMPOSSIBLE, move |body| {
+        let fields = fields.as_object().unwrap().iter();
+        fields.fold(body, |body, (field, value)| body.with(field, Item::Json(value.clone())))
+    })
+}
+
+/// Teams: `blue` without limits, `red` with 20 cores and one accelerator. Types: `c8` in `a`, `c32` in both zones,
+/// `g2` in `b`.
+fn impossible_cases() -> Vec<Case> {
+    vec![
+        impossible("an unknown team", json!({"desk": "green"})),
+        impossible("a team without a name", json!({"desk": ""})),
+        impossible("an unknown type", json!({"fleets": ["x"]})),
+        impossible("no type", json!({"fleets": []})),
+        impossible("an unknown zone", json!({"yard": "c"})),
+        impossible("types that the zone does not have", json!({"fleets": ["c8"], "yard": "b"})),
+        impossible("more cores than any type", json!({"cpus": 33.0})),
+        impossible("more memory than any type", json!({"memGb": 999.0})),
+        impossible("more accelerators than any type", json!({"accelerators": 3.0})),
+        impossible("accelerators beside more cores than their type has", json!({"accelerators": 1.0, "cpus": 9.0})),
+        impossible("more cores than the allowed type", json!({"fleets": ["c8"], "cpus": 9.0})),
+        impossible("a type that fits, elsewhere only", json!({"yard": "a", "accelerators": 1.0})),
+        impossible("one task above the team's cores", json!({"desk": "red", "cpus": 21.0})),
+        impossible("one task above the team's accelerators", json!({"desk": "red", "accelerators": 2.0})),
+        impossible("a gang above the team's cores", json!({"desk": "red", "shape": "group", "legs": 21})),
+        impossible("a service above the team's cores", json!({"desk": "red", "shape": "service", "legs": 21})),
+        impossible(
+            "a gang above the team's accelerators",
+            json!({"desk": "red", "shape": "group", "legs": 2, "accelerators": 1.0}),
+        ),
+        impossible(
+            "a gang both together and apart",
+            json!({"shape": "group", "legs": 2, "samePlace": true, "scatter": true}),
+        ),
+        impossible(
+            "a service both together and apart",
+            json!({"shape": "service", "legs": 2, "samePlace": true, "scatter": true}),
+        ),
+        impossible("a gang apart in one zone", json!({"shape": "group", "legs": 5, "scatter": true, "yard": "a"})),
+        impossible("a service apart in one zone", json!({"shape": "service", "legs": 5, "scatter": true, "yard": "a"})),
+        impossible(
+            "a gang apart by a type of one zone",
+            json!({"shape": "group", "legs": 2, "scatter": true, "fleets": ["c8"]}),
+        ),
+        impossible(
+            "a gang apart where its tasks fit in one zone only",
+            json!({"shape": "group", "legs": 2, "scatter": true, "accelerators": 1.0}),
+        ),
+    ]
+}
+
+fn cases() -> Vec<Case> {
+    [field_cases(), raw_cases(), impossible_cases()].into_iter().flatten().collect()
+}
+
+/// What may be asked for: the job's number of tasks, and its other fields.
+fn possible_jobs() -> Vec<(&'static str, Value)> {
+    vec![
+        ("plain", json!({})),
+        ("amounts as integers", json!({"cpus": 1, "accelerators": 0, "memGb": 1, "expectedS": 1, "dueS": 900})),
+        ("more than is known", json!({"more": {"a": [1, null]}, "less": null})),
+        ("nothing at all of its machine", json!({"cpus": 0.0, "memGb": 0.0, "imageGb": 0.0, "expectedS": 0.0})),
+        ("one of its types is unknown", json!({"fleets": ["x", "c8"]})),
+        ("ordinary machines only", json!({"borrowed": false})),
+        ("due at once", json!({"dueS": 0.0})),
+        ("an array above the limit in sum", json!({"desk": "red", "legs": 30})),
+        ("a gang at the limit", json!({"desk": "red", "legs": 4, "shape": "group", "cpus": 5.0})),
+        ("one task both together and apart", json!({"shape": "group", "samePlace": true, "scatter": true})),
+        ("one task apart in one zone", json!({"shape": "group", "scatter": true, "yard": "a"})),
+        ("a gang apart in two zones", json!({"shape": "group", "legs": 5, "scatter": true, "fleets": ["c32"]})),
+        ("a gang together", json!({"shape": "group", "legs": 3, "samePlace": true})),
+        ("an array apart in one zone", json!({"legs": 5, "scatter": true, "yard": "a"})),
+        ("an array both together and apart", json!({"legs": 5, "scatter": true, "samePlace": true})),
+    ]
+}
+
+fn machine_type(name: &str, cpus: f64, gpus: f64, zones: &[&str]) -> MachineType {
+    let zones = zones.iter().map(|zone| zone.to_string()).collect();
+    MachineType { name: name.into(), cpus, gpus, zones, ..params().cloud.types.remove(0) }
+}
+
+/// A job that nobody submits.
+const NOBODYS: u64 = 999_999;
+
+struct Stage {
+    outside: Runtime,
+    world: Arc<World>,
+    http: Http,
+}
+
+fn id(n: u64) -> String {
+    format!("run-{n:06}")
+}
+
+fn stage() -> Stage {
+    let mut params = params();
+    params.cloud.types = vec![
+        machine_type("c8", 8.0, 0.0, &["a"]),
+        machine_type("c32", 32.0, 0.0, &["a", "b"]),
+        machine_type("g2", 8.0, 2.0, &["b"]),
+    ];
+    let offered = params.cloud.types.iter().flat_map(|of| of.zones.iter().map(|zone| (of.name.clone(), zone.clone())));
+    params.cloud.capacity =
+        offered.map(|(type_name, zone)| Capacity { type_name, zone, ordinary: 200, spot: 0 }).collect();
+    let outside = Runtime::new().unwrap();
+    let world = outside.block_on(async { World::open(params) });
+    Stage { outside, world, http: Http::default() }
+}
+
+impl Stage {
+    fn start(&self, at: usize, change: impl FnOnce(&mut Value)) -> Controller {
+        let names = ["node-a", "node-b", "node-c"];
+        let others: Vec<&str> = names.into_iter().filter(|name| *name != names[at]).collect();
+        let door = self.outside.block_on(self.world.door(at));
+        let mut settings = settings(names[at], &others, &door);
+        settings["params"]["zones"] = json!(["a", "b"]);
+        settings["params"]["teams"] = json!([{"name": "blue"}, {"name": "red", "cpus_max": 20.0, "gpus_max": 1.0}]);
+        change(&mut settings);
+        let controller = Controller::start_with(&self.world, &settings, "leader.lease.seconds=10");
+        // One that does not know the machine types is not healthy.
+        self.outside.block_on(until("read", || async { self.look_up(&controller, NOBODYS).await.0 == 404 }));
+        controller
+    }
+
+    /// Submitted until it is not put off: limits and proofs may put off any answer for a moment.
+    async fn submit(&self, at: &Controller, body: Vec<u8>) -> (u16, Value) {
+        let begun = Instant::now();
+        loop {
+            let answer = self.submit_once(at, body.clone()).await;
+            if answer.0 != 503 {
+                return answer;
+            }
+            assert!(begun.elapsed() < LONG, "put off for ever: {}", answer.1);
+            tokio::time::sleep(Duration::from_millis(20)).await;
+        }
+    }
+
+    async fn submit_once(&self, at: &Controller, body: Vec<u8>) -> (u16, Value) {
+        ask(&self.http, Method::POST, &at.addr, "/work", Some(body)).await
+    }
+
+    async fn look_up(&self, at: &Controller, n: u64) -> (u16, Value) {
+        ask(&self.http, Method::GET, &at.addr, &format!("/work/{}", id(n)), None).await
+    }
+
+    fn has(&self, prefix: &str, n: u64) -> bool {
+        self.world.state.lock().unwrap().store.has(&format!("{prefix}{}", id(n)))
+    }
+
+    fn started(&self, n: u64) -> usize {
+        let task = format!("{}/", id(n));
+        self.world.starts.lock().unwrap().iter().filter(|started| started.starts_with(&task)).count()
+    }
+
+    fn end(self, controllers: impl IntoIterator<Item = Controller>) {
+        controllers.into_iter().for_each(drop);
+        self.outside.shutdown_background();
+    }
+}
+
+/// Bodies that lack something or can never run, at a controller that knows the machine types: each is refused as the
+/// protocol says, and nothing of it is stored.
+#[test]
+fn what_lacks_a_field_or_can_never_run_is_never_accepted() {
+    let stage = stage();
+    let a = stage.start(0, |_| ());
+    let wrong: Vec<String> = stage.outside.block_on(async {
+        until("machine types are known", || async { a.node.catalog().is_some() }).await;
+        let mut wrong = Vec::new();
+        for (n, case) in (1u64..).zip(cases()) {
+            let (code, answer) = stage.submit(&a, (case.body)(n)).await;
+            let told = answer["error"].as_str().is_some_and(|problem| !problem.is_empty());
+            if code != case.status || !told || stage.has("c/o/", n) {
+                wrong.push(format!("{}: {code} {answer}, not {}", case.name, case.status));
+            }
+        }
+        wrong
+    });
+    assert!(wrong.is_empty(), "{} cases: {wrong:#?}", wrong.len());
+    stage.end([a]);
+}
+
+/// The same bodies at a controller that does not know the machine types: what is malformed is refused, and of the
+/// rest nothing is decided.
+#[test]
+fn nothing_is_decided_while_machine_types_are_unknown() {
+    let stage = stage();
+    // Nobody listens there.
+    let a = stage.start(0, |settings| settings["endpoints"]["cloud"] = json!("127.0.0.1:1"));
+    let wrong: Vec<String> = stage.outside.block_on(async {
+        let mut wrong = Vec::new();
+        let possible = case("plain".into(), IMPOSSIBLE, |body| body);
+        for (n, case) in (1u64..).zip(cases().into_iter().chain([possible])) {
+            let body = (case.body)(n);
+            // What cannot be kept is found out only when it is about to be.
+            let undecided = case.status == IMPOSSIBLE || case.name.ends_with("can be kept");
+            let (code, answer) =
+                if undecided { stage.submit_once(&a, body).await } else { stage.submit(&a, body).await };
+            if code != if undecided { 503 } else { MALFORMED } || stage.has("c/o/", n) {
+                wrong.push(format!("{}: {code} {answer}", case.name));
+            }
+        }
+        wrong
+    });
+    assert!(a.node.catalog().is_none());
+    assert!(wrong.is_empty(), "{} cases: {wrong:#?}", wrong.len());
+    stage.end([a]);
+}
+
+/// A repeat of an accepted job hears its state, whatever else its body says, at every controller.
+#[test]
+fn a_repeat_hears_the_state_of_its_job_whatever_its_body() {
+    let stage = stage();
+    let (a, b) = (stage.start(0, |_| ()), stage.start(1, |_| ()));
+    let wrong: Vec<String> = stage.outside.block_on(async {
+        let mut wrong = Vec::new();
+        upload(&stage.world, &plain(1), SHORT);
+        assert_eq!(stage.submit(&a, wire::encode(&plain(1))).await.0, 201);
+        until("done", || async { stage.look_up(&a, 1).await.1["status"] == "done" }).await;
+        for at in [&a, &b] {
+            for case in cases().into_iter().filter(|case| case.names_its_job) {
+                let (code, answer) = stage.submit(at, (case.body)(1)).await;
+                if (code, &answer["status"]) != (200, &json!("done")) {
+                    wrong.push(format!("{} at {}: {code} {answer}", case.name, at.node.settings.node));
+                }
+            }
+        }
+        wrong
+    });
+    assert!(wrong.is_empty(), "{} cases: {wrong:#?}", wrong.len());
+    stage.end([a, b]);
+}
+
+/// What may be null or omitted, is unusual or only looks impossible is accepted, and runs to its end.
+#[test]
+fn what_can_run_is_accepted_and_done() {
+    let stage = stage();
+    let a = stage.start(0, |_| ());
+    stage.outside.block_on(async {
+        let mut jobs: Vec<(String, Value)> = Vec::new();
+        for (name, fields) in possible_jobs() {
+            let mut job = plain(0);
+            job.as_object_mut().unwrap().extend(fields.as_object().unwrap().clone());
+            jobs.push((name.into(), job));
+        }
+        for field in ["fleets", "yard", "dueS"] {
+            let mut job = plain(0);
+            job.as_object_mut().unwrap().remove(field);
+            jobs.push((format!("{field} omitted"), job));
+        }
+        for (n, (name, job)) in (1u64..).zip(&mut jobs) {
+            job["uid"] = json!(id(n));
+            upload(&stage.world, job, SHORT);
+            let (code, answer) = stage.submit(&a, wire::encode(job)).await;
+            assert_eq!(code, 201, "{name}: {answer}");
+        }
+        for (n, (name, job)) in (1u64..).zip(&jobs) {
+            until(name, || async { stage.look_up(&a, n).await.1["status"] == "done" }).await;
+            assert_eq!(stage.started(n), job["legs"].as_u64().unwrap() as usize, "{name}");
+        }
+    });
+    stage.end([a]);
+}
