--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -7,6 +7,7 @@
 use salvo::prelude::*;
 use tracing::info;
 
+use super::follow_ups::FollowUps;
 use super::lookup::look_up;
 use super::reply::{COME_AGAIN_S, Refusal, Reply};
 use super::submission::submit;
@@ -19,6 +20,7 @@
 /// The framework's side: one handler per path.
 struct Handle {
     node: Arc<Node>,
+    follow_ups: Arc<FollowUps>,
     path: Path,
 }
 
@@ -77,13 +79,13 @@
             _ => Default::default(),
         };
         match self.path {
-            Path::Submit => render_reply(node, res, submit(node, &body).await),
+            Path::Submit => render_reply(node, res, submit(node, &self.follow_ups, &body).await),
             // Its user has given up and asks again: told so without work for it.
             Path::LookUp if node.stale_question() => {
                 render_reply(node, res, Reply::later("this controller stood still"))
             }
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
-            Path::Withdraw => render_reply(node, res, withdraw(node, &id).await),
+            Path::Withdraw => render_reply(node, res, withdraw(node, &self.follow_ups, &id).await),
             Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
             Path::Report => match workers::take_report(node, &body) {
                 Answer::Orders(orders) => {
@@ -106,7 +108,8 @@
 
 /// All routes of one controller.
 pub fn router(node: &Arc<Node>) -> Router {
-    let handle = |path| Handle { node: node.clone(), path };
+    let follow_ups = FollowUps::new(node.clone());
+    let handle = |path| Handle { node: node.clone(), follow_ups: follow_ups.clone(), path };
     Router::new()
         .push(
             Router::with_path("work").post(handle(Path::Submit)).push(
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -4,9 +4,10 @@
 use std::time::{Duration, Instant};
 
 use serde::Deserialize;
-use tracing::{debug, info};
+use tracing::debug;
 
 use super::feasibility::can_ever_run;
+use super::follow_ups::{FollowUps, Write};
 use super::lookup::{look_up, moved_on, open_tasks};
 use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
 use crate::history::moves;
@@ -48,7 +49,7 @@
 }
 
 /// A job as its user sends it, for the first time or again.
-pub(super) async fn submit(node: &Node, body: &[u8]) -> Reply {
+pub(super) async fn submit(node: &Node, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
     let spec = match parse(body) {
         Ok(spec) => spec,
         Err(refusal) => {
@@ -69,10 +70,10 @@
     if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
         return unless_accepted(node, &id, impossible.into()).await;
     }
-    accept(node, spec).await
+    accept(node, follow_ups, spec).await
 }
 
-async fn accept(node: &Node, spec: JobSpec) -> Reply {
+async fn accept(node: &Node, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
     let id = spec.id.clone();
     let limits = &node.settings.params;
     let (open, old_kept) = {
@@ -103,7 +104,7 @@
         return Reply::Later("too many jobs are submitted at once".into(), after_s);
     }
     let admitted = Admitted { node, spec: record.spec.clone() };
-    let reply = write_acceptance(node, record, old_kept).await;
+    let reply = write_acceptance(node, follow_ups, Arc::new(record), old_kept).await;
     drop(admitted);
     reply
 }
@@ -120,19 +121,32 @@
     }
 }
 
-async fn write_acceptance(node: &Node, record: JobRecord, old_kept: bool) -> Reply {
+/// Writes a job where there is none, and tells its user.
+async fn write_acceptance(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>, old_kept: bool) -> Reply {
     let id = record.spec.id.clone();
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
+        let sent = follow_ups.begin(Write::Acceptance, &record);
         match node.store.txn(&accept.conditions, &accept.changes, Urgent::First).await {
             Ok(TxnOutcome::Applied(_)) => {
-                info!(job = %id, team = record.spec.team, class = record.spec.class, tasks = record.spec.tasks, "accepted");
-                lock(&node.audit).note(Held::Accepted(Arc::new(record)));
+                sent.applied();
+                lock(&node.audit).note(Held::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
                 return Reply::Job(201, job);
             }
-            Ok(TxnOutcome::Failed(keys)) => return moved_on(node, &id, &keys).await,
-            Err(StoreError::Unavailable(429)) => tokio::time::sleep(RETRY_PAUSE).await,
+            Ok(TxnOutcome::Failed(keys)) => {
+                sent.refused();
+                return moved_on(node, &id, &keys).await;
+            }
+            Err(StoreError::Unavailable(429)) => {
+                sent.refused();
+                tokio::time::sleep(RETRY_PAUSE).await;
+            }
+            Err(StoreError::Unavailable(status)) => {
+                sent.refused();
+                debug!(status, job = %id, "accepting");
+                return Reply::later("the state service cannot be written");
+            }
             outcome => {
                 debug!(?outcome, job = %id, "accepting");
                 return Reply::later("the state service cannot be written");
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -6,16 +6,18 @@
 
 mod stand_in;
 
-use std::sync::Arc;
+use std::io::Write;
+use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
 use hollylanding::wire::cloud::MachineType;
 use hollylanding::wire::{self, Http};
+use hollylanding_emulator::driver::state::Faults;
 use hollylanding_emulator::world::cloud::Capacity;
 use hyper::Method;
 use serde::ser::{Serialize, SerializeMap, Serializer};
 use serde_json::{Value, json};
-use stand_in::{Controller, LONG, SHORT, World, ask, job, params, settings, until, upload};
+use stand_in::{Controller, ENDLESS, LONG, SHORT, World, ask, job, params, settings, until, upload};
 use tokio::runtime::Runtime;
 
 /// What a field can hold in MessagePack, and in JSON cannot.
@@ -296,6 +298,9 @@
     MachineType { name: name.into(), cpus, gpus, zones, ..params().cloud.types.remove(0) }
 }
 
+/// How late a write is carried out that is: long after its controller has given it up.
+const LATE: Duration = Duration::from_secs(4);
+
 /// A job that nobody submits.
 const NOBODYS: u64 = 999_999;
 
@@ -364,6 +369,10 @@
         self.world.state.lock().unwrap().store.has(&format!("{prefix}{}", id(n)))
     }
 
+    fn stamp(&self, prefix: &str, n: u64) -> u64 {
+        self.world.state.lock().unwrap().store.stamp(&format!("{prefix}{}", id(n)))
+    }
+
     fn started(&self, n: u64) -> usize {
         let task = format!("{}/", id(n));
         self.world.starts.lock().unwrap().iter().filter(|started| started.starts_with(&task)).count()
@@ -478,3 +487,200 @@
     });
     stage.end([a]);
 }
+
+/// The lines that all controllers of this process log.
+#[derive(Clone, Default)]
+struct Log(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Log {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().unwrap().extend_from_slice(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+impl Log {
+    /// Everything that is logged from now on, by whichever test: each looks for its own jobs.
+    fn capture() -> Self {
+        static LOG: OnceLock<Log> = OnceLock::new();
+        let begin = || {
+            let log = Log::default();
+            let writer = log.clone();
+            tracing_subscriber::fmt().with_writer(move || writer.clone()).init();
+            log
+        };
+        LOG.get_or_init(begin).clone()
+    }
+
+    /// How many lines say just this of a job, after the name of the module.
+    fn count(&self, line: &str) -> usize {
+        let bytes = self.0.lock().unwrap().clone();
+        let text = String::from_utf8(bytes).unwrap();
+        text.lines().filter(|logged| logged.ends_with(&format!(": {line}"))).count()
+    }
+}
+
+fn accepted_line(n: u64) -> String {
+    format!("accepted job={} team=\"blue\" class=\"f\" tasks=1", id(n))
+}
+
+fn withdrawn_line(n: u64) -> String {
+    format!("withdrawn job={}", id(n))
+}
+
+impl Stage {
+    fn faults(&self, change: impl FnOnce(&mut Faults)) {
+        change(&mut self.world.state.lock().unwrap().faults);
+    }
+
+    /// The next write under this prefix is carried out and not answered.
+    fn lose_an_answer(&self, prefix: &'static str) {
+        self.faults(|faults| (faults.unanswered, faults.only) = (1, Some(prefix)));
+    }
+
+    /// The next write under this prefix is carried out only after `LATE`, and not answered.
+    fn delay_a_write(&self, prefix: &'static str) {
+        self.faults(|faults| (faults.late, faults.only) = ((1, LATE), Some(prefix)));
+    }
+
+    /// So many late writes have had their time.
+    async fn late_over(&self, count: u32) {
+        until("a late write has had its time", || async { self.world.state.lock().unwrap().faults.late_over == count })
+            .await;
+    }
+
+    async fn withdraw(&self, at: &Controller, n: u64) -> (u16, Value) {
+        ask(&self.http, Method::POST, &at.addr, &format!("/work/{}/withdraw", id(n)), None).await
+    }
+
+    async fn withdrawn(&self, at: &Controller, n: u64) {
+        until("withdrawn", || async { self.withdraw(at, n).await.1["status"] == "withdrawn" }).await;
+    }
+}
+
+/// Writes whose own answer is lost or late, and whose user comes again or never does: the log has a line for each
+/// that was carried out, and one only.
+#[test]
+fn the_log_has_every_acceptance_and_withdrawal_that_is_stored() {
+    let log = Log::capture();
+    let stage = stage();
+    let (a, b) = (stage.start(0, |_| ()), stage.start(1, |_| ()));
+    stage.outside.block_on(async {
+        let plainly = |at, n| stage.submit(at, wire::encode(&plain(n)));
+        for n in 101..=108 {
+            upload(&stage.world, &plain(n), ENDLESS);
+        }
+        for (n, at) in [(101, &a), (102, &b)] {
+            assert_eq!(plainly(at, n).await.0, 201);
+            stage.withdrawn(at, n).await;
+        }
+        // Nobody comes again.
+        for (n, at) in [(103, &a), (104, &b)] {
+            stage.lose_an_answer("c/o/");
+            assert_eq!(stage.submit_once(at, wire::encode(&plain(n))).await.0, 503);
+            until("accepted", || async { log.count(&accepted_line(n)) > 0 }).await;
+            stage.lose_an_answer("h/w/");
+            assert_eq!(stage.withdraw(at, n).await.0, 503);
+            until("withdrawn", || async { log.count(&withdrawn_line(n)) > 0 }).await;
+        }
+        // The user comes again, at the other controller.
+        for (n, at, other) in [(105, &a, &b), (106, &b, &a)] {
+            stage.lose_an_answer("c/o/");
+            assert_eq!(stage.submit_once(at, wire::encode(&plain(n))).await.0, 503);
+            assert_eq!(plainly(other, n).await.0, 200);
+            stage.lose_an_answer("h/w/");
+            assert_eq!(stage.withdraw(at, n).await.0, 503);
+            stage.withdrawn(other, n).await;
+        }
+        // Carried out late.
+        for (n, at, late) in [(107, &a, 1), (108, &b, 3)] {
+            stage.delay_a_write("c/o/");
+            assert_eq!(stage.submit_once(at, wire::encode(&plain(n))).await.0, 503);
+            stage.late_over(late).await;
+            until("accepted", || async { stage.look_up(at, n).await.0 == 200 }).await;
+            stage.delay_a_write("h/w/");
+            assert_eq!(stage.withdraw(at, n).await.0, 503);
+            assert!(stage.has("c/o/", n), "it is still under way");
+            assert_eq!(log.count(&withdrawn_line(n)), 0, "logged before it is stored");
+            stage.late_over(late + 1).await;
+        }
+        for n in 101..=108 {
+            assert!(stage.has("h/w/", n));
+            for line in [accepted_line(n), withdrawn_line(n)] {
+                until(&line, || async { log.count(&line) > 0 }).await;
+                assert_eq!(log.count(&line), 1, "{line}");
+            }
+        }
+    });
+    stage.end([a, b]);
+}
+
+/// A submission that was answered 503 and is carried out only later. Until then nobody knows the job; from then on
+/// everybody does, for ever, and it runs once. Its user may have come again meanwhile, at any controller, and may
+/// have withdrawn it or seen it done: then the late one changes nothing.
+#[test]
+fn a_submission_that_is_carried_out_late_is_one_job_for_ever() {
+    let stage = stage();
+    let (a, b) = (stage.start(0, |_| ()), stage.start(1, |_| ()));
+    let both = [&a, &b];
+    stage.outside.block_on(async {
+        let mut late = 0;
+        for (n, run) in [(201, ENDLESS), (202, ENDLESS), (203, SHORT), (204, ENDLESS)] {
+            upload(&stage.world, &plain(n), run);
+        }
+        let put_off = async |n: u64| {
+            stage.delay_a_write("c/o/");
+            let (code, answer) = stage.submit_once(&a, wire::encode(&plain(n))).await;
+            assert_eq!(code, 503, "{answer}");
+            for at in both {
+                assert_eq!(stage.look_up(at, n).await.0, 404, "nobody has accepted it");
+                assert_eq!(stage.withdraw(at, n).await.0, 404, "there is nothing to withdraw");
+            }
+        };
+        let stands = |n: u64| ["c/o/", "h/d/", "h/w/"].map(|prefix| stage.has(prefix, n));
+
+        // Its user never comes again: it runs like any other, and can be withdrawn.
+        put_off(201).await;
+        late += 1;
+        stage.late_over(late).await;
+        for at in both {
+            assert_eq!(stage.look_up(at, 201).await.0, 200, "stored, and not told");
+        }
+        until("running", || async { stage.started(201) == 1 }).await;
+        for at in both {
+            assert_eq!(stage.submit(at, wire::encode(&plain(201))).await.0, 200);
+        }
+
+        // Its user comes again, and then withdraws it or not, or it is done.
+        for (n, want) in [(202, [true, false, false]), (203, [false, true, false]), (204, [false, false, true])] {
+            put_off(n).await;
+            assert_eq!(stage.submit(&b, wire::encode(&plain(n))).await.0, 201);
+            if want[2] {
+                stage.withdrawn(&a, n).await;
+            }
+            if want[1] {
+                until("done", || async { stage.look_up(&a, n).await.1["status"] == "done" }).await;
+            }
+            assert_eq!(stands(n), want);
+            let stamp = stage.stamp("c/o/", n);
+            late += 1;
+            stage.late_over(late).await;
+            assert_eq!((stands(n), stage.stamp("c/o/", n)), (want, stamp), "the late one changed something");
+            for at in both {
+                let (code, answer) = stage.submit(at, wire::encode(&plain(n))).await;
+                assert_eq!(code, 200, "{answer}");
+                assert_eq!(answer["status"] == "withdrawn", want[2], "{answer}");
+                assert_eq!(answer["status"] == "done", want[1], "{answer}");
+            }
+        }
+        stage.withdrawn(&b, 201).await;
+        until("gone", || async { stage.world.fleet.lock().unwrap().live(&id(201)) == 0 }).await;
+        let started = [201, 202, 203, 204].map(|n| stage.started(n));
+        assert!(started[..3] == [1, 1, 1] && started[3] <= 1, "{started:?}");
+    });
+    stage.end([a, b]);
+}
