--- /dev/null
+++ b/tests/bad_input.rs
@@ -0,0 +1,91 @@
+//! Values in the store that nobody can read, under every prefix: a controller reads the rest, leads, owns and runs
+//! what it is given.
+
+// A stand-in that panics fails its test, as it should.
+#![allow(clippy::unwrap_used)]
+
+mod stand_in;
+
+use hollylanding::wire::state::Change;
+use hollylanding::wire::{self, Http};
+use hollylanding_emulator::driver::World;
+use hyper::Method;
+use serde_json::{Value, json};
+use stand_in::{Controller, ENDLESS, ask, job, open_world, settings, until, upload};
+use tokio::runtime::Runtime;
+
+fn write(world: &World, path: &str, value: Value) {
+    let change = [Change::write(path, value)];
+    world.state.lock().unwrap().store.apply_if(&[], &change).unwrap();
+}
+
+/// One value that makes no sense under each prefix, and keys that this build has no use for.
+fn write_nonsense_everywhere(world: &World) {
+    for path in [
+        "c/o/run-000007",
+        "c/o/x",
+        "c/owner/0",
+        "c/owner/later",
+        "c/leader",
+        "c/plea",
+        "c/watermark",
+        "c/upgraded",
+        "c/s/window/x",
+        "c/s/later/x",
+        "c/t/heat/x",
+        "c/j/run-000006",
+        "c/e/run-000005",
+        "h/d/run-000008",
+        "h/w/a.b",
+        "d/x",
+        "d/a-b",
+        "t/run-000001/00000",
+        "t/run-000001/later",
+        "t/x",
+    ] {
+        write(world, path, json!({"what": ["nobody", 7]}));
+    }
+    // Tasks that can be read, of jobs that nobody has submitted.
+    write(world, "t/a.b/00000", json!([[1, "m1"]]));
+    write(world, "t/run-000009/99999999999", json!([[1, "m1"], 5, -1]));
+}
+
+#[test]
+fn a_controller_goes_on_whatever_the_store_holds() {
+    let outside = Runtime::new().unwrap();
+    let (world, door) = outside.block_on(open_world());
+    write_nonsense_everywhere(&world);
+    for n in 1..=2 {
+        upload(&world, &job(n, 3), ENDLESS);
+    }
+    let a = Controller::start(&world, &settings("node-a", &[], &door));
+    let http = Http::default();
+    outside.block_on(async {
+        let submit = async |n: u64| {
+            until("healthy", || async { ask(&http, Method::GET, &a.addr, "/healthz", None).await.0 == 200 }).await;
+            let body = wire::encode(&job(n, 3));
+            assert_eq!(ask(&http, Method::POST, &a.addr, "/work", Some(body)).await.0, 201);
+            let path = format!("/work/run-{n:06}");
+            until("all of it runs", || async {
+                ask(&http, Method::GET, &a.addr, &path, None).await.1["running"] == json!(3)
+            })
+            .await;
+        };
+        submit(1).await;
+        // Once more while it owns: written over, and nothing is started again.
+        write(&world, "c/leader", json!("x"));
+        write(&world, "c/owner/0", json!(["x"]));
+        let readable = |path: &str| {
+            let state = world.state.lock().unwrap();
+            state.store.value(path).is_some_and(|value| value["node"] == json!("node-a"))
+        };
+        until("leads by a key that can be read", || async { readable("c/leader") && readable("c/owner/0") }).await;
+        submit(2).await;
+        assert_eq!(world.starts.lock().unwrap().len(), 6, "nothing was started twice");
+        // What cannot be read costs its own job: it is known, and not run.
+        let (status, _) = ask(&http, Method::GET, &a.addr, "/work/run-000007", None).await;
+        assert!(matches!(status, 200 | 503), "{status}");
+    });
+    drop(a);
+    outside.shutdown_background();
+}
