--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -4,6 +4,8 @@
 // A stand-in that panics fails its test, as it should; not every test uses all of it.
 #![allow(clippy::unwrap_used, dead_code)]
 
+pub mod observer;
+
 use std::future::Future;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
