--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -159,8 +159,8 @@
     notes: Vec<Note>,
     /// Number of starts at the last look.
     starts_seen: usize,
-    /// The leader and the owner at the last look.
-    leadership: [String; 2],
+    /// The lease holder and the owner at the last look.
+    election_records: [String; 2],
     /// Wall-clock time at which the world began, in ms since 1970.
     begun_ms: u64,
 }
@@ -191,7 +191,7 @@
             undo: vec![],
             notes: vec![],
             starts_seen: 0,
-            leadership: Default::default(),
+            election_records: Default::default(),
             begun_ms,
             world,
         })
@@ -256,7 +256,7 @@
         self.collect_commands();
         self.declared.look(&self.world);
         self.starts_seen = lock(&self.world.starts).len();
-        self.leadership = self.leadership();
+        self.election_records = self.election_records();
         if let Some(sample) = self.sampler.sample(&self.world, now, self.submitted) {
             progress(sample.done, self.tasks);
         }
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -14,8 +14,8 @@
 
 /// Time until a controller that is ended by a rolling restart is started again.
 const RESTART_AFTER: Duration = Duration::from_secs(1);
-/// Keys of the leader, and of the owner of the only partition.
-const LEADER: &str = "c/leader";
+/// Keys of the lease holder, and of the owner of the only partition.
+const LEASE_HOLDER: &str = "c/leader";
 const OWNER: &str = "c/owner/0";
 
 /// The end of a fault, or the later part of one.
@@ -54,10 +54,10 @@
         owner.strip_prefix("node-").and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
-    /// The records of the leader and of the owner, as they are stored.
-    pub(super) fn leadership(&self) -> [String; 2] {
+    /// The records of the lease holder and of the owner, as they are stored.
+    pub(super) fn election_records(&self) -> [String; 2] {
         let state = lock(&self.world.state);
-        [LEADER, OWNER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
+        [LEASE_HOLDER, OWNER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
     }
 
     /// Numbers of the controllers meant.
@@ -82,8 +82,10 @@
             Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.holders().next().is_some()),
             Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
             Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost > 0,
-            // Somebody leadership, and now nobody or another does; or who leads does not own yet.
-            Condition::Election => !self.leadership[0].is_empty() && self.leadership() != self.leadership,
+            // Somebody led, and now nobody or another does; or who holds the lease does not own yet.
+            Condition::Election => {
+                !self.election_records[0].is_empty() && self.election_records() != self.election_records
+            }
         }
     }
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -123,7 +123,7 @@
     JustPlaced,
     /// A write was acknowledged and not applied.
     AcknowledgedOnly,
-    /// The leader or the owner has changed or is missing.
+    /// The lease holder or the owner has changed or is missing.
     Election,
 }
 
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -2,7 +2,7 @@
 //!
 //! A job has exactly one key from its acceptance on: `c/o/ID` while it is open, then `h/d/ID` once
 //! done or `h/w/ID` once withdrawn, for ever. Every controller mirrors `c/` from `c/k` on: open
-//! jobs, the leader, the assignment. `h/` is read only when somebody asks. `t/` holds the tasks of
+//! jobs, the lease holder, the assignment. `h/` is read only when somebody asks. `t/` holds the tasks of
 //! open jobs in chunks and is read by owners only.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -28,8 +28,8 @@
 pub const OLD_ENDS: &str = "c/e/";
 /// Written once nothing open is left under `OLD_JOBS`.
 pub const UPGRADED: &str = "c/upgraded";
-/// Key of the leader ([`Leader`](crate::membership::records::Leader)), attached to the leader's lease.
-pub const LEADER: &str = "c/leader";
+/// Key of the lease holder ([`LeaseHolder`](crate::membership::records::LeaseHolder)), attached to the election lease.
+pub const LEASE_HOLDER: &str = "c/leader";
 /// Key of the owner's record ([`Assignment`](crate::membership::records::Assignment)). Its version is the owner's
 /// token.
 pub const ASSIGNMENT: &str = "c/owner/0";
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -1,4 +1,4 @@
-//! Transactions of leadership and ownership that are carried out after newer ones, or whose answer never
+//! Transactions of the election and ownership that are carried out after newer ones, or whose answer never
 //! comes, against the emulator's store: fixed steps.
 
 use std::time::Duration;
@@ -13,8 +13,8 @@
 
 const NOW: Duration = Duration::ZERO;
 
-fn leader(incarnation: &str) -> Leader {
-    Leader { node: "a".into(), incarnation: incarnation.into() }
+fn lease_holder(incarnation: &str) -> LeaseHolder {
+    LeaseHolder { node: "a".into(), incarnation: incarnation.into() }
 }
 
 fn owner(incarnation: &str) -> Assignment {
@@ -26,14 +26,14 @@
     store.txn(&Txn::new(conditions, changes), NOW).ok()?.ok()
 }
 
-fn lead(store: &mut Store, me: &str) -> (u64, u64) {
+fn take_lease(store: &mut Store, me: &str) -> (u64, u64) {
     let lease = store.grant(3000, NOW).unwrap();
-    let (condition, change) = candidacy(&leader(me), lease);
+    let (condition, change) = candidacy(&lease_holder(me), lease);
     (lease, send(store, &[condition], &[change]).unwrap())
 }
 
 fn own(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = naming(&owner(me), store.stamp(LEADER), store.stamp(ASSIGNMENT));
+    let (conditions, change) = naming(&owner(me), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
     send(store, &conditions, &[change])
 }
 
@@ -51,7 +51,7 @@
 /// What `run` does next, by the mirror and by the token of the cluster state, if there is one.
 fn next(me: &str, mirror: &Mirror, held: Option<u64>) -> Step {
     let assigned = mirror.assignment().map(|(a, token)| (a.incarnation.as_str(), *token));
-    let leads = mirror.leader().map(|(l, _)| l.incarnation.as_str());
+    let leads = mirror.lease_holder().map(|(l, _)| l.incarnation.as_str());
     next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
 }
 
@@ -62,12 +62,12 @@
     for held in [None, Some(())] {
         let mut store = Store::default();
         let mut mirror = mirror();
-        lead(&mut store, "a1");
+        take_lease(&mut store, "a1");
         // A cluster state that owns already raises its token.
         let held = held.map(|()| own(&mut store, "a1").unwrap());
         hear(&mut mirror, &store);
         // Carried out, and nobody hears of it but by the watch.
-        let (conditions, change) = naming(&owner("a1"), store.stamp(LEADER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&owner("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
         let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         hear(&mut mirror, &store);
         assert_eq!(next("a1", &mirror, held), Step::Assign, "held {held:?}");
@@ -88,16 +88,16 @@
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
     fn naming_now(store: &mut Store) -> Sent {
-        let (conditions, change) = naming(&owner("a1"), store.stamp(LEADER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&owner("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
         (conditions.into(), vec![change])
     }
     fn candidacy_now(store: &mut Store) -> Sent {
         let lease = store.grant(3000, NOW).unwrap();
-        let (condition, change) = candidacy(&leader("a1"), lease);
+        let (condition, change) = candidacy(&lease_holder("a1"), lease);
         (vec![condition], vec![change])
     }
     fn expiry_now(store: &mut Store) -> Sent {
-        let (condition, change) = expiry(store.stamp(LEADER));
+        let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
@@ -107,14 +107,14 @@
     }
     fn again(store: &mut Store) {
         store.drop_leases();
-        lead(store, "a1");
+        take_lease(store, "a1");
     }
-    fn b_leads(store: &mut Store) {
+    fn b_holds_the_lease(store: &mut Store) {
         store.drop_leases();
-        lead(store, "b1");
+        take_lease(store, "b1");
     }
     fn b_owns(store: &mut Store) {
-        b_leads(store);
+        b_holds_the_lease(store);
         own(store, "b1").unwrap();
     }
     fn a_raises(store: &mut Store) {
@@ -127,19 +127,19 @@
     let cases: [(&str, Make, Newer, bool); 11] = [
         ("assignment, raised since", naming_now, a_raises, true),
         ("assignment, another owns since", naming_now, b_owns, true),
-        ("assignment, another leads and does not own yet", naming_now, b_leads, true),
-        ("assignment, nobody leads", naming_now, Store::drop_leases, true),
-        ("assignment, leads again and nobody has owned between", naming_now, again, true),
-        ("candidacy, another leads", candidacy_now, b_leads, true),
-        ("candidacy, nobody leads and its lease is over", candidacy_now, Store::drop_leases, true),
-        ("expiry, its successor leads", expiry_now, b_leads, true),
-        ("expiry, nobody leads", expiry_now, Store::drop_leases, true),
+        ("assignment, another holds the lease and does not own yet", naming_now, b_holds_the_lease, true),
+        ("assignment, nobody holds the lease", naming_now, Store::drop_leases, true),
+        ("assignment, takes the lease again and nobody has owned between", naming_now, again, true),
+        ("candidacy, another holds the lease", candidacy_now, b_holds_the_lease, true),
+        ("candidacy, nobody holds the lease and its lease is over", candidacy_now, Store::drop_leases, true),
+        ("expiry, its successor holds the lease", expiry_now, b_holds_the_lease, true),
+        ("expiry, nobody holds the lease", expiry_now, Store::drop_leases, true),
         ("takeover request, another owns", takeover_request_now, b_owns, true),
         ("takeover request, after another's for the same owner", takeover_request_now, b_requests_takeover, false),
     ];
     for (name, make, newer, refused) in cases {
         let mut store = Store::default();
-        lead(&mut store, "a1");
+        take_lease(&mut store, "a1");
         own(&mut store, "a1").unwrap();
         let (conditions, changes) = make(&mut store);
         newer(&mut store);
@@ -147,17 +147,17 @@
     }
 }
 
-/// An expiry leaves the lease that its leader hung on: a candidacy from before it can make that one lead once
-/// more, on a lease that nobody renews, and its successor expires it again.
+/// An expiry leaves the lease that its lease holder hung on: a candidacy from before it can make that one hold the
+/// lease once more, on a lease that nobody renews, and its successor expires it again.
 #[test]
 fn a_candidacy_after_an_expiry_leads_until_its_lease_ends_and_owns_nothing() {
     let mut store = Store::default();
     let lease = store.grant(3000, NOW).unwrap();
-    let (condition, change) = candidacy(&leader("a1"), lease);
+    let (condition, change) = candidacy(&lease_holder("a1"), lease);
     let late = ([condition], [change]);
     send(&mut store, &late.0, &late.1).unwrap();
     let token = own(&mut store, "a1").unwrap();
-    let (condition, change) = expiry(store.stamp(LEADER));
+    let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late.0, &late.1).is_some());
     let mut mirror = mirror();
@@ -169,38 +169,38 @@
 }
 
 /// A lease that is renewed late lives at most once its time longer; one that has ended stays ended, and a
-/// late release or grant touches no key of whoever leads since.
+/// late release or grant touches no key of whoever holds the lease since.
 #[test]
 fn late_calls_about_leases_move_nobody_who_leads_since() {
     let s = Duration::from_secs;
     let mut store = Store::default();
-    let (old, _) = lead(&mut store, "a1");
+    let (old, _) = take_lease(&mut store, "a1");
     store.renew(old, s(2)).unwrap();
     store.end_leases(s(4));
-    assert!(store.has(LEADER), "renewed late, once its time longer");
+    assert!(store.has(LEASE_HOLDER), "renewed late, once its time longer");
     store.end_leases(s(5));
-    assert!(!store.has(LEADER));
+    assert!(!store.has(LEASE_HOLDER));
     let lease = store.grant(3000, s(5)).unwrap();
-    let (condition, change) = candidacy(&leader("b1"), lease);
+    let (condition, change) = candidacy(&lease_holder("b1"), lease);
     let stamp = send(&mut store, &[condition], &[change]).unwrap();
     assert!(store.renew(old, s(5)).is_err() && store.release(old).is_err());
     store.grant(3000, s(5)).unwrap();
-    assert_eq!(store.stamp(LEADER), stamp);
+    assert_eq!(store.stamp(LEASE_HOLDER), stamp);
 }
 
 /// The answer to a transaction may come after the watch has told of newer ones: the mirror would never be
-/// told of those again, and this controller would own or lead for itself alone.
+/// told of those again, and this controller would own or hold the lease for itself alone.
 #[test]
 fn an_answer_that_the_watch_has_overtaken_makes_nobody_own_or_lead() {
     let mut store = Store::default();
     let mut mirror = mirror();
-    let (_, stamp) = lead(&mut store, "a1");
+    let (_, stamp) = take_lease(&mut store, "a1");
     let token = own(&mut store, "a1").unwrap();
     store.drop_leases();
     hear(&mut mirror, &store);
-    mirror.note_leader(leader("a1"), stamp);
-    assert!(mirror.leader().is_none(), "its lease has ended since");
-    lead(&mut store, "b1");
+    mirror.note_lease_holder(lease_holder("a1"), stamp);
+    assert!(mirror.lease_holder().is_none(), "its lease has ended since");
+    take_lease(&mut store, "b1");
     let newer = own(&mut store, "b1").unwrap();
     hear(&mut mirror, &store);
     assert!(!mirror.note_assignment(owner("a1"), token), "nothing to own by");
@@ -221,11 +221,11 @@
 #[test]
 fn a_page_older_than_an_assignment_deposes_nobody_and_is_put_right() {
     let mut store = Store::default();
-    lead(&mut store, "b1");
+    take_lease(&mut store, "b1");
     let before = own(&mut store, "b1").unwrap();
     let old = store.page(MIRRORED, "", 100);
     store.drop_leases();
-    lead(&mut store, "a1");
+    take_lease(&mut store, "a1");
     let mut mirror = mirror();
     hear(&mut mirror, &store);
     let mut loading = mirror.load();
@@ -236,11 +236,11 @@
     let believed = mirror.assignment().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
     assert!(before < token, "which is no newer than the token that is held");
-    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "the other seems to lead");
-    let leads = mirror.leader().map_or(0, |(_, stamp)| *stamp);
+    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "the other seems to hold the lease");
+    let leads = mirror.lease_holder().map_or(0, |(_, stamp)| *stamp);
     let (conditions, change) = naming(&owner("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
     hear(&mut mirror, &store);
     assert_eq!(mirror.assignment().map(|(_, stamp)| *stamp), Some(token));
-    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "leads and owns");
+    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "holds the lease and owns");
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! Leadership and ownership: which controller leads, and which owns teams and machines.
+//! Election and ownership: which controller holds the election lease, and which owns teams and machines.
 //!
-//! The leader's key is attached to a lease of the state service. The leader writes the assignment; the version of that
-//! key is the owner's token, which workers compare and on which every write of a placement is conditional. Clocks only
-//! decide how soon a new leader follows: a deposed owner is stopped by the version, not by the time.
+//! The lease holder's key is attached to a lease of the state service. The lease holder writes the assignment; the
+//! version of that key is the owner's token, which workers compare and on which every write of a placement is
+//! conditional. Clocks only decide how soon a new lease holder follows: a deposed owner is stopped by the version, not
+//! by the time.
 
 pub mod mesh;
 pub mod records;
@@ -20,30 +21,30 @@
 
 use tracing::{debug, info, warn};
 
-use crate::jobs::record::{ASSIGNMENT, LEADER, WATERMARK};
+use crate::jobs::record::{ASSIGNMENT, LEASE_HOLDER, WATERMARK};
 use crate::node::Node;
 use crate::store::budget::Urgent;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
 use crate::sync::lock;
-use records::{Assignment, Leader, Watermark};
+use records::{Assignment, LeaseHolder, Watermark};
 use turns::{Pace, in_turn};
-use unreadable::UnreadableLeader;
+use unreadable::UnreadableLeaseHolder;
 use watermark::Lag;
 use yielding::Yielding;
 
-/// A process ends the leadership of those before it on its address this often at the most: two controllers
+/// A process ends the election lease of those before it on its address this often at the most: two controllers
 /// that were given one name by mistake must not do so to each other for ever.
 const MOST_EXPIRED: u32 = 2;
 
-/// Stands for a leader whose key cannot be read; no incarnation is empty.
+/// Stands for a lease holder whose key cannot be read; no incarnation is empty.
 const UNREADABLE: &str = "";
 
 /// What this controller is to do next, from what it knows.
 #[derive(Debug, PartialEq, Eq)]
 enum Step {
     Wait,
-    /// The process that leads was this one's predecessor on its address, so it is gone: its leadership is
-    /// ended before its lease runs out. The same of a leader whose key cannot be read.
+    /// The process that holds the lease was this one's predecessor on its address, so it is gone: its lease is
+    /// ended before its lease runs out. The same of a lease holder whose key cannot be read.
     Expire,
     Campaign,
     Renew,
@@ -51,16 +52,16 @@
 }
 
 /// Pure, so that every combination can be tried. `predecessor`: another incarnation of this controller's
-/// name leads, or nobody whose key can be read.
+/// name holds the lease, or nobody whose key can be read.
 fn next_step(
     me: &str,
-    leader: Option<&str>,
+    lease_holder: Option<&str>,
     predecessor: bool,
     owner: Option<&str>,
     raise: bool,
     renew_due: bool,
 ) -> Step {
-    match leader {
+    match lease_holder {
         None => Step::Campaign,
         Some(l) if l != me && predecessor => Step::Expire,
         Some(l) if l != me => Step::Wait,
@@ -76,11 +77,11 @@
     assignment.is_some_and(|(owner, stamp)| owner == me && token.is_none_or(|token| token < stamp))
 }
 
-/// What this controller knows of who leads and owns at the moment it looks.
+/// What this controller knows of who holds the lease and owns at the moment it looks.
 struct View {
-    leader: Option<Leader>,
-    leader_stamp: u64,
-    unreadable_leader: Option<u64>,
+    lease_holder: Option<LeaseHolder>,
+    lease_holder_stamp: u64,
+    unreadable_lease_holder: Option<u64>,
     assignment: Option<(Assignment, u64)>,
     assignment_stamp: u64,
 }
@@ -90,32 +91,32 @@
     fn of(node: &Node) -> Option<Self> {
         let mirror = lock(&node.mirror);
         mirror.ready.then(|| Self {
-            leader: mirror.leader().map(|(leader, _)| leader.clone()),
-            leader_stamp: mirror.leader_stamp(),
-            unreadable_leader: mirror.unreadable_leader(),
+            lease_holder: mirror.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
+            lease_holder_stamp: mirror.lease_holder_stamp(),
+            unreadable_lease_holder: mirror.unreadable_lease_holder(),
             assignment: mirror.assignment().cloned(),
             assignment_stamp: mirror.assignment_stamp(),
         })
     }
 
-    /// Who leads; a name that no process has where that cannot be read.
-    fn leads(&self) -> Option<&str> {
-        let unreadable = self.unreadable_leader.map(|_| UNREADABLE);
-        self.leader.as_ref().map(|leader| leader.incarnation.as_str()).or(unreadable)
+    /// Who holds the lease; a name that no process has where that cannot be read.
+    fn lease_holder(&self) -> Option<&str> {
+        let unreadable = self.unreadable_lease_holder.map(|_| UNREADABLE);
+        self.lease_holder.as_ref().map(|lease_holder| lease_holder.incarnation.as_str()).or(unreadable)
     }
 }
 
-/// What this controller keeps of its own part in who leads.
+/// What this controller keeps of its own part in who holds the lease.
 struct Member {
     pace: Pace,
     /// The lease on which it leads, or led last.
     permit: Option<u64>,
     renewed: Instant,
     assigned_last: bool,
-    /// Predecessors whose leadership it has ended.
+    /// Predecessors whose election lease it has ended.
     expired: u32,
     yielding: Yielding,
-    unreadable: UnreadableLeader,
+    unreadable: UnreadableLeaseHolder,
 }
 
 impl Member {
@@ -127,11 +128,11 @@
             assigned_last: false,
             expired: 0,
             yielding: Yielding::default(),
-            unreadable: UnreadableLeader::default(),
+            unreadable: UnreadableLeaseHolder::default(),
         }
     }
 
-    /// Gives the leadership up where workers reach another controller. False if there is nothing to give up.
+    /// Gives the election lease up where workers reach another controller. False if there is nothing to give up.
     async fn yields(&mut self, node: &Node) -> bool {
         if let (Some(lease), Some(takeover_request)) = (self.permit, node.takeover_request_to_answer(Instant::now()))
             && self.yielding.begins(takeover_request, lease, Instant::now())
@@ -145,7 +146,7 @@
                 self.yielding.released(Instant::now());
             }
             Err(error) => {
-                debug!(%error, "giving up the leadership");
+                debug!(%error, "giving up the election lease");
                 tokio::time::sleep(crate::sync::jitter(self.pace.retry())).await;
             }
         }
@@ -156,12 +157,12 @@
     fn next(&mut self, node: &Node, view: &View) -> Step {
         let token = lock(&node.cluster).as_ref().map(|cluster| cluster.token);
         let assigned = view.assignment.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
-        let own_name = view.leader.as_ref().is_some_and(|leader| leader.node == node.settings.node);
-        let nobody = self.unreadable.expires(view.unreadable_leader, self.pace.life, Instant::now());
+        let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
+        let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
         let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
         let step = next_step(
             &node.incarnation,
-            view.leads(),
+            view.lease_holder(),
             nobody || (own_name && self.expired < MOST_EXPIRED),
             assigned.map(|(owner, _)| owner),
             node.raise_wanted() || unheard(&node.incarnation, assigned, token),
@@ -175,8 +176,8 @@
         match step {
             Step::Wait => Ok(()),
             Step::Expire => {
-                expire(node, view.leader_stamp).await?;
-                self.expired += u32::from(view.unreadable_leader.is_none());
+                expire(node, view.lease_holder_stamp).await?;
+                self.expired += u32::from(view.unreadable_lease_holder.is_none());
                 Ok(())
             }
             Step::Campaign => {
@@ -186,7 +187,7 @@
             }
             Step::Renew => self.renew(node).await,
             Step::Assign => {
-                let assigning = assign(node, view.leader_stamp, view.assignment_stamp);
+                let assigning = assign(node, view.lease_holder_stamp, view.assignment_stamp);
                 let outcome = tokio::time::timeout(self.pace.assign_within(), assigning).await;
                 outcome.unwrap_or(Err(StoreError::Unanswered))
             }
@@ -198,7 +199,7 @@
         let alive = node.store.renew(lease).await?;
         self.renewed = Instant::now();
         if !alive {
-            info!("leadership lost: its lease has ended");
+            info!("election lease lost: it has ended");
             self.permit = None;
         }
         Ok(())
@@ -207,7 +208,7 @@
 
 /// Leads, or waits until it can, for ever.
 pub async fn run(node: Arc<Node>) {
-    let mut member = Member::new(node.properties.leader_lease);
+    let mut member = Member::new(node.properties.election_lease);
     let mut lag = Lag::default();
     loop {
         let _ = tokio::time::timeout(member.pace.look_every(), node.wake.membership.notified()).await;
@@ -216,7 +217,7 @@
         if member.yields(&node).await {
             continue;
         }
-        if view.leads().is_none() && member.yielding.stands_back(Instant::now()) {
+        if view.lease_holder().is_none() && member.yielding.stands_back(Instant::now()) {
             continue;
         }
         let step = member.next(&node, &view);
@@ -244,24 +245,24 @@
     }
 }
 
-/// Who leads decides how soon there is an owner and nothing else: the assignment stands until a new leader
-/// writes the next one, and whatever its owner has sent is judged by that.
+/// Who holds the lease decides how soon there is an owner and nothing else: the assignment stands until a new lease
+/// holder writes the next one, and whatever its owner has sent is judged by that.
 pub(crate) fn expiry(stamp: u64) -> (Condition, Change) {
-    (Condition::at(LEADER, stamp), Change::Drop { drop: LEADER.into() })
+    (Condition::at(LEASE_HOLDER, stamp), Change::Drop { drop: LEASE_HOLDER.into() })
 }
 
 async fn expire(node: &Node, stamp: u64) -> Result<(), StoreError> {
     let (condition, change) = expiry(stamp);
     let outcome = node.store.txn(&[condition], &[change], Urgent::First).await?;
-    info!(?outcome, "its predecessor led, or nobody whose key can be read: that is over");
+    info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
     node.fresh.wait().await;
     Ok(())
 }
 
-/// Leadership for whoever finds none, on its lease.
-pub(crate) fn candidacy(me: &Leader, lease: u64) -> (Condition, Change) {
+/// The election lease for whoever finds none.
+pub(crate) fn candidacy(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
     let value = serde_json::to_value(me).unwrap_or_default();
-    (Condition::absent(LEADER), Change::Write { write: LEADER.into(), value, permit: Some(lease) })
+    (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
 }
 
 async fn campaign(node: &Node, permit: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
@@ -270,12 +271,12 @@
         _ => node.store.grant(life).await?,
     };
     *permit = Some(lease);
-    let me = Leader { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
+    let me = LeaseHolder { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
     let (condition, change) = candidacy(&me, lease);
     match node.store.txn(&[condition], &[change], Urgent::First).await? {
         TxnOutcome::Applied(stamp) => {
             info!(stamp, "leads");
-            lock(&node.mirror).note_leader(me, stamp);
+            lock(&node.mirror).note_lease_holder(me, stamp);
             node.wake.membership.notify_one();
         }
         TxnOutcome::Failed(_) => {
@@ -286,21 +287,21 @@
     Ok(())
 }
 
-/// An owner, named by whoever leads and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(owner: &Assignment, leader_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
+/// An owner, named by whoever holds the lease and on what it has read: nobody else may have been named since.
+pub(crate) fn naming(owner: &Assignment, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
     let change = Change::write(ASSIGNMENT, serde_json::to_value(owner).unwrap_or_default());
-    ([Condition::at(LEADER, leader_stamp), Condition::at(ASSIGNMENT, stamp)], change)
+    ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(ASSIGNMENT, stamp)], change)
 }
 
 /// Writes this controller as owner. Done again, it raises the token: every command given under
 /// the older one is dead wherever the new one has been seen.
-async fn assign(node: &Arc<Node>, leader_stamp: u64, stamp: u64) -> Result<(), StoreError> {
+async fn assign(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
     let record = Assignment {
         node: node.settings.node.clone(),
         incarnation: node.incarnation.clone(),
         teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
     };
-    let (conditions, change) = naming(&record, leader_stamp, stamp);
+    let (conditions, change) = naming(&record, lease_holder_stamp, stamp);
     match node.store.txn(&conditions, &[change], Urgent::First).await? {
         TxnOutcome::Applied(token) => {
             if lock(&node.mirror).note_assignment(record, token) {
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,14 +1,14 @@
-//! Values stored for leadership and ownership: the leader, the assignment, the watermark and takeover requests.
+//! Values stored for the election and ownership: the lease holder, the assignment, the watermark and takeover requests.
 
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::record::{ASSIGNMENT, TAKEOVER_REQUEST};
 use crate::store::{Change, Condition};
 
-/// Value of the leader's key, which lives as long as the leader's lease in the state service.
+/// Value of the lease holder's key, which lives as long as the election lease in the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Leader {
-    /// Name of the controller that leads.
+pub struct LeaseHolder {
+    /// Name of the controller that holds the lease.
     pub node: String,
     /// The leading process ([`Node::incarnation`](crate::node::Node)).
     pub incarnation: String,
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -2,7 +2,7 @@
 //!
 //! A controller that gets no answer from the state service cannot tell whether the others get one. If none does,
 //! nobody else can become owner, and workers should stay where they are. If some do, another controller becomes owner
-//! after the leader's lease, and an answer 200 from this one only keeps workers from it. What the others report tells
+//! after the election lease, and an answer 200 from this one only keeps workers from it. What the others report tells
 //! the two cases apart. A controller that hears from nobody answers less and less, and holds only workers that come
 //! back after it has sent them away.
 
@@ -57,11 +57,11 @@
         Self { proof: longer(5), refused: longer(2), answering: Duration::from_secs(2) }
     }
 
-    /// Until workers are let go: another may own once the leader's lease is over, and a proof may be late by
+    /// Until workers are let go: another may own once the election lease is over, and a proof may be late by
     /// its own pause and one answer that never came.
-    pub fn of_ownership(leader_lease: Duration) -> Self {
-        let proof = leader_lease.max(Duration::from_secs(2)) + Duration::from_secs(3);
-        Self { proof, refused: proof, answering: leader_lease }
+    pub fn of_ownership(election_lease: Duration) -> Self {
+        let proof = election_lease.max(Duration::from_secs(2)) + Duration::from_secs(3);
+        Self { proof, refused: proof, answering: election_lease }
     }
 }
 
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -16,7 +16,7 @@
         ("all well, the others are ended", Some(1), 0, 0, None, Sound, Sound),
         ("refused for a moment", Some(1), 1, 2, Some(99), Sound, Sound),
         ("refused, the others are not", Some(3), 3, 2, Some(99), Passed, Sound),
-        ("for longer than the leader's lease", Some(7), 7, 2, Some(99), Passed, Passed),
+        ("for longer than the election lease", Some(7), 7, 2, Some(99), Passed, Passed),
         ("served, but cannot prove anything", Some(5), 0, 2, Some(99), Passed, Sound),
         ("the same, for longer", Some(6), 0, 2, Some(99), Passed, Passed),
         ("back from a process pause", None, 0, 2, Some(99), Passed, Passed),
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -4,24 +4,24 @@
 
 #[test]
 fn steps_by_cases() {
-    for (name, leader, predecessor, owner, raise, due, want) in [
-        ("nobody leads", None, false, Some("b"), false, false, Step::Campaign),
-        ("another leads", Some("b"), false, Some("b"), true, true, Step::Wait),
-        ("its predecessor leads", Some("a0"), true, Some("a0"), false, true, Step::Expire),
-        ("its predecessor leads, another owns", Some("a0"), true, Some("b"), false, false, Step::Expire),
-        ("its predecessor owned, another leads", Some("b"), false, Some("a0"), false, false, Step::Wait),
-        ("leads, another owns", Some("a"), true, Some("b"), false, true, Step::Assign),
-        ("leads, nobody owns", Some("a"), true, None, false, false, Step::Assign),
+    for (name, lease_holder, predecessor, owner, raise, due, want) in [
+        ("nobody holds the lease", None, false, Some("b"), false, false, Step::Campaign),
+        ("another holds the lease", Some("b"), false, Some("b"), true, true, Step::Wait),
+        ("its predecessor holds the lease", Some("a0"), true, Some("a0"), false, true, Step::Expire),
+        ("its predecessor holds the lease, another owns", Some("a0"), true, Some("b"), false, false, Step::Expire),
+        ("its predecessor owned, another holds the lease", Some("b"), false, Some("a0"), false, false, Step::Wait),
+        ("holds the lease, another owns", Some("a"), true, Some("b"), false, true, Step::Assign),
+        ("holds the lease, nobody owns", Some("a"), true, None, false, false, Step::Assign),
         ("token to raise", Some("a"), true, Some("a"), true, false, Step::Assign),
         ("renewal due", Some("a"), true, Some("a"), false, true, Step::Renew),
         ("all well", Some("a"), true, Some("a"), false, false, Step::Wait),
     ] {
-        assert_eq!(next_step("a", leader, predecessor, owner, raise, due), want, "{name}");
+        assert_eq!(next_step("a", lease_holder, predecessor, owner, raise, due), want, "{name}");
     }
 }
 
-/// An assignment that was carried out and not answered left a leader that owned nothing, for as long as it led:
-/// it found itself assigned, and nothing to do.
+/// An assignment that was carried out and not answered left a lease holder that owned nothing, for as long as it held
+/// the lease: it found itself assigned, and nothing to do.
 #[test]
 fn an_assignment_that_was_not_answered_is_written_again() {
     for (name, assignment, token, want) in [
@@ -38,23 +38,25 @@
     }
 }
 
-/// Milliseconds without a leader or with one that is gone, in counted time: `a` leads, ends `since_renewal`
-/// after its last renewal and is back `away` later; `b` stands by. Every look at the store takes 20 ms, a
-/// start 150 ms.
-fn without_leader(expires: bool, away: u64, since_renewal: u64) -> u64 {
+/// Milliseconds without a lease holder or with one that is gone, in counted time: `a` holds the lease, ends
+/// `since_renewal` after its last renewal and is back `away` later; `b` stands by. Every look at the store takes 20 ms,
+/// a start 150 ms.
+fn without_lease_holder(expires: bool, away: u64, since_renewal: u64) -> u64 {
     const LIFE: u64 = 3000;
     let ms = Duration::from_millis;
-    let leader = |node: &str, incarnation: &str| Leader { node: node.into(), incarnation: incarnation.into() };
-    let led_by = |store: &Store| store.value(LEADER).map(|v| serde_json::from_value::<Leader>(v.clone()).unwrap());
+    let lease_holder =
+        |node: &str, incarnation: &str| LeaseHolder { node: node.into(), incarnation: incarnation.into() };
+    let led_by =
+        |store: &Store| store.value(LEASE_HOLDER).map(|v| serde_json::from_value::<LeaseHolder>(v.clone()).unwrap());
     let mut store = Store::default();
     let lease = store.grant(LIFE, ms(0)).unwrap();
-    let (condition, change) = candidacy(&leader("a", "a0"), lease);
+    let (condition, change) = candidacy(&lease_holder("a", "a0"), lease);
     store.apply_if(&[condition], &[change]).unwrap();
     let up = since_renewal + away + 150;
     let mut expired = None;
     for now in (since_renewal..10_000).step_by(20) {
         store.end_leases(ms(now));
-        for me in [leader("b", "b0"), leader("a", "a1")] {
+        for me in [lease_holder("b", "b0"), lease_holder("a", "a1")] {
             if me.node == "a" && now < up {
                 continue;
             }
@@ -63,7 +65,7 @@
             let found = found.map(|l| l.incarnation);
             match next_step(&me.incarnation, found.as_deref(), predecessor, Some("a0"), false, false) {
                 Step::Expire => {
-                    expired = Some(expiry(store.stamp(LEADER)));
+                    expired = Some(expiry(store.stamp(LEASE_HOLDER)));
                     let (condition, change) = expired.clone().unwrap();
                     store.apply_if(&[condition], &[change]).unwrap();
                 }
@@ -71,7 +73,7 @@
                     let lease = store.grant(LIFE, ms(now)).unwrap();
                     let (condition, change) = candidacy(&me, lease);
                     store.apply_if(&[condition], &[change]).unwrap();
-                    // A late copy of an expiry must not end whoever leads since.
+                    // A late copy of an expiry must not end whoever holds the lease since.
                     assert!(expired.is_none_or(|(c, change)| store.apply_if(&[c], &[change]).is_err()));
                     return now - since_renewal;
                 }
@@ -82,13 +84,13 @@
     u64::MAX
 }
 
-/// Back within a fraction of a second, a process that led need not wait for its predecessor's lease.
+/// Back within a fraction of a second, a process that held the lease need not wait for its predecessor's lease.
 #[test]
-fn a_leader_that_is_back_at_once_is_replaced_at_once() {
+fn a_lease_holder_that_is_back_at_once_is_replaced_at_once() {
     let mut saved = Vec::new();
     for away in [50, 100, 200, 500] {
         for since_renewal in [0, 400, 740] {
-            let [with, without] = [true, false].map(|expires| without_leader(expires, away, since_renewal));
+            let [with, without] = [true, false].map(|expires| without_lease_holder(expires, away, since_renewal));
             assert!(with <= away + 150 + 60, "{with} ms after {away}");
             saved.push(without - with);
         }
--- a/src/membership/turns.rs
+++ b/src/membership/turns.rs
@@ -1,4 +1,5 @@
-//! How the leader's steps share the time of its lease, so that writing an assignment never keeps it from renewing.
+//! How the lease holder's steps share the time of its lease, so that writing an assignment never keeps it from
+//! renewing.
 //!
 //! An assignment that gets no answer in time is written again; repeated without a pause, this would let the lease end.
 //! So each try may take a part of the lease only, and a renewal that is due goes next: the lease ends only if renewals
@@ -16,7 +17,7 @@
 const RETRY: Duration = Duration::from_millis(150);
 const RETRY_PART: u32 = 20;
 
-/// How long this leader's steps may take, by the life of its lease.
+/// How long this lease holder's steps may take, by the life of its lease.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     pub life: Duration,
--- a/src/membership/turns/tests.rs
+++ b/src/membership/turns/tests.rs
@@ -6,7 +6,7 @@
 /// An answer of the store that is slow and comes.
 const SLOW_ANSWER: Duration = Duration::from_millis(30);
 
-/// The longest time between two renewals of a leader that is to assign and never gets an answer, each step and
+/// The longest time between two renewals of a lease holder that is to assign and never gets an answer, each step and
 /// pause taking as long as it may.
 fn longest_without_renewal(pace: Pace) -> Duration {
     let (mut now, mut renewed, mut longest) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
@@ -23,13 +23,13 @@
                 longest = longest.max(now - renewed);
                 renewed = now;
             }
-            other => panic!("{other:?} of a leader that is to assign"),
+            other => panic!("{other:?} of a lease holder that is to assign"),
         }
     }
     longest.max(now - renewed)
 }
 
-/// A run of assignments without an answer cost the leader its lease, and the work a change of owner.
+/// A run of assignments without an answer cost the lease holder its lease, and the work a change of owner.
 #[test]
 fn assignments_without_an_answer_cost_no_lease() {
     for life_ms in [500, 1000, 3000, 10_000, 600_000] {
@@ -45,9 +45,9 @@
         ("a first assignment goes at once", Step::Assign, false, true, Step::Assign),
         ("a second one waits for a renewal", Step::Assign, true, true, Step::Renew),
         ("a second one, and none is due", Step::Assign, true, false, Step::Assign),
-        ("nothing is led", Step::Campaign, true, true, Step::Campaign),
-        ("another leads", Step::Wait, true, true, Step::Wait),
-        ("its predecessor leads", Step::Expire, true, true, Step::Expire),
+        ("nobody holds the lease", Step::Campaign, true, true, Step::Campaign),
+        ("another holds the lease", Step::Wait, true, true, Step::Wait),
+        ("its predecessor holds the lease", Step::Expire, true, true, Step::Expire),
     ] {
         assert_eq!(in_turn(step, assigned_last, due), want, "{name}");
     }
--- a/src/membership/unreadable/tests.rs
+++ b/src/membership/unreadable/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_leader_that_cannot_be_read_gets_its_lease_and_no_more() {
+fn a_lease_holder_that_cannot_be_read_gets_its_lease_and_no_more() {
     let start = Instant::now();
     let second = Duration::from_secs;
-    let mut unreadable = UnreadableLeader::default();
+    let mut unreadable = UnreadableLeaseHolder::default();
     for (at, stamp, want) in [
         (0, None, false),
         (1, Some(5), false),
--- a/src/membership/yielding.rs
+++ b/src/membership/yielding.rs
@@ -1,4 +1,4 @@
-//! When a leader steps down because workers reach another controller and not this one.
+//! When a lease holder steps down because workers reach another controller and not this one.
 //!
 //! A takeover request is answered once: it stays in the store, and names the owner until another one is assigned. A
 //! release that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
@@ -8,7 +8,7 @@
 
 /// After yielding, the others get this long to take over before this controller tries again.
 const BACK_OFF: Duration = Duration::from_secs(10);
-/// Whoever leads again since nobody else did does not yield again before this: it would only cost time.
+/// Whoever holds the lease again since nobody else did does not yield again before this: it would only cost time.
 const YIELD_GAP: Duration = Duration::from_secs(60);
 
 /// What a controller remembers of its yields.
@@ -46,7 +46,7 @@
         self.back_off_until = Some(now + BACK_OFF);
     }
 
-    /// Whether the leadership is left to the others.
+    /// Whether the election lease is left to the others.
     pub fn stands_back(&self, now: Instant) -> bool {
         self.lease.is_some() || self.back_off_until.is_some_and(|until| now < until)
     }
--- a/src/membership/yielding/tests.rs
+++ b/src/membership/yielding/tests.rs
@@ -6,8 +6,8 @@
     start + Duration::from_secs(second)
 }
 
-/// Nobody else leads after a yield, and the takeover request stays: it was yielded to again every few seconds, for
-/// ever.
+/// Nobody else holds the lease after a yield, and the takeover request stays: it was yielded to again every few
+/// seconds, for ever.
 #[test]
 fn a_takeover_request_that_stays_is_answered_once() {
     let start = Instant::now();
@@ -22,8 +22,8 @@
     assert_eq!(yields, 1);
 }
 
-/// Takeover requests go on every 3 s while nobody else leads: a yield a minute at the most, and the leadership is held
-/// between.
+/// Takeover requests go on every 3 s while nobody else holds the lease: a yield a minute at the most, and the election
+/// lease is held between.
 #[test]
 fn takeover_requests_that_go_on_cost_a_yield_a_minute() {
     let start = Instant::now();
@@ -40,7 +40,7 @@
     assert!(away <= 30, "{away} s of 180 without it");
 }
 
-/// A release without an answer may have been carried out: the leadership is not taken up again before an answer
+/// A release without an answer may have been carried out: the election lease is not taken up again before an answer
 /// and the time of the others after it.
 #[test]
 fn a_release_without_an_answer_is_asked_for_again_and_nothing_else() {
--- a/src/node.rs
+++ b/src/node.rs
@@ -47,7 +47,7 @@
 /// Who is to look again because something changed.
 #[derive(Default)]
 pub struct Wake {
-    /// Wakes `membership`: ownership, the leader or this process's own proofs may have changed.
+    /// Wakes `membership`: ownership, the lease holder or this process's own proofs may have changed.
     pub membership: Notify,
     /// Wakes placement (`scheduling`): reports, jobs or what is stored changed.
     pub plan: Notify,
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -19,7 +19,7 @@
             self.fresh.wanted.notify_one();
         }
         let Some(pause) = pause else { return };
-        let void = pause.void(self.properties.leader_lease);
+        let void = pause.void(self.properties.election_lease);
         warn!(pause_s = pause.length().as_secs_f64(), ownership_open = void.ownership, "process was paused");
         if void.ownership {
             self.unproven.store(true, Ordering::Relaxed);
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -100,7 +100,7 @@
     /// The node that workers should report to, as far as known here.
     pub fn owner_node(&self) -> Option<String> {
         let mirror = lock(&self.mirror);
-        mirror.leader()?;
+        mirror.lease_holder()?;
         mirror.assignment().map(|(a, _)| a.node.clone())
     }
 }
--- a/src/node/serving_state.rs
+++ b/src/node/serving_state.rs
@@ -42,7 +42,7 @@
 
     /// Whether what is known here of who owns may be acted on towards workers.
     pub fn knows_owner(&self, now: Instant) -> bool {
-        self.observations(now).serving_state(Patience::of_ownership(self.properties.leader_lease)).speaks()
+        self.observations(now).serving_state(Patience::of_ownership(self.properties.election_lease)).speaks()
     }
 
     /// Whether this machine is held by an owner that may be one no more (`membership::serving_state`).
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -32,7 +32,7 @@
 /// What of all that was judged before a pause is void after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Void {
-    /// Whether this controller still leads and owns has to be proven before it acts or answers.
+    /// Whether this controller still holds the lease and owns has to be proven before it acts or answers.
     pub ownership: bool,
     /// Questions that lie in the sockets were given up by those who asked.
     pub questions: bool,
@@ -46,9 +46,9 @@
 
     /// Proofs of freshness, silence and idleness of machines are void after any pause; this is what
     /// depends on its length.
-    pub fn void(&self, leader_lease: Duration) -> Void {
+    pub fn void(&self, election_lease: Duration) -> Void {
         // The lease was renewed up to a quarter of it before the pause began.
-        Void { ownership: self.length() >= leader_lease.mul_f64(0.75), questions: self.length() >= ASKED_FOR }
+        Void { ownership: self.length() >= election_lease.mul_f64(0.75), questions: self.length() >= ASKED_FOR }
     }
 
     /// A moment before the pause, as one judges by how long ago it was for a process that was there.
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -107,7 +107,7 @@
 
     /// How long after the load an earlier owner's tasks may run on a machine that is not known here.
     pub(super) fn rest(&self) -> Duration {
-        let answers = self.properties.leader_lease.max(PROOF_EVERY) + ANSWERS_AFTER_LEASE;
+        let answers = self.properties.election_lease.max(PROOF_EVERY) + ANSWERS_AFTER_LEASE;
         answers + self.settings.params.workers.lease() + MARGIN
     }
 
--- a/src/scheduling/interleavings/world.rs
+++ b/src/scheduling/interleavings/world.rs
@@ -28,7 +28,7 @@
     pub(super) owner: usize,
     /// Who came back at the address of a process that was ended.
     pub(super) reborn: HashMap<usize, usize>,
-    /// The lease of an ended leader runs until then.
+    /// The lease of an ended lease holder runs until then.
     pub(super) owns_from: Instant,
     pub(super) messages: Vec<(Instant, Message)>,
     /// Direct commands that were answered or given up, whichever came first.
--- a/src/scheduling/tests/unreadable_chunks.rs
+++ b/src/scheduling/tests/unreadable_chunks.rs
@@ -6,7 +6,7 @@
 use crate::jobs::record::Stored;
 use crate::wire::workers::Cause;
 
-/// Past any rest, by the example's settings and the default lease of a leader.
+/// Past any rest, by the example's settings and the default election lease.
 const PAST_THE_REST: f64 = 120.0;
 /// Where the attempts of tasks that were hidden begin, at the least.
 const HIDDEN_ATTEMPTS: u64 = 1 << 32;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -36,15 +36,15 @@
         check_teams(params)
     }
 
-    /// Whether the operators' own settings keep the times that the platform sets: where the end of a leader
+    /// Whether the operators' own settings keep the times that the platform sets: where the end of a lease holder
     /// outlasts the leases of workers, it costs all that runs.
     pub fn check_with(&self, properties: &Properties) -> Result<(), String> {
         let workers = &self.params.workers;
-        let leader_lease = properties.leader_lease.as_secs_f64();
+        let election_lease = properties.election_lease.as_secs_f64();
         let most = workers.lease_s - workers.report_s * LONGEST_REPORT;
-        if leader_lease > most {
+        if election_lease > most {
             return Err(format!(
-                "leader.lease.seconds: {leader_lease} is above {most}, which is lease_s without the longest pause \
+                "leader.lease.seconds: {election_lease} is above {most}, which is lease_s without the longest pause \
                  between two reports: workers would lose their work before another controller leads"
             ));
         }
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -51,8 +51,8 @@
 }
 
 properties! {
-    /// Seconds after which an unrenewed leadership ends and another controller takes over.
-    leader_lease: seconds = 3.0, "leader.lease.seconds", 0.5, 600.0;
+    /// Seconds after which an unrenewed election lease ends and another controller takes over.
+    election_lease: seconds = 3.0, "leader.lease.seconds", 0.5, 600.0;
     /// Deadline of a job without one, in estimates.
     soft_deadline: number = 4.0, "sla.soft.deadline.estimates", 1.0, 100.0;
     /// Seconds without a report after which a machine is given up and returned.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -93,9 +93,9 @@
     assert_eq!(Settings::parse(&alone).unwrap().params.size, None, "a platform that does not say");
 }
 
-/// An end of the leader that outlasts the leases of workers costs all that runs.
+/// An end of the lease holder that outlasts the leases of workers costs all that runs.
 #[test]
-fn the_lease_of_the_leader_is_held_against_that_of_workers() {
+fn the_election_lease_is_held_against_that_of_workers() {
     for (text, refused) in [
         ("", false),
         ("leader.lease.seconds=20.25", false),
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -16,10 +16,10 @@
 use crate::fleet::orders::{CloudOrder, What, clean_up};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
-use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, Stored, chunk_key, old_job_key, open_key};
+use crate::jobs::record::{ASSIGNMENT, JobRecord, LEASE_HOLDER, Stored, chunk_key, old_job_key, open_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::membership::records::{Assignment, Leader, TakeoverRequest};
+use crate::membership::records::{Assignment, LeaseHolder, TakeoverRequest};
 use crate::membership::{candidacy, expiry, naming};
 use crate::scheduling::cluster::ChunkWrite;
 
@@ -81,13 +81,13 @@
 
     fn own(&mut self, name: &'static str) -> u64 {
         let me = Assignment { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
-        let (conditions, change) = naming(&me, self.store.stamp(LEADER), self.store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&me, self.store.stamp(LEASE_HOLDER), self.store.stamp(ASSIGNMENT));
         self.send(name, conditions, [change])
     }
 
-    fn lead(&mut self, name: &'static str) {
+    fn take_lease(&mut self, name: &'static str) {
         let lease = self.store.grant(3000, std::time::Duration::ZERO).unwrap();
-        let me = Leader { node: "a".into(), incarnation: name.into() };
+        let me = LeaseHolder { node: "a".into(), incarnation: name.into() };
         let (condition, change) = candidacy(&me, lease);
         self.send(name, [condition], [change]);
     }
@@ -113,7 +113,7 @@
 fn every_late_copy_is_refused_or_changes_nothing() {
     let mut life = Life::default();
     let jobs: Vec<Arc<JobRecord>> = (1..=4).map(record).collect();
-    life.lead("a leads");
+    life.take_lease("a holds the lease");
     let token = life.own("a owns");
     // An earlier build's job, taken over.
     let old = serde_json::to_value(&*jobs[3]).unwrap();
@@ -171,10 +171,10 @@
 
     let token = life.own("a owns under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
-    life.sent.retain(|(name, ..)| *name != "a leads");
-    let (condition, change) = expiry(life.store.stamp(LEADER));
+    life.sent.retain(|(name, ..)| *name != "a holds the lease");
+    let (condition, change) = expiry(life.store.stamp(LEASE_HOLDER));
     life.send("expiry", [condition], [change]);
-    life.lead("b leads");
+    life.take_lease("b holds the lease");
     life.own("b owns");
     life.taken.clear();
     let third = life.store.stamp(ASSIGNMENT);
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -17,14 +17,14 @@
 use crate::declared::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
-use crate::jobs::record::{ASSIGNMENT, JobRecord, LEADER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
-use crate::membership::records::{Assignment, Leader, TakeoverRequest, Watermark};
+use crate::jobs::record::{ASSIGNMENT, JobRecord, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::membership::records::{Assignment, LeaseHolder, TakeoverRequest, Watermark};
 
 /// Descriptions kept of jobs that are over: about half a KiB each.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 
 /// One key with its version. What cannot be read is there all the same, and is written over by its version:
-/// taken for absent, it would keep everybody from leading and owning for ever.
+/// taken for absent, it would keep everybody from taking the lease and owning for ever.
 #[derive(Debug, Default)]
 enum Slot<T> {
     #[default]
@@ -59,7 +59,7 @@
 /// The few keys that are not jobs.
 #[derive(Debug, Default)]
 struct Control {
-    leader: Slot<Leader>,
+    lease_holder: Slot<LeaseHolder>,
     assignment: Slot<Assignment>,
     takeover_request: Slot<TakeoverRequest>,
     watermark: Option<Watermark>,
@@ -70,7 +70,7 @@
     /// False if the key is none of these.
     fn put(&mut self, path: &str, value: &Value, stamp: u64) -> bool {
         match path {
-            LEADER => self.leader = Slot::of(path, value, stamp),
+            LEASE_HOLDER => self.lease_holder = Slot::of(path, value, stamp),
             ASSIGNMENT => self.assignment = Slot::of(path, value, stamp),
             TAKEOVER_REQUEST => self.takeover_request = Slot::of(path, value, stamp),
             WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, stamp)),
@@ -83,7 +83,7 @@
 
     fn drop(&mut self, path: &str) -> bool {
         match path {
-            LEADER => self.leader = Slot::Absent,
+            LEASE_HOLDER => self.lease_holder = Slot::Absent,
             ASSIGNMENT => self.assignment = Slot::Absent,
             TAKEOVER_REQUEST => self.takeover_request = Slot::Absent,
             WATERMARK => self.watermark = None,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Open jobs, the keys of leadership and ownership, and what is declared, as of one revision of the store.
+/// Open jobs, the keys of the election lease and of ownership, and what is declared, as of one revision of the store.
 #[derive(Debug)]
 pub struct Mirror {
     /// Everything stored up to this revision is included; 0 before the first reading.
@@ -142,7 +142,7 @@
     pub opened: Vec<JobId>,
     /// Jobs that were open and have ended.
     pub ended: Vec<JobId>,
-    /// One of the keys of leadership or ownership changed, or the mirror was read anew.
+    /// One of the keys of the election lease or of ownership changed, or the mirror was read anew.
     pub ownership: bool,
     /// A spec or a status changed.
     pub declared: bool,
@@ -233,19 +233,19 @@
         self.ended.len()
     }
 
-    /// The leader and the version of its key; none if nobody leads or the value cannot be read.
-    pub fn leader(&self) -> Option<&(Leader, u64)> {
-        self.control.leader.value()
+    /// The lease holder and the version of its key; none if nobody holds the lease or the value cannot be read.
+    pub fn lease_holder(&self) -> Option<&(LeaseHolder, u64)> {
+        self.control.lease_holder.value()
     }
 
-    /// The version of the leader's key, readable or not; 0 if nobody leads.
-    pub fn leader_stamp(&self) -> u64 {
-        self.control.leader.stamp()
+    /// The version of the lease holder's key, readable or not; 0 if nobody holds the lease.
+    pub fn lease_holder_stamp(&self) -> u64 {
+        self.control.lease_holder.stamp()
     }
 
-    /// The version of a leader's key that cannot be read.
-    pub fn unreadable_leader(&self) -> Option<u64> {
-        match self.control.leader {
+    /// The version of a lease holder's key that cannot be read.
+    pub fn unreadable_lease_holder(&self) -> Option<u64> {
+        match self.control.lease_holder {
             Slot::Unreadable(stamp) => Some(stamp),
             Slot::Absent | Slot::Read(_) => None,
         }
@@ -286,11 +286,11 @@
         self.control.upgraded.is_none_or(|u| u.old_kept)
     }
 
-    /// This controller has itself been seen to lead, ahead of its watch. Where the watch has told of that
+    /// This controller has itself been seen to hold the lease, ahead of its watch. Where the watch has told of that
     /// moment, and so of what came after it, the watch is right: it would not tell of it again.
-    pub fn note_leader(&mut self, leader: Leader, stamp: u64) {
+    pub fn note_lease_holder(&mut self, lease_holder: LeaseHolder, stamp: u64) {
         if stamp > self.revision {
-            self.control.leader = Slot::Read((leader, stamp));
+            self.control.lease_holder = Slot::Read((lease_holder, stamp));
         }
     }
 
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -143,7 +143,9 @@
                 let open = mirror.open_jobs().count();
                 assert!(mirror.ready && open == 2, "{path} {value}: {open} jobs are read");
                 assert!(
-                    mirror.leader().is_none() && mirror.assignment().is_none() && mirror.takeover_request().is_none()
+                    mirror.lease_holder().is_none()
+                        && mirror.assignment().is_none()
+                        && mirror.takeover_request().is_none()
                 );
                 assert!(mirror.watermark().is_none(), "{path} {value}");
             }
@@ -152,18 +154,24 @@
 }
 
 /// A key that cannot be read has a version all the same, by which it is written over: taken for absent, nobody
-/// could lead or own any more.
+/// take the lease or own any more.
 #[test]
-fn unreadable_leaders_and_owners_are_known_by_their_version() {
+fn unreadable_lease_holders_and_owners_are_known_by_their_version() {
     let mut mirror = Mirror::default();
     read_whole(&mut mirror, vec![]);
-    assert_eq!((mirror.leader_stamp(), mirror.assignment_stamp(), mirror.unreadable_leader()), (0, 0, None));
+    assert_eq!(
+        (mirror.lease_holder_stamp(), mirror.assignment_stamp(), mirror.unreadable_lease_holder()),
+        (0, 0, None)
+    );
     mirror.apply(&followed(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
-    assert_eq!((mirror.leader_stamp(), mirror.assignment_stamp(), mirror.unreadable_leader()), (3, 4, Some(3)));
-    let leader = json!({"node": "a", "incarnation": "1", "later": true});
-    mirror.apply(&followed(vec![written("c/leader", leader, 5)], 5));
     assert_eq!(
-        (mirror.leader_stamp(), mirror.unreadable_leader()),
+        (mirror.lease_holder_stamp(), mirror.assignment_stamp(), mirror.unreadable_lease_holder()),
+        (3, 4, Some(3))
+    );
+    let lease_holder = json!({"node": "a", "incarnation": "1", "later": true});
+    mirror.apply(&followed(vec![written("c/leader", lease_holder, 5)], 5));
+    assert_eq!(
+        (mirror.lease_holder_stamp(), mirror.unreadable_lease_holder()),
         (5, None),
         "fields of a later build are passed over"
     );
--- a/tests/late_transactions.rs
+++ b/tests/late_transactions.rs
@@ -11,7 +11,7 @@
 use stand_in::{Controller, ENDLESS, ask, job, open_world, settings, until, upload};
 use tokio::runtime::Runtime;
 
-/// The first three transactions of a new store say what was taken over, who leads and who owns. A controller
+/// The first three transactions of a new store say what was taken over, who holds the lease and who owns. A controller
 /// that did not hear of the third was assigned for as long as it lived, and owned nothing.
 #[test]
 fn an_owner_that_never_heard_of_its_assignment_owns() {
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -21,7 +21,7 @@
 
 const ASSIGNMENT: &str = "c/owner/0";
 
-/// A leader's lease that outlives an answer that is waited for.
+/// An election lease that outlives an answer that is waited for.
 const LONG_LEASE_S: u64 = 10;
 /// A takeover is to come soon.
 const SHORT_LEASE_S: u64 = 3;
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -94,7 +94,7 @@
         Self::start_with(world, settings, "")
     }
 
-    /// The same, with more properties than a leader's lease of a second.
+    /// The same, with more properties than an election lease of a second.
     pub fn start_with(world: &Arc<World>, settings: &Value, properties: &str) -> Self {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
         let settings = Settings::parse(&settings.to_string()).unwrap();
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -53,7 +53,7 @@
     job
 }
 
-/// The owner and another controller, which do not hear each other, and how long a leader's lease is.
+/// The owner and another controller, which do not hear each other, and how long an election lease is.
 pub fn stage(lease_s: u64) -> (Stage, Controller, Controller) {
     stage_among(&["node-a", "node-b"], lease_s)
 }
--- a/tests/unheard_withdrawals.rs
+++ b/tests/unheard_withdrawals.rs
@@ -22,7 +22,7 @@
 }
 
 /// Two controllers that do not hear each other, and a job of three endless tasks that the first owns and runs.
-/// A lease of the leader of ten seconds: nobody else comes to own within these tests unless its holder ends.
+/// An election lease of ten seconds: nobody else comes to own within these tests unless its holder ends.
 fn stage() -> Stage {
     let outside = Runtime::new().unwrap();
     // Workers' leases outlast these tests: what is gone was stopped.
--- a/tests/unread_process_pause.rs
+++ b/tests/unread_process_pause.rs
@@ -25,7 +25,7 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert!(a.node.mirror.lock().unwrap().asking().is_none(), "nothing is read yet");
         a.node.beat(Instant::now() + Duration::from_secs(5));
-        assert!(a.node.unproven(), "it was paused for longer than a lease of the leader");
+        assert!(a.node.unproven(), "it was paused for longer than an election lease");
 
         let mut given_up = a.node.fresh.failed.subscribe();
         let until_then = Instant::now() + WATCHED;
