--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -159,7 +159,7 @@
     notes: Vec<Note>,
     /// Number of starts at the last look.
     starts_seen: usize,
-    /// The lease holder and the owner at the last look.
+    /// The lease holder and the leader at the last look.
     election_records: [String; 2],
     /// Wall-clock time at which the world began, in ms since 1970.
     begun_ms: u64,
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -14,9 +14,9 @@
 
 /// Time until a controller that is ended by a rolling restart is started again.
 const RESTART_AFTER: Duration = Duration::from_secs(1);
-/// Keys of the lease holder, and of the owner of the only partition.
+/// Keys of the lease holder, and of the leader of the only partition.
 const LEASE_HOLDER: &str = "c/leader";
-const OWNER: &str = "c/owner/0";
+const LEADER: &str = "c/owner/0";
 
 /// The end of a fault, or the later part of one.
 pub(super) enum Undo {
@@ -48,23 +48,23 @@
 
 impl Rehearsal {
     /// Number of the controller that schedules.
-    fn owner(&self) -> usize {
+    fn leader(&self) -> usize {
         let state = lock(&self.world.state);
-        let owner = state.store.value(OWNER).and_then(|v| v["node"].as_str()).unwrap_or_default();
-        owner.strip_prefix("node-").and_then(|n| n.parse().ok()).unwrap_or(0)
+        let leader = state.store.value(LEADER).and_then(|v| v["node"].as_str()).unwrap_or_default();
+        leader.strip_prefix("node-").and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
-    /// The records of the lease holder and of the owner, as they are stored.
+    /// The records of the lease holder and of the leader, as they are stored.
     pub(super) fn election_records(&self) -> [String; 2] {
         let state = lock(&self.world.state);
-        [LEASE_HOLDER, OWNER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
+        [LEASE_HOLDER, LEADER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
     }
 
     /// Numbers of the controllers meant.
     fn controllers_meant(&self, who: Who) -> Vec<usize> {
         match who {
             Who::All => (0..self.controllers.count()).collect(),
-            Who::Owner => vec![self.owner()],
+            Who::Leader => vec![self.leader()],
             Who::Number(n) => vec![n].into_iter().filter(|n| *n < self.controllers.count()).collect(),
         }
     }
@@ -82,7 +82,7 @@
             Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.holders().next().is_some()),
             Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
             Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost > 0,
-            // Somebody led, and now nobody or another does; or who holds the lease does not own yet.
+            // Somebody led, and now nobody or another does; or who holds the lease does not lead yet.
             Condition::Election => {
                 !self.election_records[0].is_empty() && self.election_records() != self.election_records
             }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -18,7 +18,7 @@
     /// The controller of this number, from 0.
     Number(usize),
     /// The controller that schedules at the moment of the fault.
-    Owner,
+    Leader,
     /// All controllers.
     All,
 }
@@ -123,7 +123,7 @@
     JustPlaced,
     /// A write was acknowledged and not applied.
     AcknowledgedOnly,
-    /// The lease holder or the owner has changed or is missing.
+    /// The lease holder or the leader has changed or is missing.
     Election,
 }
 
@@ -234,7 +234,7 @@
         return Ok(Who::Number(usize::try_from(n).map_err(|_| format!("controller {n}"))?));
     }
     match value.clone().into_string().unwrap_or_default().as_str() {
-        "owner" => Ok(Who::Owner),
+        "owner" => Ok(Who::Leader),
         "all" => Ok(Who::All),
         other => Err(format!("{other:?} is no controller: a number from 0, \"owner\" or \"all\"").into()),
     }
--- a/src/calendar/status.rs
+++ b/src/calendar/status.rs
@@ -140,10 +140,10 @@
     pub like: JobSpec,
 }
 
-/// What the owner has stored of a window.
+/// What the leader has stored of a window.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// When an owner first saw it, where its spec does not tell since when it is.
+    /// When a leader first saw it, where its spec does not tell since when it is.
     #[serde(default)]
     pub from_ms: Option<u64>,
     /// The instance that ended last. None up to this day is ever looked at again.
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -1,5 +1,5 @@
 //! Seeded interleavings of three controllers, users and the store, with two windows under way: the real
-//! mirror, registry and driver. Owners are lost between any two of decided, sent and answered, copies come
+//! mirror, registry and driver. Leaders are lost between any two of decided, sent and answered, copies come
 //! late, clocks differ and step back, and at times nobody looks for longer than a window.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,7 +39,7 @@
     /// Each controller keeps what it knows of ends; lost with the process, asked for again.
     stage: Stage<HashMap<JobId, End>>,
     specs: BTreeMap<&'static str, Spec>,
-    owner: usize,
+    leader: usize,
     without: Without,
     now_ms: u64,
     jobs: usize,
@@ -62,7 +62,7 @@
         let mut simulation = Self {
             stage,
             specs,
-            owner: 0,
+            leader: 0,
             without,
             now_ms: start,
             jobs: 0,
@@ -78,27 +78,27 @@
 
     fn follow(&mut self, at: usize) {
         self.stage.follow(at, true);
-        let Controller { mirror, owner, own, .. } = &mut self.stage.controllers[at];
-        let Some((cluster, _)) = owner.as_mut() else { return };
+        let Controller { mirror, leader, own, .. } = &mut self.stage.controllers[at];
+        let Some((cluster, _)) = leader.as_mut() else { return };
         let gone: Vec<JobId> =
             cluster.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned().collect();
         gone.iter().for_each(|id| cluster.end_job(id, own.get(id).copied(), Instant::now()));
         mirror.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
     }
 
-    /// Another owns, or the same process anew.
+    /// Another leads, or the same process anew.
     fn assign(&mut self, at: usize) {
         self.stage.assign(at);
-        let Controller { mirror, owner, own, .. } = &mut self.stage.controllers[at];
+        let Controller { mirror, leader, own, .. } = &mut self.stage.controllers[at];
         own.clear();
-        let (cluster, _) = owner.as_mut().unwrap();
+        let (cluster, _) = leader.as_mut().unwrap();
         for (id, record) in mirror.open_jobs() {
             cluster.add_job(record.clone(), Instant::now());
             if self.begun.contains(id) {
                 cluster.load_chunk(id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
             }
         }
-        self.owner = at;
+        self.leader = at;
     }
 
     fn look(&mut self, at: usize) {
@@ -164,10 +164,10 @@
         }
     }
 
-    /// The owner places a job that it may: the lesser turn first.
+    /// The leader places a job that it may: the lesser turn first.
     fn begin(&mut self) {
-        let Controller { mirror, owner, own, skew_ms, .. } = &mut self.stage.controllers[self.owner];
-        let Some((cluster, _)) = owner.as_mut() else { return };
+        let Controller { mirror, leader, own, skew_ms, .. } = &mut self.stage.controllers[self.leader];
+        let Some((cluster, _)) = leader.as_mut() else { return };
         if cluster.intents_due {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
             refresh(&KINDS, cluster, mirror.registry(), &|id| own.get(id).copied(), Instant::now(), now_ms);
@@ -198,7 +198,7 @@
         let id = open[self.stage.rng.random_range(0..open.len())].clone();
         let end = if self.stage.rng.random_ratio(1, 6) { End::Withdrawn } else { End::Done };
         self.stage.store.apply_if(&[], &[Change::Drop { drop: open_key(&id) }]).unwrap();
-        self.stage.controllers[self.owner].own.insert(id.clone(), end);
+        self.stage.controllers[self.leader].own.insert(id.clone(), end);
         self.over.insert(id, end);
     }
 
@@ -209,10 +209,10 @@
             1..3 => self.submit(),
             3..7 => self.begin(),
             7..9 => self.end(),
-            9..18 => self.follow(self.owner),
-            18..25 => self.look(self.owner),
+            9..18 => self.follow(self.leader),
+            18..25 => self.look(self.leader),
             25 => self.look(at),
-            26..33 => self.send(self.owner),
+            26..33 => self.send(self.leader),
             33 => self.send(at),
             34 if !self.stage.late.is_empty() => {
                 let sent = self.stage.comes_late();
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Whoever owns last goes on alone, two days on.
+    /// Whoever leads last goes on alone, two days on.
     fn settle(&mut self) {
         self.assign(0);
         for round in 0..160 {
@@ -256,9 +256,9 @@
 }
 
 /// Each window ends once, in order; none slips past; turns and claims are never given twice or taken
-/// back, and nothing begins before its turn is stored, whoever owns and whatever comes late.
+/// back, and nothing begins before its turn is stored, whoever leads and whatever comes late.
 #[test]
-fn owners_come_and_go_and_no_window_slips_past() {
+fn leaders_come_and_go_and_no_window_slips_past() {
     let (mut met, mut claims, mut over) = (0, 0, 0);
     for seed in 0..120 {
         let simulation = simulate(seed, Without::Nothing);
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -44,7 +44,7 @@
     Away {
         s: u64,
     },
-    /// What is decided now is not stored: its owner is lost before, or the store refuses it.
+    /// What is decided now is not stored: its leader is lost before, or the store refuses it.
     Lost,
     Back {
         s: u64,
@@ -109,7 +109,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(192))]
 
-    /// Guards: each window ends once and in order, never reopens, turns go in order, whatever owners,
+    /// Guards: each window ends once and in order, never reopens, turns go in order, whatever leaders,
     /// jobs and clocks do; and none slips past, however long nobody looked.
     #[test]
     fn each_ends_once_and_turns_go_in_order(
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -1,8 +1,8 @@
-//! The owner's work on declared things, without any I/O: which statuses to store next, which intents follow from those
+//! The leader's work on declared things, without any I/O: which statuses to store next, which intents follow from those
 //! that are stored, and what is to be logged.
 //!
 //! Every status is written on condition of the assignment, of the spec's version and of the status's own: a replaced
-//! owner stores nothing, no status is derived from a spec that has changed since, and of two writes that began from
+//! leader stores nothing, no status is derived from a spec that has changed since, and of two writes that began from
 //! the same status the store takes one. So a write that was not answered needs no memory: the next decision begins
 //! from the same versions, and a late copy of either write is refused once the other is stored.
 
@@ -26,7 +26,7 @@
 
 /// Statuses stored in one transaction; there is one a second.
 pub const MOST_CHANGES: usize = 2;
-/// A change heard of so long ago was told by whoever owned then.
+/// A change heard of so long ago was told by whoever led then.
 const TOLD_BEFORE: Duration = Duration::from_secs(60);
 
 /// What is known here of how jobs ended.
@@ -78,7 +78,7 @@
     pub writes: Vec<Write>,
     /// There is nothing more to store: all that was is heard of.
     pub settled: bool,
-    /// The owner's token, on which the writes are conditional.
+    /// The leader's token, on which the writes are conditional.
     pub token: u64,
     /// What is logged once the writes are stored.
     pub news: News,
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -1,7 +1,7 @@
 //! What operators declare and controllers carry out.
 //!
-//! A spec is written by operators only, a status by the owner only: conditional on its assignment, on
-//! the spec's stamp and on the status's own. Whoever owns next reads both and goes on from there, at
+//! A spec is written by operators only, a status by the leader only: conditional on its assignment, on
+//! the spec's stamp and on the status's own. Whoever leads next reads both and goes on from there, at
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
 //! sparing (`scheduling::intents`) follows from statuses as the mirror has them, the cluster state and the time.
 
@@ -74,7 +74,7 @@
 
 /// State and time: all that a decision may look at.
 pub struct View<'a> {
-    /// The owner's state.
+    /// The leader's state.
     pub cluster: &'a ClusterState,
     /// What is known here of ended jobs; not all is.
     pub ended: &'a dyn Fn(&str) -> Option<End>,
@@ -84,7 +84,7 @@
     pub now: Instant,
     /// Time of day in ms since 1970. It may step, back as well.
     pub now_ms: u64,
-    /// The owner's token.
+    /// The leader's token.
     pub epoch: u64,
     /// What the platform has handed over.
     pub settings: &'a Settings,
@@ -122,7 +122,7 @@
     const KIND: Kind;
     /// What operators declare.
     type Spec: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
-    /// What the owner stores of it.
+    /// What the leader stores of it.
     type Status: Serialize + DeserializeOwned + Clone + PartialEq + Default + Send + Sync + 'static;
 
     /// Names the first field that cannot be used.
--- a/src/declared/records.rs
+++ b/src/declared/records.rs
@@ -2,13 +2,13 @@
 //!
 //! They lie below the prefix that every controller mirrors already, so that nothing more is asked
 //! or watched: `c/s/KIND/NAME` is a spec, which operators alone write, and `c/t/KIND/NAME` its
-//! status, which the owner alone writes.
+//! status, which the leader alone writes.
 
 use serde::{Deserialize, Serialize};
 
 /// Prefix of what operators declare.
 pub const SPECS: &str = "c/s/";
-/// Prefix of what the owner stores of it.
+/// Prefix of what the leader stores of it.
 pub const STATUSES: &str = "c/t/";
 /// Every write of an operator moves this key, so that a copy of an earlier one that comes late finds
 /// another stamp. It lies before what controllers list.
@@ -68,7 +68,7 @@
 pub enum Part {
     /// What an operator wrote.
     Spec,
-    /// What the owner wrote.
+    /// What the leader wrote.
     Status,
 }
 
--- a/src/declared/registry.rs
+++ b/src/declared/registry.rs
@@ -1,6 +1,6 @@
 //! All declared things in the mirror: specs, statuses, and which statuses changed last.
 //!
-//! A value is kept as text and parsed as its kind's type when it is first used, which only owners do. A value that
+//! A value is kept as text and parsed as its kind's type when it is first used, which only leaders do. A value that
 //! cannot be parsed is kept as it is and logged once; it does not affect the reading of others.
 
 use std::any::Any;
--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -1,4 +1,4 @@
-//! The owner's task for declared things: works out the next status, stores it, and logs what is stored.
+//! The leader's task for declared things: works out the next status, stores it, and logs what is stored.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         changes: &[Change],
         urgent: Urgent,
     ) -> impl Future<Output = Result<TxnOutcome, StoreError>> + Send;
-    /// A transaction was refused: waits until the mirror is proven fresh, and sees who owns.
+    /// A transaction was refused: waits until the mirror is proven fresh, and sees who leads.
     fn refused(&self) -> impl Future<Output = ()> + Send;
     /// Until something declared changes.
     fn woken(&self) -> impl Future<Output = ()> + Send;
@@ -88,7 +88,7 @@
     }
 }
 
-/// For as long as this controller owns.
+/// For as long as this controller leads.
 pub async fn run<H: Hands>(hands: Arc<H>) {
     let mut driver = Driver::new(KINDS);
     let mut pace = Pace::new(Instant::now());
--- a/src/declared/run/tests.rs
+++ b/src/declared/run/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Behind everything else, yet an owner that never has an idle moment stores what is declared.
+/// Behind everything else, yet a leader that never has an idle moment stores what is declared.
 #[test]
 fn one_transaction_a_second_and_none_waits_for_ever() {
     let t = Instant::now();
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -1,5 +1,5 @@
-//! Seeded interleavings of operators, owners and the store: the real mirror, registry and driver, with a
-//! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, owners
+//! Seeded interleavings of operators, leaders and the store: the real mirror, registry and driver, with a
+//! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, leaders
 //! are replaced and go on without knowing, and are paused between any two of looked, sent and answered.
 
 pub mod simulation;
@@ -135,7 +135,7 @@
             *controller.own.entry(line).or_default() += 1;
         }
         // What is asked for is what this controller's mirror has, never what is only decided.
-        let (registry, (cluster, _)) = (controller.mirror.registry(), controller.owner.as_ref().unwrap());
+        let (registry, (cluster, _)) = (controller.mirror.registry(), controller.leader.as_ref().unwrap());
         for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.mirror.ready) {
             let at = registry.status::<Heat>(name).map_or(0, |(status, _)| status.at);
             assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
@@ -233,7 +233,7 @@
         }
     }
 
-    /// The last owner goes on alone, and late copies come all the same.
+    /// The last leader goes on alone, and late copies come all the same.
     fn settle(&mut self) {
         self.stage.assign(0);
         for _ in 0..60 {
@@ -258,10 +258,10 @@
     simulation
 }
 
-/// A status is written by who owns, from the spec and the status as they stand, and counts on by one
+/// A status is written by who leads, from the spec and the status as they stand, and counts on by one
 /// each time; every change is told, and by nobody twice; all of it goes on to its end.
 #[test]
-fn owners_come_and_go_and_every_status_goes_on() {
+fn leaders_come_and_go_and_every_status_goes_on() {
     for seed in 0..150 {
         let simulation = simulate(seed, Without::Nothing);
         assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
@@ -277,7 +277,7 @@
                 controller.own.iter().filter(|(l, n)| !l.ends_with("removed") && **n > often(l)).collect();
             assert!(twice.is_empty(), "seed {seed}: told twice: {twice:?}");
         }
-        // A change that was stored over before anybody who owns had heard of it is told by who reads
+        // A change that was stored over before anybody who leads had heard of it is told by who reads
         // anew only as far as it still shows.
         let told = |line: &String| simulation.stage.controllers.iter().any(|c| c.own.contains_key(line));
         let untold: Vec<&String> = simulation.lines.iter().filter(|line| !told(line)).collect();
@@ -304,13 +304,13 @@
     pages
 }
 
-fn owner(kinds: &'static [Entry], stored: &[(String, serde_json::Value)]) -> Stage<()> {
+fn leader(kinds: &'static [Entry], stored: &[(String, serde_json::Value)]) -> Stage<()> {
     let mut stage = Stage::new(0, kinds, stored);
     stage.assign(0);
     stage
 }
 
-/// One second of an owner that nothing befalls: two changes are stored.
+/// One second of a leader that nothing befalls: two changes are stored.
 fn second(stage: &mut Stage<()>, n: usize) {
     let looked = stage.look(0, 0, |(), _| None).unwrap();
     assert_eq!(looked.writes.len(), 2, "in second {n}");
@@ -326,7 +326,7 @@
         .map(|n| (spec_key(Kind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
         .chain((0..5).map(|n| (spec_key(Kind::Heat, &format!("h{n}")), json!({"goal": 2}))))
         .collect();
-    let mut stage = owner(&BOTH, &entries);
+    let mut stage = leader(&BOTH, &entries);
     for n in 0..40 {
         second(&mut stage, n);
         assert!(stage.look(0, 0, |(), _| None).unwrap().writes.is_empty(), "not heard yet");
@@ -352,14 +352,14 @@
         ("c/s/window/w", json!({"opens": "08:00"})),
         ("c/t/heat/odd", json!("status")),
     ];
-    let mut stage = owner(&TOYS, &entries.map(|(path, value)| (path.to_owned(), value)));
+    let mut stage = leader(&TOYS, &entries.map(|(path, value)| (path.to_owned(), value)));
     let looked = stage.look(0, 0, |(), _| None).unwrap();
     let names: Vec<&str> = looked.writes.iter().map(|w| w.name.as_str()).collect();
     assert_eq!(names, ["good"]);
     let registry = stage.controllers[0].mirror.registry();
     assert_eq!(registry.entries(), 5, "the larger one and the unknown kind are not taken in");
     assert!(registry.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
-    let (cluster, _) = stage.controllers[0].owner.as_ref().unwrap();
+    let (cluster, _) = stage.controllers[0].leader.as_ref().unwrap();
     assert_eq!(cluster.intents.not_yet.len(), 1, "nothing is asked for by what cannot be read");
 }
 
@@ -430,7 +430,7 @@
         }
     }
     let bytes: usize = entries.iter().map(|(path, value)| path.len() + value.to_string().len()).sum();
-    let mut stage = owner(&ALL, &entries);
+    let mut stage = leader(&ALL, &entries);
     let pages = pages(&stage.store);
     assert!(pages <= 11 && bytes < 1_500_000, "{pages} pages, {bytes} bytes");
     for n in 0..20 {
--- a/src/declared/tests/simulation.rs
+++ b/src/declared/tests/simulation.rs
@@ -24,7 +24,7 @@
 pub struct Controller<T> {
     pub mirror: Mirror,
     loading: Option<(Loading, String)>,
-    pub owner: Option<(ClusterState, Driver)>,
+    pub leader: Option<(ClusterState, Driver)>,
     /// Decided, and not sent yet.
     decided: Option<(Vec<Write>, u64)>,
     /// Its time of day is off by so much.
@@ -81,21 +81,21 @@
         }
     }
 
-    /// Another owns, or the same one under a newer token. Who owned before goes on, unknowing.
+    /// Another leads, or the same one under a newer token. Who led before goes on, unknowing.
     pub fn assign(&mut self, at: usize) {
         let token = self.store.apply_if(&[], &[Change::write(ASSIGNMENT, json!(at))]).unwrap();
-        // A new owner proves its mirror fresh before it decides.
+        // A new leader proves its mirror fresh before it decides.
         self.follow(at, true);
         let mut cluster = ClusterState::new(token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
-        self.controllers[at].owner = Some((cluster, Driver::new(self.kinds)));
+        self.controllers[at].leader = Some((cluster, Driver::new(self.kinds)));
         self.controllers[at].decided = None;
     }
 
-    /// None where it never owned. What is to be stored waits to be sent.
+    /// None where it never led. What is to be stored waits to be sent.
     pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<Looked> {
-        let Controller { mirror, owner, decided, skew_ms, own, .. } = &mut self.controllers[at];
-        let (cluster, driver) = owner.as_mut()?;
+        let Controller { mirror, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
+        let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
         let looked = driver.look(cluster, mirror, &|id| ended(own, id), Instant::now(), now_ms);
         if !looked.writes.is_empty() {
@@ -124,7 +124,7 @@
     }
 
     pub fn stored(&mut self, at: usize, revision: u64) {
-        if let Some((_, driver)) = self.controllers[at].owner.as_mut() {
+        if let Some((_, driver)) = self.controllers[at].leader.as_mut() {
             driver.stored(revision);
         }
     }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -50,7 +50,7 @@
 impl CloudClient {
     /// A client that keeps to 0.8 of the cloud's request rate, since the other controllers read the catalog as well.
     pub fn new(http: Http, settings: &Settings, traffic: Arc<Traffic>, now: Instant) -> Self {
-        // The owner calls nearly alone; the others only ask for the catalog now and then.
+        // The leader calls nearly alone; the others only ask for the catalog now and then.
         let rps = settings.params.cloud.rps * 0.8;
         let budget = Mutex::new(Budget::new(rps, rps, now));
         Self { http, addr: settings.endpoints.cloud.clone(), budget, traffic }
--- a/src/fleet/dealings.rs
+++ b/src/fleet/dealings.rs
@@ -1,4 +1,4 @@
-//! The owner's memory of its calls to the cloud: refusals, machines asked for or being returned, and stored orders
+//! The leader's memory of its calls to the cloud: refusals, machines asked for or being returned, and stored orders
 //! that are to be cleaned up.
 
 use std::collections::{HashMap, HashSet};
@@ -10,7 +10,7 @@
 /// Keys of orders that stay marked as done under one token, and one clean-up more at the most.
 pub(super) const MOST_MARKED: usize = 64;
 
-/// What the owner remembers of its dealings with the cloud.
+/// What the leader remembers of its dealings with the cloud.
 #[derive(Default)]
 pub struct Dealings {
     /// Kinds that were refused lately.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -41,7 +41,7 @@
 /// A look rests this many times as long as it took.
 const REST: u32 = 8;
 
-/// Lists, drains, rents and returns for as long as this controller owns.
+/// Lists, drains, rents and returns for as long as this controller leads.
 pub async fn run(node: Arc<Node>) {
     let dealings = Shared::default();
     let (mut listed, mut told, mut drained) = (None::<Instant>, None::<Instant>, Instant::now());
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -1,5 +1,5 @@
 //! The life of an order in the store: stored before it is carried out, dropped afterwards, and taken over from an
-//! earlier owner.
+//! earlier leader.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 use crate::store::{StoreError, TxnOutcome};
 use crate::sync::{jitter, lock};
 
-/// So many are too many to wait for an idle moment: a new owner carries them all out once more.
+/// So many are too many to wait for an idle moment: a new leader carries them all out once more.
 const TIDY_PRESSED: usize = 12;
 /// Clean-up of orders gives way after this.
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
-/// What an earlier owner has left, once; from here on it is this owner's.
+/// What an earlier leader has left, once; from here on it is this leader's.
 pub(super) fn inherited(node: &Node, dealings: &Shared) -> Inherited {
     let orders = lock(&node.cluster).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
     let inherited = Inherited::of(orders, MOST_RETURNED);
@@ -43,7 +43,7 @@
     lock(&node.cluster).as_ref().map(|b| b.token)
 }
 
-/// Stores an order under this owner's assignment; its key, once it stands. None where another owns
+/// Stores an order under this leader's assignment; its key, once it stands. None where another leads
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
     node: &Node,
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to the cloud: what only the owner may have done, stored before it is done.
+//! Orders to the cloud: what only the leader may have done, stored before it is done.
 //!
-//! The cloud knows no tokens, so a call of an owner that was replaced meanwhile cannot be refused
+//! The cloud knows no tokens, so a call of a leader that was replaced meanwhile cannot be refused
 //! there. It is made harmless instead: an order is stored on condition of the assignment, so no
-//! replaced owner stores one, and a new owner reads those that are open before it decides anything.
+//! replaced leader stores one, and a new leader reads those that are open before it decides anything.
 //! What is to be returned is then no place for its work, and it carries out the rest itself under
 //! the same names, so that a late call of its predecessor finds nothing left to do (docs/duties.md).
 
@@ -54,7 +54,7 @@
 pub struct CloudOrder {
     /// Its key in the store: [`ORDERS`] followed by the order's unique [`name`].
     pub key: String,
-    /// Version of the assignment (the owner's token) under which the order was made.
+    /// Version of the assignment (the leader's token) under which the order was made.
     pub epoch: u64,
     /// What is to be done, or that it was done.
     pub what: What,
@@ -66,18 +66,18 @@
     what: What,
 }
 
-/// What an owner does after it tried to store an order.
+/// What a leader does after it tried to store an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// It stands: it may be carried out.
     Act,
     /// Nobody knows yet.
     Again,
-    /// Another owner's assignment stands; the order is that one's, if it stands at all.
+    /// Another leader's assignment stands; the order is that one's, if it stands at all.
     Stop,
 }
 
-/// A name that nobody has used or will use, for an order or for a rental: a process may own twice and
+/// A name that nobody has used or will use, for an order or for a rental: a process may lead twice and
 /// counts from one each time, but never under the same token.
 pub fn name(incarnation: &str, token: u64, number: u64) -> String {
     format!("{incarnation}-{token}-{number}")
@@ -108,7 +108,7 @@
             (Ok(TxnOutcome::Applied(_)), _) => Next::Act,
             // An earlier try did apply, and this assignment still stands.
             (Ok(TxnOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == ASSIGNMENT) => Next::Act,
-            // The assignment is another: this owner's own newer one, or one that it has not heard of.
+            // The assignment is another: this leader's own newer one, or one that it has not heard of.
             _ => Next::Again,
         }
     }
@@ -159,7 +159,7 @@
     }
 }
 
-/// Clean-up of orders that were carried out: only the present owner's. An order of which a try was not
+/// Clean-up of orders that were carried out: only the present leader's. An order of which a try was not
 /// answered under this very token (`late`) would be stored once more by that try if its key were free; it
 /// is marked as done instead, and dropped under a later token, which no such try gets past.
 pub fn clean_up(keys: &[String], late: &HashMap<String, u64>, token: u64) -> ([Condition; 1], Vec<Change>) {
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -38,7 +38,7 @@
         assert!(store.apply_if(&conditions, &changes).is_err(), "the first try comes late");
         let inherited = open(&store);
         assert!(inherited.rentals.is_empty() && inherited.returns.is_empty(), "{inherited:?}");
-        // Whoever owns under the next token drops it, and neither copy gets past that token.
+        // Whoever leads under the next token drops it, and neither copy gets past that token.
         let next = assign(&mut store);
         let drops = clean_up(&inherited.done, &late, next);
         assert_eq!(drops.1, [Change::Drop { drop: order.key.clone() }]);
@@ -67,7 +67,7 @@
     }
 }
 
-/// A copy of a drop takes nothing but what was carried out, and none of an owner that was replaced counts.
+/// A copy of a drop takes nothing but what was carried out, and none of a leader that was replaced counts.
 #[test]
 fn a_late_clean_up_by_cases() {
     let mut store = Store::default();
@@ -101,7 +101,7 @@
     assert!(dealings.due_for_clean_up(10).is_empty() && dealings.late.is_empty() && dealings.marked.is_empty());
 }
 
-/// Every try of every order goes unanswered, for as long as one owner stays: the marks are as many as one token
+/// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one token
 /// may leave, and not one for each order.
 #[test]
 fn marks_stay_few_in_a_long_term() {
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(sizes, [(90, 2), (20, 1), (100, 1), (1, 1)], "nothing is split, and none over the limit");
 }
 
-/// A process that owned twice gave its rentals the names of the first time again, and the cloud
+/// A process that led twice gave its rentals the names of the first time again, and the cloud
 /// answered with the machines of then.
 #[test]
 fn no_name_is_used_twice() {
@@ -64,7 +64,7 @@
 
 /// Holders replace one another at any moment, and any of them may go on later. `fenced`: orders
 /// are stored, and read by the next one. Gives how often a machine was returned by one that no
-/// longer owned while its successor had work on it.
+/// longer led while its successor had work on it.
 fn simulate(seed: u64, fenced: bool) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut store = Store::new(Limits::default());
@@ -84,10 +84,10 @@
             let (placed, unanswered) = (BTreeSet::new(), HashMap::new());
             holders.push(Holder { token, fleet, placed, orders, unanswered, number: 0 });
         }
-        // The present owner mostly, or one that was replaced and has not heard of it.
+        // The present leader mostly, or one that was replaced and has not heard of it.
         let newest = holders.len() - 1;
         let which = if rng.random_ratio(3, 4) { newest } else { rng.random_range(0..holders.len()) };
-        let owns = which == newest;
+        let leads = which == newest;
         let used = holders[newest].placed.clone();
         let holder = &mut holders[which];
         match rng.random_range(0..5) {
@@ -125,12 +125,12 @@
                 // Carries out what stands.
                 for (order, _) in holder.orders.iter().filter(|(_, stands)| *stands) {
                     for machine in returned(order) {
-                        if cloud.remove(&machine) && !owns {
+                        if cloud.remove(&machine) && !leads {
                             harm += usize::from(used.contains(&machine));
                         }
                     }
                 }
-                if owns && fenced {
+                if leads && fenced {
                     let stands = holder.orders.iter().filter(|(_, stands)| *stands);
                     let keys: Vec<String> = stands.map(|(o, _)| o.key.clone()).collect();
                     let (conditions, changes) = clean_up(&keys, &holder.unanswered, holder.token);
@@ -139,7 +139,7 @@
                 }
             }
             3 => {
-                // Places on whatever it takes to be there; only the present owner's placement counts.
+                // Places on whatever it takes to be there; only the present leader's placement counts.
                 let n = rng.random_range(0..12);
                 holder.placed.extend(holder.fleet.iter().nth(n).cloned());
             }
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -384,7 +384,7 @@
             MachineState::Booting => {
                 let usual = catalog.get(&machine.type_name).map_or(60.0, |t| t.boot_s);
                 let patience = Duration::from_secs_f64(usual * cluster.properties.boot_patience) + BOOT_GRACE;
-                // A new owner has not heard of machines that were up long before it.
+                // A new leader has not heard of machines that were up long before it.
                 let known = now.saturating_duration_since(machine.heard);
                 if age > patience && known > cluster.properties.silence {
                     out.push((machine.id.clone(), "never came up"));
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -1,4 +1,4 @@
-//! Whether a rule is on: decided by the owner, stored, and read by every controller.
+//! Whether a rule is on: decided by the leader, stored, and read by every controller.
 //!
 //! The decision is a function of the rule, of what was stored last, of the readings and of the time of day. The stored
 //! time only grows from one change to the next: a clock that steps back by less than a minute undoes nothing, and a
@@ -63,13 +63,13 @@
     pub on: bool,
     /// Why it does, or does not.
     pub why: Why,
-    /// The owner that decided.
+    /// The leader that decided.
     pub epoch: u64,
     /// When it was decided, by time of day.
     pub at_ms: u64,
 }
 
-/// What is stored of a rule. Only the owner writes it; everybody acts on it as it is stored.
+/// What is stored of a rule. Only the leader writes it; everybody acts on it as it is stored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -77,7 +77,7 @@
     pub on: bool,
     /// Why.
     pub why: Why,
-    /// Of the owner that decided.
+    /// Of the leader that decided.
     pub epoch: u64,
     /// Times of day in milliseconds since 1970: the last change, and when what is on ends by itself.
     pub since_ms: u64,
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -1,6 +1,6 @@
 //! Midday heat: while a rule holds, the work that it names goes ahead of others of the same urgency.
 //!
-//! Operators declare rules and hand in readings. The owner decides on and off and stores it; everybody acts on
+//! Operators declare rules and hand in readings. The leader decides on and off and stores it; everybody acts on
 //! what is stored, so every controller and every successor acts alike (docs/heat.md). All of it is pure.
 
 pub mod decide;
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Three controllers whose clocks differ, of which any owns at any moment, one store, and readings that come
+//! Three controllers whose clocks differ, of which any leads at any moment, one store, and readings that come
 //! and contradict: transactions are late, twice or lost. What is stored must be decided once and go on.
 
 use rand::Rng;
@@ -16,7 +16,7 @@
     now_ms: u64,
     /// Every status that was stored, in order.
     stored: Vec<Status>,
-    /// Of every change that was decided, its owner's token at that time.
+    /// Of every change that was decided, its leader's token at that time.
     tokens: Vec<u64>,
 }
 
@@ -42,7 +42,7 @@
         let now_ms = self.now_ms.saturating_add_signed(controller.skew_ms);
         // Whoever knows the same status acts alike: by what is stored and not by what was only decided.
         let known = controller.mirror.registry().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
-        let (cluster, _) = controller.owner.as_ref().unwrap();
+        let (cluster, _) = controller.leader.as_ref().unwrap();
         assert_eq!(cluster.intents.ahead.is_some(), known.holds(now_ms), "acts on what is not stored");
     }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A new owner, and nothing goes wrong any more.
+    /// A new leader, and nothing goes wrong any more.
     fn settle(&mut self, value: f64) -> Status {
         SENSORS.iter().for_each(|sensor| self.read(sensor, value));
         self.stage.assign(1);
--- a/src/history/answer_time.rs
+++ b/src/history/answer_time.rs
@@ -100,7 +100,7 @@
 /// alone need minutes.
 #[test]
 fn a_hundred_thousand_ended_jobs_are_answered_within_twenty_seconds() {
-    // The state service's limit; a controller that does not own has 0.225 of it.
+    // The state service's limit; a controller that does not lead has 0.225 of it.
     for (limit, txn_ops) in [(300.0, 24), (150.0, 24), (100.0, 16), (80.0, 16)] {
         let share = limit * 0.45 / 2.0;
         let took = all_answered(100_000, share, txn_ops, true);
--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -316,7 +316,7 @@
         self.look_up(at, question, false);
     }
 
-    /// The owner ends a job that it knows to be open; more than one may believe to own.
+    /// The leader ends a job that it knows to be open; more than one may believe to lead.
     fn end(&mut self) {
         let at = self.rng.random_range(0..CONTROLLERS);
         let controller = &self.controllers[at];
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -80,10 +80,10 @@
     [Change::write(ended_key(id, end), value(&ended)), Change::Drop { drop: open_key(id) }]
 }
 
-/// A user ends a job that was seen open: it can have left its key only by ending. `owner`: under which
+/// A user ends a job that was seen open: it can have left its key only by ending. `leader`: under which
 /// assignment alone, if it is to be told at once.
-pub fn withdraw(record: &JobRecord, owner: Option<u64>, now_ms: u64) -> Move {
-    let under = owner.map(|token| Condition::at(ASSIGNMENT, token));
+pub fn withdraw(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> Move {
+    let under = leader.map(|token| Condition::at(ASSIGNMENT, token));
     Move {
         conditions: not_ended(&record.spec.id).chain(under).collect(),
         changes: end_changes(record, End::Withdrawn, now_ms).into(),
--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A withdrawal stands in the owner's loaded cluster state.
+    /// A withdrawal stands in the leader's loaded cluster state.
     pub fn show(&mut self, id: &JobId) {
         self.ends.put(id, End::Withdrawn);
         self.ends.show(id);
@@ -118,12 +118,12 @@
         }
     }
 
-    /// An owner's loaded cluster state holds all ends up to this revision.
+    /// A leader's loaded cluster state holds all ends up to this revision.
     pub fn advance(&mut self, watermark: u64) {
         self.visibility.advance(watermark);
     }
 
-    /// The highest watermark heard of: all ends up to this revision are in an owner's loaded cluster state.
+    /// The highest watermark heard of: all ends up to this revision are in a leader's loaded cluster state.
     pub fn watermark(&self) -> u64 {
         self.visibility.watermark()
     }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -29,7 +29,7 @@
 const GATHER: Duration = Duration::from_millis(15);
 /// Comparisons under way: a slow answer does not keep the others waiting.
 const UNDER_WAY: usize = 4;
-/// Ends of which it is kept when they were heard of: a new owner counts from there. As many as the mirror keeps.
+/// Ends of which it is kept when they were heard of: a new leader counts from there. As many as the mirror keeps.
 const HEARD: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 /// Whoever asks hears by then, whatever became of it: users wait for 2 s.
 const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
@@ -97,17 +97,17 @@
         lock(&self.queries).note_withdrawal(id, stamp);
     }
 
-    /// A withdrawal that stands in this owner's loaded cluster state.
+    /// A withdrawal that stands in this leader's loaded cluster state.
     pub fn show(&self, id: &JobId) {
         lock(&self.queries).show(id);
     }
 
-    /// An owner's loaded cluster state holds all ends up to this revision.
+    /// A leader's loaded cluster state holds all ends up to this revision.
     pub fn advance(&self, watermark: u64) {
         lock(&self.queries).advance(watermark);
     }
 
-    /// The highest watermark of any owner that was heard of here.
+    /// The highest watermark of any leader that was heard of here.
     pub fn watermark(&self) -> u64 {
         lock(&self.queries).watermark()
     }
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -22,11 +22,11 @@
 fn what_users_may_hear_by_cases() {
     use Visible::*;
     for (name, end, shown, stamp, watermark, want) in [
-        ("done needs no owner", End::Done, false, None, 0, Yes),
-        ("withdrawn, the owner has not heard", End::Withdrawn, false, Some(9), 8, NotYet),
-        ("withdrawn, the owner has just heard", End::Withdrawn, false, Some(9), 9, Yes),
+        ("done needs no leader", End::Done, false, None, 0, Yes),
+        ("withdrawn, the leader has not heard", End::Withdrawn, false, Some(9), 8, NotYet),
+        ("withdrawn, the leader has just heard", End::Withdrawn, false, Some(9), 9, Yes),
         ("withdrawn long ago", End::Withdrawn, false, Some(9), 900, Yes),
-        ("withdrawn, no owner was ever heard of", End::Withdrawn, false, Some(9), 0, NotYet),
+        ("withdrawn, no leader was ever heard of", End::Withdrawn, false, Some(9), 0, NotYet),
         ("withdrawn, nobody knows when", End::Withdrawn, false, None, 900, Unknown),
         ("told before, whatever is known now", End::Withdrawn, true, None, 0, Yes),
     ] {
@@ -105,14 +105,14 @@
     }
 }
 
-/// An owner tells its users at once, so its withdrawal has to fail where another was assigned before it: that
+/// A leader tells its users at once, so its withdrawal has to fail where another was assigned before it: that
 /// one's cluster state may be read, and lack it.
 #[test]
-fn what_an_owner_tells_at_once_is_stored_only_under_its_assignment() {
-    for (name, replaced, owner, stands) in [
-        ("it owns", false, true, true),
+fn what_an_leader_tells_at_once_is_stored_only_under_its_assignment() {
+    for (name, replaced, leader, stands) in [
+        ("it leads", false, true, true),
         ("replaced without knowing", true, true, false),
-        ("a follower's, whoever owns", true, false, true),
+        ("a follower's, whoever leads", true, false, true),
     ] {
         let mut store = Store::default();
         let assign = [Change::write(ASSIGNMENT, serde_json::json!("a"))];
@@ -123,7 +123,7 @@
         if replaced {
             store.apply_if(&[], &assign).unwrap();
         }
-        let withdrawal = moves::withdraw(&record, owner.then_some(token), 9);
+        let withdrawal = moves::withdraw(&record, leader.then_some(token), 9);
         let outcome = store.apply_if(&withdrawal.conditions, &withdrawal.changes);
         assert_eq!(outcome.is_ok(), stands, "{name}");
         assert_eq!(store.has("h/w/run-000001"), stands, "{name}");
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -1,11 +1,11 @@
 //! Which withdrawals may be reported to users.
 //!
-//! Any controller may store a withdrawal; the owner carries it out. An owner that the state service refuses hears of
-//! no withdrawal and goes on answering workers, so that work whose withdrawal was reported would run on. So the owner
+//! Any controller may store a withdrawal; the leader carries it out. A leader that the state service refuses hears of
+//! no withdrawal and goes on answering workers, so that work whose withdrawal was reported would run on. So the leader
 //! publishes a watermark, the revision up to which its loaded cluster state holds every end (a read index, as in
 //! replicated logs), and a withdrawal is reported only at or below a watermark. Once reached, that stays true: the
-//! owner of that time has the end in its cluster state, and every later one reads it before it owns. A `done` needs no
-//! watermark, since nothing is to be stopped. Pure.
+//! leader of that time has the end in its cluster state, and every later one reads it before it leads. A `done` needs
+//! no watermark, since nothing is to be stopped. Pure.
 
 use std::num::NonZeroUsize;
 
@@ -22,14 +22,14 @@
 pub enum Visible {
     /// They may be told.
     Yes,
-    /// Stored, and not yet known to be in the owner's cluster state.
+    /// Stored, and not yet known to be in the leader's cluster state.
     NotYet,
     /// When it was stored is not known here.
     Unknown,
 }
 
 /// The whole rule. `shown`: it was found visible before. `stamp`: of the end, or anything above it.
-/// `watermark`: the highest of any owner that was heard of here.
+/// `watermark`: the highest of any leader that was heard of here.
 pub fn visible(end: End, shown: bool, stamp: Option<u64>, watermark: u64) -> Visible {
     match (end, stamp) {
         (End::Done, _) => Visible::Yes,
@@ -59,7 +59,7 @@
         self.watermark
     }
 
-    /// An owner's loaded cluster state holds all ends up to this revision.
+    /// A leader's loaded cluster state holds all ends up to this revision.
     pub fn advance(&mut self, watermark: u64) {
         if watermark > self.watermark {
             self.watermark = watermark;
--- a/src/jobs/limits.rs
+++ b/src/jobs/limits.rs
@@ -1,10 +1,10 @@
-//! How much open work a controller can hold: every one must be able to own all of it.
+//! How much open work a controller can hold: every one must be able to lead and hold all of it.
 
 use std::ops::{AddAssign, SubAssign};
 
 use super::JobSpec;
 
-/// What a job takes in an owner's memory besides its tasks: description, sums, entries in maps.
+/// What a job takes in a leader's memory besides its tasks: description, sums, entries in maps.
 const JOB_BYTES: u64 = 4096;
 /// What a task takes: its state, its place among the waiting, and its part of what is being read
 /// or stored; what runs takes more, but of that there is as much as the machines hold. Three jobs
@@ -19,7 +19,7 @@
 /// A job is large from this part of the memory on.
 const LARGE: f64 = 0.02;
 
-/// What open jobs take of an owner's memory, by the sums above.
+/// What open jobs take of a leader's memory, by the sums above.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Held {
     /// Number of jobs.
@@ -29,7 +29,7 @@
 }
 
 impl Held {
-    /// Estimated bytes that they take in an owner's memory.
+    /// Estimated bytes that they take in a leader's memory.
     pub fn bytes(self) -> u64 {
         self.jobs * JOB_BYTES + self.tasks * TASK_BYTES
     }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -3,7 +3,7 @@
 //! A job has exactly one key from its acceptance on: `c/o/ID` while it is open, then `h/d/ID` once
 //! done or `h/w/ID` once withdrawn, for ever. Every controller mirrors `c/` from `c/k` on: open
 //! jobs, the lease holder, the assignment. `h/` is read only when somebody asks. `t/` holds the tasks of
-//! open jobs in chunks and is read by owners only.
+//! open jobs in chunks and is read by leaders only.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -30,12 +30,12 @@
 pub const UPGRADED: &str = "c/upgraded";
 /// Key of the lease holder ([`LeaseHolder`](crate::membership::records::LeaseHolder)), attached to the election lease.
 pub const LEASE_HOLDER: &str = "c/leader";
-/// Key of the owner's record ([`Assignment`](crate::membership::records::Assignment)). Its version is the owner's
+/// Key of the leader's record ([`Assignment`](crate::membership::records::Assignment)). Its version is the leader's
 /// token.
 pub const ASSIGNMENT: &str = "c/owner/0";
-/// Written by a controller that workers turn to because they cannot reach the owner.
+/// Written by a controller that workers turn to because they cannot reach the leader.
 pub const TAKEOVER_REQUEST: &str = "c/plea";
-/// The owner's watermark, stored where a controller does not hear it (`membership::watermark`).
+/// The leader's watermark, stored where a controller does not hear it (`membership::watermark`).
 pub const WATERMARK: &str = "c/watermark";
 /// Prefix of chunks of tasks; `ID/NUMBER` follows.
 pub const TASKS: &str = "t/";
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
 //! hollylanding: a cluster scheduler that admits work by deadline share and return.
 //!
-//! Several controllers run at once. One of them leads and makes itself the owner: it places the tasks of all jobs,
+//! Several controllers run at once. One of them leads and makes itself the leader: it places the tasks of all jobs,
 //! rents and returns machines and answers workers. Every controller serves users. Durable state is kept in the state
 //! service.
 //!
 //! `sla` holds the arithmetic of the paper that the scheduler follows, `jobs` what a job is and how it is stored,
-//! `users` the API for users, `workers` reports and commands, `scheduling` the owner's cluster state and the placement
+//! `users` the API for users, `workers` reports and commands, `scheduling` the leader's cluster state and the placement
 //! decisions, `fleet` machines and the cloud, `store` the state service, `history` jobs that have ended, and
-//! `membership` leadership and ownership. `declared` holds what operators ask for beside jobs; its kinds are in
+//! `membership` leadership and leadership. `declared` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
 //! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
 //! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `kinds`
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -1,4 +1,4 @@
-//! Transactions of the election and ownership that are carried out after newer ones, or whose answer never
+//! Transactions of the election and leadership that are carried out after newer ones, or whose answer never
 //! comes, against the emulator's store: fixed steps.
 
 use std::time::Duration;
@@ -17,7 +17,7 @@
     LeaseHolder { node: "a".into(), incarnation: incarnation.into() }
 }
 
-fn owner(incarnation: &str) -> Assignment {
+fn leader(incarnation: &str) -> Assignment {
     Assignment { node: "a".into(), incarnation: incarnation.into(), teams: Vec::new() }
 }
 
@@ -32,8 +32,8 @@
     (lease, send(store, &[condition], &[change]).unwrap())
 }
 
-fn own(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = naming(&owner(me), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+fn become_leader(store: &mut Store, me: &str) -> Option<u64> {
+    let (conditions, change) = naming(&leader(me), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
     send(store, &conditions, &[change])
 }
 
@@ -55,7 +55,7 @@
     next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
 }
 
-/// Nobody owned any more, for as long as the assigned controller lived: it found itself assigned, and took
+/// Nobody led any more, for as long as the assigned controller lived: it found itself assigned, and took
 /// that for done. The same of a token that was raised and not heard: nothing it stored was taken.
 #[test]
 fn an_assignment_without_an_answer_is_written_anew_and_heard() {
@@ -63,18 +63,18 @@
         let mut store = Store::default();
         let mut mirror = mirror();
         take_lease(&mut store, "a1");
-        // A cluster state that owns already raises its token.
-        let held = held.map(|()| own(&mut store, "a1").unwrap());
+        // A cluster state that leads already raises its token.
+        let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
         hear(&mut mirror, &store);
         // Carried out, and nobody hears of it but by the watch.
-        let (conditions, change) = naming(&owner("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
         let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         hear(&mut mirror, &store);
         assert_eq!(next("a1", &mirror, held), Step::Assign, "held {held:?}");
-        let token = own(&mut store, "a1").unwrap();
+        let token = become_leader(&mut store, "a1").unwrap();
         hear(&mut mirror, &store);
         assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "and once only");
-        assert!(token > unheard, "no process owns twice under one token: names of rentals rest on it");
+        assert!(token > unheard, "no process leads twice under one token: names of rentals rest on it");
         assert_eq!(send(&mut store, &conditions, &[change]), None, "a later copy is refused");
     }
     assert!(!unheard("a1", Some(("a1", 5)), Some(5)) && !unheard("a1", Some(("a1", 5)), Some(7)), "heard ahead");
@@ -88,7 +88,7 @@
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
     fn naming_now(store: &mut Store) -> Sent {
-        let (conditions, change) = naming(&owner("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
         (conditions.into(), vec![change])
     }
     fn candidacy_now(store: &mut Store) -> Sent {
@@ -113,12 +113,12 @@
         store.drop_leases();
         take_lease(store, "b1");
     }
-    fn b_owns(store: &mut Store) {
+    fn b_leads(store: &mut Store) {
         b_holds_the_lease(store);
-        own(store, "b1").unwrap();
+        become_leader(store, "b1").unwrap();
     }
     fn a_raises(store: &mut Store) {
-        own(store, "a1").unwrap();
+        become_leader(store, "a1").unwrap();
     }
     fn b_requests_takeover(store: &mut Store) {
         let (conditions, changes) = takeover_request_now(store);
@@ -126,21 +126,21 @@
     }
     let cases: [(&str, Make, Newer, bool); 11] = [
         ("assignment, raised since", naming_now, a_raises, true),
-        ("assignment, another owns since", naming_now, b_owns, true),
-        ("assignment, another holds the lease and does not own yet", naming_now, b_holds_the_lease, true),
+        ("assignment, another leads since", naming_now, b_leads, true),
+        ("assignment, another holds the lease and does not lead yet", naming_now, b_holds_the_lease, true),
         ("assignment, nobody holds the lease", naming_now, Store::drop_leases, true),
-        ("assignment, takes the lease again and nobody has owned between", naming_now, again, true),
+        ("assignment, takes the lease again and nobody has led between", naming_now, again, true),
         ("candidacy, another holds the lease", candidacy_now, b_holds_the_lease, true),
         ("candidacy, nobody holds the lease and its lease is over", candidacy_now, Store::drop_leases, true),
         ("expiry, its successor holds the lease", expiry_now, b_holds_the_lease, true),
         ("expiry, nobody holds the lease", expiry_now, Store::drop_leases, true),
-        ("takeover request, another owns", takeover_request_now, b_owns, true),
-        ("takeover request, after another's for the same owner", takeover_request_now, b_requests_takeover, false),
+        ("takeover request, another leads", takeover_request_now, b_leads, true),
+        ("takeover request, after another's for the same leader", takeover_request_now, b_requests_takeover, false),
     ];
     for (name, make, newer, refused) in cases {
         let mut store = Store::default();
         take_lease(&mut store, "a1");
-        own(&mut store, "a1").unwrap();
+        become_leader(&mut store, "a1").unwrap();
         let (conditions, changes) = make(&mut store);
         newer(&mut store);
         assert_eq!(send(&mut store, &conditions, &changes).is_none(), refused, "{name}");
@@ -156,7 +156,7 @@
     let (condition, change) = candidacy(&lease_holder("a1"), lease);
     let late = ([condition], [change]);
     send(&mut store, &late.0, &late.1).unwrap();
-    let token = own(&mut store, "a1").unwrap();
+    let token = become_leader(&mut store, "a1").unwrap();
     let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late.0, &late.1).is_some());
@@ -189,40 +189,40 @@
 }
 
 /// The answer to a transaction may come after the watch has told of newer ones: the mirror would never be
-/// told of those again, and this controller would own or hold the lease for itself alone.
+/// told of those again, and this controller would lead or hold the lease for itself alone.
 #[test]
 fn an_answer_that_the_watch_has_overtaken_makes_nobody_own_or_lead() {
     let mut store = Store::default();
     let mut mirror = mirror();
     let (_, stamp) = take_lease(&mut store, "a1");
-    let token = own(&mut store, "a1").unwrap();
+    let token = become_leader(&mut store, "a1").unwrap();
     store.drop_leases();
     hear(&mut mirror, &store);
     mirror.note_lease_holder(lease_holder("a1"), stamp);
     assert!(mirror.lease_holder().is_none(), "its lease has ended since");
     take_lease(&mut store, "b1");
-    let newer = own(&mut store, "b1").unwrap();
+    let newer = become_leader(&mut store, "b1").unwrap();
     hear(&mut mirror, &store);
-    assert!(!mirror.note_assignment(owner("a1"), token), "nothing to own by");
+    assert!(!mirror.note_assignment(leader("a1"), token), "nothing to lead by");
     assert_eq!(mirror.assignment().map(|(a, stamp)| (a.incarnation.as_str(), *stamp)), Some(("b1", newer)));
     // Ahead of the watch it counts as ever, and a watch from before does not take it back.
     let before = store.follow(MIRRORED, mirror.revision).unwrap();
-    let token = own(&mut store, "b1").unwrap();
-    assert!(mirror.note_assignment(owner("b1"), token));
+    let token = become_leader(&mut store, "b1").unwrap();
+    assert!(mirror.note_assignment(leader("b1"), token));
     mirror.apply(&before);
     assert_eq!(mirror.assignment().map(|(_, stamp)| *stamp), Some(token));
     hear(&mut mirror, &store);
-    assert!(mirror.note_assignment(owner("b1"), token), "and heard of by the watch first");
+    assert!(mirror.note_assignment(leader("b1"), token), "and heard of by the watch first");
 }
 
-/// A page that was read before this controller's assignment stood brings back, for a moment, who owned before.
+/// A page that was read before this controller's assignment stood brings back, for a moment, who led before.
 /// It is deposed by newer tokens only, what it tries meanwhile is refused, and the first page's revision is
 /// where the watch goes on, which tells of the assignment again.
 #[test]
 fn a_page_older_than_an_assignment_deposes_nobody_and_is_put_right() {
     let mut store = Store::default();
     take_lease(&mut store, "b1");
-    let before = own(&mut store, "b1").unwrap();
+    let before = become_leader(&mut store, "b1").unwrap();
     let old = store.page(MIRRORED, "", 100);
     store.drop_leases();
     take_lease(&mut store, "a1");
@@ -230,17 +230,17 @@
     hear(&mut mirror, &store);
     let mut loading = mirror.load();
     mirror.take_page(&mut loading, &old);
-    let token = own(&mut store, "a1").unwrap();
-    assert!(mirror.note_assignment(owner("a1"), token));
+    let token = become_leader(&mut store, "a1").unwrap();
+    assert!(mirror.note_assignment(leader("a1"), token));
     mirror.loaded(loading);
     let believed = mirror.assignment().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
     assert!(before < token, "which is no newer than the token that is held");
     assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "the other seems to hold the lease");
     let leads = mirror.lease_holder().map_or(0, |(_, stamp)| *stamp);
-    let (conditions, change) = naming(&owner("a1"), leads, before);
+    let (conditions, change) = naming(&leader("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
     hear(&mut mirror, &store);
     assert_eq!(mirror.assignment().map(|(_, stamp)| *stamp), Some(token));
-    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "holds the lease and owns");
+    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "holds the lease and leads");
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -1,4 +1,4 @@
-//! Connections between controllers, which exchange JSON lines: whether the store serves the sender, the owner's counts
+//! Connections between controllers, which exchange JSON lines: whether the store serves the sender, the leader's counts
 //! for display, and its watermark. Only the watermark decides what users may be told; it stays true however late it
 //! arrives, and without it they are told less.
 
@@ -58,9 +58,9 @@
     /// Lines that are dropped, and connections.
     odd_lines: LogLimit,
     too_many: LogLimit,
-    /// Running and done tasks of open jobs, as the owner told them last. For display only.
+    /// Running and done tasks of open jobs, as the leader told them last. For display only.
     pub counts: HashMap<JobId, Counts>,
-    /// What the owner told last of who is served, and when that was heard.
+    /// What the leader told last of who is served, and when that was heard.
     pub served: Option<(Vec<Row>, Instant)>,
 }
 
@@ -106,19 +106,19 @@
     }
 }
 
-/// A watermark counts if its token is that of the assignment as it is known here, and the sender its owner:
-/// one of an owner that is not known here yet, or no more, is told again by whoever owns.
+/// A watermark counts if its token is that of the assignment as it is known here, and the sender its leader:
+/// one of a leader that is not known here yet, or no more, is told again by whoever leads.
 pub fn believed(from: &str, told: Option<Watermark>, assignment: Option<&(Assignment, u64)>) -> Option<u64> {
-    let (told, (owner, stamp)) = (told?, assignment?);
-    (owner.node == from && *stamp == told.token).then_some(told.revision)
+    let (told, (leader, stamp)) = (told?, assignment?);
+    (leader.node == from && *stamp == told.token).then_some(told.revision)
 }
 
-/// Whether no owner can have told this watermark, by all that the store has told up to this revision: its token is
+/// Whether no leader can have told this watermark, by all that the store has told up to this revision: its token is
 /// newer than the last assignment and not newer than that, or the last assignment is another's.
 fn never_was(from: &str, told: Option<Watermark>, known: Option<&(Assignment, u64)>, through: Option<u64>) -> bool {
-    let (Some(told), Some((owner, stamp)), Some(through)) = (told, known, through) else { return false };
+    let (Some(told), Some((leader, stamp)), Some(through)) = (told, known, through) else { return false };
     let missed = told.token > *stamp && told.token <= through;
-    missed || (told.token == *stamp && owner.node != from)
+    missed || (told.token == *stamp && leader.node != from)
 }
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
@@ -180,22 +180,22 @@
 /// Takes in what a peer has said, or nothing at all of it.
 fn take_line(node: &Node, text: &[u8], now: Instant) -> Result<(), BadLine> {
     let line = Line::read(text, &node.settings.peers)?;
-    let (watermark, owns) = {
+    let (watermark, leads) = {
         let mirror = lock(&node.mirror);
         let assignment = mirror.assignment();
         if never_was(&line.node, line.watermark, assignment, mirror.asking()) {
             return Err(BadLine::Token(line.node));
         }
-        let owns = assignment.is_some_and(|(owner, _)| owner.node == line.node);
-        (believed(&line.node, line.watermark, assignment), owns)
+        let leads = assignment.is_some_and(|(leader, _)| leader.node == line.node);
+        (believed(&line.node, line.watermark, assignment), leads)
     };
     node.history.advance(watermark.unwrap_or(0));
     let many = {
         let mut heard = lock(&node.heard);
         heard.told(line.node, line.store_serves, line.wants, line.acknowledged, now);
         heard.counts.extend(line.counts);
-        // Whoever does not own has no account to tell.
-        if owns && !line.served.is_empty() {
+        // Whoever does not lead has no account to tell.
+        if leads && !line.served.is_empty() {
             heard.served = Some((line.served, now));
         }
         heard.counts.len() > MOST_HEARD
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -29,13 +29,13 @@
     /// What the sender wants of the state service, in requests and in changes.
     #[serde(default, deserialize_with = "or_default")]
     pub wants: [Want; 2],
-    /// Counts of jobs that changed since the last line, from the owner.
+    /// Counts of jobs that changed since the last line, from the leader.
     #[serde(default, deserialize_with = "readable")]
     pub counts: Vec<(JobId, Counts)>,
-    /// The owner's account of who is served, once in a while.
+    /// The leader's account of who is served, once in a while.
     #[serde(default, deserialize_with = "readable")]
     pub served: Vec<Row>,
-    /// The owner's own watermark; builds before 0.3 tell none.
+    /// The leader's own watermark; builds before 0.3 tell none.
     #[serde(default, deserialize_with = "or_default")]
     pub watermark: Option<Watermark>,
     /// The highest watermark that the sender has heard of, from whomever.
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// How long another has been answered tells an outage that has just ended from one of this controller's
-/// own: by its word of the moment every owner let its workers go at the end of every outage.
+/// own: by its word of the moment every leader let its workers go at the end of every outage.
 #[test]
 fn since_when_the_others_can_answer() {
     let (t, s) = (Instant::now(), Duration::from_secs);
@@ -29,14 +29,14 @@
 #[test]
 fn tokens_that_never_were_by_cases() {
     for (name, from, token, known, through, want) in [
-        ("the owner's", "b", 7, Some(("b", 7)), Some(9), false),
-        ("an earlier owner's, on its way", "b", 5, Some(("c", 7)), Some(9), false),
+        ("the leader's", "b", 7, Some(("b", 7)), Some(9), false),
+        ("an earlier leader's, on its way", "b", 5, Some(("c", 7)), Some(9), false),
         ("one that was not heard of yet", "b", 12, Some(("c", 7)), Some(9), false),
         ("one that the store would have told of", "b", 8, Some(("b", 7)), Some(9), true),
         ("the last that it would have told of", "b", 9, Some(("b", 7)), Some(9), true),
         ("another's", "b", 7, Some(("c", 7)), Some(9), true),
         ("the store is not read", "b", 8, Some(("b", 7)), None, false),
-        ("nobody owns, as far as is known", "b", 8, None, Some(9), false),
+        ("nobody leads, as far as is known", "b", 8, None, Some(9), false),
     ] {
         let known = known.map(|(node, stamp)| assigned(node, stamp));
         let told = Some(Watermark { token, revision: 50 });
@@ -45,8 +45,8 @@
     assert!(!never_was("b", None, Some(&assigned("c", 7)), Some(9)), "no watermark at all");
 }
 
-/// A controller for whose peer `node-1` owns by the store.
-fn node_that_knows_an_owner() -> Arc<Node> {
+/// A controller for whose peer `node-1` leads by the store.
+fn node_that_knows_an_leader() -> Arc<Node> {
     let node = Node::new(crate::settings::tests::example(), crate::settings::Properties::default());
     let mut mirror = lock(&node.mirror);
     let loading = mirror.load();
@@ -59,7 +59,7 @@
 /// What cannot be trusted leaves no trace, and what can counts.
 #[test]
 fn a_line_is_taken_whole_or_not_at_all() {
-    let node = node_that_knows_an_owner();
+    let node = node_that_knows_an_leader();
     let now = Instant::now();
     let counts = r#""counts":[["run-000001",{"running":1,"done":0}]]"#;
     for text in [
@@ -81,7 +81,7 @@
 /// By a token that the store would have told of, nothing of the line counts.
 #[test]
 fn a_line_under_a_token_that_never_was_is_dropped() {
-    let node = node_that_knows_an_owner();
+    let node = node_that_knows_an_leader();
     let read_on = crate::store::client::Followed { revision: 90, log: Vec::new() };
     lock(&node.mirror).apply(&read_on);
     let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
@@ -95,7 +95,7 @@
 fn strangers_are_closed_and_bounded() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let node = node_that_knows_an_owner();
+        let node = node_that_knows_an_leader();
         let free = Arc::new(Semaphore::new(1));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,15 +1,15 @@
-//! Election and ownership: which controller holds the election lease, and which owns teams and machines.
+//! Election and leadership: which controller holds the election lease, and which leads.
 //!
 //! The lease holder's key is attached to a lease of the state service. The lease holder writes the assignment; the
-//! version of that key is the owner's token, which workers compare and on which every write of a placement is
-//! conditional. Clocks only decide how soon a new lease holder follows: a deposed owner is stopped by the version, not
+//! version of that key is the leader's token, which workers compare and on which every write of a placement is
+//! conditional. Clocks only decide how soon a new lease holder follows: a deposed leader is stopped by the version, not
 //! by the time.
 
 pub mod mesh;
 pub mod records;
 pub mod serving_state;
 mod turns;
-pub mod unreachable_owner;
+pub mod unreachable_leader;
 mod unreadable;
 pub mod watermark;
 #[cfg(test)]
@@ -57,7 +57,7 @@
     me: &str,
     lease_holder: Option<&str>,
     predecessor: bool,
-    owner: Option<&str>,
+    leader: Option<&str>,
     raise: bool,
     renew_due: bool,
 ) -> Step {
@@ -65,7 +65,7 @@
         None => Step::Campaign,
         Some(l) if l != me && predecessor => Step::Expire,
         Some(l) if l != me => Step::Wait,
-        Some(_) if owner != Some(me) || raise => Step::Assign,
+        Some(_) if leader != Some(me) || raise => Step::Assign,
         Some(_) if renew_due => Step::Renew,
         Some(_) => Step::Wait,
     }
@@ -74,10 +74,10 @@
 /// This controller's own assignment stands, and it does not act on it: the write was carried out and not
 /// answered. It is written again, which answers under which token to begin, or to go on.
 fn unheard(me: &str, assignment: Option<(&str, u64)>, token: Option<u64>) -> bool {
-    assignment.is_some_and(|(owner, stamp)| owner == me && token.is_none_or(|token| token < stamp))
+    assignment.is_some_and(|(leader, stamp)| leader == me && token.is_none_or(|token| token < stamp))
 }
 
-/// What this controller knows of who holds the lease and owns at the moment it looks.
+/// What this controller knows of who holds the lease and leads at the moment it looks.
 struct View {
     lease_holder: Option<LeaseHolder>,
     lease_holder_stamp: u64,
@@ -164,7 +164,7 @@
             &node.incarnation,
             view.lease_holder(),
             nobody || (own_name && self.expired < MOST_EXPIRED),
-            assigned.map(|(owner, _)| owner),
+            assigned.map(|(leader, _)| leader),
             node.raise_wanted() || unheard(&node.incarnation, assigned, token),
             renew_due,
         );
@@ -236,8 +236,8 @@
         warn!(
             waiting,
             for_s = long.as_secs(),
-            owner = node.owner_node(),
-            "withdrawals are stored and not confirmed by the owner: their users are told to come again"
+            leader = node.leader_node(),
+            "withdrawals are stored and not confirmed by the leader: their users are told to come again"
         );
     }
     if let Some(watermark) = node.watermark_to_store(Instant::now()) {
@@ -245,8 +245,8 @@
     }
 }
 
-/// Who holds the lease decides how soon there is an owner and nothing else: the assignment stands until a new lease
-/// holder writes the next one, and whatever its owner has sent is judged by that.
+/// Who holds the lease decides how soon there is a leader and nothing else: the assignment stands until a new lease
+/// holder writes the next one, and whatever its leader has sent is judged by that.
 pub(crate) fn expiry(stamp: u64) -> (Condition, Change) {
     (Condition::at(LEASE_HOLDER, stamp), Change::Drop { drop: LEASE_HOLDER.into() })
 }
@@ -287,13 +287,13 @@
     Ok(())
 }
 
-/// An owner, named by whoever holds the lease and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(owner: &Assignment, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
-    let change = Change::write(ASSIGNMENT, serde_json::to_value(owner).unwrap_or_default());
+/// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
+pub(crate) fn naming(leader: &Assignment, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
+    let change = Change::write(ASSIGNMENT, serde_json::to_value(leader).unwrap_or_default());
     ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(ASSIGNMENT, stamp)], change)
 }
 
-/// Writes this controller as owner. Done again, it raises the token: every command given under
+/// Writes this controller as leader. Done again, it raises the token: every command given under
 /// the older one is dead wherever the new one has been seen.
 async fn assign(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
     let record = Assignment {
@@ -305,7 +305,7 @@
     match node.store.txn(&conditions, &[change], Urgent::First).await? {
         TxnOutcome::Applied(token) => {
             if lock(&node.mirror).note_assignment(record, token) {
-                node.owns(token);
+                node.become_leader(token);
             } else {
                 warn!(token, "assigned, and replaced before the answer came");
             }
@@ -325,7 +325,7 @@
     (Condition::at(ASSIGNMENT, watermark.token), Change::write(WATERMARK, value))
 }
 
-/// Controllers that do not hear this owner read it there.
+/// Controllers that do not hear this leader read it there.
 async fn store_watermark(node: &Node, watermark: Watermark) {
     let (condition, change) = storing(watermark);
     match node.store.txn(&[condition], &[change], Urgent::First).await {
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,4 +1,5 @@
-//! Values stored for the election and ownership: the lease holder, the assignment, the watermark and takeover requests.
+//! Values stored for the election and leadership: the lease holder, the assignment, the watermark and takeover
+//! requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,39 +15,39 @@
     pub incarnation: String,
 }
 
-/// One owner's record. With several owners there is one record each, parting teams and machines.
+/// One leader's record. With several leaders there is one record each, parting teams and machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Name of the controller that owns.
+    /// Name of the controller that leads.
     pub node: String,
-    /// The owning process. A restarted controller has another one and does not own by its predecessor's record.
+    /// The leading process. A restarted controller has another one and does not lead by its predecessor's record.
     pub incarnation: String,
-    /// Names of the teams whose jobs it owns; at present all teams of the settings.
+    /// Names of the teams whose jobs it leads; at present all teams of the settings.
     pub teams: Vec<String>,
 }
 
-/// The loaded cluster state of the owner with this token holds every end up to this revision of the store.
+/// The loaded cluster state of the leader with this token holds every end up to this revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
-    /// Token of the owner: the version of its assignment's key.
+    /// Token of the leader: the version of its assignment's key.
     pub token: u64,
     /// Revision of the store up to which every end is included.
     pub revision: u64,
 }
 
-/// Workers cannot reach the owner of this token, but reach this controller.
+/// Workers cannot reach the leader of this token, but reach this controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TakeoverRequest {
     /// Name of the controller that asks.
     pub node: String,
-    /// Token of the owner that the workers cannot reach.
+    /// Token of the leader that the workers cannot reach.
     pub token: u64,
     /// Number of workers that came back after they were redirected to it.
     pub machines: usize,
 }
 
 impl TakeoverRequest {
-    /// Whichever takeover request comes last stands; one for an owner that was replaced is refused.
+    /// Whichever takeover request comes last stands; one for a leader that was replaced is refused.
     pub fn transaction(&self) -> ([Condition; 1], [Change; 1]) {
         let value = serde_json::to_value(self).unwrap_or_default();
         ([Condition::at(ASSIGNMENT, self.token)], [Change::write(TAKEOVER_REQUEST, value)])
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -1,7 +1,7 @@
 //! How far a controller's knowledge can be relied on, by its own proofs and by what the other controllers report.
 //!
 //! A controller that gets no answer from the state service cannot tell whether the others get one. If none does,
-//! nobody else can become owner, and workers should stay where they are. If some do, another controller becomes owner
+//! nobody else can become leader, and workers should stay where they are. If some do, another controller becomes leader
 //! after the election lease, and an answer 200 from this one only keeps workers from it. What the others report tells
 //! the two cases apart. A controller that hears from nobody answers less and less, and holds only workers that come
 //! back after it has sent them away.
@@ -31,7 +31,7 @@
     Sound,
     /// Does not, and another does.
     Passed,
-    /// All others were heard of and none knows either, or only just: nobody can have come to own.
+    /// All others were heard of and none knows either, or only just: nobody can have come to lead.
     Outage,
     /// Does not, and cannot tell what the others know.
     Lone,
@@ -57,9 +57,9 @@
         Self { proof: longer(5), refused: longer(2), answering: Duration::from_secs(2) }
     }
 
-    /// Until workers are let go: another may own once the election lease is over, and a proof may be late by
+    /// Until workers are let go: another may lead once the election lease is over, and a proof may be late by
     /// its own pause and one answer that never came.
-    pub fn of_ownership(election_lease: Duration) -> Self {
+    pub fn of_leadership(election_lease: Duration) -> Self {
         let proof = election_lease.max(Duration::from_secs(2)) + Duration::from_secs(3);
         Self { proof, refused: proof, answering: election_lease }
     }
@@ -80,7 +80,7 @@
 
 impl ServingState {
     /// Whether users are sent here, and workers held or sent on as the mirror has it. In an outage the load
-    /// balancer must have someone, and ownership cannot change.
+    /// balancer must have someone, and leadership cannot change.
     pub fn speaks(self) -> bool {
         matches!(self, Self::Sound | Self::Outage)
     }
@@ -125,7 +125,7 @@
     Held(Instant),
 }
 
-/// Machines that report to an owner which may be one no more. Each is sent to look for another; one that
+/// Machines that report to a leader which may be one no more. Each is sent to look for another; one that
 /// comes back has found none and is held, so that its lease does not end, and sent again later. Pure.
 #[derive(Debug, Default)]
 pub struct LetGo {
@@ -160,12 +160,12 @@
         self.errands.len()
     }
 
-    /// True the first time since who owns was known.
+    /// True the first time since who leads was known.
     pub fn begins(&mut self) -> bool {
         !std::mem::replace(&mut self.begun, true)
     }
 
-    /// Who owns is known again.
+    /// Who leads is known again.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn what_each_may_say_by_cases() {
     use ServingState::*;
-    let (health, owner) = (Patience::of_health(0), Patience::of_ownership(s(3)));
+    let (health, leader) = (Patience::of_health(0), Patience::of_leadership(s(3)));
     // (name, proof, refused for, heard of two others, one answering for, towards users, towards workers)
     for (name, proof, refused, heard, answering, users, workers) in [
         ("all well", Some(1), 0, 2, Some(99), Sound, Sound),
@@ -31,10 +31,10 @@
     ] {
         let (proof, answering) = (proof.map(s), answering.map(s));
         let seen = Observations { proof, refused: s(refused), peers: 2, heard, answering };
-        assert_eq!((seen.serving_state(health), seen.serving_state(owner)), (users, workers), "{name}");
+        assert_eq!((seen.serving_state(health), seen.serving_state(leader)), (users, workers), "{name}");
     }
     let alone = Observations { proof: Some(s(40)), refused: s(40), peers: 0, heard: 0, answering: None };
-    assert_eq!(alone.serving_state(owner), Outage, "the only controller there is");
+    assert_eq!(alone.serving_state(leader), Outage, "the only controller there is");
 }
 
 /// A controller that flaps is kept out for up to a minute by the load balancer, at each of its removals
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -4,37 +4,37 @@
 
 #[test]
 fn steps_by_cases() {
-    for (name, lease_holder, predecessor, owner, raise, due, want) in [
+    for (name, lease_holder, predecessor, leader, raise, due, want) in [
         ("nobody holds the lease", None, false, Some("b"), false, false, Step::Campaign),
         ("another holds the lease", Some("b"), false, Some("b"), true, true, Step::Wait),
         ("its predecessor holds the lease", Some("a0"), true, Some("a0"), false, true, Step::Expire),
-        ("its predecessor holds the lease, another owns", Some("a0"), true, Some("b"), false, false, Step::Expire),
-        ("its predecessor owned, another holds the lease", Some("b"), false, Some("a0"), false, false, Step::Wait),
-        ("holds the lease, another owns", Some("a"), true, Some("b"), false, true, Step::Assign),
-        ("holds the lease, nobody owns", Some("a"), true, None, false, false, Step::Assign),
+        ("its predecessor holds the lease, another leads", Some("a0"), true, Some("b"), false, false, Step::Expire),
+        ("its predecessor led, another holds the lease", Some("b"), false, Some("a0"), false, false, Step::Wait),
+        ("holds the lease, another leads", Some("a"), true, Some("b"), false, true, Step::Assign),
+        ("holds the lease, nobody leads", Some("a"), true, None, false, false, Step::Assign),
         ("token to raise", Some("a"), true, Some("a"), true, false, Step::Assign),
         ("renewal due", Some("a"), true, Some("a"), false, true, Step::Renew),
         ("all well", Some("a"), true, Some("a"), false, false, Step::Wait),
     ] {
-        assert_eq!(next_step("a", lease_holder, predecessor, owner, raise, due), want, "{name}");
+        assert_eq!(next_step("a", lease_holder, predecessor, leader, raise, due), want, "{name}");
     }
 }
 
-/// An assignment that was carried out and not answered left a lease holder that owned nothing, for as long as it held
+/// An assignment that was carried out and not answered left a lease holder that led nothing, for as long as it held
 /// the lease: it found itself assigned, and nothing to do.
 #[test]
 fn an_assignment_that_was_not_answered_is_written_again() {
     for (name, assignment, token, want) in [
-        ("nobody owns", None, None, Step::Assign),
-        ("another owns", Some(("b", 20)), None, Step::Assign),
+        ("nobody leads", None, None, Step::Assign),
+        ("another leads", Some(("b", 20)), None, Step::Assign),
         ("answered", Some(("a", 20)), Some(20), Step::Wait),
         ("carried out, not answered", Some(("a", 20)), None, Step::Assign),
         ("raised, not answered", Some(("a", 21)), Some(20), Step::Assign),
         ("raised, the mirror is behind", Some(("a", 20)), Some(21), Step::Wait),
     ] {
-        let owner = assignment.map(|(owner, _)| owner);
+        let leader = assignment.map(|(leader, _)| leader);
         let again = unheard("a", assignment, token);
-        assert_eq!(next_step("a", Some("a"), true, owner, again, false), want, "{name}");
+        assert_eq!(next_step("a", Some("a"), true, leader, again, false), want, "{name}");
     }
 }
 
--- a/src/membership/turns/tests.rs
+++ b/src/membership/turns/tests.rs
@@ -29,7 +29,7 @@
     longest.max(now - renewed)
 }
 
-/// A run of assignments without an answer cost the lease holder its lease, and the work a change of owner.
+/// A run of assignments without an answer cost the lease holder its lease, and the work a change of leader.
 #[test]
 fn assignments_without_an_answer_cost_no_lease() {
     for life_ms in [500, 1000, 3000, 10_000, 600_000] {
--- a/src/membership/unreachable_owner.rs
+++ b/src/membership/unreachable_leader.rs
@@ -1,13 +1,13 @@
-//! Detects that workers cannot reach the owner: they come back to a controller that has redirected them to it.
+//! Detects that workers cannot reach the leader: they come back to a controller that has redirected them to it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// A worker that comes back within this time after it was sent to the owner did not get there.
+/// A worker that comes back within this time after it was sent to the leader did not get there.
 const BACK_WITHIN: Duration = Duration::from_secs(8);
 /// Redirects of one worker closer together than this are one.
 const APART: Duration = Duration::from_millis(500);
-/// This many workers that cannot reach the owner are no accident.
+/// This many workers that cannot reach the leader are no accident.
 const ENOUGH: usize = 3;
 const TAKEOVER_REQUEST_GAP: Duration = Duration::from_secs(3);
 /// Names kept at the most.
@@ -24,21 +24,21 @@
     back: bool,
 }
 
-/// Workers that were redirected to the owner lately, and when a takeover request was last made for them. Pure.
+/// Workers that were redirected to the leader lately, and when a takeover request was last made for them. Pure.
 #[derive(Debug, Default)]
-pub struct UnreachableOwner {
+pub struct UnreachableLeader {
     redirected: HashMap<String, Redirected>,
     requested: Option<Instant>,
 }
 
-impl UnreachableOwner {
+impl UnreachableLeader {
     /// Machines remembered.
     pub fn remembered(&self) -> usize {
         self.redirected.len()
     }
 
-    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the owner
-    /// when it is time for a takeover request.
+    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the
+    /// leader when it is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
         self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
         if let Some(seen) = self.redirected.get_mut(machine) {
--- a/src/membership/unreadable.rs
+++ b/src/membership/unreadable.rs
@@ -1,6 +1,6 @@
 //! How a lease holder's key that cannot be read is removed. No build renews an election lease that it does not hold,
 //! and a key without a lease would keep everybody from taking the election lease for ever. That lease only decides how
-//! soon there is an owner, so such a key may be dropped, on condition of its version, once it has stood for an election
+//! soon there is a leader, so such a key may be dropped, on condition of its version, once it has stood for an election
 //! lease. Pure.
 
 use std::time::{Duration, Instant};
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -1,8 +1,8 @@
-//! When the owner stores its watermark, because some controller does not hear it.
+//! When the leader stores its watermark, because some controller does not hear it.
 //!
 //! Controllers tell each other watermarks (`mesh`), which costs no request to the store. A controller that does not
-//! hear the owner, as where connections between controllers are refused, would never report a withdrawal to its users.
-//! The owner sees from the acknowledgements that one lags behind, and stores the watermark for it. Pure.
+//! hear the leader, as where connections between controllers are refused, would never report a withdrawal to its users.
+//! The leader sees from the acknowledgements that one lags behind, and stores the watermark for it. Pure.
 
 use std::time::{Duration, Instant};
 
@@ -18,15 +18,19 @@
 /// withdrawal: it may know of one by a later revision than the one at which it was stored, as after a reading.
 const LAGS: Duration = Duration::from_secs(10);
 
-/// What a controller may tell as the owner's watermark: its loaded cluster state's token and what that holds, and only
+/// What a controller may tell as the leader's watermark: its loaded cluster state's token and what that holds, and only
 /// if by all that it has heard, which is no less, it is still the one that is assigned. Past the assignment of
 /// another it may hold ends that the successor has not heard of, whom workers obey by then.
-pub fn own(me: &str, cluster: Option<(u64, u64)>, assignment: Option<&(Assignment, u64)>) -> Option<Watermark> {
-    let ((token, revision), (owner, stamp)) = (cluster?, assignment?);
-    (owner.incarnation == me && *stamp == token).then_some(Watermark { token, revision })
+pub fn own_watermark(
+    me: &str,
+    cluster: Option<(u64, u64)>,
+    assignment: Option<&(Assignment, u64)>,
+) -> Option<Watermark> {
+    let ((token, revision), (leader, stamp)) = (cluster?, assignment?);
+    (leader.incarnation == me && *stamp == token).then_some(Watermark { token, revision })
 }
 
-/// Withdrawals that others may not have heard the owner confirm.
+/// Withdrawals that others may not have heard the leader confirm.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
     /// The oldest and the newest of them, and since when.
@@ -37,7 +41,7 @@
 }
 
 impl Unconfirmed {
-    /// The owner has heard of a withdrawal that was stored at this revision.
+    /// The leader has heard of a withdrawal that was stored at this revision.
     pub fn heard(&mut self, stamp: u64, now: Instant) {
         let (oldest, newest, since) = self.range.unwrap_or((stamp, stamp, now));
         self.range = Some((oldest.min(stamp), newest.max(stamp), since));
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -7,7 +7,7 @@
 use super::mesh::believed;
 use super::records::{Assignment, Watermark};
 use super::storing;
-use super::watermark::{Lag, Unconfirmed, own};
+use super::watermark::{Lag, Unconfirmed, own_watermark};
 use crate::jobs::record::{ASSIGNMENT, WATERMARK};
 use crate::store::Change;
 
@@ -19,13 +19,13 @@
 fn whose_watermark_counts_by_cases() {
     let told = |token| Some(Watermark { token, revision: 50 });
     for (name, from, told, known, want) in [
-        ("the owner's", "a", told(7), Some(("a", 7)), Some(50)),
+        ("the leader's", "a", told(7), Some(("a", 7)), Some(50)),
         ("a build that tells none", "a", None, Some(("a", 7)), None),
-        ("one that is owner no more", "a", told(7), Some(("b", 9)), None),
+        ("one that is leader no more", "a", told(7), Some(("b", 9)), None),
         ("one whose assignment was not heard of here", "b", told(9), Some(("a", 7)), None),
         ("a token that never was", "a", told(8), Some(("a", 7)), None),
-        ("another's under the owner's token", "b", told(7), Some(("a", 7)), None),
-        ("nobody owns, as far as is known", "a", told(7), None, None),
+        ("another's under the leader's token", "b", told(7), Some(("a", 7)), None),
+        ("nobody leads, as far as is known", "a", told(7), None, None),
     ] {
         let known = known.map(|(node, stamp)| assignment(node, stamp));
         assert_eq!(believed(from, told, known.as_ref()), want, "{name}");
@@ -40,7 +40,7 @@
         (Assignment { incarnation: incarnation.into(), ..assignment }, stamp)
     };
     for (name, cluster, known, tells) in [
-        ("the owner", Some((7, 50)), Some(assigned("1", 7)), true),
+        ("the leader", Some((7, 50)), Some(assigned("1", 7)), true),
         ("its cluster state is not loaded", None, Some(assigned("1", 7)), false),
         ("another was assigned", Some((7, 50)), Some(assigned("2", 9)), false),
         ("another process of its name was", Some((7, 50)), Some(assigned("0", 7)), false),
@@ -48,7 +48,7 @@
         ("nobody is", Some((7, 50)), None, false),
     ] {
         let want = tells.then_some(Watermark { token: 7, revision: 50 });
-        assert_eq!(own("1", cluster, known.as_ref()), want, "{name}");
+        assert_eq!(own_watermark("1", cluster, known.as_ref()), want, "{name}");
     }
 }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -4,9 +4,9 @@
 mod confirmation;
 mod display;
 mod hands;
+mod leadership;
 mod news;
 mod over;
-mod ownership;
 mod serving_state;
 mod shares;
 
@@ -29,7 +29,7 @@
 use crate::kinds::Catalog;
 use crate::membership::mesh::Heard;
 use crate::membership::serving_state::{Health, LetGo};
-use crate::membership::unreachable_owner::UnreachableOwner;
+use crate::membership::unreachable_leader::UnreachableLeader;
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
 use crate::process_pause::{BEAT, PauseDetector};
@@ -47,7 +47,7 @@
 /// Who is to look again because something changed.
 #[derive(Default)]
 pub struct Wake {
-    /// Wakes `membership`: ownership, the lease holder or this process's own proofs may have changed.
+    /// Wakes `membership`: leadership, the lease holder or this process's own proofs may have changed.
     pub membership: Notify,
     /// Wakes placement (`scheduling`): reports, jobs or what is stored changed.
     pub plan: Notify,
@@ -79,7 +79,7 @@
     pub store: Arc<StateClient>,
     /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
-    /// Open jobs, ownership and what is declared, as the store has told them.
+    /// Open jobs, leadership and what is declared, as the store has told them.
     pub mirror: Mutex<Mirror>,
     /// Proofs that `mirror` is up to date.
     pub fresh: Fresh,
@@ -89,7 +89,7 @@
     pub audit: Mutex<Audit>,
     /// The machine types that the cloud offers, as last read; none before the first answer.
     pub catalog: Mutex<Option<Arc<Catalog>>>,
-    /// The cluster state of tasks and machines, while this controller owns them.
+    /// The cluster state of tasks and machines, while this controller leads them.
     pub cluster: Mutex<Option<ClusterState>>,
     /// What the other controllers said last.
     pub heard: Mutex<Heard>,
@@ -101,15 +101,15 @@
     pub wake: Wake,
     /// Notices that this process was paused.
     pause_detector: Mutex<PauseDetector>,
-    /// Was paused for so long that another may own by now; nothing is done until the store says.
+    /// Was paused for so long that another may lead by now; nothing is done until the store says.
     unproven: AtomicBool,
-    unreachable_owner: Mutex<UnreachableOwner>,
+    unreachable_leader: Mutex<UnreachableLeader>,
     /// What users and machines are told while little can be proven.
     health: Mutex<Health>,
     let_go: Mutex<LetGo>,
-    /// Withdrawals that other controllers may not have heard this owner confirm.
+    /// Withdrawals that other controllers may not have heard this leader confirm.
     unconfirmed: Mutex<Unconfirmed>,
-    owner_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
+    leader_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
     /// Orders that are marked as done wait for a higher token (`fleet::orders`).
     marks_pressed: AtomicBool,
 }
@@ -144,11 +144,11 @@
             wake: Wake::default(),
             pause_detector: Mutex::new(PauseDetector::new(now)),
             unproven: AtomicBool::new(false),
-            unreachable_owner: Mutex::default(),
+            unreachable_leader: Mutex::default(),
             health: Mutex::default(),
             let_go: Mutex::default(),
             unconfirmed: Mutex::default(),
-            owner_tasks: Mutex::default(),
+            leader_tasks: Mutex::default(),
             marks_pressed: AtomicBool::new(false),
             settings,
             properties,
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -7,7 +7,7 @@
 use tracing::{info, warn};
 
 use super::Node;
-use crate::membership::unreachable_owner::UnreachableOwner;
+use crate::membership::unreachable_leader::UnreachableLeader;
 use crate::sync::lock;
 
 impl Node {
@@ -20,15 +20,15 @@
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
-        warn!(pause_s = pause.length().as_secs_f64(), ownership_open = void.ownership, "process was paused");
-        if void.ownership {
+        warn!(pause_s = pause.length().as_secs_f64(), leadership_open = void.leadership, "process was paused");
+        if void.leadership {
             self.unproven.store(true, Ordering::Relaxed);
             self.fresh.after_pause();
         }
         if let Some(cluster) = lock(&self.cluster).as_mut() {
             cluster.after_pause(pause);
         }
-        *lock(&self.unreachable_owner) = UnreachableOwner::default();
+        *lock(&self.unreachable_leader) = UnreachableLeader::default();
         self.store.after_pause(pause);
         self.fresh.wanted.notify_one();
         self.wake.membership.notify_one();
@@ -40,12 +40,15 @@
         lock(&self.pause_detector).pauses()
     }
 
-    /// The mirror was just proven fresh: who owns is known again.
+    /// The mirror was just proven fresh: who leads is known again.
     pub fn proven(&self) {
         self.check_deposed();
         lock(&self.let_go).clear();
         if self.unproven.swap(false, Ordering::Relaxed) {
-            info!(owns = lock(&self.cluster).is_some(), "what was known before the process pause is proven or dropped");
+            info!(
+                leads = lock(&self.cluster).is_some(),
+                "what was known before the process pause is proven or dropped"
+            );
         }
     }
 
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that this owner confirms to the other controllers and to users (`membership::watermark`).
+//! Withdrawals that this leader confirms to the other controllers and to users (`membership::watermark`).
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::sync::lock;
 
 impl Node {
-    /// This owner's cluster state is loaded, with all ends up to this revision.
+    /// This leader's cluster state is loaded, with all ends up to this revision.
     pub fn took_over(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
         *unconfirmed = Unconfirmed::default();
@@ -17,12 +17,12 @@
         self.wake.mesh.send_replace(());
     }
 
-    /// As the owner: up to which revision withdrawals are in its loaded cluster state, and obeyed
+    /// As the leader: up to which revision withdrawals are in its loaded cluster state, and obeyed
     /// (`cluster::watermark`). None while it is not sure to be the one that is assigned, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.token, b.watermark()));
-        let watermark = watermark::own(&self.incarnation, cluster, mirror.assignment())?;
+        let watermark = watermark::own_watermark(&self.incarnation, cluster, mirror.assignment())?;
         drop((mirror, held));
         self.history.advance(watermark.revision);
         Some(watermark)
@@ -42,13 +42,14 @@
         lock(&self.unconfirmed).confirmed(watermark, now);
     }
 
-    /// The token under which a withdrawal that is stored by this owner may be told at once.
+    /// The token under which a withdrawal that is stored by this leader may be told at once.
     pub fn withdraws_under(&self) -> Option<u64> {
         lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.token)
     }
 
-    /// A withdrawal was stored while this controller owned under this token. True if its cluster state has it now, no
-    /// machine may run it for an earlier owner, and no launch of it is in flight: an owner that came since has read it.
+    /// A withdrawal was stored while this controller led under this token. True if its cluster state has it now, no
+    /// machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has read
+    /// it.
     pub fn withdrew(&self, id: &JobId, token: u64) -> bool {
         let mut held = lock(&self.cluster);
         let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_token <= token) else { return false };
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -37,7 +37,7 @@
         changed
     }
 
-    /// The account as the owner sees it, for whoever may succeed it.
+    /// The account as the leader sees it, for whoever may succeed it.
     pub fn served_to_tell(&self) -> Vec<Row> {
         if lock(&self.cluster).is_none() {
             return Vec::new();
@@ -68,7 +68,7 @@
         held.push(("served", lock(&self.fairness).entries()));
         held.push(("in_admission", lock(&self.admission).waiting()));
         held.push(("counts_heard", lock(&self.heard).counts.len()));
-        held.push(("stranded", lock(&self.unreachable_owner).remembered()));
+        held.push(("stranded", lock(&self.unreachable_leader).remembered()));
         held.push(("let_go", lock(&self.let_go).remembered()));
         if let Some(cluster) = lock(&self.cluster).as_ref() {
             held.extend(cluster.held());
--- a/src/node/ownership.rs
+++ b/src/node/leadership.rs
@@ -1,4 +1,5 @@
-//! Ownership of teams and machines: starting the owner's tasks, ending them, and stepping down for another controller.
+//! Leadership of teams and machines: starting the leader's tasks, ending them, and stepping down for another
+//! controller.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,7 +19,7 @@
 
 impl Node {
     /// This controller's record stands as the assignment, under this token.
-    pub fn owns(self: &Arc<Self>, token: u64) {
+    pub fn become_leader(self: &Arc<Self>, token: u64) {
         self.press_marks(false);
         let mut held = lock(&self.cluster);
         if let Some(cluster) = held.as_mut() {
@@ -26,14 +27,14 @@
             info!(token, "token raised");
             return;
         }
-        info!(token, "owns teams and machines");
+        info!(token, "leads");
         if let Some((rows, told)) = lock(&self.heard).served.take() {
             lock(&self.fairness).take_over(&rows, told);
         }
         *held = Some(ClusterState::new(token, self.settings.clone(), self.properties.clone(), Instant::now()));
         drop(held);
         self.share();
-        let mut tasks = lock(&self.owner_tasks);
+        let mut tasks = lock(&self.leader_tasks);
         tasks.push(tokio::spawn(scheduling::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(commit::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(dispatch::run(self.clone())).abort_handle());
@@ -41,12 +42,12 @@
         tasks.push(tokio::spawn(declared::run::run(self.clone())).abort_handle());
     }
 
-    /// Stops owning at once: somebody newer does.
+    /// Stops leading at once: somebody newer does.
     pub fn step_down(&self, why: &str) {
-        let owned = lock(&self.cluster).take();
-        if let Some(cluster) = owned {
-            warn!(token = cluster.token, why, "no longer owns");
-            for task in lock(&self.owner_tasks).drain(..) {
+        let cluster = lock(&self.cluster).take();
+        if let Some(cluster) = cluster {
+            warn!(token = cluster.token, why, "no longer leads");
+            for task in lock(&self.leader_tasks).drain(..) {
                 task.abort();
             }
             self.share();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Whether the owner's token is to be raised: commands are to be made void, or marks of orders to be dropped.
+    /// Whether the leader's token is to be raised: commands are to be made void, or marks of orders to be dropped.
     pub fn raise_wanted(&self) -> bool {
         let marks = self.marks_pressed.load(Ordering::Relaxed);
         lock(&self.cluster).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
@@ -76,12 +77,12 @@
         self.marks_pressed.store(pressed, Ordering::Relaxed);
     }
 
-    /// A worker was sent to the owner. If workers keep coming back, the owner is told through the
+    /// A worker was sent to the leader. If workers keep coming back, the leader is told through the
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
-        let Some(machines) = lock(&self.unreachable_owner).note(machine, report, now) else { return };
+        let Some(machines) = lock(&self.unreachable_leader).note(machine, report, now) else { return };
         let Some(token) = lock(&self.mirror).assignment().map(|(_, stamp)| *stamp) else { return };
-        warn!(machines, "workers cannot reach the owner");
+        warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), token, machines };
         let node = self.clone();
         tokio::spawn(async move {
@@ -90,7 +91,7 @@
         });
     }
 
-    /// The version of a takeover request of another controller for workers that this owner has indeed lost.
+    /// The version of a takeover request of another controller for workers that this leader has indeed lost.
     pub fn takeover_request_to_answer(&self, now: Instant) -> Option<u64> {
         let (takeover_request, stamp) = lock(&self.mirror).takeover_request().cloned()?;
         let lost = lock(&self.cluster).as_ref().is_some_and(|b| b.token == takeover_request.token && b.lost_most(now));
@@ -98,7 +99,7 @@
     }
 
     /// The node that workers should report to, as far as known here.
-    pub fn owner_node(&self) -> Option<String> {
+    pub fn leader_node(&self) -> Option<String> {
         let mirror = lock(&self.mirror);
         mirror.lease_holder()?;
         mirror.assignment().map(|(a, _)| a.node.clone())
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -22,7 +22,7 @@
             }
             return;
         }
-        if news.ownership {
+        if news.leadership {
             self.wake.membership.notify_one();
         }
         if news.declared {
@@ -55,7 +55,7 @@
             for id in &news.ended {
                 let how = self.history.ended(id);
                 cluster.end_job(id, how, now);
-                // What this owner has stored as done needs no confirmation; of the rest any may be withdrawn.
+                // What this leader has stored as done needs no confirmation; of the rest any may be withdrawn.
                 if how != Some(End::Done) {
                     lock(&self.unconfirmed).heard(mirror.ended_by(id).unwrap_or(mirror.revision), now);
                     self.wake.mesh.send_replace(());
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,5 +1,5 @@
 //! Which jobs in a worker's report have ended by the mirror. Needed where the cluster state alone may not decide: it
-//! is not loaded yet, or this controller may have been replaced as owner.
+//! is not loaded yet, or this controller may have been replaced as leader.
 
 use std::collections::HashSet;
 
--- a/src/node/serving_state.rs
+++ b/src/node/serving_state.rs
@@ -40,24 +40,24 @@
         lock(&self.health).judge(read && !proving && self.catalog().is_some(), self.observations(now), now)
     }
 
-    /// Whether what is known here of who owns may be acted on towards workers.
-    pub fn knows_owner(&self, now: Instant) -> bool {
-        self.observations(now).serving_state(Patience::of_ownership(self.properties.election_lease)).speaks()
+    /// Whether what is known here of who leads may be acted on towards workers.
+    pub fn knows_leader(&self, now: Instant) -> bool {
+        self.observations(now).serving_state(Patience::of_leadership(self.properties.election_lease)).speaks()
     }
 
-    /// Whether this machine is held by an owner that may be one no more (`membership::serving_state`).
+    /// Whether this machine is held by a leader that may be one no more (`membership::serving_state`).
     pub fn holds(&self, machine: &str, now: Instant) -> bool {
         let (others, lease) = (self.settings.peers.len(), self.settings.params.workers.lease());
         let mut let_go = lock(&self.let_go);
         if let_go.begins() {
             warn!(
-                "neither the store nor another controller tells who owns: workers are let go, and held if they come back"
+                "neither the store nor another controller tells who leads: workers are let go, and held if they come back"
             );
         }
         let_go.holds(machine, others, lease, now)
     }
 
-    /// An owner that knows no end that was stored since its last proof may hold machines for so long that
+    /// A leader that knows no end that was stored since its last proof may hold machines for so long that
     /// their leases are over when the first such task has to be gone.
     pub fn may_hold_blindly(&self, now: Instant) -> bool {
         let spare = self.settings.params.workers.spare();
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -7,15 +7,15 @@
 use crate::store::share::{Parts, Want, by_need};
 use crate::sync::lock;
 
-/// An owner writes most; the others keep enough for users and for a campaign.
-pub(crate) const WRITES: Parts = Parts { owner: 0.7, others: 0.25 };
-/// Users ask every controller alike; an owner needs few requests more than the others, since its
+/// A leader writes most; the others keep enough for users and for a campaign.
+pub(crate) const WRITES: Parts = Parts { leader: 0.7, others: 0.25 };
+/// Users ask every controller alike; a leader needs few requests more than the others, since its
 /// writes go many at a time.
-pub(super) const REQUESTS: Parts = Parts { owner: 0.5, others: 0.45 };
+pub(super) const REQUESTS: Parts = Parts { leader: 0.5, others: 0.45 };
 /// Shares are worked out again this often, as the others tell what they want.
 pub(super) const SHARE_EVERY: Duration = Duration::from_secs(1);
 
-/// What a controller begins with, as one that does not own and hears nobody.
+/// What a controller begins with, as one that does not lead and hears nobody.
 pub(super) fn first_budget(parts: Parts, limit: f64, others: usize, now: Instant) -> Budget {
     let share = parts.fixed(limit, others, false);
     Budget::new(share, share, now)
@@ -24,9 +24,9 @@
 impl Node {
     /// What this controller lately wanted of the state service, in requests and in changes.
     pub fn wants(&self) -> [Want; 2] {
-        let owner = lock(&self.cluster).is_some();
+        let leader = lock(&self.cluster).is_some();
         let (requests, writes) = self.store.wants();
-        [requests, writes].map(|per_second| Want { owner, per_second })
+        [requests, writes].map(|per_second| Want { leader, per_second })
     }
 
     /// Works out this controller's shares of the state service's limits.
@@ -36,7 +36,7 @@
         let heard = lock(&self.heard).wants(Instant::now());
         let share = |at: usize, parts: Parts, limit: f64| {
             if heard.len() < others {
-                return parts.fixed(limit, others, mine[at].owner);
+                return parts.fixed(limit, others, mine[at].leader);
             }
             let all: Vec<Want> = std::iter::once(mine[at]).chain(heard.iter().map(|w| w[at])).collect();
             by_need(limit, parts, &all)
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -32,8 +32,8 @@
 /// What of all that was judged before a pause is void after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Void {
-    /// Whether this controller still holds the lease and owns has to be proven before it acts or answers.
-    pub ownership: bool,
+    /// Whether this controller still holds the lease and leads has to be proven before it acts or answers.
+    pub leadership: bool,
     /// Questions that lie in the sockets were given up by those who asked.
     pub questions: bool,
 }
@@ -48,7 +48,7 @@
     /// depends on its length.
     pub fn void(&self, election_lease: Duration) -> Void {
         // The lease was renewed up to a quarter of it before the pause began.
-        Void { ownership: self.length() >= election_lease.mul_f64(0.75), questions: self.length() >= ASKED_FOR }
+        Void { leadership: self.length() >= election_lease.mul_f64(0.75), questions: self.length() >= ASKED_FOR }
     }
 
     /// A moment before the pause, as one judges by how long ago it was for a process that was there.
--- a/src/process_pause/tests.rs
+++ b/src/process_pause/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn what_is_void_by_cases() {
     let lease = s(3.0);
-    for (name, length, pause, ownership, questions) in [
+    for (name, length, pause, leadership, questions) in [
         ("a busy turn", 0.9, false, false, false),
         ("just noticed", 2.1, true, false, true),
         ("most of the lease", 2.4, true, true, true),
@@ -21,7 +21,7 @@
         assert_eq!((got.is_some(), pause_detector.pauses()), (pause, u64::from(pause)), "{name}");
         assert_eq!(pause_detector.beat(start + BEAT + s(length) + BEAT), None, "{name}: told once");
         if let Some(got) = got {
-            assert_eq!(got.void(lease), Void { ownership, questions }, "{name}");
+            assert_eq!(got.void(lease), Void { leadership, questions }, "{name}");
         }
     }
 }
--- a/src/rollouts/intents.rs
+++ b/src/rollouts/intents.rs
@@ -1,4 +1,4 @@
-//! What a rollout asks of placing and stopping, by its status as stored and what the owner sees now.
+//! What a rollout asks of placing and stopping, by its status as stored and what the leader sees now.
 
 use std::collections::BTreeSet;
 
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -1,4 +1,4 @@
-//! Both jobs of a rollout, read off the owner's cluster state.
+//! Both jobs of a rollout, read off the leader's cluster state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -80,7 +80,7 @@
 }
 
 /// Another rollout that holds one of the jobs. Who has begun keeps them; of those that have not, the one
-/// that was written first, so that every owner decides alike. Two that began before either was heard of
+/// that was written first, so that every leader decides alike. Two that began before either was heard of
 /// have stopped nothing yet: the first by name goes on.
 fn rival(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<String> {
     let mine = status.jobs(spec);
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,6 +1,6 @@
 //! A new version of a service takes the place of the old one in steps, without a gap (docs/rollouts.md).
 //!
-//! `spec` is what an operator declares, `status` what the owner stores; `look` reads both jobs off the
+//! `spec` is what an operator declares, `status` what the leader stores; `look` reads both jobs off the
 //! cluster state, `version_verdict` judges the new version, `step` decides what is next and `intents` what is asked of
 //! placing and stopping. All of it is pure; the service never submits or withdraws a job.
 
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -1,4 +1,4 @@
-//! What a rollout looks at: both jobs as the owner sees them, without the cluster state.
+//! What a rollout looks at: both jobs as the leader sees them, without the cluster state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,23 +25,23 @@
     pub zone: String,
     /// By the last report.
     pub running: bool,
-    /// Was told to stop by this owner.
+    /// Was told to stop by this leader.
     pub stopping: bool,
     /// Its machine was heard of lately.
     pub heard: bool,
     /// Its machine is to be taken or returned.
     pub leaving: bool,
     /// Runs and will go on, for all that is known: its machine was heard of lately, is not to be taken
-    /// or returned, and has seen a token of this owner, so that no earlier owner's stop can arrive any more.
+    /// or returned, and has seen a token of this leader, so that no earlier leader's stop can arrive any more.
     pub sure: bool,
-    /// Seconds for which this owner has known it running, and for which it has had its machine.
+    /// Seconds for which this leader has known it running, and for which it has had its machine.
     pub ran_s: f64,
     /// Seconds for which it has had its machine.
     pub bound_s: f64,
 }
 
 impl Replica {
-    /// Runs, or may for all that is known: a new owner has heard of nothing yet.
+    /// Runs, or may for all that is known: a new leader has heard of nothing yet.
     pub fn may_run(&self) -> bool {
         !self.stopping && !self.leaving && (self.running || !self.heard)
     }
@@ -56,7 +56,7 @@
     pub tasks: u32,
     /// Bound replicas, by number.
     pub replicas: BTreeMap<u32, Replica>,
-    /// Failures of its replicas that this owner has heard of, and the machines of the latest of them, the
+    /// Failures of its replicas that this leader has heard of, and the machines of the latest of them, the
     /// latest last, with their types.
     pub failures: u64,
     /// Machine and machine type of the latest failures.
@@ -111,6 +111,6 @@
     pub suspected: BTreeSet<String>,
     /// Time of day, in ms since 1970.
     pub now_ms: u64,
-    /// The token under which this owner began.
+    /// The token under which this leader began.
     pub epoch: u64,
 }
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -1,4 +1,4 @@
-//! What an owner stores of a rollout: all that a successor needs to go on with it.
+//! What a leader stores of a rollout: all that a successor needs to go on with it.
 
 use std::collections::BTreeSet;
 
@@ -118,16 +118,16 @@
     pub new: u64,
     /// Failures of replicas of the old version.
     pub old: u64,
-    /// The owner that counted, and how far it had counted each job's failures. Another owner's own
+    /// The leader that counted, and how far it had counted each job's failures. Another leader's own
     /// count begins at none.
     pub epoch: u64,
-    /// How far that owner had counted the new job's failures.
+    /// How far that leader had counted the new job's failures.
     pub counted_new: u64,
     /// How far it had counted the old job's failures.
     pub counted_old: u64,
 }
 
-/// What the owner has stored of a rollout.
+/// What the leader has stored of a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -141,7 +141,7 @@
     pub new: Option<JobId>,
     /// From 0.
     pub step: u32,
-    /// The owner that decided this.
+    /// The leader that decided this.
     pub epoch: u64,
     /// When the phase began, in ms since 1970.
     pub since_ms: u64,
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -1,7 +1,7 @@
-//! The next step of a rollout: a pure function of the spec, the status as stored and what the owner observes.
+//! The next step of a rollout: a pure function of the spec, the status as stored and what the leader observes.
 //!
 //! A replica that is meant to stop never counts as capacity, whether or not it was stopped yet; so it does not matter
-//! when, or by which owner, the stop is carried out. A replica is chosen to stop only while enough others, which are
+//! when, or by which leader, the stop is carried out. A replica is chosen to stop only while enough others, which are
 //! not, are certain to run.
 
 use std::collections::BTreeSet;
@@ -160,7 +160,7 @@
             return serving < min_available;
         }
         let (may, old, new) = (self.may_old(), &self.seen.old, &self.seen.new);
-        // What is not known to be lost is not made up for: a new owner would bring back old ones each time.
+        // What is not known to be lost is not made up for: a new leader would bring back old ones each time.
         let left = old.not_lost(&may);
         let coming = may.len() - left;
         for _ in coming..min_available.saturating_sub(left + new.not_lost(&self.status.may_new.0)) {
@@ -299,7 +299,7 @@
         let (spec, seen) = (self.spec, self.seen);
         let settled = self.settled_new();
         let may_old = self.may_old();
-        // To a new owner all of them are unknown at first: that is no reason to hold anew.
+        // To a new leader all of them are unknown at first: that is no reason to hold anew.
         let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(Replica::may_run);
         let held = self.status.phase == Phase::Holding && self.status.may_new.0.iter().all(may_run);
         let runs = if held { self.status.may_new.0.len() } else { settled.len() };
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Intents by what is stored, then the next statuses, as the owner's task does; then a plan.
+    /// Intents by what is stored, then the next statuses, as the leader's task does; then a plan.
     fn turn(&mut self) -> Vec<String> {
         let names: Vec<String> = self.registry.names(Kind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -151,7 +151,7 @@
             (Growing, &[3], &[0]),
         ),
         (
-            "it holds on under a new owner, which has heard of nothing yet",
+            "it holds on under a new leader, which has heard of nothing yet",
             (Holding, 0, &[3], &[0]),
             (THREE, &[(0, "a", 20.0)]),
             |_, s, _| {
@@ -357,7 +357,7 @@
     assert_eq!(against.new, 2);
     (seen.epoch, seen.new.failures) = (8, 1);
     (0..2).for_each(|_| against.count(&seen));
-    assert_eq!(against.new, 3, "another owner's own");
+    assert_eq!(against.new, 3, "another leader's own");
 }
 
 #[test]
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -42,7 +42,7 @@
     gone_at: Option<u64>,
 }
 
-/// The same as an owner has heard of it.
+/// The same as a leader has heard of it.
 #[derive(Debug, Clone)]
 struct Heard {
     attempt: u64,
@@ -59,7 +59,7 @@
 type Key = (usize, u32);
 
 #[derive(Debug, Clone)]
-struct Owner {
+struct Leader {
     epoch: u64,
     frozen_from: u64,
     frozen_until: u64,
@@ -111,7 +111,7 @@
     bound: BTreeMap<Key, (u64, u64, usize)>,
     tokens: HashMap<u64, u64>,
     attempts: BTreeMap<Key, u64>,
-    owners: Vec<Owner>,
+    leaders: Vec<Leader>,
     messages: Vec<(u64, Message)>,
     machines: u64,
     seq: u64,
@@ -149,7 +149,7 @@
             bound: BTreeMap::new(),
             tokens: HashMap::new(),
             attempts: BTreeMap::new(),
-            owners: Vec::new(),
+            leaders: Vec::new(),
             messages: Vec::new(),
             machines: 0,
             seq: 0,
@@ -186,7 +186,7 @@
             let (heard, running_since, stopping, token, seq) = (None, None, false, 0, 0);
             (*key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, token, seq })
         };
-        self.owners.push(Owner {
+        self.leaders.push(Leader {
             epoch: self.assigned,
             frozen_from: 0,
             frozen_until: 0,
@@ -228,9 +228,9 @@
         self.there.insert(key, There { attempt, machine, zone, runs_at, fails_at, gone_at: None });
         self.bound.insert(key, (attempt, machine, zone));
         let (epoch, now) = (self.assigned, self.now);
-        if let Some(owner) = self.owners.iter_mut().find(|o| o.epoch == epoch) {
+        if let Some(leader) = self.leaders.iter_mut().find(|o| o.epoch == epoch) {
             let (heard, running_since, stopping, token, seq) = (None, None, false, 0, 0);
-            owner
+            leader
                 .heard
                 .insert(key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, token, seq });
         }
@@ -266,8 +266,8 @@
             if gone || (now + there.machine).is_multiple_of(3) {
                 self.seq += 1;
                 let (seq, token) = (self.seq, self.tokens.get(&there.machine).copied().unwrap_or(0));
-                // Some still know only an earlier owner; what is gone goes on being reported.
-                let last = self.owners.len() - 1;
+                // Some still know only an earlier leader; what is gone goes on being reported.
+                let last = self.leaders.len() - 1;
                 let to = if !self.quiet && self.rng.random_bool(0.1) { last.saturating_sub(1) } else { last };
                 let (attempt, machine) = (there.attempt, there.machine);
                 let late = if gone || self.game.losses { 0.0 } else { 0.05 };
@@ -277,7 +277,7 @@
                 }
             }
         }
-        // What is gone is asked for again by whoever owns, until it is proven.
+        // What is gone is asked for again by whoever leads, until it is proven.
         let left: Vec<(Key, (u64, u64, usize))> = self
             .bound
             .iter()
@@ -288,7 +288,7 @@
             let closed = self.closed.iter().any(|(c, until)| *c == zone && *until > now);
             if !closed && (now + machine).is_multiple_of(4) && self.machine_lives(machine) {
                 self.seq += 1;
-                let (to, seq) = (self.owners.len() - 1, self.seq);
+                let (to, seq) = (self.leaders.len() - 1, self.seq);
                 let token = self.tokens.get(&machine).copied().unwrap_or(0);
                 self.send(0.0, Message::Report { to, key, attempt, seq, token, machine, state: State::Gone });
             }
@@ -309,21 +309,21 @@
         let now = self.now;
         match message {
             Message::Report { to, key, attempt, seq, token, machine, state } => {
-                if self.owners[to].frozen_until > now {
-                    let due = self.owners[to].frozen_until;
+                if self.leaders[to].frozen_until > now {
+                    let due = self.leaders[to].frozen_until;
                     return self.messages.push((due, Message::Report { to, key, attempt, seq, token, machine, state }));
                 }
-                let (epoch, assigned) = (self.owners[to].epoch, self.assigned);
-                let known = self.owners[to].heard.get(&key).map(|h| (h.attempt, h.seq));
+                let (epoch, assigned) = (self.leaders[to].epoch, self.assigned);
+                let known = self.leaders[to].heard.get(&key).map(|h| (h.attempt, h.seq));
                 if known.is_none_or(|(a, s)| a != attempt || s >= seq) {
                     return;
                 }
                 if matches!(state, State::Failed | State::Gone) {
-                    let owner = &mut self.owners[to];
-                    owner.heard.remove(&key);
+                    let leader = &mut self.leaders[to];
+                    leader.heard.remove(&key);
                     if state == State::Failed {
-                        owner.failures[key.0] += 1;
-                        owner.lately[key.0].push((format!("m{machine}"), format!("t{}", machine % 2)));
+                        leader.failures[key.0] += 1;
+                        leader.lately[key.0].push((format!("m{machine}"), format!("t{}", machine % 2)));
                     }
                     if epoch == assigned && self.bound.get(&key).is_some_and(|b| b.0 == attempt) {
                         self.bound.remove(&key);
@@ -337,15 +337,15 @@
                 {
                     self.tokens.insert(machine, epoch);
                 }
-                let heard = self.owners[to].heard.get_mut(&key).unwrap();
+                let heard = self.leaders[to].heard.get_mut(&key).unwrap();
                 (heard.seq, heard.heard, heard.token) = (seq, Some(now), heard.token.max(token));
                 if state == State::Runs {
                     heard.running_since.get_or_insert(now);
                 }
                 if heard.running_since.is_some_and(|at| now >= at + 15) {
-                    self.owners[to].well[key.0] = true;
+                    self.leaders[to].well[key.0] = true;
                 }
-                if self.owners[to].heard[&key].stopping {
+                if self.leaders[to].heard[&key].stopping {
                     self.send(0.15, Message::Halt { key, attempt, machine, token: epoch });
                 }
             }
@@ -377,10 +377,10 @@
         }
     }
 
-    /// An owner stops something that runs: beside what is meant to go, what is asked runs then, but for
+    /// A leader stops something that runs: beside what is meant to go, what is asked runs then, but for
     /// what was lost too lately for it to know.
-    fn judge_stop(&self, owner: &Owner, status: &Status, seen: &Observation) {
-        let blind = if self.now <= owner.frozen_until + UNHEARD + 3 { owner.frozen_from } else { self.now };
+    fn judge_stop(&self, leader: &Leader, status: &Status, seen: &Observation) {
+        let blind = if self.now <= leader.frozen_until + UNHEARD + 3 { leader.frozen_from } else { self.now };
         let since = blind.min(self.now - UNHEARD - 3);
         let lost = self.losses.iter().filter(|at| **at >= since).count();
         let runs = |key: &&Key| self.there[key].runs_at <= self.now && self.there[key].gone_at.is_none();
@@ -396,9 +396,9 @@
         );
     }
 
-    fn seen(&self, owner: &Owner) -> Observation {
+    fn seen(&self, leader: &Leader) -> Observation {
         let side = |which: usize, tasks: u32| {
-            let replicas = owner.heard.iter().filter(|((side, _), _)| *side == which).map(|((_, index), h)| {
+            let replicas = leader.heard.iter().filter(|((side, _), _)| *side == which).map(|((_, index), h)| {
                 let heard = h.heard.is_some_and(|at| at + UNHEARD > self.now);
                 let running = h.running_since.is_some();
                 let replica = Replica {
@@ -409,74 +409,74 @@
                     stopping: h.stopping,
                     heard,
                     leaving: false,
-                    sure: heard && running && h.token >= owner.epoch,
+                    sure: heard && running && h.token >= leader.epoch,
                     ran_s: h.running_since.map_or(0.0, |at| (self.now - at) as f64),
                     bound_s: (self.now - h.since) as f64,
                 };
                 (*index, replica)
             });
-            let lately = owner.lately[which].iter().rev().take(16).rev().cloned().collect();
-            let suspected = owner.failures[which] >= 3 && !owner.well[which];
-            let (known, failures) = (Known::Open, owner.failures[which]);
+            let lately = leader.lately[which].iter().rev().take(16).rev().cloned().collect();
+            let suspected = leader.failures[which] >= 3 && !leader.well[which];
+            let (known, failures) = (Known::Open, leader.failures[which]);
             Side { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, suspected }
         };
         let (old, new) = (side(0, self.game.old), side(1, self.game.replicas));
-        Observation { old, new, now_ms: self.now * 1000, epoch: owner.epoch, ..Observation::default() }
+        Observation { old, new, now_ms: self.now * 1000, epoch: leader.epoch, ..Observation::default() }
     }
 
-    fn run_owner(&mut self, i: usize) {
-        if self.owners[i].frozen_until > self.now {
+    fn run_leader(&mut self, i: usize) {
+        if self.leaders[i].frozen_until > self.now {
             return;
         }
         let now = self.now;
-        let current = self.owners[i].epoch == self.assigned;
+        let current = self.leaders[i].epoch == self.assigned;
         if self.quiet && !current {
             return;
         }
         if self.quiet || self.rng.random_bool(0.6) {
-            self.owners[i].mirror = self.stored.clone();
+            self.leaders[i].mirror = self.stored.clone();
         }
         // Silent for too long: returned, and gone once that is confirmed.
-        let silent: Vec<Key> = self.owners[i]
+        let silent: Vec<Key> = self.leaders[i]
             .heard
             .iter()
             .filter(|(_, h)| now >= h.heard.unwrap_or(h.since) + GIVEN_UP)
             .map(|(k, _)| *k)
             .collect();
         for key in silent.into_iter().filter(|_| current) {
-            let heard = self.owners[i].heard.remove(&key).unwrap();
+            let heard = self.leaders[i].heard.remove(&key).unwrap();
             if self.there.get(&key).is_some_and(|t| t.attempt == heard.attempt) {
                 self.lose(key);
             }
             self.bound.remove(&key);
         }
-        let owner = self.owners[i].clone();
-        let seen = self.seen(&owner);
-        let (status, stamp) = owner.mirror.clone();
-        if now >= owner.waits_until
+        let leader = self.leaders[i].clone();
+        let seen = self.seen(&leader);
+        let (status, stamp) = leader.mirror.clone();
+        if now >= leader.waits_until
             && let Some(next) = decide(&self.spec, &status, &seen)
         {
-            self.owners[i].waits_until = now + 2;
-            let message = Message::Store { status: Box::new(next), stamp, epoch: owner.epoch };
+            self.leaders[i].waits_until = now + 2;
+            let message = Message::Store { status: Box::new(next), stamp, epoch: leader.epoch };
             self.send(0.15, message);
         }
         for (which, ask) in asks(&self.spec, &status, &seen).into_iter().enumerate() {
             let Some(ask) = ask else { continue };
             let mine = |k: &&Key| k.0 == which;
-            for key in owner.heard.keys().filter(mine).filter(|k| ask.stop.contains(&k.1)) {
-                let heard = self.owners[i].heard.get_mut(key).unwrap();
+            for key in leader.heard.keys().filter(mine).filter(|k| ask.stop.contains(&k.1)) {
+                let heard = self.leaders[i].heard.get_mut(key).unwrap();
                 if heard.running_since.is_some() && !heard.stopping {
-                    self.judge_stop(&owner, &status, &seen);
+                    self.judge_stop(&leader, &status, &seen);
                 }
-                let heard = self.owners[i].heard.get_mut(key).unwrap();
+                let heard = self.leaders[i].heard.get_mut(key).unwrap();
                 if !std::mem::replace(&mut heard.stopping, true) {
                     let (attempt, machine) = (heard.attempt, heard.machine);
-                    self.send(0.15, Message::Halt { key: *key, attempt, machine, token: owner.epoch });
+                    self.send(0.15, Message::Halt { key: *key, attempt, machine, token: leader.epoch });
                 }
             }
             let tasks = if which == 0 { self.game.old } else { self.game.replicas };
-            let kept = owner.heard.keys().filter(mine).filter(|k| !ask.stop.contains(&k.1)).count() as u64;
-            let waiting = (0..tasks).filter(|n| !ask.stop.contains(n) && !owner.heard.contains_key(&(which, *n)));
+            let kept = leader.heard.keys().filter(mine).filter(|k| !ask.stop.contains(&k.1)).count() as u64;
+            let waiting = (0..tasks).filter(|n| !ask.stop.contains(n) && !leader.heard.contains_key(&(which, *n)));
             let waiting: Vec<u32> = waiting.take(ask.most.saturating_sub(kept) as usize).collect();
             for index in waiting.into_iter().filter(|_| current) {
                 self.place((which, index));
@@ -489,11 +489,11 @@
             self.take_over();
         }
         if self.rng.random_bool(0.02) {
-            let i = self.rng.random_range(0..self.owners.len());
-            if self.owners[i].frozen_until < self.now {
-                self.owners[i].frozen_from = self.now;
+            let i = self.rng.random_range(0..self.leaders.len());
+            if self.leaders[i].frozen_until < self.now {
+                self.leaders[i].frozen_from = self.now;
             }
-            self.owners[i].frozen_until = self.now + self.rng.random_range(1..40);
+            self.leaders[i].frozen_until = self.now + self.rng.random_range(1..40);
         }
         if self.game.losses && self.rng.random_bool(0.006) {
             let keys: Vec<Key> = self.there.keys().copied().collect();
@@ -525,7 +525,7 @@
         self.messages = later;
         due.into_iter().for_each(|(_, message)| self.deliver(message));
         self.run_machines();
-        (0..self.owners.len()).for_each(|i| self.run_owner(i));
+        (0..self.leaders.len()).for_each(|i| self.run_leader(i));
         self.reached |= self.running() >= self.spec.min_available() as usize;
         // Where nothing is lost by itself there is no excuse at any moment.
         let min_available = self.spec.min_available().min(self.game.old) as usize;
@@ -547,7 +547,7 @@
         }
         self.quiet = true;
         self.closed.clear();
-        if self.owners.last().is_some_and(|o| o.frozen_until > self.now) {
+        if self.leaders.last().is_some_and(|o| o.frozen_until > self.now) {
             self.take_over();
         }
         for _ in 0..3000 {
@@ -573,19 +573,19 @@
     Game { seed, replicas: 4, old: 4, steps, surge: 1, zones: 2, losses: false, flaw: Flaw::None, words }
 }
 
-/// Nothing is lost by itself: no moment may have fewer than asked, whoever owns and whatever is late.
+/// Nothing is lost by itself: no moment may have fewer than asked, whoever leads and whatever is late.
 #[test]
 fn controllers_that_fail_leave_no_gap() {
-    let (mut stops, mut owners) = (0, 0);
+    let (mut stops, mut leaders) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(game(seed));
         assert_eq!(world.simulate(400), Phase::Done, "seed {seed}");
-        (stops, owners) = (stops + world.stops, owners + world.owners.len());
+        (stops, leaders) = (stops + world.stops, leaders + world.leaders.len());
     }
-    assert!(stops >= 240 && owners > 200, "{stops} stops, {owners} owners");
+    assert!(stops >= 240 && leaders > 200, "{stops} stops, {leaders} leaders");
 }
 
-/// Machines and zones are lost as well: what the owner could know of is never stopped against.
+/// Machines and zones are lost as well: what the leader could know of is never stopped against.
 #[test]
 fn losses_are_made_up_for_before_anything_else_goes() {
     let mut lost = 0;
@@ -610,7 +610,7 @@
     }
 }
 
-/// Forward, back and paused at any moment, while owners are replaced: a stop that is on its way may
+/// Forward, back and paused at any moment, while leaders are replaced: a stop that is on its way may
 /// be for what is wanted again by now.
 #[test]
 fn the_operators_words_leave_no_gap() {
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -24,8 +24,8 @@
         Self { epoch: seen.epoch, counted_new, counted_old, ..Self::default() }
     }
 
-    /// Adds what has failed since the last look. An owner counts from none, so that nothing is counted
-    /// twice, and what an earlier owner heard and did not store is lost.
+    /// Adds what has failed since the last look. A leader counts from none, so that nothing is counted
+    /// twice, and what an earlier leader heard and did not store is lost.
     pub fn count(&mut self, seen: &Observation) {
         let same = self.epoch == seen.epoch;
         let since = |all: u64, counted: u64| if same { all.saturating_sub(counted) } else { all };
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -41,7 +41,7 @@
         orders
     }
 
-    /// What a machine is to be told by an owner that cannot prove that it is one, or has not read everything
+    /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
     /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
     /// token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
     pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<Order> {
@@ -127,7 +127,7 @@
         orders
     }
 
-    /// Machines that have something new to be told, or have not yet seen this owner's token.
+    /// Machines that have something new to be told, or have not yet seen this leader's token.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<Direct> {
         let mut due = Vec::new();
         let (mut news, mut greetings, mut under_way) = (Vec::new(), Vec::new(), 0);
@@ -179,7 +179,7 @@
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
     pub fn command_over(&mut self, machine: &MachineId, token: u64, settled: bool, now: Instant) {
-        // Of an earlier cluster state of this process, which lost ownership and has it again: the command that is
+        // Of an earlier cluster state of this process, which lost leadership and has it again: the command that is
         // under way now is another one.
         if token < self.first_token {
             return;
@@ -202,7 +202,7 @@
             && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.token))
     }
 
-    /// Goes on under a higher token of the same owner, which voids all earlier commands.
+    /// Goes on under a higher token of the same leader, which voids all earlier commands.
     pub fn raise_token(&mut self, token: u64) {
         self.token = self.token.max(token);
         self.raise = false;
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -34,7 +34,7 @@
         self.jobs.len()
     }
 
-    /// When this owner heard that a job ended, if it was lately.
+    /// When this leader heard that a job ended, if it was lately.
     pub fn ended_at(&self, id: &JobId) -> Option<Instant> {
         self.ended_at.peek(id).copied()
     }
@@ -172,7 +172,7 @@
         self.reconcile_all(now);
     }
 
-    /// What a new owner reads has come as well, some time ago. Classes that have not come for
+    /// What a new leader reads has come as well, some time ago. Classes that have not come for
     /// longest make room for new ones.
     fn note_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
         let class = &record.spec.class;
@@ -200,7 +200,7 @@
     }
 
     /// The owner's estimate, corrected by how its class has been off so far. A handful of
-    /// finished tasks weigh as much as the owners' word.
+    /// finished tasks weigh as much as the leaders' word.
     pub fn estimate(&self, spec: &JobSpec) -> Duration {
         let (logs, n) = self.observed.peek(&spec.class).copied().unwrap_or_default();
         let factor = (logs / (n + 5.0)).exp().clamp(0.25, 4.0);
@@ -244,7 +244,7 @@
         job.begun = true;
         let after_s = (now.saturating_duration_since(job.since).as_secs_f64() * 10.0).round() / 10.0;
         info!(job = %id, tasks = job.tasks.len(), after_s, "begins");
-        // What an earlier owner has started it has counted; here it is only seen late.
+        // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
         if own && self.large.is(job.spec()) {
             self.note(id, Note::Begun, now);
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -126,7 +126,7 @@
     /// Its reports arrive and nothing reaches it: no new work until it hears again.
     pub inbound_lost: bool,
     pub(super) partition: PartitionDetector,
-    /// This owner has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
+    /// This leader has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
     /// that is known of it may be copies of reports of a machine that is gone: no work for it yet.
     pub known: bool,
     /// Images it is thought to hold, the most recently used last, with their sizes.
@@ -278,7 +278,7 @@
         self.newest.0 > 0
     }
 
-    /// Its worker should be heard of: it was, or an earlier owner has given it tasks, or the cloud
+    /// Its worker should be heard of: it was, or an earlier leader has given it tasks, or the cloud
     /// says that it is up.
     pub fn awaited(&self) -> bool {
         (self.reported() && self.known) || !self.bound.is_empty() || self.listed_up
@@ -346,7 +346,7 @@
         let at = self.kind(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.stirred |= !std::mem::replace(&mut machine.known, true) && machine.reported();
-        // A new owner hears of machines before it is told how long they have been held.
+        // A new leader hears of machines before it is told how long they have been held.
         machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
@@ -377,7 +377,7 @@
         }
     }
 
-    /// Orders that an earlier owner has stored and may yet carry out. What is to be returned takes no
+    /// Orders that an earlier leader has stored and may yet carry out. What is to be returned takes no
     /// work from here on, whether or not it was heard of before.
     pub fn inherit_orders(&mut self, orders: Vec<CloudOrder>, now: Instant) {
         for order in &orders {
@@ -386,7 +386,7 @@
                 let id: MachineId = name.as_str().into();
                 if !self.gone_set.contains(&id) {
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
-                    self.condemn(name, "an earlier owner has ordered its return");
+                    self.condemn(name, "an earlier leader has ordered its return");
                 }
             }
         }
@@ -445,7 +445,7 @@
     }
 
     /// At least three machines, and one in `part` of those that should be heard of, have been
-    /// silent for about as long as the silence that is still tolerated. Those that a new owner
+    /// silent for about as long as the silence that is still tolerated. Those that a new leader
     /// inherits count: it may be the one that cannot hear them.
     fn many_silent(&self, silence: Duration, part: usize, now: Instant) -> bool {
         let (mut all, mut silent) = (0, 0);
@@ -467,7 +467,7 @@
     pub fn overdue(&self, now: Instant) -> BTreeSet<MachineId> {
         let allowed = self.settings.params.workers.cancel();
         let patience = allowed.mul_f64(CANCEL_PATIENCE);
-        // An owner that has come since begins no new patience, or several would add up; but machines get two
+        // A leader that has come since begins no new patience, or several would add up; but machines get two
         // reports to prove to it what they have proven to the one before.
         let told_within = self.settings.params.workers.report() * 2;
         let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The owner's cluster state: tasks, machines and the bindings between them.
+//! The leader's cluster state: tasks, machines and the bindings between them.
 //!
 //! A task is bound to its machine from the moment it is chosen until something proves it gone:
 //! its exit, a report newer than every command that may still arrive, a new worker session, or
@@ -71,9 +71,9 @@
 pub struct Binding {
     /// The machine that the task is bound to.
     pub machine: MachineId,
-    /// The session in which this owner first told the worker, if it did.
+    /// The session in which this leader first told the worker, if it did.
     told: Option<u64>,
-    /// Stored by an earlier owner, which may have told the worker under an older token.
+    /// Stored by an earlier leader, which may have told the worker under an older token.
     inherited: bool,
     /// What the worker last reported of the task; none before the first report that shows it.
     pub status: Option<LegStatus>,
@@ -129,7 +129,7 @@
     }
 }
 
-/// A job as the owner schedules it: its record, its tasks and what is derived from them.
+/// A job as the leader schedules it: its record, its tasks and what is derived from them.
 pub struct JobState {
     /// The job as it is stored.
     pub record: Arc<JobRecord>,
@@ -164,7 +164,7 @@
     touched: usize,
     /// Starts of the task that had most of them.
     most_starts: u64,
-    /// This owner knows that it runs, or has.
+    /// This leader knows that it runs, or has.
     begun: bool,
 }
 
@@ -197,7 +197,7 @@
         1.0 - self.touched as f64 / self.tasks.len().max(1) as f64
     }
 
-    /// This owner knows that it runs, or has.
+    /// This leader knows that it runs, or has.
     pub fn begun(&self) -> bool {
         self.begun
     }
@@ -292,12 +292,12 @@
 #[cfg(test)]
 type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
-/// What the owner knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
+/// What the leader knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
 /// no clock.
 pub struct ClusterState {
-    /// The fencing token of this owner, raised when commands have to be voided.
+    /// The fencing token of this leader, raised when commands have to be voided.
     pub token: u64,
-    /// The token under which it began. Under later ones the same owner goes on, which knows what it has
+    /// The token under which it began. Under later ones the same leader goes on, which knows what it has
     /// told under this one.
     pub first_token: u64,
     /// Everything stored has been read; nothing is decided before.
@@ -337,7 +337,7 @@
     last_pause: Option<ProcessPause>,
     /// When everything stored was read.
     loaded_at: Instant,
-    /// By class: how observed run times compare with the owners' estimates (sum of logs, count).
+    /// By class: how observed run times compare with the leaders' estimates (sum of logs, count).
     observed: LruCache<String, (f64, f64)>,
     /// How fast tasks of each class have lately come.
     pub arrivals: BTreeMap<String, Arrivals>,
@@ -357,9 +357,9 @@
     pub attribution: FailureAttribution,
     /// What work that is late for everything may take before others.
     pub core_credit: CoreCredit,
-    /// Orders to the cloud that an earlier owner has left, for whoever carries them out.
+    /// Orders to the cloud that an earlier leader has left, for whoever carries them out.
     pub inherited: Vec<CloudOrder>,
-    /// When jobs ended, of the last ones that this owner heard of.
+    /// When jobs ended, of the last ones that this leader heard of.
     ended_at: LruCache<JobId, Instant>,
     /// What operators have declared asks for.
     pub intents: Intents,
@@ -401,7 +401,7 @@
 }
 
 impl ClusterState {
-    /// An empty state for an owner that has just been assigned; `load` fills it.
+    /// An empty state for a leader that has just been assigned; `load` fills it.
     pub fn new(token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
         Self {
             token,
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -57,7 +57,7 @@
         let zones: BTreeSet<&str> = inbound_lost.iter().map(|m| m.zone.as_str()).collect();
         let zones: BTreeSet<&str> = zones.into_iter().filter(|zone| self.many_inbound_lost(MOST, Some(zone))).collect();
         // What nobody else knows of speaks for nothing but itself; and what is still bound after so long only
-        // a return proves gone, as where an earlier owner may yet launch it.
+        // a return proves gone, as where an earlier leader may yet launch it.
         let many = |m: &Machine| m.known && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
         let out =
             inbound_lost.into_iter().filter(|m| judge(m.partition.signs(many(m), now), lease) == Verdict::GivenUp);
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -48,7 +48,7 @@
         }
         machine.heard = now;
         machine.partition.heard_of(&report, via, self.settings.params.workers.lease(), now);
-        // It was made after the worker had heard this owner, so it is no copy of before.
+        // It was made after the worker had heard this leader, so it is no copy of before.
         if report.token >= self.first_token && !std::mem::replace(&mut machine.known, true) {
             self.stirred = true;
         }
@@ -97,7 +97,7 @@
         if !machine.reported() {
             return;
         }
-        // Below this owner's token, commands of an earlier one may still arrive.
+        // Below this leader's token, commands of an earlier one may still arrive.
         let settled = machine.settled() && machine.token >= self.token;
         let session = machine.session;
         let mut exits = Vec::new();
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -11,7 +11,7 @@
 
 /// A chunk in which tasks have only ended or been released is stored this much later: more of
 /// them then go in one change. Nothing waits for it but the reaping of what has exited, and a
-/// new owner hears the same from the workers.
+/// new leader hears the same from the workers.
 const NEWS_KEPT: Duration = Duration::from_millis(1500);
 
 /// Changes that an end takes: its final key, and the open one gone.
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -1,11 +1,11 @@
-//! Chunks that a new owner cannot read: their jobs rest until nothing that such a chunk hides can run.
+//! Chunks that a new leader cannot read: their jobs rest until nothing that such a chunk hides can run.
 //!
 //! An unreadable chunk may hide bindings. Its job is placed again only when all of this holds:
 //!
-//! - Every machine that is known has reported under this owner's token, or is gone. Such a report shows all that runs
-//!   there, and commands of earlier owners, which have lower tokens, are refused from then on.
+//! - Every machine that is known has reported under this leader's token, or is gone. Such a report shows all that runs
+//!   there, and commands of earlier leaders, which have lower tokens, are refused from then on.
 //! - None of these reports shows a hidden task alive. What they show is stopped, as anything without a binding.
-//! - `rest()` has passed since the load: an owner that was replaced no longer answers reports, and the lease of a worker
+//! - `rest()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
 //!   that it answered last has ended, so nothing runs on a machine that nobody here knows.
 //!
 //! Until then the chunk is not stored anew, so a successor finds it unreadable as well and waits in its turn. A task
@@ -28,9 +28,9 @@
 
 /// Attempts of tasks that an unreadable chunk hides are numbered after this and the chunk's revision.
 pub(super) const HIDDEN_ATTEMPTS: u64 = 1 << 32;
-/// An owner proves that it still owns at least this often, however short its lease.
+/// A leader proves that it still leads at least this often, however short its lease.
 const PROOF_EVERY: Duration = Duration::from_secs(2);
-/// An owner without proof answers reports for its lease and this long (`membership::serving_state`).
+/// A leader without proof answers reports for its lease and this long (`membership::serving_state`).
 const ANSWERS_AFTER_LEASE: Duration = Duration::from_secs(3);
 /// Covers the drift of a machine's clock and the way of a report.
 const MARGIN: Duration = Duration::from_secs(5);
@@ -60,7 +60,7 @@
     HIDDEN_ATTEMPTS.saturating_add(stamp).min(MOST_ATTEMPTS)
 }
 
-/// An earlier owner may have given it tasks, and this owner has not heard what became of them.
+/// An earlier leader may have given it tasks, and this leader has not heard what became of them.
 fn unheard(machine: &Machine, first_token: u64, loaded_at: Instant) -> bool {
     machine.token < first_token && (machine.reported() || machine.awaited() || machine.since <= loaded_at)
 }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// How long after the load an earlier owner's tasks may run on a machine that is not known here.
+    /// How long after the load an earlier leader's tasks may run on a machine that is not known here.
     pub(super) fn rest(&self) -> Duration {
         let answers = self.properties.election_lease.max(PROOF_EVERY) + ANSWERS_AFTER_LEASE;
         answers + self.settings.params.workers.lease() + MARGIN
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -1,10 +1,10 @@
-//! The owner's watermark: the revision up to which withdrawals may be reported to users.
+//! The leader's watermark: the revision up to which withdrawals may be reported to users.
 //!
-//! It is not enough that the withdrawal is in this cluster state. A machine that has not yet heard of this owner still
+//! It is not enough that the withdrawal is in this cluster state. A machine that has not yet heard of this leader still
 //! obeys the previous one, which may know nothing of the withdrawal and may answer the machine for as long as an
-//! outage lasts; and this owner may end at any moment. So a withdrawal counts only once every machine that may run a
-//! task of it, from an earlier owner, has seen this owner's token: from then on it obeys only this owner or a later
-//! one, which reads the end before it owns. A machine that does not prove this in time is returned, like one with an
+//! outage lasts; and this leader may end at any moment. So a withdrawal counts only once every machine that may run a
+//! task of it, from an earlier leader, has seen this leader's token: from then on it obeys only this leader or a later
+//! one, which reads the end before it leads. A machine that does not prove this in time is returned, like one with an
 //! overdue task.
 //!
 //! Nor does a withdrawal count while a launch of one of its tasks may still arrive: a delayed command starts its task
@@ -31,9 +31,9 @@
     }
 
     /// Every withdrawal that stood in the store at this revision is in this cluster state, every machine that may run
-    /// a task of it obeys this owner or a later one, and no launch of it is in flight. Never goes back.
+    /// a task of it obeys this leader or a later one, and no launch of it is in flight. Never goes back.
     pub fn watermark(&mut self) -> u64 {
-        // Nothing that this owner starts is inherited, and it starts nothing that is withdrawn: once all is heard, it
+        // Nothing that this leader starts is inherited, and it starts nothing that is withdrawn: once all is heard, it
         // stays so.
         let withdrawn = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
         let least = withdrawn.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
@@ -46,12 +46,12 @@
         !self.jobs.get(id).is_some_and(|job| self.may_start_yet(job))
     }
 
-    /// Whether some machine may still start a task of this job: for an earlier owner, or by a launch in flight.
+    /// Whether some machine may still start a task of this job: for an earlier leader, or by a launch in flight.
     fn may_start_yet(&self, job: &JobState) -> bool {
         self.may_obey_another(job) || self.launch_in_flight(job)
     }
 
-    /// Whether a launch of this job was given by this owner and its machine has neither shown nor disproven the task.
+    /// Whether a launch of this job was given by this leader and its machine has neither shown nor disproven the task.
     fn launch_in_flight(&self, job: &JobState) -> bool {
         job.bound.iter().any(|index| {
             let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.told.is_some()) else { return false };
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Whether some machine with a task of this job may still obey an earlier owner.
+    /// Whether some machine with a task of this job may still obey an earlier leader.
     fn may_obey_another(&self, job: &JobState) -> bool {
         let inherited = job.bound.iter().filter_map(|index| job.binding(*index)).filter(|b| b.inherited);
         inherited.filter_map(|b| self.machines.get(&b.machine)).any(|m| m.token < self.first_token)
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -3,7 +3,7 @@
 //! faulty machine fails every job (docs/operations.md, docs/design.md).
 //!
 //! As long as that is not clear, neither is treated as faulty for good: the job is tried elsewhere, and the machine
-//! gets no work for a moment and is then tried again. The owner keeps this in memory; a successor learns it anew at
+//! gets no work for a moment and is then tried again. The leader keeps this in memory; a successor learns it anew at
 //! the cost of a few starts. There is no I/O here, and no clock is read.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -2,7 +2,7 @@
 //! done within the times promised to its users. The floor (`floor`) decides by it who goes first.
 //!
 //! Every controller keeps the account, from the openings and ends of jobs that the store reports to all of them; only
-//! starts are known to the owner alone. So it continues when the owner is replaced (docs/fairness.md says what is
+//! starts are known to the leader alone. So it continues when the leader is replaced (docs/fairness.md says what is
 //! lost), and nothing is written to the store for it.
 
 pub mod floor;
@@ -115,7 +115,7 @@
     }
 }
 
-/// What the owner alone knows, told to the account by whoever holds the cluster state.
+/// What the leader alone knows, told to the account by whoever holds the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
     /// Tasks that were given their first place, as a part of their job's.
@@ -217,7 +217,7 @@
         &self.rows
     }
 
-    /// A new owner goes on with the starts that the one before it told last, at `told`. They stand
+    /// A new leader goes on with the starts that the one before it told last, at `told`. They stand
     /// in place of whatever is known here: told by one that took them over in turn, they hold that
     /// too, and nobody is counted twice. Older ones than known here are passed over.
     pub fn take_over(&mut self, rows: &[Row], told: Instant) {
@@ -296,7 +296,7 @@
         });
     }
 
-    /// What the owner noted of an open job.
+    /// What the leader noted of an open job.
     pub fn note(&mut self, note: Note, spec: &JobSpec, promises: &[Promise], age: Duration, now: Instant) {
         self.starts_as_of = Some(now);
         if note == Note::Begun {
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -528,7 +528,7 @@
     assert!(account.entries() <= MOST_NAMES * 2 * PARTS as usize, "{}", account.entries());
 }
 
-/// Two controllers see the same openings and ends; the starts are told by the owner. After a takeover,
+/// Two controllers see the same openings and ends; the starts are told by the leader. After a takeover,
 /// and after one back, both have the same account and no start counts twice.
 #[test]
 fn a_takeover_goes_on_with_the_account() {
@@ -538,18 +538,18 @@
     let mut accounts = [0, 1].map(|_| Account::new(&settings(), &properties, now));
     let one = job(1, "small", "red");
     let promises = promises_of(&settings().params.objectives, &one, &Agreement::of(&one, s(10.0), 4.0));
-    let mut owner = 0;
+    let mut leader = 0;
     for round in 0..4 {
         let t = f64::from(round) * 40.0;
         for n in 0..10 {
             accounts.iter_mut().for_each(|a| a.offered(&one, Duration::ZERO, at(t)));
-            accounts[owner].note(Note::Started(1.0), &one, &promises, s(if n < 3 { 10.0 } else { 60.0 }), at(t + 1.0));
+            accounts[leader].note(Note::Started(1.0), &one, &promises, s(if n < 3 { 10.0 } else { 60.0 }), at(t + 1.0));
             accounts.iter_mut().for_each(|a| a.ended(&record(one.clone()), Some(End::Done), s(50.0), at(t + 2.0)));
         }
         // A job that has missed its start and is open still: both see it, and it counts once.
         let late = || [open(&one, &promises, 120.0, 1.0)].into_iter();
-        let rows = accounts[owner].look(late(), at(t + 5.0)).to_vec();
-        let successor = 1 - owner;
+        let rows = accounts[leader].look(late(), at(t + 5.0)).to_vec();
+        let successor = 1 - leader;
         accounts[successor].take_over(&rows, at(t + 5.0));
         // What is told late, by one that was replaced since, is passed over.
         accounts[successor].take_over(&rows, at(t));
@@ -558,6 +558,6 @@
         assert_eq!(inherited, rows, "round {round}");
         assert_eq!(tally(&rows, "small").started.kept, 3.0 * f64::from(round + 1), "round {round}");
         assert!(tally(&inherited, "small").below && !tally(&inherited, "small").first, "alone it is all there is");
-        owner = successor;
+        leader = successor;
     }
 }
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -12,35 +12,35 @@
 use crate::wire::workers::Order;
 
 impl World {
-    /// An owner takes a report, and answers with what it has the right to say.
+    /// A leader takes a report, and answers with what it has the right to say.
     pub(super) fn deliver_report(&mut self, message: SentReport) {
         let SentReport { to, report, sent, copy } = message;
         let now = self.now;
         let to = if copy { self.reader() } else { self.reborn.get(&to).copied().unwrap_or(to) };
         let Some(w) = self.workers.iter().position(|w| w.id == report.machine) else { return };
-        let Some(mut owner) = self.owners.get_mut(to).and_then(Option::take) else { return };
-        if report.token > owner.cluster.token {
+        let Some(mut leader) = self.leaders.get_mut(to).and_then(Option::take) else { return };
+        if report.token > leader.cluster.token {
             return;
         }
         let session = report.session;
-        let rights = self.rights(&owner);
+        let rights = self.rights(&leader);
         self.users.tally.unloaded += usize::from(!rights.loaded);
         let id = self.workers[w].id.clone();
         let mut orders = Vec::new();
         let mut held = false;
         if !rights.silent() {
-            let over = self.over_among(&owner, &report);
-            owner.cluster.take_report(report, Via::Report, Some(&self.catalog), now);
+            let over = self.over_among(&leader, &report);
+            leader.cluster.take_report(report, Via::Report, Some(&self.catalog), now);
             orders = if rights.whole() {
-                owner.cluster.orders_in_answer(&id, now)
+                leader.cluster.orders_in_answer(&id, now)
             } else {
-                owner.cluster.stops_only(&id, &over)
+                leader.cluster.stops_only(&id, &over)
             };
-            held = self.holds(&mut owner, rights, &id);
+            held = self.holds(&mut leader, rights, &id);
             self.users.tally.stops += usize::from(!rights.whole() && !orders.is_empty());
         }
-        let (token, whole) = (owner.cluster.token, rights.whole());
-        self.owners[to] = Some(owner);
+        let (token, whole) = (leader.cluster.token, rights.whole());
+        self.leaders[to] = Some(leader);
         self.trace(&format!("{id} s{session} to {to}: {rights:?} held {held} {orders:?}"));
         if !held {
             // Asks elsewhere.
@@ -111,19 +111,19 @@
         let Reply { id, to, machine, token, report } = message;
         let now = self.now;
         let first = self.over.insert(id);
-        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            owner.cluster.command_over(&machine, token, true, now);
-            owner.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
+        if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
+            leader.cluster.command_over(&machine, token, true, now);
+            leader.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
         }
     }
 
-    /// An owner no longer waits for the reply to a direct command.
+    /// A leader no longer waits for the reply to a direct command.
     pub(super) fn deliver_given_up(&mut self, message: GivenUp) {
         let GivenUp { id, to, machine, token } = message;
         let now = self.now;
         let first = self.over.insert(id);
-        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            owner.cluster.command_over(&machine, token, false, now);
+        if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
+            leader.cluster.command_over(&machine, token, false, now);
         }
     }
 
@@ -146,11 +146,11 @@
         self.send(Message::Returned { to: from, machine });
     }
 
-    /// An owner hears from the cloud that a machine is gone.
+    /// A leader hears from the cloud that a machine is gone.
     pub(super) fn deliver_returned(&mut self, to: usize, machine: &MachineId) {
         let now = self.now;
-        if let Some(owner) = self.owners.get_mut(to).and_then(Option::as_mut) {
-            owner.cluster.machine_gone(machine, now);
+        if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut) {
+            leader.cluster.machine_gone(machine, now);
         }
     }
 }
--- a/src/scheduling/interleavings/owners.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -1,4 +1,4 @@
-//! Owners: a takeover with the load of what is stored, and the turn of an owner in each step.
+//! Leaders: a takeover with the load of what is stored, and the turn of a leader in each step.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -37,8 +37,8 @@
     pub(super) revision: u64,
 }
 
-/// A controller that owns, or that did and has not learned that it owns no longer.
-pub(super) struct Owner {
+/// A controller that leads, or that did and has not learned that it leads no longer.
+pub(super) struct Leader {
     pub(super) cluster: ClusterState,
     pub(super) batch: Option<(Batch, Instant)>,
     /// What its watch will tell, in order.
@@ -62,18 +62,21 @@
         let stamp = self.store.stamp(ASSIGNMENT);
         let token = self
             .store
-            .apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[Change::write(ASSIGNMENT, Value::from(self.owners.len()))])
+            .apply_if(
+                &[Condition::at(ASSIGNMENT, stamp)],
+                &[Change::write(ASSIGNMENT, Value::from(self.leaders.len()))],
+            )
             .expect("the model's leader knows the stamp");
         let mut cluster = ClusterState::new(token, example(), Properties::default(), self.now);
-        self.trace(&format!("owner {} under {token}", self.owners.len()));
-        self.users.assigned.push((token, self.owners.len()));
+        self.trace(&format!("leader {} under {token}", self.leaders.len()));
+        self.users.assigned.push((token, self.leaders.len()));
         let seat = if self.users.on { self.new_seat(token) } else { Seat::new(token, self.now, self.now) };
         if !self.users.on {
             self.load(&mut cluster);
         }
-        self.owner = self.owners.len();
+        self.leader = self.leaders.len();
         let inherited = cluster.machines.keys().cloned().collect();
-        self.owners.push(Some(Owner {
+        self.leaders.push(Some(Leader {
             cluster,
             batch: None,
             news: Vec::new(),
@@ -113,108 +116,108 @@
         cluster.finish_load(self.now);
     }
 
-    /// The turn of an owner in a step: it hears what is new, places, stores, commands and returns machines.
-    pub(super) fn run_owner(&mut self, i: usize) {
-        let Some(mut owner) = self.owners[i].take() else { return };
-        if !self.resume(&mut owner) {
-            self.owners[i] = Some(owner);
+    /// The turn of a leader in a step: it hears what is new, places, stores, commands and returns machines.
+    pub(super) fn run_leader(&mut self, i: usize) {
+        let Some(mut leader) = self.leaders[i].take() else { return };
+        if !self.resume(&mut leader) {
+            self.leaders[i] = Some(leader);
             return;
         }
         let now = self.now;
-        owner.cut = owner.cut.filter(|(_, until)| *until > now);
-        let cut = owner.cut.is_some() || self.store_out();
-        self.hear_news(&mut owner, cut);
+        leader.cut = leader.cut.filter(|(_, until)| *until > now);
+        let cut = leader.cut.is_some() || self.store_out();
+        self.hear_news(&mut leader, cut);
         if self.users.on {
-            match self.hears(i, &mut owner, cut) {
+            match self.hears(i, &mut leader, cut) {
                 None => return,
                 Some(true) => {}
                 Some(false) => {
-                    self.owners[i] = Some(owner);
+                    self.leaders[i] = Some(leader);
                     return;
                 }
             }
         }
-        self.place_tasks(i, &mut owner);
-        let deposed = self.store_what_changed(&mut owner);
-        self.send_direct_commands(i, &mut owner);
-        self.return_machines(i, &mut owner, cut);
+        self.place_tasks(i, &mut leader);
+        let deposed = self.store_what_changed(&mut leader);
+        self.send_direct_commands(i, &mut leader);
+        self.return_machines(i, &mut leader, cut);
         if !deposed {
-            self.owners[i] = Some(owner);
+            self.leaders[i] = Some(leader);
         }
     }
 
-    /// False while the owner is paused; at the end of a pause its cluster state learns of it.
-    fn resume(&self, owner: &mut Owner) -> bool {
-        let Some((began, ended)) = owner.frozen else { return true };
+    /// False while the leader is paused; at the end of a pause its cluster state learns of it.
+    fn resume(&self, leader: &mut Leader) -> bool {
+        let Some((began, ended)) = leader.frozen else { return true };
         if self.now < ended {
             return false;
         }
-        owner.frozen = None;
-        owner.cluster.after_pause(ProcessPause { began, ended });
-        owner.seat.unproven = self.users.on;
+        leader.frozen = None;
+        leader.cluster.after_pause(ProcessPause { began, ended });
+        leader.seat.unproven = self.users.on;
         true
     }
 
-    /// Takes in what the owner's watch tells by now.
-    fn hear_news(&mut self, owner: &mut Owner, cut: bool) {
+    /// Takes in what the leader's watch tells by now.
+    fn hear_news(&mut self, leader: &mut Leader, cut: bool) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = owner.news.drain(..).partition(|news| news.due <= now && !cut);
-        owner.news = later;
+        let (due, later): (Vec<_>, Vec<_>) = leader.news.drain(..).partition(|news| news.due <= now && !cut);
+        leader.news = later;
         for News { job, opened, revision, .. } in due {
             // What one hears before it has loaded, it loads.
-            if !owner.cluster.loaded {
+            if !leader.cluster.loaded {
                 continue;
             }
             if opened {
-                owner.cluster.add_job(self.records[&job].clone(), now);
+                leader.cluster.add_job(self.records[&job].clone(), now);
             } else {
-                owner.cluster.end_job(&job, None, now);
-                self.heard_end(owner, &job, revision);
+                leader.cluster.end_job(&job, None, now);
+                self.heard_end(leader, &job, revision);
             }
         }
     }
 
     /// Places what waits, and checks the machines and their sums.
-    fn place_tasks(&self, i: usize, owner: &mut Owner) {
+    fn place_tasks(&self, i: usize, leader: &mut Leader) {
         let now = self.now;
-        owner.cluster.tick(now);
-        let decisions = plan::place(&mut owner.cluster, &self.catalog, now);
-        self.check_places(i, owner, &decisions);
-        owner.cluster.bind_all(decisions, now);
+        leader.cluster.tick(now);
+        let decisions = plan::place(&mut leader.cluster, &self.catalog, now);
+        self.check_places(i, leader, &decisions);
+        leader.cluster.bind_all(decisions, now);
         // What is kept with every binding is what a count afresh gives.
-        for machine in owner.cluster.machines.values() {
-            let (kept, afresh) = (machine.taken(), owner.cluster.taken_afresh(machine));
+        for machine in leader.cluster.machines.values() {
+            let (kept, afresh) = (machine.taken(), leader.cluster.taken_afresh(machine));
             assert!((kept.cpus - afresh.cpus).abs() < 1e-6 && (kept.memory_gb - afresh.memory_gb).abs() < 1e-6);
         }
     }
 
-    /// Stores the batch that is due, the next one if there is none. True if the owner learned that it is one no
+    /// Stores the batch that is due, the next one if there is none. True if the leader learned that it is one no
     /// longer.
-    fn store_what_changed(&mut self, owner: &mut Owner) -> bool {
+    fn store_what_changed(&mut self, leader: &mut Leader) -> bool {
         let now = self.now;
-        if owner.batch.is_none() {
-            let (ends, chunks) = owner.cluster.next_writes(WRITES_PER_BATCH, now);
+        if leader.batch.is_none() {
+            let (ends, chunks) = leader.cluster.next_writes(WRITES_PER_BATCH, now);
             let batch = Batch { ends, chunks, at_ms: 0 };
             if !batch.is_empty() {
-                owner.batch = Some((batch, now));
+                leader.batch = Some((batch, now));
             }
         }
-        let Some((batch, at)) = owner.batch.take() else { return false };
+        let Some((batch, at)) = leader.batch.take() else { return false };
         if at > now {
-            owner.batch = Some((batch, at));
+            leader.batch = Some((batch, at));
             return false;
         }
-        self.store_batch(owner, batch)
+        self.store_batch(leader, batch)
     }
 
     /// Sends direct commands, each given up after a time.
-    fn send_direct_commands(&mut self, i: usize, owner: &mut Owner) {
-        for direct in owner.cluster.direct_commands(self.now) {
+    fn send_direct_commands(&mut self, i: usize, leader: &mut Leader) {
+        for direct in leader.cluster.direct_commands(self.now) {
             let worker = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
             let (token, session, machine) = (direct.token, direct.session, direct.machine);
             self.commands += 1;
             let id = self.commands;
-            self.trace(&format!("owner {i} commands {machine} {:?}", direct.orders));
+            self.trace(&format!("leader {i} commands {machine} {:?}", direct.orders));
             let given_up = GivenUp { id, to: i, machine, token };
             self.messages.push((self.now + COMMAND_WAITED, Message::GivenUp(given_up)));
             self.send(Message::Command(Command { id, worker, from: i, token, session, orders: direct.orders }));
@@ -222,14 +225,14 @@
     }
 
     /// Asks the cloud to end condemned machines, each once or, as where an answer is lost, twice.
-    fn return_machines(&mut self, i: usize, owner: &mut Owner, cut: bool) {
+    fn return_machines(&mut self, i: usize, leader: &mut Leader, cut: bool) {
         // Without the store no order stands, and only what a withdrawal makes urgent goes without.
-        let overdue = if cut { owner.cluster.overdue(self.now) } else { Default::default() };
-        let condemned = owner.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
+        let overdue = if cut { leader.cluster.overdue(self.now) } else { Default::default() };
+        let condemned = leader.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
         let condemned: Vec<MachineId> =
             condemned.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
         for machine in condemned {
-            if owner.returning.insert(machine.clone()) {
+            if leader.returning.insert(machine.clone()) {
                 if !self.quiet && self.rng.random_bool(0.2) {
                     self.send(Message::Return { from: i, machine: machine.clone() });
                 }
@@ -238,24 +241,24 @@
         }
     }
 
-    /// True if the owner learned that it is one no longer.
-    pub(super) fn store_batch(&mut self, owner: &mut Owner, batch: Batch) -> bool {
-        let (conditions, changes) = (batch.conditions(owner.cluster.token), batch.changes());
+    /// True if the leader learned that it is one no longer.
+    pub(super) fn store_batch(&mut self, leader: &mut Leader, batch: Batch) -> bool {
+        let (conditions, changes) = (batch.conditions(leader.cluster.token), batch.changes());
         let fate = if self.quiet { 1.0 } else { self.rng.random::<f64>() };
         let unanswered = if self.slow() { 0.4 } else { 0.05 };
-        if owner.cut.is_some() || self.store_out() {
+        if leader.cut.is_some() || self.store_out() {
             if fate < 0.2 && !self.store_out() {
                 let due = self.now + self.delay() * 3;
                 self.messages.push((due, Message::Txn { conditions, changes }));
             }
-            owner.batch = Some((batch, self.now + BATCH_WAITED));
+            leader.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         if fate < unanswered {
             // Not answered, and applied some time later; asked again as it was.
             let due = self.now + self.delay() * 3;
             self.messages.push((due, Message::Txn { conditions, changes }));
-            owner.batch = Some((batch, self.now + BATCH_WAITED));
+            leader.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         let outcome = self.apply(&conditions, &changes);
@@ -266,38 +269,38 @@
         }
         if fate < unanswered + 0.05 {
             // Applied, and the answer lost.
-            owner.batch = Some((batch, self.now + BATCH_WAITED));
+            leader.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
         match outcome {
             Ok(stamp) => {
-                owner.cluster.chunks_stored(&batch.chunks, stamp);
+                leader.cluster.chunks_stored(&batch.chunks, stamp);
                 for job in &batch.ends {
-                    owner.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
+                    leader.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
             }
             Err(keys) if keys.iter().any(|k| k == ASSIGNMENT) => return true,
-            Err(keys) => self.take_refusal(owner, &batch, &keys),
+            Err(keys) => self.take_refusal(leader, &batch, &keys),
         }
         false
     }
 
     /// A batch was refused for these keys: what they say is taken over, and the rest is stored again.
-    fn take_refusal(&self, owner: &mut Owner, batch: &Batch, keys: &[String]) {
+    fn take_refusal(&self, leader: &mut Leader, batch: &Batch, keys: &[String]) {
         for id in batch.jobs() {
             if let Some(end) = end_among(keys, id) {
-                owner.cluster.end_job(id, Some(end), self.now);
+                leader.cluster.end_job(id, Some(end), self.now);
             }
         }
         for write in &batch.chunks {
             let key = chunk_key(&write.job, write.chunk);
             let stamp = self.store.stamp(&key);
             if self.store.value(&key).and_then(decode_chunk).is_some_and(|t| t == write.tasks) {
-                owner.cluster.chunks_stored(std::slice::from_ref(write), stamp);
+                leader.cluster.chunks_stored(std::slice::from_ref(write), stamp);
             } else {
-                owner.cluster.set_stamp(&write.job, write.chunk, stamp);
+                leader.cluster.set_stamp(&write.job, write.chunk, stamp);
             }
         }
-        owner.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
+        leader.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
     }
 }
