--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -72,7 +72,7 @@
             claimed: HashMap::new(),
             broken: Vec::new(),
         };
-        simulation.assign(0);
+        simulation.write_leader_record(0);
         simulation
     }
 
@@ -87,8 +87,8 @@
     }
 
     /// Another leads, or the same process anew.
-    fn assign(&mut self, at: usize) {
-        self.stage.assign(at);
+    fn write_leader_record(&mut self, at: usize) {
+        self.stage.write_leader_record(at);
         let Controller { mirror, leader, own, .. } = &mut self.stage.controllers[at];
         own.clear();
         let (cluster, _) = leader.as_mut().unwrap();
@@ -205,7 +205,7 @@
     fn step(&mut self) {
         let at = self.stage.rng.random_range(0..3);
         match self.stage.rng.random_range(0..40) {
-            0 => self.assign(at),
+            0 => self.write_leader_record(at),
             1..3 => self.submit(),
             3..7 => self.begin(),
             7..9 => self.end(),
@@ -226,7 +226,7 @@
 
     /// Whoever leads last goes on alone, two days on.
     fn settle(&mut self) {
-        self.assign(0);
+        self.write_leader_record(0);
         for round in 0..160 {
             self.now_ms += if round < 40 { HOUR } else { 1000 };
             self.follow(0);
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -1,7 +1,7 @@
 //! The leader's work on declared things, without any I/O: which statuses to store next, which intents follow from those
 //! that are stored, and what is to be logged.
 //!
-//! Every status is written on condition of the assignment, of the spec's version and of the status's own: a replaced
+//! Every status is written on condition of the leader record, of the spec's version and of the status's own: a replaced
 //! leader stores nothing, no status is derived from a spec that has changed since, and of two writes that began from
 //! the same status the store takes one. So a write that was not answered needs no memory: the next decision begins
 //! from the same versions, and a late copy of either write is refused once the other is stored.
@@ -17,7 +17,7 @@
 use super::records::{Kind, MOST_BYTES, spec_key, status_key};
 use super::registry::{Changed, Registry};
 use super::table::{Decided, Entry, News, entry};
-use crate::jobs::record::ASSIGNMENT;
+use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
@@ -63,7 +63,7 @@
         let spec = Condition::at(spec_key(w.kind, &w.name), w.spec_stamp);
         [spec, Condition::at(status_key(w.kind, &w.name), w.status_stamp)]
     };
-    std::iter::once(Condition::at(ASSIGNMENT, token)).chain(writes.iter().flat_map(of)).collect()
+    std::iter::once(Condition::at(LEADER, token)).chain(writes.iter().flat_map(of)).collect()
 }
 
 /// The changes of a transaction that makes these writes.
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -1,6 +1,6 @@
 //! What operators declare and controllers carry out.
 //!
-//! A spec is written by operators only, a status by the leader only: conditional on its assignment, on
+//! A spec is written by operators only, a status by the leader only: conditional on its leader record, on
 //! the spec's stamp and on the status's own. Whoever leads next reads both and goes on from there, at
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
 //! sparing (`scheduling::intents`) follows from statuses as the mirror has them, the cluster state and the time.
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -24,7 +24,7 @@
 use super::table::Entry;
 use super::{Declared, Kind, Names, Problem, View};
 use crate::jobs::JobId;
-use crate::jobs::record::{ASSIGNMENT, MIRRORED, MIRRORED_AFTER};
+use crate::jobs::record::{LEADER, MIRRORED, MIRRORED_AFTER};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
 use crate::store::budget::Urgent;
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
-    Assignment,
+    LeaderRecord,
     Spec,
     Status,
     Operators,
@@ -124,7 +124,7 @@
         // Read whole before anything is declared: a first reading tells nothing.
         let mut stage = Stage::new(seed, &TOYS, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
         (0..3).for_each(|at| stage.follow(at, true));
-        stage.assign(0);
+        stage.write_leader_record(0);
         Self { stage, without, stored: BTreeMap::new(), lines: Vec::new(), broken: Vec::new() }
     }
 
@@ -146,7 +146,7 @@
         let without = self.without;
         let left_out = |c: &Condition| match without {
             Without::Nothing | Without::Operators => false,
-            Without::Assignment => c.path == ASSIGNMENT,
+            Without::LeaderRecord => c.path == LEADER,
             Without::Spec => c.path.starts_with("c/s/"),
             Without::Status => c.path.starts_with("c/t/"),
         };
@@ -167,7 +167,7 @@
             return None;
         }
         let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(Kind::Heat, name))).into();
-        let token = self.stage.store.stamp(ASSIGNMENT);
+        let token = self.stage.store.stamp(LEADER);
         let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
             match change {
@@ -219,7 +219,7 @@
     fn step(&mut self) {
         let at = self.stage.rng.random_range(0..3);
         match self.stage.rng.random_range(0..20) {
-            0 => self.stage.assign(at),
+            0 => self.stage.write_leader_record(at),
             1..4 => self.operate(),
             4..9 => self.stage.follow(at, false),
             9..14 => self.look(at),
@@ -235,7 +235,7 @@
 
     /// The last leader goes on alone, and late copies come all the same.
     fn settle(&mut self) {
-        self.stage.assign(0);
+        self.stage.write_leader_record(0);
         for _ in 0..60 {
             self.stage.follow(0, true);
             self.look(0);
@@ -288,7 +288,7 @@
 /// Each condition is there for a reason, which the same simulations show.
 #[test]
 fn without_any_of_its_conditions_the_simulation_finds_what_breaks() {
-    for without in [Without::Assignment, Without::Spec, Without::Status, Without::Operators] {
+    for without in [Without::LeaderRecord, Without::Spec, Without::Status, Without::Operators] {
         let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
         assert!(found.is_some(), "{without:?}");
     }
@@ -306,7 +306,7 @@
 
 fn leader(kinds: &'static [Entry], stored: &[(String, serde_json::Value)]) -> Stage<()> {
     let mut stage = Stage::new(0, kinds, stored);
-    stage.assign(0);
+    stage.write_leader_record(0);
     stage
 }
 
--- a/src/declared/tests/simulation.rs
+++ b/src/declared/tests/simulation.rs
@@ -11,7 +11,7 @@
 use crate::declared::driver::{Driver, Looked, Write, changes, conditions};
 use crate::declared::table::Entry;
 use crate::jobs::End;
-use crate::jobs::record::{ASSIGNMENT, MIRRORED, MIRRORED_AFTER};
+use crate::jobs::record::{LEADER, MIRRORED, MIRRORED_AFTER};
 use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
@@ -82,8 +82,8 @@
     }
 
     /// Another leads, or the same one under a newer token. Who led before goes on, unknowing.
-    pub fn assign(&mut self, at: usize) {
-        let token = self.store.apply_if(&[], &[Change::write(ASSIGNMENT, json!(at))]).unwrap();
+    pub fn write_leader_record(&mut self, at: usize) {
+        let token = self.store.apply_if(&[], &[Change::write(LEADER, json!(at))]).unwrap();
         // A new leader proves its mirror fresh before it decides.
         self.follow(at, true);
         let mut cluster = ClusterState::new(token, example(), Properties::default(), Instant::now());
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -43,7 +43,7 @@
     lock(&node.cluster).as_ref().map(|b| b.token)
 }
 
-/// Stores an order under this leader's assignment; its key, once it stands. None where another leads
+/// Stores an order under this leader's leader record; its key, once it stands. None where another leads
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
     node: &Node,
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to the cloud: what only the leader may have done, stored before it is done.
 //!
 //! The cloud knows no tokens, so a call of a leader that was replaced meanwhile cannot be refused
-//! there. It is made harmless instead: an order is stored on condition of the assignment, so no
+//! there. It is made harmless instead: an order is stored on condition of the leader record, so no
 //! replaced leader stores one, and a new leader reads those that are open before it decides anything.
 //! What is to be returned is then no place for its work, and it carries out the rest itself under
 //! the same names, so that a late call of its predecessor finds nothing left to do (docs/duties.md).
@@ -12,7 +12,7 @@
 use tracing::error;
 
 use super::cloud::{MOST_RENTED, MOST_RETURNED};
-use crate::jobs::record::ASSIGNMENT;
+use crate::jobs::record::LEADER;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
 use crate::wire::cloud::Rental;
 use crate::wire::state::Item;
@@ -49,12 +49,12 @@
     }
 }
 
-/// One order. Its epoch is the assignment under which it was first meant.
+/// One order. Its epoch is the leader record under which it was first meant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
     /// Its key in the store: [`ORDERS`] followed by the order's unique [`name`].
     pub key: String,
-    /// Version of the assignment (the leader's token) under which the order was made.
+    /// Version of the leader record (the leader's token) under which the order was made.
     pub epoch: u64,
     /// What is to be done, or that it was done.
     pub what: What,
@@ -73,7 +73,7 @@
     Act,
     /// Nobody knows yet.
     Again,
-    /// Another leader's assignment stands; the order is that one's, if it stands at all.
+    /// Another leader's leader record stands; the order is that one's, if it stands at all.
     Stop,
 }
 
@@ -90,9 +90,9 @@
         Self { key: format!("{ORDERS}{}", name(incarnation, epoch, number)), epoch, what }
     }
 
-    /// Stored only while this assignment stands, and once.
+    /// Stored only while this leader record stands, and once.
     pub fn conditions(&self, token: u64) -> [Condition; 2] {
-        [Condition::at(ASSIGNMENT, token), Condition::absent(&self.key)]
+        [Condition::at(LEADER, token), Condition::absent(&self.key)]
     }
 
     /// The change that stores the order; to be sent with [`Self::conditions`].
@@ -106,9 +106,9 @@
         match (outcome, token) {
             (_, None) => Next::Stop,
             (Ok(TxnOutcome::Applied(_)), _) => Next::Act,
-            // An earlier try did apply, and this assignment still stands.
-            (Ok(TxnOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == ASSIGNMENT) => Next::Act,
-            // The assignment is another: this leader's own newer one, or one that it has not heard of.
+            // An earlier try did apply, and this leader record still stands.
+            (Ok(TxnOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => Next::Act,
+            // The leader record is another: this leader's own newer one, or one that it has not heard of.
             _ => Next::Again,
         }
     }
@@ -169,7 +169,7 @@
         }
         _ => Change::Drop { drop: key.clone() },
     };
-    ([Condition::at(ASSIGNMENT, token)], keys.iter().map(change).collect())
+    ([Condition::at(LEADER, token)], keys.iter().map(change).collect())
 }
 
 #[cfg(test)]
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -9,8 +9,8 @@
     Rental { request: name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
 }
 
-fn assign(store: &mut Store) -> u64 {
-    store.apply_if(&[], &[Change::write(ASSIGNMENT, serde_json::json!("me"))]).unwrap()
+fn write_leader_record(store: &mut Store) -> u64 {
+    store.apply_if(&[], &[Change::write(LEADER, serde_json::json!("me"))]).unwrap()
 }
 
 fn open(store: &Store) -> Inherited {
@@ -27,7 +27,7 @@
 fn an_order_that_was_carried_out_is_not_open_again_by_its_late_copy() {
     for what in [What::Rent(vec![rental()]), What::Return(vec!["host-000007".into()])] {
         let mut store = Store::default();
-        let token = assign(&mut store);
+        let token = write_leader_record(&mut store);
         let order = CloudOrder::new("me", token, 1, what);
         // The first try is not answered, and the second is applied.
         let late = HashMap::from([(order.key.clone(), token)]);
@@ -39,7 +39,7 @@
         let inherited = open(&store);
         assert!(inherited.rentals.is_empty() && inherited.returns.is_empty(), "{inherited:?}");
         // Whoever leads under the next token drops it, and neither copy gets past that token.
-        let next = assign(&mut store);
+        let next = write_leader_record(&mut store);
         let drops = clean_up(&inherited.done, &late, next);
         assert_eq!(drops.1, [Change::Drop { drop: order.key.clone() }]);
         store.apply_if(&drops.0, &drops.1).unwrap();
@@ -61,7 +61,7 @@
     ];
     for (case, late, drops) in cases {
         let (conditions, changes) = clean_up(std::slice::from_ref(&key), &late, 7);
-        assert_eq!(conditions, [Condition::at(ASSIGNMENT, 7)]);
+        assert_eq!(conditions, [Condition::at(LEADER, 7)]);
         assert_eq!(changes == [Change::Drop { drop: key.clone() }], drops, "{case}");
         assert_eq!(changes.len(), 1, "{case}");
     }
@@ -71,7 +71,7 @@
 #[test]
 fn a_late_clean_up_by_cases() {
     let mut store = Store::default();
-    let token = assign(&mut store);
+    let token = write_leader_record(&mut store);
     let orders: Vec<CloudOrder> =
         (1..=2).map(|n| CloudOrder::new("me", token, n, What::Return(vec![format!("m{n}")]))).collect();
     store.apply_if(&orders[0].conditions(token), &[orders[0].change()]).unwrap();
@@ -80,7 +80,7 @@
     store.apply_if(&orders[1].conditions(token), &[orders[1].change()]).unwrap();
     assert!(store.apply_if(&drops.0, &drops.1).is_ok(), "again, under the same token");
     assert_eq!(open(&store).returns, [(vec!["m2".to_owned()], vec![orders[1].key.clone()])], "the newer one stands");
-    assign(&mut store);
+    write_leader_record(&mut store);
     assert!(store.apply_if(&drops.0, &drops.1).is_err(), "replaced");
     assert!(store.apply_if(&orders[0].conditions(token), &[orders[0].change()]).is_err());
 }
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -18,9 +18,9 @@
         ("applied", Ok(TxnOutcome::Applied(9)), Some(7), Next::Act),
         ("applied, and replaced since", Ok(TxnOutcome::Applied(9)), None, Next::Stop),
         ("an earlier copy applied", failed(&["d/me-7-1"]), Some(7), Next::Act),
-        ("another assignment", failed(&[ASSIGNMENT]), Some(7), Next::Again),
-        ("applied under another assignment", failed(&[ASSIGNMENT, "d/me-7-1"]), Some(8), Next::Again),
-        ("another assignment, known", failed(&[ASSIGNMENT]), None, Next::Stop),
+        ("another assignment", failed(&[LEADER]), Some(7), Next::Again),
+        ("applied under another assignment", failed(&[LEADER, "d/me-7-1"]), Some(8), Next::Again),
+        ("another assignment, known", failed(&[LEADER]), None, Next::Stop),
         ("not answered", Err(StoreError::Unanswered), Some(7), Next::Again),
         ("refused", Err(StoreError::Unavailable(429)), Some(7), Next::Again),
     ];
@@ -73,7 +73,7 @@
     let (mut late, mut harm): (Vec<(CloudOrder, u64)>, usize) = (Vec::new(), 0);
     for step in 0..400 {
         if holders.is_empty() || rng.random_ratio(1, 25) {
-            let write = [Change::write(ASSIGNMENT, serde_json::json!(step))];
+            let write = [Change::write(LEADER, serde_json::json!(step))];
             let token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, stamp)| {
                 CloudOrder::read(&Item { path: path.into(), value: value.clone(), stamp }).unwrap()
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -8,7 +8,7 @@
 use crate::declared::records::{spec_key, status_key};
 use crate::declared::table::KINDS;
 use crate::declared::tests::simulation::{Sent, Stage};
-use crate::jobs::record::ASSIGNMENT;
+use crate::jobs::record::LEADER;
 use crate::store::Change;
 
 struct Simulation {
@@ -30,7 +30,7 @@
             stage.follow(at, true);
             stage.controllers[at].skew_ms = stage.rng.random_range(-30_000..30_000);
         }
-        stage.assign(0);
+        stage.write_leader_record(0);
         Self { stage, now_ms: DAY + 9 * HOUR, stored: vec![], tokens: vec![] }
     }
 
@@ -53,7 +53,7 @@
     }
 
     fn apply(&mut self, (conditions, changes): &Sent) {
-        let token = self.stage.store.stamp(ASSIGNMENT);
+        let token = self.stage.store.stamp(LEADER);
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
         }
@@ -72,7 +72,7 @@
         self.now_ms += self.stage.rng.random_range(0..most);
         let at = self.stage.rng.random_range(0..3);
         match self.stage.rng.random_range(0..17) {
-            0 => self.stage.assign(at),
+            0 => self.stage.write_leader_record(at),
             1..5 => {
                 let value = f64::from(self.stage.rng.random_range(26..36));
                 let sensor = SENSORS[self.stage.rng.random_range(0..3)];
@@ -93,7 +93,7 @@
     /// A new leader, and nothing goes wrong any more.
     fn settle(&mut self, value: f64) -> Status {
         SENSORS.iter().for_each(|sensor| self.read(sensor, value));
-        self.stage.assign(1);
+        self.stage.write_leader_record(1);
         for _ in 0..6 {
             self.stage.follow(1, true);
             self.look(1);
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -8,8 +8,8 @@
 
 use crate::jobs::End;
 use crate::jobs::record::{
-    ASSIGNMENT, DONE, EndedRecord, JobRecord, OLD_JOBS, OPEN, WITHDRAWN, ended_key, ended_keys, old_end_key,
-    old_job_key, open_key,
+    DONE, EndedRecord, JobRecord, LEADER, OLD_JOBS, OPEN, WITHDRAWN, ended_key, ended_keys, old_end_key, old_job_key,
+    open_key,
 };
 use crate::store::{Change, Condition};
 
@@ -81,9 +81,9 @@
 }
 
 /// A user ends a job that was seen open: it can have left its key only by ending. `leader`: under which
-/// assignment alone, if it is to be told at once.
+/// leader record alone, if it is to be told at once.
 pub fn withdraw(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> Move {
-    let under = leader.map(|token| Condition::at(ASSIGNMENT, token));
+    let under = leader.map(|token| Condition::at(LEADER, token));
     Move {
         conditions: not_ended(&record.spec.id).chain(under).collect(),
         changes: end_changes(record, End::Withdrawn, now_ms).into(),
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -8,7 +8,7 @@
 use super::moves;
 use super::query_queue::QueryQueue;
 use super::visibility::{Visible, visible};
-use crate::jobs::record::{ASSIGNMENT, JobRecord};
+use crate::jobs::record::{JobRecord, LEADER};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId};
 use crate::store::Change;
@@ -115,13 +115,13 @@
         ("a follower's, whoever leads", true, false, true),
     ] {
         let mut store = Store::default();
-        let assign = [Change::write(ASSIGNMENT, serde_json::json!("a"))];
-        let token = store.apply_if(&[], &assign).unwrap();
+        let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
+        let token = store.apply_if(&[], &write_leader_record).unwrap();
         let record = JobRecord { spec: spec(), at_ms: 5 };
         let accept = moves::accept(&record, false);
         store.apply_if(&accept.conditions, &accept.changes).unwrap();
         if replaced {
-            store.apply_if(&[], &assign).unwrap();
+            store.apply_if(&[], &write_leader_record).unwrap();
         }
         let withdrawal = moves::withdraw(&record, leader.then_some(token), 9);
         let outcome = store.apply_if(&withdrawal.conditions, &withdrawal.changes);
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -2,7 +2,7 @@
 //!
 //! A job has exactly one key from its acceptance on: `c/o/ID` while it is open, then `h/d/ID` once
 //! done or `h/w/ID` once withdrawn, for ever. Every controller mirrors `c/` from `c/k` on: open
-//! jobs, the lease holder, the assignment. `h/` is read only when somebody asks. `t/` holds the tasks of
+//! jobs, the lease holder, the leader record. `h/` is read only when somebody asks. `t/` holds the tasks of
 //! open jobs in chunks and is read by leaders only.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -30,9 +30,9 @@
 pub const UPGRADED: &str = "c/upgraded";
 /// Key of the lease holder ([`LeaseHolder`](crate::membership::records::LeaseHolder)), attached to the election lease.
 pub const LEASE_HOLDER: &str = "c/leader";
-/// Key of the leader's record ([`Assignment`](crate::membership::records::Assignment)). Its version is the leader's
+/// Key of the leader's record ([`LeaderRecord`](crate::membership::records::Assignment)). Its version is the leader's
 /// token.
-pub const ASSIGNMENT: &str = "c/owner/0";
+pub const LEADER: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the leader.
 pub const TAKEOVER_REQUEST: &str = "c/plea";
 /// The leader's watermark, stored where a controller does not hear it (`membership::watermark`).
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -17,8 +17,8 @@
     LeaseHolder { node: "a".into(), incarnation: incarnation.into() }
 }
 
-fn leader(incarnation: &str) -> Assignment {
-    Assignment { node: "a".into(), incarnation: incarnation.into(), teams: Vec::new() }
+fn leader(incarnation: &str) -> LeaderRecord {
+    LeaderRecord { node: "a".into(), incarnation: incarnation.into(), teams: Vec::new() }
 }
 
 /// As the service takes it: none where the lease is over or a condition fails.
@@ -33,7 +33,7 @@
 }
 
 fn become_leader(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = naming(&leader(me), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+    let (conditions, change) = naming(&leader(me), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
     send(store, &conditions, &[change])
 }
 
@@ -50,7 +50,7 @@
 
 /// What `run` does next, by the mirror and by the token of the cluster state, if there is one.
 fn next(me: &str, mirror: &Mirror, held: Option<u64>) -> Step {
-    let assigned = mirror.assignment().map(|(a, token)| (a.incarnation.as_str(), *token));
+    let assigned = mirror.leader_record().map(|(a, token)| (a.incarnation.as_str(), *token));
     let leads = mirror.lease_holder().map(|(l, _)| l.incarnation.as_str());
     next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
 }
@@ -67,10 +67,10 @@
         let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
         hear(&mut mirror, &store);
         // Carried out, and nobody hears of it but by the watch.
-        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
         let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         hear(&mut mirror, &store);
-        assert_eq!(next("a1", &mirror, held), Step::Assign, "held {held:?}");
+        assert_eq!(next("a1", &mirror, held), Step::WriteLeaderRecord, "held {held:?}");
         let token = become_leader(&mut store, "a1").unwrap();
         hear(&mut mirror, &store);
         assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "and once only");
@@ -88,7 +88,7 @@
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
     fn naming_now(store: &mut Store) -> Sent {
-        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(ASSIGNMENT));
+        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
         (conditions.into(), vec![change])
     }
     fn candidacy_now(store: &mut Store) -> Sent {
@@ -101,7 +101,7 @@
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
-        let takeover_request = TakeoverRequest { node: "b".into(), token: store.stamp(ASSIGNMENT), machines: 3 };
+        let takeover_request = TakeoverRequest { node: "b".into(), token: store.stamp(LEADER), machines: 3 };
         let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
@@ -165,7 +165,7 @@
     assert_eq!(next_step("a2", Some("a1"), true, Some("a1"), false, false), Step::Expire);
     store.end_leases(Duration::from_millis(3100));
     hear(&mut mirror, &store);
-    assert_eq!((next("a2", &mirror, None), store.stamp(ASSIGNMENT)), (Step::Campaign, token));
+    assert_eq!((next("a2", &mirror, None), store.stamp(LEADER)), (Step::Campaign, token));
 }
 
 /// A lease that is renewed late lives at most once its time longer; one that has ended stays ended, and a
@@ -203,21 +203,21 @@
     take_lease(&mut store, "b1");
     let newer = become_leader(&mut store, "b1").unwrap();
     hear(&mut mirror, &store);
-    assert!(!mirror.note_assignment(leader("a1"), token), "nothing to lead by");
-    assert_eq!(mirror.assignment().map(|(a, stamp)| (a.incarnation.as_str(), *stamp)), Some(("b1", newer)));
+    assert!(!mirror.note_leader_record(leader("a1"), token), "nothing to lead by");
+    assert_eq!(mirror.leader_record().map(|(a, stamp)| (a.incarnation.as_str(), *stamp)), Some(("b1", newer)));
     // Ahead of the watch it counts as ever, and a watch from before does not take it back.
     let before = store.follow(MIRRORED, mirror.revision).unwrap();
     let token = become_leader(&mut store, "b1").unwrap();
-    assert!(mirror.note_assignment(leader("b1"), token));
+    assert!(mirror.note_leader_record(leader("b1"), token));
     mirror.apply(&before);
-    assert_eq!(mirror.assignment().map(|(_, stamp)| *stamp), Some(token));
+    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(token));
     hear(&mut mirror, &store);
-    assert!(mirror.note_assignment(leader("b1"), token), "and heard of by the watch first");
+    assert!(mirror.note_leader_record(leader("b1"), token), "and heard of by the watch first");
 }
 
-/// A page that was read before this controller's assignment stood brings back, for a moment, who led before.
+/// A page that was read before this controller's leader record stood brings back, for a moment, who led before.
 /// It is deposed by newer tokens only, what it tries meanwhile is refused, and the first page's revision is
-/// where the watch goes on, which tells of the assignment again.
+/// where the watch goes on, which tells of the leader record again.
 #[test]
 fn a_page_older_than_an_assignment_deposes_nobody_and_is_put_right() {
     let mut store = Store::default();
@@ -231,9 +231,9 @@
     let mut loading = mirror.load();
     mirror.take_page(&mut loading, &old);
     let token = become_leader(&mut store, "a1").unwrap();
-    assert!(mirror.note_assignment(leader("a1"), token));
+    assert!(mirror.note_leader_record(leader("a1"), token));
     mirror.loaded(loading);
-    let believed = mirror.assignment().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
+    let believed = mirror.leader_record().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
     assert!(before < token, "which is no newer than the token that is held");
     assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "the other seems to hold the lease");
@@ -241,6 +241,6 @@
     let (conditions, change) = naming(&leader("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
     hear(&mut mirror, &store);
-    assert_eq!(mirror.assignment().map(|(_, stamp)| *stamp), Some(token));
+    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(token));
     assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "holds the lease and leads");
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -18,7 +18,7 @@
 use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
 
 use crate::jobs::{Counts, JobId};
-use crate::membership::records::{Assignment, Watermark};
+use crate::membership::records::{LeaderRecord, Watermark};
 use crate::node::Node;
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
@@ -106,16 +106,16 @@
     }
 }
 
-/// A watermark counts if its token is that of the assignment as it is known here, and the sender its leader:
+/// A watermark counts if its token is that of the leader record as it is known here, and the sender its leader:
 /// one of a leader that is not known here yet, or no more, is told again by whoever leads.
-pub fn believed(from: &str, told: Option<Watermark>, assignment: Option<&(Assignment, u64)>) -> Option<u64> {
-    let (told, (leader, stamp)) = (told?, assignment?);
+pub fn believed(from: &str, told: Option<Watermark>, leader_record: Option<&(LeaderRecord, u64)>) -> Option<u64> {
+    let (told, (leader, stamp)) = (told?, leader_record?);
     (leader.node == from && *stamp == told.token).then_some(told.revision)
 }
 
 /// Whether no leader can have told this watermark, by all that the store has told up to this revision: its token is
-/// newer than the last assignment and not newer than that, or the last assignment is another's.
-fn never_was(from: &str, told: Option<Watermark>, known: Option<&(Assignment, u64)>, through: Option<u64>) -> bool {
+/// newer than the last leader record and not newer than that, or the last leader record is another's.
+fn never_was(from: &str, told: Option<Watermark>, known: Option<&(LeaderRecord, u64)>, through: Option<u64>) -> bool {
     let (Some(told), Some((leader, stamp)), Some(through)) = (told, known, through) else { return false };
     let missed = told.token > *stamp && told.token <= through;
     missed || (told.token == *stamp && leader.node != from)
@@ -182,12 +182,12 @@
     let line = Line::read(text, &node.settings.peers)?;
     let (watermark, leads) = {
         let mirror = lock(&node.mirror);
-        let assignment = mirror.assignment();
-        if never_was(&line.node, line.watermark, assignment, mirror.asking()) {
+        let leader_record = mirror.leader_record();
+        if never_was(&line.node, line.watermark, leader_record, mirror.asking()) {
             return Err(BadLine::Token(line.node));
         }
-        let leads = assignment.is_some_and(|(leader, _)| leader.node == line.node);
-        (believed(&line.node, line.watermark, assignment), leads)
+        let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
+        (believed(&line.node, line.watermark, leader_record), leads)
     };
     node.history.advance(watermark.unwrap_or(0));
     let many = {
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -22,8 +22,8 @@
     assert!(heard.hears("b", t + s(23)) && !heard.hears("b", t + s(24)) && !heard.hears("c", t + s(20)));
 }
 
-fn assigned(node: &str, stamp: u64) -> (Assignment, u64) {
-    (Assignment { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
+fn assigned(node: &str, stamp: u64) -> (LeaderRecord, u64) {
+    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut mirror = lock(&node.mirror);
     let loading = mirror.load();
     mirror.loaded(loading);
-    mirror.note_assignment(assigned("node-1", 7).0, 7);
+    mirror.note_leader_record(assigned("node-1", 7).0, 7);
     drop(mirror);
     node
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,6 @@
 //! Election and leadership: which controller holds the election lease, and which leads.
 //!
-//! The lease holder's key is attached to a lease of the state service. The lease holder writes the assignment; the
+//! The lease holder's key is attached to a lease of the state service. The lease holder writes the leader record; the
 //! version of that key is the leader's token, which workers compare and on which every write of a placement is
 //! conditional. Clocks only decide how soon a new lease holder follows: a deposed leader is stopped by the version, not
 //! by the time.
@@ -21,12 +21,12 @@
 
 use tracing::{debug, info, warn};
 
-use crate::jobs::record::{ASSIGNMENT, LEASE_HOLDER, WATERMARK};
+use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
 use crate::node::Node;
 use crate::store::budget::Urgent;
 use crate::store::{Change, Condition, StoreError, TxnOutcome};
 use crate::sync::lock;
-use records::{Assignment, LeaseHolder, Watermark};
+use records::{LeaderRecord, LeaseHolder, Watermark};
 use turns::{Pace, in_turn};
 use unreadable::UnreadableLeaseHolder;
 use watermark::Lag;
@@ -48,7 +48,7 @@
     Expire,
     Campaign,
     Renew,
-    Assign,
+    WriteLeaderRecord,
 }
 
 /// Pure, so that every combination can be tried. `predecessor`: another incarnation of this controller's
@@ -65,16 +65,16 @@
         None => Step::Campaign,
         Some(l) if l != me && predecessor => Step::Expire,
         Some(l) if l != me => Step::Wait,
-        Some(_) if leader != Some(me) || raise => Step::Assign,
+        Some(_) if leader != Some(me) || raise => Step::WriteLeaderRecord,
         Some(_) if renew_due => Step::Renew,
         Some(_) => Step::Wait,
     }
 }
 
-/// This controller's own assignment stands, and it does not act on it: the write was carried out and not
+/// This controller's own leader record stands, and it does not act on it: the write was carried out and not
 /// answered. It is written again, which answers under which token to begin, or to go on.
-fn unheard(me: &str, assignment: Option<(&str, u64)>, token: Option<u64>) -> bool {
-    assignment.is_some_and(|(leader, stamp)| leader == me && token.is_none_or(|token| token < stamp))
+fn unheard(me: &str, leader_record: Option<(&str, u64)>, token: Option<u64>) -> bool {
+    leader_record.is_some_and(|(leader, stamp)| leader == me && token.is_none_or(|token| token < stamp))
 }
 
 /// What this controller knows of who holds the lease and leads at the moment it looks.
@@ -82,8 +82,8 @@
     lease_holder: Option<LeaseHolder>,
     lease_holder_stamp: u64,
     unreadable_lease_holder: Option<u64>,
-    assignment: Option<(Assignment, u64)>,
-    assignment_stamp: u64,
+    leader_record: Option<(LeaderRecord, u64)>,
+    leader_record_stamp: u64,
 }
 
 impl View {
@@ -94,8 +94,8 @@
             lease_holder: mirror.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
             lease_holder_stamp: mirror.lease_holder_stamp(),
             unreadable_lease_holder: mirror.unreadable_lease_holder(),
-            assignment: mirror.assignment().cloned(),
-            assignment_stamp: mirror.assignment_stamp(),
+            leader_record: mirror.leader_record().cloned(),
+            leader_record_stamp: mirror.leader_record_stamp(),
         })
     }
 
@@ -112,7 +112,7 @@
     /// The lease on which it leads, or led last.
     permit: Option<u64>,
     renewed: Instant,
-    assigned_last: bool,
+    wrote_leader_record_last: bool,
     /// Predecessors whose election lease it has ended.
     expired: u32,
     yielding: Yielding,
@@ -125,7 +125,7 @@
             pace: Pace { life },
             permit: None,
             renewed: Instant::now(),
-            assigned_last: false,
+            wrote_leader_record_last: false,
             expired: 0,
             yielding: Yielding::default(),
             unreadable: UnreadableLeaseHolder::default(),
@@ -156,7 +156,7 @@
     /// What is to be done next.
     fn next(&mut self, node: &Node, view: &View) -> Step {
         let token = lock(&node.cluster).as_ref().map(|cluster| cluster.token);
-        let assigned = view.assignment.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
+        let assigned = view.leader_record.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
         let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
         let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
@@ -168,11 +168,11 @@
             node.raise_wanted() || unheard(&node.incarnation, assigned, token),
             renew_due,
         );
-        in_turn(step, self.assigned_last, renew_due)
+        in_turn(step, self.wrote_leader_record_last, renew_due)
     }
 
     async fn take(&mut self, node: &Arc<Node>, view: &View, step: &Step) -> Result<(), StoreError> {
-        self.assigned_last = *step == Step::Assign;
+        self.wrote_leader_record_last = *step == Step::WriteLeaderRecord;
         match step {
             Step::Wait => Ok(()),
             Step::Expire => {
@@ -186,9 +186,9 @@
                 Ok(())
             }
             Step::Renew => self.renew(node).await,
-            Step::Assign => {
-                let assigning = assign(node, view.lease_holder_stamp, view.assignment_stamp);
-                let outcome = tokio::time::timeout(self.pace.assign_within(), assigning).await;
+            Step::WriteLeaderRecord => {
+                let writing = write_leader_record(node, view.lease_holder_stamp, view.leader_record_stamp);
+                let outcome = tokio::time::timeout(self.pace.write_timeout(), writing).await;
                 outcome.unwrap_or(Err(StoreError::Unanswered))
             }
         }
@@ -245,7 +245,7 @@
     }
 }
 
-/// Who holds the lease decides how soon there is a leader and nothing else: the assignment stands until a new lease
+/// Who holds the lease decides how soon there is a leader and nothing else: the leader record stands until a new lease
 /// holder writes the next one, and whatever its leader has sent is judged by that.
 pub(crate) fn expiry(stamp: u64) -> (Condition, Change) {
     (Condition::at(LEASE_HOLDER, stamp), Change::Drop { drop: LEASE_HOLDER.into() })
@@ -288,15 +288,15 @@
 }
 
 /// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(leader: &Assignment, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
-    let change = Change::write(ASSIGNMENT, serde_json::to_value(leader).unwrap_or_default());
-    ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(ASSIGNMENT, stamp)], change)
+pub(crate) fn naming(leader: &LeaderRecord, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
+    let change = Change::write(LEADER, serde_json::to_value(leader).unwrap_or_default());
+    ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(LEADER, stamp)], change)
 }
 
 /// Writes this controller as leader. Done again, it raises the token: every command given under
 /// the older one is dead wherever the new one has been seen.
-async fn assign(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
-    let record = Assignment {
+async fn write_leader_record(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
+    let record = LeaderRecord {
         node: node.settings.node.clone(),
         incarnation: node.incarnation.clone(),
         teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
@@ -304,7 +304,7 @@
     let (conditions, change) = naming(&record, lease_holder_stamp, stamp);
     match node.store.txn(&conditions, &[change], Urgent::First).await? {
         TxnOutcome::Applied(token) => {
-            if lock(&node.mirror).note_assignment(record, token) {
+            if lock(&node.mirror).note_leader_record(record, token) {
                 node.become_leader(token);
             } else {
                 warn!(token, "assigned, and replaced before the answer came");
@@ -318,11 +318,11 @@
     Ok(())
 }
 
-/// That it is stored under the assignment that its token names makes it true. A late copy of an older one only
+/// That it is stored under the leader record that its token names makes it true. A late copy of an older one only
 /// makes a controller that has just started wait for the next.
 fn storing(watermark: Watermark) -> (Condition, Change) {
     let value = serde_json::to_value(watermark).unwrap_or_default();
-    (Condition::at(ASSIGNMENT, watermark.token), Change::write(WATERMARK, value))
+    (Condition::at(LEADER, watermark.token), Change::write(WATERMARK, value))
 }
 
 /// Controllers that do not hear this leader read it there.
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,9 +1,9 @@
-//! Values stored for the election and leadership: the lease holder, the assignment, the watermark and takeover
+//! Values stored for the election and leadership: the lease holder, the leader record, the watermark and takeover
 //! requests.
 
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::record::{ASSIGNMENT, TAKEOVER_REQUEST};
+use crate::jobs::record::{LEADER, TAKEOVER_REQUEST};
 use crate::store::{Change, Condition};
 
 /// Value of the lease holder's key, which lives as long as the election lease in the state service.
@@ -17,7 +17,7 @@
 
 /// One leader's record. With several leaders there is one record each, parting teams and machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Assignment {
+pub struct LeaderRecord {
     /// Name of the controller that leads.
     pub node: String,
     /// The leading process. A restarted controller has another one and does not lead by its predecessor's record.
@@ -29,7 +29,7 @@
 /// The loaded cluster state of the leader with this token holds every end up to this revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
-    /// Token of the leader: the version of its assignment's key.
+    /// Token of the leader: the version of its leader record's key.
     pub token: u64,
     /// Revision of the store up to which every end is included.
     pub revision: u64,
@@ -50,6 +50,6 @@
     /// Whichever takeover request comes last stands; one for a leader that was replaced is refused.
     pub fn transaction(&self) -> ([Condition; 1], [Change; 1]) {
         let value = serde_json::to_value(self).unwrap_or_default();
-        ([Condition::at(ASSIGNMENT, self.token)], [Change::write(TAKEOVER_REQUEST, value)])
+        ([Condition::at(LEADER, self.token)], [Change::write(TAKEOVER_REQUEST, value)])
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -10,9 +10,9 @@
         ("its predecessor holds the lease", Some("a0"), true, Some("a0"), false, true, Step::Expire),
         ("its predecessor holds the lease, another leads", Some("a0"), true, Some("b"), false, false, Step::Expire),
         ("its predecessor led, another holds the lease", Some("b"), false, Some("a0"), false, false, Step::Wait),
-        ("holds the lease, another leads", Some("a"), true, Some("b"), false, true, Step::Assign),
-        ("holds the lease, nobody leads", Some("a"), true, None, false, false, Step::Assign),
-        ("token to raise", Some("a"), true, Some("a"), true, false, Step::Assign),
+        ("holds the lease, another leads", Some("a"), true, Some("b"), false, true, Step::WriteLeaderRecord),
+        ("holds the lease, nobody leads", Some("a"), true, None, false, false, Step::WriteLeaderRecord),
+        ("token to raise", Some("a"), true, Some("a"), true, false, Step::WriteLeaderRecord),
         ("renewal due", Some("a"), true, Some("a"), false, true, Step::Renew),
         ("all well", Some("a"), true, Some("a"), false, false, Step::Wait),
     ] {
@@ -20,20 +20,20 @@
     }
 }
 
-/// An assignment that was carried out and not answered left a lease holder that led nothing, for as long as it held
+/// An leader record that was carried out and not answered left a lease holder that led nothing, for as long as it held
 /// the lease: it found itself assigned, and nothing to do.
 #[test]
 fn an_assignment_that_was_not_answered_is_written_again() {
-    for (name, assignment, token, want) in [
-        ("nobody leads", None, None, Step::Assign),
-        ("another leads", Some(("b", 20)), None, Step::Assign),
+    for (name, leader_record, token, want) in [
+        ("nobody leads", None, None, Step::WriteLeaderRecord),
+        ("another leads", Some(("b", 20)), None, Step::WriteLeaderRecord),
         ("answered", Some(("a", 20)), Some(20), Step::Wait),
-        ("carried out, not answered", Some(("a", 20)), None, Step::Assign),
-        ("raised, not answered", Some(("a", 21)), Some(20), Step::Assign),
+        ("carried out, not answered", Some(("a", 20)), None, Step::WriteLeaderRecord),
+        ("raised, not answered", Some(("a", 21)), Some(20), Step::WriteLeaderRecord),
         ("raised, the mirror is behind", Some(("a", 20)), Some(21), Step::Wait),
     ] {
-        let leader = assignment.map(|(leader, _)| leader);
-        let again = unheard("a", assignment, token);
+        let leader = leader_record.map(|(leader, _)| leader);
+        let again = unheard("a", leader_record, token);
         assert_eq!(next_step("a", Some("a"), true, leader, again, false), want, "{name}");
     }
 }
--- a/src/membership/turns.rs
+++ b/src/membership/turns.rs
@@ -1,9 +1,9 @@
-//! How the lease holder's steps share the time of its lease, so that writing an assignment never keeps it from
+//! How the lease holder's steps share the time of its lease, so that writing an leader record never keeps it from
 //! renewing.
 //!
-//! An assignment that gets no answer in time is written again; repeated without a pause, this would let the lease end.
-//! So each try may take a part of the lease only, and a renewal that is due goes next: the lease ends only if renewals
-//! themselves are not answered. Pure.
+//! An leader record that gets no answer in time is written again; repeated without a pause, this would let the lease
+//! end. So each try may take a part of the lease only, and a renewal that is due goes next: the lease ends only if
+//! renewals themselves are not answered. Pure.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 /// The lease is renewed so many times in its life.
 const RENEWALS: u32 = 4;
-/// Of a lease's life the part that one assignment may take.
+/// Of a lease's life the part that one leader record may take.
 const ASSIGN_PART: u32 = 3;
 /// Between two tries, with the part of a short lease that it may take.
 const RETRY: Duration = Duration::from_millis(150);
@@ -34,8 +34,8 @@
         self.renew_every() / 2
     }
 
-    /// An assignment that has got no answer by then is written again.
-    pub fn assign_within(self) -> Duration {
+    /// An leader record that has got no answer by then is written again.
+    pub fn write_timeout(self) -> Duration {
         self.life / ASSIGN_PART
     }
 
@@ -45,9 +45,9 @@
     }
 }
 
-/// The step that goes next: a renewal that is due before a second assignment.
-pub(super) fn in_turn(step: Step, assigned_last: bool, renew_due: bool) -> Step {
-    if step == Step::Assign && assigned_last && renew_due { Step::Renew } else { step }
+/// The step that goes next: a renewal that is due before a second leader record.
+pub(super) fn in_turn(step: Step, wrote_leader_record_last: bool, renew_due: bool) -> Step {
+    if step == Step::WriteLeaderRecord && wrote_leader_record_last && renew_due { Step::Renew } else { step }
 }
 
 #[cfg(test)]
--- a/src/membership/turns/tests.rs
+++ b/src/membership/turns/tests.rs
@@ -6,18 +6,18 @@
 /// An answer of the store that is slow and comes.
 const SLOW_ANSWER: Duration = Duration::from_millis(30);
 
-/// The longest time between two renewals of a lease holder that is to assign and never gets an answer, each step and
-/// pause taking as long as it may.
+/// The longest time between two renewals of a lease holder that is to write the leader record and never gets an answer,
+/// each step and pause taking as long as it may.
 fn longest_without_renewal(pace: Pace) -> Duration {
     let (mut now, mut renewed, mut longest) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
-    let mut assigned_last = false;
+    let mut wrote_leader_record_last = false;
     while now < pace.life * 20 {
         now += pace.look_every();
         let due = now - renewed >= pace.renew_every();
-        let step = in_turn(next_step("a", Some("a"), false, Some("b"), true, due), assigned_last, due);
-        assigned_last = step == Step::Assign;
+        let step = in_turn(next_step("a", Some("a"), false, Some("b"), true, due), wrote_leader_record_last, due);
+        wrote_leader_record_last = step == Step::WriteLeaderRecord;
         match step {
-            Step::Assign => now += pace.assign_within() + pace.retry().mul_f64(MOST_JITTER),
+            Step::WriteLeaderRecord => now += pace.write_timeout() + pace.retry().mul_f64(MOST_JITTER),
             Step::Renew => {
                 now += SLOW_ANSWER;
                 longest = longest.max(now - renewed);
@@ -29,7 +29,7 @@
     longest.max(now - renewed)
 }
 
-/// A run of assignments without an answer cost the lease holder its lease, and the work a change of leader.
+/// A run of leader records without an answer cost the lease holder its lease, and the work a change of leader.
 #[test]
 fn assignments_without_an_answer_cost_no_lease() {
     for life_ms in [500, 1000, 3000, 10_000, 600_000] {
@@ -41,14 +41,14 @@
 
 #[test]
 fn whose_turn_it_is_by_cases() {
-    for (name, step, assigned_last, due, want) in [
-        ("a first assignment goes at once", Step::Assign, false, true, Step::Assign),
-        ("a second one waits for a renewal", Step::Assign, true, true, Step::Renew),
-        ("a second one, and none is due", Step::Assign, true, false, Step::Assign),
+    for (name, step, wrote_leader_record_last, due, want) in [
+        ("a first assignment goes at once", Step::WriteLeaderRecord, false, true, Step::WriteLeaderRecord),
+        ("a second one waits for a renewal", Step::WriteLeaderRecord, true, true, Step::Renew),
+        ("a second one, and none is due", Step::WriteLeaderRecord, true, false, Step::WriteLeaderRecord),
         ("nobody holds the lease", Step::Campaign, true, true, Step::Campaign),
         ("another holds the lease", Step::Wait, true, true, Step::Wait),
         ("its predecessor holds the lease", Step::Expire, true, true, Step::Expire),
     ] {
-        assert_eq!(in_turn(step, assigned_last, due), want, "{name}");
+        assert_eq!(in_turn(step, wrote_leader_record_last, due), want, "{name}");
     }
 }
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::records::{Assignment, Watermark};
+use super::records::{LeaderRecord, Watermark};
 
 /// A withdrawal that some controller has not acknowledged for this long is told through the store.
 /// Acknowledgements come with the lines, one a second.
@@ -19,14 +19,14 @@
 const LAGS: Duration = Duration::from_secs(10);
 
 /// What a controller may tell as the leader's watermark: its loaded cluster state's token and what that holds, and only
-/// if by all that it has heard, which is no less, it is still the one that is assigned. Past the assignment of
+/// if by all that it has heard, which is no less, it is still the one that is the leader. Past the leader record of
 /// another it may hold ends that the successor has not heard of, whom workers obey by then.
 pub fn own_watermark(
     me: &str,
     cluster: Option<(u64, u64)>,
-    assignment: Option<&(Assignment, u64)>,
+    leader_record: Option<&(LeaderRecord, u64)>,
 ) -> Option<Watermark> {
-    let ((token, revision), (leader, stamp)) = (cluster?, assignment?);
+    let ((token, revision), (leader, stamp)) = (cluster?, leader_record?);
     (leader.incarnation == me && *stamp == token).then_some(Watermark { token, revision })
 }
 
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -5,14 +5,14 @@
 use hollylanding_emulator::world::store::Store;
 
 use super::mesh::believed;
-use super::records::{Assignment, Watermark};
+use super::records::{LeaderRecord, Watermark};
 use super::storing;
 use super::watermark::{Lag, Unconfirmed, own_watermark};
-use crate::jobs::record::{ASSIGNMENT, WATERMARK};
+use crate::jobs::record::{LEADER, WATERMARK};
 use crate::store::Change;
 
-fn assignment(node: &str, stamp: u64) -> (Assignment, u64) {
-    (Assignment { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
+fn leader_record(node: &str, stamp: u64) -> (LeaderRecord, u64) {
+    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
 }
 
 #[test]
@@ -27,7 +27,7 @@
         ("another's under the leader's token", "b", told(7), Some(("a", 7)), None),
         ("nobody leads, as far as is known", "a", told(7), None, None),
     ] {
-        let known = known.map(|(node, stamp)| assignment(node, stamp));
+        let known = known.map(|(node, stamp)| leader_record(node, stamp));
         assert_eq!(believed(from, told, known.as_ref()), want, "{name}");
     }
 }
@@ -36,8 +36,8 @@
 #[test]
 fn who_tells_a_watermark_by_cases() {
     let assigned = |incarnation: &str, stamp| {
-        let (assignment, stamp) = assignment("a", stamp);
-        (Assignment { incarnation: incarnation.into(), ..assignment }, stamp)
+        let (leader_record, stamp) = leader_record("a", stamp);
+        (LeaderRecord { incarnation: incarnation.into(), ..leader_record }, stamp)
     };
     for (name, cluster, known, tells) in [
         ("the leader", Some((7, 50)), Some(assigned("1", 7)), true),
@@ -92,13 +92,13 @@
 #[test]
 fn only_under_its_assignment_is_a_watermark_stored() {
     let mut store = Store::default();
-    let assign = [Change::write(ASSIGNMENT, serde_json::json!("a"))];
-    let token = store.apply_if(&[], &assign).unwrap();
+    let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
+    let token = store.apply_if(&[], &write_leader_record).unwrap();
     let (condition, change) = storing(Watermark { token, revision: 3 });
     store.apply_if(std::slice::from_ref(&condition), std::slice::from_ref(&change)).unwrap();
     let stored: Watermark = serde_json::from_value(store.value(WATERMARK).unwrap().clone()).unwrap();
     assert_eq!(stored, Watermark { token, revision: 3 });
-    store.apply_if(&[], &assign).unwrap();
+    store.apply_if(&[], &write_leader_record).unwrap();
     assert!(store.apply_if(&[condition], &[change]).is_err(), "nor does a late copy");
 }
 
--- a/src/membership/yielding.rs
+++ b/src/membership/yielding.rs
@@ -1,6 +1,6 @@
 //! When a lease holder steps down because workers reach another controller and not this one.
 //!
-//! A takeover request is answered once: it stays in the store, and names the leader until another one is assigned. A
+//! A takeover request is answered once: it stays in the store, and names the leader until another one is the leader. A
 //! release that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
 //! neither renews it nor campaigns. Pure.
 
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -18,11 +18,11 @@
     }
 
     /// As the leader: up to which revision withdrawals are in its loaded cluster state, and obeyed
-    /// (`cluster::watermark`). None while it is not sure to be the one that is assigned, by all that it has heard.
+    /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.token, b.watermark()));
-        let watermark = watermark::own_watermark(&self.incarnation, cluster, mirror.assignment())?;
+        let watermark = watermark::own_watermark(&self.incarnation, cluster, mirror.leader_record())?;
         drop((mirror, held));
         self.history.advance(watermark.revision);
         Some(watermark)
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -18,7 +18,7 @@
 use crate::workers::dispatch;
 
 impl Node {
-    /// This controller's record stands as the assignment, under this token.
+    /// This controller's record stands as the leader record, under this token.
     pub fn become_leader(self: &Arc<Self>, token: u64) {
         self.press_marks(false);
         let mut held = lock(&self.cluster);
@@ -54,10 +54,12 @@
         }
     }
 
-    /// Compares the cluster state's token with the assignment as mirrored.
+    /// Compares the cluster state's token with the leader record as mirrored.
     pub fn check_deposed(&self) {
-        let newer =
-            lock(&self.mirror).assignment().filter(|(a, _)| a.incarnation != self.incarnation).map(|(_, stamp)| *stamp);
+        let newer = lock(&self.mirror)
+            .leader_record()
+            .filter(|(a, _)| a.incarnation != self.incarnation)
+            .map(|(_, stamp)| *stamp);
         let token = lock(&self.cluster).as_ref().map(|b| b.token);
         if let (Some(newer), Some(token)) = (newer, token)
             && newer > token
@@ -81,7 +83,7 @@
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, report, now) else { return };
-        let Some(token) = lock(&self.mirror).assignment().map(|(_, stamp)| *stamp) else { return };
+        let Some(token) = lock(&self.mirror).leader_record().map(|(_, stamp)| *stamp) else { return };
         warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), token, machines };
         let node = self.clone();
@@ -102,6 +104,6 @@
     pub fn leader_node(&self) -> Option<String> {
         let mirror = lock(&self.mirror);
         mirror.lease_holder()?;
-        mirror.assignment().map(|(a, _)| a.node.clone())
+        mirror.leader_record().map(|(a, _)| a.node.clone())
     }
 }
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -34,7 +34,7 @@
         let mirror = lock(&self.mirror);
         let through = mirror.asking().unwrap_or(0);
         let over = |id: &&JobId| {
-            // All that was ever started before this assignment had been accepted before it.
+            // All that was ever started before this leader record had been accepted before it.
             let missing = through >= token && mirror.open(id).is_none();
             missing || mirror.ended_by(id).is_some() || self.history.ended(id).is_some()
         };
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -12,7 +12,7 @@
 use super::users::Seat;
 use super::world::World;
 use crate::history::moves::end_among;
-use crate::jobs::record::{ASSIGNMENT, TASKS, chunk_key, decode_chunk, ended_key, open_key, parse_chunk_key};
+use crate::jobs::record::{LEADER, TASKS, chunk_key, decode_chunk, ended_key, open_key, parse_chunk_key};
 use crate::jobs::{End, JobId};
 use crate::process_pause::ProcessPause;
 use crate::scheduling::cluster::{ClusterState, MachineId, MachineState};
@@ -59,13 +59,10 @@
         if self.store_out() {
             return;
         }
-        let stamp = self.store.stamp(ASSIGNMENT);
+        let stamp = self.store.stamp(LEADER);
         let token = self
             .store
-            .apply_if(
-                &[Condition::at(ASSIGNMENT, stamp)],
-                &[Change::write(ASSIGNMENT, Value::from(self.leaders.len()))],
-            )
+            .apply_if(&[Condition::at(LEADER, stamp)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
             .expect("the model's leader knows the stamp");
         let mut cluster = ClusterState::new(token, example(), Properties::default(), self.now);
         self.trace(&format!("leader {} under {token}", self.leaders.len()));
@@ -279,7 +276,7 @@
                     leader.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
             }
-            Err(keys) if keys.iter().any(|k| k == ASSIGNMENT) => return true,
+            Err(keys) if keys.iter().any(|k| k == LEADER) => return true,
             Err(keys) => self.take_refusal(leader, &batch, &keys),
         }
         false
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -13,7 +13,7 @@
 use super::{CANCEL, LEADER_LEASE, STEP};
 use crate::history::moves;
 use crate::jobs::JobId;
-use crate::jobs::record::{ASSIGNMENT, open_key};
+use crate::jobs::record::{LEADER, open_key};
 use crate::store::{Change, Condition};
 use crate::wire::workers::{LegStatus, TaskKey};
 
@@ -79,12 +79,12 @@
         })
     }
 
-    /// One whose cluster state is raised writes the assignment again, as the leader would.
+    /// One whose cluster state is raised writes the leader record again, as the leader would.
     fn raise_token(&mut self) {
         let leader = self.leader;
-        let stamp = self.store.stamp(ASSIGNMENT);
-        let change = Change::write(ASSIGNMENT, Value::from(leader));
-        if let Ok(token) = self.store.apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[change])
+        let stamp = self.store.stamp(LEADER);
+        let change = Change::write(LEADER, Value::from(leader));
+        if let Ok(token) = self.store.apply_if(&[Condition::at(LEADER, stamp)], &[change])
             && let Some(o) = self.leaders[leader].as_mut()
         {
             o.cluster.raise_token(token);
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -13,10 +13,10 @@
 use super::{CANCEL, LEADER_LEASE, LEASE};
 use crate::history::moves;
 use crate::history::visibility::{Visible, visible};
-use crate::jobs::record::{ASSIGNMENT, WATERMARK, open_key};
+use crate::jobs::record::{LEADER, WATERMARK, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::believed;
-use crate::membership::records::{Assignment, Watermark};
+use crate::membership::records::{LeaderRecord, Watermark};
 use crate::membership::serving_state::{LetGo, Observations, Patience};
 use crate::membership::watermark::Unconfirmed;
 use crate::settings::tests::example;
@@ -155,10 +155,10 @@
         }
     }
 
-    /// The assignment as it is known at this revision.
-    fn assignment(&self, heard: u64) -> Option<(Assignment, u64)> {
+    /// The leader record as it is known at this revision.
+    fn leader_record(&self, heard: u64) -> Option<(LeaderRecord, u64)> {
         let (stamp, leader) = self.assigned.iter().rev().find(|(stamp, _)| *stamp <= heard)?;
-        let of = Assignment { node: leader.to_string(), incarnation: leader.to_string(), teams: Vec::new() };
+        let of = LeaderRecord { node: leader.to_string(), incarnation: leader.to_string(), teams: Vec::new() };
         Some((of, *stamp))
     }
 
@@ -240,7 +240,7 @@
                 leader.seat.proof = Some(now);
                 leader.seat.unproven = false;
             }
-            let assigned = self.users.assignment(leader.seat.heard);
+            let assigned = self.users.leader_record(leader.seat.heard);
             let other = assigned.is_some_and(|(_, stamp)| stamp > leader.cluster.token);
             if other && std::mem::replace(&mut leader.seat.deposed, true) && self.rng.random_bool(0.3) {
                 self.trace(&format!("leader {i} steps down"));
@@ -276,7 +276,7 @@
 
     /// As `Node::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
-        let (of, stamp) = self.users.assignment(leader.seat.heard)?;
+        let (of, stamp) = self.users.leader_record(leader.seat.heard)?;
         let mine = of.incarnation == i.to_string() && stamp == leader.cluster.token;
         (leader.cluster.loaded && mine)
             .then_some(Watermark { token: leader.cluster.token, revision: leader.cluster.watermark() })
@@ -298,7 +298,7 @@
         if !cut && leader.seat.unconfirmed.due(now) {
             // As `membership::storing` has it.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
-            let conditions = [Condition::at(ASSIGNMENT, watermark.token)];
+            let conditions = [Condition::at(LEADER, watermark.token)];
             let unanswered = self.slow() && self.rng.random_bool(0.4);
             if unanswered {
                 let due = now + Duration::from_millis(self.rng.random_range(2000..12_000));
@@ -318,7 +318,7 @@
 
     /// A line of a leader arrives, and is acknowledged in the next one of the other.
     pub(super) fn hear_line(&mut self, from: usize, to: usize, watermark: Watermark) {
-        let known = self.users.assignment(self.users.followers[to].heard);
+        let known = self.users.leader_record(self.users.followers[to].heard);
         let follower = &mut self.users.followers[to];
         if follower.unheard_until > self.now {
             return;
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -56,7 +56,7 @@
 /// Reads every page of tasks into the cluster state, which decides nothing until the last one is in.
 pub async fn fill(node: &Arc<Node>) -> Result<(), StoreError> {
     let begun = Instant::now();
-    // Open jobs first: the mirror was proven fresh after this controller's assignment stood.
+    // Open jobs first: the mirror was proven fresh after this controller's leader record stood.
     {
         let mirror = lock(&node.mirror);
         let mut held = lock(&node.cluster);
@@ -77,7 +77,7 @@
         take_page(node, page, &mut ended, &mut read_ends).await?;
     }
     // What an earlier leader may still be doing, before anything is placed: nothing can be added to
-    // it any more, since orders are conditional on the assignment.
+    // it any more, since orders are conditional on the leader record.
     let mut orders = Vec::new();
     let mut pages = node.store.pages(ORDERS, None);
     while let Some(page) = pages.next().await? {
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -160,8 +160,8 @@
     }
 }
 
-/// Everything stored before this controller's assignment is read; nothing older can come after,
-/// since every placement is conditional on the assignment it was made under.
+/// Everything stored before this controller's leader record is read; nothing older can come after,
+/// since every placement is conditional on the leader record it was made under.
 async fn load(node: &Arc<Node>) {
     loop {
         if node.fresh.wait().await {
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::scheduling::cluster::Direct;
 
-/// The write that binds has no answer; it is carried out at once, late (and then refused, since another is assigned),
+/// The write that binds has no answer; it is carried out at once, late (and then refused, since another is the leader),
 /// or never. Until it is known to stand nothing is launched, by the leader or by the deposed one; the successor knows
 /// all that stands and starts nothing that the deposed one may yet start.
 #[test]
--- a/src/scheduling/tests/unreadable_chunks.rs
+++ b/src/scheduling/tests/unreadable_chunks.rs
@@ -12,7 +12,7 @@
 const HIDDEN_ATTEMPTS: u64 = 1 << 32;
 
 /// A leader that comes now and cannot read the first job's chunk.
-fn assigned_with_unreadable(world: &mut World) -> ClusterState {
+fn leader_with_unreadable(world: &mut World) -> ClusterState {
     let mut cluster = world.assigned();
     let (stamp, _) = world.chunk.clone().unwrap();
     cluster.add_job(world.record.clone(), world.now);
@@ -21,7 +21,7 @@
 }
 
 fn successor_cannot_read(simulation: &mut Simulation) {
-    simulation.cluster = assigned_with_unreadable(&mut simulation.world);
+    simulation.cluster = leader_with_unreadable(&mut simulation.world);
     simulation.cluster.finish_load(simulation.world.now);
     simulation.listed();
 }
@@ -56,7 +56,7 @@
     for (name, heard, returned, after_s, rests) in cases {
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
         world.chunk = Some((5, vec![Stored::Untouched; 2]));
-        let mut cluster = assigned_with_unreadable(&mut world);
+        let mut cluster = leader_with_unreadable(&mut world);
         let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
         cluster.expect("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
         cluster.finish_load(world.now);
@@ -127,7 +127,7 @@
 fn hidden_tasks_count_for_their_team_while_they_may_run() {
     let mut world = World::new(&["m1"], |j| (j.tasks, j.cpus) = (3, 2.0));
     world.chunk = Some((5, vec![Stored::Untouched; 3]));
-    let mut cluster = assigned_with_unreadable(&mut world);
+    let mut cluster = leader_with_unreadable(&mut world);
     cluster.finish_load(world.now);
     let team = world.record.spec.team.clone();
     assert_eq!(cluster.usage[&team], (6.0, 0.0));
@@ -160,7 +160,7 @@
         let mut last = stamp;
         world.chunk = Some((stamp, vec![Stored::Bound(last, "m1".into())]));
         for round in 0..3 {
-            let mut cluster = assigned_with_unreadable(&mut world);
+            let mut cluster = leader_with_unreadable(&mut world);
             world.stamp = world.chunk.as_ref().unwrap().0;
             cluster.finish_load(world.now);
             cluster.tick(world.now + s(PAST_THE_REST));
@@ -179,7 +179,7 @@
 fn the_last_revision_overflows_no_attempt() {
     let mut world = World::new(&["m1"], |j| j.tasks = 1);
     world.chunk = Some((u64::MAX, vec![Stored::Untouched]));
-    let cluster = assigned_with_unreadable(&mut world);
+    let cluster = leader_with_unreadable(&mut world);
     assert!(attempts(&cluster)[0].checked_add(1).is_some());
 }
 
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -1,6 +1,6 @@
 //! Group commit: the leader's changes, many per transaction, one transaction at a time.
 //!
-//! Every transaction is conditional on the assignment, on the versions of its chunks and on the
+//! Every transaction is conditional on the leader record, on the versions of its chunks and on the
 //! absence of an end for each job it speaks of. One that was not answered is sent again as it
 //! was until an answer is definite: a late copy then fails on the chunk versions, or on the end.
 //! An end takes its job from the open ones in the same transaction.
@@ -16,7 +16,7 @@
 use super::{Change, Condition, StoreError, TxnOutcome};
 use crate::history::moves::{end_among, end_changes, not_ended};
 use crate::jobs::record::{
-    ASSIGNMENT, ENDED_EXTRA, JobRecord, chunk_key, chunk_size, decode_chunk, encode_chunk, open_key, time_of_day_ms,
+    ENDED_EXTRA, JobRecord, LEADER, chunk_key, chunk_size, decode_chunk, encode_chunk, open_key, time_of_day_ms,
 };
 use crate::jobs::{End, JobId};
 use crate::node::Node;
@@ -54,7 +54,7 @@
         let chunks = self.chunks.iter().map(|c| Condition::at(chunk_key(&c.job, c.chunk), c.stamp));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
         let ends = jobs.into_iter().flat_map(|id| not_ended(id));
-        std::iter::once(Condition::at(ASSIGNMENT, token)).chain(chunks).chain(ends).collect()
+        std::iter::once(Condition::at(LEADER, token)).chain(chunks).chain(ends).collect()
     }
 
     /// Every job it speaks of.
@@ -137,7 +137,7 @@
             Ok(TxnOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
                 let now_token = lock(&node.cluster).as_ref().map(|b| b.token);
-                if keys.iter().any(|k| k == ASSIGNMENT) {
+                if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > token) {
                         continue;
                     }
@@ -229,7 +229,7 @@
     let jobs: BTreeSet<&JobId> = drops.iter().map(|(id, _)| id).collect();
     let closed = jobs.into_iter().map(|id| Condition::absent(open_key(id)));
     let changes = drops.iter().map(|(id, c)| Change::Drop { drop: chunk_key(id, *c) }).collect();
-    (std::iter::once(Condition::at(ASSIGNMENT, token)).chain(closed).collect(), changes)
+    (std::iter::once(Condition::at(LEADER, token)).chain(closed).collect(), changes)
 }
 
 /// What is still to be dropped after these were refused: nothing of jobs that are open.
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -16,10 +16,10 @@
 use crate::fleet::orders::{CloudOrder, What, clean_up};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
-use crate::jobs::record::{ASSIGNMENT, JobRecord, LEASE_HOLDER, Stored, chunk_key, old_job_key, open_key};
+use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, Stored, chunk_key, old_job_key, open_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::membership::records::{Assignment, LeaseHolder, TakeoverRequest};
+use crate::membership::records::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::membership::{candidacy, expiry, naming};
 use crate::scheduling::cluster::ChunkWrite;
 
@@ -80,8 +80,8 @@
     }
 
     fn become_leader(&mut self, name: &'static str) -> u64 {
-        let me = Assignment { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
-        let (conditions, change) = naming(&me, self.store.stamp(LEASE_HOLDER), self.store.stamp(ASSIGNMENT));
+        let me = LeaderRecord { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
+        let (conditions, change) = naming(&me, self.store.stamp(LEASE_HOLDER), self.store.stamp(LEADER));
         self.send(name, conditions, [change])
     }
 
@@ -177,7 +177,7 @@
     life.take_lease("b holds the lease");
     life.become_leader("b leads");
     life.taken.clear();
-    let third = life.store.stamp(ASSIGNMENT);
+    let third = life.store.stamp(LEADER);
     assert!(third > token);
     life.batch("placement by b", third, vec![], vec![chunk(&jobs[2], 0, 1)]);
     assert!(life.taken.is_empty(), "nothing of an earlier leader is taken any more: {:?}", life.taken);
@@ -189,7 +189,7 @@
 #[test]
 fn a_late_drop_of_chunks_takes_nothing_of_a_job_that_was_put_back() {
     let (mut store, job, token) = (Store::default(), record(1), 1);
-    store.apply_if(&[], &[Change::write(ASSIGNMENT, json!("a"))]).unwrap();
+    store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
     let accept = moves::accept(&job, false);
     let place = |stamp| Batch { ends: vec![], chunks: vec![chunk(&job, stamp, 1)], at_ms: 5 };
     let end = Batch { ends: vec![job.clone()], chunks: vec![], at_ms: 5 };
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -17,8 +17,8 @@
 use crate::declared::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
-use crate::jobs::record::{ASSIGNMENT, JobRecord, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
-use crate::membership::records::{Assignment, LeaseHolder, TakeoverRequest, Watermark};
+use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::membership::records::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
 /// Descriptions kept of jobs that are over: about half a KiB each.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 struct Control {
     lease_holder: Slot<LeaseHolder>,
-    assignment: Slot<Assignment>,
+    leader_record: Slot<LeaderRecord>,
     takeover_request: Slot<TakeoverRequest>,
     watermark: Option<Watermark>,
     upgraded: Option<Upgraded>,
@@ -71,7 +71,7 @@
     fn put(&mut self, path: &str, value: &Value, stamp: u64) -> bool {
         match path {
             LEASE_HOLDER => self.lease_holder = Slot::of(path, value, stamp),
-            ASSIGNMENT => self.assignment = Slot::of(path, value, stamp),
+            LEADER => self.leader_record = Slot::of(path, value, stamp),
             TAKEOVER_REQUEST => self.takeover_request = Slot::of(path, value, stamp),
             WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, stamp)),
             // It is written once and never again, and none that can be read would be waited for for ever.
@@ -84,7 +84,7 @@
     fn drop(&mut self, path: &str) -> bool {
         match path {
             LEASE_HOLDER => self.lease_holder = Slot::Absent,
-            ASSIGNMENT => self.assignment = Slot::Absent,
+            LEADER => self.leader_record = Slot::Absent,
             TAKEOVER_REQUEST => self.takeover_request = Slot::Absent,
             WATERMARK => self.watermark = None,
             _ => return false,
@@ -251,14 +251,14 @@
         }
     }
 
-    /// The assignment and its version, which is the leader's token; none if there is none or it cannot be read.
-    pub fn assignment(&self) -> Option<&(Assignment, u64)> {
-        self.control.assignment.value()
+    /// The leader record and its version, which is the leader's token; none if there is none or it cannot be read.
+    pub fn leader_record(&self) -> Option<&(LeaderRecord, u64)> {
+        self.control.leader_record.value()
     }
 
-    /// The version of the assignment, readable or not; 0 if there is none.
-    pub fn assignment_stamp(&self) -> u64 {
-        self.control.assignment.stamp()
+    /// The version of the leader record, readable or not; 0 if there is none.
+    pub fn leader_record_stamp(&self) -> u64 {
+        self.control.leader_record.stamp()
     }
 
     /// The last takeover request, and its version.
@@ -294,12 +294,12 @@
         }
     }
 
-    /// The same of its assignment, and whether that still stands as far as is known.
-    pub fn note_assignment(&mut self, assignment: Assignment, stamp: u64) -> bool {
-        if stamp > self.revision && stamp > self.assignment_stamp() {
-            self.control.assignment = Slot::Read((assignment, stamp));
+    /// The same of its leader record, and whether that still stands as far as is known.
+    pub fn note_leader_record(&mut self, leader_record: LeaderRecord, stamp: u64) -> bool {
+        if stamp > self.revision && stamp > self.leader_record_stamp() {
+            self.control.leader_record = Slot::Read((leader_record, stamp));
         }
-        self.assignment_stamp() == stamp
+        self.leader_record_stamp() == stamp
     }
 
     /// What a watch asks for: all changes after this revision.
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -144,7 +144,7 @@
                 assert!(mirror.ready && open == 2, "{path} {value}: {open} jobs are read");
                 assert!(
                     mirror.lease_holder().is_none()
-                        && mirror.assignment().is_none()
+                        && mirror.leader_record().is_none()
                         && mirror.takeover_request().is_none()
                 );
                 assert!(mirror.watermark().is_none(), "{path} {value}");
@@ -160,12 +160,12 @@
     let mut mirror = Mirror::default();
     read_whole(&mut mirror, vec![]);
     assert_eq!(
-        (mirror.lease_holder_stamp(), mirror.assignment_stamp(), mirror.unreadable_lease_holder()),
+        (mirror.lease_holder_stamp(), mirror.leader_record_stamp(), mirror.unreadable_lease_holder()),
         (0, 0, None)
     );
     mirror.apply(&followed(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
     assert_eq!(
-        (mirror.lease_holder_stamp(), mirror.assignment_stamp(), mirror.unreadable_lease_holder()),
+        (mirror.lease_holder_stamp(), mirror.leader_record_stamp(), mirror.unreadable_lease_holder()),
         (3, 4, Some(3))
     );
     let lease_holder = json!({"node": "a", "incarnation": "1", "later": true});
--- a/src/users/withdrawal.rs
+++ b/src/users/withdrawal.rs
@@ -8,7 +8,7 @@
 use super::lookup::{ended, look_up, moved_on, open_tasks, tell_end};
 use super::reply::Reply;
 use crate::history::moves;
-use crate::jobs::record::{ASSIGNMENT, JobRecord, time_of_day_ms};
+use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::node::Node;
 use crate::store::audit::Held;
@@ -58,7 +58,7 @@
         }
         Ok(TxnOutcome::Failed(keys)) => {
             sent.refused();
-            if keys != [ASSIGNMENT] {
+            if keys != [LEADER] {
                 return moved_on(node, &id, &keys).await;
             }
             // Another leads by now: the mirror is about to hear it.
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether ends may have been stored that neither its cluster state nor its mirror has. `through`: the mirror has
-    /// heard all that was stored before its assignment.
+    /// heard all that was stored before its leader record.
     pub fn blind(&self, through: bool) -> bool {
         !self.loaded && !through
     }
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -1,5 +1,5 @@
 //! A transaction of the leader is carried out at once and only its answer is lost, while other nodes read what it
-//! wrote: placements, assignments and rental orders. Nothing runs twice, nothing is rented twice, nobody leads twice
+//! wrote: placements, leader records and rental orders. Nothing runs twice, nothing is rented twice, nobody leads twice
 //! under one token, and work goes on. Acceptances, withdrawals and ends are in `close_looks.rs`.
 
 // A stand-in that panics fails its test, as it should.
@@ -19,7 +19,7 @@
 const ASSIGNMENTS: &str = "c/leader/";
 const ORDERS: &str = "d/";
 
-const ASSIGNMENT: &str = "c/owner/0";
+const LEADER: &str = "c/owner/0";
 
 /// An election lease that outlives an answer that is waited for.
 const LONG_LEASE_S: u64 = 10;
@@ -120,8 +120,8 @@
     }
 }
 
-/// A successor is assigned and does not hear so, while a third controller reads it and users ask there: it is assigned
-/// anew, and leads under that token only.
+/// A successor is the leader and does not hear so, while a third controller reads it and users ask there: it is the
+/// leader anew, and leads under that token only.
 #[test]
 fn an_assignment_whose_answer_is_lost_at_a_takeover_is_written_anew() {
     let (stage, first, second) = stage(SHORT_LEASE_S);
@@ -134,11 +134,11 @@
     let third = stage.starts(&["node-a", "node-b", "node-c"], 2, SHORT_LEASE_S);
     stage.outside.block_on(until("the third is healthy", || stage.healthy(&third)));
     stage.lose_an_answer(ASSIGNMENTS);
-    let before = stage.stamp(ASSIGNMENT);
+    let before = stage.stamp(LEADER);
     drop(first);
     stage.outside.block_on(async {
-        until("assigned", || async { stage.stamp(ASSIGNMENT) > before }).await;
-        let unheard = stage.stamp(ASSIGNMENT);
+        until("assigned", || async { stage.stamp(LEADER) > before }).await;
+        let unheard = stage.stamp(LEADER);
         assert_eq!(stage.answers_to_lose(), 0, "and it was not told so");
         let both = [&second, &third];
         let asked = stage.all_answer(&both, 1, &LOOKS);
@@ -148,7 +148,7 @@
         tokio::join!(asked, taken_over);
         tokens.note(&second);
         tokens.note(&third);
-        let assigned = stage.stamp(ASSIGNMENT);
+        let assigned = stage.stamp(LEADER);
         assert!(assigned > unheard, "it leads under the token that it heard of");
         assert_eq!(tokens.0.last_key_value().unwrap().0, &assigned, "who leads does so by what is stored");
         stage.goes_on(&third, 2).await;
