--- a/crates/emulator/src/driver/machines.rs
+++ b/crates/emulator/src/driver/machines.rs
@@ -154,7 +154,7 @@
         let answer = self.world.http.call(Method::POST, &node.addr, REPORT_PATH, body, ANSWER_WITHIN).await;
         let reachable = lock(&self.world.fleet).is_reachable(&self.name, self.world.now());
         if reachable {
-            self.take(answer, report.session, sent, at, &nodes);
+            self.take(answer, report.agent_epoch, sent, at, &nodes);
         } else {
             // A worker that receives nothing waits as long as for no answer, and turns to the next controller.
             tokio::time::sleep((sent + ANSWER_WITHIN).saturating_sub(self.world.now())).await;
@@ -166,7 +166,7 @@
     fn take(
         &mut self,
         answer: Result<(u16, Bytes), CallError>,
-        session: u64,
+        agent_epoch: u64,
         sent: Duration,
         at: usize,
         nodes: &[Node],
@@ -174,7 +174,7 @@
         match answer {
             Ok((200, body)) => {
                 if let Ok(orders) = wire::decode::<Orders>(&body) {
-                    self.world.with_fleet(|fleet, now| fleet.answer(&self.name, session, sent, &orders, now));
+                    self.world.with_fleet(|fleet, now| fleet.answer(&self.name, agent_epoch, sent, &orders, now));
                 }
             }
             Ok((MISDIRECTED, body)) => {
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -96,7 +96,7 @@
 pub struct Workers {
     /// Interval between two reports.
     pub report_s: f64,
-    /// A worker ends its session and its tasks if no report was answered for this long.
+    /// A worker ends its agent epoch and its tasks if no report was answered for this long.
     pub lease_s: f64,
     /// How long a member of a gang waits for the others before it gives up.
     pub gang_wait_s: f64,
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers: sessions, leases, tokens, images, tasks that run, save and end, and gangs.
+//! The workers: agent epochs, leases, fencing tokens, images, tasks that run, save and end, and gangs.
 //!
 //! [`Fleet`] holds the state. Its methods are parted by what they do: reports and their answers, orders, images,
 //! running tasks, gangs, and faults.
@@ -30,7 +30,7 @@
 /// Timeouts of the workers.
 #[derive(Debug, Clone, Copy)]
 pub struct Params {
-    /// A worker ends its session and its tasks if no report was answered for this long.
+    /// A worker ends its agent epoch and its tasks if no report was answered for this long.
     pub lease: Duration,
     /// How long a member of a gang waits for the others before it gives up.
     pub gang_wait: Duration,
@@ -87,7 +87,7 @@
         /// Why it ended.
         cause: Cause,
     },
-    /// The attempt was lost with its machine, or with the worker's session.
+    /// The attempt was lost with its machine, or with the agent's epoch.
     Lost {
         /// The task.
         task: TaskKey,
@@ -140,7 +140,7 @@
         self.uploads.insert(upload.spec.id.clone(), Arc::new(upload));
     }
 
-    /// A machine is up: its worker begins its first session.
+    /// A machine is up: its worker begins its first agent epoch.
     pub fn up(&mut self, name: &str, machine: Machine, now: Duration) {
         self.workers.insert(name.to_owned(), Worker::new(machine, now));
     }
@@ -164,7 +164,7 @@
     pub fn digest(&self, name: &str) -> Option<u64> {
         let worker = self.workers.get(name)?;
         let mut hasher = DefaultHasher::new();
-        (worker.session, worker.token, worker.recall, worker.unknown.len()).hash(&mut hasher);
+        (worker.agent_epoch, worker.fencing_token, worker.recall, worker.unknown.len()).hash(&mut hasher);
         for task in &worker.tasks {
             (&task.key, task.attempt, std::mem::discriminant(&task.state)).hash(&mut hasher);
         }
@@ -226,14 +226,14 @@
         }
     }
 
-    /// A lease that is over ends the session and all that runs in it, once the machine can act.
+    /// A lease that is over ends the agent epoch and all that runs in it, once the machine can act.
     fn expire(&mut self, name: &str, now: Duration) {
         let lease = self.params.lease;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.hangs_until > now || now.saturating_sub(worker.renewed).mul_f64(worker.clock) <= lease {
             return;
         }
-        worker.session += 1;
+        worker.agent_epoch += 1;
         worker.renewed = now;
         worker.unknown.clear();
         let killed = std::mem::take(&mut worker.tasks);
--- a/crates/emulator/src/world/fleet/orders.rs
+++ b/crates/emulator/src/world/fleet/orders.rs
@@ -13,9 +13,9 @@
     pub fn command(&mut self, name: &str, orders: &Orders, now: Duration) -> Option<(bool, Report)> {
         self.tick(now);
         let worker = self.workers.get_mut(name).filter(|worker| worker.receives(now))?;
-        let taken = orders.token >= worker.token && orders.session == Some(worker.session);
+        let taken = orders.fencing_token >= worker.fencing_token && orders.agent_epoch == Some(worker.agent_epoch);
         if taken {
-            worker.token = orders.token;
+            worker.fencing_token = orders.fencing_token;
             self.execute(name, &orders.orders, now);
         }
         Some((taken, self.build_report(name, now)?))
--- a/crates/emulator/src/world/fleet/reports.rs
+++ b/crates/emulator/src/world/fleet/reports.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use hollylanding_wire::workers::{Cause, Leg, LegStatus, Orders, Report, TaskKey};
+use hollylanding_wire::workers::{AttemptReport, AttemptStatus, Cause, Orders, Report, TaskKey};
 
 use super::worker::{Task, TaskState};
 use super::{ANSWER_TAKEN, Fleet};
@@ -30,27 +30,27 @@
 }
 
 /// The task's attempt as reports state it.
-fn leg(task: &Task) -> Leg {
+fn attempt_report(task: &Task) -> AttemptReport {
     let (status, cause, saved) = match task.state {
-        TaskState::Fetching => (LegStatus::Fetching, None, None),
-        TaskState::WaitingForGang(_) => (LegStatus::Waiting, None, None),
-        TaskState::Running => (LegStatus::Running, None, None),
-        TaskState::Saving(_) => (LegStatus::Saving, None, None),
-        TaskState::Ended(cause, kept) => (LegStatus::Exited, Some(cause), kept.then_some(true)),
+        TaskState::Fetching => (AttemptStatus::Fetching, None, None),
+        TaskState::WaitingForGang(_) => (AttemptStatus::Waiting, None, None),
+        TaskState::Running => (AttemptStatus::Running, None, None),
+        TaskState::Saving(_) => (AttemptStatus::Saving, None, None),
+        TaskState::Ended(cause, kept) => (AttemptStatus::Exited, Some(cause), kept.then_some(true)),
     };
-    Leg { task: task.key.clone(), attempt: task.attempt, status, cause, saved }
+    AttemptReport { task: task.key.clone(), attempt: task.attempt, status, cause, saved }
 }
 
 /// An attempt whose launch was refused because the worker knows no such job or task.
-fn unknown_leg((task, attempt): &(TaskKey, u64)) -> Leg {
+fn unknown_attempt((task, attempt): &(TaskKey, u64)) -> AttemptReport {
     let (task, attempt) = (task.clone(), *attempt);
-    Leg { task, attempt, status: LegStatus::Exited, cause: Some(Cause::Unknown), saved: None }
+    AttemptReport { task, attempt, status: AttemptStatus::Exited, cause: Some(Cause::Unknown), saved: None }
 }
 
 /// A number from 0 to 1 that depends on the report alone.
 fn fraction_of(name: &str, report: &Report) -> f64 {
     let mut hasher = DefaultHasher::new();
-    (name, report.session, report.seq).hash(&mut hasher);
+    (name, report.agent_epoch, report.seq).hash(&mut hasher);
     f64::from(hasher.finish() as u8) / f64::from(u8::MAX)
 }
 
@@ -86,23 +86,28 @@
             type_name: worker.machine.of.name.clone(),
             zone: worker.machine.zone.clone(),
             spot: worker.machine.spot,
-            session: worker.session,
+            agent_epoch: worker.agent_epoch,
             seq: worker.seq,
-            token: worker.token,
+            fencing_token: worker.fencing_token,
             notice_s: worker.recall.map(|at| at.saturating_sub(now).as_secs_f64()),
-            legs: worker.tasks.iter().map(leg).chain(worker.unknown.iter().map(unknown_leg)).collect(),
+            attempts: worker
+                .tasks
+                .iter()
+                .map(attempt_report)
+                .chain(worker.unknown.iter().map(unknown_attempt))
+                .collect(),
         })
     }
 
-    /// An answer to a report of this session, sent then. False if it was dropped.
-    pub fn answer(&mut self, name: &str, session: u64, sent: Duration, orders: &Orders, now: Duration) -> bool {
+    /// An answer to a report of this agent epoch, sent then. False if it was dropped.
+    pub fn answer(&mut self, name: &str, agent_epoch: u64, sent: Duration, orders: &Orders, now: Duration) -> bool {
         self.tick(now);
         let Some(worker) = self.workers.get_mut(name) else { return false };
         let late = now.saturating_sub(sent) > ANSWER_TAKEN || !worker.receives(now);
-        if late || worker.session != session || orders.token < worker.token {
+        if late || worker.agent_epoch != agent_epoch || orders.fencing_token < worker.fencing_token {
             return false;
         }
-        worker.token = orders.token;
+        worker.fencing_token = orders.fencing_token;
         worker.renewed = worker.renewed.max(sent);
         self.execute(name, &orders.orders, now);
         true
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use hollylanding_wire::jobs::{Shape, Urgency};
-use hollylanding_wire::workers::{LegStatus, Order, Orders, Report};
+use hollylanding_wire::workers::{AttemptStatus, Order, Orders, Report};
 
 const PARAMS: Params =
     Params { lease: Duration::from_secs(24), gang_wait: Duration::from_secs(35), gang_peer: Duration::from_secs(8) };
@@ -76,8 +76,15 @@
     Order::Halt { task: key(job, index), attempt, grace_s }
 }
 
-fn command(fleet: &mut Fleet, name: &str, token: u64, session: u64, orders: Vec<Order>, at: f64) -> (bool, Report) {
-    fleet.command(name, &Orders { token, session: Some(session), orders }, s(at)).expect("it answers")
+fn command(
+    fleet: &mut Fleet,
+    name: &str,
+    fencing_token: u64,
+    agent_epoch: u64,
+    orders: Vec<Order>,
+    at: f64,
+) -> (bool, Report) {
+    fleet.command(name, &Orders { fencing_token, agent_epoch: Some(agent_epoch), orders }, s(at)).expect("it answers")
 }
 
 /// Reported and answered every second, so that leases live.
@@ -86,21 +93,21 @@
     while at <= to {
         for name in fleet.names().cloned().collect::<Vec<_>>() {
             if let Some(report) = fleet.report(&name, s(at)) {
-                let nothing = Orders { token: report.token, session: None, orders: vec![] };
-                fleet.answer(&name, report.session, s(at), &nothing, s(at));
+                let nothing = Orders { fencing_token: report.fencing_token, agent_epoch: None, orders: vec![] };
+                fleet.answer(&name, report.agent_epoch, s(at), &nothing, s(at));
             }
         }
         at += 1.0;
     }
 }
 
-fn state(fleet: &mut Fleet, name: &str, index: u32, at: f64) -> Option<(LegStatus, Option<Cause>, Option<bool>)> {
+fn state(fleet: &mut Fleet, name: &str, index: u32, at: f64) -> Option<(AttemptStatus, Option<Cause>, Option<bool>)> {
     let report = fleet.report(name, s(at))?;
-    report.legs.iter().rev().find(|l| l.task.index == index).map(|l| (l.status, l.cause, l.saved))
+    report.attempts.iter().rev().find(|l| l.task.index == index).map(|l| (l.status, l.cause, l.saved))
 }
 
-fn ended(cause: Cause) -> Option<(LegStatus, Option<Cause>, Option<bool>)> {
-    Some((LegStatus::Exited, Some(cause), None))
+fn ended(cause: Cause) -> Option<(AttemptStatus, Option<Cause>, Option<bool>)> {
+    Some((AttemptStatus::Exited, Some(cause), None))
 }
 
 #[test]
@@ -116,60 +123,64 @@
     ] {
         let Order::Launch { task, attempt } = &order else { unreachable!() };
         let (_, report) = command(&mut fleet, "m0", 1, 1, vec![order.clone()], 0.0);
-        let leg = report.legs.iter().find(|l| l.task == *task && l.attempt == *attempt).expect(name);
-        assert_eq!(leg.cause, want, "{name}");
+        let attempt_report = report.attempts.iter().find(|l| l.task == *task && l.attempt == *attempt).expect(name);
+        assert_eq!(attempt_report.cause, want, "{name}");
         let reap = Order::Reap { task: task.clone(), attempt: *attempt };
         let (_, report) = command(&mut fleet, "m0", 1, 1, vec![reap], 0.0);
-        assert_eq!(report.legs.len(), 1, "{name}: only what has exited is reaped");
+        assert_eq!(report.attempts.len(), 1, "{name}: only what has exited is reaped");
     }
 }
 
 #[test]
 fn tokens_sessions_and_late_answers() {
     let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
-    for (name, token, session, taken) in [
+    for (name, fencing_token, agent_epoch, taken) in [
         ("the first", 5, 1, true),
         ("a lower token", 4, 1, false),
         ("an equal one", 5, 1, true),
         ("another session", 6, 2, false),
     ] {
-        assert_eq!(command(&mut fleet, "m0", token, session, vec![], 1.0).0, taken, "{name}");
+        assert_eq!(command(&mut fleet, "m0", fencing_token, agent_epoch, vec![], 1.0).0, taken, "{name}");
     }
-    let orders = |token| Orders { token, session: None, orders: vec![launch("run-1", 0, 1)] };
-    for (name, session, sent, at, token, taken) in [
+    let orders = |fencing_token| Orders { fencing_token, agent_epoch: None, orders: vec![launch("run-1", 0, 1)] };
+    for (name, agent_epoch, sent, at, fencing_token, taken) in [
         ("a lower token", 1, 2.0, 2.0, 4, false),
         ("an earlier session", 0, 2.0, 2.0, 5, false),
         ("too late", 1, 2.0, 6.5, 5, false),
         ("in time", 1, 3.0, 6.5, 5, true),
     ] {
-        assert_eq!(fleet.answer("m0", session, s(sent), &orders(token), s(at)), taken, "{name}");
+        assert_eq!(fleet.answer("m0", agent_epoch, s(sent), &orders(fencing_token), s(at)), taken, "{name}");
     }
     // The lease runs from when the answered report was sent; direct commands do not renew it.
     command(&mut fleet, "m0", 5, 1, vec![], 26.0);
-    assert_eq!(fleet.report("m0", s(27.0)).map(|r| (r.session, r.legs.len())), Some((1, 1)));
-    assert_eq!(fleet.report("m0", s(27.1)).map(|r| (r.session, r.legs.len())), Some((2, 0)), "killed and forgotten");
+    assert_eq!(fleet.report("m0", s(27.0)).map(|r| (r.agent_epoch, r.attempts.len())), Some((1, 1)));
+    assert_eq!(
+        fleet.report("m0", s(27.1)).map(|r| (r.agent_epoch, r.attempts.len())),
+        Some((2, 0)),
+        "killed and forgotten"
+    );
 }
 
 #[test]
 fn tasks_fetch_run_save_and_keep_their_results() {
     let mut fleet = fleet(2, vec![upload("run-1", |_| ()), upload("run-2", |u| u.broken = true)]);
     command(&mut fleet, "m0", 1, 1, vec![launch("run-1", 0, 1), launch("run-2", 1, 1)], 0.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 1.0).unwrap().0, LegStatus::Fetching);
+    assert_eq!(state(&mut fleet, "m0", 0, 1.0).unwrap().0, AttemptStatus::Fetching);
     keep(&mut fleet, 2.0, 32.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 32.0).unwrap().0, LegStatus::Running);
+    assert_eq!(state(&mut fleet, "m0", 0, 32.0).unwrap().0, AttemptStatus::Running);
     assert_eq!(state(&mut fleet, "m0", 1, 32.0), ended(Cause::Error));
     // 30 s done and the time to save them.
     command(&mut fleet, "m0", 1, 1, vec![halt("run-1", 0, 1, 3)], 32.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 34.0).unwrap().0, LegStatus::Saving);
+    assert_eq!(state(&mut fleet, "m0", 0, 34.0).unwrap().0, AttemptStatus::Saving);
     keep(&mut fleet, 35.0, 36.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 36.0), Some((LegStatus::Exited, Some(Cause::Stopped), Some(true))));
+    assert_eq!(state(&mut fleet, "m0", 0, 36.0), Some((AttemptStatus::Exited, Some(Cause::Stopped), Some(true))));
     // Elsewhere it goes on from there, and loses what it had not saved when its machine is gone.
     command(&mut fleet, "m1", 1, 1, vec![launch("run-1", 0, 2)], 36.0);
     keep(&mut fleet, 37.0, 55.0);
     fleet.gone("m1", s(55.0));
     command(&mut fleet, "m0", 1, 1, vec![launch("run-1", 0, 3)], 55.0);
     keep(&mut fleet, 56.0, 108.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 108.0).unwrap().0, LegStatus::Running, "40 of 100 s were kept");
+    assert_eq!(state(&mut fleet, "m0", 0, 108.0).unwrap().0, AttemptStatus::Running, "40 of 100 s were kept");
     keep(&mut fleet, 109.0, 117.0);
     assert_eq!(state(&mut fleet, "m0", 0, 117.0), ended(Cause::Done));
     assert!(fleet.results().contains(&key("run-1", 0)));
@@ -193,20 +204,24 @@
             command(&mut fleet, "m0", 1, 1, vec![halt("run-1", 0, 1, grace)], 14.0);
         }
         keep(&mut fleet, 15.0, 18.0);
-        assert_eq!(state(&mut fleet, "m0", 0, 18.0), Some((LegStatus::Exited, Some(Cause::Stopped), want)), "{name}");
+        assert_eq!(
+            state(&mut fleet, "m0", 0, 18.0),
+            Some((AttemptStatus::Exited, Some(Cause::Stopped), want)),
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn a_hanging_machine_goes_on_within_its_lease_and_forgets_after_it() {
-    for (hangs_s, session) in [(20.0, 1), (40.0, 2)] {
+    for (hangs_s, agent_epoch) in [(20.0, 1), (40.0, 2)] {
         let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
         command(&mut fleet, "m0", 1, 1, vec![launch("run-1", 0, 1)], 0.0);
         keep(&mut fleet, 1.0, 10.0);
         fleet.hang("m0", s(10.0 + hangs_s));
         assert!(fleet.report("m0", s(15.0)).is_none());
         let report = fleet.report("m0", s(10.5 + hangs_s)).unwrap();
-        assert_eq!((report.session, report.legs.len()), (session, 2 - session as usize), "{hangs_s}");
+        assert_eq!((report.agent_epoch, report.attempts.len()), (agent_epoch, 2 - agent_epoch as usize), "{hangs_s}");
     }
 }
 
@@ -217,16 +232,16 @@
     let mut fleet = fleet(1, vec![upload("run-1", |_| ())]);
     fleet.cut_off("m0", s(60.0));
     fleet.copy_reports("m0", s(30.0), s(10.0), s(50.0));
-    let orders = Orders { token: 1, session: Some(1), orders: vec![launch("run-1", 0, 1)] };
+    let orders = Orders { fencing_token: 1, agent_epoch: Some(1), orders: vec![launch("run-1", 0, 1)] };
     assert!(fleet.command("m0", &orders, s(0.5)).is_none());
     keep(&mut fleet, 1.0, 59.0);
     let report = fleet.report("m0", s(59.5)).unwrap();
-    assert_eq!((report.session, report.token, report.legs.len()), (3, 0, 0), "two leases of 24 s");
+    assert_eq!((report.agent_epoch, report.fencing_token, report.attempts.len()), (3, 0, 0), "two leases of 24 s");
     fleet.gone("m0", s(59.6));
     assert!(fleet.copies_due(s(10.9)).is_empty());
     let mut copies = Vec::new();
     (11..90).for_each(|at| copies.extend(fleet.copies_due(s(f64::from(at)))));
-    assert_eq!((copies.len(), copies.iter().map(|c| c.session).max()), (29, Some(2)));
+    assert_eq!((copies.len(), copies.iter().map(|c| c.agent_epoch).max()), (29, Some(2)));
     assert!(copies.windows(2).any(|two| two[0].seq > two[1].seq), "out of order");
 }
 
@@ -238,8 +253,8 @@
         command(fleet, "m1", 1, 1, vec![launch("run-1", 1, 1)], 5.0);
         keep(fleet, 5.0, 30.0);
     };
-    type Row = (&'static str, Script, f64, Option<(LegStatus, Option<Cause>, Option<bool>)>);
-    let running = Some((LegStatus::Running, None, None));
+    type Row = (&'static str, Script, f64, Option<(AttemptStatus, Option<Cause>, Option<bool>)>);
+    let running = Some((AttemptStatus::Running, None, None));
     let rows: [Row; 7] = [
         ("goes on", |_| (), 31.0, running),
         ("completes together", |_| (), 110.0, ended(Cause::Done)),
@@ -253,7 +268,7 @@
                 command(f, "m1", 1, 1, vec![halt("run-1", 1, 1, 5)], 33.0);
             },
             37.0,
-            Some((LegStatus::Exited, Some(Cause::Stopped), Some(true))),
+            Some((AttemptStatus::Exited, Some(Cause::Stopped), Some(true))),
         ),
         (
             "one is not told in time",
@@ -282,7 +297,7 @@
     let mut alone = fleet(2, vec![gang("run-1")]);
     command(&mut alone, "m0", 1, 1, vec![launch("run-1", 0, 1)], 0.0);
     keep(&mut alone, 1.0, 36.0);
-    assert_eq!(state(&mut alone, "m0", 0, 36.0).unwrap().0, LegStatus::Waiting);
+    assert_eq!(state(&mut alone, "m0", 0, 36.0).unwrap().0, AttemptStatus::Waiting);
     keep(&mut alone, 37.0, 39.0);
     assert_eq!(state(&mut alone, "m0", 0, 39.0), ended(Cause::Alone));
 }
--- a/crates/emulator/src/world/fleet/worker.rs
+++ b/crates/emulator/src/world/fleet/worker.rs
@@ -71,10 +71,10 @@
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) machine: Machine,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) seq: u64,
-    pub(super) token: u64,
-    /// When the last answered report was sent, or the session began.
+    pub(super) fencing_token: u64,
+    /// When the last answered report was sent, or the agent epoch began.
     pub(super) renewed: Duration,
     pub(super) recall: Option<Duration>,
     pub(super) tasks: Vec<Task>,
@@ -94,13 +94,13 @@
 }
 
 impl Worker {
-    /// The worker of a machine that has just come up, in its first session.
+    /// The worker of a machine that has just come up, in its first agent epoch.
     pub(super) fn new(machine: Machine, now: Duration) -> Self {
         Self {
             machine,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             renewed: now,
             recall: None,
             tasks: Vec::new(),
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -36,7 +36,7 @@
 fn launch(fleet: &mut Fleet, machine: &str, attempt: u64, at: u64) {
     let task = TaskKey { job: "run-1".into(), index: 0 };
     let orders = vec![Order::Launch { task, attempt }];
-    fleet.command(machine, &Orders { token: 1, session: Some(1), orders }, s(at));
+    fleet.command(machine, &Orders { fencing_token: 1, agent_epoch: Some(1), orders }, s(at));
 }
 
 /// Two machines; a task of ten seconds begins on the first at one second. Simulated for 20 s.
@@ -146,7 +146,9 @@
                 if f {
                     fleet.cut_off("m1", s(30));
                 }
-                heard |= fleet.command("m1", &Orders { token: 1, session: Some(1), orders: vec![] }, s(at)).is_some();
+                heard |= fleet
+                    .command("m1", &Orders { fencing_token: 1, agent_epoch: Some(1), orders: vec![] }, s(at))
+                    .is_some();
             });
             heard
         }),
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -7,7 +7,7 @@
 /// The state of a task's attempt on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum LegStatus {
+pub enum AttemptStatus {
     /// The machine fetches the image.
     Fetching,
     /// The attempt has its image and waits for the rest of its gang.
@@ -77,7 +77,7 @@
 
 /// One attempt of a task as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leg {
+pub struct AttemptReport {
     /// The task.
     #[serde(rename = "leg")]
     pub task: TaskKey,
@@ -85,7 +85,7 @@
     #[serde(rename = "try")]
     pub attempt: u64,
     /// The attempt's state.
-    pub status: LegStatus,
+    pub status: AttemptStatus,
     /// Why it ended; present exactly if it has.
     #[serde(default, rename = "cause")]
     pub cause: Option<Cause>,
@@ -112,31 +112,32 @@
     /// Whether it is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Number of the worker's session, from 1; it grows when the worker loses its lease and with it all its
+    /// Number of the agent's epoch, from 1; it grows when the worker loses its lease and with it all its
     /// attempts.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Sequence number of the report; an older report has a smaller one.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// The highest fencing token that the worker has seen; it refuses orders under a smaller one.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine away, once it has given notice.
     #[serde(default, rename = "recallS")]
     pub notice_s: Option<f64>,
     /// All attempts on the worker, and those that ended and are not yet reaped.
-    pub legs: Vec<Leg>,
+    #[serde(rename = "legs")]
+    pub attempts: Vec<AttemptReport>,
 }
 
 impl Report {
     /// Whether the fields are consistent with each other and within their bounds.
     pub fn check(&self) -> bool {
-        self.session >= 1
+        self.agent_epoch >= 1
             && !self.machine.is_empty()
             && self.addr.parse::<std::net::SocketAddr>().is_ok()
             && self.notice_s.is_none_or(|s| (-1e6..=1e6).contains(&s))
-            && self.legs.iter().all(|l| (l.status == LegStatus::Exited) == l.cause.is_some())
+            && self.attempts.iter().all(|l| (l.status == AttemptStatus::Exited) == l.cause.is_some())
     }
 }
 
@@ -181,10 +182,10 @@
 pub struct Orders {
     /// The fencing token of the controller that sends them.
     #[serde(rename = "baton")]
-    pub token: u64,
-    /// The worker session they are meant for; absent in the answer to a report.
+    pub fencing_token: u64,
+    /// The agent epoch they are meant for; absent in the answer to a report.
     #[serde(default, rename = "shift", skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
+    pub agent_epoch: Option<u64>,
     /// The orders, executed in sequence.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/wire/src/workers/tests.rs
@@ -7,7 +7,7 @@
         "shift":1,"tally":8,"baton":0,"recallS":null,"legs":[
           {"leg":"run-1/3","try":2,"status":"ended","cause":"done"}]});
     let read = |v: &serde_json::Value| crate::decode::<Report>(&crate::encode(v)).ok().filter(Report::check);
-    assert_eq!(read(&good).unwrap().legs[0].task.index, 3);
+    assert_eq!(read(&good).unwrap().attempts[0].task.index, 3);
     for (pointer, bad) in [
         ("/legs/0/leg", json!("run-1")),
         ("/legs/0/status", json!("lost")),
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -58,12 +58,12 @@
 }
 
 /// One transaction's conditions.
-pub fn conditions(writes: &[Write], token: u64) -> Vec<Condition> {
+pub fn conditions(writes: &[Write], fencing_token: u64) -> Vec<Condition> {
     let of = |w: &Write| {
         let spec = Condition::at(spec_key(w.kind, &w.name), w.spec_stamp);
         [spec, Condition::at(status_key(w.kind, &w.name), w.status_stamp)]
     };
-    std::iter::once(Condition::at(LEADER, token)).chain(writes.iter().flat_map(of)).collect()
+    std::iter::once(Condition::at(LEADER, fencing_token)).chain(writes.iter().flat_map(of)).collect()
 }
 
 /// The changes of a transaction that makes these writes.
@@ -78,8 +78,8 @@
     pub writes: Vec<Write>,
     /// There is nothing more to store: all that was is heard of.
     pub settled: bool,
-    /// The leader's token, on which the writes are conditional.
-    pub token: u64,
+    /// The leader's fencing token, on which the writes are conditional.
+    pub fencing_token: u64,
     /// What is logged once the writes are stored.
     pub news: News,
     /// Jobs of which it has to be known how they ended.
@@ -133,7 +133,7 @@
         }
         let changed = mirror.registry_mut().take_changed();
         refresh(self.kinds, cluster, mirror.registry(), ended, now, now_ms);
-        let mut looked = Looked { token: cluster.token, ..Looked::default() };
+        let mut looked = Looked { fencing_token: cluster.fencing_token, ..Looked::default() };
         for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < TOLD_BEFORE) {
             looked.news.extend(news(self.kinds, change));
         }
@@ -221,7 +221,7 @@
         registry,
         now,
         now_ms,
-        epoch: cluster.token,
+        epoch: cluster.fencing_token,
         settings: &cluster.settings,
         jobs_by_window: OnceCell::new(),
         unknown: RefCell::default(),
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -84,7 +84,7 @@
     pub now: Instant,
     /// Time of day in ms since 1970. It may step, back as well.
     pub now_ms: u64,
-    /// The leader's token.
+    /// The leader's fencing token.
     pub epoch: u64,
     /// What the platform has handed over.
     pub settings: &'a Settings,
--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -101,7 +101,7 @@
         let now = Instant::now();
         let looked = hands.look(|cluster, mirror, ended| driver.look(cluster, mirror, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
-        let Looked { mut writes, settled, token, news, unknown } = looked.unwrap_or_default();
+        let Looked { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
         unknown.iter().for_each(|id| hands.ask(id));
         for (level, line) in news {
             tell(level, &line);
@@ -114,7 +114,7 @@
         if !writes.is_empty() {
             driver.sent(&writes);
             let urgent = pace.sent(now);
-            let (conditions, changes) = (conditions(&writes, token), changes(&writes));
+            let (conditions, changes) = (conditions(&writes, fencing_token), changes(&writes));
             let sent = hands.store(&conditions, &changes, urgent);
             match tokio::time::timeout(STORE_WITHIN, sent).await {
                 Ok(Ok(TxnOutcome::Applied(revision))) => driver.stored(revision),
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -36,7 +36,7 @@
     pub goal: u64,
 }
 
-/// How far it has come, and under which token.
+/// How far it has come, and under which fencing token.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counted {
     pub at: u64,
@@ -167,15 +167,15 @@
             return None;
         }
         let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(Kind::Heat, name))).into();
-        let token = self.stage.store.stamp(LEADER);
+        let fencing_token = self.stage.store.stamp(LEADER);
         let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
             match change {
                 Change::Write { write, value, .. } => {
                     let name = write.rsplit('/').next().unwrap();
                     let status: Counted = serde_json::from_value(value.clone()).unwrap();
-                    if status.by != token {
-                        self.broken.push(format!("{name}: by {} and not {token}", status.by));
+                    if status.by != fencing_token {
+                        self.broken.push(format!("{name}: by {} and not {fencing_token}", status.by));
                     }
                     if !before[NAMES.iter().position(|n| *n == name).unwrap()] {
                         self.broken.push(format!("{name}: no spec"));
--- a/src/declared/tests/simulation.rs
+++ b/src/declared/tests/simulation.rs
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Another leads, or the same one under a newer token. Who led before goes on, unknowing.
+    /// Another leads, or the same one under a newer fencing token. Who led before goes on, unknowing.
     pub fn write_leader_record(&mut self, at: usize) {
-        let token = self.store.apply_if(&[], &[Change::write(LEADER, json!(at))]).unwrap();
+        let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER, json!(at))]).unwrap();
         // A new leader proves its mirror fresh before it decides.
         self.follow(at, true);
-        let mut cluster = ClusterState::new(token, example(), Properties::default(), Instant::now());
+        let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
         self.controllers[at].leader = Some((cluster, Driver::new(self.kinds)));
         self.controllers[at].decided = None;
@@ -100,16 +100,16 @@
         let looked = driver.look(cluster, mirror, &|id| ended(own, id), Instant::now(), now_ms);
         if !looked.writes.is_empty() {
             driver.sent(&looked.writes);
-            *decided = Some((looked.writes.clone(), looked.token));
+            *decided = Some((looked.writes.clone(), looked.fencing_token));
         }
         Some(looked)
     }
 
     /// What was decided, as it is sent.
     pub fn sent(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<Sent> {
-        let (writes, token) = self.controllers[at].decided.take()?;
+        let (writes, fencing_token) = self.controllers[at].decided.take()?;
         assert!(writes.len() <= 2);
-        let conditions = conditions(&writes, token).into_iter().filter(|c| !left_out(c)).collect();
+        let conditions = conditions(&writes, fencing_token).into_iter().filter(|c| !left_out(c)).collect();
         Some((conditions, changes(&writes)))
     }
 
--- a/src/fleet/dealings.rs
+++ b/src/fleet/dealings.rs
@@ -7,7 +7,7 @@
 use super::rent::Refusals;
 use crate::kinds::Kind;
 
-/// Keys of orders that stay marked as done under one token, and one clean-up more at the most.
+/// Keys of orders that stay marked as done under one fencing token, and one clean-up more at the most.
 pub(super) const MOST_MARKED: usize = 64;
 
 /// What the leader remembers of its dealings with the cloud.
@@ -23,9 +23,9 @@
     pub(super) next: u64,
     /// Orders that were carried out and are still stored.
     pub(super) finished: Vec<String>,
-    /// Orders of which a try was not answered, and the last token of such a try.
+    /// Orders of which a try was not answered, and the last fencing token of such a try.
     pub(super) late: HashMap<String, u64>,
-    /// Those among them that are marked as done, to be dropped under a later token.
+    /// Those among them that are marked as done, to be dropped under a later fencing token.
     pub(super) marked: Vec<String>,
 }
 
@@ -38,24 +38,24 @@
         self.asked.retain(|_, n| *n > 0);
     }
 
-    /// What is to be cleaned up under this token: what was marked under an earlier one too.
-    pub(super) fn due_for_clean_up(&mut self, token: u64) -> &[String] {
+    /// What is to be cleaned up under this fencing token: what was marked under an earlier one too.
+    pub(super) fn due_for_clean_up(&mut self, fencing_token: u64) -> &[String] {
         let late = &self.late;
-        let free = |key: &mut String| late.get(key).is_none_or(|under| *under < token);
+        let free = |key: &mut String| late.get(key).is_none_or(|under| *under < fencing_token);
         self.finished.extend(self.marked.extract_if(.., free));
         &self.finished
     }
 
-    /// Whether so many are marked that a higher token is wanted, under which they can be dropped.
+    /// Whether so many are marked that a higher fencing token is wanted, under which they can be dropped.
     pub(super) fn marks_press(&self) -> bool {
         self.marked.len() >= MOST_MARKED
     }
 
-    /// These were cleaned up under this token.
-    pub(super) fn cleaned_up(&mut self, keys: &[String], token: u64) {
+    /// These were cleaned up under this fencing token.
+    pub(super) fn cleaned_up(&mut self, keys: &[String], fencing_token: u64) {
         self.finished.retain(|key| !keys.contains(key));
         for key in keys {
-            if self.late.get(key).is_some_and(|under| *under >= token) {
+            if self.late.get(key).is_some_and(|under| *under >= fencing_token) {
                 self.marked.push(key.clone());
             } else {
                 self.late.remove(key);
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -11,7 +11,7 @@
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::sla;
-use crate::wire::workers::{LegStatus, TaskKey};
+use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// A machine costs this long in any case.
 const LEAST_CHARGED: Duration = Duration::from_secs(60);
@@ -191,7 +191,7 @@
         if cluster.intents.stays(&key.job) || cluster.intents.ahead.as_ref().is_some_and(|a| a.names.has(spec)) {
             return None;
         }
-        let ran = binding.running_since.filter(|_| binding.status == Some(LegStatus::Running));
+        let ran = binding.running_since.filter(|_| binding.status == Some(AttemptStatus::Running));
         let ran = ran.map_or(Duration::ZERO, |s| now.saturating_duration_since(s));
         let rest = sla::remaining(job.agreement.run, ran);
         let tries = job.tasks.get(key.index as usize).map_or(0, |t| t.attempt);
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -39,8 +39,8 @@
     inherited
 }
 
-fn token(node: &Node) -> Option<u64> {
-    lock(&node.cluster).as_ref().map(|b| b.token)
+fn fencing_token(node: &Node) -> Option<u64> {
+    lock(&node.cluster).as_ref().map(|b| b.fencing_token)
 }
 
 /// Stores an order under this leader's leader record; its key, once it stands. None where another leads
@@ -51,7 +51,7 @@
     what: What,
     give_up: impl Fn() -> bool,
 ) -> Result<String, Next> {
-    let Some(epoch) = token(node) else { return Err(Next::Stop) };
+    let Some(epoch) = fencing_token(node) else { return Err(Next::Stop) };
     let order = {
         let mut dealings = lock(dealings);
         dealings.next += 1;
@@ -59,12 +59,12 @@
     };
     let change = [order.change()];
     loop {
-        let Some(under) = token(node) else { return Err(Next::Stop) };
+        let Some(under) = fencing_token(node) else { return Err(Next::Stop) };
         let outcome = node.store.txn(&order.conditions(under), &change, Urgent::First).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(dealings).late.insert(order.key.clone(), under);
         }
-        match order.next(&outcome, token(node)) {
+        match order.next(&outcome, fencing_token(node)) {
             Next::Act => return Ok(order.key),
             Next::Stop => return Err(Next::Stop),
             Next::Again if give_up() => {
@@ -86,14 +86,14 @@
 
 /// Orders that were carried out are dropped together, behind everything else.
 pub(super) async fn tidy(node: &Node, dealings: &Shared) {
-    let Some(token) = token(node) else { return };
-    let pressed = lock(dealings).due_for_clean_up(token).len() >= TIDY_PRESSED;
+    let Some(fencing_token) = fencing_token(node) else { return };
+    let pressed = lock(dealings).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
     let urgent = if pressed { Urgent::Second } else { Urgent::Last };
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
     let (keys, (conditions, changes)) = {
         let mut dealings = lock(dealings);
-        let keys: Vec<String> = dealings.due_for_clean_up(token).iter().take(most).cloned().collect();
-        let sent = orders::clean_up(&keys, &dealings.late, token);
+        let keys: Vec<String> = dealings.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
+        let sent = orders::clean_up(&keys, &dealings.late, fencing_token);
         (keys, sent)
     };
     if keys.is_empty() {
@@ -102,7 +102,7 @@
     let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.txn(&conditions, &changes, urgent)).await;
     if matches!(outcome, Ok(Ok(TxnOutcome::Applied(_)))) {
         let mut dealings = lock(dealings);
-        dealings.cleaned_up(&keys, token);
+        dealings.cleaned_up(&keys, fencing_token);
         node.press_marks(dealings.marks_press());
     }
 }
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -1,6 +1,6 @@
 //! Orders to the cloud: what only the leader may have done, stored before it is done.
 //!
-//! The cloud knows no tokens, so a call of a leader that was replaced meanwhile cannot be refused
+//! The cloud knows no fencing tokens, so a call of a leader that was replaced meanwhile cannot be refused
 //! there. It is made harmless instead: an order is stored on condition of the leader record, so no
 //! replaced leader stores one, and a new leader reads those that are open before it decides anything.
 //! What is to be returned is then no place for its work, and it carries out the rest itself under
@@ -54,7 +54,7 @@
 pub struct CloudOrder {
     /// Its key in the store: [`ORDERS`] followed by the order's unique [`name`].
     pub key: String,
-    /// Version of the leader record (the leader's token) under which the order was made.
+    /// Version of the leader record (the leader's fencing token) under which the order was made.
     pub epoch: u64,
     /// What is to be done, or that it was done.
     pub what: What,
@@ -78,9 +78,9 @@
 }
 
 /// A name that nobody has used or will use, for an order or for a rental: a process may lead twice and
-/// counts from one each time, but never under the same token.
-pub fn name(incarnation: &str, token: u64, number: u64) -> String {
-    format!("{incarnation}-{token}-{number}")
+/// counts from one each time, but never under the same fencing token.
+pub fn name(incarnation: &str, fencing_token: u64, number: u64) -> String {
+    format!("{incarnation}-{fencing_token}-{number}")
 }
 
 impl CloudOrder {
@@ -91,8 +91,8 @@
     }
 
     /// Stored only while this leader record stands, and once.
-    pub fn conditions(&self, token: u64) -> [Condition; 2] {
-        [Condition::at(LEADER, token), Condition::absent(&self.key)]
+    pub fn conditions(&self, fencing_token: u64) -> [Condition; 2] {
+        [Condition::at(LEADER, fencing_token), Condition::absent(&self.key)]
     }
 
     /// The change that stores the order; to be sent with [`Self::conditions`].
@@ -101,9 +101,9 @@
         Change::write(&self.key, serde_json::to_value(stored).unwrap_or_default())
     }
 
-    /// `token`: the one that is held now, if any.
-    pub fn next(&self, outcome: &Result<TxnOutcome, StoreError>, token: Option<u64>) -> Next {
-        match (outcome, token) {
+    /// `fencing_token`: the one that is held now, if any.
+    pub fn next(&self, outcome: &Result<TxnOutcome, StoreError>, fencing_token: Option<u64>) -> Next {
+        match (outcome, fencing_token) {
             (_, None) => Next::Stop,
             (Ok(TxnOutcome::Applied(_)), _) => Next::Act,
             // An earlier try did apply, and this leader record still stands.
@@ -160,16 +160,17 @@
 }
 
 /// Clean-up of orders that were carried out: only the present leader's. An order of which a try was not
-/// answered under this very token (`late`) would be stored once more by that try if its key were free; it
-/// is marked as done instead, and dropped under a later token, which no such try gets past.
-pub fn clean_up(keys: &[String], late: &HashMap<String, u64>, token: u64) -> ([Condition; 1], Vec<Change>) {
+/// answered under this very fencing token (`late`) would be stored once more by that try if its key were free; it
+/// is marked as done instead, and dropped under a later fencing token, which no such try gets past.
+pub fn clean_up(keys: &[String], late: &HashMap<String, u64>, fencing_token: u64) -> ([Condition; 1], Vec<Change>) {
     let change = |key: &String| match late.get(key) {
-        Some(under) if *under >= token => {
-            Change::write(key, serde_json::to_value(Stored { epoch: token, what: What::Done }).unwrap_or_default())
-        }
+        Some(under) if *under >= fencing_token => Change::write(
+            key,
+            serde_json::to_value(Stored { epoch: fencing_token, what: What::Done }).unwrap_or_default(),
+        ),
         _ => Change::Drop { drop: key.clone() },
     };
-    ([Condition::at(LEADER, token)], keys.iter().map(change).collect())
+    ([Condition::at(LEADER, fencing_token)], keys.iter().map(change).collect())
 }
 
 #[cfg(test)]
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -27,18 +27,18 @@
 fn an_order_that_was_carried_out_is_not_open_again_by_its_late_copy() {
     for what in [What::Rent(vec![rental()]), What::Return(vec!["host-000007".into()])] {
         let mut store = Store::default();
-        let token = write_leader_record(&mut store);
-        let order = CloudOrder::new("me", token, 1, what);
+        let fencing_token = write_leader_record(&mut store);
+        let order = CloudOrder::new("me", fencing_token, 1, what);
         // The first try is not answered, and the second is applied.
-        let late = HashMap::from([(order.key.clone(), token)]);
-        let (conditions, changes) = (order.conditions(token), [order.change()]);
+        let late = HashMap::from([(order.key.clone(), fencing_token)]);
+        let (conditions, changes) = (order.conditions(fencing_token), [order.change()]);
         store.apply_if(&conditions, &changes).unwrap();
-        let cleans = clean_up(std::slice::from_ref(&order.key), &late, token);
+        let cleans = clean_up(std::slice::from_ref(&order.key), &late, fencing_token);
         store.apply_if(&cleans.0, &cleans.1).unwrap();
         assert!(store.apply_if(&conditions, &changes).is_err(), "the first try comes late");
         let inherited = open(&store);
         assert!(inherited.rentals.is_empty() && inherited.returns.is_empty(), "{inherited:?}");
-        // Whoever leads under the next token drops it, and neither copy gets past that token.
+        // Whoever leads under the next fencing token drops it, and neither copy gets past that fencing token.
         let next = write_leader_record(&mut store);
         let drops = clean_up(&inherited.done, &late, next);
         assert_eq!(drops.1, [Change::Drop { drop: order.key.clone() }]);
@@ -71,21 +71,21 @@
 #[test]
 fn a_late_clean_up_by_cases() {
     let mut store = Store::default();
-    let token = write_leader_record(&mut store);
+    let fencing_token = write_leader_record(&mut store);
     let orders: Vec<CloudOrder> =
-        (1..=2).map(|n| CloudOrder::new("me", token, n, What::Return(vec![format!("m{n}")]))).collect();
-    store.apply_if(&orders[0].conditions(token), &[orders[0].change()]).unwrap();
-    let drops = clean_up(std::slice::from_ref(&orders[0].key), &HashMap::new(), token);
+        (1..=2).map(|n| CloudOrder::new("me", fencing_token, n, What::Return(vec![format!("m{n}")]))).collect();
+    store.apply_if(&orders[0].conditions(fencing_token), &[orders[0].change()]).unwrap();
+    let drops = clean_up(std::slice::from_ref(&orders[0].key), &HashMap::new(), fencing_token);
     store.apply_if(&drops.0, &drops.1).unwrap();
-    store.apply_if(&orders[1].conditions(token), &[orders[1].change()]).unwrap();
+    store.apply_if(&orders[1].conditions(fencing_token), &[orders[1].change()]).unwrap();
     assert!(store.apply_if(&drops.0, &drops.1).is_ok(), "again, under the same token");
     assert_eq!(open(&store).returns, [(vec!["m2".to_owned()], vec![orders[1].key.clone()])], "the newer one stands");
     write_leader_record(&mut store);
     assert!(store.apply_if(&drops.0, &drops.1).is_err(), "replaced");
-    assert!(store.apply_if(&orders[0].conditions(token), &[orders[0].change()]).is_err());
+    assert!(store.apply_if(&orders[0].conditions(fencing_token), &[orders[0].change()]).is_err());
 }
 
-/// What was marked as done waits for a later token, and is then dropped once.
+/// What was marked as done waits for a later fencing token, and is then dropped once.
 #[test]
 fn marks_go_with_the_next_token() {
     let (unsure, sure) = ("d/me-7-1".to_owned(), "d/me-7-2".to_owned());
@@ -101,21 +101,21 @@
     assert!(dealings.due_for_clean_up(10).is_empty() && dealings.late.is_empty() && dealings.marked.is_empty());
 }
 
-/// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one token
-/// may leave, and not one for each order.
+/// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one fencing
+/// token may leave, and not one for each order.
 #[test]
 fn marks_stay_few_in_a_long_term() {
-    let (mut token, mut raises, mut most) = (7, 0, 0);
+    let (mut fencing_token, mut raises, mut most) = (7, 0, 0);
     let mut dealings = Dealings::default();
     for number in 1..=1000 {
-        let key = format!("{ORDERS}{}", name("me", token, number));
-        dealings.late.insert(key.clone(), token);
+        let key = format!("{ORDERS}{}", name("me", fencing_token, number));
+        dealings.late.insert(key.clone(), fencing_token);
         dealings.finished.push(key);
-        let keys: Vec<String> = dealings.due_for_clean_up(token).iter().take(24).cloned().collect();
-        dealings.cleaned_up(&keys, token);
+        let keys: Vec<String> = dealings.due_for_clean_up(fencing_token).iter().take(24).cloned().collect();
+        dealings.cleaned_up(&keys, fencing_token);
         most = most.max(dealings.marked.len());
         if dealings.marks_press() {
-            token += 1;
+            fencing_token += 1;
             raises += 1;
         }
     }
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -24,8 +24,8 @@
         ("not answered", Err(StoreError::Unanswered), Some(7), Next::Again),
         ("refused", Err(StoreError::Unavailable(429)), Some(7), Next::Again),
     ];
-    for (name, outcome, token, want) in cases {
-        assert_eq!(order.next(&outcome, token), want, "{name}");
+    for (name, outcome, fencing_token, want) in cases {
+        assert_eq!(order.next(&outcome, fencing_token), want, "{name}");
     }
     let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), stamp: 1 };
     assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
@@ -53,7 +53,7 @@
 /// A holder at some step of a return: it may be paused before any of them.
 #[derive(Clone)]
 struct Holder {
-    token: u64,
+    fencing_token: u64,
     /// Machines that it takes to be there and not on their way out, and what it has placed.
     fleet: BTreeSet<String>,
     placed: BTreeSet<String>,
@@ -74,7 +74,7 @@
     for step in 0..400 {
         if holders.is_empty() || rng.random_ratio(1, 25) {
             let write = [Change::write(LEADER, serde_json::json!(step))];
-            let token = store.apply_if(&[], &write).unwrap();
+            let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, stamp)| {
                 CloudOrder::read(&Item { path: path.into(), value: value.clone(), stamp }).unwrap()
             });
@@ -82,7 +82,7 @@
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
             let fleet = cloud.difference(&leaving).cloned().collect();
             let (placed, unanswered) = (BTreeSet::new(), HashMap::new());
-            holders.push(Holder { token, fleet, placed, orders, unanswered, number: 0 });
+            holders.push(Holder { fencing_token, fleet, placed, orders, unanswered, number: 0 });
         }
         // The present leader mostly, or one that was replaced and has not heard of it.
         let newest = holders.len() - 1;
@@ -98,7 +98,7 @@
                     holder.fleet.remove(&machine);
                     holder.number += 1;
                     let what = What::Return(vec![machine]);
-                    holder.orders.push((CloudOrder::new("h", holder.token, holder.number, what), false));
+                    holder.orders.push((CloudOrder::new("h", holder.fencing_token, holder.number, what), false));
                 }
             }
             1 => {
@@ -109,15 +109,15 @@
                     if !fenced {
                         holder.orders[n].1 = true;
                     } else if rng.random_ratio(1, 4) {
-                        holder.unanswered.insert(order.key.clone(), holder.token);
-                        late.push((order, holder.token));
+                        holder.unanswered.insert(order.key.clone(), holder.fencing_token);
+                        late.push((order, holder.fencing_token));
                     } else {
-                        let outcome = store.apply_if(&order.conditions(holder.token), &[order.change()]);
+                        let outcome = store.apply_if(&order.conditions(holder.fencing_token), &[order.change()]);
                         let outcome = match outcome {
                             Ok(stamp) => Ok(TxnOutcome::Applied(stamp)),
                             Err(refused) => Ok(TxnOutcome::Failed(refused.failed)),
                         };
-                        holder.orders[n].1 = order.next(&outcome, Some(holder.token)) == Next::Act;
+                        holder.orders[n].1 = order.next(&outcome, Some(holder.fencing_token)) == Next::Act;
                     }
                 }
             }
@@ -133,7 +133,7 @@
                 if leads && fenced {
                     let stands = holder.orders.iter().filter(|(_, stands)| *stands);
                     let keys: Vec<String> = stands.map(|(o, _)| o.key.clone()).collect();
-                    let (conditions, changes) = clean_up(&keys, &holder.unanswered, holder.token);
+                    let (conditions, changes) = clean_up(&keys, &holder.unanswered, holder.fencing_token);
                     store.apply_if(&conditions, &changes).unwrap();
                     holder.orders.retain(|(_, stands)| !stands);
                 }
@@ -145,8 +145,8 @@
             }
             _ => {
                 // A try that was not answered comes late.
-                if let Some((order, token)) = late.pop() {
-                    let _ = store.apply_if(&order.conditions(token), &[order.change()]);
+                if let Some((order, fencing_token)) = late.pop() {
+                    let _ = store.apply_if(&order.conditions(fencing_token), &[order.change()]);
                 }
                 // New machines keep the simulation going.
                 let name = format!("m{:02}-{step}", rng.random_range(0..99));
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -40,7 +40,7 @@
             left -= count;
             dealings.next += 1;
             of_kind.push(Rental {
-                request: orders::name(&node.incarnation, cluster.token, dealings.next),
+                request: orders::name(&node.incarnation, cluster.fencing_token, dealings.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -16,8 +16,8 @@
     now_ms: u64,
     /// Every status that was stored, in order.
     stored: Vec<Status>,
-    /// Of every change that was decided, its leader's token at that time.
-    tokens: Vec<u64>,
+    /// Of every change that was decided, its leader's fencing token at that time.
+    fencing_tokens: Vec<u64>,
 }
 
 const SENSORS: [&str; 3] = ["a", "b", "c"];
@@ -31,7 +31,7 @@
             stage.controllers[at].skew_ms = stage.rng.random_range(-30_000..30_000);
         }
         stage.write_leader_record(0);
-        Self { stage, now_ms: DAY + 9 * HOUR, stored: vec![], tokens: vec![] }
+        Self { stage, now_ms: DAY + 9 * HOUR, stored: vec![], fencing_tokens: vec![] }
     }
 
     fn look(&mut self, at: usize) {
@@ -53,13 +53,13 @@
     }
 
     fn apply(&mut self, (conditions, changes): &Sent) {
-        let token = self.stage.store.stamp(LEADER);
+        let fencing_token = self.stage.store.stamp(LEADER);
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
         }
         let status = self.stage.store.value(&status_key(Kind::Heat, "vents")).unwrap();
         self.stored.push(serde_json::from_value(status.clone()).unwrap());
-        self.tokens.push(token);
+        self.fencing_tokens.push(fencing_token);
     }
 
     fn read(&mut self, sensor: &str, value: f64) {
@@ -116,13 +116,17 @@
             simulation.step();
         }
         let mut before = Status::default();
-        for (status, token) in simulation.stored.iter().zip(&simulation.tokens) {
+        for (status, fencing_token) in simulation.stored.iter().zip(&simulation.fencing_tokens) {
             let turned = status.history.last().unwrap();
             assert!(status.since_ms >= before.since_ms, "seed {seed}: time goes back: {before:?}, {status:?}");
             if status.since_ms != before.since_ms || status.on != before.on {
                 turns += 1;
                 ons += usize::from(status.on);
-                assert_eq!((turned.on, turned.epoch, status.epoch), (status.on, *token, *token), "seed {seed}");
+                assert_eq!(
+                    (turned.on, turned.epoch, status.epoch),
+                    (status.on, *fencing_token, *fencing_token),
+                    "seed {seed}"
+                );
                 assert!(status.on != before.on || before.history.is_empty(), "seed {seed}: decided twice: {status:?}");
             }
             if status.on {
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -83,7 +83,7 @@
 /// A user ends a job that was seen open: it can have left its key only by ending. `leader`: under which
 /// leader record alone, if it is to be told at once.
 pub fn withdraw(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> Move {
-    let under = leader.map(|token| Condition::at(LEADER, token));
+    let under = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
     Move {
         conditions: not_ended(&record.spec.id).chain(under).collect(),
         changes: end_changes(record, End::Withdrawn, now_ms).into(),
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -116,14 +116,14 @@
     ] {
         let mut store = Store::default();
         let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
-        let token = store.apply_if(&[], &write_leader_record).unwrap();
+        let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
         let record = JobRecord { spec: spec(), at_ms: 5 };
         let accept = moves::accept(&record, false);
         store.apply_if(&accept.conditions, &accept.changes).unwrap();
         if replaced {
             store.apply_if(&[], &write_leader_record).unwrap();
         }
-        let withdrawal = moves::withdraw(&record, leader.then_some(token), 9);
+        let withdrawal = moves::withdraw(&record, leader.then_some(fencing_token), 9);
         let outcome = store.apply_if(&withdrawal.conditions, &withdrawal.changes);
         assert_eq!(outcome.is_ok(), stands, "{name}");
         assert_eq!(store.has("h/w/run-000001"), stands, "{name}");
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -31,7 +31,7 @@
 /// Key of the lease holder ([`LeaseHolder`](crate::membership::records::LeaseHolder)), attached to the election lease.
 pub const LEASE_HOLDER: &str = "c/leader";
 /// Key of the leader's record ([`LeaderRecord`](crate::membership::records::Assignment)). Its version is the leader's
-/// token.
+/// fencing token.
 pub const LEADER: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the leader.
 pub const TAKEOVER_REQUEST: &str = "c/plea";
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -48,22 +48,22 @@
     mirror.apply(&store.follow(MIRRORED, mirror.revision).unwrap());
 }
 
-/// What `run` does next, by the mirror and by the token of the cluster state, if there is one.
+/// What `run` does next, by the mirror and by the fencing token of the cluster state, if there is one.
 fn next(me: &str, mirror: &Mirror, held: Option<u64>) -> Step {
-    let assigned = mirror.leader_record().map(|(a, token)| (a.incarnation.as_str(), *token));
+    let assigned = mirror.leader_record().map(|(a, fencing_token)| (a.incarnation.as_str(), *fencing_token));
     let leads = mirror.lease_holder().map(|(l, _)| l.incarnation.as_str());
     next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
 }
 
 /// Nobody led any more, for as long as the assigned controller lived: it found itself assigned, and took
-/// that for done. The same of a token that was raised and not heard: nothing it stored was taken.
+/// that for done. The same of a fencing token that was raised and not heard: nothing it stored was taken.
 #[test]
 fn an_assignment_without_an_answer_is_written_anew_and_heard() {
     for held in [None, Some(())] {
         let mut store = Store::default();
         let mut mirror = mirror();
         take_lease(&mut store, "a1");
-        // A cluster state that leads already raises its token.
+        // A cluster state that leads already raises its fencing token.
         let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
         hear(&mut mirror, &store);
         // Carried out, and nobody hears of it but by the watch.
@@ -71,10 +71,10 @@
         let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         hear(&mut mirror, &store);
         assert_eq!(next("a1", &mirror, held), Step::WriteLeaderRecord, "held {held:?}");
-        let token = become_leader(&mut store, "a1").unwrap();
+        let fencing_token = become_leader(&mut store, "a1").unwrap();
         hear(&mut mirror, &store);
-        assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "and once only");
-        assert!(token > unheard, "no process leads twice under one token: names of rentals rest on it");
+        assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "and once only");
+        assert!(fencing_token > unheard, "no process leads twice under one token: names of rentals rest on it");
         assert_eq!(send(&mut store, &conditions, &[change]), None, "a later copy is refused");
     }
     assert!(!unheard("a1", Some(("a1", 5)), Some(5)) && !unheard("a1", Some(("a1", 5)), Some(7)), "heard ahead");
@@ -101,7 +101,7 @@
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
-        let takeover_request = TakeoverRequest { node: "b".into(), token: store.stamp(LEADER), machines: 3 };
+        let takeover_request = TakeoverRequest { node: "b".into(), fencing_token: store.stamp(LEADER), machines: 3 };
         let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
@@ -156,7 +156,7 @@
     let (condition, change) = candidacy(&lease_holder("a1"), lease);
     let late = ([condition], [change]);
     send(&mut store, &late.0, &late.1).unwrap();
-    let token = become_leader(&mut store, "a1").unwrap();
+    let fencing_token = become_leader(&mut store, "a1").unwrap();
     let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late.0, &late.1).is_some());
@@ -165,7 +165,7 @@
     assert_eq!(next_step("a2", Some("a1"), true, Some("a1"), false, false), Step::Expire);
     store.end_leases(Duration::from_millis(3100));
     hear(&mut mirror, &store);
-    assert_eq!((next("a2", &mirror, None), store.stamp(LEADER)), (Step::Campaign, token));
+    assert_eq!((next("a2", &mirror, None), store.stamp(LEADER)), (Step::Campaign, fencing_token));
 }
 
 /// A lease that is renewed late lives at most once its time longer; one that has ended stays ended, and a
@@ -195,7 +195,7 @@
     let mut store = Store::default();
     let mut mirror = mirror();
     let (_, stamp) = take_lease(&mut store, "a1");
-    let token = become_leader(&mut store, "a1").unwrap();
+    let fencing_token = become_leader(&mut store, "a1").unwrap();
     store.drop_leases();
     hear(&mut mirror, &store);
     mirror.note_lease_holder(lease_holder("a1"), stamp);
@@ -203,20 +203,20 @@
     take_lease(&mut store, "b1");
     let newer = become_leader(&mut store, "b1").unwrap();
     hear(&mut mirror, &store);
-    assert!(!mirror.note_leader_record(leader("a1"), token), "nothing to lead by");
+    assert!(!mirror.note_leader_record(leader("a1"), fencing_token), "nothing to lead by");
     assert_eq!(mirror.leader_record().map(|(a, stamp)| (a.incarnation.as_str(), *stamp)), Some(("b1", newer)));
     // Ahead of the watch it counts as ever, and a watch from before does not take it back.
     let before = store.follow(MIRRORED, mirror.revision).unwrap();
-    let token = become_leader(&mut store, "b1").unwrap();
-    assert!(mirror.note_leader_record(leader("b1"), token));
+    let fencing_token = become_leader(&mut store, "b1").unwrap();
+    assert!(mirror.note_leader_record(leader("b1"), fencing_token));
     mirror.apply(&before);
-    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(token));
+    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(fencing_token));
     hear(&mut mirror, &store);
-    assert!(mirror.note_leader_record(leader("b1"), token), "and heard of by the watch first");
+    assert!(mirror.note_leader_record(leader("b1"), fencing_token), "and heard of by the watch first");
 }
 
 /// A page that was read before this controller's leader record stood brings back, for a moment, who led before.
-/// It is deposed by newer tokens only, what it tries meanwhile is refused, and the first page's revision is
+/// It is deposed by newer fencing tokens only, what it tries meanwhile is refused, and the first page's revision is
 /// where the watch goes on, which tells of the leader record again.
 #[test]
 fn a_page_older_than_an_assignment_deposes_nobody_and_is_put_right() {
@@ -230,17 +230,17 @@
     hear(&mut mirror, &store);
     let mut loading = mirror.load();
     mirror.take_page(&mut loading, &old);
-    let token = become_leader(&mut store, "a1").unwrap();
-    assert!(mirror.note_leader_record(leader("a1"), token));
+    let fencing_token = become_leader(&mut store, "a1").unwrap();
+    assert!(mirror.note_leader_record(leader("a1"), fencing_token));
     mirror.loaded(loading);
     let believed = mirror.leader_record().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
-    assert!(before < token, "which is no newer than the token that is held");
-    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "the other seems to hold the lease");
+    assert!(before < fencing_token, "which is no newer than the token that is held");
+    assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "the other seems to hold the lease");
     let leads = mirror.lease_holder().map_or(0, |(_, stamp)| *stamp);
     let (conditions, change) = naming(&leader("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
     hear(&mut mirror, &store);
-    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(token));
-    assert_eq!(next("a1", &mirror, Some(token)), Step::Wait, "holds the lease and leads");
+    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(fencing_token));
+    assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "holds the lease and leads");
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -106,19 +106,19 @@
     }
 }
 
-/// A watermark counts if its token is that of the leader record as it is known here, and the sender its leader:
+/// A watermark counts if its fencing token is that of the leader record as it is known here, and the sender its leader:
 /// one of a leader that is not known here yet, or no more, is told again by whoever leads.
 pub fn believed(from: &str, told: Option<Watermark>, leader_record: Option<&(LeaderRecord, u64)>) -> Option<u64> {
     let (told, (leader, stamp)) = (told?, leader_record?);
-    (leader.node == from && *stamp == told.token).then_some(told.revision)
+    (leader.node == from && *stamp == told.fencing_token).then_some(told.revision)
 }
 
-/// Whether no leader can have told this watermark, by all that the store has told up to this revision: its token is
-/// newer than the last leader record and not newer than that, or the last leader record is another's.
+/// Whether no leader can have told this watermark, by all that the store has told up to this revision: its fencing
+/// token is newer than the last leader record and not newer than that, or the last leader record is another's.
 fn never_was(from: &str, told: Option<Watermark>, known: Option<&(LeaderRecord, u64)>, through: Option<u64>) -> bool {
     let (Some(told), Some((leader, stamp)), Some(through)) = (told, known, through) else { return false };
-    let missed = told.token > *stamp && told.token <= through;
-    missed || (told.token == *stamp && leader.node != from)
+    let missed = told.fencing_token > *stamp && told.fencing_token <= through;
+    missed || (told.fencing_token == *stamp && leader.node != from)
 }
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn tokens_that_never_were_by_cases() {
-    for (name, from, token, known, through, want) in [
+    for (name, from, fencing_token, known, through, want) in [
         ("the leader's", "b", 7, Some(("b", 7)), Some(9), false),
         ("an earlier leader's, on its way", "b", 5, Some(("c", 7)), Some(9), false),
         ("one that was not heard of yet", "b", 12, Some(("c", 7)), Some(9), false),
@@ -39,7 +39,7 @@
         ("nobody leads, as far as is known", "b", 8, None, Some(9), false),
     ] {
         let known = known.map(|(node, stamp)| assigned(node, stamp));
-        let told = Some(Watermark { token, revision: 50 });
+        let told = Some(Watermark { fencing_token, revision: 50 });
         assert_eq!(never_was(from, told, known.as_ref(), through), want, "{name}");
     }
     assert!(!never_was("b", None, Some(&assigned("c", 7)), Some(9)), "no watermark at all");
@@ -78,7 +78,7 @@
     assert_eq!((lock(&node.heard).counts.len(), node.history.watermark()), (1, 50));
 }
 
-/// By a token that the store would have told of, nothing of the line counts.
+/// By a fencing token that the store would have told of, nothing of the line counts.
 #[test]
 fn a_line_under_a_token_that_never_was_is_dropped() {
     let node = node_that_knows_an_leader();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! Election and leadership: which controller holds the election lease, and which leads.
 //!
 //! The lease holder's key is attached to a lease of the state service. The lease holder writes the leader record; the
-//! version of that key is the leader's token, which workers compare and on which every write of a placement is
+//! version of that key is the leader's fencing token, which workers compare and on which every write of a placement is
 //! conditional. Clocks only decide how soon a new lease holder follows: a deposed leader is stopped by the version, not
 //! by the time.
 
@@ -72,9 +72,10 @@
 }
 
 /// This controller's own leader record stands, and it does not act on it: the write was carried out and not
-/// answered. It is written again, which answers under which token to begin, or to go on.
-fn unheard(me: &str, leader_record: Option<(&str, u64)>, token: Option<u64>) -> bool {
-    leader_record.is_some_and(|(leader, stamp)| leader == me && token.is_none_or(|token| token < stamp))
+/// answered. It is written again, which answers under which fencing token to begin, or to go on.
+fn unheard(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
+    leader_record
+        .is_some_and(|(leader, stamp)| leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < stamp))
 }
 
 /// What this controller knows of who holds the lease and leads at the moment it looks.
@@ -155,7 +156,7 @@
 
     /// What is to be done next.
     fn next(&mut self, node: &Node, view: &View) -> Step {
-        let token = lock(&node.cluster).as_ref().map(|cluster| cluster.token);
+        let fencing_token = lock(&node.cluster).as_ref().map(|cluster| cluster.fencing_token);
         let assigned = view.leader_record.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
         let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
@@ -165,7 +166,7 @@
             view.lease_holder(),
             nobody || (own_name && self.expired < MOST_EXPIRED),
             assigned.map(|(leader, _)| leader),
-            node.raise_wanted() || unheard(&node.incarnation, assigned, token),
+            node.raise_wanted() || unheard(&node.incarnation, assigned, fencing_token),
             renew_due,
         );
         in_turn(step, self.wrote_leader_record_last, renew_due)
@@ -293,7 +294,7 @@
     ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(LEADER, stamp)], change)
 }
 
-/// Writes this controller as leader. Done again, it raises the token: every command given under
+/// Writes this controller as leader. Done again, it raises the fencing token: every command given under
 /// the older one is dead wherever the new one has been seen.
 async fn write_leader_record(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
     let record = LeaderRecord {
@@ -303,11 +304,11 @@
     };
     let (conditions, change) = naming(&record, lease_holder_stamp, stamp);
     match node.store.txn(&conditions, &[change], Urgent::First).await? {
-        TxnOutcome::Applied(token) => {
-            if lock(&node.mirror).note_leader_record(record, token) {
-                node.become_leader(token);
+        TxnOutcome::Applied(fencing_token) => {
+            if lock(&node.mirror).note_leader_record(record, fencing_token) {
+                node.become_leader(fencing_token);
             } else {
-                warn!(token, "assigned, and replaced before the answer came");
+                warn!(fencing_token, "assigned, and replaced before the answer came");
             }
         }
         outcome => {
@@ -318,11 +319,11 @@
     Ok(())
 }
 
-/// That it is stored under the leader record that its token names makes it true. A late copy of an older one only
-/// makes a controller that has just started wait for the next.
+/// That it is stored under the leader record that its fencing token names makes it true. A late copy of an older one
+/// only makes a controller that has just started wait for the next.
 fn storing(watermark: Watermark) -> (Condition, Change) {
     let value = serde_json::to_value(watermark).unwrap_or_default();
-    (Condition::at(LEADER, watermark.token), Change::write(WATERMARK, value))
+    (Condition::at(LEADER, watermark.fencing_token), Change::write(WATERMARK, value))
 }
 
 /// Controllers that do not hear this leader read it there.
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -26,22 +26,24 @@
     pub teams: Vec<String>,
 }
 
-/// The loaded cluster state of the leader with this token holds every end up to this revision of the store.
+/// The loaded cluster state of the leader with this fencing token holds every end up to this revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watermark {
     /// Token of the leader: the version of its leader record's key.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Revision of the store up to which every end is included.
     pub revision: u64,
 }
 
-/// Workers cannot reach the leader of this token, but reach this controller.
+/// Workers cannot reach the leader of this fencing token, but reach this controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TakeoverRequest {
     /// Name of the controller that asks.
     pub node: String,
     /// Token of the leader that the workers cannot reach.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Number of workers that came back after they were redirected to it.
     pub machines: usize,
 }
@@ -50,6 +52,6 @@
     /// Whichever takeover request comes last stands; one for a leader that was replaced is refused.
     pub fn transaction(&self) -> ([Condition; 1], [Change; 1]) {
         let value = serde_json::to_value(self).unwrap_or_default();
-        ([Condition::at(LEADER, self.token)], [Change::write(TAKEOVER_REQUEST, value)])
+        ([Condition::at(LEADER, self.fencing_token)], [Change::write(TAKEOVER_REQUEST, value)])
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -24,7 +24,7 @@
 /// the lease: it found itself assigned, and nothing to do.
 #[test]
 fn an_assignment_that_was_not_answered_is_written_again() {
-    for (name, leader_record, token, want) in [
+    for (name, leader_record, fencing_token, want) in [
         ("nobody leads", None, None, Step::WriteLeaderRecord),
         ("another leads", Some(("b", 20)), None, Step::WriteLeaderRecord),
         ("answered", Some(("a", 20)), Some(20), Step::Wait),
@@ -33,7 +33,7 @@
         ("raised, the mirror is behind", Some(("a", 20)), Some(21), Step::Wait),
     ] {
         let leader = leader_record.map(|(leader, _)| leader);
-        let again = unheard("a", leader_record, token);
+        let again = unheard("a", leader_record, fencing_token);
         assert_eq!(next_step("a", Some("a"), true, leader, again, false), want, "{name}");
     }
 }
--- a/src/membership/unreachable_leader.rs
+++ b/src/membership/unreachable_leader.rs
@@ -18,7 +18,7 @@
 struct Redirected {
     /// When it was last redirected.
     at: Instant,
-    /// (session, seq) of the newest report: a late copy of an older one is no coming back.
+    /// (agent epoch, seq) of the newest report: a late copy of an older one is no coming back.
     newest: (u64, u64),
     /// It came back in vain.
     back: bool,
@@ -37,7 +37,7 @@
         self.redirected.len()
     }
 
-    /// Notes a redirect of the report with this (session, seq). Gives the number of workers that cannot reach the
+    /// Notes a redirect of the report with this (agent epoch, seq). Gives the number of workers that cannot reach the
     /// leader when it is time for a takeover request.
     pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
         self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -18,16 +18,16 @@
 /// withdrawal: it may know of one by a later revision than the one at which it was stored, as after a reading.
 const LAGS: Duration = Duration::from_secs(10);
 
-/// What a controller may tell as the leader's watermark: its loaded cluster state's token and what that holds, and only
-/// if by all that it has heard, which is no less, it is still the one that is the leader. Past the leader record of
-/// another it may hold ends that the successor has not heard of, whom workers obey by then.
+/// What a controller may tell as the leader's watermark: its loaded cluster state's fencing token and what that holds,
+/// and only if by all that it has heard, which is no less, it is still the one that is the leader. Past the leader
+/// record of another it may hold ends that the successor has not heard of, whom workers obey by then.
 pub fn own_watermark(
     me: &str,
     cluster: Option<(u64, u64)>,
     leader_record: Option<&(LeaderRecord, u64)>,
 ) -> Option<Watermark> {
-    let ((token, revision), (leader, stamp)) = (cluster?, leader_record?);
-    (leader.incarnation == me && *stamp == token).then_some(Watermark { token, revision })
+    let ((fencing_token, revision), (leader, stamp)) = (cluster?, leader_record?);
+    (leader.incarnation == me && *stamp == fencing_token).then_some(Watermark { fencing_token, revision })
 }
 
 /// Withdrawals that others may not have heard the leader confirm.
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn whose_watermark_counts_by_cases() {
-    let told = |token| Some(Watermark { token, revision: 50 });
+    let told = |fencing_token| Some(Watermark { fencing_token, revision: 50 });
     for (name, from, told, known, want) in [
         ("the leader's", "a", told(7), Some(("a", 7)), Some(50)),
         ("a build that tells none", "a", None, Some(("a", 7)), None),
@@ -47,7 +47,7 @@
         ("assigned again, and not heard of it", Some((7, 50)), Some(assigned("1", 9)), false),
         ("nobody is", Some((7, 50)), None, false),
     ] {
-        let want = tells.then_some(Watermark { token: 7, revision: 50 });
+        let want = tells.then_some(Watermark { fencing_token: 7, revision: 50 });
         assert_eq!(own_watermark("1", cluster, known.as_ref()), want, "{name}");
     }
 }
@@ -93,11 +93,11 @@
 fn only_under_its_assignment_is_a_watermark_stored() {
     let mut store = Store::default();
     let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
-    let token = store.apply_if(&[], &write_leader_record).unwrap();
-    let (condition, change) = storing(Watermark { token, revision: 3 });
+    let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
+    let (condition, change) = storing(Watermark { fencing_token, revision: 3 });
     store.apply_if(std::slice::from_ref(&condition), std::slice::from_ref(&change)).unwrap();
     let stored: Watermark = serde_json::from_value(store.value(WATERMARK).unwrap().clone()).unwrap();
-    assert_eq!(stored, Watermark { token, revision: 3 });
+    assert_eq!(stored, Watermark { fencing_token, revision: 3 });
     store.apply_if(&[], &write_leader_record).unwrap();
     assert!(store.apply_if(&[condition], &[change]).is_err(), "nor does a late copy");
 }
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -21,7 +21,7 @@
     /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
-        let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.token, b.watermark()));
+        let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
         let watermark = watermark::own_watermark(&self.incarnation, cluster, mirror.leader_record())?;
         drop((mirror, held));
         self.history.advance(watermark.revision);
@@ -42,17 +42,19 @@
         lock(&self.unconfirmed).confirmed(watermark, now);
     }
 
-    /// The token under which a withdrawal that is stored by this leader may be told at once.
+    /// The fencing token under which a withdrawal that is stored by this leader may be told at once.
     pub fn withdraws_under(&self) -> Option<u64> {
-        lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.token)
+        lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.fencing_token)
     }
 
-    /// A withdrawal was stored while this controller led under this token. True if its cluster state has it now, no
-    /// machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has read
-    /// it.
-    pub fn withdrew(&self, id: &JobId, token: u64) -> bool {
+    /// A withdrawal was stored while this controller led under this fencing token. True if its cluster state has it
+    /// now, no machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has
+    /// read it.
+    pub fn withdrew(&self, id: &JobId, fencing_token: u64) -> bool {
         let mut held = lock(&self.cluster);
-        let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_token <= token) else { return false };
+        let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_fencing_token <= fencing_token) else {
+            return false;
+        };
         cluster.end_job(id, Some(End::Withdrawn), Instant::now());
         let obeyed = cluster.obeyed_in(id);
         drop(held);
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -18,20 +18,20 @@
 use crate::workers::dispatch;
 
 impl Node {
-    /// This controller's record stands as the leader record, under this token.
-    pub fn become_leader(self: &Arc<Self>, token: u64) {
+    /// This controller's record stands as the leader record, under this fencing token.
+    pub fn become_leader(self: &Arc<Self>, fencing_token: u64) {
         self.press_marks(false);
         let mut held = lock(&self.cluster);
         if let Some(cluster) = held.as_mut() {
-            cluster.raise_token(token);
-            info!(token, "token raised");
+            cluster.raise_fencing_token(fencing_token);
+            info!(fencing_token, "token raised");
             return;
         }
-        info!(token, "leads");
+        info!(fencing_token, "leads");
         if let Some((rows, told)) = lock(&self.heard).served.take() {
             lock(&self.fairness).take_over(&rows, told);
         }
-        *held = Some(ClusterState::new(token, self.settings.clone(), self.properties.clone(), Instant::now()));
+        *held = Some(ClusterState::new(fencing_token, self.settings.clone(), self.properties.clone(), Instant::now()));
         drop(held);
         self.share();
         let mut tasks = lock(&self.leader_tasks);
@@ -46,7 +46,7 @@
     pub fn step_down(&self, why: &str) {
         let cluster = lock(&self.cluster).take();
         if let Some(cluster) = cluster {
-            warn!(token = cluster.token, why, "no longer leads");
+            warn!(fencing_token = cluster.fencing_token, why, "no longer leads");
             for task in lock(&self.leader_tasks).drain(..) {
                 task.abort();
             }
@@ -54,27 +54,29 @@
         }
     }
 
-    /// Compares the cluster state's token with the leader record as mirrored.
+    /// Compares the cluster state's fencing token with the leader record as mirrored.
     pub fn check_deposed(&self) {
         let newer = lock(&self.mirror)
             .leader_record()
             .filter(|(a, _)| a.incarnation != self.incarnation)
             .map(|(_, stamp)| *stamp);
-        let token = lock(&self.cluster).as_ref().map(|b| b.token);
-        if let (Some(newer), Some(token)) = (newer, token)
-            && newer > token
+        let fencing_token = lock(&self.cluster).as_ref().map(|b| b.fencing_token);
+        if let (Some(newer), Some(fencing_token)) = (newer, fencing_token)
+            && newer > fencing_token
         {
             self.step_down("another controller is assigned");
         }
     }
 
-    /// Whether the leader's token is to be raised: commands are to be made void, or marks of orders to be dropped.
+    /// Whether the leader's fencing token is to be raised: commands are to be made void, or marks of orders to be
+    /// dropped.
     pub fn raise_wanted(&self) -> bool {
         let marks = self.marks_pressed.load(Ordering::Relaxed);
         lock(&self.cluster).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
     }
 
-    /// Whether so many orders are marked as done that a higher token is wanted, under which they can be dropped.
+    /// Whether so many orders are marked as done that a higher fencing token is wanted, under which they can be
+    /// dropped.
     pub fn press_marks(&self, pressed: bool) {
         self.marks_pressed.store(pressed, Ordering::Relaxed);
     }
@@ -83,9 +85,9 @@
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, report, now) else { return };
-        let Some(token) = lock(&self.mirror).leader_record().map(|(_, stamp)| *stamp) else { return };
+        let Some(fencing_token) = lock(&self.mirror).leader_record().map(|(_, stamp)| *stamp) else { return };
         warn!(machines, "workers cannot reach the leader");
-        let takeover_request = TakeoverRequest { node: self.settings.node.clone(), token, machines };
+        let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
         let node = self.clone();
         tokio::spawn(async move {
             let (conditions, changes) = takeover_request.transaction();
@@ -96,7 +98,9 @@
     /// The version of a takeover request of another controller for workers that this leader has indeed lost.
     pub fn takeover_request_to_answer(&self, now: Instant) -> Option<u64> {
         let (takeover_request, stamp) = lock(&self.mirror).takeover_request().cloned()?;
-        let lost = lock(&self.cluster).as_ref().is_some_and(|b| b.token == takeover_request.token && b.lost_most(now));
+        let lost = lock(&self.cluster)
+            .as_ref()
+            .is_some_and(|b| b.fencing_token == takeover_request.fencing_token && b.lost_most(now));
         lost.then_some(stamp)
     }
 
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -27,18 +27,19 @@
     /// Which jobs of a report are over, as far as the mirror tells. Only looked for where the cluster state alone may
     /// not decide: it is not loaded, or `acts` is false.
     pub fn over_among(&self, report: &Report, acts: bool) -> Over {
-        let token = match lock(&self.cluster).as_ref() {
-            Some(cluster) if !(acts && cluster.loaded) => cluster.token,
+        let fencing_token = match lock(&self.cluster).as_ref() {
+            Some(cluster) if !(acts && cluster.loaded) => cluster.fencing_token,
             _ => return Over::default(),
         };
         let mirror = lock(&self.mirror);
         let through = mirror.asking().unwrap_or(0);
         let over = |id: &&JobId| {
             // All that was ever started before this leader record had been accepted before it.
-            let missing = through >= token && mirror.open(id).is_none();
+            let missing = through >= fencing_token && mirror.open(id).is_none();
             missing || mirror.ended_by(id).is_some() || self.history.ended(id).is_some()
         };
-        let jobs = report.legs.iter().map(|leg| &leg.task.job).filter(over).cloned().collect();
+        let jobs =
+            report.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
         Over { jobs, through }
     }
 }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -11,7 +11,7 @@
 use crate::jobs::{JobId, JobSpec, Shape};
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::{SLACK, suspect_after};
-use crate::wire::workers::LegStatus;
+use crate::wire::workers::AttemptStatus;
 
 pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Observation {
     let begun = status.phase.begun();
@@ -24,7 +24,7 @@
         no_room: None,
         suspected,
         now_ms: view.now_ms,
-        epoch: view.cluster.first_token,
+        epoch: view.cluster.first_fencing_token,
     };
     seen.unfit = rival(name, spec, status, view);
     if !begun {
@@ -48,7 +48,7 @@
     let since = |at: std::time::Instant| view.now.saturating_duration_since(at);
     let replica = |index: &u32| {
         let binding = job.binding(*index)?;
-        let running = binding.status == Some(LegStatus::Running);
+        let running = binding.status == Some(AttemptStatus::Running);
         let mut replica = Replica {
             machine: binding.machine.to_string(),
             running,
@@ -63,7 +63,7 @@
             // One that can be spared goes on with what can't move.
             let stays = machine.state != MachineState::Condemned && machine.recall.is_none();
             replica.leaving = !stays;
-            replica.sure = running && replica.heard && stays && machine.token >= cluster.first_token;
+            replica.sure = running && replica.heard && stays && machine.fencing_token >= cluster.first_fencing_token;
         }
         Some((*index, replica))
     };
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -32,7 +32,7 @@
     /// Its machine is to be taken or returned.
     pub leaving: bool,
     /// Runs and will go on, for all that is known: its machine was heard of lately, is not to be taken
-    /// or returned, and has seen a token of this leader, so that no earlier leader's stop can arrive any more.
+    /// or returned, and has seen a fencing token of this leader, so that no earlier leader's stop can arrive any more.
     pub sure: bool,
     /// Seconds for which this leader has known it running, and for which it has had its machine.
     pub ran_s: f64,
@@ -111,6 +111,6 @@
     pub suspected: BTreeSet<String>,
     /// Time of day, in ms since 1970.
     pub now_ms: u64,
-    /// The token under which this leader began.
+    /// The fencing token under which this leader began.
     pub epoch: u64,
 }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -22,7 +22,7 @@
 use crate::scheduling::plan;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::wire::workers::{Leg, LegStatus, Report, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Report, TaskKey};
 
 struct Bench {
     cluster: ClusterState,
@@ -81,8 +81,14 @@
                 let job = self.cluster.job(&key.job).unwrap();
                 let attempt = job.tasks[key.index as usize].attempt;
                 let stops = job.binding(key.index).unwrap().halting.is_some();
-                let leg = Leg { task: key.clone(), attempt, status: LegStatus::Running, cause: None, saved: None };
-                (!stops).then_some(leg)
+                let attempt_report = AttemptReport {
+                    task: key.clone(),
+                    attempt,
+                    status: AttemptStatus::Running,
+                    cause: None,
+                    saved: None,
+                };
+                (!stops).then_some(attempt_report)
             };
             let report = Report {
                 machine: id,
@@ -90,11 +96,11 @@
                 type_name: "c8".into(),
                 zone: ["a", "b"][n % 2].into(),
                 spot: false,
-                session: 1,
+                agent_epoch: 1,
                 seq: self.seq,
-                token: 7,
+                fencing_token: 7,
                 notice_s: None,
-                legs: bound.iter().filter_map(runs).collect(),
+                attempts: bound.iter().filter_map(runs).collect(),
             };
             self.cluster.take_report(report, Via::Report, Some(&self.catalog), self.now);
         }
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -52,7 +52,7 @@
     heard: Option<u64>,
     running_since: Option<u64>,
     stopping: bool,
-    token: u64,
+    fencing_token: u64,
     seq: u64,
 }
 
@@ -73,8 +73,8 @@
 
 #[derive(Debug)]
 enum Message {
-    Report { to: usize, key: Key, attempt: u64, seq: u64, token: u64, machine: u64, state: State },
-    Halt { key: Key, attempt: u64, machine: u64, token: u64 },
+    Report { to: usize, key: Key, attempt: u64, seq: u64, fencing_token: u64, machine: u64, state: State },
+    Halt { key: Key, attempt: u64, machine: u64, fencing_token: u64 },
     Store { status: Box<Status>, stamp: u64, epoch: u64 },
 }
 
@@ -109,7 +109,7 @@
     assigned: u64,
     there: BTreeMap<Key, There>,
     bound: BTreeMap<Key, (u64, u64, usize)>,
-    tokens: HashMap<u64, u64>,
+    fencing_tokens: HashMap<u64, u64>,
     attempts: BTreeMap<Key, u64>,
     leaders: Vec<Leader>,
     messages: Vec<(u64, Message)>,
@@ -147,7 +147,7 @@
             assigned: 0,
             there: BTreeMap::new(),
             bound: BTreeMap::new(),
-            tokens: HashMap::new(),
+            fencing_tokens: HashMap::new(),
             attempts: BTreeMap::new(),
             leaders: Vec::new(),
             messages: Vec::new(),
@@ -183,8 +183,8 @@
         let now = self.now;
         let inherit = |(key, (attempt, machine, zone)): (&Key, &(u64, u64, usize))| {
             let (attempt, machine, zone) = (*attempt, *machine, *zone);
-            let (heard, running_since, stopping, token, seq) = (None, None, false, 0, 0);
-            (*key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, token, seq })
+            let (heard, running_since, stopping, fencing_token, seq) = (None, None, false, 0, 0);
+            (*key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, fencing_token, seq })
         };
         self.leaders.push(Leader {
             epoch: self.assigned,
@@ -229,10 +229,11 @@
         self.bound.insert(key, (attempt, machine, zone));
         let (epoch, now) = (self.assigned, self.now);
         if let Some(leader) = self.leaders.iter_mut().find(|o| o.epoch == epoch) {
-            let (heard, running_since, stopping, token, seq) = (None, None, false, 0, 0);
-            leader
-                .heard
-                .insert(key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, token, seq });
+            let (heard, running_since, stopping, fencing_token, seq) = (None, None, false, 0, 0);
+            leader.heard.insert(
+                key,
+                Heard { attempt, machine, zone, since: now, heard, running_since, stopping, fencing_token, seq },
+            );
         }
     }
 
@@ -265,15 +266,15 @@
             }
             if gone || (now + there.machine).is_multiple_of(3) {
                 self.seq += 1;
-                let (seq, token) = (self.seq, self.tokens.get(&there.machine).copied().unwrap_or(0));
+                let (seq, fencing_token) = (self.seq, self.fencing_tokens.get(&there.machine).copied().unwrap_or(0));
                 // Some still know only an earlier leader; what is gone goes on being reported.
                 let last = self.leaders.len() - 1;
                 let to = if !self.quiet && self.rng.random_bool(0.1) { last.saturating_sub(1) } else { last };
                 let (attempt, machine) = (there.attempt, there.machine);
                 let late = if gone || self.game.losses { 0.0 } else { 0.05 };
-                self.send(late, Message::Report { to, key, attempt, seq, token, machine, state });
+                self.send(late, Message::Report { to, key, attempt, seq, fencing_token, machine, state });
                 if gone {
-                    self.send(0.0, Message::Report { to: last, key, attempt, seq, token, machine, state });
+                    self.send(0.0, Message::Report { to: last, key, attempt, seq, fencing_token, machine, state });
                 }
             }
         }
@@ -289,15 +290,15 @@
             if !closed && (now + machine).is_multiple_of(4) && self.machine_lives(machine) {
                 self.seq += 1;
                 let (to, seq) = (self.leaders.len() - 1, self.seq);
-                let token = self.tokens.get(&machine).copied().unwrap_or(0);
-                self.send(0.0, Message::Report { to, key, attempt, seq, token, machine, state: State::Gone });
+                let fencing_token = self.fencing_tokens.get(&machine).copied().unwrap_or(0);
+                self.send(0.0, Message::Report { to, key, attempt, seq, fencing_token, machine, state: State::Gone });
             }
         }
     }
 
-    /// Lost machines report no more; the model keeps them under a token that nobody has.
+    /// Lost machines report no more; the model keeps them under a fencing token that nobody has.
     fn machine_lives(&self, machine: u64) -> bool {
-        self.tokens.get(&machine) != Some(&u64::MAX)
+        self.fencing_tokens.get(&machine) != Some(&u64::MAX)
     }
 
     /// For a minute now and then a machine's reports arrive, and nothing reaches it.
@@ -308,10 +309,12 @@
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Report { to, key, attempt, seq, token, machine, state } => {
+            Message::Report { to, key, attempt, seq, fencing_token, machine, state } => {
                 if self.leaders[to].frozen_until > now {
                     let due = self.leaders[to].frozen_until;
-                    return self.messages.push((due, Message::Report { to, key, attempt, seq, token, machine, state }));
+                    return self
+                        .messages
+                        .push((due, Message::Report { to, key, attempt, seq, fencing_token, machine, state }));
                 }
                 let (epoch, assigned) = (self.leaders[to].epoch, self.assigned);
                 let known = self.leaders[to].heard.get(&key).map(|h| (h.attempt, h.seq));
@@ -330,15 +333,16 @@
                     }
                     return;
                 }
-                // Answered at once: the token is seen, and what is to stop is told.
+                // Answered at once: the fencing token is seen, and what is to stop is told.
                 if self.machine_lives(machine)
                     && !self.inbound_lost(machine)
-                    && epoch >= self.tokens.get(&machine).copied().unwrap_or(0)
+                    && epoch >= self.fencing_tokens.get(&machine).copied().unwrap_or(0)
                 {
-                    self.tokens.insert(machine, epoch);
+                    self.fencing_tokens.insert(machine, epoch);
                 }
                 let heard = self.leaders[to].heard.get_mut(&key).unwrap();
-                (heard.seq, heard.heard, heard.token) = (seq, Some(now), heard.token.max(token));
+                (heard.seq, heard.heard, heard.fencing_token) =
+                    (seq, Some(now), heard.fencing_token.max(fencing_token));
                 if state == State::Runs {
                     heard.running_since.get_or_insert(now);
                 }
@@ -346,15 +350,15 @@
                     self.leaders[to].well[key.0] = true;
                 }
                 if self.leaders[to].heard[&key].stopping {
-                    self.send(0.15, Message::Halt { key, attempt, machine, token: epoch });
+                    self.send(0.15, Message::Halt { key, attempt, machine, fencing_token: epoch });
                 }
             }
-            Message::Halt { key, attempt, machine, token } => {
+            Message::Halt { key, attempt, machine, fencing_token } => {
                 if self.inbound_lost(machine) {
                     let due = now + 64 - now % 64 + self.seq % 5;
-                    return self.messages.push((due, Message::Halt { key, attempt, machine, token }));
+                    return self.messages.push((due, Message::Halt { key, attempt, machine, fencing_token }));
                 }
-                if token < self.tokens.get(&machine).copied().unwrap_or(0) {
+                if fencing_token < self.fencing_tokens.get(&machine).copied().unwrap_or(0) {
                     return;
                 }
                 let ran = self.there.get(&key).is_some_and(|t| t.runs_at <= now && t.gone_at.is_none());
@@ -362,7 +366,7 @@
                 else {
                     return;
                 };
-                self.tokens.insert(machine, token);
+                self.fencing_tokens.insert(machine, fencing_token);
                 there.gone_at = Some(now + 2);
                 self.stops += usize::from(ran);
             }
@@ -409,7 +413,7 @@
                     stopping: h.stopping,
                     heard,
                     leaving: false,
-                    sure: heard && running && h.token >= leader.epoch,
+                    sure: heard && running && h.fencing_token >= leader.epoch,
                     ran_s: h.running_since.map_or(0.0, |at| (self.now - at) as f64),
                     bound_s: (self.now - h.since) as f64,
                 };
@@ -471,7 +475,7 @@
                 let heard = self.leaders[i].heard.get_mut(key).unwrap();
                 if !std::mem::replace(&mut heard.stopping, true) {
                     let (attempt, machine) = (heard.attempt, heard.machine);
-                    self.send(0.15, Message::Halt { key: *key, attempt, machine, token: leader.epoch });
+                    self.send(0.15, Message::Halt { key: *key, attempt, machine, fencing_token: leader.epoch });
                 }
             }
             let tasks = if which == 0 { self.game.old } else { self.game.replicas };
@@ -499,7 +503,7 @@
             let keys: Vec<Key> = self.there.keys().copied().collect();
             if !keys.is_empty() {
                 let key = keys[self.rng.random_range(0..keys.len())];
-                self.tokens.insert(self.there[&key].machine, u64::MAX);
+                self.fencing_tokens.insert(self.there[&key].machine, u64::MAX);
                 self.lose(key);
             }
         }
@@ -508,7 +512,7 @@
             self.closed.push((zone, self.now + self.rng.random_range(60..200)));
             let keys: Vec<Key> = self.there.iter().filter(|(_, t)| t.zone == zone).map(|(k, _)| *k).collect();
             for key in keys {
-                self.tokens.insert(self.there[&key].machine, u64::MAX);
+                self.fencing_tokens.insert(self.there[&key].machine, u64::MAX);
                 self.lose(key);
             }
         }
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -5,7 +5,7 @@
 
 use super::{ClusterState, Direct, Machine, MachineId, MachineState, Phase};
 use crate::jobs::JobId;
-use crate::wire::workers::{Leg, LegStatus, Order};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Order};
 
 /// Orders of one answer or command: about 60 bytes each, well below the body limit.
 const MOST_ORDERS: usize = 400;
@@ -27,9 +27,9 @@
         // never wrong, and this answer renews the lease, which is what else would end the task.
         let orders = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.orders(m) };
         self.note_told(&orders, machine);
-        let token = self.token;
+        let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
-            m.partition.answered(token, m.token, &orders, now);
+            m.partition.answered(fencing_token, m.fencing_token, &orders, now);
             if orders.iter().any(|o| matches!(o, Order::Launch { .. })) {
                 m.launched_in = Some(m.newest_report);
             }
@@ -43,24 +43,31 @@
 
     /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
     /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
-    /// token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
+    /// fencing token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
     pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<Order> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
             over.contains(id) || self.ended_at.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
         };
-        let live = m.legs.iter().filter(|leg| leg.status != LegStatus::Exited && ended(&leg.task.job));
-        let stop = |leg: &Leg| Order::Halt { task: leg.task.clone(), attempt: leg.attempt, grace_s: 0 };
+        let live = m
+            .attempts
+            .iter()
+            .filter(|attempt_report| attempt_report.status != AttemptStatus::Exited && ended(&attempt_report.task.job));
+        let stop = |attempt_report: &AttemptReport| Order::Halt {
+            task: attempt_report.task.clone(),
+            attempt: attempt_report.attempt,
+            grace_s: 0,
+        };
         live.map(stop).take(MOST_ORDERS).collect()
     }
 
     fn note_told(&mut self, orders: &[Order], machine: &str) {
-        let Some(session) = self.machines.get(machine).map(|m| m.session) else { return };
+        let Some(agent_epoch) = self.machines.get(machine).map(|m| m.agent_epoch) else { return };
         for order in orders {
             if let Order::Launch { task, .. } = order
                 && let Some(binding) = self.jobs.get_mut(&task.job).and_then(|j| j.binding_mut(task.index))
             {
-                binding.told.get_or_insert(session);
+                binding.told.get_or_insert(agent_epoch);
             }
         }
     }
@@ -71,8 +78,8 @@
         if !self.loaded {
             return orders;
         }
-        for leg in &m.legs {
-            let (task, attempt) = (leg.task.clone(), leg.attempt);
+        for attempt_report in &m.attempts {
+            let (task, attempt) = (attempt_report.task.clone(), attempt_report.attempt);
             // A job that is not in a loaded cluster state is over: whatever was ever launched had been
             // accepted before, and all open jobs are here.
             let job = self.jobs.get(&task.job);
@@ -82,7 +89,7 @@
                 _ => None,
             });
             let ended = job.is_none_or(|j| j.ended.is_some());
-            if leg.status == LegStatus::Exited {
+            if attempt_report.status == AttemptStatus::Exited {
                 // A completion is stored before it may be forgotten, and nothing is forgotten
                 // that a command still under way could start again.
                 let unstored =
@@ -94,7 +101,7 @@
             } else if binding.is_none() || ended {
                 orders.push(Order::Halt { task, attempt, grace_s: 0 });
             } else if let Some(grace_s) = binding.and_then(|b| b.halting)
-                && (leg.status != LegStatus::Saving || grace_s == 0)
+                && (attempt_report.status != AttemptStatus::Saving || grace_s == 0)
             {
                 orders.push(Order::Halt { task, attempt, grace_s });
             }
@@ -105,7 +112,7 @@
                 let Some(task) = job.tasks.get(key.index as usize) else { continue };
                 let Phase::Bound(binding) = &task.phase else { continue };
                 let shown = m
-                    .legs
+                    .attempts
                     .iter()
                     .any(|l| l.task.index == key.index && l.attempt == task.attempt && l.task.job == key.job);
                 if task.stored
@@ -127,7 +134,7 @@
         orders
     }
 
-    /// Machines that have something new to be told, or have not yet seen this leader's token.
+    /// Machines that have something new to be told, or have not yet seen this leader's fencing token.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<Direct> {
         let mut due = Vec::new();
         let (mut news, mut greetings, mut under_way) = (Vec::new(), Vec::new(), 0);
@@ -141,7 +148,7 @@
             } else if m.state != MachineState::Condemned && now >= m.next_command {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
-                } else if m.token < self.token {
+                } else if m.fencing_token < self.fencing_token {
                     greetings.push(m.id.clone());
                 }
             }
@@ -159,29 +166,29 @@
             if m.inbound_lost {
                 // Launches would only keep what they are for from being proven gone; they go with answers.
                 orders.retain(|o| !matches!(o, Order::Launch { .. }));
-            } else if orders.is_empty() && m.token >= self.token {
+            } else if orders.is_empty() && m.fencing_token >= self.fencing_token {
                 if let Some(m) = self.machines.get_mut(&id) {
                     m.tell = false;
                 }
                 continue;
             }
             self.note_told(&orders, &id);
-            let token = self.token;
+            let fencing_token = self.fencing_token;
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.command_under_way = true;
             m.launch_under_way = orders.iter().any(|o| matches!(o, Order::Launch { .. }));
             m.tell = false;
             m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
-            due.push(Direct { machine: id, addr, token, session: m.session.max(1), orders });
+            due.push(Direct { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), orders });
         }
         due
     }
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
-    pub fn command_over(&mut self, machine: &MachineId, token: u64, settled: bool, now: Instant) {
+    pub fn command_over(&mut self, machine: &MachineId, fencing_token: u64, settled: bool, now: Instant) {
         // Of an earlier cluster state of this process, which lost leadership and has it again: the command that is
         // under way now is another one.
-        if token < self.first_token {
+        if fencing_token < self.first_fencing_token {
             return;
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
@@ -189,22 +196,22 @@
         m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
         // A late stop or reap does nothing that was not meant for ever; a late launch does.
         if !settled && std::mem::take(&mut m.launch_under_way) {
-            m.unsettled = Some(m.unsettled.map_or(token, |t| t.max(token)));
+            m.unsettled = Some(m.unsettled.map_or(fencing_token, |t| t.max(fencing_token)));
             self.raise = true;
         }
     }
 
-    /// Whether commands that may still arrive are to be made void by a higher token.
+    /// Whether commands that may still arrive are to be made void by a higher fencing token.
     pub fn raise_wanted(&self, now: Instant) -> bool {
         self.raise
             && self.loaded
             && now.saturating_duration_since(self.raised) >= RAISE_GAP
-            && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.token))
+            && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.fencing_token))
     }
 
-    /// Goes on under a higher token of the same leader, which voids all earlier commands.
-    pub fn raise_token(&mut self, token: u64) {
-        self.token = self.token.max(token);
+    /// Goes on under a higher fencing token of the same leader, which voids all earlier commands.
+    pub fn raise_fencing_token(&mut self, fencing_token: u64) {
+        self.fencing_token = self.fencing_token.max(fencing_token);
         self.raise = false;
         self.raised += RAISE_GAP;
     }
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -6,7 +6,7 @@
 
 use super::{ClusterState, JobState, MachineId, MachineState};
 use crate::scheduling::failure_attribution::{Failure, PROBES};
-use crate::wire::workers::{LegStatus, TaskKey};
+use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// What has run for so long does well, as far as failures at the start are concerned.
 const WELL_AFTER: Duration = Duration::from_secs(15);
@@ -20,7 +20,7 @@
             .iter()
             .take(MOST_LOOKED)
             .filter_map(|index| job.binding(*index))
-            .any(|b| b.status == Some(LegStatus::Running) && b.machine != *except && b.ran(now) >= WELL_AFTER)
+            .any(|b| b.status == Some(AttemptStatus::Running) && b.machine != *except && b.ran(now) >= WELL_AFTER)
 }
 
 impl ClusterState {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -14,7 +14,7 @@
 use crate::scheduling::fairness::Note;
 use crate::scheduling::fairness::promises::promises_of;
 use crate::sla::Agreement;
-use crate::wire::workers::{LegStatus, TaskKey};
+use crate::wire::workers::{AttemptStatus, TaskKey};
 
 impl ClusterState {
     /// Every job that is held, open or ending.
@@ -268,7 +268,9 @@
     let running = job
         .bound
         .iter()
-        .filter(|i| matches!(job.binding(**i).and_then(|b| b.status), Some(LegStatus::Running | LegStatus::Saving)))
+        .filter(|i| {
+            matches!(job.binding(**i).and_then(|b| b.status), Some(AttemptStatus::Running | AttemptStatus::Saving))
+        })
         .count();
     Counts { running: running as u64, done: job.done }
 }
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -13,7 +13,7 @@
 use crate::process_pause::{PROOF_PART, ProcessPause};
 use crate::scheduling::one_way_partition::PartitionDetector;
 use crate::sla::{self, Load};
-use crate::wire::workers::{Leg, LegStatus, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, TaskKey};
 
 /// Names of returned machines kept, so that their late reports are not taken for news.
 const GONE_KEPT: usize = 20_000;
@@ -88,12 +88,12 @@
     pub spot: bool,
     /// Where it is between its rental and its return.
     pub state: MachineState,
-    pub(super) session: u64,
-    /// (session, seq) of the newest message of any kind, and of the newest true report.
+    pub(super) agent_epoch: u64,
+    /// (agent epoch, seq) of the newest message of any kind, and of the newest true report.
     pub(super) newest: (u64, u64),
     pub(super) newest_report: (u64, u64),
-    /// The highest token that its worker has reported.
-    pub token: u64,
+    /// The highest fencing token that its worker has reported.
+    pub fencing_token: u64,
     /// When anything was last heard of it, by report or by reply.
     pub heard: Instant,
     /// Its last true report, or when it was first heard of: replies to commands renew no lease.
@@ -104,11 +104,11 @@
     pub recall: Option<Instant>,
     /// The tasks that are bound to it.
     pub bound: BTreeSet<TaskKey>,
-    pub(super) legs: Vec<Leg>,
+    pub(super) attempts: Vec<AttemptReport>,
     pub(super) command_under_way: bool,
     /// The command under way carries a launch.
     pub(super) launch_under_way: bool,
-    /// A command given under this token may still arrive.
+    /// A command given under this fencing token may still arrive.
     pub(super) unsettled: Option<u64>,
     /// The report whose answer carried a launch.
     pub(super) launched_in: Option<(u64, u64)>,
@@ -157,16 +157,16 @@
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            session: 0,
+            agent_epoch: 0,
             newest: (0, 0),
             newest_report: (0, 0),
-            token: 0,
+            fencing_token: 0,
             heard: now,
             reported_at: now,
             since: now,
             recall: None,
             bound: BTreeSet::new(),
-            legs: Vec::new(),
+            attempts: Vec::new(),
             command_under_way: false,
             launch_under_way: false,
             unsettled: None,
@@ -205,7 +205,7 @@
 
     /// To be called when what was reported or what is bound has changed.
     pub(super) fn look_for_strays(&mut self) {
-        self.strays = self.legs.iter().any(|l| l.status != LegStatus::Exited && !self.bound.contains(&l.task));
+        self.strays = self.attempts.iter().any(|l| l.status != AttemptStatus::Exited && !self.bound.contains(&l.task));
     }
 
     /// What its bound tasks take of it.
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's cluster state: tasks, machines and the bindings between them.
 //!
 //! A task is bound to its machine from the moment it is chosen until something proves it gone:
-//! its exit, a report newer than every command that may still arrive, a new worker session, or
+//! its exit, a report newer than every command that may still arrive, a new agent epoch, or
 //! a completed return of the machine. The cluster state is changed by reports, by what was stored and by
 //! decisions; it does no I/O and reads no clock.
 
@@ -41,7 +41,7 @@
 use crate::process_pause::ProcessPause;
 use crate::settings::{Properties, Settings};
 use crate::sla::Agreement;
-use crate::wire::workers::{LegStatus, Order};
+use crate::wire::workers::{AttemptStatus, Order};
 
 /// The cloud's name of a machine, shared by all that refer to it.
 pub type MachineId = Arc<str>;
@@ -71,12 +71,12 @@
 pub struct Binding {
     /// The machine that the task is bound to.
     pub machine: MachineId,
-    /// The session in which this leader first told the worker, if it did.
+    /// The agent epoch in which this leader first told the worker, if it did.
     told: Option<u64>,
-    /// Stored by an earlier leader, which may have told the worker under an older token.
+    /// Stored by an earlier leader, which may have told the worker under an older fencing token.
     inherited: bool,
     /// What the worker last reported of the task; none before the first report that shows it.
-    pub status: Option<LegStatus>,
+    pub status: Option<AttemptStatus>,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// Being stopped, with this much time to save.
@@ -205,7 +205,8 @@
     /// A gang runs once all its tasks do; of anything else one is enough. A task that is done has run.
     fn runs(&self) -> bool {
         let runs = |index: &u32| {
-            self.binding(*index).is_some_and(|b| matches!(b.status, Some(LegStatus::Running | LegStatus::Saving)))
+            self.binding(*index)
+                .is_some_and(|b| matches!(b.status, Some(AttemptStatus::Running | AttemptStatus::Saving)))
         };
         if self.done > 0 {
             return true;
@@ -264,10 +265,10 @@
     pub machine: MachineId,
     /// Its worker's address.
     pub addr: String,
-    /// The token under which it is given.
-    pub token: u64,
-    /// The worker's session that it is meant for.
-    pub session: u64,
+    /// The fencing token under which it is given.
+    pub fencing_token: u64,
+    /// The agent's epoch that it is meant for.
+    pub agent_epoch: u64,
     /// Launches, stops and reaps, in this order.
     pub orders: Vec<Order>,
 }
@@ -296,10 +297,10 @@
 /// no clock.
 pub struct ClusterState {
     /// The fencing token of this leader, raised when commands have to be voided.
-    pub token: u64,
-    /// The token under which it began. Under later ones the same leader goes on, which knows what it has
+    pub fencing_token: u64,
+    /// The fencing token under which it began. Under later ones the same leader goes on, which knows what it has
     /// told under this one.
-    pub first_token: u64,
+    pub first_fencing_token: u64,
     /// Everything stored has been read; nothing is decided before.
     pub loaded: bool,
     /// Every end that stood in the store at this revision is in this cluster state, once it is loaded.
@@ -402,10 +403,10 @@
 
 impl ClusterState {
     /// An empty state for a leader that has just been assigned; `load` fills it.
-    pub fn new(token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
+    pub fn new(fencing_token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
         Self {
-            token,
-            first_token: token,
+            fencing_token,
+            first_fencing_token: fencing_token,
             loaded: false,
             known: 0,
             watermark: 0,
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -8,7 +8,7 @@
 use crate::jobs::Shape;
 use crate::kinds::Catalog;
 use crate::sla;
-use crate::wire::workers::{Cause, Leg, LegStatus, Report, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Report, TaskKey};
 
 impl ClusterState {
     /// Takes in a worker's report, or its reply to a command.
@@ -22,7 +22,7 @@
             info!(machine = %id, "adopted");
             Machine::new(id.clone(), now)
         });
-        let at = (report.session, report.seq);
+        let at = (report.agent_epoch, report.seq);
         if at <= machine.newest {
             debug!(machine = %id, "an old report");
             return;
@@ -34,9 +34,9 @@
             machine.idle_since = machine.bound.is_empty().then_some(now);
             info!(machine = %id, after_s = now.saturating_duration_since(machine.since).as_secs(), "machine is up");
         }
-        if report.session > machine.session {
-            machine.session = report.session;
-            // Commands of an earlier session are refused by the worker.
+        if report.agent_epoch > machine.agent_epoch {
+            machine.agent_epoch = report.agent_epoch;
+            // Commands of an earlier agent epoch are refused by the worker.
             machine.unsettled = None;
             machine.launched_in = None;
             machine.images.clear();
@@ -49,7 +49,7 @@
         machine.heard = now;
         machine.partition.heard_of(&report, via, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
-        if report.token >= self.first_token && !std::mem::replace(&mut machine.known, true) {
+        if report.fencing_token >= self.first_fencing_token && !std::mem::replace(&mut machine.known, true) {
             self.stirred = true;
         }
         machine.addr = Some(report.addr);
@@ -57,11 +57,11 @@
         machine.zone = report.zone;
         machine.spot = report.spot;
         machine.kind = kind;
-        machine.token = machine.token.max(report.token);
-        if machine.unsettled.is_some_and(|t| machine.token > t) {
+        machine.fencing_token = machine.fencing_token.max(report.fencing_token);
+        if machine.unsettled.is_some_and(|t| machine.fencing_token > t) {
             machine.unsettled = None;
         }
-        machine.legs = report.legs;
+        machine.attempts = report.attempts;
         let had_strays = machine.has_strays();
         machine.look_for_strays();
         self.stirred |= had_strays && !machine.has_strays();
@@ -97,9 +97,9 @@
         if !machine.reported() {
             return;
         }
-        // Below this leader's token, commands of an earlier one may still arrive.
-        let settled = machine.settled() && machine.token >= self.token;
-        let session = machine.session;
+        // Below this leader's fencing token, commands of an earlier one may still arrive.
+        let settled = machine.settled() && machine.fencing_token >= self.fencing_token;
+        let agent_epoch = machine.agent_epoch;
         let mut exits = Vec::new();
         let mut missing = Vec::new();
         let mut begin = Vec::new();
@@ -109,15 +109,15 @@
             let Some(task) = job.tasks.get_mut(key.index as usize) else { continue };
             let attempt = task.attempt;
             let Phase::Bound(binding) = &mut task.phase else { continue };
-            let is_it = |l: &&Leg| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
-            match machine.legs.iter().find(is_it) {
-                Some(leg) if leg.status == LegStatus::Exited => {
-                    exits.push((key.clone(), leg.cause.unwrap_or(Cause::Error)));
+            let is_it = |l: &&AttemptReport| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
+            match machine.attempts.iter().find(is_it) {
+                Some(attempt_report) if attempt_report.status == AttemptStatus::Exited => {
+                    exits.push((key.clone(), attempt_report.cause.unwrap_or(Cause::Error)));
                 }
-                Some(leg) => {
-                    binding.status = Some(leg.status);
-                    binding.told.get_or_insert(session);
-                    if leg.status == LegStatus::Running {
+                Some(attempt_report) => {
+                    binding.status = Some(attempt_report.status);
+                    binding.told.get_or_insert(agent_epoch);
+                    if attempt_report.status == AttemptStatus::Running {
                         binding.running_since.get_or_insert(now);
                         if !job.begun && begin.last() != Some(&key.job) {
                             begin.push(key.job.clone());
@@ -125,7 +125,7 @@
                     }
                 }
                 None => {
-                    let session_over = binding.told.is_some_and(|s| s < session);
+                    let session_over = binding.told.is_some_and(|s| s < agent_epoch);
                     let unneeded = ended || binding.halting.is_some() || binding.inherited || binding.status.is_some();
                     if session_over || (settled && unneeded) {
                         missing.push(key.clone());
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -2,8 +2,8 @@
 //!
 //! An unreadable chunk may hide bindings. Its job is placed again only when all of this holds:
 //!
-//! - Every machine that is known has reported under this leader's token, or is gone. Such a report shows all that runs
-//!   there, and commands of earlier leaders, which have lower tokens, are refused from then on.
+//! - Every machine that is known has reported under this leader's fencing token, or is gone. Such a report shows all that runs
+//!   there, and commands of earlier leaders, which have lower fencing tokens, are refused from then on.
 //! - None of these reports shows a hidden task alive. What they show is stopped, as anything without a binding.
 //! - `rest()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
 //!   that it answered last has ended, so nothing runs on a machine that nobody here knows.
@@ -24,7 +24,7 @@
 use super::{ClusterState, Machine, MachineId, Phase};
 use crate::jobs::record::{CHUNK, MOST_ATTEMPTS};
 use crate::jobs::{JobId, Shape};
-use crate::wire::workers::{Cause, Leg, LegStatus, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, TaskKey};
 
 /// Attempts of tasks that an unreadable chunk hides are numbered after this and the chunk's revision.
 pub(super) const HIDDEN_ATTEMPTS: u64 = 1 << 32;
@@ -47,8 +47,8 @@
 }
 
 impl Resting {
-    fn hides(&self, id: &JobId, leg: &Leg) -> bool {
-        leg.task.job == *id && self.chunks.contains(&(u64::from(leg.task.index) / CHUNK))
+    fn hides(&self, id: &JobId, attempt_report: &AttemptReport) -> bool {
+        attempt_report.task.job == *id && self.chunks.contains(&(u64::from(attempt_report.task.index) / CHUNK))
     }
 }
 
@@ -61,8 +61,9 @@
 }
 
 /// An earlier leader may have given it tasks, and this leader has not heard what became of them.
-fn unheard(machine: &Machine, first_token: u64, loaded_at: Instant) -> bool {
-    machine.token < first_token && (machine.reported() || machine.awaited() || machine.since <= loaded_at)
+fn unheard(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
+    machine.fencing_token < first_fencing_token
+        && (machine.reported() || machine.awaited() || machine.since <= loaded_at)
 }
 
 impl ClusterState {
@@ -116,12 +117,14 @@
         if self.resting.is_empty() || now.saturating_duration_since(self.loaded_at) < self.rest() {
             return;
         }
-        if self.machines.values().any(|m| unheard(m, self.first_token, self.loaded_at)) {
+        if self.machines.values().any(|m| unheard(m, self.first_fencing_token, self.loaded_at)) {
             return;
         }
         let runs = |id: &JobId, resting: &Resting| {
-            let live = |leg: &Leg| leg.status != LegStatus::Exited && resting.hides(id, leg);
-            self.machines.values().any(|m| m.legs.iter().any(live))
+            let live = |attempt_report: &AttemptReport| {
+                attempt_report.status != AttemptStatus::Exited && resting.hides(id, attempt_report)
+            };
+            self.machines.values().any(|m| m.attempts.iter().any(live))
         };
         let over: Vec<JobId> =
             self.resting.iter().filter(|(id, resting)| !runs(id, resting)).map(|(id, _)| id.clone()).collect();
@@ -154,13 +157,19 @@
         let Some(job) = self.jobs.get(id).filter(|job| job.spec().shape != Shape::Service) else {
             return BTreeMap::new();
         };
-        let waits =
-            |leg: &Leg| job.tasks.get(leg.task.index as usize).is_some_and(|t| matches!(t.phase, Phase::Waiting));
+        let waits = |attempt_report: &AttemptReport| {
+            job.tasks.get(attempt_report.task.index as usize).is_some_and(|t| matches!(t.phase, Phase::Waiting))
+        };
         let mut done = BTreeMap::new();
         for machine in self.machines.values() {
-            let legs = machine.legs.iter().filter(|leg| resting.hides(id, leg) && waits(leg));
-            let legs = legs.filter(|leg| leg.status == LegStatus::Exited && leg.cause == Some(Cause::Done));
-            done.extend(legs.map(|leg| (leg.task.clone(), machine.id.clone())));
+            let attempts = machine
+                .attempts
+                .iter()
+                .filter(|attempt_report| resting.hides(id, attempt_report) && waits(attempt_report));
+            let attempts = attempts.filter(|attempt_report| {
+                attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(Cause::Done)
+            });
+            done.extend(attempts.map(|attempt_report| (attempt_report.task.clone(), machine.id.clone())));
         }
         done
     }
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -1,19 +1,19 @@
 //! The leader's watermark: the revision up to which withdrawals may be reported to users.
 //!
 //! It is not enough that the withdrawal is in this cluster state. A machine that has not yet heard of this leader still
-//! obeys the previous one, which may know nothing of the withdrawal and may answer the machine for as long as an
-//! outage lasts; and this leader may end at any moment. So a withdrawal counts only once every machine that may run a
-//! task of it, from an earlier leader, has seen this leader's token: from then on it obeys only this leader or a later
+//! obeys the previous one, which may know nothing of the withdrawal and may answer the machine for as long as an outage
+//! lasts; and this leader may end at any moment. So a withdrawal counts only once every machine that may run a task of
+//! it, from an earlier leader, has seen this leader's fencing token: from then on it obeys only this leader or a later
 //! one, which reads the end before it leads. A machine that does not prove this in time is returned, like one with an
 //! overdue task.
 //!
 //! Nor does a withdrawal count while a launch of one of its tasks may still arrive: a delayed command starts its task
-//! as long as token and session match. Once the machine has reported the attempt, or has proven it absent, no launch
-//! of it can start anything, and no further one is sent.
+//! as long as fencing token and agent epoch match. Once the machine has reported the attempt, or has proven it absent,
+//! no launch of it can start anything, and no further one is sent.
 
 use super::{ClusterState, JobState};
 use crate::jobs::JobId;
-use crate::wire::workers::Leg;
+use crate::wire::workers::AttemptReport;
 
 impl ClusterState {
     /// Everything that stood in the store at this revision has been heard here.
@@ -57,14 +57,18 @@
             let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.told.is_some()) else { return false };
             let Some(machine) = self.machines.get(&binding.machine) else { return false };
             let attempt = job.tasks[*index as usize].attempt;
-            let shows = |leg: &Leg| leg.task.job == job.spec().id && leg.task.index == *index && leg.attempt == attempt;
-            !machine.legs.iter().any(shows)
+            let shows = |attempt_report: &AttemptReport| {
+                attempt_report.task.job == job.spec().id
+                    && attempt_report.task.index == *index
+                    && attempt_report.attempt == attempt
+            };
+            !machine.attempts.iter().any(shows)
         })
     }
 
     /// Whether some machine with a task of this job may still obey an earlier leader.
     fn may_obey_another(&self, job: &JobState) -> bool {
         let inherited = job.bound.iter().filter_map(|index| job.binding(*index)).filter(|b| b.inherited);
-        inherited.filter_map(|b| self.machines.get(&b.machine)).any(|m| m.token < self.first_token)
+        inherited.filter_map(|b| self.machines.get(&b.machine)).any(|m| m.fencing_token < self.first_fencing_token)
     }
 }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -24,7 +24,7 @@
 use crate::scheduling::plan;
 use crate::settings::tests::example;
 use crate::sla::priority_worth;
-use crate::wire::workers::{Cause, Leg, LegStatus, Order, Report, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Order, Report, TaskKey};
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -55,18 +55,18 @@
     Arc::new(JobRecord { spec, at_ms: time_of_day_ms() })
 }
 
-fn report(machine: &str, spot: bool, seq: u64, legs: Vec<Leg>) -> Report {
+fn report(machine: &str, spot: bool, seq: u64, attempts: Vec<AttemptReport>) -> Report {
     Report {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         type_name: "c8".into(),
         zone: "a".into(),
         spot,
-        session: 1,
+        agent_epoch: 1,
         seq,
-        token: 7,
+        fencing_token: 7,
         notice_s: None,
-        legs,
+        attempts,
     }
 }
 
@@ -248,15 +248,15 @@
                 self.running.retain(|(m, ..)| *m != machine);
                 continue;
             }
-            let leg = |task: &TaskKey, attempt, ends| {
+            let attempt_report = |task: &TaskKey, attempt, ends| {
                 let over = ends <= t;
                 let (status, cause) =
-                    if over { (LegStatus::Exited, Some(Cause::Done)) } else { (LegStatus::Running, None) };
-                Leg { task: task.clone(), attempt, status, cause, saved: None }
+                    if over { (AttemptStatus::Exited, Some(Cause::Done)) } else { (AttemptStatus::Running, None) };
+                AttemptReport { task: task.clone(), attempt, status, cause, saved: None }
             };
-            let legs = self.running.iter().filter(|(m, ..)| *m == machine);
-            let legs = legs.map(|(_, task, attempt, ends)| leg(task, *attempt, *ends)).collect();
-            self.cluster.take_report(report(&machine, spot, self.seq, legs), Via::Report, None, now);
+            let attempts = self.running.iter().filter(|(m, ..)| *m == machine);
+            let attempts = attempts.map(|(_, task, attempt, ends)| attempt_report(task, *attempt, *ends)).collect();
+            self.cluster.take_report(report(&machine, spot, self.seq, attempts), Via::Report, None, now);
             self.running.retain(|(m, .., ends)| *m != machine || *ends > t);
         }
         self.look();
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -19,10 +19,10 @@
         let to = if copy { self.reader() } else { self.reborn.get(&to).copied().unwrap_or(to) };
         let Some(w) = self.workers.iter().position(|w| w.id == report.machine) else { return };
         let Some(mut leader) = self.leaders.get_mut(to).and_then(Option::take) else { return };
-        if report.token > leader.cluster.token {
+        if report.fencing_token > leader.cluster.fencing_token {
             return;
         }
-        let session = report.session;
+        let agent_epoch = report.agent_epoch;
         let rights = self.rights(&leader);
         self.users.tally.unloaded += usize::from(!rights.loaded);
         let id = self.workers[w].id.clone();
@@ -39,9 +39,9 @@
             held = self.holds(&mut leader, rights, &id);
             self.users.tally.stops += usize::from(!rights.whole() && !orders.is_empty());
         }
-        let (token, whole) = (leader.cluster.token, rights.whole());
+        let (fencing_token, whole) = (leader.cluster.fencing_token, rights.whole());
         self.leaders[to] = Some(leader);
-        self.trace(&format!("{id} s{session} to {to}: {rights:?} held {held} {orders:?}"));
+        self.trace(&format!("{id} s{agent_epoch} to {to}: {rights:?} held {held} {orders:?}"));
         if !held {
             // Asks elsewhere.
             self.users.tally.nobody += 1;
@@ -50,33 +50,33 @@
             return;
         }
         if !copy {
-            self.send(Message::Answer(Answer { worker: w, from: to, session, sent, token, orders, whole }));
+            self.send(Message::Answer(Answer { worker: w, from: to, agent_epoch, sent, fencing_token, orders, whole }));
         }
     }
 
     /// A worker carries out what an answer orders, unless it came too late or is void.
     pub(super) fn deliver_answer(&mut self, message: Answer) {
-        let Answer { worker, from, session, sent, token, orders, whole } = message;
+        let Answer { worker, from, agent_epoch, sent, fencing_token, orders, whole } = message;
         let now = self.now;
         let w = &mut self.workers[worker];
         let late = now - sent > ANSWER_TAKEN || w.waits_until.is_none();
         if w.inbound_lost_until > now {
-            let tells = token > w.token || orders.iter().any(|o| matches!(o, Order::Launch { .. }));
+            let tells = fencing_token > w.fencing_token || orders.iter().any(|o| matches!(o, Order::Launch { .. }));
             let row = if w.unheard.0 == from { w.unheard.1 } else { 0 };
             w.unheard = (from, row + u32::from(tells && !late && whole));
             return;
         }
         w.unheard = (from, 0);
-        if w.gone || w.hangs_until > now || late || w.session != session || token < w.token {
+        if w.gone || w.hangs_until > now || late || w.agent_epoch != agent_epoch || fencing_token < w.fencing_token {
             return;
         }
-        (w.token, w.renewed, w.waits_until) = (token, sent, None);
+        (w.fencing_token, w.renewed, w.waits_until) = (fencing_token, sent, None);
         self.execute(worker, orders);
     }
 
     /// A worker carries out a direct command and replies with a report.
     pub(super) fn deliver_command(&mut self, message: Command) {
-        let Command { id, worker, from, token, session, orders } = message;
+        let Command { id, worker, from, fencing_token, agent_epoch, orders } = message;
         let now = self.now;
         let w = &mut self.workers[worker];
         if w.gone {
@@ -90,40 +90,41 @@
         if inbound_lost || apart || w.hangs_until > now {
             // Executed once the machine goes on, or once what was held back comes through.
             let due = w.hangs_until.max(w.inbound_lost_until).max(if apart { w.apart_until } else { now });
-            self.messages.push((due, Message::Command(Command { id, worker, from, token, session, orders })));
+            self.messages
+                .push((due, Message::Command(Command { id, worker, from, fencing_token, agent_epoch, orders })));
             return;
         }
         // A machine goes on within its lease, or without what it had: its lease ends first.
         if self.users.on {
             w.end_lease(now);
         }
-        if token >= w.token && session == w.session {
-            w.token = token;
+        if fencing_token >= w.fencing_token && agent_epoch == w.agent_epoch {
+            w.fencing_token = fencing_token;
             self.execute(worker, orders);
         }
         let report = self.workers[worker].report();
         let machine: MachineId = report.machine.as_str().into();
-        self.send(Message::Reply(Reply { id, to: from, machine, token, report }));
+        self.send(Message::Reply(Reply { id, to: from, machine, fencing_token, report }));
     }
 
     /// The reply to a direct command, unless the command was given up before.
     pub(super) fn deliver_reply(&mut self, message: Reply) {
-        let Reply { id, to, machine, token, report } = message;
+        let Reply { id, to, machine, fencing_token, report } = message;
         let now = self.now;
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            leader.cluster.command_over(&machine, token, true, now);
+            leader.cluster.command_over(&machine, fencing_token, true, now);
             leader.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
         }
     }
 
     /// A leader no longer waits for the reply to a direct command.
     pub(super) fn deliver_given_up(&mut self, message: GivenUp) {
-        let GivenUp { id, to, machine, token } = message;
+        let GivenUp { id, to, machine, fencing_token } = message;
         let now = self.now;
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            leader.cluster.command_over(&machine, token, false, now);
+            leader.cluster.command_over(&machine, fencing_token, false, now);
         }
     }
 
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -60,14 +60,15 @@
             return;
         }
         let stamp = self.store.stamp(LEADER);
-        let token = self
+        let fencing_token = self
             .store
             .apply_if(&[Condition::at(LEADER, stamp)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
             .expect("the model's leader knows the stamp");
-        let mut cluster = ClusterState::new(token, example(), Properties::default(), self.now);
-        self.trace(&format!("leader {} under {token}", self.leaders.len()));
-        self.users.assigned.push((token, self.leaders.len()));
-        let seat = if self.users.on { self.new_seat(token) } else { Seat::new(token, self.now, self.now) };
+        let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), self.now);
+        self.trace(&format!("leader {} under {fencing_token}", self.leaders.len()));
+        self.users.assigned.push((fencing_token, self.leaders.len()));
+        let seat =
+            if self.users.on { self.new_seat(fencing_token) } else { Seat::new(fencing_token, self.now, self.now) };
         if !self.users.on {
             self.load(&mut cluster);
         }
@@ -211,13 +212,20 @@
     fn send_direct_commands(&mut self, i: usize, leader: &mut Leader) {
         for direct in leader.cluster.direct_commands(self.now) {
             let worker = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
-            let (token, session, machine) = (direct.token, direct.session, direct.machine);
+            let (fencing_token, agent_epoch, machine) = (direct.fencing_token, direct.agent_epoch, direct.machine);
             self.commands += 1;
             let id = self.commands;
             self.trace(&format!("leader {i} commands {machine} {:?}", direct.orders));
-            let given_up = GivenUp { id, to: i, machine, token };
+            let given_up = GivenUp { id, to: i, machine, fencing_token };
             self.messages.push((self.now + COMMAND_WAITED, Message::GivenUp(given_up)));
-            self.send(Message::Command(Command { id, worker, from: i, token, session, orders: direct.orders }));
+            self.send(Message::Command(Command {
+                id,
+                worker,
+                from: i,
+                fencing_token,
+                agent_epoch,
+                orders: direct.orders,
+            }));
         }
     }
 
@@ -240,7 +248,7 @@
 
     /// True if the leader learned that it is one no longer.
     pub(super) fn store_batch(&mut self, leader: &mut Leader, batch: Batch) -> bool {
-        let (conditions, changes) = (batch.conditions(leader.cluster.token), batch.changes());
+        let (conditions, changes) = (batch.conditions(leader.cluster.fencing_token), batch.changes());
         let fate = if self.quiet { 1.0 } else { self.rng.random::<f64>() };
         let unanswered = if self.slow() { 0.4 } else { 0.05 };
         if leader.cut.is_some() || self.store_out() {
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new
-    /// session: a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without
+    /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new agent
+    /// epoch: a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without
     /// users have machines that hang on and on, and so have the simulations of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
@@ -111,7 +111,7 @@
 
     /// Machines on which a task of the job is live.
     fn machines_with(&self, id: &JobId) -> usize {
-        self.workers.iter().filter(|w| w.legs.iter().any(|l| l.task.job == *id && w.live(&l.task))).count()
+        self.workers.iter().filter(|w| w.attempts.iter().any(|l| l.task.job == *id && w.live(&l.task))).count()
     }
 
     /// Steps until the job runs on so many machines, and so that nothing ends by itself before the time given back.
@@ -347,10 +347,10 @@
     let endless = world.runs_endlessly(&id, 4);
     world.workers.iter_mut().for_each(|w| w.hangs_until = endless);
     let (leader, told) = (world.leader, world.now);
-    let token = world.leaders[leader].as_ref().expect("it leads").cluster.token;
-    let sent = crate::history::moves::withdraw(&world.records[&id], Some(token), 0);
+    let fencing_token = world.leaders[leader].as_ref().expect("it leads").cluster.fencing_token;
+    let sent = crate::history::moves::withdraw(&world.records[&id], Some(fencing_token), 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the leader");
-    world.withdrew(leader, &id, token);
+    world.withdrew(leader, &id, fencing_token);
     for at in ends_at_s {
         while world.now < told + Duration::from_secs(*at) {
             world.step();
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -25,9 +25,9 @@
 pub(super) struct Answer {
     pub(super) worker: usize,
     pub(super) from: usize,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) sent: Instant,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
     pub(super) orders: Vec<Order>,
     /// All orders, not stops alone.
     pub(super) whole: bool,
@@ -38,8 +38,8 @@
     pub(super) id: u64,
     pub(super) worker: usize,
     pub(super) from: usize,
-    pub(super) token: u64,
-    pub(super) session: u64,
+    pub(super) fencing_token: u64,
+    pub(super) agent_epoch: u64,
     pub(super) orders: Vec<Order>,
 }
 
@@ -48,7 +48,7 @@
     pub(super) id: u64,
     pub(super) to: usize,
     pub(super) machine: MachineId,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
     pub(super) report: Report,
 }
 
@@ -57,7 +57,7 @@
     pub(super) id: u64,
     pub(super) to: usize,
     pub(super) machine: MachineId,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
 }
 
 /// What is on its way between leaders, workers, the store and the cloud.
@@ -89,7 +89,7 @@
     Withdrawn {
         to: usize,
         id: JobId,
-        token: u64,
+        fencing_token: u64,
     },
 }
 
@@ -147,7 +147,7 @@
             Message::GivenUp(message) => self.deliver_given_up(message),
             Message::Txn { conditions, changes } => self.deliver_transaction(conditions, changes),
             Message::Line { from, to, watermark } => self.hear_line(from, to, watermark),
-            Message::Withdrawn { to, id, token } => self.withdrew(to, &id, token),
+            Message::Withdrawn { to, id, fencing_token } => self.withdrew(to, &id, fencing_token),
             Message::Return { from, machine } => self.deliver_return(from, machine),
             Message::Returned { to, machine } => self.deliver_returned(to, &machine),
         }
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -15,7 +15,7 @@
 use crate::jobs::JobId;
 use crate::jobs::record::{LEADER, open_key};
 use crate::store::{Change, Condition};
-use crate::wire::workers::{LegStatus, TaskKey};
+use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// In so many steps without trouble everything has to end.
 const QUIET_STEPS: usize = 4000;
@@ -27,8 +27,8 @@
     pub(super) fn check_withdrawn(&self) {
         for (id, at) in &self.withdrawn {
             if self.now - *at > CANCEL {
-                let live = self.workers.iter().flat_map(|w| w.legs.iter().filter(move |_| !w.gone));
-                let left: Vec<_> = live.filter(|l| l.task.job == *id && l.status != LegStatus::Exited).collect();
+                let live = self.workers.iter().flat_map(|w| w.attempts.iter().filter(move |_| !w.gone));
+                let left: Vec<_> = live.filter(|l| l.task.job == *id && l.status != AttemptStatus::Exited).collect();
                 assert!(left.is_empty(), "withdrawn and still there: {left:?}");
             }
         }
@@ -52,7 +52,7 @@
                 self.take_over();
             }
         } else if self.raise_wanted() {
-            self.raise_token();
+            self.raise_fencing_token();
         }
         self.run_users();
         self.check_withdrawn();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether the leader's cluster state wants its token raised, and the leader can write that.
+    /// Whether the leader's cluster state wants its fencing token raised, and the leader can write that.
     fn raise_wanted(&self) -> bool {
         self.leaders[self.leader].as_ref().is_some_and(|o| {
             o.frozen.is_none()
@@ -80,15 +80,15 @@
     }
 
     /// One whose cluster state is raised writes the leader record again, as the leader would.
-    fn raise_token(&mut self) {
+    fn raise_fencing_token(&mut self) {
         let leader = self.leader;
         let stamp = self.store.stamp(LEADER);
         let change = Change::write(LEADER, Value::from(leader));
-        if let Ok(token) = self.store.apply_if(&[Condition::at(LEADER, stamp)], &[change])
+        if let Ok(fencing_token) = self.store.apply_if(&[Condition::at(LEADER, stamp)], &[change])
             && let Some(o) = self.leaders[leader].as_mut()
         {
-            o.cluster.raise_token(token);
-            self.users.assigned.push((token, leader));
+            o.cluster.raise_fencing_token(fencing_token);
+            self.users.assigned.push((fencing_token, leader));
         }
     }
 
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -79,7 +79,7 @@
         let Some(ended) = self.leaders[at].take() else { return };
         if let Some((batch, _)) = ended.batch.filter(|_| ended.cut.is_none()) {
             let due = self.now + self.delay();
-            let (conditions, changes) = (batch.conditions(ended.cluster.token), batch.changes());
+            let (conditions, changes) = (batch.conditions(ended.cluster.fencing_token), batch.changes());
             self.messages.push((due, Message::Txn { conditions, changes }));
         }
         let lease = LEADER_LEASE.as_millis() as u64;
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -219,8 +219,12 @@
     }
 
     /// A successor's seat: it may load at once or only some steps later, and its mirror lags.
-    pub(super) fn new_seat(&mut self, token: u64) -> Seat {
-        let heard = if self.rng.random_bool(0.5) { token } else { token.saturating_sub(self.rng.random_range(1..9)) };
+    pub(super) fn new_seat(&mut self, fencing_token: u64) -> Seat {
+        let heard = if self.rng.random_bool(0.5) {
+            fencing_token
+        } else {
+            fencing_token.saturating_sub(self.rng.random_range(1..9))
+        };
         let mut seat = Seat::new(heard, self.now, self.now);
         if self.rng.random_bool(0.6) {
             seat.load_at += Duration::from_millis(self.rng.random_range(200..12_000));
@@ -241,7 +245,7 @@
                 leader.seat.unproven = false;
             }
             let assigned = self.users.leader_record(leader.seat.heard);
-            let other = assigned.is_some_and(|(_, stamp)| stamp > leader.cluster.token);
+            let other = assigned.is_some_and(|(_, stamp)| stamp > leader.cluster.fencing_token);
             if other && std::mem::replace(&mut leader.seat.deposed, true) && self.rng.random_bool(0.3) {
                 self.trace(&format!("leader {i} steps down"));
                 return None;
@@ -277,9 +281,9 @@
     /// As `Node::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
         let (of, stamp) = self.users.leader_record(leader.seat.heard)?;
-        let mine = of.incarnation == i.to_string() && stamp == leader.cluster.token;
+        let mine = of.incarnation == i.to_string() && stamp == leader.cluster.fencing_token;
         (leader.cluster.loaded && mine)
-            .then_some(Watermark { token: leader.cluster.token, revision: leader.cluster.watermark() })
+            .then_some(Watermark { fencing_token: leader.cluster.fencing_token, revision: leader.cluster.watermark() })
     }
 
     fn tell_others(&mut self, i: usize, leader: &mut Leader, watermark: Watermark, cut: bool) {
@@ -298,7 +302,7 @@
         if !cut && leader.seat.unconfirmed.due(now) {
             // As `membership::storing` has it.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
-            let conditions = [Condition::at(LEADER, watermark.token)];
+            let conditions = [Condition::at(LEADER, watermark.fencing_token)];
             let unanswered = self.slow() && self.rng.random_bool(0.4);
             if unanswered {
                 let due = now + Duration::from_millis(self.rng.random_range(2000..12_000));
@@ -349,8 +353,8 @@
 
     /// Jobs of a report that are over by this leader's mirror (as `Node::over_among` has it).
     pub(super) fn over_among(&self, leader: &Leader, report: &Report) -> HashSet<JobId> {
-        let legs = report.legs.iter().map(|leg| &leg.task.job);
-        legs.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
+        let attempts = report.attempts.iter().map(|attempt_report| &attempt_report.task.job);
+        attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
     }
 
     /// Whether this machine is answered at all.
@@ -363,7 +367,7 @@
         }
         let let_go = &mut leader.seat.let_go;
         rights.holds(
-            leader.seat.heard >= leader.cluster.token,
+            leader.seat.heard >= leader.cluster.fencing_token,
             || fresh,
             || let_go.holds(machine, FOLLOWERS, LEASE, now),
         )
@@ -377,7 +381,7 @@
         }
         // Mostly one that runs.
         let runs =
-            |id: &&JobId| self.workers.iter().any(|w| w.legs.iter().any(|l| l.task.job == **id && w.live(&l.task)));
+            |id: &&JobId| self.workers.iter().any(|w| w.attempts.iter().any(|l| l.task.job == **id && w.live(&l.task)));
         let running: Vec<JobId> = open.iter().filter(runs).cloned().collect();
         let of = if running.is_empty() || self.rng.random_bool(0.2) { open } else { running };
         let id = of[self.rng.random_range(0..of.len())].clone();
@@ -397,17 +401,18 @@
             return;
         }
         let at = leaders[self.rng.random_range(0..leaders.len())];
-        let token = self.leaders[at].as_ref().expect("it leads").cluster.token;
-        let sent = moves::withdraw(&self.records[&id], Some(token), 0);
+        let fencing_token = self.leaders[at].as_ref().expect("it leads").cluster.fencing_token;
+        let sent = moves::withdraw(&self.records[&id], Some(fencing_token), 0);
         if self.apply(&sent.conditions, &sent.changes).is_ok() && !(self.slow() && self.rng.random_bool(0.4)) {
-            self.send(Message::Withdrawn { to: at, id, token });
+            self.send(Message::Withdrawn { to: at, id, fencing_token });
         }
     }
 
     /// As `Node::withdrew` has it: told at once if the cluster state has it.
-    pub(super) fn withdrew(&mut self, at: usize, id: &JobId, token: u64) {
+    pub(super) fn withdrew(&mut self, at: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
-        let leader = self.leaders[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_token <= token);
+        let leader =
+            self.leaders[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_fencing_token <= fencing_token);
         let Some(leader) = leader else { return };
         leader.cluster.end_job(id, Some(End::Withdrawn), now);
         if leader.cluster.obeyed_in(id) {
@@ -470,7 +475,7 @@
     /// Machines that hold a live task of what has ended.
     pub(super) fn busy_with_ended(&self) -> BTreeSet<usize> {
         let over = |id: &JobId| self.users.ended.contains_key(id);
-        let holds = |w: &&Worker| w.legs.iter().any(|l| over(&l.task.job) && w.live(&l.task));
+        let holds = |w: &&Worker| w.attempts.iter().any(|l| over(&l.task.job) && w.live(&l.task));
         (0..self.workers.len()).filter(|w| holds(&&self.workers[*w])).collect()
     }
 }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -11,16 +11,16 @@
 use super::world::World;
 use super::{ANSWER_TAKEN, CANCEL, LEASE};
 use crate::jobs::record::{CHUNK, Stored, chunk_key, decode_chunk};
-use crate::wire::workers::{Cause, Leg, LegStatus, Order, Report, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Order, Report, TaskKey};
 
 pub(super) struct Worker {
     pub(super) id: String,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) seq: u64,
-    pub(super) token: u64,
-    pub(super) legs: Vec<Leg>,
+    pub(super) fencing_token: u64,
+    pub(super) attempts: Vec<AttemptReport>,
     pub(super) ends_at: HashMap<TaskKey, Instant>,
-    /// Forgotten in this session: a launch of these would start them again.
+    /// Forgotten in this agent epoch: a launch of these would start them again.
     pub(super) reaped: HashSet<(TaskKey, u64)>,
     pub(super) renewed: Instant,
     pub(super) next_report: Instant,
@@ -44,10 +44,10 @@
     pub(super) fn new(n: usize, now: Instant) -> Self {
         Self {
             id: format!("host-{n:06}"),
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
-            legs: Vec::new(),
+            fencing_token: 0,
+            attempts: Vec::new(),
             ends_at: HashMap::new(),
             reaped: HashSet::new(),
             renewed: now,
@@ -72,26 +72,26 @@
             type_name: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
-            legs: self.legs.clone(),
+            attempts: self.attempts.clone(),
         }
     }
 
-    /// When its lease is over it kills and forgets what it runs, and goes on with the next session.
+    /// When its lease is over it kills and forgets what it runs, and goes on with the next agent epoch.
     pub(super) fn end_lease(&mut self, now: Instant) {
         if now - self.renewed > LEASE {
-            self.session += 1;
-            self.legs.clear();
+            self.agent_epoch += 1;
+            self.attempts.clear();
             self.reaped.clear();
             (self.renewed, self.waits_until) = (now, None);
         }
     }
 
     pub(super) fn live(&self, task: &TaskKey) -> bool {
-        !self.gone && self.legs.iter().any(|l| l.task == *task && l.status != LegStatus::Exited)
+        !self.gone && self.attempts.iter().any(|l| l.task == *task && l.status != AttemptStatus::Exited)
     }
 }
 
@@ -101,17 +101,22 @@
             match order {
                 Order::Launch { task, attempt } => self.launch(w, task, attempt),
                 Order::Halt { task, attempt, .. } => {
-                    for leg in &mut self.workers[w].legs {
-                        if leg.task == task && leg.attempt == attempt && leg.status != LegStatus::Exited {
-                            (leg.status, leg.cause) = (LegStatus::Exited, Some(Cause::Stopped));
+                    for attempt_report in &mut self.workers[w].attempts {
+                        if attempt_report.task == task
+                            && attempt_report.attempt == attempt
+                            && attempt_report.status != AttemptStatus::Exited
+                        {
+                            (attempt_report.status, attempt_report.cause) =
+                                (AttemptStatus::Exited, Some(Cause::Stopped));
                         }
                     }
                 }
                 Order::Reap { task, attempt } => {
-                    let exited = |l: &Leg| l.task == task && l.attempt == attempt && l.status == LegStatus::Exited;
-                    let Some(at) = self.workers[w].legs.iter().position(exited) else { continue };
-                    let leg = self.workers[w].legs.remove(at);
-                    if leg.cause == Some(Cause::Done) {
+                    let exited =
+                        |l: &AttemptReport| l.task == task && l.attempt == attempt && l.status == AttemptStatus::Exited;
+                    let Some(at) = self.workers[w].attempts.iter().position(exited) else { continue };
+                    let attempt_report = self.workers[w].attempts.remove(at);
+                    if attempt_report.cause == Some(Cause::Done) {
                         self.check_reap(&task);
                     }
                     self.workers[w].reaped.insert((task, attempt));
@@ -121,13 +126,14 @@
     }
 
     fn launch(&mut self, w: usize, task: TaskKey, attempt: u64) {
-        if self.workers[w].legs.iter().any(|l| l.task == task && l.attempt == attempt) {
+        if self.workers[w].attempts.iter().any(|l| l.task == task && l.attempt == attempt) {
             return;
         }
-        let mut leg = Leg { task: task.clone(), attempt, status: LegStatus::Running, cause: None, saved: None };
+        let mut attempt_report =
+            AttemptReport { task: task.clone(), attempt, status: AttemptStatus::Running, cause: None, saved: None };
         if self.workers[w].live(&task) {
-            (leg.status, leg.cause) = (LegStatus::Exited, Some(Cause::Busy));
-            self.workers[w].legs.push(leg);
+            (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Busy));
+            self.workers[w].attempts.push(attempt_report);
             return;
         }
         // The rules, at the moment of a start.
@@ -146,7 +152,7 @@
             run = Duration::from_secs(self.rng.random_range(40..120));
         }
         self.workers[w].ends_at.insert(task, self.now + run);
-        self.workers[w].legs.push(leg);
+        self.workers[w].attempts.push(attempt_report);
     }
 
     /// A completion is stored, or its job over, before a worker may forget it.
@@ -165,15 +171,15 @@
             let now = self.now;
             let worker = &mut self.workers[w];
             worker.end_lease(now);
-            for leg in worker.legs.iter_mut().filter(|l| l.status == LegStatus::Running) {
-                if worker.ends_at.get(&leg.task).is_some_and(|t| *t <= now) {
-                    if bad(&leg.task.job) {
-                        (leg.status, leg.cause) = (LegStatus::Exited, Some(Cause::Error));
+            for attempt_report in worker.attempts.iter_mut().filter(|l| l.status == AttemptStatus::Running) {
+                if worker.ends_at.get(&attempt_report.task).is_some_and(|t| *t <= now) {
+                    if bad(&attempt_report.task.job) {
+                        (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Error));
                         self.failures += 1;
                         continue;
                     }
-                    (leg.status, leg.cause) = (LegStatus::Exited, Some(Cause::Done));
-                    self.completed.insert(leg.task.clone());
+                    (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Done));
+                    self.completed.insert(attempt_report.task.clone());
                 }
             }
             if worker.waits_until.is_some_and(|t| t <= now) {
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -1,6 +1,6 @@
 //! Detects machines with a one-way partition: their reports arrive, so that they look alive, but answers and commands
-//! may not reach them. Judged by answers that had to show an effect in the next report and did not: a higher token to
-//! learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
+//! may not reach them. Judged by answers that had to show an effect in the next report and did not: a higher fencing
+//! token to learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
 //!
 //! The leader keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
 //! not depend on the verdict: a task on such a machine stays bound until it is proven gone.
@@ -64,17 +64,20 @@
 /// What the report after an answer has to show if the answer was heard.
 #[derive(Debug)]
 struct Trial {
-    token: Option<u64>,
+    fencing_token: Option<u64>,
     launch: Option<(TaskKey, u64)>,
 }
 
 impl Trial {
     fn shown(&self, report: &Report) -> bool {
-        let token = self.token.is_some_and(|token| report.token >= token);
+        let fencing_token = self.fencing_token.is_some_and(|fencing_token| report.fencing_token >= fencing_token);
         let launch = |(task, attempt): &(TaskKey, u64)| {
-            report.legs.iter().any(|leg| leg.task == *task && leg.attempt == *attempt)
+            report
+                .attempts
+                .iter()
+                .any(|attempt_report| attempt_report.task == *task && attempt_report.attempt == *attempt)
         };
-        token || self.launch.as_ref().is_some_and(launch)
+        fencing_token || self.launch.as_ref().is_some_and(launch)
     }
 }
 
@@ -85,10 +88,10 @@
     lost: u32,
     /// When the first of the row was found to have had no effect.
     since: Option<Instant>,
-    session: u64,
-    /// When the session was first heard of here.
+    agent_epoch: u64,
+    /// When the agent epoch was first heard of here.
     session_since: Instant,
-    /// Answers given in this session, within about a lease.
+    /// Answers given in this agent epoch, within about a lease.
     answers: VecDeque<Instant>,
     trial: Option<Trial>,
     /// The newest report waits for its answer: answers to old ones reach nobody.
@@ -102,7 +105,7 @@
             unheard: 0,
             lost: 0,
             since: None,
-            session: 0,
+            agent_epoch: 0,
             session_since: now,
             answers: VecDeque::new(),
             trial: None,
@@ -112,9 +115,9 @@
 
     /// A message newer than all before it.
     pub fn heard_of(&mut self, report: &Report, via: Via, lease: Duration, now: Instant) {
-        let grown = report.session > self.session;
+        let grown = report.agent_epoch > self.agent_epoch;
         if grown {
-            (self.session, self.session_since) = (report.session, now);
+            (self.agent_epoch, self.session_since) = (report.agent_epoch, now);
         }
         if via == Via::Command {
             // It was answered in time, so a command has reached it.
@@ -139,7 +142,7 @@
                 self.not_heard(1, now);
             }
         }
-        // A session outlives a lease only by answers.
+        // A agent epoch outlives a lease only by answers.
         let began = self.since.map_or(self.session_since, |at| at.max(self.session_since));
         if now.saturating_duration_since(began) > lease + MARGIN {
             self.hears();
@@ -147,8 +150,8 @@
         }
     }
 
-    /// Its newest report is answered with this token and these orders.
-    pub fn answered(&mut self, token: u64, knows: u64, orders: &[Order], now: Instant) {
+    /// Its newest report is answered with this fencing token and these orders.
+    pub fn answered(&mut self, fencing_token: u64, knows: u64, orders: &[Order], now: Instant) {
         if !std::mem::take(&mut self.unanswered) {
             return;
         }
@@ -162,9 +165,9 @@
             Order::Launch { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         });
-        let token = Some(token).filter(|token| *token > knows);
-        if token.is_some() || launch.is_some() {
-            self.trial = Some(Trial { token, launch });
+        let fencing_token = Some(fencing_token).filter(|fencing_token| *fencing_token > knows);
+        if fencing_token.is_some() || launch.is_some() {
+            self.trial = Some(Trial { fencing_token, launch });
         }
     }
 
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::workers::{Leg, LegStatus};
+use crate::wire::workers::{AttemptReport, AttemptStatus};
 
 const LEASE: Duration = Duration::from_secs(24);
 
@@ -21,31 +21,32 @@
     }
 }
 
-/// Feeds messages to and answers of one leader with token 7, as (seconds, what): `r` a report, `R` one of the
-/// next session, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
-/// launch and to a worker that does not know the token, `+` without either; `l` and `t` show them.
+/// Feeds messages to and answers of one leader with fencing token 7, as (seconds, what): `r` a report, `R` one of the
+/// next agent epoch, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
+/// launch and to a worker that does not know the fencing token, `+` without either; `l` and `t` show them.
 fn simulate(steps: &[(f64, &str)]) -> (u32, u32) {
     let start = Instant::now();
     let mut one_way_partition = PartitionDetector::new(start);
     let task = TaskKey { job: "run-1".into(), index: 0 };
-    let (mut session, mut seq) = (1, 0);
+    let (mut agent_epoch, mut seq) = (1, 0);
     for (at, what) in steps {
         let now = start + Duration::from_secs_f64(*at);
         let (message, answer) = what.split_once('+').map_or((*what, None), |(m, a)| (m, Some(a)));
-        session += u64::from(message.starts_with('R'));
+        agent_epoch += u64::from(message.starts_with('R'));
         seq += 1;
-        let leg = Leg { task: task.clone(), attempt: 1, status: LegStatus::Fetching, cause: None, saved: None };
+        let attempt_report =
+            AttemptReport { task: task.clone(), attempt: 1, status: AttemptStatus::Fetching, cause: None, saved: None };
         let report = Report {
             machine: "m".into(),
             addr: "127.0.0.1:9".into(),
             type_name: "t".into(),
             zone: "a".into(),
             spot: false,
-            session,
+            agent_epoch,
             seq,
-            token: if message.contains('t') { 7 } else { 3 },
+            fencing_token: if message.contains('t') { 7 } else { 3 },
             notice_s: None,
-            legs: if message.contains('l') { vec![leg] } else { Vec::new() },
+            attempts: if message.contains('l') { vec![attempt_report] } else { Vec::new() },
         };
         let via = if message.starts_with('c') { Via::Command } else { Via::Report };
         if !message.starts_with('o') {
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -48,7 +48,7 @@
 use crate::kinds::{Catalog, MachineType};
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::wire::workers::{Leg, LegStatus, Report, TaskKey};
+use crate::wire::workers::{AttemptReport, AttemptStatus, Report, TaskKey};
 
 fn of(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType { zones: vec!["a".into(), "b".into()], ..machine_type(name, cpus, gpus, price) }
@@ -58,18 +58,18 @@
     Catalog { types: vec![of("c8", 8.0, 0.0, 1.0), of("g2", 8.0, 2.0, 4.0)] }
 }
 
-fn report(machine: &str, type_name: &str, zone: &str, spot: bool, seq: u64, legs: Vec<Leg>) -> Report {
+fn report(machine: &str, type_name: &str, zone: &str, spot: bool, seq: u64, attempts: Vec<AttemptReport>) -> Report {
     Report {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         type_name: type_name.into(),
         zone: zone.into(),
         spot,
-        session: 1,
+        agent_epoch: 1,
         seq,
-        token: 7,
+        fencing_token: 7,
         notice_s: None,
-        legs,
+        attempts,
     }
 }
 
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -46,11 +46,13 @@
         if self.rng.random_bool(0.5) {
             match simulation.world.arrives(&direct) {
                 Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
-                None => simulation.cluster.command_over(&direct.machine, direct.token, true, simulation.world.now),
+                None => {
+                    simulation.cluster.command_over(&direct.machine, direct.fencing_token, true, simulation.world.now)
+                }
             }
             return;
         }
-        self.waited_for.push((simulation.world.now + COMMAND_WAITED, direct.machine.clone(), direct.token));
+        self.waited_for.push((simulation.world.now + COMMAND_WAITED, direct.machine.clone(), direct.fencing_token));
         self.commands.push((simulation.world.now + s(self.rng.random_range(2.0..16.0)), direct));
     }
 
@@ -60,8 +62,8 @@
         for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
             simulation.world.hears(&answer);
         }
-        for (_, machine, token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
-            simulation.cluster.command_over(&machine, token, false, now);
+        for (_, machine, fencing_token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
+            simulation.cluster.command_over(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
             drop(simulation.world.arrives(&direct));
@@ -85,16 +87,16 @@
 fn tasks_end(simulation: &mut Simulation, ends: &mut BTreeMap<(TaskKey, u64), Instant>) {
     let now = simulation.world.now;
     for machine in MACHINES {
-        for leg in simulation.world.workers[machine].legs.clone() {
-            let spec = simulation.world.spec_of(&leg.task.job);
+        for attempt_report in simulation.world.workers[machine].attempts.clone() {
+            let spec = simulation.world.spec_of(&attempt_report.task.job);
             let run = s(spec.estimate_s);
             // A gang's tasks wait for one another, and the first that is done ends it.
-            if spec.is_gang() && (simulation.live(&leg.task.job).len() as u64) < spec.tasks {
+            if spec.is_gang() && (simulation.live(&attempt_report.task.job).len() as u64) < spec.tasks {
                 continue;
             }
-            let at = *ends.entry((leg.task.clone(), leg.attempt)).or_insert(now + run);
-            if leg.status == LegStatus::Running && at <= now {
-                simulation.world.exits_of(machine, &leg.task, leg.attempt, Cause::Done);
+            let at = *ends.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + run);
+            if attempt_report.status == AttemptStatus::Running && at <= now {
+                simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, Cause::Done);
             }
         }
     }
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -133,7 +133,7 @@
             if age == 2.5
                 && let Some(direct) = &held
             {
-                simulation.cluster.command_over(&direct.machine, direct.token, false, simulation.world.now);
+                simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
             }
             if age >= late_s {
                 held.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -6,7 +6,7 @@
 use crate::wire::workers::{Cause, Order};
 
 /// A launch that was given up is carried out minutes later, at each step of what follows: its task is stopped, the
-/// token is raised, the worker learns it, and the task goes elsewhere.
+/// fencing token is raised, the worker learns it, and the task goes elsewhere.
 #[test]
 fn a_launch_held_up_is_void_before_its_task_goes_elsewhere() {
     for late_at in 0..8 {
@@ -21,7 +21,7 @@
         let mut started = false;
         for step in 0..8 {
             if step == late_at {
-                started = held.token >= world.workers["m1"].token;
+                started = held.fencing_token >= world.workers["m1"].fencing_token;
                 // Whoever sent it waits no longer after the first step.
                 let reply = world.arrives(&held).unwrap();
                 if step == 0 {
@@ -141,7 +141,7 @@
     world.place_these(&mut cluster, &[0], "m1");
     let direct = world.command(&mut cluster, "m1").unwrap();
     let reply = world.arrives(&direct).unwrap();
-    assert_eq!(reply.legs[0].status, LegStatus::Running);
+    assert_eq!(reply.attempts[0].status, AttemptStatus::Running);
     world.exits("m1", 0, 1, Cause::Done);
     let answer = world.asks(&mut cluster, "m1");
     assert_eq!((answer.orders.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
@@ -185,9 +185,9 @@
             assert!(world.raise(&mut cluster));
         }
     }
-    // The first is void once its worker knows; the second was given under the raised token.
+    // The first is void once its worker knows; the second was given under the raised fencing token.
     let (first, second) = (held.remove(0), held.remove(0));
-    assert!(second.token > first.token);
+    assert!(second.fencing_token > first.fencing_token);
     let mut waited = 0;
     while !cluster.raise_wanted(world.now) {
         cluster.halt(&task(1), 0, world.now);
@@ -206,7 +206,7 @@
     world.raise(&mut cluster);
     world.turn(&mut cluster, "m2");
     bound(&cluster, 1, 1, "m2");
-    // It has heard the token now: the launch that was held up is refused, and then its task goes elsewhere.
+    // It has heard the fencing token now: the launch that was held up is refused, and then its task goes elsewhere.
     drop(world.arrives(&second));
     assert!(!world.workers["m2"].live(&task(1)));
     world.turn(&mut cluster, "m2");
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -37,9 +37,10 @@
             if step == 4 {
                 successor = Some(world.leader());
             }
-            // The old one is not told that it was deposed, and goes on as long as the machine's token is its own.
+            // The old one is not told that it was deposed, and goes on as long as the machine's fencing token is its
+            // own.
             let known = step >= answered_at && stands;
-            if world.workers["m1"].token <= old.token {
+            if world.workers["m1"].fencing_token <= old.fencing_token {
                 let answer = world.asks(&mut old, "m1");
                 assert!(known || launches(&answer.orders) == 0, "{name}, step {step}");
                 if step % 2 == 0 {
@@ -48,7 +49,7 @@
             }
             for direct in old.direct_commands(world.now) {
                 assert!(known || launches(&direct.orders) == 0, "{name}, step {step}");
-                old.command_over(&direct.machine, direct.token, false, world.now);
+                old.command_over(&direct.machine, direct.fencing_token, false, world.now);
                 held.push(direct);
             }
             if let Some(successor) = &mut successor {
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -45,7 +45,7 @@
         world.turn(&mut cluster, "m1");
         world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
-        // The second attempt is lost with the lease, and the third runs there in the next session.
+        // The second attempt is lost with the lease, and the third runs there in the next agent epoch.
         world.place(&mut cluster, "m1");
         world.turn(&mut cluster, "m1");
         copies.push(world.report("m1"));
@@ -88,7 +88,7 @@
 }
 
 /// A machine that was returned in its first time as leader: a cluster state of its second time knows nothing of that. A
-/// copy of a report made under the first token makes it no machine to place on; one under the newest could.
+/// copy of a report made under the first fencing token makes it no machine to place on; one under the newest could.
 #[test]
 fn what_was_returned_in_an_earlier_time_takes_no_work_by_a_copy() {
     let mut world = World::new(&["m1", "m2"], |_| ());
@@ -96,23 +96,24 @@
     world.turn(&mut first, "m1");
     world.turn(&mut first, "m1");
     let copy = world.report("m1");
-    assert_eq!(copy.token, first.token);
+    assert_eq!(copy.fencing_token, first.fencing_token);
     world.returned(&mut first, "m1");
     drop(first);
     drop(world.leader());
     let mut cluster = world.leader();
     for raised in [false, true] {
         if raised {
-            // Under a token that it raises the same leader goes on.
+            // Under a fencing token that it raises the same leader goes on.
             world.stamp += 1;
-            cluster.raise_token(world.stamp);
+            cluster.raise_fencing_token(world.stamp);
         }
         cluster.take_report(Report { seq: copy.seq + u64::from(raised), ..copy.clone() }, Via::Report, None, world.now);
         drop(cluster.orders_in_answer("m1", world.now));
         assert_eq!(placed(&mut cluster, world.now), [], "raised: {raised}");
     }
-    // A machine that is there learns the first token of this cluster state and counts, whatever was raised since.
-    let known = Report { token: cluster.first_token, ..world.report("m2") };
+    // A machine that is there learns the first fencing token of this cluster state and counts, whatever was raised
+    // since.
+    let known = Report { fencing_token: cluster.first_fencing_token, ..world.report("m2") };
     cluster.take_report(known, Via::Report, None, world.now);
     assert_eq!(placed(&mut cluster, world.now), [(0, "m2".to_owned())]);
 }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -7,8 +7,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Copies of reports that come late: only what is newer by (session, seq) counts, and a successor gives no work to a
-/// machine that it knows from an old report alone, though it answers it.
+/// Copies of reports that come late: only what is newer by (agent epoch, seq) counts, and a successor gives no work to
+/// a machine that it knows from an old report alone, though it answers it.
 #[test]
 fn late_copies_of_reports_by_cases() {
     let now = Instant::now();
@@ -21,7 +21,7 @@
         cluster.loaded = true;
         cluster
     };
-    let copy = |seq: u64, token: u64| Report { token, ..report("m", "c8", "a", false, seq, vec![]) };
+    let copy = |seq: u64, fencing_token: u64| Report { fencing_token, ..report("m", "c8", "a", false, seq, vec![]) };
     let take = |cluster: &mut ClusterState, report: Report, at: Instant| {
         cluster.take_report(report, Via::Report, None, at);
         cluster.orders_in_answer("m", at);
@@ -42,10 +42,10 @@
             false,
         ),
     ];
-    for (name, known, token, want) in cases {
+    for (name, known, fencing_token, want) in cases {
         let mut cluster = successor();
         known(&mut cluster);
-        take(&mut cluster, copy(5, token), now);
+        take(&mut cluster, copy(5, fencing_token), now);
         assert_eq!(place(&mut cluster) > 0, want, "{name}");
     }
     // Copies of older reports keep no machine from being silent, and many of such machines excuse nobody.
@@ -59,11 +59,11 @@
     assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
     cluster.tick(now + s(13));
     assert!(cluster.machines.values().all(|m| m.state == MachineState::Condemned), "to be returned, should they exist");
-    // Nor does a session that is over come back.
+    // Nor does a agent epoch that is over come back.
     let mut cluster = successor();
-    let done = Report { session: 2, ..copy(1, 9) };
+    let done = Report { agent_epoch: 2, ..copy(1, 9) };
     take(&mut cluster, done, now);
-    take(&mut cluster, Report { session: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
+    take(&mut cluster, Report { agent_epoch: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
     assert!(cluster.machines["m"].recall.is_none(), "a notice of an earlier session");
 }
 
@@ -81,16 +81,16 @@
         let mut cluster = ClusterState::new(7, example(), Properties::default(), start);
         cluster.loaded = true;
         let zone = |m: u64| format!("z{}", m / (of / zones));
-        let mut session = 1;
+        let mut agent_epoch = 1;
         for t in 0..60u64 {
             let now = start + s(t);
             if t > 0 && t % 25 == 0 {
-                session += 1;
+                agent_epoch += 1;
             }
             for m in (0..of).filter(|m| t % if *m < inbound_lost { 5 } else { 3 } == 0) {
-                let session = if m < inbound_lost { session } else { 1 };
+                let agent_epoch = if m < inbound_lost { agent_epoch } else { 1 };
                 let report = report(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
-                cluster.take_report(Report { session, ..report }, Via::Report, None, now);
+                cluster.take_report(Report { agent_epoch, ..report }, Via::Report, None, now);
                 cluster.orders_in_answer(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
@@ -103,7 +103,7 @@
         // It hears again: it is well with the next report.
         let now = start + s(61);
         cluster.take_report(
-            Report { session, ..report("m00", "c8", &zone(0), false, 99, vec![]) },
+            Report { agent_epoch, ..report("m00", "c8", &zone(0), false, 99, vec![]) },
             Via::Command,
             None,
             now,
@@ -113,7 +113,7 @@
 }
 
 /// What an earlier leader has stored and may yet launch is proven gone by nothing but a return where the worker
-/// never learns the token: the work goes on elsewhere, however many are partitioned one way.
+/// never learns the fencing token: the work goes on elsewhere, however many are partitioned one way.
 #[test]
 fn what_only_a_return_proves_gone_is_not_kept_for_ever() {
     let start = Instant::now();
@@ -128,8 +128,11 @@
         let now = start + s(t);
         for m in (0..4).filter(|_| t % 5 == 0) {
             cluster.expect(&format!("m{m}"), &kind, None, s(900), start);
-            let report =
-                Report { token: 3, session: 1 + t / 25, ..report(&format!("m{m}"), "c8", "a", false, t + 1, vec![]) };
+            let report = Report {
+                fencing_token: 3,
+                agent_epoch: 1 + t / 25,
+                ..report(&format!("m{m}"), "c8", "a", false, t + 1, vec![])
+            };
             cluster.take_report(report, Via::Report, None, now);
             cluster.orders_in_answer(&format!("m{m}"), now);
         }
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -169,12 +169,12 @@
 
 fn fail(cluster: &mut ClusterState, job: u32, index: u32, machine: &str, seq: u64, now: Instant) {
     let task = TaskKey { job: format!("run-{job:06}").into(), index };
-    let leg = Leg {
+    let attempt_report = AttemptReport {
         task,
         attempt: 1,
-        status: LegStatus::Exited,
+        status: AttemptStatus::Exited,
         cause: Some(crate::wire::workers::Cause::Error),
         saved: None,
     };
-    cluster.take_report(report(machine, "c8", "a", false, seq, vec![leg]), Via::Report, None, now);
+    cluster.take_report(report(machine, "c8", "a", false, seq, vec![attempt_report]), Via::Report, None, now);
 }
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -55,9 +55,15 @@
             add(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
             let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
             cluster.bind_all(vec![plan::Placement { task: task.clone(), attempt: 1, machine: machine.into() }], start);
-            let leg = Leg { task, attempt: 1, status: LegStatus::Running, cause: None, saved: None };
-            cluster.take_report(report(machine, "g2", "a", false, 2, vec![leg.clone()]), Via::Report, None, start);
-            cluster.take_report(report(machine, "g2", "a", false, 3, vec![leg]), Via::Report, None, now);
+            let attempt_report =
+                AttemptReport { task, attempt: 1, status: AttemptStatus::Running, cause: None, saved: None };
+            cluster.take_report(
+                report(machine, "g2", "a", false, 2, vec![attempt_report.clone()]),
+                Via::Report,
+                None,
+                start,
+            );
+            cluster.take_report(report(machine, "g2", "a", false, 3, vec![attempt_report]), Via::Report, None, now);
         }
         cluster.arrivals.clear();
         let drained = drain::choose(&cluster, &catalog(), now);
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -23,7 +23,7 @@
             let held = world.command(&mut cluster, "m1").unwrap();
             assert_eq!(launches(&held.orders), 1);
             if given_up {
-                cluster.command_over(&before.machine, before.token, false, world.now);
+                cluster.command_over(&before.machine, before.fencing_token, false, world.now);
             } else {
                 let reply = world.arrives(&before).unwrap();
                 world.replied(&mut cluster, &before, reply);
@@ -33,7 +33,7 @@
             let mut started = false;
             for step in 0..8 {
                 if step == late_at {
-                    started = held.token >= world.workers["m1"].token;
+                    started = held.fencing_token >= world.workers["m1"].fencing_token;
                     drop(world.arrives(&held).unwrap());
                 }
                 world.turn(&mut cluster, "m1");
@@ -55,7 +55,7 @@
 
 /// It led, lost and leads again. A launch of its first time is still on its way; the one between never heard of the
 /// machine. Nothing is kept from one cluster state to the next, so the task stays bound until the worker has heard the
-/// newest token, or its session is over, or the machine was returned.
+/// newest fencing token, or its agent epoch is over, or the machine was returned.
 #[test]
 fn who_owns_again_believes_nothing_gone_that_its_first_time_may_yet_start() {
     for (proof, late_at) in
@@ -74,13 +74,13 @@
         assert_eq!(world.command(&mut between, "m1").map(|d| d.orders.len()), None, "no address to send it to");
         drop(between);
         let mut cluster = world.leader();
-        assert!(cluster.first_token > held.token + 10);
+        assert!(cluster.first_fencing_token > held.fencing_token + 10);
         let late = |world: &mut World, step: usize| {
             if step == late_at {
                 drop(world.arrives(&held));
             }
         };
-        // Its reports come, answers to it are lost: its token is the first.
+        // Its reports come, answers to it are lost: its fencing token is the first.
         for step in 0..3 {
             late(&mut world, step);
             drop(world.asks(&mut cluster, "m1"));
@@ -92,7 +92,7 @@
             "token" => world.turn(&mut cluster, "m1"),
             "session" => {
                 world.lease_ends("m1");
-                // What was shown in the last session is over with it; what never was needs the token still.
+                // What was shown in the last agent epoch is over with it; what never was needs the fencing token still.
                 drop(world.asks(&mut cluster, "m1"));
                 assert_eq!(on(&cluster, 0).is_none(), late_at < 3);
                 world.turn(&mut cluster, "m1");
