--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -20,11 +20,12 @@
         return None;
     }
     let of = catalog().get(worker.type_name)?.clone();
-    let strays = worker.legs.iter().filter(|l| l.status != LegStatus::Exited && !machine.bound.contains(&l.task));
+    let strays =
+        worker.attempts.iter().filter(|l| l.status != AttemptStatus::Exited && !machine.bound.contains(&l.task));
     let mut left = (of.cpus - machine.taken().cpus, of.gpus - machine.taken().gpus, of.memory_gb);
     left.2 -= machine.taken().memory_gb;
-    for leg in strays {
-        let spec = simulation.world.spec_of(&leg.task.job);
+    for attempt_report in strays {
+        let spec = simulation.world.spec_of(&attempt_report.task.job);
         left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
     }
     Some(left)
@@ -140,15 +141,17 @@
             if simulation.hang.contains(&m) || simulation.world.workers[m].gone {
                 continue;
             }
-            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                let run = simulation.world.spec_of(&leg.task.job).estimate_s;
+            for attempt_report in
+                simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+            {
+                let run = simulation.world.spec_of(&attempt_report.task.job).estimate_s;
                 let at = ends
-                    .entry((leg.task.clone(), leg.attempt))
+                    .entry((attempt_report.task.clone(), attempt_report.attempt))
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { Cause::Error } else { Cause::Done };
-                    simulation.world.exits_of(m, &leg.task, leg.attempt, cause);
+                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
         }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -102,7 +102,7 @@
         for m in &names {
             let w = self.world.workers.get_mut(m).unwrap();
             if !w.gone && now - *w.renewed.get_or_insert(now) > lease {
-                self.lost += w.legs.iter().filter(|l| l.status != LegStatus::Exited).count();
+                self.lost += w.attempts.iter().filter(|l| l.status != AttemptStatus::Exited).count();
                 self.world.lease_ends(m);
             }
         }
@@ -123,16 +123,16 @@
         for direct in self.cluster.direct_commands(now) {
             let m = &*direct.machine;
             if self.unreached.contains(&m) {
-                self.cluster.command_over(&direct.machine, direct.token, true, now);
+                self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
             } else if hang.contains(&m) || self.inbound_lost.contains(&m) {
-                self.cluster.command_over(&direct.machine, direct.token, false, now);
+                self.cluster.command_over(&direct.machine, direct.fencing_token, false, now);
                 if hang.contains(&m) {
                     self.lying.push(direct);
                 }
             } else if let Some(reply) = self.world.arrives(&direct) {
                 self.world.replied(&mut self.cluster, &direct, reply);
             } else {
-                self.cluster.command_over(&direct.machine, direct.token, true, now);
+                self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
             }
         }
         self.cluster.tick(now);
@@ -180,16 +180,16 @@
     pub(super) fn live(&self, id: &JobId) -> Vec<(u32, &'static str)> {
         let mut live = Vec::new();
         for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
-            let legs = w.legs.iter().filter(|l| l.task.job == *id && l.status != LegStatus::Exited);
-            live.extend(legs.map(|l| (l.task.index, *m)));
+            let attempts = w.attempts.iter().filter(|l| l.task.job == *id && l.status != AttemptStatus::Exited);
+            live.extend(attempts.map(|l| (l.task.index, *m)));
         }
         live.sort_unstable();
         live
     }
 
     pub(super) fn cores(&self, team: &str) -> f64 {
-        let legs = self.world.workers.values().filter(|w| !w.gone).flat_map(|w| &w.legs);
-        let live = legs.filter(|l| l.status != LegStatus::Exited).map(|l| self.world.spec_of(&l.task.job));
+        let attempts = self.world.workers.values().filter(|w| !w.gone).flat_map(|w| &w.attempts);
+        let live = attempts.filter(|l| l.status != AttemptStatus::Exited).map(|l| self.world.spec_of(&l.task.job));
         live.filter(|spec| spec.team == team).map(|spec| spec.cpus).sum()
     }
 
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -37,9 +37,11 @@
             simulation.successor();
         }
         for m in names {
-            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                if step > *started.entry((leg.task.clone(), leg.attempt)).or_insert(step) + 4 {
-                    simulation.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
+            for attempt_report in
+                simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+            {
+                if step > *started.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(step) + 4 {
+                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, Cause::Done);
                 }
             }
         }
@@ -49,7 +51,7 @@
         for (what, n) in simulation.cluster.held() {
             assert!(n <= 60, "{what} at step {step}: {n}");
         }
-        assert!(simulation.world.workers.values().all(|w| w.legs.len() <= 40), "exits are reaped");
+        assert!(simulation.world.workers.values().all(|w| w.attempts.len() <= 40), "exits are reaped");
     }
     for id in simulation.world.more.keys() {
         assert!(
@@ -122,14 +124,16 @@
             simulation.successor();
         }
         for m in names {
-            for leg in simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                let id = &leg.task.job;
+            for attempt_report in
+                simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+            {
+                let id = &attempt_report.task.job;
                 let since = *started.entry(id.clone()).or_insert(now);
                 if let Some(at) = accepted.get(id) {
                     part.start_s = part.start_s.max((since - *at).as_secs_f64());
                 }
                 if now - since >= s(2.0) {
-                    simulation.world.exits_of(m, &leg.task, leg.attempt, Cause::Done);
+                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, Cause::Done);
                     exited.insert(id.clone(), now);
                 }
             }
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -16,14 +16,19 @@
     let mut writes = 0;
     for (n, p) in decisions.iter().enumerate().take(100) {
         let at = now + Duration::from_millis(50 * n as u64);
-        let leg = Leg {
+        let attempt_report = AttemptReport {
             task: p.task.clone(),
             attempt: 1,
-            status: LegStatus::Exited,
+            status: AttemptStatus::Exited,
             cause: Some(crate::workers::Cause::Done),
             saved: None,
         };
-        cluster.take_report(report(&p.machine, "c8", "a", false, 2 + n as u64, vec![leg]), Via::Report, None, at);
+        cluster.take_report(
+            report(&p.machine, "c8", "a", false, 2 + n as u64, vec![attempt_report]),
+            Via::Report,
+            None,
+            at,
+        );
         if cluster.anything_to_store(at) {
             let (_, chunks) = cluster.next_writes(10, at);
             writes += chunks.len();
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -63,7 +63,7 @@
     world.place(&mut cluster, "m5");
     world.turn(&mut cluster, "m5");
     bound(&cluster, 4, 2, "m5");
-    assert_eq!(names.map(|m| world.workers[m].legs.len()), [1, 1, 1, 0, 1, 2]);
+    assert_eq!(names.map(|m| world.workers[m].attempts.len()), [1, 1, 1, 0, 1, 2]);
 }
 
 /// A successor hears that one machine of a gang has lost its lease, and cannot reach the other: the next attempt, in
@@ -119,10 +119,16 @@
         cluster.take_report(report("m2", "c8", "a", false, 1, vec![]), Via::Report, None, now);
         cluster.take_report(report("m3", "c8", "b", false, 1, vec![]), Via::Report, None, now);
         assert_eq!(placed(&mut cluster, now), [], "m1 in {zone} is not heard of");
-        let legs = (0..2)
-            .map(|i| Leg { task: task(i), attempt: 1, status: LegStatus::Running, cause: None, saved: None })
+        let attempts = (0..2)
+            .map(|i| AttemptReport {
+                task: task(i),
+                attempt: 1,
+                status: AttemptStatus::Running,
+                cause: None,
+                saved: None,
+            })
             .collect();
-        cluster.take_report(report("m1", "c8", zone, false, 1, legs), Via::Report, None, now);
+        cluster.take_report(report("m1", "c8", zone, false, 1, attempts), Via::Report, None, now);
         assert_eq!(placed(&mut cluster, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
     }
 }
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -74,8 +74,8 @@
     assert!(simulation.world.workers["m1"].gone, "silent, once it has no more to be told");
 }
 
-/// Higher tokens are told by commands again and again, and so a machine whose reports are lost is never silent: it is
-/// returned after two leases all the same, and has no new work from the time at which its reports are missed.
+/// Higher fencing tokens are told by commands again and again, and so a machine whose reports are lost is never silent:
+/// it is returned after two leases all the same, and has no new work from the time at which its reports are missed.
 #[test]
 fn a_machine_whose_reports_are_lost_that_answers_commands_is_returned_after_two_leases() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
@@ -88,12 +88,12 @@
         }
         if t % 5 == 0 {
             simulation.world.stamp += 1;
-            let token = simulation.world.stamp;
-            simulation.cluster.raise_token(token);
+            let fencing_token = simulation.world.stamp;
+            simulation.cluster.raise_fencing_token(fencing_token);
         }
         simulation.run(1.0);
         let m1 = &simulation.world.workers["m1"];
-        assert!(m1.gone || m1.token + 2 >= simulation.cluster.token, "at {t} s: commands reach it");
+        assert!(m1.gone || m1.fencing_token + 2 >= simulation.cluster.fencing_token, "at {t} s: commands reach it");
         assert_eq!(m1.gone, t >= 51, "at {t} s");
     }
     assert_eq!((simulation.lost, simulation.live(&"run-000002".into())), (0, vec![]));
--- a/src/scheduling/tests/unreadable_chunks.rs
+++ b/src/scheduling/tests/unreadable_chunks.rs
@@ -33,25 +33,37 @@
 /// What ends the rest of a job, one condition at a time. The machine's reports are of the first moment.
 #[test]
 fn a_job_rests_until_nothing_hidden_can_run() {
-    let leg = |job: &str, status| Leg {
+    let attempt_report = |job: &str, status| AttemptReport {
         task: TaskKey { job: job.into(), index: 0 },
         attempt: 1,
         status,
-        cause: (status == LegStatus::Exited).then_some(Cause::Stopped),
+        cause: (status == AttemptStatus::Exited).then_some(Cause::Stopped),
         saved: None,
     };
-    let ours = |legs| Some((0, legs));
-    let earlier = |legs| Some((1, legs));
+    let ours = |attempts| Some((0, attempts));
+    let earlier = |attempts| Some((1, attempts));
     let cases = [
         ("heard, nothing runs", ours(vec![]), false, PAST_THE_REST, false),
         ("before the lease of an unknown machine has ended", ours(vec![]), false, 30.0, true),
         ("never heard", None, false, PAST_THE_REST, true),
         ("heard by the token of an earlier leader", earlier(vec![]), false, PAST_THE_REST, true),
         ("never heard, and returned", None, true, PAST_THE_REST, false),
-        ("a hidden task runs", ours(vec![leg(JOB, LegStatus::Running)]), false, PAST_THE_REST, true),
-        ("a hidden task saves", ours(vec![leg(JOB, LegStatus::Saving)]), false, PAST_THE_REST, true),
-        ("a hidden task has exited", ours(vec![leg(JOB, LegStatus::Exited)]), false, PAST_THE_REST, false),
-        ("another job's task runs", ours(vec![leg("run-000099", LegStatus::Running)]), false, PAST_THE_REST, false),
+        ("a hidden task runs", ours(vec![attempt_report(JOB, AttemptStatus::Running)]), false, PAST_THE_REST, true),
+        ("a hidden task saves", ours(vec![attempt_report(JOB, AttemptStatus::Saving)]), false, PAST_THE_REST, true),
+        (
+            "a hidden task has exited",
+            ours(vec![attempt_report(JOB, AttemptStatus::Exited)]),
+            false,
+            PAST_THE_REST,
+            false,
+        ),
+        (
+            "another job's task runs",
+            ours(vec![attempt_report("run-000099", AttemptStatus::Running)]),
+            false,
+            PAST_THE_REST,
+            false,
+        ),
     ];
     for (name, heard, returned, after_s, rests) in cases {
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
@@ -60,9 +72,9 @@
         let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
         cluster.expect("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
         cluster.finish_load(world.now);
-        if let Some((below, legs)) = heard {
-            let token = cluster.first_token - below;
-            let report = Report { token, ..report("m1", "c8", "a", false, 1, legs) };
+        if let Some((below, attempts)) = heard {
+            let fencing_token = cluster.first_fencing_token - below;
+            let report = Report { fencing_token, ..report("m1", "c8", "a", false, 1, attempts) };
             cluster.take_report(report, Via::Report, None, world.now);
         }
         if returned {
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -35,8 +35,10 @@
     let of = catalog().get(worker.type_name)?.clone();
     let taken = machine.taken();
     let mut left = (of.cpus - taken.cpus, of.gpus - taken.gpus, of.memory_gb - taken.memory_gb);
-    for leg in worker.legs.iter().filter(|l| l.status != LegStatus::Exited && !machine.bound.contains(&l.task)) {
-        let spec = simulation.world.spec_of(&leg.task.job);
+    for attempt_report in
+        worker.attempts.iter().filter(|l| l.status != AttemptStatus::Exited && !machine.bound.contains(&l.task))
+    {
+        let spec = simulation.world.spec_of(&attempt_report.task.job);
         left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
     }
     Some(left)
@@ -170,17 +172,19 @@
             if self.simulation.world.workers[m].gone {
                 continue;
             }
-            for leg in self.simulation.world.workers[m].legs.clone().iter().filter(|l| l.status == LegStatus::Running) {
-                let run = self.simulation.world.spec_of(&leg.task.job).estimate_s;
+            for attempt_report in
+                self.simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+            {
+                let run = self.simulation.world.spec_of(&attempt_report.task.job).estimate_s;
                 let rng = &mut self.rng;
                 let at = self
                     .ends
-                    .entry((leg.task.clone(), leg.attempt))
+                    .entry((attempt_report.task.clone(), attempt_report.attempt))
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { Cause::Error } else { Cause::Done };
-                    self.simulation.world.exits_of(m, &leg.task, leg.attempt, cause);
+                    self.simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
         }
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -4,12 +4,12 @@
 use crate::jobs::End;
 use crate::jobs::record::Stored;
 
-const TOKEN: u64 = 50;
+const FENCING_TOKEN: u64 = 50;
 
 /// A successor whose store holds job 1 with a task on `m1`, bound by an earlier leader; ended, if it is, after revision
 /// 40.
 fn successor(ended: Option<End>, now: Instant) -> ClusterState {
-    let mut cluster = ClusterState::new(TOKEN, example(), Properties::default(), now);
+    let mut cluster = ClusterState::new(FENCING_TOKEN, example(), Properties::default(), now);
     let mut job = spec();
     job.id = "run-000001".into();
     let record = Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() });
@@ -23,15 +23,15 @@
     cluster
 }
 
-fn says(cluster: &mut ClusterState, token: u64, seq: u64, now: Instant) {
-    let leg = Leg {
+fn says(cluster: &mut ClusterState, fencing_token: u64, seq: u64, now: Instant) {
+    let attempt_report = AttemptReport {
         task: TaskKey { job: "run-000001".into(), index: 0 },
         attempt: 1,
-        status: LegStatus::Running,
+        status: AttemptStatus::Running,
         cause: None,
         saved: None,
     };
-    let report = Report { token, ..report("m1", "c8", "a", false, seq, vec![leg]) };
+    let report = Report { fencing_token, ..report("m1", "c8", "a", false, seq, vec![attempt_report]) };
     cluster.take_report(report, Via::Report, None, now);
 }
 
@@ -42,14 +42,20 @@
     type Then = fn(&mut ClusterState, Instant);
     let cases: [(&str, Option<End>, Then, u64, bool); 9] = [
         ("withdrawn before, its machine not heard of", Some(End::Withdrawn), |_, _| (), 40, false),
-        ("only heard below this leader's token", Some(End::Withdrawn), |b, now| says(b, TOKEN - 1, 1, now), 40, false),
-        ("its machine has seen the token", Some(End::Withdrawn), |b, now| says(b, TOKEN, 1, now), 60, true),
+        (
+            "only heard below this leader's token",
+            Some(End::Withdrawn),
+            |b, now| says(b, FENCING_TOKEN - 1, 1, now),
+            40,
+            false,
+        ),
+        ("its machine has seen the token", Some(End::Withdrawn), |b, now| says(b, FENCING_TOKEN, 1, now), 60, true),
         (
             "heard, and the token raised since",
             Some(End::Withdrawn),
             |b, now| {
-                says(b, TOKEN, 1, now);
-                b.raise_token(TOKEN + 9);
+                says(b, FENCING_TOKEN, 1, now);
+                b.raise_fencing_token(FENCING_TOKEN + 9);
             },
             60,
             true,
@@ -71,7 +77,7 @@
             "withdrawn since, its machine has seen the token",
             None,
             |b, now| {
-                says(b, TOKEN, 1, now);
+                says(b, FENCING_TOKEN, 1, now);
                 b.end_job(&"run-000001".into(), Some(End::Withdrawn), now);
                 b.holds_ends(Some(70));
             },
@@ -103,6 +109,6 @@
     cluster.end_job(&"run-000001".into(), Some(End::Withdrawn), now);
     cluster.holds_ends(Some(90));
     assert_eq!(cluster.watermark(), 65, "the one on the machine that was not heard of");
-    says(&mut cluster, TOKEN, 1, now);
+    says(&mut cluster, FENCING_TOKEN, 1, now);
     assert_eq!(cluster.watermark(), 90);
 }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -25,27 +25,27 @@
 pub(super) struct Worker {
     pub(super) type_name: &'static str,
     pub(super) zone: &'static str,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) seq: u64,
-    pub(super) token: u64,
-    pub(super) legs: Vec<Leg>,
+    pub(super) fencing_token: u64,
+    pub(super) attempts: Vec<AttemptReport>,
     pub(super) reaped: HashSet<(TaskKey, u64)>,
     pub(super) gone: bool,
-    /// When the report was sent that was answered last, or its session began.
+    /// When the report was sent that was answered last, or its agent epoch began.
     pub(super) renewed: Option<Instant>,
 }
 
 impl Worker {
     pub(super) fn live(&self, task: &TaskKey) -> bool {
-        !self.gone && self.legs.iter().any(|l| l.task == *task && l.status != LegStatus::Exited)
+        !self.gone && self.attempts.iter().any(|l| l.task == *task && l.status != AttemptStatus::Exited)
     }
 }
 
 /// An answer that is on its way.
 pub(super) struct Answer {
     pub(super) to: &'static str,
-    pub(super) session: u64,
-    pub(super) token: u64,
+    pub(super) agent_epoch: u64,
+    pub(super) fencing_token: u64,
     pub(super) orders: Vec<Order>,
     sent: Instant,
 }
@@ -85,7 +85,7 @@
         change(&mut job);
         let workers = machines
             .iter()
-            .map(|m| (*m, Worker { type_name: "c8", zone: "a", session: 1, ..Worker::default() }))
+            .map(|m| (*m, Worker { type_name: "c8", zone: "a", agent_epoch: 1, ..Worker::default() }))
             .collect();
         Self {
             now: Instant::now() + s(3600.0),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A new leader, with a token above all before, that has read what is stored. It may be a process that led
+    /// A new leader, with a fencing token above all before, that has read what is stored. It may be a process that led
     /// before: nothing but what is stored goes from one cluster state to the next.
     pub(super) fn leader(&mut self) -> ClusterState {
         let mut cluster = self.assigned();
@@ -170,22 +170,32 @@
     pub(super) fn report(&mut self, m: &str) -> Report {
         let w = self.workers.get_mut(m).unwrap();
         w.seq += 1;
-        Report { session: w.session, token: w.token, ..report(m, w.type_name, w.zone, false, w.seq, w.legs.clone()) }
+        Report {
+            agent_epoch: w.agent_epoch,
+            fencing_token: w.fencing_token,
+            ..report(m, w.type_name, w.zone, false, w.seq, w.attempts.clone())
+        }
     }
 
     /// A report reaches the leader, and its answer is on its way.
     pub(super) fn asks(&mut self, cluster: &mut ClusterState, m: &'static str) -> Answer {
         let report = self.report(m);
-        let session = report.session;
+        let agent_epoch = report.agent_epoch;
         cluster.take_report(report, Via::Report, None, self.now);
-        Answer { to: m, session, token: cluster.token, orders: cluster.orders_in_answer(m, self.now), sent: self.now }
+        Answer {
+            to: m,
+            agent_epoch,
+            fencing_token: cluster.fencing_token,
+            orders: cluster.orders_in_answer(m, self.now),
+            sent: self.now,
+        }
     }
 
     /// The worker hears an answer; within 4 s, that is.
     pub(super) fn hears(&mut self, answer: &Answer) {
         let w = self.workers.get_mut(answer.to).unwrap();
-        if !w.gone && w.session == answer.session && answer.token >= w.token {
-            w.token = answer.token;
+        if !w.gone && w.agent_epoch == answer.agent_epoch && answer.fencing_token >= w.fencing_token {
+            w.fencing_token = answer.fencing_token;
             w.renewed = Some(answer.sent);
             self.execute(answer.to, &answer.orders);
         }
@@ -204,21 +214,21 @@
         if w.gone {
             return None;
         }
-        if direct.token >= w.token && direct.session == w.session {
-            w.token = direct.token;
+        if direct.fencing_token >= w.fencing_token && direct.agent_epoch == w.agent_epoch {
+            w.fencing_token = direct.fencing_token;
             self.execute(m, &direct.orders);
         }
         Some(self.report(m))
     }
 
     pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &Direct, reply: Report) {
-        cluster.command_over(&direct.machine, direct.token, true, self.now);
+        cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
         cluster.take_report(reply, Via::Command, None, self.now);
     }
 
     pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &Direct) {
         self.now += s(2.5);
-        cluster.command_over(&direct.machine, direct.token, false, self.now);
+        cluster.command_over(&direct.machine, direct.fencing_token, false, self.now);
     }
 
     /// The command that is due to this machine. All others are refused a connection.
@@ -228,7 +238,7 @@
             if *direct.machine == *m {
                 found = Some(direct);
             } else {
-                cluster.command_over(&direct.machine, direct.token, true, self.now);
+                cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
             }
         }
         found
@@ -241,13 +251,15 @@
                 Order::Halt { task, attempt, .. } => self.exits_of(m, task, *attempt, Cause::Stopped),
                 Order::Reap { task, attempt } => {
                     let w = self.workers.get_mut(m).unwrap();
-                    let exited = |l: &Leg| l.task == *task && l.attempt == *attempt && l.status == LegStatus::Exited;
-                    let Some(at) = w.legs.iter().position(exited) else { continue };
-                    let leg = w.legs.remove(at);
+                    let exited = |l: &AttemptReport| {
+                        l.task == *task && l.attempt == *attempt && l.status == AttemptStatus::Exited
+                    };
+                    let Some(at) = w.attempts.iter().position(exited) else { continue };
+                    let attempt_report = w.attempts.remove(at);
                     w.reaped.insert((task.clone(), *attempt));
                     let chunk = self.chunk_of(&task.job).as_ref();
                     let stored = chunk.is_some_and(|(_, t)| t[task.index as usize] == Stored::Done);
-                    let lost = leg.cause == Some(Cause::Done) && !stored && !self.over(&task.job);
+                    let lost = attempt_report.cause == Some(Cause::Done) && !stored && !self.over(&task.job);
                     assert!(!lost, "{task:?} was reaped before its end was stored");
                 }
             }
@@ -256,7 +268,7 @@
 
     /// The rules, at a start.
     pub(super) fn launch(&mut self, m: &'static str, task: &TaskKey, attempt: u64) {
-        if self.workers[m].legs.iter().any(|l| l.task == *task && l.attempt == attempt) {
+        if self.workers[m].attempts.iter().any(|l| l.task == *task && l.attempt == attempt) {
             return;
         }
         if let Some((other, _)) = self.workers.iter().find(|(_, w)| w.live(task)) {
@@ -269,9 +281,10 @@
         let again = self.completed.contains(task);
         assert!(!again || (self.forgotten.contains(task) && !known), "{task:?} runs again though it was done");
         assert!(!self.over(&task.job), "{task:?} starts though its job is over");
-        let (status, cause) = if again { (LegStatus::Exited, Some(Cause::Done)) } else { (LegStatus::Running, None) };
-        let leg = Leg { task: task.clone(), attempt, status, cause, saved: None };
-        self.workers.get_mut(m).unwrap().legs.push(leg);
+        let (status, cause) =
+            if again { (AttemptStatus::Exited, Some(Cause::Done)) } else { (AttemptStatus::Running, None) };
+        let attempt_report = AttemptReport { task: task.clone(), attempt, status, cause, saved: None };
+        self.workers.get_mut(m).unwrap().attempts.push(attempt_report);
     }
 
     pub(super) fn exits(&mut self, m: &str, index: u32, attempt: u64, cause: Cause) {
@@ -279,9 +292,12 @@
     }
 
     pub(super) fn exits_of(&mut self, m: &str, key: &TaskKey, attempt: u64, cause: Cause) {
-        for leg in &mut self.workers.get_mut(m).unwrap().legs {
-            if leg.task == *key && leg.attempt == attempt && leg.status != LegStatus::Exited {
-                (leg.status, leg.cause) = (LegStatus::Exited, Some(cause));
+        for attempt_report in &mut self.workers.get_mut(m).unwrap().attempts {
+            if attempt_report.task == *key
+                && attempt_report.attempt == attempt
+                && attempt_report.status != AttemptStatus::Exited
+            {
+                (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(cause));
                 if cause == Cause::Done {
                     self.completed.insert(key.clone());
                 }
@@ -290,15 +306,15 @@
     }
 
     fn forget(&mut self, m: &str) {
-        let done = self.workers[m].legs.iter().filter(|l| l.cause == Some(Cause::Done));
+        let done = self.workers[m].attempts.iter().filter(|l| l.cause == Some(Cause::Done));
         self.forgotten.extend(done.map(|l| l.task.clone()));
     }
 
     pub(super) fn lease_ends(&mut self, m: &str) {
         self.forget(m);
         let w = self.workers.get_mut(m).unwrap();
-        w.session += 1;
-        w.legs.clear();
+        w.agent_epoch += 1;
+        w.attempts.clear();
         w.reaped.clear();
         w.renewed = Some(self.now);
     }
@@ -375,7 +391,7 @@
         let wanted = cluster.raise_wanted(self.now);
         if wanted {
             self.stamp += 1;
-            cluster.raise_token(self.stamp);
+            cluster.raise_fencing_token(self.stamp);
         }
         wanted
     }
@@ -410,9 +426,9 @@
 }
 
 impl World {
-    /// A greeting of this leader to a machine that has not seen its token.
+    /// A greeting of this leader to a machine that has not seen its fencing token.
     pub(super) fn leader_greets(&mut self, cluster: &mut ClusterState, m: &str) -> Direct {
-        self.workers.get_mut(m).unwrap().token = 0;
+        self.workers.get_mut(m).unwrap().fencing_token = 0;
         let mut before = None;
         for _ in 0..3 {
             self.now += s(1.1);
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -48,7 +48,7 @@
                 "cut" => (simulation.outbound_lost, simulation.unreached) = (lost.into(), lost.into()),
                 _ => lost.iter().for_each(|m| {
                     // Died, and nobody has told the leader.
-                    simulation.world.workers.get_mut(m).unwrap().legs.clear();
+                    simulation.world.workers.get_mut(m).unwrap().attempts.clear();
                     simulation.hang = lost.into();
                 }),
             }
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,4 +1,4 @@
-//! A token bucket for the limits of the state service, of which less urgent calls must leave a reserve.
+//! A fencing token bucket for the limits of the state service, of which less urgent calls must leave a reserve.
 
 use std::time::{Duration, Instant};
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// A token bucket. What it holds grows with time up to a burst and may fall below zero for overdue calls and for calls
-/// larger than the burst.
+/// A fencing token bucket. What it holds grows with time up to a burst and may fall below zero for overdue calls and
+/// for calls larger than the burst.
 #[derive(Debug)]
 pub struct Budget {
     per_second: f64,
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -50,11 +50,11 @@
         ends.chain(chunks).collect()
     }
 
-    pub fn conditions(&self, token: u64) -> Vec<Condition> {
+    pub fn conditions(&self, fencing_token: u64) -> Vec<Condition> {
         let chunks = self.chunks.iter().map(|c| Condition::at(chunk_key(&c.job, c.chunk), c.stamp));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
         let ends = jobs.into_iter().flat_map(|id| not_ended(id));
-        std::iter::once(Condition::at(LEADER, token)).chain(chunks).chain(ends).collect()
+        std::iter::once(Condition::at(LEADER, fencing_token)).chain(chunks).chain(ends).collect()
     }
 
     /// Every job it speaks of.
@@ -128,21 +128,21 @@
     let urgent = if batch.ends.is_empty() { Urgent::Second } else { Urgent::First };
     let mut unanswered = false;
     loop {
-        let Some(token) = lock(&node.cluster).as_ref().map(|b| b.token) else { return false };
-        match node.store.txn(&batch.conditions(token), &changes, urgent).await {
+        let Some(fencing_token) = lock(&node.cluster).as_ref().map(|b| b.fencing_token) else { return false };
+        match node.store.txn(&batch.conditions(fencing_token), &changes, urgent).await {
             Ok(TxnOutcome::Applied(stamp)) => {
                 stored(node, &batch, stamp);
                 return true;
             }
             Ok(TxnOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
-                let now_token = lock(&node.cluster).as_ref().map(|b| b.token);
+                let now_token = lock(&node.cluster).as_ref().map(|b| b.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
-                    if now_token.is_some_and(|t| t > token) {
+                    if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
                     // Wait for the mirror to say who leads; it may be this controller itself,
-                    // under a token it has not heard the answer about.
+                    // under a fencing token it has not heard the answer about.
                     node.fresh.wait().await;
                     node.check_deposed();
                     node.wake.membership.notify_one();
@@ -225,11 +225,11 @@
 
 /// Drops of chunks whose jobs are over. A job that was lost and put back (`audit`) is open once more, and
 /// a copy that comes late must not take what is bound of it since.
-pub(crate) fn chunk_drops(drops: &[(JobId, u64)], token: u64) -> (Vec<Condition>, Vec<Change>) {
+pub(crate) fn chunk_drops(drops: &[(JobId, u64)], fencing_token: u64) -> (Vec<Condition>, Vec<Change>) {
     let jobs: BTreeSet<&JobId> = drops.iter().map(|(id, _)| id).collect();
     let closed = jobs.into_iter().map(|id| Condition::absent(open_key(id)));
     let changes = drops.iter().map(|(id, c)| Change::Drop { drop: chunk_key(id, *c) }).collect();
-    (std::iter::once(Condition::at(LEADER, token)).chain(closed).collect(), changes)
+    (std::iter::once(Condition::at(LEADER, fencing_token)).chain(closed).collect(), changes)
 }
 
 /// What is still to be dropped after these were refused: nothing of jobs that are open.
@@ -241,14 +241,14 @@
 /// Chunks of jobs that are over, whenever the budget has room.
 async fn drop_some(node: &Arc<Node>, urgent: Urgent) {
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
-    let (drops, token) = match lock(&node.cluster).as_mut() {
-        Some(cluster) => (cluster.next_drops(most), cluster.token),
+    let (drops, fencing_token) = match lock(&node.cluster).as_mut() {
+        Some(cluster) => (cluster.next_drops(most), cluster.fencing_token),
         None => return,
     };
     if drops.is_empty() {
         return;
     }
-    let (conditions, changes) = chunk_drops(&drops, token);
+    let (conditions, changes) = chunk_drops(&drops, fencing_token);
     let outcome = tokio::time::timeout(DROP_WITHIN, node.store.txn(&conditions, &changes, urgent)).await;
     let failed = match outcome {
         Ok(Ok(TxnOutcome::Applied(_))) => return,
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -74,9 +74,15 @@
         self.send(name, sent.conditions, sent.changes)
     }
 
-    fn batch(&mut self, name: &'static str, token: u64, ends: Vec<Arc<JobRecord>>, chunks: Vec<ChunkWrite>) -> u64 {
+    fn batch(
+        &mut self,
+        name: &'static str,
+        fencing_token: u64,
+        ends: Vec<Arc<JobRecord>>,
+        chunks: Vec<ChunkWrite>,
+    ) -> u64 {
         let batch = Batch { ends, chunks, at_ms: 5 };
-        self.send(name, batch.conditions(token), batch.changes())
+        self.send(name, batch.conditions(fencing_token), batch.changes())
     }
 
     fn become_leader(&mut self, name: &'static str) -> u64 {
@@ -92,11 +98,11 @@
         self.send(name, [condition], [change]);
     }
 
-    fn status(&mut self, name: &'static str, token: u64, value: Option<serde_json::Value>) -> u64 {
+    fn status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
         let stamp = |key: String| self.store.stamp(&key);
         let (spec_stamp, status_stamp) = (stamp(spec_key(Kind::Window, "w")), stamp(status_key(Kind::Window, "w")));
         let write = [Write { kind: Kind::Window, name: "w".into(), spec_stamp, status_stamp, value }];
-        self.send(name, driver::conditions(&write, token), driver::changes(&write))
+        self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
     fn declare(&mut self, change: Change) {
@@ -114,7 +120,7 @@
     let mut life = Life::default();
     let jobs: Vec<Arc<JobRecord>> = (1..=4).map(record).collect();
     life.take_lease("a holds the lease");
-    let token = life.become_leader("a leads");
+    let fencing_token = life.become_leader("a leads");
     // An earlier build's job, taken over.
     let old = serde_json::to_value(&*jobs[3]).unwrap();
     let stamp = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
@@ -123,15 +129,15 @@
     life.send("upgraded", [condition], [change]);
 
     life.send_move("acceptance", moves::accept(&jobs[0], true));
-    let placed = life.batch("first placement", token, vec![], vec![chunk(&jobs[0], 0, 1)]);
-    let placed = life.batch("next placement", token, vec![], vec![chunk(&jobs[0], placed, 2)]);
+    let placed = life.batch("first placement", fencing_token, vec![], vec![chunk(&jobs[0], 0, 1)]);
+    let placed = life.batch("next placement", fencing_token, vec![], vec![chunk(&jobs[0], placed, 2)]);
     life.send_move("second acceptance", moves::accept(&jobs[1], true));
-    life.batch("placement beside it", token, vec![], vec![chunk(&jobs[1], 0, 1)]);
+    life.batch("placement beside it", fencing_token, vec![], vec![chunk(&jobs[1], 0, 1)]);
     life.send_move("withdrawal", moves::withdraw(&jobs[1], None, 5));
-    life.batch("news of the first", token, vec![], vec![chunk(&jobs[0], placed, 3)]);
-    life.batch("done", token, vec![jobs[0].clone()], vec![]);
+    life.batch("news of the first", fencing_token, vec![], vec![chunk(&jobs[0], placed, 3)]);
+    life.batch("done", fencing_token, vec![jobs[0].clone()], vec![]);
     let drops = jobs[..2].iter().map(|job| (job.spec.id.clone(), 0)).collect::<Vec<_>>();
-    let (conditions, changes) = chunk_drops(&drops, token);
+    let (conditions, changes) = chunk_drops(&drops, fencing_token);
     life.send("chunks dropped", conditions, changes);
     life.send_move("third acceptance", moves::accept(&jobs[2], true));
 
@@ -139,10 +145,10 @@
     for (n, name, cleaned, unsure) in
         [(1, "order", "order marked as done", true), (2, "next order", "order cleaned up", false)]
     {
-        let order = CloudOrder::new("me", token, n, What::Return(vec![format!("m{n}")]));
-        life.send(name, order.conditions(token), [order.change()]);
-        let late: HashMap<String, u64> = unsure.then(|| (order.key.clone(), token)).into_iter().collect();
-        let (conditions, changes) = clean_up(std::slice::from_ref(&order.key), &late, token);
+        let order = CloudOrder::new("me", fencing_token, n, What::Return(vec![format!("m{n}")]));
+        life.send(name, order.conditions(fencing_token), [order.change()]);
+        let late: HashMap<String, u64> = unsure.then(|| (order.key.clone(), fencing_token)).into_iter().collect();
+        let (conditions, changes) = clean_up(std::slice::from_ref(&order.key), &late, fencing_token);
         if !unsure {
             // Every try was answered, so none comes late.
             life.sent.retain(|(sent, ..)| *sent != name);
@@ -152,14 +158,14 @@
 
     // A status, and its spec written, removed and made anew under its name.
     life.declare(Change::write(spec_key(Kind::Window, "w"), json!(1)));
-    life.status("first status", token, Some(json!(1)));
-    life.status("next status", token, Some(json!(2)));
+    life.status("first status", fencing_token, Some(json!(1)));
+    life.status("next status", fencing_token, Some(json!(2)));
     life.declare(Change::Drop { drop: spec_key(Kind::Window, "w") });
-    life.status("status dropped", token, None);
+    life.status("status dropped", fencing_token, None);
     life.declare(Change::write(spec_key(Kind::Window, "w"), json!(1)));
-    life.status("first status of the next", token, Some(json!(1)));
+    life.status("first status of the next", fencing_token, Some(json!(1)));
 
-    let takeover_request = TakeoverRequest { node: "b".into(), token, machines: 2 };
+    let takeover_request = TakeoverRequest { node: "b".into(), fencing_token, machines: 2 };
     let (conditions, changes) = takeover_request.transaction();
     life.send("plea", conditions, changes);
 
@@ -169,7 +175,7 @@
     life.store.vanish(&open_key(&jobs[2].spec.id), 1);
     life.send_move("job put back", moves::accept(&jobs[2], true));
 
-    let token = life.become_leader("a leads under a higher token");
+    let fencing_token = life.become_leader("a leads under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
     life.sent.retain(|(name, ..)| *name != "a holds the lease");
     let (condition, change) = expiry(life.store.stamp(LEASE_HOLDER));
@@ -178,7 +184,7 @@
     life.become_leader("b leads");
     life.taken.clear();
     let third = life.store.stamp(LEADER);
-    assert!(third > token);
+    assert!(third > fencing_token);
     life.batch("placement by b", third, vec![], vec![chunk(&jobs[2], 0, 1)]);
     assert!(life.taken.is_empty(), "nothing of an earlier leader is taken any more: {:?}", life.taken);
     assert!(life.compared > 300, "{}", life.compared);
@@ -188,21 +194,21 @@
 /// was bound since, and a successor would have placed it a second time.
 #[test]
 fn a_late_drop_of_chunks_takes_nothing_of_a_job_that_was_put_back() {
-    let (mut store, job, token) = (Store::default(), record(1), 1);
+    let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
     store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
     let accept = moves::accept(&job, false);
     let place = |stamp| Batch { ends: vec![], chunks: vec![chunk(&job, stamp, 1)], at_ms: 5 };
     let end = Batch { ends: vec![job.clone()], chunks: vec![], at_ms: 5 };
     store.apply_if(&accept.conditions, &accept.changes).unwrap();
-    store.apply_if(&place(0).conditions(token), &place(0).changes()).unwrap();
-    store.apply_if(&end.conditions(token), &end.changes()).unwrap();
+    store.apply_if(&place(0).conditions(fencing_token), &place(0).changes()).unwrap();
+    store.apply_if(&end.conditions(fencing_token), &end.changes()).unwrap();
     let drops = vec![(job.spec.id.clone(), 0)];
-    let (conditions, changes) = chunk_drops(&drops, token);
+    let (conditions, changes) = chunk_drops(&drops, fencing_token);
     store.apply_if(&conditions, &changes).unwrap();
     // Lost, and put back by whoever had accepted it and has not heard of its end.
     assert_eq!(store.vanish("h/d/", 1).len(), 1);
     store.apply_if(&accept.conditions, &accept.changes).unwrap();
-    store.apply_if(&place(0).conditions(token), &place(0).changes()).unwrap();
+    store.apply_if(&place(0).conditions(fencing_token), &place(0).changes()).unwrap();
     let refused = store.apply_if(&conditions, &changes).unwrap_err();
     assert!(store.has(&chunk_key(&job.spec.id, 0)), "what is bound stands");
     // And it is not tried for ever: the rest of what was refused together goes without it.
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -161,7 +161,7 @@
 
 /// Nobody has heard of what came after the watermark itself.
 fn possible(path: &str, told: &Watermark, stamp: u64) -> bool {
-    let possible = told.revision <= stamp && told.token <= stamp;
+    let possible = told.revision <= stamp && told.fencing_token <= stamp;
     if !possible {
         warn!(path, ?told, stamp, "a watermark ahead of the store; passed over");
     }
@@ -251,7 +251,8 @@
         }
     }
 
-    /// The leader record and its version, which is the leader's token; none if there is none or it cannot be read.
+    /// The leader record and its version, which is the leader's fencing token; none if there is none or it cannot be
+    /// read.
     pub fn leader_record(&self) -> Option<&(LeaderRecord, u64)> {
         self.control.leader_record.value()
     }
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -209,12 +209,12 @@
 /// A watermark ahead of the store would let users hear of withdrawals that no leader knows.
 #[test]
 fn a_stored_watermark_ahead_of_the_store_is_not_believed() {
-    for (token, revision, believed) in
+    for (fencing_token, revision, believed) in
         [(3, 8, true), (3, 9, true), (3, 10, false), (10, 8, false), (3, u64::MAX, false)]
     {
         let mut mirror = Mirror::default();
-        let value = json!({"token": token, "revision": revision});
+        let value = json!({"token": fencing_token, "revision": revision});
         read_whole(&mut mirror, vec![page(vec![written("c/watermark", value, 9)], 9)]);
-        assert_eq!(mirror.watermark().is_some(), believed, "{token} {revision}");
+        assert_eq!(mirror.watermark().is_some(), believed, "{fencing_token} {revision}");
     }
 }
--- a/src/users/withdrawal.rs
+++ b/src/users/withdrawal.rs
@@ -50,7 +50,7 @@
         Ok(TxnOutcome::Applied(stamp)) => {
             sent.applied();
             lock(&node.audit).note(Held::Ended(record, End::Withdrawn));
-            if leader.is_some_and(|token| node.withdrew(&id, token)) {
+            if leader.is_some_and(|fencing_token| node.withdrew(&id, fencing_token)) {
                 return ended(&id, End::Withdrawn);
             }
             node.history.note_withdrawal(&id, stamp);
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -37,7 +37,11 @@
 }
 
 async fn send(node: Arc<Node>, direct: Direct) {
-    let body = wire::encode(&Orders { token: direct.token, session: Some(direct.session), orders: direct.orders });
+    let body = wire::encode(&Orders {
+        fencing_token: direct.fencing_token,
+        agent_epoch: Some(direct.agent_epoch),
+        orders: direct.orders,
+    });
     node.traffic.count(Passage::Command);
     let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
     let now = Instant::now();
@@ -54,7 +58,7 @@
         if let Err(error) = &outcome {
             debug!(machine = %direct.machine, %error, "direct command");
         }
-        cluster.command_over(&direct.machine, direct.token, settled, now);
+        cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
         if let Some(report) = report {
             cluster.take_report(report, Via::Command, catalog.as_deref(), now);
         }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::scheduling::cluster::Via;
 use crate::sync::lock;
-pub use crate::wire::workers::{Cause, Leg, LegStatus, Order, Orders, Report, TaskKey};
+pub use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Order, Orders, Report, TaskKey};
 
 /// What a report is answered with.
 pub enum Answer {
@@ -28,7 +28,7 @@
     Malformed,
 }
 
-/// One report. Only the leader takes it in; a token higher than its own tells it that it is no
+/// One report. Only the leader takes it in; a fencing token higher than its own tells it that it is no
 /// longer the leader, and a 200 would then only hold the worker while its lease runs out.
 pub fn take_report(node: &Arc<Node>, body: &[u8]) -> Answer {
     let report = match crate::wire::decode::<Report>(body) {
@@ -47,14 +47,14 @@
     }
     let now = Instant::now();
     let mut deposed = false;
-    let (report_from, report_at) = (report.machine.clone(), (report.session, report.seq));
+    let (report_from, report_at) = (report.machine.clone(), (report.agent_epoch, report.seq));
     rights.knows = node.knows_leader(now);
     // Of jobs that are over by the mirror a leader stops what runs, whatever else it may do.
     let over = node.over_among(&report, rights.acts());
     {
         let mut held = lock(&node.cluster);
         if let Some(cluster) = held.as_mut() {
-            if report.token > cluster.token {
+            if report.fencing_token > cluster.fencing_token {
                 deposed = true;
             } else {
                 let catalog = node.catalog();
@@ -66,15 +66,15 @@
                 } else {
                     cluster.stops_only(&name, &over.jobs)
                 };
-                let token = cluster.token;
+                let fencing_token = cluster.fencing_token;
                 drop(held);
                 node.wake.plan.notify_one();
                 node.wake.commit.notify_one();
                 let (spare, kept) = (|| node.may_hold_blindly(now), || node.holds(&name, now));
-                if !rights.holds(over.since(token), spare, kept) {
+                if !rights.holds(over.since(fencing_token), spare, kept) {
                     return Answer::Nobody;
                 }
-                return Answer::Orders(Orders { token, session: None, orders });
+                return Answer::Orders(Orders { fencing_token, agent_epoch: None, orders });
             }
         }
     }
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -254,9 +254,12 @@
                 if code == 200 {
                     assert_eq!(answer["status"], "withdrawn");
                     let stamp = stage.stamp(&format!("h/w/{}", id(n)));
-                    // What was stored under its own token it has put into its cluster state itself, ahead of its watch.
-                    let has =
-                        b.node.watermark().is_some_and(|cluster| cluster.token < stamp || cluster.revision >= stamp);
+                    // What was stored under its own fencing token it has put into its cluster state itself, ahead of
+                    // its watch.
+                    let has = b
+                        .node
+                        .watermark()
+                        .is_some_and(|cluster| cluster.fencing_token < stamp || cluster.revision >= stamp);
                     assert!(has && stamp > 0, "{n} was told with no loaded cluster state that has it");
                     told.push(n);
                 } else {
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -1,6 +1,6 @@
 //! A transaction of the leader is carried out at once and only its answer is lost, while other nodes read what it
 //! wrote: placements, leader records and rental orders. Nothing runs twice, nothing is rented twice, nobody leads twice
-//! under one token, and work goes on. Acceptances, withdrawals and ends are in `close_looks.rs`.
+//! under one fencing token, and work goes on. Acceptances, withdrawals and ends are in `close_looks.rs`.
 
 // A stand-in that panics fails its test, as it should.
 #![allow(clippy::unwrap_used)]
@@ -115,18 +115,18 @@
     fn note(&mut self, node: &Controller) {
         let Some(cluster) = node.node.watermark() else { return };
         let name = &node.node.settings.node;
-        let by = self.0.entry(cluster.token).or_insert_with(|| name.clone());
-        assert_eq!(by, name, "two lead under token {}", cluster.token);
+        let by = self.0.entry(cluster.fencing_token).or_insert_with(|| name.clone());
+        assert_eq!(by, name, "two lead under token {}", cluster.fencing_token);
     }
 }
 
 /// A successor is the leader and does not hear so, while a third controller reads it and users ask there: it is the
-/// leader anew, and leads under that token only.
+/// leader anew, and leads under that fencing token only.
 #[test]
 fn an_assignment_whose_answer_is_lost_at_a_takeover_is_written_anew() {
     let (stage, first, second) = stage(SHORT_LEASE_S);
-    let mut tokens = LeaderTokens::default();
-    tokens.note(&first);
+    let mut fencing_tokens = LeaderTokens::default();
+    fencing_tokens.note(&first);
     stage.outside.block_on(async {
         stage.accepted(&second, 1, ENDLESS).await;
         stage.running(1).await;
@@ -146,11 +146,11 @@
             until("it leads", || async { second.node.watermark().or(third.node.watermark()).is_some() }).await;
         };
         tokio::join!(asked, taken_over);
-        tokens.note(&second);
-        tokens.note(&third);
+        fencing_tokens.note(&second);
+        fencing_tokens.note(&third);
         let assigned = stage.stamp(LEADER);
         assert!(assigned > unheard, "it leads under the token that it heard of");
-        assert_eq!(tokens.0.last_key_value().unwrap().0, &assigned, "who leads does so by what is stored");
+        assert_eq!(fencing_tokens.0.last_key_value().unwrap().0, &assigned, "who leads does so by what is stored");
         stage.goes_on(&third, 2).await;
         assert_eq!((stage.started(1), stage.live(1)), (3, 3), "what ran runs on");
     });
@@ -210,7 +210,7 @@
     stage.end([leader, other]);
 }
 
-/// Orders with an unanswered try stay as marks for as long as their leader's token stands.
+/// Orders with an unanswered try stay as marks for as long as their leader's fencing token stands.
 fn leader_has_only_marks(stage: &Stage) -> bool {
     let state = stage.world.state.lock().unwrap();
     state.store.under(ORDERS).all(|(_, order, _)| order["what"] == "done")
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -209,9 +209,10 @@
     /// Somebody's loaded cluster state has the withdrawal of this job.
     pub fn some_cluster_has(&self, nodes: &[&Controller], n: u64) -> bool {
         let stamp = self.stamp(&format!("h/w/{}", id(n)));
-        // What was stored under its own token a leader has put into its cluster state itself, ahead of its watch.
+        // What was stored under its own fencing token a leader has put into its cluster state itself, ahead of its
+        // watch.
         let has = |at: &&Controller| {
-            at.node.watermark().is_some_and(|cluster| cluster.token < stamp || cluster.revision >= stamp)
+            at.node.watermark().is_some_and(|cluster| cluster.fencing_token < stamp || cluster.revision >= stamp)
         };
         stamp > 0 && nodes.iter().any(has)
     }
