--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -179,7 +179,7 @@
 
     /// Uploads the jobs stored after a revision. Returns the revision up to which they are known.
     fn learn_since(&self, revision: u64, usual: Duration) -> u64 {
-        let changes = lock(&self.state).store.follow(JOBS, revision);
+        let changes = lock(&self.state).store.watch(JOBS, revision);
         let Ok(changes) = changes else { return revision };
         for event in changes.log.into_iter().filter(|event| event.write.is_some()) {
             let Ok(spec) = serde_json::from_value::<JobSpec>(event.value["spec"].clone()) else { continue };
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -245,7 +245,7 @@
     /// A transaction, with whatever fault it meets.
     async fn transact(&self, body: Value) -> Result<Value, Refusal> {
         // Taken apart from the waiting: no lock is held over it.
-        let outcome = lock(&self.world.state).txn(&body);
+        let outcome = lock(&self.world.state).compare_and_swap(&body);
         match outcome {
             Outcome::Answer(answer) => return answer,
             Outcome::Silence => {}
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use hollylanding_wire::state::{Change, Txn};
+use hollylanding_wire::state::{Change, CompareAndSwap};
 use serde_json::{Value, json};
 
 use crate::world::store::{Limits, Refusal, Store};
@@ -143,16 +143,16 @@
     }
 
     /// A transaction, whatever is commanded to go wrong with it.
-    pub fn txn(&mut self, body: &Value) -> Outcome {
-        let Ok(txn) = serde_json::from_value::<Txn>(body.clone()) else {
+    pub fn compare_and_swap(&mut self, body: &Value) -> Outcome {
+        let Ok(compare_and_swap) = serde_json::from_value::<CompareAndSwap>(body.clone()) else {
             return Outcome::Answer(Err(Refusal::Malformed("no transaction")));
         };
-        let writes = !txn.apply.is_empty();
+        let writes = !compare_and_swap.apply.is_empty();
         let only = self.faults.only;
         let among = |c: &Change| {
             only.is_none_or(|prefix| matches!(c, Change::Write { write, .. } if write.starts_with(prefix)))
         };
-        let meant = txn.apply.iter().any(among);
+        let meant = compare_and_swap.apply.iter().any(among);
         let faults = &mut self.faults;
         if faults.garble_writes {
             return Outcome::Answer(Ok(json!("what is this")));
@@ -164,8 +164,8 @@
             if let Some(left) = faults.writes_left.as_mut() {
                 *left -= 1;
             }
-            self.changes += txn.apply.len() as u64;
-            if self.store.compare(&txn.conditions).is_empty() {
+            self.changes += compare_and_swap.apply.len() as u64;
+            if self.store.compare(&compare_and_swap.conditions).is_empty() {
                 if faults.lose > 0 {
                     (faults.lose, faults.lost) = (faults.lose - 1, faults.lost + 1);
                     return Outcome::Answer(Ok(json!({"ledgerRev": self.store.revision() + 1})));
@@ -177,7 +177,7 @@
             }
         }
         let silent = meant && self.faults.unanswered > 0;
-        let answer = self.apply(&txn);
+        let answer = self.apply(&compare_and_swap);
         if silent && answer.as_ref().is_ok_and(|a| a.get("failed").is_none()) {
             self.faults.unanswered -= 1;
             return Outcome::Silence;
@@ -187,15 +187,15 @@
 
     /// A transaction that is carried out late: whatever it says now.
     pub fn apply_late(&mut self, body: &Value) {
-        if let Ok(txn) = serde_json::from_value::<Txn>(body.clone()) {
-            let _ = self.apply(&txn);
+        if let Ok(compare_and_swap) = serde_json::from_value::<CompareAndSwap>(body.clone()) {
+            let _ = self.apply(&compare_and_swap);
         }
         self.faults.late_over += 1;
     }
 
-    fn apply(&mut self, txn: &Txn) -> Result<Value, Refusal> {
+    fn apply(&mut self, compare_and_swap: &CompareAndSwap) -> Result<Value, Refusal> {
         let now = self.now();
-        self.store.txn(txn, now).map(|done| match done {
+        self.store.compare_and_swap(compare_and_swap, now).map(|done| match done {
             Ok(revision) => json!({"ledgerRev": revision}),
             Err(refused) => json!({"failed": refused.failed, "ledgerRev": refused.revision}),
         })
@@ -238,7 +238,7 @@
         if self.faults.stalled_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
-        match self.store.follow(prefix, since) {
+        match self.store.watch(prefix, since) {
             Ok(told) if told.log.is_empty() => None,
             Ok(told) => Some(serde_json::to_value(told).map_err(|_| Refusal::Malformed("not to be told"))),
             Err(refusal) => Some(Err(refusal)),
--- a/crates/emulator/src/rehearsal/operators.rs
+++ b/crates/emulator/src/rehearsal/operators.rs
@@ -125,7 +125,7 @@
     /// Records every status stored since the last call for the judge.
     pub(super) fn look(&mut self, world: &World) {
         let state = lock(&world.state);
-        let Ok(changes) = state.store.follow(STATUSES, self.revision) else {
+        let Ok(changes) = state.store.watch(STATUSES, self.revision) else {
             self.revision = state.store.revision();
             return;
         };
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -1,11 +1,11 @@
-//! The state service: keys with stamps, transactions, leases, watches and limits, as its protocol
+//! The state service: keys with versions, transactions, leases, watches and limits, as its protocol
 //! has them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 use std::time::Duration;
 
-use hollylanding_wire::state::{Change, Condition, Event, Followed, Item, Page, Refused, Txn};
+use hollylanding_wire::state::{Change, CompareAndSwap, Condition, Event, Item, Page, Refused, WatchResponse};
 use serde_json::Value;
 
 use super::bucket::Bucket;
@@ -55,7 +55,7 @@
     /// Status 400: the request is invalid.
     Malformed(&'static str),
     /// Status 400: the lease named has ended.
-    NoSuchLease,
+    LeaseExpired,
     /// Status 404: the key does not exist.
     Absent,
     /// Status 410: the watch starts before the changes that are kept.
@@ -70,7 +70,7 @@
     /// The HTTP status.
     pub fn status(&self) -> u16 {
         match self {
-            Self::Malformed(_) | Self::NoSuchLease => 400,
+            Self::Malformed(_) | Self::LeaseExpired => 400,
             Self::Absent => 404,
             Self::TooOld => 410,
             Self::TooMany => 429,
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 struct Kept {
     value: Value,
-    stamp: u64,
+    version: u64,
     permit: Option<u64>,
 }
 
@@ -197,7 +197,7 @@
         }
         for key in lease.keys {
             self.keys.remove(&key);
-            self.append(Event { write: None, drop: Some(key), value: Value::Null, stamp: self.revision });
+            self.append(Event { write: None, drop: Some(key), value: Value::Null, version: self.revision });
         }
         true
     }
@@ -207,7 +207,7 @@
         if self.log.len() > CHANGES_KEPT
             && let Some(oldest) = self.log.pop_front()
         {
-            self.forgotten = oldest.stamp;
+            self.forgotten = oldest.version;
         }
     }
 
@@ -222,8 +222,8 @@
     }
 
     /// The version of a key; 0 if it does not exist.
-    pub fn stamp(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |kept| kept.stamp)
+    pub fn version(&self, key: &str) -> u64 {
+        self.keys.get(key).map_or(0, |kept| kept.version)
     }
 
     /// The value of a key, if it exists.
@@ -231,19 +231,20 @@
         self.keys.get(key).map(|kept| &kept.value)
     }
 
-    /// Keys under a prefix with value and stamp, in order.
+    /// Keys under a prefix with value and version, in order.
     pub fn under(&self, prefix: &str) -> impl Iterator<Item = (&str, &Value, u64)> {
         let from = Bound::Included(prefix.to_owned());
         let later = self.keys.range::<String, _>((from, Bound::Unbounded));
         let prefix = prefix.to_owned();
         later
             .take_while(move |(key, _)| key.starts_with(&prefix))
-            .map(|(key, kept)| (key.as_str(), &kept.value, kept.stamp))
+            .map(|(key, kept)| (key.as_str(), &kept.value, kept.version))
     }
 
     /// Breaks the service's guarantees: the newest keys under a prefix vanish, and no watch reports it.
     pub fn vanish(&mut self, prefix: &str, n: usize) -> Vec<String> {
-        let mut found: Vec<(u64, String)> = self.under(prefix).map(|(key, _, stamp)| (stamp, key.to_owned())).collect();
+        let mut found: Vec<(u64, String)> =
+            self.under(prefix).map(|(key, _, version)| (version, key.to_owned())).collect();
         found.sort_unstable();
         let lost: Vec<String> = found.into_iter().rev().take(n).map(|(_, key)| key).collect();
         for key in &lost {
@@ -269,7 +270,7 @@
     pub fn get(&self, key: &str) -> Result<Item, Refusal> {
         well_formed(key)?;
         let kept = self.keys.get(key).ok_or(Refusal::Absent)?;
-        Ok(Item { path: key.to_owned(), value: kept.value.clone(), stamp: kept.stamp })
+        Ok(Item { path: key.to_owned(), value: kept.value.clone(), version: kept.version })
     }
 
     /// `GET /keys?prefix=&since=&most=`
@@ -285,7 +286,7 @@
             if items.len() >= most.clamp(1, MOST_ITEMS) || (bytes > MOST_LISTED && !items.is_empty()) {
                 break;
             }
-            items.push(Item { path: (*key).clone(), value: kept.value.clone(), stamp: kept.stamp });
+            items.push(Item { path: (*key).clone(), value: kept.value.clone(), version: kept.version });
             all.next();
         }
         Page { items, more: all.peek().is_some(), revision: self.revision }
@@ -293,21 +294,25 @@
 
     /// Which of these do not hold.
     pub fn compare(&self, conditions: &[Condition]) -> Vec<String> {
-        conditions.iter().filter(|c| self.stamp(&c.path) != c.stamp).map(|c| c.path.clone()).collect()
+        conditions.iter().filter(|c| self.version(&c.path) != c.version).map(|c| c.path.clone()).collect()
     }
 
-    /// `POST /txn`: the revision it was applied at, or the keys that had other versions.
-    pub fn txn(&mut self, txn: &Txn, now: Duration) -> Result<Result<u64, Refused>, Refusal> {
-        let n = txn.apply.len();
-        if n > self.limits.txn_ops || txn.conditions.len() > self.limits.txn_ops * CONDITIONS {
+    /// `POST /compare_and_swap`: the revision it was applied at, or the keys that had other versions.
+    pub fn compare_and_swap(
+        &mut self,
+        compare_and_swap: &CompareAndSwap,
+        now: Duration,
+    ) -> Result<Result<u64, Refused>, Refusal> {
+        let n = compare_and_swap.apply.len();
+        if n > self.limits.txn_ops || compare_and_swap.conditions.len() > self.limits.txn_ops * CONDITIONS {
             return Err(Refusal::Malformed("too many changes or conditions"));
         }
         let mut bytes = 0;
-        for condition in txn.conditions.iter() {
+        for condition in compare_and_swap.conditions.iter() {
             well_formed(&condition.path)?;
             bytes += condition.path.len() + 30;
         }
-        for change in txn.apply.iter() {
+        for change in compare_and_swap.apply.iter() {
             let (key, size) = match change {
                 Change::Write { write, value, .. } => (write, json_size(value)),
                 Change::Drop { drop } => (drop, 0),
@@ -327,10 +332,10 @@
         }
         // Whatever the conditions.
         let dead = |c: &Change| matches!(c, Change::Write { permit: Some(p), .. } if !self.leases.contains_key(p));
-        if txn.apply.iter().any(dead) {
-            return Err(Refusal::NoSuchLease);
+        if compare_and_swap.apply.iter().any(dead) {
+            return Err(Refusal::LeaseExpired);
         }
-        Ok(self.apply_if(&txn.conditions, &txn.apply))
+        Ok(self.apply_if(&compare_and_swap.conditions, &compare_and_swap.apply))
     }
 
     /// The bare act, without limits: what the service does with a request that it has admitted.
@@ -342,7 +347,7 @@
     /// All at one revision.
     fn apply(&mut self, changes: &[Change]) -> u64 {
         self.revision += u64::from(!changes.is_empty());
-        let stamp = self.revision;
+        let version = self.revision;
         for change in changes {
             let (Change::Write { write: key, .. } | Change::Drop { drop: key }) = change;
             // A write that names no lease detaches its key, and a dropped key hangs on none.
@@ -356,17 +361,17 @@
                     if let Some(lease) = permit.and_then(|p| self.leases.get_mut(&p)) {
                         lease.keys.insert(write.clone());
                     }
-                    self.keys.insert(write.clone(), Kept { value: value.clone(), stamp, permit: *permit });
-                    self.append(Event { write: Some(write.clone()), drop: None, value: value.clone(), stamp });
+                    self.keys.insert(write.clone(), Kept { value: value.clone(), version, permit: *permit });
+                    self.append(Event { write: Some(write.clone()), drop: None, value: value.clone(), version });
                 }
                 Change::Drop { drop } => {
                     if self.keys.remove(drop).is_some() {
-                        self.append(Event { write: None, drop: Some(drop.clone()), value: Value::Null, stamp });
+                        self.append(Event { write: None, drop: Some(drop.clone()), value: Value::Null, version });
                     }
                 }
             }
         }
-        stamp
+        version
     }
 
     /// `POST /grants`
@@ -394,12 +399,15 @@
     }
 
     /// `GET /follow`: what has changed since, which may be nothing yet.
-    pub fn follow(&self, prefix: &str, since: u64) -> Result<Followed, Refusal> {
+    pub fn watch(&self, prefix: &str, since: u64) -> Result<WatchResponse, Refusal> {
         if since < self.forgotten {
             return Err(Refusal::TooOld);
         }
-        let later = self.log.iter().skip(self.log.partition_point(|e| e.stamp <= since));
-        Ok(Followed { revision: self.revision, log: later.filter(|e| e.path().starts_with(prefix)).cloned().collect() })
+        let later = self.log.iter().skip(self.log.partition_point(|e| e.version <= since));
+        Ok(WatchResponse {
+            revision: self.revision,
+            log: later.filter(|e| e.path().starts_with(prefix)).cloned().collect(),
+        })
     }
 }
 
--- a/crates/emulator/src/world/store/tests.rs
+++ b/crates/emulator/src/world/store/tests.rs
@@ -16,14 +16,14 @@
 }
 
 fn put(store: &mut Store, changes: &[Change], now: Duration) -> Result<Result<u64, Refused>, Refusal> {
-    store.txn(&Txn::new(&[], changes), now)
+    store.compare_and_swap(&CompareAndSwap::new(&[], changes), now)
 }
 
 /// What the protocol says of transactions, a line a row.
 #[test]
 fn transactions_by_cases() {
     let big = Change::write("a", json!("x".repeat(1100)));
-    let at = |stamp| Condition::at("a", stamp);
+    let at = |version| Condition::at("a", version);
     type Row<'a> = (&'a str, Vec<Condition>, Vec<Change>, Result<Result<u64, &'a [&'a str]>, u16>);
     let rows: Vec<Row> = vec![
         ("a key as it is", vec![at(1)], vec![write("b", None)], Ok(Ok(2))),
@@ -43,13 +43,13 @@
     for (name, conditions, changes, want) in rows {
         let mut store = limited();
         put(&mut store, &[write("a", None)], T).unwrap().unwrap();
-        let got = store.txn(&Txn::new(&conditions, &changes), T + s(1.0));
+        let got = store.compare_and_swap(&CompareAndSwap::new(&conditions, &changes), T + s(1.0));
         let got = got.as_ref().map(|r| r.as_ref().map(|n| *n).map_err(|f| f.failed.as_slice()));
         match (&got, &want) {
             (Ok(Err(failed)), Ok(Err(keys))) => assert_eq!(failed, keys, "{name}"),
-            (Ok(Ok(at)), Ok(Ok(stamp))) => {
-                assert_eq!(at, stamp, "{name}");
-                assert!(changes.iter().all(|_| store.stamp("b") == *stamp), "{name}: one stamp");
+            (Ok(Ok(at)), Ok(Ok(version))) => {
+                assert_eq!(at, version, "{name}");
+                assert!(changes.iter().all(|_| store.version("b") == *version), "{name}: one stamp");
             }
             (Err(refusal), Err(status)) => assert_eq!(refusal.status(), *status, "{name}"),
             _ => panic!("{name}: {got:?}"),
@@ -66,9 +66,17 @@
     assert!(put(&mut store, &[write("a", None), write("b", None)], T).is_ok());
     // A transaction whose conditions fail counts as well.
     let wrong = [Condition::at("a", 99)];
-    assert!(store.txn(&Txn::new(&wrong, &[write("c", None), write("d", None)]), T).unwrap().is_err());
+    assert!(
+        store
+            .compare_and_swap(&CompareAndSwap::new(&wrong, &[write("c", None), write("d", None)]), T)
+            .unwrap()
+            .is_err()
+    );
     assert_eq!(put(&mut store, &[write("c", None)], T).unwrap_err(), Refusal::TooMany);
-    assert!(store.txn(&Txn::new(&wrong, &[]), T).unwrap().is_err(), "a comparison costs no change");
+    assert!(
+        store.compare_and_swap(&CompareAndSwap::new(&wrong, &[]), T).unwrap().is_err(),
+        "a comparison costs no change"
+    );
     assert!(put(&mut store, &[write("c", None)], T + s(0.25)).is_ok());
 }
 
@@ -92,8 +100,8 @@
     store.end_leases(s(61.0));
     assert!(!store.has("kept") && store.has("freed") && store.has("other"));
     assert_eq!(store.renew(permit, s(61.0)), Err(Refusal::Absent));
-    assert_eq!(put(&mut store, &[write("late", Some(permit))], s(61.0)), Err(Refusal::NoSuchLease));
-    let told = store.follow("kept", 1).unwrap();
+    assert_eq!(put(&mut store, &[write("late", Some(permit))], s(61.0)), Err(Refusal::LeaseExpired));
+    let told = store.watch("kept", 1).unwrap();
     assert_eq!(told.log.last().and_then(|e| e.drop.as_deref()), Some("kept"), "watches hear of it");
     let next = store.grant(1000, s(61.0)).unwrap();
     put(&mut store, &[write("short", Some(next))], s(61.0)).unwrap().unwrap();
@@ -108,11 +116,11 @@
         let key = format!("{}/{n}", if n.is_multiple_of(2) { "even" } else { "odd" });
         put(&mut store, &[Change::write(key, json!(n))], T).unwrap().unwrap();
     }
-    assert_eq!(store.follow("even/", 4).unwrap_err(), Refusal::TooOld);
-    let told = store.follow("even/", 5).unwrap();
+    assert_eq!(store.watch("even/", 4).unwrap_err(), Refusal::TooOld);
+    let told = store.watch("even/", 5).unwrap();
     assert_eq!((told.log.len(), told.revision), (CHANGES_KEPT / 2, store.revision()));
     assert!(told.log.iter().all(|e| e.path().starts_with("even/")));
-    assert!(store.follow("", store.revision()).unwrap().log.is_empty());
+    assert!(store.watch("", store.revision()).unwrap().log.is_empty());
 }
 
 #[test]
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -100,7 +100,7 @@
 /// Whether a write is answered, and the write.
 fn write(state: &mut State, value: u64) -> (bool, Value) {
     let body = json!({"if": [], "apply": [{"write": "k", "value": value}]});
-    (matches!(state.txn(&body), Outcome::Answer(Ok(_))), body)
+    (matches!(state.compare_and_swap(&body), Outcome::Answer(Ok(_))), body)
 }
 
 #[test]
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -11,13 +11,14 @@
     /// The key.
     pub path: String,
     /// The version required; 0: the key must not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 impl Condition {
     /// The key must have this version.
-    pub fn at(path: impl Into<String>, stamp: u64) -> Self {
-        Self { path: path.into(), stamp }
+    pub fn at(path: impl Into<String>, version: u64) -> Self {
+        Self { path: path.into(), version }
     }
     /// The key must not exist.
     pub fn absent(path: impl Into<String>) -> Self {
@@ -55,7 +56,7 @@
 
 /// A transaction: all changes are applied atomically if every condition holds. Without changes it only compares.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Txn<'a> {
+pub struct CompareAndSwap<'a> {
     /// All of these must hold.
     #[serde(default, rename = "if")]
     pub conditions: Cow<'a, [Condition]>,
@@ -64,7 +65,7 @@
     pub apply: Cow<'a, [Change]>,
 }
 
-impl<'a> Txn<'a> {
+impl<'a> CompareAndSwap<'a> {
     /// A transaction that borrows its parts.
     pub fn new(conditions: &'a [Condition], apply: &'a [Change]) -> Self {
         Self { conditions: conditions.into(), apply: apply.into() }
@@ -79,7 +80,8 @@
     /// Its value.
     pub value: Value,
     /// The revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 /// A page of a listing, ordered by key, consistent as of one revision.
@@ -109,7 +111,8 @@
     /// The key.
     pub path: String,
     /// The revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 /// One change as a watch reports it: exactly one of `write` and `drop` is present.
@@ -125,7 +128,8 @@
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub value: Value,
     /// The revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 impl Event {
@@ -137,7 +141,7 @@
 
 /// The answer of a watch: all changes after the revision asked for, up to `revision`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Followed {
+pub struct WatchResponse {
     /// The revision up to which `log` is complete; the next watch starts from it.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
@@ -147,7 +151,7 @@
 
 /// The revision after a transaction, or the current one.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Revised {
+pub struct Revision {
     /// The store's revision.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -1,5 +1,5 @@
 //! Seeded interleavings of three controllers, users and the store, with two windows under way: the real
-//! mirror, registry and driver. Leaders are lost between any two of decided, sent and answered, copies come
+//! watch cache, registry and driver. Leaders are lost between any two of decided, sent and answered, copies come
 //! late, clocks differ and step back, and at times nobody looks for longer than a window.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -78,21 +78,21 @@
 
     fn follow(&mut self, at: usize) {
         self.stage.follow(at, true);
-        let Controller { mirror, leader, own, .. } = &mut self.stage.controllers[at];
+        let Controller { watch_cache, leader, own, .. } = &mut self.stage.controllers[at];
         let Some((cluster, _)) = leader.as_mut() else { return };
         let gone: Vec<JobId> =
-            cluster.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned().collect();
+            cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned().collect();
         gone.iter().for_each(|id| cluster.end_job(id, own.get(id).copied(), Instant::now()));
-        mirror.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
+        watch_cache.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
     }
 
     /// Another leads, or the same process anew.
     fn write_leader_record(&mut self, at: usize) {
         self.stage.write_leader_record(at);
-        let Controller { mirror, leader, own, .. } = &mut self.stage.controllers[at];
+        let Controller { watch_cache, leader, own, .. } = &mut self.stage.controllers[at];
         own.clear();
         let (cluster, _) = leader.as_mut().unwrap();
-        for (id, record) in mirror.open_jobs() {
+        for (id, record) in watch_cache.open_jobs() {
             cluster.add_job(record.clone(), Instant::now());
             if self.begun.contains(id) {
                 cluster.load_chunk(id, 0, 1, vec![Stored::Bound(1, "host-1".into())], Instant::now());
@@ -166,11 +166,11 @@
 
     /// The leader places a job that it may: the lesser turn first.
     fn begin(&mut self) {
-        let Controller { mirror, leader, own, skew_ms, .. } = &mut self.stage.controllers[self.leader];
+        let Controller { watch_cache, leader, own, skew_ms, .. } = &mut self.stage.controllers[self.leader];
         let Some((cluster, _)) = leader.as_mut() else { return };
         if cluster.intents_due {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
-            refresh(&KINDS, cluster, mirror.registry(), &|id| own.get(id).copied(), Instant::now(), now_ms);
+            refresh(&KINDS, cluster, watch_cache.registry(), &|id| own.get(id).copied(), Instant::now(), now_ms);
         }
         let may = |id: &&JobId| self.without == Without::Turns || !cluster.intents.not_yet.contains(*id);
         let number = |id: &JobId| cluster.intents.turns.get(id).map(|t| t.number);
--- a/src/declared/driver.rs
+++ b/src/declared/driver.rs
@@ -21,7 +21,7 @@
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
-use crate::store::mirror::Mirror;
+use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, Condition};
 
 /// Statuses stored in one transaction; there is one a second.
@@ -93,7 +93,7 @@
     /// else from his.
     turn: usize,
     last: BTreeMap<Kind, String>,
-    /// Nothing is decided before the mirror holds this revision: what was stored last.
+    /// Nothing is decided before the watch cache holds this revision: what was stored last.
     stored: u64,
     /// Statuses that are too large to be stored, told once.
     too_large: BTreeSet<(Kind, String)>,
@@ -119,26 +119,26 @@
     }
 
     /// Everything that follows from how things stand. Nothing where the cluster state is not whole yet, or the
-    /// mirror is being read anew: jobs unknown to it would look as if they were over.
+    /// watch cache is being read anew: jobs unknown to it would look as if they were over.
     pub fn look(
         &mut self,
         cluster: &mut ClusterState,
-        mirror: &mut Mirror,
+        watch_cache: &mut WatchCache,
         ended: Ended,
         now: Instant,
         now_ms: u64,
     ) -> Looked {
-        if !cluster.loaded || !mirror.ready {
+        if !cluster.loaded || !watch_cache.ready {
             return Looked::default();
         }
-        let changed = mirror.registry_mut().take_changed();
-        refresh(self.kinds, cluster, mirror.registry(), ended, now, now_ms);
+        let changed = watch_cache.registry_mut().take_changed();
+        refresh(self.kinds, cluster, watch_cache.registry(), ended, now, now_ms);
         let mut looked = Looked { fencing_token: cluster.fencing_token, ..Looked::default() };
         for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < TOLD_BEFORE) {
             looked.news.extend(news(self.kinds, change));
         }
-        if mirror.revision >= self.stored {
-            let view = view(cluster, mirror.registry(), ended, now, now_ms);
+        if watch_cache.revision >= self.stored {
+            let view = view(cluster, watch_cache.registry(), ended, now, now_ms);
             looked.writes = self.decide(&view, &mut looked.news);
             looked.unknown = view.unknown.into_inner();
             looked.settled = looked.writes.is_empty();
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -1,9 +1,9 @@
 //! What operators declare and controllers carry out.
 //!
 //! A spec is written by operators only, a status by the leader only: conditional on its leader record, on
-//! the spec's stamp and on the status's own. Whoever leads next reads both and goes on from there, at
+//! the spec's version and on the status's own. Whoever leads next reads both and goes on from there, at
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
-//! sparing (`scheduling::intents`) follows from statuses as the mirror has them, the cluster state and the time.
+//! sparing (`scheduling::intents`) follows from statuses as the watch cache has them, the cluster state and the time.
 
 pub mod driver;
 pub mod operator;
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -17,7 +17,7 @@
 use crate::settings::Settings;
 use crate::store::budget::{Budget, Urgent};
 use crate::store::client::Item;
-use crate::store::{Change, Condition, StateClient, StoreError, TxnOutcome};
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use crate::sync::jitter;
 use crate::wire::Http;
 
@@ -59,7 +59,7 @@
 /// What stands of one kind, or of all.
 #[derive(Debug, Default)]
 pub(super) struct Known {
-    /// The stamp of the key common to all operators.
+    /// The version of the key common to all operators.
     pub operators: u64,
     pub specs: BTreeMap<(Kind, String), (Value, u64)>,
     pub statuses: BTreeMap<(Kind, String), Value>,
@@ -68,7 +68,7 @@
 impl Known {
     pub fn take(&mut self, item: Item) {
         match parse(&item.path).map(|(part, kind, name)| (part, (kind, name.to_owned()))) {
-            Some((Part::Spec, of)) => drop(self.specs.insert(of, (item.value, item.stamp))),
+            Some((Part::Spec, of)) => drop(self.specs.insert(of, (item.value, item.version))),
             Some((Part::Status, of)) => drop(self.statuses.insert(of, item.value)),
             None => {}
         }
@@ -322,26 +322,26 @@
         let (conditions, changes) = transaction(kind, known, writes, &mine);
         let unsure = std::cell::Cell::new(false);
         let sent = self.answered(async || {
-            let outcome = self.store.txn(&conditions, &changes, Urgent::Second).await;
+            let outcome = self.store.compare_and_swap(&conditions, &changes, Urgent::Second).await;
             unsure.set(unsure.get() || outcome == Err(StoreError::Unanswered));
             outcome
         });
         match sent.await? {
-            TxnOutcome::Applied(revision) => Ok(Ok(revision)),
-            TxnOutcome::NoSuchLease => Ok(Err(Vec::new())),
-            TxnOutcome::Failed(keys) if unsure.get() => {
+            CompareAndSwapOutcome::Applied(revision) => Ok(Ok(revision)),
+            CompareAndSwapOutcome::LeaseExpired => Ok(Err(Vec::new())),
+            CompareAndSwapOutcome::Failed(keys) if unsure.get() => {
                 // An earlier copy may have been the one that moved the key.
                 let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
-                Ok(stands.filter(|item| item.value == mine).map(|item| item.stamp).ok_or(keys))
+                Ok(stands.filter(|item| item.value == mine).map(|item| item.version).ok_or(keys))
             }
-            TxnOutcome::Failed(keys) => Ok(Err(keys)),
+            CompareAndSwapOutcome::Failed(keys) => Ok(Err(keys)),
         }
     }
 
     /// What operators have written of a kind, and its statuses, none older than `operators`.
     async fn known(&self, kind: Option<Kind>) -> Result<Known, Failed> {
         let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
-        let mut known = Known { operators: stands.map_or(0, |item| item.stamp), ..Known::default() };
+        let mut known = Known { operators: stands.map_or(0, |item| item.version), ..Known::default() };
         for part in [SPECS, STATUSES] {
             let prefix = kind.map_or(part.to_owned(), |kind| format!("{part}{}/", kind.word()));
             let pages = tokio::sync::Mutex::new(self.store.pages(&prefix, None));
@@ -394,10 +394,10 @@
     let mut conditions = vec![Condition::at(OPERATORS, known.operators)];
     let mut changes = vec![Change::write(OPERATORS, mine.clone())];
     for (name, value) in writes {
-        let stamp = known.specs.get(&(kind, name.clone())).map_or(0, |(_, stamp)| *stamp);
-        conditions.push(Condition::at(spec_key(kind, name), stamp));
+        let version = known.specs.get(&(kind, name.clone())).map_or(0, |(_, version)| *version);
+        conditions.push(Condition::at(spec_key(kind, name), version));
         // What was removed is final: a name is free once its status is gone.
-        if stamp == 0 {
+        if version == 0 {
             conditions.push(Condition::absent(status_key(kind, name)));
         }
         changes.push(match value {
--- a/src/declared/records.rs
+++ b/src/declared/records.rs
@@ -11,7 +11,7 @@
 /// Prefix of what the leader stores of it.
 pub const STATUSES: &str = "c/t/";
 /// Every write of an operator moves this key, so that a copy of an earlier one that comes late finds
-/// another stamp. It lies before what controllers list.
+/// another version. It lies before what controllers list.
 pub const OPERATORS: &str = "c/declared";
 
 /// Largest spec and largest status, in bytes of JSON; less where the state service takes less.
--- a/src/declared/registry.rs
+++ b/src/declared/registry.rs
@@ -1,4 +1,4 @@
-//! All declared things in the mirror: specs, statuses, and which statuses changed last.
+//! All declared things in the watch cache: specs, statuses, and which statuses changed last.
 //!
 //! A value is kept as text and parsed as its kind's type when it is first used, which only leaders do. A value that
 //! cannot be parsed is kept as it is and logged once; it does not affect the reading of others.
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 struct Kept {
     json: Box<str>,
-    stamp: u64,
+    version: u64,
     read: OnceLock<Option<Arc<dyn Any + Send + Sync>>>,
 }
 
@@ -89,7 +89,7 @@
         self.specs.values().chain(self.statuses.values()).map(BTreeMap::len).sum()
     }
 
-    /// What is declared of a kind and can be read, by name, with the stamps: the first ones by name
+    /// What is declared of a kind and can be read, by name, with the versions: the first ones by name
     /// where there are more than may be, which every controller decides alike.
     pub fn specs<D: Declared>(&self) -> impl Iterator<Item = (&str, D::Spec, u64)> {
         self.specs
@@ -97,29 +97,29 @@
             .into_iter()
             .flatten()
             .take(D::KIND.most())
-            .filter_map(|(name, kept)| kept.read(D::KIND, name).map(|spec| (name.as_str(), spec, kept.stamp)))
+            .filter_map(|(name, kept)| kept.read(D::KIND, name).map(|spec| (name.as_str(), spec, kept.version)))
     }
 
     /// A spec with its version; none if it cannot be read.
     pub fn spec<D: Declared>(&self, name: &str) -> Option<(D::Spec, u64)> {
         let kept = self.specs.get(&D::KIND)?.get(name)?;
-        kept.read(D::KIND, name).map(|spec| (spec, kept.stamp))
+        kept.read(D::KIND, name).map(|spec| (spec, kept.version))
     }
 
     /// A status with its version; none if it cannot be read.
     pub fn status<D: Declared>(&self, name: &str) -> Option<(D::Status, u64)> {
         let kept = self.statuses.get(&D::KIND)?.get(name)?;
-        kept.read(D::KIND, name).map(|status| (status, kept.stamp))
+        kept.read(D::KIND, name).map(|status| (status, kept.version))
     }
 
     /// A spec as it is stored, with its version.
     pub fn raw_spec(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
-        self.specs.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.stamp))
+        self.specs.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
     }
 
     /// A status as it is stored, with its version.
     pub fn raw_status(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
-        self.statuses.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.stamp))
+        self.statuses.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
     }
 
     /// Whether there is a status, readable or not.
@@ -132,24 +132,24 @@
         self.specs.get(&kind).into_iter().flatten().take(kind.most()).map(|(name, _)| name.as_str())
     }
 
-    /// Statuses whose spec is gone, with their stamps.
+    /// Statuses whose spec is gone, with their versions.
     pub fn left_over(&self) -> impl Iterator<Item = (Kind, &str, u64)> {
         let all = self.statuses.iter().flat_map(|(kind, of)| of.iter().map(move |(name, kept)| (*kind, name, kept)));
         all.filter(|(kind, name, _)| !self.specs.get(kind).is_some_and(|of| of.contains_key(*name)))
-            .map(|(kind, name, kept)| (kind, name.as_str(), kept.stamp))
+            .map(|(kind, name, kept)| (kind, name.as_str(), kept.version))
     }
 
     /// What the store holds under a key since a revision. What is older than what is known, as after
     /// reading anew, is passed over. False if the key is none of what is declared.
-    pub fn put(&mut self, path: &str, value: &Value, stamp: u64) -> bool {
+    pub fn put(&mut self, path: &str, value: &Value, version: u64) -> bool {
         let Some((part, kind, name)) = parse(path) else { return false };
         let json = value.to_string().into_boxed_str();
         if json.len() > MOST_BYTES {
             error!(path, "larger than anything declared may be; not taken in");
-            return self.drop_key(path, stamp);
+            return self.drop_key(path, version);
         }
         let of = self.of(part).entry(kind).or_default();
-        if of.get(name).is_some_and(|kept| kept.stamp >= stamp) {
+        if of.get(name).is_some_and(|kept| kept.version >= version) {
             return true;
         }
         // Operators' writes keep to half of this; a stranger's may take no more.
@@ -157,7 +157,7 @@
             error!(path, "too many of them; not taken in");
             return true;
         }
-        let kept = Kept { json: json.clone(), stamp, read: OnceLock::new() };
+        let kept = Kept { json: json.clone(), version, read: OnceLock::new() };
         let before = of.insert(name.to_owned(), kept).map(|kept| kept.json);
         if part == Part::Status && before.as_ref() != Some(&json) {
             self.note(kind, name, before, Some(json));
@@ -166,9 +166,9 @@
     }
 
     /// The same of a key that is no more since a revision.
-    pub fn drop_key(&mut self, path: &str, stamp: u64) -> bool {
+    pub fn drop_key(&mut self, path: &str, version: u64) -> bool {
         let Some((part, kind, name)) = parse(path) else { return false };
-        let older = |kept: &Kept| kept.stamp <= stamp;
+        let older = |kept: &Kept| kept.version <= version;
         let of = self.of(part).get_mut(&kind).filter(|of| of.get(name).is_some_and(older));
         let before = of.and_then(|of| of.remove(name));
         if let Some(before) = before.filter(|_| part == Part::Status) {
--- a/src/declared/run.rs
+++ b/src/declared/run.rs
@@ -12,8 +12,8 @@
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
-use crate::store::mirror::Mirror;
-use crate::store::{Change, Condition, StoreError, TxnOutcome};
+use crate::store::watch_cache::WatchCache;
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// As long as anything is declared it is looked at this often, and at most one transaction goes.
 const EVERY: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
     /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
     fn quiet(&self) -> bool;
     /// Runs this on how things stand; none if nothing may be decided at the moment.
-    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T>;
+    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T>;
     /// Asks the store how a job ended; `look` is told once it has answered.
     fn ask(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
@@ -42,8 +42,8 @@
         conditions: &[Condition],
         changes: &[Change],
         urgent: Urgent,
-    ) -> impl Future<Output = Result<TxnOutcome, StoreError>> + Send;
-    /// A transaction was refused: waits until the mirror is proven fresh, and sees who leads.
+    ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
+    /// A transaction was refused: waits until the watch cache is proven fresh, and sees who leads.
     fn refused(&self) -> impl Future<Output = ()> + Send;
     /// Until something declared changes.
     fn woken(&self) -> impl Future<Output = ()> + Send;
@@ -99,7 +99,8 @@
             let _ = tokio::time::timeout(EVERY, hands.woken()).await;
         }
         let now = Instant::now();
-        let looked = hands.look(|cluster, mirror, ended| driver.look(cluster, mirror, ended, now, time_of_day_ms()));
+        let looked =
+            hands.look(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
         let Looked { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
         unknown.iter().for_each(|id| hands.ask(id));
@@ -117,7 +118,7 @@
             let (conditions, changes) = (conditions(&writes, fencing_token), changes(&writes));
             let sent = hands.store(&conditions, &changes, urgent);
             match tokio::time::timeout(STORE_WITHIN, sent).await {
-                Ok(Ok(TxnOutcome::Applied(revision))) => driver.stored(revision),
+                Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => driver.stored(revision),
                 Ok(Ok(outcome)) => {
                     debug!(?outcome, "a status was not stored");
                     hands.refused().await;
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -142,7 +142,7 @@
         return None;
     }
     let value = serde_json::to_value(&next).ok()?;
-    Some(Decided { spec_stamp, status_stamp: stored.map_or(0, |(_, stamp)| stamp), value })
+    Some(Decided { spec_stamp, status_stamp: stored.map_or(0, |(_, version)| version), value })
 }
 
 fn add_intents<D: Declared>(view: &View, intents: &mut Intents) {
--- a/src/declared/tests.rs
+++ b/src/declared/tests.rs
@@ -1,4 +1,4 @@
-//! Seeded interleavings of operators, leaders and the store: the real mirror, registry and driver, with a
+//! Seeded interleavings of operators, leaders and the store: the real watch cache, registry and driver, with a
 //! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, leaders
 //! are replaced and go on without knowing, and are paused between any two of looked, sent and answered.
 
@@ -24,12 +24,12 @@
 use super::table::Entry;
 use super::{Declared, Kind, Names, Problem, View};
 use crate::jobs::JobId;
-use crate::jobs::record::{LEADER, MIRRORED, MIRRORED_AFTER};
+use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
 use crate::store::budget::Urgent;
-use crate::store::mirror::Mirror;
-use crate::store::{Change, Condition, StoreError, TxnOutcome};
+use crate::store::watch_cache::WatchCache;
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Goal {
@@ -134,9 +134,9 @@
         for (_, line) in looked.news {
             *controller.own.entry(line).or_default() += 1;
         }
-        // What is asked for is what this controller's mirror has, never what is only decided.
-        let (registry, (cluster, _)) = (controller.mirror.registry(), controller.leader.as_ref().unwrap());
-        for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.mirror.ready) {
+        // What is asked for is what this controller's watch cache has, never what is only decided.
+        let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
+        for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.watch_cache.ready) {
             let at = registry.status::<Heat>(name).map_or(0, |(status, _)| status.at);
             assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
@@ -167,7 +167,7 @@
             return None;
         }
         let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(Kind::Heat, name))).into();
-        let fencing_token = self.stage.store.stamp(LEADER);
+        let fencing_token = self.stage.store.version(LEADER);
         let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
             match change {
@@ -201,7 +201,7 @@
     /// Operators write as the command line does; copies of what they wrote come late, too.
     fn operate(&mut self) {
         let name = NAMES[self.stage.rng.random_range(0..NAMES.len())].to_owned();
-        let mut known = Known { operators: self.stage.store.stamp(OPERATORS), ..Known::default() };
+        let mut known = Known { operators: self.stage.store.version(OPERATORS), ..Known::default() };
         for prefix in ["c/s/heat/", "c/t/heat/"] {
             self.stage.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| known.take(item));
         }
@@ -296,9 +296,9 @@
 
 /// As many as a controller reads.
 fn pages(store: &Store) -> usize {
-    let (mut page, mut pages) = (store.page(MIRRORED, MIRRORED_AFTER, 250), 1);
+    let (mut page, mut pages) = (store.page(CACHED, CACHED_AFTER, 250), 1);
     while page.more {
-        page = store.page(MIRRORED, &page.items[page.items.len() - 1].path, 250);
+        page = store.page(CACHED, &page.items[page.items.len() - 1].path, 250);
         pages += 1;
     }
     pages
@@ -356,7 +356,7 @@
     let looked = stage.look(0, 0, |(), _| None).unwrap();
     let names: Vec<&str> = looked.writes.iter().map(|w| w.name.as_str()).collect();
     assert_eq!(names, ["good"]);
-    let registry = stage.controllers[0].mirror.registry();
+    let registry = stage.controllers[0].watch_cache.registry();
     assert_eq!(registry.entries(), 5, "the larger one and the unknown kind are not taken in");
     assert!(registry.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
     let (cluster, _) = stage.controllers[0].leader.as_ref().unwrap();
@@ -388,7 +388,7 @@
     fn quiet(&self) -> bool {
         true
     }
-    fn look<T>(&self, _: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T> {
+    fn look<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         None
     }
@@ -396,7 +396,7 @@
     fn ready(&self, _: Urgent) -> usize {
         self.touched.fetch_add(1, Ordering::Relaxed)
     }
-    async fn store(&self, _: &[Condition], _: &[Change], _: Urgent) -> Result<TxnOutcome, StoreError> {
+    async fn store(&self, _: &[Condition], _: &[Change], _: Urgent) -> Result<CompareAndSwapOutcome, StoreError> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
     }
--- a/src/declared/tests/simulation.rs
+++ b/src/declared/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Three controllers and their store, as the seeded simulations of every kind have them: the real mirror, registry
+//! Three controllers and their store, as the seeded simulations of every kind have them: the real watch cache, registry
 //! and driver. Each kind adds what it declares, what happens meanwhile, and what must never be.
 
 use std::time::Instant;
@@ -11,18 +11,18 @@
 use crate::declared::driver::{Driver, Looked, Write, changes, conditions};
 use crate::declared::table::Entry;
 use crate::jobs::End;
-use crate::jobs::record::{LEADER, MIRRORED, MIRRORED_AFTER};
+use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::store::mirror::{Loading, Mirror};
+use crate::store::watch_cache::{Loading, WatchCache};
 use crate::store::{Change, Condition};
 
 pub type Sent = (Vec<Condition>, Vec<Change>);
 
 #[derive(Default)]
 pub struct Controller<T> {
-    pub mirror: Mirror,
+    pub watch_cache: WatchCache,
     loading: Option<(Loading, String)>,
     pub leader: Option<(ClusterState, Driver)>,
     /// Decided, and not sent yet.
@@ -51,29 +51,29 @@
         Self { rng: StdRng::seed_from_u64(seed), store, controllers, late: Vec::new(), kinds }
     }
 
-    /// The mirror follows, a page or an answer at a time, or is read anew.
+    /// The watch cache follows, a page or an answer at a time, or is read anew.
     pub fn follow(&mut self, at: usize, whole: bool) {
         let controller = &mut self.controllers[at];
         loop {
             if let Some((mut loading, since)) = controller.loading.take() {
-                let page = self.store.page(MIRRORED, &since, 3);
-                controller.mirror.take_page(&mut loading, &page);
+                let page = self.store.page(CACHED, &since, 3);
+                controller.watch_cache.take_page(&mut loading, &page);
                 if page.more {
                     let since = page.items.last().map_or(since, |i| i.path.clone());
                     controller.loading = Some((loading, since));
                 } else {
-                    controller.mirror.loaded(loading);
+                    controller.watch_cache.loaded(loading);
                 }
-            } else if let Some(revision) = controller.mirror.asking() {
-                match self.store.follow(MIRRORED, revision) {
-                    Ok(followed) => drop(controller.mirror.apply(&followed)),
-                    Err(_) => controller.mirror.ready = false,
+            } else if let Some(revision) = controller.watch_cache.asking() {
+                match self.store.watch(CACHED, revision) {
+                    Ok(followed) => drop(controller.watch_cache.apply(&followed)),
+                    Err(_) => controller.watch_cache.ready = false,
                 }
-                if controller.mirror.ready {
+                if controller.watch_cache.ready {
                     return;
                 }
             } else {
-                controller.loading = Some((controller.mirror.load(), MIRRORED_AFTER.to_owned()));
+                controller.loading = Some((controller.watch_cache.load(), CACHED_AFTER.to_owned()));
             }
             if !whole {
                 return;
@@ -84,7 +84,7 @@
     /// Another leads, or the same one under a newer fencing token. Who led before goes on, unknowing.
     pub fn write_leader_record(&mut self, at: usize) {
         let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER, json!(at))]).unwrap();
-        // A new leader proves its mirror fresh before it decides.
+        // A new leader proves its watch cache fresh before it decides.
         self.follow(at, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
@@ -94,10 +94,10 @@
 
     /// None where it never led. What is to be stored waits to be sent.
     pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<Looked> {
-        let Controller { mirror, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
+        let Controller { watch_cache, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
-        let looked = driver.look(cluster, mirror, &|id| ended(own, id), Instant::now(), now_ms);
+        let looked = driver.look(cluster, watch_cache, &|id| ended(own, id), Instant::now(), now_ms);
         if !looked.writes.is_empty() {
             driver.sent(&looked.writes);
             *decided = Some((looked.writes.clone(), looked.fencing_token));
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -12,7 +12,7 @@
 use super::rentals::kind_of;
 use crate::node::Node;
 use crate::store::budget::Urgent;
-use crate::store::{StoreError, TxnOutcome};
+use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
 
 /// So many are too many to wait for an idle moment: a new leader carries them all out once more.
@@ -60,7 +60,7 @@
     let change = [order.change()];
     loop {
         let Some(under) = fencing_token(node) else { return Err(Next::Stop) };
-        let outcome = node.store.txn(&order.conditions(under), &change, Urgent::First).await;
+        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(dealings).late.insert(order.key.clone(), under);
         }
@@ -74,8 +74,8 @@
             }
             Next::Again => {
                 debug!(?outcome, key = order.key, "storing an order");
-                if matches!(outcome, Ok(TxnOutcome::Failed(_))) {
-                    node.fresh.wait().await;
+                if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
+                    node.read_barrier.wait().await;
                     node.check_deposed();
                 }
                 tokio::time::sleep(jitter(RETRY)).await;
@@ -99,8 +99,8 @@
     if keys.is_empty() {
         return;
     }
-    let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.txn(&conditions, &changes, urgent)).await;
-    if matches!(outcome, Ok(Ok(TxnOutcome::Applied(_)))) {
+    let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
+    if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
         let mut dealings = lock(dealings);
         dealings.cleaned_up(&keys, fencing_token);
         node.press_marks(dealings.marks_press());
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -13,7 +13,7 @@
 
 use super::cloud::{MOST_RENTED, MOST_RETURNED};
 use crate::jobs::record::LEADER;
-use crate::store::{Change, Condition, StoreError, TxnOutcome};
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::wire::cloud::Rental;
 use crate::wire::state::Item;
 
@@ -102,12 +102,12 @@
     }
 
     /// `fencing_token`: the one that is held now, if any.
-    pub fn next(&self, outcome: &Result<TxnOutcome, StoreError>, fencing_token: Option<u64>) -> Next {
+    pub fn next(&self, outcome: &Result<CompareAndSwapOutcome, StoreError>, fencing_token: Option<u64>) -> Next {
         match (outcome, fencing_token) {
             (_, None) => Next::Stop,
-            (Ok(TxnOutcome::Applied(_)), _) => Next::Act,
+            (Ok(CompareAndSwapOutcome::Applied(_)), _) => Next::Act,
             // An earlier try did apply, and this leader record still stands.
-            (Ok(TxnOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => Next::Act,
+            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => Next::Act,
             // The leader record is another: this leader's own newer one, or one that it has not heard of.
             _ => Next::Again,
         }
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -14,8 +14,8 @@
 }
 
 fn open(store: &Store) -> Inherited {
-    let read = |(path, value, stamp): (&str, &serde_json::Value, u64)| {
-        CloudOrder::read(&Item { path: path.into(), value: value.clone(), stamp }).unwrap()
+    let read = |(path, value, version): (&str, &serde_json::Value, u64)| {
+        CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
     };
     Inherited::of(store.under(ORDERS).map(read).collect(), 100)
 }
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -6,8 +6,8 @@
 use super::*;
 use serde_json::json;
 
-fn failed(keys: &[&str]) -> Result<TxnOutcome, StoreError> {
-    Ok(TxnOutcome::Failed(keys.iter().map(|k| (*k).to_owned()).collect()))
+fn failed(keys: &[&str]) -> Result<CompareAndSwapOutcome, StoreError> {
+    Ok(CompareAndSwapOutcome::Failed(keys.iter().map(|k| (*k).to_owned()).collect()))
 }
 
 #[test]
@@ -15,8 +15,8 @@
     let order = CloudOrder::new("me", 7, 1, What::Return(vec!["m1".into()]));
     assert_eq!(order.key, "d/me-7-1");
     let cases = [
-        ("applied", Ok(TxnOutcome::Applied(9)), Some(7), Next::Act),
-        ("applied, and replaced since", Ok(TxnOutcome::Applied(9)), None, Next::Stop),
+        ("applied", Ok(CompareAndSwapOutcome::Applied(9)), Some(7), Next::Act),
+        ("applied, and replaced since", Ok(CompareAndSwapOutcome::Applied(9)), None, Next::Stop),
         ("an earlier copy applied", failed(&["d/me-7-1"]), Some(7), Next::Act),
         ("another assignment", failed(&[LEADER]), Some(7), Next::Again),
         ("applied under another assignment", failed(&[LEADER, "d/me-7-1"]), Some(8), Next::Again),
@@ -27,7 +27,7 @@
     for (name, outcome, fencing_token, want) in cases {
         assert_eq!(order.next(&outcome, fencing_token), want, "{name}");
     }
-    let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), stamp: 1 };
+    let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
     assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
 }
 
@@ -75,8 +75,8 @@
         if holders.is_empty() || rng.random_ratio(1, 25) {
             let write = [Change::write(LEADER, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
-            let items = store.under(ORDERS).map(|(path, value, stamp)| {
-                CloudOrder::read(&Item { path: path.into(), value: value.clone(), stamp }).unwrap()
+            let items = store.under(ORDERS).map(|(path, value, version)| {
+                CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| fenced).map(|o| (o, true)).collect();
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
@@ -114,8 +114,8 @@
                     } else {
                         let outcome = store.apply_if(&order.conditions(holder.fencing_token), &[order.change()]);
                         let outcome = match outcome {
-                            Ok(stamp) => Ok(TxnOutcome::Applied(stamp)),
-                            Err(refused) => Ok(TxnOutcome::Failed(refused.failed)),
+                            Ok(version) => Ok(CompareAndSwapOutcome::Applied(version)),
+                            Err(refused) => Ok(CompareAndSwapOutcome::Failed(refused.failed)),
                         };
                         holder.orders[n].1 = order.next(&outcome, Some(holder.fencing_token)) == Next::Act;
                     }
@@ -197,7 +197,7 @@
         ("half a rental", json!({"epoch": 7, "what": {"rent": [rental(1)["zone"]]}}), false),
         ("nothing", json!(null), false),
     ] {
-        let item = Item { path: "d/me-7-1".into(), value, stamp: 1 };
+        let item = Item { path: "d/me-7-1".into(), value, version: 1 };
         assert_eq!(CloudOrder::read(&item).is_some(), read, "{name}");
     }
 }
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -41,7 +41,8 @@
         let controller = &self.stage.controllers[at];
         let now_ms = self.now_ms.saturating_add_signed(controller.skew_ms);
         // Whoever knows the same status acts alike: by what is stored and not by what was only decided.
-        let known = controller.mirror.registry().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
+        let known =
+            controller.watch_cache.registry().status::<Rule>("vents").map(|(status, _)| status).unwrap_or_default();
         let (cluster, _) = controller.leader.as_ref().unwrap();
         assert_eq!(cluster.intents.ahead.is_some(), known.holds(now_ms), "acts on what is not stored");
     }
@@ -53,7 +54,7 @@
     }
 
     fn apply(&mut self, (conditions, changes): &Sent) {
-        let fencing_token = self.stage.store.stamp(LEADER);
+        let fencing_token = self.stage.store.version(LEADER);
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
         }
--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -1,4 +1,4 @@
-//! Seeded interleavings of users, controllers and the store: the real mirror, query queue and moves, with
+//! Seeded interleavings of users, controllers and the store: the real watch cache, query queue and moves, with
 //! answers that come late, get lost or overtake each other, transactions that are applied minutes
 //! later or twice, controllers that start, read anew and end between any two steps, and a store
 //! that an earlier build has left, with two controllers taking it over at once.
@@ -15,13 +15,13 @@
 use super::moves::{self, Move, end_changes, not_ended, not_there, place_of};
 use super::query_queue::{Batch, QueryQueue, Verdict};
 use crate::jobs::record::{
-    ENDED_EXTRA, JobRecord, MIRRORED, MIRRORED_AFTER, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key,
-    old_job_key, open_key,
+    CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
+    open_key,
 };
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::store::client::{Followed, Page};
-use crate::store::mirror::{Loading, Mirror};
+use crate::store::client::{Page, WatchResponse};
+use crate::store::watch_cache::{Loading, WatchCache};
 use crate::store::{Change, Condition};
 
 const JOBS: usize = 60;
@@ -55,7 +55,7 @@
 
 /// An answer of the store on its way.
 enum Answer {
-    Watch { asked: u64, followed: Followed },
+    Watch { asked: u64, response: WatchResponse },
     Page { epoch: u64, page: Page },
     Compared { batch: Batch<usize>, failed: Vec<String> },
     Moved { question: usize, outcome: Result<u64, Vec<String>>, told: Told },
@@ -75,7 +75,7 @@
 
 struct Controller {
     life: u64,
-    mirror: Mirror,
+    watch_cache: WatchCache,
     queries: QueryQueue<usize>,
     loading: Option<(Loading, String, u64)>,
     upgrade: Option<Upgrade>,
@@ -88,7 +88,7 @@
     fn new(life: u64) -> Self {
         Self {
             life,
-            mirror: Mirror::default(),
+            watch_cache: WatchCache::default(),
             queries: QueryQueue::new(3),
             loading: None,
             upgrade: None,
@@ -250,7 +250,7 @@
         self.told.push((asked.id, self.step, told));
     }
 
-    /// As `users` looks a job up: ends at hand, the mirror once proven fresh, else the store.
+    /// As `users` looks a job up: ends at hand, the watch cache once proven fresh, else the store.
     fn look_up(&mut self, at: usize, question: usize, proven: bool) {
         let Some((_, asked)) = self.questions.get_mut(&question) else { return };
         let (job, now) = (asked.id.clone(), self.step);
@@ -258,10 +258,10 @@
         if let Some(end) = controller.queries.ended(&job) {
             return self.tell(question, Some(Told::Ended(end)));
         }
-        if !controller.mirror.ready {
+        if !controller.watch_cache.ready {
             return self.tell(question, None);
         }
-        if controller.mirror.open(&job).is_some() {
+        if controller.watch_cache.open(&job).is_some() {
             if !proven {
                 asked.proof_after = Some(now);
                 return;
@@ -278,7 +278,7 @@
     fn found_open(&mut self, at: usize, question: usize) {
         let Some((_, asked)) = self.questions.get(&question) else { return };
         let (job, intent) = (asked.id.clone(), asked.intent);
-        match self.controllers[at].mirror.open(&job).cloned() {
+        match self.controllers[at].watch_cache.open(&job).cloned() {
             Some(record) if intent == Intent::Cancel => {
                 self.cancelled.entry(job).or_insert(self.step);
                 self.send(
@@ -307,9 +307,9 @@
         let asked = Question { id: job.clone(), intent, begun: self.step, proof_after: None };
         self.questions.insert(question, (at, asked));
         let controller = &mut self.controllers[at];
-        let known = controller.mirror.open(&job).is_some() || controller.queries.ended(&job).is_some();
-        if intent == Intent::Submit && controller.mirror.ready && !known {
-            let old_kept = controller.mirror.old_kept();
+        let known = controller.watch_cache.open(&job).is_some() || controller.queries.ended(&job).is_some();
+        if intent == Intent::Submit && controller.watch_cache.ready && !known {
+            let old_kept = controller.watch_cache.old_kept();
             let record = self.record(&job);
             return self.send(at, moves::accept(&record, old_kept), Waiting::Question(question, Told::Open));
         }
@@ -320,9 +320,9 @@
     fn end(&mut self) {
         let at = self.rng.random_range(0..CONTROLLERS);
         let controller = &self.controllers[at];
-        let mut open: Vec<_> = controller.mirror.open_jobs().map(|(id, r)| (id.clone(), r.clone())).collect();
+        let mut open: Vec<_> = controller.watch_cache.open_jobs().map(|(id, r)| (id.clone(), r.clone())).collect();
         open.sort_by(|a, b| a.0.cmp(&b.0));
-        if !controller.mirror.ready || open.is_empty() {
+        if !controller.watch_cache.ready || open.is_empty() {
             return;
         }
         let (job, record) = open.swap_remove(self.rng.random_range(0..open.len()));
@@ -331,7 +331,7 @@
     }
 
     fn apply(&mut self, sent: &Move) -> Result<u64, Vec<String>> {
-        let stamp = self.store.apply_if(&sent.conditions, &sent.changes).map_err(|refused| refused.failed)?;
+        let version = self.store.apply_if(&sent.conditions, &sent.changes).map_err(|refused| refused.failed)?;
         for change in &sent.changes {
             let Change::Write { write, value, .. } = change else { continue };
             assert!(value.to_string().len() < 1024 + ENDED_EXTRA);
@@ -340,7 +340,7 @@
             let keys = usize::from(self.store.has(&open_key(job))) + ends.iter().filter(|has| **has).count();
             assert!(keys == 1 || (place == moves::Place::Old && keys <= 1), "{job} has {keys} keys");
         }
-        Ok(stamp)
+        Ok(version)
     }
 
     /// One thing that a controller does next, if nothing that it waits for is on its way.
@@ -356,28 +356,28 @@
             return self.upgrade(at);
         }
         let controller = &mut self.controllers[at];
-        match controller.mirror.asking() {
+        match controller.watch_cache.asking() {
             Some(revision) if !controller.asked_watch => {
                 controller.asked_watch = true;
-                let followed = self.store.follow(MIRRORED, revision).unwrap();
-                self.answer(at, Answer::Watch { asked: now, followed });
+                let response = self.store.watch(CACHED, revision).unwrap();
+                self.answer(at, Answer::Watch { asked: now, response });
             }
             Some(revision) if self.rng.random_bool(0.3) => {
                 // A proof of freshness beside the watch; the two may answer in either order.
-                let followed = self.store.follow(MIRRORED, revision).unwrap();
-                self.answer(at, Answer::Watch { asked: now, followed });
+                let response = self.store.watch(CACHED, revision).unwrap();
+                self.answer(at, Answer::Watch { asked: now, response });
             }
             None if controller.loading.is_none() => {
                 controller.epochs += 1;
-                let loading = controller.mirror.load();
-                controller.loading = Some((loading, MIRRORED_AFTER.to_owned(), controller.epochs));
+                let loading = controller.watch_cache.load();
+                controller.loading = Some((loading, CACHED_AFTER.to_owned(), controller.epochs));
                 controller.asked_page = false;
             }
             None if !controller.asked_page => {
                 let Some((_, since, epoch)) = &controller.loading else { return };
                 let (since, epoch) = (since.clone(), *epoch);
                 controller.asked_page = true;
-                let page = self.store.page(MIRRORED, &since, PAGE);
+                let page = self.store.page(CACHED, &since, PAGE);
                 self.answer(at, Answer::Page { epoch, page });
             }
             _ => {}
@@ -385,7 +385,7 @@
         let (batch, stale) = self.controllers[at].queries.next_batch(std::time::Instant::now());
         assert!(stale.is_empty());
         if !batch.is_empty() {
-            let old_kept = self.controllers[at].mirror.old_kept();
+            let old_kept = self.controllers[at].watch_cache.old_kept();
             let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
             let failed = self.store.compare(&conditions);
             self.answer(at, Answer::Compared { batch, failed });
@@ -399,20 +399,20 @@
             let page = self.store.page(OLD_JOBS, &up.jobs_since, PAGE);
             up.jobs_more = page.more && !page.items.is_empty();
             up.jobs_since = page.items.last().map_or(up.jobs_since, |i| i.path.clone());
-            up.jobs.extend(page.items.into_iter().map(|i| (i.path[OLD_JOBS.len()..].to_owned(), i.stamp)));
+            up.jobs.extend(page.items.into_iter().map(|i| (i.path[OLD_JOBS.len()..].to_owned(), i.version)));
         } else if up.ends.is_empty() && up.ends_more {
             let page = self.store.page(OLD_ENDS, &up.ends_since, PAGE);
             up.ends_more = page.more && !page.items.is_empty();
             up.ends_since = page.items.last().map_or(up.ends_since, |i| i.path.clone());
             up.ends.extend(page.items.into_iter().map(|i| i.path[OLD_ENDS.len()..].to_owned()));
-        } else if let Some((job, stamp)) = up.jobs.front().cloned() {
+        } else if let Some((job, version)) = up.jobs.front().cloned() {
             if up.ends.front().is_some_and(|e| *e < job) {
                 up.ends.pop_front();
             } else {
                 up.jobs.pop_front();
                 if up.ends.front() != Some(&job) {
                     let record = self.submitted[&*job].clone();
-                    let _ = self.apply(&moves::adopt(&record, stamp));
+                    let _ = self.apply(&moves::adopt(&record, version));
                 }
             }
         } else {
@@ -425,10 +425,10 @@
 
     fn take(&mut self, at: usize, answer: Answer) {
         match answer {
-            Answer::Watch { asked, followed } => {
+            Answer::Watch { asked, response } => {
                 let controller = &mut self.controllers[at];
                 controller.asked_watch = false;
-                if !controller.mirror.apply(&followed).0 {
+                if !controller.watch_cache.apply(&response).0 {
                     return;
                 }
                 let waits = |q: &Question| q.proof_after.is_some_and(|after| after < asked);
@@ -446,12 +446,12 @@
                     controller.loading = Some((loading, since, of));
                     return;
                 }
-                controller.mirror.take_page(&mut loading, &page);
+                controller.watch_cache.take_page(&mut loading, &page);
                 if page.more {
                     since = page.items.last().map_or(since, |i| i.path.clone());
                     controller.loading = Some((loading, since, of));
                 } else if loading.upgraded() {
-                    controller.mirror.loaded(loading);
+                    controller.watch_cache.loaded(loading);
                 } else {
                     controller.upgrade = Some(Upgrade {
                         jobs: VecDeque::new(),
@@ -480,8 +480,8 @@
                         Some(done) => Some(Told::Ended(if done { End::Done } else { End::Cancelled })),
                         None => {
                             let record = self.submitted[&job].clone();
-                            let stamp = self.store.stamp(&old_job_key(&job));
-                            let adopted = stamp > 0 && self.apply(&moves::adopt(&record, stamp)).is_ok();
+                            let version = self.store.version(&old_job_key(&job));
+                            let adopted = version > 0 && self.apply(&moves::adopt(&record, version)).is_ok();
                             adopted.then_some(Told::Open)
                         }
                     };
@@ -551,7 +551,7 @@
                 self.restart(at);
             } else if self.rng.random_bool(0.01) {
                 // Too far behind to follow.
-                self.controllers[at].mirror.ready = false;
+                self.controllers[at].watch_cache.ready = false;
                 self.controllers[at].loading = None;
             }
             for at in 0..CONTROLLERS {
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -91,10 +91,10 @@
 }
 
 /// An open job of an earlier build, found at this version, is taken over as it is.
-pub fn adopt(record: &JobRecord, stamp: u64) -> Move {
+pub fn adopt(record: &JobRecord, version: u64) -> Move {
     let id = &record.spec.id;
     let (job, end) = (old_job_key(id), old_end_key(id));
-    let old = [Condition::at(job.clone(), stamp), Condition::absent(end)];
+    let old = [Condition::at(job.clone(), version), Condition::absent(end)];
     Move {
         conditions: old.into_iter().chain(not_there(id, false)).collect(),
         changes: vec![Change::write(open_key(id), value(record)), Change::Drop { drop: job }],
--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -101,10 +101,10 @@
     }
 
     /// A cancellation was stored at this revision, or before.
-    pub fn note_cancellation(&mut self, id: &JobId, stamp: u64) {
+    pub fn note_cancellation(&mut self, id: &JobId, version: u64) {
         self.ends.put(id, End::Cancelled);
         if !self.ends.shown(id) {
-            self.visibility.stored_at(id, stamp);
+            self.visibility.stored_at(id, version);
         }
     }
 
@@ -112,7 +112,7 @@
     pub fn show(&mut self, id: &JobId) {
         self.ends.put(id, End::Cancelled);
         self.ends.show(id);
-        // An id that cannot be held there goes on being judged by its stamp.
+        // An id that cannot be held there goes on being judged by its version.
         if self.ends.shown(id) {
             self.visibility.forget(id);
         }
@@ -130,15 +130,15 @@
 
     /// Whether users may hear of this end.
     pub fn visible(&mut self, id: &JobId, end: End) -> Visible {
-        let (stamp, watermark) = (self.visibility.stamp(id), self.visibility.watermark());
-        let found = visible(end, self.ends.shown(id), stamp, watermark);
+        let (version, watermark) = (self.visibility.version(id), self.visibility.watermark());
+        let found = visible(end, self.ends.shown(id), version, watermark);
         if found == Visible::Yes && end == End::Cancelled {
             self.show(id);
         }
         found
     }
 
-    /// Cancellations whose stamps are kept, and those of them above the watermark.
+    /// Cancellations whose versions are kept, and those of them above the watermark.
     pub fn hidden(&self) -> [usize; 2] {
         [self.visibility.held(), self.visibility.waiting()]
     }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -20,7 +20,7 @@
 use crate::store::budget::Urgent;
 use crate::store::client::Item;
 use crate::store::log_limit::LogLimit;
-use crate::store::{StateClient, StoreError, TxnOutcome};
+use crate::store::{CompareAndSwapOutcome, StateClient, StoreError};
 use crate::sync::lock;
 
 type Waiter = oneshot::Sender<Verdict>;
@@ -29,7 +29,7 @@
 const GATHER: Duration = Duration::from_millis(15);
 /// Comparisons under way: a slow answer does not keep the others waiting.
 const UNDER_WAY: usize = 4;
-/// Ends of which it is kept when they were heard of: a new leader counts from there. As many as the mirror keeps.
+/// Ends of which it is kept when they were heard of: a new leader counts from there. As many as the watch cache keeps.
 const HEARD: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 /// Whoever asks hears by then, whatever became of it: users wait for 2 s.
 const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
@@ -40,7 +40,7 @@
     wanted: Notify,
     sweep: Mutex<Sweep>,
     sweep_wanted: Notify,
-    /// When the mirror told of ends, of the last ones.
+    /// When the watch cache told of ends, of the last ones.
     heard: Mutex<LruCache<JobId, Instant>>,
     /// Ends of earlier builds that cannot be read: their users ask again and again.
     unreadable: Mutex<LogLimit>,
@@ -74,27 +74,27 @@
     /// Ends with the revisions at which they were stored.
     pub fn note_ends<'a>(&self, ends: impl Iterator<Item = (&'a str, End, u64)>) {
         let mut queries = lock(&self.queries);
-        for (id, end, stamp) in ends {
+        for (id, end, version) in ends {
             match end {
                 End::Done => queries.note_end(id, end),
-                End::Cancelled => queries.note_cancellation(&id.into(), stamp),
+                End::Cancelled => queries.note_cancellation(&id.into(), version),
             }
         }
     }
 
-    /// The mirror tells of an end.
+    /// The watch cache tells of an end.
     pub fn heard(&self, id: &JobId, now: Instant) {
         lock(&self.heard).put(id.clone(), now);
     }
 
-    /// When the mirror told of this end, if it was lately.
+    /// When the watch cache told of this end, if it was lately.
     pub fn heard_at(&self, id: &str) -> Option<Instant> {
         lock(&self.heard).peek(id).copied()
     }
 
     /// A cancellation that was stored at this revision, or before.
-    pub fn note_cancellation(&self, id: &JobId, stamp: u64) {
-        lock(&self.queries).note_cancellation(id, stamp);
+    pub fn note_cancellation(&self, id: &JobId, version: u64) {
+        lock(&self.queries).note_cancellation(id, version);
     }
 
     /// A cancellation that stands in this leader's loaded cluster state.
@@ -118,17 +118,17 @@
     }
 
     /// Asks the state service when a cancellation was stored, for whoever was told of it without.
-    pub async fn learn_stamp(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
+    pub async fn learn_version(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
         for key in [ended_key(id, End::Cancelled), old_end_key(id)] {
             if let Some(item) = store.get(&key, Urgent::Asked).await? {
-                self.note_cancellation(id, item.stamp);
+                self.note_cancellation(id, item.version);
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// Cancellations whose stamps are kept, and those of them above the watermark.
+    /// Cancellations whose versions are kept, and those of them above the watermark.
     pub fn hidden(&self) -> [usize; 2] {
         lock(&self.queries).hidden()
     }
@@ -212,7 +212,7 @@
 }
 
 async fn look_up(node: &Node, batch: Batch<Waiter>) {
-    let old_kept = lock(&node.mirror).old_kept();
+    let old_kept = lock(&node.watch_cache).old_kept();
     let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
     match node.store.compare_reserved(&conditions).await {
         Ok(failed) => {
@@ -267,9 +267,9 @@
     let Some(item) = node.store.get(&old_job_key(id), Urgent::Asked).await? else { return Ok(Verdict::Later) };
     // Accepted, for all that can be read of it: known for ever, if never run.
     let Ok(record) = JobRecord::deserialize(&item.value) else { return Ok(Verdict::Open) };
-    let adopt = moves::adopt(&record, item.stamp);
-    match node.store.txn(&adopt.conditions, &adopt.changes, Urgent::First).await? {
-        TxnOutcome::Applied(_) => {
+    let adopt = moves::adopt(&record, item.version);
+    match node.store.compare_and_swap(&adopt.conditions, &adopt.changes, Urgent::First).await? {
+        CompareAndSwapOutcome::Applied(_) => {
             warn!(job = %id, "an acceptance of an earlier build came late: taken over");
             Ok(Verdict::Open)
         }
--- a/src/history/sweep.rs
+++ b/src/history/sweep.rs
@@ -80,7 +80,7 @@
         match page {
             Ok((names, more)) => {
                 let ends = names.iter().filter_map(|name| match place_of(&name.path)? {
-                    (id, Place::Ended(end)) => Some((id, end, name.stamp)),
+                    (id, Place::Ended(end)) => Some((id, end, name.version)),
                     _ => None,
                 });
                 history.note_ends(ends);
--- a/src/history/tests.rs
+++ b/src/history/tests.rs
@@ -21,7 +21,7 @@
 #[test]
 fn what_users_may_hear_by_cases() {
     use Visible::*;
-    for (name, end, shown, stamp, watermark, want) in [
+    for (name, end, shown, version, watermark, want) in [
         ("done needs no leader", End::Done, false, None, 0, Yes),
         ("withdrawn, the leader has not heard", End::Cancelled, false, Some(9), 8, NotYet),
         ("withdrawn, the leader has just heard", End::Cancelled, false, Some(9), 9, Yes),
@@ -30,7 +30,7 @@
         ("withdrawn, nobody knows when", End::Cancelled, false, None, 900, Unknown),
         ("told before, whatever is known now", End::Cancelled, true, None, 0, Yes),
     ] {
-        assert_eq!(visible(end, shown, stamp, watermark), want, "{name}");
+        assert_eq!(visible(end, shown, version, watermark), want, "{name}");
     }
 }
 
@@ -41,7 +41,7 @@
     let mut queries: QueryQueue<()> = QueryQueue::new(4);
     queries.note_cancellation(&id(1), 10);
     queries.note_cancellation(&id(2), 20);
-    // By a comparison, which tells no stamp.
+    // By a comparison, which tells no version.
     queries.ask(&id(3), (), Instant::now()).unwrap();
     let (batch, _) = queries.next_batch(Instant::now());
     queries.answered(batch, &["h/w/run-000003".to_owned()]);
@@ -62,7 +62,7 @@
     assert_eq!(queries.hidden(), [0, 0], "nothing is kept of what is shown");
 }
 
-/// Ids that do not fit beside the packed ends are judged by their stamps, each time.
+/// Ids that do not fit beside the packed ends are judged by their versions, each time.
 #[test]
 fn long_ids_are_hidden_alike() {
     let mut queries: QueryQueue<()> = QueryQueue::new(4);
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -14,7 +14,7 @@
 use crate::jobs::record::{JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, Upgraded};
 use crate::store::budget::Urgent;
 use crate::store::client::{Item, Pages};
-use crate::store::{Change, Condition, StateClient, StoreError, TxnOutcome};
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 
 /// One listing, item by item.
 struct Cursor<'a> {
@@ -71,17 +71,17 @@
         }
         match JobRecord::deserialize(&item.value) {
             Ok(record) => {
-                let adopt = adopt(&record, item.stamp);
+                let adopt = adopt(&record, item.version);
                 // Failed: another controller was faster, or it has ended meanwhile.
-                let outcome = store.txn(&adopt.conditions, &adopt.changes, Urgent::First).await?;
-                open += u64::from(matches!(outcome, TxnOutcome::Applied(_)));
+                let outcome = store.compare_and_swap(&adopt.conditions, &adopt.changes, Urgent::First).await?;
+                open += u64::from(matches!(outcome, CompareAndSwapOutcome::Applied(_)));
             }
             Err(error) => error!(%error, path = item.path, "unreadable job of an earlier build"),
         }
     }
     let old_kept = open + ended > 0;
     let (condition, change) = upgraded(old_kept);
-    store.txn(&[condition], &[change], Urgent::First).await?;
+    store.compare_and_swap(&[condition], &[change], Urgent::First).await?;
     if old_kept {
         info!(open, ended, "took over what an earlier build has stored");
     }
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -14,7 +14,7 @@
 use crate::jobs::{End, JobId};
 
 /// Cancellations remembered that wait for the watermark, the latest: of others the state service is asked
-/// for the stamp.
+/// for the version.
 const MOST_WAITING: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
 
 /// What users may hear of an end that stands in the store.
@@ -28,13 +28,13 @@
     Unknown,
 }
 
-/// The whole rule. `shown`: it was found visible before. `stamp`: of the end, or anything above it.
+/// The whole rule. `shown`: it was found visible before. `version`: of the end, or anything above it.
 /// `watermark`: the highest of any leader that was heard of here.
-pub fn visible(end: End, shown: bool, stamp: Option<u64>, watermark: u64) -> Visible {
-    match (end, stamp) {
+pub fn visible(end: End, shown: bool, version: Option<u64>, watermark: u64) -> Visible {
+    match (end, version) {
         (End::Done, _) => Visible::Yes,
         _ if shown => Visible::Yes,
-        (End::Cancelled, Some(stamp)) if stamp <= watermark => Visible::Yes,
+        (End::Cancelled, Some(version)) if version <= watermark => Visible::Yes,
         (End::Cancelled, Some(_)) => Visible::NotYet,
         (End::Cancelled, None) => Visible::Unknown,
     }
@@ -67,13 +67,13 @@
     }
 
     /// A cancellation was stored at this revision, or before.
-    pub fn stored_at(&mut self, id: &JobId, stamp: u64) {
-        let known = self.waiting.get(id).copied().unwrap_or(stamp);
-        self.waiting.put(id.clone(), known.min(stamp));
+    pub fn stored_at(&mut self, id: &JobId, version: u64) {
+        let known = self.waiting.get(id).copied().unwrap_or(version);
+        self.waiting.put(id.clone(), known.min(version));
     }
 
     /// When the cancellation was stored, as far as it is known here.
-    pub fn stamp(&self, id: &str) -> Option<u64> {
+    pub fn version(&self, id: &str) -> Option<u64> {
         self.waiting.peek(id).copied()
     }
 
@@ -82,13 +82,13 @@
         self.waiting.pop(id);
     }
 
-    /// Number of cancellations whose stamps are kept.
+    /// Number of cancellations whose versions are kept.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
 
     /// Cancellations above the watermark.
     pub fn waiting(&self) -> usize {
-        self.waiting.iter().filter(|(_, stamp)| **stamp > self.watermark).count()
+        self.waiting.iter().filter(|(_, version)| **version > self.watermark).count()
     }
 }
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,7 +1,7 @@
 //! Keys and values in the store, and the compact form of a job's tasks.
 //!
 //! A job has exactly one key from its acceptance on: `c/o/ID` while it is open, then `h/d/ID` once
-//! done or `h/w/ID` once cancelled, for ever. Every controller mirrors `c/` from `c/k` on: open
+//! done or `h/w/ID` once cancelled, for ever. Every controller caches `c/` from `c/k` on: open
 //! jobs, the lease holder, the leader record. `h/` is read only when somebody asks. `t/` holds the tasks of
 //! open jobs in chunks and is read by leaders only.
 
@@ -13,9 +13,9 @@
 use super::{End, JobSpec, well_formed_id};
 
 /// Prefix of what every controller mirrors.
-pub const MIRRORED: &str = "c/";
-/// Listings of what is mirrored begin after this, past all that earlier builds have left.
-pub const MIRRORED_AFTER: &str = "c/k";
+pub const CACHED: &str = "c/";
+/// Listings of what is cached begin after this, past all that earlier builds have left.
+pub const CACHED_AFTER: &str = "c/k";
 /// Prefix of the keys of open jobs; the job's id follows.
 pub const OPEN: &str = "c/o/";
 /// Prefix of the keys of jobs that are done; the job's id follows.
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -3,13 +3,13 @@
 
 use std::time::Duration;
 
-use crate::wire::state::Txn;
+use crate::wire::state::CompareAndSwap;
 use hollylanding_emulator::world::store::Store;
 
 use super::records::TakeoverRequest;
 use super::*;
-use crate::jobs::record::MIRRORED;
-use crate::store::mirror::Mirror;
+use crate::jobs::record::CACHED;
+use crate::store::watch_cache::WatchCache;
 
 const NOW: Duration = Duration::ZERO;
 
@@ -23,7 +23,7 @@
 
 /// As the service takes it: none where the lease is over or a condition fails.
 fn send(store: &mut Store, conditions: &[Condition], changes: &[Change]) -> Option<u64> {
-    store.txn(&Txn::new(conditions, changes), NOW).ok()?.ok()
+    store.compare_and_swap(&CompareAndSwap::new(conditions, changes), NOW).ok()?.ok()
 }
 
 fn take_lease(store: &mut Store, me: &str) -> (u64, u64) {
@@ -33,25 +33,25 @@
 }
 
 fn become_leader(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = naming(&leader(me), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
+    let (conditions, change) = naming(&leader(me), store.version(LEASE_HOLDER), store.version(LEADER));
     send(store, &conditions, &[change])
 }
 
-fn mirror() -> Mirror {
-    let mut mirror = Mirror::default();
-    let loading = mirror.load();
-    mirror.loaded(loading);
-    mirror
+fn watch_cache() -> WatchCache {
+    let mut watch_cache = WatchCache::default();
+    let loading = watch_cache.load();
+    watch_cache.loaded(loading);
+    watch_cache
 }
 
-fn hear(mirror: &mut Mirror, store: &Store) {
-    mirror.apply(&store.follow(MIRRORED, mirror.revision).unwrap());
+fn hear(watch_cache: &mut WatchCache, store: &Store) {
+    watch_cache.apply(&store.watch(CACHED, watch_cache.revision).unwrap());
 }
 
-/// What `run` does next, by the mirror and by the fencing token of the cluster state, if there is one.
-fn next(me: &str, mirror: &Mirror, held: Option<u64>) -> Step {
-    let assigned = mirror.leader_record().map(|(a, fencing_token)| (a.incarnation.as_str(), *fencing_token));
-    let leads = mirror.lease_holder().map(|(l, _)| l.incarnation.as_str());
+/// What `run` does next, by the watch cache and by the fencing token of the cluster state, if there is one.
+fn next(me: &str, watch_cache: &WatchCache, held: Option<u64>) -> Step {
+    let assigned = watch_cache.leader_record().map(|(a, fencing_token)| (a.incarnation.as_str(), *fencing_token));
+    let leads = watch_cache.lease_holder().map(|(l, _)| l.incarnation.as_str());
     next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
 }
 
@@ -61,19 +61,19 @@
 fn an_assignment_without_an_answer_is_written_anew_and_heard() {
     for held in [None, Some(())] {
         let mut store = Store::default();
-        let mut mirror = mirror();
+        let mut watch_cache = watch_cache();
         take_lease(&mut store, "a1");
         // A cluster state that leads already raises its fencing token.
         let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
-        hear(&mut mirror, &store);
+        hear(&mut watch_cache, &store);
         // Carried out, and nobody hears of it but by the watch.
-        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
+        let (conditions, change) = naming(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
         let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
-        hear(&mut mirror, &store);
-        assert_eq!(next("a1", &mirror, held), Step::WriteLeaderRecord, "held {held:?}");
+        hear(&mut watch_cache, &store);
+        assert_eq!(next("a1", &watch_cache, held), Step::WriteLeaderRecord, "held {held:?}");
         let fencing_token = become_leader(&mut store, "a1").unwrap();
-        hear(&mut mirror, &store);
-        assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "and once only");
+        hear(&mut watch_cache, &store);
+        assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "and once only");
         assert!(fencing_token > unheard, "no process leads twice under one token: names of rentals rest on it");
         assert_eq!(send(&mut store, &conditions, &[change]), None, "a later copy is refused");
     }
@@ -88,7 +88,7 @@
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
     fn naming_now(store: &mut Store) -> Sent {
-        let (conditions, change) = naming(&leader("a1"), store.stamp(LEASE_HOLDER), store.stamp(LEADER));
+        let (conditions, change) = naming(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
         (conditions.into(), vec![change])
     }
     fn candidacy_now(store: &mut Store) -> Sent {
@@ -97,11 +97,11 @@
         (vec![condition], vec![change])
     }
     fn expiry_now(store: &mut Store) -> Sent {
-        let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
+        let (condition, change) = expiry(store.version(LEASE_HOLDER));
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
-        let takeover_request = TakeoverRequest { node: "b".into(), fencing_token: store.stamp(LEADER), machines: 3 };
+        let takeover_request = TakeoverRequest { node: "b".into(), fencing_token: store.version(LEADER), machines: 3 };
         let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
@@ -157,15 +157,15 @@
     let late = ([condition], [change]);
     send(&mut store, &late.0, &late.1).unwrap();
     let fencing_token = become_leader(&mut store, "a1").unwrap();
-    let (condition, change) = expiry(store.stamp(LEASE_HOLDER));
+    let (condition, change) = expiry(store.version(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late.0, &late.1).is_some());
-    let mut mirror = mirror();
-    hear(&mut mirror, &store);
+    let mut watch_cache = watch_cache();
+    hear(&mut watch_cache, &store);
     assert_eq!(next_step("a2", Some("a1"), true, Some("a1"), false, false), Step::Expire);
     store.end_leases(Duration::from_millis(3100));
-    hear(&mut mirror, &store);
-    assert_eq!((next("a2", &mirror, None), store.stamp(LEADER)), (Step::Campaign, fencing_token));
+    hear(&mut watch_cache, &store);
+    assert_eq!((next("a2", &watch_cache, None), store.version(LEADER)), (Step::Campaign, fencing_token));
 }
 
 /// A lease that is renewed late lives at most once its time longer; one that has ended stays ended, and a
@@ -182,37 +182,37 @@
     assert!(!store.has(LEASE_HOLDER));
     let lease = store.grant(3000, s(5)).unwrap();
     let (condition, change) = candidacy(&lease_holder("b1"), lease);
-    let stamp = send(&mut store, &[condition], &[change]).unwrap();
+    let version = send(&mut store, &[condition], &[change]).unwrap();
     assert!(store.renew(old, s(5)).is_err() && store.release(old).is_err());
     store.grant(3000, s(5)).unwrap();
-    assert_eq!(store.stamp(LEASE_HOLDER), stamp);
+    assert_eq!(store.version(LEASE_HOLDER), version);
 }
 
-/// The answer to a transaction may come after the watch has told of newer ones: the mirror would never be
+/// The answer to a transaction may come after the watch has told of newer ones: the watch cache would never be
 /// told of those again, and this controller would lead or hold the lease for itself alone.
 #[test]
 fn an_answer_that_the_watch_has_overtaken_makes_nobody_own_or_lead() {
     let mut store = Store::default();
-    let mut mirror = mirror();
-    let (_, stamp) = take_lease(&mut store, "a1");
+    let mut watch_cache = watch_cache();
+    let (_, version) = take_lease(&mut store, "a1");
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     store.drop_leases();
-    hear(&mut mirror, &store);
-    mirror.note_lease_holder(lease_holder("a1"), stamp);
-    assert!(mirror.lease_holder().is_none(), "its lease has ended since");
+    hear(&mut watch_cache, &store);
+    watch_cache.note_lease_holder(lease_holder("a1"), version);
+    assert!(watch_cache.lease_holder().is_none(), "its lease has ended since");
     take_lease(&mut store, "b1");
     let newer = become_leader(&mut store, "b1").unwrap();
-    hear(&mut mirror, &store);
-    assert!(!mirror.note_leader_record(leader("a1"), fencing_token), "nothing to lead by");
-    assert_eq!(mirror.leader_record().map(|(a, stamp)| (a.incarnation.as_str(), *stamp)), Some(("b1", newer)));
+    hear(&mut watch_cache, &store);
+    assert!(!watch_cache.note_leader_record(leader("a1"), fencing_token), "nothing to lead by");
+    assert_eq!(watch_cache.leader_record().map(|(a, version)| (a.incarnation.as_str(), *version)), Some(("b1", newer)));
     // Ahead of the watch it counts as ever, and a watch from before does not take it back.
-    let before = store.follow(MIRRORED, mirror.revision).unwrap();
+    let before = store.watch(CACHED, watch_cache.revision).unwrap();
     let fencing_token = become_leader(&mut store, "b1").unwrap();
-    assert!(mirror.note_leader_record(leader("b1"), fencing_token));
-    mirror.apply(&before);
-    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(fencing_token));
-    hear(&mut mirror, &store);
-    assert!(mirror.note_leader_record(leader("b1"), fencing_token), "and heard of by the watch first");
+    assert!(watch_cache.note_leader_record(leader("b1"), fencing_token));
+    watch_cache.apply(&before);
+    assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
+    hear(&mut watch_cache, &store);
+    assert!(watch_cache.note_leader_record(leader("b1"), fencing_token), "and heard of by the watch first");
 }
 
 /// A page that was read before this controller's leader record stood brings back, for a moment, who led before.
@@ -223,24 +223,24 @@
     let mut store = Store::default();
     take_lease(&mut store, "b1");
     let before = become_leader(&mut store, "b1").unwrap();
-    let old = store.page(MIRRORED, "", 100);
+    let old = store.page(CACHED, "", 100);
     store.drop_leases();
     take_lease(&mut store, "a1");
-    let mut mirror = mirror();
-    hear(&mut mirror, &store);
-    let mut loading = mirror.load();
-    mirror.take_page(&mut loading, &old);
+    let mut watch_cache = watch_cache();
+    hear(&mut watch_cache, &store);
+    let mut loading = watch_cache.load();
+    watch_cache.take_page(&mut loading, &old);
     let fencing_token = become_leader(&mut store, "a1").unwrap();
-    assert!(mirror.note_leader_record(leader("a1"), fencing_token));
-    mirror.loaded(loading);
-    let believed = mirror.leader_record().map(|(a, stamp)| (a.incarnation.clone(), *stamp)).unwrap();
+    assert!(watch_cache.note_leader_record(leader("a1"), fencing_token));
+    watch_cache.loaded(loading);
+    let believed = watch_cache.leader_record().map(|(a, version)| (a.incarnation.clone(), *version)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
     assert!(before < fencing_token, "which is no newer than the token that is held");
-    assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "the other seems to hold the lease");
-    let leads = mirror.lease_holder().map_or(0, |(_, stamp)| *stamp);
+    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "the other seems to hold the lease");
+    let leads = watch_cache.lease_holder().map_or(0, |(_, version)| *version);
     let (conditions, change) = naming(&leader("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
-    hear(&mut mirror, &store);
-    assert_eq!(mirror.leader_record().map(|(_, stamp)| *stamp), Some(fencing_token));
-    assert_eq!(next("a1", &mirror, Some(fencing_token)), Step::Wait, "holds the lease and leads");
+    hear(&mut watch_cache, &store);
+    assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
+    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "holds the lease and leads");
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -109,16 +109,16 @@
 /// A watermark counts if its fencing token is that of the leader record as it is known here, and the sender its leader:
 /// one of a leader that is not known here yet, or no more, is told again by whoever leads.
 pub fn believed(from: &str, told: Option<Watermark>, leader_record: Option<&(LeaderRecord, u64)>) -> Option<u64> {
-    let (told, (leader, stamp)) = (told?, leader_record?);
-    (leader.node == from && *stamp == told.fencing_token).then_some(told.revision)
+    let (told, (leader, version)) = (told?, leader_record?);
+    (leader.node == from && *version == told.fencing_token).then_some(told.revision)
 }
 
 /// Whether no leader can have told this watermark, by all that the store has told up to this revision: its fencing
 /// token is newer than the last leader record and not newer than that, or the last leader record is another's.
 fn never_was(from: &str, told: Option<Watermark>, known: Option<&(LeaderRecord, u64)>, through: Option<u64>) -> bool {
-    let (Some(told), Some((leader, stamp)), Some(through)) = (told, known, through) else { return false };
-    let missed = told.fencing_token > *stamp && told.fencing_token <= through;
-    missed || (told.fencing_token == *stamp && leader.node != from)
+    let (Some(told), Some((leader, version)), Some(through)) = (told, known, through) else { return false };
+    let missed = told.fencing_token > *version && told.fencing_token <= through;
+    missed || (told.fencing_token == *version && leader.node != from)
 }
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
@@ -181,9 +181,9 @@
 fn take_line(node: &Node, text: &[u8], now: Instant) -> Result<(), BadLine> {
     let line = Line::read(text, &node.settings.peers)?;
     let (watermark, leads) = {
-        let mirror = lock(&node.mirror);
-        let leader_record = mirror.leader_record();
-        if never_was(&line.node, line.watermark, leader_record, mirror.asking()) {
+        let watch_cache = lock(&node.watch_cache);
+        let leader_record = watch_cache.leader_record();
+        if never_was(&line.node, line.watermark, leader_record, watch_cache.asking()) {
             return Err(BadLine::Token(line.node));
         }
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -22,8 +22,8 @@
     assert!(heard.hears("b", t + s(23)) && !heard.hears("b", t + s(24)) && !heard.hears("c", t + s(20)));
 }
 
-fn assigned(node: &str, stamp: u64) -> (LeaderRecord, u64) {
-    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
+fn assigned(node: &str, version: u64) -> (LeaderRecord, u64) {
+    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, version)
 }
 
 #[test]
@@ -38,7 +38,7 @@
         ("the store is not read", "b", 8, Some(("b", 7)), None, false),
         ("nobody leads, as far as is known", "b", 8, None, Some(9), false),
     ] {
-        let known = known.map(|(node, stamp)| assigned(node, stamp));
+        let known = known.map(|(node, version)| assigned(node, version));
         let told = Some(Watermark { fencing_token, revision: 50 });
         assert_eq!(never_was(from, told, known.as_ref(), through), want, "{name}");
     }
@@ -48,11 +48,11 @@
 /// A controller for whose peer `node-1` leads by the store.
 fn node_that_knows_an_leader() -> Arc<Node> {
     let node = Node::new(crate::settings::tests::example(), crate::settings::Properties::default());
-    let mut mirror = lock(&node.mirror);
-    let loading = mirror.load();
-    mirror.loaded(loading);
-    mirror.note_leader_record(assigned("node-1", 7).0, 7);
-    drop(mirror);
+    let mut watch_cache = lock(&node.watch_cache);
+    let loading = watch_cache.load();
+    watch_cache.loaded(loading);
+    watch_cache.note_leader_record(assigned("node-1", 7).0, 7);
+    drop(watch_cache);
     node
 }
 
@@ -82,8 +82,8 @@
 #[test]
 fn a_line_under_a_token_that_never_was_is_dropped() {
     let node = node_that_knows_an_leader();
-    let read_on = crate::store::client::Followed { revision: 90, log: Vec::new() };
-    lock(&node.mirror).apply(&read_on);
+    let read_on = crate::store::client::WatchResponse { revision: 90, log: Vec::new() };
+    lock(&node.watch_cache).apply(&read_on);
     let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
     let outcome = take_line(&node, format!("{line}\n").as_bytes(), Instant::now());
     assert_eq!(outcome, Err(BadLine::Token("node-1".into())));
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -24,7 +24,7 @@
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
 use crate::node::Node;
 use crate::store::budget::Urgent;
-use crate::store::{Change, Condition, StoreError, TxnOutcome};
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 use records::{LeaderRecord, LeaseHolder, Watermark};
 use turns::{Pace, in_turn};
@@ -74,29 +74,30 @@
 /// This controller's own leader record stands, and it does not act on it: the write was carried out and not
 /// answered. It is written again, which answers under which fencing token to begin, or to go on.
 fn unheard(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
-    leader_record
-        .is_some_and(|(leader, stamp)| leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < stamp))
+    leader_record.is_some_and(|(leader, version)| {
+        leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < version)
+    })
 }
 
 /// What this controller knows of who holds the lease and leads at the moment it looks.
 struct View {
     lease_holder: Option<LeaseHolder>,
-    lease_holder_stamp: u64,
+    lease_holder_version: u64,
     unreadable_lease_holder: Option<u64>,
     leader_record: Option<(LeaderRecord, u64)>,
-    leader_record_stamp: u64,
+    leader_record_version: u64,
 }
 
 impl View {
     /// None while the store is not read.
     fn of(node: &Node) -> Option<Self> {
-        let mirror = lock(&node.mirror);
-        mirror.ready.then(|| Self {
-            lease_holder: mirror.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
-            lease_holder_stamp: mirror.lease_holder_stamp(),
-            unreadable_lease_holder: mirror.unreadable_lease_holder(),
-            leader_record: mirror.leader_record().cloned(),
-            leader_record_stamp: mirror.leader_record_stamp(),
+        let watch_cache = lock(&node.watch_cache);
+        watch_cache.ready.then(|| Self {
+            lease_holder: watch_cache.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
+            lease_holder_version: watch_cache.lease_holder_version(),
+            unreadable_lease_holder: watch_cache.unreadable_lease_holder(),
+            leader_record: watch_cache.leader_record().cloned(),
+            leader_record_version: watch_cache.leader_record_version(),
         })
     }
 
@@ -157,7 +158,7 @@
     /// What is to be done next.
     fn next(&mut self, node: &Node, view: &View) -> Step {
         let fencing_token = lock(&node.cluster).as_ref().map(|cluster| cluster.fencing_token);
-        let assigned = view.leader_record.as_ref().map(|(a, stamp)| (a.incarnation.as_str(), *stamp));
+        let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
         let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
         let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
@@ -177,7 +178,7 @@
         match step {
             Step::Wait => Ok(()),
             Step::Expire => {
-                expire(node, view.lease_holder_stamp).await?;
+                expire(node, view.lease_holder_version).await?;
                 self.expired += u32::from(view.unreadable_lease_holder.is_none());
                 Ok(())
             }
@@ -188,7 +189,7 @@
             }
             Step::Renew => self.renew(node).await,
             Step::WriteLeaderRecord => {
-                let writing = write_leader_record(node, view.lease_holder_stamp, view.leader_record_stamp);
+                let writing = write_leader_record(node, view.lease_holder_version, view.leader_record_version);
                 let outcome = tokio::time::timeout(self.pace.write_timeout(), writing).await;
                 outcome.unwrap_or(Err(StoreError::Unanswered))
             }
@@ -248,15 +249,15 @@
 
 /// Who holds the lease decides how soon there is a leader and nothing else: the leader record stands until a new lease
 /// holder writes the next one, and whatever its leader has sent is judged by that.
-pub(crate) fn expiry(stamp: u64) -> (Condition, Change) {
-    (Condition::at(LEASE_HOLDER, stamp), Change::Drop { drop: LEASE_HOLDER.into() })
+pub(crate) fn expiry(version: u64) -> (Condition, Change) {
+    (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
 }
 
-async fn expire(node: &Node, stamp: u64) -> Result<(), StoreError> {
-    let (condition, change) = expiry(stamp);
-    let outcome = node.store.txn(&[condition], &[change], Urgent::First).await?;
+async fn expire(node: &Node, version: u64) -> Result<(), StoreError> {
+    let (condition, change) = expiry(version);
+    let outcome = node.store.compare_and_swap(&[condition], &[change], Urgent::First).await?;
     info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
-    node.fresh.wait().await;
+    node.read_barrier.wait().await;
     Ok(())
 }
 
@@ -274,38 +275,38 @@
     *permit = Some(lease);
     let me = LeaseHolder { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
     let (condition, change) = candidacy(&me, lease);
-    match node.store.txn(&[condition], &[change], Urgent::First).await? {
-        TxnOutcome::Applied(stamp) => {
-            info!(stamp, "leads");
-            lock(&node.mirror).note_lease_holder(me, stamp);
+    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await? {
+        CompareAndSwapOutcome::Applied(version) => {
+            info!(version, "leads");
+            lock(&node.watch_cache).note_lease_holder(me, version);
             node.wake.membership.notify_one();
         }
-        TxnOutcome::Failed(_) => {
-            node.fresh.wait().await;
+        CompareAndSwapOutcome::Failed(_) => {
+            node.read_barrier.wait().await;
         }
-        TxnOutcome::NoSuchLease => *permit = None,
+        CompareAndSwapOutcome::LeaseExpired => *permit = None,
     }
     Ok(())
 }
 
 /// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(leader: &LeaderRecord, lease_holder_stamp: u64, stamp: u64) -> ([Condition; 2], Change) {
+pub(crate) fn naming(leader: &LeaderRecord, lease_holder_version: u64, version: u64) -> ([Condition; 2], Change) {
     let change = Change::write(LEADER, serde_json::to_value(leader).unwrap_or_default());
-    ([Condition::at(LEASE_HOLDER, lease_holder_stamp), Condition::at(LEADER, stamp)], change)
+    ([Condition::at(LEASE_HOLDER, lease_holder_version), Condition::at(LEADER, version)], change)
 }
 
 /// Writes this controller as leader. Done again, it raises the fencing token: every command given under
 /// the older one is dead wherever the new one has been seen.
-async fn write_leader_record(node: &Arc<Node>, lease_holder_stamp: u64, stamp: u64) -> Result<(), StoreError> {
+async fn write_leader_record(node: &Arc<Node>, lease_holder_version: u64, version: u64) -> Result<(), StoreError> {
     let record = LeaderRecord {
         node: node.settings.node.clone(),
         incarnation: node.incarnation.clone(),
         teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
     };
-    let (conditions, change) = naming(&record, lease_holder_stamp, stamp);
-    match node.store.txn(&conditions, &[change], Urgent::First).await? {
-        TxnOutcome::Applied(fencing_token) => {
-            if lock(&node.mirror).note_leader_record(record, fencing_token) {
+    let (conditions, change) = naming(&record, lease_holder_version, version);
+    match node.store.compare_and_swap(&conditions, &[change], Urgent::First).await? {
+        CompareAndSwapOutcome::Applied(fencing_token) => {
+            if lock(&node.watch_cache).note_leader_record(record, fencing_token) {
                 node.become_leader(fencing_token);
             } else {
                 warn!(fencing_token, "assigned, and replaced before the answer came");
@@ -313,7 +314,7 @@
         }
         outcome => {
             warn!(?outcome, "the assignment was not written");
-            node.fresh.wait().await;
+            node.read_barrier.wait().await;
         }
     }
     Ok(())
@@ -329,8 +330,8 @@
 /// Controllers that do not hear this leader read it there.
 async fn store_watermark(node: &Node, watermark: Watermark) {
     let (condition, change) = storing(watermark);
-    match node.store.txn(&[condition], &[change], Urgent::First).await {
-        Ok(TxnOutcome::Applied(_)) => node.confirmed(watermark.revision, Instant::now()),
+    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await {
+        Ok(CompareAndSwapOutcome::Applied(_)) => node.confirmed(watermark.revision, Instant::now()),
         outcome => debug!(?outcome, "storing the watermark"),
     }
 }
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -79,7 +79,7 @@
 }
 
 impl ServingState {
-    /// Whether users are sent here, and workers held or sent on as the mirror has it. In an outage the load
+    /// Whether users are sent here, and workers held or sent on as the watch cache has it. In an outage the load
     /// balancer must have someone, and leadership cannot change.
     pub fn speaks(self) -> bool {
         matches!(self, Self::Sound | Self::Outage)
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -65,7 +65,7 @@
             let found = found.map(|l| l.incarnation);
             match next_step(&me.incarnation, found.as_deref(), predecessor, Some("a0"), false, false) {
                 Step::Expire => {
-                    expired = Some(expiry(store.stamp(LEASE_HOLDER)));
+                    expired = Some(expiry(store.version(LEASE_HOLDER)));
                     let (condition, change) = expired.clone().unwrap();
                     store.apply_if(&[condition], &[change]).unwrap();
                 }
--- a/src/membership/unreadable.rs
+++ b/src/membership/unreadable.rs
@@ -12,10 +12,10 @@
 }
 
 impl UnreadableLeaseHolder {
-    /// Whether it is to be dropped now. `stamp`: its version, if it cannot be read.
-    pub fn expires(&mut self, stamp: Option<u64>, patience: Duration, now: Instant) -> bool {
-        let same = self.stands.filter(|(before, _)| Some(*before) == stamp);
-        self.stands = stamp.map(|stamp| same.unwrap_or((stamp, now)));
+    /// Whether it is to be dropped now. `version`: its version, if it cannot be read.
+    pub fn expires(&mut self, version: Option<u64>, patience: Duration, now: Instant) -> bool {
+        let same = self.stands.filter(|(before, _)| Some(*before) == version);
+        self.stands = version.map(|version| same.unwrap_or((version, now)));
         self.stands.is_some_and(|(_, since)| now.saturating_duration_since(since) >= patience)
     }
 }
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -26,8 +26,8 @@
     cluster: Option<(u64, u64)>,
     leader_record: Option<&(LeaderRecord, u64)>,
 ) -> Option<Watermark> {
-    let ((fencing_token, revision), (leader, stamp)) = (cluster?, leader_record?);
-    (leader.incarnation == me && *stamp == fencing_token).then_some(Watermark { fencing_token, revision })
+    let ((fencing_token, revision), (leader, version)) = (cluster?, leader_record?);
+    (leader.incarnation == me && *version == fencing_token).then_some(Watermark { fencing_token, revision })
 }
 
 /// Cancellations that others may not have heard the leader confirm.
@@ -42,9 +42,9 @@
 
 impl Unconfirmed {
     /// The leader has heard of a cancellation that was stored at this revision.
-    pub fn heard(&mut self, stamp: u64, now: Instant) {
-        let (oldest, newest, since) = self.range.unwrap_or((stamp, stamp, now));
-        self.range = Some((oldest.min(stamp), newest.max(stamp), since));
+    pub fn heard(&mut self, version: u64, now: Instant) {
+        let (oldest, newest, since) = self.range.unwrap_or((version, version, now));
+        self.range = Some((oldest.min(version), newest.max(version), since));
     }
 
     /// Every controller holds a watermark this high, told or stored.
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -11,8 +11,8 @@
 use crate::jobs::record::{LEADER, WATERMARK};
 use crate::store::Change;
 
-fn leader_record(node: &str, stamp: u64) -> (LeaderRecord, u64) {
-    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, stamp)
+fn leader_record(node: &str, version: u64) -> (LeaderRecord, u64) {
+    (LeaderRecord { node: node.into(), incarnation: "1".into(), teams: Vec::new() }, version)
 }
 
 #[test]
@@ -27,7 +27,7 @@
         ("another's under the leader's token", "b", told(7), Some(("a", 7)), None),
         ("nobody leads, as far as is known", "a", told(7), None, None),
     ] {
-        let known = known.map(|(node, stamp)| leader_record(node, stamp));
+        let known = known.map(|(node, version)| leader_record(node, version));
         assert_eq!(believed(from, told, known.as_ref()), want, "{name}");
     }
 }
@@ -35,9 +35,9 @@
 /// One that was replaced and follows the store would confirm what its successor has not heard of.
 #[test]
 fn who_tells_a_watermark_by_cases() {
-    let assigned = |incarnation: &str, stamp| {
-        let (leader_record, stamp) = leader_record("a", stamp);
-        (LeaderRecord { incarnation: incarnation.into(), ..leader_record }, stamp)
+    let assigned = |incarnation: &str, version| {
+        let (leader_record, version) = leader_record("a", version);
+        (LeaderRecord { incarnation: incarnation.into(), ..leader_record }, version)
     };
     for (name, cluster, known, tells) in [
         ("the leader", Some((7, 50)), Some(assigned("1", 7)), true),
--- a/src/node.rs
+++ b/src/node.rs
@@ -37,9 +37,9 @@
 use crate::scheduling::fairness::Account;
 use crate::settings::{Properties, Settings};
 use crate::store::audit::{self, Audit};
-use crate::store::follow::Fresh;
-use crate::store::mirror::Mirror;
-use crate::store::{StateClient, follow};
+use crate::store::watch::ReadBarrier;
+use crate::store::watch_cache::WatchCache;
+use crate::store::{StateClient, watch};
 use crate::sync::lock;
 use crate::traffic::Traffic;
 use crate::wire::Http;
@@ -80,10 +80,10 @@
     /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
     /// Open jobs, leadership and what is declared, as the store has told them.
-    pub mirror: Mutex<Mirror>,
-    /// Proofs that `mirror` is up to date.
-    pub fresh: Fresh,
-    /// Answers questions about jobs that are not open by the mirror.
+    pub watch_cache: Mutex<WatchCache>,
+    /// Proofs that `watch_cache` is up to date.
+    pub read_barrier: ReadBarrier,
+    /// Answers questions about jobs that are not open by the watch cache.
     pub history: Arc<History>,
     /// What the store has acknowledged and is compared with from time to time.
     pub audit: Mutex<Audit>,
@@ -132,8 +132,8 @@
             traffic,
             store,
             cloud,
-            mirror: Mutex::default(),
-            fresh: Fresh::default(),
+            watch_cache: Mutex::default(),
+            read_barrier: ReadBarrier::default(),
             history: Arc::new(History::new(&settings)),
             audit: Mutex::default(),
             catalog: Mutex::default(),
@@ -157,8 +157,8 @@
 
     /// Starts everything but the listener for users and workers.
     pub fn start(self: &Arc<Self>) {
-        tokio::spawn(follow::run(self.clone()));
-        tokio::spawn(follow::run_fresh(self.clone()));
+        tokio::spawn(watch::run(self.clone()));
+        tokio::spawn(watch::run_read_barrier(self.clone()));
         tokio::spawn(reader::run(self.clone()));
         tokio::spawn(sweep::run(self.history.clone(), self.store.clone()));
         tokio::spawn(audit::run(self.clone()));
--- a/src/node/absence.rs
+++ b/src/node/absence.rs
@@ -16,21 +16,21 @@
     pub fn beat(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
-            self.fresh.wanted.notify_one();
+            self.read_barrier.wanted.notify_one();
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
         warn!(pause_s = pause.length().as_secs_f64(), leadership_open = void.leadership, "process was paused");
         if void.leadership {
             self.unproven.store(true, Ordering::Relaxed);
-            self.fresh.after_pause();
+            self.read_barrier.after_pause();
         }
         if let Some(cluster) = lock(&self.cluster).as_mut() {
             cluster.after_pause(pause);
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
         self.store.after_pause(pause);
-        self.fresh.wanted.notify_one();
+        self.read_barrier.wanted.notify_one();
         self.wake.membership.notify_one();
     }
 
@@ -40,7 +40,7 @@
         lock(&self.pause_detector).pauses()
     }
 
-    /// The mirror was just proven fresh: who leads is known again.
+    /// The watch cache was just proven fresh: who leads is known again.
     pub fn proven(&self) {
         self.check_deposed();
         lock(&self.let_go).clear();
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -20,10 +20,10 @@
     /// As the leader: up to which revision cancellations are in its loaded cluster state, and obeyed
     /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
-        let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+        let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
-        let watermark = watermark::own_watermark(&self.incarnation, cluster, mirror.leader_record())?;
-        drop((mirror, held));
+        let watermark = watermark::own_watermark(&self.incarnation, cluster, watch_cache.leader_record())?;
+        drop((watch_cache, held));
         self.history.advance(watermark.revision);
         Some(watermark)
     }
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -47,8 +47,8 @@
 
     /// Drops the counts of jobs that are not open.
     pub fn tidy_counts(&self) {
-        let mirror = lock(&self.mirror);
-        lock(&self.heard).counts.retain(|id, _| mirror.open(id).is_some());
+        let watch_cache = lock(&self.watch_cache);
+        lock(&self.heard).counts.retain(|id, _| watch_cache.open(id).is_some());
     }
 
     /// Entries of everything held that could grow, for operators and for tests: each follows open
@@ -56,11 +56,11 @@
     pub fn held(&self) -> Vec<(&'static str, usize)> {
         let mut held = Vec::new();
         {
-            let mirror = lock(&self.mirror);
-            held.push(("open_jobs", mirror.open_jobs().count()));
-            held.push(("open_tasks", mirror.held().tasks as usize));
-            held.push(("descriptions", mirror.ended_kept()));
-            held.push(("declared", mirror.registry().entries()));
+            let watch_cache = lock(&self.watch_cache);
+            held.push(("open_jobs", watch_cache.open_jobs().count()));
+            held.push(("open_tasks", watch_cache.held().tasks as usize));
+            held.push(("descriptions", watch_cache.ended_kept()));
+            held.push(("declared", watch_cache.registry().entries()));
         }
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", lock(&self.audit).remembered()));
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -6,24 +6,24 @@
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
-use crate::store::mirror::Mirror;
-use crate::store::{Change, Condition, StoreError, TxnOutcome};
+use crate::store::watch_cache::WatchCache;
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 
 impl Hands for Node {
     fn quiet(&self) -> bool {
-        let mirror = lock(&self.mirror);
-        let nothing = mirror.registry().is_empty() && !mirror.registry().any_changed();
+        let watch_cache = lock(&self.watch_cache);
+        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().any_changed();
         nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
-    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut Mirror, Ended) -> T) -> Option<T> {
+    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
-        let (mut mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+        let (mut watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
         let cluster = held.as_mut()?;
-        Some(look(cluster, &mut mirror, &|id| self.history.ended(id)))
+        Some(look(cluster, &mut watch_cache, &|id| self.history.ended(id)))
     }
 
     fn ask(&self, id: &JobId) {
@@ -39,12 +39,12 @@
         conditions: &[Condition],
         changes: &[Change],
         urgent: Urgent,
-    ) -> Result<TxnOutcome, StoreError> {
-        self.store.txn(conditions, changes, urgent).await
+    ) -> Result<CompareAndSwapOutcome, StoreError> {
+        self.store.compare_and_swap(conditions, changes, urgent).await
     }
 
     async fn refused(&self) {
-        self.fresh.wait().await;
+        self.read_barrier.wait().await;
         self.check_deposed();
         self.wake.membership.notify_one();
     }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Compares the cluster state's fencing token with the leader record as mirrored.
+    /// Compares the cluster state's fencing token with the leader record as cached.
     pub fn check_deposed(&self) {
-        let newer = lock(&self.mirror)
+        let newer = lock(&self.watch_cache)
             .leader_record()
             .filter(|(a, _)| a.incarnation != self.incarnation)
-            .map(|(_, stamp)| *stamp);
+            .map(|(_, version)| *version);
         let fencing_token = lock(&self.cluster).as_ref().map(|b| b.fencing_token);
         if let (Some(newer), Some(fencing_token)) = (newer, fencing_token)
             && newer > fencing_token
@@ -85,29 +85,29 @@
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, report, now) else { return };
-        let Some(fencing_token) = lock(&self.mirror).leader_record().map(|(_, stamp)| *stamp) else { return };
+        let Some(fencing_token) = lock(&self.watch_cache).leader_record().map(|(_, version)| *version) else { return };
         warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
         let node = self.clone();
         tokio::spawn(async move {
             let (conditions, changes) = takeover_request.transaction();
-            let _ = node.store.txn(&conditions, &changes, Urgent::First).await;
+            let _ = node.store.compare_and_swap(&conditions, &changes, Urgent::First).await;
         });
     }
 
     /// The version of a takeover request of another controller for workers that this leader has indeed lost.
     pub fn takeover_request_to_answer(&self, now: Instant) -> Option<u64> {
-        let (takeover_request, stamp) = lock(&self.mirror).takeover_request().cloned()?;
+        let (takeover_request, version) = lock(&self.watch_cache).takeover_request().cloned()?;
         let lost = lock(&self.cluster)
             .as_ref()
             .is_some_and(|b| b.fencing_token == takeover_request.fencing_token && b.lost_most(now));
-        lost.then_some(stamp)
+        lost.then_some(version)
     }
 
     /// The node that workers should report to, as far as known here.
     pub fn leader_node(&self) -> Option<String> {
-        let mirror = lock(&self.mirror);
-        mirror.lease_holder()?;
-        mirror.leader_record().map(|(a, _)| a.node.clone())
+        let watch_cache = lock(&self.watch_cache);
+        watch_cache.lease_holder()?;
+        watch_cache.leader_record().map(|(a, _)| a.node.clone())
     }
 }
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -1,5 +1,5 @@
-//! Passes on changes of the mirror to the cluster state, the history, the account of who is served, and the tasks that
-//! wait for them.
+//! Passes on changes of the watch cache to the cluster state, the history, the account of who is served, and the tasks
+//! that wait for them.
 
 use std::time::Instant;
 
@@ -9,16 +9,16 @@
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
-use crate::store::mirror::{Mirror, News};
+use crate::store::watch_cache::{News, WatchCache};
 use crate::sync::lock;
 
 impl Node {
-    /// Hands what the mirror learned to whoever acts on it.
+    /// Hands what the watch cache learned to whoever acts on it.
     pub fn spread(&self, news: News) {
         if news.is_empty() {
-            let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+            let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
             if let Some(cluster) = held.as_mut() {
-                cluster.holds_ends(mirror.asking());
+                cluster.holds_ends(watch_cache.asking());
             }
             return;
         }
@@ -28,19 +28,19 @@
         if news.declared {
             self.wake.declared.notify_one();
         }
-        let mirror = lock(&self.mirror);
+        let watch_cache = lock(&self.watch_cache);
         let (now, now_ms) = (Instant::now(), time_of_day_ms());
-        if let Some(stored) = mirror.watermark() {
+        if let Some(stored) = watch_cache.watermark() {
             self.history.advance(stored.revision);
         }
         {
             let mut served = lock(&self.fairness);
-            for record in news.opened.iter().filter_map(|id| mirror.open(id)) {
+            for record in news.opened.iter().filter_map(|id| watch_cache.open(id)) {
                 served.offered(&record.spec, record.age(now_ms), now);
             }
             for id in &news.ended {
                 self.history.heard(id, now);
-                if let Some(record) = mirror.ended_record(id) {
+                if let Some(record) = watch_cache.ended_record(id) {
                     served.ended(&record, self.history.ended(id), record.age(now_ms), now);
                 }
             }
@@ -48,7 +48,7 @@
         let mut held = lock(&self.cluster);
         if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
             for id in &news.opened {
-                if let Some(record) = mirror.open(id) {
+                if let Some(record) = watch_cache.open(id) {
                     cluster.add_job(record.clone(), now);
                 }
             }
@@ -57,11 +57,11 @@
                 cluster.end_job(id, how, now);
                 // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
                 if how != Some(End::Done) {
-                    lock(&self.unconfirmed).heard(mirror.ended_by(id).unwrap_or(mirror.revision), now);
+                    lock(&self.unconfirmed).heard(watch_cache.ended_by(id).unwrap_or(watch_cache.revision), now);
                     self.wake.mesh.send_replace(());
                 }
             }
-            cluster.holds_ends(mirror.asking());
+            cluster.holds_ends(watch_cache.asking());
             self.wake.plan.notify_one();
             self.wake.dispatch.notify_one();
         }
@@ -69,14 +69,14 @@
 
     /// What is declared asks something of jobs that have just come, before they are placed.
     pub fn refresh_intents(&self, now: Instant) {
-        let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
+        let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
         if let Some(cluster) = held.as_mut().filter(|b| b.intents_due) {
-            self.intents_of(cluster, &mirror, now);
+            self.intents_of(cluster, &watch_cache, now);
         }
     }
 
     /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
-    pub fn intents_of(&self, cluster: &mut ClusterState, mirror: &Mirror, now: Instant) {
-        driver::refresh(KINDS, cluster, mirror.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+    pub fn intents_of(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
+        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
     }
 }
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,5 +1,5 @@
-//! Which jobs in a worker's report have ended by the mirror. Needed where the cluster state alone may not decide: it
-//! is not loaded yet, or this controller may have been replaced as leader.
+//! Which jobs in a worker's report have ended by the watch cache. Needed where the cluster state alone may not decide:
+//! it is not loaded yet, or this controller may have been replaced as leader.
 
 use std::collections::HashSet;
 
@@ -8,10 +8,10 @@
 use crate::sync::lock;
 use crate::wire::workers::Report;
 
-/// Jobs that are over, by a mirror that holds everything up to a revision.
+/// Jobs that are over, by a watch cache that holds everything up to a revision.
 #[derive(Debug, Default)]
 pub struct Over {
-    /// Jobs of the report that have ended by the mirror; their tasks are to be stopped.
+    /// Jobs of the report that have ended by the watch cache; their tasks are to be stopped.
     pub jobs: HashSet<JobId>,
     through: u64,
 }
@@ -24,19 +24,19 @@
 }
 
 impl Node {
-    /// Which jobs of a report are over, as far as the mirror tells. Only looked for where the cluster state alone may
-    /// not decide: it is not loaded, or `acts` is false.
+    /// Which jobs of a report are over, as far as the watch cache tells. Only looked for where the cluster state alone
+    /// may not decide: it is not loaded, or `acts` is false.
     pub fn over_among(&self, report: &Report, acts: bool) -> Over {
         let fencing_token = match lock(&self.cluster).as_ref() {
             Some(cluster) if !(acts && cluster.loaded) => cluster.fencing_token,
             _ => return Over::default(),
         };
-        let mirror = lock(&self.mirror);
-        let through = mirror.asking().unwrap_or(0);
+        let watch_cache = lock(&self.watch_cache);
+        let through = watch_cache.asking().unwrap_or(0);
         let over = |id: &&JobId| {
             // All that was ever started before this leader record had been accepted before it.
-            let missing = through >= fencing_token && mirror.open(id).is_none();
-            missing || mirror.ended_by(id).is_some() || self.history.ended(id).is_some()
+            let missing = through >= fencing_token && watch_cache.open(id).is_none();
+            missing || watch_cache.ended_by(id).is_some() || self.history.ended(id).is_some()
         };
         let jobs =
             report.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
--- a/src/node/serving_state.rs
+++ b/src/node/serving_state.rs
@@ -17,7 +17,7 @@
     /// What this controller can prove, and what it hears of the others.
     fn observations(&self, now: Instant) -> Observations {
         let (heard, answering) = lock(&self.heard).others(now);
-        let proof = self.fresh.age(now);
+        let proof = self.read_barrier.age(now);
         let refused = self.store.health().failing_for(now);
         Observations { proof, refused, peers: self.settings.peers.len(), heard, answering }
     }
@@ -25,7 +25,8 @@
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        lock(&self.mirror).ready && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
+        lock(&self.watch_cache).ready
+            && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
@@ -33,8 +34,8 @@
         // After a process pause a proof is a moment away, unless the store answers nobody.
         let proving = self.unproven() && self.store_serves();
         let read = {
-            let mirror = lock(&self.mirror);
-            mirror.ready || mirror.revision > 0
+            let watch_cache = lock(&self.watch_cache);
+            watch_cache.ready || watch_cache.revision > 0
         };
         let now = Instant::now();
         lock(&self.health).judge(read && !proving && self.catalog().is_some(), self.observations(now), now)
@@ -61,6 +62,6 @@
     /// their leases are over when the first such task has to be gone.
     pub fn may_hold_blindly(&self, now: Instant) -> bool {
         let spare = self.settings.params.workers.spare();
-        self.fresh.age(now).is_some_and(|age| age < spare)
+        self.read_barrier.age(now).is_some_and(|age| age < spare)
     }
 }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -84,13 +84,14 @@
 /// have stopped nothing yet: the first by name goes on.
 fn rival(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<String> {
     let mine = status.jobs(spec);
-    let stamp = view.registry.specs::<Rollout>().find(|(n, ..)| *n == name).map_or(u64::MAX, |(_, _, stamp)| stamp);
+    let version =
+        view.registry.specs::<Rollout>().find(|(n, ..)| *n == name).map_or(u64::MAX, |(_, _, version)| version);
     view.registry.specs::<Rollout>().filter(|(other, ..)| *other != name).find_map(|(other, theirs, written)| {
         let theirs_status = view.registry.status::<Rollout>(other).map(|(status, _)| status).unwrap_or_default();
         let first = match (status.phase.begun(), theirs_status.phase) {
             (true, phase) => phase.begun() && other < name,
             (false, Phase::Ended | Phase::Refused) => false,
-            (false, phase) => phase.begun() || (written, other) < (stamp, name),
+            (false, phase) => phase.begun() || (written, other) < (version, name),
         };
         let shared = theirs_status.jobs(&theirs).iter().any(|id| mine.contains(id));
         (first && shared).then(|| format!("rollout {other} has one of its jobs"))
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -30,7 +30,7 @@
     catalog: Catalog,
     now: Instant,
     seq: u64,
-    stamp: u64,
+    version: u64,
 }
 
 impl Bench {
@@ -46,7 +46,7 @@
             catalog: Catalog { types: vec![of] },
             now,
             seq: 0,
-            stamp: 0,
+            version: 0,
         };
         bench.report();
         bench
@@ -61,8 +61,8 @@
     }
 
     fn put(&mut self, path: &str, value: Value) {
-        self.stamp += 1;
-        assert!(self.registry.put(path, &value, self.stamp));
+        self.version += 1;
+        assert!(self.registry.put(path, &value, self.version));
     }
 
     fn declare(&mut self, name: &str, change: Value) {
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -64,7 +64,7 @@
     frozen_from: u64,
     frozen_until: u64,
     heard: BTreeMap<Key, Heard>,
-    mirror: (Status, u64),
+    watch_cache: (Status, u64),
     waits_until: u64,
     failures: [u64; 2],
     lately: [Vec<(String, String)>; 2],
@@ -75,7 +75,7 @@
 enum Message {
     Report { to: usize, key: Key, attempt: u64, seq: u64, fencing_token: u64, machine: u64, state: State },
     Halt { key: Key, attempt: u64, machine: u64, fencing_token: u64 },
-    Store { status: Box<Status>, stamp: u64, epoch: u64 },
+    Store { status: Box<Status>, version: u64, epoch: u64 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -191,7 +191,7 @@
             frozen_from: 0,
             frozen_until: 0,
             heard: self.bound.iter().map(inherit).collect(),
-            mirror: self.stored.clone(),
+            watch_cache: self.stored.clone(),
             waits_until: 0,
             failures: [0; 2],
             lately: [Vec::new(), Vec::new()],
@@ -370,12 +370,12 @@
                 there.gone_at = Some(now + 2);
                 self.stops += usize::from(ran);
             }
-            Message::Store { status, stamp, epoch } => {
-                if epoch == self.assigned && stamp == self.stored.1 {
+            Message::Store { status, version, epoch } => {
+                if epoch == self.assigned && version == self.stored.1 {
                     if self.phases.last() != Some(&status.phase) {
                         self.phases.push(status.phase);
                     }
-                    self.stored = (*status, stamp + 1);
+                    self.stored = (*status, version + 1);
                 }
             }
         }
@@ -438,7 +438,7 @@
             return;
         }
         if self.quiet || self.rng.random_bool(0.6) {
-            self.leaders[i].mirror = self.stored.clone();
+            self.leaders[i].watch_cache = self.stored.clone();
         }
         // Silent for too long: returned, and gone once that is confirmed.
         let silent: Vec<Key> = self.leaders[i]
@@ -456,12 +456,12 @@
         }
         let leader = self.leaders[i].clone();
         let seen = self.seen(&leader);
-        let (status, stamp) = leader.mirror.clone();
+        let (status, version) = leader.watch_cache.clone();
         if now >= leader.waits_until
             && let Some(next) = decide(&self.spec, &status, &seen)
         {
             self.leaders[i].waits_until = now + 2;
-            let message = Message::Store { status: Box::new(next), stamp, epoch: leader.epoch };
+            let message = Message::Store { status: Box::new(next), version, epoch: leader.epoch };
             self.send(0.15, message);
         }
         for (which, ask) in asks(&self.spec, &status, &seen).into_iter().enumerate() {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -96,7 +96,7 @@
             waiting: (0..n as u32).collect(),
             bound: BTreeSet::new(),
             done: 0,
-            stamps: vec![0; n.div_ceil(CHUNK as usize)],
+            versions: vec![0; n.div_ceil(CHUNK as usize)],
             ended: None,
             ended_after: 0,
             finished: false,
@@ -113,10 +113,10 @@
 
     /// What is stored of one chunk of a job that was just added: at a takeover, before anything
     /// is decided.
-    pub fn load_chunk(&mut self, id: &JobId, chunk: u64, stamp: u64, stored: Vec<Stored>, now: Instant) {
+    pub fn load_chunk(&mut self, id: &JobId, chunk: u64, version: u64, stored: Vec<Stored>, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(slot) = job.stamps.get_mut(chunk as usize) else { return };
-        *slot = stamp;
+        let Some(slot) = job.versions.get_mut(chunk as usize) else { return };
+        *slot = version;
         let first = chunk as usize * CHUNK as usize;
         let mut inherited = Vec::new();
         for (index, item) in (first as u32..).zip(stored) {
@@ -154,12 +154,12 @@
         }
     }
 
-    /// A job with what is stored of its tasks, as (chunk, stamp, tasks).
+    /// A job with what is stored of its tasks, as (chunk, version, tasks).
     pub fn load_job(&mut self, record: Arc<JobRecord>, chunks: Vec<(u64, u64, Vec<Stored>)>, now: Instant) {
         let id = record.spec.id.clone();
         self.add_job(record, now);
-        for (chunk, stamp, stored) in chunks {
-            self.load_chunk(&id, chunk, stamp, stored, now);
+        for (chunk, version, stored) in chunks {
+            self.load_chunk(&id, chunk, version, stored, now);
         }
     }
 
@@ -256,7 +256,7 @@
             && job.ended.is_some()
             && job.bound.is_empty()
         {
-            let stored: Vec<u64> = (0u64..).zip(&job.stamps).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
+            let stored: Vec<u64> = (0u64..).zip(&job.versions).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
             self.drops.extend(stored.into_iter().map(|c| (id.clone(), c)));
             self.jobs.remove(id);
             self.ending.remove(id);
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -145,7 +145,7 @@
     pub bound: BTreeSet<u32>,
     /// How many tasks are done.
     pub done: u64,
-    stamps: Vec<u64>,
+    versions: Vec<u64>,
     /// When this process heard that the job ended, done or cancelled.
     pub ended: Option<Instant>,
     /// Its end was not stored yet at this revision.
@@ -178,7 +178,7 @@
     /// them is on its way there.
     pub fn settled_chunks(&self) -> impl Iterator<Item = (u64, u64)> {
         let settled = |chunk: u64| self.chunk(chunk).iter().all(|t| t.stored);
-        (0u64..).zip(self.stamps.iter().copied()).filter(move |(chunk, stamp)| *stamp > 0 && settled(*chunk))
+        (0u64..).zip(self.versions.iter().copied()).filter(move |(chunk, version)| *version > 0 && settled(*chunk))
     }
 
     fn chunk(&self, chunk: u64) -> &[Task] {
@@ -281,7 +281,7 @@
     /// Which chunk of the job's tasks.
     pub chunk: u64,
     /// The version of the chunk that the write replaces; 0 for a first one.
-    pub stamp: u64,
+    pub version: u64,
     /// The tasks' states as they are to be stored.
     pub tasks: Vec<Stored>,
 }
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -124,17 +124,17 @@
         Some(ChunkWrite {
             job: id.clone(),
             chunk,
-            stamp: job.stamps.get(chunk as usize).copied()?,
+            version: job.versions.get(chunk as usize).copied()?,
             tasks: tasks.iter().map(Task::as_stored).collect(),
         })
     }
 
-    /// These stand in the store under this stamp. What has changed since stays to be stored.
-    pub fn chunks_stored(&mut self, writes: &[ChunkWrite], stamp: u64) {
+    /// These stand in the store under this version. What has changed since stays to be stored.
+    pub fn chunks_stored(&mut self, writes: &[ChunkWrite], version: u64) {
         for write in writes {
             let Some(job) = self.jobs.get_mut(&write.job) else { continue };
-            if let Some(slot) = job.stamps.get_mut(write.chunk as usize) {
-                *slot = stamp;
+            if let Some(slot) = job.versions.get_mut(write.chunk as usize) {
+                *slot = version;
             }
             let from = (write.chunk * CHUNK) as usize;
             let mut changed = false;
@@ -149,7 +149,7 @@
                 }
             }
             // A gang in several chunks is told to start by the last of them.
-            if job.spec().is_gang() && job.stamps.len() > 1 && job.launchable() {
+            if job.spec().is_gang() && job.versions.len() > 1 && job.launchable() {
                 for index in &job.bound {
                     if let Some(machine) = job.binding(*index).and_then(|b| self.machines.get_mut(&b.machine)) {
                         machine.tell = true;
@@ -177,9 +177,9 @@
     }
 
     /// Notes the version that a chunk has in the store.
-    pub fn set_stamp(&mut self, id: &JobId, chunk: u64, stamp: u64) {
-        if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.stamps.get_mut(chunk as usize)) {
-            *slot = stamp;
+    pub fn set_version(&mut self, id: &JobId, chunk: u64, version: u64) {
+        if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.versions.get_mut(chunk as usize)) {
+            *slot = version;
         }
     }
 
@@ -194,7 +194,7 @@
         for task in job.tasks.iter_mut().skip(from).take(CHUNK as usize) {
             task.stored = false;
         }
-        self.set_stamp(id, chunk, found);
+        self.set_version(id, chunk, found);
         self.dirty.put_start((id.clone(), chunk), false);
     }
 
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -56,8 +56,8 @@
 pub(super) type RestingJobs = BTreeMap<JobId, Resting>;
 
 /// The last attempt that may have been made of a task whose chunk was last changed at this revision.
-fn hidden_attempt(stamp: u64) -> u64 {
-    HIDDEN_ATTEMPTS.saturating_add(stamp).min(MOST_ATTEMPTS)
+fn hidden_attempt(version: u64) -> u64 {
+    HIDDEN_ATTEMPTS.saturating_add(version).min(MOST_ATTEMPTS)
 }
 
 /// An earlier leader may have given it tasks, and this leader has not heard what became of them.
@@ -69,14 +69,14 @@
 impl ClusterState {
     /// A chunk of a job that was just added, which nobody can read: the job rests, and the chunk counts as bound for
     /// its team's limit.
-    pub fn load_unreadable_chunk(&mut self, id: &JobId, chunk: u64, stamp: u64, now: Instant) {
+    pub fn load_unreadable_chunk(&mut self, id: &JobId, chunk: u64, version: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(slot) = usize::try_from(chunk).ok().and_then(|chunk| job.stamps.get_mut(chunk)) else { return };
-        *slot = stamp;
+        let Some(slot) = usize::try_from(chunk).ok().and_then(|chunk| job.versions.get_mut(chunk)) else { return };
+        *slot = version;
         let from = (chunk * CHUNK) as usize;
         let hidden_tasks = job.chunk(chunk).len();
         for task in job.tasks.iter_mut().skip(from).take(hidden_tasks) {
-            task.attempt = hidden_attempt(stamp);
+            task.attempt = hidden_attempt(version);
             task.stored = false;
         }
         job.touched += hidden_tasks;
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -132,7 +132,7 @@
     pub(super) fn deliver_transaction(&mut self, conditions: Vec<Condition>, changes: Vec<Change>) {
         if let Some((_, until)) = self.users.out {
             let due = until + Duration::from_millis(self.rng.random_range(100..12_000));
-            self.messages.push((due, Message::Txn { conditions, changes }));
+            self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             return;
         }
         let _ = self.apply(&conditions, &changes);
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -59,10 +59,10 @@
         if self.store_out() {
             return;
         }
-        let stamp = self.store.stamp(LEADER);
+        let version = self.store.version(LEADER);
         let fencing_token = self
             .store
-            .apply_if(&[Condition::at(LEADER, stamp)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
+            .apply_if(&[Condition::at(LEADER, version)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
             .expect("the model's leader knows the stamp");
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), self.now);
         self.trace(&format!("leader {} under {fencing_token}", self.leaders.len()));
@@ -90,9 +90,9 @@
     /// What is stored, into a successor's cluster state.
     pub(super) fn load(&self, cluster: &mut ClusterState) {
         let mut chunks: HashMap<JobId, Vec<_>> = HashMap::new();
-        for (key, value, stamp) in self.store.under(TASKS) {
+        for (key, value, version) in self.store.under(TASKS) {
             let (id, chunk) = parse_chunk_key(key).expect("own keys");
-            chunks.entry(id.into()).or_default().push((chunk, stamp, decode_chunk(value).expect("own values")));
+            chunks.entry(id.into()).or_default().push((chunk, version, decode_chunk(value).expect("own values")));
         }
         for (id, record) in &self.records {
             let over = ended(&self.store, id);
@@ -105,7 +105,7 @@
                 cluster.load_job(record.clone(), stored, self.now);
             }
             if over {
-                // When it was heard of, by the successor's mirror or the end's record (`scheduling::load`).
+                // When it was heard of, by the successor's watch cache or the end's record (`scheduling::load`).
                 let at = self.ended_since.get(id).copied().unwrap_or(self.now);
                 cluster.end_job(id, None, at);
                 cluster.ended_after(id, self.users.ended_after(id));
@@ -254,7 +254,7 @@
         if leader.cut.is_some() || self.store_out() {
             if fate < 0.2 && !self.store_out() {
                 let due = self.now + self.delay() * 3;
-                self.messages.push((due, Message::Txn { conditions, changes }));
+                self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             }
             leader.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
@@ -262,7 +262,7 @@
         if fate < unanswered {
             // Not answered, and applied some time later; asked again as it was.
             let due = self.now + self.delay() * 3;
-            self.messages.push((due, Message::Txn { conditions, changes }));
+            self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             leader.batch = Some((batch, self.now + BATCH_WAITED));
             return false;
         }
@@ -270,7 +270,7 @@
         if fate > 0.95 && !self.quiet {
             // Carried out, and repeated all the same.
             let due = self.now + self.delay() * 3;
-            self.messages.push((due, Message::Txn { conditions, changes }));
+            self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
         }
         if fate < unanswered + 0.05 {
             // Applied, and the answer lost.
@@ -278,8 +278,8 @@
             return false;
         }
         match outcome {
-            Ok(stamp) => {
-                leader.cluster.chunks_stored(&batch.chunks, stamp);
+            Ok(version) => {
+                leader.cluster.chunks_stored(&batch.chunks, version);
                 for job in &batch.ends {
                     leader.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
@@ -299,11 +299,11 @@
         }
         for write in &batch.chunks {
             let key = chunk_key(&write.job, write.chunk);
-            let stamp = self.store.stamp(&key);
+            let version = self.store.version(&key);
             if self.store.value(&key).and_then(decode_chunk).is_some_and(|t| t == write.tasks) {
-                leader.cluster.chunks_stored(std::slice::from_ref(write), stamp);
+                leader.cluster.chunks_stored(std::slice::from_ref(write), version);
             } else {
-                leader.cluster.set_stamp(&write.job, write.chunk, stamp);
+                leader.cluster.set_version(&write.job, write.chunk, version);
             }
         }
         leader.cluster.to_store_again(&batch.ended_ids(), &batch.chunks);
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -67,7 +67,7 @@
     Command(Command),
     Reply(Reply),
     GivenUp(GivenUp),
-    Txn {
+    CompareAndSwap {
         conditions: Vec<Condition>,
         changes: Vec<Change>,
     },
@@ -115,7 +115,7 @@
         for _ in 0..copies {
             let due = self.now + self.delay();
             let (conditions, changes) = (sent.conditions.clone(), sent.changes.clone());
-            self.messages.push((due, Message::Txn { conditions, changes }));
+            self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
         }
     }
 
@@ -145,7 +145,7 @@
             Message::Command(message) => self.deliver_command(message),
             Message::Reply(message) => self.deliver_reply(message),
             Message::GivenUp(message) => self.deliver_given_up(message),
-            Message::Txn { conditions, changes } => self.deliver_transaction(conditions, changes),
+            Message::CompareAndSwap { conditions, changes } => self.deliver_transaction(conditions, changes),
             Message::Line { from, to, watermark } => self.hear_line(from, to, watermark),
             Message::Cancelled { to, id, fencing_token } => self.cancelled_by_leader(to, &id, fencing_token),
             Message::Return { from, machine } => self.deliver_return(from, machine),
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -82,9 +82,9 @@
     /// One whose cluster state is raised writes the leader record again, as the leader would.
     fn raise_fencing_token(&mut self) {
         let leader = self.leader;
-        let stamp = self.store.stamp(LEADER);
+        let version = self.store.version(LEADER);
         let change = Change::write(LEADER, Value::from(leader));
-        if let Ok(fencing_token) = self.store.apply_if(&[Condition::at(LEADER, stamp)], &[change])
+        if let Ok(fencing_token) = self.store.apply_if(&[Condition::at(LEADER, version)], &[change])
             && let Some(o) = self.leaders[leader].as_mut()
         {
             o.cluster.raise_fencing_token(fencing_token);
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -21,12 +21,12 @@
     /// Applies a transaction. A job has one key at any time, and leaves none that it had once; it
     /// must not be stored as done before all its tasks are.
     pub(super) fn apply(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<u64, Vec<String>> {
-        let stamp = self.store.apply_if(conditions, changes).map_err(|refused| refused.failed)?;
+        let version = self.store.apply_if(conditions, changes).map_err(|refused| refused.failed)?;
         for change in changes {
             let Change::Write { write, value, .. } = change else { continue };
             if write == WATERMARK {
                 let stored: Watermark = serde_json::from_value(value.clone()).expect("own values");
-                self.note_mark(stamp, stored.revision);
+                self.note_mark(version, stored.revision);
             }
             let Some((id, place)) = place_of(write) else { continue };
             let (id, record) = self.records.get_key_value(id).expect("a job that was submitted");
@@ -35,27 +35,27 @@
             let keys = usize::from(self.store.has(&open_key(&id))) + usize::from(done) + usize::from(cancelled);
             assert_eq!(keys, 1, "{id} has {keys} keys: came back, or ended twice");
             match place {
-                Place::Open => self.tell(&id, true, stamp),
+                Place::Open => self.tell(&id, true, version),
                 Place::Ended(End::Done) => {
                     let done = |index: u64| self.completed.contains(&TaskKey { job: id.clone(), index: index as u32 });
                     let gang = record.spec.is_gang();
                     let enough = if gang { (0..record.spec.tasks).any(done) } else { (0..record.spec.tasks).all(done) };
                     assert!(enough, "{id} is stored as done before its tasks are");
-                    self.note_ended(&id, End::Done, stamp);
-                    self.tell(&id, false, stamp);
+                    self.note_ended(&id, End::Done, version);
+                    self.tell(&id, false, version);
                 }
                 Place::Ended(End::Cancelled) => {
-                    self.note_ended(&id, End::Cancelled, stamp);
-                    self.tell(&id, false, stamp);
+                    self.note_ended(&id, End::Cancelled, version);
+                    self.tell(&id, false, version);
                 }
                 Place::Old => unreachable!("nothing writes earlier builds' keys"),
             }
         }
-        Ok(stamp)
+        Ok(version)
     }
 
     /// Every watch tells in the order of the changes, sooner or later.
-    pub(super) fn tell(&mut self, id: &JobId, opened: bool, stamp: u64) {
+    pub(super) fn tell(&mut self, id: &JobId, opened: bool, version: u64) {
         for i in 0..self.leaders.len() {
             let mut due = self.now + self.delay();
             if self.users.on {
@@ -64,7 +64,7 @@
             }
             if let Some(leader) = self.leaders[i].as_mut() {
                 let after = leader.news.last().map_or(due, |news| due.max(news.due));
-                leader.news.push(News { due: after, job: id.clone(), opened, revision: stamp });
+                leader.news.push(News { due: after, job: id.clone(), opened, revision: version });
             }
         }
     }
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -80,7 +80,7 @@
         if let Some((batch, _)) = ended.batch.filter(|_| ended.cut.is_none()) {
             let due = self.now + self.delay();
             let (conditions, changes) = (batch.conditions(ended.cluster.fencing_token), batch.changes());
-            self.messages.push((due, Message::Txn { conditions, changes }));
+            self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
         }
         let lease = LEADER_LEASE.as_millis() as u64;
         let ms = if self.rng.random_bool(0.5) { self.rng.random_range(50..500) } else { lease };
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -127,7 +127,7 @@
     pub(super) assigned: Vec<(u64, usize)>,
     ended: HashMap<JobId, u64>,
     marks: Vec<(u64, u64)>,
-    /// Cancellations that are stored and not told, with their stamps.
+    /// Cancellations that are stored and not told, with their versions.
     pub(super) hidden: BTreeMap<JobId, u64>,
     /// Something was just stored, acted on or answered: a moment for trouble.
     pub(super) moment: bool,
@@ -157,22 +157,22 @@
 
     /// The leader record as it is known at this revision.
     fn leader_record(&self, heard: u64) -> Option<(LeaderRecord, u64)> {
-        let (stamp, leader) = self.assigned.iter().rev().find(|(stamp, _)| *stamp <= heard)?;
+        let (version, leader) = self.assigned.iter().rev().find(|(version, _)| *version <= heard)?;
         let of = LeaderRecord { node: leader.to_string(), incarnation: leader.to_string(), teams: Vec::new() };
-        Some((of, *stamp))
+        Some((of, *version))
     }
 
     fn stored_mark(&self, heard: u64) -> u64 {
-        self.marks.iter().filter(|(stamp, _)| *stamp <= heard).map(|(_, mark)| *mark).max().unwrap_or(0)
+        self.marks.iter().filter(|(version, _)| *version <= heard).map(|(_, mark)| *mark).max().unwrap_or(0)
     }
 
     /// A revision at which this end did not stand yet.
     pub(super) fn ended_after(&self, id: &JobId) -> u64 {
-        self.ended.get(id).map_or(0, |stamp| stamp - 1)
+        self.ended.get(id).map_or(0, |version| version - 1)
     }
 
     fn over(&self, id: &JobId, heard: u64) -> bool {
-        self.ended.get(id).is_some_and(|stamp| *stamp <= heard)
+        self.ended.get(id).is_some_and(|version| *version <= heard)
     }
 
     /// Followers as a leader hears them: how many, and how long one of them has been able to answer.
@@ -196,13 +196,13 @@
         if self.store_out() { Duration::ZERO } else { self.now - began.max(self.users.back) }
     }
 
-    pub(super) fn note_ended(&mut self, id: &JobId, end: End, stamp: u64) {
-        self.trace(&format!("stored {id} {end:?} at {stamp}"));
-        self.users.ended.insert(id.clone(), stamp);
+    pub(super) fn note_ended(&mut self, id: &JobId, end: End, version: u64) {
+        self.trace(&format!("stored {id} {end:?} at {version}"));
+        self.users.ended.insert(id.clone(), version);
         self.ended_since.insert(id.clone(), self.now);
         if end == End::Cancelled {
             if self.users.on {
-                self.users.hidden.insert(id.clone(), stamp);
+                self.users.hidden.insert(id.clone(), version);
                 self.users.moment = true;
             } else {
                 self.cancelled.insert(id.clone(), self.now);
@@ -218,7 +218,7 @@
         self.users.moment = true;
     }
 
-    /// A successor's seat: it may load at once or only some steps later, and its mirror lags.
+    /// A successor's seat: it may load at once or only some steps later, and its watch cache lags.
     pub(super) fn new_seat(&mut self, fencing_token: u64) -> Seat {
         let heard = if self.rng.random_bool(0.5) {
             fencing_token
@@ -245,7 +245,7 @@
                 leader.seat.unproven = false;
             }
             let assigned = self.users.leader_record(leader.seat.heard);
-            let other = assigned.is_some_and(|(_, stamp)| stamp > leader.cluster.fencing_token);
+            let other = assigned.is_some_and(|(_, version)| version > leader.cluster.fencing_token);
             if other && std::mem::replace(&mut leader.seat.deposed, true) && self.rng.random_bool(0.3) {
                 self.trace(&format!("leader {i} steps down"));
                 return None;
@@ -272,16 +272,16 @@
     }
 
     /// A leader heard of an end.
-    pub(super) fn heard_end(&self, leader: &mut Leader, id: &JobId, stamp: u64) {
+    pub(super) fn heard_end(&self, leader: &mut Leader, id: &JobId, version: u64) {
         if self.users.on && self.users.ended.contains_key(id) {
-            leader.seat.unconfirmed.heard(stamp, self.now);
+            leader.seat.unconfirmed.heard(version, self.now);
         }
     }
 
     /// As `Node::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
-        let (of, stamp) = self.users.leader_record(leader.seat.heard)?;
-        let mine = of.incarnation == i.to_string() && stamp == leader.cluster.fencing_token;
+        let (of, version) = self.users.leader_record(leader.seat.heard)?;
+        let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
         (leader.cluster.loaded && mine)
             .then_some(Watermark { fencing_token: leader.cluster.fencing_token, revision: leader.cluster.watermark() })
     }
@@ -307,16 +307,16 @@
             if unanswered {
                 let due = now + Duration::from_millis(self.rng.random_range(2000..12_000));
                 let changes = vec![Change::write(WATERMARK, value)];
-                self.messages.push((due, Message::Txn { conditions: conditions.into(), changes }));
-            } else if let Ok(stamp) = self.store.apply_if(&conditions, &[Change::write(WATERMARK, value)]) {
-                self.note_mark(stamp, watermark.revision);
+                self.messages.push((due, Message::CompareAndSwap { conditions: conditions.into(), changes }));
+            } else if let Ok(version) = self.store.apply_if(&conditions, &[Change::write(WATERMARK, value)]) {
+                self.note_mark(version, watermark.revision);
                 leader.seat.unconfirmed.confirmed(watermark.revision, now);
             }
         }
     }
 
-    pub(super) fn note_mark(&mut self, stamp: u64, revision: u64) {
-        self.users.marks.push((stamp, revision));
+    pub(super) fn note_mark(&mut self, version: u64, revision: u64) {
+        self.users.marks.push((version, revision));
         self.users.tally.stored_marks += 1;
     }
 
@@ -351,7 +351,7 @@
         Rights { loaded: leader.cluster.loaded, knows, unproven: leader.seat.unproven, serves }
     }
 
-    /// Jobs of a report that are over by this leader's mirror (as `Node::over_among` has it).
+    /// Jobs of a report that are over by this leader's watch cache (as `Node::over_among` has it).
     pub(super) fn over_among(&self, leader: &Leader, report: &Report) -> HashSet<JobId> {
         let attempts = report.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
@@ -390,7 +390,7 @@
                 let due = self.now + Duration::from_millis(self.rng.random_range(1..150));
                 let sent = moves::cancel(&self.records[&id], None, 0);
                 let (conditions, changes) = (sent.conditions, sent.changes);
-                self.messages.push((due, Message::Txn { conditions, changes }));
+                self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             }
             return;
         }
@@ -450,16 +450,16 @@
             let follower = &mut self.users.followers[f];
             follower.watermark = follower.watermark.max(mark);
         }
-        let hidden: Vec<(JobId, u64)> = self.users.hidden.iter().map(|(id, stamp)| (id.clone(), *stamp)).collect();
-        for (id, stamp) in hidden {
+        let hidden: Vec<(JobId, u64)> = self.users.hidden.iter().map(|(id, version)| (id.clone(), *version)).collect();
+        for (id, version) in hidden {
             if !self.rng.random_bool(0.3) {
                 continue;
             }
-            // Anybody is asked, also the leaders; the stamp is known to who stored it, and told by the store.
+            // Anybody is asked, also the leaders; the version is known to who stored it, and told by the store.
             let leaders = self.leaders.iter().flatten().filter(|o| o.frozen.is_none()).map(|o| o.seat.watermark);
             let answers: Vec<u64> = self.users.followers.iter().map(|f| f.watermark).chain(leaders).collect();
             let watermark = answers[self.rng.random_range(0..answers.len())];
-            match visible(End::Cancelled, false, Some(stamp), watermark) {
+            match visible(End::Cancelled, false, Some(version), watermark) {
                 Visible::Yes => self.tell_user(&id),
                 Visible::NotYet | Visible::Unknown => self.users.tally.not_told += 1,
             }
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -18,7 +18,7 @@
 use crate::scheduling::cluster::ClusterState;
 use crate::store::budget::Urgent;
 use crate::store::client::Item;
-use crate::store::{Condition, StoreError, TxnOutcome};
+use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 
 /// Descriptions of ended jobs asked for at once.
@@ -28,7 +28,7 @@
 struct Chunk {
     job: JobId,
     number: u64,
-    stamp: u64,
+    version: u64,
     /// None if they cannot be read.
     tasks: Option<Vec<Stored>>,
 }
@@ -44,7 +44,7 @@
         if tasks.is_none() {
             error!(path = item.path, "unreadable tasks in the store");
         }
-        Some(Self { job: job.into(), number, stamp: item.stamp, tasks })
+        Some(Self { job: job.into(), number, version: item.version, tasks })
     }
 
     /// Whether a machine is known to have held a task of it.
@@ -56,13 +56,13 @@
 /// Reads every page of tasks into the cluster state, which decides nothing until the last one is in.
 pub async fn fill(node: &Arc<Node>) -> Result<(), StoreError> {
     let begun = Instant::now();
-    // Open jobs first: the mirror was proven fresh after this controller's leader record stood.
+    // Open jobs first: the watch cache was proven fresh after this controller's leader record stood.
     {
-        let mirror = lock(&node.mirror);
+        let watch_cache = lock(&node.watch_cache);
         let mut held = lock(&node.cluster);
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         cluster.forget_all();
-        for (_, record) in mirror.open_jobs() {
+        for (_, record) in watch_cache.open_jobs() {
             cluster.add_job(record.clone(), begun);
         }
     }
@@ -85,27 +85,27 @@
     }
     let now = Instant::now();
     {
-        let mirror = lock(&node.mirror);
+        let watch_cache = lock(&node.watch_cache);
         let mut held = lock(&node.cluster);
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         // What came and what ended while the tasks were being read.
-        for (_, record) in mirror.open_jobs() {
+        for (_, record) in watch_cache.open_jobs() {
             cluster.add_job(record.clone(), now);
         }
-        ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| mirror.open(id).is_none()).cloned());
+        ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned());
         for id in &ended {
             let read = read_ends.get(id).copied();
             let at = node.history.heard_at(id).or(read.map(|(at, _)| at));
             cluster.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
-            cluster.ended_after(id, mirror.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
+            cluster.ended_after(id, watch_cache.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
         }
         let inherited = orders.len();
         cluster.inherit_orders(orders, now);
         cluster.finish_load(now);
-        cluster.holds_ends(mirror.asking());
+        cluster.holds_ends(watch_cache.asking());
         node.took_over(cluster.known, now);
         // Before anything else is decided.
-        node.intents_of(cluster, &mirror, now);
+        node.intents_of(cluster, &watch_cache, now);
         let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
         info!(
             jobs,
@@ -141,10 +141,10 @@
     let mut records: HashMap<JobId, Arc<JobRecord>> = HashMap::new();
     let mut unknown: HashSet<JobId> = HashSet::new();
     {
-        let (mirror, held) = (lock(&node.mirror), lock(&node.cluster));
+        let (watch_cache, held) = (lock(&node.watch_cache), lock(&node.cluster));
         let Some(cluster) = held.as_ref() else { return Ok(()) };
         for chunk in page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound() && !done.contains(&c.job)) {
-            match mirror.ended_record(&chunk.job) {
+            match watch_cache.ended_record(&chunk.job) {
                 Some(record) => drop(records.insert(chunk.job.clone(), record)),
                 None => drop(unknown.insert(chunk.job.clone())),
             }
@@ -192,8 +192,8 @@
 /// One chunk of a job that the cluster state holds.
 fn take_chunk(cluster: &mut ClusterState, chunk: Chunk, now: Instant) {
     match chunk.tasks {
-        Some(tasks) => cluster.load_chunk(&chunk.job, chunk.number, chunk.stamp, tasks, now),
-        None => cluster.load_unreadable_chunk(&chunk.job, chunk.number, chunk.stamp, now),
+        Some(tasks) => cluster.load_chunk(&chunk.job, chunk.number, chunk.version, tasks, now),
+        None => cluster.load_unreadable_chunk(&chunk.job, chunk.number, chunk.version, now),
     }
 }
 
@@ -204,7 +204,7 @@
     let mut done = HashSet::new();
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
-        if let TxnOutcome::Failed(keys) = node.store.txn(&absent, &[], Urgent::First).await? {
+        if let CompareAndSwapOutcome::Failed(keys) = node.store.compare_and_swap(&absent, &[], Urgent::First).await? {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
     }
@@ -240,7 +240,7 @@
     }
     let ended_ms = EndedRecord::deserialize(&item.value).map_or(u64::MAX, |ended| ended.ended_ms);
     let age = Duration::from_millis(time_of_day_ms().saturating_sub(ended_ms));
-    Some((record, age, item.stamp.saturating_sub(1)))
+    Some((record, age, item.version.saturating_sub(1)))
 }
 
 #[cfg(test)]
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -7,7 +7,7 @@
 use crate::jobs::tests::spec;
 
 fn item(path: &str, value: Value) -> Item {
-    Item { path: path.to_owned(), value, stamp: 7 }
+    Item { path: path.to_owned(), value, version: 7 }
 }
 
 #[test]
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -164,7 +164,7 @@
 /// since every placement is conditional on the leader record it was made under.
 async fn load(node: &Arc<Node>) {
     loop {
-        if node.fresh.wait().await {
+        if node.read_barrier.wait().await {
             match load::fill(node).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "reading tasks"),
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -24,15 +24,15 @@
         assert_eq!(writes.len(), 1, "{name}");
         let mut held: Vec<Direct> = Vec::new();
         if stands {
-            world.stamp += 1;
-            world.chunk = Some((world.stamp, writes[0].tasks.clone()));
+            world.version += 1;
+            world.chunk = Some((world.version, writes[0].tasks.clone()));
         }
         let mut successor = None;
         for step in 0..16 {
             world.now += s(0.5);
             if step == answered_at && stands {
-                let stamp = world.chunk.as_ref().unwrap().0;
-                old.chunks_stored(&writes, stamp);
+                let version = world.chunk.as_ref().unwrap().0;
+                old.chunks_stored(&writes, version);
             }
             if step == 4 {
                 successor = Some(world.leader());
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -104,8 +104,8 @@
     for raised in [false, true] {
         if raised {
             // Under a fencing token that it raises the same leader goes on.
-            world.stamp += 1;
-            cluster.raise_fencing_token(world.stamp);
+            world.version += 1;
+            cluster.raise_fencing_token(world.version);
         }
         cluster.take_report(Report { seq: copy.seq + u64::from(raised), ..copy.clone() }, Via::Report, None, world.now);
         drop(cluster.orders_in_answer("m1", world.now));
--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -87,8 +87,8 @@
             simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus) = (1, 1.0));
         }
         if t % 5 == 0 {
-            simulation.world.stamp += 1;
-            let fencing_token = simulation.world.stamp;
+            simulation.world.version += 1;
+            let fencing_token = simulation.world.version;
             simulation.cluster.raise_fencing_token(fencing_token);
         }
         simulation.run(1.0);
--- a/src/scheduling/tests/unreadable_chunks.rs
+++ b/src/scheduling/tests/unreadable_chunks.rs
@@ -14,9 +14,9 @@
 /// A leader that comes now and cannot read the first job's chunk.
 fn leader_with_unreadable(world: &mut World) -> ClusterState {
     let mut cluster = world.assigned();
-    let (stamp, _) = world.chunk.clone().unwrap();
+    let (version, _) = world.chunk.clone().unwrap();
     cluster.add_job(world.record.clone(), world.now);
-    cluster.load_unreadable_chunk(&JOB.into(), 0, stamp, world.now);
+    cluster.load_unreadable_chunk(&JOB.into(), 0, version, world.now);
     cluster
 }
 
@@ -86,7 +86,11 @@
         assert_eq!((cluster.rests(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
         let stored = cluster.next_writes(9, now).1;
         let expected: Vec<u64> = if rests { vec![] } else { vec![5] };
-        assert_eq!(stored.iter().map(|write| write.stamp).collect::<Vec<_>>(), expected, "{name}: stored at its stamp");
+        assert_eq!(
+            stored.iter().map(|write| write.version).collect::<Vec<_>>(),
+            expected,
+            "{name}: stored at its stamp"
+        );
     }
 }
 
@@ -165,15 +169,15 @@
 /// A chunk is unreadable, its task is started once more, and that chunk is unreadable as well: no attempt comes twice.
 #[test]
 fn attempts_after_an_unreadable_chunk_are_never_given_out_again() {
-    for (name, stamp) in [("a young store", 1), ("an old store", 1 << 40)] {
+    for (name, version) in [("a young store", 1), ("an old store", 1 << 40)] {
         let mut world = World::new(&["m1"], |j| j.tasks = 1);
-        world.stamp = stamp;
+        world.version = version;
         // All that an earlier leader can have started by then.
-        let mut last = stamp;
-        world.chunk = Some((stamp, vec![Stored::Bound(last, "m1".into())]));
+        let mut last = version;
+        world.chunk = Some((version, vec![Stored::Bound(last, "m1".into())]));
         for round in 0..3 {
             let mut cluster = leader_with_unreadable(&mut world);
-            world.stamp = world.chunk.as_ref().unwrap().0;
+            world.version = world.chunk.as_ref().unwrap().0;
             cluster.finish_load(world.now);
             cluster.tick(world.now + s(PAST_THE_REST));
             cluster.take_report(report("m1", "c8", "a", false, 1, vec![]), Via::Report, None, world.now);
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -60,7 +60,7 @@
 
 pub(super) struct World {
     pub(super) now: Instant,
-    pub(super) stamp: u64,
+    pub(super) version: u64,
     pub(super) record: Arc<JobRecord>,
     /// What the store holds of the job: its one chunk, and its end.
     pub(super) chunk: Option<(u64, Vec<Stored>)>,
@@ -89,7 +89,7 @@
             .collect();
         Self {
             now: Instant::now() + s(3600.0),
-            stamp: 10,
+            version: 10,
             // Never any age by the time of day.
             record: Arc::new(JobRecord { spec: job, at_ms: u64::MAX }),
             chunk: None,
@@ -144,15 +144,15 @@
 
     /// The same before it has read anything.
     pub(super) fn assigned(&mut self) -> ClusterState {
-        self.stamp += 10;
-        ClusterState::new(self.stamp, self.settings.clone(), Properties::default(), self.now)
+        self.version += 10;
+        ClusterState::new(self.version, self.settings.clone(), Properties::default(), self.now)
     }
 
     pub(super) fn load(&self, cluster: &mut ClusterState) {
         let first = (&self.record, &self.chunk, self.ended, self.ended_at);
         let more = self.more.values().map(|k| (&k.record, &k.chunk, k.ended, k.ended_at));
         for (record, chunk, ended, ended_at) in std::iter::once(first).chain(more) {
-            let chunks: Vec<_> = chunk.iter().map(|(stamp, tasks)| (0, *stamp, tasks.clone())).collect();
+            let chunks: Vec<_> = chunk.iter().map(|(version, tasks)| (0, *version, tasks.clone())).collect();
             if ended.is_none() || !chunks.is_empty() {
                 cluster.load_job(record.clone(), chunks, self.now);
             }
@@ -348,14 +348,14 @@
     pub(super) fn store_some(&mut self, cluster: &mut ClusterState, most: usize, now: Instant) -> usize {
         let (ends, chunks) = cluster.next_writes(most, now);
         let batch = Batch { ends, chunks, at_ms: 0 };
-        self.stamp += u64::from(!batch.chunks.is_empty());
+        self.version += u64::from(!batch.chunks.is_empty());
         for write in &batch.chunks {
-            let next = (self.stamp, write.tasks.clone());
+            let next = (self.version, write.tasks.clone());
             let chunk = self.chunk_of(&write.job);
-            assert_eq!(write.stamp, chunk.as_ref().map_or(0, |(stamp, _)| *stamp));
+            assert_eq!(write.version, chunk.as_ref().map_or(0, |(version, _)| *version));
             *chunk = Some(next);
         }
-        cluster.chunks_stored(&batch.chunks, self.stamp);
+        cluster.chunks_stored(&batch.chunks, self.version);
         let changes = batch.changes().len();
         for end in batch.ends {
             let mut done = (0..end.spec.tasks as u32)
@@ -390,8 +390,8 @@
     pub(super) fn raise(&mut self, cluster: &mut ClusterState) -> bool {
         let wanted = cluster.raise_wanted(self.now);
         if wanted {
-            self.stamp += 1;
-            cluster.raise_fencing_token(self.stamp);
+            self.version += 1;
+            cluster.raise_fencing_token(self.version);
         }
         wanted
     }
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -6,7 +6,7 @@
 //! none, and a chunk by its leader on condition of the version found.
 //!
 //! Each controller compares at most one batch a second, at the lowest priority. A key counts as lost only if it was
-//! missing twice, with a proof of freshness in between, because the mirror learns of keys that were dropped
+//! missing twice, with a proof of freshness in between, because the watch cache learns of keys that were dropped
 //! legitimately.
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -16,7 +16,7 @@
 use tracing::{debug, error};
 
 use super::budget::Urgent;
-use super::{Condition, StoreError, TxnOutcome};
+use super::{CompareAndSwapOutcome, Condition, StoreError};
 use crate::history::moves::{Move, accept, end_changes, not_ended, not_there};
 use crate::jobs::record::{JobRecord, chunk_key, ended_key, open_key, time_of_day_ms};
 use crate::jobs::{End, JobId};
@@ -50,7 +50,7 @@
             Self::Accepted(record) => not_there(&record.spec.id, false).collect(),
             Self::Open(id) => not_there(id, false).collect(),
             Self::Ended(record, end) => vec![Condition::absent(ended_key(&record.spec.id, *end))],
-            Self::Chunk(id, chunk, stamp) => vec![Condition::at(chunk_key(id, *chunk), *stamp)],
+            Self::Chunk(id, chunk, version) => vec![Condition::at(chunk_key(id, *chunk), *version)],
         }
     }
 
@@ -143,7 +143,7 @@
     let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
     let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
-        let chunks = job.settled_chunks().map(|(chunk, stamp)| Held::Chunk(id.clone(), chunk, stamp));
+        let chunks = job.settled_chunks().map(|(chunk, version)| Held::Chunk(id.clone(), chunk, version));
         std::iter::once(Held::Open(id.clone())).chain(chunks)
     })
     .collect()
@@ -153,12 +153,12 @@
 fn still_expected(node: &Node, held: &Held) -> bool {
     match held {
         Held::Accepted(record) => node.history.ended(&record.spec.id).is_none(),
-        Held::Open(id) => lock(&node.mirror).open(id).is_some() && node.history.ended(id).is_none(),
+        Held::Open(id) => lock(&node.watch_cache).open(id).is_some() && node.history.ended(id).is_none(),
         Held::Ended(..) => true,
-        Held::Chunk(id, chunk, stamp) => {
+        Held::Chunk(id, chunk, version) => {
             let held = lock(&node.cluster);
             let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
-            job.is_some_and(|j| j.settled_chunks().any(|settled| settled == (*chunk, *stamp)))
+            job.is_some_and(|j| j.settled_chunks().any(|settled| settled == (*chunk, *version)))
         }
     }
 }
@@ -169,12 +169,12 @@
     loop {
         tokio::time::sleep(GAP.max(node.store.time_for(COST))).await;
         let batch = lock(&node.audit).next(most, || stored_by_leader(&node));
-        if batch.is_empty() || !lock(&node.mirror).ready {
+        if batch.is_empty() || !lock(&node.watch_cache).ready {
             continue;
         }
         let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
-        let failed = match node.store.txn(&conditions, &[], Urgent::Last).await {
-            Ok(TxnOutcome::Failed(keys)) => keys,
+        let failed = match node.store.compare_and_swap(&conditions, &[], Urgent::Last).await {
+            Ok(CompareAndSwapOutcome::Failed(keys)) => keys,
             Ok(_) => Vec::new(),
             Err(error) => {
                 debug!(%error, "comparing what is stored");
@@ -182,7 +182,7 @@
             }
         };
         let lost = lock(&node.audit).compared(batch, &failed);
-        if lost.is_empty() || !node.fresh.wait().await {
+        if lost.is_empty() || !node.read_barrier.wait().await {
             continue;
         }
         for held in lost {
@@ -208,7 +208,7 @@
     match held {
         Held::Accepted(record) => accept_again(node, record).await,
         Held::Open(id) => {
-            let record = lock(&node.mirror).open(id).cloned();
+            let record = lock(&node.watch_cache).open(id).cloned();
             match record {
                 Some(record) => accept_again(node, &record).await,
                 None => Ok(()),
@@ -216,18 +216,20 @@
         }
         Held::Ended(record, end) => {
             let again = end_again(record, *end, time_of_day_ms());
-            if let TxnOutcome::Failed(keys) = node.store.txn(&again.conditions, &again.changes, Urgent::First).await? {
+            if let CompareAndSwapOutcome::Failed(keys) =
+                node.store.compare_and_swap(&again.conditions, &again.changes, Urgent::First).await?
+            {
                 // Another end stands: what was told before cannot be made true any more.
                 error!(?keys, job = %record.spec.id, "lost and ended otherwise since");
                 lock(&node.audit).forget(held);
             }
             Ok(())
         }
-        Held::Chunk(id, chunk, stamp) => {
+        Held::Chunk(id, chunk, version) => {
             let item = node.store.get(&chunk_key(id, *chunk), Urgent::First).await?;
-            let found = item.map_or(0, |i| i.stamp);
+            let found = item.map_or(0, |i| i.version);
             if let Some(cluster) = lock(&node.cluster).as_mut() {
-                cluster.store_chunk_again(id, *chunk, *stamp, found);
+                cluster.store_chunk_again(id, *chunk, *version, found);
             }
             node.wake.commit.notify_one();
             Ok(())
@@ -236,8 +238,8 @@
 }
 
 async fn accept_again(node: &Node, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept(record, lock(&node.mirror).old_kept());
-    node.store.txn(&again.conditions, &again.changes, Urgent::First).await.map(|_| ())
+    let again = accept(record, lock(&node.watch_cache).old_kept());
+    node.store.compare_and_swap(&again.conditions, &again.changes, Urgent::First).await.map(|_| ())
 }
 
 #[cfg(test)]
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -7,8 +7,8 @@
 use super::share::Meter;
 use crate::process_pause::ProcessPause;
 use crate::traffic::{Passage, Traffic};
-pub use crate::wire::state::{Change, Condition, Event, Followed, Item, Page};
-use crate::wire::state::{Granted, Name, Names, Refused, Revised, Txn};
+pub use crate::wire::state::{Change, Condition, Event, Item, Page, WatchResponse};
+use crate::wire::state::{CompareAndSwap, Granted, Name, Names, Refused, Revision};
 use crate::wire::{self, CallError, Http};
 use hyper::Method;
 
@@ -42,13 +42,13 @@
 
 /// The definite answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TxnOutcome {
+pub enum CompareAndSwapOutcome {
     /// Applied, at this revision: the version of every key that it wrote.
     Applied(u64),
     /// These keys had other versions than asked.
     Failed(Vec<String>),
     /// A write was to be attached to a lease that does not exist any more. Nothing was applied.
-    NoSuchLease,
+    LeaseExpired,
 }
 
 /// A listing under way. Each page is as of its own moment, none older than the one before.
@@ -245,24 +245,24 @@
     }
 
     /// Applies all changes if all conditions hold, and nothing otherwise. Without changes it only compares.
-    pub async fn txn(
+    pub async fn compare_and_swap(
         &self,
         conditions: &[Condition],
         apply: &[Change],
         urgent: Urgent,
-    ) -> Result<TxnOutcome, StoreError> {
+    ) -> Result<CompareAndSwapOutcome, StoreError> {
         if !apply.is_empty() {
             crate::sync::lock(&self.wanted).1.count(apply.len() as f64, Instant::now());
             Self::budgeted(&self.writes, apply.len() as f64, urgent).await?;
             self.traffic.add(Passage::StoreChange, apply.len() as u64);
         }
-        let body = wire::encode(&Txn::new(conditions, apply));
+        let body = wire::encode(&CompareAndSwap::new(conditions, apply));
         let (status, body) = self.call(Method::POST, "/txn", Some(body), ANSWER_WITHIN, urgent).await?;
         match status {
-            200 => Ok(TxnOutcome::Applied(parse::<Revised>(&body)?.revision)),
-            409 => Ok(TxnOutcome::Failed(parse::<Refused>(&body)?.failed)),
+            200 => Ok(CompareAndSwapOutcome::Applied(parse::<Revision>(&body)?.revision)),
+            409 => Ok(CompareAndSwapOutcome::Failed(parse::<Refused>(&body)?.failed)),
             400 if apply.iter().any(|c| matches!(c, Change::Write { permit: Some(_), .. })) => {
-                Ok(TxnOutcome::NoSuchLease)
+                Ok(CompareAndSwapOutcome::LeaseExpired)
             }
             other => Err(StoreError::Malformed(format!("{other} to a transaction"))),
         }
@@ -281,7 +281,7 @@
     /// Compares without changing anything, with a request that was reserved before: the keys that
     /// had other versions than asked, all as of one moment.
     pub async fn compare_reserved(&self, conditions: &[Condition]) -> Result<Vec<String>, StoreError> {
-        let body = wire::encode(&Txn::new(conditions, &[]));
+        let body = wire::encode(&CompareAndSwap::new(conditions, &[]));
         match self.call_reserved(Method::POST, "/txn", Some(body), ANSWER_WITHIN).await? {
             (200, _) => Ok(Vec::new()),
             (409, body) => Ok(parse::<Refused>(&body)?.failed),
@@ -313,13 +313,13 @@
 
     /// The changes under a prefix after revision `since`. If there are none yet, the service waits up to `wait` for
     /// the first.
-    pub async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> Result<Followed, StoreError> {
+    pub async fn watch(&self, prefix: &str, since: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
         self.reserve(Urgent::First).await?;
-        self.follow_reserved(prefix, since, wait).await
+        self.watch_reserved(prefix, since, wait).await
     }
 
     /// The same, with a request that was reserved before.
-    pub async fn follow_reserved(&self, prefix: &str, since: u64, wait: Duration) -> Result<Followed, StoreError> {
+    pub async fn watch_reserved(&self, prefix: &str, since: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
         let path = format!("/follow?prefix={prefix}&since={since}&waitMs={}", wait.as_millis());
         let within = wait + ANSWER_WITHIN;
         match self.call_reserved(Method::GET, &path, None, within).await? {
