--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -13,7 +13,7 @@
 
 use super::audit::Held;
 use super::budget::Urgent;
-use super::{Change, Condition, StoreError, TxnOutcome};
+use super::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::history::moves::{end_among, end_changes, not_ended};
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, LEADER, chunk_key, chunk_size, decode_chunk, encode_chunk, open_key, time_of_day_ms,
@@ -51,7 +51,7 @@
     }
 
     pub fn conditions(&self, fencing_token: u64) -> Vec<Condition> {
-        let chunks = self.chunks.iter().map(|c| Condition::at(chunk_key(&c.job, c.chunk), c.stamp));
+        let chunks = self.chunks.iter().map(|c| Condition::at(chunk_key(&c.job, c.chunk), c.version));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
         let ends = jobs.into_iter().flat_map(|id| not_ended(id));
         std::iter::once(Condition::at(LEADER, fencing_token)).chain(chunks).chain(ends).collect()
@@ -129,21 +129,21 @@
     let mut unanswered = false;
     loop {
         let Some(fencing_token) = lock(&node.cluster).as_ref().map(|b| b.fencing_token) else { return false };
-        match node.store.txn(&batch.conditions(fencing_token), &changes, urgent).await {
-            Ok(TxnOutcome::Applied(stamp)) => {
-                stored(node, &batch, stamp);
+        match node.store.compare_and_swap(&batch.conditions(fencing_token), &changes, urgent).await {
+            Ok(CompareAndSwapOutcome::Applied(version)) => {
+                stored(node, &batch, version);
                 return true;
             }
-            Ok(TxnOutcome::Failed(keys)) => {
+            Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
                 let now_token = lock(&node.cluster).as_ref().map(|b| b.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
-                    // Wait for the mirror to say who leads; it may be this controller itself,
+                    // Wait for the watch cache to say who leads; it may be this controller itself,
                     // under a fencing token it has not heard the answer about.
-                    node.fresh.wait().await;
+                    node.read_barrier.wait().await;
                     node.check_deposed();
                     node.wake.membership.notify_one();
                     tokio::time::sleep(jitter(RETRY)).await;
@@ -151,7 +151,7 @@
                 }
                 return settle(node, batch, keys).await;
             }
-            Ok(TxnOutcome::NoSuchLease) => {}
+            Ok(CompareAndSwapOutcome::LeaseExpired) => {}
             Err(StoreError::Unanswered) => unanswered = true,
             Err(error) => debug!(%error, "storing"),
         }
@@ -159,9 +159,9 @@
     }
 }
 
-fn stored(node: &Node, batch: &Batch, stamp: u64) {
+fn stored(node: &Node, batch: &Batch, version: u64) {
     if let Some(cluster) = lock(&node.cluster).as_mut() {
-        cluster.chunks_stored(&batch.chunks, stamp);
+        cluster.chunks_stored(&batch.chunks, version);
     }
     for job in &batch.ends {
         note_end(node, &job.spec.id, End::Done);
@@ -206,14 +206,14 @@
         };
         let mut held = lock(&node.cluster);
         let Some(cluster) = held.as_mut() else { return false };
-        let stamp = item.as_ref().map_or(0, |i| i.stamp);
+        let version = item.as_ref().map_or(0, |i| i.version);
         let same = item.and_then(|i| decode_chunk(&i.value)).is_some_and(|t| t == write.tasks);
         if same {
             // An earlier copy of this transaction did apply.
-            cluster.chunks_stored(std::slice::from_ref(write), stamp);
+            cluster.chunks_stored(std::slice::from_ref(write), version);
         } else {
             warn!(key, "tasks in the store differ from the cluster state");
-            cluster.set_stamp(&write.job, write.chunk, stamp);
+            cluster.set_version(&write.job, write.chunk, version);
         }
     }
     if let Some(cluster) = lock(&node.cluster).as_mut() {
@@ -249,10 +249,10 @@
         return;
     }
     let (conditions, changes) = chunk_drops(&drops, fencing_token);
-    let outcome = tokio::time::timeout(DROP_WITHIN, node.store.txn(&conditions, &changes, urgent)).await;
+    let outcome = tokio::time::timeout(DROP_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
     let failed = match outcome {
-        Ok(Ok(TxnOutcome::Applied(_))) => return,
-        Ok(Ok(TxnOutcome::Failed(keys))) => keys,
+        Ok(Ok(CompareAndSwapOutcome::Applied(_))) => return,
+        Ok(Ok(CompareAndSwapOutcome::Failed(keys))) => keys,
         _ => Vec::new(),
     };
     if let Some(cluster) = lock(&node.cluster).as_mut() {
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -49,7 +49,8 @@
     ) -> u64 {
         let (conditions, changes) = (conditions.into(), changes.into());
         assert!(conditions.len() <= 4 * changes.len(), "{name}: the service takes four a change");
-        let stamp = self.store.apply_if(&conditions, &changes).unwrap_or_else(|refused| panic!("{name}: {refused:?}"));
+        let version =
+            self.store.apply_if(&conditions, &changes).unwrap_or_else(|refused| panic!("{name}: {refused:?}"));
         self.sent.push((name, conditions, changes));
         for (late, conditions, changes) in &self.sent {
             self.compared += 1;
@@ -67,7 +68,7 @@
                 }
             }
         }
-        stamp
+        version
     }
 
     fn send_move(&mut self, name: &'static str, sent: Move) -> u64 {
@@ -87,7 +88,7 @@
 
     fn become_leader(&mut self, name: &'static str) -> u64 {
         let me = LeaderRecord { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
-        let (conditions, change) = naming(&me, self.store.stamp(LEASE_HOLDER), self.store.stamp(LEADER));
+        let (conditions, change) = naming(&me, self.store.version(LEASE_HOLDER), self.store.version(LEADER));
         self.send(name, conditions, [change])
     }
 
@@ -99,8 +100,8 @@
     }
 
     fn status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
-        let stamp = |key: String| self.store.stamp(&key);
-        let (spec_stamp, status_stamp) = (stamp(spec_key(Kind::Window, "w")), stamp(status_key(Kind::Window, "w")));
+        let version = |key: String| self.store.version(&key);
+        let (spec_stamp, status_stamp) = (version(spec_key(Kind::Window, "w")), version(status_key(Kind::Window, "w")));
         let write = [Write { kind: Kind::Window, name: "w".into(), spec_stamp, status_stamp, value }];
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
@@ -110,9 +111,9 @@
     }
 }
 
-fn chunk(record: &JobRecord, stamp: u64, attempt: u64) -> ChunkWrite {
+fn chunk(record: &JobRecord, version: u64, attempt: u64) -> ChunkWrite {
     let tasks = vec![Stored::Bound(attempt, "host-000001".into())];
-    ChunkWrite { job: record.spec.id.clone(), chunk: 0, stamp, tasks }
+    ChunkWrite { job: record.spec.id.clone(), chunk: 0, version, tasks }
 }
 
 #[test]
@@ -123,8 +124,8 @@
     let fencing_token = life.become_leader("a leads");
     // An earlier build's job, taken over.
     let old = serde_json::to_value(&*jobs[3]).unwrap();
-    let stamp = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
-    life.send_move("adoption", moves::adopt(&jobs[3], stamp));
+    let version = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
+    life.send_move("adoption", moves::adopt(&jobs[3], version));
     let (condition, change) = upgraded(true);
     life.send("upgraded", [condition], [change]);
 
@@ -178,12 +179,12 @@
     let fencing_token = life.become_leader("a leads under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
     life.sent.retain(|(name, ..)| *name != "a holds the lease");
-    let (condition, change) = expiry(life.store.stamp(LEASE_HOLDER));
+    let (condition, change) = expiry(life.store.version(LEASE_HOLDER));
     life.send("expiry", [condition], [change]);
     life.take_lease("b holds the lease");
     life.become_leader("b leads");
     life.taken.clear();
-    let third = life.store.stamp(LEADER);
+    let third = life.store.version(LEADER);
     assert!(third > fencing_token);
     life.batch("placement by b", third, vec![], vec![chunk(&jobs[2], 0, 1)]);
     assert!(life.taken.is_empty(), "nothing of an earlier leader is taken any more: {:?}", life.taken);
@@ -197,7 +198,7 @@
     let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
     store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
     let accept = moves::accept(&job, false);
-    let place = |stamp| Batch { ends: vec![], chunks: vec![chunk(&job, stamp, 1)], at_ms: 5 };
+    let place = |version| Batch { ends: vec![], chunks: vec![chunk(&job, version, 1)], at_ms: 5 };
     let end = Batch { ends: vec![job.clone()], chunks: vec![], at_ms: 5 };
     store.apply_if(&accept.conditions, &accept.changes).unwrap();
     store.apply_if(&place(0).conditions(fencing_token), &place(0).changes()).unwrap();
--- a/src/store/follow.rs
+++ b/src/store/watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the mirror up to date, and proves on request that it is.
+//! Keeps the watch cache up to date, and proves on request that it is.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -8,22 +8,22 @@
 
 use super::StoreError;
 use super::budget::Urgent;
-use super::client::Followed;
+use super::client::WatchResponse;
 use crate::history::upgrade;
-use crate::jobs::record::{MIRRORED, MIRRORED_AFTER};
+use crate::jobs::record::{CACHED, CACHED_AFTER};
 use crate::node::Node;
 use crate::sync::lock;
 
 const WATCH: Duration = Duration::from_secs(20);
 /// Between two proofs of freshness, so that polls share them: at least this, and at least the time
 /// in which the share of requests grows by so many, since other questions need theirs.
-const FRESH_GAP: Duration = Duration::from_millis(80);
-const FRESH_COST: f64 = 4.0;
+const PROOF_GAP: Duration = Duration::from_millis(80);
+const PROOF_COST: f64 = 4.0;
 /// The same between an answer to the watch and its next question: changes come many a second.
 const WATCH_GAP: Duration = Duration::from_millis(10);
 const WATCH_COST: f64 = 4.0;
 /// A poll is waited for 2 s; past this, 503 tells its user to come again.
-const FRESH_WITHIN: Duration = Duration::from_millis(1500);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Without a question this long, freshness is proven all the same: it is what health, redirects and the
 /// right to answer workers go by, and a watch that hangs is noticed by it.
@@ -39,8 +39,8 @@
 
 /// Reads page by page into what is kept; what an earlier build has left is taken over first.
 async fn reload(node: &Node) -> Result<(), StoreError> {
-    let mut loading = lock(&node.mirror).load();
-    let mut pages = node.store.pages(MIRRORED, Some(MIRRORED_AFTER));
+    let mut loading = lock(&node.watch_cache).load();
+    let mut pages = node.store.pages(CACHED, Some(CACHED_AFTER));
     let mut tries = 0;
     loop {
         let page = match pages.next().await {
@@ -55,25 +55,25 @@
             Err(error) => return Err(error),
         };
         tries = 0;
-        let news = lock(&node.mirror).take_page(&mut loading, &page);
+        let news = lock(&node.watch_cache).take_page(&mut loading, &page);
         node.spread(news);
     }
     if !loading.upgraded() {
         return upgrade::run(&node.store).await;
     }
-    let news = lock(&node.mirror).loaded(loading);
+    let news = lock(&node.watch_cache).loaded(loading);
     node.spread(news);
-    node.fresh.wanted.notify_one();
+    node.read_barrier.wanted.notify_one();
     Ok(())
 }
 
 /// The watch: one at a time, for ever.
 pub async fn run(node: Arc<Node>) {
     loop {
-        let asking = lock(&node.mirror).asking();
+        let asking = lock(&node.watch_cache).asking();
         let outcome = match asking {
-            Some(revision) => node.store.follow(MIRRORED, revision, WATCH).await.map(|followed| {
-                let (_, news) = lock(&node.mirror).apply(&followed);
+            Some(revision) => node.store.watch(CACHED, revision, WATCH).await.map(|response| {
+                let (_, news) = lock(&node.watch_cache).apply(&response);
                 node.spread(news);
             }),
             None => reload(&node).await,
@@ -82,7 +82,7 @@
             // The leader acts on what it hears; the others only have to know it soon.
             Ok(()) if lock(&node.cluster).is_some() => tokio::time::sleep(WATCH_GAP).await,
             Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => lock(&node.mirror).ready = false,
+            Err(StoreError::TooOld) => lock(&node.watch_cache).ready = false,
             Err(error) => {
                 debug!(%error, "watching the store");
                 tokio::time::sleep(jitter(Duration::from_millis(300))).await;
@@ -92,70 +92,70 @@
 }
 
 /// All changes since a revision, at once.
-async fn changes_now(node: &Node, revision: u64) -> Result<Followed, StoreError> {
+async fn changes_now(node: &Node, revision: u64) -> Result<WatchResponse, StoreError> {
     // Waiting for one's own share is no sign of a connection that hangs.
     node.store.reserve(Urgent::First).await?;
-    let first = node.store.follow_reserved(MIRRORED, revision, Duration::ZERO);
+    let first = node.store.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = node.store.follow(MIRRORED, revision, Duration::ZERO) => outcome,
+        outcome = node.store.watch(CACHED, revision, Duration::ZERO) => outcome,
     }
 }
 
 /// Serves those who wait in `fresh`: one zero-wait watch answers all that asked before it began.
-pub async fn run_fresh(node: Arc<Node>) {
+pub async fn run_read_barrier(node: Arc<Node>) {
     loop {
-        let fresh = node.fresh.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
+        let fresh = node.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
         let pause = if fresh { PROOF_EVERY } else { PROOF_OVERDUE };
-        let _ = tokio::time::timeout(pause, node.fresh.wanted.notified()).await;
-        let ticket = node.fresh.ticket();
+        let _ = tokio::time::timeout(pause, node.read_barrier.wanted.notified()).await;
+        let ticket = node.read_barrier.ticket();
         let pauses = node.pauses();
         let begun = Instant::now();
-        let asking = lock(&node.mirror).asking();
+        let asking = lock(&node.watch_cache).asking();
         let Some(revision) = asking else {
-            node.fresh.failed.send_replace(ticket);
+            node.read_barrier.failed.send_replace(ticket);
             // After a process pause each beat asks for a proof anew, the one above too.
-            tokio::time::sleep(FRESH_GAP).await;
+            tokio::time::sleep(PROOF_GAP).await;
             continue;
         };
         match changes_now(&node, revision).await {
-            Ok(followed) => {
-                let (taken, news) = lock(&node.mirror).apply(&followed);
+            Ok(response) => {
+                let (taken, news) = lock(&node.watch_cache).apply(&response);
                 node.spread(news);
                 // What was asked before a process pause proves nothing after it.
                 let taken = taken && node.pauses() == pauses;
                 if taken {
-                    node.fresh.proved(begun);
+                    node.read_barrier.proved(begun);
                     node.proven();
                 }
-                if taken { &node.fresh.proven } else { &node.fresh.failed }.send_replace(ticket);
+                if taken { &node.read_barrier.proven } else { &node.read_barrier.failed }.send_replace(ticket);
             }
             Err(StoreError::TooOld) => {
-                lock(&node.mirror).ready = false;
-                node.fresh.failed.send_replace(ticket);
+                lock(&node.watch_cache).ready = false;
+                node.read_barrier.failed.send_replace(ticket);
             }
             // A moment's shortage: those who ask wait a little longer, and are not sent away together.
-            Err(StoreError::Unavailable(429)) => node.fresh.wanted.notify_one(),
+            Err(StoreError::Unavailable(429)) => node.read_barrier.wanted.notify_one(),
             Err(error) => {
-                node.fresh.failed.send_replace(ticket);
+                node.read_barrier.failed.send_replace(ticket);
                 debug!(%error, "no proof of freshness");
             }
         }
-        tokio::time::sleep(FRESH_GAP.max(node.store.time_for(FRESH_COST))).await;
-        if node.fresh.ticket() > ticket {
-            node.fresh.wanted.notify_one();
+        tokio::time::sleep(PROOF_GAP.max(node.store.time_for(PROOF_COST))).await;
+        if node.read_barrier.ticket() > ticket {
+            node.read_barrier.wanted.notify_one();
         }
     }
 }
 
 /// Tickets: each asker draws one, and is served by a proof begun after that.
-pub struct Fresh {
+pub struct ReadBarrier {
     drawn: std::sync::atomic::AtomicU64,
-    /// Wakes `run_fresh`: somebody waits for a proof.
+    /// Wakes `run_read_barrier`: somebody waits for a proof.
     pub wanted: tokio::sync::Notify,
     /// The highest ticket for which a proof has succeeded.
     pub proven: tokio::sync::watch::Sender<u64>,
@@ -165,7 +165,7 @@
     last: Mutex<Option<Instant>>,
 }
 
-impl Default for Fresh {
+impl Default for ReadBarrier {
     fn default() -> Self {
         Self {
             drawn: 0.into(),
@@ -177,7 +177,7 @@
     }
 }
 
-impl Fresh {
+impl ReadBarrier {
     fn ticket(&self) -> u64 {
         self.drawn.load(std::sync::atomic::Ordering::Relaxed)
     }
@@ -197,12 +197,12 @@
         lock(&self.last).map(|at| now.saturating_duration_since(at))
     }
 
-    /// True once the mirror holds everything stored before the call. A failure is told at once.
+    /// True once the watch cache holds everything stored before the call. A failure is told at once.
     pub async fn wait(&self) -> bool {
         let ticket = self.drawn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
         self.wanted.notify_one();
         let (mut proven, mut failed) = (self.proven.subscribe(), self.failed.subscribe());
-        let outcome = tokio::time::timeout(FRESH_WITHIN, async {
+        let outcome = tokio::time::timeout(PROOF_TIMEOUT, async {
             tokio::select! {
                 biased;
                 r = proven.wait_for(|p| *p >= ticket) => r.is_ok(),
--- a/src/store/mirror.rs
+++ b/src/store/watch_cache.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use tracing::warn;
 
-use super::client::{Event, Followed, Page};
+use super::client::{Event, Page, WatchResponse};
 use crate::declared::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
@@ -34,8 +34,8 @@
 }
 
 impl<T: DeserializeOwned> Slot<T> {
-    fn of(path: &str, value: &Value, stamp: u64) -> Self {
-        read(path, value).map_or(Self::Unreadable(stamp), |value| Self::Read((value, stamp)))
+    fn of(path: &str, value: &Value, version: u64) -> Self {
+        read(path, value).map_or(Self::Unreadable(version), |value| Self::Read((value, version)))
     }
 }
 
@@ -48,10 +48,10 @@
     }
 
     /// The version of the key; 0 if there is none.
-    fn stamp(&self) -> u64 {
+    fn version(&self) -> u64 {
         match self {
             Self::Absent => 0,
-            Self::Read((_, stamp)) | Self::Unreadable(stamp) => *stamp,
+            Self::Read((_, version)) | Self::Unreadable(version) => *version,
         }
     }
 }
@@ -68,12 +68,12 @@
 
 impl Control {
     /// False if the key is none of these.
-    fn put(&mut self, path: &str, value: &Value, stamp: u64) -> bool {
+    fn put(&mut self, path: &str, value: &Value, version: u64) -> bool {
         match path {
-            LEASE_HOLDER => self.lease_holder = Slot::of(path, value, stamp),
-            LEADER => self.leader_record = Slot::of(path, value, stamp),
-            TAKEOVER_REQUEST => self.takeover_request = Slot::of(path, value, stamp),
-            WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, stamp)),
+            LEASE_HOLDER => self.lease_holder = Slot::of(path, value, version),
+            LEADER => self.leader_record = Slot::of(path, value, version),
+            TAKEOVER_REQUEST => self.takeover_request = Slot::of(path, value, version),
+            WATERMARK => self.watermark = read(path, value).filter(|told| possible(path, told, version)),
             // It is written once and never again, and none that can be read would be waited for for ever.
             UPGRADED => self.upgraded = Some(read(path, value).unwrap_or(Upgraded { old_kept: true })),
             _ => return false,
@@ -95,7 +95,7 @@
 
 /// Open jobs, the keys of the election lease and of leadership, and what is declared, as of one revision of the store.
 #[derive(Debug)]
-pub struct Mirror {
+pub struct WatchCache {
     /// Everything stored up to this revision is included; 0 before the first reading.
     pub revision: u64,
     /// False until read whole once, and again while it is read anew after falling too far behind.
@@ -142,7 +142,7 @@
     pub opened: Vec<JobId>,
     /// Jobs that were open and have ended.
     pub ended: Vec<JobId>,
-    /// One of the keys of the election lease or of leadership changed, or the mirror was read anew.
+    /// One of the keys of the election lease or of leadership changed, or the watch cache was read anew.
     pub leadership: bool,
     /// A spec or a status changed.
     pub declared: bool,
@@ -160,10 +160,10 @@
 }
 
 /// Nobody has heard of what came after the watermark itself.
-fn possible(path: &str, told: &Watermark, stamp: u64) -> bool {
-    let possible = told.revision <= stamp && told.fencing_token <= stamp;
+fn possible(path: &str, told: &Watermark, version: u64) -> bool {
+    let possible = told.revision <= version && told.fencing_token <= version;
     if !possible {
-        warn!(path, ?told, stamp, "a watermark ahead of the store; passed over");
+        warn!(path, ?told, version, "a watermark ahead of the store; passed over");
     }
     possible
 }
@@ -183,7 +183,7 @@
     Some(record)
 }
 
-impl Default for Mirror {
+impl Default for WatchCache {
     fn default() -> Self {
         Self {
             revision: 0,
@@ -197,7 +197,7 @@
     }
 }
 
-impl Mirror {
+impl WatchCache {
     /// An open job's description.
     pub fn open(&self, id: &str) -> Option<&Arc<JobRecord>> {
         self.open.get(id)
@@ -239,14 +239,14 @@
     }
 
     /// The version of the lease holder's key, readable or not; 0 if nobody holds the lease.
-    pub fn lease_holder_stamp(&self) -> u64 {
-        self.control.lease_holder.stamp()
+    pub fn lease_holder_version(&self) -> u64 {
+        self.control.lease_holder.version()
     }
 
     /// The version of a lease holder's key that cannot be read.
     pub fn unreadable_lease_holder(&self) -> Option<u64> {
         match self.control.lease_holder {
-            Slot::Unreadable(stamp) => Some(stamp),
+            Slot::Unreadable(version) => Some(version),
             Slot::Absent | Slot::Read(_) => None,
         }
     }
@@ -258,8 +258,8 @@
     }
 
     /// The version of the leader record, readable or not; 0 if there is none.
-    pub fn leader_record_stamp(&self) -> u64 {
-        self.control.leader_record.stamp()
+    pub fn leader_record_version(&self) -> u64 {
+        self.control.leader_record.version()
     }
 
     /// The last takeover request, and its version.
@@ -289,18 +289,18 @@
 
     /// This controller has itself been seen to hold the lease, ahead of its watch. Where the watch has told of that
     /// moment, and so of what came after it, the watch is right: it would not tell of it again.
-    pub fn note_lease_holder(&mut self, lease_holder: LeaseHolder, stamp: u64) {
-        if stamp > self.revision {
-            self.control.lease_holder = Slot::Read((lease_holder, stamp));
+    pub fn note_lease_holder(&mut self, lease_holder: LeaseHolder, version: u64) {
+        if version > self.revision {
+            self.control.lease_holder = Slot::Read((lease_holder, version));
         }
     }
 
     /// The same of its leader record, and whether that still stands as far as is known.
-    pub fn note_leader_record(&mut self, leader_record: LeaderRecord, stamp: u64) -> bool {
-        if stamp > self.revision && stamp > self.leader_record_stamp() {
-            self.control.leader_record = Slot::Read((leader_record, stamp));
+    pub fn note_leader_record(&mut self, leader_record: LeaderRecord, version: u64) -> bool {
+        if version > self.revision && version > self.leader_record_version() {
+            self.control.leader_record = Slot::Read((leader_record, version));
         }
-        self.leader_record_stamp() == stamp
+        self.leader_record_version() == version
     }
 
     /// What a watch asks for: all changes after this revision.
@@ -309,7 +309,7 @@
     }
 
     /// Begins to read anew. Until `loaded`, what watches tell is passed over: a page may be older
-    /// than such an answer. All of it is told again, since the reading is followed from its first
+    /// than such an answer. All of it is told again, since the reading is response from its first
     /// page on.
     pub fn load(&mut self) -> Loading {
         self.ready = false;
@@ -328,11 +328,11 @@
         loading.revision.get_or_insert(page.revision);
         loading.newest = loading.newest.max(page.revision);
         for item in &page.items {
-            if loading.control.put(&item.path, &item.value, item.stamp) {
+            if loading.control.put(&item.path, &item.value, item.version) {
                 continue;
             }
             if records::declared(&item.path) {
-                loading.registry.put(&item.path, &item.value, item.stamp);
+                loading.registry.put(&item.path, &item.value, item.version);
                 continue;
             }
             let Some(id) = item.path.strip_prefix(OPEN) else { continue };
@@ -360,25 +360,25 @@
 
     /// Applies what a watch told; what is already known is passed over. False while it is read
     /// anew. An answer asked for before that is good after it: it begins no later than the reading.
-    pub fn apply(&mut self, followed: &Followed) -> (bool, News) {
+    pub fn apply(&mut self, response: &WatchResponse) -> (bool, News) {
         let mut news = News::default();
         if !self.ready {
             return (false, news);
         }
         let known = self.revision;
-        for event in followed.log.iter().filter(|e| e.stamp > known) {
+        for event in response.log.iter().filter(|e| e.version > known) {
             self.event(event, &mut news);
         }
-        self.revision = self.revision.max(followed.revision);
+        self.revision = self.revision.max(response.revision);
         (true, news)
     }
 
     fn event(&mut self, event: &Event, news: &mut News) {
         if let Some(path) = &event.write {
-            if self.control.put(path, &event.value, event.stamp) {
+            if self.control.put(path, &event.value, event.version) {
                 news.leadership = true;
             } else if records::declared(path) {
-                news.declared |= self.registry.put(path, &event.value, event.stamp);
+                news.declared |= self.registry.put(path, &event.value, event.version);
             } else if let Some(id) = path.strip_prefix(OPEN) {
                 self.put(id, path, &event.value, news);
             }
@@ -386,9 +386,9 @@
             if self.control.drop(path) {
                 news.leadership = true;
             } else if records::declared(path) {
-                news.declared |= self.registry.drop_key(path, event.stamp);
+                news.declared |= self.registry.drop_key(path, event.version);
             } else if let Some(id) = path.strip_prefix(OPEN) {
-                self.end(id, event.stamp.saturating_sub(1), event.stamp, news);
+                self.end(id, event.version.saturating_sub(1), event.version, news);
             }
         }
     }
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::store::audit::Held;
 use crate::store::budget::Urgent;
-use crate::store::{StoreError, TxnOutcome};
+use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 use crate::wire::users::{JobAnswer, Status};
 
@@ -24,11 +24,11 @@
         return found;
     }
     let id: JobId = id.into();
-    // It may have been found open before the mirror heard of it.
+    // It may have been found open before the watch cache heard of it.
     if open_tasks(node, &id).is_none() {
-        node.fresh.wait().await;
+        node.read_barrier.wait().await;
     }
-    let record = lock(&node.mirror).open(&id).cloned();
+    let record = lock(&node.watch_cache).open(&id).cloned();
     if let Some(record) = record {
         return write_cancellation(node, follow_ups, record).await;
     }
@@ -46,23 +46,23 @@
     let leader = node.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Cancellation, &record);
-    match node.store.txn(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
-        Ok(TxnOutcome::Applied(stamp)) => {
+    match node.store.compare_and_swap(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
+        Ok(CompareAndSwapOutcome::Applied(version)) => {
             sent.applied();
             lock(&node.audit).note(Held::Ended(record, End::Cancelled));
             if leader.is_some_and(|fencing_token| node.cancelled_by_leader(&id, fencing_token)) {
                 return ended(&id, End::Cancelled);
             }
-            node.history.note_cancellation(&id, stamp);
+            node.history.note_cancellation(&id, version);
             tell_end(node, &id, End::Cancelled).await
         }
-        Ok(TxnOutcome::Failed(keys)) => {
+        Ok(CompareAndSwapOutcome::Failed(keys)) => {
             sent.refused();
             if keys != [LEADER] {
                 return moved_on(node, &id, &keys).await;
             }
-            // Another leads by now: the mirror is about to hear it.
-            node.fresh.wanted.notify_one();
+            // Another leads by now: the watch cache is about to hear it.
+            node.read_barrier.wanted.notify_one();
             Reply::later("who leads has just changed")
         }
         outcome => {
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -1,9 +1,9 @@
 //! Finds out the result of writes that were not answered.
 //!
-//! The state service may carry out a write whose answer is lost, or carry it out later. The user asks again and is
-//! told what is stored, and the log has to agree: whoever counts by the log would take a job whose cancellation has no
-//! line for work that was never served. So each write is tracked from before it is sent until its answer, or the
-//! store, tells the result. For an acceptance the mirror is enough, which costs nothing; for a job that has ended the
+//! The state service may carry out a write whose answer is lost, or carry it out later. The user asks again and is told
+//! what is stored, and the log has to agree: whoever counts by the log would take a job whose cancellation has no line
+//! for work that was never served. So each write is tracked from before it is sent until its answer, or the store,
+//! tells the result. For an acceptance the watch cache is enough, which costs nothing; for a job that has ended the
 //! store is asked once how it did.
 
 use std::collections::HashSet;
@@ -37,7 +37,7 @@
 /// What is known of a job whose write was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Known {
-    /// Not in the mirror, and not lately ended in it.
+    /// Not in the watch cache, and not lately ended in it.
     Nothing,
     Open,
     /// Ended, and how is not known here.
@@ -176,7 +176,7 @@
     if open_tasks(node, id).is_some() {
         return Known::Open;
     }
-    if lock(&node.mirror).ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
+    if lock(&node.watch_cache).ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
 }
 
 #[cfg(test)]
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -20,11 +20,11 @@
     node.watermark();
     let mut visible = node.history.visible(id, end);
     if visible == Visible::Unknown {
-        let stamp = lock(&node.mirror).ended_by(id);
-        match stamp {
-            Some(stamp) => node.history.note_cancellation(id, stamp),
+        let version = lock(&node.watch_cache).ended_by(id);
+        match version {
+            Some(version) => node.history.note_cancellation(id, version),
             None => {
-                if let Err(error) = node.history.learn_stamp(&node.store, id).await {
+                if let Err(error) = node.history.learn_version(&node.store, id).await {
                     debug!(%error, job = %id, "asking when it was withdrawn");
                 }
             }
@@ -53,13 +53,13 @@
     Reply::Job(200, JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
-/// The number of tasks of a job that is open, as far as the mirror has heard.
+/// The number of tasks of a job that is open, as far as the watch cache has heard.
 pub(super) fn open_tasks(node: &Node, id: &str) -> Option<u64> {
-    lock(&node.mirror).open(id).map(|record| record.spec.tasks)
+    lock(&node.watch_cache).open(id).map(|record| record.spec.tasks)
 }
 
 /// The state of a job, no older than the moment of asking. Ends are final and told from memory;
-/// an open job is told from the mirror once that is proven fresh; all else the store is asked for,
+/// an open job is told from the watch cache once that is proven fresh; all else the store is asked for,
 /// which looks at every key that the job may have at one moment.
 pub(super) async fn look_up(node: &Node, id: &str) -> Reply {
     if !well_formed_id(id) {
@@ -69,11 +69,11 @@
     if let Some(end) = node.history.ended(&id) {
         return tell_end(node, &id, end).await;
     }
-    if !lock(&node.mirror).ready {
+    if !lock(&node.watch_cache).ready {
         return Reply::later("the state service has not been read yet");
     }
     if open_tasks(node, &id).is_some() {
-        if !node.fresh.wait().await {
+        if !node.read_barrier.wait().await {
             return Reply::later("the state service cannot be asked");
         }
         if let Some(tasks) = open_tasks(node, &id) {
@@ -84,7 +84,7 @@
     match node.history.ask(&id).await {
         Verdict::Ended(end) => tell_end(node, &id, end).await,
         Verdict::Never => Reply::Refused(Refusal::NoSuchJob),
-        // Accepted so lately that the mirror has not heard.
+        // Accepted so lately that the watch cache has not heard.
         Verdict::Open => open(node, &id, u64::MAX),
         Verdict::Later => Reply::later("the state service cannot be asked, or too much is asked at once"),
     }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -17,7 +17,7 @@
 use crate::node::Node;
 use crate::store::audit::Held;
 use crate::store::budget::Urgent;
-use crate::store::{StoreError, TxnOutcome};
+use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 use crate::wire;
 use crate::wire::users::{JobAnswer, Status};
@@ -59,7 +59,7 @@
             return unless_accepted(node, &named.id, refusal).await;
         }
     };
-    if !lock(&node.mirror).ready {
+    if !lock(&node.watch_cache).ready {
         return Reply::later("the state service has not been read yet");
     }
     let id = spec.id.clone();
@@ -79,8 +79,8 @@
 async fn accept(node: &Node, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
     let id = spec.id.clone();
     let (open, old_kept) = {
-        let mirror = lock(&node.mirror);
-        (mirror.held(), mirror.old_kept())
+        let watch_cache = lock(&node.watch_cache);
+        (watch_cache.held(), watch_cache.old_kept())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
     if !can_be_kept(node, &record) {
@@ -137,14 +137,14 @@
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
-        match node.store.txn(&accept.conditions, &accept.changes, Urgent::First).await {
-            Ok(TxnOutcome::Applied(_)) => {
+        match node.store.compare_and_swap(&accept.conditions, &accept.changes, Urgent::First).await {
+            Ok(CompareAndSwapOutcome::Applied(_)) => {
                 sent.applied();
                 lock(&node.audit).note(Held::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
                 return Reply::Job(201, job);
             }
-            Ok(TxnOutcome::Failed(keys)) => {
+            Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 sent.refused();
                 return moved_on(node, &id, &keys).await;
             }
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -30,8 +30,8 @@
         self.acts() && self.loaded
     }
 
-    /// Whether ends may have been stored that neither its cluster state nor its mirror has. `through`: the mirror has
-    /// heard all that was stored before its leader record.
+    /// Whether ends may have been stored that neither its cluster state nor its watch cache has. `through`: the watch
+    /// cache has heard all that was stored before its leader record.
     pub fn blind(&self, through: bool) -> bool {
         !self.loaded && !through
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -49,7 +49,7 @@
     let mut deposed = false;
     let (report_from, report_at) = (report.machine.clone(), (report.agent_epoch, report.seq));
     rights.knows = node.knows_leader(now);
-    // Of jobs that are over by the mirror a leader stops what runs, whatever else it may do.
+    // Of jobs that are over by the watch cache a leader stops what runs, whatever else it may do.
     let over = node.over_among(&report, rights.acts());
     {
         let mut held = lock(&node.cluster);
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -9,7 +9,7 @@
     let paused = Rights { unproven: true, ..sound };
     let unread = Rights { loaded: false, ..sound };
     let lone = Rights { knows: false, ..sound };
-    // (name, rights, its mirror is past its leader record, leases still end in time, it holds this machine;
+    // (name, rights, its watch cache is past its leader record, leases still end in time, it holds this machine;
     //  silent, all orders, answered)
     for (name, rights, through, spare, kept, want) in [
         ("the leader", sound, true, false, false, (false, true, true)),
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -36,12 +36,12 @@
             let (first, told) = tokio::join!(stage.ask(at, n, How::Submit), others);
             assert_eq!(first.0, 503, "its answer is lost: {first:?}");
             assert!(told > 0, "nobody was answered");
-            let stamp = stage.stamp(&key);
+            let version = stage.version(&key);
             for at in [&b, &a] {
                 until("known", || async { stage.look(at, n, How::Submit).await.is_some() }).await;
             }
             stage.running(n).await;
-            assert_eq!((stage.stamp(&key), stage.started(n)), (stamp, 3), "accepted once, and run once");
+            assert_eq!((stage.version(&key), stage.started(n)), (version, 3), "accepted once, and run once");
         }
     });
     stage.end([a, b]);
@@ -82,11 +82,11 @@
             stage.faults(|faults| (faults.unanswered, faults.only) = (1, Some("h/d/")));
             stage.accepted(&b, n, SHORT).await;
             until("stored", || async { stage.has(&key) }).await;
-            let stamp = stage.stamp(&key);
+            let version = stage.version(&key);
             stage.looks([&b, &a], n, &LOOKS, 5).await;
             stage.all_say([&a, &b], n, "done").await;
             until("the leader has let it go", || async { a.held("book_jobs") == 0 }).await;
-            assert_eq!((stage.stamp(&key), stage.started(n)), (stamp, 3), "one end, and nothing run again");
+            assert_eq!((stage.version(&key), stage.started(n)), (version, 3), "one end, and nothing run again");
         }
     });
     stage.end([a, b]);
@@ -253,14 +253,14 @@
                 assert!(took < Duration::from_secs(4), "{n} was answered only after {took:?}");
                 if code == 200 {
                     assert_eq!(answer["status"], "withdrawn");
-                    let stamp = stage.stamp(&format!("h/w/{}", id(n)));
+                    let version = stage.version(&format!("h/w/{}", id(n)));
                     // What was stored under its own fencing token it has put into its cluster state itself, ahead of
                     // its watch.
                     let has = b
                         .node
                         .watermark()
-                        .is_some_and(|cluster| cluster.fencing_token < stamp || cluster.revision >= stamp);
-                    assert!(has && stamp > 0, "{n} was told with no loaded cluster state that has it");
+                        .is_some_and(|cluster| cluster.fencing_token < version || cluster.revision >= version);
+                    assert!(has && version > 0, "{n} was told with no loaded cluster state that has it");
                     told.push(n);
                 } else {
                     assert!(code == 503 && again.is_some_and(|s| (1..=30).contains(&s)), "{code} {again:?} {answer}");
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -73,12 +73,12 @@
             stage.lose_an_answer(PLACEMENTS);
             stage.accepted(&other, n, ENDLESS).await;
             until("placed", || async { stage.has(&chunk(n)) }).await;
-            let stamp = stage.stamp(&chunk(n));
+            let version = stage.version(&chunk(n));
             assert_eq!(stage.answers_to_lose(), 0, "and its leader was not told so");
             stage.looks([&other, &leader], n, &LOOKS, 5).await;
             stage.running(n).await;
             stage.all_answer(&[&other, &leader], n, &LOOKS).await;
-            assert_eq!((stage.stamp(&chunk(n)), stage.live(n)), (stamp, 3), "placed once");
+            assert_eq!((stage.version(&chunk(n)), stage.live(n)), (version, 3), "placed once");
         }
         stage.goes_on(&other, 4).await;
         for n in 1..=3 {
@@ -134,11 +134,11 @@
     let third = stage.starts(&["node-a", "node-b", "node-c"], 2, SHORT_LEASE_S);
     stage.outside.block_on(until("the third is healthy", || stage.healthy(&third)));
     stage.lose_an_answer(ASSIGNMENTS);
-    let before = stage.stamp(LEADER);
+    let before = stage.version(LEADER);
     drop(first);
     stage.outside.block_on(async {
-        until("assigned", || async { stage.stamp(LEADER) > before }).await;
-        let unheard = stage.stamp(LEADER);
+        until("assigned", || async { stage.version(LEADER) > before }).await;
+        let unheard = stage.version(LEADER);
         assert_eq!(stage.answers_to_lose(), 0, "and it was not told so");
         let both = [&second, &third];
         let asked = stage.all_answer(&both, 1, &LOOKS);
@@ -148,7 +148,7 @@
         tokio::join!(asked, taken_over);
         fencing_tokens.note(&second);
         fencing_tokens.note(&third);
-        let assigned = stage.stamp(LEADER);
+        let assigned = stage.version(LEADER);
         assert!(assigned > unheard, "it leads under the token that it heard of");
         assert_eq!(fencing_tokens.0.last_key_value().unwrap().0, &assigned, "who leads does so by what is stored");
         stage.goes_on(&third, 2).await;
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -99,8 +99,8 @@
         self.world.state.lock().unwrap().store.has(key)
     }
 
-    pub fn stamp(&self, key: &str) -> u64 {
-        self.world.state.lock().unwrap().store.stamp(key)
+    pub fn version(&self, key: &str) -> u64 {
+        self.world.state.lock().unwrap().store.version(key)
     }
 
     pub fn stands(&self, n: u64) -> Stands {
@@ -206,13 +206,13 @@
 
     /// Somebody's loaded cluster state has the cancellation of this job.
     pub fn some_cluster_has(&self, nodes: &[&Controller], n: u64) -> bool {
-        let stamp = self.stamp(&format!("h/w/{}", id(n)));
+        let version = self.version(&format!("h/w/{}", id(n)));
         // What was stored under its own fencing token a leader has put into its cluster state itself, ahead of its
         // watch.
         let has = |at: &&Controller| {
-            at.node.watermark().is_some_and(|cluster| cluster.fencing_token < stamp || cluster.revision >= stamp)
+            at.node.watermark().is_some_and(|cluster| cluster.fencing_token < version || cluster.revision >= version)
         };
-        stamp > 0 && nodes.iter().any(has)
+        version > 0 && nodes.iter().any(has)
     }
 
     /// Everybody says so, in every way, again and again.
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -369,8 +369,8 @@
         self.world.state.lock().unwrap().store.has(&format!("{prefix}{}", id(n)))
     }
 
-    fn stamp(&self, prefix: &str, n: u64) -> u64 {
-        self.world.state.lock().unwrap().store.stamp(&format!("{prefix}{}", id(n)))
+    fn version(&self, prefix: &str, n: u64) -> u64 {
+        self.world.state.lock().unwrap().store.version(&format!("{prefix}{}", id(n)))
     }
 
     fn started(&self, n: u64) -> usize {
@@ -666,10 +666,10 @@
                 until("done", || async { stage.look_up(&a, n).await.1["status"] == "done" }).await;
             }
             assert_eq!(stands(n), want);
-            let stamp = stage.stamp("c/o/", n);
+            let version = stage.version("c/o/", n);
             late += 1;
             stage.late_over(late).await;
-            assert_eq!((stands(n), stage.stamp("c/o/", n)), (want, stamp), "the late one changed something");
+            assert_eq!((stands(n), stage.version("c/o/", n)), (want, version), "the late one changed something");
             for at in both {
                 let (code, answer) = stage.submit(at, wire::encode(&plain(n))).await;
                 assert_eq!(code, 200, "{answer}");
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -97,10 +97,10 @@
         stage.outside.block_on(async {
             stage.accepted(at, n, ENDLESS).await;
             let key = format!("c/o/{}", id(n));
-            let stamp = stage.stamp(&key);
+            let version = stage.version(&key);
             stage.everybody_answers([&leader, &lagging, &starting], n, &LOOKS).await;
             stage.running(n).await;
-            assert_eq!((stage.stamp(&key), stage.started(n)), (stamp, 3), "accepted once, and run once");
+            assert_eq!((stage.version(&key), stage.started(n)), (version, 3), "accepted once, and run once");
         });
     }
     stage.end([leader, lagging]);
@@ -120,9 +120,9 @@
                 stage.everybody_answers([&leader, &lagging, &starting], n, &ALL).await;
             };
             stage.while_looked_up(&lagging, n, ends).await;
-            let stamp = stage.stamp(&key);
+            let version = stage.version(&key);
             stage.all_say([&leader, &lagging, &starting], n, "done").await;
-            assert_eq!((stage.stamp(&key), stage.started(n)), (stamp, 3), "one end, and nothing run again");
+            assert_eq!((stage.version(&key), stage.started(n)), (version, 3), "one end, and nothing run again");
         });
     }
     stage.end([leader, lagging]);
