--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -11,7 +11,7 @@
 use super::answers::{PollCounts, Unanswered};
 use super::verdict::{JobResult, largest};
 use super::{BEGIN_WITHIN, Break, Entry, Event, Rule, Terms, Verdict};
-use crate::declared::Declared;
+use crate::declarations::Declared;
 use crate::world::fleet::Happening;
 
 /// The most lines of a job's history that are kept.
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,7 +8,7 @@
 
 #![warn(missing_docs)]
 
-mod declared;
+mod declarations;
 pub mod driver;
 pub mod judge;
 pub mod world;
--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -7,7 +7,7 @@
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
-use crate::declared::{Acted, Declared, Kind, Names, Problem, View};
+use crate::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
 use crate::jobs::{End, JobId};
 use crate::scheduling::intents::Intents;
 
@@ -50,7 +50,7 @@
 }
 
 impl Declared for Window {
-    const KIND: Kind = Kind::Window;
+    const KIND: DeclarationKind = DeclarationKind::Window;
     type Spec = Spec;
     type Status = Status;
 
--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -6,7 +6,7 @@
 use chrono::{Datelike, NaiveDate, NaiveTime, Timelike, Weekday};
 use serde::{Deserialize, Serialize};
 
-use crate::declared::{Names, Problem};
+use crate::declarations::{Names, Problem};
 use crate::jobs::well_formed_id;
 
 /// Days since 1970, in the window's own offset from UTC.
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -13,11 +13,11 @@
 use crate::calendar::spec::{Day, Spec};
 use crate::calendar::status::{Outcome, Over, Status};
 use crate::calendar::step::{GRACE_MS, latest_ms};
-use crate::declared::Kind;
-use crate::declared::driver::refresh;
-use crate::declared::records::{spec_key, status_key};
-use crate::declared::table::Entry;
-use crate::declared::tests::simulation::{Controller, Sent, Stage};
+use crate::declarations::DeclarationKind;
+use crate::declarations::driver::refresh;
+use crate::declarations::records::{spec_key, status_key};
+use crate::declarations::table::Entry;
+use crate::declarations::tests::simulation::{Controller, Sent, Stage};
 use crate::jobs::record::{JobRecord, StoredTask, open_key};
 use crate::jobs::{End, JobId};
 use crate::store::Change;
@@ -56,7 +56,8 @@
         let turns = |closes: &str, turns| window(json!({"closes": closes, "turns": turns, "declared_ms": start}));
         let specs =
             BTreeMap::from([("one", turns("06:40", json!(["roster", "plan"]))), ("two", turns("07:10", json!([])))]);
-        let stored = specs.iter().map(|(name, s)| (spec_key(Kind::Window, name), serde_json::to_value(s).unwrap()));
+        let stored =
+            specs.iter().map(|(name, s)| (spec_key(DeclarationKind::Window, name), serde_json::to_value(s).unwrap()));
         let mut stage = Stage::new(seed, &KINDS, &stored.collect::<Vec<_>>());
         (0..3).for_each(|n| stage.controllers[n].skew_ms = (n as i64 - 1) * 900);
         let mut simulation = Self {
@@ -120,7 +121,7 @@
     }
 
     fn status(&self, name: &str) -> Status {
-        let stored = self.stage.store.value(&status_key(Kind::Window, name));
+        let stored = self.stage.store.value(&status_key(DeclarationKind::Window, name));
         stored.map(|value| serde_json::from_value(value.clone()).unwrap()).unwrap_or_default()
     }
 
--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -9,9 +9,9 @@
 use serde_json::{Value, json};
 
 use super::unusable;
-use crate::declared::Kind;
-use crate::declared::operator::{Failed, Operator, Shown};
-use crate::declared::table::KINDS;
+use crate::declarations::DeclarationKind;
+use crate::declarations::operator::{Failed, Operator, Shown};
+use crate::declarations::table::KINDS;
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
 
@@ -42,7 +42,7 @@
     Declare {
         /// window, heat, reading or rollout
         #[arg(value_parser = kind)]
-        kind: Kind,
+        kind: DeclarationKind,
         /// One JSON object with its name, or a list of them
         file: PathBuf,
         /// Checks only, and asks nobody
@@ -54,7 +54,7 @@
     /// Shows what is declared and how it stands
     Show {
         #[arg(value_parser = kind)]
-        kind: Option<Kind>,
+        kind: Option<DeclarationKind>,
         name: Option<String>,
         #[command(flatten)]
         common: Common,
@@ -62,7 +62,7 @@
     /// Takes back what was declared; its leader tells that and forgets it
     Remove {
         #[arg(value_parser = kind)]
-        kind: Kind,
+        kind: DeclarationKind,
         name: String,
         #[command(flatten)]
         common: Common,
@@ -70,7 +70,7 @@
     /// Confirms that somebody has seen what is shown, such as a window that was missed
     Confirm {
         #[arg(value_parser = kind)]
-        kind: Kind,
+        kind: DeclarationKind,
         name: String,
         #[command(flatten)]
         common: Common,
@@ -99,9 +99,9 @@
     },
 }
 
-fn kind(word: &str) -> Result<Kind, String> {
-    let words = Kind::ALL.map(Kind::word).join(", ");
-    Kind::of_word(word).ok_or_else(|| format!("none of {words}"))
+fn kind(word: &str) -> Result<DeclarationKind, String> {
+    let words = DeclarationKind::ALL.map(DeclarationKind::word).join(", ");
+    DeclarationKind::of_word(word).ok_or_else(|| format!("none of {words}"))
 }
 
 fn time_ms(text: &str) -> Result<u64, String> {
@@ -158,7 +158,7 @@
 
 /// What a verb has to say, in lines and as JSON.
 async fn carry_out(verb: &Verb, operator: &Operator, listen: &str) -> Result<(Vec<String>, Value), Failed> {
-    let done = |what: &str, kind: Kind, name: &str| {
+    let done = |what: &str, kind: DeclarationKind, name: &str| {
         (vec![format!("{} {name}: {what}", kind.word())], json!({"kind": kind, "name": name, "done": what}))
     };
     match verb {
@@ -199,7 +199,7 @@
         }
         Verb::Reading { name, value, at, .. } => {
             operator.reading(name, *value, at.unwrap_or_else(time_of_day_ms)).await?;
-            Ok(done("read", Kind::Reading, name))
+            Ok(done("read", DeclarationKind::Reading, name))
         }
         Verb::Rollout { step, name, node, .. } => {
             let (verb, what) = match step {
@@ -208,8 +208,8 @@
                 Step::Back => ("back", "goes back"),
                 Step::Finish => ("finish", "finished"),
             };
-            operator.act(Kind::Rollout, verb, name, node.as_deref().unwrap_or(listen)).await?;
-            Ok(done(what, Kind::Rollout, name))
+            operator.act(DeclarationKind::Rollout, verb, name, node.as_deref().unwrap_or(listen)).await?;
+            Ok(done(what, DeclarationKind::Rollout, name))
         }
     }
 }
--- a/src/declared/driver.rs
+++ b/src/declarations/driver.rs
@@ -14,7 +14,7 @@
 use tracing::Level;
 
 use super::View;
-use super::records::{Kind, MOST_BYTES, spec_key, status_key};
+use super::records::{DeclarationKind, MOST_BYTES, spec_key, status_key};
 use super::registry::{Changed, Registry};
 use super::table::{Decided, Entry, News, entry};
 use crate::jobs::record::LEADER;
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Write {
     /// The kind of what is declared.
-    pub kind: Kind,
+    pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
     /// 0: the spec is gone, and its status goes after it.
@@ -92,11 +92,11 @@
     /// Where to go on among the kinds, and in each kind: whoever wants changes each second keeps nobody
     /// else from his.
     turn: usize,
-    last: BTreeMap<Kind, String>,
+    last: BTreeMap<DeclarationKind, String>,
     /// Nothing is decided before the watch cache holds this revision: what was stored last.
     stored: u64,
     /// Statuses that are too large to be stored, told once.
-    too_large: BTreeSet<(Kind, String)>,
+    too_large: BTreeSet<(DeclarationKind, String)>,
 }
 
 impl Driver {
--- a/src/declared/mod.rs
+++ b/src/declarations/mod.rs
@@ -28,7 +28,7 @@
 use crate::scheduling::intents::Intents;
 use crate::settings::{Params, Settings, Team};
 
-pub use records::Kind;
+pub use records::DeclarationKind;
 pub use registry::Registry;
 
 /// A field of a spec that cannot be used, and why. Shown as `FIELD: WHY`.
@@ -119,7 +119,7 @@
 /// One kind of declared thing. All of it is pure.
 pub trait Declared {
     /// Its kind, which names its keys.
-    const KIND: Kind;
+    const KIND: DeclarationKind;
     /// What operators declare.
     type Spec: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
     /// What the leader stores of it.
--- a/src/declared/operator.rs
+++ b/src/declarations/operator.rs
@@ -12,7 +12,7 @@
 
 use super::records::{MOST_TOGETHER, OPERATORS, Part, SPECS, STATUSES, parse, spec_key, status_key, well_formed};
 use super::table::{Declaration, Entry, entry};
-use super::{Kind, Names, Problem};
+use super::{DeclarationKind, Names, Problem};
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
 use crate::store::budget::{Budget, Urgent};
@@ -61,8 +61,8 @@
 pub(super) struct Known {
     /// The version of the key common to all operators.
     pub operators: u64,
-    pub specs: BTreeMap<(Kind, String), (Value, u64)>,
-    pub statuses: BTreeMap<(Kind, String), Value>,
+    pub specs: BTreeMap<(DeclarationKind, String), (Value, u64)>,
+    pub statuses: BTreeMap<(DeclarationKind, String), Value>,
 }
 
 impl Known {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn declaration<'a>(&'a self, kind: Kind, name: &'a str) -> Result<Declaration<'a>, Failed> {
+    fn declaration<'a>(&'a self, kind: DeclarationKind, name: &'a str) -> Result<Declaration<'a>, Failed> {
         let of = (kind, name.to_owned());
         match self.specs.get(&of) {
             Some((spec, _)) => Ok(Declaration { name, spec, status: self.statuses.get(&of) }),
@@ -87,7 +87,7 @@
 #[derive(Debug, serde::Serialize)]
 pub struct Shown {
     /// The kind of what is declared.
-    pub kind: Kind,
+    pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
     /// The stored spec.
@@ -119,7 +119,7 @@
         Self { kinds, settings, store, http, patience }
     }
 
-    fn entry(&self, kind: Kind) -> Result<&'static Entry, Failed> {
+    fn entry(&self, kind: DeclarationKind) -> Result<&'static Entry, Failed> {
         match entry(self.kinds, kind) {
             Some(entry) => Ok(entry),
             None => refused(format!("kind: this build carries out no {}", kind.word())),
@@ -127,7 +127,7 @@
     }
 
     /// Reads one object or a list of them, each with its name, and checks all without asking anybody.
-    pub fn read_list(&self, kind: Kind, text: &str) -> Result<BTreeMap<String, Value>, Failed> {
+    pub fn read_list(&self, kind: DeclarationKind, text: &str) -> Result<BTreeMap<String, Value>, Failed> {
         let entry = self.entry(kind)?;
         let read: Value = serde_json::from_str(text).or_else(|error| refused(error.to_string()))?;
         let list = match read {
@@ -157,7 +157,7 @@
     }
 
     /// Writes these specs, and gives the names of those that were not as given already.
-    pub async fn declare(&self, kind: Kind, specs: &BTreeMap<String, Value>) -> Result<Vec<String>, Failed> {
+    pub async fn declare(&self, kind: DeclarationKind, specs: &BTreeMap<String, Value>) -> Result<Vec<String>, Failed> {
         let entry = self.entry(kind)?;
         self.change(kind, async |known: &Known, _| {
             let stand = known.specs.iter().filter(|((k, _), _)| *k == kind);
@@ -186,7 +186,7 @@
     }
 
     /// Takes back what was declared.
-    pub async fn remove(&self, kind: Kind, name: &str) -> Result<(), Failed> {
+    pub async fn remove(&self, kind: DeclarationKind, name: &str) -> Result<(), Failed> {
         let gone = self.change(kind, async |known: &Known, again| match known.declaration(kind, name) {
             Ok(_) => Ok(Writes::from([(name.to_owned(), None)])),
             Err(_) if again => Ok(Writes::new()),
@@ -197,7 +197,7 @@
 
     /// One of the verbs that the kind knows. A job that is to be cancelled with it is cancelled first, at
     /// this controller, as its user would.
-    pub async fn act(&self, kind: Kind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
+    pub async fn act(&self, kind: DeclarationKind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
         let entry = self.entry(kind)?;
         let acted = self.change(kind, async |known: &Known, _| {
             let acted = (entry.act)(verb, known.declaration(kind, name)?, time_of_day_ms())?;
@@ -211,7 +211,7 @@
 
     /// A sensor's reading of a time of day. One of a later time is not replaced.
     pub async fn reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), Failed> {
-        let kind = Kind::Reading;
+        let kind = DeclarationKind::Reading;
         let entry = self.entry(kind)?;
         if !well_formed(name) {
             return refused(format!("name: {name:?} is not 1 to 64 of a-z, 0-9, dot and dash"));
@@ -241,12 +241,12 @@
     }
 
     /// All that is declared, or one kind, or one of it; and statuses that are left to be dropped.
-    pub async fn show(&self, kind: Option<Kind>, name: Option<&str>) -> Result<Vec<Shown>, Failed> {
+    pub async fn show(&self, kind: Option<DeclarationKind>, name: Option<&str>) -> Result<Vec<Shown>, Failed> {
         let known = self.known(kind).await?;
         if let (Some(kind), Some(name)) = (kind, name) {
             known.declaration(kind, name)?;
         }
-        let mut all: Vec<&(Kind, String)> = known.specs.keys().chain(known.statuses.keys()).collect();
+        let mut all: Vec<&(DeclarationKind, String)> = known.specs.keys().chain(known.statuses.keys()).collect();
         all.sort_unstable();
         all.dedup();
         let now_ms = time_of_day_ms();
@@ -267,7 +267,7 @@
     /// written meanwhile. `work` is told whether it is asked again.
     async fn change(
         &self,
-        kind: Kind,
+        kind: DeclarationKind,
         work: impl AsyncFn(&Known, bool) -> Result<Writes, Failed>,
     ) -> Result<Vec<String>, Failed> {
         let (mut moved, mut written, mut again) = (Instant::now(), Vec::new(), false);
@@ -314,7 +314,7 @@
     /// One transaction, until its answer is definite: the revision, or the keys that were not as read.
     async fn write(
         &self,
-        kind: Kind,
+        kind: DeclarationKind,
         known: &Known,
         writes: &[(String, Option<Value>)],
     ) -> Result<Result<u64, Vec<String>>, Failed> {
@@ -339,7 +339,7 @@
     }
 
     /// What operators have written of a kind, and its statuses, none older than `operators`.
-    async fn known(&self, kind: Option<Kind>) -> Result<Known, Failed> {
+    async fn known(&self, kind: Option<DeclarationKind>) -> Result<Known, Failed> {
         let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
         let mut known = Known { operators: stands.map_or(0, |item| item.version), ..Known::default() };
         for part in [SPECS, STATUSES] {
@@ -386,7 +386,7 @@
 
 /// Writes on what was read, with the key that all operators move.
 pub(super) fn transaction(
-    kind: Kind,
+    kind: DeclarationKind,
     known: &Known,
     writes: &[(String, Option<Value>)],
     mine: &Value,
@@ -408,6 +408,6 @@
     (conditions, changes)
 }
 
-fn too_many(kind: Kind, n: usize) -> String {
+fn too_many(kind: DeclarationKind, n: usize) -> String {
     format!("{}: {n} are more than the {} that can be declared", kind.word(), kind.most())
 }
--- a/src/declared/records.rs
+++ b/src/declarations/records.rs
@@ -23,7 +23,7 @@
 /// What can be declared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum DeclarationKind {
     /// A planning window (`calendar`).
     Window,
     /// A heat rule (`heat`).
@@ -34,7 +34,7 @@
     Rollout,
 }
 
-impl Kind {
+impl DeclarationKind {
     /// Every kind.
     pub const ALL: [Self; 4] = [Self::Window, Self::Heat, Self::Reading, Self::Rollout];
 
@@ -73,12 +73,12 @@
 }
 
 /// Key of a spec.
-pub fn spec_key(kind: Kind, name: &str) -> String {
+pub fn spec_key(kind: DeclarationKind, name: &str) -> String {
     format!("{SPECS}{}/{name}", kind.word())
 }
 
 /// Key of a status.
-pub fn status_key(kind: Kind, name: &str) -> String {
+pub fn status_key(kind: DeclarationKind, name: &str) -> String {
     format!("{STATUSES}{}/{name}", kind.word())
 }
 
@@ -88,13 +88,13 @@
 }
 
 /// Reads back what `spec_key` and `status_key` made; none of kinds that a later build knows.
-pub fn parse(path: &str) -> Option<(Part, Kind, &str)> {
+pub fn parse(path: &str) -> Option<(Part, DeclarationKind, &str)> {
     let (part, rest) = match path.strip_prefix(SPECS) {
         Some(rest) => (Part::Spec, rest),
         None => (Part::Status, path.strip_prefix(STATUSES)?),
     };
     let (kind, name) = rest.split_once('/')?;
-    Some((part, Kind::of_word(kind)?, name)).filter(|_| well_formed(name))
+    Some((part, DeclarationKind::of_word(kind)?, name)).filter(|_| well_formed(name))
 }
 
 /// 1 to 64 of small letters, digits, dots and dashes, beginning with a letter or a digit.
--- a/src/declared/records/tests.rs
+++ b/src/declarations/records/tests.rs
@@ -3,7 +3,7 @@
 /// A name becomes a part of a key and of a path in a request.
 #[test]
 fn keys_read_back_and_names_are_plain() {
-    for kind in Kind::ALL {
+    for kind in DeclarationKind::ALL {
         assert_eq!(parse(&spec_key(kind, "a.b-1")), Some((Part::Spec, kind, "a.b-1")));
         assert_eq!(parse(&status_key(kind, "a.b-1")), Some((Part::Status, kind, "a.b-1")));
         assert_eq!(serde_json::to_value(kind).unwrap(), kind.word());
--- a/src/declared/registry.rs
+++ b/src/declarations/registry.rs
@@ -13,7 +13,7 @@
 use tracing::{error, warn};
 
 use super::Declared;
-use super::records::{Kind, MOST_BYTES, Part, parse};
+use super::records::{DeclarationKind, MOST_BYTES, Part, parse};
 
 /// Changes of statuses kept until they are told; more are not told.
 const MOST_CHANGED: usize = 256;
@@ -27,7 +27,11 @@
 }
 
 impl Kept {
-    fn read<T: DeserializeOwned + Clone + Send + Sync + 'static>(&self, kind: Kind, name: &str) -> Option<T> {
+    fn read<T: DeserializeOwned + Clone + Send + Sync + 'static>(
+        &self,
+        kind: DeclarationKind,
+        name: &str,
+    ) -> Option<T> {
         let read = self.read.get_or_init(|| match serde_json::from_str::<T>(&self.json) {
             Ok(read) => Some(Arc::new(read)),
             Err(problem) => {
@@ -47,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Changed {
     /// The kind of what has changed.
-    pub kind: Kind,
+    pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
     before: Option<Box<str>>,
@@ -68,7 +72,7 @@
     }
 }
 
-type Of = BTreeMap<Kind, BTreeMap<String, Kept>>;
+type Of = BTreeMap<DeclarationKind, BTreeMap<String, Kept>>;
 
 /// What is declared, as this controller has read it from the store.
 #[derive(Debug, Default)]
@@ -113,27 +117,27 @@
     }
 
     /// A spec as it is stored, with its version.
-    pub fn raw_spec(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
+    pub fn raw_spec(&self, kind: DeclarationKind, name: &str) -> Option<(Value, u64)> {
         self.specs.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
     }
 
     /// A status as it is stored, with its version.
-    pub fn raw_status(&self, kind: Kind, name: &str) -> Option<(Value, u64)> {
+    pub fn raw_status(&self, kind: DeclarationKind, name: &str) -> Option<(Value, u64)> {
         self.statuses.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
     }
 
     /// Whether there is a status, readable or not.
-    pub fn has_status(&self, kind: Kind, name: &str) -> bool {
+    pub fn has_status(&self, kind: DeclarationKind, name: &str) -> bool {
         self.statuses.get(&kind).is_some_and(|of| of.contains_key(name))
     }
 
     /// Names of a kind, readable or not: all that specs may be looked at of.
-    pub fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
+    pub fn names(&self, kind: DeclarationKind) -> impl Iterator<Item = &str> {
         self.specs.get(&kind).into_iter().flatten().take(kind.most()).map(|(name, _)| name.as_str())
     }
 
     /// Statuses whose spec is gone, with their versions.
-    pub fn left_over(&self) -> impl Iterator<Item = (Kind, &str, u64)> {
+    pub fn left_over(&self) -> impl Iterator<Item = (DeclarationKind, &str, u64)> {
         let all = self.statuses.iter().flat_map(|(kind, of)| of.iter().map(move |(name, kept)| (*kind, name, kept)));
         all.filter(|(kind, name, _)| !self.specs.get(kind).is_some_and(|of| of.contains_key(*name)))
             .map(|(kind, name, kept)| (kind, name.as_str(), kept.version))
@@ -187,7 +191,7 @@
             return any;
         }
         let mut changes = Vec::new();
-        for kind in Kind::ALL {
+        for kind in DeclarationKind::ALL {
             let (was, is) = (before.statuses.get(&kind), self.statuses.get(&kind));
             let mut names: Vec<&String> = was.into_iter().chain(is).flat_map(BTreeMap::keys).collect();
             names.sort_unstable();
@@ -223,7 +227,7 @@
         }
     }
 
-    fn note(&mut self, kind: Kind, name: &str, before: Option<Box<str>>, after: Option<Box<str>>) {
+    fn note(&mut self, kind: DeclarationKind, name: &str, before: Option<Box<str>>, after: Option<Box<str>>) {
         if self.changed.len() >= MOST_CHANGED {
             self.changed.pop_front();
         }
--- a/src/declared/table.rs
+++ b/src/declarations/table.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tracing::Level;
 
-use super::records::{Kind, MOST_BYTES};
+use super::records::{DeclarationKind, MOST_BYTES};
 use super::{Acted, Declared, Names, Problem, View};
 use crate::heat;
 use crate::scheduling::intents::Intents;
@@ -52,7 +52,7 @@
 /// What can be done with a kind.
 pub struct Entry {
     /// The kind that this entry serves.
-    pub kind: Kind,
+    pub kind: DeclarationKind,
     /// Reads and checks a spec.
     pub check: fn(&Value, &Names) -> Result<(), Problem>,
     /// Checks all specs of the kind together, passing over those that cannot be read.
@@ -89,7 +89,7 @@
 }
 
 /// The kind's entry among these, if it is carried out at all.
-pub fn entry(kinds: &[Entry], kind: Kind) -> Option<&Entry> {
+pub fn entry(kinds: &[Entry], kind: DeclarationKind) -> Option<&Entry> {
     kinds.iter().find(|entry| entry.kind == kind)
 }
 
--- a/src/declared/tests.rs
+++ b/src/declarations/tests.rs
@@ -22,7 +22,7 @@
 use super::records::{OPERATORS, spec_key, status_key};
 use super::run::{Hands, run};
 use super::table::Entry;
-use super::{Declared, Kind, Names, Problem, View};
+use super::{DeclarationKind, Declared, Names, Problem, View};
 use crate::jobs::JobId;
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
@@ -47,7 +47,7 @@
 pub struct Toy<const OF: usize>;
 
 impl<const OF: usize> Declared for Toy<OF> {
-    const KIND: Kind = Kind::ALL[OF];
+    const KIND: DeclarationKind = DeclarationKind::ALL[OF];
     type Spec = Goal;
     type Status = Counted;
 
@@ -72,7 +72,7 @@
 pub struct Restless;
 
 impl Declared for Restless {
-    const KIND: Kind = Kind::Rollout;
+    const KIND: DeclarationKind = DeclarationKind::Rollout;
     type Spec = Goal;
     type Status = Counted;
 
@@ -166,7 +166,7 @@
             }
             return None;
         }
-        let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(Kind::Heat, name))).into();
+        let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(DeclarationKind::Heat, name))).into();
         let fencing_token = self.stage.store.version(LEADER);
         let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
@@ -205,11 +205,11 @@
         for prefix in ["c/s/heat/", "c/t/heat/"] {
             self.stage.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| known.take(item));
         }
-        let stands = self.stage.store.has(&spec_key(Kind::Heat, &name));
+        let stands = self.stage.store.has(&spec_key(DeclarationKind::Heat, &name));
         let goal = self.stored.get(&name).copied().unwrap_or(0) + self.stage.rng.random_range(1..4);
         let value = if stands && self.stage.rng.random_ratio(1, 3) { None } else { Some(json!({"goal": goal})) };
         let mine = json!(self.stage.rng.random::<u64>());
-        let (mut conditions, changes) = transaction(Kind::Heat, &known, &[(name, value)], &mine);
+        let (mut conditions, changes) = transaction(DeclarationKind::Heat, &known, &[(name, value)], &mine);
         conditions.retain(|c| self.without != Without::Operators || c.path != OPERATORS);
         if self.stage.store.apply_if(&conditions, &changes).is_ok() && self.stage.rng.random_ratio(1, 3) {
             self.stage.late.push((conditions, changes));
@@ -266,7 +266,7 @@
         let simulation = simulate(seed, Without::Nothing);
         assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
         for name in NAMES {
-            let (spec, status) = (spec_key(Kind::Heat, name), status_key(Kind::Heat, name));
+            let (spec, status) = (spec_key(DeclarationKind::Heat, name), status_key(DeclarationKind::Heat, name));
             let goal = simulation.stage.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
             let at = simulation.stage.store.value(&status).map(|v| v["at"].as_u64().unwrap());
             assert_eq!(goal, at, "seed {seed}: {name} is not where it is meant to be");
@@ -323,8 +323,8 @@
 #[test]
 fn nobody_is_kept_from_his_turn() {
     let entries: Vec<(String, serde_json::Value)> = (0..20)
-        .map(|n| (spec_key(Kind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
-        .chain((0..5).map(|n| (spec_key(Kind::Heat, &format!("h{n}")), json!({"goal": 2}))))
+        .map(|n| (spec_key(DeclarationKind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
+        .chain((0..5).map(|n| (spec_key(DeclarationKind::Heat, &format!("h{n}")), json!({"goal": 2}))))
         .collect();
     let mut stage = leader(&BOTH, &entries);
     for n in 0..40 {
@@ -332,10 +332,11 @@
         assert!(stage.look(0, 0, |(), _| None).unwrap().writes.is_empty(), "not heard yet");
         stage.follow(0, true);
     }
-    let at =
-        |kind: Kind, name: &str| stage.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap());
-    assert!((0..5).all(|n| at(Kind::Heat, &format!("h{n}")) == 2), "the few are through");
-    let restless: Vec<u64> = (0..20).map(|n| at(Kind::Rollout, &format!("r{n:02}"))).collect();
+    let at = |kind: DeclarationKind, name: &str| {
+        stage.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap())
+    };
+    assert!((0..5).all(|n| at(DeclarationKind::Heat, &format!("h{n}")) == 2), "the few are through");
+    let restless: Vec<u64> = (0..20).map(|n| at(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
     assert!(restless.iter().all(|n| (3..=4).contains(n)), "and the many in turn: {restless:?}");
 }
 
@@ -358,7 +359,7 @@
     assert_eq!(names, ["good"]);
     let registry = stage.controllers[0].watch_cache.registry();
     assert_eq!(registry.entries(), 5, "the larger one and the unknown kind are not taken in");
-    assert!(registry.raw_spec(Kind::Heat, "bad").is_some(), "what is unreadable is kept");
+    assert!(registry.raw_spec(DeclarationKind::Heat, "bad").is_some(), "what is unreadable is kept");
     let (cluster, _) = stage.controllers[0].leader.as_ref().unwrap();
     assert_eq!(cluster.intents.not_yet.len(), 1, "nothing is asked for by what cannot be read");
 }
@@ -368,12 +369,12 @@
 fn what_is_kept_is_bounded() {
     let mut registry = super::Registry::default();
     for n in (0..1000).rev() {
-        registry.put(&spec_key(Kind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
+        registry.put(&spec_key(DeclarationKind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
     }
     assert_eq!(registry.entries(), 100);
-    assert_eq!(registry.names(Kind::Heat).count(), 50);
+    assert_eq!(registry.names(DeclarationKind::Heat).count(), 50);
     for n in 0..1000 {
-        registry.put(&status_key(Kind::Heat, "h"), &json!({"at": n}), n);
+        registry.put(&status_key(DeclarationKind::Heat, "h"), &json!({"at": n}), n);
     }
     assert_eq!(registry.take_changed().len(), 256);
 }
@@ -423,7 +424,7 @@
 #[test]
 fn the_cost_of_a_full_registry() {
     let mut entries = Vec::new();
-    for (kind, n) in Kind::ALL.into_iter().zip([1000, 50, 200, 20]) {
+    for (kind, n) in DeclarationKind::ALL.into_iter().zip([1000, 50, 200, 20]) {
         for name in (0..n).map(|n| format!("{}-{n:04}", kind.word())) {
             entries.push((spec_key(kind, &name), json!({"goal": 2, "more": "x".repeat(500)})));
             entries.push((status_key(kind, &name), json!({"at": 1, "by": 1, "more": "x".repeat(500)})));
--- a/src/declared/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::declared::driver::{Driver, Looked, Write, changes, conditions};
-use crate::declared::table::Entry;
+use crate::declarations::driver::{Driver, Looked, Write, changes, conditions};
+use crate::declarations::table::Entry;
 use crate::jobs::End;
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -5,7 +5,7 @@
 
 use hyper::Method;
 
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::settings::Settings;
 use crate::store::budget::{Budget, Urgent};
 use crate::sync::lock;
--- a/src/fleet/dealings.rs
+++ b/src/fleet/dealings.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::rent::Refusals;
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 
 /// Keys of orders that stay marked as done under one fencing token, and one clean-up more at the most.
 pub(super) const MOST_MARKED: usize = 64;
@@ -16,7 +16,7 @@
     /// Kinds that were refused lately.
     pub refusals: Refusals,
     /// Machines asked for and not yet named.
-    pub asked: HashMap<Kind, u64>,
+    pub asked: HashMap<MachineKind, u64>,
     /// Machines whose return is under way.
     pub(super) returning: HashSet<String>,
     /// The number of the last name that was given to an order or a rental.
@@ -31,7 +31,7 @@
 
 impl Dealings {
     /// So many machines of a kind were named, or will not be.
-    pub(super) fn no_longer_asked(&mut self, kind: &Kind, count: u64) {
+    pub(super) fn no_longer_asked(&mut self, kind: &MachineKind, count: u64) {
         if let Some(asked) = self.asked.get_mut(kind) {
             *asked = asked.saturating_sub(count);
         }
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
 use crate::scheduling::intents;
@@ -120,7 +120,7 @@
     let mut pool = Pool::new(cluster, catalog, now);
     // Waiting work, then what is expected while a machine would boot, takes its room first; idle work,
     // what of it runs included, what is left.
-    for turn in queue(cluster, now).into_iter().filter(|t| !t.suspected && !t.job.spec().is_idle()) {
+    for turn in queue(cluster, now).into_iter().filter(|t| !t.quarantined && !t.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
         pool.keep(job.spec(), &Zones::new(cluster, job), waiting, turn.ahead || turn.age > job.agreement.run);
     }
@@ -162,7 +162,7 @@
             continue;
         }
         tried += usize::from(!machine.bound.is_empty());
-        if let Some(moves) = spared(cluster, machine, &mut pool, at, now) {
+        if let Some(moves) = scale_in_candidate(cluster, machine, &mut pool, at, now) {
             // Nothing goes to a machine that is about to be left.
             pool.rooms[at].cpus = -1.0;
             chosen.push(Drain { machine: machine.id.clone(), moves });
@@ -172,7 +172,7 @@
 }
 
 /// What of a machine's work would have to move, if all of that fits elsewhere.
-fn spared(
+fn scale_in_candidate(
     cluster: &ClusterState,
     machine: &Machine,
     pool: &mut Pool,
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -6,7 +6,7 @@
 use tracing::debug;
 
 use super::cloud;
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 use crate::node::Node;
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::Ground;
@@ -19,10 +19,10 @@
     let Some(cluster) = held.as_mut() else { return };
     for machine in machines {
         let age = Duration::try_from_secs_f64(machine.held_s).unwrap_or_default();
-        let kind = Kind { type_name: machine.type_name, zone: machine.zone, spot: machine.spot };
+        let kind = MachineKind { type_name: machine.type_name, zone: machine.zone, spot: machine.spot };
         cluster.expect(&machine.id, &kind, machine.addr.as_deref(), age, now);
         match machine.state.as_str() {
-            "failed" => cluster.condemn(&machine.id, "failed by the cloud's word"),
+            "failed" => cluster.terminate(&machine.id, "failed by the cloud's word"),
             "running" => cluster.listed_up(&machine.id, now),
             _ => {}
         }
@@ -42,7 +42,7 @@
         match machine.state {
             MachineState::Booting => of.0 += 1,
             MachineState::Up => of.1 += 1,
-            MachineState::Draining | MachineState::Condemned => of.2 += 1,
+            MachineState::Draining | MachineState::Terminating => of.2 += 1,
         }
         if machine.state != MachineState::Booting {
             of.3 += u32::from(machine.bound.is_empty());
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -99,7 +99,7 @@
     let mut held = lock(&node.cluster);
     let Some(cluster) = held.as_mut() else { return };
     for (id, why) in rent::to_give_up(cluster, &catalog, now) {
-        cluster.condemn(&id, why);
+        cluster.terminate(&id, why);
     }
     let chosen = drain::choose(cluster, &catalog, now);
     if chosen.is_empty() {
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
-use crate::kinds::{Catalog, Kind};
+use crate::machine_kinds::{Catalog, MachineKind};
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
 use crate::scheduling::fairness::promises::starts_left_s;
@@ -37,15 +37,15 @@
 /// asked for again after the first pause.
 #[derive(Debug, Default)]
 pub struct Refusals {
-    refused: HashMap<Kind, Refused>,
+    refused: HashMap<MachineKind, Refused>,
     /// Most machines held at once.
-    given: HashMap<Kind, u64>,
+    given: HashMap<MachineKind, u64>,
 }
 
 impl Refusals {
     /// Notes that the cloud refused this kind. The pause is `base` at first and doubles with each refusal in a row, up
     /// to eight times `base` and 120 s.
-    pub fn note(&mut self, kind: Kind, base: Duration, now: Instant) {
+    pub fn note(&mut self, kind: MachineKind, base: Duration, now: Instant) {
         let times = self.refused.get(&kind).map_or(0, |r| r.times).min(3);
         let pause = (base * 2u32.pow(times)).min(LONGEST_REFUSAL);
         // Kinds come and go over months; what was refused long ago starts afresh.
@@ -54,7 +54,7 @@
     }
 
     /// So many machines of each kind are held now.
-    pub fn holds(&mut self, held: &HashMap<Kind, u64>) {
+    pub fn holds(&mut self, held: &HashMap<MachineKind, u64>) {
         for (kind, n) in held {
             if let Some(most) = self.given.get_mut(kind) {
                 *most = (*most).max(*n);
@@ -65,12 +65,12 @@
     }
 
     /// Forgets the refusals of a kind, once it was given again.
-    pub fn clear(&mut self, kind: &Kind) {
+    pub fn clear(&mut self, kind: &MachineKind) {
         self.refused.remove(kind);
     }
 
     /// Whether to leave a kind alone of which this many are held.
-    pub fn refused(&self, kind: &Kind, held: u64, now: Instant) -> bool {
+    pub fn refused(&self, kind: &MachineKind, held: u64, now: Instant) -> bool {
         let Some(refused) = self.refused.get(kind) else { return false };
         let given = self.given.get(kind).copied().unwrap_or(0);
         let until = if held * 10 < given * 9 { refused.until.min(refused.at + refused.base) } else { refused.until };
@@ -123,7 +123,7 @@
 const MOST_FOLLOWED: usize = 500;
 
 /// How many machines of each kind there are, whatever they stand for.
-pub fn held_by_kind(cluster: &ClusterState) -> HashMap<Kind, u64> {
+pub fn held_by_kind(cluster: &ClusterState) -> HashMap<MachineKind, u64> {
     let mut counts = vec![0u64; cluster.kinds().len()];
     for kind in cluster.machines.values().filter_map(|m| m.kind) {
         if let Some(count) = counts.get_mut(kind) {
@@ -139,11 +139,11 @@
     cluster: &ClusterState,
     catalog: &Catalog,
     refusals: &Refusals,
-    asked: &HashMap<Kind, u64>,
+    asked: &HashMap<MachineKind, u64>,
     now: Instant,
-) -> Vec<(Kind, u64)> {
+) -> Vec<(MachineKind, u64)> {
     // For what fails everywhere nothing is rented.
-    let turns = queue(cluster, now).into_iter().filter(|t| !t.suspected);
+    let turns = queue(cluster, now).into_iter().filter(|t| !t.quarantined);
     let (idle, urgent): (Vec<Turn>, Vec<Turn>) = turns.partition(|t| t.job.spec().is_idle());
     let room = !cluster.intents.room.is_empty();
     if idle.is_empty() && urgent.is_empty() && !room {
@@ -176,12 +176,12 @@
 struct Intents<'a> {
     cluster: &'a ClusterState,
     ground: &'a Ground<'a>,
-    asked: &'a HashMap<Kind, u64>,
-    kinds: Vec<Option<Kind>>,
+    asked: &'a HashMap<MachineKind, u64>,
+    kinds: Vec<Option<MachineKind>>,
     refused: Vec<bool>,
     /// Machines held, asked for and wanted.
     total: u64,
-    wanted: BTreeMap<Kind, u64>,
+    wanted: BTreeMap<MachineKind, u64>,
     quotas: Quotas<'a>,
     followed: usize,
     jobs: usize,
@@ -193,14 +193,14 @@
         cluster: &'a ClusterState,
         ground: &'a Ground<'a>,
         refusals: &Refusals,
-        asked: &'a HashMap<Kind, u64>,
+        asked: &'a HashMap<MachineKind, u64>,
         now: Instant,
     ) -> Self {
-        let kinds: Vec<Option<Kind>> = ground.offers.iter().map(|o| o.map(|o| o.kind())).collect();
+        let kinds: Vec<Option<MachineKind>> = ground.offers.iter().map(|o| o.map(|o| o.kind())).collect();
         let held = held_by_kind(cluster);
-        let refused = |k: &Kind| refusals.refused(k, held.get(k).copied().unwrap_or(0), now);
+        let refused = |k: &MachineKind| refusals.refused(k, held.get(k).copied().unwrap_or(0), now);
         let refused = kinds.iter().map(|k| k.as_ref().is_none_or(refused)).collect();
-        let total = cluster.machines.values().filter(|m| m.state != MachineState::Condemned).count() as u64
+        let total = cluster.machines.values().filter(|m| m.state != MachineState::Terminating).count() as u64
             + kinds.iter().flatten().filter_map(|k| asked.get(k)).sum::<u64>();
         let (wanted, quotas) = (BTreeMap::new(), Quotas::new(cluster));
         Self { cluster, ground, asked, kinds, refused, total, wanted, quotas, followed: 0, jobs: 0, now }
@@ -212,7 +212,7 @@
         // hear no more where most don't.
         let most_inbound_lost = self.cluster.most_inbound_lost();
         let stays = |m: &&Machine| {
-            !matches!(m.state, MachineState::Condemned | MachineState::Draining)
+            !matches!(m.state, MachineState::Terminating | MachineState::Draining)
                 && m.recall.is_none()
                 && m.known
                 && (!m.inbound_lost || most_inbound_lost)
@@ -396,7 +396,7 @@
                     out.push((machine.id.clone(), "idle"));
                 }
             }
-            MachineState::Draining | MachineState::Condemned => {}
+            MachineState::Draining | MachineState::Terminating => {}
         }
     }
     out
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -11,7 +11,7 @@
 use super::order_log::store;
 use super::orders::{self, What};
 use super::rent as plan;
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 use crate::node::Node;
 use crate::sync::{jitter, lock};
 
@@ -81,8 +81,8 @@
 }
 
 /// The kind of machine that a rental asks for.
-pub(super) fn kind_of(rental: &Rental) -> Kind {
-    Kind { type_name: rental.type_name.clone(), zone: rental.zone.clone(), spot: rental.spot }
+pub(super) fn kind_of(rental: &Rental) -> MachineKind {
+    MachineKind { type_name: rental.type_name.clone(), zone: rental.zone.clone(), spot: rental.spot }
 }
 
 /// Whether it was filled.
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -1,4 +1,4 @@
-//! Returning machines that are condemned, under a stored order.
+//! Returning machines that are terminating, under a stored order.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -22,7 +22,7 @@
     let names: Vec<String> = cluster
         .machines
         .values()
-        .filter(|m| m.state == MachineState::Condemned && !dealings.returning.contains(&*m.id))
+        .filter(|m| m.state == MachineState::Terminating && !dealings.returning.contains(&*m.id))
         .map(|m| m.id.to_string())
         .collect();
     dealings.returning.extend(names.iter().cloned());
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -17,8 +17,8 @@
 pub use readings::Reading;
 pub use rule::Rule;
 
-use crate::declared::records::Kind;
-use crate::declared::{Declared, Names, Problem, View};
+use crate::declarations::records::DeclarationKind;
+use crate::declarations::{Declared, Names, Problem, View};
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor;
 use crate::scheduling::intents::{Ahead, Intents};
@@ -43,7 +43,7 @@
 }
 
 impl Declared for Rule {
-    const KIND: Kind = Kind::Heat;
+    const KIND: DeclarationKind = DeclarationKind::Heat;
     type Spec = Rule;
     type Status = Status;
 
@@ -125,7 +125,7 @@
 
 /// A reading has no status: rules look at what is handed in.
 impl Declared for Reading {
-    const KIND: Kind = Kind::Reading;
+    const KIND: DeclarationKind = DeclarationKind::Reading;
     type Spec = Reading;
     type Status = ();
 
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::readings::{Reading, settle};
-use crate::declared::Problem;
+use crate::declarations::Problem;
 
 const MOST_NAMED: usize = 32;
 const MOST_SENSORS: usize = 16;
--- a/src/heat/tests/interleavings.rs
+++ b/src/heat/tests/interleavings.rs
@@ -5,9 +5,9 @@
 use serde_json::to_value;
 
 use super::*;
-use crate::declared::records::{spec_key, status_key};
-use crate::declared::table::KINDS;
-use crate::declared::tests::simulation::{Sent, Stage};
+use crate::declarations::records::{spec_key, status_key};
+use crate::declarations::table::KINDS;
+use crate::declarations::tests::simulation::{Sent, Stage};
 use crate::jobs::record::LEADER;
 use crate::store::Change;
 
@@ -24,7 +24,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let rules = [(spec_key(Kind::Heat, "vents"), to_value(rule()).unwrap())];
+        let rules = [(spec_key(DeclarationKind::Heat, "vents"), to_value(rule()).unwrap())];
         let mut stage = Stage::new(seed, KINDS, &rules);
         for at in 0..3 {
             stage.follow(at, true);
@@ -58,14 +58,14 @@
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
         }
-        let status = self.stage.store.value(&status_key(Kind::Heat, "vents")).unwrap();
+        let status = self.stage.store.value(&status_key(DeclarationKind::Heat, "vents")).unwrap();
         self.stored.push(serde_json::from_value(status.clone()).unwrap());
         self.fencing_tokens.push(fencing_token);
     }
 
     fn read(&mut self, sensor: &str, value: f64) {
         let spec = to_value(read(value, self.now_ms)).unwrap();
-        self.stage.store.apply_if(&[], &[Change::write(spec_key(Kind::Reading, sensor), spec)]).unwrap();
+        self.stage.store.apply_if(&[], &[Change::write(spec_key(DeclarationKind::Reading, sensor), spec)]).unwrap();
     }
 
     fn step(&mut self) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,22 +7,22 @@
 //! `sla` holds the arithmetic of the paper that the scheduler follows, `jobs` what a job is and how it is stored,
 //! `users` the API for users, `workers` reports and commands, `scheduling` the leader's cluster state and the placement
 //! decisions, `fleet` machines and the cloud, `store` the state service, `history` jobs that have ended, and
-//! `membership` leadership and leadership. `declared` holds what operators ask for beside jobs; its kinds are in
+//! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
 //! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
-//! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `kinds`
+//! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`
 //! and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
 
 #![warn(missing_docs)]
 
 pub mod calendar;
 pub mod cli;
-pub mod declared;
+pub mod declarations;
 pub mod fleet;
 pub mod heat;
 pub mod history;
 pub mod jobs;
-pub mod kinds;
+pub mod machine_kinds;
 pub mod membership;
 pub mod node;
 pub mod process_pause;
--- a/src/kinds.rs
+++ b/src/machine_kinds.rs
@@ -6,7 +6,7 @@
 
 /// What can be rented: a type, in a zone, ordinary or spot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Kind {
+pub struct MachineKind {
     /// The cloud's name of the machine type.
     pub type_name: String,
     /// The zone in which such machines are offered.
@@ -15,7 +15,7 @@
     pub spot: bool,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for MachineKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} in {}{}", self.type_name, self.zone, if self.spot { " (spot)" } else { "" })
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -26,7 +26,7 @@
 use crate::history::reader::{self, History};
 use crate::history::sweep;
 use crate::jobs::admission::Admission;
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::membership::mesh::Heard;
 use crate::membership::serving_state::{Health, LetGo};
 use crate::membership::unreachable_leader::UnreachableLeader;
@@ -57,7 +57,7 @@
     pub dispatch: Notify,
     /// Wakes `fleet`: what to rent or to return may have changed.
     pub fleet: Notify,
-    /// Wakes the driver of what is declared (`declared::run`): a spec or a status changed.
+    /// Wakes the driver of what is declared (`declarations::run`): a spec or a status changed.
     pub declared: Notify,
     /// Other controllers are to hear the watermark at once.
     pub mesh: tokio::sync::watch::Sender<()>,
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -1,8 +1,8 @@
-//! Implements `declared::run::Hands` for a controller: what the driver of declared things may read and do.
+//! Implements `declarations::run::Hands` for a controller: what the driver of declared things may read and do.
 
 use super::Node;
-use crate::declared::driver::Ended;
-use crate::declared::run::Hands;
+use crate::declarations::driver::Ended;
+use crate::declarations::run::Hands;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -8,7 +8,7 @@
 use tracing::{info, warn};
 
 use super::Node;
-use crate::declared;
+use crate::declarations;
 use crate::fleet;
 use crate::membership::records::TakeoverRequest;
 use crate::scheduling::{self, ClusterState};
@@ -39,7 +39,7 @@
         tasks.push(tokio::spawn(commit::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(dispatch::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(fleet::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(declared::run::run(self.clone())).abort_handle());
+        tasks.push(tokio::spawn(declarations::run::run(self.clone())).abort_handle());
     }
 
     /// Stops leading at once: somebody newer does.
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use super::Node;
-use crate::declared::driver;
-use crate::declared::table::KINDS;
+use crate::declarations::driver;
+use crate::declarations::table::KINDS;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -7,7 +7,7 @@
 use super::observation::{Known, Observation, Replica, Side};
 use super::spec::{MOST_REPLICAS, Spec};
 use super::status::{Phase, Status};
-use crate::declared::View;
+use crate::declarations::View;
 use crate::jobs::{JobId, JobSpec, Shape};
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::{SLACK, suspect_after};
@@ -16,13 +16,13 @@
 pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Observation {
     let begun = status.phase.begun();
     let [old, new] = status.jobs(spec);
-    let suspected = view.cluster.machines.values().filter(|m| m.suspected).map(|m| m.id.to_string()).collect();
+    let quarantined = view.cluster.machines.values().filter(|m| m.quarantined).map(|m| m.id.to_string()).collect();
     let mut seen = Observation {
         old: side(old, begun, view),
         new: side(new, begun, view),
         unfit: None,
         no_room: None,
-        suspected,
+        quarantined,
         now_ms: view.now_ms,
         epoch: view.cluster.first_fencing_token,
     };
@@ -61,7 +61,7 @@
             (replica.type_name, replica.zone) = (machine.type_name.clone(), machine.zone.clone());
             replica.heard = machine.reported() && since(machine.heard) < suspect;
             // One that can be spared goes on with what can't move.
-            let stays = machine.state != MachineState::Condemned && machine.recall.is_none();
+            let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
             replica.leaving = !stays;
             replica.sure = running && replica.heard && stays && machine.fencing_token >= cluster.first_fencing_token;
         }
@@ -75,7 +75,7 @@
         replicas: job.bound.iter().filter_map(replica).collect(),
         failures,
         failed_lately: lately.map(|m| (m.to_string(), type_of(m).unwrap_or_default())).collect(),
-        suspected: cluster.attribution.suspects(id),
+        quarantined: cluster.attribution.suspects(id),
     }
 }
 
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -16,7 +16,7 @@
 
 use tracing::Level;
 
-use crate::declared::{Acted, Declared, Kind, Names, Problem, View};
+use crate::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
 use crate::scheduling::intents::Intents;
 use spec::{Spec, Wanted};
 use status::{Phase, Status};
@@ -25,7 +25,7 @@
 pub struct Rollout;
 
 impl Declared for Rollout {
-    const KIND: Kind = Kind::Rollout;
+    const KIND: DeclarationKind = DeclarationKind::Rollout;
     type Spec = Spec;
     type Status = Status;
 
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -62,7 +62,7 @@
     /// Machine and machine type of the latest failures.
     pub failed_lately: Vec<(String, String)>,
     /// Fails wherever it is tried (`scheduling::failure_attribution`).
-    pub suspected: bool,
+    pub quarantined: bool,
 }
 
 impl Side {
@@ -107,8 +107,8 @@
     pub unfit: Option<String>,
     /// Why the rollout has no room to begin.
     pub no_room: Option<String>,
-    /// Machines under suspicion.
-    pub suspected: BTreeSet<String>,
+    /// Machines quarantined.
+    pub quarantined: BTreeSet<String>,
     /// Time of day, in ms since 1970.
     pub now_ms: u64,
     /// The fencing token under which this leader began.
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -104,7 +104,7 @@
     /// The machine's type.
     #[serde(rename = "type")]
     pub type_name: String,
-    /// It came under suspicion: other work fails on it as well.
+    /// It came quarantined: other work fails on it as well.
     pub faulty: bool,
 }
 
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -6,15 +6,15 @@
 
 use serde_json::{Value, json};
 
-use crate::declared::records::{spec_key, status_key};
-use crate::declared::{Declared, Kind, Registry, View};
+use crate::declarations::records::{spec_key, status_key};
+use crate::declarations::{DeclarationKind, Declared, Registry, View};
 use crate::fleet::drain;
 use crate::fleet::rent::{self, Refusals};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec as job_spec;
 use crate::jobs::{JobSpec, Shape};
-use crate::kinds::tests::machine_type;
-use crate::kinds::{Catalog, MachineType};
+use crate::machine_kinds::tests::machine_type;
+use crate::machine_kinds::{Catalog, MachineType};
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{Phase, Status};
 use crate::scheduling::cluster::{ClusterState, Via};
@@ -68,7 +68,7 @@
     fn declare(&mut self, name: &str, change: Value) {
         let mut spec = json!({"old": "run-1", "new": "run-2", "replicas": 4, "hold_s": 5, "surge": 1});
         spec.as_object_mut().unwrap().extend(change.as_object().unwrap().clone());
-        self.put(&spec_key(Kind::Rollout, name), spec);
+        self.put(&spec_key(DeclarationKind::Rollout, name), spec);
     }
 
     /// All machines say that what is bound to them runs, but what was told to stop, which is gone.
@@ -124,7 +124,7 @@
 
     /// Intents by what is stored, then the next statuses, as the leader's task does; then a plan.
     fn turn(&mut self) -> Vec<String> {
-        let names: Vec<String> = self.registry.names(Kind::Rollout).map(str::to_owned).collect();
+        let names: Vec<String> = self.registry.names(DeclarationKind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
         let next: Vec<(String, Option<Status>)> = self.with_view(|view| {
             let of = |name: &String| {
@@ -138,7 +138,7 @@
         self.cluster.set_intents(intents);
         for (name, status) in next {
             if let Some(status) = status {
-                self.put(&status_key(Kind::Rollout, &name), serde_json::to_value(status).unwrap());
+                self.put(&status_key(DeclarationKind::Rollout, &name), serde_json::to_value(status).unwrap());
             }
         }
         let placed = plan::place(&mut self.cluster, &self.catalog, self.now);
@@ -194,7 +194,7 @@
     bench.cluster.end_job(&"run-1".into(), None, bench.now);
     bench.pass(1);
     assert!(bench.turn().is_empty());
-    bench.registry.drop_key(&spec_key(Kind::Rollout, "r"), 1000);
+    bench.registry.drop_key(&spec_key(DeclarationKind::Rollout, "r"), 1000);
     assert!(bench.turn().is_empty() && bench.cluster.intents.is_empty());
 }
 
@@ -257,7 +257,7 @@
     assert_eq!((bench.status("a").phase, bench.status("b").phase), (Phase::Refused, Phase::Paused));
     // Both begun, each before the other was heard of.
     let begun = json!({"phase": "growing", "old": "run-2", "new": "run-3"});
-    bench.put(&status_key(Kind::Rollout, "a"), begun);
+    bench.put(&status_key(DeclarationKind::Rollout, "a"), begun);
     bench.turn();
     assert_eq!((bench.status("a").phase, bench.status("b").phase), (Phase::Growing, Phase::Refused));
 }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -312,7 +312,7 @@
         ("again and again on two", (10, 0), &three[..2], &[], |_| (), GoingBack, "10 times"),
         ("the old one fails as well", (4, 2), three, &[], |_| (), Paused, "both versions"),
         ("the old one fails now and then", (9, 2), three, &[], |_| (), GoingBack, "3 different"),
-        ("wherever it was tried", (2, 0), &three[..2], &[], |s| s.new.suspected = true, GoingBack, "wherever"),
+        ("wherever it was tried", (2, 0), &three[..2], &[], |s| s.new.quarantined = true, GoingBack, "wherever"),
         ("never runs", (0, 0), &[], &[], |s| s.new = side(4, &[(0, "a", 0.0)]), Growing, ""),
         (
             "never runs within its time",
@@ -327,13 +327,13 @@
             "within 1800 s",
         ),
     ];
-    for (name, (failures, old), machines, suspected, change, want, why) in cases {
+    for (name, (failures, old), machines, quarantined, change, want, why) in cases {
         let mut seen = seen(&OLD, &[(0, "a", 5.0)]);
         (seen.new.failures, seen.old.failures) = (failures, old);
         let lately = machines.iter().map(|(n, t)| on(*n, t));
         // The same few machines again, as the latest failures are listed.
         seen.new.failed_lately = lately.cycle().take((failures as usize).min(16)).collect();
-        seen.suspected = suspected.iter().map(|n| format!("m{n}")).collect();
+        seen.quarantined = quarantined.iter().map(|n| format!("m{n}")).collect();
         change(&mut seen);
         let before = status(Growing, 0, &[], &[0]);
         let next = decide(&spec(), &before, &seen).unwrap_or(before);
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -420,9 +420,9 @@
                 (*index, replica)
             });
             let lately = leader.lately[which].iter().rev().take(16).rev().cloned().collect();
-            let suspected = leader.failures[which] >= 3 && !leader.well[which];
+            let quarantined = leader.failures[which] >= 3 && !leader.well[which];
             let (known, failures) = (Known::Open, leader.failures[which]);
-            Side { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, suspected }
+            Side { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, quarantined }
         };
         let (old, new) = (side(0, self.game.old), side(1, self.game.replicas));
         Observation { old, new, now_ms: self.now * 1000, epoch: leader.epoch, ..Observation::default() }
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -43,7 +43,7 @@
         }
         // Where other work fails as well, the machine explains it, also once it is given up.
         for on in &mut self.failed_on {
-            on.faulty |= seen.suspected.contains(&on.machine);
+            on.faulty |= seen.quarantined.contains(&on.machine);
         }
     }
 
@@ -66,7 +66,7 @@
             format!("failed on {} different machines{}", sound.len(), one.unwrap_or_default())
         } else if self.new >= u64::from(bad.restarts) && self.failed_on.len() >= 2 {
             format!("its replicas failed {} times", self.new)
-        } else if seen.new.suspected && self.new > 0 {
+        } else if seen.new.quarantined && self.new > 0 {
             "failed wherever it was tried".to_owned()
         } else {
             return None;
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -71,8 +71,8 @@
 
 impl Backfill {
     /// Work like this found no room. What fails everywhere keeps nobody out.
-    pub fn waits(&mut self, spec: &JobSpec, open: &[bool], suspected: bool) {
-        if spec.is_idle() || suspected || self.wanted.len() >= MOST_WAITING {
+    pub fn waits(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+        if spec.is_idle() || quarantined || self.wanted.len() >= MOST_WAITING {
             return;
         }
         let covered = |w: &Wanted| {
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::jobs::Urgency;
 use crate::jobs::tests::spec;
-use crate::kinds::MachineType;
-use crate::kinds::tests::machine_type;
+use crate::machine_kinds::MachineType;
+use crate::machine_kinds::tests::machine_type;
 
 fn of(cpus: f64, gpus: f64) -> MachineType {
     machine_type("t", cpus, gpus, 1.0)
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -126,7 +126,7 @@
                 }
             }
         }
-        if m.state == MachineState::Condemned {
+        if m.state == MachineState::Terminating {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
             orders.retain(|o| matches!(o, Order::Halt { .. }));
         }
@@ -143,9 +143,9 @@
         for m in self.machines.values() {
             if m.command_under_way {
                 under_way += 1;
-            } else if m.state != MachineState::Condemned && m.tell {
+            } else if m.state != MachineState::Terminating && m.tell {
                 news.push(m.id.clone());
-            } else if m.state != MachineState::Condemned && now >= m.next_command {
+            } else if m.state != MachineState::Terminating && now >= m.next_command {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
                 } else if m.fencing_token < self.fencing_token {
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -38,12 +38,12 @@
             job_does_well: does_well(job, on, now),
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
-        let suspected = self.attribution.suspects(&key.job);
+        let quarantined = self.attribution.suspects(&key.job);
         let judged = self.attribution.failed(&failure, enough, now);
         info!(task = %key.job, index = key.index, machine = %on, "task failed");
         if let Some(at) = judged.job_not_before {
             job.not_before = job.not_before.max(at);
-            if !suspected {
+            if !quarantined {
                 let (team, class) = (&job.record.spec.team, &job.record.spec.class);
                 warn!(job = %key.job, team, class, "fails on every machine: tried again now and then, behind all else");
             }
@@ -52,7 +52,7 @@
             machine.failed = true;
             if judged.machine && machine.state == MachineState::Up {
                 info!(machine = %on, "under suspicion: no new work for now");
-                machine.suspected = true;
+                machine.quarantined = true;
             }
         }
         for id in judged.cleared {
@@ -63,9 +63,9 @@
     /// A task was done: its machine and its job are well.
     pub(super) fn did_well(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let suspected = self.attribution.suspects(&key.job);
+        let quarantined = self.attribution.suspects(&key.job);
         self.attribution.done(key, &job.record.spec.class, on);
-        if suspected {
+        if quarantined {
             info!(job = %key.job, "does well after all");
         }
         self.clear_machine(on);
@@ -74,15 +74,15 @@
     fn clear_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.failed = false;
-            if std::mem::take(&mut machine.suspected) {
+            if std::mem::take(&mut machine.quarantined) {
                 info!(machine = %id, "cleared: what failed there fails elsewhere, or something was done there");
                 self.stirred = true;
             }
         }
     }
 
-    /// Machines that have been under suspicion for long enough: out, or back.
-    pub(super) fn decide_suspicions(&mut self, now: Instant) {
+    /// Machines that have been quarantined for long enough: out, or back.
+    pub(super) fn decide_quarantines(&mut self, now: Instant) {
         for (id, out) in self.attribution.decided(self.enough_failures(), now) {
             if !out {
                 self.clear_machine(&id);
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -9,7 +9,7 @@
 use super::{Binding, ClusterState, JobState, MachineId};
 use crate::fleet::orders::{CloudOrder, What};
 use crate::jobs::JobSpec;
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 use crate::process_pause::{PROOF_PART, ProcessPause};
 use crate::scheduling::one_way_partition::PartitionDetector;
 use crate::sla::{self, Load};
@@ -70,7 +70,7 @@
     /// No new work; returned when empty.
     Draining,
     /// To be returned now, with whatever is on it.
-    Condemned,
+    Terminating,
 }
 
 /// One machine: what it is, what it was heard to run, and what has been told to it.
@@ -120,9 +120,9 @@
     /// Something has failed on it since anything was done there.
     pub failed: bool,
     /// Drained because it can be spared: what is over of it is idle work's until the rest has run out.
-    pub spared: bool,
-    /// Under suspicion: no new work until it is decided whose fault its failures are.
-    pub suspected: bool,
+    pub scale_in_candidate: bool,
+    /// Quarantined: no new work until it is decided whose fault its failures are.
+    pub quarantined: bool,
     /// Its reports arrive and nothing reaches it: no new work until it hears again.
     pub inbound_lost: bool,
     pub(super) partition: PartitionDetector,
@@ -175,8 +175,8 @@
             tell: false,
             idle_since: None,
             failed: false,
-            spared: false,
-            suspected: false,
+            scale_in_candidate: false,
+            quarantined: false,
             inbound_lost: false,
             partition: PartitionDetector::new(now),
             known: false,
@@ -338,7 +338,7 @@
     }
 
     /// A machine that was rented or listed, before it reports.
-    pub fn expect(&mut self, id: &str, kind: &Kind, addr: Option<&str>, held: Duration, now: Instant) {
+    pub fn expect(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
         let id: MachineId = id.into();
         if self.gone_set.contains(&id) {
             return;
@@ -368,12 +368,12 @@
     }
 
     /// Marks a machine to be returned with whatever is on it; `why` goes to the log.
-    pub fn condemn(&mut self, id: &str, why: &str) {
+    pub fn terminate(&mut self, id: &str, why: &str) {
         if let Some(machine) = self.machines.get_mut(id)
-            && machine.state != MachineState::Condemned
+            && machine.state != MachineState::Terminating
         {
             info!(machine = id, why, bound = machine.bound.len(), "to be returned");
-            machine.state = MachineState::Condemned;
+            machine.state = MachineState::Terminating;
         }
     }
 
@@ -386,7 +386,7 @@
                 let id: MachineId = name.as_str().into();
                 if !self.gone_set.contains(&id) {
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
-                    self.condemn(name, "an earlier leader has ordered its return");
+                    self.terminate(name, "an earlier leader has ordered its return");
                 }
             }
         }
@@ -396,8 +396,8 @@
     /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
     pub fn take_back(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        if machine.state == MachineState::Draining && machine.spared {
-            (machine.state, machine.spared) = (MachineState::Up, false);
+        if machine.state == MachineState::Draining && machine.scale_in_candidate {
+            (machine.state, machine.scale_in_candidate) = (MachineState::Up, false);
             info!(machine = %id, "not drained any more: work waits that fits there alone");
         }
     }
@@ -405,7 +405,7 @@
     /// No new work for a machine that can be spared; these tasks of it save and move.
     pub fn drain(&mut self, id: &MachineId, moves: &[(TaskKey, u64)], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        (machine.state, machine.spared) = (MachineState::Draining, true);
+        (machine.state, machine.scale_in_candidate) = (MachineState::Draining, true);
         info!(machine = %id, bound = machine.bound.len(), moved = moves.len(), "drained: it can be spared");
         for (key, grace_s) in moves {
             self.halt(key, *grace_s, now);
@@ -498,32 +498,34 @@
         let back_within = self.settings.params.workers.report() * BACK_REPORTS;
         let many = self.many_silent_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
         let silence = if many { long } else { self.properties.silence };
-        let mut condemn: Vec<(MachineId, &str)> =
+        let mut terminate: Vec<(MachineId, &str)> =
             self.overdue(now).into_iter().map(|id| (id, "a withdrawn task is not proven gone")).collect();
         for machine in self.machines.values() {
             let quiet = now.saturating_duration_since(machine.heard);
             if (machine.awaited() || machine.reported()) && quiet > silence {
                 let why = if machine.reported() { "silent" } else { "should be up and was never heard of" };
-                condemn.push((machine.id.clone(), why));
+                terminate.push((machine.id.clone(), why));
             } else if machine.reported() && now.saturating_duration_since(machine.reported_at) > long {
-                condemn.push((machine.id.clone(), "commands reach it, and it reports nothing"));
+                terminate.push((machine.id.clone(), "commands reach it, and it reports nothing"));
             } else if machine.state == MachineState::Draining && machine.bound.is_empty() {
-                condemn.push((machine.id.clone(), "drained"));
+                terminate.push((machine.id.clone(), "drained"));
             }
         }
-        condemn.extend(self.given_up(now).into_iter().map(|id| (id, "hears nothing")));
-        for (id, why) in condemn {
-            self.condemn(&id, why);
+        terminate.extend(self.given_up(now).into_iter().map(|id| (id, "hears nothing")));
+        for (id, why) in terminate {
+            self.terminate(&id, why);
         }
-        self.stop_idle_on_the_spared(now);
-        self.decide_suspicions(now);
+        self.stop_idle_on_scale_in_candidates(now);
+        self.decide_quarantines(now);
         self.release_resting(now);
     }
 
     /// Where the last of other work has left a machine that can be spared, idle work that can save goes as
     /// well; the rest of it runs out.
-    fn stop_idle_on_the_spared(&mut self, now: Instant) {
-        let left = |m: &&Machine| m.state == MachineState::Draining && m.spared && m.idle().cpus > 0.0 && m.only_idle();
+    fn stop_idle_on_scale_in_candidates(&mut self, now: Instant) {
+        let left = |m: &&Machine| {
+            m.state == MachineState::Draining && m.scale_in_candidate && m.idle().cpus > 0.0 && m.only_idle()
+        };
         let keys: Vec<TaskKey> = self.machines.values().filter(left).flat_map(|m| m.bound.iter().cloned()).collect();
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -37,7 +37,7 @@
 use crate::fleet::orders::CloudOrder;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
 use crate::jobs::{JobId, JobSpec};
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
 use crate::settings::{Properties, Settings};
 use crate::sla::Agreement;
@@ -316,7 +316,7 @@
     /// Jobs with shards that could not be read.
     resting: RestingJobs,
     /// Every type, zone and kind that a machine was ever of; machines name theirs by its place.
-    kinds: Vec<Kind>,
+    kinds: Vec<MachineKind>,
     /// Something that placement depends on has changed since the last plan.
     pub(super) stirred: bool,
     /// Every machine that is held or was heard of, by name.
@@ -450,10 +450,10 @@
     /// The place of a type, zone and kind in the list of kinds; none past what is sane, since
     /// reports may name anything.
     fn kind(&mut self, type_name: &str, zone: &str, spot: bool) -> Option<usize> {
-        let same = |k: &Kind| k.type_name == type_name && k.zone == zone && k.spot == spot;
+        let same = |k: &MachineKind| k.type_name == type_name && k.zone == zone && k.spot == spot;
         let known = self.kinds.iter().position(same);
         if known.is_none() && self.kinds.len() < MOST_KINDS {
-            self.kinds.push(Kind { type_name: type_name.to_owned(), zone: zone.to_owned(), spot });
+            self.kinds.push(MachineKind { type_name: type_name.to_owned(), zone: zone.to_owned(), spot });
             return Some(self.kinds.len() - 1);
         }
         known
@@ -461,10 +461,10 @@
 
     /// Entries of everything that could grow, by name.
     pub fn held(&self) -> [(&'static str, usize); 12] {
-        let [machines_suspected, jobs_suspected, jobs_failing] = self.attribution.held();
+        let [machines_quarantined, jobs_quarantined, jobs_failing] = self.attribution.held();
         [
-            ("machines_suspected", machines_suspected),
-            ("jobs_suspected", jobs_suspected),
+            ("machines_suspected", machines_quarantined),
+            ("jobs_suspected", jobs_quarantined),
             ("jobs_failing", jobs_failing),
             ("book_jobs", self.jobs.len()),
             ("ending", self.ending.len()),
@@ -484,7 +484,7 @@
     }
 
     /// Every type, zone and kind that a machine was ever of; a machine's `kind` is a place in it.
-    pub fn kinds(&self) -> &[Kind] {
+    pub fn kinds(&self) -> &[MachineKind] {
         &self.kinds
     }
 
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/reports.rs
@@ -6,7 +6,7 @@
 
 use super::{ClusterState, Machine, MachineId, MachineState, Phase, Via};
 use crate::jobs::Shape;
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::sla;
 use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Report, TaskKey};
 
@@ -198,7 +198,7 @@
         let left = recall.saturating_duration_since(now);
         info!(machine = %id, left_s = left.as_secs_f64(), "to be taken away");
         machine.state = match machine.state {
-            MachineState::Condemned => MachineState::Condemned,
+            MachineState::Terminating => MachineState::Terminating,
             _ => MachineState::Draining,
         };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -22,7 +22,7 @@
 const TASK_EVERYWHERE: usize = 3;
 /// So many jobs of a class that fail by themselves, and none of it done since, speak against the class.
 const CLASS_EVERYWHERE: usize = 3;
-/// A machine under suspicion is left alone for this long before it is given up: whoever failed on it is
+/// A machine quarantined is left alone for this long before it is given up: whoever failed on it is
 /// mostly known by then.
 const DECIDED_AFTER: Duration = Duration::from_secs(15);
 /// Pause before what fails by itself is tried again: doubled each time, up to the longest.
@@ -43,7 +43,7 @@
 /// What speaks for and against whom at the moment of a failure.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observations {
-    /// Machines not themselves under suspicion on which the job has failed, this one included.
+    /// Machines not themselves quarantined on which the job has failed, this one included.
     pub job_failed_on: usize,
     /// Some task of the job was done, or runs on another machine for longer than failures take.
     pub job_does_well: bool,
@@ -106,7 +106,7 @@
     /// Machines on which it failed, a few more than convict it.
     failed_on: Vec<MachineId>,
     does_well: bool,
-    suspected: bool,
+    quarantined: bool,
     round: u32,
     not_before: Option<Instant>,
     tasks: BTreeMap<u32, TaskTrial>,
@@ -124,7 +124,7 @@
 #[derive(Debug, Default)]
 struct MachineTrial {
     failures: Vec<TaskKey>,
-    suspected: Option<Instant>,
+    quarantined: Option<Instant>,
 }
 
 /// A failure as the cluster state knows it.
@@ -144,9 +144,9 @@
 /// What the cluster state is to do after a failure.
 #[derive(Debug, Default, PartialEq)]
 pub struct Judged {
-    /// The job is under suspicion from now on, or still: not to be tried before this.
+    /// The job is quarantined from now on, or still: not to be tried before this.
     pub job_not_before: Option<Instant>,
-    /// The machine has just come under suspicion.
+    /// The machine has just come quarantined.
     pub machine: bool,
     /// Machines that are cleared by it: what failed there fails everywhere.
     pub cleared: Vec<MachineId>,
@@ -157,7 +157,7 @@
 pub struct FailureAttribution {
     jobs: HashMap<JobId, JobTrial>,
     machines: BTreeMap<MachineId, MachineTrial>,
-    /// Jobs of a class that came under suspicion since any of the class was done.
+    /// Jobs of a class that came quarantined since any of the class was done.
     classes: LruCache<String, Vec<JobId>>,
 }
 
@@ -213,8 +213,8 @@
                 judged.cleared = self.clear_explained(enough);
             }
             Verdict::Machine => {
-                if let Some(of_machine) = self.machines.get_mut(machine).filter(|m| m.suspected.is_none()) {
-                    of_machine.suspected = Some(now);
+                if let Some(of_machine) = self.machines.get_mut(machine).filter(|m| m.quarantined.is_none()) {
+                    of_machine.quarantined = Some(now);
                     judged.machine = true;
                 }
             }
@@ -224,7 +224,7 @@
 
     fn seen(&self, task: &TaskKey, machine: &MachineId) -> Observations {
         let Some(trial) = self.jobs.get(&task.job) else { return Observations::default() };
-        let sound = |m: &&MachineId| self.machines.get(*m).is_none_or(|t| t.suspected.is_none());
+        let sound = |m: &&MachineId| self.machines.get(*m).is_none_or(|t| t.quarantined.is_none());
         Observations {
             job_failed_on: trial.failed_on.iter().filter(sound).count(),
             job_does_well: trial.does_well,
@@ -246,7 +246,7 @@
         let mut unsure: Vec<&JobId> = Vec::new();
         for task in &trial.failures {
             let Some(job) = self.jobs.get(&task.job) else { continue };
-            if job.suspected || job.task_fails(task.index) || (!job.does_well && self.class_fails(&job.class)) {
+            if job.quarantined || job.task_fails(task.index) || (!job.does_well && self.class_fails(&job.class)) {
                 continue;
             }
             if job.does_well {
@@ -261,8 +261,8 @@
     /// The job fails by itself. Failures of one round, however many, make one pause.
     fn suspect(&mut self, id: &JobId, at_once: usize, now: Instant) -> Option<Instant> {
         let trial = self.jobs.get_mut(id)?;
-        if !trial.suspected {
-            trial.suspected = true;
+        if !trial.quarantined {
+            trial.quarantined = true;
             let of_class = self.classes.get_or_insert_mut(trial.class.clone(), Vec::new);
             if of_class.len() < CLASS_EVERYWHERE && !of_class.contains(id) {
                 of_class.push(id.clone());
@@ -275,22 +275,22 @@
         trial.not_before
     }
 
-    /// Machines under suspicion for what by now is explained otherwise.
+    /// Machines quarantined for what by now is explained otherwise.
     fn clear_explained(&mut self, enough: usize) -> Vec<MachineId> {
-        let suspected = self.machines.iter().filter(|(_, t)| t.suspected.is_some()).map(|(id, _)| id);
-        let cleared: Vec<MachineId> = suspected.filter(|id| self.row(id) < enough).cloned().collect();
+        let quarantined = self.machines.iter().filter(|(_, t)| t.quarantined.is_some()).map(|(id, _)| id);
+        let cleared: Vec<MachineId> = quarantined.filter(|id| self.row(id) < enough).cloned().collect();
         for id in &cleared {
             self.machines.remove(id);
         }
         cleared
     }
 
-    /// A task was done: its job does well, and so does its machine. True if either was under suspicion.
+    /// A task was done: its job does well, and so does its machine. True if either was quarantined.
     pub fn done(&mut self, task: &TaskKey, class: &str, machine: &MachineId) -> bool {
-        let mut cleared = self.machines.remove(machine).is_some_and(|t| t.suspected.is_some());
+        let mut cleared = self.machines.remove(machine).is_some_and(|t| t.quarantined.is_some());
         if let Some(trial) = self.jobs.get_mut(&task.job) {
-            cleared |= trial.suspected;
-            (trial.suspected, trial.does_well, trial.round, trial.not_before) = (false, true, 0, None);
+            cleared |= trial.quarantined;
+            (trial.quarantined, trial.does_well, trial.round, trial.not_before) = (false, true, 0, None);
             trial.failed_on.clear();
             trial.tasks.remove(&task.index);
         }
@@ -305,7 +305,7 @@
         if self.jobs.remove(id).is_some() {
             self.machines.retain(|_, t| {
                 t.failures.retain(|task| task.job != *id);
-                !t.failures.is_empty() || t.suspected.is_some()
+                !t.failures.is_empty() || t.quarantined.is_some()
             });
         }
     }
@@ -315,9 +315,9 @@
         self.machines.remove(id);
     }
 
-    /// Machines whose time under suspicion is over, and whether they are to be given up.
+    /// Machines whose time quarantined is over, and whether they are to be given up.
     pub fn decided(&mut self, enough: usize, now: Instant) -> Vec<(MachineId, bool)> {
-        let due = |t: &MachineTrial| t.suspected.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
+        let due = |t: &MachineTrial| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
         let due: Vec<MachineId> = self.machines.iter().filter(|(_, t)| due(t)).map(|(id, _)| id.clone()).collect();
         let decided: Vec<(MachineId, bool)> = due.into_iter().map(|id| (id.clone(), self.row(&id) >= enough)).collect();
         for (id, _) in &decided {
@@ -329,7 +329,7 @@
     /// The job has failed everywhere so far: it is tried again behind everything else, and nothing is
     /// paid, stopped or held for it.
     pub fn suspects(&self, id: &JobId) -> bool {
-        !self.jobs.is_empty() && self.jobs.get(id).is_some_and(|t| t.suspected)
+        !self.jobs.is_empty() && self.jobs.get(id).is_some_and(|t| t.quarantined)
     }
 
     /// Machines on which a job has failed, to be avoided by it.
@@ -352,10 +352,10 @@
         trial.tasks.iter().filter(|(_, t)| t.not_before > now).map(|(index, _)| *index).collect()
     }
 
-    /// Machines under suspicion, suspected jobs, and jobs with any failure.
+    /// Machines quarantined, suspected jobs, and jobs with any failure.
     pub fn held(&self) -> [usize; 3] {
-        let machines = self.machines.values().filter(|t| t.suspected.is_some()).count();
-        [machines, self.jobs.values().filter(|t| t.suspected).count(), self.jobs.len()]
+        let machines = self.machines.values().filter(|t| t.quarantined.is_some()).count();
+        [machines, self.jobs.values().filter(|t| t.quarantined).count(), self.jobs.len()]
     }
 }
 
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -79,9 +79,9 @@
         ("one success clears at once", "a0@m1 a0@m2 a0@m3 +a0@m4", none, none),
         ("failures that are mended before they convict", "a0@m1 a0@m2 +a1@m4 ?a2@m3", none, none),
     ];
-    for (name, steps, out, suspected) in cases {
+    for (name, steps, out, quarantined) in cases {
         let got = simulate(steps);
-        assert_eq!((got.0, got.1), (strings(out), strings(suspected)), "{name}");
+        assert_eq!((got.0, got.1), (strings(out), strings(quarantined)), "{name}");
     }
 }
 
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -11,7 +11,7 @@
 use super::plan;
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use crate::jobs::{JobId, JobSpec, Urgency};
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::wire::workers::TaskKey;
 
 /// Machines that stand idle are kept for room that is asked for at most so much later than a new one
@@ -134,7 +134,7 @@
 
 /// Beyond teams short of their guarantee and who is below the floor, who keep their place.
 fn by_return(turn: &plan::Turn) -> bool {
-    !turn.suspected && !turn.guaranteed && turn.rank != Rank::First
+    !turn.quarantined && !turn.guaranteed && turn.rank != Rank::First
 }
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
@@ -145,7 +145,7 @@
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
     let most = given * ahead.most_part;
     let mut asked: Vec<&mut plan::Turn> =
-        turns.iter_mut().filter(|t| !t.suspected && ahead.names.has(t.job.spec())).collect();
+        turns.iter_mut().filter(|t| !t.quarantined && ahead.names.has(t.job.spec())).collect();
     asked.sort_by_key(|turn| Reverse(turn.age));
     for turn in asked {
         let (spec, waiting) = (turn.job.spec(), turn.job.waiting.len());
@@ -194,7 +194,7 @@
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
 fn in_turn(intended: &HashMap<JobId, Turn>, turns: &mut [plan::Turn]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
-    for (at, turn) in turns.iter().enumerate().filter(|(_, t)| !t.suspected) {
+    for (at, turn) in turns.iter().enumerate().filter(|(_, t)| !t.quarantined) {
         if let Some(intent) = intended.get(turn.id) {
             windows.entry(&intent.window).or_default().push((at, intent.number));
         }
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -229,14 +229,14 @@
         }
     }
 
-    /// Asks the cloud to end condemned machines, each once or, as where an answer is lost, twice.
+    /// Asks the cloud to end terminating machines, each once or, as where an answer is lost, twice.
     fn return_machines(&mut self, i: usize, leader: &mut Leader, cut: bool) {
         // Without the store no order stands, and only what a cancellation makes urgent goes without.
         let overdue = if cut { leader.cluster.overdue(self.now) } else { Default::default() };
-        let condemned = leader.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
-        let condemned: Vec<MachineId> =
-            condemned.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
-        for machine in condemned {
+        let terminating = leader.cluster.machines.values().filter(|m| m.state == MachineState::Terminating);
+        let terminating: Vec<MachineId> =
+            terminating.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
+        for machine in terminating {
             if leader.returning.insert(machine.clone()) {
                 if !self.quiet && self.rng.random_bool(0.2) {
                     self.send(Message::Return { from: i, machine: machine.clone() });
--- a/src/scheduling/interleavings/world.rs
+++ b/src/scheduling/interleavings/world.rs
@@ -14,8 +14,8 @@
 use super::workers::Worker;
 use crate::jobs::JobId;
 use crate::jobs::record::JobRecord;
-use crate::kinds::tests::machine_type;
-use crate::kinds::{Catalog, MachineType};
+use crate::machine_kinds::tests::machine_type;
+use crate::machine_kinds::{Catalog, MachineType};
 use crate::wire::workers::TaskKey;
 
 pub(super) struct World {
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -81,7 +81,7 @@
         let may = |t: &&Turn<'a>| {
             let spec = t.job.spec();
             let waits = t.age >= within.mul_f64(PATIENCE) && !t.job.begun() && t.job.bound.is_empty();
-            waits && !t.suspected && !spec.is_gang() && self.largest(spec)
+            waits && !t.quarantined && !spec.is_gang() && self.largest(spec)
         };
         turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
     }
@@ -126,7 +126,7 @@
 
     /// Who of those that wait goes first now: the one that has waited longest, once enough is earned for it.
     pub fn credited<'a>(&self, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
-        let may = |t: &&Turn<'a>| !t.suspected && self.may(t.job, t.age, within);
+        let may = |t: &&Turn<'a>| !t.quarantined && self.may(t.job, t.age, within);
         let oldest = turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
         (oldest.job.cores_at_once() <= self.core_credit.credit()).then_some(oldest.id)
     }
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::{ClusterState, MachineId};
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::wire::workers::TaskKey;
 use decide::{Decided, decide};
 
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -19,7 +19,7 @@
 /// Ordinary kinds open to work that waits and may use no cheap ones.
 pub(super) fn sought(ground: &Ground, turns: &[Turn]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
-    for turn in turns.iter().filter(|t| !t.job.spec().spot && !t.suspected && t.rank != Rank::Idle) {
+    for turn in turns.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
         for (sought, open) in sought.iter_mut().zip(ground.open_to(turn.job.spec(), &Zones::none(turn.job.spec()))) {
             *sought |= open;
         }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -8,7 +8,7 @@
 use super::quotas::Quotas;
 use super::search::{PlacedTask, Plan};
 use crate::jobs::{JobId, JobSpec};
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::failure_attribution::PROBES;
 use crate::scheduling::fairness::floor::Rank;
@@ -79,7 +79,7 @@
 fn advance_late_work<'a>(cluster: &ClusterState, turns: &mut Vec<Turn<'a>>) -> Option<Earned<'a>> {
     let credit = cluster.core_credit.credit();
     let late =
-        turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.suspected && t.rank != Rank::Idle);
+        turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.quarantined && t.rank != Rank::Idle);
     let (at, oldest) = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
     let needs = oldest.job.cores_at_once();
     if needs > credit {
@@ -113,7 +113,7 @@
     if overdue && turn.rank == Rank::Idle && job.bound.is_empty() {
         most = most.min(1);
     }
-    if turn.suspected && !overdue {
+    if turn.quarantined && !overdue {
         most = most.min(PROBES.saturating_sub(job.bound.len()));
     }
     most
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -40,9 +40,9 @@
     }
 
     /// Work like this found no room. Shared with the idle jobs that are placed after it, not copied for each.
-    pub(super) fn note_waits(&mut self, spec: &JobSpec, open: &[bool], suspected: bool) {
+    pub(super) fn note_waits(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
         if !spec.is_idle() {
-            Rc::make_mut(&mut self.wanted).waits(spec, open, suspected);
+            Rc::make_mut(&mut self.wanted).waits(spec, open, quarantined);
         }
     }
 
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -25,7 +25,7 @@
     /// Needs much at once and has waited for long: it goes first within its rank, and room is kept for it.
     pub credited: bool,
     /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
-    pub suspected: bool,
+    pub quarantined: bool,
     task_return: f64,
     /// For how long it has waited.
     pub age: Duration,
@@ -69,7 +69,7 @@
         rank: Rank::of(first, late, job.spec().is_idle()),
         late,
         credited: false,
-        suspected: cluster.attribution.suspects(id),
+        quarantined: cluster.attribution.suspects(id),
         task_return: job.agreement.task_return(age + job.agreement.run),
         age,
         ahead: false,
@@ -92,7 +92,7 @@
 }
 
 fn by_precedence(a: &Turn, b: &Turn) -> Ordering {
-    (a.suspected.cmp(&b.suspected))
+    (a.quarantined.cmp(&b.quarantined))
         .then(b.guaranteed.cmp(&a.guaranteed))
         .then(a.rank.cmp(&b.rank))
         .then(b.credited.cmp(&a.credited))
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -10,7 +10,7 @@
 use super::queue::Turn;
 use super::unfit::Unfit;
 use crate::jobs::JobSpec;
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill::Backfill;
 use crate::scheduling::cluster::{ClusterState, MachineId};
 use crate::scheduling::failure_attribution::FailureAttribution;
@@ -151,14 +151,14 @@
         let keep = keep && spec.is_gang();
         let demand = self.demand(turn, zones, waiting);
         if !keep && self.known_unfit(&demand, tasks) {
-            self.note_waits(spec, &demand.open, turn.suspected);
+            self.note_waits(spec, &demand.open, turn.quarantined);
             return Vec::new();
         }
         let picks =
             if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
         let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
         if short {
-            self.note_waits(spec, &demand.open, turn.suspected);
+            self.note_waits(spec, &demand.open, turn.quarantined);
         }
         if short && keep {
             self.keep_pieces(&demand);
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -14,7 +14,7 @@
 use super::reservations::Reservation;
 use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::wire::workers::TaskKey;
 
 /// Work that may preempt others than idle work waits at least this long for room to come free by itself.
@@ -74,7 +74,7 @@
     // Whoever may stop nothing need not look.
     let lowest = cluster.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
     let turns = queue(cluster, now);
-    let may = turns.iter().filter(|t| !t.suspected && (lowest < t.job.spec().urgency || t.guaranteed));
+    let may = turns.iter().filter(|t| !t.quarantined && (lowest < t.job.spec().urgency || t.guaranteed));
     for turn in may.take(MOST_JOBS) {
         let (job, spec) = (turn.job, turn.job.spec());
         let need = if spec.is_gang() { job.waiting.len() as u64 } else { 1 };
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -11,7 +11,7 @@
 use super::plan::{Quotas, Turn, queue};
 use super::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::jobs::JobId;
-use crate::kinds::Catalog;
+use crate::machine_kinds::Catalog;
 use crate::scheduling::forecast::{Slots, Timeline};
 
 /// A gang waits this long before anything is held for it.
@@ -37,7 +37,7 @@
     let mut reservations = HashMap::new();
     let mut turns: Vec<Turn> = queue(cluster, now)
         .into_iter()
-        .filter(|t| t.job.spec().is_gang() && !t.suspected && (t.age >= RESERVE_AFTER || t.ahead))
+        .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= RESERVE_AFTER || t.ahead))
         .collect();
     if turns.is_empty() {
         return reservations;
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -6,8 +6,8 @@
 use super::cluster::{ClusterState, JobState, Machine, MachineState};
 use super::reservations::Reservation;
 use crate::jobs::JobSpec;
-use crate::kinds::Kind;
-use crate::kinds::{Catalog, MachineType};
+use crate::machine_kinds::MachineKind;
+use crate::machine_kinds::{Catalog, MachineType};
 use crate::sla::Load;
 
 /// Amounts are decimal; sums of them are compared with this much slack.
@@ -42,8 +42,8 @@
     }
 
     /// The same as a key that leads its names.
-    pub fn kind(&self) -> Kind {
-        Kind { type_name: self.of.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
+    pub fn kind(&self) -> MachineKind {
+        MachineKind { type_name: self.of.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
     }
 }
 
@@ -58,7 +58,7 @@
 impl<'a> Ground<'a> {
     /// The kinds that machines of the cluster state are of, and no others.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
-        let offer = |k: &'a Kind| Some(Offer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
+        let offer = |k: &'a MachineKind| Some(Offer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
         Self { offers: cluster.kinds().iter().map(offer).collect() }
     }
 
@@ -261,14 +261,14 @@
 
 /// The same of one that can be spared and has not been left yet.
 pub fn usable_until_left(machine: &Machine, suspect: Duration, now: Instant) -> bool {
-    machine.state == MachineState::Draining && machine.spared && sane(machine, suspect, now)
+    machine.state == MachineState::Draining && machine.scale_in_candidate && sane(machine, suspect, now)
 }
 
 fn sane(machine: &Machine, suspect: Duration, now: Instant) -> bool {
     machine.reported()
         && machine.recall.is_none()
         && machine.known
-        && !machine.suspected
+        && !machine.quarantined
         && !machine.inbound_lost
         && now.saturating_duration_since(machine.reported_at) < suspect
         && !machine.has_strays()
--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -28,11 +28,11 @@
         world.turn(&mut cluster, "m0");
         assert!(!world.workers["m0"].live(&task(0)), "told with its first answer");
         cluster.tick(world.now);
-        if !condemned(&cluster).is_empty() {
+        if !terminating(&cluster).is_empty() {
             returned_after.get_or_insert(world.now - told);
         }
     }
-    assert_eq!(condemned(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
+    assert_eq!(terminating(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
     assert!(returned_after.unwrap() < cancellation_deadline.mul_f64(0.45) + s(1.0), "{returned_after:?}");
 }
 
@@ -60,7 +60,7 @@
             world.now += s(1.0);
             cluster.tick(world.now);
         }
-        assert_eq!(condemned(&cluster), ["m1"], "{name}");
+        assert_eq!(terminating(&cluster), ["m1"], "{name}");
         if !cancelled_first {
             assert_eq!(world.asks(&mut cluster, "m1").orders, [], "nothing starts there");
             cancel(&mut world, &mut cluster);
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -202,7 +202,7 @@
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
             let given: f64 = cluster.usage.values().map(|u| u.0).sum();
-            let by_return = |t: &&plan::Turn| !t.guaranteed && t.rank != Rank::First && !t.suspected;
+            let by_return = |t: &&plan::Turn| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
             let one = before == 0.0 && more.len() <= 1;
@@ -221,7 +221,7 @@
         let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
         for window in ["w1", "w2"] {
-            let of = turns.iter().filter(|t| !t.suspected).filter_map(|t| cluster.intents.turns.get(t.id));
+            let of = turns.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.turns.get(t.id));
             let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.number).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
@@ -245,9 +245,9 @@
     ] {
         let mut cluster = many(machines, start);
         cluster.intents.room = room(tasks, in_s);
-        let rent = |asked: &HashMap<Kind, u64>| {
+        let rent = |asked: &HashMap<MachineKind, u64>| {
             let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), asked, start);
-            wanted.into_iter().collect::<HashMap<Kind, u64>>()
+            wanted.into_iter().collect::<HashMap<MachineKind, u64>>()
         };
         let wanted = rent(&HashMap::new());
         assert_eq!(wanted.values().sum::<u64>(), want, "{name}");
@@ -266,8 +266,8 @@
         let drained = drain::choose(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
         cluster.intents.room = room(10, in_s);
-        let spared = drain::choose(&cluster, &catalog(), long).len();
-        assert_eq!(spared, usize::from(in_s > 100.0), "{name}: all of it needed");
+        let scale_in_candidate = drain::choose(&cluster, &catalog(), long).len();
+        assert_eq!(scale_in_candidate, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
 }
 
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -14,7 +14,7 @@
         let mut world = World::new(&["m1", "m2"], |j| (j.tasks, j.cpus) = (2, 4.0));
         let mut old = world.leader();
         // Rented, up, and work at once.
-        let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+        let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
         old.expect("m1", &kind, None, s(2.0), world.now);
         drop(world.asks(&mut old, "m1"));
         let decisions = plan::place(&mut old, &catalog(), world.now);
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -27,7 +27,7 @@
         cluster.orders_in_answer("m", at);
     };
     type Known<'a> = &'a dyn Fn(&mut ClusterState);
-    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     let cases: [(&str, Known, u64, bool); 4] = [
         ("nobody else tells of it", &|_| {}, 3, false),
         ("the worker has heard the successor", &|_| {}, 9, true),
@@ -58,7 +58,10 @@
     }
     assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
     cluster.tick(now + s(13));
-    assert!(cluster.machines.values().all(|m| m.state == MachineState::Condemned), "to be returned, should they exist");
+    assert!(
+        cluster.machines.values().all(|m| m.state == MachineState::Terminating),
+        "to be returned, should they exist"
+    );
     // Nor does a agent epoch that is over come back.
     let mut cluster = successor();
     let done = Report { agent_epoch: 2, ..copy(1, 9) };
@@ -97,7 +100,7 @@
             let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
             assert_eq!(hears, if t < 25 { of } else { of - inbound_lost }, "{name}: at {t} s");
         }
-        let out = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count() as u64;
+        let out = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
         assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
         assert_eq!(cluster.lost_most(start + s(60)), inbound_lost * 3 >= of, "{name}");
         // It hears again: it is well with the next report.
@@ -123,7 +126,7 @@
     let bound = (0..2).map(|i| StoredTask::Bound(1, format!("m{i}"))).collect();
     cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], start);
     cluster.finish_load(start);
-    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for t in 0..70u64 {
         let now = start + s(t);
         for m in (0..4).filter(|_| t % 5 == 0) {
@@ -139,6 +142,6 @@
         cluster.tick(now);
     }
     let out: Vec<&str> =
-        cluster.machines.values().filter(|m| m.state == MachineState::Condemned).map(|m| &*m.id).collect();
+        cluster.machines.values().filter(|m| m.state == MachineState::Terminating).map(|m| &*m.id).collect();
     assert_eq!(out, ["m0", "m1"], "those that hold something, and no others");
 }
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -146,7 +146,7 @@
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
     assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is suspected, no machine is");
-    assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.suspected));
+    assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.quarantined));
     let later = now + Duration::from_secs(6);
     // Beside work that ends, it comes last, a few tasks at a time.
     add(&mut cluster, 2, now, |j| (j.cpus, j.estimate_s) = (1.0, 1000.0));
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -5,12 +5,12 @@
 use super::*;
 use crate::fleet::drain;
 use crate::fleet::rent::{self, Refusals};
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 
 #[test]
 fn renting_by_cases() {
     let now = Instant::now();
-    let kind = |t: &str, spot| Kind { type_name: t.into(), zone: "a".into(), spot };
+    let kind = |t: &str, spot| MachineKind { type_name: t.into(), zone: "a".into(), spot };
     let plan = |cluster: &ClusterState, refusals: &Refusals| {
         rent::plan(cluster, &catalog(), refusals, &Default::default(), now)
     };
@@ -77,7 +77,7 @@
 fn nothing_is_spared_while_work_for_it_waits() {
     let start = Instant::now();
     let now = start + Duration::from_secs(100);
-    for (name, waiting, spared) in [("nothing waits", 0, 1), ("more waits than fits", 20, 0)] {
+    for (name, waiting, scale_in_candidate) in [("nothing waits", 0, 1), ("more waits than fits", 20, 0)] {
         let mut cluster = many(10, start);
         for i in 0..10 {
             let name = format!("m{i:04}");
@@ -87,7 +87,7 @@
             add(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
         }
         cluster.arrivals.clear();
-        assert_eq!(drain::choose(&cluster, &catalog(), now).len(), spared, "{name}");
+        assert_eq!(drain::choose(&cluster, &catalog(), now).len(), scale_in_candidate, "{name}");
     }
 }
 
@@ -135,7 +135,7 @@
     let now = Instant::now();
     let s = Duration::from_secs;
     let mut cluster = many(2, now);
-    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     cluster.expect("m0000", &kind, None, s(300), now);
     cluster.expect("m0001", &kind, None, s(10), now);
     let drained: Vec<String> =
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -136,7 +136,7 @@
     for hand_over in 0..4 {
         world.now += s(11.0);
         cluster.tick(world.now);
-        assert_eq!(condemned(&cluster), Vec::<&str>::new(), "hand-over {hand_over}");
+        assert_eq!(terminating(&cluster), Vec::<&str>::new(), "hand-over {hand_over}");
         cluster = world.leader();
     }
     // Cancelled under this one, and handed over once more before it was told.
@@ -148,8 +148,8 @@
     world.now += s(10.8);
     world.turn(&mut cluster, "m1");
     cluster.tick(world.now);
-    assert_eq!(condemned(&cluster), Vec::<&str>::new());
+    assert_eq!(terminating(&cluster), Vec::<&str>::new());
     world.now += s(0.4);
     cluster.tick(world.now);
-    assert_eq!(condemned(&cluster), ["m2"]);
+    assert_eq!(terminating(&cluster), ["m2"]);
 }
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fleet::rent;
-use crate::kinds::Kind;
+use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
 
 /// Incident ab99: a leader cut off from its workers, or one that had been paused, took the whole
@@ -29,8 +29,8 @@
                 cluster.tick(now + s(t));
             }
         }
-        let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
-        assert_eq!(condemned, given_up, "{name}");
+        let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
+        assert_eq!(terminating, given_up, "{name}");
         assert_eq!(cluster.lost_most(now + s(13)), reporting == 0, "{name}");
     }
 }
@@ -63,8 +63,8 @@
                 }
                 cluster.tick(now + s(t));
             }
-            let condemned = cluster.machines.values().filter(|m| m.state == MachineState::Condemned).count();
-            assert_eq!(condemned, want, "{name}, after {after} s");
+            let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
+            assert_eq!(terminating, want, "{name}, after {after} s");
             assert_eq!(cluster.lost_most(now + s(after)), reporting < 5, "{name}: would hand over");
         }
     }
@@ -78,7 +78,7 @@
     let now = Instant::now();
     let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
     cluster.loaded = true;
-    let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+    let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for name in ["starting", "running"] {
         cluster.expect(name, &kind, None, s(900), now);
     }
@@ -87,7 +87,7 @@
         rent::to_give_up(&cluster, &catalog(), now + s(13)).into_iter().map(|(id, _)| id.to_string()).collect();
     assert_eq!(given_up, ["starting"]);
     (1..=13).for_each(|t| cluster.tick(now + s(t)));
-    assert_eq!(cluster.machines["running"].state, MachineState::Condemned, "but it is alone in its silence");
+    assert_eq!(cluster.machines["running"].state, MachineState::Terminating, "but it is alone in its silence");
 }
 
 /// A leader that was paused for half a minute found idle machines idle for too long, and cancelled tasks
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -138,7 +138,7 @@
         self.cluster.tick(now);
         if self.cloud {
             let out: Vec<&'static str> =
-                names.iter().copied().filter(|m| condemned(&self.cluster).contains(m)).collect();
+                names.iter().copied().filter(|m| terminating(&self.cluster).contains(m)).collect();
             for m in out {
                 self.world.returned(&mut self.cluster, m);
                 self.returned.push(m);
@@ -165,7 +165,7 @@
 
     pub(super) fn listed(&mut self) {
         for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
-            let kind = Kind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
+            let kind = MachineKind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
             self.cluster.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
             self.cluster.listed_up(m, self.world.now);
         }
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -58,7 +58,7 @@
         }
     }
     // Twelve seconds without a word: the last is returned, which proves its task gone.
-    assert!(condemned(&cluster).contains(&"m4"));
+    assert!(terminating(&cluster).contains(&"m4"));
     world.returned(&mut cluster, "m4");
     world.place(&mut cluster, "m5");
     world.turn(&mut cluster, "m5");
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -69,7 +69,7 @@
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
         world.shard = Some((5, vec![StoredTask::Untouched; 2]));
         let mut cluster = leader_with_unreadable(&mut world);
-        let kind = Kind { type_name: "c8".into(), zone: "a".into(), spot: false };
+        let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
         cluster.expect("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
         cluster.finish_load(world.now);
         if let Some((below, attempts)) = heard {
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -28,7 +28,8 @@
 fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
     let worker = &simulation.world.workers[m];
     let machine = simulation.cluster.machines.get(m)?;
-    let stays = machine.state == MachineState::Up || (machine.state == MachineState::Draining && machine.spared);
+    let stays =
+        machine.state == MachineState::Up || (machine.state == MachineState::Draining && machine.scale_in_candidate);
     if worker.gone || !stays || machine.recall.is_some() {
         return None;
     }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -421,8 +421,8 @@
     orders.iter().filter(|o| matches!(o, Order::Reap { .. })).count()
 }
 
-pub(super) fn condemned(cluster: &ClusterState) -> Vec<&str> {
-    cluster.machines.values().filter(|m| m.state == MachineState::Condemned).map(|m| &*m.id).collect()
+pub(super) fn terminating(cluster: &ClusterState) -> Vec<&str> {
+    cluster.machines.values().filter(|m| m.state == MachineState::Terminating).map(|m| &*m.id).collect()
 }
 
 impl World {
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -10,9 +10,9 @@
 use super::audit::end_again;
 use super::commit::{Batch, shard_drops, still_to_drop};
 use super::{Change, Condition};
-use crate::declared::Kind;
-use crate::declared::driver::{self, Write};
-use crate::declared::records::{spec_key, status_key};
+use crate::declarations::DeclarationKind;
+use crate::declarations::driver::{self, Write};
+use crate::declarations::records::{spec_key, status_key};
 use crate::fleet::orders::{CloudOrder, What, clean_up};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
@@ -101,8 +101,9 @@
 
     fn status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
         let version = |key: String| self.store.version(&key);
-        let (spec_stamp, status_stamp) = (version(spec_key(Kind::Window, "w")), version(status_key(Kind::Window, "w")));
-        let write = [Write { kind: Kind::Window, name: "w".into(), spec_stamp, status_stamp, value }];
+        let (spec_stamp, status_stamp) =
+            (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
+        let write = [Write { kind: DeclarationKind::Window, name: "w".into(), spec_stamp, status_stamp, value }];
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
@@ -158,12 +159,12 @@
     }
 
     // A status, and its spec written, removed and made anew under its name.
-    life.declare(Change::write(spec_key(Kind::Window, "w"), json!(1)));
+    life.declare(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
     life.status("first status", fencing_token, Some(json!(1)));
     life.status("next status", fencing_token, Some(json!(2)));
-    life.declare(Change::Drop { drop: spec_key(Kind::Window, "w") });
+    life.declare(Change::Drop { drop: spec_key(DeclarationKind::Window, "w") });
     life.status("status dropped", fencing_token, None);
-    life.declare(Change::write(spec_key(Kind::Window, "w"), json!(1)));
+    life.declare(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
     life.status("first status of the next", fencing_token, Some(json!(1)));
 
     let takeover_request = TakeoverRequest { node: "b".into(), fencing_token, machines: 2 };
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -14,7 +14,7 @@
 use tracing::warn;
 
 use super::client::{Event, Page, WatchResponse};
-use crate::declared::{Registry, records};
+use crate::declarations::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use crate::jobs::{JobSpec, Shape};
-use crate::kinds::{Catalog, MachineType};
+use crate::machine_kinds::{Catalog, MachineType};
 use crate::settings::Settings;
 
 /// What sums of amounts may be off by.
--- a/src/users/feasibility/tests.rs
+++ b/src/users/feasibility/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::tests::spec;
-use crate::kinds::tests::machine_type;
+use crate::machine_kinds::tests::machine_type;
 use crate::settings::tests::example;
 
 #[test]
--- a/tests/declared.rs
+++ b/tests/declarations.rs
@@ -9,9 +9,9 @@
 use std::process::Command;
 use std::time::Duration;
 
-use hollylanding::declared::operator::{Failed, Operator};
-use hollylanding::declared::table::Entry;
-use hollylanding::declared::{Acted, Declared, Kind, Names, Problem, View};
+use hollylanding::declarations::operator::{Failed, Operator};
+use hollylanding::declarations::table::Entry;
+use hollylanding::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
 use hollylanding::scheduling::intents::Intents;
 use hollylanding::settings::Settings;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
 struct Windows;
 
 impl Declared for Windows {
-    const KIND: Kind = Kind::Window;
+    const KIND: DeclarationKind = DeclarationKind::Window;
     type Spec = Plan;
     type Status = bool;
 
@@ -90,7 +90,7 @@
         (&large, Some("w: spec: 9011 bytes are more than the 8192 that can be stored")),
         ("{", Some("EOF while parsing an object at line 1 column 1")),
     ] {
-        let read = operator.read_list(Kind::Window, text);
+        let read = operator.read_list(DeclarationKind::Window, text);
         let problems = match read {
             Ok(_) => None,
             Err(Failed::Refused(problems)) => Some(problems),
@@ -98,7 +98,7 @@
         };
         assert_eq!(problems, want.map(|w| vec![w.to_owned()]), "{}", &text[..text.len().min(80)]);
     }
-    let other = operator.read_list(Kind::Rollout, "{}");
+    let other = operator.read_list(DeclarationKind::Rollout, "{}");
     assert_eq!(other, Err(Failed::Refused(vec!["kind: this build carries out no rollout".into()])));
 }
 
@@ -110,43 +110,46 @@
         let operator = operator(&door, Duration::from_secs(20));
         let state = |key: &str| world.state.lock().unwrap().store.value(key).cloned();
         let two = r#"[{"name":"v","team":"blue"},{"name":"w","team":"blue"}]"#;
-        let specs = operator.read_list(Kind::Window, two).unwrap();
+        let specs = operator.read_list(DeclarationKind::Window, two).unwrap();
         // Carried out and not answered: it is found to stand, and is not written again.
         world.state.lock().unwrap().faults.unanswered = 1;
-        assert_eq!(operator.declare(Kind::Window, &specs).await.unwrap(), ["v", "w"]);
+        assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), ["v", "w"]);
         let once = changes(&world);
-        assert_eq!(operator.declare(Kind::Window, &specs).await.unwrap(), [""; 0], "is so already");
+        assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), [""; 0], "is so already");
         assert_eq!(changes(&world), once);
-        operator.act(Kind::Window, "pause", "w", "").await.unwrap();
+        operator.act(DeclarationKind::Window, "pause", "w", "").await.unwrap();
         let shown = operator.show(None, None).await.unwrap();
         let lines: Vec<&str> = shown.iter().flat_map(|s| s.lines.iter().map(String::as_str)).collect();
         assert_eq!(lines, ["team blue", "team blue, paused"]);
         // Refused, with nothing written.
         let before = changes(&world);
-        let again = operator.act(Kind::Window, "pause", "w", "").await;
+        let again = operator.act(DeclarationKind::Window, "pause", "w", "").await;
         assert_eq!(again, Err(Failed::Refused(vec!["verb: \"pause\" is not to be done".into()])));
-        let none = operator.remove(Kind::Window, "u").await;
+        let none = operator.remove(DeclarationKind::Window, "u").await;
         assert_eq!(none, Err(Failed::Refused(vec!["name: no window \"u\" is declared".into()])));
         let many: String = (0..999).map(|n| format!(r#"{{"name":"x{n}","team":"blue"}},"#)).collect();
-        let many = operator.read_list(Kind::Window, &format!("[{}]", many.trim_end_matches(','))).unwrap();
-        assert!(matches!(operator.declare(Kind::Window, &many).await, Err(Failed::Refused(_))), "with the two: 1001");
+        let many = operator.read_list(DeclarationKind::Window, &format!("[{}]", many.trim_end_matches(','))).unwrap();
+        assert!(
+            matches!(operator.declare(DeclarationKind::Window, &many).await, Err(Failed::Refused(_))),
+            "with the two: 1001"
+        );
         assert_eq!(changes(&world), before);
         // What was removed is free again once its status is gone.
         world.state.lock().unwrap().put("c/t/window/w".into(), &serde_json::json!(true));
-        operator.remove(Kind::Window, "w").await.unwrap();
+        operator.remove(DeclarationKind::Window, "w").await.unwrap();
         assert!(state("c/s/window/w").is_none());
-        let removed = operator.show(Some(Kind::Window), None).await.unwrap().pop().unwrap();
+        let removed = operator.show(Some(DeclarationKind::Window), None).await.unwrap().pop().unwrap();
         assert!(removed.spec.is_none() && removed.lines[0].starts_with("removed"));
         let hasty = Operator::new(
             Settings::parse(&settings("node-a", &[], &door).to_string()).unwrap(),
             &KINDS,
             Duration::from_millis(1),
         );
-        let failed = hasty.declare(Kind::Window, &specs).await;
+        let failed = hasty.declare(DeclarationKind::Window, &specs).await;
         assert_eq!(failed, Err(Failed::NoAnswer("still being removed: c/t/window/w".into())));
         let vanished = world.state.lock().unwrap().store.vanish("c/t/window/w", 1);
         assert_eq!(vanished.len(), 1);
-        assert_eq!(operator.declare(Kind::Window, &specs).await.unwrap(), ["w"]);
+        assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), ["w"]);
     });
 }
 
