--- a/crates/emulator/src/judge/rule.rs
+++ b/crates/emulator/src/judge/rule.rs
@@ -21,7 +21,7 @@
     WentBack,
     /// No task started at all.
     NothingRan,
-    /// With all faults over, no request about a job was answered for [`SILENT`].
+    /// With all faults over, no request about a job was answered for `SILENT`.
     Unanswered,
     /// Replicas of a service were stopped until fewer than required were left.
     Gap,
