--- a/src/membership/mesh/line/tests.rs
+++ b/src/membership/mesh/line/tests.rs
@@ -93,3 +93,23 @@
     line["counts"] = json!(many);
     assert_eq!(read(&line).unwrap().counts.len(), MOST_COUNTS);
 }
+
+/// Lines as the fixtures have them, which other versions send and read: decoded, and encoded to the same bytes. Those
+/// that are only read are those of other builds.
+#[test]
+fn lines_of_the_fixtures_are_read_and_written_to_the_same_bytes() {
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/formats/peers.json");
+    let entries: Vec<Value> = serde_json::from_str(&std::fs::read_to_string(file).unwrap()).unwrap();
+    assert!(!entries.is_empty());
+    let peers = [Peer { node: "node-a".into(), addr: "127.0.0.1:3".into() }];
+    for entry in entries {
+        let text = entry["line"].as_str().unwrap();
+        let line = Line::read(format!("{text}\n").as_bytes(), &peers).unwrap();
+        let wanted = match entry["use"].as_str() {
+            Some("both") => text,
+            Some("read") => entry["same_as"].as_str().unwrap(),
+            other => panic!("use {other:?}"),
+        };
+        assert_eq!(serde_json::to_string(&line).unwrap(), wanted, "{}", entry["name"]);
+    }
+}
--- /dev/null
+++ b/tests/formats.rs
@@ -0,0 +1,292 @@
+//! What is stored and sent is as the fixtures have it: each sample is decoded and encoded again, and the list of all
+//! keys, fields, settings and properties is compared. Lines between controllers are tested beside their private type,
+//! in `src/membership/mesh/line/tests.rs`.
+
+// A fixture that cannot be read fails its test, as it should.
+#![allow(clippy::unwrap_used)]
+
+mod fixtures;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use hollylanding::declared::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
+use hollylanding::declared::table::KINDS;
+use hollylanding::declared::{Declared, Kind};
+use hollylanding::fleet::orders::{CloudOrder, ORDERS};
+use hollylanding::jobs::{End, record};
+use hollylanding::membership::records as membership;
+use hollylanding::settings::{Properties, Settings};
+use hollylanding::store::Change;
+use hollylanding::wire::{self, cloud, jobs, state, users, workers};
+use hollylanding::{calendar, heat, rollouts};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, json};
+
+/// Decodes a sample with the present code and encodes it again.
+type RoundTrip = fn(&Value) -> Result<Value, String>;
+
+/// The files of samples; each entry names its form.
+const SAMPLES: [&str; 6] = ["stored.json", "declared.json", "users.json", "workers.json", "cloud.json", "state.json"];
+
+/// Every form, and the type that has it.
+fn round_trip(form: &str) -> RoundTrip {
+    match form {
+        "job" => stored::<record::JobRecord>,
+        "ended job" => stored::<record::EndedRecord>,
+        "tasks" => tasks,
+        "earlier end" => stored::<record::OldEnd>,
+        "upgraded" => stored::<record::Upgraded>,
+        "leader" => stored::<membership::Leader>,
+        "assignment" => stored::<membership::Assignment>,
+        "watermark" => stored::<membership::Watermark>,
+        "takeover request" => stored::<membership::TakeoverRequest>,
+        "cloud order" => cloud_order,
+        "window spec" => stored::<<calendar::Window as Declared>::Spec>,
+        "window status" => stored::<<calendar::Window as Declared>::Status>,
+        "heat spec" => stored::<<heat::Rule as Declared>::Spec>,
+        "heat status" => stored::<<heat::Rule as Declared>::Status>,
+        "reading spec" => stored::<<heat::Reading as Declared>::Spec>,
+        "rollout spec" => stored::<<rollouts::Rollout as Declared>::Spec>,
+        "rollout status" => stored::<<rollouts::Rollout as Declared>::Status>,
+        "job description" => message::<jobs::JobSpec>,
+        "job answer" => message::<users::JobAnswer>,
+        "heartbeat" => message::<workers::Report>,
+        "commands" => message::<workers::Orders>,
+        "catalog" => message::<cloud::Catalog>,
+        "rental" => message::<cloud::Rental>,
+        "machine names" => message::<cloud::Names>,
+        "machine page" => message::<cloud::ListPage>,
+        "transaction" => message::<state::Txn>,
+        "item" => message::<state::Item>,
+        "page" => message::<state::Page>,
+        "changes" => message::<state::Followed>,
+        "revision" => message::<state::Revised>,
+        "failed conditions" => message::<state::Refused>,
+        "lease" => message::<state::Granted>,
+        other => panic!("no type has the form {other:?}"),
+    }
+}
+
+/// A value of the store.
+fn stored<T: Serialize + DeserializeOwned>(value: &Value) -> Result<Value, String> {
+    let decoded = T::deserialize(value).map_err(|error| error.to_string())?;
+    serde_json::to_value(decoded).map_err(|error| error.to_string())
+}
+
+/// A MessagePack body: its named fields are compared, since their order has no meaning.
+fn message<T: Serialize + DeserializeOwned>(value: &Value) -> Result<Value, String> {
+    let decoded: T = wire::decode(&wire::encode(value)).map_err(|error| error.to_string())?;
+    wire::decode(&wire::encode(&decoded)).map_err(|error| error.to_string())
+}
+
+fn tasks(value: &Value) -> Result<Value, String> {
+    record::decode_chunk(value).map(|tasks| record::encode_chunk(&tasks)).ok_or_else(|| "unreadable".to_owned())
+}
+
+fn cloud_order(value: &Value) -> Result<Value, String> {
+    let item = state::Item { path: format!("{ORDERS}x"), value: value.clone(), stamp: 1 };
+    match CloudOrder::read(&item).map(|order| order.change()) {
+        Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
+        other => Err(format!("{other:?}")),
+    }
+}
+
+/// Whether every field of a sample is found again with its value; others may have been added by their defaults.
+fn holds(encoded: &Value, sample: &Value) -> bool {
+    match (encoded, sample) {
+        (Value::Object(encoded), Value::Object(sample)) => {
+            sample.iter().all(|(field, value)| encoded.get(field).is_some_and(|found| holds(found, value)))
+        }
+        (Value::Array(encoded), Value::Array(sample)) => {
+            encoded.len() == sample.len() && encoded.iter().zip(sample).all(|(found, value)| holds(found, value))
+        }
+        _ => encoded == sample,
+    }
+}
+
+/// All entries of all files of samples: file, name, form, use and value.
+fn samples() -> Vec<(String, String, bool, Value)> {
+    let entries = SAMPLES.into_iter().flat_map(|file| fixtures::entries(file).into_iter().map(move |e| (file, e)));
+    let text = |entry: &Value, field: &str| entry[field].as_str().unwrap().to_owned();
+    entries
+        .map(|(file, entry)| {
+            let both = match entry["use"].as_str() {
+                Some("both") => true,
+                Some("read") => false,
+                other => panic!("{file}: use {other:?}"),
+            };
+            let name = format!("{file}: {}", text(&entry, "name"));
+            (name, text(&entry, "form"), both, entry["value"].clone())
+        })
+        .collect()
+}
+
+#[test]
+fn samples_are_decoded_and_encoded_to_the_same_bytes() {
+    for (name, form, both, value) in samples() {
+        let encoded = round_trip(&form)(&value).unwrap_or_else(|error| panic!("{name}: {error}"));
+        if both {
+            assert_eq!(encoded.to_string(), value.to_string(), "{name}");
+        } else {
+            assert!(holds(&encoded, &value), "{name}: {value} became {encoded}");
+        }
+    }
+}
+
+/// Every spec and status of a sample is one that the table of declared kinds takes as well.
+#[test]
+fn declared_samples_are_read_by_the_table_of_kinds() {
+    for entry in fixtures::entries("declared.json") {
+        let form = entry["form"].as_str().unwrap();
+        let Some(word) = form.strip_suffix(" spec") else { continue };
+        let kind = KINDS.iter().find(|kind| kind.kind == Kind::of_word(word).unwrap()).unwrap();
+        let written = (kind.declared)(&entry["value"], Some(&entry["value"]), 0).unwrap();
+        let mut wanted = round_trip(form)(&entry["value"]).unwrap();
+        for by_the_writer in ["declared_ms", "confirmed", "wanted", "word"] {
+            if let Some(value) = written.get(by_the_writer) {
+                wanted[by_the_writer] = value.clone();
+            }
+        }
+        assert_eq!(written, wanted, "{}", entry["name"]);
+    }
+}
+
+/// Names of all leaves, with the position in a list left out; of a list of lists and texts nothing but its name.
+fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
+    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    match value {
+        Value::Object(fields) if !fields.is_empty() => {
+            fields.iter().for_each(|(field, value)| field_paths(value, &below(field), paths));
+        }
+        Value::Array(items) if !items.is_empty() => {
+            items.iter().for_each(|item| field_paths(item, &format!("{path}[]"), paths));
+        }
+        _ => drop(paths.insert(path.to_owned())),
+    }
+}
+
+/// The fields of each form, as the present code writes them.
+fn fields() -> BTreeMap<String, BTreeSet<String>> {
+    let mut fields: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    for (name, form, both, value) in samples() {
+        let encoded = round_trip(&form)(&value).unwrap_or_else(|error| panic!("{name}: {error}"));
+        if both {
+            field_paths(&encoded, "", fields.entry(form).or_default());
+        }
+    }
+    // Written by the present code: the test of the lines compares their bytes.
+    for entry in fixtures::entries("peers.json").iter().filter(|entry| entry["use"] == "both") {
+        let line: Value = serde_json::from_str(entry["line"].as_str().unwrap()).unwrap();
+        field_paths(&line, "", fields.entry("line between controllers".to_owned()).or_default());
+    }
+    fields
+}
+
+/// Every key and prefix of the store.
+fn keys() -> Value {
+    let id = "run-000412";
+    let declared = Kind::ALL.map(|kind| json!([spec_key(kind, "name"), status_key(kind, "name")]));
+    json!({
+        "mirrored": [record::MIRRORED, record::MIRRORED_AFTER],
+        "open job": [record::OPEN, record::open_key(id)],
+        "done job": [record::DONE, record::ended_key(id, End::Done)],
+        "withdrawn job": [record::WITHDRAWN, record::ended_key(id, End::Withdrawn)],
+        "both ends": record::ended_keys(id),
+        "earlier job": [record::OLD_JOBS, record::old_job_key(id)],
+        "earlier end": [record::OLD_ENDS, record::old_end_key(id)],
+        "upgraded": record::UPGRADED,
+        "leader": record::LEADER,
+        "assignment": record::ASSIGNMENT,
+        "takeover request": record::TAKEOVER_REQUEST,
+        "watermark": record::WATERMARK,
+        "tasks": [record::TASKS, record::chunk_key(id, 7)],
+        "tasks of one chunk": record::CHUNK,
+        "cloud orders": ORDERS,
+        "declared": [SPECS, STATUSES, OPERATORS],
+        "declared by kind": declared,
+    })
+}
+
+/// A pointer to each leaf of a value, and the same as operators read it.
+fn leaves(value: &Value, pointer: &str, all: &mut Vec<String>) {
+    let mut below = |name: &str, value: &Value| leaves(value, &format!("{pointer}/{name}"), all);
+    match value {
+        Value::Object(fields) => fields.iter().for_each(|(name, value)| below(name, value)),
+        Value::Array(items) => items.iter().enumerate().for_each(|(n, value)| below(&n.to_string(), value)),
+        _ => all.push(pointer.to_owned()),
+    }
+}
+
+/// A setting is read if it is refused where it holds what none of them may hold.
+fn settings_read() -> (Vec<String>, Vec<String>) {
+    let value = fixtures::read("settings.json")["value"].clone();
+    Settings::parse(&value.to_string()).unwrap();
+    let mut all = Vec::new();
+    leaves(&value, "", &mut all);
+    let refused = |pointer: &String| {
+        let mut changed = value.clone();
+        *changed.pointer_mut(pointer).unwrap() = json!({"no": ["setting"]});
+        Settings::parse(&changed.to_string()).is_err()
+    };
+    let (read, ignored): (Vec<String>, Vec<String>) = all.into_iter().partition(refused);
+    let dotted = |pointers: Vec<String>| pointers.iter().map(|p| p[1..].replace('/', ".")).collect();
+    (dotted(read), dotted(ignored))
+}
+
+#[test]
+fn settings_are_read_under_their_names() {
+    let (_, ignored) = settings_read();
+    let mut wanted: Vec<String> = serde_json::from_value(fixtures::read("settings.json")["ignored"].clone()).unwrap();
+    wanted.sort();
+    let mut ignored = ignored;
+    ignored.sort();
+    assert_eq!(ignored, wanted);
+}
+
+/// Each property is set under the name that it is shown by.
+#[test]
+fn properties_are_set_under_their_names() {
+    let lines = |text: &str| Properties::parse(text.as_bytes()).unwrap().lines();
+    for (name, default) in Properties::default().lines() {
+        // Half or the whole of it is within the range of any of them.
+        let half = default.parse::<f64>().unwrap() / 2.0;
+        let text = format!("{name}={half}");
+        let changed = Properties::parse(text.as_bytes()).is_ok();
+        let value = if changed { half.to_string() } else { default.clone() };
+        let wanted: Vec<(&str, String)> = lines("")
+            .into_iter()
+            .map(|(other, stands)| (other, if other == name { value.clone() } else { stands }))
+            .collect();
+        assert_eq!(lines(&format!("{name}={value}")), wanted, "{name}");
+    }
+}
+
+#[test]
+fn names_of_keys_fields_settings_and_properties_are_unchanged() {
+    let properties: BTreeMap<&str, String> = Properties::default().lines().into_iter().collect();
+    let now = json!({
+        "keys": keys(), "fields": fields(), "settings": settings_read().0, "properties": properties,
+    });
+    fixtures::assert_recorded("names.json", &now);
+}
+
+/// A sample is kept under a key that the present code knows.
+#[test]
+fn samples_are_stored_under_known_keys() {
+    let mut known = BTreeSet::new();
+    let mut todo = vec![keys()];
+    while let Some(value) = todo.pop() {
+        match value {
+            Value::Object(fields) => todo.extend(fields.into_iter().map(|(_, value)| value)),
+            Value::Array(items) => todo.extend(items),
+            Value::String(key) => drop(known.insert(key)),
+            _ => {}
+        }
+    }
+    known.remove(record::MIRRORED);
+    for entry in fixtures::entries("stored.json").iter().chain(&fixtures::entries("declared.json")) {
+        let key = entry["key"].as_str().unwrap();
+        assert!(known.contains(key) || known.iter().any(|k| k.ends_with('/') && key.starts_with(k)), "{key}");
+    }
+}
