--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -297,6 +297,39 @@
     fixtures::assert_recorded("users-exchanges.json", &Value::Array(exchanges));
 }
 
+/// A machine that is up is given a task that waits, by a command sent straight to its worker.
+#[test]
+fn a_worker_is_commanded_directly_as_recorded() {
+    let outside = Runtime::new().unwrap();
+    let (world, door) = world_without_machines(&outside);
+    let owner = Controller::start(&world, &settings("node-a", &[], &door));
+    let addr = owner.addr.as_str();
+    let asked = outside.block_on(async {
+        until_healthy(addr).await;
+        let worker = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let endpoint = json!(worker.local_addr().unwrap().to_string());
+        settled(addr, "", "POST /work", Some(&job(1, 1))).await;
+        settled(addr, "", "POST /v1/report", Some(&with(heartbeat(), "endpoint", endpoint.clone()))).await;
+        let (mut stream, _) = tokio::time::timeout(LONG, worker.accept()).await.unwrap().unwrap();
+        let mut asked = Vec::new();
+        // First the worker is told the token, then its task.
+        for tally in 2..4 {
+            let message = tokio::time::timeout(LONG, Message::read(&mut stream)).await.unwrap().unwrap();
+            let mut body = message.value();
+            let token = body["baton"].take();
+            assert!(token.as_u64().is_some_and(|token| token > 0), "{token}");
+            body["baton"] = json!("TOKEN");
+            asked.push(json!({"request": message.request(), "type": message.header("content-type"), "body": body}));
+            let report = with(with(heartbeat(), "tally", json!(tally)), "baton", token);
+            let report = wire::encode(&with(report, "endpoint", endpoint.clone()));
+            let head = format!("HTTP/1.1 200 -\r\ncontent-length: {}\r\n\r\n", report.len());
+            stream.write_all(&[head.into_bytes(), report].concat()).await.unwrap();
+        }
+        Value::Array(asked)
+    });
+    fixtures::assert_recorded("worker-exchanges.json", &asked);
+}
+
 /// Files that the command line is given, gone with the test.
 struct Files(std::path::PathBuf);
 
