--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -468,7 +468,7 @@
                 gang_peer: seconds(self.workers.gang_peer_s),
             },
             boots: Boots::Usual,
-            report: seconds(self.workers.report_s),
+            heartbeat: seconds(self.workers.report_s),
             page_most: usize::MAX,
             seed,
             judged,
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -19,7 +19,7 @@
         cloud: cloud::Params::default(),
         fleet: fleet::Params { lease: s(24), gang_wait: s(30), gang_peer: s(5) },
         boots: Boots::Usual,
-        report: s(1),
+        heartbeat: s(1),
         page_most: 100,
         seed: 1,
         judged: false,
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -460,7 +460,7 @@
 
     /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
     pub fn lost_most(&self, now: Instant) -> bool {
-        let missed = self.settings.params.workers.heartbeat().mul_f64(2.0);
+        let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
         self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
     }
 
@@ -471,7 +471,7 @@
         let patience = allowed.mul_f64(CANCEL_PATIENCE);
         // A leader that has come since begins no new patience, or several would add up; but machines get two
         // reports to prove to it what they have proven to the one before.
-        let told_within = self.settings.params.workers.heartbeat() * 2;
+        let told_within = self.settings.params.workers.heartbeat_interval() * 2;
         let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
         let due = |at: Instant| {
             let age = now.saturating_duration_since(at);
@@ -497,7 +497,7 @@
             self.many_silent_at = Some(now);
         }
         // Those that are back do not report at the same moment: the last of them are not alone at once.
-        let back_within = self.settings.params.workers.heartbeat() * BACK_REPORTS;
+        let back_within = self.settings.params.workers.heartbeat_interval() * BACK_REPORTS;
         let many = self.many_silent_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
         let silence = if many { long } else { self.properties.silence };
         let mut terminate: Vec<(MachineId, &str)> =
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -276,7 +276,7 @@
 
 /// After this long without a heartbeat a machine gets no new work.
 pub fn suspect_after(cluster: &ClusterState) -> Duration {
-    cluster.settings.params.workers.heartbeat().mul_f64(SUSPECT_REPORTS)
+    cluster.settings.params.workers.heartbeat_interval().mul_f64(SUSPECT_REPORTS)
 }
 
 /// The zone of a machine of which only the name is known.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -192,7 +192,7 @@
 
 impl WorkerParams {
     /// [`Self::report_s`] as a duration.
-    pub fn report(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.report_s)
     }
     /// [`Self::cancel_s`] as a duration.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -132,7 +132,7 @@
                 let margin = Duration::from_secs_f64(LEASE_MARGIN_S);
                 let over = workers.spare() + workers.lease() + margin;
                 assert!(over <= workers.cancellation_deadline(), "{workers:?}: gone after {over:?} only");
-                let pause = workers.report();
+                let pause = workers.heartbeat_interval();
                 assert!(workers.spare() >= pause, "{workers:?}: every leader that reads nothing lets all machines go");
             }
         }
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use hollylanding::fleet::cloud::{CloudClient, CloudError};
+use hollylanding::protocol::{self, Http};
 use hollylanding::settings::Settings;
 use hollylanding::store::budget::{Budget, Urgent};
-use hollylanding::store::{Change, Condition, StateClient, StoreError, TxnOutcome};
-use hollylanding::wire::{self, Http};
+use hollylanding::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use serde::Serialize;
 use serde_json::{Value, json};
 use stand_in::{Controller, LONG, World, job, params, settings, until};
@@ -68,7 +68,7 @@
     fn value(&self) -> Value {
         match self.body.as_slice() {
             [] => Value::Null,
-            body => wire::decode_whole(body).unwrap_or_else(|_| json!("NO MAP")),
+            body => protocol::decode_whole(body).unwrap_or_else(|_| json!("NO MAP")),
         }
     }
 }
@@ -104,7 +104,7 @@
     let (status, body) = match next {
         Some(next) => {
             script.pop();
-            let body = next.get("answer").map(wire::encode).unwrap_or_default();
+            let body = next.get("answer").map(protocol::encode).unwrap_or_default();
             (next["status"].as_u64().unwrap(), body)
         }
         None => {
@@ -136,9 +136,9 @@
     let conditions = [Condition::absent("a/b")];
     let written = Change::Write { write: "a/b".into(), value: json!({"x": 1}), permit: Some(7) };
     let changes = [written, Change::Drop { drop: "c/d".into() }];
-    let failed = TxnOutcome::Failed(vec!["a/b".into()]);
-    for wanted in [TxnOutcome::Applied(432), failed, TxnOutcome::NoSuchLease] {
-        assert_eq!(client.txn(&conditions, &changes, first).await, Ok(wanted));
+    let failed = CompareAndSwapOutcome::Failed(vec!["a/b".into()]);
+    for wanted in [CompareAndSwapOutcome::Applied(432), failed, CompareAndSwapOutcome::LeaseExpired] {
+        assert_eq!(client.compare_and_swap(&conditions, &changes, first).await, Ok(wanted));
     }
     client.reserve(first).await.unwrap();
     assert_eq!(client.compare_reserved(&conditions).await, Ok(vec!["a/b".to_owned()]));
@@ -151,11 +151,11 @@
     }
     assert!(pages.next().await.unwrap().is_none());
     let (names, more) = client.names("h/", Some("h/d/run-000001"), 2, first).await.unwrap();
-    let names: Vec<_> = names.iter().map(|name| (name.path.as_str(), name.stamp)).collect();
+    let names: Vec<_> = names.iter().map(|name| (name.path.as_str(), name.version)).collect();
     assert_eq!((names, more), (vec![("c/o/run-000412", 412), ("c/o/run-000413", 413)], true));
-    let followed = client.follow("c/", 431, Duration::from_secs(10)).await.unwrap();
+    let followed = client.watch("c/", 431, Duration::from_secs(10)).await.unwrap();
     assert_eq!(value(&followed), recorded(FILE, 9));
-    assert_eq!(client.follow("c/", 1, Duration::ZERO).await.unwrap_err(), StoreError::TooOld);
+    assert_eq!(client.watch("c/", 1, Duration::ZERO).await.unwrap_err(), StoreError::TooOld);
     assert_eq!(client.grant(Duration::from_secs(5)).await, Ok(7));
     assert_eq!(client.renew(7).await, Ok(true));
     assert_eq!(client.renew(8).await, Ok(false));
@@ -186,7 +186,7 @@
 /// One request of a user or a worker and its answer, as it is recorded.
 async fn exchange(addr: &str, name: &str, request: &str, body: Option<&Value>) -> Value {
     let mut stream = TcpStream::connect(addr).await.unwrap();
-    let bytes = body.map(wire::encode).unwrap_or_default();
+    let bytes = body.map(protocol::encode).unwrap_or_default();
     let head = format!("{request} HTTP/1.1\r\nhost: {addr}\r\ncontent-length: {}\r\n\r\n", bytes.len());
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&bytes).await.unwrap();
@@ -196,10 +196,10 @@
     if let Some(body) = body {
         exchange["body"] = body.clone();
     }
-    // A token is a revision of the store, which differs from run to run.
-    if let Some(token) = exchange["answer"].get_mut("baton") {
-        assert!(token.as_u64().is_some_and(|token| token > 0), "{token}");
-        *token = json!("TOKEN");
+    // A fencing token is a revision of the store, which differs from run to run.
+    if let Some(fencing_token) = exchange["answer"].get_mut("baton") {
+        assert!(fencing_token.as_u64().is_some_and(|fencing_token| fencing_token > 0), "{fencing_token}");
+        *fencing_token = json!("TOKEN");
     }
     exchange
 }
@@ -312,16 +312,16 @@
         settled(addr, "", "POST /v1/report", Some(&with(heartbeat(), "endpoint", endpoint.clone()))).await;
         let (mut stream, _) = tokio::time::timeout(LONG, worker.accept()).await.unwrap().unwrap();
         let mut asked = Vec::new();
-        // First the worker is told the token, then its task.
+        // First the worker is told the fencing token, then its task.
         for tally in 2..4 {
             let message = tokio::time::timeout(LONG, Message::read(&mut stream)).await.unwrap().unwrap();
             let mut body = message.value();
-            let token = body["baton"].take();
-            assert!(token.as_u64().is_some_and(|token| token > 0), "{token}");
+            let fencing_token = body["baton"].take();
+            assert!(fencing_token.as_u64().is_some_and(|fencing_token| fencing_token > 0), "{fencing_token}");
             body["baton"] = json!("TOKEN");
             asked.push(json!({"request": message.request(), "type": message.header("content-type"), "body": body}));
-            let report = with(with(heartbeat(), "tally", json!(tally)), "baton", token);
-            let report = wire::encode(&with(report, "endpoint", endpoint.clone()));
+            let report = with(with(heartbeat(), "tally", json!(tally)), "baton", fencing_token);
+            let report = protocol::encode(&with(report, "endpoint", endpoint.clone()));
             let head = format!("HTTP/1.1 200 -\r\ncontent-length: {}\r\n\r\n", report.len());
             stream.write_all(&[head.into_bytes(), report].concat()).await.unwrap();
         }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,15 +9,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollylanding::declared::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
-use hollylanding::declared::table::KINDS;
-use hollylanding::declared::{Declared, Kind};
+use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
+use hollylanding::declarations::table::KINDS;
+use hollylanding::declarations::{DeclarationKind, Declared};
 use hollylanding::fleet::orders::{CloudOrder, ORDERS};
 use hollylanding::jobs::{End, record};
 use hollylanding::membership::records as membership;
+use hollylanding::protocol::{self, cloud, jobs, state, users, workers};
 use hollylanding::settings::{Properties, Settings};
 use hollylanding::store::Change;
-use hollylanding::wire::{self, cloud, jobs, state, users, workers};
 use hollylanding::{calendar, heat, rollouts};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -37,8 +37,8 @@
         "tasks" => tasks,
         "earlier end" => stored::<record::OldEnd>,
         "upgraded" => stored::<record::Upgraded>,
-        "leader" => stored::<membership::Leader>,
-        "assignment" => stored::<membership::Assignment>,
+        "leader" => stored::<membership::LeaseHolder>,
+        "assignment" => stored::<membership::LeaderRecord>,
         "watermark" => stored::<membership::Watermark>,
         "takeover request" => stored::<membership::TakeoverRequest>,
         "cloud order" => cloud_order,
@@ -51,17 +51,17 @@
         "rollout status" => stored::<<rollouts::Rollout as Declared>::Status>,
         "job description" => message::<jobs::JobSpec>,
         "job answer" => message::<users::JobAnswer>,
-        "heartbeat" => message::<workers::Report>,
-        "commands" => message::<workers::Orders>,
+        "heartbeat" => message::<workers::Heartbeat>,
+        "commands" => message::<workers::WorkerCommands>,
         "catalog" => message::<cloud::Catalog>,
         "rental" => message::<cloud::Rental>,
         "machine names" => message::<cloud::Names>,
         "machine page" => message::<cloud::ListPage>,
-        "transaction" => message::<state::Txn>,
+        "transaction" => message::<state::CompareAndSwap>,
         "item" => message::<state::Item>,
         "page" => message::<state::Page>,
-        "changes" => message::<state::Followed>,
-        "revision" => message::<state::Revised>,
+        "changes" => message::<state::WatchResponse>,
+        "revision" => message::<state::Revision>,
         "failed conditions" => message::<state::Refused>,
         "lease" => message::<state::Granted>,
         other => panic!("no type has the form {other:?}"),
@@ -76,16 +76,16 @@
 
 /// A MessagePack body: its named fields are compared, since their order has no meaning.
 fn message<T: Serialize + DeserializeOwned>(value: &Value) -> Result<Value, String> {
-    let decoded: T = wire::decode(&wire::encode(value)).map_err(|error| error.to_string())?;
-    wire::decode(&wire::encode(&decoded)).map_err(|error| error.to_string())
+    let decoded: T = protocol::decode(&protocol::encode(value)).map_err(|error| error.to_string())?;
+    protocol::decode(&protocol::encode(&decoded)).map_err(|error| error.to_string())
 }
 
 fn tasks(value: &Value) -> Result<Value, String> {
-    record::decode_chunk(value).map(|tasks| record::encode_chunk(&tasks)).ok_or_else(|| "unreadable".to_owned())
+    record::decode_shard(value).map(|tasks| record::encode_shard(&tasks)).ok_or_else(|| "unreadable".to_owned())
 }
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
-    let item = state::Item { path: format!("{ORDERS}x"), value: value.clone(), stamp: 1 };
+    let item = state::Item { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
     match CloudOrder::read(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
@@ -140,7 +140,7 @@
     for entry in fixtures::entries("declared.json") {
         let form = entry["form"].as_str().unwrap();
         let Some(word) = form.strip_suffix(" spec") else { continue };
-        let kind = KINDS.iter().find(|kind| kind.kind == Kind::of_word(word).unwrap()).unwrap();
+        let kind = KINDS.iter().find(|kind| kind.kind == DeclarationKind::of_word(word).unwrap()).unwrap();
         let written = (kind.declared)(&entry["value"], Some(&entry["value"]), 0).unwrap();
         let mut wanted = round_trip(form)(&entry["value"]).unwrap();
         for by_the_writer in ["declared_ms", "confirmed", "wanted", "word"] {
@@ -186,25 +186,25 @@
 /// Every key and prefix of the store.
 fn keys() -> Value {
     let id = "run-000412";
-    let declared = Kind::ALL.map(|kind| json!([spec_key(kind, "name"), status_key(kind, "name")]));
+    let declarations = DeclarationKind::ALL.map(|kind| json!([spec_key(kind, "name"), status_key(kind, "name")]));
     json!({
-        "mirrored": [record::MIRRORED, record::MIRRORED_AFTER],
+        "mirrored": [record::CACHED, record::CACHED_AFTER],
         "open job": [record::OPEN, record::open_key(id)],
         "done job": [record::DONE, record::ended_key(id, End::Done)],
-        "withdrawn job": [record::WITHDRAWN, record::ended_key(id, End::Withdrawn)],
+        "withdrawn job": [record::CANCELLED, record::ended_key(id, End::Cancelled)],
         "both ends": record::ended_keys(id),
         "earlier job": [record::OLD_JOBS, record::old_job_key(id)],
         "earlier end": [record::OLD_ENDS, record::old_end_key(id)],
         "upgraded": record::UPGRADED,
-        "leader": record::LEADER,
-        "assignment": record::ASSIGNMENT,
+        "leader": record::LEASE_HOLDER,
+        "assignment": record::LEADER,
         "takeover request": record::TAKEOVER_REQUEST,
         "watermark": record::WATERMARK,
-        "tasks": [record::TASKS, record::chunk_key(id, 7)],
-        "tasks of one chunk": record::CHUNK,
+        "tasks": [record::TASKS, record::shard_key(id, 7)],
+        "tasks of one chunk": record::TASKS_PER_SHARD,
         "cloud orders": ORDERS,
         "declared": [SPECS, STATUSES, OPERATORS],
-        "declared by kind": declared,
+        "declared by kind": declarations,
     })
 }
 
@@ -284,7 +284,7 @@
             _ => {}
         }
     }
-    known.remove(record::MIRRORED);
+    known.remove(record::CACHED);
     for entry in fixtures::entries("stored.json").iter().chain(&fixtures::entries("declared.json")) {
         let key = entry["key"].as_str().unwrap();
         assert!(known.contains(key) || known.iter().any(|k| k.ends_with('/') && key.starts_with(k)), "{key}");
