--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -59,7 +59,7 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Takes back what was declared; its leader tells that and forgets it
+    /// Takes back what was declared; its owner tells that and forgets it
     Remove {
         #[arg(value_parser = kind)]
         kind: DeclarationKind,
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -63,7 +63,7 @@
             }
             // Another leads by now: the watch cache is about to hear it.
             node.read_barrier.wanted.notify_one();
-            Reply::later("who leads has just changed")
+            Reply::later("who owns has just changed")
         }
         outcome => {
             if matches!(outcome, Err(StoreError::Unavailable(_))) {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -12,7 +12,7 @@
 use crate::sync::lock;
 
 /// Stored, and hidden until the leader is known to have it (`history::visibility`).
-const UNCONFIRMED: &str = "the job is being withdrawn: its leader has not confirmed that yet";
+const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
 
 /// An end as its users may hear it: a cancellation only once the leader has it. Every path that tells of an end
 /// goes through here.
