--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -27,26 +27,26 @@
 const STORE_WITHIN: Duration = Duration::from_secs(2);
 
 /// What the task may do with its controller.
-pub trait Hands: Send + Sync + 'static {
+pub trait DeclarationContext: Send + Sync + 'static {
     /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
-    fn quiet(&self) -> bool;
+    fn is_idle(&self) -> bool;
     /// Runs this on how things stand; none if nothing may be decided at the moment.
-    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T>;
-    /// Asks the store how a job ended; `look` is told once it has answered.
-    fn ask(&self, id: &JobId);
+    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T>;
+    /// Asks the store how a job ended; `with_state` shows it once it has answered.
+    fn query_job_end(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
-    fn ready(&self, urgent: Urgent) -> usize;
+    fn writable_changes(&self, urgent: Urgent) -> usize;
     /// Sends one transaction to the state service, with what is left of its limits for calls of this urgency.
-    fn store(
+    fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
         urgent: Urgent,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
     /// A transaction was refused: waits until the watch cache is proven fresh, and sees who leads.
-    fn refused(&self) -> impl Future<Output = ()> + Send;
+    fn refresh_after_conflict(&self) -> impl Future<Output = ()> + Send;
     /// Until something declared changes.
-    fn woken(&self) -> impl Future<Output = ()> + Send;
+    fn wait_for_change(&self) -> impl Future<Output = ()> + Send;
 }
 
 /// When a transaction may go, and by which right.
@@ -89,39 +89,39 @@
 }
 
 /// For as long as this controller leads.
-pub async fn run<H: Hands>(hands: Arc<H>) {
+pub async fn run<C: DeclarationContext>(context: Arc<C>) {
     let mut driver = Driver::new(KINDS);
     let mut pace = Pace::new(Instant::now());
     loop {
-        if hands.quiet() {
-            hands.woken().await;
+        if context.is_idle() {
+            context.wait_for_change().await;
         } else {
-            let _ = tokio::time::timeout(EVERY, hands.woken()).await;
+            let _ = tokio::time::timeout(EVERY, context.wait_for_change()).await;
         }
         let now = Instant::now();
-        let looked =
-            hands.look(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
+        let looked = context
+            .with_state(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
         let Looked { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
-        unknown.iter().for_each(|id| hands.ask(id));
+        unknown.iter().for_each(|id| context.query_job_end(id));
         for (level, line) in news {
             tell(level, &line);
         }
         if settled {
             pace.settled();
         }
-        let most = pace.most(!writes.is_empty(), now, |urgent| hands.ready(urgent));
+        let most = pace.most(!writes.is_empty(), now, |urgent| context.writable_changes(urgent));
         writes.truncate(most);
         if !writes.is_empty() {
             driver.sent(&writes);
             let urgent = pace.sent(now);
             let (conditions, changes) = (conditions(&writes, fencing_token), changes(&writes));
-            let sent = hands.store(&conditions, &changes, urgent);
+            let sent = context.compare_and_swap(&conditions, &changes, urgent);
             match tokio::time::timeout(STORE_WITHIN, sent).await {
                 Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => driver.stored(revision),
                 Ok(Ok(outcome)) => {
                     debug!(?outcome, "a status was not stored");
-                    hands.refused().await;
+                    context.refresh_after_conflict().await;
                 }
                 outcome => debug!(?outcome, "storing a status"),
             }
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -20,7 +20,7 @@
 use super::driver::Ended;
 use super::operator::{Known, transaction};
 use super::records::{OPERATORS, spec_key, status_key};
-use super::run::{Hands, run};
+use super::run::{DeclarationContext, run};
 use super::table::Entry;
 use super::{DeclarationKind, Declared, Names, Problem, View};
 use crate::jobs::JobId;
@@ -385,26 +385,31 @@
     touched: AtomicUsize,
 }
 
-impl Hands for Idle {
-    fn quiet(&self) -> bool {
+impl DeclarationContext for Idle {
+    fn is_idle(&self) -> bool {
         true
     }
-    fn look<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
+    fn with_state<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         None
     }
-    fn ask(&self, _: &JobId) {}
-    fn ready(&self, _: Urgent) -> usize {
+    fn query_job_end(&self, _: &JobId) {}
+    fn writable_changes(&self, _: Urgent) -> usize {
         self.touched.fetch_add(1, Ordering::Relaxed)
     }
-    async fn store(&self, _: &[Condition], _: &[Change], _: Urgent) -> Result<CompareAndSwapOutcome, StoreError> {
+    async fn compare_and_swap(
+        &self,
+        _: &[Condition],
+        _: &[Change],
+        _: Urgent,
+    ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
     }
-    async fn refused(&self) {
+    async fn refresh_after_conflict(&self) {
         self.touched.fetch_add(1, Ordering::Relaxed);
     }
-    async fn woken(&self) {
+    async fn wait_for_change(&self) {
         std::future::pending().await
     }
 }
@@ -412,10 +417,10 @@
 /// Nothing declared: no look, no request, and no timer, which would need a runtime that is not there.
 #[test]
 fn where_nothing_is_declared_the_task_sleeps() {
-    let hands = Arc::new(Idle::default());
-    let mut task = std::pin::pin!(run(hands.clone()));
+    let context = Arc::new(Idle::default());
+    let mut task = std::pin::pin!(run(context.clone()));
     assert!(task.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_pending());
-    assert_eq!(hands.touched.load(Ordering::Relaxed), 0);
+    assert_eq!(context.touched.load(Ordering::Relaxed), 0);
 }
 
 /// 1,000 windows, 50 rules, 200 readings and 20 rollouts, each of half a KiB with its status: what they
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -1,8 +1,8 @@
-//! Implements `declarations::run::Hands` for a controller: what the driver of declared things may read and do.
+//! Implements `declarations::run::DeclarationContext` for a controller: what the driver of declared things may read and do.
 
 use super::Node;
 use crate::declarations::driver::Ended;
-use crate::declarations::run::Hands;
+use crate::declarations::run::DeclarationContext;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
 use crate::store::budget::Urgent;
@@ -10,14 +10,14 @@
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 
-impl Hands for Node {
-    fn quiet(&self) -> bool {
+impl DeclarationContext for Node {
+    fn is_idle(&self) -> bool {
         let watch_cache = lock(&self.watch_cache);
         let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().any_changed();
         nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
-    fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
+    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
@@ -26,15 +26,15 @@
         Some(look(cluster, &mut watch_cache, &|id| self.history.ended(id)))
     }
 
-    fn ask(&self, id: &JobId) {
+    fn query_job_end(&self, id: &JobId) {
         self.history.look_up(id);
     }
 
-    fn ready(&self, urgent: Urgent) -> usize {
+    fn writable_changes(&self, urgent: Urgent) -> usize {
         self.store.writes_ready(urgent)
     }
 
-    async fn store(
+    async fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
@@ -43,13 +43,13 @@
         self.store.compare_and_swap(conditions, changes, urgent).await
     }
 
-    async fn refused(&self) {
+    async fn refresh_after_conflict(&self) {
         self.read_barrier.wait().await;
         self.check_deposed();
         self.wake.membership.notify_one();
     }
 
-    async fn woken(&self) {
+    async fn wait_for_change(&self) {
         self.wake.declared.notified().await;
     }
 }
