--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -25,7 +25,7 @@
         "c/o/run-000007",
         "c/o/x",
         "c/owner/0",
-        "c/leader/later",
+        "c/owner/later",
         "c/leader",
         "c/plea",
         "c/watermark",
