--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -7,7 +7,7 @@
 use super::spec::{Spec, date_of, day_of};
 use super::status::{self, Status};
 use super::step::{Facts, Fate, needs_s, next};
-use crate::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
+use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError, VerbOutcome};
 use crate::jobs::{End, JobId};
 use crate::scheduling::intents::Intents;
 
@@ -15,7 +15,7 @@
 pub struct Window;
 
 /// What is known of a job that was accepted: one that is neither open nor known to have ended is over.
-fn fate(view: &View, id: &JobId) -> Fate {
+fn fate(view: &DeclarationView, id: &JobId) -> Fate {
     match ((view.ended)(id), view.cluster.job(id)) {
         (Some(End::Done), _) => Fate::Done {
             // However late its window's turn to be stored comes.
@@ -37,7 +37,7 @@
     }
 }
 
-fn jobs_by_window<'v>(view: &'v View) -> &'v JobsByWindow {
+fn jobs_by_window<'v>(view: &'v DeclarationView) -> &'v JobsByWindow {
     view.jobs_by_window.get_or_init(|| {
         let declared_window = |(name, spec, _): (&str, Spec, u64)| {
             let status = view.registry.status::<Window>(name).map(|(status, _)| status).unwrap_or_default();
@@ -49,30 +49,30 @@
     })
 }
 
-impl Declared for Window {
+impl DeclarationLogic for Window {
     const KIND: DeclarationKind = DeclarationKind::Window;
     type Spec = Spec;
     type Status = Status;
 
-    fn check(spec: &Spec, names: &Names) -> Result<(), Problem> {
+    fn check_spec(spec: &Spec, names: &KnownNames) -> Result<(), SpecError> {
         spec.check(names)
     }
 
     /// What was confirmed stays so. New times count from now on: what closed before is none of theirs.
-    fn declared(spec: Spec, before: Option<&Spec>, now_ms: u64) -> Spec {
+    fn spec_to_store(spec: Spec, before: Option<&Spec>, now_ms: u64) -> Spec {
         let confirmed = before.and_then(|before| before.confirmed.clone());
         let since = before.filter(|before| before.when() == spec.when()).and_then(|before| before.declared_ms);
         Spec { confirmed: spec.confirmed.or(confirmed), declared_ms: since.or(Some(now_ms)), ..spec }
     }
 
-    fn step(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<Status> {
+    fn next_status(name: &str, spec: &Spec, status: &Status, view: &DeclarationView) -> Option<Status> {
         let facts =
             Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let next = next(spec, status, &facts);
         (next != *status).then_some(next)
     }
 
-    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
+    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &DeclarationView, intents: &mut Intents) {
         let facts =
             Facts { now_ms: view.now_ms, fate: &|id| fate(view, id), arrivals: jobs_by_window(view).arrivals(name) };
         let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
@@ -85,22 +85,22 @@
         add_intents(name, spec, status, &facts, &shape, left, intents);
     }
 
-    fn tell(_: &str, spec: &Spec, status: &Status, now_ms: u64) -> Vec<String> {
+    fn describe(_: &str, spec: &Spec, status: &Status, now_ms: u64) -> Vec<String> {
         status::tell(spec, status, now_ms)
     }
 
-    fn news(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
+    fn status_events(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
         status::news(name, before, after)
     }
 
-    fn act(verb: &str, spec: &Spec, status: &Status, _: u64) -> Result<Acted<Spec>, Problem> {
+    fn apply_verb(verb: &str, spec: &Spec, status: &Status, _: u64) -> Result<VerbOutcome<Spec>, SpecError> {
         if verb != "confirm" {
-            return Err(Problem::new("verb", format!("{verb:?} is nothing that can be done with a window")));
+            return Err(SpecError::new("verb", format!("{verb:?} is nothing that can be done with a window")));
         }
         let confirmed = spec.confirmed.as_deref().and_then(day_of);
         let Some(day) = status.confirmable().filter(|day| confirmed.is_none_or(|before| *day > before)) else {
-            return Err(Problem::new("confirm", "nothing of it is to be confirmed"));
+            return Err(SpecError::new("confirm", "nothing of it is to be confirmed"));
         };
-        Ok(Acted { spec: Spec { confirmed: Some(date_of(day)), ..spec.clone() }, cancel: None })
+        Ok(VerbOutcome { spec: Spec { confirmed: Some(date_of(day)), ..spec.clone() }, cancel: None })
     }
 }
--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -6,7 +6,7 @@
 use chrono::{Datelike, NaiveDate, NaiveTime, Timelike, Weekday};
 use serde::{Deserialize, Serialize};
 
-use crate::declarations::{Names, Problem};
+use crate::declarations::{KnownNames, SpecError};
 use crate::jobs::well_formed_id;
 
 /// Days since 1970, in the window's own offset from UTC.
@@ -117,8 +117,8 @@
 
 impl Spec {
     /// Names the first field that cannot be used.
-    pub fn check(&self, names: &Names) -> Result<(), Problem> {
-        let refuse = |field: &str, why: String| Err(Problem::new(field, why));
+    pub fn check(&self, names: &KnownNames) -> Result<(), SpecError> {
+        let refuse = |field: &str, why: String| Err(SpecError::new(field, why));
         let Some(team) = names.teams.iter().find(|t| t.name == self.team) else {
             return refuse("team", format!("{:?} is no team of the settings", self.team));
         };
--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -16,13 +16,13 @@
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::refresh;
 use crate::declarations::records::{spec_key, status_key};
-use crate::declarations::table::Entry;
+use crate::declarations::table::KindOperations;
 use crate::declarations::tests::simulation::{Controller, Sent, Stage};
 use crate::jobs::record::{JobRecord, StoredTask, open_key};
 use crate::jobs::{End, JobId};
 use crate::store::Change;
 
-static KINDS: [Entry; 1] = [Entry::of::<Window>()];
+static KINDS: [KindOperations; 1] = [KindOperations::of::<Window>()];
 const NAMES: [&str; 2] = ["one", "two"];
 
 /// What the simulation leaves out.
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -11,7 +11,7 @@
 use super::spec::{Day, Spec, date_of, day_of};
 use super::status::{Outcome, Over, Reason, Status, news, tell};
 use super::step::{Arrival, Facts, Fate, GRACE_MS, next};
-use crate::declarations::Names;
+use crate::declarations::KnownNames;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, JobSpec, Shape};
 use crate::scheduling::intents::Intents;
@@ -105,7 +105,7 @@
     let mut settings = crate::settings::tests::example();
     let objective = |class: &str| json!({"kind": "deadline", "class": class});
     settings.params.objectives = serde_json::from_value(json!([objective("plan"), objective("roster")])).unwrap();
-    let names = Names::of(&settings);
+    let names = KnownNames::of(&settings);
     assert_eq!(window(json!({})).check(&names), Ok(()));
     let many: Vec<String> = (0..3).map(|n| format!("run-{n}")).collect();
     for (fields, want) in [
@@ -444,6 +444,6 @@
     }
     assert_eq!((status.missed.len(), status.current.as_ref().unwrap().claims.len()), (16, 32));
     let bytes = serde_json::to_vec(&status).unwrap().len();
-    assert!(bytes + 1200 < crate::declarations::records::MOST_BYTES, "{bytes}");
+    assert!(bytes + 1200 < crate::declarations::records::MAX_VALUE_BYTES, "{bytes}");
     assert_eq!(serde_json::from_slice::<Status>(&serde_json::to_vec(&status).unwrap()).unwrap(), status);
 }
--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -10,7 +10,7 @@
 
 use super::unusable;
 use crate::declarations::DeclarationKind;
-use crate::declarations::operator::{Failed, Operator, Shown};
+use crate::declarations::operator::{DeclarationReport, Failed, Operator};
 use crate::declarations::table::KINDS;
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
@@ -183,7 +183,7 @@
         }
         Verb::Show { kind, name, .. } => {
             let shown = operator.show(*kind, name.as_deref()).await?;
-            let lines = |s: &Shown| {
+            let lines = |s: &DeclarationReport| {
                 let head = format!("{} {}", s.kind.word(), s.name);
                 std::iter::once(head).chain(s.lines.iter().map(|line| format!("  {line}"))).collect::<Vec<_>>()
             };
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -13,10 +13,10 @@
 use serde_json::Value;
 use tracing::Level;
 
-use super::View;
-use super::records::{DeclarationKind, MOST_BYTES, spec_key, status_key};
-use super::registry::{Changed, Registry};
-use super::table::{Decided, Entry, News, entry};
+use super::DeclarationView;
+use super::records::{DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
+use super::registry::{DeclarationRegistry, StatusChange};
+use super::table::{KindOperations, News, NextStatus, entry};
 use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
@@ -25,12 +25,12 @@
 use crate::store::{Change, Condition};
 
 /// Statuses stored in one transaction; there is one a second.
-pub const MOST_CHANGES: usize = 2;
+pub const MAX_WRITES: usize = 2;
 /// A change heard of so long ago was told by whoever led then.
-const TOLD_BEFORE: Duration = Duration::from_secs(60);
+const LOG_WITHIN: Duration = Duration::from_secs(60);
 
 /// What is known here of how jobs ended.
-pub type Ended<'a> = &'a dyn Fn(&str) -> Option<End>;
+pub type JobEnds<'a> = &'a dyn Fn(&str) -> Option<End>;
 
 /// One change of a status.
 #[derive(Debug, Clone, PartialEq)]
@@ -40,9 +40,9 @@
     /// Its name.
     pub name: String,
     /// 0: the spec is gone, and its status goes after it.
-    pub spec_stamp: u64,
+    pub spec_version: u64,
     /// The version of the status that is replaced; 0 for a first one.
-    pub status_stamp: u64,
+    pub status_version: u64,
     /// None where it is dropped.
     pub value: Option<Value>,
 }
@@ -60,8 +60,8 @@
 /// One transaction's conditions.
 pub fn conditions(writes: &[Write], fencing_token: u64) -> Vec<Condition> {
     let of = |w: &Write| {
-        let spec = Condition::at(spec_key(w.kind, &w.name), w.spec_stamp);
-        [spec, Condition::at(status_key(w.kind, &w.name), w.status_stamp)]
+        let spec = Condition::at(spec_key(w.kind, &w.name), w.spec_version);
+        [spec, Condition::at(status_key(w.kind, &w.name), w.status_version)]
     };
     std::iter::once(Condition::at(LEADER, fencing_token)).chain(writes.iter().flat_map(of)).collect()
 }
@@ -73,7 +73,7 @@
 
 /// What comes of a look.
 #[derive(Debug, Default)]
-pub struct Looked {
+pub struct DriverOutput {
     /// To be stored together, if anything.
     pub writes: Vec<Write>,
     /// There is nothing more to store: all that was is heard of.
@@ -87,8 +87,8 @@
 }
 
 /// Brings statuses up to what is declared, one transaction at a time.
-pub struct Driver {
-    kinds: &'static [Entry],
+pub struct DeclarationDriver {
+    kinds: &'static [KindOperations],
     /// Where to go on among the kinds, and in each kind: whoever wants changes each second keeps nobody
     /// else from his.
     turn: usize,
@@ -99,9 +99,9 @@
     too_large: BTreeSet<(DeclarationKind, String)>,
 }
 
-impl Driver {
+impl DeclarationDriver {
     /// A driver of these kinds that knows nothing yet.
-    pub fn new(kinds: &'static [Entry]) -> Self {
+    pub fn new(kinds: &'static [KindOperations]) -> Self {
         Self { kinds, turn: 0, last: BTreeMap::new(), stored: 0, too_large: BTreeSet::new() }
     }
 
@@ -124,17 +124,17 @@
         &mut self,
         cluster: &mut ClusterState,
         watch_cache: &mut WatchCache,
-        ended: Ended,
+        ended: JobEnds,
         now: Instant,
         now_ms: u64,
-    ) -> Looked {
+    ) -> DriverOutput {
         if !cluster.loaded || !watch_cache.ready {
-            return Looked::default();
+            return DriverOutput::default();
         }
-        let changed = watch_cache.registry_mut().take_changed();
+        let changed = watch_cache.registry_mut().take_status_changes();
         refresh(self.kinds, cluster, watch_cache.registry(), ended, now, now_ms);
-        let mut looked = Looked { fencing_token: cluster.fencing_token, ..Looked::default() };
-        for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < TOLD_BEFORE) {
+        let mut looked = DriverOutput { fencing_token: cluster.fencing_token, ..DriverOutput::default() };
+        for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < LOG_WITHIN) {
             looked.news.extend(news(self.kinds, change));
         }
         if watch_cache.revision >= self.stored {
@@ -146,13 +146,13 @@
         looked
     }
 
-    /// Up to `MOST_CHANGES`, of as many kinds as want any.
-    fn decide(&mut self, view: &View, told: &mut News) -> Vec<Write> {
-        let mut writes: Vec<Write> = left_over(view.registry).take(1).collect();
+    /// Up to `MAX_WRITES`, of as many kinds as want any.
+    fn decide(&mut self, view: &DeclarationView, told: &mut News) -> Vec<Write> {
+        let mut writes: Vec<Write> = orphaned_statuses(view.registry).take(1).collect();
         let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
-        while writes.len() < MOST_CHANGES && !kinds.is_empty() {
+        while writes.len() < MAX_WRITES && !kinds.is_empty() {
             kinds.retain(|at| {
-                let found = (writes.len() < MOST_CHANGES).then(|| self.next_of(*at, view, &writes, told)).flatten();
+                let found = (writes.len() < MAX_WRITES).then(|| self.next_of(*at, view, &writes, told)).flatten();
                 let any = found.is_some();
                 writes.extend(found);
                 any
@@ -162,18 +162,18 @@
     }
 
     /// The next one of a kind that wants a change, after the last one that got it.
-    fn next_of(&mut self, at: usize, view: &View, writes: &[Write], told: &mut News) -> Option<Write> {
+    fn next_of(&mut self, at: usize, view: &DeclarationView, writes: &[Write], told: &mut News) -> Option<Write> {
         let entry = &self.kinds[at];
         let kind = entry.kind;
         let last = self.last.get(&kind).cloned().unwrap_or_default();
         let (before, after): (Vec<&str>, Vec<&str>) =
             view.registry.names(kind).partition(|name| *name <= last.as_str());
-        let most = MOST_BYTES.min((view.settings.params.state.value_kb * 1024.0) as usize);
+        let most = MAX_VALUE_BYTES.min((view.settings.params.state.value_kb * 1024.0) as usize);
         for name in after.into_iter().chain(before) {
             if writes.iter().any(|w| w.kind == kind && w.name == name) {
                 continue;
             }
-            let Some(Decided { spec_stamp, status_stamp, value }) = (entry.step)(name, view) else { continue };
+            let Some(NextStatus { spec_version, status_version, value }) = (entry.step)(name, view) else { continue };
             let size = value.to_string().len();
             if size > most {
                 if self.too_large.len() < kind.most() && self.too_large.insert((kind, name.to_owned())) {
@@ -182,25 +182,25 @@
                 }
                 continue;
             }
-            return Some(Write { kind, name: name.to_owned(), spec_stamp, status_stamp, value: Some(value) });
+            return Some(Write { kind, name: name.to_owned(), spec_version, status_version, value: Some(value) });
         }
         None
     }
 }
 
 /// Statuses that are dropped since their spec is gone.
-fn left_over(registry: &Registry) -> impl Iterator<Item = Write> {
-    registry.left_over().map(|(kind, name, status_stamp)| Write {
+fn orphaned_statuses(registry: &DeclarationRegistry) -> impl Iterator<Item = Write> {
+    registry.orphaned_statuses().map(|(kind, name, status_version)| Write {
         kind,
         name: name.to_owned(),
-        spec_stamp: 0,
-        status_stamp,
+        spec_version: 0,
+        status_version,
         value: None,
     })
 }
 
-fn news(kinds: &[Entry], changed: &Changed) -> News {
-    let Changed { kind, name, .. } = changed;
+fn news(kinds: &[KindOperations], changed: &StatusChange) -> News {
+    let StatusChange { kind, name, .. } = changed;
     match (changed.after(), entry(kinds, *kind)) {
         (None, _) => vec![(Level::INFO, format!("{} {name}: removed", kind.word()))],
         (Some(after), Some(entry)) => (entry.news)(name, changed.before().as_ref(), &after),
@@ -210,12 +210,12 @@
 
 fn view<'a>(
     cluster: &'a ClusterState,
-    registry: &'a Registry,
-    ended: Ended<'a>,
+    registry: &'a DeclarationRegistry,
+    ended: JobEnds<'a>,
     now: Instant,
     now_ms: u64,
-) -> View<'a> {
-    View {
+) -> DeclarationView<'a> {
+    DeclarationView {
         cluster,
         ended,
         registry,
@@ -231,10 +231,10 @@
 /// Works out anew what is asked for by what is stored: before anything is decided after a takeover, when
 /// jobs have come, and each second. Does nothing as long as nothing is declared.
 pub fn refresh(
-    kinds: &[Entry],
+    kinds: &[KindOperations],
     cluster: &mut ClusterState,
-    registry: &Registry,
-    ended: Ended,
+    registry: &DeclarationRegistry,
+    ended: JobEnds,
     now: Instant,
     now_ms: u64,
 ) {
--- a/src/declarations/mod.rs
+++ b/src/declarations/mod.rs
@@ -29,19 +29,19 @@
 use crate::settings::{Params, Settings, Team};
 
 pub use records::DeclarationKind;
-pub use registry::Registry;
+pub use registry::DeclarationRegistry;
 
 /// A field of a spec that cannot be used, and why. Shown as `FIELD: WHY`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {why}")]
-pub struct Problem {
+pub struct SpecError {
     /// The field's name.
     pub field: String,
     /// What is wrong with it.
     pub why: String,
 }
 
-impl Problem {
+impl SpecError {
     /// A field and what is wrong with it.
     pub fn new(field: impl Into<String>, why: impl Into<String>) -> Self {
         Self { field: field.into(), why: why.into() }
@@ -49,7 +49,7 @@
 }
 
 /// What a spec may name, for checks without any I/O.
-pub struct Names<'a> {
+pub struct KnownNames<'a> {
     /// The teams.
     pub teams: &'a [Team],
     /// Those that the objectives name.
@@ -60,7 +60,7 @@
     pub params: &'a Params,
 }
 
-impl<'a> Names<'a> {
+impl<'a> KnownNames<'a> {
     /// The part of the settings that specs are checked against.
     pub fn of(settings: &'a Settings) -> Self {
         let params = &settings.params;
@@ -73,13 +73,13 @@
 }
 
 /// State and time: all that a decision may look at.
-pub struct View<'a> {
+pub struct DeclarationView<'a> {
     /// The leader's state.
     pub cluster: &'a ClusterState,
     /// What is known here of ended jobs; not all is.
     pub ended: &'a dyn Fn(&str) -> Option<End>,
     /// All specs and statuses.
-    pub registry: &'a Registry,
+    pub registry: &'a DeclarationRegistry,
     /// By the steady clock.
     pub now: Instant,
     /// Time of day in ms since 1970. It may step, back as well.
@@ -95,13 +95,13 @@
 }
 
 /// Jobs asked about at once.
-const MOST_ASKED: usize = 64;
+const MAX_UNKNOWN_ENDS: usize = 64;
 
-impl View<'_> {
+impl DeclarationView<'_> {
     /// Asks how a job ended; a later look may know.
     pub fn ask(&self, id: &JobId) {
         let mut unknown = self.unknown.borrow_mut();
-        if unknown.len() < MOST_ASKED {
+        if unknown.len() < MAX_UNKNOWN_ENDS {
             unknown.insert(id.clone());
         }
     }
@@ -109,7 +109,7 @@
 
 /// What an operator's verb makes of a spec.
 #[derive(Debug)]
-pub struct Acted<S> {
+pub struct VerbOutcome<S> {
     /// What operators have declared.
     pub spec: S,
     /// A job to be cancelled as its user would, before the spec is written.
@@ -117,7 +117,7 @@
 }
 
 /// One kind of declared thing. All of it is pure.
-pub trait Declared {
+pub trait DeclarationLogic {
     /// Its kind, which names its keys.
     const KIND: DeclarationKind;
     /// What operators declare.
@@ -125,36 +125,46 @@
     /// What the leader stores of it.
     type Status: Serialize + DeserializeOwned + Clone + PartialEq + Default + Send + Sync + 'static;
 
-    /// Names the first field that cannot be used.
-    fn check(spec: &Self::Spec, names: &Names) -> Result<(), Problem>;
+    /// KnownNames the first field that cannot be used.
+    fn check_spec(spec: &Self::Spec, names: &KnownNames) -> Result<(), SpecError>;
 
     /// The same of all specs of this kind together, as they would be.
-    fn check_all(all: &BTreeMap<String, Self::Spec>) -> Result<(), Problem> {
+    fn check_all_specs(all: &BTreeMap<String, Self::Spec>) -> Result<(), SpecError> {
         let _ = all;
         Ok(())
     }
 
     /// A checked spec as it is written over the one that stands, at a time of day in ms.
-    fn declared(spec: Self::Spec, before: Option<&Self::Spec>, now_ms: u64) -> Self::Spec {
+    fn spec_to_store(spec: Self::Spec, before: Option<&Self::Spec>, now_ms: u64) -> Self::Spec {
         let _ = (before, now_ms);
         spec
     }
 
     /// What the status is to be next; none: as it is. Asked again and again, at least each second.
-    fn step(name: &str, spec: &Self::Spec, status: &Self::Status, view: &View) -> Option<Self::Status>;
+    fn next_status(
+        name: &str,
+        spec: &Self::Spec,
+        status: &Self::Status,
+        view: &DeclarationView,
+    ) -> Option<Self::Status>;
 
     /// What it asks of placing, renting, holding and sparing, by what is stored.
-    fn add_intents(name: &str, spec: &Self::Spec, status: &Self::Status, view: &View, intents: &mut Intents);
+    fn add_intents(name: &str, spec: &Self::Spec, status: &Self::Status, view: &DeclarationView, intents: &mut Intents);
 
     /// Lines for operators.
-    fn tell(name: &str, spec: &Self::Spec, status: &Self::Status, now_ms: u64) -> Vec<String>;
+    fn describe(name: &str, spec: &Self::Spec, status: &Self::Status, now_ms: u64) -> Vec<String>;
 
     /// Log lines owed for a change of status, told once it is stored.
-    fn news(name: &str, before: &Self::Status, after: &Self::Status) -> Vec<(Level, String)>;
+    fn status_events(name: &str, before: &Self::Status, after: &Self::Status) -> Vec<(Level, String)>;
 
     /// What a verb of operators (`confirm`, `pause`, `resume`, `back`, `finish`) makes of a spec.
-    fn act(verb: &str, spec: &Self::Spec, status: &Self::Status, now_ms: u64) -> Result<Acted<Self::Spec>, Problem> {
+    fn apply_verb(
+        verb: &str,
+        spec: &Self::Spec,
+        status: &Self::Status,
+        now_ms: u64,
+    ) -> Result<VerbOutcome<Self::Spec>, SpecError> {
         let _ = (spec, status, now_ms);
-        Err(Problem::new("verb", format!("{verb:?} is nothing that can be done with a {}", Self::KIND.word())))
+        Err(SpecError::new("verb", format!("{verb:?} is nothing that can be done with a {}", Self::KIND.word())))
     }
 }
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -10,9 +10,11 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-use super::records::{MOST_TOGETHER, OPERATORS, Part, SPECS, STATUSES, parse, spec_key, status_key, well_formed};
-use super::table::{Declaration, Entry, entry};
-use super::{DeclarationKind, Names, Problem};
+use super::records::{
+    DeclarationPart, MAX_SPECS_BYTES, OPERATORS, SPECS, STATUSES, is_valid_name, parse, spec_key, status_key,
+};
+use super::table::{Declaration, KindOperations, entry};
+use super::{DeclarationKind, KnownNames, SpecError};
 use crate::jobs::record::time_of_day_ms;
 use crate::protocol::Http;
 use crate::settings::Settings;
@@ -43,8 +45,8 @@
     NoAnswer(String),
 }
 
-impl From<Problem> for Failed {
-    fn from(problem: Problem) -> Self {
+impl From<SpecError> for Failed {
+    fn from(problem: SpecError) -> Self {
         Self::Refused(vec![problem.to_string()])
     }
 }
@@ -54,22 +56,22 @@
 }
 
 /// Specs by name, or none where one is to be dropped.
-type Writes = BTreeMap<String, Option<Value>>;
+type SpecWrites = BTreeMap<String, Option<Value>>;
 
 /// What stands of one kind, or of all.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct StoredDeclarations {
     /// The version of the key common to all operators.
     pub operators: u64,
     pub specs: BTreeMap<(DeclarationKind, String), (Value, u64)>,
     pub statuses: BTreeMap<(DeclarationKind, String), Value>,
 }
 
-impl Known {
+impl StoredDeclarations {
     pub fn take(&mut self, item: Item) {
         match parse(&item.path).map(|(part, kind, name)| (part, (kind, name.to_owned()))) {
-            Some((Part::Spec, of)) => drop(self.specs.insert(of, (item.value, item.version))),
-            Some((Part::Status, of)) => drop(self.statuses.insert(of, item.value)),
+            Some((DeclarationPart::Spec, of)) => drop(self.specs.insert(of, (item.value, item.version))),
+            Some((DeclarationPart::Status, of)) => drop(self.statuses.insert(of, item.value)),
             None => {}
         }
     }
@@ -85,7 +87,7 @@
 
 /// One declared thing, as operators see it.
 #[derive(Debug, serde::Serialize)]
-pub struct Shown {
+pub struct DeclarationReport {
     /// The kind of what is declared.
     pub kind: DeclarationKind,
     /// Its name.
@@ -100,7 +102,7 @@
 
 /// The operators' side: reads and writes specs directly in the store.
 pub struct Operator {
-    kinds: &'static [Entry],
+    kinds: &'static [KindOperations],
     settings: Settings,
     store: StateClient,
     http: Http,
@@ -110,7 +112,7 @@
 
 impl Operator {
     /// Gives up on the store after `patience`.
-    pub fn new(settings: Settings, kinds: &'static [Entry], patience: Duration) -> Self {
+    pub fn new(settings: Settings, kinds: &'static [KindOperations], patience: Duration) -> Self {
         let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
         let requests = Budget::new(limits.rps * PART, BURST, now);
         let writes = Budget::new(limits.write_rps * PART, limits.txn_ops as f64, now);
@@ -119,7 +121,7 @@
         Self { kinds, settings, store, http, patience }
     }
 
-    fn entry(&self, kind: DeclarationKind) -> Result<&'static Entry, Failed> {
+    fn entry(&self, kind: DeclarationKind) -> Result<&'static KindOperations, Failed> {
         match entry(self.kinds, kind) {
             Some(entry) => Ok(entry),
             None => refused(format!("kind: this build carries out no {}", kind.word())),
@@ -137,13 +139,13 @@
         if list.len() > kind.most() {
             return refused(too_many(kind, list.len()));
         }
-        let names = Names::of(&self.settings);
+        let names = KnownNames::of(&self.settings);
         let (mut specs, mut problems) = (BTreeMap::new(), Vec::new());
         for (n, mut spec) in list.into_iter().enumerate() {
             let name = spec.as_object_mut().and_then(|fields| fields.remove("name"));
             let at = name.as_ref().and_then(Value::as_str).map_or(format!("[{n}]"), str::to_owned);
             match name {
-                Some(Value::String(name)) if well_formed(&name) => match (entry.check)(&spec, &names) {
+                Some(Value::String(name)) if is_valid_name(&name) => match (entry.check)(&spec, &names) {
                     Err(problem) => problems.push(format!("{at}: {problem}")),
                     Ok(()) if specs.contains_key(&name) => problems.push(format!("{at}: name: given twice")),
                     Ok(()) => drop(specs.insert(name, spec)),
@@ -159,11 +161,11 @@
     /// Writes these specs, and gives the names of those that were not as given already.
     pub async fn declare(&self, kind: DeclarationKind, specs: &BTreeMap<String, Value>) -> Result<Vec<String>, Failed> {
         let entry = self.entry(kind)?;
-        self.change(kind, async |known: &Known, _| {
+        self.change(kind, async |known: &StoredDeclarations, _| {
             let stand = known.specs.iter().filter(|((k, _), _)| *k == kind);
             let mut all: BTreeMap<String, Value> =
                 stand.map(|((_, name), (spec, _))| (name.clone(), spec.clone())).collect();
-            let mut new = Writes::new();
+            let mut new = SpecWrites::new();
             for (name, spec) in specs {
                 let before = all.get(name);
                 let spec = (entry.declared)(spec, before, time_of_day_ms())?;
@@ -176,8 +178,8 @@
                 return refused(too_many(kind, all.len()));
             }
             let bytes: usize = all.values().map(|spec| spec.to_string().len()).sum();
-            if bytes > MOST_TOGETHER {
-                return refused(format!("{}: {bytes} bytes are more than the {MOST_TOGETHER} together", kind.word()));
+            if bytes > MAX_SPECS_BYTES {
+                return refused(format!("{}: {bytes} bytes are more than the {MAX_SPECS_BYTES} together", kind.word()));
             }
             (entry.check_all)(&all)?;
             Ok(new)
@@ -187,9 +189,9 @@
 
     /// Takes back what was declared.
     pub async fn remove(&self, kind: DeclarationKind, name: &str) -> Result<(), Failed> {
-        let gone = self.change(kind, async |known: &Known, again| match known.declaration(kind, name) {
-            Ok(_) => Ok(Writes::from([(name.to_owned(), None)])),
-            Err(_) if again => Ok(Writes::new()),
+        let gone = self.change(kind, async |known: &StoredDeclarations, again| match known.declaration(kind, name) {
+            Ok(_) => Ok(SpecWrites::from([(name.to_owned(), None)])),
+            Err(_) if again => Ok(SpecWrites::new()),
             Err(failed) => Err(failed),
         });
         gone.await.map(drop)
@@ -199,12 +201,12 @@
     /// this controller, as its user would.
     pub async fn act(&self, kind: DeclarationKind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
         let entry = self.entry(kind)?;
-        let acted = self.change(kind, async |known: &Known, _| {
+        let acted = self.change(kind, async |known: &StoredDeclarations, _| {
             let acted = (entry.act)(verb, known.declaration(kind, name)?, time_of_day_ms())?;
             if let Some(job) = acted.cancel {
                 self.cancel(node, &job).await?;
             }
-            Ok(Writes::from([(name.to_owned(), Some(acted.spec))]))
+            Ok(SpecWrites::from([(name.to_owned(), Some(acted.spec))]))
         });
         acted.await.map(drop)
     }
@@ -213,7 +215,7 @@
     pub async fn reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), Failed> {
         let kind = DeclarationKind::Reading;
         let entry = self.entry(kind)?;
-        if !well_formed(name) {
+        if !is_valid_name(name) {
             return refused(format!("name: {name:?} is not 1 to 64 of a-z, 0-9, dot and dash"));
         }
         if !value.is_finite() {
@@ -222,7 +224,7 @@
         if at_ms > time_of_day_ms() + self.settings.params.skew_ms as u64 {
             return refused(format!("at: {at_ms} ms lies ahead of the time of day"));
         }
-        let read = self.change(kind, async |known: &Known, _| {
+        let read = self.change(kind, async |known: &StoredDeclarations, _| {
             let stands = known.specs.get(&(kind, name.to_owned())).map(|(spec, _)| spec);
             let later = stands.and_then(|spec| spec["at_ms"].as_u64()).filter(|stands| *stands > at_ms);
             if let Some(later) = later {
@@ -231,17 +233,21 @@
             let mut spec = stands.cloned().unwrap_or_else(|| json!({}));
             spec["value"] = json!(value);
             spec["at_ms"] = json!(at_ms);
-            (entry.check)(&spec, &Names::of(&self.settings))?;
+            (entry.check)(&spec, &KnownNames::of(&self.settings))?;
             if stands.is_none() && known.specs.len() >= kind.most() {
                 return refused(too_many(kind, known.specs.len() + 1));
             }
-            Ok(Writes::from([(name.to_owned(), Some(spec))]))
+            Ok(SpecWrites::from([(name.to_owned(), Some(spec))]))
         });
         read.await.map(drop)
     }
 
     /// All that is declared, or one kind, or one of it; and statuses that are left to be dropped.
-    pub async fn show(&self, kind: Option<DeclarationKind>, name: Option<&str>) -> Result<Vec<Shown>, Failed> {
+    pub async fn show(
+        &self,
+        kind: Option<DeclarationKind>,
+        name: Option<&str>,
+    ) -> Result<Vec<DeclarationReport>, Failed> {
         let known = self.known(kind).await?;
         if let (Some(kind), Some(name)) = (kind, name) {
             known.declaration(kind, name)?;
@@ -258,7 +264,7 @@
                 (Some(spec), Some(entry)) => (entry.tell)(Declaration { name: &of.1, spec, status }, now_ms),
             };
             let lines = lines.unwrap_or_else(|problem| vec![problem.to_string()]);
-            Shown { kind: of.0, name: of.1.clone(), spec: spec.cloned(), status: status.cloned(), lines }
+            DeclarationReport { kind: of.0, name: of.1.clone(), spec: spec.cloned(), status: status.cloned(), lines }
         });
         Ok(shown.collect())
     }
@@ -268,7 +274,7 @@
     async fn change(
         &self,
         kind: DeclarationKind,
-        work: impl AsyncFn(&Known, bool) -> Result<Writes, Failed>,
+        work: impl AsyncFn(&StoredDeclarations, bool) -> Result<SpecWrites, Failed>,
     ) -> Result<Vec<String>, Failed> {
         let (mut moved, mut written, mut again) = (Instant::now(), Vec::new(), false);
         'read: loop {
@@ -315,7 +321,7 @@
     async fn write(
         &self,
         kind: DeclarationKind,
-        known: &Known,
+        known: &StoredDeclarations,
         writes: &[(String, Option<Value>)],
     ) -> Result<Result<u64, Vec<String>>, Failed> {
         let mine = json!({"by": format!("{:016x}", rand::random::<u64>()), "at_ms": time_of_day_ms()});
@@ -339,9 +345,10 @@
     }
 
     /// What operators have written of a kind, and its statuses, none older than `operators`.
-    async fn known(&self, kind: Option<DeclarationKind>) -> Result<Known, Failed> {
+    async fn known(&self, kind: Option<DeclarationKind>) -> Result<StoredDeclarations, Failed> {
         let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
-        let mut known = Known { operators: stands.map_or(0, |item| item.version), ..Known::default() };
+        let mut known =
+            StoredDeclarations { operators: stands.map_or(0, |item| item.version), ..StoredDeclarations::default() };
         for part in [SPECS, STATUSES] {
             let prefix = kind.map_or(part.to_owned(), |kind| format!("{part}{}/", kind.word()));
             let pages = tokio::sync::Mutex::new(self.store.pages(&prefix, None));
@@ -387,7 +394,7 @@
 /// Writes on what was read, with the key that all operators move.
 pub(super) fn transaction(
     kind: DeclarationKind,
-    known: &Known,
+    known: &StoredDeclarations,
     writes: &[(String, Option<Value>)],
     mine: &Value,
 ) -> (Vec<Condition>, Vec<Change>) {
--- a/src/declarations/records.rs
+++ b/src/declarations/records.rs
@@ -15,9 +15,9 @@
 pub const OPERATORS: &str = "c/declared";
 
 /// Largest spec and largest status, in bytes of JSON; less where the state service takes less.
-pub const MOST_BYTES: usize = 8 * 1024;
+pub const MAX_VALUE_BYTES: usize = 8 * 1024;
 /// All specs of a kind together: every controller holds them.
-pub const MOST_TOGETHER: usize = 2 * 1024 * 1024;
+pub const MAX_SPECS_BYTES: usize = 2 * 1024 * 1024;
 const LONGEST_NAME: usize = 64;
 
 /// What can be declared.
@@ -65,7 +65,7 @@
 
 /// What a key holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum DeclarationPart {
     /// What an operator wrote.
     Spec,
     /// What the leader wrote.
@@ -88,17 +88,17 @@
 }
 
 /// Reads back what `spec_key` and `status_key` made; none of kinds that a later build knows.
-pub fn parse(path: &str) -> Option<(Part, DeclarationKind, &str)> {
+pub fn parse(path: &str) -> Option<(DeclarationPart, DeclarationKind, &str)> {
     let (part, rest) = match path.strip_prefix(SPECS) {
-        Some(rest) => (Part::Spec, rest),
-        None => (Part::Status, path.strip_prefix(STATUSES)?),
+        Some(rest) => (DeclarationPart::Spec, rest),
+        None => (DeclarationPart::Status, path.strip_prefix(STATUSES)?),
     };
     let (kind, name) = rest.split_once('/')?;
-    Some((part, DeclarationKind::of_word(kind)?, name)).filter(|_| well_formed(name))
+    Some((part, DeclarationKind::of_word(kind)?, name)).filter(|_| is_valid_name(name))
 }
 
 /// 1 to 64 of small letters, digits, dots and dashes, beginning with a letter or a digit.
-pub fn well_formed(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
     name.len() <= LONGEST_NAME && name.starts_with(plain) && name.chars().all(|c| plain(c) || matches!(c, '.' | '-'))
 }
--- a/src/declarations/records/tests.rs
+++ b/src/declarations/records/tests.rs
@@ -4,8 +4,8 @@
 #[test]
 fn keys_read_back_and_names_are_plain() {
     for kind in DeclarationKind::ALL {
-        assert_eq!(parse(&spec_key(kind, "a.b-1")), Some((Part::Spec, kind, "a.b-1")));
-        assert_eq!(parse(&status_key(kind, "a.b-1")), Some((Part::Status, kind, "a.b-1")));
+        assert_eq!(parse(&spec_key(kind, "a.b-1")), Some((DeclarationPart::Spec, kind, "a.b-1")));
+        assert_eq!(parse(&status_key(kind, "a.b-1")), Some((DeclarationPart::Status, kind, "a.b-1")));
         assert_eq!(serde_json::to_value(kind).unwrap(), kind.word());
     }
     for bad in ["c/s/window/", "c/s/window", "c/s/later/a", "c/t/window/A", "c/s/window/a/b", "c/o/window/a"] {
@@ -13,7 +13,7 @@
     }
     let longest = "a".repeat(64);
     for (name, good) in [("7", true), (longest.as_str(), true), (".a", false), ("a b", false), ("é", false)] {
-        assert_eq!(well_formed(name), good, "{name}");
+        assert_eq!(is_valid_name(name), good, "{name}");
     }
-    assert!(!well_formed(&"a".repeat(65)));
+    assert!(!is_valid_name(&"a".repeat(65)));
 }
--- a/src/declarations/registry.rs
+++ b/src/declarations/registry.rs
@@ -12,21 +12,21 @@
 use serde_json::Value;
 use tracing::{error, warn};
 
-use super::Declared;
-use super::records::{DeclarationKind, MOST_BYTES, Part, parse};
+use super::DeclarationLogic;
+use super::records::{DeclarationKind, DeclarationPart, MAX_VALUE_BYTES, parse};
 
 /// Changes of statuses kept until they are told; more are not told.
-const MOST_CHANGED: usize = 256;
+const MAX_PENDING_CHANGES: usize = 256;
 
 /// One value, and what it reads as.
 #[derive(Debug, Clone)]
-struct Kept {
+struct StoredValue {
     json: Box<str>,
     version: u64,
     read: OnceLock<Option<Arc<dyn Any + Send + Sync>>>,
 }
 
-impl Kept {
+impl StoredValue {
     fn read<T: DeserializeOwned + Clone + Send + Sync + 'static>(
         &self,
         kind: DeclarationKind,
@@ -49,7 +49,7 @@
 
 /// A status that was stored over another, or dropped after its spec.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Changed {
+pub struct StatusChange {
     /// The kind of what has changed.
     pub kind: DeclarationKind,
     /// Its name.
@@ -60,7 +60,7 @@
     pub heard: Instant,
 }
 
-impl Changed {
+impl StatusChange {
     /// The value before the change.
     pub fn before(&self) -> Option<Value> {
         self.before.as_deref().map(value)
@@ -72,17 +72,17 @@
     }
 }
 
-type Of = BTreeMap<DeclarationKind, BTreeMap<String, Kept>>;
+type Of = BTreeMap<DeclarationKind, BTreeMap<String, StoredValue>>;
 
 /// What is declared, as this controller has read it from the store.
 #[derive(Debug, Default)]
-pub struct Registry {
+pub struct DeclarationRegistry {
     specs: Of,
     statuses: Of,
-    changed: VecDeque<Changed>,
+    changed: VecDeque<StatusChange>,
 }
 
-impl Registry {
+impl DeclarationRegistry {
     /// Whether nothing is declared.
     pub fn is_empty(&self) -> bool {
         self.entries() == 0
@@ -95,7 +95,7 @@
 
     /// What is declared of a kind and can be read, by name, with the versions: the first ones by name
     /// where there are more than may be, which every controller decides alike.
-    pub fn specs<D: Declared>(&self) -> impl Iterator<Item = (&str, D::Spec, u64)> {
+    pub fn specs<D: DeclarationLogic>(&self) -> impl Iterator<Item = (&str, D::Spec, u64)> {
         self.specs
             .get(&D::KIND)
             .into_iter()
@@ -105,13 +105,13 @@
     }
 
     /// A spec with its version; none if it cannot be read.
-    pub fn spec<D: Declared>(&self, name: &str) -> Option<(D::Spec, u64)> {
+    pub fn spec<D: DeclarationLogic>(&self, name: &str) -> Option<(D::Spec, u64)> {
         let kept = self.specs.get(&D::KIND)?.get(name)?;
         kept.read(D::KIND, name).map(|spec| (spec, kept.version))
     }
 
     /// A status with its version; none if it cannot be read.
-    pub fn status<D: Declared>(&self, name: &str) -> Option<(D::Status, u64)> {
+    pub fn status<D: DeclarationLogic>(&self, name: &str) -> Option<(D::Status, u64)> {
         let kept = self.statuses.get(&D::KIND)?.get(name)?;
         kept.read(D::KIND, name).map(|status| (status, kept.version))
     }
@@ -131,13 +131,13 @@
         self.statuses.get(&kind).is_some_and(|of| of.contains_key(name))
     }
 
-    /// Names of a kind, readable or not: all that specs may be looked at of.
+    /// KnownNames of a kind, readable or not: all that specs may be looked at of.
     pub fn names(&self, kind: DeclarationKind) -> impl Iterator<Item = &str> {
         self.specs.get(&kind).into_iter().flatten().take(kind.most()).map(|(name, _)| name.as_str())
     }
 
     /// Statuses whose spec is gone, with their versions.
-    pub fn left_over(&self) -> impl Iterator<Item = (DeclarationKind, &str, u64)> {
+    pub fn orphaned_statuses(&self) -> impl Iterator<Item = (DeclarationKind, &str, u64)> {
         let all = self.statuses.iter().flat_map(|(kind, of)| of.iter().map(move |(name, kept)| (*kind, name, kept)));
         all.filter(|(kind, name, _)| !self.specs.get(kind).is_some_and(|of| of.contains_key(*name)))
             .map(|(kind, name, kept)| (kind, name.as_str(), kept.version))
@@ -148,7 +148,7 @@
     pub fn put(&mut self, path: &str, value: &Value, version: u64) -> bool {
         let Some((part, kind, name)) = parse(path) else { return false };
         let json = value.to_string().into_boxed_str();
-        if json.len() > MOST_BYTES {
+        if json.len() > MAX_VALUE_BYTES {
             error!(path, "larger than anything declared may be; not taken in");
             return self.drop_key(path, version);
         }
@@ -161,9 +161,9 @@
             error!(path, "too many of them; not taken in");
             return true;
         }
-        let kept = Kept { json: json.clone(), version, read: OnceLock::new() };
+        let kept = StoredValue { json: json.clone(), version, read: OnceLock::new() };
         let before = of.insert(name.to_owned(), kept).map(|kept| kept.json);
-        if part == Part::Status && before.as_ref() != Some(&json) {
+        if part == DeclarationPart::Status && before.as_ref() != Some(&json) {
             self.note(kind, name, before, Some(json));
         }
         true
@@ -172,10 +172,10 @@
     /// The same of a key that is no more since a revision.
     pub fn drop_key(&mut self, path: &str, version: u64) -> bool {
         let Some((part, kind, name)) = parse(path) else { return false };
-        let older = |kept: &Kept| kept.version <= version;
+        let older = |kept: &StoredValue| kept.version <= version;
         let of = self.of(part).get_mut(&kind).filter(|of| of.get(name).is_some_and(older));
         let before = of.and_then(|of| of.remove(name));
-        if let Some(before) = before.filter(|_| part == Part::Status) {
+        if let Some(before) = before.filter(|_| part == DeclarationPart::Status) {
             self.note(kind, name, Some(before.json), None);
         }
         true
@@ -197,7 +197,8 @@
             names.sort_unstable();
             names.dedup();
             for name in names {
-                let value = |of: Option<&BTreeMap<String, Kept>>| of.and_then(|of| Some(of.get(name)?.json.clone()));
+                let value =
+                    |of: Option<&BTreeMap<String, StoredValue>>| of.and_then(|of| Some(of.get(name)?.json.clone()));
                 let (was, is) = (value(was), value(is));
                 if was != is {
                     changes.push((kind, name.clone(), was, is));
@@ -211,26 +212,26 @@
     }
 
     /// Something changed that nobody has taken yet.
-    pub fn any_changed(&self) -> bool {
+    pub fn has_status_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
     /// Statuses that changed since the last call, oldest first.
-    pub fn take_changed(&mut self) -> Vec<Changed> {
+    pub fn take_status_changes(&mut self) -> Vec<StatusChange> {
         self.changed.drain(..).collect()
     }
 
-    fn of(&mut self, part: Part) -> &mut Of {
+    fn of(&mut self, part: DeclarationPart) -> &mut Of {
         match part {
-            Part::Spec => &mut self.specs,
-            Part::Status => &mut self.statuses,
+            DeclarationPart::Spec => &mut self.specs,
+            DeclarationPart::Status => &mut self.statuses,
         }
     }
 
     fn note(&mut self, kind: DeclarationKind, name: &str, before: Option<Box<str>>, after: Option<Box<str>>) {
-        if self.changed.len() >= MOST_CHANGED {
+        if self.changed.len() >= MAX_PENDING_CHANGES {
             self.changed.pop_front();
         }
-        self.changed.push_back(Changed { kind, name: name.to_owned(), before, after, heard: Instant::now() });
+        self.changed.push_back(StatusChange { kind, name: name.to_owned(), before, after, heard: Instant::now() });
     }
 }
--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -6,7 +6,7 @@
 
 use tracing::{Level, debug, error, info, warn};
 
-use super::driver::{Driver, Ended, Looked, changes, conditions};
+use super::driver::{DeclarationDriver, DriverOutput, JobEnds, changes, conditions};
 use super::table::KINDS;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
@@ -31,7 +31,7 @@
     /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
     fn is_idle(&self) -> bool;
     /// Runs this on how things stand; none if nothing may be decided at the moment.
-    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T>;
+    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T>;
     /// Asks the store how a job ended; `with_state` shows it once it has answered.
     fn query_job_end(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
@@ -50,7 +50,7 @@
 }
 
 /// When a transaction may go, and by which right.
-struct Pace {
+struct WritePacer {
     next: Instant,
     /// Something has been waiting to be stored since then.
     waits: Option<Instant>,
@@ -58,7 +58,7 @@
     pressed: bool,
 }
 
-impl Pace {
+impl WritePacer {
     fn new(now: Instant) -> Self {
         Self { next: now, waits: None, pressed: false }
     }
@@ -90,8 +90,8 @@
 
 /// For as long as this controller leads.
 pub async fn run<C: DeclarationContext>(context: Arc<C>) {
-    let mut driver = Driver::new(KINDS);
-    let mut pace = Pace::new(Instant::now());
+    let mut driver = DeclarationDriver::new(KINDS);
+    let mut pace = WritePacer::new(Instant::now());
     loop {
         if context.is_idle() {
             context.wait_for_change().await;
@@ -102,7 +102,7 @@
         let looked = context
             .with_state(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
-        let Looked { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
+        let DriverOutput { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
         unknown.iter().for_each(|id| context.query_job_end(id));
         for (level, line) in news {
             tell(level, &line);
--- a/src/declarations/run/tests.rs
+++ b/src/declarations/run/tests.rs
@@ -6,7 +6,7 @@
     let t = Instant::now();
     let at = |s: f64| t + Duration::from_secs_f64(s);
     let (idle, busy) = (|_: Urgent| 24, |urgent: Urgent| if urgent == Urgent::Second { 3 } else { 0 });
-    let mut pace = Pace::new(t);
+    let mut pace = WritePacer::new(t);
     assert_eq!(pace.most(false, t, idle), 0);
     assert_eq!((pace.most(true, t, idle), pace.sent(t)), (24, Urgent::Last));
     assert_eq!(pace.most(true, at(0.9), idle), 0, "not within a second");
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -17,12 +17,12 @@
 use tracing::Level;
 
 use self::simulation::{Sent, Stage};
-use super::driver::Ended;
-use super::operator::{Known, transaction};
+use super::driver::JobEnds;
+use super::operator::{StoredDeclarations, transaction};
 use super::records::{OPERATORS, spec_key, status_key};
 use super::run::{DeclarationContext, run};
-use super::table::Entry;
-use super::{DeclarationKind, Declared, Names, Problem, View};
+use super::table::KindOperations;
+use super::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError};
 use crate::jobs::JobId;
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
@@ -46,24 +46,24 @@
 /// Counts up to its goal, and asks for as much as is stored: jobs named after it are not to be placed.
 pub struct Toy<const OF: usize>;
 
-impl<const OF: usize> Declared for Toy<OF> {
+impl<const OF: usize> DeclarationLogic for Toy<OF> {
     const KIND: DeclarationKind = DeclarationKind::ALL[OF];
     type Spec = Goal;
     type Status = Counted;
 
-    fn check(spec: &Goal, _: &Names) -> Result<(), Problem> {
-        if spec.goal > 0 { Ok(()) } else { Err(Problem::new("goal", "0 is nothing to count to")) }
+    fn check_spec(spec: &Goal, _: &KnownNames) -> Result<(), SpecError> {
+        if spec.goal > 0 { Ok(()) } else { Err(SpecError::new("goal", "0 is nothing to count to")) }
     }
-    fn step(_: &str, spec: &Goal, status: &Counted, view: &View) -> Option<Counted> {
+    fn next_status(_: &str, spec: &Goal, status: &Counted, view: &DeclarationView) -> Option<Counted> {
         (status.at < spec.goal).then_some(Counted { at: status.at + 1, by: view.epoch })
     }
-    fn add_intents(name: &str, _: &Goal, status: &Counted, _: &View, intents: &mut Intents) {
+    fn add_intents(name: &str, _: &Goal, status: &Counted, _: &DeclarationView, intents: &mut Intents) {
         intents.not_yet.insert(format!("{name}-{}", status.at).as_str().into());
     }
-    fn tell(_: &str, spec: &Goal, status: &Counted, _: u64) -> Vec<String> {
+    fn describe(_: &str, spec: &Goal, status: &Counted, _: u64) -> Vec<String> {
         vec![format!("{} of {}", status.at, spec.goal)]
     }
-    fn news(name: &str, _: &Counted, after: &Counted) -> Vec<(Level, String)> {
+    fn status_events(name: &str, _: &Counted, after: &Counted) -> Vec<(Level, String)> {
         vec![(Level::INFO, format!("{name} {} {}", after.at, after.by))]
     }
 }
@@ -71,31 +71,36 @@
 /// Another kind by the same rules, which wants a change each time it is asked.
 pub struct Restless;
 
-impl Declared for Restless {
+impl DeclarationLogic for Restless {
     const KIND: DeclarationKind = DeclarationKind::Rollout;
     type Spec = Goal;
     type Status = Counted;
 
-    fn check(_: &Goal, _: &Names) -> Result<(), Problem> {
+    fn check_spec(_: &Goal, _: &KnownNames) -> Result<(), SpecError> {
         Ok(())
     }
-    fn step(_: &str, _: &Goal, status: &Counted, view: &View) -> Option<Counted> {
+    fn next_status(_: &str, _: &Goal, status: &Counted, view: &DeclarationView) -> Option<Counted> {
         Some(Counted { at: status.at + 1, by: view.epoch })
     }
-    fn add_intents(_: &str, _: &Goal, _: &Counted, _: &View, _: &mut Intents) {}
-    fn tell(_: &str, _: &Goal, _: &Counted, _: u64) -> Vec<String> {
+    fn add_intents(_: &str, _: &Goal, _: &Counted, _: &DeclarationView, _: &mut Intents) {}
+    fn describe(_: &str, _: &Goal, _: &Counted, _: u64) -> Vec<String> {
         Vec::new()
     }
-    fn news(_: &str, _: &Counted, _: &Counted) -> Vec<(Level, String)> {
+    fn status_events(_: &str, _: &Counted, _: &Counted) -> Vec<(Level, String)> {
         Vec::new()
     }
 }
 
 type Heat = Toy<1>;
 
-static TOYS: [Entry; 1] = [Entry::of::<Heat>()];
-static BOTH: [Entry; 2] = [Entry::of::<Restless>(), Entry::of::<Heat>()];
-static ALL: [Entry; 4] = [Entry::of::<Toy<0>>(), Entry::of::<Heat>(), Entry::of::<Toy<2>>(), Entry::of::<Toy<3>>()];
+static TOYS: [KindOperations; 1] = [KindOperations::of::<Heat>()];
+static BOTH: [KindOperations; 2] = [KindOperations::of::<Restless>(), KindOperations::of::<Heat>()];
+static ALL: [KindOperations; 4] = [
+    KindOperations::of::<Toy<0>>(),
+    KindOperations::of::<Heat>(),
+    KindOperations::of::<Toy<2>>(),
+    KindOperations::of::<Toy<3>>(),
+];
 
 /// What the simulation leaves out of each transaction's conditions.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -201,7 +206,8 @@
     /// Operators write as the command line does; copies of what they wrote come late, too.
     fn operate(&mut self) {
         let name = NAMES[self.stage.rng.random_range(0..NAMES.len())].to_owned();
-        let mut known = Known { operators: self.stage.store.version(OPERATORS), ..Known::default() };
+        let mut known =
+            StoredDeclarations { operators: self.stage.store.version(OPERATORS), ..StoredDeclarations::default() };
         for prefix in ["c/s/heat/", "c/t/heat/"] {
             self.stage.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| known.take(item));
         }
@@ -304,7 +310,7 @@
     pages
 }
 
-fn leader(kinds: &'static [Entry], stored: &[(String, serde_json::Value)]) -> Stage<()> {
+fn leader(kinds: &'static [KindOperations], stored: &[(String, serde_json::Value)]) -> Stage<()> {
     let mut stage = Stage::new(0, kinds, stored);
     stage.write_leader_record(0);
     stage
@@ -367,7 +373,7 @@
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
 #[test]
 fn what_is_kept_is_bounded() {
-    let mut registry = super::Registry::default();
+    let mut registry = super::DeclarationRegistry::default();
     for n in (0..1000).rev() {
         registry.put(&spec_key(DeclarationKind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
     }
@@ -376,7 +382,7 @@
     for n in 0..1000 {
         registry.put(&status_key(DeclarationKind::Heat, "h"), &json!({"at": n}), n);
     }
-    assert_eq!(registry.take_changed().len(), 256);
+    assert_eq!(registry.take_status_changes().len(), 256);
 }
 
 /// A controller that is never asked for anything but whether there is something to do.
@@ -389,7 +395,7 @@
     fn is_idle(&self) -> bool {
         true
     }
-    fn with_state<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
+    fn with_state<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         None
     }
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::declarations::driver::{Driver, Looked, Write, changes, conditions};
-use crate::declarations::table::Entry;
+use crate::declarations::driver::{DeclarationDriver, DriverOutput, Write, changes, conditions};
+use crate::declarations::table::KindOperations;
 use crate::jobs::End;
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
@@ -24,7 +24,7 @@
 pub struct Controller<T> {
     pub watch_cache: WatchCache,
     loading: Option<(Loading, String)>,
-    pub leader: Option<(ClusterState, Driver)>,
+    pub leader: Option<(ClusterState, DeclarationDriver)>,
     /// Decided, and not sent yet.
     decided: Option<(Vec<Write>, u64)>,
     /// Its time of day is off by so much.
@@ -38,11 +38,11 @@
     pub store: Store,
     pub controllers: Vec<Controller<T>>,
     pub late: Vec<Sent>,
-    kinds: &'static [Entry],
+    kinds: &'static [KindOperations],
 }
 
 impl<T: Default> Stage<T> {
-    pub fn new(seed: u64, kinds: &'static [Entry], stored: &[(String, Value)]) -> Self {
+    pub fn new(seed: u64, kinds: &'static [KindOperations], stored: &[(String, Value)]) -> Self {
         let mut store = Store::new(Limits::default());
         for (path, value) in stored {
             store.apply_if(&[], &[Change::write(path.clone(), value.clone())]).unwrap();
@@ -88,12 +88,12 @@
         self.follow(at, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
-        self.controllers[at].leader = Some((cluster, Driver::new(self.kinds)));
+        self.controllers[at].leader = Some((cluster, DeclarationDriver::new(self.kinds)));
         self.controllers[at].decided = None;
     }
 
     /// None where it never led. What is to be stored waits to be sent.
-    pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<Looked> {
+    pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<DriverOutput> {
         let Controller { watch_cache, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -18,7 +18,7 @@
 pub use rule::Rule;
 
 use crate::declarations::records::DeclarationKind;
-use crate::declarations::{Declared, Names, Problem, View};
+use crate::declarations::{DeclarationLogic, DeclarationView, KnownNames, SpecError};
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor;
 use crate::scheduling::intents::{Ahead, Intents};
@@ -42,17 +42,17 @@
     }
 }
 
-impl Declared for Rule {
+impl DeclarationLogic for Rule {
     const KIND: DeclarationKind = DeclarationKind::Heat;
     type Spec = Rule;
     type Status = Status;
 
-    fn check(spec: &Rule, names: &Names) -> Result<(), Problem> {
+    fn check_spec(spec: &Rule, names: &KnownNames) -> Result<(), SpecError> {
         let teams: Vec<&str> = names.teams.iter().map(|team| team.name.as_str()).collect();
         spec.check(&names.classes, &teams)
     }
 
-    fn step(_: &str, spec: &Rule, status: &Status, view: &View) -> Option<Status> {
+    fn next_status(_: &str, spec: &Rule, status: &Status, view: &DeclarationView) -> Option<Status> {
         let readings: Vec<Reading> =
             spec.sensors.iter().filter_map(|name| Some(view.registry.spec::<Reading>(name)?.0)).collect();
         decide(spec, status, readings.iter(), view.epoch, view.now_ms).or_else(|| {
@@ -65,7 +65,7 @@
 
     /// Several rules on at once: all that any of them names, and the largest part that one of them states,
     /// so that another rule takes no more from others than they have been told of.
-    fn add_intents(_: &str, spec: &Rule, status: &Status, view: &View, intents: &mut Intents) {
+    fn add_intents(_: &str, spec: &Rule, status: &Status, view: &DeclarationView, intents: &mut Intents) {
         if !status.holds(view.now_ms) {
             return;
         }
@@ -76,7 +76,7 @@
         intents.ahead = Some(Ahead { names, most_part });
     }
 
-    fn tell(_: &str, spec: &Rule, status: &Status, now_ms: u64) -> Vec<String> {
+    fn describe(_: &str, spec: &Rule, status: &Status, now_ms: u64) -> Vec<String> {
         let mut lines = vec![match (status.holds(now_ms), status.on) {
             (true, _) => format!(
                 "on: {}; since {}, until {} at the latest; before others up to {} of the cores",
@@ -103,7 +103,7 @@
         lines
     }
 
-    fn news(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
+    fn status_events(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
         let mut news = Vec::new();
         if after.on != before.on {
             let to = if after.on { "on" } else { "off" };
@@ -124,32 +124,32 @@
 }
 
 /// A reading has no status: rules look at what is handed in.
-impl Declared for Reading {
+impl DeclarationLogic for Reading {
     const KIND: DeclarationKind = DeclarationKind::Reading;
     type Spec = Reading;
     type Status = ();
 
-    fn check(spec: &Reading, _: &Names) -> Result<(), Problem> {
+    fn check_spec(spec: &Reading, _: &KnownNames) -> Result<(), SpecError> {
         if !spec.sane() {
-            return Err(Problem::new("value", format!("{} is no reading", spec.value)));
+            return Err(SpecError::new("value", format!("{} is no reading", spec.value)));
         }
         Ok(())
     }
 
-    fn step(_: &str, _: &Reading, _: &(), _: &View) -> Option<()> {
+    fn next_status(_: &str, _: &Reading, _: &(), _: &DeclarationView) -> Option<()> {
         None
     }
 
-    fn add_intents(_: &str, _: &Reading, _: &(), _: &View, _: &mut Intents) {}
+    fn add_intents(_: &str, _: &Reading, _: &(), _: &DeclarationView, _: &mut Intents) {}
 
-    fn tell(_: &str, spec: &Reading, _: &(), now_ms: u64) -> Vec<String> {
+    fn describe(_: &str, spec: &Reading, _: &(), now_ms: u64) -> Vec<String> {
         let age = spec.age_ms(now_ms).map_or("at a time ahead of this clock: it does not count".to_owned(), |age| {
             format!("{} s ago", age / 1000)
         });
         vec![format!("{}, read {age}", spec.value)]
     }
 
-    fn news(_: &str, _: &(), _: &()) -> Vec<(Level, String)> {
+    fn status_events(_: &str, _: &(), _: &()) -> Vec<(Level, String)> {
         Vec::new()
     }
 }
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::readings::{Reading, settle};
-use crate::declarations::Problem;
+use crate::declarations::SpecError;
 
 const MOST_NAMED: usize = 32;
 const MOST_SENSORS: usize = 16;
@@ -95,8 +95,8 @@
 
 impl Rule {
     /// Names the first field that cannot be used, with its value.
-    pub fn check(&self, classes: &[&str], teams: &[&str]) -> Result<(), Problem> {
-        let no = |field: &str, why: String| Err(Problem { field: field.to_owned(), why });
+    pub fn check(&self, classes: &[&str], teams: &[&str]) -> Result<(), SpecError> {
+        let no = |field: &str, why: String| Err(SpecError { field: field.to_owned(), why });
         if self.classes.is_empty() && self.teams.is_empty() {
             return no("classes", "[] and no teams: it names no work".into());
         }
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -1,7 +1,7 @@
 //! Implements `declarations::run::DeclarationContext` for a controller: what the driver of declared things may read and do.
 
 use super::Node;
-use crate::declarations::driver::Ended;
+use crate::declarations::driver::JobEnds;
 use crate::declarations::run::DeclarationContext;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
@@ -13,11 +13,11 @@
 impl DeclarationContext for Node {
     fn is_idle(&self) -> bool {
         let watch_cache = lock(&self.watch_cache);
-        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().any_changed();
+        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
         nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
-    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
+    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -7,13 +7,13 @@
 use super::observation::{Known, Observation, Replica, Side};
 use super::spec::{MOST_REPLICAS, Spec};
 use super::status::{Phase, Status};
-use crate::declarations::View;
+use crate::declarations::DeclarationView;
 use crate::jobs::{JobId, JobSpec, Shape};
 use crate::protocol::workers::AttemptStatus;
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::{SLACK, suspect_after};
 
-pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Observation {
+pub fn look(name: &str, spec: &Spec, status: &Status, view: &DeclarationView) -> Observation {
     let begun = status.phase.begun();
     let [old, new] = status.jobs(spec);
     let quarantined = view.cluster.machines.values().filter(|m| m.quarantined).map(|m| m.id.to_string()).collect();
@@ -34,7 +34,7 @@
     seen
 }
 
-fn side(id: &JobId, begun: bool, view: &View) -> Side {
+fn side(id: &JobId, begun: bool, view: &DeclarationView) -> Side {
     let cluster = view.cluster;
     if !cluster.loaded {
         return Side::default();
@@ -82,7 +82,7 @@
 /// Another rollout that holds one of the jobs. Who has begun keeps them; of those that have not, the one
 /// that was written first, so that every leader decides alike. Two that began before either was heard of
 /// have stopped nothing yet: the first by name goes on.
-fn rival(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<String> {
+fn rival(name: &str, spec: &Spec, status: &Status, view: &DeclarationView) -> Option<String> {
     let mine = status.jobs(spec);
     let version =
         view.registry.specs::<Rollout>().find(|(n, ..)| *n == name).map_or(u64::MAX, |(_, _, version)| version);
@@ -99,7 +99,7 @@
 }
 
 /// Why these two jobs can have no rollout.
-fn unfit(spec: &Spec, view: &View) -> Option<String> {
+fn unfit(spec: &Spec, view: &DeclarationView) -> Option<String> {
     for (field, id) in [("old", &spec.old), ("new", &spec.new)] {
         let Some(job) = view.cluster.job(id) else { continue };
         let tasks = job.tasks.len();
@@ -119,7 +119,7 @@
 type Amount = fn(&JobSpec) -> f64;
 
 /// The team's limit has to hold all that is asked of either version, with the surge of the other.
-fn no_room(spec: &Spec, view: &View) -> Option<String> {
+fn no_room(spec: &Spec, view: &DeclarationView) -> Option<String> {
     let (old, new) = (view.cluster.job(&spec.old)?, view.cluster.job(&spec.new)?);
     let teams: BTreeSet<&str> = [old, new].iter().map(|job| job.spec().team.as_str()).collect();
     for name in teams {
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -16,7 +16,7 @@
 
 use tracing::Level;
 
-use crate::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
+use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError, VerbOutcome};
 use crate::scheduling::intents::Intents;
 use spec::{Spec, Wanted};
 use status::{Phase, Status};
@@ -24,23 +24,23 @@
 /// Rollouts, as something that operators declare.
 pub struct Rollout;
 
-impl Declared for Rollout {
+impl DeclarationLogic for Rollout {
     const KIND: DeclarationKind = DeclarationKind::Rollout;
     type Spec = Spec;
     type Status = Status;
 
-    fn check(spec: &Spec, _: &Names) -> Result<(), Problem> {
-        spec.check().map_err(|(field, why)| Problem::new(field, why))
+    fn check_spec(spec: &Spec, _: &KnownNames) -> Result<(), SpecError> {
+        spec.check().map_err(|(field, why)| SpecError::new(field, why))
     }
 
-    fn step(name: &str, spec: &Spec, status: &Status, view: &View) -> Option<Status> {
+    fn next_status(name: &str, spec: &Spec, status: &Status, view: &DeclarationView) -> Option<Status> {
         if !view.cluster.loaded {
             return None;
         }
         step::decide(spec, status, &look::look(name, spec, status, view))
     }
 
-    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &View, intents: &mut Intents) {
+    fn add_intents(name: &str, spec: &Spec, status: &Status, view: &DeclarationView, intents: &mut Intents) {
         let seen = look::look(name, spec, status, view);
         let jobs = status.jobs(spec);
         for (job, ask) in jobs.into_iter().zip(intents::asks(spec, status, &seen)) {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn tell(name: &str, spec: &Spec, status: &Status, now_ms: u64) -> Vec<String> {
+    fn describe(name: &str, spec: &Spec, status: &Status, now_ms: u64) -> Vec<String> {
         let targets = spec.targets();
         let [old, new] = status.jobs(spec);
         let for_s = now_ms.saturating_sub(status.since_ms) / 1000;
@@ -86,7 +86,7 @@
         lines
     }
 
-    fn news(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
+    fn status_events(name: &str, before: &Status, after: &Status) -> Vec<(Level, String)> {
         if (before.phase, before.step) == (after.phase, after.step) && before.why == after.why {
             return Vec::new();
         }
@@ -98,25 +98,25 @@
         vec![(if warn { Level::WARN } else { Level::INFO }, line)]
     }
 
-    fn act(verb: &str, spec: &Spec, status: &Status, _: u64) -> Result<Acted<Spec>, Problem> {
-        let said = |wanted| Ok(Acted { spec: spec.said(wanted), cancel: None });
+    fn apply_verb(verb: &str, spec: &Spec, status: &Status, _: u64) -> Result<VerbOutcome<Spec>, SpecError> {
+        let said = |wanted| Ok(VerbOutcome { spec: spec.said(wanted), cancel: None });
         match verb {
             "pause" => said(Wanted::Paused),
             "resume" => said(Wanted::Forward),
             "back" if spec.wanted == Wanted::Finish => {
-                Err(Problem::new("wanted", "finished: its old job is withdrawn"))
+                Err(SpecError::new("wanted", "finished: its old job is withdrawn"))
             }
             "back" => said(Wanted::Back),
             // One that was told to go back may have begun to.
             "finish" if status.phase == Phase::Done && spec.wanted != Wanted::Back => {
-                Ok(Acted { spec: spec.said(Wanted::Finish), cancel: status.old.clone() })
+                Ok(VerbOutcome { spec: spec.said(Wanted::Finish), cancel: status.old.clone() })
             }
             "finish" => {
                 let why =
                     format!("{}: the old version may have replicas left, it is not withdrawn", status.phase.word());
-                Err(Problem::new("phase", why))
+                Err(SpecError::new("phase", why))
             }
-            other => Err(Problem::new("verb", format!("{other:?} is none of pause, resume, back, finish"))),
+            other => Err(SpecError::new("verb", format!("{other:?} is none of pause, resume, back, finish"))),
         }
     }
 }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::declarations::records::{spec_key, status_key};
-use crate::declarations::{DeclarationKind, Declared, Registry, View};
+use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationRegistry, DeclarationView};
 use crate::fleet::drain;
 use crate::fleet::rent::{self, Refusals};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
@@ -26,7 +26,7 @@
 
 struct Bench {
     cluster: ClusterState,
-    registry: Registry,
+    registry: DeclarationRegistry,
     catalog: Catalog,
     now: Instant,
     seq: u64,
@@ -42,7 +42,7 @@
         cluster.loaded = true;
         let mut bench = Self {
             cluster,
-            registry: Registry::default(),
+            registry: DeclarationRegistry::default(),
             catalog: Catalog { types: vec![of] },
             now,
             seq: 0,
@@ -106,10 +106,10 @@
         }
     }
 
-    fn with_view<T>(&self, f: impl FnOnce(&View) -> T) -> T {
+    fn with_view<T>(&self, f: impl FnOnce(&DeclarationView) -> T) -> T {
         let (cluster, registry, now) = (&self.cluster, &self.registry, self.now);
         let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].since).as_millis() as u64;
-        f(&View {
+        f(&DeclarationView {
             cluster,
             ended: &|_| None,
             registry,
@@ -131,7 +131,7 @@
                 let (spec, _) = view.registry.spec::<Rollout>(name).unwrap();
                 let status = view.registry.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
                 Rollout::add_intents(name, &spec, &status, view, &mut intents);
-                (name.clone(), Rollout::step(name, &spec, &status, view))
+                (name.clone(), Rollout::next_status(name, &spec, &status, view))
             };
             names.iter().map(of).collect()
         });
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -101,9 +101,9 @@
 
     fn status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
         let version = |key: String| self.store.version(&key);
-        let (spec_stamp, status_stamp) =
+        let (spec_version, status_version) =
             (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
-        let write = [Write { kind: DeclarationKind::Window, name: "w".into(), spec_stamp, status_stamp, value }];
+        let write = [Write { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -14,7 +14,7 @@
 use tracing::warn;
 
 use super::client::{Event, Page, WatchResponse};
-use crate::declarations::{Registry, records};
+use crate::declarations::{DeclarationRegistry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
@@ -106,7 +106,7 @@
     /// and reading them one by one took it seconds.
     ended: LruCache<JobId, Ended>,
     control: Control,
-    registry: Registry,
+    registry: DeclarationRegistry,
 }
 
 /// A job that has ended.
@@ -125,7 +125,7 @@
     newest: u64,
     seen: HashSet<JobId>,
     control: Control,
-    registry: Registry,
+    registry: DeclarationRegistry,
 }
 
 impl Loading {
@@ -192,7 +192,7 @@
             held: Held::default(),
             ended: LruCache::new(ENDED_KEPT),
             control: Control::default(),
-            registry: Registry::default(),
+            registry: DeclarationRegistry::default(),
         }
     }
 }
@@ -273,12 +273,12 @@
     }
 
     /// All that is declared.
-    pub fn registry(&self) -> &Registry {
+    pub fn registry(&self) -> &DeclarationRegistry {
         &self.registry
     }
 
     /// What is declared, to be read: values are parsed when they are first asked for.
-    pub fn registry_mut(&mut self) -> &mut Registry {
+    pub fn registry_mut(&mut self) -> &mut DeclarationRegistry {
         &mut self.registry
     }
 
@@ -318,7 +318,7 @@
             newest: 0,
             seen: HashSet::new(),
             control: Control::default(),
-            registry: Registry::default(),
+            registry: DeclarationRegistry::default(),
         }
     }
 
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -94,11 +94,11 @@
     assert!(read_whole(&mut watch_cache, pages).declared);
     watch_cache.apply(&response(vec![write(status, 2, 7), write(status, 3, 8)], 8));
     assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 3}), 8)));
-    let told: Vec<_> = watch_cache.registry_mut().take_changed().into_iter().map(|c| c.after()).collect();
+    let told: Vec<_> = watch_cache.registry_mut().take_status_changes().into_iter().map(|c| c.after()).collect();
     assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
     let drop = Event { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
     watch_cache.apply(&response(vec![drop], 9));
-    assert_eq!(watch_cache.registry().left_over().count(), 1, "a status whose spec is gone");
+    assert_eq!(watch_cache.registry().orphaned_statuses().count(), 1, "a status whose spec is gone");
     assert!(read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 10)]).declared, "nothing is declared any more");
     assert!(watch_cache.registry().is_empty());
     assert!(!read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 11)]).declared);
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -10,8 +10,10 @@
 use std::time::Duration;
 
 use hollylanding::declarations::operator::{Failed, Operator};
-use hollylanding::declarations::table::Entry;
-use hollylanding::declarations::{Acted, DeclarationKind, Declared, Names, Problem, View};
+use hollylanding::declarations::table::KindOperations;
+use hollylanding::declarations::{
+    DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError, VerbOutcome,
+};
 use hollylanding::scheduling::intents::Intents;
 use hollylanding::settings::Settings;
 use serde::{Deserialize, Serialize};
@@ -29,34 +31,34 @@
 
 struct Windows;
 
-impl Declared for Windows {
+impl DeclarationLogic for Windows {
     const KIND: DeclarationKind = DeclarationKind::Window;
     type Spec = Plan;
     type Status = bool;
 
-    fn check(spec: &Plan, names: &Names) -> Result<(), Problem> {
+    fn check_spec(spec: &Plan, names: &KnownNames) -> Result<(), SpecError> {
         let known = names.teams.iter().any(|team| team.name == spec.team);
-        if known { Ok(()) } else { Err(Problem::new("team", format!("{:?} is unknown", spec.team))) }
+        if known { Ok(()) } else { Err(SpecError::new("team", format!("{:?} is unknown", spec.team))) }
     }
-    fn step(_: &str, _: &Plan, _: &bool, _: &View) -> Option<bool> {
+    fn next_status(_: &str, _: &Plan, _: &bool, _: &DeclarationView) -> Option<bool> {
         None
     }
-    fn add_intents(_: &str, _: &Plan, _: &bool, _: &View, _: &mut Intents) {}
-    fn tell(_: &str, spec: &Plan, _: &bool, _: u64) -> Vec<String> {
+    fn add_intents(_: &str, _: &Plan, _: &bool, _: &DeclarationView, _: &mut Intents) {}
+    fn describe(_: &str, spec: &Plan, _: &bool, _: u64) -> Vec<String> {
         vec![format!("team {}{}", spec.team, if spec.paused { ", paused" } else { "" })]
     }
-    fn news(_: &str, _: &bool, _: &bool) -> Vec<(Level, String)> {
+    fn status_events(_: &str, _: &bool, _: &bool) -> Vec<(Level, String)> {
         Vec::new()
     }
-    fn act(verb: &str, spec: &Plan, _: &bool, _: u64) -> Result<Acted<Plan>, Problem> {
+    fn apply_verb(verb: &str, spec: &Plan, _: &bool, _: u64) -> Result<VerbOutcome<Plan>, SpecError> {
         match verb {
-            "pause" if !spec.paused => Ok(Acted { spec: Plan { paused: true, ..spec.clone() }, cancel: None }),
-            _ => Err(Problem::new("verb", format!("{verb:?} is not to be done"))),
+            "pause" if !spec.paused => Ok(VerbOutcome { spec: Plan { paused: true, ..spec.clone() }, cancel: None }),
+            _ => Err(SpecError::new("verb", format!("{verb:?} is not to be done"))),
         }
     }
 }
 
-static KINDS: [Entry; 1] = [Entry::of::<Windows>()];
+static KINDS: [KindOperations; 1] = [KindOperations::of::<Windows>()];
 
 fn operator(door: &str, patience: Duration) -> Operator {
     let settings = Settings::parse(&settings("node-a", &[], door).to_string()).unwrap();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -11,7 +11,7 @@
 
 use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
-use hollylanding::declarations::{DeclarationKind, Declared};
+use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
 use hollylanding::fleet::orders::{CloudOrder, ORDERS};
 use hollylanding::jobs::{End, record};
 use hollylanding::membership::records as membership;
@@ -42,13 +42,13 @@
         "watermark" => stored::<membership::Watermark>,
         "takeover request" => stored::<membership::TakeoverRequest>,
         "cloud order" => cloud_order,
-        "window spec" => stored::<<calendar::Window as Declared>::Spec>,
-        "window status" => stored::<<calendar::Window as Declared>::Status>,
-        "heat spec" => stored::<<heat::Rule as Declared>::Spec>,
-        "heat status" => stored::<<heat::Rule as Declared>::Status>,
-        "reading spec" => stored::<<heat::Reading as Declared>::Spec>,
-        "rollout spec" => stored::<<rollouts::Rollout as Declared>::Spec>,
-        "rollout status" => stored::<<rollouts::Rollout as Declared>::Status>,
+        "window spec" => stored::<<calendar::Window as DeclarationLogic>::Spec>,
+        "window status" => stored::<<calendar::Window as DeclarationLogic>::Status>,
+        "heat spec" => stored::<<heat::Rule as DeclarationLogic>::Spec>,
+        "heat status" => stored::<<heat::Rule as DeclarationLogic>::Status>,
+        "reading spec" => stored::<<heat::Reading as DeclarationLogic>::Spec>,
+        "rollout spec" => stored::<<rollouts::Rollout as DeclarationLogic>::Spec>,
+        "rollout status" => stored::<<rollouts::Rollout as DeclarationLogic>::Status>,
         "job description" => message::<jobs::JobSpec>,
         "job answer" => message::<users::JobAnswer>,
         "heartbeat" => message::<workers::Heartbeat>,
