--- a/crates/emulator/tests/scenario.rs
+++ b/crates/emulator/tests/scenario.rs
@@ -36,9 +36,9 @@
 
 #[test]
 fn the_gap_of_meetings_is_longer_than_a_cancellation_may_take() {
-    let sizes = Sizes::parse(include_str!("../../../scenarios/meetings.toml")).unwrap();
-    let plan = read(include_str!("../../../scenarios/meetings.rhai"), 1).unwrap();
-    assert_eq!(plan.sizes.as_deref(), Some("meetings.toml"));
+    let sizes = Sizes::parse(include_str!("../../../scenarios/combined-faults.toml")).unwrap();
+    let plan = read(include_str!("../../../scenarios/combined-faults.rhai"), 1).unwrap();
+    assert_eq!(plan.sizes.as_deref(), Some("combined-faults.toml"));
     let outage = plan.steps.iter().find_map(|(_, fault)| match fault {
         Fault::Outage(time) => Some(*time),
         _ => None,
--- a/scenarios/meetings.rhai
+++ b/scenarios/combined-faults.rhai
@@ -1,5 +1,5 @@
-// Three meetings of two troubles each, with withdrawals in their midst.
-sizes("meetings.toml");
+// three combinations of two faults each, with withdrawals in their midst.
+sizes("combined-faults.toml");
 // The gap: the store refuses the owner alone, users withdraw through the others; then it is out for all, longer than `cancel_s`.
 at(14, refuse("owner", 14));
 at(14.1, withdraw_share(0.7));
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -1,5 +1,5 @@
 //! A simulation of fixed steps in which time passes, leases end, the cluster state decides by itself, and the rules are
-//! checked at every step: a team's limit, where tasks may be, and what is cancelled gone in time (docs/meetings.md).
+//! checked at every step: a team's limit, where tasks may be, and what is cancelled gone in time (docs/combined-faults.md).
 
 use std::collections::BTreeMap;
 
