--- a/src/fleet/orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -1,3 +1,7 @@
+//! Tests of stored orders: outcomes of attempts, inheritance, and a simulation of leaders that replace one another.
+
+mod late;
+
 use std::collections::BTreeSet;
 
 use hollylanding_emulator::world::store::{Limits, Store};
@@ -12,20 +16,20 @@
 
 #[test]
 fn what_follows_a_try_by_cases() {
-    let order = CloudOrder::new("me", 7, 1, What::Return(vec!["m1".into()]));
+    let order = CloudOrder::new("me", 7, 1, CloudAction::Terminate(vec!["m1".into()]));
     assert_eq!(order.key, "d/me-7-1");
     let cases = [
-        ("applied", Ok(CompareAndSwapOutcome::Applied(9)), Some(7), Next::Act),
-        ("applied, and replaced since", Ok(CompareAndSwapOutcome::Applied(9)), None, Next::Stop),
-        ("an earlier copy applied", failed(&["d/me-7-1"]), Some(7), Next::Act),
-        ("another assignment", failed(&[LEADER]), Some(7), Next::Again),
-        ("applied under another assignment", failed(&[LEADER, "d/me-7-1"]), Some(8), Next::Again),
-        ("another assignment, known", failed(&[LEADER]), None, Next::Stop),
-        ("not answered", Err(StoreError::Unanswered), Some(7), Next::Again),
-        ("refused", Err(StoreError::Unavailable(429)), Some(7), Next::Again),
+        ("applied", Ok(CompareAndSwapOutcome::Applied(9)), Some(7), StoreStep::Execute),
+        ("applied, and replaced since", Ok(CompareAndSwapOutcome::Applied(9)), None, StoreStep::Abandon),
+        ("an earlier copy applied", failed(&["d/me-7-1"]), Some(7), StoreStep::Execute),
+        ("another assignment", failed(&[LEADER]), Some(7), StoreStep::Retry),
+        ("applied under another assignment", failed(&[LEADER, "d/me-7-1"]), Some(8), StoreStep::Retry),
+        ("another assignment, known", failed(&[LEADER]), None, StoreStep::Abandon),
+        ("not answered", Err(StoreError::Unanswered), Some(7), StoreStep::Retry),
+        ("refused", Err(StoreError::Unavailable(429)), Some(7), StoreStep::Retry),
     ];
     for (name, outcome, fencing_token, want) in cases {
-        assert_eq!(order.next(&outcome, fencing_token), want, "{name}");
+        assert_eq!(order.step_after(&outcome, fencing_token), want, "{name}");
     }
     let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
     assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
@@ -35,9 +39,9 @@
 fn what_is_inherited_takes_few_calls() {
     let names = |from: usize, n: usize| (from..from + n).map(|m| format!("m{m}")).collect::<Vec<_>>();
     let sizes = [60, 30, 20, 100, 1];
-    let orders = (1..).zip(sizes).map(|(n, size)| CloudOrder::new("me", 7, n, What::Return(names(0, size))));
-    let returns = Inherited::of(orders.collect(), 100).returns;
-    let sizes: Vec<(usize, usize)> = returns.iter().map(|(names, keys)| (names.len(), keys.len())).collect();
+    let orders = (1..).zip(sizes).map(|(n, size)| CloudOrder::new("me", 7, n, CloudAction::Terminate(names(0, size))));
+    let returns = InheritedOrders::group(orders.collect(), 100).terminations;
+    let sizes: Vec<(usize, usize)> = returns.iter().map(|call| (call.machines.len(), call.keys.len())).collect();
     assert_eq!(sizes, [(90, 2), (20, 1), (100, 1), (1, 1)], "nothing is split, and none over the limit");
 }
 
@@ -46,7 +50,7 @@
 #[test]
 fn no_name_is_used_twice() {
     let terms = [("a", 3), ("b", 5), ("a", 9)];
-    let names: BTreeSet<String> = terms.iter().flat_map(|(i, t)| (1..50).map(|n| name(i, *t, n))).collect();
+    let names: BTreeSet<String> = terms.iter().flat_map(|(i, t)| (1..50).map(|n| unique_name(i, *t, n))).collect();
     assert_eq!(names.len(), terms.len() * 49);
 }
 
@@ -97,8 +101,8 @@
                 if let Some(machine) = free {
                     holder.fleet.remove(&machine);
                     holder.number += 1;
-                    let what = What::Return(vec![machine]);
-                    holder.orders.push((CloudOrder::new("h", holder.fencing_token, holder.number, what), false));
+                    let action = CloudAction::Terminate(vec![machine]);
+                    holder.orders.push((CloudOrder::new("h", holder.fencing_token, holder.number, action), false));
                 }
             }
             1 => {
@@ -117,7 +121,8 @@
                             Ok(version) => Ok(CompareAndSwapOutcome::Applied(version)),
                             Err(refused) => Ok(CompareAndSwapOutcome::Failed(refused.failed)),
                         };
-                        holder.orders[n].1 = order.next(&outcome, Some(holder.fencing_token)) == Next::Act;
+                        holder.orders[n].1 =
+                            order.step_after(&outcome, Some(holder.fencing_token)) == StoreStep::Execute;
                     }
                 }
             }
@@ -133,8 +138,8 @@
                 if leads && fenced {
                     let stands = holder.orders.iter().filter(|(_, stands)| *stands);
                     let keys: Vec<String> = stands.map(|(o, _)| o.key.clone()).collect();
-                    let (conditions, changes) = clean_up(&keys, &holder.unanswered, holder.fencing_token);
-                    store.apply_if(&conditions, &changes).unwrap();
+                    let clean_up = OrderCleanUp::new(&keys, &holder.unanswered, holder.fencing_token);
+                    store.apply_if(&clean_up.conditions, &clean_up.changes).unwrap();
                     holder.orders.retain(|(_, stands)| !stands);
                 }
             }
@@ -159,9 +164,9 @@
 }
 
 fn returned(order: &CloudOrder) -> Vec<String> {
-    match &order.what {
-        What::Return(names) => names.clone(),
-        What::Rent(_) | What::Done => Vec::new(),
+    match &order.action {
+        CloudAction::Terminate(names) => names.clone(),
+        CloudAction::Provision(_) | CloudAction::Completed => Vec::new(),
     }
 }
 
@@ -178,19 +183,19 @@
 #[test]
 fn stored_orders_by_cases() {
     let rental = |count: u64| json!({"request": "r", "typeName": "g8", "zone": "a", "spot": false, "count": count});
-    let written = |what: What| serde_json::to_value(Stored { epoch: 7, what }).unwrap();
+    let written = |action: CloudAction| serde_json::to_value(StoredOrder { epoch: 7, action }).unwrap();
     let of = |count: u64| {
         let rental = Rental { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
-        written(What::Rent(vec![rental]))
+        written(CloudAction::Provision(vec![rental]))
     };
-    let names = |n: usize| written(What::Return(vec!["m".into(); n]));
+    let names = |n: usize| written(CloudAction::Terminate(vec!["m".into(); n]));
     for (name, value, read) in [
         ("a rental", of(MOST_RENTED), true),
         ("of none", of(0), false),
         ("of more than the cloud rents at once", of(u64::MAX), false),
         ("a return", names(MOST_RETURNED), true),
         ("of more than the cloud takes at once", names(MOST_RETURNED + 1), false),
-        ("done", written(What::Done), true),
+        ("done", written(CloudAction::Completed), true),
         ("of a later build", json!({"epoch": 7, "what": {"move": []}}), false),
         ("with a field of a later build", json!({"epoch": 7, "what": "done", "why": "x"}), true),
         ("without its epoch", json!({"what": "done"}), false),
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -5,6 +5,8 @@
 
 use hyper::Method;
 
+#[cfg(doc)]
+use crate::cloud_orders::MOST_RETURNED;
 use crate::machine_kinds::Catalog;
 use crate::protocol::cloud::{ListPage, Names};
 pub use crate::protocol::cloud::{Listed, Rental};
@@ -15,10 +17,6 @@
 use crate::traffic::{Passage, Traffic};
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-/// Most machines in one rental request.
-pub const MOST_RENTED: u64 = 50;
-/// Most machines in one return request.
-pub const MOST_RETURNED: usize = 100;
 const MOST_LISTED: u64 = 500;
 
 /// Why a call to the cloud has no usable answer.
--- a/src/fleet/dealings.rs
+++ b/src/fleet/cloud_operations.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use super::rent::Refusals;
+use super::scale_out::CapacityRefusals;
 use crate::machine_kinds::MachineKind;
 
 /// Keys of orders that stay marked as done under one fencing token, and one clean-up more at the most.
@@ -12,9 +12,9 @@
 
 /// What the leader remembers of its dealings with the cloud.
 #[derive(Default)]
-pub struct Dealings {
+pub struct CloudOperations {
     /// Kinds that were refused lately.
-    pub refusals: Refusals,
+    pub refusals: CapacityRefusals,
     /// Machines asked for and not yet named.
     pub asked: HashMap<MachineKind, u64>,
     /// Machines whose return is under way.
@@ -29,7 +29,7 @@
     pub(super) marked: Vec<String>,
 }
 
-impl Dealings {
+impl CloudOperations {
     /// So many machines of a kind were named, or will not be.
     pub(super) fn no_longer_asked(&mut self, kind: &MachineKind, count: u64) {
         if let Some(asked) = self.asked.get_mut(kind) {
@@ -65,4 +65,7 @@
 }
 
 /// The same, shared by what is under way with the cloud.
-pub(super) type Shared = Arc<std::sync::Mutex<Dealings>>;
+pub(super) type SharedOperations = Arc<std::sync::Mutex<CloudOperations>>;
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -33,7 +33,7 @@
 
 /// A machine to drain, and the tasks of it to move.
 #[derive(Debug)]
-pub struct Drain {
+pub struct DrainDecision {
     /// The machine that is no longer needed.
     pub machine: MachineId,
     /// Tasks to stop there so that they go on elsewhere, each with its grace period in seconds: the time in which it
@@ -44,7 +44,7 @@
 /// Rooms in the order in which work is to be gathered: the cheapest machines first, those with
 /// accelerators last, and of machines alike the fullest first. What is left untouched at the
 /// end of it can be spared.
-struct Pool<'a> {
+struct CapacityPool<'a> {
     ground: Ground<'a>,
     rooms: Vec<Room<'a>>,
     /// Holds work that waits or is expected; not to be spared.
@@ -53,7 +53,7 @@
     short: Vec<bool>,
 }
 
-impl<'a> Pool<'a> {
+impl<'a> CapacityPool<'a> {
     fn new(cluster: &'a ClusterState, catalog: &'a Catalog, now: Instant) -> Self {
         let ground = Ground::new(cluster, catalog);
         let suspect = suspect_after(cluster);
@@ -116,8 +116,8 @@
 }
 
 /// The dearest machines that can be spared, emptier ones first among equals.
-pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<Drain> {
-    let mut pool = Pool::new(cluster, catalog, now);
+pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<DrainDecision> {
+    let mut pool = CapacityPool::new(cluster, catalog, now);
     // Waiting work, then what is expected while a machine would boot, takes its room first; idle work,
     // what of it runs included, what is left.
     for turn in queue(cluster, now).into_iter().filter(|t| !t.quarantined && !t.job.spec().is_idle()) {
@@ -165,7 +165,7 @@
         if let Some(moves) = scale_in_candidate(cluster, machine, &mut pool, at, now) {
             // Nothing goes to a machine that is about to be left.
             pool.rooms[at].cpus = -1.0;
-            chosen.push(Drain { machine: machine.id.clone(), moves });
+            chosen.push(DrainDecision { machine: machine.id.clone(), moves });
         }
     }
     chosen
@@ -175,7 +175,7 @@
 fn scale_in_candidate(
     cluster: &ClusterState,
     machine: &Machine,
-    pool: &mut Pool,
+    pool: &mut CapacityPool,
     at: usize,
     now: Instant,
 ) -> Option<Vec<(TaskKey, u64)>> {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,14 +2,13 @@
 
 mod catalog;
 pub mod cloud;
-mod dealings;
+mod cloud_operations;
 pub mod drain;
-mod listing;
+mod inventory;
 mod order_log;
-pub mod orders;
-pub mod rent;
-mod rentals;
-mod returns;
+mod provisioning;
+pub mod scale_out;
+mod terminations;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,11 +16,11 @@
 use tracing::debug;
 
 pub use catalog::learn_catalog;
-use dealings::Shared;
-use listing::{take_list, tell_fleet};
+use cloud_operations::SharedOperations;
+use inventory::{take_list, tell_fleet};
 use order_log::{inherited, tidy};
-use rentals::{carry_out, decide, rent as rent_all};
-use returns::{give_back, return_all, to_return};
+use provisioning::{carry_out, decide, rent as rent_all};
+use terminations::{give_back, return_all, to_return};
 
 use crate::node::Node;
 use crate::sync::lock;
@@ -43,7 +42,7 @@
 
 /// Lists, drains, rents and returns for as long as this controller leads.
 pub async fn run(node: Arc<Node>) {
-    let dealings = Shared::default();
+    let operations = SharedOperations::default();
     let (mut listed, mut told, mut drained) = (None::<Instant>, None::<Instant>, Instant::now());
     let (mut renting, mut returning) = (tokio::task::JoinSet::new(), tokio::task::JoinSet::new());
     let mut tidying = tokio::task::JoinSet::new();
@@ -70,23 +69,23 @@
                 tell_fleet(&node);
             }
         }
-        let inherited = inherited(&node, &dealings);
-        for (rentals, key) in inherited.rentals {
-            renting.spawn(carry_out(node.clone(), dealings.clone(), rentals, key));
+        let inherited = inherited(&node, &operations);
+        for order in inherited.provisioning {
+            renting.spawn(carry_out(node.clone(), operations.clone(), order.requests, order.key));
         }
-        for (names, keys) in inherited.returns {
-            returning.spawn(give_back(node.clone(), dealings.clone(), names, keys));
+        for call in inherited.terminations {
+            returning.spawn(give_back(node.clone(), operations.clone(), call.machines, call.keys));
         }
-        for rentals in decide(&node, &dealings) {
-            renting.spawn(rent_all(node.clone(), dealings.clone(), rentals));
+        for rentals in decide(&node, &operations) {
+            renting.spawn(rent_all(node.clone(), operations.clone(), rentals));
         }
-        for names in to_return(&node, &dealings) {
-            returning.spawn(return_all(node.clone(), dealings.clone(), names));
+        for names in to_return(&node, &operations) {
+            returning.spawn(return_all(node.clone(), operations.clone(), names));
         }
         while tidying.try_join_next().is_some() {}
         if tidying.is_empty() {
-            let (node, dealings) = (node.clone(), dealings.clone());
-            tidying.spawn(async move { tidy(&node, &dealings).await });
+            let (node, operations) = (node.clone(), operations.clone());
+            tidying.spawn(async move { tidy(&node, &operations).await });
         }
         tokio::time::sleep(RENT_GAP.max(begun.elapsed() * REST)).await;
     }
@@ -98,7 +97,7 @@
     let Some(catalog) = node.catalog() else { return };
     let mut held = lock(&node.cluster);
     let Some(cluster) = held.as_mut() else { return };
-    for (id, why) in rent::to_give_up(cluster, &catalog, now) {
+    for (id, why) in scale_out::to_give_up(cluster, &catalog, now) {
         cluster.terminate(&id, why);
     }
     let chosen = drain::choose(cluster, &catalog, now);
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -6,10 +6,9 @@
 use tracing::{debug, info};
 
 use super::RETRY;
-use super::cloud::MOST_RETURNED;
-use super::dealings::Shared;
-use super::orders::{self, CloudOrder, Inherited, Next, What};
-use super::rentals::kind_of;
+use super::cloud_operations::SharedOperations;
+use super::provisioning::kind_of;
+use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_RETURNED, OrderCleanUp, StoreStep};
 use crate::node::Node;
 use crate::store::budget::Urgent;
 use crate::store::{CompareAndSwapOutcome, StoreError};
@@ -21,21 +20,21 @@
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
 /// What an earlier leader has left, once; from here on it is this leader's.
-pub(super) fn inherited(node: &Node, dealings: &Shared) -> Inherited {
+pub(super) fn inherited(node: &Node, operations: &SharedOperations) -> InheritedOrders {
     let orders = lock(&node.cluster).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
-    let inherited = Inherited::of(orders, MOST_RETURNED);
-    let mut dealings = lock(dealings);
-    for (rentals, key) in &inherited.rentals {
-        info!(key, rentals = rentals.len(), "an order to rent is taken over");
-        for rental in rentals {
-            *dealings.asked.entry(kind_of(rental)).or_default() += rental.count;
+    let inherited = InheritedOrders::group(orders, MOST_RETURNED);
+    let mut operations = lock(operations);
+    for order in &inherited.provisioning {
+        info!(key = order.key, count = order.requests.len(), "inherited scale-out order resumed");
+        for rental in &order.requests {
+            *operations.asked.entry(kind_of(rental)).or_default() += rental.count;
         }
     }
-    for (names, keys) in &inherited.returns {
-        info!(orders = keys.len(), machines = names.len(), "orders to return are taken over");
-        dealings.returning.extend(names.iter().cloned());
+    for call in &inherited.terminations {
+        info!(orders = call.keys.len(), count = call.machines.len(), "inherited scale-in orders resumed");
+        operations.returning.extend(call.machines.iter().cloned());
     }
-    dealings.finished.extend(inherited.done.iter().cloned());
+    operations.finished.extend(inherited.completed.iter().cloned());
     inherited
 }
 
@@ -47,32 +46,32 @@
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
     node: &Node,
-    dealings: &Shared,
-    what: What,
+    operations: &SharedOperations,
+    what: CloudAction,
     give_up: impl Fn() -> bool,
-) -> Result<String, Next> {
-    let Some(epoch) = fencing_token(node) else { return Err(Next::Stop) };
+) -> Result<String, StoreStep> {
+    let Some(epoch) = fencing_token(node) else { return Err(StoreStep::Abandon) };
     let order = {
-        let mut dealings = lock(dealings);
-        dealings.next += 1;
-        CloudOrder::new(&node.incarnation, epoch, dealings.next, what)
+        let mut operations = lock(operations);
+        operations.next += 1;
+        CloudOrder::new(&node.incarnation, epoch, operations.next, what)
     };
     let change = [order.change()];
     loop {
-        let Some(under) = fencing_token(node) else { return Err(Next::Stop) };
+        let Some(under) = fencing_token(node) else { return Err(StoreStep::Abandon) };
         let outcome = node.store.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
         if outcome == Err(StoreError::Unanswered) {
-            lock(dealings).late.insert(order.key.clone(), under);
+            lock(operations).late.insert(order.key.clone(), under);
         }
-        match order.next(&outcome, fencing_token(node)) {
-            Next::Act => return Ok(order.key),
-            Next::Stop => return Err(Next::Stop),
-            Next::Again if give_up() => {
+        match order.step_after(&outcome, fencing_token(node)) {
+            StoreStep::Execute => return Ok(order.key),
+            StoreStep::Abandon => return Err(StoreStep::Abandon),
+            StoreStep::Retry if give_up() => {
                 // It may yet be applied: it is cleaned up like one that was.
-                lock(dealings).finished.push(order.key);
-                return Err(Next::Again);
+                lock(operations).finished.push(order.key);
+                return Err(StoreStep::Retry);
             }
-            Next::Again => {
+            StoreStep::Retry => {
                 debug!(?outcome, key = order.key, "storing an order");
                 if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
                     node.read_barrier.wait().await;
@@ -85,24 +84,26 @@
 }
 
 /// Orders that were carried out are dropped together, behind everything else.
-pub(super) async fn tidy(node: &Node, dealings: &Shared) {
+pub(super) async fn tidy(node: &Node, operations: &SharedOperations) {
     let Some(fencing_token) = fencing_token(node) else { return };
-    let pressed = lock(dealings).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
+    let pressed = lock(operations).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
     let urgent = if pressed { Urgent::Second } else { Urgent::Last };
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
-    let (keys, (conditions, changes)) = {
-        let mut dealings = lock(dealings);
-        let keys: Vec<String> = dealings.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
-        let sent = orders::clean_up(&keys, &dealings.late, fencing_token);
-        (keys, sent)
+    let (keys, clean_up) = {
+        let mut operations = lock(operations);
+        let keys: Vec<String> = operations.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
+        let clean_up = OrderCleanUp::new(&keys, &operations.late, fencing_token);
+        (keys, clean_up)
     };
     if keys.is_empty() {
         return;
     }
-    let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
+    let outcome =
+        tokio::time::timeout(TIDY_WITHIN, node.store.compare_and_swap(&clean_up.conditions, &clean_up.changes, urgent))
+            .await;
     if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
-        let mut dealings = lock(dealings);
-        dealings.cleaned_up(&keys, fencing_token);
-        node.press_marks(dealings.marks_press());
+        let mut operations = lock(operations);
+        operations.cleaned_up(&keys, fencing_token);
+        node.press_marks(operations.marks_press());
     }
 }
--- a/src/fleet/rentals.rs
+++ b/src/fleet/provisioning.rs
@@ -6,11 +6,11 @@
 use tracing::{debug, info, warn};
 
 use super::RETRY;
-use super::cloud::{CloudError, MOST_RENTED, Rental};
-use super::dealings::Shared;
+use super::cloud::{CloudError, Rental};
+use super::cloud_operations::SharedOperations;
 use super::order_log::store;
-use super::orders::{self, What};
-use super::rent as plan;
+use super::scale_out as plan;
+use crate::cloud_orders::{CloudAction, MOST_RENTED, unique_name};
 use crate::machine_kinds::MachineKind;
 use crate::node::Node;
 use crate::sync::{jitter, lock};
@@ -22,25 +22,25 @@
 const RENT_TRIES: u32 = 6;
 
 /// What to rent, the requests of each kind together.
-pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<Rental>> {
+pub(super) fn decide(node: &Node, operations: &SharedOperations) -> Vec<Vec<Rental>> {
     let now = Instant::now();
     let Some(catalog) = node.catalog() else { return Vec::new() };
     let held = lock(&node.cluster);
     let Some(cluster) = held.as_ref() else { return Vec::new() };
-    let mut dealings = lock(dealings);
-    dealings.refusals.holds(&plan::held_by_kind(cluster));
-    let wanted = plan::plan(cluster, &catalog, &dealings.refusals, &dealings.asked, now);
+    let mut operations = lock(operations);
+    operations.refusals.holds(&plan::held_by_kind(cluster));
+    let wanted = plan::plan(cluster, &catalog, &operations.refusals, &operations.asked, now);
     let mut rentals = Vec::new();
     for (kind, count) in wanted {
         let mut left = count.min(MOST_RENTALS * MOST_RENTED);
-        *dealings.asked.entry(kind.clone()).or_default() += left;
+        *operations.asked.entry(kind.clone()).or_default() += left;
         let mut of_kind = Vec::new();
         while left > 0 {
             let count = left.min(MOST_RENTED);
             left -= count;
-            dealings.next += 1;
+            operations.next += 1;
             of_kind.push(Rental {
-                request: orders::name(&node.incarnation, cluster.fencing_token, dealings.next),
+                request: unique_name(&node.incarnation, cluster.fencing_token, operations.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
@@ -53,31 +53,31 @@
 }
 
 /// The requests of one kind, stored before the first is made.
-pub(super) async fn rent(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>) {
-    match store(&node, &dealings, What::Rent(rentals.clone()), || false).await {
-        Ok(key) => carry_out(node, dealings, rentals, key).await,
+pub(super) async fn rent(node: Arc<Node>, operations: SharedOperations, rentals: Vec<Rental>) {
+    match store(&node, &operations, CloudAction::Provision(rentals.clone()), || false).await {
+        Ok(key) => carry_out(node, operations, rentals, key).await,
         Err(_) => {
-            let mut dealings = lock(&dealings);
+            let mut operations = lock(&operations);
             for rental in &rentals {
-                dealings.no_longer_asked(&kind_of(rental), rental.count);
+                operations.no_longer_asked(&kind_of(rental), rental.count);
             }
         }
     }
 }
 
 /// One after another: once one was not filled, the rest would only use up the cloud's calls.
-pub(super) async fn carry_out(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>, key: String) {
+pub(super) async fn carry_out(node: Arc<Node>, operations: SharedOperations, rentals: Vec<Rental>, key: String) {
     let mut rentals = rentals.into_iter();
     for rental in rentals.by_ref() {
-        if !carry_out_one(&node, &dealings, rental).await {
+        if !carry_out_one(&node, &operations, rental).await {
             break;
         }
     }
-    let mut dealings = lock(&dealings);
+    let mut operations = lock(&operations);
     for rental in rentals {
-        dealings.no_longer_asked(&kind_of(&rental), rental.count);
+        operations.no_longer_asked(&kind_of(&rental), rental.count);
     }
-    dealings.finished.push(key);
+    operations.finished.push(key);
 }
 
 /// The kind of machine that a rental asks for.
@@ -86,7 +86,7 @@
 }
 
 /// Whether it was filled.
-async fn carry_out_one(node: &Node, dealings: &Shared, rental: Rental) -> bool {
+async fn carry_out_one(node: &Node, operations: &SharedOperations, rental: Rental) -> bool {
     let kind = kind_of(&rental);
     let mut outcome = Err(CloudError::Unanswered);
     for _ in 0..RENT_TRIES {
@@ -116,12 +116,12 @@
             }
         }
     }
-    let mut dealings = lock(dealings);
-    dealings.no_longer_asked(&kind, rental.count);
+    let mut operations = lock(operations);
+    operations.no_longer_asked(&kind, rental.count);
     if short {
-        dealings.refusals.note(kind, node.properties.refusal, now);
+        operations.refusals.note(kind, node.properties.refusal, now);
     } else {
-        dealings.refusals.clear(&kind);
+        operations.refusals.clear(&kind);
     }
     node.wake.fleet.notify_one();
     !short
--- a/src/fleet/rent.rs
+++ b/src/fleet/scale_out.rs
@@ -24,7 +24,7 @@
 const MOST_GIVEN: usize = 1000;
 
 #[derive(Debug)]
-struct Refused {
+struct KindRefusal {
     at: Instant,
     base: Duration,
     until: Instant,
@@ -36,13 +36,13 @@
 /// there again when machines are lost: a kind of which clearly fewer are held than ever were is
 /// asked for again after the first pause.
 #[derive(Debug, Default)]
-pub struct Refusals {
-    refused: HashMap<MachineKind, Refused>,
+pub struct CapacityRefusals {
+    refused: HashMap<MachineKind, KindRefusal>,
     /// Most machines held at once.
     given: HashMap<MachineKind, u64>,
 }
 
-impl Refusals {
+impl CapacityRefusals {
     /// Notes that the cloud refused this kind. The pause is `base` at first and doubles with each refusal in a row, up
     /// to eight times `base` and 120 s.
     pub fn note(&mut self, kind: MachineKind, base: Duration, now: Instant) {
@@ -50,7 +50,7 @@
         let pause = (base * 2u32.pow(times)).min(LONGEST_REFUSAL);
         // Kinds come and go over months; what was refused long ago starts afresh.
         self.refused.retain(|_, r| now.saturating_duration_since(r.until) < REFUSAL_KEPT);
-        self.refused.insert(kind, Refused { at: now, base, until: now + pause, times: times + 1 });
+        self.refused.insert(kind, KindRefusal { at: now, base, until: now + pause, times: times + 1 });
     }
 
     /// So many machines of each kind are held now.
@@ -138,7 +138,7 @@
 pub fn plan(
     cluster: &ClusterState,
     catalog: &Catalog,
-    refusals: &Refusals,
+    refusals: &CapacityRefusals,
     asked: &HashMap<MachineKind, u64>,
     now: Instant,
 ) -> Vec<(MachineKind, u64)> {
@@ -150,7 +150,7 @@
         return Vec::new();
     }
     let ground = Ground::with_all_offers(cluster, catalog);
-    let mut intents = Intents::new(cluster, &ground, refusals, asked, now);
+    let mut intents = ScaleOutPlanner::new(cluster, &ground, refusals, asked, now);
     // Idle tasks give way, so that their room counts for others; what they wait for themselves is looked
     // at after that, on the machines as they are.
     if !urgent.is_empty() || room {
@@ -173,7 +173,7 @@
 }
 
 /// What is to be rented, as it is found out job by job.
-struct Intents<'a> {
+struct ScaleOutPlanner<'a> {
     cluster: &'a ClusterState,
     ground: &'a Ground<'a>,
     asked: &'a HashMap<MachineKind, u64>,
@@ -188,11 +188,11 @@
     now: Instant,
 }
 
-impl<'a> Intents<'a> {
+impl<'a> ScaleOutPlanner<'a> {
     fn new(
         cluster: &'a ClusterState,
         ground: &'a Ground<'a>,
-        refusals: &Refusals,
+        refusals: &CapacityRefusals,
         asked: &'a HashMap<MachineKind, u64>,
         now: Instant,
     ) -> Self {
@@ -307,7 +307,7 @@
     }
 }
 
-impl<'a> Intents<'a> {
+impl<'a> ScaleOutPlanner<'a> {
     /// Room that operators have declared: what will not be there in time is rented as late as a machine
     /// takes to boot and fetch, and counts as taken for all that follows.
     fn follow_room(&mut self, timelines: &mut Vec<Timeline<'a>>) {
--- a/src/fleet/returns.rs
+++ b/src/fleet/terminations.rs
@@ -6,26 +6,25 @@
 use tracing::debug;
 
 use super::RETRY;
-use super::cloud::MOST_RETURNED;
-use super::dealings::Shared;
+use super::cloud_operations::SharedOperations;
 use super::order_log::store;
-use super::orders::{Next, What};
+use crate::cloud_orders::{CloudAction, MOST_RETURNED, StoreStep};
 use crate::node::Node;
 use crate::scheduling::cluster::MachineState;
 use crate::sync::{jitter, lock};
 
 /// Machines to be returned now, in calls of as many as the cloud takes.
-pub(super) fn to_return(node: &Node, dealings: &Shared) -> Vec<Vec<String>> {
+pub(super) fn to_return(node: &Node, operations: &SharedOperations) -> Vec<Vec<String>> {
     let held = lock(&node.cluster);
     let Some(cluster) = held.as_ref() else { return Vec::new() };
-    let mut dealings = lock(dealings);
+    let mut operations = lock(operations);
     let names: Vec<String> = cluster
         .machines
         .values()
-        .filter(|m| m.state == MachineState::Terminating && !dealings.returning.contains(&*m.id))
+        .filter(|m| m.state == MachineState::Terminating && !operations.returning.contains(&*m.id))
         .map(|m| m.id.to_string())
         .collect();
-    dealings.returning.extend(names.iter().cloned());
+    operations.returning.extend(names.iter().cloned());
     // What is urgent goes by itself, so that it takes nothing else along.
     let overdue = cluster.overdue(Instant::now());
     let (urgent, rest): (Vec<String>, Vec<String>) = names.into_iter().partition(|n| overdue.contains(n.as_str()));
@@ -36,20 +35,20 @@
 /// after a process pause, stores none; one that is paused between the two returns what its
 /// successor has read to be returned. Only what a cancellation makes urgent goes without where the store
 /// does not answer, since too late would be worse than too much.
-pub(super) async fn return_all(node: Arc<Node>, dealings: Shared, names: Vec<String>) {
+pub(super) async fn return_all(node: Arc<Node>, operations: SharedOperations, names: Vec<String>) {
     let urgent = || {
         let overdue = lock(&node.cluster).as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
         names.iter().any(|n| overdue.contains(n.as_str()))
     };
-    match store(&node, &dealings, What::Return(names.clone()), urgent).await {
-        Ok(key) => give_back(node.clone(), dealings, names.clone(), vec![key]).await,
-        Err(Next::Again) => give_back(node.clone(), dealings, names.clone(), Vec::new()).await,
+    match store(&node, &operations, CloudAction::Terminate(names.clone()), urgent).await {
+        Ok(key) => give_back(node.clone(), operations, names.clone(), vec![key]).await,
+        Err(StoreStep::Retry) => give_back(node.clone(), operations, names.clone(), Vec::new()).await,
         Err(_) => {}
     }
 }
 
 /// Asked again until answered: only the answer proves that the machines and all on them are gone.
-pub(super) async fn give_back(node: Arc<Node>, dealings: Shared, names: Vec<String>, keys: Vec<String>) {
+pub(super) async fn give_back(node: Arc<Node>, operations: SharedOperations, names: Vec<String>, keys: Vec<String>) {
     if lock(&node.cluster).is_none() {
         return;
     }
@@ -63,10 +62,10 @@
             cluster.machine_gone(&name.as_str().into(), now);
         }
     }
-    let mut dealings = lock(&dealings);
+    let mut operations = lock(&operations);
     for name in &names {
-        dealings.returning.remove(name);
+        operations.returning.remove(name);
     }
-    dealings.finished.extend(keys);
+    operations.finished.extend(keys);
     node.wake.plan.notify_one();
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,8 @@
 //!
 //! `sla` holds the arithmetic of the paper that the scheduler follows, `jobs` what a job is and how it is stored,
 //! `users` the API for users, `workers` reports and commands, `scheduling` the leader's cluster state and the placement
-//! decisions, `fleet` machines and the cloud, `store` the state service, `history` jobs that have ended, and
+//! decisions, `fleet` machines and the cloud, `cloud_orders` the stored orders to
+//! the cloud, `store` the state service, `history` jobs that have ended, and
 //! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
 //! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
@@ -17,6 +18,7 @@
 
 pub mod calendar;
 pub mod cli;
+pub mod cloud_orders;
 pub mod declarations;
 pub mod fleet;
 pub mod heat;
--- a/src/node.rs
+++ b/src/node.rs
@@ -110,7 +110,7 @@
     /// Cancellations that other controllers may not have heard this leader confirm.
     unconfirmed: Mutex<Unconfirmed>,
     leader_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
-    /// Orders that are marked as done wait for a higher fencing token (`fleet::orders`).
+    /// Orders that are marked as done wait for a higher fencing token (`cloud_orders`).
     marks_pressed: AtomicBool,
 }
 
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -9,7 +9,7 @@
 use crate::declarations::records::{spec_key, status_key};
 use crate::declarations::{DeclarationKind, Declared, Registry, View};
 use crate::fleet::drain;
-use crate::fleet::rent::{self, Refusals};
+use crate::fleet::scale_out::{self, CapacityRefusals};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec as job_spec;
 use crate::jobs::{JobSpec, Shape};
@@ -171,8 +171,8 @@
     // Submitted after it was declared: nothing of it is placed, and nothing rented, before its step.
     bench.add(2, |_| ());
     assert!(bench.turn().is_empty());
-    let refusals = Refusals::default();
-    assert!(rent::plan(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
+    let refusals = CapacityRefusals::default();
+    assert!(scale_out::plan(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
     let mut phases = Vec::new();
     for _ in 0..120 {
         bench.pass(1);
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use super::{Binding, ClusterState, JobState, MachineId};
-use crate::fleet::orders::{CloudOrder, What};
+use crate::cloud_orders::{CloudAction, CloudOrder};
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::{PROOF_PART, ProcessPause};
@@ -383,7 +383,7 @@
     /// work from here on, whether or not it was heard of before.
     pub fn inherit_orders(&mut self, orders: Vec<CloudOrder>, now: Instant) {
         for order in &orders {
-            let What::Return(names) = &order.what else { continue };
+            let CloudAction::Terminate(names) = &order.action else { continue };
             for name in names {
                 let id: MachineId = name.as_str().into();
                 if !self.gone_set.contains(&id) {
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -34,7 +34,7 @@
 use super::large::Large;
 use super::plan::beside::BesideRoom;
 use super::reservations::Reservation;
-use crate::fleet::orders::CloudOrder;
+use crate::cloud_orders::CloudOrder;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
 use crate::jobs::{JobId, JobSpec};
 use crate::machine_kinds::MachineKind;
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use tracing::{error, info};
 
-use crate::fleet::orders::{CloudOrder, ORDERS};
+use crate::cloud_orders::{CloudOrder, ORDERS};
 use crate::jobs::record::{
     DONE, EndedRecord, JobRecord, StoredTask, TASKS, decode_shard, ended_key, ended_keys, old_job_key, parse_shard_key,
     time_of_day_ms,
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -39,7 +39,7 @@
 use super::plan;
 use super::preempt;
 use crate::fleet::drain;
-use crate::fleet::rent::{self, Refusals};
+use crate::fleet::scale_out::{self, CapacityRefusals};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
 use crate::jobs::{JobSpec, Shape, Urgency};
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Placement by cases: what fits where, in which order, and how much work a plan is.
 
 use super::*;
-use crate::fleet::rent::{self, Refusals};
+use crate::fleet::scale_out::{self, CapacityRefusals};
 use crate::scheduling::reservations;
 
 #[test]
@@ -163,7 +163,7 @@
     let placements = plan::place(&mut cluster, &catalog(), later);
     cluster.bind_all(placements, later);
     let late = later + Duration::from_secs(3600);
-    let rented = rent::plan(&cluster, &catalog(), &Refusals::default(), &Default::default(), late);
+    let rented = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), late);
     assert!(rented.iter().map(|(_, n)| n).sum::<u64>() <= 1, "{rented:?}");
 }
 
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -4,26 +4,26 @@
 
 use super::*;
 use crate::fleet::drain;
-use crate::fleet::rent::{self, Refusals};
+use crate::fleet::scale_out::{self, CapacityRefusals};
 use crate::machine_kinds::MachineKind;
 
 #[test]
 fn renting_by_cases() {
     let now = Instant::now();
     let kind = |t: &str, spot| MachineKind { type_name: t.into(), zone: "a".into(), spot };
-    let plan = |cluster: &ClusterState, refusals: &Refusals| {
-        rent::plan(cluster, &catalog(), refusals, &Default::default(), now)
+    let plan = |cluster: &ClusterState, refusals: &CapacityRefusals| {
+        scale_out::plan(cluster, &catalog(), refusals, &Default::default(), now)
     };
     let mut waiting = cluster(&[], now);
     add(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
-    assert_eq!(plan(&waiting, &Refusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
-    let mut refusals = Refusals::default();
+    assert_eq!(plan(&waiting, &CapacityRefusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
+    let mut refusals = CapacityRefusals::default();
     refusals.note(kind("c8", true), Duration::from_secs(15), now);
     assert_eq!(plan(&waiting, &refusals), [(kind("c8", false), 2)], "what was refused is left alone");
     assert!(!refusals.refused(&kind("c8", true), 0, now + Duration::from_secs(16)));
     // Found on days of floods: machines were lost, and their kind was not asked for again for two minutes
     // since it had been full before.
-    let mut refusals = Refusals::default();
+    let mut refusals = CapacityRefusals::default();
     refusals.holds(&HashMap::from([(kind("c8", true), 100)]));
     (0..4).for_each(|_| refusals.note(kind("c8", true), Duration::from_secs(15), now));
     for (held, after_s, refused) in
@@ -34,10 +34,10 @@
     }
     let mut accelerated = cluster(&[], now);
     add(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
-    assert_eq!(plan(&accelerated, &Refusals::default()), [(kind("g2", false), 1)]);
+    assert_eq!(plan(&accelerated, &CapacityRefusals::default()), [(kind("g2", false), 1)]);
     let mut served = cluster(&[("m1", "c8", "a", false)], now);
     add(&mut served, 1, now, |_| ());
-    assert_eq!(plan(&served, &Refusals::default()), [], "what fits now needs no machine");
+    assert_eq!(plan(&served, &CapacityRefusals::default()), [], "what fits now needs no machine");
 }
 
 #[test]
@@ -114,7 +114,7 @@
             add(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
             cluster.end_job(&format!("run-{:06}", 100 + n).as_str().into(), None, now);
         }
-        let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), &Default::default(), now);
+        let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
         assert_eq!(!wanted.is_empty(), rents, "{name}: {wanted:?}");
     }
 }
@@ -129,7 +129,7 @@
             (j.shape, j.tasks, j.cpus, j.same_zone, j.estimate_s) = (Shape::Gang, 6, 8.0, true, 100.0);
         });
     }
-    let wanted = rent::plan(&cluster, &catalog(), &Refusals::default(), &Default::default(), now);
+    let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
     assert_eq!(wanted.iter().map(|(_, n)| n).sum::<u64>(), 300, "{wanted:?}");
 }
 
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -10,10 +10,10 @@
 use super::audit::end_again;
 use super::commit::{Batch, shard_drops, still_to_drop};
 use super::{Change, Condition};
+use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, Write};
 use crate::declarations::records::{spec_key, status_key};
-use crate::fleet::orders::{CloudOrder, What, clean_up};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
@@ -147,10 +147,11 @@
     for (n, name, cleaned, unsure) in
         [(1, "order", "order marked as done", true), (2, "next order", "order cleaned up", false)]
     {
-        let order = CloudOrder::new("me", fencing_token, n, What::Return(vec![format!("m{n}")]));
+        let order = CloudOrder::new("me", fencing_token, n, CloudAction::Terminate(vec![format!("m{n}")]));
         life.send(name, order.conditions(fencing_token), [order.change()]);
         let late: HashMap<String, u64> = unsure.then(|| (order.key.clone(), fencing_token)).into_iter().collect();
-        let (conditions, changes) = clean_up(std::slice::from_ref(&order.key), &late, fencing_token);
+        let OrderCleanUp { conditions, changes } =
+            OrderCleanUp::new(std::slice::from_ref(&order.key), &late, fencing_token);
         if !unsure {
             // Every try was answered, so none comes late.
             life.sent.retain(|(sent, ..)| *sent != name);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,10 +9,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use hollylanding::cloud_orders::{CloudOrder, ORDERS};
 use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
 use hollylanding::declarations::{DeclarationKind, Declared};
-use hollylanding::fleet::orders::{CloudOrder, ORDERS};
 use hollylanding::jobs::{End, record};
 use hollylanding::membership::records as membership;
 use hollylanding::protocol::{self, cloud, jobs, state, users, workers};
