--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -291,7 +291,7 @@
 
     fn look(&mut self) {
         let now = self.now();
-        crate::scheduling::look(&mut self.account, &mut self.cluster, now);
+        crate::scheduling::service_report::update_accounting(&mut self.account, &mut self.cluster, now);
     }
 
     /// The part done in time of what came in this time, and how much came.
--- /dev/null
+++ b/src/scheduling/schedule.rs
@@ -0,0 +1,88 @@
+//! The periodic steps of the scheduling loop: which there are, how often each is taken, and in which order.
+
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+use super::cluster::ClusterState;
+use super::fairness::Account;
+use super::{PAUSE_FACTOR, plan, preempt, reservations, service_report};
+use crate::machine_kinds::Catalog;
+use crate::periodic::Periodic;
+use crate::sync::lock;
+
+/// What time alone brings about, such as the silence of a machine, is looked for this often.
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// A plan is made this often even if nothing has changed.
+const PLAN_INTERVAL: Duration = Duration::from_millis(1000);
+/// What is reserved for gangs is chosen anew this often.
+const RESERVE_INTERVAL: Duration = Duration::from_millis(2000);
+/// Others are stopped for one job at a time, this often.
+const PREEMPT_INTERVAL: Duration = Duration::from_millis(300);
+/// The fair-share accounting is updated this often, and written to the log this often.
+const ACCOUNTING_INTERVAL: Duration = Duration::from_secs(2);
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
+
+/// When each step of the scheduling loop is due next.
+#[derive(Debug)]
+pub(super) struct Schedule {
+    tick: Periodic,
+    accounting: Periodic,
+    report: Periodic,
+    reserve: Periodic,
+    plan: Periodic,
+    preempt: Periodic,
+}
+
+impl Schedule {
+    /// All steps but the tick and the report are due at once.
+    pub(super) fn new(now: Instant) -> Self {
+        Self {
+            tick: Periodic::due_after_interval(TICK_INTERVAL, now),
+            accounting: Periodic::due_at_once(ACCOUNTING_INTERVAL, now),
+            report: Periodic::due_after_interval(REPORT_INTERVAL, now),
+            reserve: Periodic::due_at_once(RESERVE_INTERVAL, now),
+            plan: Periodic::due_at_once(PLAN_INTERVAL, now),
+            preempt: Periodic::due_at_once(PREEMPT_INTERVAL, now),
+        }
+    }
+
+    /// Takes the steps that are due, in their fixed order. Returns how many tasks were placed, if a plan was made.
+    pub(super) fn run_due_steps(
+        &mut self,
+        cluster: &mut ClusterState,
+        accounting: &Mutex<Account>,
+        catalog: &Catalog,
+        now: Instant,
+    ) -> Option<usize> {
+        if self.tick.take_due(now) {
+            cluster.tick(now);
+        }
+        if cluster.loaded && self.accounting.take_due(now) {
+            self.update_accounting(cluster, &mut lock(accounting), now);
+        }
+        if self.reserve.is_due(now) {
+            cluster.reservations = reservations::choose(cluster, catalog, now);
+            self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
+        }
+        // Nothing that placement depends on has changed: the same would be decided.
+        if !cluster.take_stirred() && !self.plan.is_due(now) {
+            return None;
+        }
+        self.plan.restart(now);
+        let placements = plan::place(cluster, catalog, now);
+        let placed = placements.len();
+        cluster.bind_all(placements, now);
+        if self.preempt.take_due(now) {
+            preempt::preempt(cluster, catalog, now);
+        }
+        Some(placed)
+    }
+
+    fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut Account, now: Instant) {
+        service_report::update_accounting(accounting, cluster, now);
+        if self.report.take_due(now) {
+            service_report::log_accounting(accounting.rows());
+            service_report::log_due_times(cluster, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/service_report.rs
@@ -0,0 +1,75 @@
+//! Fair-share accounting and due times: updated from the cluster state, and written to the log for operators.
+
+use std::time::Instant;
+
+use tracing::info;
+
+use super::cluster::ClusterState;
+use super::due::due;
+use super::fairness::{Account, Open, Row};
+use crate::jobs::JobId;
+
+/// Updates the accounting with what the cluster state has to tell it, and the cluster state with what follows.
+pub(super) fn update_accounting(account: &mut Account, cluster: &mut ClusterState, now: Instant) {
+    for (id, note, at) in cluster.take_notes() {
+        if let Some(job) = cluster.job(&id) {
+            account.note(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
+        }
+    }
+    // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
+    let (attribution, large, intents) = (&cluster.attribution, &cluster.large, &cluster.intents);
+    let left_out = |id| attribution.suspects(id) || intents.not_yet.contains(id);
+    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
+    let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.waiting(id, job) == 0;
+    let open = open.filter(|(id, job)| !held(id, job));
+    let open = open.map(|(_, job)| Open {
+        spec: job.spec(),
+        promises: &job.promises,
+        age: now.saturating_duration_since(job.since),
+        run: job.agreement.run,
+        waits: !job.waiting.is_empty(),
+        untouched: job.untouched(),
+        large_waits: !job.waiting.is_empty() && !job.begun() && large.is(job.spec()),
+    });
+    let below = Account::below(account.look(open, now));
+    cluster.set_below(below);
+    cluster.bound_core_credit(now);
+}
+
+/// One line for each class and team.
+pub(super) fn log_accounting(rows: &[Row]) {
+    for row in rows {
+        info!(
+            subject = ?row.whose,
+            name = row.name,
+            offered = row.offered,
+            started = row.started.kept.round(),
+            started_late = row.started.missed.round(),
+            done = row.done,
+            in_time = row.ended.kept.round(),
+            late = row.ended.missed.round(),
+            overdue = row.overdue,
+            cancelled = row.given_up,
+            lost = row.lost,
+            served = (row.served * 100.0).round() / 100.0,
+            short = row.below,
+            prioritized = row.first,
+            "service level reported"
+        );
+    }
+}
+
+/// Jobs with a due time that may miss it, or have; nothing where there are none.
+pub(super) fn log_due_times(cluster: &ClusterState, now: Instant) {
+    let due = due(cluster, now);
+    if let Some((job, by)) = &due.worst {
+        info!(
+            open = due.open,
+            late = due.late,
+            missed = due.missed,
+            %job,
+            late_s = by.as_secs(),
+            "due times reported"
+        );
+    }
+}
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -156,7 +156,7 @@
             }
         }
         if step % 4 == 0 && simulation.cluster.loaded {
-            crate::scheduling::look(&mut account, &mut simulation.cluster, now);
+            crate::scheduling::service_report::update_accounting(&mut account, &mut simulation.cluster, now);
             simulation.cluster.reservations =
                 crate::scheduling::reservations::choose(&simulation.cluster, &catalog(), now);
         }
@@ -211,7 +211,11 @@
             came = t;
         }
         if step % 4 == 0 {
-            crate::scheduling::look(&mut account, &mut simulation.cluster, simulation.world.now);
+            crate::scheduling::service_report::update_accounting(
+                &mut account,
+                &mut simulation.cluster,
+                simulation.world.now,
+            );
         }
         simulation.step();
         assert_eq!(simulation.live(&gang), []);
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -199,7 +199,7 @@
             cluster.settings.params.objectives.push(objective);
         }
         if step.is_multiple_of(4) && cluster.loaded {
-            crate::scheduling::look(&mut self.account, cluster, now);
+            crate::scheduling::service_report::update_accounting(&mut self.account, cluster, now);
             cluster.reservations = crate::scheduling::reservations::choose(cluster, &catalog(), now);
         }
         let up = cluster.machines.values().filter(|m| m.state == MachineState::Up).count();
