--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -230,6 +230,7 @@
     pub broken: bool,
     /// Fraction of the jobs that their users cancel a few seconds after the acceptance.
     #[serde(default)]
+    #[serde(rename = "withdrawn")]
     pub cancelled: f64,
 }
 
