--- /dev/null
+++ b/src/rollouts/observe.rs
@@ -0,0 +1,87 @@
+//! Observes both jobs of a rollout in the leader's cluster state.
+
+use std::time::{Duration, Instant};
+
+use super::feasibility::{find_conflict, find_quota_shortage};
+use super::observation::{JobPresence, ObservedJob, ObservedReplica, RolloutObservation};
+use super::spec::{MAX_REPLICAS, RolloutSpec};
+use super::status::{FailedMachine, RolloutStatus};
+use crate::declarations::DeclarationView;
+use crate::jobs::JobId;
+use crate::protocol::workers::AttemptStatus;
+use crate::scheduling::cluster::{JobState, MachineId, MachineState};
+use crate::scheduling::room::suspect_after;
+
+/// Observes both jobs of a rollout.
+pub fn observe_rollout(
+    name: &str,
+    spec: &RolloutSpec,
+    status: &RolloutStatus,
+    view: &DeclarationView,
+) -> RolloutObservation {
+    let begun = status.phase.begun();
+    let [old, new] = status.jobs(spec);
+    let quarantined = view.cluster.machines.values().filter(|m| m.quarantined).map(|m| m.id.to_string()).collect();
+    RolloutObservation {
+        old: observe_job(old, begun, view),
+        new: observe_job(new, begun, view),
+        conflict: find_conflict(name, spec, status, view),
+        quota_shortage: if begun { None } else { find_quota_shortage(spec, view) },
+        quarantined,
+        now_ms: view.now_ms,
+        fencing_token: view.cluster.first_fencing_token,
+    }
+}
+
+fn observe_job(id: &JobId, begun: bool, view: &DeclarationView) -> ObservedJob {
+    let cluster = view.cluster;
+    if !cluster.loaded {
+        return ObservedJob::default();
+    }
+    let Some(job) = cluster.job(id).filter(|job| job.ended.is_none()) else {
+        // The cluster state holds all open jobs: one that was known and is not there has ended.
+        let ended = begun || (view.job_end)(id).is_some() || cluster.has_job(id);
+        let known = if ended { JobPresence::Ended } else { JobPresence::Unknown };
+        return ObservedJob { known, ..ObservedJob::default() };
+    };
+    let (failures, lately) = cluster.attribution.failures(id);
+    let type_of = |id: &MachineId| cluster.machines.get(id).map(|machine| machine.type_name.clone());
+    let failed_on = |id: &MachineId| FailedMachine {
+        machine: id.to_string(),
+        type_name: type_of(id).unwrap_or_default(),
+        faulty: false,
+    };
+    ObservedJob {
+        known: JobPresence::Open,
+        tasks: job.tasks.len().min(MAX_REPLICAS as usize) as u32,
+        replicas: job.bound.iter().filter_map(|index| Some((*index, observe_replica(job, *index, view)?))).collect(),
+        failures,
+        failed_lately: lately.map(failed_on).collect(),
+        quarantined: cluster.attribution.suspects(id),
+    }
+}
+
+fn observe_replica(job: &JobState, index: u32, view: &DeclarationView) -> Option<ObservedReplica> {
+    let cluster = view.cluster;
+    let since = |at: Instant| view.now.saturating_duration_since(at);
+    let binding = job.binding(index)?;
+    let running = binding.status == Some(AttemptStatus::Running);
+    let mut replica = ObservedReplica {
+        machine: binding.machine.to_string(),
+        running,
+        stopping: binding.halting.is_some(),
+        ran_s: binding.running_since.filter(|_| running).map_or(Duration::ZERO, since).as_secs_f64(),
+        bound_s: since(binding.since).as_secs_f64(),
+        ..ObservedReplica::default()
+    };
+    if let Some(machine) = cluster.machines.get(&binding.machine) {
+        replica.type_name = machine.type_name.clone();
+        replica.zone = machine.zone.clone();
+        replica.heard = machine.reported() && since(machine.heard) < suspect_after(cluster);
+        // A scale-in candidate keeps running tasks that cannot move.
+        let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
+        replica.leaving = !stays;
+        replica.sure = running && replica.heard && stays && machine.fencing_token >= cluster.first_fencing_token;
+    }
+    Some(replica)
+}
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -2,21 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::declarations::SpecError;
 use crate::jobs::{JobId, well_formed_id};
 
 /// Replicas of one rollout, and tasks of a job that takes part: which of them are to go is kept one by
 /// one in a status, which has to fit a value of the store.
-pub const MOST_REPLICAS: u32 = 512;
-const MOST_STEPS: usize = 20;
+pub const MAX_REPLICAS: u32 = 512;
+const MAX_STEPS: usize = 20;
 /// A week, in seconds: longer than anybody watches a step.
-const LONGEST_S: f64 = 604_800.0;
+const MAX_SECONDS: f64 = 604_800.0;
 /// Machines on which a version failed that are remembered: more than this never has to be waited for.
-pub const MOST_MACHINES: u32 = 8;
+pub const MAX_MACHINES: u32 = 8;
 
 /// What the operator wants of it, by the last verb.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wanted {
+pub enum RolloutGoal {
     /// Go on.
     #[default]
     Forward,
@@ -31,7 +32,7 @@
 /// What speaks against the new version, as far as machines do not explain it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Bad {
+pub struct FailureCriteria {
     /// Different machines on which replicas of it failed within one step.
     pub failures: u32,
     /// Failures of its replicas within one step, on two machines at least.
@@ -40,7 +41,7 @@
     pub not_running_s: f64,
 }
 
-impl Default for Bad {
+impl Default for FailureCriteria {
     fn default() -> Self {
         Self { failures: 3, restarts: 10, not_running_s: 1800.0 }
     }
@@ -49,7 +50,7 @@
 /// A rollout as operators declare it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Spec {
+pub struct RolloutSpec {
     /// The service that is replaced.
     pub old: JobId,
     /// The service that replaces it.
@@ -73,74 +74,93 @@
     pub allow_gap: bool,
     /// When the new version counts as bad.
     #[serde(default)]
-    pub bad: Bad,
+    pub bad: FailureCriteria,
     /// Where it is to go.
-    #[serde(default)]
-    pub wanted: Wanted,
-    /// Counts the operator's words, so that the same word said again is a new one.
-    #[serde(default)]
-    pub word: u64,
+    #[serde(default, rename = "wanted")]
+    pub goal: RolloutGoal,
+    /// Counts the operator's requests, so that the same request made again is a new one.
+    #[serde(default, rename = "word")]
+    pub request_no: u64,
+}
+
+fn refuse(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
+    Err(SpecError::new(field, reason))
 }
 
-/// A field and why it cannot be used.
-type Wrong = (&'static str, String);
+fn check_count(field: &str, count: u32, least: u32, most: u32) -> Result<(), SpecError> {
+    if (least..=most).contains(&count) {
+        return Ok(());
+    }
+    refuse(field, format!("{count} is not from {least} to {most}"))
+}
 
-impl Spec {
+impl RolloutSpec {
     /// Refuses what could never be carried out.
-    pub fn check(&self) -> Result<(), Wrong> {
+    ///
+    /// # Errors
+    /// Names the first field that cannot be used.
+    pub fn check(&self) -> Result<(), SpecError> {
+        self.check_jobs()?;
+        self.check_counts()?;
+        let seconds = [
+            ("hold_s", self.hold_s, 0.0),
+            ("ready_s", self.ready_s(), 0.0),
+            ("bad.not_running_s", self.bad.not_running_s, 1.0),
+        ];
+        for (field, value, least) in seconds {
+            if !(least..=MAX_SECONDS).contains(&value) {
+                return refuse(field, format!("{value} is not from {least} to {MAX_SECONDS} seconds"));
+            }
+        }
+        self.check_steps()
+    }
+
+    fn check_jobs(&self) -> Result<(), SpecError> {
         for (field, id) in [("old", &self.old), ("new", &self.new)] {
             if !well_formed_id(id) {
-                return Err((field, format!("{id:?} is no id of a job")));
+                return refuse(field, format!("{id:?} is no id of a job"));
             }
         }
         if self.old == self.new {
-            return Err(("new", format!("{:?} is the old job", self.new)));
+            return refuse("new", format!("{:?} is the old job", self.new));
         }
-        let of_all = |field, n: u32, least: u32, most: u32| {
-            if (least..=most).contains(&n) {
-                Ok(())
-            } else {
-                Err((field, format!("{n} is not from {least} to {most}")))
-            }
-        };
-        of_all("replicas", self.replicas, 1, MOST_REPLICAS)?;
-        of_all("surge", self.surge, 0, self.replicas)?;
-        of_all("bad.failures", self.bad.failures, 2, MOST_MACHINES)?;
-        of_all("bad.restarts", self.bad.restarts, 2, 1_000_000)?;
+        Ok(())
+    }
+
+    fn check_counts(&self) -> Result<(), SpecError> {
+        check_count("replicas", self.replicas, 1, MAX_REPLICAS)?;
+        check_count("surge", self.surge, 0, self.replicas)?;
+        check_count("bad.failures", self.bad.failures, 2, MAX_MACHINES)?;
+        check_count("bad.restarts", self.bad.restarts, 2, 1_000_000)?;
         if self.surge == 0 && !self.allow_gap {
-            let why = "0 changes replicas in place: each time one fewer than asked runs until a new one does; \
+            let reason = "0 changes replicas in place: each time one fewer than asked runs until a new one does; \
                        say how many more may run, or allow_gap";
-            return Err(("surge", why.into()));
+            return refuse("surge", reason);
         }
-        let seconds = [
-            ("hold_s", self.hold_s, 0.0),
-            ("ready_s", self.ready_s(), 0.0),
-            ("bad.not_running_s", self.bad.not_running_s, 1.0),
-        ];
-        for (field, value, least) in seconds {
-            if !(least..=LONGEST_S).contains(&value) {
-                return Err((field, format!("{value} is not from {least} to {LONGEST_S} seconds")));
-            }
-        }
-        if self.steps.len() > MOST_STEPS {
-            return Err(("steps", format!("{} are more than {MOST_STEPS}", self.steps.len())));
+        Ok(())
+    }
+
+    fn check_steps(&self) -> Result<(), SpecError> {
+        if self.steps.len() > MAX_STEPS {
+            return refuse("steps", format!("{} are more than {MAX_STEPS}", self.steps.len()));
         }
         let mut before = 0;
         for step in &self.steps {
-            let n = self.replicas_of(*step).ok_or_else(|| {
-                ("steps", format!("{step} is neither a part below 1 nor a number of replicas up to {}", self.replicas))
-            })?;
+            let Some(n) = self.replicas_of(*step) else {
+                let most = self.replicas;
+                let reason = format!("{step} is neither a part below 1 nor a number of replicas up to {most}");
+                return refuse("steps", reason);
+            };
             if n <= before {
-                return Err((
-                    "steps",
-                    format!("{step} is {n} replicas, which is not more than the {before} before it"),
-                ));
+                let reason = format!("{step} is {n} replicas, which is not more than the {before} before it");
+                return refuse("steps", reason);
             }
             before = n;
         }
         Ok(())
     }
 
+    /// The number of replicas that a step stands for.
     fn replicas_of(&self, step: f64) -> Option<u32> {
         let all = f64::from(self.replicas);
         if step > 0.0 && step < 1.0 {
@@ -168,9 +188,9 @@
         if self.surge == 0 { self.replicas - 1 } else { self.replicas }
     }
 
-    /// The spec with the operator's next word in it.
-    pub fn said(&self, wanted: Wanted) -> Self {
-        Self { wanted, word: self.word.wrapping_add(1), ..self.clone() }
+    /// The spec with the operator's next request in it.
+    pub fn with_goal(&self, goal: RolloutGoal) -> Self {
+        Self { goal, request_no: self.request_no.wrapping_add(1), ..self.clone() }
     }
 }
 
--- a/src/rollouts/spec/tests.rs
+++ b/src/rollouts/spec/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Replaces `run-1` by `run-2`, four replicas each, with the steps 1 and 0.5 and a surge of 1.
-pub fn spec() -> Spec {
+pub fn spec() -> RolloutSpec {
     let text = r#"{"old":"run-1","new":"run-2","replicas":4,"steps":[1,0.5],"hold_s":20,"ready_s":10,"surge":1}"#;
     serde_json::from_str(text).unwrap()
 }
@@ -11,7 +11,7 @@
 /// A spec is refused by field and value before anything is written.
 #[test]
 fn specs_by_cases() {
-    type Change = fn(&mut Spec);
+    type Change = fn(&mut RolloutSpec);
     let cases: [(&str, Change, Option<&str>); 16] = [
         ("good", |_| (), None),
         ("no steps", |s| s.steps.clear(), None),
@@ -33,9 +33,12 @@
     for (name, change, want) in cases {
         let mut spec = spec();
         change(&mut spec);
-        assert_eq!(spec.check().err().map(|(field, _)| field), want, "{name}");
+        assert_eq!(spec.check().err().map(|error| error.field).as_deref(), want, "{name}");
     }
     assert_eq!(spec().targets(), [1, 2, 4]);
-    assert_eq!(Spec { steps: vec![4.0], ..spec() }.targets(), [4]);
-    assert!(serde_json::from_str::<Spec>(r#"{"old":"run-1","new":"run-2","replicas":1,"hold_s":1,"surg":1}"#).is_err());
+    assert_eq!(RolloutSpec { steps: vec![4.0], ..spec() }.targets(), [4]);
+    assert!(
+        serde_json::from_str::<RolloutSpec>(r#"{"old":"run-1","new":"run-2","replicas":1,"hold_s":1,"surg":1}"#)
+            .is_err()
+    );
 }
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::spec::Spec;
+use super::spec::RolloutSpec;
 use crate::jobs::JobId;
 
 /// Where a rollout stands.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
+pub enum RolloutPhase {
     /// Not begun; the reason says what is missing. Of the new version nothing is placed.
     #[default]
     Planned,
@@ -36,14 +36,14 @@
     Refused,
 }
 
-impl Phase {
+impl RolloutPhase {
     /// The rollout decides over its jobs.
     pub fn begun(self) -> bool {
         !matches!(self, Self::Planned | Self::Ended | Self::Refused)
     }
 
     /// The phase's name, as told to operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Planned => "planned",
             Self::Fetching => "fetching",
@@ -63,18 +63,18 @@
 /// Numbers of replicas, stored as ranges: `[[0,11],[14,14]]`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u32, u32)>", into = "Vec<(u32, u32)>")]
-pub struct Indexes(pub BTreeSet<u32>);
+pub struct ReplicaIndexes(pub BTreeSet<u32>);
 
-impl From<Vec<(u32, u32)>> for Indexes {
+impl From<Vec<(u32, u32)>> for ReplicaIndexes {
     /// What no rollout stores is cut off, so that a bad value cannot fill the memory.
     fn from(ranges: Vec<(u32, u32)>) -> Self {
-        let most = super::spec::MOST_REPLICAS - 1;
+        let most = super::spec::MAX_REPLICAS - 1;
         Self(ranges.into_iter().flat_map(|(from, to)| from.min(most + 1)..=to.min(most)).collect())
     }
 }
 
-impl From<Indexes> for Vec<(u32, u32)> {
-    fn from(indexes: Indexes) -> Self {
+impl From<ReplicaIndexes> for Vec<(u32, u32)> {
+    fn from(indexes: ReplicaIndexes) -> Self {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for index in indexes.0 {
             match ranges.last_mut() {
@@ -86,7 +86,7 @@
     }
 }
 
-impl std::fmt::Display for Indexes {
+impl std::fmt::Display for ReplicaIndexes {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ranges: Vec<(u32, u32)> = self.clone().into();
         let texts = ranges.iter().map(|(a, b)| if a == b { a.to_string() } else { format!("{a}-{b}") });
@@ -98,7 +98,7 @@
 
 /// A machine on which the new version failed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FailedOn {
+pub struct FailedMachine {
     /// Where it failed.
     pub machine: String,
     /// The machine's type.
@@ -113,14 +113,15 @@
 #[serde(default)]
 pub struct FailureCounts {
     /// Different machines on which replicas of the new version failed.
-    pub failed_on: Vec<FailedOn>,
+    pub failed_on: Vec<FailedMachine>,
     /// Failures of replicas of the new and of the old version.
     pub new: u64,
     /// Failures of replicas of the old version.
     pub old: u64,
     /// The leader that counted, and how far it had counted each job's failures. Another leader's own
     /// count begins at none.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub fencing_token: u64,
     /// How far that leader had counted the new job's failures.
     pub counted_new: u64,
     /// How far it had counted the old job's failures.
@@ -130,11 +131,12 @@
 /// What the leader has stored of a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Status {
+pub struct RolloutStatus {
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Why it is so, where that is not what was asked for.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The jobs it has begun with. A spec that names others later does not change them.
     pub old: Option<JobId>,
     /// The new version that it was begun with.
@@ -142,22 +144,27 @@
     /// From 0.
     pub step: u32,
     /// The leader that decided this.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub fencing_token: u64,
     /// When the phase began, in ms since 1970.
     pub since_ms: u64,
     /// The operator's word that this answers.
-    pub word: u64,
+    #[serde(rename = "word")]
+    pub request_no: u64,
     /// Replicas of the old job that are meant to go, or have gone.
-    pub go_old: Indexes,
+    #[serde(rename = "go_old")]
+    pub stopping_old: ReplicaIndexes,
     /// Replicas of the new job that may run; all others are meant to go.
-    pub may_new: Indexes,
+    #[serde(rename = "may_new")]
+    pub allowed_new: ReplicaIndexes,
     /// What speaks against the new version.
-    pub against: FailureCounts,
+    #[serde(rename = "against")]
+    pub failure_counts: FailureCounts,
 }
 
-impl Status {
+impl RolloutStatus {
     /// The old and the new job: those it has begun with, else those declared.
-    pub fn jobs<'a>(&'a self, spec: &'a Spec) -> [&'a JobId; 2] {
+    pub fn jobs<'a>(&'a self, spec: &'a RolloutSpec) -> [&'a JobId; 2] {
         let begun = self.phase.begun();
         let of = |id: &'a Option<JobId>, declared: &'a JobId| id.as_ref().filter(|_| begun).unwrap_or(declared);
         [of(&self.old, &spec.old), of(&self.new, &spec.new)]
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -6,15 +6,15 @@
 
 use std::collections::BTreeSet;
 
-use super::observation::{Known, Observation, Replica};
-use super::spec::{Spec, Wanted};
-use super::status::{FailureCounts, Phase, Status};
-use super::version_verdict::Verdict;
+use super::observation::{JobPresence, ObservedReplica, RolloutObservation};
+use super::spec::{RolloutGoal, RolloutSpec};
+use super::status::{FailureCounts, RolloutPhase, RolloutStatus};
+use super::version_verdict::VersionVerdict;
 
 /// The next status, or none if it stays.
-pub fn decide(spec: &Spec, status: &Status, seen: &Observation) -> Option<Status> {
+pub fn decide(spec: &RolloutSpec, status: &RolloutStatus, seen: &RolloutObservation) -> Option<RolloutStatus> {
     let mut turn = Turn { spec, seen, status: status.clone() };
-    turn.go_on();
+    turn.advance();
     let mut next = turn.status;
     // A clock that was set back would make a step hold for hours.
     if next.phase != status.phase || next.step != status.step || next.since_ms > seen.now_ms {
@@ -23,52 +23,54 @@
     if next == *status {
         return None;
     }
-    next.epoch = seen.epoch;
+    next.fencing_token = seen.fencing_token;
     Some(next)
 }
 
 struct Turn<'a> {
-    spec: &'a Spec,
-    seen: &'a Observation,
-    status: Status,
+    spec: &'a RolloutSpec,
+    seen: &'a RolloutObservation,
+    status: RolloutStatus,
 }
 
 /// The old replicas that may run.
-pub fn may_old(status: &Status, seen: &Observation) -> BTreeSet<u32> {
-    (0..seen.old.tasks).filter(|i| !status.go_old.0.contains(i)).collect()
+pub fn allowed_old(status: &RolloutStatus, seen: &RolloutObservation) -> BTreeSet<u32> {
+    (0..seen.old.tasks).filter(|i| !status.stopping_old.0.contains(i)).collect()
 }
 
 /// What runs of both and counts.
-pub fn serving(status: &Status, seen: &Observation) -> usize {
-    seen.old.live(&may_old(status, seen)).len() + seen.new.live(&status.may_new.0).len()
+pub fn serving(status: &RolloutStatus, seen: &RolloutObservation) -> usize {
+    seen.old.serving(&allowed_old(status, seen)).len() + seen.new.serving(&status.allowed_new.0).len()
 }
 
 /// What has to run at every moment: on the way back no more than the old job has.
-pub fn min_available(spec: &Spec, status: &Status, seen: &Observation) -> usize {
+pub fn min_available(spec: &RolloutSpec, status: &RolloutStatus, seen: &RolloutObservation) -> usize {
     let min_available = spec.min_available();
-    let back = matches!(status.phase, Phase::GoingBack | Phase::Back);
+    let back = matches!(status.phase, RolloutPhase::GoingBack | RolloutPhase::Back);
     (if back { min_available.min(seen.old.tasks) } else { min_available }) as usize
 }
 
 impl Turn<'_> {
-    fn go_on(&mut self) {
-        let new_word = self.status.word != self.spec.word;
-        self.status.word = self.spec.word;
+    fn advance(&mut self) {
+        let new_word = self.status.request_no != self.spec.request_no;
+        self.status.request_no = self.spec.request_no;
         if !self.status.phase.begun() {
             // What is over stays so, unless the spec names other jobs by now.
             let jobs = [Some(&self.spec.old), Some(&self.spec.new)];
-            if self.status.phase != Phase::Ended || [self.status.old.as_ref(), self.status.new.as_ref()] != jobs {
+            if self.status.phase != RolloutPhase::Ended || [self.status.old.as_ref(), self.status.new.as_ref()] != jobs
+            {
                 self.plan();
             }
             return;
         }
-        if let Some(why) = &self.seen.unfit {
-            return self.be(Phase::Refused, why);
+        if let Some(reason) = &self.seen.conflict {
+            return self.set_phase(RolloutPhase::Refused, reason);
         }
-        self.status.against.count(self.seen);
-        let (old_over, new_over) = (self.seen.old.known == Known::Over, self.seen.new.known == Known::Over);
+        self.status.failure_counts.count(self.seen);
+        let (old_over, new_over) =
+            (self.seen.old.known == JobPresence::Ended, self.seen.new.known == JobPresence::Ended);
         if old_over && new_over {
-            return self.be(Phase::Ended, "both jobs are over");
+            return self.set_phase(RolloutPhase::Ended, "both jobs are over");
         }
         if new_over {
             return self.back("the new version's job is over");
@@ -77,78 +79,82 @@
             return self.forward("the old version's job is over");
         }
         let phase = self.status.phase;
-        let turned = matches!(phase, Phase::GoingBack | Phase::Back);
-        match self.spec.wanted {
-            Wanted::Back => self.back("the operator wants it"),
-            Wanted::Paused if turned && phase == Phase::Back || phase == Phase::Done => {}
-            Wanted::Paused => self.pause("the operator wants it"),
+        let turned = matches!(phase, RolloutPhase::GoingBack | RolloutPhase::Back);
+        match self.spec.goal {
+            RolloutGoal::Back => self.back("the operator wants it"),
+            RolloutGoal::Paused if turned && phase == RolloutPhase::Back || phase == RolloutPhase::Done => {}
+            RolloutGoal::Paused => self.pause("the operator wants it"),
             // What it decided by itself stands until the operator says something new.
-            Wanted::Forward | Wanted::Finish if turned && !new_word => {
-                let why = self.status.why.clone();
-                self.back(&why);
+            RolloutGoal::Forward | RolloutGoal::Finish if turned && !new_word => {
+                let reason = self.status.reason.clone();
+                self.back(&reason);
             }
-            Wanted::Forward | Wanted::Finish if phase == Phase::Paused && !new_word => {
-                let why = self.status.why.clone();
-                self.pause(&why);
+            RolloutGoal::Forward | RolloutGoal::Finish if phase == RolloutPhase::Paused && !new_word => {
+                let reason = self.status.reason.clone();
+                self.pause(&reason);
             }
-            Wanted::Forward | Wanted::Finish => {
+            RolloutGoal::Forward | RolloutGoal::Finish => {
                 if new_word {
-                    self.status.against = FailureCounts::afresh(self.seen);
+                    self.status.failure_counts = FailureCounts::start_counting(self.seen);
                 }
                 self.forward("");
             }
         }
     }
 
-    fn be(&mut self, phase: Phase, why: &str) {
+    fn set_phase(&mut self, phase: RolloutPhase, reason: &str) {
         self.status.phase = phase;
-        if self.status.why != why {
-            self.status.why = why.to_owned();
+        if self.status.reason != reason {
+            self.status.reason = reason.to_owned();
         }
     }
 
     /// Whether it can begin, and what is missing.
     fn plan(&mut self) {
         let (spec, seen) = (self.spec, self.seen);
-        if let Some(why) = &seen.unfit {
-            return self.be(Phase::Refused, why);
+        if let Some(reason) = &seen.conflict {
+            return self.set_phase(RolloutPhase::Refused, reason);
         }
         for (side, field, id) in [(&seen.old, "old", &spec.old), (&seen.new, "new", &spec.new)] {
             match side.known {
-                Known::Open => {}
-                Known::Over => return self.be(Phase::Refused, &format!("{field}: {id} is over")),
-                Known::Unknown => return self.be(Phase::Planned, &format!("waits for {id}, which is not known")),
+                JobPresence::Open => {}
+                JobPresence::Ended => return self.set_phase(RolloutPhase::Refused, &format!("{field}: {id} is over")),
+                JobPresence::Unknown => {
+                    return self.set_phase(RolloutPhase::Planned, &format!("waits for {id}, which is not known"));
+                }
             }
         }
-        match spec.wanted {
-            Wanted::Forward | Wanted::Finish => {}
-            Wanted::Paused | Wanted::Back => return self.be(Phase::Planned, "the operator does not want it to begin"),
+        match spec.goal {
+            RolloutGoal::Forward | RolloutGoal::Finish => {}
+            RolloutGoal::Paused | RolloutGoal::Back => {
+                return self.set_phase(RolloutPhase::Planned, "the operator does not want it to begin");
+            }
         }
-        if let Some(why) = &seen.no_room {
-            return self.be(Phase::Planned, why);
+        if let Some(reason) = &seen.quota_shortage {
+            return self.set_phase(RolloutPhase::Planned, reason);
         }
-        self.status = Status {
-            phase: Phase::Growing,
+        self.status = RolloutStatus {
+            phase: RolloutPhase::Growing,
             old: Some(spec.old.clone()),
             new: Some(spec.new.clone()),
-            word: spec.word,
-            against: FailureCounts::afresh(seen),
-            ..Status::default()
+            request_no: spec.request_no,
+            failure_counts: FailureCounts::start_counting(seen),
+            ..RolloutStatus::default()
         };
         // What of the new version runs already stays as far as it is wanted.
-        self.status.may_new.0 = seen.new.replicas.keys().copied().collect();
+        self.status.allowed_new.0 = seen.new.replicas.keys().copied().collect();
     }
 
-    fn may_old(&self) -> BTreeSet<u32> {
-        may_old(&self.status, self.seen)
+    fn allowed_old(&self) -> BTreeSet<u32> {
+        allowed_old(&self.status, self.seen)
     }
 
     fn live_new(&self) -> BTreeSet<u32> {
-        self.seen.new.live(&self.status.may_new.0)
+        self.seen.new.serving(&self.status.allowed_new.0)
     }
 
     fn settled_new(&self) -> BTreeSet<u32> {
-        self.seen.new.running_for(&self.status.may_new.0, self.spec.ready_s())
+        self.seen.new.running_for(&self.status.allowed_new.0, self.spec.ready_s())
     }
 
     /// Capacity first: where replicas were lost, old ones that were meant to go come back for them. True
@@ -156,14 +162,14 @@
     fn repair(&mut self) -> bool {
         let min_available = min_available(self.spec, &self.status, self.seen);
         let serving = serving(&self.status, self.seen);
-        if serving >= min_available || self.seen.old.known == Known::Over {
+        if serving >= min_available || self.seen.old.known == JobPresence::Ended {
             return serving < min_available;
         }
-        let (may, old, new) = (self.may_old(), &self.seen.old, &self.seen.new);
+        let (may, old, new) = (self.allowed_old(), &self.seen.old, &self.seen.new);
         // What is not known to be lost is not made up for: a new leader would bring back old ones each time.
-        let left = old.not_lost(&may);
+        let left = old.count_not_lost(&may);
         let coming = may.len() - left;
-        for _ in coming..min_available.saturating_sub(left + new.not_lost(&self.status.may_new.0)) {
+        for _ in coming..min_available.saturating_sub(left + new.count_not_lost(&self.status.allowed_new.0)) {
             self.unmark_old();
         }
         true
@@ -178,39 +184,41 @@
             None => 1,
             Some(_) => 2,
         };
-        if let Some(index) = status.go_old.0.iter().copied().min_by_key(|i| (worth(i), *i)) {
-            status.go_old.0.remove(&index);
+        if let Some(index) = status.stopping_old.0.iter().copied().min_by_key(|i| (worth(i), *i)) {
+            status.stopping_old.0.remove(&index);
         }
     }
 
-    fn pause(&mut self, why: &str) {
-        self.be(Phase::Paused, why);
+    fn pause(&mut self, reason: &str) {
+        self.set_phase(RolloutPhase::Paused, reason);
         self.repair();
     }
 
-    fn forward(&mut self, why: &str) {
+    fn forward(&mut self, reason: &str) {
         let targets = self.spec.targets();
         let last = targets.len().saturating_sub(1) as u32;
-        let old_over = self.seen.old.known == Known::Over;
+        let old_over = self.seen.old.known == JobPresence::Ended;
         match self.status.phase {
-            Phase::Done if old_over || self.status.step >= last => return,
-            Phase::GoingBack | Phase::Back => {
+            RolloutPhase::Done if old_over || self.status.step >= last => return,
+            RolloutPhase::GoingBack | RolloutPhase::Back => {
                 // The first step that has as many as are left of the new version.
-                let left = self.status.may_new.0.len();
+                let left = self.status.allowed_new.0.len();
                 self.status.step = targets.iter().take_while(|t| (**t as usize) < left).count() as u32;
-                self.status.against = FailureCounts::afresh(self.seen);
-                self.be(Phase::Growing, why);
+                self.status.failure_counts = FailureCounts::start_counting(self.seen);
+                self.set_phase(RolloutPhase::Growing, reason);
             }
-            Phase::Paused => self.be(Phase::Growing, why),
+            RolloutPhase::Paused => self.set_phase(RolloutPhase::Growing, reason),
             _ => {}
         }
         self.status.step = if old_over { last } else { self.status.step.min(last) };
         let target = targets.get(self.status.step as usize).copied().unwrap_or(self.spec.replicas);
         // With the old job over there is nothing to go back to, whatever speaks against the new one.
-        if !old_over && self.spec.wanted != Wanted::Finish {
-            match self.status.against.judge(self.spec, self.seen, &self.status.may_new.0) {
-                Some(Verdict::Version(why)) => return self.back(&format!("the new version is bad: {why}")),
-                Some(Verdict::Both(why)) => return self.pause(&format!("both versions fail: {why}")),
+        if !old_over && self.spec.goal != RolloutGoal::Finish {
+            match self.status.failure_counts.judge_version(self.spec, self.seen, &self.status.allowed_new.0) {
+                Some(VersionVerdict::Version(reason)) => {
+                    return self.back(&format!("the new version is bad: {reason}"));
+                }
+                Some(VersionVerdict::Both(reason)) => return self.pause(&format!("both versions fail: {reason}")),
                 None => {}
             }
         }
@@ -218,24 +226,26 @@
             self.shrink_old(target);
             self.shrink_new(target);
         }
-        if self.status.may_new.0.len() > target as usize {
+        if self.status.allowed_new.0.len() > target as usize {
             self.grow_old((self.spec.replicas - target) as usize);
         }
         self.grow_new(target);
-        self.settle(target, last, why);
+        self.settle(target, last, reason);
     }
 
     fn grow_new(&mut self, target: u32) {
         let (spec, seen) = (self.spec, self.seen);
         let most = (spec.replicas + spec.surge) as usize;
-        let may = self.may_old();
-        let old = if seen.old.known == Known::Over { 0 } else { may.len() + seen.old.leaving(&may) };
-        let may_new = &mut self.status.may_new.0;
-        while may_new.len() < target as usize && old + may_new.len() + seen.new.leaving(may_new) < most {
+        let may = self.allowed_old();
+        let old = if seen.old.known == JobPresence::Ended { 0 } else { may.len() + seen.old.count_leaving(&may) };
+        let allowed_new = &mut self.status.allowed_new.0;
+        while allowed_new.len() < target as usize
+            && old + allowed_new.len() + seen.new.count_leaving(allowed_new) < most
+        {
             // One that is still being stopped would first have to be gone.
-            let free = |i: &u32| !may_new.contains(i) && !seen.new.replicas.contains_key(i);
+            let free = |i: &u32| !allowed_new.contains(i) && !seen.new.replicas.contains_key(i);
             let Some(index) = (0..seen.new.tasks).find(free) else { break };
-            may_new.insert(index);
+            allowed_new.insert(index);
         }
     }
 
@@ -243,7 +253,7 @@
     fn grow_old(&mut self, most: usize) {
         let room = (self.spec.replicas + self.spec.surge) as usize;
         let most = most.min(self.seen.old.tasks as usize);
-        while self.may_old().len() < most && self.may_old().len() + self.status.may_new.0.len() < room {
+        while self.allowed_old().len() < most && self.allowed_old().len() + self.status.allowed_new.0.len() < room {
             self.unmark_old();
         }
     }
@@ -251,13 +261,13 @@
     /// More of the new version runs than this step has: what was there when it began, or a spec that
     /// was changed.
     fn shrink_new(&mut self, target: u32) {
-        while self.status.may_new.0.len() > target as usize {
+        while self.status.allowed_new.0.len() > target as usize {
             let (live, min_available) = (self.live_new(), min_available(self.spec, &self.status, self.seen));
-            let old = self.seen.old.live(&self.may_old()).len();
+            let old = self.seen.old.serving(&self.allowed_old()).len();
             let spare = live.len() + old > min_available;
-            let pick = self.status.may_new.0.iter().rev().copied().find(|i| spare || !live.contains(i));
+            let pick = self.status.allowed_new.0.iter().rev().copied().find(|i| spare || !live.contains(i));
             let Some(index) = pick else { return };
-            self.status.may_new.0.remove(&index);
+            self.status.allowed_new.0.remove(&index);
         }
     }
 
@@ -269,90 +279,90 @@
         // In place, one goes before a new one comes.
         let for_new = (settled.len() as u32 + u32::from(spec.surge == 0)).min(target);
         let keep = spec.replicas.saturating_sub(for_new) as usize;
-        let doubt = self.doubt();
+        let is_unproven = self.is_unproven();
         loop {
-            let may = self.may_old();
+            let may = self.allowed_old();
             if may.len() <= keep {
                 return;
             }
-            let live = seen.old.live(&may);
+            let live = seen.old.serving(&may);
             let spare = live.len() + settled.len() > spec.min_available() as usize;
             let last = |i: &u32| live.iter().all(|o| o == i || seen.old.zone(*o) != seen.old.zone(*i));
             let new_there = |i: &u32| settled.iter().any(|n| seen.new.zone(*n) == seen.old.zone(*i));
-            let allowed = |i: &u32| !live.contains(i) || (spare && !(doubt && last(i) && !new_there(i)));
+            let allowed = |i: &u32| !live.contains(i) || (spare && !(is_unproven && last(i) && !new_there(i)));
             let order = |i: &u32| (live.contains(i), last(i) && !new_there(i), std::cmp::Reverse(*i));
             let Some(index) = may.iter().copied().filter(allowed).min_by_key(order) else { return };
-            self.status.go_old.0.insert(index);
+            self.status.stopping_old.0.insert(index);
         }
     }
 
     /// The new version has not shown yet that it does well, or something speaks against it.
-    fn doubt(&self) -> bool {
-        let may = &self.status.may_new.0;
+    fn is_unproven(&self) -> bool {
+        let may = &self.status.allowed_new.0;
         let long = self.spec.ready_s() + self.spec.hold_s;
         let proven = self.status.step > 0 || !self.seen.new.running_for(may, long).is_empty();
-        !proven || (self.status.against.new > 0 && self.settled_new().len() < may.len())
+        !proven || (self.status.failure_counts.new > 0 && self.settled_new().len() < may.len())
     }
 
     /// Which phase it is in, and whether its step is over.
-    fn settle(&mut self, target: u32, last: u32, why: &str) {
+    fn settle(&mut self, target: u32, last: u32, reason: &str) {
         let (spec, seen) = (self.spec, self.seen);
         let settled = self.settled_new();
-        let may_old = self.may_old();
+        let allowed_old = self.allowed_old();
         // To a new leader all of them are unknown at first: that is no reason to hold anew.
-        let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(Replica::may_run);
-        let held = self.status.phase == Phase::Holding && self.status.may_new.0.iter().all(may_run);
-        let runs = if held { self.status.may_new.0.len() } else { settled.len() };
-        if runs < target as usize || self.status.may_new.0.len() > target as usize {
-            let missing = self.status.may_new.0.difference(&settled).map(|i| seen.new.replicas.get(i));
+        let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(ObservedReplica::may_run);
+        let held = self.status.phase == RolloutPhase::Holding && self.status.allowed_new.0.iter().all(may_run);
+        let runs = if held { self.status.allowed_new.0.len() } else { settled.len() };
+        if runs < target as usize || self.status.allowed_new.0.len() > target as usize {
+            let missing = self.status.allowed_new.0.difference(&settled).map(|i| seen.new.replicas.get(i));
             let missing: Vec<_> = missing.collect();
             let fetching = missing.iter().any(Option::is_some) && missing.iter().flatten().all(|r| !r.running);
             let waits = if missing.contains(&None) { "a replica waits for a machine" } else { "" };
-            let phase = if fetching { Phase::Fetching } else { Phase::Growing };
-            return self.be(phase, if why.is_empty() { waits } else { why });
+            let phase = if fetching { RolloutPhase::Fetching } else { RolloutPhase::Growing };
+            return self.set_phase(phase, if reason.is_empty() { waits } else { reason });
         }
-        let left = may_old.len() > (spec.replicas - target) as usize;
-        let zones = left && self.status.step < last && self.doubt();
-        if (left && !zones) || (seen.old.known != Known::Over && seen.old.leaving(&may_old) > 0) {
-            return self.be(Phase::Shrinking, why);
+        let left = allowed_old.len() > (spec.replicas - target) as usize;
+        let zones = left && self.status.step < last && self.is_unproven();
+        if (left && !zones) || (seen.old.known != JobPresence::Ended && seen.old.count_leaving(&allowed_old) > 0) {
+            return self.set_phase(RolloutPhase::Shrinking, reason);
         }
-        if self.status.phase != Phase::Holding {
-            return self.be(Phase::Holding, why);
+        if self.status.phase != RolloutPhase::Holding {
+            return self.set_phase(RolloutPhase::Holding, reason);
         }
         let held_s = seen.now_ms.saturating_sub(self.status.since_ms) as f64 / 1000.0;
         if held_s >= spec.hold_s && settled.len() >= target as usize {
             if self.status.step >= last {
-                return self.be(Phase::Done, why);
+                return self.set_phase(RolloutPhase::Done, reason);
             }
             self.status.step += 1;
-            self.status.against = FailureCounts::afresh(seen);
-            self.be(Phase::Growing, why);
+            self.status.failure_counts = FailureCounts::start_counting(seen);
+            self.set_phase(RolloutPhase::Growing, reason);
         }
     }
 
     /// Back to the old version, with the same guarantees. What of the new one does not run takes
     /// nobody's place, so that nothing here waits for it.
-    fn back(&mut self, why: &str) {
+    fn back(&mut self, reason: &str) {
         let (spec, seen) = (self.spec, self.seen);
-        if self.status.phase == Phase::Back {
+        if self.status.phase == RolloutPhase::Back {
             return;
         }
-        self.be(Phase::GoingBack, why);
-        let new_over = seen.new.known == Known::Over;
-        let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(Replica::may_run);
-        self.status.may_new.0.retain(|i| !new_over && may_run(i));
+        self.set_phase(RolloutPhase::GoingBack, reason);
+        let new_over = seen.new.known == JobPresence::Ended;
+        let may_run = |i: &u32| seen.new.replicas.get(i).is_some_and(ObservedReplica::may_run);
+        self.status.allowed_new.0.retain(|i| !new_over && may_run(i));
         self.grow_old(spec.replicas as usize);
         let min_available = min_available(spec, &self.status, seen);
-        let settled = seen.old.running_for(&self.may_old(), spec.ready_s());
+        let settled = seen.old.running_for(&self.allowed_old(), spec.ready_s());
         loop {
             let live = self.live_new();
             let last = |i: &u32| live.iter().all(|o| o == i || seen.new.zone(*o) != seen.new.zone(*i));
             let pick = live.iter().copied().min_by_key(|i| (last(i), std::cmp::Reverse(*i)));
             let Some(index) = pick.filter(|_| live.len() + settled.len() > min_available) else { break };
-            self.status.may_new.0.remove(&index);
+            self.status.allowed_new.0.remove(&index);
         }
-        if self.status.may_new.0.is_empty() && settled.len() >= min_available {
-            self.be(Phase::Back, why);
+        if self.status.allowed_new.0.is_empty() && settled.len() >= min_available {
+            self.set_phase(RolloutPhase::Back, reason);
         }
     }
 }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -17,7 +17,7 @@
 use crate::machine_kinds::{Catalog, MachineType};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, Heartbeat, TaskKey};
 use crate::rollouts::Rollout;
-use crate::rollouts::status::{Phase, Status};
+use crate::rollouts::status::{RolloutPhase, RolloutStatus};
 use crate::scheduling::cluster::{ClusterState, Via};
 use crate::scheduling::intents::{Intents, Replicas};
 use crate::scheduling::plan;
@@ -62,7 +62,7 @@
 
     fn put(&mut self, path: &str, value: Value) {
         self.version += 1;
-        assert!(self.registry.put(path, &value, self.version));
+        assert!(self.registry.put_key(path, &value, self.version));
     }
 
     fn declare(&mut self, name: &str, change: Value) {
@@ -111,25 +111,25 @@
         let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].since).as_millis() as u64;
         f(&DeclarationView {
             cluster,
-            ended: &|_| None,
+            job_end: &|_| None,
             registry,
             now,
             now_ms,
-            epoch: 7,
+            fencing_token: 7,
             settings: &cluster.settings,
             jobs_by_window: Default::default(),
-            unknown: Default::default(),
+            unknown_ends: Default::default(),
         })
     }
 
     /// Intents by what is stored, then the next statuses, as the leader's task does; then a plan.
     fn turn(&mut self) -> Vec<String> {
-        let names: Vec<String> = self.registry.names(DeclarationKind::Rollout).map(str::to_owned).collect();
+        let names: Vec<String> = self.registry.names_of_kind(DeclarationKind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
-        let next: Vec<(String, Option<Status>)> = self.with_view(|view| {
+        let next: Vec<(String, Option<RolloutStatus>)> = self.with_view(|view| {
             let of = |name: &String| {
-                let (spec, _) = view.registry.spec::<Rollout>(name).unwrap();
-                let status = view.registry.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
+                let spec = view.registry.spec::<Rollout>(name).unwrap().value;
+                let status = view.registry.status::<Rollout>(name).map(|status| status.value).unwrap_or_default();
                 Rollout::add_intents(name, &spec, &status, view, &mut intents);
                 (name.clone(), Rollout::next_status(name, &spec, &status, view))
             };
@@ -147,8 +147,8 @@
         names
     }
 
-    fn status(&self, name: &str) -> Status {
-        self.registry.status::<Rollout>(name).unwrap().0
+    fn status(&self, name: &str) -> RolloutStatus {
+        self.registry.status::<Rollout>(name).unwrap().value
     }
 
     fn running(&self, n: u32) -> u64 {
@@ -185,16 +185,16 @@
         assert!(old + new >= 4 && old + new <= 5, "{old} and {new} run, {phase:?}");
         // What a rollout moves is not moved to spare a machine as well.
         let moved = drain::choose(&bench.cluster, &bench.catalog, bench.now);
-        assert!(phase == Phase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
+        assert!(phase == RolloutPhase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
     }
     assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
-    assert_eq!(phases.last(), Some(&Phase::Done));
+    assert_eq!(phases.last(), Some(&RolloutPhase::Done));
     assert!(bench.cluster.has_job(&"run-1".into()), "held at no replicas, and known");
     // Cancelled as its user would, and removed: the new job is as any other.
     bench.cluster.end_job(&"run-1".into(), None, bench.now);
     bench.pass(1);
     assert!(bench.turn().is_empty());
-    bench.registry.drop_key(&spec_key(DeclarationKind::Rollout, "r"), 1000);
+    bench.registry.remove_key(&spec_key(DeclarationKind::Rollout, "r"), 1000);
     assert!(bench.turn().is_empty() && bench.cluster.intents.is_empty());
 }
 
@@ -205,32 +205,32 @@
     let blue: fn(&mut Bench) = |_| ();
     // The team's limit is 20 cores.
     let red: Change = |j| j.team = "red".into();
-    type Case = (&'static str, Change, Value, fn(&mut Bench), Phase, &'static str);
+    type Case = (&'static str, Change, Value, fn(&mut Bench), RolloutPhase, &'static str);
     let cases: [Case; 8] = [
-        ("good", |_| (), json!({}), blue, Phase::Growing, ""),
-        ("no service", |j| j.shape = Shape::Array, json!({}), blue, Phase::Refused, "new: run-2 is no service"),
-        ("too few", |j| j.tasks = 3, json!({}), blue, Phase::Refused, "replicas: 4 are asked, and run-2 has 3"),
-        ("too many", |j| j.tasks = 600, json!({}), blue, Phase::Refused, "new: run-2 has 600 replicas"),
-        ("room in the limit", red, json!({"surge": 2}), blue, Phase::Growing, ""),
+        ("good", |_| (), json!({}), blue, RolloutPhase::Growing, ""),
+        ("no service", |j| j.shape = Shape::Array, json!({}), blue, RolloutPhase::Refused, "new: run-2 is no service"),
+        ("too few", |j| j.tasks = 3, json!({}), blue, RolloutPhase::Refused, "replicas: 4 are asked, and run-2 has 3"),
+        ("too many", |j| j.tasks = 600, json!({}), blue, RolloutPhase::Refused, "new: run-2 has 600 replicas"),
+        ("room in the limit", red, json!({"surge": 2}), blue, RolloutPhase::Growing, ""),
         (
             "larger ones",
             |j| (j.team, j.cpus) = ("red".into(), 5.0),
             json!({}),
             blue,
-            Phase::Planned,
+            RolloutPhase::Planned,
             "surge: 1 more than 4",
         ),
-        ("not there", |_| (), json!({"new": "run-9"}), blue, Phase::Planned, "waits for run-9"),
+        ("not there", |_| (), json!({"new": "run-9"}), blue, RolloutPhase::Planned, "waits for run-9"),
         (
             "a job of another's",
             |_| (),
             json!({}),
             |bench| bench.declare("a", json!({"old": "run-2", "new": "run-3"})),
-            Phase::Refused,
+            RolloutPhase::Refused,
             "rollout a has one of its jobs",
         ),
     ];
-    for (name, change, with, before, want, why) in cases {
+    for (name, change, with, before, want, reason) in cases {
         let mut bench = Bench::new();
         bench.add(1, |job| job.team = "red".into());
         bench.add(2, change);
@@ -238,7 +238,7 @@
         bench.declare("r", with);
         bench.turn();
         let status = bench.status("r");
-        assert!(status.phase == want && status.why.contains(why), "{name}: {:?} {}", status.phase, status.why);
+        assert!(status.phase == want && status.reason.contains(reason), "{name}: {:?} {}", status.phase, status.reason);
     }
 }
 
@@ -254,12 +254,12 @@
     bench.declare("b", json!({"wanted": "paused", "word": 1}));
     bench.turn();
     bench.turn();
-    assert_eq!((bench.status("a").phase, bench.status("b").phase), (Phase::Refused, Phase::Paused));
+    assert_eq!((bench.status("a").phase, bench.status("b").phase), (RolloutPhase::Refused, RolloutPhase::Paused));
     // Both begun, each before the other was heard of.
     let begun = json!({"phase": "growing", "old": "run-2", "new": "run-3"});
     bench.put(&status_key(DeclarationKind::Rollout, "a"), begun);
     bench.turn();
-    assert_eq!((bench.status("a").phase, bench.status("b").phase), (Phase::Growing, Phase::Refused));
+    assert_eq!((bench.status("a").phase, bench.status("b").phase), (RolloutPhase::Growing, RolloutPhase::Refused));
 }
 
 /// What is asked of one job's replicas, each by itself.
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -5,58 +5,87 @@
 
 use std::collections::BTreeSet;
 
-use super::intents::asks;
-use super::observation::{Known, Observation, Replica, Side};
+use super::intents::replica_intents;
+use super::observation::{JobPresence, ObservedJob, ObservedReplica, RolloutObservation};
 use super::spec::tests::spec;
-use super::spec::{Spec, Wanted};
-use super::status::{FailureCounts, Indexes, Phase, Status};
+use super::spec::{RolloutGoal, RolloutSpec};
+use super::status::{FailedMachine, FailureCounts, ReplicaIndexes, RolloutPhase, RolloutStatus};
 use super::step::decide;
 
-fn running(ran_s: f64, zone: &str) -> Replica {
-    let heard = Replica { machine: format!("m-{zone}-{ran_s}"), zone: zone.into(), heard: true, ..Replica::default() };
-    Replica { running: true, sure: true, ran_s, bound_s: ran_s, ..heard }
+fn failed_on(machine: String, type_name: &str) -> FailedMachine {
+    FailedMachine { machine, type_name: type_name.to_owned(), faulty: false }
+}
+
+fn running(ran_s: f64, zone: &str) -> ObservedReplica {
+    let heard = ObservedReplica {
+        machine: format!("m-{zone}-{ran_s}"),
+        zone: zone.into(),
+        heard: true,
+        ..ObservedReplica::default()
+    };
+    ObservedReplica { running: true, sure: true, ran_s, bound_s: ran_s, ..heard }
 }
 
 /// Replicas by number, each `zone` and seconds run; 0: it has a machine and does not run.
-fn side(tasks: u32, replicas: &[(u32, &str, f64)]) -> Side {
+fn side(tasks: u32, replicas: &[(u32, &str, f64)]) -> ObservedJob {
     let replica = |(index, zone, ran): &(u32, &str, f64)| {
         let mut replica = running(*ran, zone);
         replica.machine = format!("m-{zone}-{index}");
         (replica.running, replica.sure) = (*ran > 0.0, *ran > 0.0);
         (*index, replica)
     };
-    Side { known: Known::Open, tasks, replicas: replicas.iter().map(replica).collect(), ..Side::default() }
+    ObservedJob {
+        known: JobPresence::Open,
+        tasks,
+        replicas: replicas.iter().map(replica).collect(),
+        ..ObservedJob::default()
+    }
 }
 
 const OLD: [(u32, &str, f64); 4] = [(0, "a", 900.0), (1, "b", 900.0), (2, "a", 900.0), (3, "b", 900.0)];
 
-fn seen(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> Observation {
-    Observation { old: side(4, old), new: side(4, new), now_ms: 1_000_000, epoch: 7, ..Observation::default() }
+fn seen(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> RolloutObservation {
+    RolloutObservation {
+        old: side(4, old),
+        new: side(4, new),
+        now_ms: 1_000_000,
+        fencing_token: 7,
+        ..RolloutObservation::default()
+    }
 }
 
-fn status(phase: Phase, step: u32, go_old: &[u32], may_new: &[u32]) -> Status {
-    let set = |of: &[u32]| Indexes(of.iter().copied().collect());
+fn status(phase: RolloutPhase, step: u32, stopping_old: &[u32], allowed_new: &[u32]) -> RolloutStatus {
+    let set = |of: &[u32]| ReplicaIndexes(of.iter().copied().collect());
     let jobs = (Some("run-1".into()), Some("run-2".into()));
-    let (go_old, may_new) = (set(go_old), set(may_new));
-    Status { phase, old: jobs.0, new: jobs.1, step, since_ms: 990_000, go_old, may_new, ..Status::default() }
+    let (stopping_old, allowed_new) = (set(stopping_old), set(allowed_new));
+    RolloutStatus {
+        phase,
+        old: jobs.0,
+        new: jobs.1,
+        step,
+        since_ms: 990_000,
+        stopping_old,
+        allowed_new,
+        ..RolloutStatus::default()
+    }
 }
 
-fn sets(status: &Status) -> (Vec<u32>, Vec<u32>) {
-    (status.go_old.0.iter().copied().collect(), status.may_new.0.iter().copied().collect())
+fn sets(status: &RolloutStatus) -> (Vec<u32>, Vec<u32>) {
+    (status.stopping_old.0.iter().copied().collect(), status.allowed_new.0.iter().copied().collect())
 }
 
 #[test]
 fn what_is_next_by_cases() {
-    use Phase::*;
-    type Change = fn(&mut Spec, &mut Observation, &mut Status);
+    use RolloutPhase::*;
+    type Change = fn(&mut RolloutSpec, &mut RolloutObservation, &mut RolloutStatus);
     type Replicas = &'static [(u32, &'static str, f64)];
     // (name, phase, step, meant to go, may run, old, new, change, then: phase, meant to go, may run)
     type Case = (
         &'static str,
-        (Phase, u32, &'static [u32], &'static [u32]),
+        (RolloutPhase, u32, &'static [u32], &'static [u32]),
         (Replicas, Replicas),
         Change,
-        (Phase, &'static [u32], &'static [u32]),
+        (RolloutPhase, &'static [u32], &'static [u32]),
     );
     const NONE: Replicas = &[];
     const THREE: Replicas = &[(0, "a", 900.0), (1, "b", 900.0), (2, "a", 900.0)];
@@ -67,35 +96,35 @@
             "the new job is not there",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.new.known = Known::Unknown,
+            |_, s, _| s.new.known = JobPresence::Unknown,
             (Planned, &[], &[]),
         ),
         (
             "the old job is over",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.old.known = Known::Over,
+            |_, s, _| s.old.known = JobPresence::Ended,
             (Refused, &[], &[]),
         ),
         (
             "another has one of its jobs",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.unfit = Some("x".into()),
+            |_, s, _| s.conflict = Some("x".into()),
             (Refused, &[], &[]),
         ),
         (
             "the surge has no room",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.no_room = Some("x".into()),
+            |_, s, _| s.quota_shortage = Some("x".into()),
             (Planned, &[], &[]),
         ),
         (
             "paused before it begins",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |p, _, _| p.wanted = Wanted::Paused,
+            |p, _, _| p.goal = RolloutGoal::Paused,
             (Planned, &[], &[]),
         ),
         ("a first one may run", (Growing, 0, &[], &[]), (&OLD, NONE), |_, _, _| (), (Growing, &[], &[0])),
@@ -195,15 +224,21 @@
             "paused: nothing more goes",
             (Growing, 0, &[], &[0]),
             (&OLD, &[(0, "a", 10.0)]),
-            |p, _, _| p.wanted = Wanted::Paused,
+            |p, _, _| p.goal = RolloutGoal::Paused,
             (Paused, &[], &[0]),
         ),
-        ("resumed", (Paused, 0, &[], &[0]), (&OLD, &[(0, "a", 10.0)]), |p, _, _| p.word = 2, (Shrinking, &[3], &[0])),
+        (
+            "resumed",
+            (Paused, 0, &[], &[0]),
+            (&OLD, &[(0, "a", 10.0)]),
+            |p, _, _| p.request_no = 2,
+            (Shrinking, &[3], &[0]),
+        ),
         (
             "back by hand",
             (Growing, 1, &[3], &[0, 1]),
             (THREE, &[(0, "a", 50.0)]),
-            |p, _, _| p.wanted = Wanted::Back,
+            |p, _, _| p.goal = RolloutGoal::Back,
             (GoingBack, &[], &[0]),
         ),
         (
@@ -232,14 +267,14 @@
             "until it is resumed, from the first step",
             (Back, 1, &[], &[]),
             (&OLD, NONE),
-            |p, _, _| p.word = 2,
+            |p, _, _| p.request_no = 2,
             (Growing, &[], &[0]),
         ),
         (
             "resumed half-way back, where it has come to",
             (GoingBack, 2, &[1, 2, 3], &[0, 1]),
             (&[(0, "a", 90.0)], &[(0, "a", 90.0), (1, "b", 90.0)]),
-            |p, _, _| p.word = 2,
+            |p, _, _| p.request_no = 2,
             (Holding, &[2, 3], &[0, 1]),
         ),
         (
@@ -253,35 +288,35 @@
             "back from done",
             (Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]),
             (NONE, &OLD),
-            |p, _, _| p.wanted = Wanted::Back,
+            |p, _, _| p.goal = RolloutGoal::Back,
             (GoingBack, &[1, 2, 3], &[0, 1, 2, 3]),
         ),
         (
             "the new job is withdrawn",
             (Growing, 1, &[3], &[0]),
             (THREE, NONE),
-            |_, s, _| s.new = Side { known: Known::Over, ..Side::default() },
+            |_, s, _| s.new = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
             (GoingBack, &[], &[]),
         ),
         (
             "the old job is withdrawn",
             (Growing, 1, &[3], &[0]),
             (THREE, &[(0, "a", 50.0)]),
-            |_, s, _| s.old = Side { known: Known::Over, ..Side::default() },
+            |_, s, _| s.old = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
             (Growing, &[3], &[0, 1, 2, 3]),
         ),
         (
             "both are",
             (Growing, 1, &[3], &[0]),
             (THREE, NONE),
-            |_, s, _| (s.old.known, s.new.known) = (Known::Over, Known::Over),
+            |_, s, _| (s.old.known, s.new.known) = (JobPresence::Ended, JobPresence::Ended),
             (Ended, &[3], &[0]),
         ),
         (
             "the old job is withdrawn once it is done",
             (Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]),
             (NONE, &OLD),
-            |_, s, _| s.old = Side { known: Known::Over, ..Side::default() },
+            |_, s, _| s.old = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
             (Done, &[0, 1, 2, 3], &[0, 1, 2, 3]),
         ),
     ];
@@ -289,17 +324,18 @@
         let (mut spec, mut seen, mut status) = (spec(), seen(old, new), status(phase, step, go, may));
         change(&mut spec, &mut seen, &mut status);
         let next = decide(&spec, &status, &seen).unwrap_or(status);
-        assert_eq!((next.phase, sets(&next)), (then, (then_go.to_vec(), then_may.to_vec())), "{name}: {}", next.why);
+        assert_eq!((next.phase, sets(&next)), (then, (then_go.to_vec(), then_may.to_vec())), "{name}: {}", next.reason);
     }
 }
 
 /// What speaks against the version, against machines, or against both versions.
 #[test]
 fn whose_fault_by_cases() {
-    use Phase::{GoingBack, Growing, Paused};
-    let on = |n: u32, t: &str| (format!("m{n}"), t.to_owned());
+    use RolloutPhase::{GoingBack, Growing, Paused};
+    let on = |n: u32, t: &str| failed_on(format!("m{n}"), t);
     // (name, failures of new and old, on these, suspected machines, change, phase, in the reason)
-    type Case<'a> = (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut Observation), Phase, &'a str);
+    type Case<'a> =
+        (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut RolloutObservation), RolloutPhase, &'a str);
     let three: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g4")];
     let one_type: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g8")];
     let cases: [Case; 12] = [
@@ -327,7 +363,7 @@
             "within 1800 s",
         ),
     ];
-    for (name, (failures, old), machines, quarantined, change, want, why) in cases {
+    for (name, (failures, old), machines, quarantined, change, want, reason) in cases {
         let mut seen = seen(&OLD, &[(0, "a", 5.0)]);
         (seen.new.failures, seen.old.failures) = (failures, old);
         let lately = machines.iter().map(|(n, t)| on(*n, t));
@@ -337,10 +373,10 @@
         change(&mut seen);
         let before = status(Growing, 0, &[], &[0]);
         let next = decide(&spec(), &before, &seen).unwrap_or(before);
-        let alike = |phase| if phase == Phase::Fetching { Growing } else { phase };
+        let alike = |phase| if phase == RolloutPhase::Fetching { Growing } else { phase };
         // The old version is whole: it is back at once.
-        let fits = alike(next.phase) == want || (want, next.phase) == (GoingBack, Phase::Back);
-        assert!(fits && next.why.contains(why), "{name}: {:?} {}", next.phase, next.why);
+        let fits = alike(next.phase) == want || (want, next.phase) == (GoingBack, RolloutPhase::Back);
+        assert!(fits && next.reason.contains(reason), "{name}: {:?} {}", next.phase, next.reason);
     }
 }
 
@@ -349,32 +385,34 @@
 fn failures_are_counted_once() {
     let mut seen = seen(&OLD, &[]);
     seen.new.failures = 3;
-    let mut against = FailureCounts::afresh(&seen);
-    against.count(&seen);
-    assert_eq!(against.new, 0, "failures of before the step");
+    let mut failure_counts = FailureCounts::start_counting(&seen);
+    failure_counts.count(&seen);
+    assert_eq!(failure_counts.new, 0, "failures of before the step");
     seen.new.failures = 5;
-    (0..2).for_each(|_| against.count(&seen));
-    assert_eq!(against.new, 2);
-    (seen.epoch, seen.new.failures) = (8, 1);
-    (0..2).for_each(|_| against.count(&seen));
-    assert_eq!(against.new, 3, "another leader's own");
+    (0..2).for_each(|_| failure_counts.count(&seen));
+    assert_eq!(failure_counts.new, 2);
+    (seen.fencing_token, seen.new.failures) = (8, 1);
+    (0..2).for_each(|_| failure_counts.count(&seen));
+    assert_eq!(failure_counts.new, 3, "another leader's own");
 }
 
 #[test]
 fn what_is_asked_by_cases() {
-    let stop = |status: &Status, seen: &Observation| asks(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)));
+    let stop = |status: &RolloutStatus, seen: &RolloutObservation| {
+        replica_intents(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)))
+    };
     let set = |of: &[u32]| of.iter().copied().collect::<BTreeSet<u32>>();
     let new = [(0, "a", 50.0)];
-    let growing = status(Phase::Growing, 0, &[3], &[0]);
+    let growing = status(RolloutPhase::Growing, 0, &[3], &[0]);
     assert_eq!(stop(&growing, &seen(&OLD, &new)), [Some((3, set(&[3]))), Some((1, set(&[1, 2, 3])))]);
     // Lost after it was decided: what still runs is left alone, what does not is not placed again.
     assert_eq!(stop(&growing, &seen(&OLD, &[]))[0], Some((4, set(&[]))));
     assert_eq!(stop(&growing, &seen(&OLD[..3], &[]))[0], Some((3, set(&[3]))));
-    assert_eq!(stop(&status(Phase::Paused, 0, &[3], &[0]), &seen(&OLD, &new))[0], Some((4, set(&[]))));
-    let planned = status(Phase::Planned, 0, &[], &[]);
+    assert_eq!(stop(&status(RolloutPhase::Paused, 0, &[3], &[0]), &seen(&OLD, &new))[0], Some((4, set(&[]))));
+    let planned = status(RolloutPhase::Planned, 0, &[], &[]);
     assert_eq!(stop(&planned, &seen(&OLD, &[])), [None, Some((0, set(&[])))], "nothing of it is placed yet");
-    assert_eq!(stop(&status(Phase::Refused, 0, &[], &[]), &seen(&OLD, &[])), [None, None]);
-    let done = status(Phase::Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let asked = asks(&spec(), &done, &seen(&[], &OLD));
+    assert_eq!(stop(&status(RolloutPhase::Refused, 0, &[], &[]), &seen(&OLD, &[])), [None, None]);
+    let done = status(RolloutPhase::Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]);
+    let asked = replica_intents(&spec(), &done, &seen(&[], &OLD));
     assert!(asked.into_iter().flatten().all(|a| !a.stay && !a.ahead), "over: its machines can be spared as any");
 }
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -8,11 +8,12 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::super::intents::asks;
-use super::super::observation::{Known, Observation, Replica, Side};
-use super::super::spec::{Bad, Spec, Wanted};
-use super::super::status::{Phase, Status};
+use super::super::intents::replica_intents;
+use super::super::observation::{JobPresence, ObservedJob, ObservedReplica, RolloutObservation};
+use super::super::spec::{FailureCriteria, RolloutGoal, RolloutSpec};
+use super::super::status::{FailedMachine, RolloutPhase, RolloutStatus};
 use super::super::step::{decide, min_available};
+use super::failed_on;
 
 /// Seconds after which a machine that is silent is not counted on, and after which it is returned.
 const UNHEARD: u64 = 8;
@@ -60,14 +61,14 @@
 
 #[derive(Debug, Clone)]
 struct Leader {
-    epoch: u64,
+    fencing_token: u64,
     frozen_from: u64,
     frozen_until: u64,
     heard: BTreeMap<Key, Heard>,
-    watch_cache: (Status, u64),
+    watch_cache: (RolloutStatus, u64),
     waits_until: u64,
     failures: [u64; 2],
-    lately: [Vec<(String, String)>; 2],
+    lately: [Vec<FailedMachine>; 2],
     well: [bool; 2],
 }
 
@@ -75,7 +76,7 @@
 enum Message {
     Heartbeat { to: usize, key: Key, attempt: u64, seq: u64, fencing_token: u64, machine: u64, state: State },
     Halt { key: Key, attempt: u64, machine: u64, fencing_token: u64 },
-    Store { status: Box<Status>, version: u64, epoch: u64 },
+    Store { status: Box<RolloutStatus>, version: u64, fencing_token: u64 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -97,15 +98,15 @@
     pub losses: bool,
     flaw: Flaw,
     /// The operator's words at these seconds.
-    words: Vec<(u64, Wanted)>,
+    words: Vec<(u64, RolloutGoal)>,
 }
 
 struct World {
     rng: StdRng,
     game: Game,
-    spec: Spec,
+    spec: RolloutSpec,
     now: u64,
-    stored: (Status, u64),
+    stored: (RolloutStatus, u64),
     assigned: u64,
     there: BTreeMap<Key, There>,
     bound: BTreeMap<Key, (u64, u64, usize)>,
@@ -120,12 +121,12 @@
     reached: bool,
     quiet: bool,
     pub stops: usize,
-    pub phases: Vec<Phase>,
+    pub phases: Vec<RolloutPhase>,
 }
 
 impl World {
     fn new(game: Game) -> Self {
-        let spec = Spec {
+        let spec = RolloutSpec {
             old: "run-1".into(),
             new: "run-2".into(),
             replicas: game.replicas,
@@ -134,16 +135,16 @@
             ready_s: Some(8.0),
             surge: game.surge,
             allow_gap: game.surge == 0,
-            bad: Bad { not_running_s: 60.0, ..Bad::default() },
-            wanted: Wanted::Forward,
-            word: 0,
+            bad: FailureCriteria { not_running_s: 60.0, ..FailureCriteria::default() },
+            goal: RolloutGoal::Forward,
+            request_no: 0,
         };
         spec.check().unwrap();
         let mut world = Self {
             rng: StdRng::seed_from_u64(game.seed),
             spec,
             now: 1000,
-            stored: (Status::default(), 0),
+            stored: (RolloutStatus::default(), 0),
             assigned: 0,
             there: BTreeMap::new(),
             bound: BTreeMap::new(),
@@ -187,7 +188,7 @@
             (*key, Heard { attempt, machine, zone, since: now, heard, running_since, stopping, fencing_token, seq })
         };
         self.leaders.push(Leader {
-            epoch: self.assigned,
+            fencing_token: self.assigned,
             frozen_from: 0,
             frozen_until: 0,
             heard: self.bound.iter().map(inherit).collect(),
@@ -227,8 +228,8 @@
         }
         self.there.insert(key, There { attempt, machine, zone, runs_at, fails_at, gone_at: None });
         self.bound.insert(key, (attempt, machine, zone));
-        let (epoch, now) = (self.assigned, self.now);
-        if let Some(leader) = self.leaders.iter_mut().find(|o| o.epoch == epoch) {
+        let (fencing_token, now) = (self.assigned, self.now);
+        if let Some(leader) = self.leaders.iter_mut().find(|o| o.fencing_token == fencing_token) {
             let (heard, running_since, stopping, fencing_token, seq) = (None, None, false, 0, 0);
             leader.heard.insert(
                 key,
@@ -319,7 +320,7 @@
                         .messages
                         .push((due, Message::Heartbeat { to, key, attempt, seq, fencing_token, machine, state }));
                 }
-                let (epoch, assigned) = (self.leaders[to].epoch, self.assigned);
+                let (leader_token, assigned) = (self.leaders[to].fencing_token, self.assigned);
                 let known = self.leaders[to].heard.get(&key).map(|h| (h.attempt, h.seq));
                 if known.is_none_or(|(a, s)| a != attempt || s >= seq) {
                     return;
@@ -329,9 +330,9 @@
                     leader.heard.remove(&key);
                     if state == State::Failed {
                         leader.failures[key.0] += 1;
-                        leader.lately[key.0].push((format!("m{machine}"), format!("t{}", machine % 2)));
+                        leader.lately[key.0].push(failed_on(format!("m{machine}"), &format!("t{}", machine % 2)));
                     }
-                    if epoch == assigned && self.bound.get(&key).is_some_and(|b| b.0 == attempt) {
+                    if leader_token == assigned && self.bound.get(&key).is_some_and(|b| b.0 == attempt) {
                         self.bound.remove(&key);
                     }
                     return;
@@ -339,9 +340,9 @@
                 // Answered at once: the fencing token is seen, and what is to stop is told.
                 if self.machine_lives(machine)
                     && !self.inbound_lost(machine)
-                    && epoch >= self.fencing_tokens.get(&machine).copied().unwrap_or(0)
+                    && leader_token >= self.fencing_tokens.get(&machine).copied().unwrap_or(0)
                 {
-                    self.fencing_tokens.insert(machine, epoch);
+                    self.fencing_tokens.insert(machine, leader_token);
                 }
                 let heard = self.leaders[to].heard.get_mut(&key).unwrap();
                 (heard.seq, heard.heard, heard.fencing_token) =
@@ -353,7 +354,7 @@
                     self.leaders[to].well[key.0] = true;
                 }
                 if self.leaders[to].heard[&key].stopping {
-                    self.send(0.15, Message::Halt { key, attempt, machine, fencing_token: epoch });
+                    self.send(0.15, Message::Halt { key, attempt, machine, fencing_token: leader_token });
                 }
             }
             Message::Halt { key, attempt, machine, fencing_token } => {
@@ -373,8 +374,8 @@
                 there.gone_at = Some(now + 2);
                 self.stops += usize::from(ran);
             }
-            Message::Store { status, version, epoch } => {
-                if epoch == self.assigned && version == self.stored.1 {
+            Message::Store { status, version, fencing_token } => {
+                if fencing_token == self.assigned && version == self.stored.1 {
                     if self.phases.last() != Some(&status.phase) {
                         self.phases.push(status.phase);
                     }
@@ -386,14 +387,14 @@
 
     /// A leader stops something that runs: beside what is meant to go, what is asked runs then, but for
     /// what was lost too lately for it to know.
-    fn judge_stop(&self, leader: &Leader, status: &Status, seen: &Observation) {
+    fn judge_stop(&self, leader: &Leader, status: &RolloutStatus, seen: &RolloutObservation) {
         let blind = if self.now <= leader.frozen_until + UNHEARD + 3 { leader.frozen_from } else { self.now };
         let since = blind.min(self.now - UNHEARD - 3);
         let lost = self.losses.iter().filter(|at| **at >= since).count();
         let runs = |key: &&Key| self.there[key].runs_at <= self.now && self.there[key].gone_at.is_none();
         let meant = |(side, index): &&Key| match side {
-            0 => !status.go_old.0.contains(index),
-            _ => status.may_new.0.contains(index),
+            0 => !status.stopping_old.0.contains(index),
+            _ => status.allowed_new.0.contains(index),
         };
         let running = self.there.keys().filter(runs).filter(meant).count();
         let (at, seed, min_available) = (self.now, self.game.seed, min_available(&self.spec, status, seen));
@@ -403,12 +404,12 @@
         );
     }
 
-    fn seen(&self, leader: &Leader) -> Observation {
+    fn seen(&self, leader: &Leader) -> RolloutObservation {
         let side = |which: usize, tasks: u32| {
             let replicas = leader.heard.iter().filter(|((side, _), _)| *side == which).map(|((_, index), h)| {
                 let heard = h.heard.is_some_and(|at| at + UNHEARD > self.now);
                 let running = h.running_since.is_some();
-                let replica = Replica {
+                let replica = ObservedReplica {
                     machine: format!("m{}", h.machine),
                     type_name: format!("t{}", h.machine % 2),
                     zone: format!("z{}", h.zone),
@@ -416,7 +417,7 @@
                     stopping: h.stopping,
                     heard,
                     leaving: false,
-                    sure: heard && running && h.fencing_token >= leader.epoch,
+                    sure: heard && running && h.fencing_token >= leader.fencing_token,
                     ran_s: h.running_since.map_or(0.0, |at| (self.now - at) as f64),
                     bound_s: (self.now - h.since) as f64,
                 };
@@ -424,11 +425,17 @@
             });
             let lately = leader.lately[which].iter().rev().take(16).rev().cloned().collect();
             let quarantined = leader.failures[which] >= 3 && !leader.well[which];
-            let (known, failures) = (Known::Open, leader.failures[which]);
-            Side { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, quarantined }
+            let (known, failures) = (JobPresence::Open, leader.failures[which]);
+            ObservedJob { known, tasks, replicas: replicas.collect(), failures, failed_lately: lately, quarantined }
         };
         let (old, new) = (side(0, self.game.old), side(1, self.game.replicas));
-        Observation { old, new, now_ms: self.now * 1000, epoch: leader.epoch, ..Observation::default() }
+        RolloutObservation {
+            old,
+            new,
+            now_ms: self.now * 1000,
+            fencing_token: leader.fencing_token,
+            ..RolloutObservation::default()
+        }
     }
 
     fn run_leader(&mut self, i: usize) {
@@ -436,7 +443,7 @@
             return;
         }
         let now = self.now;
-        let current = self.leaders[i].epoch == self.assigned;
+        let current = self.leaders[i].fencing_token == self.assigned;
         if self.quiet && !current {
             return;
         }
@@ -464,10 +471,10 @@
             && let Some(next) = decide(&self.spec, &status, &seen)
         {
             self.leaders[i].waits_until = now + 2;
-            let message = Message::Store { status: Box::new(next), version, epoch: leader.epoch };
+            let message = Message::Store { status: Box::new(next), version, fencing_token: leader.fencing_token };
             self.send(0.15, message);
         }
-        for (which, ask) in asks(&self.spec, &status, &seen).into_iter().enumerate() {
+        for (which, ask) in replica_intents(&self.spec, &status, &seen).into_iter().enumerate() {
             let Some(ask) = ask else { continue };
             let mine = |k: &&Key| k.0 == which;
             for key in leader.heard.keys().filter(mine).filter(|k| ask.stop.contains(&k.1)) {
@@ -478,7 +485,7 @@
                 let heard = self.leaders[i].heard.get_mut(key).unwrap();
                 if !std::mem::replace(&mut heard.stopping, true) {
                     let (attempt, machine) = (heard.attempt, heard.machine);
-                    self.send(0.15, Message::Halt { key: *key, attempt, machine, fencing_token: leader.epoch });
+                    self.send(0.15, Message::Halt { key: *key, attempt, machine, fencing_token: leader.fencing_token });
                 }
             }
             let tasks = if which == 0 { self.game.old } else { self.game.replicas };
@@ -523,9 +530,9 @@
 
     fn tick(&mut self) {
         self.now += 1;
-        let word = self.game.words.iter().find(|(at, _)| *at + 1000 == self.now).map(|(_, wanted)| *wanted);
-        if let Some(wanted) = word {
-            self.spec = self.spec.said(wanted);
+        let word = self.game.words.iter().find(|(at, _)| *at + 1000 == self.now).map(|(_, goal)| *goal);
+        if let Some(goal) = word {
+            self.spec = self.spec.with_goal(goal);
         }
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.messages).into_iter().partition(|(at, _)| *at <= self.now);
@@ -547,7 +554,7 @@
     }
 
     /// Trouble, then as long as it takes without any. Gives the last phase.
-    fn simulate(&mut self, troubled: u64) -> Phase {
+    fn simulate(&mut self, troubled: u64) -> RolloutPhase {
         for _ in 0..troubled {
             self.trouble();
             self.tick();
@@ -562,15 +569,15 @@
             let (phase, idle) =
                 (self.stored.0.phase, self.messages.iter().all(|(_, m)| matches!(m, Message::Heartbeat { .. })));
             let whole = self.running() >= self.spec.min_available().min(self.game.old) as usize;
-            if matches!(phase, Phase::Done | Phase::Back) && idle && whole && self.only_one_side(phase) {
+            if matches!(phase, RolloutPhase::Done | RolloutPhase::Back) && idle && whole && self.only_one_side(phase) {
                 return phase;
             }
         }
         panic!("seed {}: no end, {:?}, {} run, {:?}", self.game.seed, self.stored, self.running(), self.there);
     }
 
-    fn only_one_side(&self, phase: Phase) -> bool {
-        let gone = if phase == Phase::Done { 0 } else { 1 };
+    fn only_one_side(&self, phase: RolloutPhase) -> bool {
+        let gone = if phase == RolloutPhase::Done { 0 } else { 1 };
         !self.there.keys().any(|(side, _)| *side == gone)
     }
 }
@@ -586,7 +593,7 @@
     let (mut stops, mut leaders) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(game(seed));
-        assert_eq!(world.simulate(400), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(400), RolloutPhase::Done, "seed {seed}");
         (stops, leaders) = (stops + world.stops, leaders + world.leaders.len());
     }
     assert!(stops >= 240 && leaders > 200, "{stops} stops, {leaders} leaders");
@@ -598,7 +605,7 @@
     let mut lost = 0;
     for seed in 0..60 {
         let mut world = World::new(Game { losses: true, zones: 3, surge: 2, replicas: 6, old: 6, ..game(seed) });
-        assert_eq!(world.simulate(500), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(500), RolloutPhase::Done, "seed {seed}");
         lost += world.losses.len();
     }
     assert!(lost > 100, "{lost} lost");
@@ -612,7 +619,7 @@
             let wide = if flaw == Flaw::OneType { 9 } else { 4 };
             let of = Game { replicas: wide, old: wide, surge: wide / 3, steps: vec![], ..game(seed) };
             let mut world = World::new(Game { flaw, ..of });
-            assert_eq!(world.simulate(300), Phase::Back, "{flaw:?} seed {seed}: {:?}", world.stored.0);
+            assert_eq!(world.simulate(300), RolloutPhase::Back, "{flaw:?} seed {seed}: {:?}", world.stored.0);
         }
     }
 }
@@ -624,13 +631,13 @@
     for seed in 0..100 {
         let mut rng = StdRng::seed_from_u64(seed);
         let word = |n: u64, rng: &mut StdRng| {
-            let wanted = [Wanted::Back, Wanted::Forward, Wanted::Paused][rng.random_range(0..3)];
-            (n * 30 + rng.random_range(0..30), wanted)
+            let goal = [RolloutGoal::Back, RolloutGoal::Forward, RolloutGoal::Paused][rng.random_range(0..3)];
+            (n * 30 + rng.random_range(0..30), goal)
         };
-        let mut words: Vec<(u64, Wanted)> = (1..18).map(|n| word(n, &mut rng)).collect();
-        words.push((560, Wanted::Forward));
+        let mut words: Vec<(u64, RolloutGoal)> = (1..18).map(|n| word(n, &mut rng)).collect();
+        words.push((560, RolloutGoal::Forward));
         let mut world = World::new(Game { words, losses: seed % 4 == 0, ..game(seed) });
-        assert_eq!(world.simulate(600), Phase::Done, "seed {seed}");
+        assert_eq!(world.simulate(600), RolloutPhase::Done, "seed {seed}");
     }
 }
 
@@ -649,6 +656,6 @@
     ) {
         let (old, surge) = (replicas + more, surge.min(replicas));
         let mut world = World::new(Game { replicas, old, steps: vec![step], surge, zones, losses, ..game(seed) });
-        prop_assert_eq!(world.simulate(150), Phase::Done);
+        prop_assert_eq!(world.simulate(150), RolloutPhase::Done);
     }
 }
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -1,16 +1,16 @@
 //! Whether failures of new replicas are due to the new version, to machines, or to something by which old replicas
 //! fail as often.
 
-use super::observation::Observation;
-use super::spec::{MOST_MACHINES, Spec};
-use super::status::{FailedOn, FailureCounts};
+use super::observation::RolloutObservation;
+use super::spec::{MAX_MACHINES, RolloutSpec};
+use super::status::{FailedMachine, FailureCounts};
 
 /// The old version fails alike if it fails at least half as often as the new one, and so often.
 const OLD_FAILS_TOO: u64 = 2;
 
 /// Why a step of a rollout is not to go on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum VersionVerdict {
     /// The new version is bad, and why.
     Version(String),
     /// Old and new fail alike: neither a reason to go back nor one to go on.
@@ -19,26 +19,27 @@
 
 impl FailureCounts {
     /// Nothing is held against a step that begins now.
-    pub fn afresh(seen: &Observation) -> Self {
+    pub fn start_counting(seen: &RolloutObservation) -> Self {
         let (counted_new, counted_old) = (seen.new.failures, seen.old.failures);
-        Self { epoch: seen.epoch, counted_new, counted_old, ..Self::default() }
+        Self { fencing_token: seen.fencing_token, counted_new, counted_old, ..Self::default() }
     }
 
     /// Adds what has failed since the last look. A leader counts from none, so that nothing is counted
     /// twice, and what an earlier leader heard and did not store is lost.
-    pub fn count(&mut self, seen: &Observation) {
-        let same = self.epoch == seen.epoch;
+    pub fn count(&mut self, seen: &RolloutObservation) {
+        let same = self.fencing_token == seen.fencing_token;
         let since = |all: u64, counted: u64| if same { all.saturating_sub(counted) } else { all };
         let new = since(seen.new.failures, self.counted_new);
         let old = since(seen.old.failures, self.counted_old);
         if new + old > 0 {
             (self.new, self.old) = (self.new + new, self.old + old);
-            (self.epoch, self.counted_new, self.counted_old) = (seen.epoch, seen.new.failures, seen.old.failures);
+            (self.fencing_token, self.counted_new, self.counted_old) =
+                (seen.fencing_token, seen.new.failures, seen.old.failures);
         }
-        for (machine, type_name) in seen.new.failed_lately.iter().rev().take(new as usize) {
-            if self.failed_on.len() < MOST_MACHINES as usize && self.failed_on.iter().all(|f| f.machine != *machine) {
-                let (machine, type_name) = (machine.clone(), type_name.clone());
-                self.failed_on.push(FailedOn { machine, type_name, faulty: false });
+        for failed in seen.new.failed_lately.iter().rev().take(new as usize) {
+            let is_new = self.failed_on.iter().all(|other| other.machine != failed.machine);
+            if self.failed_on.len() < MAX_MACHINES as usize && is_new {
+                self.failed_on.push(failed.clone());
             }
         }
         // Where other work fails as well, the machine explains it, also once it is given up.
@@ -48,19 +49,24 @@
     }
 
     /// What has failed so far in this step.
-    pub fn judge(&self, spec: &Spec, seen: &Observation, may_new: &std::collections::BTreeSet<u32>) -> Option<Verdict> {
-        let sound: Vec<&FailedOn> = self.failed_on.iter().filter(|f| !f.faulty).collect();
+    pub fn judge_version(
+        &self,
+        spec: &RolloutSpec,
+        seen: &RolloutObservation,
+        allowed_new: &std::collections::BTreeSet<u32>,
+    ) -> Option<VersionVerdict> {
+        let sound: Vec<&FailedMachine> = self.failed_on.iter().filter(|f| !f.faulty).collect();
         let bad = &spec.bad;
         let late = seen.new.replicas.iter().filter(|(i, r)| {
-            may_new.contains(i) && r.heard && !r.running && !r.stopping && r.bound_s >= bad.not_running_s
+            allowed_new.contains(i) && r.heard && !r.running && !r.stopping && r.bound_s >= bad.not_running_s
         });
         let late: std::collections::BTreeSet<&str> = late.map(|(_, r)| r.machine.as_str()).collect();
         // One machine may be the reason, unless there is no other to compare it with.
-        if !late.is_empty() && late.len() >= may_new.len().min(2) {
-            let why = format!("{} of its replicas did not run within {} s", late.len(), bad.not_running_s);
-            return Some(Verdict::Version(why));
+        if !late.is_empty() && late.len() >= allowed_new.len().min(2) {
+            let reason = format!("{} of its replicas did not run within {} s", late.len(), bad.not_running_s);
+            return Some(VersionVerdict::Version(reason));
         }
-        let why = if sound.len() >= bad.failures as usize {
+        let reason = if sound.len() >= bad.failures as usize {
             let types: std::collections::BTreeSet<&str> = sound.iter().map(|f| f.type_name.as_str()).collect();
             let one = types.first().filter(|_| types.len() == 1).map(|t| format!(", all of type {t}"));
             format!("failed on {} different machines{}", sound.len(), one.unwrap_or_default())
@@ -72,8 +78,11 @@
             return None;
         };
         if self.old >= OLD_FAILS_TOO && self.old * 2 >= self.new {
-            return Some(Verdict::Both(format!("{why}, and the old one failed {} times meanwhile", self.old)));
+            return Some(VersionVerdict::Both(format!(
+                "{reason}, and the old one failed {} times meanwhile",
+                self.old
+            )));
         }
-        Some(Verdict::Version(why))
+        Some(VersionVerdict::Version(reason))
     }
 }
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -12,7 +12,7 @@
 use super::{Change, Condition};
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
-use crate::declarations::driver::{self, Write};
+use crate::declarations::driver::{self, StatusWrite};
 use crate::declarations::records::{spec_key, status_key};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
@@ -103,7 +103,8 @@
         let version = |key: String| self.store.version(&key);
         let (spec_version, status_version) =
             (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
-        let write = [Write { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
+        let write =
+            [StatusWrite { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -331,8 +331,8 @@
             if loading.control.put(&item.path, &item.value, item.version) {
                 continue;
             }
-            if records::declared(&item.path) {
-                loading.registry.put(&item.path, &item.value, item.version);
+            if records::is_declaration_key(&item.path) {
+                loading.registry.put_key(&item.path, &item.value, item.version);
                 continue;
             }
             let Some(id) = item.path.strip_prefix(OPEN) else { continue };
@@ -347,7 +347,7 @@
     /// The last page was taken in: whatever was not among them has ended.
     pub fn loaded(&mut self, loading: Loading) -> News {
         let gone: Vec<JobId> = self.open.keys().filter(|id| !loading.seen.contains(*id)).cloned().collect();
-        let declared = self.registry.replace(loading.registry, self.revision == 0);
+        let declared = self.registry.replace_with(loading.registry, self.revision == 0);
         let mut news = News { leadership: true, declared, ..News::default() };
         for id in gone {
             self.end(&id, self.revision, loading.newest, &mut news);
@@ -377,16 +377,16 @@
         if let Some(path) = &event.write {
             if self.control.put(path, &event.value, event.version) {
                 news.leadership = true;
-            } else if records::declared(path) {
-                news.declared |= self.registry.put(path, &event.value, event.version);
+            } else if records::is_declaration_key(path) {
+                news.declared |= self.registry.put_key(path, &event.value, event.version);
             } else if let Some(id) = path.strip_prefix(OPEN) {
                 self.put(id, path, &event.value, news);
             }
         } else if let Some(path) = &event.drop {
             if self.control.drop(path) {
                 news.leadership = true;
-            } else if records::declared(path) {
-                news.declared |= self.registry.drop_key(path, event.version);
+            } else if records::is_declaration_key(path) {
+                news.declared |= self.registry.remove_key(path, event.version);
             } else if let Some(id) = path.strip_prefix(OPEN) {
                 self.end(id, event.version.saturating_sub(1), event.version, news);
             }
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::declarations::DeclarationKind;
+use crate::declarations::{DeclarationKind, Versioned};
 use crate::jobs::record::open_key;
 use crate::jobs::tests::spec;
 use crate::store::client::Item;
@@ -88,12 +88,18 @@
     let (spec, status) = ("c/s/window/w", "c/t/window/w");
     let (_, news) = watch_cache.apply(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5));
     assert_eq!(news, News { declared: true, ..News::default() });
-    assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 1}), 5)));
+    assert_eq!(
+        watch_cache.registry().raw_status(DeclarationKind::Window, "w"),
+        Some(Versioned { value: json!({"n": 1}), version: 5 })
+    );
     // Read anew, and response from its first page on: what a later page had already is passed over.
     let pages = vec![page(vec![opened(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
     assert!(read_whole(&mut watch_cache, pages).declared);
     watch_cache.apply(&response(vec![write(status, 2, 7), write(status, 3, 8)], 8));
-    assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 3}), 8)));
+    assert_eq!(
+        watch_cache.registry().raw_status(DeclarationKind::Window, "w"),
+        Some(Versioned { value: json!({"n": 3}), version: 8 })
+    );
     let told: Vec<_> = watch_cache.registry_mut().take_status_changes().into_iter().map(|c| c.after()).collect();
     assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
     let drop = Event { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -9,17 +9,16 @@
 use std::process::Command;
 use std::time::Duration;
 
-use hollylanding::declarations::operator::{Failed, Operator};
+use hollylanding::declarations::operator::{NoAnswer, Operator, OperatorError, Refusal};
 use hollylanding::declarations::table::KindOperations;
 use hollylanding::declarations::{
-    DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError, VerbOutcome,
+    DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NoEvent, SpecError, VerbOutcome,
 };
 use hollylanding::scheduling::intents::Intents;
 use hollylanding::settings::Settings;
 use serde::{Deserialize, Serialize};
 use stand_in::{World, open_world, settings};
 use tokio::runtime::Runtime;
-use tracing::Level;
 
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -35,6 +34,7 @@
     const KIND: DeclarationKind = DeclarationKind::Window;
     type Spec = Plan;
     type Status = bool;
+    type Event = NoEvent;
 
     fn check_spec(spec: &Plan, names: &KnownNames) -> Result<(), SpecError> {
         let known = names.teams.iter().any(|team| team.name == spec.team);
@@ -47,7 +47,7 @@
     fn describe(_: &str, spec: &Plan, _: &bool, _: u64) -> Vec<String> {
         vec![format!("team {}{}", spec.team, if spec.paused { ", paused" } else { "" })]
     }
-    fn status_events(_: &str, _: &bool, _: &bool) -> Vec<(Level, String)> {
+    fn status_events(_: &bool, _: &bool) -> Vec<NoEvent> {
         Vec::new()
     }
     fn apply_verb(verb: &str, spec: &Plan, _: &bool, _: u64) -> Result<VerbOutcome<Plan>, SpecError> {
@@ -65,6 +65,18 @@
     Operator::new(settings, &KINDS, patience)
 }
 
+fn texts(refusals: &[Refusal]) -> Vec<String> {
+    refusals.iter().map(ToString::to_string).collect()
+}
+
+/// The reasons for which a verb was refused.
+fn refusals<T: std::fmt::Debug>(outcome: Result<T, OperatorError>) -> Vec<String> {
+    match outcome {
+        Err(OperatorError::Refused(refusals)) => texts(&refusals),
+        other => panic!("{other:?}"),
+    }
+}
+
 fn changes(world: &World) -> u64 {
     world.state.lock().unwrap().changes
 }
@@ -92,16 +104,16 @@
         (&large, Some("w: spec: 9011 bytes are more than the 8192 that can be stored")),
         ("{", Some("EOF while parsing an object at line 1 column 1")),
     ] {
-        let read = operator.read_list(DeclarationKind::Window, text);
+        let read = operator.parse_specs(DeclarationKind::Window, text);
         let problems = match read {
             Ok(_) => None,
-            Err(Failed::Refused(problems)) => Some(problems),
+            Err(OperatorError::Refused(refusals)) => Some(texts(&refusals)),
             Err(other) => panic!("{other:?}"),
         };
         assert_eq!(problems, want.map(|w| vec![w.to_owned()]), "{}", &text[..text.len().min(80)]);
     }
-    let other = operator.read_list(DeclarationKind::Rollout, "{}");
-    assert_eq!(other, Err(Failed::Refused(vec!["kind: this build carries out no rollout".into()])));
+    let other = operator.parse_specs(DeclarationKind::Rollout, "{}");
+    assert_eq!(refusals(other), ["kind: this build carries out no rollout"]);
 }
 
 #[test]
@@ -112,27 +124,27 @@
         let operator = operator(&door, Duration::from_secs(20));
         let state = |key: &str| world.state.lock().unwrap().store.value(key).cloned();
         let two = r#"[{"name":"v","team":"blue"},{"name":"w","team":"blue"}]"#;
-        let specs = operator.read_list(DeclarationKind::Window, two).unwrap();
+        let specs = operator.parse_specs(DeclarationKind::Window, two).unwrap();
         // Carried out and not answered: it is found to stand, and is not written again.
         world.state.lock().unwrap().faults.unanswered = 1;
         assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), ["v", "w"]);
         let once = changes(&world);
         assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), [""; 0], "is so already");
         assert_eq!(changes(&world), once);
-        operator.act(DeclarationKind::Window, "pause", "w", "").await.unwrap();
+        operator.apply_verb(DeclarationKind::Window, "pause", "w", "").await.unwrap();
         let shown = operator.show(None, None).await.unwrap();
         let lines: Vec<&str> = shown.iter().flat_map(|s| s.lines.iter().map(String::as_str)).collect();
         assert_eq!(lines, ["team blue", "team blue, paused"]);
         // Refused, with nothing written.
         let before = changes(&world);
-        let again = operator.act(DeclarationKind::Window, "pause", "w", "").await;
-        assert_eq!(again, Err(Failed::Refused(vec!["verb: \"pause\" is not to be done".into()])));
+        let again = operator.apply_verb(DeclarationKind::Window, "pause", "w", "").await;
+        assert_eq!(refusals(again), ["verb: \"pause\" is not to be done"]);
         let none = operator.remove(DeclarationKind::Window, "u").await;
-        assert_eq!(none, Err(Failed::Refused(vec!["name: no window \"u\" is declared".into()])));
+        assert_eq!(refusals(none), ["name: no window \"u\" is declared"]);
         let many: String = (0..999).map(|n| format!(r#"{{"name":"x{n}","team":"blue"}},"#)).collect();
-        let many = operator.read_list(DeclarationKind::Window, &format!("[{}]", many.trim_end_matches(','))).unwrap();
+        let many = operator.parse_specs(DeclarationKind::Window, &format!("[{}]", many.trim_end_matches(','))).unwrap();
         assert!(
-            matches!(operator.declare(DeclarationKind::Window, &many).await, Err(Failed::Refused(_))),
+            matches!(operator.declare(DeclarationKind::Window, &many).await, Err(OperatorError::Refused(_))),
             "with the two: 1001"
         );
         assert_eq!(changes(&world), before);
@@ -148,7 +160,8 @@
             Duration::from_millis(1),
         );
         let failed = hasty.declare(DeclarationKind::Window, &specs).await;
-        assert_eq!(failed, Err(Failed::NoAnswer("still being removed: c/t/window/w".into())));
+        let Err(OperatorError::NoAnswer(why @ NoAnswer::StillBeingRemoved(_))) = failed else { panic!("{failed:?}") };
+        assert_eq!(why.to_string(), "still being removed: c/t/window/w");
         let vanished = world.state.lock().unwrap().store.vanish("c/t/window/w", 1);
         assert_eq!(vanished.len(), 1);
         assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), ["w"]);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -44,8 +44,8 @@
         "cloud order" => cloud_order,
         "window spec" => stored::<<calendar::Window as DeclarationLogic>::Spec>,
         "window status" => stored::<<calendar::Window as DeclarationLogic>::Status>,
-        "heat spec" => stored::<<heat::Rule as DeclarationLogic>::Spec>,
-        "heat status" => stored::<<heat::Rule as DeclarationLogic>::Status>,
+        "heat spec" => stored::<<heat::HeatRule as DeclarationLogic>::Spec>,
+        "heat status" => stored::<<heat::HeatRule as DeclarationLogic>::Status>,
         "reading spec" => stored::<<heat::Reading as DeclarationLogic>::Spec>,
         "rollout spec" => stored::<<rollouts::Rollout as DeclarationLogic>::Spec>,
         "rollout status" => stored::<<rollouts::Rollout as DeclarationLogic>::Status>,
@@ -140,8 +140,8 @@
     for entry in fixtures::entries("declared.json") {
         let form = entry["form"].as_str().unwrap();
         let Some(word) = form.strip_suffix(" spec") else { continue };
-        let kind = KINDS.iter().find(|kind| kind.kind == DeclarationKind::of_word(word).unwrap()).unwrap();
-        let written = (kind.declared)(&entry["value"], Some(&entry["value"]), 0).unwrap();
+        let kind = KINDS.iter().find(|kind| kind.kind == DeclarationKind::from_name(word).unwrap()).unwrap();
+        let written = (kind.spec_to_store)(&entry["value"], Some(&entry["value"]), 0).unwrap();
         let mut wanted = round_trip(form)(&entry["value"]).unwrap();
         for by_the_writer in ["declared_ms", "confirmed", "wanted", "word"] {
             if let Some(value) = written.get(by_the_writer) {
