--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hollylanding_protocol as protocol;
-use hollylanding_protocol::cloud::{Names, Rental};
+use hollylanding_protocol::cloud::{MachineNames, ProvisioningRequest};
 use hollylanding_protocol::workers::WorkerCommands;
 use salvo::conn::tcp::TcpListener;
 use salvo::http::StatusCode;
@@ -172,15 +172,15 @@
         let answer = match (path, req.method().as_str()) {
             ("/catalog", _) => serde_json::to_value(cloud.catalog(now)),
             ("/rentals", "POST") => {
-                let rental: Rental = serde_json::from_value(body).map_err(malformed)?;
-                serde_json::to_value(Names { machines: cloud.rent(&rental, now)? })
+                let rental: ProvisioningRequest = serde_json::from_value(body).map_err(malformed)?;
+                serde_json::to_value(MachineNames { machines: cloud.rent(&rental, now)? })
             }
             ("/rentals/return", _) => {
-                let names: Names = serde_json::from_value(body).map_err(malformed)?;
+                let names: MachineNames = serde_json::from_value(body).map_err(malformed)?;
                 let held = cloud.give_back(&names.machines, now)?;
                 drop(cloud);
                 world.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.gone(name, now)));
-                serde_json::to_value(Names { machines: held })
+                serde_json::to_value(MachineNames { machines: held })
             }
             _ => {
                 let most = param(req, "most").parse().unwrap_or(usize::MAX).min(world.params.page_most);
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -6,7 +6,7 @@
 
 use hollylanding_protocol::jobs::{JobId, JobSpec, Shape};
 use hollylanding_protocol::users::Status;
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 
 use super::answers::{PollCounts, Unanswered};
 use super::verdict::{JobResult, largest};
@@ -156,8 +156,8 @@
                 self.write(at, &task.job, format!("{}/{} ended on {machine}: {cause:?}", task.index, attempt));
                 self.leave(at, task, *attempt, machine);
                 match cause {
-                    Cause::Done => self.deliver(task),
-                    Cause::Stopped => self.stopped(at, task),
+                    ExitCause::Done => self.deliver(task),
+                    ExitCause::Stopped => self.stopped(at, task),
                     _ => {}
                 }
             }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -1,7 +1,7 @@
 use super::verdict::{JobResult, largest};
 use super::*;
 use hollylanding_protocol::jobs::{Shape, Urgency};
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 use serde_json::json;
 
 fn spec(id: &str) -> JobSpec {
@@ -45,7 +45,7 @@
     entry(at, Event::Machine(Happening::Started { task: task(job, index), attempt, machine: machine.into() }))
 }
 
-fn ended(at: f64, job: &str, index: u32, attempt: u64, machine: &str, cause: Cause) -> Entry {
+fn ended(at: f64, job: &str, index: u32, attempt: u64, machine: &str, cause: ExitCause) -> Entry {
     let task = task(job, index);
     entry(at, Event::Machine(Happening::Ended { task, attempt, machine: machine.into(), cause }))
 }
@@ -89,15 +89,15 @@
         lost(3.5, 1, "m2"),
         started(4.0, "run-1", 1, 2, "m1"),
         told(5.0, "run-1", Ask::Status, 200, Status::Running),
-        ended(8.0, "run-1", 0, 1, "m1", Cause::Done),
-        ended(9.0, "run-1", 1, 2, "m1", Cause::Done),
+        ended(8.0, "run-1", 0, 1, "m1", ExitCause::Done),
+        ended(9.0, "run-1", 1, 2, "m1", ExitCause::Done),
         told(10.0, "run-1", Ask::Status, 200, Status::Done),
         entry(11.0, Event::Submitted(Arc::new(spec("run-2")))),
         told(12.0, "run-2", Ask::Submit, 201, Status::Pending),
         started(13.0, "run-2", 0, 1, "m1"),
         entry(14.0, Event::CancellationAsked("run-2".into())),
         told(15.0, "run-2", Ask::Cancel, 200, Status::Cancelled),
-        ended(16.0, "run-2", 0, 1, "m1", Cause::Stopped),
+        ended(16.0, "run-2", 0, 1, "m1", ExitCause::Stopped),
         entry(17.0, Event::Answered { job: "run-9".into(), ask: Ask::Status, code: Some(404), status: None }),
         told(60.0, "run-2", Ask::Status, 200, Status::Cancelled),
     ]
@@ -132,7 +132,7 @@
         ("running again", |h| h.push(told(62.0, "run-1", Ask::Status, 200, Status::Running)), Rule::WentBack),
         ("nobody asked", |h| drop(h.remove(19)), Rule::WentBack),
         ("from one end to another", |h| h[23] = told(60.0, "run-2", Ask::Status, 200, Status::Done), Rule::WentBack),
-        ("stopped with too few", |h| h.insert(13, ended(5.5, "run-1", 0, 1, "m1", Cause::Stopped)), Rule::Gap),
+        ("stopped with too few", |h| h.insert(13, ended(5.5, "run-1", 0, 1, "m1", ExitCause::Stopped)), Rule::Gap),
         (
             "asked for 80 s once all is well",
             |h| {
@@ -162,7 +162,7 @@
                 h.insert(7, told(0.6, "run-3", Ask::Submit, 201, Status::Pending));
                 (0..24).for_each(|n| {
                     h.push(started(61.0, "run-1", 9, 9 + n, "m1"));
-                    h.push(ended(61.0, "run-1", 9, 9 + n, "m1", Cause::Error));
+                    h.push(ended(61.0, "run-1", 9, 9 + n, "m1", ExitCause::Error));
                 });
             },
             Rule::Vents,
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use hollylanding_protocol::cloud::{Catalog, ListPage, Listed, MachineType, Rental};
+use hollylanding_protocol::cloud::{Catalog, CloudMachine, MachinePage, MachineType, ProvisioningRequest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -219,7 +219,7 @@
     }
 
     /// `POST /rentals`
-    pub fn rent(&mut self, rental: &Rental, now: Duration) -> Result<Vec<String>, Refusal> {
+    pub fn rent(&mut self, rental: &ProvisioningRequest, now: Duration) -> Result<Vec<String>, Refusal> {
         if let Some(names) = self.charters.get(&rental.request) {
             return Ok(names.clone());
         }
@@ -244,7 +244,7 @@
         Ok(names)
     }
 
-    fn begin(&mut self, of: &MachineType, rental: &Rental, now: Duration) -> String {
+    fn begin(&mut self, of: &MachineType, rental: &ProvisioningRequest, now: Duration) -> String {
         let name = format!("host-{:06}", self.next);
         self.next += 1;
         let usual = of.boot_s * self.rng.random_range(0.6..1.5);
@@ -308,7 +308,7 @@
     }
 
     /// `GET /rentals?since=&most=`: as of some time ago, and not always the same time.
-    pub fn list(&mut self, since: &str, most: usize, now: Duration) -> ListPage {
+    pub fn list(&mut self, since: &str, most: usize, now: Duration) -> MachinePage {
         let view = now.saturating_sub(self.params.list_lag.mul_f64(self.rng.random_range(0.0..2.0)));
         let shown =
             |m: &Machine| now >= m.rented + m.shown_after && m.gone.is_none_or(|gone| now < gone + m.hidden_after);
@@ -325,7 +325,7 @@
             } else {
                 "starting"
             };
-            machines.push(Listed {
+            machines.push(CloudMachine {
                 id: name.clone(),
                 addr: m.addr.clone(),
                 type_name: m.type_name.clone(),
@@ -335,7 +335,7 @@
                 held_s: view.saturating_sub(m.rented).as_secs_f64(),
             });
         }
-        ListPage { machines, more: later.peek().is_some() }
+        MachinePage { machines, more: later.peek().is_some() }
     }
 
     /// A machine stops with all that is on it. It stays listed until it is returned.
--- a/crates/emulator/src/world/cloud/tests.rs
+++ b/crates/emulator/src/world/cloud/tests.rs
@@ -31,15 +31,15 @@
     Cloud::new(params, 7)
 }
 
-fn rental(request: &str, spot: bool, count: u64) -> Rental {
-    Rental { request: request.into(), type_name: "g8".into(), zone: "a".into(), spot, count }
+fn rental(request: &str, spot: bool, count: u64) -> ProvisioningRequest {
+    ProvisioningRequest { request: request.into(), type_name: "g8".into(), zone: "a".into(), spot, count }
 }
 
 #[test]
 fn rentals_by_cases() {
     let mut cloud = cloud(|_| ());
-    let mut of = |rental: &Rental| cloud.rent(rental, s(1)).map(|names| names.len());
-    let strange = Rental { type_name: "g9".into(), ..rental("x", false, 1) };
+    let mut of = |rental: &ProvisioningRequest| cloud.rent(rental, s(1)).map(|names| names.len());
+    let strange = ProvisioningRequest { type_name: "g9".into(), ..rental("x", false, 1) };
     for (name, rental, want) in [
         ("as many as asked", rental("r1", false, 50), Ok(50)),
         ("only partly filled", rental("r2", false, 50), Ok(10)),
@@ -48,7 +48,7 @@
         ("too many", rental("r5", true, 51), Err((400, "count is 1 to 50"))),
         ("none asked", rental("r6", true, 0), Err((400, "count is 1 to 50"))),
         ("no such type", strange, Err((400, "no such type"))),
-        ("another zone", Rental { zone: "b".into(), ..rental("r7", true, 1) }, Err((503, "no capacity"))),
+        ("another zone", ProvisioningRequest { zone: "b".into(), ..rental("r7", true, 1) }, Err((503, "no capacity"))),
     ] {
         assert_eq!(of(&rental).map_err(|r| r.wire()), want, "{name}");
     }
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -18,7 +18,7 @@
 
 use hollylanding_protocol::cloud::MachineType;
 use hollylanding_protocol::jobs::{JobId, JobSpec};
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 
 use gangs::{GangAttempt, Stop};
 use heartbeats::ReportCopy;
@@ -85,7 +85,7 @@
         /// The machine.
         machine: String,
         /// Why it ended.
-        cause: Cause,
+        cause: ExitCause,
     },
     /// The attempt was lost with its machine, or with the agent's epoch.
     Lost {
@@ -173,7 +173,7 @@
 
     /// Machines on which a finished task waits to be reaped.
     pub fn holders(&self) -> impl Iterator<Item = &String> {
-        let holds = |w: &Worker| w.tasks.iter().any(|t| matches!(t.state, TaskState::Ended(Cause::Done, _)));
+        let holds = |w: &Worker| w.tasks.iter().any(|t| matches!(t.state, TaskState::Ended(ExitCause::Done, _)));
         self.workers.iter().filter(move |(_, w)| holds(w)).map(|(name, _)| name)
     }
 
--- a/crates/emulator/src/world/fleet/gangs.rs
+++ b/crates/emulator/src/world/fleet/gangs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hollylanding_protocol::jobs::JobId;
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 
 use super::Fleet;
 use super::worker::{Task, TaskState, Worker};
@@ -118,7 +118,7 @@
                 task.state = TaskState::Running;
                 task.progress = progress;
             } else if now.saturating_sub(since) > gang_wait {
-                self.end(&member.machine, member.index, Cause::Alone, false);
+                self.end(&member.machine, member.index, ExitCause::Alone, false);
             }
         }
     }
@@ -136,7 +136,7 @@
         }
         for member in members {
             let was_told = self.member(member).is_some_and(|(_, task)| matches!(task.state, TaskState::Saving(_)));
-            let cause = if was_told { Cause::Stopped } else { Cause::Peers };
+            let cause = if was_told { ExitCause::Stopped } else { ExitCause::Peers };
             self.end(&member.machine, member.index, cause, saved);
         }
     }
@@ -149,7 +149,7 @@
         }
         for member in members {
             if self.member(member).is_some_and(|(worker, _)| worker.awake(now)) {
-                self.end(&member.machine, member.index, Cause::Peers, false);
+                self.end(&member.machine, member.index, ExitCause::Peers, false);
             }
         }
     }
--- a/crates/emulator/src/world/fleet/heartbeats.rs
+++ b/crates/emulator/src/world/fleet/heartbeats.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use hollylanding_protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommands};
+use hollylanding_protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommands};
 
 use super::worker::{Task, TaskState};
 use super::{ANSWER_TAKEN, Fleet};
@@ -44,7 +44,7 @@
 /// An attempt whose launch was refused because the worker knows no such job or task.
 fn unknown_attempt((task, attempt): &(TaskKey, u64)) -> AttemptReport {
     let (task, attempt) = (task.clone(), *attempt);
-    AttemptReport { task, attempt, status: AttemptStatus::Exited, cause: Some(Cause::Unknown), saved: None }
+    AttemptReport { task, attempt, status: AttemptStatus::Exited, cause: Some(ExitCause::Unknown), saved: None }
 }
 
 /// A number from 0 to 1 that depends on the heartbeat alone.
--- a/crates/emulator/src/world/fleet/orders.rs
+++ b/crates/emulator/src/world/fleet/orders.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_protocol::workers::{Cause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands};
+use hollylanding_protocol::workers::{ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands};
 
 use super::worker::{Task, TaskState};
 use super::{Fleet, Happening, Upload};
@@ -56,9 +56,9 @@
             return;
         };
         let state = if worker.tasks.iter().any(|task| task.key == *key && task.live()) {
-            TaskState::Ended(Cause::Busy, false)
+            TaskState::Ended(ExitCause::Busy, false)
         } else if !worker.has_room(&job.spec) {
-            TaskState::Ended(Cause::NoRoom, false)
+            TaskState::Ended(ExitCause::NoRoom, false)
         } else {
             worker.use_image(&job.spec.image, job.spec.image_gb);
             TaskState::Fetching
@@ -81,12 +81,12 @@
             }
             // Only a second order without any time ends an attempt that saves.
             TaskState::Saving(_) if grace_s > 0 => {}
-            _ => self.end(name, index, Cause::Stopped, false),
+            _ => self.end(name, index, ExitCause::Stopped, false),
         }
     }
 
     /// An attempt ends. Unless its progress was saved (`kept`), it is lost but for the last periodic checkpoint.
-    pub(super) fn end(&mut self, name: &str, index: usize, cause: Cause, kept: bool) {
+    pub(super) fn end(&mut self, name: &str, index: usize, cause: ExitCause, kept: bool) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if index >= worker.tasks.len() {
             return;
@@ -94,7 +94,7 @@
         let mut task = worker.tasks.remove(index);
         if kept {
             self.saved.insert(task.save_key(), task.progress);
-        } else if cause == Cause::Done {
+        } else if cause == ExitCause::Done {
             self.results.insert(task.key.clone());
         } else {
             self.lose(&task);
--- a/crates/emulator/src/world/fleet/running.rs
+++ b/crates/emulator/src/world/fleet/running.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollylanding_protocol::workers::Cause;
+use hollylanding_protocol::workers::ExitCause;
 
 use super::Fleet;
 use super::worker::{Task, TaskState};
@@ -11,7 +11,7 @@
 struct Ending {
     /// Index among the worker's tasks.
     index: usize,
-    cause: Cause,
+    cause: ExitCause,
     /// Whether its progress was saved.
     kept: bool,
 }
@@ -23,14 +23,14 @@
     }
 
     /// How an attempt ends now, if it does.
-    fn ending(&self, task: &Task, sick: bool, now: Duration) -> Option<(Cause, bool)> {
+    fn ending(&self, task: &Task, sick: bool, now: Duration) -> Option<(ExitCause, bool)> {
         // Services run until they are stopped.
         let complete = task.progress >= task.job.run && !task.job.run.is_zero();
         match task.state {
-            TaskState::Running if self.finished(task) => Some((Cause::Done, false)),
-            TaskState::Running if sick || task.job.broken => Some((Cause::Error, false)),
-            TaskState::Running if complete => Some((Cause::Done, false)),
-            TaskState::Saving(until) if until <= now && !task.in_gang() => Some((Cause::Stopped, true)),
+            TaskState::Running if self.finished(task) => Some((ExitCause::Done, false)),
+            TaskState::Running if sick || task.job.broken => Some((ExitCause::Error, false)),
+            TaskState::Running if complete => Some((ExitCause::Done, false)),
+            TaskState::Saving(until) if until <= now && !task.in_gang() => Some((ExitCause::Stopped, true)),
             _ => None,
         }
     }
@@ -51,7 +51,7 @@
             })
             .collect();
         for Ending { index, cause, kept } in endings {
-            if cause == Cause::Done {
+            if cause == ExitCause::Done {
                 self.finish_gang(name, index);
             }
             self.end(name, index, cause, kept);
--- a/crates/emulator/src/world/fleet/tests.rs
+++ b/crates/emulator/src/world/fleet/tests.rs
@@ -104,12 +104,17 @@
     }
 }
 
-fn state(fleet: &mut Fleet, name: &str, index: u32, at: f64) -> Option<(AttemptStatus, Option<Cause>, Option<bool>)> {
+fn state(
+    fleet: &mut Fleet,
+    name: &str,
+    index: u32,
+    at: f64,
+) -> Option<(AttemptStatus, Option<ExitCause>, Option<bool>)> {
     let heartbeat = fleet.heartbeat(name, s(at))?;
     heartbeat.attempts.iter().rev().find(|l| l.task.index == index).map(|l| (l.status, l.cause, l.saved))
 }
 
-fn ended(cause: Cause) -> Option<(AttemptStatus, Option<Cause>, Option<bool>)> {
+fn ended(cause: ExitCause) -> Option<(AttemptStatus, Option<ExitCause>, Option<bool>)> {
     Some((AttemptStatus::Exited, Some(cause), None))
 }
 
@@ -119,10 +124,10 @@
     command(&mut fleet, "m0", 1, 1, vec![launch("run-1", 0, 1)], 0.0);
     for (name, order, want) in [
         ("the same attempt again", launch("run-1", 0, 1), None),
-        ("another attempt of it", launch("run-1", 0, 2), Some(Cause::Busy)),
-        ("no room left", launch("run-2", 0, 1), Some(Cause::NoRoom)),
-        ("no such job", launch("run-9", 0, 1), Some(Cause::Unknown)),
-        ("no such task", launch("run-1", 9, 1), Some(Cause::Unknown)),
+        ("another attempt of it", launch("run-1", 0, 2), Some(ExitCause::Busy)),
+        ("no room left", launch("run-2", 0, 1), Some(ExitCause::NoRoom)),
+        ("no such job", launch("run-9", 0, 1), Some(ExitCause::Unknown)),
+        ("no such task", launch("run-1", 9, 1), Some(ExitCause::Unknown)),
     ] {
         let WorkerCommand::Launch { task, attempt } = &order else { unreachable!() };
         let (_, heartbeat) = command(&mut fleet, "m0", 1, 1, vec![order.clone()], 0.0);
@@ -172,12 +177,12 @@
     assert_eq!(state(&mut fleet, "m0", 0, 1.0).unwrap().0, AttemptStatus::Fetching);
     keep(&mut fleet, 2.0, 32.0);
     assert_eq!(state(&mut fleet, "m0", 0, 32.0).unwrap().0, AttemptStatus::Running);
-    assert_eq!(state(&mut fleet, "m0", 1, 32.0), ended(Cause::Error));
+    assert_eq!(state(&mut fleet, "m0", 1, 32.0), ended(ExitCause::Error));
     // 30 s done and the time to save them.
     command(&mut fleet, "m0", 1, 1, vec![halt("run-1", 0, 1, 3)], 32.0);
     assert_eq!(state(&mut fleet, "m0", 0, 34.0).unwrap().0, AttemptStatus::Saving);
     keep(&mut fleet, 35.0, 36.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 36.0), Some((AttemptStatus::Exited, Some(Cause::Stopped), Some(true))));
+    assert_eq!(state(&mut fleet, "m0", 0, 36.0), Some((AttemptStatus::Exited, Some(ExitCause::Stopped), Some(true))));
     // Elsewhere it goes on from there, and loses what it had not saved when its machine is gone.
     command(&mut fleet, "m1", 1, 1, vec![launch("run-1", 0, 2)], 36.0);
     keep(&mut fleet, 37.0, 55.0);
@@ -186,11 +191,11 @@
     keep(&mut fleet, 56.0, 108.0);
     assert_eq!(state(&mut fleet, "m0", 0, 108.0).unwrap().0, AttemptStatus::Running, "40 of 100 s were kept");
     keep(&mut fleet, 109.0, 117.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 117.0), ended(Cause::Done));
+    assert_eq!(state(&mut fleet, "m0", 0, 117.0), ended(ExitCause::Done));
     assert!(fleet.results().contains(&key("run-1", 0)));
     command(&mut fleet, "m0", 1, 1, vec![launch("run-1", 0, 4)], 117.0);
     keep(&mut fleet, 118.0, 120.0);
-    assert_eq!(state(&mut fleet, "m0", 0, 120.0), ended(Cause::Done), "its result is kept");
+    assert_eq!(state(&mut fleet, "m0", 0, 120.0), ended(ExitCause::Done), "its result is kept");
 }
 
 #[test]
@@ -210,7 +215,7 @@
         keep(&mut fleet, 15.0, 18.0);
         assert_eq!(
             state(&mut fleet, "m0", 0, 18.0),
-            Some((AttemptStatus::Exited, Some(Cause::Stopped), want)),
+            Some((AttemptStatus::Exited, Some(ExitCause::Stopped), want)),
             "{name}"
         );
     }
@@ -265,14 +270,14 @@
         command(fleet, "m1", 1, 1, vec![launch("run-1", 1, 1)], 5.0);
         keep(fleet, 5.0, 30.0);
     };
-    type Row = (&'static str, Script, f64, Option<(AttemptStatus, Option<Cause>, Option<bool>)>);
+    type Row = (&'static str, Script, f64, Option<(AttemptStatus, Option<ExitCause>, Option<bool>)>);
     let running = Some((AttemptStatus::Running, None, None));
     let rows: [Row; 7] = [
         ("goes on", |_| (), 31.0, running),
-        ("completes together", |_| (), 110.0, ended(Cause::Done)),
+        ("completes together", |_| (), 110.0, ended(ExitCause::Done)),
         ("a machine is gone, not noticed yet", |f| f.gone("m1", s(30.0)), 37.0, running),
-        ("noticed", |f| f.gone("m1", s(30.0)), 40.0, ended(Cause::Peers)),
-        ("a machine hangs", |f| f.hang("m1", s(50.0)), 40.0, ended(Cause::Peers)),
+        ("noticed", |f| f.gone("m1", s(30.0)), 40.0, ended(ExitCause::Peers)),
+        ("a machine hangs", |f| f.hang("m1", s(50.0)), 40.0, ended(ExitCause::Peers)),
         (
             "told together, and kept",
             |f| {
@@ -280,13 +285,13 @@
                 command(f, "m1", 1, 1, vec![halt("run-1", 1, 1, 5)], 33.0);
             },
             37.0,
-            Some((AttemptStatus::Exited, Some(Cause::Stopped), Some(true))),
+            Some((AttemptStatus::Exited, Some(ExitCause::Stopped), Some(true))),
         ),
         (
             "one is not told in time",
             |f| drop(command(f, "m0", 1, 1, vec![halt("run-1", 0, 1, 5)], 30.0)),
             40.0,
-            ended(Cause::Stopped),
+            ended(ExitCause::Stopped),
         ),
     ];
     for (name, script, until, want) in rows {
@@ -296,7 +301,7 @@
         keep(&mut fleet, 31.0, until);
         assert_eq!(state(&mut fleet, "m0", 0, until), want, "{name}");
         if name == "one is not told in time" {
-            assert_eq!(state(&mut fleet, "m1", 1, until), ended(Cause::Peers), "{name}");
+            assert_eq!(state(&mut fleet, "m1", 1, until), ended(ExitCause::Peers), "{name}");
         }
     }
     // One of a gang that is done exits as soon as it has its image, alone as it is.
@@ -305,11 +310,11 @@
     keep(&mut again, 31.0, 110.0);
     command(&mut again, "m0", 1, 1, vec![launch("run-1", 0, 2)], 110.0);
     keep(&mut again, 111.0, 114.0);
-    assert_eq!(state(&mut again, "m0", 0, 114.0), ended(Cause::Done));
+    assert_eq!(state(&mut again, "m0", 0, 114.0), ended(ExitCause::Done));
     let mut alone = fleet(2, vec![gang("run-1")]);
     command(&mut alone, "m0", 1, 1, vec![launch("run-1", 0, 1)], 0.0);
     keep(&mut alone, 1.0, 36.0);
     assert_eq!(state(&mut alone, "m0", 0, 36.0).unwrap().0, AttemptStatus::Waiting);
     keep(&mut alone, 37.0, 39.0);
-    assert_eq!(state(&mut alone, "m0", 0, 39.0), ended(Cause::Alone));
+    assert_eq!(state(&mut alone, "m0", 0, 39.0), ended(ExitCause::Alone));
 }
--- a/crates/emulator/src/world/fleet/worker.rs
+++ b/crates/emulator/src/world/fleet/worker.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollylanding_protocol::jobs::JobSpec;
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 
 use super::heartbeats::CopyWindow;
 use super::images::CachedImage;
@@ -22,7 +22,7 @@
     Running,
     /// Told to stop, and saved by then.
     Saving(Duration),
-    Ended(Cause, bool),
+    Ended(ExitCause, bool),
 }
 
 #[derive(Debug)]
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -5,7 +5,9 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use hollylanding_protocol::state::{Change, CompareAndSwap, Condition, Event, Item, Page, Refused, WatchResponse};
+use hollylanding_protocol::state::{
+    Change, CompareAndSwap, Condition, FailedConditions, KeyValue, KeyValuePage, WatchEvent, WatchResponse,
+};
 use serde_json::Value;
 
 use super::bucket::Bucket;
@@ -102,7 +104,7 @@
     keys: BTreeMap<String, Kept>,
     /// The revision of the last change.
     revision: u64,
-    log: VecDeque<Event>,
+    log: VecDeque<WatchEvent>,
     /// The last revision of which a change is no longer kept.
     forgotten: u64,
     leases: BTreeMap<u64, Lease>,
@@ -197,12 +199,12 @@
         }
         for key in lease.keys {
             self.keys.remove(&key);
-            self.append(Event { write: None, drop: Some(key), value: Value::Null, version: self.revision });
+            self.append(WatchEvent { write: None, drop: Some(key), value: Value::Null, version: self.revision });
         }
         true
     }
 
-    fn append(&mut self, event: Event) {
+    fn append(&mut self, event: WatchEvent) {
         self.log.push_back(event);
         if self.log.len() > CHANGES_KEPT
             && let Some(oldest) = self.log.pop_front()
@@ -267,14 +269,14 @@
     }
 
     /// `GET /keys/{key}`
-    pub fn get(&self, key: &str) -> Result<Item, Refusal> {
+    pub fn get(&self, key: &str) -> Result<KeyValue, Refusal> {
         well_formed(key)?;
         let kept = self.keys.get(key).ok_or(Refusal::Absent)?;
-        Ok(Item { path: key.to_owned(), value: kept.value.clone(), version: kept.version })
+        Ok(KeyValue { path: key.to_owned(), value: kept.value.clone(), version: kept.version })
     }
 
     /// `GET /keys?prefix=&since=&most=`
-    pub fn page(&self, prefix: &str, since: &str, most: usize) -> Page {
+    pub fn page(&self, prefix: &str, since: &str, most: usize) -> KeyValuePage {
         let after = Bound::Excluded(since.max(prefix).to_owned());
         // A key that is the prefix itself comes first of all.
         let first = self.keys.get_key_value(prefix).filter(|_| since < prefix);
@@ -286,10 +288,10 @@
             if items.len() >= most.clamp(1, MOST_ITEMS) || (bytes > MOST_LISTED && !items.is_empty()) {
                 break;
             }
-            items.push(Item { path: (*key).clone(), value: kept.value.clone(), version: kept.version });
+            items.push(KeyValue { path: (*key).clone(), value: kept.value.clone(), version: kept.version });
             all.next();
         }
-        Page { items, more: all.peek().is_some(), revision: self.revision }
+        KeyValuePage { items, more: all.peek().is_some(), revision: self.revision }
     }
 
     /// Which of these do not hold.
@@ -302,7 +304,7 @@
         &mut self,
         compare_and_swap: &CompareAndSwap,
         now: Duration,
-    ) -> Result<Result<u64, Refused>, Refusal> {
+    ) -> Result<Result<u64, FailedConditions>, Refusal> {
         let n = compare_and_swap.apply.len();
         if n > self.limits.txn_ops || compare_and_swap.conditions.len() > self.limits.txn_ops * CONDITIONS {
             return Err(Refusal::Malformed("too many changes or conditions"));
@@ -339,9 +341,13 @@
     }
 
     /// The bare act, without limits: what the service does with a request that it has admitted.
-    pub fn apply_if(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<u64, Refused> {
+    pub fn apply_if(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<u64, FailedConditions> {
         let failed = self.compare(conditions);
-        if failed.is_empty() { Ok(self.apply(changes)) } else { Err(Refused { failed, revision: self.revision }) }
+        if failed.is_empty() {
+            Ok(self.apply(changes))
+        } else {
+            Err(FailedConditions { failed, revision: self.revision })
+        }
     }
 
     /// All at one revision.
@@ -362,11 +368,11 @@
                         lease.keys.insert(write.clone());
                     }
                     self.keys.insert(write.clone(), Kept { value: value.clone(), version, permit: *permit });
-                    self.append(Event { write: Some(write.clone()), drop: None, value: value.clone(), version });
+                    self.append(WatchEvent { write: Some(write.clone()), drop: None, value: value.clone(), version });
                 }
                 Change::Drop { drop } => {
                     if self.keys.remove(drop).is_some() {
-                        self.append(Event { write: None, drop: Some(drop.clone()), value: Value::Null, version });
+                        self.append(WatchEvent { write: None, drop: Some(drop.clone()), value: Value::Null, version });
                     }
                 }
             }
--- a/crates/emulator/src/world/store/tests.rs
+++ b/crates/emulator/src/world/store/tests.rs
@@ -15,7 +15,7 @@
     Store::new(Limits { requests_per_second: 10.0, changes_per_second: 4.0, value_kb: 1.0, txn_ops: 3 })
 }
 
-fn put(store: &mut Store, changes: &[Change], now: Duration) -> Result<Result<u64, Refused>, Refusal> {
+fn put(store: &mut Store, changes: &[Change], now: Duration) -> Result<Result<u64, FailedConditions>, Refusal> {
     store.compare_and_swap(&CompareAndSwap::new(&[], changes), now)
 }
 
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -9,7 +9,7 @@
 use hollylanding_emulator::world::fleet::Happening;
 use hollylanding_protocol::jobs::JobSpec;
 use hollylanding_protocol::users::Status;
-use hollylanding_protocol::workers::{Cause, TaskKey};
+use hollylanding_protocol::workers::{ExitCause, TaskKey};
 use serde_json::json;
 
 fn spec() -> JobSpec {
@@ -31,7 +31,7 @@
         (1, answer(Ask::Submit, Some(Status::Pending))),
         (2, Event::Machine(Happening::Started { task: task.clone(), attempt: 1, machine: "m".into() })),
         (5, Event::CancellationAsked("run-1".into())),
-        (gone, Event::Machine(Happening::Ended { task, attempt: 1, machine: "m".into(), cause: Cause::Stopped })),
+        (gone, Event::Machine(Happening::Ended { task, attempt: 1, machine: "m".into(), cause: ExitCause::Stopped })),
     ];
     history.extend(answers.iter().map(|(at, ask, status)| (*at, answer(*ask, *status))));
     history.sort_by_key(|(at, _)| *at);
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -11,7 +11,7 @@
 use hollylanding_emulator::world::cloud::{self, Boots, Capacity, Cloud};
 use hollylanding_emulator::world::fleet::{Fleet, Machine, Params, Upload};
 use hollylanding_emulator::world::store::Limits;
-use hollylanding_protocol::cloud::{MachineType, Rental};
+use hollylanding_protocol::cloud::{MachineType, ProvisioningRequest};
 use hollylanding_protocol::jobs::JobSpec;
 use hollylanding_protocol::workers::{TaskKey, WorkerCommand, WorkerCommands};
 use serde_json::{Value, json};
@@ -84,7 +84,7 @@
     };
     let mut cloud = Cloud::new(params, 1);
     fault(&mut cloud);
-    let rental = Rental { request: "r".into(), type_name: "c8".into(), zone: "a".into(), spot, count: 3 };
+    let rental = ProvisioningRequest { request: "r".into(), type_name: "c8".into(), zone: "a".into(), spot, count: 3 };
     cloud.rent(&rental, s(0)).unwrap();
     cloud
 }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,8 +1,8 @@
-//! Messages of the cloud's interface: its catalog, rentals and the list of machines.
+//! Messages of the cloud's interface: its catalog, provisioning and termination of machines, and the list of machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A type of machine that the cloud rents out.
+/// A type of machine that the cloud provides.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name, unique in the catalog.
@@ -57,10 +57,10 @@
     }
 }
 
-/// A request for machines. It is idempotent by its name: repeated, it returns the same machines.
+/// A request for machines. It is idempotent by its id: repeated, it returns the same machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
-    /// The request's own name, which makes it idempotent.
+pub struct ProvisioningRequest {
+    /// The request's id, chosen by the sender, which makes it idempotent.
     #[serde(rename = "charter")]
     pub request: String,
     /// Name of the [`MachineType`] asked for.
@@ -78,8 +78,8 @@
 
 /// A machine as the cloud lists it. The list may lag behind the machine's present state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
-    /// The cloud's name of the machine.
+pub struct CloudMachine {
+    /// The cloud's id of the machine.
     #[serde(rename = "uid")]
     pub id: String,
     /// Address (`host:port`) of its worker, once the cloud knows it.
@@ -97,25 +97,25 @@
     /// `starting`, `running` or `failed`.
     #[serde(rename = "status")]
     pub state: String,
-    /// Its age in seconds since it was rented, as of the time that the list describes.
+    /// Seconds since it was provisioned, as of the time that the list describes.
     #[serde(rename = "heldS", default)]
     pub held_s: f64,
 }
 
-/// A page of the list of machines, ordered by name.
+/// A page of the list of machines, ordered by id.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ListPage {
+pub struct MachinePage {
     /// The machines of this page.
     #[serde(rename = "berths")]
-    pub machines: Vec<Listed>,
-    /// Whether further machines follow; the next page starts after the last name of this one.
+    pub machines: Vec<CloudMachine>,
+    /// Whether further machines follow; the next page starts after the last id of this one.
     pub more: bool,
 }
 
-/// Names of machines: those a rental brought, or those to return.
+/// Ids of machines: those that a [`ProvisioningRequest`] brought, or those to terminate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Names {
-    /// The cloud's names of the machines.
+pub struct MachineNames {
+    /// The cloud's ids of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<String>,
 }
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -10,8 +10,9 @@
 /// The limit for request bodies and for answers to workers and users.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Levels of lists and maps in a body: more than any message has, and far fewer than fill the stack of a thread.
-const MOST_NESTED: usize = 64;
+/// Levels of nested lists and maps accepted in a body: more than any message has, and far fewer than would overflow
+/// the stack of a thread.
+const MAX_NESTING: usize = 64;
 
 /// Encodes as a map keyed by text, as every interface asks.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -27,24 +28,25 @@
     /// The body is a map but not MessagePack of the expected type.
     #[error("{0}")]
     Malformed(#[from] rmp_serde::decode::Error),
+    /// This many bytes follow the map.
     #[error("{0} bytes follow the map")]
-    /// Bytes are left over after the value: how many.
     TrailingBytes(usize),
 }
 
-/// Decodes a map. Serde would also take a bare list for a struct, which no interface allows.
+/// Decodes a body that is a map. A list is an error: serde would decode it as a struct, which no interface allows. Bytes
+/// after the map and keys other than text are not detected; see [`decode_whole`].
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     check_map(body)?;
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(body);
-    deserializer.set_max_depth(MOST_NESTED);
+    deserializer.set_max_depth(MAX_NESTING);
     Ok(T::deserialize(&mut deserializer)?)
 }
 
-/// The same of a map that is keyed by text alone and is the whole body.
+/// Decodes a body like [`decode`], and fails as well if a key is not text or if bytes follow the map.
 pub fn decode_whole<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     check_map(body)?;
     let mut deserializer = rmp_serde::Deserializer::new(body);
-    deserializer.set_max_depth(MOST_NESTED);
+    deserializer.set_max_depth(MAX_NESTING);
     HashMap::<Text, IgnoredAny>::deserialize(&mut deserializer)?;
     match deserializer.get_ref().len() {
         0 => decode(body),
--- a/crates/protocol/src/codec/tests.rs
+++ b/crates/protocol/src/codec/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_maps_are_read() {
+fn decode_accepts_only_maps() {
     let good = encode(&serde_json::json!({"a": 3, "b": null, "extra": [1, 2]}));
     assert_eq!(decode::<Probe>(&good).unwrap(), Probe { a: 3.0, b: None });
     let cases: [(&str, Vec<u8>); 5] = [
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -9,17 +9,18 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// Watch answers have no size limit of their own; this bounds what one answer may cost us. Read
-/// into values it takes some ten times as much. Listings stay below half of it by themselves.
+/// The largest answer accepted, in bytes. Watch answers have no limit of their own, and decoded into values an answer
+/// takes some ten times its size in memory. Pages of listings stay below half of this limit.
 const ANSWER_LIMIT: usize = 1024 * 1024;
 /// Limit for opening a connection; part of the deadline of a call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Idle connections kept per host.
 const IDLE_PER_HOST: usize = 4;
-/// Connections to machines are many; what is not used again soon is closed.
+/// Time after which an idle connection is closed: there is a connection for each machine, too many to keep.
 const IDLE_FOR: Duration = Duration::from_secs(10);
 
-/// Why a call has no answer. Only `NotSent` says that the other side cannot have acted on it.
+/// Why a call has no answer. After [`NotSent`](CallError::NotSent) alone it is certain that the request was not carried
+/// out.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
 pub enum CallError {
     /// The request was never sent: the connection failed or the request could not be built.
@@ -54,7 +55,8 @@
 }
 
 impl Http {
-    /// One request with one deadline over connecting, sending and the whole answer.
+    /// Sends one request and returns status and body of the answer. `within` is the deadline for connecting, sending and
+    /// receiving the whole answer together.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -6,7 +6,7 @@
 
 use crate::text;
 
-/// The most tasks that one job may have.
+/// The largest number of tasks that one job may have.
 pub const MOST_TASKS: u64 = 100_000;
 
 /// The id of a job, `run-` and digits. It is reference-counted because many maps are keyed by it.
@@ -29,7 +29,7 @@
 /// The priority of a job, ordered from the least to the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Urgency {
-    /// Runs on capacity that nobody else wants.
+    /// Runs only on capacity that no other job needs.
     #[serde(rename = "idle")]
     Idle,
     /// The usual priority.
@@ -107,21 +107,21 @@
     pub due_s: Option<f64>,
 }
 
-/// A field of a job that holds what it must not.
+/// A field of a job description whose value is not allowed.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {value} is not {wanted}")]
 pub struct InvalidField {
     /// The field's name on the wire.
     pub field: &'static str,
-    /// What it holds.
+    /// The value that it has.
     pub value: String,
-    /// What it may hold.
+    /// The values allowed, as part of a sentence: `in its form`, `an amount`.
     pub wanted: String,
 }
 
 impl JobSpec {
-    /// Checks the fields by themselves, whatever machines and teams there are. The error names the field as it is
-    /// on the wire.
+    /// Checks each field on its own, without regard to the machines and teams that exist. The error names the field as
+    /// it is on the wire.
     pub fn check(&self) -> Result<(), InvalidField> {
         let invalid =
             |field, value: String, wanted: &str| Err(InvalidField { field, value, wanted: wanted.to_owned() });
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,11 +1,11 @@
-//! Messages of the state service: transactions, listings, watches and leases.
+//! Messages of the state service, a consensus-backed key-value store: compare-and-swap, listings, watches and leases.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction: the key has this version, or does not exist if the version is 0.
+/// A condition of a compare-and-swap: the key has this version, or does not exist if the version is 0.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
@@ -26,7 +26,7 @@
     }
 }
 
-/// One change of a transaction.
+/// One change of a compare-and-swap.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Change {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A transaction: all changes are applied atomically if every condition holds. Without changes it only compares.
+/// A compare-and-swap: all changes are applied atomically if every condition holds. Without changes it only compares.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompareAndSwap<'a> {
     /// All of these must hold.
@@ -66,7 +66,7 @@
 }
 
 impl<'a> CompareAndSwap<'a> {
-    /// A transaction that borrows its parts.
+    /// A compare-and-swap that borrows its parts.
     pub fn new(conditions: &'a [Condition], apply: &'a [Change]) -> Self {
         Self { conditions: conditions.into(), apply: apply.into() }
     }
@@ -74,7 +74,7 @@
 
 /// A key with its current value.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct Item {
+pub struct KeyValue {
     /// The key.
     pub path: String,
     /// Its value.
@@ -86,9 +86,9 @@
 
 /// A page of a listing, ordered by key, consistent as of one revision.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Page {
+pub struct KeyValuePage {
     /// The keys of this page.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether further keys follow; the next page starts after the last key of this one.
     pub more: bool,
     /// The revision that the page describes.
@@ -98,16 +98,16 @@
 
 /// A page of a listing of which only keys and versions are decoded.
 #[derive(Debug, Deserialize)]
-pub struct Names {
+pub struct KeyVersionPage {
     /// The keys of this page.
-    pub items: Vec<Name>,
+    pub items: Vec<KeyVersion>,
     /// Whether further keys follow.
     pub more: bool,
 }
 
 /// A key with its version and without its value.
 #[derive(Debug, Deserialize)]
-pub struct Name {
+pub struct KeyVersion {
     /// The key.
     pub path: String,
     /// The revision of its last change.
@@ -117,7 +117,7 @@
 
 /// One change as a watch reports it: exactly one of `write` and `drop` is present.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct Event {
+pub struct WatchEvent {
     /// The key that was set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write: Option<String>,
@@ -132,7 +132,7 @@
     pub version: u64,
 }
 
-impl Event {
+impl WatchEvent {
     /// The key that changed, whether set or deleted.
     pub fn path(&self) -> &str {
         self.write.as_deref().or(self.drop.as_deref()).unwrap_or_default()
@@ -146,20 +146,20 @@
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
     /// The changes in the order of their revisions.
-    pub log: Vec<Event>,
+    pub log: Vec<WatchEvent>,
 }
 
-/// The revision after a transaction, or the current one.
+/// The revision of the store after a compare-and-swap, or the current one.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Revision {
+pub struct StoreRevision {
     /// The store's revision.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// The answer to a transaction whose conditions did not hold. Nothing was changed.
+/// The answer to a compare-and-swap whose conditions did not hold. Nothing was changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct FailedConditions {
     /// The keys whose versions were not the ones required.
     pub failed: Vec<String>,
     /// The store's revision.
@@ -169,7 +169,7 @@
 
 /// The answer to a request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Granted {
+pub struct GrantedLease {
     /// The id of the lease.
     pub permit: u64,
 }
--- a/crates/protocol/src/text.rs
+++ b/crates/protocol/src/text.rs
@@ -1,5 +1,5 @@
-//! Text in messages, and nothing else in its place: serde would also take binary for a text, and the number of a
-//! variant for its name.
+//! Strict decoding of text fields. Without it serde would also decode binary as text, and the index of a variant in
+//! place of its name.
 
 use std::fmt;
 
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers and workers: reports (heartbeats) and orders.
+//! Messages between controllers and workers: heartbeats and commands.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,14 +17,14 @@
     Running,
     /// It was told to stop and saves its progress.
     Saving,
-    /// It has ended; its [`Cause`] says why.
+    /// It has ended; its [`ExitCause`] says why.
     #[serde(rename = "ended")]
     Exited,
 }
 
 /// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum ExitCause {
     /// It finished with a result.
     #[serde(rename = "done")]
     Done,
@@ -88,19 +88,19 @@
     pub status: AttemptStatus,
     /// Why it ended; present exactly if it has.
     #[serde(default, rename = "cause")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether its progress was saved, for an attempt that ended.
     #[serde(default, rename = "kept")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat (heartbeat): what it is and all attempts on it.
+/// A worker's heartbeat: what the machine is, and the state of all attempts on it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The cloud's name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
-    /// Address (`host:port`) at which the worker takes orders.
+    /// Address (`host:port`) at which the worker takes commands.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Name of the machine's type.
@@ -119,7 +119,7 @@
     /// Sequence number of the heartbeat; an older heartbeat has a smaller one.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// The highest fencing token that the worker has seen; it refuses orders under a smaller one.
+    /// The highest fencing token that the worker has seen; it refuses commands under a smaller one.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Seconds until the cloud takes the machine away, once it has given notice.
@@ -132,6 +132,7 @@
 
 impl Heartbeat {
     /// Whether the fields are consistent with each other and within their bounds.
+    #[must_use]
     pub fn check(&self) -> bool {
         self.agent_epoch >= 1
             && !self.machine.is_empty()
@@ -141,7 +142,7 @@
     }
 }
 
-/// An order to a worker, which executes orders in sequence.
+/// A command to a worker, which executes commands in sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
@@ -177,7 +178,7 @@
     },
 }
 
-/// Orders under a fencing token: the answer to a heartbeat, or sent directly to a worker.
+/// Commands under a fencing token: the answer to a heartbeat, or sent directly to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCommands {
     /// The fencing token of the controller that sends them.
@@ -186,7 +187,7 @@
     /// The agent epoch they are meant for; absent in the answer to a heartbeat.
     #[serde(default, rename = "shift", skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
-    /// The orders, executed in sequence.
+    /// The commands, executed in sequence.
     pub orders: Vec<WorkerCommand>,
 }
 
--- a/crates/protocol/src/workers/tests.rs
+++ b/crates/protocol/src/workers/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn reports_read_and_refused() {
+fn heartbeats_are_decoded_and_checked() {
     let good = json!({"berth":"host-1","endpoint":"127.0.0.1:9","fleet":"g","yard":"a","borrowed":true,
         "shift":1,"tally":8,"baton":0,"recallS":null,"legs":[
           {"leg":"run-1/3","try":2,"status":"ended","cause":"done"}]});
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn orders_as_written() {
+fn commands_have_their_form_on_the_wire() {
     let task = TaskKey { job: "run-7".into(), index: 1 };
     let order = WorkerCommand::Halt { task, attempt: 3, grace_s: 10 };
     assert_eq!(serde_json::to_value(&order).unwrap(), json!({"verb":"halt","leg":"run-7/1","try":3,"windDownS":10}));
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -16,7 +16,7 @@
 use super::View;
 use super::records::{DeclarationKind, MOST_BYTES, spec_key, status_key};
 use super::registry::{Changed, Registry};
-use super::table::{Decided, Entry, News, entry};
+use super::table::{CacheChanges, Decided, Entry, entry};
 use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
@@ -81,7 +81,7 @@
     /// The leader's fencing token, on which the writes are conditional.
     pub fencing_token: u64,
     /// What is logged once the writes are stored.
-    pub news: News,
+    pub news: CacheChanges,
     /// Jobs of which it has to be known how they ended.
     pub unknown: BTreeSet<JobId>,
 }
@@ -147,7 +147,7 @@
     }
 
     /// Up to `MOST_CHANGES`, of as many kinds as want any.
-    fn decide(&mut self, view: &View, told: &mut News) -> Vec<Write> {
+    fn decide(&mut self, view: &View, told: &mut CacheChanges) -> Vec<Write> {
         let mut writes: Vec<Write> = left_over(view.registry).take(1).collect();
         let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
         while writes.len() < MOST_CHANGES && !kinds.is_empty() {
@@ -162,7 +162,7 @@
     }
 
     /// The next one of a kind that wants a change, after the last one that got it.
-    fn next_of(&mut self, at: usize, view: &View, writes: &[Write], told: &mut News) -> Option<Write> {
+    fn next_of(&mut self, at: usize, view: &View, writes: &[Write], told: &mut CacheChanges) -> Option<Write> {
         let entry = &self.kinds[at];
         let kind = entry.kind;
         let last = self.last.get(&kind).cloned().unwrap_or_default();
@@ -199,7 +199,7 @@
     })
 }
 
-fn news(kinds: &[Entry], changed: &Changed) -> News {
+fn news(kinds: &[Entry], changed: &Changed) -> CacheChanges {
     let Changed { kind, name, .. } = changed;
     match (changed.after(), entry(kinds, *kind)) {
         (None, _) => vec![(Level::INFO, format!("{} {name}: removed", kind.word()))],
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -16,8 +16,8 @@
 use crate::jobs::record::time_of_day_ms;
 use crate::protocol::Http;
 use crate::settings::Settings;
-use crate::store::budget::{Budget, Urgent};
-use crate::store::client::Item;
+use crate::store::budget::{Budget, RequestPriority};
+use crate::store::client::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use crate::sync::jitter;
 
@@ -66,7 +66,7 @@
 }
 
 impl Known {
-    pub fn take(&mut self, item: Item) {
+    pub fn take(&mut self, item: KeyValue) {
         match parse(&item.path).map(|(part, kind, name)| (part, (kind, name.to_owned()))) {
             Some((Part::Spec, of)) => drop(self.specs.insert(of, (item.value, item.version))),
             Some((Part::Status, of)) => drop(self.statuses.insert(of, item.value)),
@@ -322,7 +322,7 @@
         let (conditions, changes) = transaction(kind, known, writes, &mine);
         let unsure = std::cell::Cell::new(false);
         let sent = self.answered(async || {
-            let outcome = self.store.compare_and_swap(&conditions, &changes, Urgent::Second).await;
+            let outcome = self.store.compare_and_swap(&conditions, &changes, RequestPriority::Placement).await;
             unsure.set(unsure.get() || outcome == Err(StoreError::Unanswered));
             outcome
         });
@@ -331,7 +331,8 @@
             CompareAndSwapOutcome::LeaseExpired => Ok(Err(Vec::new())),
             CompareAndSwapOutcome::Failed(keys) if unsure.get() => {
                 // An earlier copy may have been the one that moved the key.
-                let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
+                let stands =
+                    self.answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
                 Ok(stands.filter(|item| item.value == mine).map(|item| item.version).ok_or(keys))
             }
             CompareAndSwapOutcome::Failed(keys) => Ok(Err(keys)),
@@ -340,7 +341,7 @@
 
     /// What operators have written of a kind, and its statuses, none older than `operators`.
     async fn known(&self, kind: Option<DeclarationKind>) -> Result<Known, Failed> {
-        let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
+        let stands = self.answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
         let mut known = Known { operators: stands.map_or(0, |item| item.version), ..Known::default() };
         for part in [SPECS, STATUSES] {
             let prefix = kind.map_or(part.to_owned(), |kind| format!("{part}{}/", kind.word()));
--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -11,7 +11,7 @@
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -35,13 +35,13 @@
     /// Asks the store how a job ended; `look` is told once it has answered.
     fn ask(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
-    fn ready(&self, urgent: Urgent) -> usize;
+    fn ready(&self, urgent: RequestPriority) -> usize;
     /// Sends one transaction to the state service, with what is left of its limits for calls of this urgency.
     fn store(
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        urgent: RequestPriority,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
     /// A transaction was refused: waits until the watch cache is proven fresh, and sees who leads.
     fn refused(&self) -> impl Future<Output = ()> + Send;
@@ -68,23 +68,23 @@
     }
 
     /// How many changes may go now, of which `any` wait.
-    fn most(&mut self, any: bool, now: Instant, ready: impl Fn(Urgent) -> usize) -> usize {
+    fn most(&mut self, any: bool, now: Instant, ready: impl Fn(RequestPriority) -> usize) -> usize {
         if !any || now < self.next {
             return 0;
         }
         let since = *self.waits.get_or_insert(now);
         self.pressed |= now.saturating_duration_since(since) >= PRESSED;
         // The smallest share holds less than one change and its reserve.
-        if self.pressed { ready(Urgent::Second).max(1) } else { ready(Urgent::Last) }
+        if self.pressed { ready(RequestPriority::Placement).max(1) } else { ready(RequestPriority::Background) }
     }
 
-    fn sent(&mut self, now: Instant) -> Urgent {
+    fn sent(&mut self, now: Instant) -> RequestPriority {
         self.next = now + EVERY;
         if self.pressed {
-            return Urgent::Second;
+            return RequestPriority::Placement;
         }
         self.waits = None;
-        Urgent::Last
+        RequestPriority::Background
     }
 }
 
--- a/src/declarations/table.rs
+++ b/src/declarations/table.rs
@@ -45,7 +45,7 @@
 }
 
 /// Log lines.
-pub type News = Vec<(Level, String)>;
+pub type CacheChanges = Vec<(Level, String)>;
 /// Lines for an operator, or what is wrong.
 pub type Lines = Result<Vec<String>, Problem>;
 
@@ -66,7 +66,7 @@
     /// Lines for operators at a time of day in ms.
     pub tell: fn(Declaration, u64) -> Lines,
     /// What is owed for a change of a status, by name.
-    pub news: fn(&str, Option<&Value>, &Value) -> News,
+    pub news: fn(&str, Option<&Value>, &Value) -> CacheChanges,
     /// What a verb makes of a spec at a time of day in ms.
     pub act: fn(&str, Declaration, u64) -> Result<Acted<Value>, Problem>,
 }
@@ -161,7 +161,7 @@
     Ok(D::tell(of.name, &read(of.spec)?, &read_status::<D>(of.status)?, now_ms))
 }
 
-fn news<D: Declared>(name: &str, before: Option<&Value>, after: &Value) -> News {
+fn news<D: Declared>(name: &str, before: Option<&Value>, after: &Value) -> CacheChanges {
     match (read_status::<D>(before), read::<D::Status>(after)) {
         (Ok(before), Ok(after)) => D::news(name, &before, &after),
         _ => Vec::new(),
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -27,7 +27,7 @@
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -394,10 +394,15 @@
         None
     }
     fn ask(&self, _: &JobId) {}
-    fn ready(&self, _: Urgent) -> usize {
+    fn ready(&self, _: RequestPriority) -> usize {
         self.touched.fetch_add(1, Ordering::Relaxed)
     }
-    async fn store(&self, _: &[Condition], _: &[Change], _: Urgent) -> Result<CompareAndSwapOutcome, StoreError> {
+    async fn store(
+        &self,
+        _: &[Condition],
+        _: &[Change],
+        _: RequestPriority,
+    ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
     }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -6,11 +6,11 @@
 use hyper::Method;
 
 use crate::machine_kinds::Catalog;
-use crate::protocol::cloud::{ListPage, Names};
-pub use crate::protocol::cloud::{Listed, Rental};
+pub use crate::protocol::cloud::{CloudMachine, ProvisioningRequest};
+use crate::protocol::cloud::{MachineNames, MachinePage};
 use crate::protocol::{self, Http};
 use crate::settings::Settings;
-use crate::store::budget::{Budget, Urgent};
+use crate::store::budget::{Budget, RequestPriority};
 use crate::sync::lock;
 use crate::traffic::{Passage, Traffic};
 
@@ -58,7 +58,7 @@
 
     async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Result<(u16, bytes::Bytes), CloudError> {
         loop {
-            let wait = match lock(&self.budget).take(1.0, Urgent::First, Instant::now()) {
+            let wait = match lock(&self.budget).take(1.0, RequestPriority::Critical, Instant::now()) {
                 Ok(()) => break,
                 Err(wait) => wait,
             };
@@ -87,10 +87,10 @@
     }
 
     /// Rents machines and returns their names, which may be fewer than asked for. The cloud answers a request name
-    /// (`Rental`) alike however often it is sent, so an unanswered call can be repeated.
-    pub async fn rent(&self, rental: &Rental) -> Result<Vec<String>, CloudError> {
+    /// (`ProvisioningRequest`) alike however often it is sent, so an unanswered call can be repeated.
+    pub async fn rent(&self, rental: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
         match self.call(Method::POST, "/rentals", Some(protocol::encode(rental))).await? {
-            (200, body) => Ok(read::<Names>(&body)?.machines),
+            (200, body) => Ok(read::<MachineNames>(&body)?.machines),
             (503, body) if read::<serde_json::Value>(&body).is_ok_and(|v| v["error"] == "no capacity") => {
                 Err(CloudError::NoCapacity)
             }
@@ -100,21 +100,21 @@
 
     /// Returns machines, at most [`MOST_RETURNED`] in one call. May be repeated when it was not answered.
     pub async fn give_back(&self, machines: Vec<String>) -> Result<(), CloudError> {
-        match self.call(Method::POST, "/rentals/return", Some(protocol::encode(&Names { machines }))).await? {
+        match self.call(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines }))).await? {
             (200, _) => Ok(()),
             (status, _) => Err(CloudError::Refused(status)),
         }
     }
 
     /// All machines that are rented now, read page by page; machines that change meanwhile may or may not be included.
-    pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut all: Vec<Listed> = Vec::new();
+    pub async fn list(&self) -> Result<Vec<CloudMachine>, CloudError> {
+        let mut all: Vec<CloudMachine> = Vec::new();
         loop {
             let since = all.last().map(|m| format!("&since={}", m.id)).unwrap_or_default();
             let path = format!("/rentals?most={MOST_LISTED}{since}");
             match self.call(Method::GET, &path, None).await? {
                 (200, body) => {
-                    let page: ListPage = read(&body)?;
+                    let page: MachinePage = read(&body)?;
                     let empty = page.machines.is_empty();
                     all.extend(page.machines);
                     if !page.more || empty {
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -13,7 +13,7 @@
 use crate::sync::lock;
 
 /// Machines that the cloud lists, with their ages and states.
-pub(super) fn take_list(node: &Node, machines: Vec<cloud::Listed>) {
+pub(super) fn take_list(node: &Node, machines: Vec<cloud::CloudMachine>) {
     let now = Instant::now();
     let mut held = lock(&node.cluster);
     let Some(cluster) = held.as_mut() else { return };
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -11,7 +11,7 @@
 use super::orders::{self, CloudOrder, Inherited, Next, What};
 use super::rentals::kind_of;
 use crate::node::Node;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
 
@@ -60,7 +60,7 @@
     let change = [order.change()];
     loop {
         let Some(under) = fencing_token(node) else { return Err(Next::Stop) };
-        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
+        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(dealings).late.insert(order.key.clone(), under);
         }
@@ -88,7 +88,7 @@
 pub(super) async fn tidy(node: &Node, dealings: &Shared) {
     let Some(fencing_token) = fencing_token(node) else { return };
     let pressed = lock(dealings).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
-    let urgent = if pressed { Urgent::Second } else { Urgent::Last };
+    let urgent = if pressed { RequestPriority::Placement } else { RequestPriority::Background };
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
     let (keys, (conditions, changes)) = {
         let mut dealings = lock(dealings);
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -13,8 +13,8 @@
 
 use super::cloud::{MOST_RENTED, MOST_RETURNED};
 use crate::jobs::record::LEADER;
-use crate::protocol::cloud::Rental;
-use crate::protocol::state::Item;
+use crate::protocol::cloud::ProvisioningRequest;
+use crate::protocol::state::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// Open orders, one key each.
@@ -25,7 +25,7 @@
 #[serde(rename_all = "lowercase")]
 pub enum What {
     /// Requests for machines of one kind, under names that the cloud answers alike for ever.
-    Rent(Vec<Rental>),
+    Rent(Vec<ProvisioningRequest>),
     /// Machines to be returned.
     Return(Vec<String>),
     /// Carried out. Its key is kept while a copy of the order may still be stored by it, which must not
@@ -115,7 +115,7 @@
 
     /// Reads a stored order. None, with an error in the log, if it cannot be read or asks for more than the cloud
     /// takes in one call.
-    pub fn read(item: &Item) -> Option<Self> {
+    pub fn read(item: &KeyValue) -> Option<Self> {
         let read = Stored::deserialize(&item.value).map_err(|error| error.to_string());
         match read.and_then(|stored| stored.what.check().map(|()| stored)) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, what: stored.what }),
@@ -131,7 +131,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Inherited {
     /// Requests of one order, and its key.
-    pub rentals: Vec<(Vec<Rental>, String)>,
+    pub rentals: Vec<(Vec<ProvisioningRequest>, String)>,
     /// Machines, and the keys of all orders that name them.
     pub returns: Vec<(Vec<String>, Vec<String>)>,
     /// Orders that were carried out and are still stored.
--- a/src/fleet/orders/late.rs
+++ b/src/fleet/orders/late.rs
@@ -5,8 +5,8 @@
 use super::*;
 use crate::fleet::dealings::{Dealings, MOST_MARKED};
 
-fn rental() -> Rental {
-    Rental { request: name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
+fn rental() -> ProvisioningRequest {
+    ProvisioningRequest { request: name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
 }
 
 fn write_leader_record(store: &mut Store) -> u64 {
@@ -15,7 +15,7 @@
 
 fn open(store: &Store) -> Inherited {
     let read = |(path, value, version): (&str, &serde_json::Value, u64)| {
-        CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
+        CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
     };
     Inherited::of(store.under(ORDERS).map(read).collect(), 100)
 }
--- a/src/fleet/orders/tests.rs
+++ b/src/fleet/orders/tests.rs
@@ -27,7 +27,7 @@
     for (name, outcome, fencing_token, want) in cases {
         assert_eq!(order.next(&outcome, fencing_token), want, "{name}");
     }
-    let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
+    let item = KeyValue { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
     assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
 }
 
@@ -76,7 +76,7 @@
             let write = [Change::write(LEADER, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, version)| {
-                CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
+                CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| fenced).map(|o| (o, true)).collect();
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
@@ -180,7 +180,8 @@
     let rental = |count: u64| json!({"request": "r", "typeName": "g8", "zone": "a", "spot": false, "count": count});
     let written = |what: What| serde_json::to_value(Stored { epoch: 7, what }).unwrap();
     let of = |count: u64| {
-        let rental = Rental { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
+        let rental =
+            ProvisioningRequest { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
         written(What::Rent(vec![rental]))
     };
     let names = |n: usize| written(What::Return(vec!["m".into(); n]));
@@ -197,7 +198,7 @@
         ("half a rental", json!({"epoch": 7, "what": {"rent": [rental(1)["zone"]]}}), false),
         ("nothing", json!(null), false),
     ] {
-        let item = Item { path: "d/me-7-1".into(), value, version: 1 };
+        let item = KeyValue { path: "d/me-7-1".into(), value, version: 1 };
         assert_eq!(CloudOrder::read(&item).is_some(), read, "{name}");
     }
 }
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -6,7 +6,7 @@
 use tracing::{debug, info, warn};
 
 use super::RETRY;
-use super::cloud::{CloudError, MOST_RENTED, Rental};
+use super::cloud::{CloudError, MOST_RENTED, ProvisioningRequest};
 use super::dealings::Shared;
 use super::order_log::store;
 use super::orders::{self, What};
@@ -22,7 +22,7 @@
 const RENT_TRIES: u32 = 6;
 
 /// What to rent, the requests of each kind together.
-pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<Rental>> {
+pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<ProvisioningRequest>> {
     let now = Instant::now();
     let Some(catalog) = node.catalog() else { return Vec::new() };
     let held = lock(&node.cluster);
@@ -39,7 +39,7 @@
             let count = left.min(MOST_RENTED);
             left -= count;
             dealings.next += 1;
-            of_kind.push(Rental {
+            of_kind.push(ProvisioningRequest {
                 request: orders::name(&node.incarnation, cluster.fencing_token, dealings.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
@@ -53,7 +53,7 @@
 }
 
 /// The requests of one kind, stored before the first is made.
-pub(super) async fn rent(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>) {
+pub(super) async fn rent(node: Arc<Node>, dealings: Shared, rentals: Vec<ProvisioningRequest>) {
     match store(&node, &dealings, What::Rent(rentals.clone()), || false).await {
         Ok(key) => carry_out(node, dealings, rentals, key).await,
         Err(_) => {
@@ -66,7 +66,7 @@
 }
 
 /// One after another: once one was not filled, the rest would only use up the cloud's calls.
-pub(super) async fn carry_out(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>, key: String) {
+pub(super) async fn carry_out(node: Arc<Node>, dealings: Shared, rentals: Vec<ProvisioningRequest>, key: String) {
     let mut rentals = rentals.into_iter();
     for rental in rentals.by_ref() {
         if !carry_out_one(&node, &dealings, rental).await {
@@ -81,12 +81,12 @@
 }
 
 /// The kind of machine that a rental asks for.
-pub(super) fn kind_of(rental: &Rental) -> MachineKind {
+pub(super) fn kind_of(rental: &ProvisioningRequest) -> MachineKind {
     MachineKind { type_name: rental.type_name.clone(), zone: rental.zone.clone(), spot: rental.spot }
 }
 
 /// Whether it was filled.
-async fn carry_out_one(node: &Node, dealings: &Shared, rental: Rental) -> bool {
+async fn carry_out_one(node: &Node, dealings: &Shared, rental: ProvisioningRequest) -> bool {
     let kind = kind_of(&rental);
     let mut outcome = Err(CloudError::Unanswered);
     for _ in 0..RENT_TRIES {
--- a/src/history/answer_time.rs
+++ b/src/history/answer_time.rs
@@ -12,13 +12,13 @@
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::store::Change;
-use crate::store::budget::{Budget, Urgent};
+use crate::store::budget::{Budget, RequestPriority};
 
 const MS: Duration = Duration::from_millis(1);
 const POLL_EVERY_MS: usize = 5000;
 /// An answer of the state service, slow ones averaged in.
 const ANSWER_MS: u64 = 30;
-/// Names of one page.
+/// Keys of one page.
 const NAMES: usize = 1000;
 
 enum Due {
@@ -44,7 +44,7 @@
     let mut waiting: HashSet<usize> = (0..jobs).collect();
     for ms in 0..80_000u64 {
         let now = start + MS * ms as u32;
-        while proofs.peek().is_some_and(|at| at.0 <= ms) && budget.take(1.0, Urgent::First, now).is_ok() {
+        while proofs.peek().is_some_and(|at| at.0 <= ms) && budget.take(1.0, RequestPriority::Critical, now).is_ok() {
             proofs.pop();
             proofs.push(Reverse(ms + proof_every));
         }
@@ -76,14 +76,14 @@
             sweep.want(now);
         }
         if under_way < 4 && queries.anything_to_ask() {
-            let right = Urgent::Asked.after(MS * (ms - *asks.get_or_insert(ms)) as u32);
+            let right = RequestPriority::Query.after(MS * (ms - *asks.get_or_insert(ms)) as u32);
             if budget.take(1.0, right, now).is_ok() {
                 (asks, under_way) = (None, under_way + 1);
                 due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(queries.next_batch(now).0));
             }
         }
         if let Some(since) = sweep.next(now).filter(|_| !reading && ms >= page_at)
-            && budget.take(1.0, Urgent::Second, now).is_ok()
+            && budget.take(1.0, RequestPriority::Placement, now).is_ok()
         {
             let from = since.map_or(0, |id| ids.partition_point(|known| **known <= *id));
             (page_at, reading) = (ms + page_every, true);
@@ -133,10 +133,10 @@
     for ms in 0..60_000u64 {
         let now = start + MS * ms as u32;
         // Whoever goes first is always there first.
-        while budget.take(1.0, Urgent::First, now).is_ok() {}
+        while budget.take(1.0, RequestPriority::Critical, now).is_ok() {}
         if ms >= look_at {
             let waited = ms - since;
-            match budget.take(1.0, Urgent::Asked.after(MS * waited as u32), now) {
+            match budget.take(1.0, RequestPriority::Query.after(MS * waited as u32), now) {
                 Ok(()) => (longest, since, look_at, sent) = (longest.max(waited), ms, ms, sent + 1),
                 Err(wait) => look_at = ms + (wait.as_millis() as u64).clamp(2, 200),
             }
--- a/src/history/interleavings.rs
+++ b/src/history/interleavings.rs
@@ -20,7 +20,7 @@
 };
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::store::client::{Page, WatchResponse};
+use crate::store::client::{KeyValuePage, WatchResponse};
 use crate::store::watch_cache::{Loading, WatchCache};
 use crate::store::{Change, Condition};
 
@@ -56,7 +56,7 @@
 /// An answer of the store on its way.
 enum Answer {
     Watch { asked: u64, response: WatchResponse },
-    Page { epoch: u64, page: Page },
+    Page { epoch: u64, page: KeyValuePage },
     Compared { batch: Batch<usize>, failed: Vec<String> },
     Moved { question: usize, outcome: Result<u64, Vec<String>>, told: Told },
     Ended { id: JobId, outcome: Result<u64, Vec<String>> },
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -17,8 +17,8 @@
 use crate::jobs::{End, JobId};
 use crate::node::Node;
 use crate::settings::Settings;
-use crate::store::budget::Urgent;
-use crate::store::client::Item;
+use crate::store::budget::RequestPriority;
+use crate::store::client::KeyValue;
 use crate::store::log_limit::LogLimit;
 use crate::store::{CompareAndSwapOutcome, StateClient, StoreError};
 use crate::sync::lock;
@@ -120,7 +120,7 @@
     /// Asks the state service when a cancellation was stored, for whoever was told of it without.
     pub async fn learn_version(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
         for key in [ended_key(id, End::Cancelled), old_end_key(id)] {
-            if let Some(item) = store.get(&key, Urgent::Asked).await? {
+            if let Some(item) = store.get(&key, RequestPriority::Query).await? {
                 self.note_cancellation(id, item.version);
                 return Ok(());
             }
@@ -189,7 +189,7 @@
         tokio::time::sleep(GATHER).await;
         let Ok(turn) = free.clone().acquire_owned().await else { return };
         // The batch is filled only once it may go: until then more questions can join it.
-        if let Err(error) = node.store.reserve(Urgent::Asked).await {
+        if let Err(error) = node.store.reserve(RequestPriority::Query).await {
             debug!(%error, "questions wait");
         }
         let (batch, stale) = lock(&node.history.queries).next_batch(Instant::now());
@@ -247,7 +247,7 @@
 }
 
 /// How a job of an earlier build ended. One that cannot be read is known to nobody: its users are told to come again.
-fn read_old_end(item: &Item, limit: &mut LogLimit) -> Verdict {
+fn read_old_end(item: &KeyValue, limit: &mut LogLimit) -> Verdict {
     match OldEnd::deserialize(&item.value) {
         Ok(old) => Verdict::Ended(old.end),
         Err(error) => {
@@ -260,15 +260,15 @@
 }
 
 async fn old_verdict(node: &Node, id: &JobId) -> Result<Verdict, StoreError> {
-    if let Some(item) = node.store.get(&old_end_key(id), Urgent::Asked).await? {
+    if let Some(item) = node.store.get(&old_end_key(id), RequestPriority::Query).await? {
         return Ok(read_old_end(&item, &mut lock(&node.history.unreadable)));
     }
     // An acceptance that the earlier build never heard the answer of, applied after the upgrade.
-    let Some(item) = node.store.get(&old_job_key(id), Urgent::Asked).await? else { return Ok(Verdict::Later) };
+    let Some(item) = node.store.get(&old_job_key(id), RequestPriority::Query).await? else { return Ok(Verdict::Later) };
     // Accepted, for all that can be read of it: known for ever, if never run.
     let Ok(record) = JobRecord::deserialize(&item.value) else { return Ok(Verdict::Open) };
     let adopt = moves::adopt(&record, item.version);
-    match node.store.compare_and_swap(&adopt.conditions, &adopt.changes, Urgent::First).await? {
+    match node.store.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(_) => {
             warn!(job = %id, "an acceptance of an earlier build came late: taken over");
             Ok(Verdict::Open)
--- a/src/history/reader/tests.rs
+++ b/src/history/reader/tests.rs
@@ -15,7 +15,7 @@
     ];
     let mut limit = LogLimit::default();
     for (value, want) in cases {
-        let item = Item { path: old_end_key("run-000001"), value: value.clone(), version: 1 };
+        let item = KeyValue { path: old_end_key("run-000001"), value: value.clone(), version: 1 };
         assert_eq!(read_old_end(&item, &mut limit), want, "{value}");
     }
 }
--- a/src/history/sweep.rs
+++ b/src/history/sweep.rs
@@ -13,12 +13,12 @@
 use super::moves::{Place, place_of};
 use super::reader::History;
 use crate::store::StateClient;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::sync::jitter;
 
 /// Where ends are kept.
 const ENDED: &str = "h/";
-/// Names of one page; the state service gives no more, and fewer of large records.
+/// Keys of one page; the state service gives no more, and fewer of large records.
 const PAGE: usize = 1000;
 /// Read in one go: what is at hand afterwards should not have pushed itself out.
 const MOST_PAGES: usize = Ends::most() * 3 / 4 / PAGE;
@@ -75,7 +75,7 @@
                 continue;
             }
         };
-        let page = store.names(ENDED, since.as_deref(), PAGE, Urgent::Second);
+        let page = store.names(ENDED, since.as_deref(), PAGE, RequestPriority::Placement);
         let (page, ()) = tokio::join!(page, tokio::time::sleep(store.time_for(COST)));
         match page {
             Ok((names, more)) => {
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -12,14 +12,14 @@
 
 use super::moves::adopt;
 use crate::jobs::record::{JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, Upgraded};
-use crate::store::budget::Urgent;
-use crate::store::client::{Item, Pages};
+use crate::store::budget::RequestPriority;
+use crate::store::client::{KeyValue, Pages};
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 
 /// One listing, item by item.
 struct Cursor<'a> {
     pages: Pages<'a>,
-    held: VecDeque<Item>,
+    held: VecDeque<KeyValue>,
     prefix: &'static str,
 }
 
@@ -28,7 +28,7 @@
         Self { pages: store.pages(prefix, None), held: VecDeque::new(), prefix }
     }
 
-    async fn peek(&mut self) -> Result<Option<&Item>, StoreError> {
+    async fn peek(&mut self) -> Result<Option<&KeyValue>, StoreError> {
         while self.held.is_empty() {
             match self.pages.next().await? {
                 Some(page) => self.held.extend(page.items),
@@ -44,7 +44,7 @@
         Ok(self.peek().await?.map(|item| item.path.trim_start_matches(prefix).to_owned()))
     }
 
-    fn pass(&mut self) -> Option<Item> {
+    fn pass(&mut self) -> Option<KeyValue> {
         self.held.pop_front()
     }
 }
@@ -73,7 +73,8 @@
             Ok(record) => {
                 let adopt = adopt(&record, item.version);
                 // Failed: another controller was faster, or it has ended meanwhile.
-                let outcome = store.compare_and_swap(&adopt.conditions, &adopt.changes, Urgent::First).await?;
+                let outcome =
+                    store.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await?;
                 open += u64::from(matches!(outcome, CompareAndSwapOutcome::Applied(_)));
             }
             Err(error) => error!(%error, path = item.path, "unreadable job of an earlier build"),
@@ -81,7 +82,7 @@
     }
     let old_kept = open + ended > 0;
     let (condition, change) = upgraded(old_kept);
-    store.compare_and_swap(&[condition], &[change], Urgent::First).await?;
+    store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
     if old_kept {
         info!(open, ended, "took over what an earlier build has stored");
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
 use crate::node::Node;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 use records::{LeaderRecord, LeaseHolder, Watermark};
@@ -255,7 +255,7 @@
 
 async fn expire(node: &Node, version: u64) -> Result<(), StoreError> {
     let (condition, change) = expiry(version);
-    let outcome = node.store.compare_and_swap(&[condition], &[change], Urgent::First).await?;
+    let outcome = node.store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
     info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
     node.read_barrier.wait().await;
     Ok(())
@@ -275,7 +275,7 @@
     *permit = Some(lease);
     let me = LeaseHolder { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
     let (condition, change) = candidacy(&me, lease);
-    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await? {
+    match node.store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(version) => {
             info!(version, "leads");
             lock(&node.watch_cache).note_lease_holder(me, version);
@@ -304,7 +304,7 @@
         teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
     };
     let (conditions, change) = naming(&record, lease_holder_version, version);
-    match node.store.compare_and_swap(&conditions, &[change], Urgent::First).await? {
+    match node.store.compare_and_swap(&conditions, &[change], RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(fencing_token) => {
             if lock(&node.watch_cache).note_leader_record(record, fencing_token) {
                 node.become_leader(fencing_token);
@@ -330,7 +330,7 @@
 /// Controllers that do not hear this leader read it there.
 async fn store_watermark(node: &Node, watermark: Watermark) {
     let (condition, change) = storing(watermark);
-    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await {
+    match node.store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await {
         Ok(CompareAndSwapOutcome::Applied(_)) => node.confirmed(watermark.revision, Instant::now()),
         outcome => debug!(?outcome, "storing the watermark"),
     }
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -5,7 +5,7 @@
 use crate::declarations::run::Hands;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
@@ -30,7 +30,7 @@
         self.history.look_up(id);
     }
 
-    fn ready(&self, urgent: Urgent) -> usize {
+    fn ready(&self, urgent: RequestPriority) -> usize {
         self.store.writes_ready(urgent)
     }
 
@@ -38,7 +38,7 @@
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        urgent: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.store.compare_and_swap(conditions, changes, urgent).await
     }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -12,7 +12,7 @@
 use crate::fleet;
 use crate::membership::records::TakeoverRequest;
 use crate::scheduling::{self, ClusterState};
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::commit;
 use crate::sync::lock;
 use crate::workers::dispatch;
@@ -91,7 +91,7 @@
         let node = self.clone();
         tokio::spawn(async move {
             let (conditions, changes) = takeover_request.transaction();
-            let _ = node.store.compare_and_swap(&conditions, &changes, Urgent::First).await;
+            let _ = node.store.compare_and_swap(&conditions, &changes, RequestPriority::Critical).await;
         });
     }
 
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -9,12 +9,12 @@
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
-use crate::store::watch_cache::{News, WatchCache};
+use crate::store::watch_cache::{CacheChanges, WatchCache};
 use crate::sync::lock;
 
 impl Node {
     /// Hands what the watch cache learned to whoever acts on it.
-    pub fn spread(&self, news: News) {
+    pub fn spread(&self, news: CacheChanges) {
         if news.is_empty() {
             let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
             if let Some(cluster) = held.as_mut() {
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -7,7 +7,7 @@
 use super::{ClusterState, Machine, MachineId, MachineState, Phase, Via};
 use crate::jobs::Shape;
 use crate::machine_kinds::Catalog;
-use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey};
 use crate::sla;
 
 impl ClusterState {
@@ -112,7 +112,7 @@
             let is_it = |l: &&AttemptReport| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
             match machine.attempts.iter().find(is_it) {
                 Some(attempt_report) if attempt_report.status == AttemptStatus::Exited => {
-                    exits.push((key.clone(), attempt_report.cause.unwrap_or(Cause::Error)));
+                    exits.push((key.clone(), attempt_report.cause.unwrap_or(ExitCause::Error)));
                 }
                 Some(attempt_report) => {
                     binding.status = Some(attempt_report.status);
@@ -146,10 +146,10 @@
         }
     }
 
-    fn exited(&mut self, key: &TaskKey, cause: Cause, on: &MachineId, now: Instant) {
+    fn exited(&mut self, key: &TaskKey, cause: ExitCause, on: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let spec_shape = job.spec().shape;
-        if cause == Cause::Done && spec_shape != Shape::Service && job.ended.is_none() {
+        if cause == ExitCause::Done && spec_shape != Shape::Service && job.ended.is_none() {
             let ran =
                 job.binding(key.index).and_then(|b| b.running_since).map(|since| now.saturating_duration_since(since));
             let estimate = job.spec().estimate();
@@ -162,9 +162,9 @@
             self.completed_task(key, on, now);
             return;
         }
-        if cause == Cause::Error {
+        if cause == ExitCause::Error {
             self.failed(key, on, now);
-        } else if matches!(cause, Cause::NoRoom | Cause::Busy | Cause::Unknown) {
+        } else if matches!(cause, ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) {
             warn!(task = %key.job, index = key.index, machine = %on, ?cause, "start refused");
             job.not_before = job.not_before.max(now + Duration::from_secs(1));
         }
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -24,7 +24,7 @@
 use super::{ClusterState, Machine, MachineId, Phase};
 use crate::jobs::record::{MOST_ATTEMPTS, TASKS_PER_SHARD};
 use crate::jobs::{JobId, Shape};
-use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, TaskKey};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, TaskKey};
 
 /// Attempts of tasks that an unreadable shard hides are numbered after this and the shard's revision.
 pub(super) const HIDDEN_ATTEMPTS: u64 = 1 << 32;
@@ -168,7 +168,7 @@
                 .iter()
                 .filter(|attempt_report| resting.hides(id, attempt_report) && waits(attempt_report));
             let attempts = attempts.filter(|attempt_report| {
-                attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(Cause::Done)
+                attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(ExitCause::Done)
             });
             done.extend(attempts.map(|attempt_report| (attempt_report.task.clone(), machine.id.clone())));
         }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -19,7 +19,7 @@
 use crate::jobs::{JobId, Shape};
 use crate::machine_kinds::Catalog;
 use crate::machine_kinds::tests::machine_type;
-use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand};
 use crate::scheduling::cluster::{ClusterState, Via};
 use crate::scheduling::intents::Intents;
 use crate::scheduling::plan;
@@ -251,7 +251,7 @@
             let attempt_report = |task: &TaskKey, attempt, ends| {
                 let over = ends <= t;
                 let (status, cause) =
-                    if over { (AttemptStatus::Exited, Some(Cause::Done)) } else { (AttemptStatus::Running, None) };
+                    if over { (AttemptStatus::Exited, Some(ExitCause::Done)) } else { (AttemptStatus::Running, None) };
                 AttemptReport { task: task.clone(), attempt, status, cause, saved: None }
             };
             let attempts = self.running.iter().filter(|(m, ..)| *m == machine);
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -4,7 +4,7 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::leaders::News;
+use super::leaders::CacheChanges;
 use super::world::World;
 use crate::history::moves::{Place, place_of};
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
@@ -64,7 +64,7 @@
             }
             if let Some(leader) = self.leaders[i].as_mut() {
                 let after = leader.news.last().map_or(due, |news| due.max(news.due));
-                leader.news.push(News { due: after, job: id.clone(), opened, revision: version });
+                leader.news.push(CacheChanges { due: after, job: id.clone(), opened, revision: version });
             }
         }
     }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -11,7 +11,7 @@
 use super::world::World;
 use super::{ANSWER_TAKEN, CANCEL, LEASE};
 use crate::jobs::record::{StoredTask, TASKS_PER_SHARD, decode_shard, shard_key};
-use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand};
 
 pub(super) struct Worker {
     pub(super) id: String,
@@ -107,7 +107,7 @@
                             && attempt_report.status != AttemptStatus::Exited
                         {
                             (attempt_report.status, attempt_report.cause) =
-                                (AttemptStatus::Exited, Some(Cause::Stopped));
+                                (AttemptStatus::Exited, Some(ExitCause::Stopped));
                         }
                     }
                 }
@@ -116,7 +116,7 @@
                         |l: &AttemptReport| l.task == task && l.attempt == attempt && l.status == AttemptStatus::Exited;
                     let Some(at) = self.workers[w].attempts.iter().position(exited) else { continue };
                     let attempt_report = self.workers[w].attempts.remove(at);
-                    if attempt_report.cause == Some(Cause::Done) {
+                    if attempt_report.cause == Some(ExitCause::Done) {
                         self.check_reap(&task);
                     }
                     self.workers[w].reaped.insert((task, attempt));
@@ -132,7 +132,7 @@
         let mut attempt_report =
             AttemptReport { task: task.clone(), attempt, status: AttemptStatus::Running, cause: None, saved: None };
         if self.workers[w].live(&task) {
-            (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Busy));
+            (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Busy));
             self.workers[w].attempts.push(attempt_report);
             return;
         }
@@ -174,11 +174,11 @@
             for attempt_report in worker.attempts.iter_mut().filter(|l| l.status == AttemptStatus::Running) {
                 if worker.ends_at.get(&attempt_report.task).is_some_and(|t| *t <= now) {
                     if bad(&attempt_report.task.job) {
-                        (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Error));
+                        (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Error));
                         self.failures += 1;
                         continue;
                     }
-                    (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(Cause::Done));
+                    (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Done));
                     self.completed.insert(attempt_report.task.clone());
                 }
             }
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -16,8 +16,8 @@
 use crate::jobs::{End, JobId};
 use crate::node::Node;
 use crate::scheduling::cluster::ClusterState;
-use crate::store::budget::Urgent;
-use crate::store::client::Item;
+use crate::store::budget::RequestPriority;
+use crate::store::client::KeyValue;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
 
@@ -35,7 +35,7 @@
 
 impl Shard {
     /// None if the key names no shard.
-    fn read(item: Item) -> Option<Self> {
+    fn read(item: KeyValue) -> Option<Self> {
         let Some((job, number)) = parse_shard_key(&item.path) else {
             error!(path = item.path, "a key in the store that names no tasks");
             return None;
@@ -204,7 +204,9 @@
     let mut done = HashSet::new();
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
-        if let CompareAndSwapOutcome::Failed(keys) = node.store.compare_and_swap(&absent, &[], Urgent::First).await? {
+        if let CompareAndSwapOutcome::Failed(keys) =
+            node.store.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
+        {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
     }
@@ -214,7 +216,7 @@
 /// The description of a job that has ended, wherever it is kept, how long ago it did, and a revision before that.
 async fn ended_record(node: &Node, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
-        if let Some(item) = node.store.get(&key, Urgent::First).await? {
+        if let Some(item) = node.store.get(&key, RequestPriority::Critical).await? {
             return Ok(read_ended_record(id, &key, &item));
         }
     }
@@ -222,7 +224,7 @@
 }
 
 /// The same of one value; none if no acceptance would have let it through.
-fn read_ended_record(id: &str, key: &str, item: &Item) -> Option<(JobRecord, Duration, u64)> {
+fn read_ended_record(id: &str, key: &str, item: &KeyValue) -> Option<(JobRecord, Duration, u64)> {
     let record = match JobRecord::deserialize(&item.value) {
         Ok(record) => record,
         Err(error) => {
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -6,8 +6,8 @@
 use crate::jobs::record::{MOST_ATTEMPTS, encode_shard};
 use crate::jobs::tests::spec;
 
-fn item(path: &str, value: Value) -> Item {
-    Item { path: path.to_owned(), value, version: 7 }
+fn item(path: &str, value: Value) -> KeyValue {
+    KeyValue { path: path.to_owned(), value, version: 7 }
 }
 
 #[test]
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -10,7 +10,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 use crate::scheduling::cluster::{Direct, MachineId};
 
 /// After this long nobody waits for the reply to a command.
@@ -96,7 +96,7 @@
             }
             let at = *ends.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + run);
             if attempt_report.status == AttemptStatus::Running && at <= now {
-                simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, Cause::Done);
+                simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
             }
         }
     }
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -3,7 +3,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::End;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 use crate::scheduling::plan::Placement;
 
 /// Arrays of two and three: the first exit is stored or not yet when the leader ends. It is known to the successor
@@ -22,7 +22,7 @@
             world.turn(&mut old, m);
         }
         let running = world.heartbeat("m0");
-        world.exits("m0", 0, 1, Cause::Done);
+        world.exits("m0", 0, 1, ExitCause::Done);
         if known {
             world.turn(&mut old, "m0");
         }
@@ -52,7 +52,7 @@
         for (index, m) in (1..tasks as u32).zip(&names[1..]) {
             assert_eq!(world.ended, None);
             let mut cluster = world.leader();
-            world.exits(m, index, 1, Cause::Done);
+            world.exits(m, index, 1, ExitCause::Done);
             world.turn(&mut cluster, m);
             world.store(&mut cluster);
         }
@@ -77,8 +77,8 @@
         for m in ["m0", "m1"] {
             world.turn(&mut old, m);
         }
-        world.exits("m0", 0, 1, Cause::Done);
-        world.exits("m1", 1, 1, Cause::Done);
+        world.exits("m0", 0, 1, ExitCause::Done);
+        world.exits("m1", 1, 1, ExitCause::Done);
         if heard == "by the old leader" {
             world.turn(&mut old, "m0");
             // Its other machine is lost before the end is stored: the gang is not begun anew for that.
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -3,7 +3,7 @@
 
 use super::world::*;
 use super::*;
-use crate::protocol::workers::{Cause, WorkerCommand};
+use crate::protocol::workers::{ExitCause, WorkerCommand};
 
 /// A launch that was given up is carried out minutes later, at each step of what follows: its task is stopped, the
 /// fencing token is raised, the worker learns it, and the task goes elsewhere.
@@ -54,7 +54,9 @@
 /// ends, and is not reaped while that launch could start it once more.
 #[test]
 fn a_reap_waits_until_no_launch_can_come_by_the_other_way() {
-    for (cause, late_at) in [Cause::Done, Cause::Stopped].into_iter().flat_map(|c| (0..7).map(move |at| (c, at))) {
+    for (cause, late_at) in
+        [ExitCause::Done, ExitCause::Stopped].into_iter().flat_map(|c| (0..7).map(move |at| (c, at)))
+    {
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
         let mut cluster = world.leader();
         world.turn(&mut cluster, "m1");
@@ -142,7 +144,7 @@
     let direct = world.command(&mut cluster, "m1").unwrap();
     let reply = world.arrives(&direct).unwrap();
     assert_eq!(reply.attempts[0].status, AttemptStatus::Running);
-    world.exits("m1", 0, 1, Cause::Done);
+    world.exits("m1", 0, 1, ExitCause::Done);
     let answer = world.asks(&mut cluster, "m1");
     assert_eq!((answer.orders.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
     world.store(&mut cluster);
@@ -195,7 +197,7 @@
         bound(&cluster, 1, 1, "m2");
         world.place_these(&mut cluster, &[2], "m3");
         world.turn(&mut cluster, "m3");
-        world.exits("m3", 2, 1, Cause::Done);
+        world.exits("m3", 2, 1, ExitCause::Done);
         world.turn(&mut cluster, "m3");
         world.store(&mut cluster);
         world.turn(&mut cluster, "m3");
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -3,7 +3,7 @@
 use super::simulation::*;
 use super::world::*;
 use super::*;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 
 // Leaders change ten times in two minutes, also inside an outage.
 
@@ -85,7 +85,7 @@
             bound(&simulation.cluster, 0, 2, again_on);
             assert_eq!(simulation.live(&JOB.into()), [(0, again_on)], "{name}");
             if done {
-                simulation.world.exits(again_on, 0, 2, Cause::Done);
+                simulation.world.exits(again_on, 0, 2, ExitCause::Done);
                 simulation.heartbeats(again_on);
                 simulation.world.store(&mut simulation.cluster);
             }
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -2,7 +2,7 @@
 
 use super::world::*;
 use super::*;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 
 /// What a heartbeat of an earlier time says to the leader, to a successor, and to one that led before, by cases: the
 /// task's attempt on the machine that the store names stays bound to it, or is gone because the copy proves just that.
@@ -40,7 +40,7 @@
         world.place(&mut cluster, "m1");
         world.turn(&mut cluster, "m1");
         copies.push(world.heartbeat("m1"));
-        world.exits("m1", 0, 1, Cause::Error);
+        world.exits("m1", 0, 1, ExitCause::Error);
         copies.push(world.heartbeat("m1"));
         world.turn(&mut cluster, "m1");
         world.turn(&mut cluster, "m1");
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -173,7 +173,7 @@
         task,
         attempt: 1,
         status: AttemptStatus::Exited,
-        cause: Some(crate::protocol::workers::Cause::Error),
+        cause: Some(crate::protocol::workers::ExitCause::Error),
         saved: None,
     };
     cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, seq, vec![attempt_report]), Via::Heartbeat, None, now);
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -9,7 +9,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::Account;
 
 /// What is left of a machine by what is on it and what is bound to it.
@@ -150,7 +150,7 @@
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
-                    let cause = if fails { Cause::Error } else { Cause::Done };
+                    let cause = if fails { ExitCause::Error } else { ExitCause::Done };
                     simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -8,8 +8,8 @@
 use crate::history::moves;
 use crate::jobs::{End, JobId};
 use crate::node::WRITES;
-use crate::protocol::workers::Cause;
-use crate::store::budget::{Budget, Urgent};
+use crate::protocol::workers::ExitCause;
+use crate::store::budget::{Budget, RequestPriority};
 
 /// With a change of leaders in the middle: everything that could grow is small at each moment, and all are served.
 #[test]
@@ -41,7 +41,7 @@
                 simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
             {
                 if step > *started.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(step) + 4 {
-                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, Cause::Done);
+                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
                 }
             }
         }
@@ -133,7 +133,7 @@
                     part.start_s = part.start_s.max((since - *at).as_secs_f64());
                 }
                 if now - since >= s(2.0) {
-                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, Cause::Done);
+                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
                     exited.insert(id.clone(), now);
                 }
             }
@@ -142,12 +142,12 @@
         // As group commit: what the budget holds goes in one transaction, and clean-up gives way.
         let now = simulation.world.now;
         let part = &mut parts[(f64::from(step) * STEP / PART_S) as usize];
-        let most = (budget.ready(Urgent::Second, now).max(0.0) as usize).min(limits.txn_ops as usize);
+        let most = (budget.available(RequestPriority::Placement, now).max(0.0) as usize).min(limits.txn_ops as usize);
         let stored = simulation.world.store_some(&mut simulation.cluster, most, now);
-        assert!(stored == 0 || budget.take(stored as f64, Urgent::First, now).is_ok(), "step {step}");
-        let room = (budget.ready(Urgent::Last, now).max(0.0) as usize).min(limits.txn_ops as usize);
+        assert!(stored == 0 || budget.take(stored as f64, RequestPriority::Critical, now).is_ok(), "step {step}");
+        let room = (budget.available(RequestPriority::Background, now).max(0.0) as usize).min(limits.txn_ops as usize);
         let dropped = simulation.world.drop_some(&mut simulation.cluster, room);
-        assert!(dropped == 0 || budget.take(dropped as f64, Urgent::Last, now).is_ok(), "step {step}");
+        assert!(dropped == 0 || budget.take(dropped as f64, RequestPriority::Background, now).is_ok(), "step {step}");
         part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
         part.changes_of_leader += stored + dropped;
         for (id, at) in
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -20,7 +20,7 @@
             task: p.task.clone(),
             attempt: 1,
             status: AttemptStatus::Exited,
-            cause: Some(crate::workers::Cause::Done),
+            cause: Some(crate::workers::ExitCause::Done),
             saved: None,
         };
         cluster.take_heartbeat(
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -4,7 +4,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::record::StoredTask;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 
 /// Past any rest, by the example's settings and the default election lease.
 const PAST_THE_REST: f64 = 120.0;
@@ -37,7 +37,7 @@
         task: TaskKey { job: job.into(), index: 0 },
         attempt: 1,
         status,
-        cause: (status == AttemptStatus::Exited).then_some(Cause::Stopped),
+        cause: (status == AttemptStatus::Exited).then_some(ExitCause::Stopped),
         saved: None,
     };
     let ours = |attempts| Some((0, attempts));
@@ -158,7 +158,7 @@
     simulation.world.place(&mut simulation.cluster, "m1");
     simulation.heartbeats("m1");
     simulation.heartbeats("m1");
-    simulation.world.exits("m1", 0, 1, Cause::Done);
+    simulation.world.exits("m1", 0, 1, ExitCause::Done);
     simulation.plans = true;
     successor_cannot_read(&mut simulation);
     simulation.run(PAST_THE_REST);
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -10,7 +10,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::Account;
 use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
@@ -184,7 +184,7 @@
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
-                    let cause = if fails { Cause::Error } else { Cause::Done };
+                    let cause = if fails { ExitCause::Error } else { ExitCause::Done };
                     self.simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::jobs::record::StoredTask;
 use crate::jobs::{End, JobId};
-use crate::protocol::workers::{Cause, WorkerCommand};
+use crate::protocol::workers::{ExitCause, WorkerCommand};
 use crate::scheduling::cluster::Direct;
 use crate::scheduling::plan::Placement;
 use crate::settings::Settings;
@@ -248,7 +248,7 @@
         for order in orders {
             match order {
                 WorkerCommand::Launch { task, attempt } => self.launch(m, task, *attempt),
-                WorkerCommand::Halt { task, attempt, .. } => self.exits_of(m, task, *attempt, Cause::Stopped),
+                WorkerCommand::Halt { task, attempt, .. } => self.exits_of(m, task, *attempt, ExitCause::Stopped),
                 WorkerCommand::Reap { task, attempt } => {
                     let w = self.workers.get_mut(m).unwrap();
                     let exited = |l: &AttemptReport| {
@@ -259,7 +259,7 @@
                     w.reaped.insert((task.clone(), *attempt));
                     let shard = self.shard_of(&task.job).as_ref();
                     let stored = shard.is_some_and(|(_, t)| t[task.index as usize] == StoredTask::Done);
-                    let lost = attempt_report.cause == Some(Cause::Done) && !stored && !self.over(&task.job);
+                    let lost = attempt_report.cause == Some(ExitCause::Done) && !stored && !self.over(&task.job);
                     assert!(!lost, "{task:?} was reaped before its end was stored");
                 }
             }
@@ -282,23 +282,23 @@
         assert!(!again || (self.forgotten.contains(task) && !known), "{task:?} runs again though it was done");
         assert!(!self.over(&task.job), "{task:?} starts though its job is over");
         let (status, cause) =
-            if again { (AttemptStatus::Exited, Some(Cause::Done)) } else { (AttemptStatus::Running, None) };
+            if again { (AttemptStatus::Exited, Some(ExitCause::Done)) } else { (AttemptStatus::Running, None) };
         let attempt_report = AttemptReport { task: task.clone(), attempt, status, cause, saved: None };
         self.workers.get_mut(m).unwrap().attempts.push(attempt_report);
     }
 
-    pub(super) fn exits(&mut self, m: &str, index: u32, attempt: u64, cause: Cause) {
+    pub(super) fn exits(&mut self, m: &str, index: u32, attempt: u64, cause: ExitCause) {
         self.exits_of(m, &task(index), attempt, cause);
     }
 
-    pub(super) fn exits_of(&mut self, m: &str, key: &TaskKey, attempt: u64, cause: Cause) {
+    pub(super) fn exits_of(&mut self, m: &str, key: &TaskKey, attempt: u64, cause: ExitCause) {
         for attempt_report in &mut self.workers.get_mut(m).unwrap().attempts {
             if attempt_report.task == *key
                 && attempt_report.attempt == attempt
                 && attempt_report.status != AttemptStatus::Exited
             {
                 (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(cause));
-                if cause == Cause::Done {
+                if cause == ExitCause::Done {
                     self.completed.insert(key.clone());
                 }
             }
@@ -306,7 +306,7 @@
     }
 
     fn forget(&mut self, m: &str) {
-        let done = self.workers[m].attempts.iter().filter(|l| l.cause == Some(Cause::Done));
+        let done = self.workers[m].attempts.iter().filter(|l| l.cause == Some(ExitCause::Done));
         self.forgotten.extend(done.map(|l| l.task.clone()));
     }
 
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -15,7 +15,7 @@
 
 use tracing::{debug, error};
 
-use super::budget::Urgent;
+use super::budget::RequestPriority;
 use super::{CompareAndSwapOutcome, Condition, StoreError};
 use crate::history::moves::{Move, accept, end_changes, not_ended, not_there};
 use crate::jobs::record::{JobRecord, ended_key, open_key, shard_key, time_of_day_ms};
@@ -173,7 +173,7 @@
             continue;
         }
         let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
-        let failed = match node.store.compare_and_swap(&conditions, &[], Urgent::Last).await {
+        let failed = match node.store.compare_and_swap(&conditions, &[], RequestPriority::Background).await {
             Ok(CompareAndSwapOutcome::Failed(keys)) => keys,
             Ok(_) => Vec::new(),
             Err(error) => {
@@ -217,7 +217,7 @@
         Held::Ended(record, end) => {
             let again = end_again(record, *end, time_of_day_ms());
             if let CompareAndSwapOutcome::Failed(keys) =
-                node.store.compare_and_swap(&again.conditions, &again.changes, Urgent::First).await?
+                node.store.compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical).await?
             {
                 // Another end stands: what was told before cannot be made true any more.
                 error!(?keys, job = %record.spec.id, "lost and ended otherwise since");
@@ -226,7 +226,7 @@
             Ok(())
         }
         Held::Shard(id, shard, version) => {
-            let item = node.store.get(&shard_key(id, *shard), Urgent::First).await?;
+            let item = node.store.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
             let found = item.map_or(0, |i| i.version);
             if let Some(cluster) = lock(&node.cluster).as_mut() {
                 cluster.store_shard_again(id, *shard, *version, found);
@@ -239,7 +239,7 @@
 
 async fn accept_again(node: &Node, record: &JobRecord) -> Result<(), StoreError> {
     let again = accept(record, lock(&node.watch_cache).old_kept());
-    node.store.compare_and_swap(&again.conditions, &again.changes, Urgent::First).await.map(|_| ())
+    node.store.compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical).await.map(|_| ())
 }
 
 #[cfg(test)]
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,101 +1,106 @@
-//! A fencing token bucket for the limits of the state service, of which less urgent calls must leave a reserve.
+//! A token bucket for the limits of the state service, with reserves that calls of lower priority must leave.
 
 use std::time::{Duration, Instant};
 
-/// What a call is for, in falling order of right.
+/// The priority of a call to the state service. The lower the priority, the larger the part of the bucket that the call
+/// must leave to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Urgent {
-    /// Ends, acceptances, leases.
-    First,
-    /// Placements.
-    Second,
-    /// Users' questions about what is not open: a flood of them leaves the rest its burst.
-    Asked,
-    /// Clean-up.
-    Last,
-    /// A question that has waited for long: into debt, since whatever comes is taken by others first.
-    Overdue,
+pub enum RequestPriority {
+    /// Ends and acceptances of jobs, leases, reads that others wait for: may use the whole bucket.
+    Critical,
+    /// Placements of tasks.
+    Placement,
+    /// Users' queries about jobs that are not open: a flood of them must leave the burst to the others.
+    Query,
+    /// Clean-up and audit.
+    Background,
+    /// A query that has waited for [`QUERY_PATIENCE`]: it may put the bucket into debt, because calls of higher
+    /// priority would otherwise take each token as it comes.
+    OverdueQuery,
 }
 
-/// A question has users waiting for 2 s. Past this it is overdue: where leases, ends and placements want
-/// more than there is, questions would else be answered never, and not merely late.
-const ASKED_PATIENCE: Duration = Duration::from_millis(400);
+/// A query that has waited this long is overdue. Users wait for 2 s, and where leases, ends and placements ask for more
+/// than the limit, queries without this rule would never be answered.
+const QUERY_PATIENCE: Duration = Duration::from_millis(400);
 
-impl Urgent {
-    /// The right of a call that has waited for so long.
+impl RequestPriority {
+    /// The priority of a call that has waited for so long.
+    #[must_use]
     pub fn after(self, waited: Duration) -> Self {
-        if self == Self::Asked && waited >= ASKED_PATIENCE { Self::Overdue } else { self }
+        if self == Self::Query && waited >= QUERY_PATIENCE { Self::OverdueQuery } else { self }
+    }
+
+    /// The part of a full bucket that calls of this priority must leave, from 0 to 1.
+    fn reserve(self) -> f64 {
+        match self {
+            Self::Critical | Self::OverdueQuery => 0.0,
+            Self::Placement => 0.15,
+            Self::Query => 0.3,
+            Self::Background => 0.6,
+        }
     }
 }
 
-/// A fencing token bucket. What it holds grows with time up to a burst and may fall below zero for overdue calls and
-/// for calls larger than the burst.
+/// A token bucket. Tokens are added at a constant rate up to the burst size. Their number falls below zero after an
+/// overdue query or a call larger than the burst.
 #[derive(Debug)]
 pub struct Budget {
     per_second: f64,
     burst: f64,
-    held: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Budget {
-    /// A full bucket that grows by `per_second` (at least 0.01) up to `burst` (at least 1).
+    /// A full bucket that gains `per_second` tokens (at least 0.01) up to `burst` (at least 1).
     pub fn new(per_second: f64, burst: f64, now: Instant) -> Self {
         let burst = burst.max(1.0);
-        Self { per_second: per_second.max(0.01), burst, held: burst, at: now }
+        Self { per_second: per_second.max(0.01), burst, tokens: burst, refilled_at: now }
     }
 
-    /// Grows at another rate from now on; what it holds stays, up to the new burst.
+    /// Changes rate and burst size from now on. The tokens in the bucket stay, up to the new burst size.
     pub fn change(&mut self, per_second: f64, burst: f64, now: Instant) {
         self.refill(now);
-        let burst = burst.max(1.0);
-        (self.per_second, self.burst, self.held) = (per_second.max(0.01), burst, self.held.min(burst));
+        self.per_second = per_second.max(0.01);
+        self.burst = burst.max(1.0);
+        self.tokens = self.tokens.min(self.burst);
     }
 
-    /// The rate at which it grows.
+    /// The rate at which tokens are added.
     pub fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// The time in which it grows by `n`.
+    /// The time in which `n` tokens are added.
     pub fn time_for(&self, n: f64) -> Duration {
         Duration::from_secs_f64(n / self.per_second)
     }
 
-    /// How much a call of this right could take at once.
-    pub fn ready(&mut self, urgent: Urgent, now: Instant) -> f64 {
+    /// The number of tokens that a call of this priority could take at once; negative if it would have to wait.
+    pub fn available(&mut self, priority: RequestPriority, now: Instant) -> f64 {
         self.refill(now);
-        self.held - Self::reserve(urgent) * self.burst
+        self.tokens - priority.reserve() * self.burst
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.held = (self.held + passed * self.per_second).min(self.burst);
-        self.at = now;
-    }
-
-    /// The part of a burst that calls of this right must leave.
-    fn reserve(urgent: Urgent) -> f64 {
-        match urgent {
-            Urgent::First | Urgent::Overdue => 0.0,
-            Urgent::Second => 0.15,
-            Urgent::Asked => 0.3,
-            Urgent::Last => 0.6,
-        }
+        let passed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + passed * self.per_second).min(self.burst);
+        self.refilled_at = now;
     }
 
-    /// Takes `n` or says how long to wait. More than a whole burst is taken once it is full.
-    pub fn take(&mut self, n: f64, urgent: Urgent, now: Instant) -> Result<(), Duration> {
+    /// Takes `n` tokens, or says how long to wait before the next try. More than a whole burst is taken once the bucket
+    /// is full.
+    pub fn take(&mut self, n: f64, priority: RequestPriority, now: Instant) -> Result<(), Duration> {
         self.refill(now);
-        let needed = match urgent {
-            Urgent::Overdue => 0.0,
-            _ => (n + Self::reserve(urgent) * self.burst).min(self.burst),
+        let needed = match priority {
+            RequestPriority::OverdueQuery => 0.0,
+            _ => (n + priority.reserve() * self.burst).min(self.burst),
         };
-        if self.held + 1e-9 >= needed {
-            self.held -= n;
+        if self.tokens + 1e-9 >= needed {
+            self.tokens -= n;
             return Ok(());
         }
-        Err(Duration::from_secs_f64((needed - self.held) / self.per_second))
+        Err(Duration::from_secs_f64((needed - self.tokens) / self.per_second))
     }
 }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -3,11 +3,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use super::budget::{Budget, Urgent};
+use super::budget::{Budget, RequestPriority};
 use super::share::Meter;
 use crate::process_pause::ProcessPause;
-pub use crate::protocol::state::{Change, Condition, Event, Item, Page, WatchResponse};
-use crate::protocol::state::{CompareAndSwap, Granted, Name, Names, Refused, Revision};
+pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
+use crate::protocol::state::{
+    CompareAndSwap, FailedConditions, GrantedLease, KeyVersion, KeyVersionPage, StoreRevision,
+};
 use crate::protocol::{self, CallError, Http};
 use crate::traffic::{Passage, Traffic};
 use hyper::Method;
@@ -61,7 +63,7 @@
 
 impl Pages<'_> {
     /// The next page, or none after the last. After an error the same page can be asked for again.
-    pub async fn next(&mut self) -> Result<Option<Page>, StoreError> {
+    pub async fn next(&mut self) -> Result<Option<KeyValuePage>, StoreError> {
         if !self.more {
             return Ok(None);
         }
@@ -70,10 +72,11 @@
             path.push_str("&since=");
             path.push_str(&escaped(since));
         }
-        let page: Page = match self.client.call(Method::GET, &path, None, ANSWER_WITHIN * 2, Urgent::First).await? {
-            (200, body) => parse(&body)?,
-            (other, _) => return Err(StoreError::Malformed(format!("{other} to a listing"))),
-        };
+        let page: KeyValuePage =
+            match self.client.call(Method::GET, &path, None, ANSWER_WITHIN * 2, RequestPriority::Critical).await? {
+                (200, body) => parse(&body)?,
+                (other, _) => return Err(StoreError::Malformed(format!("{other} to a listing"))),
+            };
         self.more = page.more && !page.items.is_empty();
         self.since = page.items.last().map(|i| i.path.clone());
         Ok(Some(page))
@@ -172,23 +175,23 @@
     /// After how long `n` more changes of the highest right could be written, and how many a second.
     pub fn wait_for_writes(&self, n: f64) -> (Duration, f64) {
         let mut writes = crate::sync::lock(&self.writes);
-        let short = n - writes.ready(Urgent::First, Instant::now());
+        let short = n - writes.available(RequestPriority::Critical, Instant::now());
         (writes.time_for(short.max(0.0)), writes.per_second())
     }
 
     /// How many changes of this right could be written at once.
-    pub fn writes_ready(&self, urgent: Urgent) -> usize {
-        crate::sync::lock(&self.writes).ready(urgent, Instant::now()).max(0.0) as usize
+    pub fn writes_ready(&self, priority: RequestPriority) -> usize {
+        crate::sync::lock(&self.writes).available(priority, Instant::now()).max(0.0) as usize
     }
 
-    async fn budgeted(budget: &Mutex<Budget>, n: f64, urgent: Urgent) -> Result<(), StoreError> {
+    async fn budgeted(budget: &Mutex<Budget>, n: f64, priority: RequestPriority) -> Result<(), StoreError> {
         let begun = Instant::now();
         loop {
-            let wait = match crate::sync::lock(budget).take(n, urgent.after(begun.elapsed()), Instant::now()) {
+            let wait = match crate::sync::lock(budget).take(n, priority.after(begun.elapsed()), Instant::now()) {
                 Ok(()) => return Ok(()),
                 Err(wait) => wait,
             };
-            if begun.elapsed() + wait > BUDGET_WAIT && urgent == Urgent::First {
+            if begun.elapsed() + wait > BUDGET_WAIT && priority == RequestPriority::Critical {
                 return Err(StoreError::Unavailable(429));
             }
             tokio::time::sleep(wait.clamp(Duration::from_millis(2), LONGEST_NAP)).await;
@@ -201,16 +204,16 @@
         path: &str,
         body: Option<Vec<u8>>,
         within: Duration,
-        urgent: Urgent,
+        priority: RequestPriority,
     ) -> Result<(u16, bytes::Bytes), StoreError> {
-        self.reserve(urgent).await?;
+        self.reserve(priority).await?;
         self.call_reserved(method, path, body, within).await
     }
 
     /// Waits until one request of this right may be sent, and counts it as sent.
-    pub async fn reserve(&self, urgent: Urgent) -> Result<(), StoreError> {
+    pub async fn reserve(&self, priority: RequestPriority) -> Result<(), StoreError> {
         crate::sync::lock(&self.wanted).0.count(1.0, Instant::now());
-        Self::budgeted(&self.requests, 1.0, urgent).await
+        Self::budgeted(&self.requests, 1.0, priority).await
     }
 
     async fn call_reserved(
@@ -249,18 +252,18 @@
         &self,
         conditions: &[Condition],
         apply: &[Change],
-        urgent: Urgent,
+        priority: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         if !apply.is_empty() {
             crate::sync::lock(&self.wanted).1.count(apply.len() as f64, Instant::now());
-            Self::budgeted(&self.writes, apply.len() as f64, urgent).await?;
+            Self::budgeted(&self.writes, apply.len() as f64, priority).await?;
             self.traffic.add(Passage::StoreChange, apply.len() as u64);
         }
         let body = protocol::encode(&CompareAndSwap::new(conditions, apply));
-        let (status, body) = self.call(Method::POST, "/txn", Some(body), ANSWER_WITHIN, urgent).await?;
+        let (status, body) = self.call(Method::POST, "/txn", Some(body), ANSWER_WITHIN, priority).await?;
         match status {
-            200 => Ok(CompareAndSwapOutcome::Applied(parse::<Revision>(&body)?.revision)),
-            409 => Ok(CompareAndSwapOutcome::Failed(parse::<Refused>(&body)?.failed)),
+            200 => Ok(CompareAndSwapOutcome::Applied(parse::<StoreRevision>(&body)?.revision)),
+            409 => Ok(CompareAndSwapOutcome::Failed(parse::<FailedConditions>(&body)?.failed)),
             400 if apply.iter().any(|c| matches!(c, Change::Write { permit: Some(_), .. })) => {
                 Ok(CompareAndSwapOutcome::LeaseExpired)
             }
@@ -269,9 +272,9 @@
     }
 
     /// The value and version of a key, or none.
-    pub async fn get(&self, key: &str, urgent: Urgent) -> Result<Option<Item>, StoreError> {
+    pub async fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<KeyValue>, StoreError> {
         let path = format!("/keys/{}", escaped(key));
-        match self.call(Method::GET, &path, None, ANSWER_WITHIN, urgent).await? {
+        match self.call(Method::GET, &path, None, ANSWER_WITHIN, priority).await? {
             (200, body) => Ok(Some(parse(&body)?)),
             (404, _) => Ok(None),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a read"))),
@@ -284,7 +287,7 @@
         let body = protocol::encode(&CompareAndSwap::new(conditions, &[]));
         match self.call_reserved(Method::POST, "/txn", Some(body), ANSWER_WITHIN).await? {
             (200, _) => Ok(Vec::new()),
-            (409, body) => Ok(parse::<Refused>(&body)?.failed),
+            (409, body) => Ok(parse::<FailedConditions>(&body)?.failed),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a comparison"))),
         }
     }
@@ -294,19 +297,19 @@
         Pages { client: self, prefix, since: since.map(str::to_owned), more: true }
     }
 
-    /// Names and versions of keys under a prefix, `most` at the most, beginning after one if it is given, and
-    /// whether there are more. What they hold is passed over as it is read.
+    /// One page of the keys under a prefix with their versions, at most `most` of them, beginning after `since` if it is
+    /// given. The values are skipped while the answer is decoded.
     pub async fn names(
         &self,
         prefix: &str,
         since: Option<&str>,
         most: usize,
-        urgent: Urgent,
-    ) -> Result<(Vec<Name>, bool), StoreError> {
+        priority: RequestPriority,
+    ) -> Result<(Vec<KeyVersion>, bool), StoreError> {
         let since = since.map(|key| format!("&since={}", escaped(key))).unwrap_or_default();
         let path = format!("/keys?prefix={prefix}&most={most}{since}");
-        match self.call(Method::GET, &path, None, ANSWER_WITHIN * 2, urgent).await? {
-            (200, body) => parse::<Names>(&body).map(|n| (n.items, n.more)),
+        match self.call(Method::GET, &path, None, ANSWER_WITHIN * 2, priority).await? {
+            (200, body) => parse::<KeyVersionPage>(&body).map(|n| (n.items, n.more)),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a listing"))),
         }
     }
@@ -314,7 +317,7 @@
     /// The changes under a prefix after revision `since`. If there are none yet, the service waits up to `wait` for
     /// the first.
     pub async fn watch(&self, prefix: &str, since: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
-        self.reserve(Urgent::First).await?;
+        self.reserve(RequestPriority::Critical).await?;
         self.watch_reserved(prefix, since, wait).await
     }
 
@@ -333,8 +336,8 @@
     /// dropped when it ends.
     pub async fn grant(&self, life: Duration) -> Result<u64, StoreError> {
         let body = protocol::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
-        match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, Urgent::First).await? {
-            (200, body) => Ok(parse::<Granted>(&body)?.permit),
+        match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, RequestPriority::Critical).await? {
+            (200, body) => Ok(parse::<GrantedLease>(&body)?.permit),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a lease"))),
         }
     }
@@ -342,7 +345,7 @@
     /// Ends a lease at once, with the keys attached to it.
     pub async fn release(&self, permit: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{permit}");
-        match self.call(Method::DELETE, &path, None, ANSWER_WITHIN, Urgent::First).await? {
+        match self.call(Method::DELETE, &path, None, ANSWER_WITHIN, RequestPriority::Critical).await? {
             (200..=299 | 404, _) => Ok(()),
             (other, _) => Err(StoreError::Malformed(format!("{other} to the end of a lease"))),
         }
@@ -352,7 +355,13 @@
     pub async fn renew(&self, permit: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{permit}/renew");
         match self
-            .call(Method::POST, &path, Some(protocol::encode(&serde_json::json!({}))), ANSWER_WITHIN, Urgent::First)
+            .call(
+                Method::POST,
+                &path,
+                Some(protocol::encode(&serde_json::json!({}))),
+                ANSWER_WITHIN,
+                RequestPriority::Critical,
+            )
             .await?
         {
             (200, _) => Ok(true),
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -12,7 +12,7 @@
 use tracing::{debug, info, warn};
 
 use super::audit::Held;
-use super::budget::Urgent;
+use super::budget::RequestPriority;
 use super::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::history::moves::{end_among, end_changes, not_ended};
 use crate::jobs::record::{
@@ -95,16 +95,17 @@
                 return;
             }
             if lock(&node.cluster).as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
-                drop_some(&node, Urgent::Second).await;
+                drop_some(&node, RequestPriority::Placement).await;
             }
         }
-        drop_some(&node, Urgent::Last).await;
+        drop_some(&node, RequestPriority::Background).await;
     }
 }
 
 fn next(node: &Node) -> Option<Batch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
-    let most = (node.settings.params.state.txn_ops as usize).min(node.store.writes_ready(Urgent::Second).max(1));
+    let most =
+        (node.settings.params.state.txn_ops as usize).min(node.store.writes_ready(RequestPriority::Placement).max(1));
     let mut held = lock(&node.cluster);
     let cluster = held.as_mut().filter(|b| b.loaded)?;
     let now = Instant::now();
@@ -125,11 +126,11 @@
 /// False once this controller no longer leads.
 async fn store(node: &Arc<Node>, batch: Batch) -> bool {
     let changes = batch.changes();
-    let urgent = if batch.ends.is_empty() { Urgent::Second } else { Urgent::First };
+    let priority = if batch.ends.is_empty() { RequestPriority::Placement } else { RequestPriority::Critical };
     let mut unanswered = false;
     loop {
         let Some(fencing_token) = lock(&node.cluster).as_ref().map(|b| b.fencing_token) else { return false };
-        match node.store.compare_and_swap(&batch.conditions(fencing_token), &changes, urgent).await {
+        match node.store.compare_and_swap(&batch.conditions(fencing_token), &changes, priority).await {
             Ok(CompareAndSwapOutcome::Applied(version)) => {
                 stored(node, &batch, version);
                 return true;
@@ -196,7 +197,7 @@
             if lock(&node.cluster).is_none() {
                 return false;
             }
-            match node.store.get(key, Urgent::First).await {
+            match node.store.get(key, RequestPriority::Critical).await {
                 Ok(item) => break item,
                 Err(error) => {
                     debug!(%error, key, "settling");
@@ -239,8 +240,8 @@
 }
 
 /// Shards of jobs that are over, whenever the budget has room.
-async fn drop_some(node: &Arc<Node>, urgent: Urgent) {
-    let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
+async fn drop_some(node: &Arc<Node>, priority: RequestPriority) {
+    let most = node.store.writes_ready(priority).min(node.settings.params.state.txn_ops as usize);
     let (drops, fencing_token) = match lock(&node.cluster).as_mut() {
         Some(cluster) => (cluster.next_drops(most), cluster.fencing_token),
         None => return,
@@ -249,7 +250,7 @@
         return;
     }
     let (conditions, changes) = shard_drops(&drops, fencing_token);
-    let outcome = tokio::time::timeout(DROP_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
+    let outcome = tokio::time::timeout(DROP_WITHIN, node.store.compare_and_swap(&conditions, &changes, priority)).await;
     let failed = match outcome {
         Ok(Ok(CompareAndSwapOutcome::Applied(_))) => return,
         Ok(Ok(CompareAndSwapOutcome::Failed(keys))) => keys,
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, warn};
 
 use super::StoreError;
-use super::budget::Urgent;
+use super::budget::RequestPriority;
 use super::client::WatchResponse;
 use crate::history::upgrade;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
@@ -94,7 +94,7 @@
 /// All changes since a revision, at once.
 async fn changes_now(node: &Node, revision: u64) -> Result<WatchResponse, StoreError> {
     // Waiting for one's own share is no sign of a connection that hangs.
-    node.store.reserve(Urgent::First).await?;
+    node.store.reserve(RequestPriority::Critical).await?;
     let first = node.store.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use tracing::warn;
 
-use super::client::{Event, Page, WatchResponse};
+use super::client::{KeyValuePage, WatchEvent, WatchResponse};
 use crate::declarations::{Registry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
@@ -137,7 +137,7 @@
 
 /// What an update means to the rest of the process.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct CacheChanges {
     /// Jobs that are open now and were not known before.
     pub opened: Vec<JobId>,
     /// Jobs that were open and have ended.
@@ -148,7 +148,7 @@
     pub declared: bool,
 }
 
-impl News {
+impl CacheChanges {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -323,8 +323,8 @@
     }
 
     /// Takes in one page. What has changed since the first one may or may not be included.
-    pub fn take_page(&mut self, loading: &mut Loading, page: &Page) -> News {
-        let mut news = News::default();
+    pub fn take_page(&mut self, loading: &mut Loading, page: &KeyValuePage) -> CacheChanges {
+        let mut news = CacheChanges::default();
         loading.revision.get_or_insert(page.revision);
         loading.newest = loading.newest.max(page.revision);
         for item in &page.items {
@@ -345,10 +345,10 @@
     }
 
     /// The last page was taken in: whatever was not among them has ended.
-    pub fn loaded(&mut self, loading: Loading) -> News {
+    pub fn loaded(&mut self, loading: Loading) -> CacheChanges {
         let gone: Vec<JobId> = self.open.keys().filter(|id| !loading.seen.contains(*id)).cloned().collect();
         let declared = self.registry.replace(loading.registry, self.revision == 0);
-        let mut news = News { leadership: true, declared, ..News::default() };
+        let mut news = CacheChanges { leadership: true, declared, ..CacheChanges::default() };
         for id in gone {
             self.end(&id, self.revision, loading.newest, &mut news);
         }
@@ -360,8 +360,8 @@
 
     /// Applies what a watch told; what is already known is passed over. False while it is read
     /// anew. An answer asked for before that is good after it: it begins no later than the reading.
-    pub fn apply(&mut self, response: &WatchResponse) -> (bool, News) {
-        let mut news = News::default();
+    pub fn apply(&mut self, response: &WatchResponse) -> (bool, CacheChanges) {
+        let mut news = CacheChanges::default();
         if !self.ready {
             return (false, news);
         }
@@ -373,7 +373,7 @@
         (true, news)
     }
 
-    fn event(&mut self, event: &Event, news: &mut News) {
+    fn event(&mut self, event: &WatchEvent, news: &mut CacheChanges) {
         if let Some(path) = &event.write {
             if self.control.put(path, &event.value, event.version) {
                 news.leadership = true;
@@ -393,7 +393,7 @@
         }
     }
 
-    fn put(&mut self, id: &str, path: &str, value: &Value, news: &mut News) {
+    fn put(&mut self, id: &str, path: &str, value: &Value, news: &mut CacheChanges) {
         if self.open.contains_key(id) {
             return;
         }
@@ -405,7 +405,7 @@
     }
 
     /// A job leaves its open key only by ending. The description is kept for a while.
-    fn end(&mut self, id: &str, after: u64, by: u64, news: &mut News) {
+    fn end(&mut self, id: &str, after: u64, by: u64, news: &mut CacheChanges) {
         if let Some((id, record)) = self.open.remove_entry(id) {
             self.held -= limits::cost(&record.spec);
             self.ended.put(id.clone(), Ended { record, after, by });
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -2,25 +2,25 @@
 use crate::declarations::DeclarationKind;
 use crate::jobs::record::open_key;
 use crate::jobs::tests::spec;
-use crate::store::client::Item;
+use crate::store::client::KeyValue;
 use serde_json::json;
 
-fn opened(n: u64, version: u64) -> Event {
+fn opened(n: u64, version: u64) -> WatchEvent {
     let id = format!("run-{n:06}");
     let record = JobRecord { spec: crate::jobs::JobSpec { id: id.as_str().into(), ..spec() }, at_ms: 5 };
-    Event { write: Some(open_key(&id)), drop: None, value: serde_json::to_value(record).unwrap(), version }
+    WatchEvent { write: Some(open_key(&id)), drop: None, value: serde_json::to_value(record).unwrap(), version }
 }
-fn ended(n: u64, version: u64) -> Event {
-    Event { write: None, drop: Some(open_key(&format!("run-{n:06}"))), value: Value::Null, version }
+fn ended(n: u64, version: u64) -> WatchEvent {
+    WatchEvent { write: None, drop: Some(open_key(&format!("run-{n:06}"))), value: Value::Null, version }
 }
-fn response(log: Vec<Event>, revision: u64) -> WatchResponse {
+fn response(log: Vec<WatchEvent>, revision: u64) -> WatchResponse {
     WatchResponse { revision, log }
 }
-fn page(events: Vec<Event>, revision: u64) -> Page {
-    let item = |e: Event| Item { path: e.write.unwrap(), value: e.value, version: e.version };
-    Page { items: events.into_iter().map(item).collect(), more: false, revision }
+fn page(events: Vec<WatchEvent>, revision: u64) -> KeyValuePage {
+    let item = |e: WatchEvent| KeyValue { path: e.write.unwrap(), value: e.value, version: e.version };
+    KeyValuePage { items: events.into_iter().map(item).collect(), more: false, revision }
 }
-fn read_whole(watch_cache: &mut WatchCache, pages: Vec<Page>) -> News {
+fn read_whole(watch_cache: &mut WatchCache, pages: Vec<KeyValuePage>) -> CacheChanges {
     let mut loading = watch_cache.load();
     for page in &pages {
         watch_cache.take_page(&mut loading, page);
@@ -66,7 +66,8 @@
         read_whole(&mut watch_cache, vec![page(vec![opened(7, 8)], 90), page(vec![opened(8, 9), opened(70, 95)], 96)]);
     assert_eq!(news.ended.len(), 48);
     assert_eq!((watch_cache.open_jobs().count(), watch_cache.held().jobs, watch_cache.revision), (3, 3, 90));
-    let control = Event { write: Some("c/upgraded".into()), drop: None, value: json!({"old_kept": false}), version: 9 };
+    let control =
+        WatchEvent { write: Some("c/upgraded".into()), drop: None, value: json!({"old_kept": false}), version: 9 };
     assert!(watch_cache.old_kept(), "not known yet");
     read_whole(&mut watch_cache, vec![page(vec![control], 97)]);
     assert!(!watch_cache.old_kept());
@@ -76,18 +77,22 @@
 /// of them as long as there are none.
 #[test]
 fn what_is_declared_comes_with_the_rest() {
-    let write =
-        |path: &str, n: u64, version| Event { write: Some(path.into()), drop: None, value: json!({"n": n}), version };
+    let write = |path: &str, n: u64, version| WatchEvent {
+        write: Some(path.into()),
+        drop: None,
+        value: json!({"n": n}),
+        version,
+    };
     let mut watch_cache = WatchCache::default();
     let news = read_whole(&mut watch_cache, vec![page(vec![opened(1, 1)], 1)]);
-    let want = News { opened: vec![], ended: vec![], leadership: true, declared: false };
+    let want = CacheChanges { opened: vec![], ended: vec![], leadership: true, declared: false };
     assert_eq!(news, want, "with nothing declared as ever");
     let (_, news) = watch_cache.apply(&response(vec![opened(2, 2), ended(1, 3)], 3));
     assert!(!news.declared && news.opened.len() == 1 && news.ended.len() == 1);
 
     let (spec, status) = ("c/s/window/w", "c/t/window/w");
     let (_, news) = watch_cache.apply(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5));
-    assert_eq!(news, News { declared: true, ..News::default() });
+    assert_eq!(news, CacheChanges { declared: true, ..CacheChanges::default() });
     assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 1}), 5)));
     // Read anew, and response from its first page on: what a later page had already is passed over.
     let pages = vec![page(vec![opened(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
@@ -96,7 +101,7 @@
     assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 3}), 8)));
     let told: Vec<_> = watch_cache.registry_mut().take_changed().into_iter().map(|c| c.after()).collect();
     assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
-    let drop = Event { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
+    let drop = WatchEvent { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
     watch_cache.apply(&response(vec![drop], 9));
     assert_eq!(watch_cache.registry().left_over().count(), 1, "a status whose spec is gone");
     assert!(read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 10)]).declared, "nothing is declared any more");
@@ -104,8 +109,8 @@
     assert!(!read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 11)]).declared);
 }
 
-fn written(path: &str, value: Value, version: u64) -> Event {
-    Event { write: Some(path.into()), drop: None, value, version }
+fn written(path: &str, value: Value, version: u64) -> WatchEvent {
+    WatchEvent { write: Some(path.into()), drop: None, value, version }
 }
 
 fn job_with(id: &str, change: impl FnOnce(&mut crate::jobs::JobSpec)) -> Value {
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
@@ -46,7 +46,8 @@
     let leader = node.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Cancellation, &record);
-    match node.store.compare_and_swap(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
+    match node.store.compare_and_swap(&cancellation.conditions, &cancellation.changes, RequestPriority::Critical).await
+    {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             sent.applied();
             lock(&node.audit).note(Held::Ended(record, End::Cancelled));
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -18,7 +18,7 @@
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
@@ -137,7 +137,7 @@
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
-        match node.store.compare_and_swap(&accept.conditions, &accept.changes, Urgent::First).await {
+        match node.store.compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical).await {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 sent.applied();
                 lock(&node.audit).note(Held::Accepted(record));
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -13,7 +13,7 @@
 use self::answer::Rights;
 use crate::node::Node;
 pub use crate::protocol::workers::{
-    AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
+    AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
 use crate::scheduling::cluster::Via;
 use crate::sync::lock;
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -14,7 +14,7 @@
 use hollylanding::fleet::cloud::{CloudClient, CloudError};
 use hollylanding::protocol::{self, Http};
 use hollylanding::settings::Settings;
-use hollylanding::store::budget::{Budget, Urgent};
+use hollylanding::store::budget::{Budget, RequestPriority};
 use hollylanding::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -132,7 +132,7 @@
     let (left, addr) = scripted(FILE).await;
     let ample = || Budget::new(1e6, 1e6, Instant::now());
     let client = StateClient::new(Http::default(), addr, ample(), ample(), Default::default());
-    let first = Urgent::First;
+    let first = RequestPriority::Critical;
     let conditions = [Condition::absent("a/b")];
     let written = Change::Write { write: "a/b".into(), value: json!({"x": 1}), permit: Some(7) };
     let changes = [written, Change::Drop { drop: "c/d".into() }];
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -54,16 +54,16 @@
         "heartbeat" => message::<workers::Heartbeat>,
         "commands" => message::<workers::WorkerCommands>,
         "catalog" => message::<cloud::Catalog>,
-        "rental" => message::<cloud::Rental>,
-        "machine names" => message::<cloud::Names>,
-        "machine page" => message::<cloud::ListPage>,
+        "rental" => message::<cloud::ProvisioningRequest>,
+        "machine names" => message::<cloud::MachineNames>,
+        "machine page" => message::<cloud::MachinePage>,
         "transaction" => message::<state::CompareAndSwap>,
-        "item" => message::<state::Item>,
-        "page" => message::<state::Page>,
+        "item" => message::<state::KeyValue>,
+        "page" => message::<state::KeyValuePage>,
         "changes" => message::<state::WatchResponse>,
-        "revision" => message::<state::Revision>,
-        "failed conditions" => message::<state::Refused>,
-        "lease" => message::<state::Granted>,
+        "revision" => message::<state::StoreRevision>,
+        "failed conditions" => message::<state::FailedConditions>,
+        "lease" => message::<state::GrantedLease>,
         other => panic!("no type has the form {other:?}"),
     }
 }
@@ -85,7 +85,7 @@
 }
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
-    let item = state::Item { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
+    let item = state::KeyValue { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
     match CloudOrder::read(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
