--- a/src/declarations/run/tests.rs
+++ b/src/declarations/run/tests.rs
@@ -7,7 +7,7 @@
     let at = |s: f64| t + Duration::from_secs_f64(s);
     let (idle, busy) =
         (|_: RequestPriority| 24, |urgent: RequestPriority| if urgent == RequestPriority::Placement { 3 } else { 0 });
-    let mut pace = Pace::new(t);
+    let mut pace = WritePacer::new(t);
     assert_eq!(pace.most(false, t, idle), 0);
     assert_eq!((pace.most(true, t, idle), pace.sent(t)), (24, RequestPriority::Background));
     assert_eq!(pace.most(true, at(0.9), idle), 0, "not within a second");
