--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -16,7 +16,7 @@
 use super::DeclarationView;
 use super::records::{DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
 use super::registry::{DeclarationRegistry, StatusChange};
-use super::table::{CacheChanges, KindOperations, NextStatus, entry};
+use super::table::{KindOperations, NextStatus, StatusLogLines, entry};
 use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
@@ -81,7 +81,7 @@
     /// The leader's fencing token, on which the writes are conditional.
     pub fencing_token: u64,
     /// What is logged once the writes are stored.
-    pub news: CacheChanges,
+    pub news: StatusLogLines,
     /// Jobs of which it has to be known how they ended.
     pub unknown: BTreeSet<JobId>,
 }
@@ -147,7 +147,7 @@
     }
 
     /// Up to `MAX_WRITES`, of as many kinds as want any.
-    fn decide(&mut self, view: &DeclarationView, told: &mut CacheChanges) -> Vec<Write> {
+    fn decide(&mut self, view: &DeclarationView, told: &mut StatusLogLines) -> Vec<Write> {
         let mut writes: Vec<Write> = orphaned_statuses(view.registry).take(1).collect();
         let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
         while writes.len() < MAX_WRITES && !kinds.is_empty() {
@@ -167,7 +167,7 @@
         at: usize,
         view: &DeclarationView,
         writes: &[Write],
-        told: &mut CacheChanges,
+        told: &mut StatusLogLines,
     ) -> Option<Write> {
         let entry = &self.kinds[at];
         let kind = entry.kind;
@@ -205,7 +205,7 @@
     })
 }
 
-fn news(kinds: &[KindOperations], changed: &StatusChange) -> CacheChanges {
+fn news(kinds: &[KindOperations], changed: &StatusChange) -> StatusLogLines {
     let StatusChange { kind, name, .. } = changed;
     match (changed.after(), entry(kinds, *kind)) {
         (None, _) => vec![(Level::INFO, format!("{} {name}: removed", kind.word()))],
--- a/src/declarations/table.rs
+++ b/src/declarations/table.rs
@@ -45,7 +45,7 @@
 }
 
 /// Log lines.
-pub type CacheChanges = Vec<(Level, String)>;
+pub type StatusLogLines = Vec<(Level, String)>;
 /// Lines for an operator, or what is wrong.
 pub type Lines = Result<Vec<String>, SpecError>;
 
@@ -66,7 +66,7 @@
     /// Lines for operators at a time of day in ms.
     pub tell: fn(Declaration, u64) -> Lines,
     /// What is owed for a change of a status, by name.
-    pub news: fn(&str, Option<&Value>, &Value) -> CacheChanges,
+    pub news: fn(&str, Option<&Value>, &Value) -> StatusLogLines,
     /// What a verb makes of a spec at a time of day in ms.
     pub act: fn(&str, Declaration, u64) -> Result<VerbOutcome<Value>, SpecError>,
 }
@@ -161,7 +161,7 @@
     Ok(D::describe(of.name, &read(of.spec)?, &read_status::<D>(of.status)?, now_ms))
 }
 
-fn news<D: DeclarationLogic>(name: &str, before: Option<&Value>, after: &Value) -> CacheChanges {
+fn news<D: DeclarationLogic>(name: &str, before: Option<&Value>, after: &Value) -> StatusLogLines {
     match (read_status::<D>(before), read::<D::Status>(after)) {
         (Ok(before), Ok(after)) => D::status_events(name, &before, &after),
         _ => Vec::new(),
--- a/src/history/mod.rs
+++ b/src/history/mod.rs
@@ -6,11 +6,7 @@
 //! many are asked about, and `upgrade` takes over what earlier builds have stored. The argument is in
 //! docs/history.md.
 
-#[cfg(test)]
-mod answer_time;
 pub mod ends;
-#[cfg(test)]
-mod interleavings;
 pub mod moves;
 pub mod query_queue;
 pub mod reader;
--- a/src/history/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::moves::end_changes;
-use super::query_queue::{Batch, QueryQueue};
-use super::sweep::{COST, Sweep};
+use crate::history::moves::end_changes;
+use crate::history::query_queue::{Batch, QueryQueue};
+use crate::history::sweep::{COST, Sweep};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
--- a/src/history/tests.rs
+++ b/src/history/tests/cancellation_visibility.rs
@@ -4,10 +4,10 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::ends::Ends;
-use super::moves;
-use super::query_queue::QueryQueue;
-use super::visibility::{Visible, visible};
+use crate::history::ends::Ends;
+use crate::history::moves;
+use crate::history::query_queue::QueryQueue;
+use crate::history::visibility::{Visible, visible};
 use crate::jobs::record::{JobRecord, LEADER};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId};
--- /dev/null
+++ b/src/history/tests/mod.rs
@@ -0,0 +1,5 @@
+//! Tests of the modules of `history` together.
+
+mod answer_time;
+mod cancellation_visibility;
+mod simulation;
--- a/src/history/interleavings.rs
+++ b/src/history/tests/simulation.rs
@@ -12,8 +12,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::moves::{self, Move, end_changes, not_ended, not_there, place_of};
-use super::query_queue::{Batch, QueryQueue, Verdict};
+use crate::history::moves::{self, Move, end_changes, not_ended, not_there, place_of};
+use crate::history::query_queue::{Batch, QueryQueue, Verdict};
 use crate::jobs::record::{
     CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
     open_key,
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -28,9 +28,9 @@
 pub const OLD_ENDS: &str = "c/e/";
 /// Written once nothing open is left under `OLD_JOBS`.
 pub const UPGRADED: &str = "c/upgraded";
-/// Key of the lease holder ([`LeaseHolder`](crate::membership::records::LeaseHolder)), attached to the election lease.
+/// Key of the lease holder ([`LeaseHolder`](crate::records::leadership::LeaseHolder)), attached to the election lease.
 pub const LEASE_HOLDER: &str = "c/leader";
-/// Key of the leader's record ([`LeaderRecord`](crate::membership::records::Assignment)). Its version is the leader's
+/// Key of the leader's record ([`LeaderRecord`](crate::records::leadership::LeaderRecord)). Its version is the leader's
 /// fencing token.
 pub const LEADER: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the leader.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
 //! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
-//! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`,
+//! `records` holds stored values that several slices read, `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`,
 //! `periodic` (steps of loops that are due at intervals) and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
 
 #![warn(missing_docs)]
@@ -29,6 +29,7 @@
 pub mod node;
 pub mod periodic;
 pub mod process_pause;
+pub mod records;
 pub mod rollouts;
 pub mod scheduling;
 pub mod settings;
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -6,9 +6,9 @@
 use crate::protocol::state::CompareAndSwap;
 use hollylanding_emulator::world::store::Store;
 
-use super::records::TakeoverRequest;
 use super::*;
 use crate::jobs::record::CACHED;
+use crate::records::leadership::TakeoverRequest;
 use crate::store::watch_cache::WatchCache;
 
 const NOW: Duration = Duration::ZERO;
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -18,8 +18,8 @@
 use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
 
 use crate::jobs::{Counts, JobId};
-use crate::membership::records::{LeaderRecord, Watermark};
 use crate::node::Node;
+use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::jobs::{Counts, JobId, well_formed_id};
-use crate::membership::records::Watermark;
+use crate::records::leadership::Watermark;
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::share::Want;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -6,7 +6,6 @@
 //! by the time.
 
 pub mod mesh;
-pub mod records;
 pub mod serving_state;
 mod turns;
 pub mod unreachable_leader;
@@ -23,10 +22,10 @@
 
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
 use crate::node::Node;
+use crate::records::leadership::{LeaderRecord, LeaseHolder, Watermark};
 use crate::store::budget::RequestPriority;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
-use records::{LeaderRecord, LeaseHolder, Watermark};
 use turns::{Pace, in_turn};
 use unreadable::UnreadableLeaseHolder;
 use watermark::Lag;
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::records::{LeaderRecord, Watermark};
+use crate::records::leadership::{LeaderRecord, Watermark};
 
 /// A cancellation that some controller has not acknowledged for this long is told through the store.
 /// Acknowledgements come with the lines, one a second.
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark_tests.rs
@@ -5,10 +5,10 @@
 use hollylanding_emulator::world::store::Store;
 
 use super::mesh::believed;
-use super::records::{LeaderRecord, Watermark};
 use super::storing;
 use super::watermark::{Lag, Unconfirmed, own_watermark};
 use crate::jobs::record::{LEADER, WATERMARK};
+use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::store::Change;
 
 fn leader_record(node: &str, version: u64) -> (LeaderRecord, u64) {
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -4,8 +4,8 @@
 
 use super::Node;
 use crate::jobs::{End, JobId};
-use crate::membership::records::Watermark;
 use crate::membership::watermark::{self, Unconfirmed};
+use crate::records::leadership::Watermark;
 use crate::sync::lock;
 
 impl Node {
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -10,7 +10,7 @@
 use super::Node;
 use crate::declarations;
 use crate::fleet;
-use crate::membership::records::TakeoverRequest;
+use crate::records::leadership::TakeoverRequest;
 use crate::scheduling::{self, ClusterState};
 use crate::store::budget::RequestPriority;
 use crate::store::commit;
--- a/src/membership/records.rs
+++ b/src/records/leadership.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::record::{LEADER, TAKEOVER_REQUEST};
-use crate::store::{Change, Condition};
+use crate::protocol::state::{Change, Condition};
 
 /// Value of the lease holder's key, which lives as long as the election lease in the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseHolder {
     /// Name of the controller that holds the lease.
     pub node: String,
-    /// The leading process ([`Node::incarnation`](crate::node::Node)).
+    /// The leading process (`Controller::incarnation`).
     pub incarnation: String,
 }
 
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -28,7 +28,7 @@
 const BATCH_WAITED: Duration = Duration::from_millis(1500);
 
 /// A job that was opened or ended, as a watch tells it.
-pub(super) struct CacheChanges {
+pub(super) struct DeliveredChange {
     /// When the watch tells it.
     pub(super) due: Instant,
     pub(super) job: JobId,
@@ -42,7 +42,7 @@
     pub(super) cluster: ClusterState,
     pub(super) batch: Option<(Batch, Instant)>,
     /// What its watch will tell, in order.
-    pub(super) news: Vec<CacheChanges>,
+    pub(super) news: Vec<DeliveredChange>,
     pub(super) returning: HashSet<MachineId>,
     /// Is paused from and until then, while its clock runs on: what reaches it lies in its sockets.
     pub(super) frozen: Option<(Instant, Instant)>,
@@ -161,7 +161,7 @@
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = leader.news.drain(..).partition(|news| news.due <= now && !cut);
         leader.news = later;
-        for CacheChanges { job, opened, revision, .. } in due {
+        for DeliveredChange { job, opened, revision, .. } in due {
             // What one hears before it has loaded, it loads.
             if !leader.cluster.loaded {
                 continue;
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -7,8 +7,8 @@
 use super::world::World;
 use crate::history::moves::Move;
 use crate::jobs::JobId;
-use crate::membership::records::Watermark;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::records::leadership::Watermark;
 use crate::scheduling::cluster::MachineId;
 use crate::store::{Change, Condition};
 
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -4,13 +4,13 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::leaders::CacheChanges;
+use super::leaders::DeliveredChange;
 use super::world::World;
 use crate::history::moves::{Place, place_of};
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
 use crate::jobs::{End, JobId};
-use crate::membership::records::Watermark;
 use crate::protocol::workers::TaskKey;
+use crate::records::leadership::Watermark;
 use crate::store::{Change, Condition};
 
 pub(super) fn ended(store: &Store, id: &str) -> bool {
@@ -64,7 +64,7 @@
             }
             if let Some(leader) = self.leaders[i].as_mut() {
                 let after = leader.news.last().map_or(due, |news| due.max(news.due));
-                leader.news.push(CacheChanges { due: after, job: id.clone(), opened, revision: version });
+                leader.news.push(DeliveredChange { due: after, job: id.clone(), opened, revision: version });
             }
         }
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,10 +5,10 @@
 pub mod budget;
 pub mod client;
 pub mod commit;
-#[cfg(test)]
-mod late_transactions;
 pub mod log_limit;
 pub mod share;
+#[cfg(test)]
+mod tests;
 pub mod watch;
 pub mod watch_cache;
 
--- a/src/store/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -7,9 +7,6 @@
 use hollylanding_emulator::world::store::Store;
 use serde_json::json;
 
-use super::audit::end_again;
-use super::commit::{Batch, shard_drops, still_to_drop};
-use super::{Change, Condition};
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, Write};
@@ -19,9 +16,12 @@
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::membership::records::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::membership::{candidacy, expiry, naming};
+use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
+use crate::store::audit::end_again;
+use crate::store::commit::{Batch, shard_drops, still_to_drop};
+use crate::store::{Change, Condition};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
 const TAKEN: [&str; 4] = ["plea", "chunks dropped", "order cleaned up", "order marked as done"];
--- /dev/null
+++ b/src/store/tests/mod.rs
@@ -0,0 +1,3 @@
+//! Tests of transactions of several modules together.
+
+mod late_transactions;
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -18,7 +18,7 @@
 use crate::jobs::JobId;
 use crate::jobs::limits::{self, Held};
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, OPEN, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
-use crate::membership::records::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
+use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
 /// Descriptions kept of jobs that are over: about half a KiB each.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -14,8 +14,8 @@
 use hollylanding::declarations::table::KINDS;
 use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
 use hollylanding::jobs::{End, record};
-use hollylanding::membership::records as membership;
 use hollylanding::protocol::{self, cloud, jobs, state, users, workers};
+use hollylanding::records::leadership as membership;
 use hollylanding::settings::{Properties, Settings};
 use hollylanding::store::Change;
 use hollylanding::{calendar, heat, rollouts};
