--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -8,8 +8,8 @@
 use tokio::task::JoinSet;
 use tracing::{error, info};
 
+use crate::cloud_orders::{CloudOrder, ORDERS};
 use crate::controller::Controller;
-use crate::fleet::orders::{CloudOrder, ORDERS};
 use crate::jobs::record::{
     DONE, EndedRecord, JobRecord, StoredTask, TASKS, decode_shard, ended_key, ended_keys, old_job_key, parse_shard_key,
     time_of_day_ms,
