--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -12,8 +12,8 @@
 use tracing::error;
 
 use crate::jobs::record::LEADER;
-use crate::protocol::cloud::Rental;
-use crate::protocol::state::Item;
+use crate::protocol::cloud::ProvisioningRequest;
+use crate::protocol::state::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// Key prefix of stored orders, one key each.
@@ -29,7 +29,7 @@
 pub enum CloudAction {
     /// Provisioning requests for machines of one kind. The cloud answers a request name alike however often it is sent.
     #[serde(rename = "rent")]
-    Provision(Vec<Rental>),
+    Provision(Vec<ProvisioningRequest>),
     /// Machines to terminate.
     #[serde(rename = "return")]
     Terminate(Vec<String>),
@@ -148,7 +148,7 @@
 
     /// Decodes a stored order. `None`, with an error in the log, if it cannot be decoded or exceeds the limits of the
     /// cloud's calls.
-    pub fn read(item: &Item) -> Option<Self> {
+    pub fn read(item: &KeyValue) -> Option<Self> {
         match StoredOrder::decode(&item.value) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, action: stored.action }),
             Err(error) => {
@@ -168,7 +168,7 @@
     /// The order's key.
     pub key: String,
     /// Its requests, to be repeated under their own names.
-    pub requests: Vec<Rental>,
+    pub requests: Vec<ProvisioningRequest>,
 }
 
 /// Termination orders of earlier leaders that fit into one call.
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -31,7 +31,7 @@
     for (name, outcome, fencing_token, want) in cases {
         assert_eq!(order.step_after(&outcome, fencing_token), want, "{name}");
     }
-    let item = Item { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
+    let item = KeyValue { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
     assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
 }
 
@@ -80,7 +80,7 @@
             let write = [Change::write(LEADER, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, version)| {
-                CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
+                CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| fenced).map(|o| (o, true)).collect();
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
@@ -185,7 +185,8 @@
     let rental = |count: u64| json!({"request": "r", "typeName": "g8", "zone": "a", "spot": false, "count": count});
     let written = |action: CloudAction| serde_json::to_value(StoredOrder { epoch: 7, action }).unwrap();
     let of = |count: u64| {
-        let rental = Rental { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
+        let rental =
+            ProvisioningRequest { request: "r".into(), type_name: "g8".into(), zone: "a".into(), spot: false, count };
         written(CloudAction::Provision(vec![rental]))
     };
     let names = |n: usize| written(CloudAction::Terminate(vec!["m".into(); n]));
@@ -202,7 +203,7 @@
         ("half a rental", json!({"epoch": 7, "what": {"rent": [rental(1)["zone"]]}}), false),
         ("nothing", json!(null), false),
     ] {
-        let item = Item { path: "d/me-7-1".into(), value, version: 1 };
+        let item = KeyValue { path: "d/me-7-1".into(), value, version: 1 };
         assert_eq!(CloudOrder::read(&item).is_some(), read, "{name}");
     }
 }
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -4,8 +4,14 @@
 
 use super::*;
 
-fn rental() -> Rental {
-    Rental { request: unique_name("me", 1, 1), type_name: "g8".into(), zone: "a".into(), spot: false, count: 12 }
+fn rental() -> ProvisioningRequest {
+    ProvisioningRequest {
+        request: unique_name("me", 1, 1),
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: false,
+        count: 12,
+    }
 }
 
 fn write_leader_record(store: &mut Store) -> u64 {
@@ -14,7 +20,7 @@
 
 fn open(store: &Store) -> InheritedOrders {
     let read = |(path, value, version): (&str, &serde_json::Value, u64)| {
-        CloudOrder::read(&Item { path: path.into(), value: value.clone(), version }).unwrap()
+        CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
     };
     InheritedOrders::group(store.under(ORDERS).map(read).collect(), 100)
 }
--- a/src/controller/hands.rs
+++ b/src/controller/hands.rs
@@ -5,7 +5,7 @@
 use crate::declarations::run::DeclarationContext;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -29,7 +29,7 @@
         self.history.look_up(id);
     }
 
-    fn writable_changes(&self, urgent: Urgent) -> usize {
+    fn writable_changes(&self, urgent: RequestPriority) -> usize {
         self.store.client.writes_ready(urgent)
     }
 
@@ -37,7 +37,7 @@
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        urgent: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.store.client.compare_and_swap(conditions, changes, urgent).await
     }
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -16,7 +16,7 @@
 use super::DeclarationView;
 use super::records::{DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
 use super::registry::{DeclarationRegistry, StatusChange};
-use super::table::{KindOperations, News, NextStatus, entry};
+use super::table::{CacheChanges, KindOperations, NextStatus, entry};
 use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
@@ -81,7 +81,7 @@
     /// The leader's fencing token, on which the writes are conditional.
     pub fencing_token: u64,
     /// What is logged once the writes are stored.
-    pub news: News,
+    pub news: CacheChanges,
     /// Jobs of which it has to be known how they ended.
     pub unknown: BTreeSet<JobId>,
 }
@@ -147,7 +147,7 @@
     }
 
     /// Up to `MAX_WRITES`, of as many kinds as want any.
-    fn decide(&mut self, view: &DeclarationView, told: &mut News) -> Vec<Write> {
+    fn decide(&mut self, view: &DeclarationView, told: &mut CacheChanges) -> Vec<Write> {
         let mut writes: Vec<Write> = orphaned_statuses(view.registry).take(1).collect();
         let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
         while writes.len() < MAX_WRITES && !kinds.is_empty() {
@@ -162,7 +162,13 @@
     }
 
     /// The next one of a kind that wants a change, after the last one that got it.
-    fn next_of(&mut self, at: usize, view: &DeclarationView, writes: &[Write], told: &mut News) -> Option<Write> {
+    fn next_of(
+        &mut self,
+        at: usize,
+        view: &DeclarationView,
+        writes: &[Write],
+        told: &mut CacheChanges,
+    ) -> Option<Write> {
         let entry = &self.kinds[at];
         let kind = entry.kind;
         let last = self.last.get(&kind).cloned().unwrap_or_default();
@@ -199,7 +205,7 @@
     })
 }
 
-fn news(kinds: &[KindOperations], changed: &StatusChange) -> News {
+fn news(kinds: &[KindOperations], changed: &StatusChange) -> CacheChanges {
     let StatusChange { kind, name, .. } = changed;
     match (changed.after(), entry(kinds, *kind)) {
         (None, _) => vec![(Level::INFO, format!("{} {name}: removed", kind.word()))],
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -27,7 +27,7 @@
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -400,14 +400,14 @@
         None
     }
     fn query_job_end(&self, _: &JobId) {}
-    fn writable_changes(&self, _: Urgent) -> usize {
+    fn writable_changes(&self, _: RequestPriority) -> usize {
         self.touched.fetch_add(1, Ordering::Relaxed)
     }
     async fn compare_and_swap(
         &self,
         _: &[Condition],
         _: &[Change],
-        _: Urgent,
+        _: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -12,7 +12,7 @@
 use crate::scheduling::room::Ground;
 
 /// Machines that the cloud lists, with their ages and states.
-pub(super) fn take_list(node: &Controller, machines: Vec<cloud::Listed>) {
+pub(super) fn take_list(node: &Controller, machines: Vec<cloud::CloudMachine>) {
     let now = Instant::now();
     let mut held = node.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -16,8 +16,8 @@
 };
 use crate::jobs::{End, JobId};
 use crate::scheduling::cluster::ClusterState;
-use crate::store::budget::Urgent;
-use crate::store::client::Item;
+use crate::store::budget::RequestPriority;
+use crate::store::client::KeyValue;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 
 /// Descriptions of ended jobs asked for at once.
@@ -34,7 +34,7 @@
 
 impl Shard {
     /// None if the key names no shard.
-    fn read(item: Item) -> Option<Self> {
+    fn read(item: KeyValue) -> Option<Self> {
         let Some((job, number)) = parse_shard_key(&item.path) else {
             error!(path = item.path, "a key in the store that names no tasks");
             return None;
@@ -204,7 +204,7 @@
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
         if let CompareAndSwapOutcome::Failed(keys) =
-            node.store.client.compare_and_swap(&absent, &[], Urgent::First).await?
+            node.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
         {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
@@ -215,7 +215,7 @@
 /// The description of a job that has ended, wherever it is kept, how long ago it did, and a revision before that.
 async fn ended_record(node: &Controller, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
-        if let Some(item) = node.store.client.get(&key, Urgent::First).await? {
+        if let Some(item) = node.store.client.get(&key, RequestPriority::Critical).await? {
             return Ok(read_ended_record(id, &key, &item));
         }
     }
@@ -223,7 +223,7 @@
 }
 
 /// The same of one value; none if no acceptance would have let it through.
-fn read_ended_record(id: &str, key: &str, item: &Item) -> Option<(JobRecord, Duration, u64)> {
+fn read_ended_record(id: &str, key: &str, item: &KeyValue) -> Option<(JobRecord, Duration, u64)> {
     let record = match JobRecord::deserialize(&item.value) {
         Ok(record) => record,
         Err(error) => {
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, warn};
 
 use super::StoreError;
-use super::budget::Urgent;
+use super::budget::RequestPriority;
 use super::client::WatchResponse;
 use crate::controller::Controller;
 use crate::history::upgrade;
@@ -94,7 +94,7 @@
 /// All changes since a revision, at once.
 async fn changes_now(node: &Controller, revision: u64) -> Result<WatchResponse, StoreError> {
     // Waiting for one's own share is no sign of a connection that hangs.
-    node.store.client.reserve(Urgent::First).await?;
+    node.store.client.reserve(RequestPriority::Critical).await?;
     let first = node.store.client.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -18,7 +18,7 @@
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
@@ -142,7 +142,7 @@
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
-        match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, Urgent::First).await {
+        match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical).await {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 sent.applied();
                 lock(&node.audit).note(Held::Accepted(record));
