--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,6 +7,7 @@
 mod inventory;
 mod order_log;
 mod provisioning;
+pub mod scale_in;
 pub mod scale_out;
 mod terminations;
 
@@ -22,6 +23,8 @@
 use provisioning::{carry_out, decide, rent as rent_all};
 use terminations::{give_back, return_all, to_return};
 
+use scale_in::surplus_machines;
+
 use crate::node::Node;
 use crate::sync::lock;
 
@@ -97,10 +100,10 @@
     let Some(catalog) = node.catalog() else { return };
     let mut held = lock(&node.cluster);
     let Some(cluster) = held.as_mut() else { return };
-    for (id, why) in scale_out::to_give_up(cluster, &catalog, now) {
-        cluster.terminate(&id, why);
+    for machine in surplus_machines(cluster, &catalog, now) {
+        cluster.terminate(&machine.id, machine.reason);
     }
-    let chosen = drain::choose(cluster, &catalog, now);
+    let chosen = drain::choose_drains(cluster, &catalog, now);
     if chosen.is_empty() {
         return;
     }
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -9,7 +9,7 @@
 use super::cloud::{CloudError, Rental};
 use super::cloud_operations::SharedOperations;
 use super::order_log::store;
-use super::scale_out as plan;
+use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
 use crate::cloud_orders::{CloudAction, MOST_RENTED, unique_name};
 use crate::machine_kinds::MachineKind;
 use crate::node::Node;
@@ -28,10 +28,10 @@
     let held = lock(&node.cluster);
     let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut operations = lock(operations);
-    operations.refusals.holds(&plan::held_by_kind(cluster));
-    let wanted = plan::plan(cluster, &catalog, &operations.refusals, &operations.asked, now);
+    operations.refusals.record_held(&machines_by_kind(cluster));
+    let wanted = plan_scale_out(cluster, &catalog, &operations.refusals, &operations.asked, now);
     let mut rentals = Vec::new();
-    for (kind, count) in wanted {
+    for MachineDemand { kind, count } in wanted {
         let mut left = count.min(MOST_RENTALS * MOST_RENTED);
         *operations.asked.entry(kind.clone()).or_default() += left;
         let mut of_kind = Vec::new();
@@ -119,7 +119,7 @@
     let mut operations = lock(operations);
     operations.no_longer_asked(&kind, rental.count);
     if short {
-        operations.refusals.note(kind, node.properties.refusal, now);
+        operations.refusals.record_refusal(kind, node.properties.refusal, now);
     } else {
         operations.refusals.clear(&kind);
     }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -8,8 +8,8 @@
 
 use crate::declarations::records::{spec_key, status_key};
 use crate::declarations::{DeclarationKind, Declared, Registry, View};
-use crate::fleet::drain;
-use crate::fleet::scale_out::{self, CapacityRefusals};
+use crate::fleet::drain::choose_drains;
+use crate::fleet::scale_out::{CapacityRefusals, plan_scale_out};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec as job_spec;
 use crate::jobs::{JobSpec, Shape};
@@ -172,7 +172,7 @@
     bench.add(2, |_| ());
     assert!(bench.turn().is_empty());
     let refusals = CapacityRefusals::default();
-    assert!(scale_out::plan(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
+    assert!(plan_scale_out(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
     let mut phases = Vec::new();
     for _ in 0..120 {
         bench.pass(1);
@@ -184,7 +184,7 @@
         let (old, new) = (bench.running(1), bench.running(2));
         assert!(old + new >= 4 && old + new <= 5, "{old} and {new} run, {phase:?}");
         // What a rollout moves is not moved to spare a machine as well.
-        let moved = drain::choose(&bench.cluster, &bench.catalog, bench.now);
+        let moved = choose_drains(&bench.cluster, &bench.catalog, bench.now);
         assert!(phase == Phase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
     }
     assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
@@ -282,7 +282,7 @@
     assert_eq!(bench.running(1), 2, "stopped, and only that one");
     assert!(plan::place(&mut bench.cluster, &bench.catalog, bench.now).is_empty(), "and not placed again");
     let moved =
-        |bench: &Bench| drain::choose(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
+        |bench: &Bench| choose_drains(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
     assert!(moved(&bench), "the two others fit on one machine");
     bench.cluster.set_intents(ask(&[0], true));
     assert!(!moved(&bench));
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -72,9 +72,9 @@
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
     let mut reservations: Vec<_> = super::super::reservations::choose(cluster, &catalog, now).into_iter().collect();
     reservations.sort_by(|a, b| a.0.cmp(&b.0));
-    let rented = scale_out::plan(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
-    let given_up = scale_out::to_give_up(cluster, &catalog, now);
-    let drained = drain::choose(cluster, &catalog, now);
+    let rented = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
+    let given_up = surplus_machines(cluster, &catalog, now);
+    let drained = choose_drains(cluster, &catalog, now);
     let placed = plan::place(cluster, &catalog, now);
     let reservations: Vec<_> = reservations.into_iter().map(|(m, h)| (m, h.job)).collect();
     format!("{queue:?} {reservations:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
@@ -246,8 +246,8 @@
         let mut cluster = many(machines, start);
         cluster.intents.room = room(tasks, in_s);
         let rent = |asked: &HashMap<MachineKind, u64>| {
-            let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
-            wanted.into_iter().collect::<HashMap<MachineKind, u64>>()
+            let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
+            wanted.into_iter().map(|demand| (demand.kind, demand.count)).collect::<HashMap<MachineKind, u64>>()
         };
         let wanted = rent(&HashMap::new());
         assert_eq!(wanted.values().sum::<u64>(), want, "{name}");
@@ -261,12 +261,12 @@
             cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, long);
         }
         cluster.intents.room = room(tasks, in_s);
-        assert_eq!(scale_out::to_give_up(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
+        assert_eq!(surplus_machines(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
         // One at a time is drained of so few.
-        let drained = drain::choose(&cluster, &catalog(), long);
+        let drained = choose_drains(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
         cluster.intents.room = room(10, in_s);
-        let scale_in_candidate = drain::choose(&cluster, &catalog(), long).len();
+        let scale_in_candidate = choose_drains(&cluster, &catalog(), long).len();
         assert_eq!(scale_in_candidate, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
 }
@@ -291,7 +291,7 @@
     for ahead in [false, true] {
         let cluster = make(ahead);
         assert_eq!(!super::super::reservations::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
-        let rented = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
+        let rented = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
         assert_eq!(!rented.is_empty(), ahead, "rented at once");
     }
 }
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Placement by cases: what fits where, in which order, and how much work a plan is.
 
 use super::*;
-use crate::fleet::scale_out::{self, CapacityRefusals};
+use crate::fleet::scale_out::{CapacityRefusals, plan_scale_out};
 use crate::scheduling::reservations;
 
 #[test]
@@ -163,8 +163,8 @@
     let placements = plan::place(&mut cluster, &catalog(), later);
     cluster.bind_all(placements, later);
     let late = later + Duration::from_secs(3600);
-    let rented = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), late);
-    assert!(rented.iter().map(|(_, n)| n).sum::<u64>() <= 1, "{rented:?}");
+    let rented = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), late);
+    assert!(rented.iter().map(|demand| demand.count).sum::<u64>() <= 1, "{rented:?}");
 }
 
 fn fail(cluster: &mut ClusterState, job: u32, index: u32, machine: &str, seq: u64, now: Instant) {
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use super::*;
-use crate::fleet::drain;
-use crate::fleet::scale_out::{self, CapacityRefusals};
+use crate::fleet::drain::choose_drains;
+use crate::fleet::scale_out::{CapacityRefusals, plan_scale_out};
 use crate::machine_kinds::MachineKind;
 
 #[test]
@@ -12,25 +12,26 @@
     let now = Instant::now();
     let kind = |t: &str, spot| MachineKind { type_name: t.into(), zone: "a".into(), spot };
     let plan = |cluster: &ClusterState, refusals: &CapacityRefusals| {
-        scale_out::plan(cluster, &catalog(), refusals, &Default::default(), now)
+        let demand = plan_scale_out(cluster, &catalog(), refusals, &Default::default(), now);
+        demand.into_iter().map(|demand| (demand.kind, demand.count)).collect::<Vec<_>>()
     };
     let mut waiting = cluster(&[], now);
     add(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
     assert_eq!(plan(&waiting, &CapacityRefusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
     let mut refusals = CapacityRefusals::default();
-    refusals.note(kind("c8", true), Duration::from_secs(15), now);
+    refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now);
     assert_eq!(plan(&waiting, &refusals), [(kind("c8", false), 2)], "what was refused is left alone");
-    assert!(!refusals.refused(&kind("c8", true), 0, now + Duration::from_secs(16)));
+    assert!(!refusals.is_backing_off(&kind("c8", true), 0, now + Duration::from_secs(16)));
     // Found on days of floods: machines were lost, and their kind was not asked for again for two minutes
     // since it had been full before.
     let mut refusals = CapacityRefusals::default();
-    refusals.holds(&HashMap::from([(kind("c8", true), 100)]));
-    (0..4).for_each(|_| refusals.note(kind("c8", true), Duration::from_secs(15), now));
+    refusals.record_held(&HashMap::from([(kind("c8", true), 100)]));
+    (0..4).for_each(|_| refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now));
     for (held, after_s, refused) in
         [(100, 16, true), (95, 16, true), (60, 14, true), (60, 16, false), (100, 121, false)]
     {
         let later = now + Duration::from_secs(after_s);
-        assert_eq!(refusals.refused(&kind("c8", true), held, later), refused, "{held} held after {after_s} s");
+        assert_eq!(refusals.is_backing_off(&kind("c8", true), held, later), refused, "{held} held after {after_s} s");
     }
     let mut accelerated = cluster(&[], now);
     add(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
@@ -71,7 +72,7 @@
             );
         }
         cluster.arrivals.clear();
-        let drained = drain::choose(&cluster, &catalog(), now);
+        let drained = choose_drains(&cluster, &catalog(), now);
         assert_eq!(drained.first().map(|d| d.moves.len()), want, "{name}");
     }
 }
@@ -92,7 +93,7 @@
             add(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
         }
         cluster.arrivals.clear();
-        assert_eq!(drain::choose(&cluster, &catalog(), now).len(), scale_in_candidate, "{name}");
+        assert_eq!(choose_drains(&cluster, &catalog(), now).len(), scale_in_candidate, "{name}");
     }
 }
 
@@ -114,7 +115,7 @@
             add(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
             cluster.end_job(&format!("run-{:06}", 100 + n).as_str().into(), None, now);
         }
-        let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
+        let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
         assert_eq!(!wanted.is_empty(), rents, "{name}: {wanted:?}");
     }
 }
@@ -129,8 +130,8 @@
             (j.shape, j.tasks, j.cpus, j.same_zone, j.estimate_s) = (Shape::Gang, 6, 8.0, true, 100.0);
         });
     }
-    let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
-    assert_eq!(wanted.iter().map(|(_, n)| n).sum::<u64>(), 300, "{wanted:?}");
+    let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
+    assert_eq!(wanted.iter().map(|demand| demand.count).sum::<u64>(), 300, "{wanted:?}");
 }
 
 /// Found on fa-lima-grown: for a minute after a takeover nothing was drained, since every machine
@@ -144,7 +145,7 @@
     cluster.expect("m0000", &kind, None, s(300), now);
     cluster.expect("m0001", &kind, None, s(10), now);
     let drained: Vec<String> =
-        drain::choose(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
+        choose_drains(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
     assert_eq!(drained, ["m0000"], "only what has been held for long enough");
     for (n, age_s, at_least) in [(1, 0, 0.9), (2, 60, 0.3), (3, 6000, 0.0)] {
         let mut cluster = many(0, now);
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -1,7 +1,7 @@
 //! Machines that say nothing, and leaders that could not hear them: which are given up, and which are not.
 
 use super::*;
-use crate::fleet::scale_out;
+use crate::fleet::scale_in::surplus_machines;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
 
@@ -89,7 +89,7 @@
     }
     cluster.listed_up("running", now);
     let given_up: Vec<String> =
-        scale_out::to_give_up(&cluster, &catalog(), now + s(13)).into_iter().map(|(id, _)| id.to_string()).collect();
+        surplus_machines(&cluster, &catalog(), now + s(13)).into_iter().map(|machine| machine.id.to_string()).collect();
     assert_eq!(given_up, ["starting"]);
     (1..=13).for_each(|t| cluster.tick(now + s(t)));
     assert_eq!(cluster.machines["running"].state, MachineState::Terminating, "but it is alone in its silence");
@@ -115,11 +115,11 @@
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), begun);
     let back = begun + s(30);
     // Without being told of the pause: idle for 120 s, and 30 of 49 s since the cancellation.
-    assert_eq!(scale_out::to_give_up(&cluster, &catalog(), back).len(), 1);
+    assert_eq!(surplus_machines(&cluster, &catalog(), back).len(), 1);
     assert_eq!(cluster.overdue(back).len(), 1);
     cluster.after_pause(ProcessPause { began: begun, ended: back });
     cluster.tick(back);
-    assert!(scale_out::to_give_up(&cluster, &catalog(), back).is_empty());
+    assert!(surplus_machines(&cluster, &catalog(), back).is_empty());
     assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up));
     // Heard of nothing for a few seconds more, the cancelled task is proof enough.
     assert_eq!(cluster.overdue(back + s(6)).len(), 1);
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -205,7 +205,7 @@
         let up = cluster.machines.values().filter(|m| m.state == MachineState::Up).count();
         let draining = cluster.machines.values().any(|m| m.state == MachineState::Draining);
         if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
-            let chosen = drain::choose(cluster, &catalog(), now);
+            let chosen = choose_drains(cluster, &catalog(), now);
             if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
                 cluster.drain(&drain.machine, &drain.moves, now);
             }
