--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -10,7 +10,7 @@
 use super::provisioning::kind_of;
 use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_RETURNED, OrderCleanUp, StoreStep};
 use crate::node::Node;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
 
@@ -59,7 +59,7 @@
     let change = [order.change()];
     loop {
         let Some(under) = fencing_token(node) else { return Err(StoreStep::Abandon) };
-        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
+        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(operations).late.insert(order.key.clone(), under);
         }
@@ -87,7 +87,7 @@
 pub(super) async fn tidy(node: &Node, operations: &SharedOperations) {
     let Some(fencing_token) = fencing_token(node) else { return };
     let pressed = lock(operations).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
-    let urgent = if pressed { Urgent::Second } else { Urgent::Last };
+    let urgent = if pressed { RequestPriority::Placement } else { RequestPriority::Background };
     let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
     let (keys, clean_up) = {
         let mut operations = lock(operations);
--- a/src/node/hands.rs
+++ b/src/node/hands.rs
@@ -1,11 +1,11 @@
 //! Implements `declarations::run::DeclarationContext` for a controller: what the driver of declared things may read and do.
 
 use super::Node;
-use crate::declarations::driver::Ended;
+use crate::declarations::driver::JobEnds;
 use crate::declarations::run::DeclarationContext;
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::lock;
@@ -13,11 +13,11 @@
 impl DeclarationContext for Node {
     fn is_idle(&self) -> bool {
         let watch_cache = lock(&self.watch_cache);
-        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().any_changed();
+        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
         nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
-    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
+    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
@@ -30,7 +30,7 @@
         self.history.look_up(id);
     }
 
-    fn writable_changes(&self, urgent: Urgent) -> usize {
+    fn writable_changes(&self, urgent: RequestPriority) -> usize {
         self.store.writes_ready(urgent)
     }
 
@@ -38,7 +38,7 @@
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        urgent: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.store.compare_and_swap(conditions, changes, urgent).await
     }
