--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,8 @@
 //! the cloud, `store` the state service, `history` jobs that have ended, and
 //! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
-//! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
+//! services). `controller` builds the parts of one controller and starts their loops, `wakeups` holds the notifications
+//! between them, `process_pause` detects pauses of the process,
 //! `records` holds stored values that several slices read, `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`,
 //! `periodic` (steps of loops that are due at intervals) and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
 
@@ -19,6 +20,7 @@
 pub mod calendar;
 pub mod cli;
 pub mod cloud_orders;
+pub mod controller;
 pub mod declarations;
 pub mod fleet;
 pub mod heat;
@@ -26,7 +28,6 @@
 pub mod jobs;
 pub mod machine_kinds;
 pub mod membership;
-pub mod node;
 pub mod periodic;
 pub mod process_pause;
 pub mod records;
@@ -38,6 +39,7 @@
 pub mod sync;
 pub mod traffic;
 pub mod users;
+pub mod wakeups;
 pub mod workers;
 
 pub use hollylanding_protocol as protocol;
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,6 +5,7 @@
 pub mod budget;
 pub mod client;
 pub mod commit;
+pub mod handle;
 pub mod log_limit;
 pub mod share;
 #[cfg(test)]
