--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -7,7 +7,7 @@
 use super::status::{Instance, Status};
 use super::step::{Facts, Fate, claims, latest_ms, see, unclaimed_latest_ms};
 use crate::jobs::{JobId, JobSpec, Shape, Urgency};
-use crate::scheduling::intents::{Intents, RoomIntent, Turn};
+use crate::scheduling::intents::{Intents, RoomIntent, WindowPlace};
 
 /// Room for an opening is asked for from here on; whoever rents knows how long boot and fetch take.
 const AHEAD_MS: u64 = 900_000;
@@ -124,7 +124,7 @@
         let Fate::Open { begun, .. } = (facts.fate)(&claim.job) else { continue };
         let come = claim.turn <= instance.turn;
         if come {
-            intents.turns.insert(claim.job.clone(), Turn { window: name.to_owned(), number: claim.turn });
+            intents.turns.insert(claim.job.clone(), WindowPlace { window: name.to_owned(), number: claim.turn });
         } else {
             intents.not_yet.insert(claim.job.clone());
         }
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -7,10 +7,10 @@
 use crate::machine_kinds::{Catalog, MachineKind};
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
-use crate::scheduling::fairness::promises::starts_left_s;
 use crate::scheduling::forecast::{Slots, Timeline};
 use crate::scheduling::intents::{self, RoomIntent};
 use crate::scheduling::plan::{Quotas, Turn, queue};
+use crate::scheduling::promises::starts_left_s;
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
 
 /// Grace on top of a type's usual boot time.
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -18,8 +18,9 @@
 use crate::protocol::workers::{AttemptReport, AttemptStatus, Heartbeat, TaskKey};
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{Phase, Status};
-use crate::scheduling::cluster::{ClusterState, Via};
+use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::intents::{Intents, Replicas};
+use crate::scheduling::messages::MessageKind;
 use crate::scheduling::plan;
 use crate::settings::Properties;
 use crate::settings::tests::example;
@@ -102,7 +103,7 @@
                 notice_s: None,
                 attempts: bound.iter().filter_map(runs).collect(),
             };
-            self.cluster.take_heartbeat(heartbeat, Via::Heartbeat, Some(&self.catalog), self.now);
+            self.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), self.now);
         }
     }
 
--- /dev/null
+++ b/src/scheduling/cluster/accounting.rs
@@ -0,0 +1,51 @@
+//! What the cluster state tells fair-share accounting, and what it is told by it.
+
+use std::time::Instant;
+
+use super::{ClusterState, JobState};
+use crate::jobs::JobId;
+use crate::scheduling::fairness::Note;
+use crate::scheduling::fairness::floor::Below;
+
+/// Notes between two updates of the accounting; more are not counted.
+const MOST_NOTES: usize = 20_000;
+
+impl ClusterState {
+    /// What happened since the last call that the account counts, as (job, note, when).
+    pub fn take_notes(&mut self) -> Vec<(JobId, Note, Instant)> {
+        std::mem::take(&mut self.notes)
+    }
+
+    /// Who goes first from now on.
+    pub fn set_below(&mut self, below: Below) {
+        self.stirred |= self.below != below;
+        self.below = below;
+    }
+
+    /// What late work has earned is bounded by what the oldest of it needs.
+    pub fn bound_core_credit(&mut self, now: Instant) {
+        let waits = |job: &&JobState| !job.waiting.is_empty() && job.ended.is_none() && !job.complete();
+        let late = self
+            .jobs
+            .iter()
+            .filter(|(id, _)| !self.attribution.suspects(id) && !self.intents.not_yet.contains(*id))
+            .filter(|(id, job)| self.intents.waiting(id, job) > 0)
+            .map(|(_, job)| job)
+            .filter(waits);
+        let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
+        let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
+        self.core_credit.bound(needs);
+        let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
+        let within = self.properties.large_begin;
+        let may_go_first =
+            |job: &&JobState| self.large.may_go_first(job.spec(), now.saturating_duration_since(job.since), within);
+        let needs = waits.filter(may_go_first).min_by_key(|job| job.since).map(JobState::cores_at_once);
+        self.large.bound_credit(needs);
+    }
+
+    pub(super) fn note(&mut self, id: &JobId, note: Note, now: Instant) {
+        if self.notes.len() < MOST_NOTES {
+            self.notes.push((id.clone(), note, now));
+        }
+    }
+}
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -3,11 +3,10 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::{Binding, ClusterState, JobState, Phase};
+use super::{Binding, ClusterState, JobState, Phase, Placement};
 use crate::jobs::JobId;
 use crate::protocol::workers::TaskKey;
 use crate::scheduling::fairness::Note;
-use crate::scheduling::plan::Placement;
 
 impl ClusterState {
     /// Binds each placed task to its machine; its launch waits until that is stored.
@@ -19,7 +18,7 @@
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.too_late(now.saturating_duration_since(job.since));
                 self.core_credit.note(job.spec().cpus, late, self.properties.served_late);
-                self.large.placed(job.spec());
+                self.large.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.touched += 1;
                     *first_places.entry(placement.task.job.clone()).or_default() += 1.0 / job.tasks.len() as f64;
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use super::{ClusterState, Direct, Machine, MachineId, MachineState, Phase};
+use super::{ClusterState, Machine, MachineId, MachineState, Phase};
 use crate::jobs::JobId;
 use crate::protocol::workers::{AttemptReport, AttemptStatus, WorkerCommand};
 
@@ -19,6 +19,21 @@
 /// Tokens are raised at most this often.
 const RAISE_GAP: Duration = Duration::from_secs(5);
 
+/// A command to be sent straight to a worker.
+#[derive(Debug)]
+pub struct Direct {
+    /// The machine that is to carry it out.
+    pub machine: MachineId,
+    /// Its worker's address.
+    pub addr: String,
+    /// The fencing token under which it is given.
+    pub fencing_token: u64,
+    /// The agent's epoch that it is meant for.
+    pub agent_epoch: u64,
+    /// Launches, stops and reaps, in this order.
+    pub orders: Vec<WorkerCommand>,
+}
+
 impl ClusterState {
     /// What the answer to this machine's heartbeat is to tell it.
     pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -4,78 +4,130 @@
 
 use tracing::{debug, info, warn};
 
-use super::{ClusterState, Machine, MachineId, MachineState, Phase, Via};
-use crate::jobs::Shape;
+use super::{ClusterState, Machine, MachineId, MachineState, Phase};
+use crate::jobs::{JobId, Shape};
 use crate::machine_kinds::Catalog;
-use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey};
+use crate::protocol::workers::{AttemptStatus, Cause, Heartbeat, TaskKey};
+use crate::scheduling::messages::{MessageKind, MessageSequence};
 use crate::sla;
 
+/// What a machine's latest report says of the tasks that are bound to it.
+#[derive(Default)]
+struct Findings {
+    /// Jobs of which a task runs, and of which none was known to.
+    begun: Vec<JobId>,
+    /// Attempts that have exited, and why.
+    exited: Vec<(TaskKey, Cause)>,
+    /// Tasks that are proven not to be there.
+    missing: Vec<TaskKey>,
+}
+
+impl Machine {
+    /// Its first message: it takes work from now on. Returns whether it was.
+    fn join(&mut self, now: Instant) -> bool {
+        if self.state != MachineState::Booting {
+            return false;
+        }
+        self.state = MachineState::Up;
+        self.last_heartbeat = now;
+        self.idle_since = self.bound.is_empty().then_some(now);
+        info!(machine = %self.id, boot_s = now.saturating_duration_since(self.since).as_secs(), "machine joined");
+        true
+    }
+
+    /// Fences commands of earlier agent epochs: the worker refuses them from now on.
+    fn enter_agent_epoch(&mut self, agent_epoch: u64) {
+        if agent_epoch > self.agent_epoch {
+            self.agent_epoch = agent_epoch;
+            self.unsettled = None;
+            self.launched_in = None;
+            self.images.clear();
+        }
+    }
+
+    fn record_arrival(&mut self, sequence: MessageSequence, message: MessageKind, now: Instant) {
+        self.newest = sequence;
+        if message == MessageKind::Heartbeat {
+            self.newest_heartbeat = sequence;
+            self.last_heartbeat = now;
+        }
+        self.heard = now;
+    }
+
+    /// Records what the message says. Returns whether room has come free that unknown tasks had taken.
+    fn record_report(&mut self, heartbeat: Heartbeat, kind: Option<usize>) -> bool {
+        self.addr = Some(heartbeat.addr);
+        self.type_name = heartbeat.type_name;
+        self.zone = heartbeat.zone;
+        self.spot = heartbeat.spot;
+        self.kind = kind;
+        self.fencing_token = self.fencing_token.max(heartbeat.fencing_token);
+        if self.unsettled.is_some_and(|fencing_token| self.fencing_token > fencing_token) {
+            self.unsettled = None;
+        }
+        self.attempts = heartbeat.attempts;
+        let had_strays = self.has_strays();
+        self.look_for_strays();
+        had_strays && !self.has_strays()
+    }
+
+    /// Records an interruption notice, if there is one. Returns whether it is the first.
+    fn record_notice(&mut self, notice_s: Option<f64>, now: Instant) -> bool {
+        let notice = notice_s.map(|s| now + Duration::from_secs_f64(s.max(0.0)));
+        let first = notice.is_some() && self.recall.is_none();
+        self.recall = notice.or(self.recall);
+        first
+    }
+
+    fn record_machine_type(&mut self, catalog: Option<&Catalog>) {
+        let machine_type = catalog.and_then(|catalog| catalog.get(&self.type_name));
+        self.cache_gb = machine_type.and_then(|machine_type| machine_type.cache_gb);
+        if catalog.is_some() && machine_type.is_none() {
+            let (machine, machine_type) = (&self.id, &self.type_name);
+            warn!(%machine, machine_type, "machine type missing in the catalog; placing no work on it");
+        }
+    }
+}
+
 impl ClusterState {
-    /// Takes in a worker's heartbeat, or its reply to a command.
-    pub fn take_heartbeat(&mut self, heartbeat: Heartbeat, via: Via, catalog: Option<&Catalog>, now: Instant) {
+    /// Takes in a worker's heartbeat, or its reply to a command: rejects what is stale, records what it says, and
+    /// reconciles the bindings with it. The answer is made by `orders_in_answer`.
+    pub fn take_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        message: MessageKind,
+        catalog: Option<&Catalog>,
+        now: Instant,
+    ) {
         let id: MachineId = heartbeat.machine.as_str().into();
         if self.gone_set.contains(&id) {
             return;
         }
         let kind = self.kind(&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| {
-            info!(machine = %id, "adopted");
+            info!(machine = %id, "machine adopted");
             Machine::new(id.clone(), now)
         });
-        let at = (heartbeat.agent_epoch, heartbeat.seq);
-        if at <= machine.newest {
-            debug!(machine = %id, "an old report");
+        let sequence = MessageSequence { agent_epoch: heartbeat.agent_epoch, number: heartbeat.seq };
+        if sequence <= machine.newest {
+            debug!(machine = %id, "stale heartbeat rejected");
             return;
         }
-        if machine.state == MachineState::Booting {
-            machine.state = MachineState::Up;
-            machine.last_heartbeat = now;
-            self.stirred = true;
-            machine.idle_since = machine.bound.is_empty().then_some(now);
-            info!(machine = %id, after_s = now.saturating_duration_since(machine.since).as_secs(), "machine is up");
-        }
-        if heartbeat.agent_epoch > machine.agent_epoch {
-            machine.agent_epoch = heartbeat.agent_epoch;
-            // Commands of an earlier agent epoch are refused by the worker.
-            machine.unsettled = None;
-            machine.launched_in = None;
-            machine.images.clear();
-        }
-        machine.newest = at;
-        if via == Via::Heartbeat {
-            machine.newest_heartbeat = at;
-            machine.last_heartbeat = now;
-        }
-        machine.heard = now;
-        machine.partition.heard_of(&heartbeat, via, self.settings.params.workers.lease(), now);
+        machine.enter_agent_epoch(heartbeat.agent_epoch);
+        self.stirred |= machine.join(now);
+        machine.record_arrival(sequence, message, now);
+        machine.partition.heard_of(&heartbeat, message, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
-        if heartbeat.fencing_token >= self.first_fencing_token && !std::mem::replace(&mut machine.known, true) {
-            self.stirred = true;
-        }
-        machine.addr = Some(heartbeat.addr);
-        machine.type_name = heartbeat.type_name;
-        machine.zone = heartbeat.zone;
-        machine.spot = heartbeat.spot;
-        machine.kind = kind;
-        machine.fencing_token = machine.fencing_token.max(heartbeat.fencing_token);
-        if machine.unsettled.is_some_and(|t| machine.fencing_token > t) {
-            machine.unsettled = None;
-        }
-        machine.attempts = heartbeat.attempts;
-        let had_strays = machine.has_strays();
-        machine.look_for_strays();
-        self.stirred |= had_strays && !machine.has_strays();
-        let notice = heartbeat.notice_s.map(|s| now + Duration::from_secs_f64(s.max(0.0)));
-        let news = notice.is_some() && machine.recall.is_none();
-        machine.recall = notice.or(machine.recall);
-        let of = catalog.and_then(|c| c.get(&machine.type_name));
-        machine.cache_gb = of.and_then(|of| of.cache_gb);
-        if catalog.is_some() && of.is_none() {
-            warn!(machine = %id, type_name = machine.type_name, "a machine of no known type");
+        if heartbeat.fencing_token >= self.first_fencing_token {
+            self.stirred |= !std::mem::replace(&mut machine.known, true);
         }
+        let notice_s = heartbeat.notice_s;
+        self.stirred |= machine.record_report(heartbeat, kind);
+        let first_notice = machine.record_notice(notice_s, now);
+        machine.record_machine_type(catalog);
         self.judge_partition(&id, now);
         self.reconcile(&id, now);
-        if news {
+        if first_notice {
             self.recalled(&id, now);
         }
     }
@@ -88,62 +140,52 @@
         }
     }
 
-    /// Compares what a machine reported with what is bound to it.
+    /// Compares what a machine reported with what is bound to it, and records what follows.
     fn reconcile(&mut self, id: &MachineId, now: Instant) {
         if !self.loaded {
             return;
         }
-        let Some(machine) = self.machines.get(id) else { return };
-        if !machine.reported() {
-            return;
+        let findings = self.compare_attempts(id, now);
+        for job in findings.begun {
+            self.note_begun(&job, now);
+        }
+        for (key, cause) in findings.exited {
+            self.exited(&key, cause, id, now);
         }
+        for key in findings.missing {
+            debug!(job = %key.job, task_index = key.index, machine = %id, "task loss confirmed");
+            self.note_loss(&key, now);
+            self.unbind(&key, now);
+        }
+    }
+
+    /// Finds the attempt of each bound task among those that its machine reported, and takes over its status.
+    fn compare_attempts(&mut self, id: &MachineId, now: Instant) -> Findings {
+        let mut findings = Findings::default();
+        let Some(machine) = self.machines.get(id).filter(|machine| machine.reported()) else { return findings };
         // Below this leader's fencing token, commands of an earlier one may still arrive.
         let settled = machine.settled() && machine.fencing_token >= self.fencing_token;
-        let agent_epoch = machine.agent_epoch;
-        let mut exits = Vec::new();
-        let mut missing = Vec::new();
-        let mut begin = Vec::new();
         for key in &machine.bound {
             let Some(job) = self.jobs.get_mut(&key.job) else { continue };
             let ended = job.ended.is_some();
             let Some(task) = job.tasks.get_mut(key.index as usize) else { continue };
-            let attempt = task.attempt;
             let Phase::Bound(binding) = &mut task.phase else { continue };
-            let is_it = |l: &&AttemptReport| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
-            match machine.attempts.iter().find(is_it) {
-                Some(attempt_report) if attempt_report.status == AttemptStatus::Exited => {
-                    exits.push((key.clone(), attempt_report.cause.unwrap_or(Cause::Error)));
+            match machine.reported_attempt(key, task.attempt) {
+                Some(report) if report.status == AttemptStatus::Exited => {
+                    findings.exited.push((key.clone(), report.cause.unwrap_or(Cause::Error)));
                 }
-                Some(attempt_report) => {
-                    binding.status = Some(attempt_report.status);
-                    binding.told.get_or_insert(agent_epoch);
-                    if attempt_report.status == AttemptStatus::Running {
-                        binding.running_since.get_or_insert(now);
-                        if !job.begun && begin.last() != Some(&key.job) {
-                            begin.push(key.job.clone());
-                        }
-                    }
-                }
-                None => {
-                    let session_over = binding.told.is_some_and(|s| s < agent_epoch);
-                    let unneeded = ended || binding.halting.is_some() || binding.inherited || binding.status.is_some();
-                    if session_over || (settled && unneeded) {
-                        missing.push(key.clone());
+                Some(report) => {
+                    binding.record_status(report.status, machine.agent_epoch, now);
+                    let begins = report.status == AttemptStatus::Running && !job.begun;
+                    if begins && findings.begun.last() != Some(&key.job) {
+                        findings.begun.push(key.job.clone());
                     }
                 }
+                None if binding.is_absent(machine.agent_epoch, settled, ended) => findings.missing.push(key.clone()),
+                None => {}
             }
         }
-        for job in begin {
-            self.note_begun(&job, now);
-        }
-        for (key, cause) in exits {
-            self.exited(&key, cause, id, now);
-        }
-        for key in missing {
-            debug!(task = %key.job, index = key.index, machine = %id, "proven gone");
-            self.note_loss(&key, now);
-            self.unbind(&key, now);
-        }
+        findings
     }
 
     fn exited(&mut self, key: &TaskKey, cause: Cause, on: &MachineId, now: Instant) {
@@ -165,7 +207,13 @@
         if cause == Cause::Error {
             self.failed(key, on, now);
         } else if matches!(cause, Cause::NoRoom | Cause::Busy | Cause::Unknown) {
-            warn!(task = %key.job, index = key.index, machine = %on, ?cause, "start refused");
+            warn!(
+                job = %key.job,
+                task_index = key.index,
+                machine = %on,
+                ?cause,
+                "task start rejected; retrying the job's placement after 1 s"
+            );
             job.not_before = job.not_before.max(now + Duration::from_secs(1));
         }
         self.unbind(key, now);
@@ -196,7 +244,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(recall) = machine.recall else { return };
         let left = recall.saturating_duration_since(now);
-        info!(machine = %id, left_s = left.as_secs_f64(), "to be taken away");
+        info!(machine = %id, notice_s = left.as_secs_f64(), "machine recall announced");
         machine.state = match machine.state {
             MachineState::Terminating => MachineState::Terminating,
             _ => MachineState::Draining,
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -6,14 +6,15 @@
 
 use tracing::info;
 
-use super::machine::image_id;
-use super::{Arrivals, Binding, ClusterState, JobState, MOST_CLASSES, Machine, MachineId, Phase, Task};
+use super::model::image_id;
+use super::{Arrivals, Binding, ClusterState, JobState, Machine, MachineId, Phase, Task};
 use crate::jobs::Counts;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::fairness::Note;
-use crate::scheduling::fairness::promises::promises_of;
+use crate::scheduling::ids::MOST_CLASSES;
+use crate::scheduling::promises::promises_of;
 use crate::sla::Agreement;
 
 impl ClusterState {
@@ -71,7 +72,7 @@
         }
         let age = record.age(time_of_day_ms());
         self.note_arrival(&record, age, now);
-        self.large.offered(&record.spec, age, now);
+        self.large.record_offer(&record.spec, age, now);
         let job = self.begin(record, now.checked_sub(age).unwrap_or(now), now);
         self.stirred = true;
         self.intents_due = true;
@@ -246,7 +247,7 @@
         info!(job = %id, tasks = job.tasks.len(), after_s, "begins");
         // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
-        if own && self.large.is(job.spec()) {
+        if own && self.large.is_large_gang(job.spec()) {
             self.note(id, Note::Begun, now);
         }
     }
--- /dev/null
+++ b/src/scheduling/cluster/loads.rs
@@ -0,0 +1,45 @@
+//! Summed shares and returns of each machine's tasks, kept up to date.
+
+use std::time::{Duration, Instant};
+
+use super::ClusterState;
+#[cfg(test)]
+use super::Machine;
+#[cfg(test)]
+use super::model::Amounts;
+use super::model::weigh;
+use crate::sla::Load;
+
+/// Shares and returns move with time; counted again after this long (the design's retest).
+const LOAD_KEPT: Duration = Duration::from_secs(5);
+
+impl ClusterState {
+    /// Counts shares and returns again where a task has left or where they have grown old.
+    pub fn refresh_loads(&mut self, now: Instant) {
+        for machine in self.machines.values_mut() {
+            if machine.load_at.is_some_and(|at| now.saturating_duration_since(at) < LOAD_KEPT) {
+                continue;
+            }
+            let mut load = Load::default();
+            for key in &machine.bound {
+                let Some(job) = self.jobs.get(&key.job) else { continue };
+                let (share, task_return) = weigh(job, job.binding(key.index), now);
+                load.share += share;
+                load.total_return += task_return;
+            }
+            (machine.load, machine.load_at) = (load, Some(now));
+        }
+    }
+
+    /// What the tasks bound to a machine take, counted afresh.
+    #[cfg(test)]
+    pub fn taken_afresh(&self, machine: &Machine) -> Amounts {
+        let mut taken = Amounts::default();
+        for key in &machine.bound {
+            if let Some(job) = self.jobs.get(&key.job) {
+                taken.add(job.spec(), 1.0);
+            }
+        }
+        taken
+    }
+}
--- /dev/null
+++ b/src/scheduling/cluster/machines.rs
@@ -0,0 +1,110 @@
+//! Machines from their rental to their return, as the cluster state is told of it.
+
+use std::time::{Duration, Instant};
+
+use tracing::info;
+
+use super::{ClusterState, Machine, MachineId, MachineState};
+use crate::fleet::orders::{CloudOrder, What};
+use crate::machine_kinds::MachineKind;
+use crate::protocol::workers::TaskKey;
+
+/// Names of returned machines kept, so that their late heartbeats are not taken for news.
+const GONE_KEPT: usize = 20_000;
+
+impl ClusterState {
+    /// A machine that was rented or listed, before it reports.
+    pub fn expect(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
+        let id: MachineId = id.into();
+        if self.gone_set.contains(&id) {
+            return;
+        }
+        let at = self.kind(&kind.type_name, &kind.zone, kind.spot);
+        let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
+        self.stirred |= !std::mem::replace(&mut machine.known, true) && machine.reported();
+        // A new leader hears of machines before it is told how long they have been held.
+        machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
+        if !machine.reported() {
+            machine.type_name = kind.type_name.clone();
+            machine.zone = kind.zone.clone();
+            machine.spot = kind.spot;
+            machine.kind = at;
+            if let Some(addr) = addr.filter(|a| a.parse::<std::net::SocketAddr>().is_ok()) {
+                machine.addr = Some(addr.to_owned());
+            }
+        }
+    }
+
+    /// The cloud says that a machine is up.
+    pub fn listed_up(&mut self, id: &str, now: Instant) {
+        // From now on it should be heard of: until now it was booting, for all that is known here.
+        if let Some(machine) = self.machines.get_mut(id).filter(|m| !m.reported() && !m.listed_up) {
+            (machine.listed_up, machine.heard) = (true, now);
+        }
+    }
+
+    /// Marks a machine to be returned with whatever is on it; `why` goes to the log.
+    pub fn terminate(&mut self, id: &str, why: &str) {
+        if let Some(machine) = self.machines.get_mut(id)
+            && machine.state != MachineState::Terminating
+        {
+            info!(machine = id, why, bound = machine.bound.len(), "to be returned");
+            machine.state = MachineState::Terminating;
+        }
+    }
+
+    /// Orders that an earlier leader has stored and may yet carry out. What is to be returned takes no
+    /// work from here on, whether or not it was heard of before.
+    pub fn inherit_orders(&mut self, orders: Vec<CloudOrder>, now: Instant) {
+        for order in &orders {
+            let What::Return(names) = &order.what else { continue };
+            for name in names {
+                let id: MachineId = name.as_str().into();
+                if !self.gone_set.contains(&id) {
+                    self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
+                    self.terminate(name, "an earlier leader has ordered its return");
+                }
+            }
+        }
+        self.inherited = orders;
+    }
+
+    /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
+    pub fn take_back(&mut self, id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        if machine.state == MachineState::Draining && machine.scale_in_candidate {
+            (machine.state, machine.scale_in_candidate) = (MachineState::Up, false);
+            info!(machine = %id, "not drained any more: work waits that fits there alone");
+        }
+    }
+
+    /// No new work for a machine that can be spared; these tasks of it save and move.
+    pub fn drain(&mut self, id: &MachineId, moves: &[(TaskKey, u64)], now: Instant) {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        (machine.state, machine.scale_in_candidate) = (MachineState::Draining, true);
+        info!(machine = %id, bound = machine.bound.len(), moved = moves.len(), "drained: it can be spared");
+        for (key, grace_s) in moves {
+            self.halt(key, *grace_s, now);
+        }
+    }
+
+    /// The cloud has confirmed the return: everything on it is gone.
+    pub fn machine_gone(&mut self, id: &MachineId, now: Instant) {
+        let Some(machine) = self.machines.get(id) else { return };
+        let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
+        for key in keys {
+            self.note_loss(&key, now);
+            self.unbind(&key, now);
+        }
+        self.machines.remove(id);
+        self.attribution.machine_gone(id);
+        if self.gone_set.insert(id.clone()) {
+            self.gone.push_back(id.clone());
+        }
+        if self.gone.len() > GONE_KEPT
+            && let Some(oldest) = self.gone.pop_front()
+        {
+            self.gone_set.remove(&oldest);
+        }
+    }
+}
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -5,287 +5,55 @@
 //! a completed return of the machine. The cluster state is changed by heartbeats, by what was stored and by
 //! decisions; it does no I/O and reads no clock.
 
+mod accounting;
 mod bindings;
 mod commands;
 mod failures;
 mod heartbeats;
+mod intents;
 mod jobs;
-mod machine;
+mod loads;
+mod machines;
+mod model;
 mod one_way_partition;
 mod storing;
+mod tick;
 mod unreadable;
 mod watermark;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::num::NonZeroUsize;
-use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use lru::LruCache;
-pub use machine::{Machine, MachineState};
+
+pub use commands::Direct;
+pub use model::{
+    Ahead, Arrivals, Binding, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement, Replicas,
+    Reservation, RoomIntent, Task, WindowPlace,
+};
 use storing::Dirty;
+pub use storing::ShardWrite;
 use unreadable::RestingJobs;
 
 use super::failure_attribution::FailureAttribution;
 use super::fairness::Note;
 use super::fairness::floor::{Below, CoreCredit};
-use super::fairness::promises::{Promise, next_start_s};
-use super::intents::Intents;
-use super::large::Large;
-use super::plan::beside::BesideRoom;
-use super::reservations::Reservation;
+use super::ids::MOST_CLASSES;
+use super::large::LargeGangs;
+use super::passed_over::PassedOverJobs;
 use crate::fleet::orders::CloudOrder;
-use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
-use crate::jobs::{JobId, JobSpec};
+use crate::jobs::JobId;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
-use crate::protocol::workers::{AttemptStatus, WorkerCommand};
 use crate::settings::{Properties, Settings};
-use crate::sla::Agreement;
-
-/// The cloud's name of a machine, shared by all that refer to it.
-pub type MachineId = Arc<str>;
 
 /// Types, zones and kinds kept apart.
 const MOST_KINDS: usize = 1000;
-/// Classes of jobs of which anything is remembered: users name them as they like.
-pub const MOST_CLASSES: NonZeroUsize = NonZeroUsize::new(256).unwrap();
 
 /// Jobs of which it is kept when they ended.
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
 
-/// Notes for the account between two looks; more are not counted.
-const MOST_NOTES: usize = 20_000;
-
-/// How a message reached us: only true heartbeats prove that an earlier answer is dead.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Via {
-    /// A heartbeat that the worker sent by itself.
-    Heartbeat,
-    /// The reply to a direct command.
-    Command,
-}
-
-/// Where a task is placed, and what is known of it there.
-#[derive(Debug, Clone)]
-pub struct Binding {
-    /// The machine that the task is bound to.
-    pub machine: MachineId,
-    /// The agent epoch in which this leader first told the worker, if it did.
-    told: Option<u64>,
-    /// Stored by an earlier leader, which may have told the worker under an older fencing token.
-    inherited: bool,
-    /// What the worker last reported of the task; none before the first heartbeat that shows it.
-    pub status: Option<AttemptStatus>,
-    /// When it was first seen running.
-    pub running_since: Option<Instant>,
-    /// Being stopped, with this much time to save.
-    pub halting: Option<u64>,
-    /// When the binding was made or read from the store.
-    pub since: Instant,
-}
-
-impl Binding {
-    fn new(machine: MachineId, inherited: bool, now: Instant) -> Self {
-        Self { machine, told: None, inherited, status: None, running_since: None, halting: None, since: now }
-    }
-
-    /// For how long it has been running, as far as was reported.
-    pub fn ran(&self, now: Instant) -> Duration {
-        self.running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
-    }
-}
-
-/// Where a task stands.
-#[derive(Debug, Clone)]
-pub enum Phase {
-    /// Not placed.
-    Waiting,
-    /// Boxed, so that the many that wait take little.
-    Bound(Box<Binding>),
-    /// Completed; it never runs again.
-    Done,
-}
-
-/// One task of an open job.
-#[derive(Debug, Clone)]
-pub struct Task {
-    /// The number of its last start; 0 if it never had one.
-    pub attempt: u64,
-    /// Where it stands.
-    pub phase: Phase,
-    /// Whether the store says the same.
-    pub stored: bool,
-}
-
-impl Task {
-    fn as_stored(&self) -> StoredTask {
-        match &self.phase {
-            Phase::Done => StoredTask::Done,
-            Phase::Waiting if self.attempt == 0 => StoredTask::Untouched,
-            Phase::Waiting => StoredTask::Waiting(self.attempt),
-            Phase::Bound(b) => StoredTask::Bound(self.attempt, b.machine.to_string()),
-        }
-    }
-}
-
-/// A job as the leader schedules it: its record, its tasks and what is derived from them.
-pub struct JobState {
-    /// The job as it is stored.
-    pub record: Arc<JobRecord>,
-    /// Run time, deadline, budget and penalty rate by which its tasks are admitted and ordered.
-    pub agreement: Agreement,
-    /// When its user first asked, by this process's steady clock.
-    pub since: Instant,
-    /// All tasks, by number.
-    pub tasks: Vec<Task>,
-    /// Numbers of the tasks that wait for a place.
-    pub waiting: BTreeSet<u32>,
-    /// Numbers of the tasks that are bound to a machine.
-    pub bound: BTreeSet<u32>,
-    /// How many tasks are done.
-    pub done: u64,
-    versions: Vec<u64>,
-    /// When this process heard that the job ended, done or cancelled.
-    pub ended: Option<Instant>,
-    /// Its end was not stored yet at this revision.
-    ended_after: u64,
-    /// It ended as done: whatever is left of it needs no proof in time.
-    finished: bool,
-    /// Not to be placed before, after failures.
-    pub not_before: Instant,
-    /// The image's name, digested: what machines hold is compared by this.
-    pub image: u64,
-    /// When a task of it last ended.
-    pub last_end: Option<Instant>,
-    /// All that its user was promised.
-    pub promises: Box<[Promise]>,
-    /// Tasks that had a place at least once.
-    touched: usize,
-    /// Starts of the task that had most of them.
-    most_starts: u64,
-    /// This leader knows that it runs, or has.
-    begun: bool,
-}
-
-impl JobState {
-    /// What was submitted.
-    pub fn spec(&self) -> &JobSpec {
-        &self.record.spec
-    }
-
-    /// Shards with their versions in the store, of those that the store is not behind on: nothing of
-    /// them is on its way there.
-    pub fn settled_shards(&self) -> impl Iterator<Item = (u64, u64)> {
-        let settled = |shard: u64| self.shard(shard).iter().all(|t| t.stored);
-        (0u64..).zip(self.versions.iter().copied()).filter(move |(shard, version)| *version > 0 && settled(*shard))
-    }
-
-    fn shard(&self, shard: u64) -> &[Task] {
-        let from = (shard * TASKS_PER_SHARD) as usize;
-        let to = (from + TASKS_PER_SHARD as usize).min(self.tasks.len());
-        self.tasks.get(from..to).unwrap_or_default()
-    }
-
-    /// Nothing that was promised of it can be kept by starting it now or later.
-    pub fn too_late(&self, age: Duration) -> bool {
-        next_start_s(&self.promises, self.agreement.run, age).is_none()
-    }
-
-    /// The part of its tasks that never had a place.
-    pub fn untouched(&self) -> f64 {
-        1.0 - self.touched as f64 / self.tasks.len().max(1) as f64
-    }
-
-    /// This leader knows that it runs, or has.
-    pub fn begun(&self) -> bool {
-        self.begun
-    }
-
-    /// A gang runs once all its tasks do; of anything else one is enough. A task that is done has run.
-    fn runs(&self) -> bool {
-        let runs = |index: &u32| {
-            self.binding(*index)
-                .is_some_and(|b| matches!(b.status, Some(AttemptStatus::Running | AttemptStatus::Saving)))
-        };
-        if self.done > 0 {
-            return true;
-        }
-        if self.spec().is_gang() {
-            return self.bound.len() == self.tasks.len() && self.bound.iter().all(runs);
-        }
-        self.bound.iter().any(runs)
-    }
-
-    /// What must be free together for anything of it to start, in cores.
-    pub fn cores_at_once(&self) -> f64 {
-        let spec = self.spec();
-        if spec.is_gang() { spec.cpus * spec.tasks as f64 } else { spec.cpus }
-    }
-
-    /// A waiting task of it has lost so many starts. Looked for only where any task was started so
-    /// often: jobs may have a hundred thousand.
-    pub fn lost_starts(&self, least: u64) -> bool {
-        self.most_starts >= least
-            && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= least))
-    }
-
-    /// Whether nothing of it is left to run: all tasks are done, or one of a gang.
-    pub fn complete(&self) -> bool {
-        self.done == self.tasks.len() as u64 || (self.spec().is_gang() && self.done > 0)
-    }
-
-    /// Where a task is bound, if it is.
-    pub fn binding(&self, index: u32) -> Option<&Binding> {
-        match &self.tasks.get(index as usize)?.phase {
-            Phase::Bound(binding) => Some(binding),
-            _ => None,
-        }
-    }
-
-    fn binding_mut(&mut self, index: u32) -> Option<&mut Binding> {
-        match &mut self.tasks.get_mut(index as usize)?.phase {
-            Phase::Bound(binding) => Some(binding),
-            _ => None,
-        }
-    }
-
-    /// All tasks of a gang's attempt are stored: only then is any of them told to start.
-    fn launchable(&self) -> bool {
-        !self.spec().is_gang()
-            || (self.waiting.is_empty()
-                && self.tasks.iter().all(|t| t.stored && matches!(&t.phase, Phase::Bound(b) if b.halting.is_none())))
-    }
-}
-
-/// A command to be sent straight to a worker.
-#[derive(Debug)]
-pub struct Direct {
-    /// The machine that is to carry it out.
-    pub machine: MachineId,
-    /// Its worker's address.
-    pub addr: String,
-    /// The fencing token under which it is given.
-    pub fencing_token: u64,
-    /// The agent's epoch that it is meant for.
-    pub agent_epoch: u64,
-    /// Launches, stops and reaps, in this order.
-    pub orders: Vec<WorkerCommand>,
-}
-
-/// One shard as it is about to be stored.
-#[derive(Debug, Clone)]
-pub struct ShardWrite {
-    /// The job whose tasks these are.
-    pub job: JobId,
-    /// Which shard of the job's tasks.
-    pub shard: u64,
-    /// The version of the shard that the write replaces; 0 for a first one.
-    pub version: u64,
-    /// The tasks' states as they are to be stored.
-    pub tasks: Vec<StoredTask>,
-}
-
 /// Users choose the ids, so they are digested as nobody can foresee; in tests alike in every run, so that a
 /// seed runs the same interleaving again.
 #[cfg(not(test))]
@@ -343,7 +111,7 @@
     /// How fast tasks of each class have lately come.
     pub arrivals: BTreeMap<String, Arrivals>,
     /// What the largest gangs offer and earn.
-    pub large: Large,
+    pub large: LargeGangs,
     /// Machines kept for gangs that will soon fit.
     pub reservations: HashMap<MachineId, Reservation>,
     /// Machines on which others were stopped for a job, until it has come there.
@@ -351,7 +119,7 @@
     /// Since when plans have kept room for a gang.
     pub(super) keeping: Option<Instant>,
     /// Jobs that wait although machines have room for them.
-    pub(super) beside_room: BesideRoom,
+    pub(super) passed_over: PassedOverJobs,
     /// Classes and teams that go first, by the account.
     pub below: Below,
     /// Whose fault failures are.
@@ -370,37 +138,6 @@
     notes: Vec<(JobId, Note, Instant)>,
 }
 
-/// How many tasks of a class have come lately: a count that fades, and one job to stand for all.
-#[derive(Debug)]
-pub struct Arrivals {
-    faded: f64,
-    at: Instant,
-    /// The latest job of the class.
-    pub like: Arc<JobRecord>,
-}
-
-/// Arrivals fade over this time: long enough to smooth single jobs, short enough to see an end.
-const ARRIVALS_FADE: Duration = Duration::from_secs(60);
-
-impl Arrivals {
-    fn fade(&self, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.faded * (-passed / ARRIVALS_FADE.as_secs_f64()).exp()
-    }
-
-    /// A job that came so long ago.
-    fn come(&mut self, record: Arc<JobRecord>, age: Duration, now: Instant) {
-        let gone_by = (-age.as_secs_f64() / ARRIVALS_FADE.as_secs_f64()).exp();
-        self.faded = self.fade(now) + record.spec.tasks as f64 * gone_by;
-        (self.at, self.like) = (now, record);
-    }
-
-    /// Tasks a second, as of now.
-    pub fn per_second(&self, now: Instant) -> f64 {
-        self.fade(now) / ARRIVALS_FADE.as_secs_f64()
-    }
-}
-
 impl ClusterState {
     /// An empty state for a leader that has just been assigned; `load` fills it.
     pub fn new(fencing_token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
@@ -430,11 +167,11 @@
             loaded_at: now,
             observed: LruCache::new(MOST_CLASSES),
             arrivals: BTreeMap::new(),
-            large: Large::new(&properties, now),
+            large: LargeGangs::new(&properties, now),
             reservations: HashMap::new(),
             preemption_reservations: HashMap::new(),
             keeping: None,
-            beside_room: BesideRoom::default(),
+            passed_over: PassedOverJobs::default(),
             below: Below::default(),
             attribution: FailureAttribution::default(),
             core_credit: CoreCredit::default(),
@@ -488,40 +225,6 @@
         &self.kinds
     }
 
-    /// What happened since the last call that the account counts, as (job, note, when).
-    pub fn take_notes(&mut self) -> Vec<(JobId, Note, Instant)> {
-        std::mem::take(&mut self.notes)
-    }
-
-    /// Who goes first from now on.
-    pub fn set_below(&mut self, below: Below) {
-        self.stirred |= self.below != below;
-        self.below = below;
-    }
-
-    /// What late work has earned is bounded by what the oldest of it needs.
-    pub fn bound_core_credit(&mut self, now: Instant) {
-        let waits = |job: &&JobState| !job.waiting.is_empty() && job.ended.is_none() && !job.complete();
-        let late = self
-            .jobs
-            .iter()
-            .filter(|(id, _)| !self.attribution.suspects(id) && !self.intents.not_yet.contains(*id))
-            .filter(|(id, job)| self.intents.waiting(id, job) > 0)
-            .map(|(_, job)| job)
-            .filter(waits);
-        let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
-        let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.core_credit.bound(needs);
-        let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
-        self.large.bound(waits, self.properties.large_begin, now);
-    }
-
-    fn note(&mut self, id: &JobId, note: Note, now: Instant) {
-        if self.notes.len() < MOST_NOTES {
-            self.notes.push((id.clone(), note, now));
-        }
-    }
-
     /// Whether a plan may find something that the last one did not.
     pub fn take_stirred(&mut self) -> bool {
         std::mem::take(&mut self.stirred)
--- /dev/null
+++ b/src/scheduling/cluster/model/arrivals.rs
@@ -0,0 +1,37 @@
+//! How fast tasks of each class have lately come.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crate::jobs::record::JobRecord;
+
+/// How many tasks of a class have come lately: a count that fades, and one job to stand for all.
+#[derive(Debug)]
+pub struct Arrivals {
+    pub(in crate::scheduling::cluster) faded: f64,
+    pub(in crate::scheduling::cluster) at: Instant,
+    /// The latest job of the class.
+    pub like: Arc<JobRecord>,
+}
+
+/// Arrivals fade over this time: long enough to smooth single jobs, short enough to see an end.
+const ARRIVALS_FADE: Duration = Duration::from_secs(60);
+
+impl Arrivals {
+    fn fade(&self, now: Instant) -> f64 {
+        let passed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.faded * (-passed / ARRIVALS_FADE.as_secs_f64()).exp()
+    }
+
+    /// A job that came so long ago.
+    pub(in crate::scheduling::cluster) fn come(&mut self, record: Arc<JobRecord>, age: Duration, now: Instant) {
+        let gone_by = (-age.as_secs_f64() / ARRIVALS_FADE.as_secs_f64()).exp();
+        self.faded = self.fade(now) + record.spec.tasks as f64 * gone_by;
+        (self.at, self.like) = (now, record);
+    }
+
+    /// Tasks a second, as of now.
+    pub fn per_second(&self, now: Instant) -> f64 {
+        self.fade(now) / ARRIVALS_FADE.as_secs_f64()
+    }
+}
--- /dev/null
+++ b/src/scheduling/cluster/model/machine.rs
@@ -0,0 +1,291 @@
+//! Machines: what is known of each, and what is left of it.
+
+use std::collections::{BTreeSet, VecDeque};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Instant;
+
+use super::{JobState, MachineId, weigh};
+use crate::jobs::JobSpec;
+use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey};
+use crate::scheduling::messages::MessageSequence;
+use crate::scheduling::one_way_partition::PartitionDetector;
+use crate::sla::Load;
+
+/// Images a machine is thought to hold where the cloud does not say how much it keeps.
+const IMAGES_KEPT: usize = 6;
+/// Images remembered of a machine, whatever it keeps.
+const MOST_IMAGES: usize = 64;
+
+/// What an image is compared by: a digest, since names are compared at every placement. Two
+/// names alike would only mislead a preference.
+pub fn image_id(name: &str) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    name.hash(&mut hasher);
+    hasher.finish()
+}
+
+/// What tasks take of their machine.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Amounts {
+    pub cpus: f64,
+    pub gpus: f64,
+    pub memory_gb: f64,
+}
+
+impl Amounts {
+    pub(in crate::scheduling::cluster) fn add(&mut self, spec: &JobSpec, sign: f64) {
+        self.cpus += sign * spec.cpus;
+        self.gpus += sign * spec.gpus;
+        self.memory_gb += sign * spec.memory_gb;
+    }
+}
+
+/// Where a machine is between its rental and its return.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum MachineState {
+    /// Rented, not heard of yet.
+    Booting,
+    /// Its worker has reported, and it takes work.
+    Up,
+    /// No new work; returned when empty.
+    Draining,
+    /// To be returned now, with whatever is on it.
+    Terminating,
+}
+
+/// One machine: what it is, what it was heard to run, and what has been told to it.
+#[derive(Debug)]
+pub struct Machine {
+    /// The cloud's name of it.
+    pub id: MachineId,
+    /// Its worker's address, once known.
+    pub addr: Option<String>,
+    /// Its machine type; empty while only its name is known.
+    pub type_name: String,
+    /// Its zone; empty while only its name is known.
+    pub zone: String,
+    /// Whether the cloud may take it back.
+    pub spot: bool,
+    /// Where it is between its rental and its return.
+    pub state: MachineState,
+    pub(in crate::scheduling::cluster) agent_epoch: u64,
+    /// The newest message of any kind, and the newest true heartbeat.
+    pub(in crate::scheduling::cluster) newest: MessageSequence,
+    pub(in crate::scheduling::cluster) newest_heartbeat: MessageSequence,
+    /// The highest fencing token that its worker has reported.
+    pub fencing_token: u64,
+    /// When anything was last heard of it, by heartbeat or by reply.
+    pub heard: Instant,
+    /// Its last true heartbeat, or when it was first heard of: replies to commands renew no lease.
+    pub last_heartbeat: Instant,
+    /// When it was rented, as far as is known.
+    pub since: Instant,
+    /// When the cloud takes it back, if it has given notice.
+    pub recall: Option<Instant>,
+    /// The tasks that are bound to it.
+    pub bound: BTreeSet<TaskKey>,
+    pub(in crate::scheduling::cluster) attempts: Vec<AttemptReport>,
+    pub(in crate::scheduling::cluster) command_under_way: bool,
+    /// The command under way carries a launch.
+    pub(in crate::scheduling::cluster) launch_under_way: bool,
+    /// A command given under this fencing token may still arrive.
+    pub(in crate::scheduling::cluster) unsettled: Option<u64>,
+    /// The heartbeat whose answer carried a launch.
+    pub(in crate::scheduling::cluster) launched_in: Option<MessageSequence>,
+    pub(in crate::scheduling::cluster) next_command: Instant,
+    /// Something new is to be told without waiting for a heartbeat.
+    pub(in crate::scheduling::cluster) tell: bool,
+    /// Since when nothing has been bound to it.
+    pub idle_since: Option<Instant>,
+    /// Something has failed on it since anything was done there.
+    pub failed: bool,
+    /// Drained because it can be spared: what is over of it is idle work's until the rest has run out.
+    pub scale_in_candidate: bool,
+    /// Quarantined: no new work until it is decided whose fault its failures are.
+    pub quarantined: bool,
+    /// Its heartbeats arrive and nothing reaches it: no new work until it hears again.
+    pub inbound_lost: bool,
+    pub(in crate::scheduling::cluster) partition: PartitionDetector,
+    /// This leader has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
+    /// that is known of it may be copies of heartbeats of a machine that is gone: no work for it yet.
+    pub known: bool,
+    /// Images it is thought to hold, the most recently used last, with their sizes.
+    pub(in crate::scheduling::cluster) images: VecDeque<(u64, f64)>,
+    /// What it keeps of them, if the cloud says.
+    pub(in crate::scheduling::cluster) cache_gb: Option<f64>,
+    /// Type, zone and kind, by their place in the cluster state's list.
+    pub kind: Option<usize>,
+    /// What the bound tasks take together, kept with every binding.
+    taken: Amounts,
+    /// What of it idle work takes: others may have it.
+    idle: Amounts,
+    /// Their shares and returns, and when these were counted; none once a task has left.
+    pub(in crate::scheduling::cluster) load: Load,
+    pub(in crate::scheduling::cluster) load_at: Option<Instant>,
+    /// Live tasks were reported that are not bound here.
+    strays: bool,
+    /// The cloud says that it is up, whether or not it was heard of here.
+    pub(in crate::scheduling::cluster) listed_up: bool,
+}
+
+impl Machine {
+    pub(in crate::scheduling::cluster) fn new(id: MachineId, now: Instant) -> Self {
+        Self {
+            id,
+            addr: None,
+            type_name: String::new(),
+            zone: String::new(),
+            spot: false,
+            state: MachineState::Booting,
+            agent_epoch: 0,
+            newest: MessageSequence::default(),
+            newest_heartbeat: MessageSequence::default(),
+            fencing_token: 0,
+            heard: now,
+            last_heartbeat: now,
+            since: now,
+            recall: None,
+            bound: BTreeSet::new(),
+            attempts: Vec::new(),
+            command_under_way: false,
+            launch_under_way: false,
+            unsettled: None,
+            launched_in: None,
+            next_command: now,
+            tell: false,
+            idle_since: None,
+            failed: false,
+            scale_in_candidate: false,
+            quarantined: false,
+            inbound_lost: false,
+            partition: PartitionDetector::new(now),
+            known: false,
+            images: VecDeque::new(),
+            cache_gb: None,
+            kind: None,
+            taken: Amounts::default(),
+            idle: Amounts::default(),
+            load: Load::default(),
+            load_at: Some(now),
+            strays: false,
+            listed_up: false,
+        }
+    }
+
+    /// No launch is under way towards it, so that what it does not report is not there and a
+    /// reaped task cannot be started again.
+    pub(in crate::scheduling::cluster) fn settled(&self) -> bool {
+        !self.command_under_way
+            && self.unsettled.is_none()
+            && self.launched_in.is_none_or(|l| self.newest_heartbeat > l)
+    }
+
+    /// What it last reported of an attempt, if it did.
+    pub(in crate::scheduling::cluster) fn reported_attempt(
+        &self,
+        key: &TaskKey,
+        attempt: u64,
+    ) -> Option<&AttemptReport> {
+        let is_it = |l: &&AttemptReport| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
+        self.attempts.iter().find(is_it)
+    }
+
+    /// Live tasks that are not bound here: their room is not free, whoever they belong to.
+    pub fn has_strays(&self) -> bool {
+        self.strays
+    }
+
+    /// To be called when what was reported or what is bound has changed.
+    pub(in crate::scheduling::cluster) fn look_for_strays(&mut self) {
+        self.strays = self.attempts.iter().any(|l| l.status != AttemptStatus::Exited && !self.bound.contains(&l.task));
+    }
+
+    /// What its bound tasks take of it.
+    pub fn taken(&self) -> Amounts {
+        self.taken
+    }
+
+    /// What idle work takes of it.
+    pub fn idle(&self) -> Amounts {
+        self.idle
+    }
+
+    /// Nothing but idle work is on it, if anything.
+    pub fn only_idle(&self) -> bool {
+        self.taken.cpus <= self.idle.cpus + 1e-6 && self.taken.memory_gb <= self.idle.memory_gb + 1e-6
+    }
+
+    /// The summed shares and returns of its tasks.
+    pub fn load(&self) -> Load {
+        self.load
+    }
+
+    /// A task comes onto this machine.
+    pub(in crate::scheduling::cluster) fn bind(&mut self, key: TaskKey, job: &JobState, now: Instant) {
+        self.known = true;
+        if self.bound.insert(key) {
+            self.taken.add(job.spec(), 1.0);
+            if job.spec().is_idle() {
+                self.idle.add(job.spec(), 1.0);
+            }
+            let (share, task_return) = weigh(job, None, now);
+            self.load.share += share;
+            self.load.total_return += task_return;
+            self.idle_since = None;
+        }
+    }
+
+    /// A task leaves it. What is left of an empty machine is exact, whatever was summed before.
+    pub(in crate::scheduling::cluster) fn unbind(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
+        if self.bound.remove(key) {
+            self.taken.add(spec, -1.0);
+            if spec.is_idle() {
+                self.idle.add(spec, -1.0);
+            }
+            self.load_at = None;
+            if self.bound.is_empty() {
+                (self.taken, self.idle) = (Amounts::default(), Amounts::default());
+                self.idle_since = Some(now);
+            }
+            if !self.strays {
+                self.look_for_strays();
+            }
+        }
+    }
+
+    /// What it holds is about to be read again.
+    pub(in crate::scheduling::cluster) fn hold_nothing(&mut self) {
+        self.bound.clear();
+        (self.taken, self.idle) = (Amounts::default(), Amounts::default());
+        self.load_at = None;
+    }
+
+    /// Whether the image is expected to be in its cache or on its way there.
+    pub fn holds_image(&self, image: u64) -> bool {
+        self.images.iter().any(|(i, _)| *i == image)
+    }
+
+    /// Whether its worker has ever been heard of.
+    pub fn reported(&self) -> bool {
+        self.newest.agent_epoch > 0
+    }
+
+    /// Its worker should be heard of: it was, or an earlier leader has given it tasks, or the cloud
+    /// says that it is up.
+    pub fn awaited(&self) -> bool {
+        (self.reported() && self.known) || !self.bound.is_empty() || self.listed_up
+    }
+
+    /// A task with this image comes: the least recently used make room for it, as the worker
+    /// does. What is on its way counts, so that tasks wait for one fetch together.
+    pub(in crate::scheduling::cluster) fn remember_image(&mut self, image: u64, gb: f64) {
+        let cache_gb = self.cache_gb;
+        self.images.retain(|(i, _)| *i != image);
+        self.images.push_back((image, gb));
+        let mut held: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        let too_much = |held: f64, n: usize| cache_gb.map_or(n > IMAGES_KEPT, |most| held > most) || n > MOST_IMAGES;
+        while self.images.len() > 1 && too_much(held, self.images.len()) {
+            held -= self.images.pop_front().map_or(0.0, |(_, gb)| gb);
+        }
+    }
+}
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -6,7 +6,7 @@
 
 use tracing::{info, warn};
 
-use super::machine::{MOST, TOGETHER};
+use super::tick::{MOST, TOGETHER};
 use super::{ClusterState, Machine, MachineId};
 use crate::scheduling::one_way_partition::{Verdict, judge};
 
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{ClusterState, Phase, ShardWrite, Task};
+use super::{ClusterState, Phase, Task};
 use crate::jobs::JobId;
-use crate::jobs::record::{JobRecord, TASKS_PER_SHARD};
+use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
 use crate::protocol::workers::TaskKey;
 
 /// A shard in which tasks have only ended or been released is stored this much later: more of
@@ -17,6 +17,19 @@
 /// Changes that an end takes: its final key, and the open one gone.
 const END_CHANGES: usize = 2;
 
+/// One shard as it is about to be stored.
+#[derive(Debug, Clone)]
+pub struct ShardWrite {
+    /// The job whose tasks these are.
+    pub job: JobId,
+    /// Which shard of the job's tasks.
+    pub shard: u64,
+    /// The version of the shard that the write replaces; 0 for a first one.
+    pub version: u64,
+    /// The tasks' states as they are to be stored.
+    pub tasks: Vec<StoredTask>,
+}
+
 /// Shards the store is behind on. Starts wait for theirs to be stored; news can bear to be late.
 #[derive(Debug, Default)]
 pub(super) struct Dirty {
--- /dev/null
+++ b/src/scheduling/cluster/tick.rs
@@ -0,0 +1,127 @@
+//! What time alone brings about: silence, overdue proofs, empty machines that drain.
+
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+use super::{ClusterState, Machine, MachineId, MachineState};
+use crate::process_pause::{PROOF_PART, ProcessPause};
+use crate::protocol::workers::TaskKey;
+
+/// How far into the time allowed for a cancellation a machine that proves nothing is returned.
+const CANCEL_PATIENCE: f64 = 0.45;
+/// One in so many machines silent at once is no chance of single machines.
+pub(super) const TOGETHER: usize = 12;
+/// One in so many lost is most of them, as far as handing over is concerned.
+pub(super) const MOST: usize = 3;
+/// How many leases many machines that are silent together get.
+const SILENT_LEASES: u32 = 2;
+/// Past the end of these; covers a machine's clock's drift and the way of a heartbeat.
+const LEASE_MARGIN: Duration = Duration::from_secs(2);
+/// Many that were silent together are all back within so many reports' time.
+const BACK_REPORTS: u32 = 3;
+
+impl ClusterState {
+    /// This controller was paused and has not listened: machines were not silent or idle for that long,
+    /// and what it missed may still be on its way.
+    pub fn after_pause(&mut self, pause: ProcessPause) {
+        for machine in self.machines.values_mut() {
+            machine.heard = pause.forgive(machine.heard);
+            machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
+            machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
+            machine.partition.after_pause(pause);
+        }
+        self.last_pause = Some(pause);
+    }
+
+    /// At least three machines, and one in `part` of those that should be heard of, have been
+    /// silent for about as long as the silence that is still tolerated. Those that a new leader
+    /// inherits count: it may be the one that cannot hear them.
+    fn many_silent(&self, silence: Duration, part: usize, now: Instant) -> bool {
+        let (mut all, mut silent) = (0, 0);
+        for machine in self.machines.values().filter(|m| m.awaited()) {
+            all += 1;
+            silent += usize::from(now.saturating_duration_since(machine.heard) > silence.mul_f64(0.8));
+        }
+        silent >= 3 && silent * part >= all
+    }
+
+    /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
+    pub fn lost_most(&self, now: Instant) -> bool {
+        let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
+        self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
+    }
+
+    /// Machines that hold a task of a job that was cancelled, and have not proven it gone for too
+    /// long. What is left of a job that is done has exited.
+    pub fn overdue(&self, now: Instant) -> BTreeSet<MachineId> {
+        let allowed = self.settings.params.workers.cancellation_deadline();
+        let patience = allowed.mul_f64(CANCEL_PATIENCE);
+        // A leader that has come since begins no new patience, or several would add up; but machines get two
+        // reports to prove to it what they have proven to the one before.
+        let told_within = self.settings.params.workers.heartbeat_interval() * 2;
+        let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
+        let due = |at: Instant| {
+            let age = now.saturating_duration_since(at);
+            age > patience
+                && self.last_pause.is_none_or(|pause| pause.proof_due(at, allowed, now))
+                && (at >= self.loaded_at || !new_here || age >= allowed.mul_f64(PROOF_PART))
+        };
+        let late = self.ending.iter().filter_map(|id| self.jobs.get(id));
+        let late = late.filter(|job| !job.finished && job.ended.is_some_and(due));
+        late.flat_map(|job| job.bound.iter().filter_map(|i| job.binding(*i))).map(|b| b.machine.clone()).collect()
+    }
+
+    /// What time alone brings about: silence, overdue proofs, empty machines that drain.
+    pub fn tick(&mut self, now: Instant) {
+        if !self.loaded {
+            return;
+        }
+        // Many machines that fall silent together point at the network or at this controller:
+        // returning them all would lose what they run, and past their leases still the machines, for
+        // which others would have to boot. Those that have died the cloud's list tells of.
+        let long = (self.settings.params.workers.lease() * SILENT_LEASES + LEASE_MARGIN).max(self.properties.silence);
+        if self.many_silent(self.properties.silence, TOGETHER, now) {
+            self.many_silent_at = Some(now);
+        }
+        // Those that are back do not report at the same moment: the last of them are not alone at once.
+        let back_within = self.settings.params.workers.heartbeat_interval() * BACK_REPORTS;
+        let many = self.many_silent_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
+        let silence = if many { long } else { self.properties.silence };
+        let mut terminate: Vec<(MachineId, &str)> =
+            self.overdue(now).into_iter().map(|id| (id, "a withdrawn task is not proven gone")).collect();
+        for machine in self.machines.values() {
+            let quiet = now.saturating_duration_since(machine.heard);
+            if (machine.awaited() || machine.reported()) && quiet > silence {
+                let why = if machine.reported() { "silent" } else { "should be up and was never heard of" };
+                terminate.push((machine.id.clone(), why));
+            } else if machine.reported() && now.saturating_duration_since(machine.last_heartbeat) > long {
+                terminate.push((machine.id.clone(), "commands reach it, and it reports nothing"));
+            } else if machine.state == MachineState::Draining && machine.bound.is_empty() {
+                terminate.push((machine.id.clone(), "drained"));
+            }
+        }
+        terminate.extend(self.given_up(now).into_iter().map(|id| (id, "hears nothing")));
+        for (id, why) in terminate {
+            self.terminate(&id, why);
+        }
+        self.stop_idle_on_scale_in_candidates(now);
+        self.decide_quarantines(now);
+        self.release_resting(now);
+    }
+
+    /// Where the last of other work has left a machine that can be spared, idle work that can save goes as
+    /// well; the rest of it runs out.
+    fn stop_idle_on_scale_in_candidates(&mut self, now: Instant) {
+        let left = |m: &&Machine| {
+            m.state == MachineState::Draining && m.scale_in_candidate && m.idle().cpus > 0.0 && m.only_idle()
+        };
+        let keys: Vec<TaskKey> = self.machines.values().filter(left).flat_map(|m| m.bound.iter().cloned()).collect();
+        for key in keys {
+            let Some(job) = self.jobs.get(&key.job) else { continue };
+            let grace_s = job.spec().save_s.ceil() as u64 + 1;
+            if job.spec().checkpoint_s > 0.0 && job.binding(key.index).is_some_and(|b| b.halting.is_none()) {
+                self.halt(&key, grace_s, now);
+            }
+        }
+    }
+}
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -7,12 +7,11 @@
 //! the cost of a few starts. There is no I/O here, and no clock is read.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::num::NonZeroUsize;
 use std::time::{Duration, Instant};
 
 use lru::LruCache;
 
-use super::cluster::MachineId;
+use super::ids::{MOST_CLASSES, MachineId};
 use crate::jobs::JobId;
 use crate::protocol::workers::TaskKey;
 
@@ -37,8 +36,6 @@
 const MOST_FAILURES: usize = 32;
 /// Machines of a job's latest failures that are remembered.
 const MOST_LATELY: usize = 16;
-/// Classes of which anything is remembered.
-const MOST_CLASSES: NonZeroUsize = NonZeroUsize::new(256).unwrap();
 
 /// What speaks for and against whom at the moment of a failure.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -6,7 +6,6 @@
 //! lost), and nothing is written to the store for it.
 
 pub mod floor;
-pub mod promises;
 #[cfg(test)]
 mod tests;
 
@@ -17,10 +16,10 @@
 
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobSpec};
+use crate::scheduling::promises::{LARGEST, Promise, What, accounted, promises_of};
 use crate::settings::{Objective, Properties, Settings};
 use crate::sla::Agreement;
 use floor::{Below, Names};
-use promises::{LARGEST, Promise, What, accounted, promises_of};
 
 /// The window is forgotten in so many parts.
 const PARTS: u64 = 20;
--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -129,7 +129,7 @@
         let now = Instant::now();
         let mut cluster = ClusterState::new(7, settings(), Properties::default(), now);
         cluster.loaded = true;
-        cluster.take_heartbeat(heartbeat("m1", false, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat("m1", false, 1, vec![]), MessageKind::Heartbeat, None, now);
         let mut runs = job(1, "other", "blue");
         (runs.cpus, runs.urgency) = (8.0, running);
         cluster.add_job(record(runs), now);
--- a/src/scheduling/fairness/tests/large.rs
+++ b/src/scheduling/fairness/tests/large.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::protocol::jobs::Urgency;
-use crate::scheduling::large::Large;
+use crate::scheduling::large::LargeGangs;
 
 /// What began in time of the largest, and of the others, in a steady overload: gangs of two, and now and then one
 /// of a dozen, on twenty machines that take two tasks each.
@@ -71,12 +71,15 @@
         ("a single task needs no room beside others", &[1, 1, 1], 1, false),
     ];
     for (name, came, size, want) in cases {
-        let mut large = Large::new(&Properties::default(), now);
-        came.iter().for_each(|n| large.offered(&gang(*n), Duration::ZERO, now));
-        assert_eq!(large.is(&gang(size)), want, "{name}");
+        let mut large = LargeGangs::new(&Properties::default(), now);
+        came.iter().for_each(|n| large.record_offer(&gang(*n), Duration::ZERO, now));
+        assert_eq!(large.is_large_gang(&gang(size)), want, "{name}");
         let idle = JobSpec { urgency: Urgency::Idle, ..gang(size) };
         let array = JobSpec { shape: Shape::Array, ..gang(size) };
-        assert!(!large.is(&idle) && !large.is(&array), "{name}: idle work waits, an array begins with its first task");
+        assert!(
+            !large.is_large_gang(&idle) && !large.is_large_gang(&array),
+            "{name}: idle work waits, an array begins with its first task"
+        );
     }
 }
 
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -12,7 +12,6 @@
 use proptest::test_runner::RngSeed;
 
 use super::floor::{Below, CoreCredit, Names};
-use super::promises::{Promise, promises_of, starts_left_s};
 use super::*;
 use crate::jobs::record::time_of_day_ms;
 use crate::jobs::tests::spec;
@@ -20,9 +19,11 @@
 use crate::machine_kinds::Catalog;
 use crate::machine_kinds::tests::machine_type;
 use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand};
-use crate::scheduling::cluster::{ClusterState, Via};
+use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::intents::Intents;
+use crate::scheduling::messages::MessageKind;
 use crate::scheduling::plan;
+use crate::scheduling::promises::{Promise, promises_of, starts_left_s};
 use crate::settings::tests::example;
 use crate::sla::priority_worth;
 
@@ -256,7 +257,12 @@
             };
             let attempts = self.running.iter().filter(|(m, ..)| *m == machine);
             let attempts = attempts.map(|(_, task, attempt, ends)| attempt_report(task, *attempt, *ends)).collect();
-            self.cluster.take_heartbeat(heartbeat(&machine, spot, self.seq, attempts), Via::Heartbeat, None, now);
+            self.cluster.take_heartbeat(
+                heartbeat(&machine, spot, self.seq, attempts),
+                MessageKind::Heartbeat,
+                None,
+                now,
+            );
             self.running.retain(|(m, .., ends)| *m != machine || *ends > t);
         }
         self.look();
@@ -437,7 +443,7 @@
         let mut cluster = ClusterState::new(7, settings(), Properties::default(), now);
         cluster.loaded = true;
         for (machine, spot) in [("cheap", true), ("steady", false)] {
-            cluster.take_heartbeat(heartbeat(machine, spot, 1, vec![]), Via::Heartbeat, None, now);
+            cluster.take_heartbeat(heartbeat(machine, spot, 1, vec![]), MessageKind::Heartbeat, None, now);
         }
         let stored = vec![(0, 1, vec![crate::jobs::record::StoredTask::Waiting(lost)])];
         cluster.load_job(record(job(1, "small", "blue")), stored, now);
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -1,126 +1,23 @@
-//! Constraints on placing, renting, reserving and draining that come from what operators have declared. `declared`
+//! Constraints on placing, renting, reserving and draining that come from what operators have declared. `declarations`
 //! works them out from what is stored; this module applies them and does not know the reasons. Without intents every
 //! decision is the same as if this module did not exist.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Instant;
 
-use super::cluster::{ClusterState, JobState, MachineId, MachineState};
-use super::fairness::floor::{Names, Rank};
+pub use super::cluster::{Ahead, Intents, Replicas, RoomIntent, WindowPlace};
+use super::cluster::{ClusterState, MachineId, MachineState};
+use super::fairness::floor::Rank;
 use super::plan;
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use crate::jobs::{JobId, JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
-use crate::protocol::workers::TaskKey;
 
 /// Machines that stand idle are kept for room that is asked for at most so much later than a new one
 /// would be there: a machine costs that long in any case.
 const KEPT_S: f64 = 60.0;
 
-/// A job's place in the order of its window.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Turn {
-    /// The name of the window.
-    pub window: String,
-    /// Its number in the window's order.
-    pub number: u32,
-}
-
-/// Who goes ahead of others of the same urgency.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Ahead {
-    /// The classes and teams that go ahead.
-    pub names: Names,
-    /// The part of all cores given out that they may hold so; beyond it they go by return.
-    pub most_part: f64,
-}
-
-/// Room that is to be there for tasks yet to come.
-#[derive(Debug, Clone, PartialEq)]
-pub struct RoomIntent {
-    /// The shape of each task.
-    pub like: JobSpec,
-    /// How many tasks.
-    pub tasks: u64,
-    /// Seconds from now; 0: now.
-    pub in_s: f64,
-}
-
-/// A service whose replicas somebody decides.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Replicas {
-    /// Bound at the most, beside those that stop.
-    pub most: u64,
-    /// Replicas to be stopped, and not to be placed again.
-    pub stop: BTreeSet<u32>,
-    /// Sparing machines leaves them where they are.
-    pub stay: bool,
-    /// They go ahead of others of the same urgency.
-    pub ahead: bool,
-}
-
-/// All that scheduling follows of what operators have declared.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Intents {
-    /// Jobs whose turn in their window has come: of one window the lesser number first.
-    pub turns: HashMap<JobId, Turn>,
-    /// Jobs whose turn has not come: not placed yet, and nothing is held or rented for them.
-    pub not_yet: HashSet<JobId>,
-    /// Classes and teams that go ahead at the moment.
-    pub ahead: Option<Ahead>,
-    /// Room that is to be there in time.
-    pub room: Vec<RoomIntent>,
-    /// Services whose replicas are decided elsewhere.
-    pub replicas: HashMap<JobId, Replicas>,
-}
-
-impl Intents {
-    /// Whether nothing is asked for.
-    pub fn is_empty(&self) -> bool {
-        *self == Self::default()
-    }
-
-    /// How many waiting tasks of a job may be placed now: all, unless somebody decides its replicas.
-    pub fn waiting(&self, id: &JobId, job: &JobState) -> usize {
-        let Some(of) = self.replicas.get(id) else { return job.waiting.len() };
-        let beside = |tasks: &BTreeSet<u32>| tasks.difference(&of.stop).count();
-        beside(&job.waiting).min((of.most as usize).saturating_sub(beside(&job.bound)))
-    }
-
-    /// Replicas of a job that are not to be placed.
-    pub fn stopped(&self, id: &JobId) -> impl Iterator<Item = u32> {
-        self.replicas.get(id).into_iter().flat_map(|of| of.stop.iter().copied())
-    }
-
-    /// Sparing a machine moves nothing of this job.
-    pub fn stays(&self, id: &JobId) -> bool {
-        self.replicas.get(id).is_some_and(|of| of.stay)
-    }
-
-    /// A job short of the replicas that it has to have goes first.
-    pub fn short(&self, id: &JobId) -> bool {
-        self.replicas.get(id).is_some_and(|of| of.ahead)
-    }
-}
-
-impl ClusterState {
-    /// What is asked for from now on. Replicas are stopped at once: what was looked at for them still
-    /// holds at this moment.
-    pub fn set_intents(&mut self, intents: Intents) {
-        self.stirred |= self.intents != intents;
-        for (id, of) in &intents.replicas {
-            let Some(job) = self.job(id).filter(|job| job.ended.is_none() && !job.spec().is_gang()) else { continue };
-            let grace_s = job.spec().save_s.ceil() as u64 + 1;
-            let stop: Vec<u32> = job.bound.intersection(&of.stop).copied().collect();
-            for index in stop {
-                self.halt_one(&TaskKey { job: id.clone(), index }, grace_s);
-            }
-        }
-        self.intents = intents;
-    }
-}
-
 /// Puts the queue, which is in the order of return, into the order that is asked for.
 pub fn order(cluster: &ClusterState, turns: &mut [plan::Turn]) {
     if let Some(ahead) = &cluster.intents.ahead {
@@ -192,7 +89,7 @@
 
 /// Jobs of one window take the places that they have in the order of their turns. Where they stand
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
-fn in_turn(intended: &HashMap<JobId, Turn>, turns: &mut [plan::Turn]) {
+fn in_turn(intended: &HashMap<JobId, WindowPlace>, turns: &mut [plan::Turn]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
     for (at, turn) in turns.iter().enumerate().filter(|(_, t)| !t.quarantined) {
         if let Some(intent) = intended.get(turn.id) {
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -8,7 +8,8 @@
 use super::messages::{Answer, Command, GivenUp, Message, Reply, SentHeartbeat};
 use super::world::World;
 use crate::protocol::workers::WorkerCommand;
-use crate::scheduling::cluster::{MachineId, Via};
+use crate::scheduling::cluster::MachineId;
+use crate::scheduling::messages::MessageKind;
 use crate::store::{Change, Condition};
 
 impl World {
@@ -30,7 +31,7 @@
         let mut held = false;
         if !rights.silent() {
             let over = self.over_among(&leader, &heartbeat);
-            leader.cluster.take_heartbeat(heartbeat, Via::Heartbeat, Some(&self.catalog), now);
+            leader.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), now);
             orders = if rights.whole() {
                 leader.cluster.orders_in_answer(&id, now)
             } else {
@@ -115,7 +116,7 @@
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
             leader.cluster.command_over(&machine, fencing_token, true, now);
-            leader.cluster.take_heartbeat(heartbeat, Via::Command, Some(&self.catalog), now);
+            leader.cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, Some(&self.catalog), now);
         }
     }
 
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -11,7 +11,7 @@
 use super::workers::Worker;
 use super::world::World;
 use crate::protocol::workers::Heartbeat;
-use crate::scheduling::plan::Placement;
+use crate::scheduling::cluster::Placement;
 
 /// By so many prompt answers in a row with something to do and without effect a leader knows that a machine does not
 /// hear.
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -13,14 +13,13 @@
 
 use lru::LruCache;
 
-use super::cluster::{JobState, MOST_CLASSES};
 use super::fairness::floor::CoreCredit;
-use super::plan::Turn;
-use crate::jobs::{JobId, JobSpec};
+use super::ids::MOST_CLASSES;
+use crate::jobs::JobSpec;
 use crate::settings::Properties;
 
 /// From this part of the time within which it is to begin, a large gang may go first.
-const PATIENCE: f64 = 0.5;
+pub const PATIENCE: f64 = 0.5;
 /// Heartbeats, a start told and a fetch lie between a place and a beginning.
 const START_MARGIN: Duration = Duration::from_secs(15);
 /// The largest are one in so many of a class, and whoever is as large.
@@ -47,47 +46,45 @@
     }
 }
 
+/// Offered work in cores, faded with time.
+#[derive(Debug, Clone, Copy, Default)]
+struct OfferedCores {
+    /// By the largest gangs.
+    large: f64,
+    /// By all others.
+    other: f64,
+}
+
 /// What the largest gangs offer and earn.
 #[derive(Debug)]
-pub struct Large {
+pub struct LargeGangs {
     sizes: LruCache<String, Sizes>,
-    /// Cores that the largest and that all others have offered, faded over this time.
+    /// What is offered fades over this time.
     fade: Duration,
-    offered: (f64, f64),
+    offered: OfferedCores,
     at: Instant,
     core_credit: CoreCredit,
 }
 
-impl Large {
+impl LargeGangs {
     /// Nothing offered or earned yet; what is offered fades over the property `served.window.seconds`.
     pub fn new(properties: &Properties, now: Instant) -> Self {
         let (sizes, fade) = (LruCache::new(MOST_CLASSES), properties.served_window);
-        Self { sizes, fade, offered: (0.0, 0.0), at: now, core_credit: CoreCredit::default() }
+        Self { sizes, fade, offered: OfferedCores::default(), at: now, core_credit: CoreCredit::default() }
     }
 
     /// Among the largest of its class, and of several tasks.
-    fn largest(&self, spec: &JobSpec) -> bool {
+    pub fn is_largest(&self, spec: &JobSpec) -> bool {
         spec.tasks > 1 && self.sizes.peek(&spec.class).is_some_and(|sizes| spec.tasks >= sizes.least)
     }
 
     /// Such a one whose tasks start together, and that is not idle work.
-    pub fn is(&self, spec: &JobSpec) -> bool {
-        spec.is_gang() && !spec.is_idle() && self.largest(spec)
-    }
-
-    /// The one that has waited longest of the largest that begin with their first task, idle work too, that has
-    /// not begun and of which nothing is on its way: one task of it is little, and goes first.
-    pub fn to_begin<'a>(&self, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
-        let may = |t: &&Turn<'a>| {
-            let spec = t.job.spec();
-            let waits = t.age >= within.mul_f64(PATIENCE) && !t.job.begun() && t.job.bound.is_empty();
-            waits && !t.quarantined && !spec.is_gang() && self.largest(spec)
-        };
-        turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
+    pub fn is_large_gang(&self, spec: &JobSpec) -> bool {
+        spec.is_gang() && !spec.is_idle() && self.is_largest(spec)
     }
 
     /// A job came so long ago.
-    pub fn offered(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
+    pub fn record_offer(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
         if !self.sizes.contains(&spec.class) {
             self.sizes.put(spec.class.clone(), Sizes::default());
         }
@@ -100,41 +97,38 @@
         let kept = |past: Duration| (-past.as_secs_f64() / self.fade.as_secs_f64()).exp();
         let faded = kept(now.saturating_duration_since(self.at));
         let cores = spec.cpus * spec.tasks as f64 * kept(age);
-        self.offered = (self.offered.0 * faded, self.offered.1 * faded);
+        self.offered.large *= faded;
+        self.offered.other *= faded;
         self.at = now;
-        if self.is(spec) {
-            self.offered.0 += cores;
+        if self.is_large_gang(spec) {
+            self.offered.large += cores;
         } else {
-            self.offered.1 += cores;
+            self.offered.other += cores;
         }
     }
 
     /// A task was given its place.
-    pub fn placed(&mut self, spec: &JobSpec) {
+    pub fn record_placement(&mut self, spec: &JobSpec) {
         if !spec.is_idle() {
-            let part = self.offered.0 / self.offered.1.max(1e-9);
-            self.core_credit.note(spec.cpus, self.is(spec), part);
+            let part = self.offered.large / self.offered.other.max(1e-9);
+            self.core_credit.note(spec.cpus, self.is_large_gang(spec), part);
         }
     }
 
     /// Whether a waiting gang of this age may go first. Not once it is too late for it: then those are served
     /// that can still be in time, and it has its part of what is given to late work.
-    fn may(&self, job: &JobState, age: Duration, within: Duration) -> bool {
+    pub fn may_go_first(&self, spec: &JobSpec, age: Duration, within: Duration) -> bool {
         let patience = within.mul_f64(PATIENCE);
-        self.is(job.spec()) && age >= patience && age + START_MARGIN.min(patience) <= within
+        self.is_large_gang(spec) && age >= patience && age + START_MARGIN.min(patience) <= within
     }
 
-    /// Who of those that wait goes first now: the one that has waited longest, once enough is earned for it.
-    pub fn credited<'a>(&self, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
-        let may = |t: &&Turn<'a>| !t.quarantined && self.may(t.job, t.age, within);
-        let oldest = turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
-        (oldest.job.cores_at_once() <= self.core_credit.credit()).then_some(oldest.id)
+    /// Credit is bounded by what the oldest waiting large gang needs, in cores; nothing is earned where none waits.
+    pub fn bound_credit(&mut self, needs: Option<f64>) {
+        self.core_credit.bound(needs.map(|cores| cores * 2.0));
     }
 
-    /// What is earned is bounded by what the oldest needs; nothing is earned where none waits.
-    pub fn bound<'a>(&mut self, waiting: impl Iterator<Item = &'a JobState>, within: Duration, now: Instant) {
-        let may = |job: &&JobState| self.may(job, now.saturating_duration_since(job.since), within);
-        let needs = waiting.filter(may).min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.core_credit.bound(needs.map(|n| n * 2.0));
+    /// Cores that large gangs may take before others.
+    pub fn credit(&self) -> f64 {
+        self.core_credit.credit()
     }
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -6,14 +6,18 @@
 pub mod failure_attribution;
 pub mod fairness;
 pub mod forecast;
+pub mod ids;
 pub mod intents;
 #[cfg(test)]
 mod interleavings;
 pub mod large;
 pub mod load;
+pub mod messages;
 pub mod one_way_partition;
+pub mod passed_over;
 pub mod plan;
 pub mod preempt;
+pub mod promises;
 pub mod reservations;
 pub mod room;
 mod schedule;
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::cluster::Via;
+use super::messages::MessageKind;
 use crate::process_pause::ProcessPause;
 use crate::protocol::workers::{Heartbeat, TaskKey, WorkerCommand};
 
@@ -115,12 +115,12 @@
     }
 
     /// A message newer than all before it.
-    pub fn heard_of(&mut self, heartbeat: &Heartbeat, via: Via, lease: Duration, now: Instant) {
+    pub fn heard_of(&mut self, heartbeat: &Heartbeat, kind: MessageKind, lease: Duration, now: Instant) {
         let grown = heartbeat.agent_epoch > self.agent_epoch;
         if grown {
             (self.agent_epoch, self.session_since) = (heartbeat.agent_epoch, now);
         }
-        if via == Via::Command {
+        if kind == MessageKind::CommandReply {
             // It was answered in time, so a command has reached it.
             self.hears();
             return;
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -48,7 +48,7 @@
             notice_s: None,
             attempts: if message.contains('l') { vec![attempt_report] } else { Vec::new() },
         };
-        let via = if message.starts_with('c') { Via::Command } else { Via::Heartbeat };
+        let via = if message.starts_with('c') { MessageKind::CommandReply } else { MessageKind::Heartbeat };
         if !message.starts_with('o') {
             one_way_partition.heard_of(&heartbeat, via, LEASE, now);
         }
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -5,11 +5,12 @@
 //! best is taken from a heap until it is full or another is better.
 
 mod available;
-pub mod beside;
 mod candidate;
 mod decide;
 mod demand;
 mod kept;
+mod large_first;
+mod passed_over;
 mod queue;
 mod quotas;
 mod search;
@@ -17,9 +18,8 @@
 
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, MachineId};
+use super::cluster::{ClusterState, Placement};
 use crate::machine_kinds::Catalog;
-use crate::protocol::workers::TaskKey;
 use decide::{Decided, decide};
 
 pub use super::room::SLACK;
@@ -32,17 +32,6 @@
 /// For so long nothing is kept after that.
 const KEPT_PAUSE: Duration = Duration::from_secs(5);
 
-/// A decision that a task is to run on a machine.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Placement {
-    /// The task.
-    pub task: TaskKey,
-    /// The number of this start of it; tasks of a gang start with the same one.
-    pub attempt: u64,
-    /// The machine.
-    pub machine: MachineId,
-}
-
 /// All placements that can be made now.
 pub fn place(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> Vec<Placement> {
     place_counted(cluster, catalog, now).0
@@ -55,18 +44,18 @@
     }
     cluster.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
-    if cluster.keeping.is_some() && cluster.beside_room.longest(now) >= KEPT_FOR {
+    if cluster.keeping.is_some() && cluster.passed_over.longest(now) >= KEPT_FOR {
         cluster.keeping = now.checked_sub(KEPT_FOR).or(cluster.keeping);
     }
     let spell = cluster.keeping.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
     let Decided { placements, looked, kept, passed_over } = decide(cluster, catalog, may_keep, now);
     for placement in &placements {
-        if cluster.beside_room.overdue(&placement.task.job, now) {
+        if cluster.passed_over.overdue(&placement.task.job, now) {
             cluster.take_back(&placement.machine);
         }
     }
-    cluster.beside_room.note(passed_over, now);
+    cluster.passed_over.note(passed_over, now);
     if kept {
         cluster.keeping.get_or_insert(now);
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -3,14 +3,13 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-use super::Placement;
 use super::queue::{Turn, queue};
 use super::quotas::Quotas;
 use super::search::{PlacedTask, Plan};
 use crate::jobs::{JobId, JobSpec};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::TaskKey;
-use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::cluster::{ClusterState, Placement};
 use crate::scheduling::failure_attribution::PROBES;
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::room::{SLACK, Zones};
@@ -65,7 +64,7 @@
         let mut zones = Zones::new(cluster, turn.job);
         let placed = plan.place_job(&turn, &mut zones, most, keep);
         quotas.take(turn.job.spec(), placed.len() as f64);
-        if plan.leaves_beside_room(&turn, &zones, placed.len(), &quotas) {
+        if plan.passes_over(&turn, &zones, placed.len(), &quotas) {
             decided.passed_over.insert(turn.id.clone());
         }
         decided.placements.extend(placements(&turn, placed));
@@ -106,7 +105,7 @@
         return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
     }
     let mut most = within_quota(quotas, spec, most.min(cluster.intents.waiting(turn.id, job)));
-    let overdue = cluster.beside_room.overdue(turn.id, now);
+    let overdue = cluster.passed_over.overdue(turn.id, now);
     if let Some(earned) = earned.filter(|_| !overdue) {
         most = most.min(earned.tasks);
     }
--- a/src/scheduling/plan/beside.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -1,54 +1,19 @@
-//! Jobs that wait although a machine has room for them. Holds, room kept for gangs or arrivals, soft admission and
-//! the rules of idle work each keep work out for a good reason, and any of them may go on for ever, alone or in
-//! turns. One clock for each job bounds them together.
+//! Whether a job is passed over by a plan: it has tasks left that some room fits (`scheduling::passed_over`).
 
-use std::collections::{HashMap, HashSet};
-use std::time::{Duration, Instant};
+use std::collections::HashMap;
+use std::time::Duration;
 
 use super::queue::Turn;
 use super::quotas::Quotas;
 use super::search::Plan;
 use super::unfit::Unfit;
-use crate::jobs::JobId;
 use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
 
-/// After this long beside room, over all reasons together, a job takes any room that fits, but for two: what others
-/// were stopped for stays theirs until they have come or their hold ends, and what is kept for a gang is kept until
-/// somebody has waited for `KEPT_FOR`.
-pub const PATIENCE: Duration = Duration::from_secs(45);
-
-/// Since when jobs have waited beside room without a break.
-#[derive(Debug, Default)]
-pub struct BesideRoom {
-    since: HashMap<JobId, Instant>,
-}
-
-impl BesideRoom {
-    /// The jobs that a plan has left waiting beside room; all others begin anew.
-    pub fn note(&mut self, passed_over: HashSet<JobId>, now: Instant) {
-        self.since.retain(|id, _| passed_over.contains(id));
-        for id in passed_over {
-            self.since.entry(id).or_insert(now);
-        }
-    }
-
-    /// How long the one that has waited longest has.
-    pub fn longest(&self, now: Instant) -> Duration {
-        let oldest = self.since.values().min();
-        oldest.map_or(Duration::ZERO, |since| now.saturating_duration_since(*since))
-    }
-
-    /// It has waited beside room for `PATIENCE`.
-    pub fn overdue(&self, id: &JobId, now: Instant) -> bool {
-        self.since.get(id).is_some_and(|since| now.saturating_duration_since(*since) >= PATIENCE)
-    }
-}
-
 impl<'a> Plan<'a> {
     /// Whether a job of which so many tasks were placed in this plan has more that some room fits, by the machines, its
     /// own words and its team's limit alone.
-    pub fn leaves_beside_room(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
+    pub fn passes_over(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
         let (job, spec) = (turn.job, turn.job.spec());
         let waiting = self.cluster.intents.waiting(turn.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -3,6 +3,7 @@
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
+use super::large_first::{credited, to_begin};
 use crate::jobs::{JobId, JobSpec};
 use crate::scheduling::cluster::{ClusterState, JobState};
 use crate::scheduling::fairness::floor::Rank;
@@ -79,8 +80,8 @@
 
 /// Marks the large job for which room is kept, and the one of which a first task is to begin.
 fn mark_large(cluster: &ClusterState, turns: &mut [Turn]) {
-    let credited = cluster.large.credited(turns, cluster.properties.large_begin);
-    let to_begin = cluster.large.to_begin(turns, cluster.properties.large_begin);
+    let credited = credited(&cluster.large, turns, cluster.properties.large_begin);
+    let to_begin = to_begin(&cluster.large, turns, cluster.properties.large_begin);
     for turn in turns {
         turn.credited = credited == Some(turn.id);
         if to_begin == Some(turn.id) {
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -194,7 +194,7 @@
         let open = self.ground.open_to(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.cluster.beside_room.overdue(turn.id, self.now);
+        let overdue = self.cluster.passed_over.overdue(turn.id, self.now);
         let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.intents.stopped(turn.id));
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -9,9 +9,8 @@
 
 use tracing::info;
 
-use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase};
+use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase, Reservation};
 use super::plan::{Quotas, SLACK, Turn, queue};
-use super::reservations::Reservation;
 use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -6,11 +6,10 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, MachineId};
+use super::cluster::{ClusterState, MachineId, Reservation};
 use super::intents;
 use super::plan::{Quotas, Turn, queue};
 use super::room::{Ground, Room, Zones, suspect_after, usable};
-use crate::jobs::JobId;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::forecast::{Slots, Timeline};
 
@@ -23,15 +22,6 @@
 /// Gangs held for at once, the longest waiting first.
 const MOST_RESERVING: usize = 40;
 
-/// A machine that is held for a job that does not fit yet.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Reservation {
-    /// The job that it is held for.
-    pub job: JobId,
-    /// When the job is expected to start. Other work that ends by then may use the machine meanwhile.
-    pub until: Instant,
-}
-
 /// What to hold now, by machine.
 pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Reservation> {
     let mut reservations = HashMap::new();
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -3,8 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, JobState, Machine, MachineState};
-use super::reservations::Reservation;
+use super::cluster::{ClusterState, JobState, Machine, MachineState, Reservation};
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::machine_kinds::{Catalog, MachineType};
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -29,7 +29,7 @@
         run: job.agreement.run,
         waits: !job.waiting.is_empty(),
         untouched: job.untouched(),
-        large_waits: !job.waiting.is_empty() && !job.begun() && large.is(job.spec()),
+        large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
     });
     let below = Account::below(account.look(open, now));
     cluster.set_below(below);
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -35,7 +35,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, MachineState, Via};
+use super::cluster::{ClusterState, MachineState};
+use super::messages::MessageKind;
 use super::plan;
 use super::preempt;
 use crate::fleet::drain;
@@ -85,7 +86,7 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for (name, type_name, zone, spot) in machines {
-        cluster.take_heartbeat(heartbeat(name, type_name, zone, *spot, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat(name, type_name, zone, *spot, 1, vec![]), MessageKind::Heartbeat, None, now);
     }
     cluster
 }
@@ -108,7 +109,12 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for i in 0..n {
-        cluster.take_heartbeat(heartbeat(&format!("m{i:04}"), "c8", "a", false, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(
+            heartbeat(&format!("m{i:04}"), "c8", "a", false, 1, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            now,
+        );
     }
     cluster
 }
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::jobs::End;
 use crate::protocol::workers::Cause;
-use crate::scheduling::plan::Placement;
+use crate::scheduling::cluster::Placement;
 
 /// Arrays of two and three: the first exit is stored or not yet when the leader ends. It is known to the successor
 /// either way, its task never runs again, and the job is done with the last exit, neither before nor never.
@@ -38,7 +38,7 @@
             let mut cluster = world.leader();
             assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
-            cluster.take_heartbeat(running.clone(), Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.orders_in_answer("m0", world.now));
             for _ in 0..3 {
                 world.turn(&mut cluster, "m0");
@@ -93,7 +93,7 @@
         if heard == "as a late copy" {
             let copy = world.heartbeat("m0");
             world.workers.get_mut("m0").unwrap().gone = true;
-            cluster.take_heartbeat(copy, Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(copy, MessageKind::Heartbeat, None, world.now);
         } else {
             world.turn(&mut cluster, "m0");
         }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor::{Below, Names, Rank};
-use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
+use crate::scheduling::intents::{Ahead, Intents, RoomIntent, WindowPlace};
 
 fn class(name: &str) -> Names {
     Names::of([(Whose::Class, name)].into_iter())
@@ -29,7 +29,7 @@
     let mut cluster = cluster(&[], start);
     for name in &names {
         let (of, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
-        cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), Via::Heartbeat, None, start);
+        cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), MessageKind::Heartbeat, None, start);
     }
     let now = start + Duration::from_secs(100);
     for n in 1..rng.random_range(4..30) {
@@ -61,7 +61,12 @@
             let m = &cluster.machines[name.as_str()];
             (m.type_name.clone(), m.zone.clone(), m.spot)
         };
-        cluster.take_heartbeat(heartbeat(name, &type_name, &zone, spot, seq + 10, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(
+            heartbeat(name, &type_name, &zone, spot, seq + 10, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            now,
+        );
     }
     (cluster, now)
 }
@@ -88,7 +93,7 @@
         let (mut plain, now) = busy(seed, start);
         let (mut cluster, _) = busy(seed, start);
         cluster.set_intents(Intents {
-            turns: [(id(900), Turn { window: "w".into(), number: 1 })].into(),
+            turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
             room: vec![RoomIntent { like: spec(), tasks: 0, in_s: 0.0 }],
@@ -112,7 +117,7 @@
         add(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (id(n), Turn { window: window.into(), number });
+    let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
     let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
     let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), (100.0, 0.0));
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
@@ -216,7 +221,7 @@
         }
         let mut rng = StdRng::seed_from_u64(seed);
         cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
-            (id.clone(), Turn { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
+            (id.clone(), WindowPlace { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
         }).collect();
         let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
@@ -258,7 +263,7 @@
         let mut cluster = many(5, start);
         for n in 0..5 {
             let heartbeat = heartbeat(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
-            cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, long);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, long);
         }
         cluster.intents.room = room(tasks, in_s);
         assert_eq!(rent::to_give_up(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -92,7 +92,7 @@
             copy(&mut simulation, 4);
             let arrive = |simulation: &mut Simulation| {
                 for copy in &copies {
-                    simulation.cluster.take_heartbeat(copy.clone(), Via::Heartbeat, None, simulation.world.now);
+                    simulation.cluster.take_heartbeat(copy.clone(), MessageKind::Heartbeat, None, simulation.world.now);
                     // Whoever sent it waits for no answer.
                     drop(simulation.cluster.orders_in_answer("m1", simulation.world.now));
                 }
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -66,7 +66,7 @@
         }
         // The machine itself can't be reached for a while; copies come, one after the other.
         for n in 0..3 {
-            cluster.take_heartbeat(copies[made].clone(), Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(copies[made].clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.orders_in_answer("m1", world.now));
             if n == 1 {
                 cluster.halt(&task(0), 0, world.now);
@@ -109,7 +109,7 @@
         }
         cluster.take_heartbeat(
             Heartbeat { seq: copy.seq + u64::from(raised), ..copy.clone() },
-            Via::Heartbeat,
+            MessageKind::Heartbeat,
             None,
             world.now,
         );
@@ -119,6 +119,6 @@
     // A machine that is there learns the first fencing token of this cluster state and counts, whatever was raised
     // since.
     let known = Heartbeat { fencing_token: cluster.first_fencing_token, ..world.heartbeat("m2") };
-    cluster.take_heartbeat(known, Via::Heartbeat, None, world.now);
+    cluster.take_heartbeat(known, MessageKind::Heartbeat, None, world.now);
     assert_eq!(placed(&mut cluster, world.now), [(0, "m2".to_owned())]);
 }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -24,7 +24,7 @@
     let copy =
         |seq: u64, fencing_token: u64| Heartbeat { fencing_token, ..heartbeat("m", "c8", "a", false, seq, vec![]) };
     let take = |cluster: &mut ClusterState, heartbeat: Heartbeat, at: Instant| {
-        cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, at);
+        cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, at);
         cluster.orders_in_answer("m", at);
     };
     type Known<'a> = &'a dyn Fn(&mut ClusterState);
@@ -54,7 +54,7 @@
     for seq in [9, 3, 9, 8] {
         for m in ["m", "x", "y", "z"] {
             let old = Heartbeat { machine: m.into(), ..copy(seq, 3) };
-            cluster.take_heartbeat(old, Via::Heartbeat, None, now + s(if seq == 9 { 0 } else { 11 }));
+            cluster.take_heartbeat(old, MessageKind::Heartbeat, None, now + s(if seq == 9 { 0 } else { 11 }));
         }
     }
     assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
@@ -94,7 +94,7 @@
             for m in (0..of).filter(|m| t % if *m < inbound_lost { 5 } else { 3 } == 0) {
                 let agent_epoch = if m < inbound_lost { agent_epoch } else { 1 };
                 let heartbeat = heartbeat(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
-                cluster.take_heartbeat(Heartbeat { agent_epoch, ..heartbeat }, Via::Heartbeat, None, now);
+                cluster.take_heartbeat(Heartbeat { agent_epoch, ..heartbeat }, MessageKind::Heartbeat, None, now);
                 cluster.orders_in_answer(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
@@ -108,7 +108,7 @@
         let now = start + s(61);
         cluster.take_heartbeat(
             Heartbeat { agent_epoch, ..heartbeat("m00", "c8", &zone(0), false, 99, vec![]) },
-            Via::Command,
+            MessageKind::CommandReply,
             None,
             now,
         );
@@ -137,7 +137,7 @@
                 agent_epoch: 1 + t / 25,
                 ..heartbeat(&format!("m{m}"), "c8", "a", false, t + 1, vec![])
             };
-            cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, now);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now);
             cluster.orders_in_answer(&format!("m{m}"), now);
         }
         cluster.tick(now);
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -110,7 +110,7 @@
         add(&mut cluster, 9, start, |j| (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 6, 8.0, 300.0));
         for i in 0..6 {
             let name = format!("m{i:04}");
-            cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), Via::Heartbeat, None, now);
+            cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, now);
         }
         cluster.reservations = reservations::choose(&cluster, &catalog(), now);
         add(&mut cluster, 20, now, |j| (j.cpus, j.estimate_s, j.due_s) = (2.0, estimate_s, due_s));
@@ -153,7 +153,7 @@
     let order: Vec<String> = plan::queue(&cluster, later).into_iter().map(|t| t.id.to_string()).collect();
     assert_eq!(order, ["run-000002", "run-000001"]);
     for machine in ["m1", "m2", "m3", "m4"] {
-        cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 50, vec![]), Via::Heartbeat, None, later);
+        cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 50, vec![]), MessageKind::Heartbeat, None, later);
     }
     let again = plan::place(&mut cluster, &catalog(), later);
     assert_eq!(again.iter().filter(|p| &*p.task.job == "run-000001").count(), 2);
@@ -176,5 +176,10 @@
         cause: Some(crate::protocol::workers::Cause::Error),
         saved: None,
     };
-    cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, seq, vec![attempt_report]), Via::Heartbeat, None, now);
+    cluster.take_heartbeat(
+        heartbeat(machine, "c8", "a", false, seq, vec![attempt_report]),
+        MessageKind::Heartbeat,
+        None,
+        now,
+    );
 }
--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -20,7 +20,7 @@
     let halting = |cluster: &ClusterState| cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting;
     assert_eq!(halting(&cluster), None, "equals do not preempt");
     add(&mut cluster, 3, now, |j| (j.cpus, j.urgency) = (8.0, Urgency::High));
-    cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 2, vec![]), Via::Heartbeat, None, later);
+    cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, later);
     preempt::preempt(&mut cluster, &catalog(), later + Duration::from_secs(4));
     assert_eq!(halting(&cluster), Some(1));
 }
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -54,18 +54,21 @@
         for (n, machine) in [(1, "m1"), (2, "m2")] {
             add(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
             let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
-            cluster.bind_all(vec![plan::Placement { task: task.clone(), attempt: 1, machine: machine.into() }], start);
+            cluster.bind_all(
+                vec![crate::scheduling::cluster::Placement { task: task.clone(), attempt: 1, machine: machine.into() }],
+                start,
+            );
             let attempt_report =
                 AttemptReport { task, attempt: 1, status: AttemptStatus::Running, cause: None, saved: None };
             cluster.take_heartbeat(
                 heartbeat(machine, "g2", "a", false, 2, vec![attempt_report.clone()]),
-                Via::Heartbeat,
+                MessageKind::Heartbeat,
                 None,
                 start,
             );
             cluster.take_heartbeat(
                 heartbeat(machine, "g2", "a", false, 3, vec![attempt_report]),
-                Via::Heartbeat,
+                MessageKind::Heartbeat,
                 None,
                 now,
             );
@@ -86,7 +89,7 @@
         let mut cluster = many(10, start);
         for i in 0..10 {
             let name = format!("m{i:04}");
-            cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), Via::Heartbeat, None, now);
+            cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, now);
         }
         if waiting > 0 {
             add(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -22,7 +22,7 @@
             for machine in &names[..reporting] {
                 cluster.take_heartbeat(
                     heartbeat(machine, "c8", "a", false, t + 1, vec![]),
-                    Via::Heartbeat,
+                    MessageKind::Heartbeat,
                     None,
                     now + s(t),
                 );
@@ -64,7 +64,7 @@
                 t += 1;
                 for machine in 0..reporting {
                     let heartbeat = heartbeat(&format!("m{machine}"), "c8", "a", false, t + 1, vec![]);
-                    cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, now + s(t));
+                    cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now + s(t));
                 }
                 cluster.tick(now + s(t));
             }
@@ -110,7 +110,7 @@
     cluster.orders_in_answer("m1", now);
     let begun = now + s(110);
     for machine in ["m1", "m2"] {
-        cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), Via::Heartbeat, None, begun);
+        cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, begun);
     }
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), begun);
     let back = begun + s(30);
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -25,7 +25,7 @@
         };
         cluster.take_heartbeat(
             heartbeat(&p.machine, "c8", "a", false, 2 + n as u64, vec![attempt_report]),
-            Via::Heartbeat,
+            MessageKind::Heartbeat,
             None,
             at,
         );
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -4,7 +4,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::record::StoredTask;
-use crate::scheduling::plan::Placement;
+use crate::scheduling::cluster::Placement;
 
 /// Five machines with long tasks at a takeover: one is well, one hears nothing of the successor, one hangs with a
 /// command of the old leader before it, one loses its lease, one is gone. Only what is proven gone is placed again.
@@ -117,8 +117,8 @@
             (0..4).map(|i| if i < 2 { StoredTask::Bound(1, "m1".into()) } else { StoredTask::Untouched }).collect();
         cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, stored)], now);
         cluster.finish_load(now);
-        cluster.take_heartbeat(heartbeat("m2", "c8", "a", false, 1, vec![]), Via::Heartbeat, None, now);
-        cluster.take_heartbeat(heartbeat("m3", "c8", "b", false, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat("m2", "c8", "a", false, 1, vec![]), MessageKind::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat("m3", "c8", "b", false, 1, vec![]), MessageKind::Heartbeat, None, now);
         assert_eq!(placed(&mut cluster, now), [], "m1 in {zone} is not heard of");
         let attempts = (0..2)
             .map(|i| AttemptReport {
@@ -129,7 +129,7 @@
                 saved: None,
             })
             .collect();
-        cluster.take_heartbeat(heartbeat("m1", "c8", zone, false, 1, attempts), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat("m1", "c8", zone, false, 1, attempts), MessageKind::Heartbeat, None, now);
         assert_eq!(placed(&mut cluster, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
     }
 }
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -75,7 +75,7 @@
         if let Some((below, attempts)) = heard {
             let fencing_token = cluster.first_fencing_token - below;
             let heartbeat = Heartbeat { fencing_token, ..heartbeat("m1", "c8", "a", false, 1, attempts) };
-            cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, world.now);
         }
         if returned {
             cluster.machine_gone(&"m1".into(), world.now);
@@ -180,7 +180,12 @@
             world.version = world.shard.as_ref().unwrap().0;
             cluster.finish_load(world.now);
             cluster.tick(world.now + s(PAST_THE_REST));
-            cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 1, vec![]), Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(
+                heartbeat("m1", "c8", "a", false, 1, vec![]),
+                MessageKind::Heartbeat,
+                None,
+                world.now,
+            );
             // Every change of the store is a start of this task.
             world.place(&mut cluster, "m1");
             let attempt = attempts(&cluster)[0];
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -32,7 +32,7 @@
         saved: None,
     };
     let heartbeat = Heartbeat { fencing_token, ..heartbeat("m1", "c8", "a", false, seq, vec![attempt_report]) };
-    cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, now);
+    cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now);
 }
 
 /// Found by reading: a successor told a cancellation as soon as it had loaded, and ended; machines that it had not
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{End, JobId};
 use crate::protocol::workers::{Cause, WorkerCommand};
 use crate::scheduling::cluster::Direct;
-use crate::scheduling::plan::Placement;
+use crate::scheduling::cluster::Placement;
 use crate::settings::Settings;
 use crate::store::commit::Batch;
 use std::collections::{BTreeMap, HashSet};
@@ -181,7 +181,7 @@
     pub(super) fn asks(&mut self, cluster: &mut ClusterState, m: &'static str) -> Answer {
         let heartbeat = self.heartbeat(m);
         let agent_epoch = heartbeat.agent_epoch;
-        cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, self.now);
+        cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, self.now);
         Answer {
             to: m,
             agent_epoch,
@@ -223,7 +223,7 @@
 
     pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &Direct, reply: Heartbeat) {
         cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
-        cluster.take_heartbeat(reply, Via::Command, None, self.now);
+        cluster.take_heartbeat(reply, MessageKind::CommandReply, None, self.now);
     }
 
     pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &Direct) {
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -9,7 +9,8 @@
 use super::{Heartbeat, WorkerCommands};
 use crate::node::Node;
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::{Direct, Via};
+use crate::scheduling::cluster::Direct;
+use crate::scheduling::messages::MessageKind;
 use crate::sync::lock;
 use crate::traffic::Passage;
 
@@ -60,7 +61,7 @@
         }
         cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
-            cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
+            cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
     }
     node.wake.commit.notify_one();
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -15,7 +15,7 @@
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
-use crate::scheduling::cluster::Via;
+use crate::scheduling::messages::MessageKind;
 use crate::sync::lock;
 
 /// What a heartbeat is answered with.
@@ -61,7 +61,7 @@
             } else {
                 let catalog = node.catalog();
                 let name = heartbeat.machine.clone();
-                cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
+                cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
                 let orders = if rights.whole() {
                     cluster.orders_in_answer(&name, now)
