--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -6,12 +6,12 @@
 
 use tracing::{Level, debug, error, info, warn};
 
-use super::driver::{Driver, Ended, Looked, changes, conditions};
+use super::driver::{DeclarationDriver, DriverOutput, JobEnds, changes, conditions};
 use super::table::KINDS;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -31,17 +31,17 @@
     /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
     fn is_idle(&self) -> bool;
     /// Runs this on how things stand; none if nothing may be decided at the moment.
-    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T>;
+    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T>;
     /// Asks the store how a job ended; `with_state` shows it once it has answered.
     fn query_job_end(&self, id: &JobId);
     /// How many changes of this right could be stored at once.
-    fn writable_changes(&self, urgent: Urgent) -> usize;
+    fn writable_changes(&self, urgent: RequestPriority) -> usize;
     /// Sends one transaction to the state service, with what is left of its limits for calls of this urgency.
     fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        urgent: RequestPriority,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
     /// A transaction was refused: waits until the watch cache is proven fresh, and sees who leads.
     fn refresh_after_conflict(&self) -> impl Future<Output = ()> + Send;
@@ -50,7 +50,7 @@
 }
 
 /// When a transaction may go, and by which right.
-struct Pace {
+struct WritePacer {
     next: Instant,
     /// Something has been waiting to be stored since then.
     waits: Option<Instant>,
@@ -58,7 +58,7 @@
     pressed: bool,
 }
 
-impl Pace {
+impl WritePacer {
     fn new(now: Instant) -> Self {
         Self { next: now, waits: None, pressed: false }
     }
@@ -68,30 +68,30 @@
     }
 
     /// How many changes may go now, of which `any` wait.
-    fn most(&mut self, any: bool, now: Instant, ready: impl Fn(Urgent) -> usize) -> usize {
+    fn most(&mut self, any: bool, now: Instant, ready: impl Fn(RequestPriority) -> usize) -> usize {
         if !any || now < self.next {
             return 0;
         }
         let since = *self.waits.get_or_insert(now);
         self.pressed |= now.saturating_duration_since(since) >= PRESSED;
         // The smallest share holds less than one change and its reserve.
-        if self.pressed { ready(Urgent::Second).max(1) } else { ready(Urgent::Last) }
+        if self.pressed { ready(RequestPriority::Placement).max(1) } else { ready(RequestPriority::Background) }
     }
 
-    fn sent(&mut self, now: Instant) -> Urgent {
+    fn sent(&mut self, now: Instant) -> RequestPriority {
         self.next = now + EVERY;
         if self.pressed {
-            return Urgent::Second;
+            return RequestPriority::Placement;
         }
         self.waits = None;
-        Urgent::Last
+        RequestPriority::Background
     }
 }
 
 /// For as long as this controller leads.
 pub async fn run<C: DeclarationContext>(context: Arc<C>) {
-    let mut driver = Driver::new(KINDS);
-    let mut pace = Pace::new(Instant::now());
+    let mut driver = DeclarationDriver::new(KINDS);
+    let mut pace = WritePacer::new(Instant::now());
     loop {
         if context.is_idle() {
             context.wait_for_change().await;
@@ -102,7 +102,7 @@
         let looked = context
             .with_state(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
         let rest = GAP.max(now.elapsed() * REST);
-        let Looked { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
+        let DriverOutput { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
         unknown.iter().for_each(|id| context.query_job_end(id));
         for (level, line) in news {
             tell(level, &line);
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -7,7 +7,7 @@
 use super::{ClusterState, Machine, MachineId, MachineState, Phase};
 use crate::jobs::{JobId, Shape};
 use crate::machine_kinds::Catalog;
-use crate::protocol::workers::{AttemptStatus, Cause, Heartbeat, TaskKey};
+use crate::protocol::workers::{AttemptStatus, ExitCause, Heartbeat, TaskKey};
 use crate::scheduling::messages::{MessageKind, MessageSequence};
 use crate::sla;
 
@@ -17,7 +17,7 @@
     /// Jobs of which a task runs, and of which none was known to.
     begun: Vec<JobId>,
     /// Attempts that have exited, and why.
-    exited: Vec<(TaskKey, Cause)>,
+    exited: Vec<(TaskKey, ExitCause)>,
     /// Tasks that are proven not to be there.
     missing: Vec<TaskKey>,
 }
@@ -172,7 +172,7 @@
             let Phase::Bound(binding) = &mut task.phase else { continue };
             match machine.reported_attempt(key, task.attempt) {
                 Some(report) if report.status == AttemptStatus::Exited => {
-                    findings.exited.push((key.clone(), report.cause.unwrap_or(Cause::Error)));
+                    findings.exited.push((key.clone(), report.cause.unwrap_or(ExitCause::Error)));
                 }
                 Some(report) => {
                     binding.record_status(report.status, machine.agent_epoch, now);
@@ -188,10 +188,10 @@
         findings
     }
 
-    fn exited(&mut self, key: &TaskKey, cause: Cause, on: &MachineId, now: Instant) {
+    fn exited(&mut self, key: &TaskKey, cause: ExitCause, on: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let spec_shape = job.spec().shape;
-        if cause == Cause::Done && spec_shape != Shape::Service && job.ended.is_none() {
+        if cause == ExitCause::Done && spec_shape != Shape::Service && job.ended.is_none() {
             let ran =
                 job.binding(key.index).and_then(|b| b.running_since).map(|since| now.saturating_duration_since(since));
             let estimate = job.spec().estimate();
@@ -204,9 +204,9 @@
             self.completed_task(key, on, now);
             return;
         }
-        if cause == Cause::Error {
+        if cause == ExitCause::Error {
             self.failed(key, on, now);
-        } else if matches!(cause, Cause::NoRoom | Cause::Busy | Cause::Unknown) {
+        } else if matches!(cause, ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) {
             warn!(
                 job = %key.job,
                 task_index = key.index,
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -42,7 +42,7 @@
 use super::ids::MOST_CLASSES;
 use super::large::LargeGangs;
 use super::passed_over::PassedOverJobs;
-use crate::fleet::orders::CloudOrder;
+use crate::cloud_orders::CloudOrder;
 use crate::jobs::JobId;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -10,7 +10,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::Account;
 use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
@@ -184,7 +184,7 @@
                     .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
-                    let cause = if fails { Cause::Error } else { Cause::Done };
+                    let cause = if fails { ExitCause::Error } else { ExitCause::Done };
                     self.simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
@@ -205,7 +205,7 @@
         let up = cluster.machines.values().filter(|m| m.state == MachineState::Up).count();
         let draining = cluster.machines.values().any(|m| m.state == MachineState::Draining);
         if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
-            let chosen = drain::choose(cluster, &catalog(), now);
+            let chosen = choose_drains(cluster, &catalog(), now);
             if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
                 cluster.drain(&drain.machine, &drain.moves, now);
             }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,10 +9,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use hollylanding::cloud_orders::{CloudOrder, ORDERS};
 use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
-use hollylanding::declarations::{DeclarationKind, Declared};
-use hollylanding::fleet::orders::{CloudOrder, ORDERS};
+use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
 use hollylanding::jobs::{End, record};
 use hollylanding::membership::records as membership;
 use hollylanding::protocol::{self, cloud, jobs, state, users, workers};
@@ -42,28 +42,28 @@
         "watermark" => stored::<membership::Watermark>,
         "takeover request" => stored::<membership::TakeoverRequest>,
         "cloud order" => cloud_order,
-        "window spec" => stored::<<calendar::Window as Declared>::Spec>,
-        "window status" => stored::<<calendar::Window as Declared>::Status>,
-        "heat spec" => stored::<<heat::Rule as Declared>::Spec>,
-        "heat status" => stored::<<heat::Rule as Declared>::Status>,
-        "reading spec" => stored::<<heat::Reading as Declared>::Spec>,
-        "rollout spec" => stored::<<rollouts::Rollout as Declared>::Spec>,
-        "rollout status" => stored::<<rollouts::Rollout as Declared>::Status>,
+        "window spec" => stored::<<calendar::Window as DeclarationLogic>::Spec>,
+        "window status" => stored::<<calendar::Window as DeclarationLogic>::Status>,
+        "heat spec" => stored::<<heat::Rule as DeclarationLogic>::Spec>,
+        "heat status" => stored::<<heat::Rule as DeclarationLogic>::Status>,
+        "reading spec" => stored::<<heat::Reading as DeclarationLogic>::Spec>,
+        "rollout spec" => stored::<<rollouts::Rollout as DeclarationLogic>::Spec>,
+        "rollout status" => stored::<<rollouts::Rollout as DeclarationLogic>::Status>,
         "job description" => message::<jobs::JobSpec>,
         "job answer" => message::<users::JobAnswer>,
         "heartbeat" => message::<workers::Heartbeat>,
         "commands" => message::<workers::WorkerCommands>,
         "catalog" => message::<cloud::Catalog>,
-        "rental" => message::<cloud::Rental>,
-        "machine names" => message::<cloud::Names>,
-        "machine page" => message::<cloud::ListPage>,
+        "rental" => message::<cloud::ProvisioningRequest>,
+        "machine names" => message::<cloud::MachineNames>,
+        "machine page" => message::<cloud::MachinePage>,
         "transaction" => message::<state::CompareAndSwap>,
-        "item" => message::<state::Item>,
-        "page" => message::<state::Page>,
+        "item" => message::<state::KeyValue>,
+        "page" => message::<state::KeyValuePage>,
         "changes" => message::<state::WatchResponse>,
-        "revision" => message::<state::Revision>,
-        "failed conditions" => message::<state::Refused>,
-        "lease" => message::<state::Granted>,
+        "revision" => message::<state::StoreRevision>,
+        "failed conditions" => message::<state::FailedConditions>,
+        "lease" => message::<state::GrantedLease>,
         other => panic!("no type has the form {other:?}"),
     }
 }
@@ -85,7 +85,7 @@
 }
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
-    let item = state::Item { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
+    let item = state::KeyValue { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
     match CloudOrder::read(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
