--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -11,6 +11,7 @@
 #[cfg(test)]
 mod interleavings;
 pub mod large;
+pub mod leader_state;
 pub mod load;
 pub mod messages;
 pub mod one_way_partition;
@@ -32,8 +33,7 @@
 
 pub use cluster::ClusterState;
 
-use crate::node::Node;
-use crate::sync::lock;
+use crate::controller::Controller;
 use schedule::{Schedule, TICK_INTERVAL};
 
 /// Placement follows events; this bounds how often, so that a burst is planned as one.
@@ -45,26 +45,26 @@
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     load_cluster_state(&node).await;
     let mut schedule = Schedule::new(Instant::now());
     loop {
-        let _ = tokio::time::timeout(TICK_INTERVAL, node.wake.plan.notified()).await;
+        let _ = tokio::time::timeout(TICK_INTERVAL, node.wakeups.plan.notified()).await;
         if node.unproven() {
             continue;
         }
         let now = Instant::now();
         node.refresh_intents(now);
-        let placed = match (lock(&node.cluster).as_mut(), node.catalog()) {
-            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &node.fairness, &catalog, now),
+        let placed = match (node.leader.cluster().as_mut(), node.catalog.get()) {
+            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &node.leader, &catalog, now),
             _ => None,
         };
         if let Some(placed) = placed {
             if placed > 0 {
                 debug!(count = placed, took_ms = now.elapsed().as_millis(), "tasks placed");
-                node.wake.commit.notify_one();
+                node.wakeups.commit.notify_one();
             }
-            node.wake.fleet.notify_one();
+            node.wakeups.fleet.notify_one();
         }
         tokio::time::sleep(LEAST_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
     }
@@ -72,9 +72,9 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load_cluster_state(node: &Arc<Node>) {
+async fn load_cluster_state(node: &Arc<Controller>) {
     loop {
-        if node.read_barrier.wait().await {
+        if node.store.read_barrier.wait().await {
             match load::fill(node).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
