--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -9,10 +9,10 @@
 use crate::machine_kinds::MachineKind;
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
-use crate::scheduling::fairness::promises::starts_left_s;
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
 use crate::scheduling::intents::RoomIntent;
 use crate::scheduling::plan::{Quotas, Turn};
+use crate::scheduling::promises::starts_left_s;
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
 
 /// The earliest objective that a new machine can still meet sets the slack of waiting work; work past all of them has
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -15,7 +15,7 @@
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
-use crate::scheduling::cluster::Via;
+use crate::scheduling::messages::MessageKind;
 
 /// What a heartbeat is answered with.
 pub enum Answer {
@@ -60,7 +60,7 @@
             } else {
                 let catalog = node.catalog.get();
                 let name = heartbeat.machine.clone();
-                cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
+                cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
                 let orders = if rights.whole() {
                     cluster.orders_in_answer(&name, now)
