--- a/src/calendar/tests/interleavings.rs
+++ b/src/calendar/tests/interleavings.rs
@@ -82,7 +82,7 @@
         let Controller { watch_cache, leader, own, .. } = &mut self.stage.controllers[at];
         let Some((cluster, _)) = leader.as_mut() else { return };
         let gone: Vec<JobId> =
-            cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned().collect();
+            cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned().collect();
         gone.iter().for_each(|id| cluster.end_job(id, own.get(id).copied(), Instant::now()));
         watch_cache.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -37,7 +37,7 @@
 use crate::settings::{Properties, Settings};
 use crate::store::audit::{self, Audit};
 use crate::store::handle::StateStore;
-use crate::store::{StateClient, watch};
+use crate::store::{StateClient, read_barrier, watch};
 use crate::traffic::Traffic;
 use crate::wakeups::Wakeups;
 
@@ -128,7 +128,7 @@
     /// Starts everything but the listener for users and workers.
     pub fn start(self: &Arc<Self>) {
         tokio::spawn(watch::run(self.clone()));
-        tokio::spawn(watch::run_read_barrier(self.clone()));
+        tokio::spawn(read_barrier::run(self.clone()));
         tokio::spawn(reader::run(self.clone()));
         tokio::spawn(sweep::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.clone()));
--- a/src/controller/absence.rs
+++ b/src/controller/absence.rs
@@ -16,7 +16,7 @@
     pub fn beat(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
-            self.store.read_barrier.wanted.notify_one();
+            self.store.read_barrier.request_proof();
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
@@ -30,7 +30,7 @@
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
         self.store.client.after_pause(pause);
-        self.store.read_barrier.wanted.notify_one();
+        self.store.read_barrier.request_proof();
         self.wakeups.membership.notify_one();
     }
 
--- a/src/controller/display.rs
+++ b/src/controller/display.rs
@@ -48,7 +48,7 @@
     /// Drops the counts of jobs that are not open.
     pub fn tidy_counts(&self) {
         let watch_cache = self.store.watch_cache();
-        lock(&self.heard).counts.retain(|id, _| watch_cache.open(id).is_some());
+        lock(&self.heard).counts.retain(|id, _| watch_cache.open_job(id).is_some());
     }
 
     /// Entries of everything held that could grow, for operators and for tests: each follows open
@@ -58,8 +58,8 @@
         {
             let watch_cache = self.store.watch_cache();
             held.push(("open_jobs", watch_cache.open_jobs().count()));
-            held.push(("open_tasks", watch_cache.held().tasks as usize));
-            held.push(("descriptions", watch_cache.ended_kept()));
+            held.push(("open_tasks", watch_cache.open_work().tasks as usize));
+            held.push(("descriptions", watch_cache.ended_count()));
             held.push(("declared", watch_cache.registry().entries()));
         }
         let [ends, asked, waiting] = self.history.held();
--- a/src/controller/news.rs
+++ b/src/controller/news.rs
@@ -18,7 +18,7 @@
         if news.is_empty() {
             let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
             if let Some(cluster) = held.as_mut() {
-                cluster.holds_ends(watch_cache.asking());
+                cluster.holds_ends(watch_cache.watch_revision());
             }
             return;
         }
@@ -35,7 +35,7 @@
         }
         {
             let mut served = self.leader.accounting();
-            for record in news.opened.iter().filter_map(|id| watch_cache.open(id)) {
+            for record in news.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
                 served.offered(&record.spec, record.age(now_ms), now);
             }
             for id in &news.ended {
@@ -48,7 +48,7 @@
         let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
             for id in &news.opened {
-                if let Some(record) = watch_cache.open(id) {
+                if let Some(record) = watch_cache.open_job(id) {
                     cluster.add_job(record.clone(), now);
                 }
             }
@@ -57,11 +57,12 @@
                 cluster.end_job(id, how, now);
                 // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
                 if how != Some(End::Done) {
-                    lock(&self.unconfirmed).heard(watch_cache.ended_by(id).unwrap_or(watch_cache.revision), now);
+                    lock(&self.unconfirmed)
+                        .heard(watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision()), now);
                     self.wakeups.mesh.send_replace(());
                 }
             }
-            cluster.holds_ends(watch_cache.asking());
+            cluster.holds_ends(watch_cache.watch_revision());
             self.wakeups.plan.notify_one();
             self.wakeups.dispatch.notify_one();
         }
--- a/src/controller/over.rs
+++ b/src/controller/over.rs
@@ -31,11 +31,11 @@
             _ => return Over::default(),
         };
         let watch_cache = self.store.watch_cache();
-        let through = watch_cache.asking().unwrap_or(0);
+        let through = watch_cache.watch_revision().unwrap_or(0);
         let over = |id: &&JobId| {
             // All that was ever started before this leader record had been accepted before it.
-            let missing = through >= fencing_token && watch_cache.open(id).is_none();
-            missing || watch_cache.ended_by(id).is_some() || self.history.ended(id).is_some()
+            let missing = through >= fencing_token && watch_cache.open_job(id).is_none();
+            missing || watch_cache.revision_with_end(id).is_some() || self.history.ended(id).is_some()
         };
         let jobs =
             heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
--- a/src/controller/serving_state.rs
+++ b/src/controller/serving_state.rs
@@ -25,7 +25,7 @@
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        self.store.watch_cache().ready
+        self.store.watch_cache().is_ready()
             && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
@@ -35,7 +35,7 @@
         let proving = self.unproven() && self.store_serves();
         let read = {
             let watch_cache = self.store.watch_cache();
-            watch_cache.ready || watch_cache.revision > 0
+            watch_cache.is_ready() || watch_cache.revision() > 0
         };
         let now = Instant::now();
         lock(&self.health).judge(read && !proving && self.catalog.get().is_some(), self.observations(now), now)
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -128,7 +128,7 @@
         now: Instant,
         now_ms: u64,
     ) -> DriverOutput {
-        if !cluster.loaded || !watch_cache.ready {
+        if !cluster.loaded || !watch_cache.is_ready() {
             return DriverOutput::default();
         }
         let changed = watch_cache.registry_mut().take_status_changes();
@@ -137,7 +137,7 @@
         for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < LOG_WITHIN) {
             looked.news.extend(news(self.kinds, change));
         }
-        if watch_cache.revision >= self.stored {
+        if watch_cache.revision() >= self.stored {
             let view = view(cluster, watch_cache.registry(), ended, now, now_ms);
             looked.writes = self.decide(&view, &mut looked.news);
             looked.unknown = view.unknown.into_inner();
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -141,7 +141,7 @@
         }
         // What is asked for is what this controller's watch cache has, never what is only decided.
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
-        for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.watch_cache.ready) {
+        for (name, _, _) in registry.specs::<Heat>().filter(|_| controller.watch_cache.is_ready()) {
             let at = registry.status::<Heat>(name).map_or(0, |(status, _)| status.at);
             assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -15,7 +15,7 @@
 use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::store::watch_cache::{Loading, WatchCache};
+use crate::store::watch_cache::{CacheReload, WatchCache};
 use crate::store::{Change, Condition};
 
 pub type Sent = (Vec<Condition>, Vec<Change>);
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct Controller<T> {
     pub watch_cache: WatchCache,
-    loading: Option<(Loading, String)>,
+    loading: Option<(CacheReload, String)>,
     pub leader: Option<(ClusterState, DeclarationDriver)>,
     /// Decided, and not sent yet.
     decided: Option<(Vec<Write>, u64)>,
@@ -57,23 +57,23 @@
         loop {
             if let Some((mut loading, since)) = controller.loading.take() {
                 let page = self.store.page(CACHED, &since, 3);
-                controller.watch_cache.take_page(&mut loading, &page);
+                controller.watch_cache.apply_page(&mut loading, &page);
                 if page.more {
                     let since = page.items.last().map_or(since, |i| i.path.clone());
                     controller.loading = Some((loading, since));
                 } else {
-                    controller.watch_cache.loaded(loading);
+                    controller.watch_cache.finish_reload(loading);
                 }
-            } else if let Some(revision) = controller.watch_cache.asking() {
+            } else if let Some(revision) = controller.watch_cache.watch_revision() {
                 match self.store.watch(CACHED, revision) {
-                    Ok(followed) => drop(controller.watch_cache.apply(&followed)),
-                    Err(_) => controller.watch_cache.ready = false,
+                    Ok(followed) => drop(controller.watch_cache.apply_watch(&followed)),
+                    Err(_) => controller.watch_cache.require_reload(),
                 }
-                if controller.watch_cache.ready {
+                if controller.watch_cache.is_ready() {
                     return;
                 }
             } else {
-                controller.loading = Some((controller.watch_cache.load(), CACHED_AFTER.to_owned()));
+                controller.loading = Some((controller.watch_cache.begin_reload(), CACHED_AFTER.to_owned()));
             }
             if !whole {
                 return;
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -212,7 +212,7 @@
 }
 
 async fn look_up(node: &Controller, batch: Batch<Waiter>) {
-    let old_kept = node.store.watch_cache().old_kept();
+    let old_kept = node.store.watch_cache().may_hold_old_jobs();
     let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
     match node.store.client.compare_reserved(&conditions).await {
         Ok(failed) => {
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -21,7 +21,7 @@
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::store::client::{KeyValuePage, WatchResponse};
-use crate::store::watch_cache::{Loading, WatchCache};
+use crate::store::watch_cache::{CacheReload, WatchCache};
 use crate::store::{Change, Condition};
 
 const JOBS: usize = 60;
@@ -77,7 +77,7 @@
     life: u64,
     watch_cache: WatchCache,
     queries: QueryQueue<usize>,
-    loading: Option<(Loading, String, u64)>,
+    loading: Option<(CacheReload, String, u64)>,
     upgrade: Option<Upgrade>,
     asked_page: bool,
     asked_watch: bool,
@@ -258,10 +258,10 @@
         if let Some(end) = controller.queries.ended(&job) {
             return self.tell(question, Some(Told::Ended(end)));
         }
-        if !controller.watch_cache.ready {
+        if !controller.watch_cache.is_ready() {
             return self.tell(question, None);
         }
-        if controller.watch_cache.open(&job).is_some() {
+        if controller.watch_cache.open_job(&job).is_some() {
             if !proven {
                 asked.proof_after = Some(now);
                 return;
@@ -278,7 +278,7 @@
     fn found_open(&mut self, at: usize, question: usize) {
         let Some((_, asked)) = self.questions.get(&question) else { return };
         let (job, intent) = (asked.id.clone(), asked.intent);
-        match self.controllers[at].watch_cache.open(&job).cloned() {
+        match self.controllers[at].watch_cache.open_job(&job).cloned() {
             Some(record) if intent == Intent::Cancel => {
                 self.cancelled.entry(job).or_insert(self.step);
                 self.send(
@@ -307,9 +307,9 @@
         let asked = Question { id: job.clone(), intent, begun: self.step, proof_after: None };
         self.questions.insert(question, (at, asked));
         let controller = &mut self.controllers[at];
-        let known = controller.watch_cache.open(&job).is_some() || controller.queries.ended(&job).is_some();
-        if intent == Intent::Submit && controller.watch_cache.ready && !known {
-            let old_kept = controller.watch_cache.old_kept();
+        let known = controller.watch_cache.open_job(&job).is_some() || controller.queries.ended(&job).is_some();
+        if intent == Intent::Submit && controller.watch_cache.is_ready() && !known {
+            let old_kept = controller.watch_cache.may_hold_old_jobs();
             let record = self.record(&job);
             return self.send(at, moves::accept(&record, old_kept), Waiting::Question(question, Told::Open));
         }
@@ -322,7 +322,7 @@
         let controller = &self.controllers[at];
         let mut open: Vec<_> = controller.watch_cache.open_jobs().map(|(id, r)| (id.clone(), r.clone())).collect();
         open.sort_by(|a, b| a.0.cmp(&b.0));
-        if !controller.watch_cache.ready || open.is_empty() {
+        if !controller.watch_cache.is_ready() || open.is_empty() {
             return;
         }
         let (job, record) = open.swap_remove(self.rng.random_range(0..open.len()));
@@ -356,7 +356,7 @@
             return self.upgrade(at);
         }
         let controller = &mut self.controllers[at];
-        match controller.watch_cache.asking() {
+        match controller.watch_cache.watch_revision() {
             Some(revision) if !controller.asked_watch => {
                 controller.asked_watch = true;
                 let response = self.store.watch(CACHED, revision).unwrap();
@@ -369,7 +369,7 @@
             }
             None if controller.loading.is_none() => {
                 controller.epochs += 1;
-                let loading = controller.watch_cache.load();
+                let loading = controller.watch_cache.begin_reload();
                 controller.loading = Some((loading, CACHED_AFTER.to_owned(), controller.epochs));
                 controller.asked_page = false;
             }
@@ -385,7 +385,7 @@
         let (batch, stale) = self.controllers[at].queries.next_batch(std::time::Instant::now());
         assert!(stale.is_empty());
         if !batch.is_empty() {
-            let old_kept = self.controllers[at].watch_cache.old_kept();
+            let old_kept = self.controllers[at].watch_cache.may_hold_old_jobs();
             let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
             let failed = self.store.compare(&conditions);
             self.answer(at, Answer::Compared { batch, failed });
@@ -428,7 +428,7 @@
             Answer::Watch { asked, response } => {
                 let controller = &mut self.controllers[at];
                 controller.asked_watch = false;
-                if !controller.watch_cache.apply(&response).0 {
+                if controller.watch_cache.apply_watch(&response).is_none() {
                     return;
                 }
                 let waits = |q: &Question| q.proof_after.is_some_and(|after| after < asked);
@@ -446,12 +446,12 @@
                     controller.loading = Some((loading, since, of));
                     return;
                 }
-                controller.watch_cache.take_page(&mut loading, &page);
+                controller.watch_cache.apply_page(&mut loading, &page);
                 if page.more {
                     since = page.items.last().map_or(since, |i| i.path.clone());
                     controller.loading = Some((loading, since, of));
-                } else if loading.upgraded() {
-                    controller.watch_cache.loaded(loading);
+                } else if loading.store_is_upgraded() {
+                    controller.watch_cache.finish_reload(loading);
                 } else {
                     controller.upgrade = Some(Upgrade {
                         jobs: VecDeque::new(),
@@ -551,7 +551,7 @@
                 self.restart(at);
             } else if self.rng.random_bool(0.01) {
                 // Too far behind to follow.
-                self.controllers[at].watch_cache.ready = false;
+                self.controllers[at].watch_cache.require_reload();
                 self.controllers[at].loading = None;
             }
             for at in 0..CONTROLLERS {
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -51,7 +51,7 @@
 
 /// Said once: whoever says it first has seen all that there was.
 pub(crate) fn upgraded(old_kept: bool) -> (Condition, Change) {
-    let value = serde_json::to_value(Upgraded { old_kept }).unwrap_or_default();
+    let value = serde_json::to_value(Upgraded { old_jobs_kept: old_kept }).unwrap_or_default();
     (Condition::absent(UPGRADED), Change::write(UPGRADED, value))
 }
 
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -119,7 +119,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upgraded {
     /// Whether ended jobs remain under [`OLD_JOBS`] and [`OLD_ENDS`].
-    pub old_kept: bool,
+    #[serde(rename = "old_kept")]
+    pub old_jobs_kept: bool,
 }
 
 /// The time of day in milliseconds since 1970. May step in either direction.
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -39,13 +39,13 @@
 
 fn watch_cache() -> WatchCache {
     let mut watch_cache = WatchCache::default();
-    let loading = watch_cache.load();
-    watch_cache.loaded(loading);
+    let loading = watch_cache.begin_reload();
+    watch_cache.finish_reload(loading);
     watch_cache
 }
 
 fn hear(watch_cache: &mut WatchCache, store: &Store) {
-    watch_cache.apply(&store.watch(CACHED, watch_cache.revision).unwrap());
+    watch_cache.apply_watch(&store.watch(CACHED, watch_cache.revision()).unwrap());
 }
 
 /// What `run` does next, by the watch cache and by the fencing token of the cluster state, if there is one.
@@ -206,10 +206,10 @@
     assert!(!watch_cache.note_leader_record(leader("a1"), fencing_token), "nothing to lead by");
     assert_eq!(watch_cache.leader_record().map(|(a, version)| (a.incarnation.as_str(), *version)), Some(("b1", newer)));
     // Ahead of the watch it counts as ever, and a watch from before does not take it back.
-    let before = store.watch(CACHED, watch_cache.revision).unwrap();
+    let before = store.watch(CACHED, watch_cache.revision()).unwrap();
     let fencing_token = become_leader(&mut store, "b1").unwrap();
     assert!(watch_cache.note_leader_record(leader("b1"), fencing_token));
-    watch_cache.apply(&before);
+    watch_cache.apply_watch(&before);
     assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
     hear(&mut watch_cache, &store);
     assert!(watch_cache.note_leader_record(leader("b1"), fencing_token), "and heard of by the watch first");
@@ -228,11 +228,11 @@
     take_lease(&mut store, "a1");
     let mut watch_cache = watch_cache();
     hear(&mut watch_cache, &store);
-    let mut loading = watch_cache.load();
-    watch_cache.take_page(&mut loading, &old);
+    let mut loading = watch_cache.begin_reload();
+    watch_cache.apply_page(&mut loading, &old);
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     assert!(watch_cache.note_leader_record(leader("a1"), fencing_token));
-    watch_cache.loaded(loading);
+    watch_cache.finish_reload(loading);
     let believed = watch_cache.leader_record().map(|(a, version)| (a.incarnation.clone(), *version)).unwrap();
     assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
     assert!(before < fencing_token, "which is no newer than the token that is held");
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -183,7 +183,7 @@
     let (watermark, leads) = {
         let watch_cache = node.store.watch_cache();
         let leader_record = watch_cache.leader_record();
-        if never_was(&line.node, line.watermark, leader_record, watch_cache.asking()) {
+        if never_was(&line.node, line.watermark, leader_record, watch_cache.watch_revision()) {
             return Err(BadLine::Token(line.node));
         }
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -49,8 +49,8 @@
 fn node_that_knows_an_leader() -> Arc<Controller> {
     let node = Controller::new(crate::settings::tests::example(), crate::settings::Properties::default());
     let mut watch_cache = node.store.watch_cache();
-    let loading = watch_cache.load();
-    watch_cache.loaded(loading);
+    let loading = watch_cache.begin_reload();
+    watch_cache.finish_reload(loading);
     watch_cache.note_leader_record(assigned("node-1", 7).0, 7);
     drop(watch_cache);
     node
@@ -83,7 +83,7 @@
 fn a_line_under_a_token_that_never_was_is_dropped() {
     let node = node_that_knows_an_leader();
     let read_on = crate::store::client::WatchResponse { revision: 90, log: Vec::new() };
-    node.store.watch_cache().apply(&read_on);
+    node.store.watch_cache().apply_watch(&read_on);
     let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
     let outcome = take_line(&node, format!("{line}\n").as_bytes(), Instant::now());
     assert_eq!(outcome, Err(BadLine::Token("node-1".into())));
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -90,7 +90,7 @@
     /// None while the store is not read.
     fn of(node: &Controller) -> Option<Self> {
         let watch_cache = node.store.watch_cache();
-        watch_cache.ready.then(|| Self {
+        watch_cache.is_ready().then(|| Self {
             lease_holder: watch_cache.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
             lease_holder_version: watch_cache.lease_holder_version(),
             unreadable_lease_holder: watch_cache.unreadable_lease_holder(),
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -91,17 +91,17 @@
         for (_, record) in watch_cache.open_jobs() {
             cluster.add_job(record.clone(), now);
         }
-        ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned());
+        ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned());
         for id in &ended {
             let read = read_ends.get(id).copied();
             let at = node.history.heard_at(id).or(read.map(|(at, _)| at));
             cluster.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
-            cluster.ended_after(id, watch_cache.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
+            cluster.ended_after(id, watch_cache.revision_before_end(id).or(read.map(|(_, after)| after)).unwrap_or(0));
         }
         let inherited = orders.len();
         cluster.inherit_orders(orders, now);
         cluster.finish_load(now);
-        cluster.holds_ends(watch_cache.asking());
+        cluster.holds_ends(watch_cache.watch_revision());
         node.took_over(cluster.known, now);
         // Before anything else is decided.
         node.intents_of(cluster, &watch_cache, now);
--- a/src/store/audit.rs
+++ b/src/store/audit.rs
@@ -153,7 +153,7 @@
 fn still_expected(node: &Controller, held: &Held) -> bool {
     match held {
         Held::Accepted(record) => node.history.ended(&record.spec.id).is_none(),
-        Held::Open(id) => node.store.watch_cache().open(id).is_some() && node.history.ended(id).is_none(),
+        Held::Open(id) => node.store.watch_cache().open_job(id).is_some() && node.history.ended(id).is_none(),
         Held::Ended(..) => true,
         Held::Shard(id, shard, version) => {
             let held = node.leader.cluster();
@@ -169,7 +169,7 @@
     loop {
         tokio::time::sleep(GAP.max(node.store.client.time_for(COST))).await;
         let batch = lock(&node.audit).next(most, || stored_by_leader(&node));
-        if batch.is_empty() || !node.store.watch_cache().ready {
+        if batch.is_empty() || !node.store.watch_cache().is_ready() {
             continue;
         }
         let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
@@ -208,7 +208,7 @@
     match held {
         Held::Accepted(record) => accept_again(node, record).await,
         Held::Open(id) => {
-            let record = node.store.watch_cache().open(id).cloned();
+            let record = node.store.watch_cache().open_job(id).cloned();
             match record {
                 Some(record) => accept_again(node, &record).await,
                 None => Ok(()),
@@ -238,7 +238,7 @@
 }
 
 async fn accept_again(node: &Controller, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept(record, node.store.watch_cache().old_kept());
+    let again = accept(record, node.store.watch_cache().may_hold_old_jobs());
     node.store.client.compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical).await.map(|_| ())
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,6 +7,7 @@
 pub mod commit;
 pub mod handle;
 pub mod log_limit;
+pub mod read_barrier;
 pub mod share;
 #[cfg(test)]
 mod tests;
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,219 +1,85 @@
-//! Keeps the watch cache up to date, and proves on request that it is.
+//! Keeps the watch cache up to date: a watch that is renewed without end, and a reload when the watch has fallen behind.
 
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::sync::Arc;
+use std::time::Duration;
 
-use crate::sync::jitter;
-use tracing::{debug, warn};
+use tracing::debug;
 
 use super::StoreError;
-use super::budget::RequestPriority;
-use super::client::WatchResponse;
 use crate::controller::Controller;
 use crate::history::upgrade;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
-use crate::sync::lock;
+use crate::sync::jitter;
 
-const WATCH: Duration = Duration::from_secs(20);
-/// Between two proofs of freshness, so that polls share them: at least this, and at least the time
-/// in which the share of requests grows by so many, since other questions need theirs.
-const PROOF_GAP: Duration = Duration::from_millis(80);
-const PROOF_COST: f64 = 4.0;
-/// The same between an answer to the watch and its next question: changes come many a second.
+/// How long the service may keep a watch waiting for the first change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between a watch response and the next watch, at the least: changes come many a second.
 const WATCH_GAP: Duration = Duration::from_millis(10);
+/// On a controller that does not lead, the pause is at least the time in which its share of requests grows by this many.
 const WATCH_COST: f64 = 4.0;
-/// A poll is waited for 2 s; past this, 503 tells its user to come again.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(1500);
-
-/// Without a question this long, freshness is proven all the same: it is what health, redirects and the
-/// right to answer workers go by, and a watch that hangs is noticed by it.
-const PROOF_EVERY: Duration = Duration::from_secs(2);
-/// The same once that is overdue: whoever is answered last after an outage should not be taken for cut off.
-const PROOF_OVERDUE: Duration = Duration::from_millis(500);
-/// A proof that has not come by now is asked for once more beside it: a connection that a cut has left
-/// hanging costs this, and not all that a user waits.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(500);
-/// A page is asked for so often before all of them are read anew: where the limits are used up, a reading
-/// that begins again at every refusal never ends.
+/// Pause after a watch that failed, before jitter.
+const WATCH_RETRY: Duration = Duration::from_millis(300);
+/// Tries for one page before the whole reload fails and begins again: where the limits are used up, a reload that began
+/// again at every refusal would never end.
 const PAGE_TRIES: u32 = 12;
+/// Pause after a page that could not be read, before jitter.
+const PAGE_RETRY: Duration = Duration::from_millis(200);
 
-/// Reads page by page into what is kept; what an earlier build has left is taken over first.
-async fn reload(node: &Controller) -> Result<(), StoreError> {
-    let mut loading = node.store.watch_cache().load();
-    let mut pages = node.store.client.pages(CACHED, Some(CACHED_AFTER));
-    let mut tries = 0;
-    loop {
-        let page = match pages.next().await {
-            Ok(Some(page)) => page,
-            Ok(None) => break,
-            Err(error) if tries < PAGE_TRIES => {
-                tries += 1;
-                debug!(%error, tries, "reading a page");
-                tokio::time::sleep(jitter(Duration::from_millis(200))).await;
-                continue;
-            }
-            Err(error) => return Err(error),
-        };
-        tries = 0;
-        let news = node.store.watch_cache().take_page(&mut loading, &page);
-        node.spread(news);
-    }
-    if !loading.upgraded() {
-        return upgrade::run(&node.store.client).await;
-    }
-    let news = node.store.watch_cache().loaded(loading);
-    node.spread(news);
-    node.store.read_barrier.wanted.notify_one();
-    Ok(())
-}
-
-/// The watch: one at a time, for ever.
+/// Watches the cached keys for ever, one watch at a time.
 pub async fn run(node: Arc<Controller>) {
     loop {
-        let asking = node.store.watch_cache().asking();
-        let outcome = match asking {
-            Some(revision) => node.store.client.watch(CACHED, revision, WATCH).await.map(|response| {
-                let (_, news) = node.store.watch_cache().apply(&response);
-                node.spread(news);
-            }),
+        let revision = node.store.watch_cache().watch_revision();
+        let outcome = match revision {
+            Some(revision) => watch_once(&node, revision).await,
             None => reload(&node).await,
         };
         match outcome {
-            // The leader acts on what it hears; the others only have to know it soon.
+            // The leader acts on what it learns; for the others some delay is enough.
             Ok(()) if node.leader.cluster().is_some() => tokio::time::sleep(WATCH_GAP).await,
             Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.client.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => node.store.watch_cache().ready = false,
+            Err(StoreError::TooOld) => node.store.watch_cache().require_reload(),
             Err(error) => {
-                debug!(%error, "watching the store");
-                tokio::time::sleep(jitter(Duration::from_millis(300))).await;
+                debug!(%error, "store watch failed");
+                tokio::time::sleep(jitter(WATCH_RETRY)).await;
             }
         }
     }
 }
 
-/// All changes since a revision, at once.
-async fn changes_now(node: &Controller, revision: u64) -> Result<WatchResponse, StoreError> {
-    // Waiting for one's own share is no sign of a connection that hangs.
-    node.store.client.reserve(RequestPriority::Critical).await?;
-    let first = node.store.client.watch_reserved(CACHED, revision, Duration::ZERO);
-    tokio::pin!(first);
-    if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
-        return outcome;
-    }
-    tokio::select! {
-        outcome = &mut first => outcome,
-        outcome = node.store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
-    }
+async fn watch_once(node: &Controller, revision: u64) -> Result<(), StoreError> {
+    let response = node.store.client.watch(CACHED, revision, WATCH_TIMEOUT).await?;
+    let changes = node.store.watch_cache().apply_watch(&response);
+    node.spread(changes.unwrap_or_default());
+    Ok(())
 }
 
-/// Serves those who wait in `fresh`: one zero-wait watch answers all that asked before it began.
-pub async fn run_read_barrier(node: Arc<Controller>) {
+/// Reads all cached keys anew, page by page. If the store is not marked as upgraded, it is upgraded instead, and the
+/// caller has to reload again.
+async fn reload(node: &Controller) -> Result<(), StoreError> {
+    let mut reload = node.store.watch_cache().begin_reload();
+    let mut pages = node.store.client.pages(CACHED, Some(CACHED_AFTER));
+    let mut failures = 0;
     loop {
-        let fresh = node.store.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
-        let pause = if fresh { PROOF_EVERY } else { PROOF_OVERDUE };
-        let _ = tokio::time::timeout(pause, node.store.read_barrier.wanted.notified()).await;
-        let ticket = node.store.read_barrier.ticket();
-        let pauses = node.pauses();
-        let begun = Instant::now();
-        let asking = node.store.watch_cache().asking();
-        let Some(revision) = asking else {
-            node.store.read_barrier.failed.send_replace(ticket);
-            // After a process pause each beat asks for a proof anew, the one above too.
-            tokio::time::sleep(PROOF_GAP).await;
-            continue;
-        };
-        match changes_now(&node, revision).await {
-            Ok(response) => {
-                let (taken, news) = node.store.watch_cache().apply(&response);
-                node.spread(news);
-                // What was asked before a process pause proves nothing after it.
-                let taken = taken && node.pauses() == pauses;
-                if taken {
-                    node.store.read_barrier.proved(begun);
-                    node.proven();
-                }
-                if taken { &node.store.read_barrier.proven } else { &node.store.read_barrier.failed }
-                    .send_replace(ticket);
-            }
-            Err(StoreError::TooOld) => {
-                node.store.watch_cache().ready = false;
-                node.store.read_barrier.failed.send_replace(ticket);
-            }
-            // A moment's shortage: those who ask wait a little longer, and are not sent away together.
-            Err(StoreError::Unavailable(429)) => node.store.read_barrier.wanted.notify_one(),
-            Err(error) => {
-                node.store.read_barrier.failed.send_replace(ticket);
-                debug!(%error, "no proof of freshness");
+        let page = match pages.next().await {
+            Ok(Some(page)) => page,
+            Ok(None) => break,
+            Err(error) if failures < PAGE_TRIES => {
+                failures += 1;
+                debug!(%error, attempt = failures, "store page read failed");
+                tokio::time::sleep(jitter(PAGE_RETRY)).await;
+                continue;
             }
-        }
-        tokio::time::sleep(PROOF_GAP.max(node.store.client.time_for(PROOF_COST))).await;
-        if node.store.read_barrier.ticket() > ticket {
-            node.store.read_barrier.wanted.notify_one();
-        }
-    }
-}
-
-/// Tickets: each asker draws one, and is served by a proof begun after that.
-pub struct ReadBarrier {
-    drawn: std::sync::atomic::AtomicU64,
-    /// Wakes `run_read_barrier`: somebody waits for a proof.
-    pub wanted: tokio::sync::Notify,
-    /// The highest ticket for which a proof has succeeded.
-    pub proven: tokio::sync::watch::Sender<u64>,
-    /// The highest ticket for which a proof has failed; those who hold it or a lower one give up at once.
-    pub failed: tokio::sync::watch::Sender<u64>,
-    /// When the last proof was asked for that came.
-    last: Mutex<Option<Instant>>,
-}
-
-impl Default for ReadBarrier {
-    fn default() -> Self {
-        Self {
-            drawn: 0.into(),
-            wanted: tokio::sync::Notify::new(),
-            proven: tokio::sync::watch::channel(0).0,
-            failed: tokio::sync::watch::channel(0).0,
-            last: Mutex::default(),
-        }
-    }
-}
-
-impl ReadBarrier {
-    fn ticket(&self) -> u64 {
-        self.drawn.load(std::sync::atomic::Ordering::Relaxed)
-    }
-
-    /// All that was stored before this is known here.
-    fn proved(&self, begun: Instant) {
-        *lock(&self.last) = Some(begun);
-    }
-
-    /// This process was paused: until the next proof nothing is known to be so.
-    pub fn after_pause(&self) {
-        *lock(&self.last) = None;
-    }
-
-    /// How old what is known here may be; none if nothing is proven.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
-        lock(&self.last).map(|at| now.saturating_duration_since(at))
+            Err(error) => return Err(error),
+        };
+        failures = 0;
+        let changes = node.store.watch_cache().apply_page(&mut reload, &page);
+        node.spread(changes);
     }
-
-    /// True once the watch cache holds everything stored before the call. A failure is told at once.
-    pub async fn wait(&self) -> bool {
-        let ticket = self.drawn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
-        self.wanted.notify_one();
-        let (mut proven, mut failed) = (self.proven.subscribe(), self.failed.subscribe());
-        let outcome = tokio::time::timeout(PROOF_TIMEOUT, async {
-            tokio::select! {
-                biased;
-                r = proven.wait_for(|p| *p >= ticket) => r.is_ok(),
-                _ = failed.wait_for(|f| *f >= ticket) => false,
-            }
-        })
-        .await;
-        if outcome.is_err() {
-            warn!("no proof of freshness in time");
-        }
-        outcome.unwrap_or(false)
+    if !reload.store_is_upgraded() {
+        return upgrade::run(&node.store.client).await;
     }
+    let changes = node.store.watch_cache().finish_reload(reload);
+    node.spread(changes);
+    node.store.read_barrier.request_proof();
+    Ok(())
 }
--- /dev/null
+++ b/src/store/watch_cache/control_keys.rs
@@ -0,0 +1,104 @@
+//! The cached keys of the election lease and of leadership, and the mark of an upgraded store.
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+use tracing::warn;
+
+use super::decode;
+use crate::jobs::record::{LEADER, LEASE_HOLDER, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
+
+/// The value of one key with the key's version. A value that cannot be decoded counts as present and is overwritten on
+/// condition of its version: if it counted as absent, no controller could ever take the lease or lead again.
+#[derive(Debug, Default)]
+pub(super) enum VersionedKey<T> {
+    /// The key does not exist.
+    #[default]
+    Absent,
+    /// The decoded value and the version of the key.
+    Decoded((T, u64)),
+    /// The version of a key whose value cannot be decoded.
+    Undecodable(u64),
+}
+
+impl<T: DeserializeOwned> VersionedKey<T> {
+    fn decode(key: &str, value: &Value, version: u64) -> Self {
+        decode(key, value).map_or(Self::Undecodable(version), |value| Self::Decoded((value, version)))
+    }
+}
+
+impl<T> VersionedKey<T> {
+    /// The value with the version of the key; none if the key is absent or its value cannot be decoded.
+    pub(super) fn value(&self) -> Option<&(T, u64)> {
+        match self {
+            Self::Decoded(value) => Some(value),
+            Self::Absent | Self::Undecodable(_) => None,
+        }
+    }
+
+    /// The version of the key; 0 if it is absent.
+    pub(super) fn version(&self) -> u64 {
+        match self {
+            Self::Absent => 0,
+            Self::Decoded((_, version)) | Self::Undecodable(version) => *version,
+        }
+    }
+
+    /// The version of the key if its value cannot be decoded.
+    pub(super) fn undecodable_version(&self) -> Option<u64> {
+        match self {
+            Self::Undecodable(version) => Some(*version),
+            Self::Absent | Self::Decoded(_) => None,
+        }
+    }
+}
+
+/// The cached keys that are neither jobs nor declarations.
+#[derive(Debug, Default)]
+pub(super) struct ControlKeys {
+    pub(super) lease_holder: VersionedKey<LeaseHolder>,
+    pub(super) leader_record: VersionedKey<LeaderRecord>,
+    pub(super) takeover_request: VersionedKey<TakeoverRequest>,
+    pub(super) watermark: Option<Watermark>,
+    pub(super) upgraded: Option<Upgraded>,
+}
+
+impl ControlKeys {
+    /// Sets one of these keys; false if the key is none of them.
+    pub(super) fn set(&mut self, key: &str, value: &Value, version: u64) -> bool {
+        match key {
+            LEASE_HOLDER => self.lease_holder = VersionedKey::decode(key, value, version),
+            LEADER => self.leader_record = VersionedKey::decode(key, value, version),
+            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::decode(key, value, version),
+            WATERMARK => {
+                self.watermark = decode(key, value).filter(|watermark| is_within_store(key, watermark, version));
+            }
+            // The mark is written once and never again: if an undecodable one did not count, every controller would wait
+            // for a decodable one for ever.
+            UPGRADED => self.upgraded = Some(decode(key, value).unwrap_or(Upgraded { old_jobs_kept: true })),
+            _ => return false,
+        }
+        true
+    }
+
+    /// Removes one of these keys; false if the key is none of them.
+    pub(super) fn remove(&mut self, key: &str) -> bool {
+        match key {
+            LEASE_HOLDER => self.lease_holder = VersionedKey::Absent,
+            LEADER => self.leader_record = VersionedKey::Absent,
+            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::Absent,
+            WATERMARK => self.watermark = None,
+            _ => return false,
+        }
+        true
+    }
+}
+
+/// Whether a stored watermark is possible: it cannot name a revision or a fencing token above its own version.
+fn is_within_store(key: &str, watermark: &Watermark, version: u64) -> bool {
+    let possible = watermark.revision <= version && watermark.fencing_token <= version;
+    if !possible {
+        warn!(key, ?watermark, revision = version, "stored watermark ahead of the store; ignoring it");
+    }
+    possible
+}
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::declarations::DeclarationKind;
+use crate::jobs::record::JobRecord;
 use crate::jobs::record::open_key;
 use crate::jobs::tests::spec;
-use crate::store::client::KeyValue;
+use crate::store::client::{KeyValue, KeyValuePage};
 use serde_json::json;
 
 fn opened(n: u64, version: u64) -> WatchEvent {
@@ -21,11 +22,11 @@
     KeyValuePage { items: events.into_iter().map(item).collect(), more: false, revision }
 }
 fn read_whole(watch_cache: &mut WatchCache, pages: Vec<KeyValuePage>) -> CacheChanges {
-    let mut loading = watch_cache.load();
+    let mut loading = watch_cache.begin_reload();
     for page in &pages {
-        watch_cache.take_page(&mut loading, page);
+        watch_cache.apply_page(&mut loading, page);
     }
-    watch_cache.loaded(loading)
+    watch_cache.finish_reload(loading)
 }
 
 /// Two watches answer in either order; an older one must not bring back an older state.
@@ -33,11 +34,11 @@
 fn answers_may_overlap_and_come_in_any_order() {
     let mut watch_cache = WatchCache::default();
     read_whole(&mut watch_cache, vec![]);
-    watch_cache.apply(&response(vec![opened(1, 1), ended(1, 2), opened(2, 2)], 2));
-    let (_, news) = watch_cache.apply(&response(vec![opened(1, 1)], 1));
+    watch_cache.apply_watch(&response(vec![opened(1, 1), ended(1, 2), opened(2, 2)], 2));
+    let news = watch_cache.apply_watch(&response(vec![opened(1, 1)], 1)).unwrap();
     assert!(news.is_empty());
-    assert!(watch_cache.open("run-000001").is_none(), "ended");
-    assert_eq!((watch_cache.revision, watch_cache.held().jobs), (2, 1));
+    assert!(watch_cache.open_job("run-000001").is_none(), "ended");
+    assert_eq!((watch_cache.revision(), watch_cache.open_work().jobs), (2, 1));
     assert!(watch_cache.ended_record("run-000001").is_some(), "a new leader needs no reading for it");
 }
 
@@ -47,15 +48,15 @@
 fn a_watch_answered_while_reading_anew_is_passed_over() {
     let mut watch_cache = WatchCache::default();
     read_whole(&mut watch_cache, vec![page(vec![opened(1, 1)], 1)]);
-    let mut loading = watch_cache.load();
-    let (taken, _) = watch_cache.apply(&response(vec![ended(1, 5)], 5));
-    assert!(!taken && watch_cache.asking().is_none());
-    watch_cache.take_page(&mut loading, &page(vec![opened(1, 1)], 4));
-    watch_cache.loaded(loading);
-    assert_eq!(watch_cache.asking(), Some(4), "response from the first page on");
-    assert!(watch_cache.open("run-000001").is_some());
-    let (taken, news) = watch_cache.apply(&response(vec![ended(1, 5)], 5));
-    assert!(taken && news.ended.len() == 1 && watch_cache.open("run-000001").is_none());
+    let mut loading = watch_cache.begin_reload();
+    let refused = watch_cache.apply_watch(&response(vec![ended(1, 5)], 5));
+    assert!(refused.is_none() && watch_cache.watch_revision().is_none());
+    watch_cache.apply_page(&mut loading, &page(vec![opened(1, 1)], 4));
+    watch_cache.finish_reload(loading);
+    assert_eq!(watch_cache.watch_revision(), Some(4), "response from the first page on");
+    assert!(watch_cache.open_job("run-000001").is_some());
+    let news = watch_cache.apply_watch(&response(vec![ended(1, 5)], 5)).unwrap();
+    assert!(news.ended.len() == 1 && watch_cache.open_job("run-000001").is_none());
 }
 
 #[test]
@@ -65,12 +66,12 @@
     let news =
         read_whole(&mut watch_cache, vec![page(vec![opened(7, 8)], 90), page(vec![opened(8, 9), opened(70, 95)], 96)]);
     assert_eq!(news.ended.len(), 48);
-    assert_eq!((watch_cache.open_jobs().count(), watch_cache.held().jobs, watch_cache.revision), (3, 3, 90));
+    assert_eq!((watch_cache.open_jobs().count(), watch_cache.open_work().jobs, watch_cache.revision()), (3, 3, 90));
     let control =
         WatchEvent { write: Some("c/upgraded".into()), drop: None, value: json!({"old_kept": false}), version: 9 };
-    assert!(watch_cache.old_kept(), "not known yet");
+    assert!(watch_cache.may_hold_old_jobs(), "not known yet");
     read_whole(&mut watch_cache, vec![page(vec![control], 97)]);
-    assert!(!watch_cache.old_kept());
+    assert!(!watch_cache.may_hold_old_jobs());
 }
 
 /// Specs and statuses come with the same pages and answers as jobs do, are no jobs, and nobody hears
@@ -87,22 +88,22 @@
     let news = read_whole(&mut watch_cache, vec![page(vec![opened(1, 1)], 1)]);
     let want = CacheChanges { opened: vec![], ended: vec![], leadership: true, declared: false };
     assert_eq!(news, want, "with nothing declared as ever");
-    let (_, news) = watch_cache.apply(&response(vec![opened(2, 2), ended(1, 3)], 3));
+    let news = watch_cache.apply_watch(&response(vec![opened(2, 2), ended(1, 3)], 3)).unwrap();
     assert!(!news.declared && news.opened.len() == 1 && news.ended.len() == 1);
 
     let (spec, status) = ("c/s/window/w", "c/t/window/w");
-    let (_, news) = watch_cache.apply(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5));
+    let news = watch_cache.apply_watch(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5)).unwrap();
     assert_eq!(news, CacheChanges { declared: true, ..CacheChanges::default() });
     assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 1}), 5)));
     // Read anew, and response from its first page on: what a later page had already is passed over.
     let pages = vec![page(vec![opened(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
     assert!(read_whole(&mut watch_cache, pages).declared);
-    watch_cache.apply(&response(vec![write(status, 2, 7), write(status, 3, 8)], 8));
+    watch_cache.apply_watch(&response(vec![write(status, 2, 7), write(status, 3, 8)], 8));
     assert_eq!(watch_cache.registry().raw_status(DeclarationKind::Window, "w"), Some((json!({"n": 3}), 8)));
     let told: Vec<_> = watch_cache.registry_mut().take_status_changes().into_iter().map(|c| c.after()).collect();
     assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
     let drop = WatchEvent { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
-    watch_cache.apply(&response(vec![drop], 9));
+    watch_cache.apply_watch(&response(vec![drop], 9));
     assert_eq!(watch_cache.registry().orphaned_statuses().count(), 1, "a status whose spec is gone");
     assert!(read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 10)]).declared, "nothing is declared any more");
     assert!(watch_cache.registry().is_empty());
@@ -143,10 +144,10 @@
             read_whole(&mut paged, vec![page(all.to_vec(), 3)]);
             let mut watched = WatchCache::default();
             read_whole(&mut watched, vec![]);
-            watched.apply(&response(all.to_vec(), 3));
+            watched.apply_watch(&response(all.to_vec(), 3));
             for watch_cache in [&paged, &watched] {
                 let open = watch_cache.open_jobs().count();
-                assert!(watch_cache.ready && open == 2, "{path} {value}: {open} jobs are read");
+                assert!(watch_cache.is_ready() && open == 2, "{path} {value}: {open} jobs are read");
                 assert!(
                     watch_cache.lease_holder().is_none()
                         && watch_cache.leader_record().is_none()
@@ -172,7 +173,7 @@
         ),
         (0, 0, None)
     );
-    watch_cache.apply(&response(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
+    watch_cache.apply_watch(&response(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
     assert_eq!(
         (
             watch_cache.lease_holder_version(),
@@ -182,7 +183,7 @@
         (3, 4, Some(3))
     );
     let lease_holder = json!({"node": "a", "incarnation": "1", "later": true});
-    watch_cache.apply(&response(vec![written("c/leader", lease_holder, 5)], 5));
+    watch_cache.apply_watch(&response(vec![written("c/leader", lease_holder, 5)], 5));
     assert_eq!(
         (watch_cache.lease_holder_version(), watch_cache.unreadable_lease_holder()),
         (5, None),
@@ -194,11 +195,11 @@
 #[test]
 fn an_unreadable_mark_of_an_upgrade_is_a_mark() {
     let mut watch_cache = WatchCache::default();
-    let mut loading = watch_cache.load();
-    watch_cache.take_page(&mut loading, &page(vec![written("c/upgraded", json!("x"), 2)], 2));
-    assert!(loading.upgraded());
-    watch_cache.loaded(loading);
-    assert!(watch_cache.old_kept(), "jobs may stand under the keys of an earlier build");
+    let mut loading = watch_cache.begin_reload();
+    watch_cache.apply_page(&mut loading, &page(vec![written("c/upgraded", json!("x"), 2)], 2));
+    assert!(loading.store_is_upgraded());
+    watch_cache.finish_reload(loading);
+    assert!(watch_cache.may_hold_old_jobs(), "jobs may stand under the keys of an earlier build");
 }
 
 #[test]
@@ -215,7 +216,7 @@
     for (name, change, taken) in cases {
         let mut watch_cache = WatchCache::default();
         read_whole(&mut watch_cache, vec![page(vec![written("c/o/run-000002", job_with("run-000002", change), 2)], 2)]);
-        assert_eq!(watch_cache.open("run-000002").is_some(), taken, "{name}");
+        assert_eq!(watch_cache.open_job("run-000002").is_some(), taken, "{name}");
     }
 }
 
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -28,7 +28,7 @@
     if open_tasks(node, &id).is_none() {
         node.store.read_barrier.wait().await;
     }
-    let record = node.store.watch_cache().open(&id).cloned();
+    let record = node.store.watch_cache().open_job(&id).cloned();
     if let Some(record) = record {
         return write_cancellation(node, follow_ups, record).await;
     }
@@ -67,7 +67,7 @@
                 return moved_on(node, &id, &keys).await;
             }
             // Another leads by now: the watch cache is about to hear it.
-            node.store.read_barrier.wanted.notify_one();
+            node.store.read_barrier.request_proof();
             Reply::later("who owns has just changed")
         }
         outcome => {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -19,7 +19,7 @@
     node.watermark();
     let mut visible = node.history.visible(id, end);
     if visible == Visible::Unknown {
-        let version = node.store.watch_cache().ended_by(id);
+        let version = node.store.watch_cache().revision_with_end(id);
         match version {
             Some(version) => node.history.note_cancellation(id, version),
             None => {
@@ -54,7 +54,7 @@
 
 /// The number of tasks of a job that is open, as far as the watch cache has heard.
 pub(super) fn open_tasks(node: &Controller, id: &str) -> Option<u64> {
-    node.store.watch_cache().open(id).map(|record| record.spec.tasks)
+    node.store.watch_cache().open_job(id).map(|record| record.spec.tasks)
 }
 
 /// The state of a job, no older than the moment of asking. Ends are final and told from memory;
@@ -68,7 +68,7 @@
     if let Some(end) = node.history.ended(&id) {
         return tell_end(node, &id, end).await;
     }
-    if !node.store.watch_cache().ready {
+    if !node.store.watch_cache().is_ready() {
         return Reply::later("the state service has not been read yet");
     }
     if open_tasks(node, &id).is_some() {
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -13,7 +13,7 @@
 use crate::controller::Controller;
 use crate::history::moves;
 use crate::jobs::JobSpec;
-use crate::jobs::limits::can_hold;
+use crate::jobs::limits::fits_in_memory;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
@@ -59,7 +59,7 @@
             return unless_accepted(node, &named.id, refusal).await;
         }
     };
-    if !node.store.watch_cache().ready {
+    if !node.store.watch_cache().is_ready() {
         return Reply::later("the state service has not been read yet");
     }
     let id = spec.id.clone();
@@ -80,13 +80,13 @@
     let id = spec.id.clone();
     let (open, old_kept) = {
         let watch_cache = node.store.watch_cache();
-        (watch_cache.held(), watch_cache.old_kept())
+        (watch_cache.open_work(), watch_cache.may_hold_old_jobs())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
     if !can_be_kept(node, &record) {
         return unless_accepted(node, &id, Refusal::TooLarge).await;
     }
-    if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
+    if !fits_in_memory(&record.spec, open, node.settings.params.limits.memory_mb) {
         // A retry of a job that is already held must not be told so.
         return match look_up(node, &id).await {
             Reply::Refused(Refusal::NoSuchJob) => {
--- a/tests/unread_process_pause.rs
+++ b/tests/unread_process_pause.rs
@@ -23,11 +23,11 @@
     let a = ControllerProcess::start(&world, &settings("node-a", &[], &door));
     outside.block_on(async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        assert!(a.controller.store.watch_cache().asking().is_none(), "nothing is read yet");
+        assert!(a.controller.store.watch_cache().watch_revision().is_none(), "nothing is read yet");
         a.controller.beat(Instant::now() + Duration::from_secs(5));
         assert!(a.controller.unproven(), "it was paused for longer than an election lease");
 
-        let mut given_up = a.controller.store.read_barrier.failed.subscribe();
+        let mut given_up = a.controller.store.read_barrier.subscribe_failed();
         let until_then = Instant::now() + WATCHED;
         let mut seen = 0;
         while let Ok(told) = tokio::time::timeout_at(until_then.into(), given_up.changed()).await {
