--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -23,25 +23,25 @@
             return;
         }
         let agent_epoch = heartbeat.agent_epoch;
-        let rights = self.rights(&leader);
-        self.users.tally.unloaded += usize::from(!rights.loaded);
+        let policy = self.response_policy(&leader);
+        self.users.tally.unloaded += usize::from(!policy.cluster_state_loaded);
         let id = self.workers[w].id.clone();
         let mut orders = Vec::new();
         let mut held = false;
-        if !rights.silent() {
+        if !policy.stays_silent() {
             let over = self.over_among(&leader, &heartbeat);
             leader.cluster.take_heartbeat(heartbeat, Via::Heartbeat, Some(&self.catalog), now);
-            orders = if rights.whole() {
+            orders = if policy.sends_all_commands() {
                 leader.cluster.orders_in_answer(&id, now)
             } else {
                 leader.cluster.stops_only(&id, &over)
             };
-            held = self.holds(&mut leader, rights, &id);
-            self.users.tally.stops += usize::from(!rights.whole() && !orders.is_empty());
+            held = self.holds(&mut leader, policy, &id);
+            self.users.tally.stops += usize::from(!policy.sends_all_commands() && !orders.is_empty());
         }
-        let (fencing_token, whole) = (leader.cluster.fencing_token, rights.whole());
+        let (fencing_token, whole) = (leader.cluster.fencing_token, policy.sends_all_commands());
         self.leaders[to] = Some(leader);
-        self.trace(&format!("{id} s{agent_epoch} to {to}: {rights:?} held {held} {orders:?}"));
+        self.trace(&format!("{id} s{agent_epoch} to {to}: {policy:?} held {held} {orders:?}"));
         if !held {
             // Asks elsewhere.
             self.users.tally.nobody += 1;
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -22,7 +22,7 @@
 use crate::protocol::workers::Heartbeat;
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
-use crate::workers::answer::Rights;
+use crate::workers::response_policy::ResponsePolicy;
 
 const FOLLOWERS: usize = 2;
 /// How often a leader's line goes to the others.
@@ -336,9 +336,14 @@
     }
 
     /// What this leader may answer with, by what it knows now.
-    pub(super) fn rights(&self, leader: &Leader) -> Rights {
+    pub(super) fn response_policy(&self, leader: &Leader) -> ResponsePolicy {
         if !self.users.on {
-            return Rights { loaded: true, knows: true, unproven: false, serves: true };
+            return ResponsePolicy {
+                cluster_state_loaded: true,
+                leader_known: true,
+                unproven_since_pause: false,
+                store_answers: true,
+            };
         }
         let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| self.now - at);
         let refused = since(leader.cut.map(|(at, _)| at)).max(since(self.users.out.map(|(at, _)| at)));
@@ -348,7 +353,12 @@
         let seen = Observations { proof, refused, peers: FOLLOWERS, heard, answering };
         let knows = seen.serving_state(Patience::of_leadership(LEADER_LEASE)).speaks();
         let serves = refused < Duration::from_secs(2);
-        Rights { loaded: leader.cluster.loaded, knows, unproven: leader.seat.unproven, serves }
+        ResponsePolicy {
+            cluster_state_loaded: leader.cluster.loaded,
+            leader_known: knows,
+            unproven_since_pause: leader.seat.unproven,
+            store_answers: serves,
+        }
     }
 
     /// Jobs of a heartbeat that are over by this leader's watch cache (as `Node::over_among` has it).
@@ -358,15 +368,15 @@
     }
 
     /// Whether this machine is answered at all.
-    pub(super) fn holds(&self, leader: &mut Leader, rights: Rights, machine: &str) -> bool {
+    pub(super) fn holds(&self, leader: &mut Leader, policy: ResponsePolicy, machine: &str) -> bool {
         let now = self.now;
         let spare = example().params.workers.spare();
         let fresh = leader.seat.proof.is_some_and(|at| now - at < spare);
-        if rights.knows {
+        if policy.leader_known {
             leader.seat.let_go.clear();
         }
         let let_go = &mut leader.seat.let_go;
-        rights.holds(
+        policy.renews_lease(
             leader.seat.heard >= leader.cluster.fencing_token,
             || fresh,
             || let_go.holds(machine, FOLLOWERS, LEASE, now),
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
-use crate::workers::{self, Answer};
+use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
 /// The framework's side: one handler per path.
 struct Handle {
@@ -67,21 +67,21 @@
 }
 
 /// The answer to a worker's heartbeat.
-fn render_answer(node: &Node, res: &mut Response, answer: Answer) {
-    match answer {
-        Answer::WorkerCommands(orders) => {
+fn render_heartbeat_response(node: &Node, res: &mut Response, response: HeartbeatResponse) {
+    match response {
+        HeartbeatResponse::Commands(commands) => {
             node.traffic.count(Passage::Heartbeat);
-            render(res, 200, protocol::encode(&orders));
+            render(res, 200, protocol::encode(&commands));
         }
-        Answer::Elsewhere(leader) => {
+        HeartbeatResponse::Redirect(leader) => {
             node.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
-        Answer::Nobody => {
+        HeartbeatResponse::Unavailable => {
             node.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 503, Vec::new());
         }
-        Answer::Malformed => render(res, 400, Vec::new()),
+        HeartbeatResponse::Malformed => render(res, 400, Vec::new()),
     }
 }
 
@@ -108,7 +108,7 @@
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
             Path::Cancel => render_reply(node, res, cancel(node, &self.follow_ups, &id).await),
             Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Heartbeat => render_answer(node, res, workers::take_heartbeat(node, &body)),
+            Path::Heartbeat => render_heartbeat_response(node, res, handle_heartbeat(node, &body)),
         }
     }
 }
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -3,25 +3,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use bytes::Bytes;
 use hyper::Method;
 use tracing::debug;
 
 use super::{Heartbeat, WorkerCommands};
 use crate::node::Node;
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::{Direct, Via};
+use crate::scheduling::cluster::{Direct, MachineId, Via};
 use crate::sync::lock;
 use crate::traffic::Passage;
 
-/// Past this a command counts as one that may still arrive.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2500);
-/// Looks again this often for what is due without having been told.
-const EVERY: Duration = Duration::from_millis(1000);
+/// A command that is not answered within this counts as one that may still arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest pause between two checks for due commands.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Sends the commands that are due straight to their workers, for ever.
+/// Sends commands directly to their workers as they become due. Never returns.
 pub async fn run(node: Arc<Node>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wake.dispatch.notified()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, node.wake.dispatch.notified()).await;
         if node.unproven() {
             continue;
         }
@@ -29,7 +30,7 @@
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
-        // At most one command per machine is under way, which bounds these.
+        // At most one command per machine is in flight, which bounds the number of these tasks.
         for direct in due {
             tokio::spawn(send(node.clone(), direct));
         }
@@ -37,13 +38,15 @@
 }
 
 async fn send(node: Arc<Node>, direct: Direct) {
-    let body = protocol::encode(&WorkerCommands {
-        fencing_token: direct.fencing_token,
-        agent_epoch: Some(direct.agent_epoch),
-        orders: direct.orders,
-    });
+    let Direct { machine, addr, fencing_token, agent_epoch, orders } = direct;
+    let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders });
     node.traffic.count(Passage::Command);
-    let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
+    let outcome = node.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
+    record_reply(&node, &machine, fencing_token, outcome);
+}
+
+/// Records the reply to a command in the cluster state.
+fn record_reply(node: &Node, machine: &MachineId, fencing_token: u64, outcome: Result<(u16, Bytes), CallError>) {
     let now = Instant::now();
     let catalog = node.catalog();
     {
@@ -56,9 +59,9 @@
         // Only a definite answer, or a connection that never was, settles what was sent.
         let settled = heartbeat.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
         if let Err(error) = &outcome {
-            debug!(machine = %direct.machine, %error, "direct command");
+            debug!(%machine, %error, "worker command failed");
         }
-        cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
+        cluster.command_over(machine, fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
             cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
         }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,7 +1,8 @@
-//! Communication with workers: their heartbeats, which are answered with orders, and commands sent to them directly.
+//! Communication with workers: their heartbeats, which are answered with commands, and commands sent to them
+//! directly.
 
-pub mod answer;
 pub mod dispatch;
+pub mod response_policy;
 #[cfg(test)]
 mod tests;
 
@@ -10,87 +11,133 @@
 
 use tracing::debug;
 
-use self::answer::Rights;
-use crate::node::Node;
+use self::response_policy::ResponsePolicy;
+use crate::node::{Node, Over};
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
 use crate::scheduling::cluster::Via;
 use crate::sync::lock;
 
-/// What a heartbeat is answered with.
-pub enum Answer {
-    /// 200: the heartbeat was taken in; what the worker is to do.
-    WorkerCommands(WorkerCommands),
-    /// 421, naming the leader.
-    Elsewhere(String),
+/// The response to a heartbeat.
+pub enum HeartbeatResponse {
+    /// 200: the heartbeat was recorded; what the worker is to do.
+    Commands(WorkerCommands),
+    /// 421, with the name of the leader.
+    Redirect(String),
     /// 503: nobody known here may answer for the controllers.
-    Nobody,
-    /// 400: the heartbeat cannot be read, or breaks a rule of the protocol.
+    Unavailable,
+    /// 400: the heartbeat cannot be decoded, or breaks a rule of the protocol.
     Malformed,
 }
 
-/// One heartbeat. Only the leader takes it in; a fencing token higher than its own tells it that it is no
-/// longer the leader, and a 200 would then only hold the worker while its lease runs out.
-pub fn take_heartbeat(node: &Arc<Node>, body: &[u8]) -> Answer {
-    let heartbeat = match crate::protocol::decode::<Heartbeat>(body) {
-        Ok(heartbeat) if heartbeat.check() => heartbeat,
-        Ok(_) => return Answer::Malformed,
-        Err(error) => {
-            debug!(%error, "malformed report");
-            return Answer::Malformed;
-        }
-    };
+/// Which heartbeat of which machine.
+struct HeartbeatId {
+    machine: String,
+    agent_epoch: u64,
+    seq: u64,
+}
+
+/// What became of a valid heartbeat.
+enum Recorded {
+    /// Recorded in the cluster state. Commands for the worker, if its lease may be renewed.
+    ByLeader(WorkerCommands),
+    /// The worker has seen a higher fencing token than this leader's: it leads no longer.
+    Deposed,
+    /// This controller does not lead.
+    NotLeader,
+}
+
+/// Handles one heartbeat: validates it, fences off leaders that were replaced, reconciles and records it in the cluster
+/// state, and answers. Only the leader records it. A fencing token higher than its own tells it that it is no longer
+/// the leader; a 200 would then only renew the worker's lease without a leader.
+pub fn handle_heartbeat(node: &Arc<Node>, body: &[u8]) -> HeartbeatResponse {
+    let Some(heartbeat) = decode_valid(body) else { return HeartbeatResponse::Malformed };
     let unproven = node.unproven();
-    let serves = unproven && node.store_serves();
-    let mut rights = Rights { loaded: false, knows: false, unproven, serves };
-    if rights.silent() {
-        return Answer::Nobody;
+    let mut policy = ResponsePolicy {
+        cluster_state_loaded: false,
+        leader_known: false,
+        unproven_since_pause: unproven,
+        store_answers: unproven && node.store_serves(),
+    };
+    if policy.stays_silent() {
+        return HeartbeatResponse::Unavailable;
     }
     let now = Instant::now();
-    let mut deposed = false;
-    let (heartbeat_from, heartbeat_at) = (heartbeat.machine.clone(), (heartbeat.agent_epoch, heartbeat.seq));
-    rights.knows = node.knows_leader(now);
-    // Of jobs that are over by the watch cache a leader stops what runs, whatever else it may do.
-    let over = node.over_among(&heartbeat, rights.acts());
-    {
-        let mut held = lock(&node.cluster);
-        if let Some(cluster) = held.as_mut() {
-            if heartbeat.fencing_token > cluster.fencing_token {
-                deposed = true;
-            } else {
-                let catalog = node.catalog();
-                let name = heartbeat.machine.clone();
-                cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
-                rights.loaded = cluster.loaded;
-                let orders = if rights.whole() {
-                    cluster.orders_in_answer(&name, now)
-                } else {
-                    cluster.stops_only(&name, &over.jobs)
-                };
-                let fencing_token = cluster.fencing_token;
-                drop(held);
-                node.wake.plan.notify_one();
-                node.wake.commit.notify_one();
-                let (spare, kept) = (|| node.may_hold_blindly(now), || node.holds(&name, now));
-                if !rights.holds(over.since(fencing_token), spare, kept) {
-                    return Answer::Nobody;
-                }
-                return Answer::WorkerCommands(WorkerCommands { fencing_token, agent_epoch: None, orders });
-            }
+    let id = HeartbeatId { machine: heartbeat.machine.clone(), agent_epoch: heartbeat.agent_epoch, seq: heartbeat.seq };
+    policy.leader_known = node.knows_leader(now);
+    // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
+    let ended = node.over_among(&heartbeat, policy.may_command());
+    match record(node, heartbeat, &mut policy, &ended, now) {
+        Recorded::ByLeader(commands) => answer_as_leader(node, &id.machine, commands, policy, &ended, now),
+        Recorded::Deposed => {
+            node.step_down("a worker has seen a higher token");
+            HeartbeatResponse::Unavailable
         }
+        Recorded::NotLeader => redirect(node, &id, now),
     }
-    if deposed {
-        node.step_down("a worker has seen a higher token");
-        return Answer::Nobody;
+}
+
+/// Decodes a heartbeat. `None` if it breaks a rule of the protocol.
+fn decode_valid(body: &[u8]) -> Option<Heartbeat> {
+    match crate::protocol::decode::<Heartbeat>(body) {
+        Ok(heartbeat) => heartbeat.check().then_some(heartbeat),
+        Err(error) => {
+            debug!(%error, "heartbeat rejected");
+            None
+        }
+    }
+}
+
+/// Compares the fencing tokens, then reconciles the heartbeat with the cluster state and records it there.
+fn record(node: &Node, heartbeat: Heartbeat, policy: &mut ResponsePolicy, ended: &Over, now: Instant) -> Recorded {
+    let mut held = lock(&node.cluster);
+    let Some(cluster) = held.as_mut() else { return Recorded::NotLeader };
+    if heartbeat.fencing_token > cluster.fencing_token {
+        return Recorded::Deposed;
+    }
+    let catalog = node.catalog();
+    let machine = heartbeat.machine.clone();
+    cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
+    policy.cluster_state_loaded = cluster.loaded;
+    let orders = if policy.sends_all_commands() {
+        cluster.orders_in_answer(&machine, now)
+    } else {
+        cluster.stops_only(&machine, &ended.jobs)
+    };
+    Recorded::ByLeader(WorkerCommands { fencing_token: cluster.fencing_token, agent_epoch: None, orders })
+}
+
+/// Answers with the commands, if the worker's lease may be renewed.
+fn answer_as_leader(
+    node: &Node,
+    machine: &str,
+    commands: WorkerCommands,
+    policy: ResponsePolicy,
+    ended: &Over,
+    now: Instant,
+) -> HeartbeatResponse {
+    node.wake.plan.notify_one();
+    node.wake.commit.notify_one();
+    let leases_expire_in_time = || node.may_hold_blindly(now);
+    let holds_machine = || node.holds(machine, now);
+    if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
+        HeartbeatResponse::Commands(commands)
+    } else {
+        HeartbeatResponse::Unavailable
     }
-    debug!(machine = heartbeat_from, leader = node.leader_node(), "a report for the leader");
-    match node.leader_node() {
-        // Sent to a leader of long ago, workers would only come and go.
+}
+
+/// Sends the worker to the leader, as far as that is known for certain: sent to a leader of long ago, workers would
+/// only come and go.
+fn redirect(node: &Arc<Node>, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
+    let leader = node.leader_node();
+    debug!(machine = id.machine, leader, "heartbeat redirected");
+    match leader {
         Some(leader) if leader != node.settings.node && node.knows_leader(now) => {
-            node.note_redirect(&heartbeat_from, heartbeat_at, now);
-            Answer::Elsewhere(leader)
+            node.note_redirect(&id.machine, (id.agent_epoch, id.seq), now);
+            HeartbeatResponse::Redirect(leader)
         }
-        _ => Answer::Nobody,
+        _ => HeartbeatResponse::Unavailable,
     }
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,22 +1,27 @@
 //! Tests of what a heartbeat may be answered with.
 
-use super::answer::Rights;
+use super::response_policy::ResponsePolicy;
 
 /// By what the leader knows of itself: all orders, stops only, or nothing at all.
 #[test]
-fn what_a_report_is_answered_with_by_cases() {
-    let sound = Rights { loaded: true, knows: true, unproven: false, serves: true };
-    let paused = Rights { unproven: true, ..sound };
-    let unread = Rights { loaded: false, ..sound };
-    let lone = Rights { knows: false, ..sound };
-    // (name, rights, its watch cache is past its leader record, leases still end in time, it holds this machine;
+fn response_to_a_heartbeat_by_cases() {
+    let sound = ResponsePolicy {
+        cluster_state_loaded: true,
+        leader_known: true,
+        unproven_since_pause: false,
+        store_answers: true,
+    };
+    let paused = ResponsePolicy { unproven_since_pause: true, ..sound };
+    let unread = ResponsePolicy { cluster_state_loaded: false, ..sound };
+    let lone = ResponsePolicy { leader_known: false, ..sound };
+    // (name, policy, its watch cache is past its leader record, leases still end in time, it holds this machine;
     //  silent, all orders, answered)
-    for (name, rights, through, spare, kept, want) in [
+    for (name, policy, through, spare, kept, want) in [
         ("the leader", sound, true, false, false, (false, true, true)),
         ("back from a pause", paused, true, false, false, (true, false, true)),
         (
             "back from a pause into an outage",
-            Rights { serves: false, ..paused },
+            ResponsePolicy { store_answers: false, ..paused },
             true,
             false,
             false,
@@ -29,14 +34,14 @@
         ("has read nothing, for too long", unread, false, false, false, (false, false, false)),
         (
             "the same, whoever it would hold",
-            Rights { knows: false, ..unread },
+            ResponsePolicy { leader_known: false, ..unread },
             false,
             false,
             true,
             (false, false, false),
         ),
     ] {
-        let got = (rights.silent(), rights.whole(), rights.holds(through, || spare, || kept));
+        let got = (policy.stays_silent(), policy.sends_all_commands(), policy.renews_lease(through, || spare, || kept));
         assert_eq!(got, want, "{name}");
     }
 }
