--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -9,7 +9,7 @@
 use super::cloud_operations::SharedOperations;
 use super::provisioning::kind_of;
 use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_RETURNED, OrderCleanUp, StoreStep};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
@@ -20,8 +20,8 @@
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
 /// What an earlier leader has left, once; from here on it is this leader's.
-pub(super) fn inherited(node: &Node, operations: &SharedOperations) -> InheritedOrders {
-    let orders = lock(&node.cluster).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
+pub(super) fn inherited(node: &Controller, operations: &SharedOperations) -> InheritedOrders {
+    let orders = node.leader.cluster().as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
     let inherited = InheritedOrders::group(orders, MOST_RETURNED);
     let mut operations = lock(operations);
     for order in &inherited.provisioning {
@@ -38,14 +38,14 @@
     inherited
 }
 
-fn fencing_token(node: &Node) -> Option<u64> {
-    lock(&node.cluster).as_ref().map(|b| b.fencing_token)
+fn fencing_token(node: &Controller) -> Option<u64> {
+    node.leader.cluster().as_ref().map(|b| b.fencing_token)
 }
 
 /// Stores an order under this leader's leader record; its key, once it stands. None where another leads
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
-    node: &Node,
+    node: &Controller,
     operations: &SharedOperations,
     what: CloudAction,
     give_up: impl Fn() -> bool,
@@ -59,7 +59,8 @@
     let change = [order.change()];
     loop {
         let Some(under) = fencing_token(node) else { return Err(StoreStep::Abandon) };
-        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
+        let outcome =
+            node.store.client.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(operations).late.insert(order.key.clone(), under);
         }
@@ -74,7 +75,7 @@
             StoreStep::Retry => {
                 debug!(?outcome, key = order.key, "storing an order");
                 if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
-                    node.read_barrier.wait().await;
+                    node.store.read_barrier.wait().await;
                     node.check_deposed();
                 }
                 tokio::time::sleep(jitter(RETRY)).await;
@@ -84,11 +85,11 @@
 }
 
 /// Orders that were carried out are dropped together, behind everything else.
-pub(super) async fn tidy(node: &Node, operations: &SharedOperations) {
+pub(super) async fn tidy(node: &Controller, operations: &SharedOperations) {
     let Some(fencing_token) = fencing_token(node) else { return };
     let pressed = lock(operations).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
     let urgent = if pressed { RequestPriority::Placement } else { RequestPriority::Background };
-    let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
+    let most = node.store.client.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
     let (keys, clean_up) = {
         let mut operations = lock(operations);
         let keys: Vec<String> = operations.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
@@ -98,9 +99,11 @@
     if keys.is_empty() {
         return;
     }
-    let outcome =
-        tokio::time::timeout(TIDY_WITHIN, node.store.compare_and_swap(&clean_up.conditions, &clean_up.changes, urgent))
-            .await;
+    let outcome = tokio::time::timeout(
+        TIDY_WITHIN,
+        node.store.client.compare_and_swap(&clean_up.conditions, &clean_up.changes, urgent),
+    )
+    .await;
     if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
         let mut operations = lock(operations);
         operations.cleaned_up(&keys, fencing_token);
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -1,14 +1,13 @@
 //! The periodic steps of the scheduling loop: which there are, how often each is taken, and in which order.
 
-use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use super::cluster::ClusterState;
 use super::fairness::Account;
+use super::leader_state::LeaderState;
 use super::{PAUSE_FACTOR, plan, preempt, reservations, service_report};
 use crate::machine_kinds::Catalog;
 use crate::periodic::Periodic;
-use crate::sync::lock;
 
 /// What time alone brings about, such as the silence of a machine, is looked for this often.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
@@ -50,7 +49,7 @@
     pub(super) fn run_due_steps(
         &mut self,
         cluster: &mut ClusterState,
-        accounting: &Mutex<Account>,
+        leader: &LeaderState,
         catalog: &Catalog,
         now: Instant,
     ) -> Option<usize> {
@@ -58,7 +57,7 @@
             cluster.tick(now);
         }
         if cluster.loaded && self.accounting.take_due(now) {
-            self.update_accounting(cluster, &mut lock(accounting), now);
+            self.update_accounting(cluster, &mut leader.accounting(), now);
         }
         if self.reserve.is_due(now) {
             cluster.reservations = reservations::choose(cluster, catalog, now);
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -8,10 +8,10 @@
 use tracing::debug;
 
 use super::{Heartbeat, WorkerCommands};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::{Direct, MachineId, Via};
-use crate::sync::lock;
+use crate::scheduling::cluster::{Direct, MachineId};
+use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
 /// A command that is not answered within this counts as one that may still arrive.
@@ -20,13 +20,13 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Sends commands directly to their workers as they become due. Never returns.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     loop {
-        let _ = tokio::time::timeout(CHECK_INTERVAL, node.wake.dispatch.notified()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, node.wakeups.dispatch.notified()).await;
         if node.unproven() {
             continue;
         }
-        let due = match lock(&node.cluster).as_mut() {
+        let due = match node.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
@@ -37,7 +37,7 @@
     }
 }
 
-async fn send(node: Arc<Node>, direct: Direct) {
+async fn send(node: Arc<Controller>, direct: Direct) {
     let Direct { machine, addr, fencing_token, agent_epoch, orders } = direct;
     let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders });
     node.traffic.count(Passage::Command);
@@ -46,11 +46,11 @@
 }
 
 /// Records the reply to a command in the cluster state.
-fn record_reply(node: &Node, machine: &MachineId, fencing_token: u64, outcome: Result<(u16, Bytes), CallError>) {
+fn record_reply(node: &Controller, machine: &MachineId, fencing_token: u64, outcome: Result<(u16, Bytes), CallError>) {
     let now = Instant::now();
-    let catalog = node.catalog();
+    let catalog = node.catalog.get();
     {
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         let Some(cluster) = held.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
@@ -63,9 +63,9 @@
         }
         cluster.command_over(machine, fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
-            cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
+            cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
     }
-    node.wake.commit.notify_one();
-    node.wake.plan.notify_one();
+    node.wakeups.commit.notify_one();
+    node.wakeups.plan.notify_one();
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -12,12 +12,11 @@
 use tracing::debug;
 
 use self::response_policy::ResponsePolicy;
-use crate::node::{Node, Over};
+use crate::controller::{Controller, Over};
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
-use crate::scheduling::cluster::Via;
-use crate::sync::lock;
+use crate::scheduling::messages::MessageKind;
 
 /// The response to a heartbeat.
 pub enum HeartbeatResponse {
@@ -51,7 +50,7 @@
 /// Handles one heartbeat: validates it, fences off leaders that were replaced, reconciles and records it in the cluster
 /// state, and answers. Only the leader records it. A fencing token higher than its own tells it that it is no longer
 /// the leader; a 200 would then only renew the worker's lease without a leader.
-pub fn handle_heartbeat(node: &Arc<Node>, body: &[u8]) -> HeartbeatResponse {
+pub fn handle_heartbeat(node: &Arc<Controller>, body: &[u8]) -> HeartbeatResponse {
     let Some(heartbeat) = decode_valid(body) else { return HeartbeatResponse::Malformed };
     let unproven = node.unproven();
     let mut policy = ResponsePolicy {
@@ -90,15 +89,21 @@
 }
 
 /// Compares the fencing tokens, then reconciles the heartbeat with the cluster state and records it there.
-fn record(node: &Node, heartbeat: Heartbeat, policy: &mut ResponsePolicy, ended: &Over, now: Instant) -> Recorded {
-    let mut held = lock(&node.cluster);
+fn record(
+    node: &Controller,
+    heartbeat: Heartbeat,
+    policy: &mut ResponsePolicy,
+    ended: &Over,
+    now: Instant,
+) -> Recorded {
+    let mut held = node.leader.cluster();
     let Some(cluster) = held.as_mut() else { return Recorded::NotLeader };
     if heartbeat.fencing_token > cluster.fencing_token {
         return Recorded::Deposed;
     }
-    let catalog = node.catalog();
+    let catalog = node.catalog.get();
     let machine = heartbeat.machine.clone();
-    cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
+    cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
     policy.cluster_state_loaded = cluster.loaded;
     let orders = if policy.sends_all_commands() {
         cluster.orders_in_answer(&machine, now)
@@ -110,15 +115,15 @@
 
 /// Answers with the commands, if the worker's lease may be renewed.
 fn answer_as_leader(
-    node: &Node,
+    node: &Controller,
     machine: &str,
     commands: WorkerCommands,
     policy: ResponsePolicy,
     ended: &Over,
     now: Instant,
 ) -> HeartbeatResponse {
-    node.wake.plan.notify_one();
-    node.wake.commit.notify_one();
+    node.wakeups.plan.notify_one();
+    node.wakeups.commit.notify_one();
     let leases_expire_in_time = || node.may_hold_blindly(now);
     let holds_machine = || node.holds(machine, now);
     if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
@@ -130,7 +135,7 @@
 
 /// Sends the worker to the leader, as far as that is known for certain: sent to a leader of long ago, workers would
 /// only come and go.
-fn redirect(node: &Arc<Node>, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
+fn redirect(node: &Arc<Controller>, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
     let leader = node.leader_node();
     debug!(machine = id.machine, leader, "heartbeat redirected");
     match leader {
