--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -6,13 +6,13 @@
 use tracing::{debug, info, warn};
 
 use super::RETRY;
-use super::cloud::{CloudError, Rental};
+use super::cloud::{CloudError, ProvisioningRequest};
 use super::cloud_operations::SharedOperations;
 use super::order_log::store;
-use super::scale_out as plan;
+use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
 use crate::cloud_orders::{CloudAction, MOST_RENTED, unique_name};
+use crate::controller::Controller;
 use crate::machine_kinds::MachineKind;
-use crate::node::Node;
 use crate::sync::{jitter, lock};
 
 /// Rentals of one kind asked for at once, each of up to `MOST_RENTED` machines.
@@ -22,16 +22,16 @@
 const RENT_TRIES: u32 = 6;
 
 /// What to rent, the requests of each kind together.
-pub(super) fn decide(node: &Node, operations: &SharedOperations) -> Vec<Vec<Rental>> {
+pub(super) fn decide(node: &Controller, operations: &SharedOperations) -> Vec<Vec<ProvisioningRequest>> {
     let now = Instant::now();
-    let Some(catalog) = node.catalog() else { return Vec::new() };
-    let held = lock(&node.cluster);
+    let Some(catalog) = node.catalog.get() else { return Vec::new() };
+    let held = node.leader.cluster();
     let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut operations = lock(operations);
-    operations.refusals.holds(&plan::held_by_kind(cluster));
-    let wanted = plan::plan(cluster, &catalog, &operations.refusals, &operations.asked, now);
+    operations.refusals.record_held(&machines_by_kind(cluster));
+    let wanted = plan_scale_out(cluster, &catalog, &operations.refusals, &operations.asked, now);
     let mut rentals = Vec::new();
-    for (kind, count) in wanted {
+    for MachineDemand { kind, count } in wanted {
         let mut left = count.min(MOST_RENTALS * MOST_RENTED);
         *operations.asked.entry(kind.clone()).or_default() += left;
         let mut of_kind = Vec::new();
@@ -39,7 +39,7 @@
             let count = left.min(MOST_RENTED);
             left -= count;
             operations.next += 1;
-            of_kind.push(Rental {
+            of_kind.push(ProvisioningRequest {
                 request: unique_name(&node.incarnation, cluster.fencing_token, operations.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
@@ -53,7 +53,7 @@
 }
 
 /// The requests of one kind, stored before the first is made.
-pub(super) async fn rent(node: Arc<Node>, operations: SharedOperations, rentals: Vec<Rental>) {
+pub(super) async fn rent(node: Arc<Controller>, operations: SharedOperations, rentals: Vec<ProvisioningRequest>) {
     match store(&node, &operations, CloudAction::Provision(rentals.clone()), || false).await {
         Ok(key) => carry_out(node, operations, rentals, key).await,
         Err(_) => {
@@ -66,7 +66,12 @@
 }
 
 /// One after another: once one was not filled, the rest would only use up the cloud's calls.
-pub(super) async fn carry_out(node: Arc<Node>, operations: SharedOperations, rentals: Vec<Rental>, key: String) {
+pub(super) async fn carry_out(
+    node: Arc<Controller>,
+    operations: SharedOperations,
+    rentals: Vec<ProvisioningRequest>,
+    key: String,
+) {
     let mut rentals = rentals.into_iter();
     for rental in rentals.by_ref() {
         if !carry_out_one(&node, &operations, rental).await {
@@ -81,12 +86,12 @@
 }
 
 /// The kind of machine that a rental asks for.
-pub(super) fn kind_of(rental: &Rental) -> MachineKind {
+pub(super) fn kind_of(rental: &ProvisioningRequest) -> MachineKind {
     MachineKind { type_name: rental.type_name.clone(), zone: rental.zone.clone(), spot: rental.spot }
 }
 
 /// Whether it was filled.
-async fn carry_out_one(node: &Node, operations: &SharedOperations, rental: Rental) -> bool {
+async fn carry_out_one(node: &Controller, operations: &SharedOperations, rental: ProvisioningRequest) -> bool {
     let kind = kind_of(&rental);
     let mut outcome = Err(CloudError::Unanswered);
     for _ in 0..RENT_TRIES {
@@ -109,7 +114,7 @@
     let short = (rented.len() as u64) < rental.count;
     info!(kind = %kind, asked = rental.count, got = rented.len(), "rented");
     {
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             for name in &rented {
                 cluster.expect(name, &kind, None, Duration::ZERO, now);
@@ -119,10 +124,10 @@
     let mut operations = lock(operations);
     operations.no_longer_asked(&kind, rental.count);
     if short {
-        operations.refusals.note(kind, node.properties.refusal, now);
+        operations.refusals.record_refusal(kind, node.properties.refusal, now);
     } else {
         operations.refusals.clear(&kind);
     }
-    node.wake.fleet.notify_one();
+    node.wakeups.fleet.notify_one();
     !short
 }
--- a/src/history/interleavings.rs
+++ b/src/history/tests/simulation.rs
@@ -12,15 +12,15 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::moves::{self, Move, end_changes, not_ended, not_there, place_of};
-use super::query_queue::{Batch, QueryQueue, Verdict};
+use crate::history::moves::{self, Move, end_changes, not_ended, not_there, place_of};
+use crate::history::query_queue::{Batch, QueryQueue, Verdict};
 use crate::jobs::record::{
     CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
     open_key,
 };
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::store::client::{Page, WatchResponse};
+use crate::store::client::{KeyValuePage, WatchResponse};
 use crate::store::watch_cache::{Loading, WatchCache};
 use crate::store::{Change, Condition};
 
@@ -56,7 +56,7 @@
 /// An answer of the store on its way.
 enum Answer {
     Watch { asked: u64, response: WatchResponse },
-    Page { epoch: u64, page: Page },
+    Page { epoch: u64, page: KeyValuePage },
     Compared { batch: Batch<usize>, failed: Vec<String> },
     Moved { question: usize, outcome: Result<u64, Vec<String>>, told: Told },
     Ended { id: JobId, outcome: Result<u64, Vec<String>> },
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -7,9 +7,9 @@
 use serde_json::{Value, json};
 
 use crate::declarations::records::{spec_key, status_key};
-use crate::declarations::{DeclarationKind, Declared, Registry, View};
-use crate::fleet::drain;
-use crate::fleet::scale_out::{self, CapacityRefusals};
+use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationRegistry, DeclarationView};
+use crate::fleet::drain::choose_drains;
+use crate::fleet::scale_out::{CapacityRefusals, plan_scale_out};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec as job_spec;
 use crate::jobs::{JobSpec, Shape};
@@ -18,15 +18,16 @@
 use crate::protocol::workers::{AttemptReport, AttemptStatus, Heartbeat, TaskKey};
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{Phase, Status};
-use crate::scheduling::cluster::{ClusterState, Via};
+use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::intents::{Intents, Replicas};
+use crate::scheduling::messages::MessageKind;
 use crate::scheduling::plan;
 use crate::settings::Properties;
 use crate::settings::tests::example;
 
 struct Bench {
     cluster: ClusterState,
-    registry: Registry,
+    registry: DeclarationRegistry,
     catalog: Catalog,
     now: Instant,
     seq: u64,
@@ -42,7 +43,7 @@
         cluster.loaded = true;
         let mut bench = Self {
             cluster,
-            registry: Registry::default(),
+            registry: DeclarationRegistry::default(),
             catalog: Catalog { types: vec![of] },
             now,
             seq: 0,
@@ -102,14 +103,14 @@
                 notice_s: None,
                 attempts: bound.iter().filter_map(runs).collect(),
             };
-            self.cluster.take_heartbeat(heartbeat, Via::Heartbeat, Some(&self.catalog), self.now);
+            self.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), self.now);
         }
     }
 
-    fn with_view<T>(&self, f: impl FnOnce(&View) -> T) -> T {
+    fn with_view<T>(&self, f: impl FnOnce(&DeclarationView) -> T) -> T {
         let (cluster, registry, now) = (&self.cluster, &self.registry, self.now);
         let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].since).as_millis() as u64;
-        f(&View {
+        f(&DeclarationView {
             cluster,
             ended: &|_| None,
             registry,
@@ -131,7 +132,7 @@
                 let (spec, _) = view.registry.spec::<Rollout>(name).unwrap();
                 let status = view.registry.status::<Rollout>(name).map(|(s, _)| s).unwrap_or_default();
                 Rollout::add_intents(name, &spec, &status, view, &mut intents);
-                (name.clone(), Rollout::step(name, &spec, &status, view))
+                (name.clone(), Rollout::next_status(name, &spec, &status, view))
             };
             names.iter().map(of).collect()
         });
@@ -172,7 +173,7 @@
     bench.add(2, |_| ());
     assert!(bench.turn().is_empty());
     let refusals = CapacityRefusals::default();
-    assert!(scale_out::plan(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
+    assert!(plan_scale_out(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
     let mut phases = Vec::new();
     for _ in 0..120 {
         bench.pass(1);
@@ -184,7 +185,7 @@
         let (old, new) = (bench.running(1), bench.running(2));
         assert!(old + new >= 4 && old + new <= 5, "{old} and {new} run, {phase:?}");
         // What a rollout moves is not moved to spare a machine as well.
-        let moved = drain::choose(&bench.cluster, &bench.catalog, bench.now);
+        let moved = choose_drains(&bench.cluster, &bench.catalog, bench.now);
         assert!(phase == Phase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
     }
     assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
@@ -282,7 +283,7 @@
     assert_eq!(bench.running(1), 2, "stopped, and only that one");
     assert!(plan::place(&mut bench.cluster, &bench.catalog, bench.now).is_empty(), "and not placed again");
     let moved =
-        |bench: &Bench| drain::choose(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
+        |bench: &Bench| choose_drains(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
     assert!(moved(&bench), "the two others fit on one machine");
     bench.cluster.set_intents(ask(&[0], true));
     assert!(!moved(&bench));
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -3,8 +3,8 @@
 use super::world::*;
 use super::*;
 use crate::jobs::End;
-use crate::protocol::workers::Cause;
-use crate::scheduling::plan::Placement;
+use crate::protocol::workers::ExitCause;
+use crate::scheduling::cluster::Placement;
 
 /// Arrays of two and three: the first exit is stored or not yet when the leader ends. It is known to the successor
 /// either way, its task never runs again, and the job is done with the last exit, neither before nor never.
@@ -22,7 +22,7 @@
             world.turn(&mut old, m);
         }
         let running = world.heartbeat("m0");
-        world.exits("m0", 0, 1, Cause::Done);
+        world.exits("m0", 0, 1, ExitCause::Done);
         if known {
             world.turn(&mut old, "m0");
         }
@@ -38,7 +38,7 @@
             let mut cluster = world.leader();
             assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
-            cluster.take_heartbeat(running.clone(), Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.orders_in_answer("m0", world.now));
             for _ in 0..3 {
                 world.turn(&mut cluster, "m0");
@@ -52,7 +52,7 @@
         for (index, m) in (1..tasks as u32).zip(&names[1..]) {
             assert_eq!(world.ended, None);
             let mut cluster = world.leader();
-            world.exits(m, index, 1, Cause::Done);
+            world.exits(m, index, 1, ExitCause::Done);
             world.turn(&mut cluster, m);
             world.store(&mut cluster);
         }
@@ -77,8 +77,8 @@
         for m in ["m0", "m1"] {
             world.turn(&mut old, m);
         }
-        world.exits("m0", 0, 1, Cause::Done);
-        world.exits("m1", 1, 1, Cause::Done);
+        world.exits("m0", 0, 1, ExitCause::Done);
+        world.exits("m1", 1, 1, ExitCause::Done);
         if heard == "by the old leader" {
             world.turn(&mut old, "m0");
             // Its other machine is lost before the end is stored: the gang is not begun anew for that.
@@ -93,7 +93,7 @@
         if heard == "as a late copy" {
             let copy = world.heartbeat("m0");
             world.workers.get_mut("m0").unwrap().gone = true;
-            cluster.take_heartbeat(copy, Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(copy, MessageKind::Heartbeat, None, world.now);
         } else {
             world.turn(&mut cluster, "m0");
         }
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -20,12 +20,12 @@
             task: p.task.clone(),
             attempt: 1,
             status: AttemptStatus::Exited,
-            cause: Some(crate::workers::Cause::Done),
+            cause: Some(crate::workers::ExitCause::Done),
             saved: None,
         };
         cluster.take_heartbeat(
             heartbeat(&p.machine, "c8", "a", false, 2 + n as u64, vec![attempt_report]),
-            Via::Heartbeat,
+            MessageKind::Heartbeat,
             None,
             at,
         );
