--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -2,9 +2,12 @@
 
 use serde_json::{Value, json};
 
+use super::ended_jobs::decode_ended_job;
 use super::*;
-use crate::jobs::record::{MOST_ATTEMPTS, encode_shard};
+use crate::jobs::End;
+use crate::jobs::record::{EndedRecord, MOST_ATTEMPTS, StoredTask, decode_shard, encode_shard, ended_key};
 use crate::jobs::tests::spec;
+use crate::store::client::KeyValue;
 
 fn item(path: &str, value: Value) -> KeyValue {
     KeyValue { path: path.to_owned(), value, version: 7 }
@@ -64,11 +67,11 @@
         let key_of = if name == "another job's id" { "run-000001" } else { &*id };
         let key = ended_key(key_of, End::Cancelled);
         let value = serde_json::to_value(EndedRecord { job, ended_ms: 9 }).unwrap();
-        let read = read_ended_record(key_of, &key, &item(&key, value));
+        let read = decode_ended_job(key_of, &key, &item(&key, value));
         assert_eq!(read.is_some(), good, "{name}");
     }
     for value in [json!(["x"]), json!({"spec": 7, "at_ms": 1}), Value::Null] {
         let key = ended_key("run-000001", End::Cancelled);
-        assert!(read_ended_record("run-000001", &key, &item(&key, value.clone())).is_none(), "{value}");
+        assert!(decode_ended_job("run-000001", &key, &item(&key, value.clone())).is_none(), "{value}");
     }
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -46,7 +46,7 @@
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
 pub async fn run(node: Arc<Controller>) {
-    load_cluster_state(&node).await;
+    load_until_done(&node).await;
     let mut schedule = Schedule::new(Instant::now());
     loop {
         let _ = tokio::time::timeout(TICK_INTERVAL, node.wakeups.plan.notified()).await;
@@ -72,10 +72,10 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load_cluster_state(node: &Arc<Controller>) {
+async fn load_until_done(node: &Arc<Controller>) {
     loop {
         if node.store.read_barrier.wait().await {
-            match load::fill(node).await {
+            match load::load_cluster_state(node).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
             }
