--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -6,10 +6,10 @@
 pub mod client;
 pub mod commit;
 pub mod handle;
-#[cfg(test)]
-mod late_transactions;
 pub mod log_limit;
 pub mod share;
+#[cfg(test)]
+mod tests;
 pub mod watch;
 pub mod watch_cache;
 
