--- a/src/store/audit.rs
+++ b/src/audit.rs
@@ -10,18 +10,23 @@
 //! legitimately.
 
 use std::collections::{HashMap, HashSet, VecDeque};
-use std::sync::Arc;
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use tracing::{debug, error};
 
-use super::budget::RequestPriority;
-use super::{CompareAndSwapOutcome, Condition, StoreError};
-use crate::controller::Controller;
+use crate::store::budget::RequestPriority;
+use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
+
 use crate::history::moves::{Move, accept, end_changes, not_ended, not_there};
+use crate::history::reader::History;
 use crate::jobs::record::{JobRecord, ended_key, open_key, shard_key, time_of_day_ms};
 use crate::jobs::{End, JobId};
+use crate::scheduling::leader_state::LeaderState;
+use crate::settings::Settings;
+use crate::store::handle::StateStore;
 use crate::sync::lock;
+use crate::wakeups::Wakeups;
 
 /// Acceptances and ends remembered, the latest: about a KiB each.
 const REMEMBERED: usize = 512;
@@ -137,9 +142,42 @@
     }
 }
 
+/// Compares what the state service has acknowledged with what it holds.
+pub struct Auditor {
+    settings: Arc<Settings>,
+    store: Arc<StateStore>,
+    history: Arc<History>,
+    leader: Arc<LeaderState>,
+    wakeups: Arc<Wakeups>,
+    audit: Mutex<Audit>,
+}
+
+impl Auditor {
+    /// An auditor that knows of nothing that was acknowledged.
+    pub fn new(
+        settings: Arc<Settings>,
+        store: Arc<StateStore>,
+        history: Arc<History>,
+        leader: Arc<LeaderState>,
+        wakeups: Arc<Wakeups>,
+    ) -> Self {
+        Self { settings, store, history, leader, wakeups, audit: Mutex::default() }
+    }
+
+    /// The state service has just acknowledged this.
+    pub fn note(&self, held: Held) {
+        lock(&self.audit).note(held);
+    }
+
+    /// Number of entries held, for display.
+    pub fn remembered(&self) -> usize {
+        lock(&self.audit).remembered()
+    }
+}
+
 /// Everything that the leader knows to be stored.
-fn stored_by_leader(node: &Controller) -> Vec<Held> {
-    let held = node.leader.cluster();
+fn stored_by_leader(auditor: &Auditor) -> Vec<Held> {
+    let held = auditor.leader.cluster();
     let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
     let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
@@ -150,13 +188,13 @@
 }
 
 /// Whether this is still to be expected: what a watch or an answer has told since counts.
-fn still_expected(node: &Controller, held: &Held) -> bool {
+fn still_expected(auditor: &Auditor, held: &Held) -> bool {
     match held {
-        Held::Accepted(record) => node.history.ended(&record.spec.id).is_none(),
-        Held::Open(id) => node.store.watch_cache().open(id).is_some() && node.history.ended(id).is_none(),
+        Held::Accepted(record) => auditor.history.ended(&record.spec.id).is_none(),
+        Held::Open(id) => auditor.store.watch_cache().open(id).is_some() && auditor.history.ended(id).is_none(),
         Held::Ended(..) => true,
         Held::Shard(id, shard, version) => {
-            let held = node.leader.cluster();
+            let held = auditor.leader.cluster();
             let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
             job.is_some_and(|j| j.settled_shards().any(|settled| settled == (*shard, *version)))
         }
@@ -164,16 +202,16 @@
 }
 
 /// Compares what is remembered with the store and writes again what is missing, for ever.
-pub async fn run(node: Arc<Controller>) {
-    let most = node.settings.params.state.conditions();
+pub async fn run(auditor: Arc<Auditor>) {
+    let most = auditor.settings.params.state.conditions();
     loop {
-        tokio::time::sleep(GAP.max(node.store.client.time_for(COST))).await;
-        let batch = lock(&node.audit).next(most, || stored_by_leader(&node));
-        if batch.is_empty() || !node.store.watch_cache().ready {
+        tokio::time::sleep(GAP.max(auditor.store.client.time_for(COST))).await;
+        let batch = lock(&auditor.audit).next(most, || stored_by_leader(&auditor));
+        if batch.is_empty() || !auditor.store.watch_cache().ready {
             continue;
         }
         let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
-        let failed = match node.store.client.compare_and_swap(&conditions, &[], RequestPriority::Background).await {
+        let failed = match auditor.store.client.compare_and_swap(&conditions, &[], RequestPriority::Background).await {
             Ok(CompareAndSwapOutcome::Failed(keys)) => keys,
             Ok(_) => Vec::new(),
             Err(error) => {
@@ -181,18 +219,18 @@
                 continue;
             }
         };
-        let lost = lock(&node.audit).compared(batch, &failed);
-        if lost.is_empty() || !node.store.read_barrier.wait().await {
+        let lost = lock(&auditor.audit).compared(batch, &failed);
+        if lost.is_empty() || !auditor.store.read_barrier.wait().await {
             continue;
         }
         for held in lost {
-            if still_expected(&node, &held) {
+            if still_expected(&auditor, &held) {
                 error!(key = held.name(), "the state service has lost what it had acknowledged");
-                if let Err(error) = mend(&node, &held).await {
+                if let Err(error) = mend(&auditor, &held).await {
                     debug!(%error, key = held.name(), "mending");
                 }
             } else {
-                lock(&node.audit).forget(&held);
+                lock(&auditor.audit).forget(&held);
             }
         }
     }
@@ -204,42 +242,50 @@
 }
 
 /// Writes again what was lost, unless it stands elsewhere by now.
-async fn mend(node: &Controller, held: &Held) -> Result<(), StoreError> {
+async fn mend(auditor: &Auditor, held: &Held) -> Result<(), StoreError> {
     match held {
-        Held::Accepted(record) => accept_again(node, record).await,
+        Held::Accepted(record) => accept_again(auditor, record).await,
         Held::Open(id) => {
-            let record = node.store.watch_cache().open(id).cloned();
+            let record = auditor.store.watch_cache().open(id).cloned();
             match record {
-                Some(record) => accept_again(node, &record).await,
+                Some(record) => accept_again(auditor, &record).await,
                 None => Ok(()),
             }
         }
         Held::Ended(record, end) => {
             let again = end_again(record, *end, time_of_day_ms());
-            if let CompareAndSwapOutcome::Failed(keys) =
-                node.store.client.compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical).await?
+            if let CompareAndSwapOutcome::Failed(keys) = auditor
+                .store
+                .client
+                .compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical)
+                .await?
             {
                 // Another end stands: what was told before cannot be made true any more.
                 error!(?keys, job = %record.spec.id, "lost and ended otherwise since");
-                lock(&node.audit).forget(held);
+                lock(&auditor.audit).forget(held);
             }
             Ok(())
         }
         Held::Shard(id, shard, version) => {
-            let item = node.store.client.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
+            let item = auditor.store.client.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
             let found = item.map_or(0, |i| i.version);
-            if let Some(cluster) = node.leader.cluster().as_mut() {
+            if let Some(cluster) = auditor.leader.cluster().as_mut() {
                 cluster.store_shard_again(id, *shard, *version, found);
             }
-            node.wakeups.commit.notify_one();
+            auditor.wakeups.commit.notify_one();
             Ok(())
         }
     }
 }
 
-async fn accept_again(node: &Controller, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept(record, node.store.watch_cache().old_kept());
-    node.store.client.compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical).await.map(|_| ())
+async fn accept_again(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
+    let again = accept(record, auditor.store.watch_cache().old_kept());
+    auditor
+        .store
+        .client
+        .compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical)
+        .await
+        .map(|_| ())
 }
 
 #[cfg(test)]
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,177 +1,262 @@
-//! One controller: what its parts share, behind short locks that are never held across an await.
+//! One controller: builds the owners of its state, hands them to those who need them, and starts their loops.
+//!
+//! Nothing below knows of this module. Which locks may be held together, and in which order, stands at `membership`.
 
-mod absence;
-mod confirmation;
-mod display;
-mod hands;
-mod leadership;
-mod news;
-mod over;
-mod serving_state;
-mod shares;
-
-use std::sync::atomic::AtomicBool;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, Weak};
 use std::time::Instant;
 
-use tracing::{error, info};
-
-pub use over::Over;
-pub(crate) use shares::WRITES;
-use shares::{REQUESTS, SHARE_EVERY, first_budget};
+use tokio::task::AbortHandle;
+use tracing::{debug, error, info};
 
-use crate::fleet;
+use crate::audit::{self, Auditor};
+use crate::declarations::{self, context::DeclarationState};
 use crate::fleet::cloud::CloudClient;
-use crate::history::reader::{self, History};
+use crate::fleet::{self, Fleet};
+use crate::history::reader::{self, History, HistoryReader};
 use crate::history::sweep;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
-use crate::membership::mesh::Heard;
-use crate::membership::serving_state::{Health, LetGo};
-use crate::membership::unreachable_leader::UnreachableLeader;
-use crate::membership::watermark::Unconfirmed;
-use crate::membership::{self, mesh};
-use crate::process_pause::{BEAT, PauseDetector};
+use crate::membership::{self, Membership, REQUESTS, SHARE_EVERY, WRITES, first_budget, mesh};
+use crate::process_pause::BEAT;
 use crate::protocol::Http;
+use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
+use crate::scheduling::{self, Scheduler};
 use crate::settings::{Properties, Settings};
-use crate::store::audit::{self, Audit};
 use crate::store::handle::StateStore;
 use crate::store::{StateClient, watch};
+use crate::sync::lock;
 use crate::traffic::Traffic;
+use crate::users::UserService;
 use crate::wakeups::Wakeups;
+use crate::workers::{WorkerService, dispatch};
 
-/// All that the parts of one controller share.
+/// One controller, whole.
 pub struct Controller {
     /// The platform's settings, as checked at the start.
-    pub settings: Settings,
-    /// The operators' properties, as checked at the start.
-    pub properties: Properties,
-    /// Names this process among all that ever ran; rental names are made from it.
-    pub incarnation: String,
-    /// Connections to the cloud, the state service and workers.
-    pub http: Http,
-    /// Counts of requests and messages by kind, for operators.
-    pub traffic: Arc<Traffic>,
+    pub settings: Arc<Settings>,
     /// The state service: its client, the watch cache and the read barrier.
     pub store: Arc<StateStore>,
-    /// Client of the cloud, which keeps to its rate limit.
-    pub cloud: CloudClient,
-    /// Answers questions about jobs that are not open by the watch cache.
-    pub history: Arc<History>,
-    /// What the store has acknowledged and is compared with from time to time.
-    pub audit: Mutex<Audit>,
     /// The machine types that the cloud offers.
     pub catalog: Arc<SharedCatalog>,
-    /// The leader's cluster state and the fair-share accounting.
-    pub leader: Arc<LeaderState>,
-    /// What the other controllers said last.
-    pub heard: Mutex<Heard>,
-    /// Submissions that wait to be written.
-    pub admission: Mutex<Admission>,
-    /// Notifications between the tasks of this controller.
-    pub wakeups: Arc<Wakeups>,
-    /// Notices that this process was paused.
-    pause_detector: Mutex<PauseDetector>,
-    /// Was paused for so long that another may lead by now; nothing is done until the store says.
-    unproven: AtomicBool,
-    unreachable_leader: Mutex<UnreachableLeader>,
-    /// What users and machines are told while little can be proven.
-    health: Mutex<Health>,
-    let_go: Mutex<LetGo>,
-    /// Cancellations that other controllers may not have heard this leader confirm.
-    unconfirmed: Mutex<Unconfirmed>,
-    leader_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
-    /// Orders that are marked as done wait for a higher fencing token (`cloud_orders`).
-    marks_pressed: AtomicBool,
+    /// The election, and what this controller can prove.
+    pub membership: Arc<Membership>,
+    /// The API for users.
+    pub users: Arc<UserService>,
+    traffic: Arc<Traffic>,
+    history: Arc<History>,
+    leader: Arc<LeaderState>,
+    audit: Arc<Auditor>,
+    scheduler: Arc<Scheduler>,
+    group_commit: Arc<GroupCommit>,
+    workers: Arc<WorkerService>,
+    fleet: Arc<Fleet>,
+    declarations: Arc<DeclarationState>,
 }
 
 impl Controller {
     /// A controller that does nothing before `start`.
     pub fn new(settings: Settings, properties: Properties) -> Arc<Self> {
+        let (settings, properties) = (Arc::new(settings), Arc::new(properties));
         let now = Instant::now();
         let http = Http::default();
         let traffic = Arc::<Traffic>::default();
-        let (limits, others) = (&settings.params.state, settings.peers.len());
-        let requests = first_budget(REQUESTS, limits.rps, others, now);
-        let writes = first_budget(WRITES, limits.write_rps, others, now);
-        let state = settings.endpoints.state.clone();
-        let client = StateClient::new(http.clone(), state, requests, writes, traffic.clone());
-        let store = Arc::new(StateStore::new(Arc::new(client)));
+        let wakeups = Arc::<Wakeups>::default();
+        let catalog = Arc::<SharedCatalog>::default();
+        let history = Arc::new(History::new(&settings));
+        let leader = Arc::new(LeaderState::new(&settings, &properties, now));
+        let store = Arc::new(state_store(&settings, http.clone(), traffic.clone(), now));
         let cloud = CloudClient::new(http.clone(), &settings, traffic.clone(), now);
-        Arc::new(Self {
-            incarnation: format!("{:016x}", rand::random::<u64>()),
+        let membership = Arc::new(Membership::new(
+            settings.clone(),
+            properties.clone(),
+            store.clone(),
+            history.clone(),
+            leader.clone(),
+            catalog.clone(),
+            wakeups.clone(),
+        ));
+        let audit =
+            Arc::new(Auditor::new(settings.clone(), store.clone(), history.clone(), leader.clone(), wakeups.clone()));
+        let declarations = Arc::new(DeclarationState {
+            store: store.clone(),
+            history: history.clone(),
+            membership: membership.clone(),
+            leader: leader.clone(),
+            wakeups: wakeups.clone(),
+        });
+        let scheduler = Arc::new(Scheduler {
+            settings: settings.clone(),
+            store: store.clone(),
+            history: history.clone(),
+            membership: membership.clone(),
+            leader: leader.clone(),
+            catalog: catalog.clone(),
+            intents: declarations.clone(),
+            wakeups: wakeups.clone(),
+        });
+        let group_commit = Arc::new(GroupCommit {
+            settings: settings.clone(),
+            store: store.clone(),
+            history: history.clone(),
+            membership: membership.clone(),
+            leader: leader.clone(),
+            audit: audit.clone(),
+            wakeups: wakeups.clone(),
+        });
+        let workers = Arc::new(WorkerService {
+            settings: settings.clone(),
+            membership: membership.clone(),
+            leader: leader.clone(),
+            catalog: catalog.clone(),
+            wakeups: wakeups.clone(),
             http,
-            traffic,
-            store,
+            traffic: traffic.clone(),
+        });
+        let fleet = Arc::new(Fleet {
+            settings: settings.clone(),
+            properties,
+            store: store.clone(),
+            membership: membership.clone(),
+            leader: leader.clone(),
+            catalog: catalog.clone(),
             cloud,
-            history: Arc::new(History::new(&settings)),
-            audit: Mutex::default(),
-            catalog: Arc::default(),
-            leader: Arc::new(LeaderState::new(&settings, &properties, now)),
-            heard: Mutex::default(),
+            wakeups,
+        });
+        let users = Arc::new(UserService {
+            settings: settings.clone(),
+            store: store.clone(),
+            history: history.clone(),
+            membership: membership.clone(),
+            catalog: catalog.clone(),
+            audit: audit.clone(),
+            traffic: traffic.clone(),
+            workers: workers.clone(),
             admission: Mutex::new(Admission::new(now)),
-            wakeups: Arc::default(),
-            pause_detector: Mutex::new(PauseDetector::new(now)),
-            unproven: AtomicBool::new(false),
-            unreachable_leader: Mutex::default(),
-            health: Mutex::default(),
-            let_go: Mutex::default(),
-            unconfirmed: Mutex::default(),
-            leader_tasks: Mutex::default(),
-            marks_pressed: AtomicBool::new(false),
+        });
+        let controller = Arc::new(Self {
             settings,
-            properties,
-        })
+            store,
+            catalog,
+            membership,
+            users,
+            traffic,
+            history,
+            leader,
+            audit,
+            scheduler,
+            group_commit,
+            workers,
+            fleet,
+            declarations,
+        });
+        // Weak, since the controller owns the membership that keeps this.
+        let weak = Arc::downgrade(&controller);
+        let start = move || Weak::upgrade(&weak).map(|this| this.start_leader_loops()).unwrap_or_default();
+        controller.membership.start_leader_loops_with(start);
+        controller
     }
 
     /// Starts everything but the listener for users and workers.
     pub fn start(self: &Arc<Self>) {
-        tokio::spawn(watch::run(self.clone()));
-        tokio::spawn(watch::run_read_barrier(self.clone()));
-        tokio::spawn(reader::run(self.clone()));
+        tokio::spawn(watch::run(self.store.clone(), self.membership.clone()));
+        tokio::spawn(watch::run_read_barrier(self.store.clone(), self.membership.clone()));
+        let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
+        tokio::spawn(reader::run(Arc::new(reader)));
         tokio::spawn(sweep::run(self.history.clone(), self.store.client.clone()));
-        tokio::spawn(audit::run(self.clone()));
-        tokio::spawn(membership::run(self.clone()));
-        tokio::spawn(mesh::listen(self.clone()));
+        tokio::spawn(audit::run(self.audit.clone()));
+        tokio::spawn(membership::run(self.membership.clone()));
+        tokio::spawn(mesh::listen(self.membership.clone()));
         for peer in &self.settings.peers {
-            tokio::spawn(mesh::tell(self.clone(), peer.clone()));
+            tokio::spawn(mesh::tell(self.membership.clone(), peer.clone()));
         }
-        tokio::spawn(fleet::learn_catalog(self.clone()));
+        let controller = self.clone();
+        tokio::spawn(fleet::learn_catalog(self.fleet.clone(), move || controller.tell_held()));
         let traffic = self.traffic.clone();
         tokio::spawn(async move { traffic.run().await });
-        let node = self.clone();
+        let membership = self.membership.clone();
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(SHARE_EVERY).await;
-                node.share();
+                membership.share();
             }
         });
-        let node = self.clone();
+        let membership = self.membership.clone();
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(BEAT).await;
-                node.beat(Instant::now());
+                membership.beat(Instant::now());
             }
         });
     }
+
+    /// Starts the loops that run while this controller leads.
+    fn start_leader_loops(&self) -> Vec<AbortHandle> {
+        vec![
+            tokio::spawn(scheduling::run(self.scheduler.clone())).abort_handle(),
+            tokio::spawn(commit::run(self.group_commit.clone())).abort_handle(),
+            tokio::spawn(dispatch::run(self.workers.clone())).abort_handle(),
+            tokio::spawn(fleet::run(self.fleet.clone())).abort_handle(),
+            tokio::spawn(declarations::run::run(self.declarations.clone())).abort_handle(),
+        ]
+    }
+
+    /// Entries of everything held that could grow, for operators and for tests: each follows open
+    /// work, machines or a fixed bound (docs/history.md).
+    pub fn held(&self) -> Vec<(&'static str, usize)> {
+        let mut held = Vec::new();
+        {
+            let watch_cache = self.store.watch_cache();
+            held.push(("open_jobs", watch_cache.open_jobs().count()));
+            held.push(("open_tasks", watch_cache.held().tasks as usize));
+            held.push(("descriptions", watch_cache.ended_kept()));
+            held.push(("declared", watch_cache.registry().entries()));
+        }
+        let [ends, asked, waiting] = self.history.held();
+        held.push(("audited", self.audit.remembered()));
+        held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
+        held.push(("served", self.leader.accounting().entries()));
+        held.push(("in_admission", lock(&self.users.admission).waiting()));
+        held.extend(self.membership.held());
+        if let Some(cluster) = self.leader.cluster().as_ref() {
+            held.extend(cluster.held());
+        }
+        held
+    }
+
+    /// Tells at `debug` what `held` gives.
+    pub fn tell_held(&self) {
+        if tracing::enabled!(tracing::Level::DEBUG) {
+            let held: Vec<String> = self.held().iter().map(|(what, n)| format!("{what}={n}")).collect();
+            debug!(held = held.join(" "), "held");
+        }
+    }
+}
+
+/// The state service, with what a controller begins with of its limits.
+fn state_store(settings: &Settings, http: Http, traffic: Arc<Traffic>, now: Instant) -> StateStore {
+    let (limits, others) = (&settings.params.state, settings.peers.len());
+    let requests = first_budget(REQUESTS, limits.rps, others, now);
+    let writes = first_budget(WRITES, limits.write_rps, others, now);
+    let client = StateClient::new(http, settings.endpoints.state.clone(), requests, writes, traffic);
+    StateStore::new(Arc::new(client))
 }
 
 /// The whole controller on the current thread, until it is killed.
 pub fn serve(settings: Settings, properties: Properties) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let node = Controller::new(settings, properties);
-        info!(node = node.settings.node, incarnation = node.incarnation, "starting");
+        let controller = Controller::new(settings, properties);
+        info!(node = controller.settings.node, incarnation = controller.membership.incarnation, "starting");
         // The address first: whoever had it under this name is gone, which membership goes by.
         let outcome = async {
-            let acceptor = crate::users::bind(&node).await?;
-            node.start();
-            crate::users::serve(node.clone(), acceptor).await
+            let acceptor = crate::users::bind(&controller.users).await?;
+            controller.start();
+            crate::users::serve(controller.users.clone(), acceptor).await
         }
         .await;
         if let Err(error) = &outcome {
-            error!(%error, addr = node.settings.listen, "cannot serve");
+            error!(%error, addr = controller.settings.listen, "cannot serve");
         }
         outcome
     })
--- a/src/controller/hands.rs
+++ b/src/declarations/context.rs
@@ -1,15 +1,45 @@
-//! Implements `declarations::run::DeclarationContext` for a controller: what the driver of declared things may read and do.
+//! What the driver of declarations may read and do at the leader, and what declarations ask of the cluster state.
 
-use super::Controller;
-use crate::declarations::driver::JobEnds;
-use crate::declarations::run::DeclarationContext;
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::driver::{self, JobEnds};
+use super::run::DeclarationContext;
+use super::table::KINDS;
+use crate::history::reader::History;
 use crate::jobs::JobId;
-use crate::scheduling::ClusterState;
+use crate::jobs::record::time_of_day_ms;
+use crate::membership::Membership;
+use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::leader_state::LeaderState;
+use crate::scheduling::scheduler::IntentSource;
 use crate::store::budget::RequestPriority;
+use crate::store::handle::StateStore;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
+use crate::wakeups::Wakeups;
+
+/// Declarations at one controller.
+pub struct DeclarationState {
+    /// The state service; its watch cache holds the declarations.
+    pub store: Arc<StateStore>,
+    /// Ends of jobs.
+    pub history: Arc<History>,
+    /// Whether this controller may act as the leader.
+    pub membership: Arc<Membership>,
+    /// The cluster state, of which declarations ask something.
+    pub leader: Arc<LeaderState>,
+    /// Wakes the driver, and the election where another may lead.
+    pub wakeups: Arc<Wakeups>,
+}
+
+impl IntentSource for DeclarationState {
+    fn refresh_intents(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
+        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+    }
+}
 
-impl DeclarationContext for Controller {
+impl DeclarationContext for DeclarationState {
     fn is_idle(&self) -> bool {
         let watch_cache = self.store.watch_cache();
         let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
@@ -17,7 +47,7 @@
     }
 
     fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
-        if self.unproven() {
+        if self.membership.unproven() {
             return None;
         }
         let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
@@ -44,7 +74,7 @@
 
     async fn refresh_after_conflict(&self) {
         self.store.read_barrier.wait().await;
-        self.check_deposed();
+        self.membership.check_deposed();
         self.wakeups.membership.notify_one();
     }
 
--- a/src/declarations/mod.rs
+++ b/src/declarations/mod.rs
@@ -5,6 +5,7 @@
 //! any point. Nothing acts on a status before it is stored: what is asked of placing, renting and
 //! sparing (`scheduling::intents`) follows from statuses as the watch cache has them, the cluster state and the time.
 
+pub mod context;
 pub mod driver;
 pub mod operator;
 pub mod records;
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -6,22 +6,22 @@
 use tracing::debug;
 
 use super::RETRY;
-use crate::controller::Controller;
+use super::manager::Fleet;
 use crate::sync::jitter;
 
 /// The types are asked for anew this often.
 const CATALOG_EVERY: Duration = Duration::from_secs(60);
 
-/// Every controller needs the types to judge submissions.
-pub async fn learn_catalog(node: Arc<Controller>) {
+/// Every controller needs the types to judge submissions. `after_each` is called after each answer of the cloud.
+pub async fn learn_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
     loop {
-        let pause = match node.cloud.catalog().await {
+        let pause = match fleet.cloud.catalog().await {
             Ok(catalog) => {
                 let types = catalog.types.len();
-                if node.catalog.replace(catalog) {
+                if fleet.catalog.replace(catalog) {
                     debug!(types, "catalog");
                 }
-                node.wakeups.plan.notify_one();
+                fleet.wakeups.plan.notify_one();
                 CATALOG_EVERY
             }
             Err(error) => {
@@ -29,8 +29,8 @@
                 RETRY
             }
         };
-        node.tidy_counts();
-        node.tell_held();
+        fleet.membership.tidy_counts();
+        after_each();
         tokio::time::sleep(jitter(pause)).await;
     }
 }
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -6,15 +6,15 @@
 use tracing::debug;
 
 use super::cloud;
-use crate::controller::Controller;
+use super::manager::Fleet;
 use crate::machine_kinds::MachineKind;
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::Ground;
 
 /// Machines that the cloud lists, with their ages and states.
-pub(super) fn take_list(node: &Controller, machines: Vec<cloud::CloudMachine>) {
+pub(super) fn take_list(fleet: &Fleet, machines: Vec<cloud::CloudMachine>) {
     let now = Instant::now();
-    let mut held = node.leader.cluster();
+    let mut held = fleet.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
     for machine in machines {
         let age = Duration::try_from_secs_f64(machine.held_s).unwrap_or_default();
@@ -26,12 +26,12 @@
             _ => {}
         }
     }
-    node.wakeups.dispatch.notify_one();
+    fleet.wakeups.dispatch.notify_one();
 }
 
 /// What is held of each kind and how full it is, for whoever looks at costs.
-pub(super) fn tell_fleet(node: &Controller) {
-    let (Some(catalog), held) = (node.catalog.get(), node.leader.cluster()) else { return };
+pub(super) fn tell_fleet(fleet: &Fleet) {
+    let (Some(catalog), held) = (fleet.catalog.get(), fleet.leader.cluster()) else { return };
     let Some(cluster) = held.as_ref() else { return };
     let ground = Ground::new(cluster, &catalog);
     let mut held_of = BTreeMap::<usize, (u32, u32, u32, u32, f64, f64)>::new();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -5,6 +5,7 @@
 mod cloud_operations;
 pub mod drain;
 mod inventory;
+pub mod manager;
 mod order_log;
 mod provisioning;
 pub mod scale_in;
@@ -25,7 +26,7 @@
 
 use scale_in::surplus_machines;
 
-use crate::controller::Controller;
+pub use manager::Fleet;
 
 /// Between two tries of a call to the cloud or of an order.
 const RETRY: Duration = Duration::from_millis(700);
@@ -43,20 +44,20 @@
 const REST: u32 = 8;
 
 /// Lists, drains, rents and returns for as long as this controller leads.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(fleet: Arc<Fleet>) {
     let operations = SharedOperations::default();
     let (mut listed, mut told, mut drained) = (None::<Instant>, None::<Instant>, Instant::now());
     let (mut renting, mut returning) = (tokio::task::JoinSet::new(), tokio::task::JoinSet::new());
     let mut tidying = tokio::task::JoinSet::new();
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wakeups.fleet.notified()).await;
-        if node.unproven() || !node.leader.cluster().as_ref().is_some_and(|b| b.loaded) {
+        let _ = tokio::time::timeout(EVERY, fleet.wakeups.fleet.notified()).await;
+        if fleet.membership.unproven() || !fleet.leader.cluster().as_ref().is_some_and(|b| b.loaded) {
             continue;
         }
         if listed.is_none_or(|at| at.elapsed() >= LIST_EVERY) {
             listed = Some(Instant::now());
-            match node.cloud.list().await {
-                Ok(machines) => take_list(&node, machines),
+            match fleet.cloud.list().await {
+                Ok(machines) => take_list(&fleet, machines),
                 Err(error) => debug!(%error, "listing machines"),
             }
         }
@@ -64,40 +65,40 @@
         while returning.try_join_next().is_some() {}
         let begun = Instant::now();
         if drained.elapsed() >= DRAIN_GAP {
-            drain_some(&node);
+            drain_some(&fleet);
             drained = Instant::now();
             if told.is_none_or(|at| at.elapsed() >= TELL_EVERY) && tracing::enabled!(tracing::Level::DEBUG) {
                 told = Some(Instant::now());
-                tell_fleet(&node);
+                tell_fleet(&fleet);
             }
         }
-        let inherited = inherited(&node, &operations);
+        let inherited = inherited(&fleet, &operations);
         for order in inherited.provisioning {
-            renting.spawn(carry_out(node.clone(), operations.clone(), order.requests, order.key));
+            renting.spawn(carry_out(fleet.clone(), operations.clone(), order.requests, order.key));
         }
         for call in inherited.terminations {
-            returning.spawn(give_back(node.clone(), operations.clone(), call.machines, call.keys));
+            returning.spawn(give_back(fleet.clone(), operations.clone(), call.machines, call.keys));
         }
-        for rentals in decide(&node, &operations) {
-            renting.spawn(rent_all(node.clone(), operations.clone(), rentals));
+        for rentals in decide(&fleet, &operations) {
+            renting.spawn(rent_all(fleet.clone(), operations.clone(), rentals));
         }
-        for names in to_return(&node, &operations) {
-            returning.spawn(return_all(node.clone(), operations.clone(), names));
+        for names in to_return(&fleet, &operations) {
+            returning.spawn(return_all(fleet.clone(), operations.clone(), names));
         }
         while tidying.try_join_next().is_some() {}
         if tidying.is_empty() {
-            let (node, operations) = (node.clone(), operations.clone());
-            tidying.spawn(async move { tidy(&node, &operations).await });
+            let (fleet, operations) = (fleet.clone(), operations.clone());
+            tidying.spawn(async move { tidy(&fleet, &operations).await });
         }
         tokio::time::sleep(RENT_GAP.max(begun.elapsed() * REST)).await;
     }
 }
 
 /// Gives up machines that do not come up, and drains those that can be spared.
-fn drain_some(node: &Controller) {
+fn drain_some(fleet: &Fleet) {
     let now = Instant::now();
-    let Some(catalog) = node.catalog.get() else { return };
-    let mut held = node.leader.cluster();
+    let Some(catalog) = fleet.catalog.get() else { return };
+    let mut held = fleet.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
     for machine in surplus_machines(cluster, &catalog, now) {
         cluster.terminate(&machine.id, machine.reason);
@@ -110,5 +111,5 @@
         cluster.drain(&drain.machine, &drain.moves, now);
     }
     cluster.tick(now);
-    node.wakeups.dispatch.notify_one();
+    fleet.wakeups.dispatch.notify_one();
 }
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -7,9 +7,9 @@
 
 use super::RETRY;
 use super::cloud_operations::SharedOperations;
+use super::manager::Fleet;
 use super::provisioning::kind_of;
 use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_RETURNED, OrderCleanUp, StoreStep};
-use crate::controller::Controller;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
@@ -20,8 +20,8 @@
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
 /// What an earlier leader has left, once; from here on it is this leader's.
-pub(super) fn inherited(node: &Controller, operations: &SharedOperations) -> InheritedOrders {
-    let orders = node.leader.cluster().as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
+pub(super) fn inherited(fleet: &Fleet, operations: &SharedOperations) -> InheritedOrders {
+    let orders = fleet.leader.cluster().as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
     let inherited = InheritedOrders::group(orders, MOST_RETURNED);
     let mut operations = lock(operations);
     for order in &inherited.provisioning {
@@ -38,33 +38,33 @@
     inherited
 }
 
-fn fencing_token(node: &Controller) -> Option<u64> {
-    node.leader.cluster().as_ref().map(|b| b.fencing_token)
+fn fencing_token(fleet: &Fleet) -> Option<u64> {
+    fleet.leader.cluster().as_ref().map(|b| b.fencing_token)
 }
 
 /// Stores an order under this leader's leader record; its key, once it stands. None where another leads
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
-    node: &Controller,
+    fleet: &Fleet,
     operations: &SharedOperations,
     what: CloudAction,
     give_up: impl Fn() -> bool,
 ) -> Result<String, StoreStep> {
-    let Some(epoch) = fencing_token(node) else { return Err(StoreStep::Abandon) };
+    let Some(epoch) = fencing_token(fleet) else { return Err(StoreStep::Abandon) };
     let order = {
         let mut operations = lock(operations);
         operations.next += 1;
-        CloudOrder::new(&node.incarnation, epoch, operations.next, what)
+        CloudOrder::new(&fleet.membership.incarnation, epoch, operations.next, what)
     };
     let change = [order.change()];
     loop {
-        let Some(under) = fencing_token(node) else { return Err(StoreStep::Abandon) };
+        let Some(under) = fencing_token(fleet) else { return Err(StoreStep::Abandon) };
         let outcome =
-            node.store.client.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
+            fleet.store.client.compare_and_swap(&order.conditions(under), &change, RequestPriority::Critical).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(operations).late.insert(order.key.clone(), under);
         }
-        match order.step_after(&outcome, fencing_token(node)) {
+        match order.step_after(&outcome, fencing_token(fleet)) {
             StoreStep::Execute => return Ok(order.key),
             StoreStep::Abandon => return Err(StoreStep::Abandon),
             StoreStep::Retry if give_up() => {
@@ -75,8 +75,8 @@
             StoreStep::Retry => {
                 debug!(?outcome, key = order.key, "storing an order");
                 if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
-                    node.store.read_barrier.wait().await;
-                    node.check_deposed();
+                    fleet.store.read_barrier.wait().await;
+                    fleet.membership.check_deposed();
                 }
                 tokio::time::sleep(jitter(RETRY)).await;
             }
@@ -85,11 +85,11 @@
 }
 
 /// Orders that were carried out are dropped together, behind everything else.
-pub(super) async fn tidy(node: &Controller, operations: &SharedOperations) {
-    let Some(fencing_token) = fencing_token(node) else { return };
+pub(super) async fn tidy(fleet: &Fleet, operations: &SharedOperations) {
+    let Some(fencing_token) = fencing_token(fleet) else { return };
     let pressed = lock(operations).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
     let urgent = if pressed { RequestPriority::Placement } else { RequestPriority::Background };
-    let most = node.store.client.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
+    let most = fleet.store.client.writes_ready(urgent).min(fleet.settings.params.state.txn_ops as usize);
     let (keys, clean_up) = {
         let mut operations = lock(operations);
         let keys: Vec<String> = operations.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
@@ -101,12 +101,12 @@
     }
     let outcome = tokio::time::timeout(
         TIDY_WITHIN,
-        node.store.client.compare_and_swap(&clean_up.conditions, &clean_up.changes, urgent),
+        fleet.store.client.compare_and_swap(&clean_up.conditions, &clean_up.changes, urgent),
     )
     .await;
     if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
         let mut operations = lock(operations);
         operations.cleaned_up(&keys, fencing_token);
-        node.press_marks(operations.marks_press());
+        fleet.membership.press_marks(operations.marks_press());
     }
 }
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -8,10 +8,10 @@
 use super::RETRY;
 use super::cloud::{CloudError, ProvisioningRequest};
 use super::cloud_operations::SharedOperations;
+use super::manager::Fleet;
 use super::order_log::store;
 use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
 use crate::cloud_orders::{CloudAction, MOST_RENTED, unique_name};
-use crate::controller::Controller;
 use crate::machine_kinds::MachineKind;
 use crate::sync::{jitter, lock};
 
@@ -22,10 +22,10 @@
 const RENT_TRIES: u32 = 6;
 
 /// What to rent, the requests of each kind together.
-pub(super) fn decide(node: &Controller, operations: &SharedOperations) -> Vec<Vec<ProvisioningRequest>> {
+pub(super) fn decide(fleet: &Fleet, operations: &SharedOperations) -> Vec<Vec<ProvisioningRequest>> {
     let now = Instant::now();
-    let Some(catalog) = node.catalog.get() else { return Vec::new() };
-    let held = node.leader.cluster();
+    let Some(catalog) = fleet.catalog.get() else { return Vec::new() };
+    let held = fleet.leader.cluster();
     let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut operations = lock(operations);
     operations.refusals.record_held(&machines_by_kind(cluster));
@@ -40,7 +40,7 @@
             left -= count;
             operations.next += 1;
             of_kind.push(ProvisioningRequest {
-                request: unique_name(&node.incarnation, cluster.fencing_token, operations.next),
+                request: unique_name(&fleet.membership.incarnation, cluster.fencing_token, operations.next),
                 type_name: kind.type_name.clone(),
                 zone: kind.zone.clone(),
                 spot: kind.spot,
@@ -53,9 +53,9 @@
 }
 
 /// The requests of one kind, stored before the first is made.
-pub(super) async fn rent(node: Arc<Controller>, operations: SharedOperations, rentals: Vec<ProvisioningRequest>) {
-    match store(&node, &operations, CloudAction::Provision(rentals.clone()), || false).await {
-        Ok(key) => carry_out(node, operations, rentals, key).await,
+pub(super) async fn rent(fleet: Arc<Fleet>, operations: SharedOperations, rentals: Vec<ProvisioningRequest>) {
+    match store(&fleet, &operations, CloudAction::Provision(rentals.clone()), || false).await {
+        Ok(key) => carry_out(fleet, operations, rentals, key).await,
         Err(_) => {
             let mut operations = lock(&operations);
             for rental in &rentals {
@@ -67,14 +67,14 @@
 
 /// One after another: once one was not filled, the rest would only use up the cloud's calls.
 pub(super) async fn carry_out(
-    node: Arc<Controller>,
+    fleet: Arc<Fleet>,
     operations: SharedOperations,
     rentals: Vec<ProvisioningRequest>,
     key: String,
 ) {
     let mut rentals = rentals.into_iter();
     for rental in rentals.by_ref() {
-        if !carry_out_one(&node, &operations, rental).await {
+        if !carry_out_one(&fleet, &operations, rental).await {
             break;
         }
     }
@@ -91,11 +91,11 @@
 }
 
 /// Whether it was filled.
-async fn carry_out_one(node: &Controller, operations: &SharedOperations, rental: ProvisioningRequest) -> bool {
+async fn carry_out_one(fleet: &Fleet, operations: &SharedOperations, rental: ProvisioningRequest) -> bool {
     let kind = kind_of(&rental);
     let mut outcome = Err(CloudError::Unanswered);
     for _ in 0..RENT_TRIES {
-        outcome = node.cloud.rent(&rental).await;
+        outcome = fleet.cloud.rent(&rental).await;
         match &outcome {
             Ok(_) | Err(CloudError::NoCapacity) => break,
             Err(error) => debug!(%error, request = rental.request, "renting"),
@@ -114,7 +114,7 @@
     let short = (rented.len() as u64) < rental.count;
     info!(kind = %kind, asked = rental.count, got = rented.len(), "rented");
     {
-        let mut held = node.leader.cluster();
+        let mut held = fleet.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             for name in &rented {
                 cluster.expect(name, &kind, None, Duration::ZERO, now);
@@ -124,10 +124,10 @@
     let mut operations = lock(operations);
     operations.no_longer_asked(&kind, rental.count);
     if short {
-        operations.refusals.record_refusal(kind, node.properties.refusal, now);
+        operations.refusals.record_refusal(kind, fleet.properties.refusal, now);
     } else {
         operations.refusals.clear(&kind);
     }
-    node.wakeups.fleet.notify_one();
+    fleet.wakeups.fleet.notify_one();
     !short
 }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -13,12 +13,13 @@
 use super::query_queue::{Batch, QueryQueue, Verdict};
 use super::sweep::Sweep;
 use super::visibility::Visible;
-use crate::controller::Controller;
+
 use crate::jobs::record::{JobRecord, OldEnd, ended_key, old_end_key, old_job_key};
 use crate::jobs::{End, JobId};
 use crate::settings::Settings;
 use crate::store::budget::RequestPriority;
 use crate::store::client::KeyValue;
+use crate::store::handle::StateStore;
 use crate::store::log_limit::LogLimit;
 use crate::store::{CompareAndSwapOutcome, StateClient, StoreError};
 use crate::sync::lock;
@@ -179,25 +180,33 @@
     }
 }
 
+/// Asks the state service the questions of one controller.
+pub struct HistoryReader {
+    /// The questions, and what is known of ends.
+    pub history: Arc<History>,
+    /// The state service.
+    pub store: Arc<StateStore>,
+}
+
 /// Asks for ever, as the questions come.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(reader: Arc<HistoryReader>) {
     let free = Arc::new(Semaphore::new(UNDER_WAY));
     loop {
-        if !lock(&node.history.queries).anything_to_ask() {
-            node.history.wanted.notified().await;
+        if !lock(&reader.history.queries).anything_to_ask() {
+            reader.history.wanted.notified().await;
         }
         tokio::time::sleep(GATHER).await;
         let Ok(turn) = free.clone().acquire_owned().await else { return };
         // The batch is filled only once it may go: until then more questions can join it.
-        if let Err(error) = node.store.client.reserve(RequestPriority::Query).await {
+        if let Err(error) = reader.store.client.reserve(RequestPriority::Query).await {
             debug!(%error, "questions wait");
         }
-        let (batch, stale) = lock(&node.history.queries).next_batch(Instant::now());
+        let (batch, stale) = lock(&reader.history.queries).next_batch(Instant::now());
         tell(stale.all(Verdict::Later));
         if !batch.is_empty() {
-            let node = node.clone();
+            let reader = reader.clone();
             tokio::spawn(async move {
-                look_up(&node, batch).await;
+                look_up(&reader, batch).await;
                 drop(turn);
             });
         }
@@ -211,15 +220,15 @@
     }
 }
 
-async fn look_up(node: &Controller, batch: Batch<Waiter>) {
-    let old_kept = node.store.watch_cache().old_kept();
+async fn look_up(reader: &HistoryReader, batch: Batch<Waiter>) {
+    let old_kept = reader.store.watch_cache().old_kept();
     let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
-    match node.store.client.compare_reserved(&conditions).await {
+    match reader.store.client.compare_reserved(&conditions).await {
         Ok(failed) => {
-            let (answers, old) = lock(&node.history.queries).answered(batch, &failed);
+            let (answers, old) = lock(&reader.history.queries).answered(batch, &failed);
             tell(answers);
             if !old.is_empty() {
-                look_up_old(node, old).await;
+                look_up_old(reader, old).await;
             }
         }
         Err(error) => {
@@ -230,9 +239,9 @@
 }
 
 /// Jobs found under an earlier build's key, one by one.
-async fn look_up_old(node: &Controller, batch: Batch<Waiter>) {
+async fn look_up_old(reader: &HistoryReader, batch: Batch<Waiter>) {
     for (id, waiters) in batch.into_asked() {
-        let verdict = match old_verdict(node, &id).await {
+        let verdict = match old_verdict(reader, &id).await {
             Ok(verdict) => verdict,
             Err(error) => {
                 debug!(%error, job = %id, "asking about a job of an earlier build");
@@ -240,7 +249,7 @@
             }
         };
         if let Verdict::Ended(end) = verdict {
-            node.history.note_end(&id, end);
+            reader.history.note_end(&id, end);
         }
         tell(waiters.into_iter().map(|w| (w, verdict)).collect());
     }
@@ -259,18 +268,18 @@
     }
 }
 
-async fn old_verdict(node: &Controller, id: &JobId) -> Result<Verdict, StoreError> {
-    if let Some(item) = node.store.client.get(&old_end_key(id), RequestPriority::Query).await? {
-        return Ok(read_old_end(&item, &mut lock(&node.history.unreadable)));
+async fn old_verdict(reader: &HistoryReader, id: &JobId) -> Result<Verdict, StoreError> {
+    if let Some(item) = reader.store.client.get(&old_end_key(id), RequestPriority::Query).await? {
+        return Ok(read_old_end(&item, &mut lock(&reader.history.unreadable)));
     }
     // An acceptance that the earlier build never heard the answer of, applied after the upgrade.
-    let Some(item) = node.store.client.get(&old_job_key(id), RequestPriority::Query).await? else {
+    let Some(item) = reader.store.client.get(&old_job_key(id), RequestPriority::Query).await? else {
         return Ok(Verdict::Later);
     };
     // Accepted, for all that can be read of it: known for ever, if never run.
     let Ok(record) = JobRecord::deserialize(&item.value) else { return Ok(Verdict::Open) };
     let adopt = moves::adopt(&record, item.version);
-    match node.store.client.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await? {
+    match reader.store.client.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(_) => {
             warn!(job = %id, "an acceptance of an earlier build came late: taken over");
             Ok(Verdict::Open)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,6 +17,7 @@
 
 #![warn(missing_docs)]
 
+pub mod audit;
 pub mod calendar;
 pub mod cli;
 pub mod cloud_orders;
--- a/src/controller/news.rs
+++ b/src/membership/cache_changes.rs
@@ -3,18 +3,18 @@
 
 use std::time::Instant;
 
-use super::Controller;
-use crate::declarations::driver;
-use crate::declarations::table::KINDS;
+use super::Membership;
+use crate::history::upgrade;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
-use crate::scheduling::ClusterState;
-use crate::store::watch_cache::{CacheChanges, WatchCache};
+use crate::store::StoreError;
+use crate::store::watch::WatchObserver;
+use crate::store::watch_cache::CacheChanges;
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// Hands what the watch cache learned to whoever acts on it.
-    pub fn spread(&self, news: CacheChanges) {
+    pub(super) fn apply_cache_changes(&self, news: CacheChanges) {
         if news.is_empty() {
             let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
             if let Some(cluster) = held.as_mut() {
@@ -66,17 +66,26 @@
             self.wakeups.dispatch.notify_one();
         }
     }
+}
 
-    /// What is declared asks something of jobs that have just come, before they are placed.
-    pub fn refresh_intents(&self, now: Instant) {
-        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        if let Some(cluster) = held.as_mut().filter(|b| b.intents_due) {
-            self.intents_of(cluster, &watch_cache, now);
-        }
+impl WatchObserver for Membership {
+    fn cache_changed(&self, changes: CacheChanges) {
+        self.apply_cache_changes(changes);
+    }
+
+    fn cache_proven(&self) {
+        self.proven();
+    }
+
+    fn process_pauses(&self) -> u64 {
+        self.pauses()
+    }
+
+    fn leads(&self) -> bool {
+        self.leader.leads()
     }
 
-    /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
-    pub fn intents_of(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
-        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+    async fn upgrade_stored_data(&self) -> Result<(), StoreError> {
+        upgrade::run(&self.store.client).await
     }
 }
--- a/src/controller/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -2,13 +2,13 @@
 
 use std::time::Instant;
 
-use super::Controller;
+use super::Membership;
+use super::records::Watermark;
+use super::watermark::{self, Unconfirmed};
 use crate::jobs::{End, JobId};
-use crate::membership::records::Watermark;
-use crate::membership::watermark::{self, Unconfirmed};
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// This leader's cluster state is loaded, with all ends up to this revision.
     pub fn took_over(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
--- a/src/membership/tests.rs
+++ b/src/membership/election/tests.rs
@@ -1,5 +1,7 @@
 use hollylanding_emulator::world::store::Store;
 
+mod late;
+
 use super::*;
 
 #[test]
--- a/src/membership/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -6,8 +6,8 @@
 use crate::protocol::state::CompareAndSwap;
 use hollylanding_emulator::world::store::Store;
 
-use super::records::TakeoverRequest;
-use super::*;
+use super::super::super::records::TakeoverRequest;
+use super::super::*;
 use crate::jobs::record::CACHED;
 use crate::store::watch_cache::WatchCache;
 
--- a/src/controller/over.rs
+++ b/src/membership/ended_jobs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use super::Controller;
+use super::Membership;
 use crate::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
 
@@ -22,7 +22,7 @@
     }
 }
 
-impl Controller {
+impl Membership {
     /// Which jobs of a heartbeat are over, as far as the watch cache tells. Only looked for where the cluster state
     /// alone may not decide: it is not loaded, or `acts` is false.
     pub fn over_among(&self, heartbeat: &Heartbeat, acts: bool) -> Over {
--- a/src/controller/display.rs
+++ b/src/membership/figures.rs
@@ -2,15 +2,13 @@
 
 use std::collections::HashMap;
 
-use tracing::debug;
-
-use super::Controller;
+use super::Membership;
+use super::mesh;
 use crate::jobs::{Counts, JobId};
-use crate::membership::mesh;
 use crate::scheduling::fairness::Row;
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// How many tasks of a job run and are done, as far as is known here.
     pub fn counts(&self, id: &JobId) -> Counts {
         if let Some(cluster) = self.leader.cluster().as_ref() {
@@ -51,36 +49,12 @@
         lock(&self.heard).counts.retain(|id, _| watch_cache.open(id).is_some());
     }
 
-    /// Entries of everything held that could grow, for operators and for tests: each follows open
-    /// work, machines or a fixed bound (docs/history.md).
-    pub fn held(&self) -> Vec<(&'static str, usize)> {
-        let mut held = Vec::new();
-        {
-            let watch_cache = self.store.watch_cache();
-            held.push(("open_jobs", watch_cache.open_jobs().count()));
-            held.push(("open_tasks", watch_cache.held().tasks as usize));
-            held.push(("descriptions", watch_cache.ended_kept()));
-            held.push(("declared", watch_cache.registry().entries()));
-        }
-        let [ends, asked, waiting] = self.history.held();
-        held.push(("audited", lock(&self.audit).remembered()));
-        held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
-        held.push(("served", self.leader.accounting().entries()));
-        held.push(("in_admission", lock(&self.admission).waiting()));
-        held.push(("counts_heard", lock(&self.heard).counts.len()));
-        held.push(("stranded", lock(&self.unreachable_leader).remembered()));
-        held.push(("let_go", lock(&self.let_go).remembered()));
-        if let Some(cluster) = self.leader.cluster().as_ref() {
-            held.extend(cluster.held());
-        }
-        held
-    }
-
-    /// Tells at `debug` what `held` gives.
-    pub fn tell_held(&self) {
-        if tracing::enabled!(tracing::Level::DEBUG) {
-            let held: Vec<String> = self.held().iter().map(|(what, n)| format!("{what}={n}")).collect();
-            debug!(held = held.join(" "), "held");
-        }
+    /// Entries that are remembered of peers and workers, for display.
+    pub fn held(&self) -> [(&'static str, usize); 3] {
+        [
+            ("counts_heard", lock(&self.heard).counts.len()),
+            ("stranded", lock(&self.unreachable_leader).remembered()),
+            ("let_go", lock(&self.let_go).remembered()),
+        ]
     }
 }
--- a/src/controller/serving_state.rs
+++ b/src/membership/judgement.rs
@@ -4,11 +4,11 @@
 
 use tracing::warn;
 
-use super::Controller;
-use crate::membership::serving_state::{Observations, Patience, ServingState};
+use super::Membership;
+use super::serving_state::{Observations, Patience, ServingState};
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// Whether the state service has lately answered anything.
     pub fn store_serves(&self) -> bool {
         self.store.client.health().failing_for(Instant::now()) < Duration::from_secs(2)
--- a/src/controller/leadership.rs
+++ b/src/membership/leadership.rs
@@ -1,25 +1,20 @@
 //! Leadership of teams and machines: starting the leader's tasks, ending them, and stepping down for another
 //! controller.
 
-use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
 use tracing::{info, warn};
 
-use super::Controller;
-use crate::declarations;
-use crate::fleet;
-use crate::membership::records::TakeoverRequest;
-use crate::scheduling::{self, ClusterState};
+use super::Membership;
+use super::records::TakeoverRequest;
+use crate::scheduling::cluster::ClusterState;
 use crate::store::budget::RequestPriority;
-use crate::store::commit;
 use crate::sync::lock;
-use crate::workers::dispatch;
 
-impl Controller {
+impl Membership {
     /// This controller's record stands as the leader record, under this fencing token.
-    pub fn become_leader(self: &Arc<Self>, fencing_token: u64) {
+    pub fn become_leader(&self, fencing_token: u64) {
         self.press_marks(false);
         let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut() {
@@ -31,15 +26,16 @@
         if let Some((rows, told)) = lock(&self.heard).served.take() {
             self.leader.accounting().take_over(&rows, told);
         }
-        *held = Some(ClusterState::new(fencing_token, self.settings.clone(), self.properties.clone(), Instant::now()));
+        *held = Some(ClusterState::new(
+            fencing_token,
+            (*self.settings).clone(),
+            (*self.properties).clone(),
+            Instant::now(),
+        ));
         drop(held);
         self.share();
-        let mut tasks = lock(&self.leader_tasks);
-        tasks.push(tokio::spawn(scheduling::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(commit::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(dispatch::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(fleet::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(declarations::run::run(self.clone())).abort_handle());
+        let Some(start) = self.start_leader_loops.get() else { return };
+        lock(&self.leader_tasks).extend(start());
     }
 
     /// Stops leading at once: somebody newer does.
@@ -85,15 +81,15 @@
 
     /// A worker was sent to the leader. If workers keep coming back, the leader is told through the
     /// store, which it must still reach since it holds its lease.
-    pub fn note_redirect(self: &Arc<Self>, machine: &str, heartbeat: (u64, u64), now: Instant) {
+    pub fn note_redirect(&self, machine: &str, heartbeat: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, heartbeat, now) else { return };
         let Some(fencing_token) = self.store.watch_cache().leader_record().map(|(_, version)| *version) else { return };
         warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
-        let node = self.clone();
+        let store = self.store.clone();
         tokio::spawn(async move {
             let (conditions, changes) = takeover_request.transaction();
-            let _ = node.store.client.compare_and_swap(&conditions, &changes, RequestPriority::Critical).await;
+            let _ = store.client.compare_and_swap(&conditions, &changes, RequestPriority::Critical).await;
         });
     }
 
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -17,8 +17,8 @@
 
 use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
 
-use crate::controller::Controller;
 use crate::jobs::{Counts, JobId};
+use crate::membership::Membership;
 use crate::membership::records::{LeaderRecord, Watermark};
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
@@ -123,12 +123,12 @@
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
 /// tries again every second.
-pub async fn listen(node: Arc<Controller>) {
+pub async fn listen(membership: Arc<Membership>) {
     let listener = loop {
-        match TcpListener::bind(&node.settings.mesh_listen).await {
+        match TcpListener::bind(&membership.settings.mesh_listen).await {
             Ok(listener) => break listener,
             Err(error) => {
-                warn!(%error, addr = node.settings.mesh_listen, "cannot listen to the other controllers");
+                warn!(%error, addr = membership.settings.mesh_listen, "cannot listen to the other controllers");
                 tokio::time::sleep(EVERY).await;
             }
         }
@@ -136,28 +136,28 @@
     let free = Arc::new(Semaphore::new(MOST_CONNECTIONS));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => accept(&node, &free, stream),
+            Ok((stream, _)) => accept(&membership, &free, stream),
             Err(_) => tokio::time::sleep(EVERY).await,
         }
     }
 }
 
 /// Reads from one more connection, if there are not too many: each may hold a line.
-fn accept(node: &Arc<Controller>, free: &Arc<Semaphore>, stream: TcpStream) {
+fn accept(membership: &Arc<Membership>, free: &Arc<Semaphore>, stream: TcpStream) {
     let Ok(permit) = free.clone().try_acquire_owned() else {
-        if lock(&node.heard).too_many.due(Instant::now()) {
+        if lock(&membership.heard).too_many.due(Instant::now()) {
             warn!(most = MOST_CONNECTIONS, "too many connections between controllers: one is dropped");
         }
         return;
     };
-    let node = node.clone();
+    let membership = membership.clone();
     tokio::spawn(async move {
-        read_lines(node, stream).await;
+        read_lines(membership, stream).await;
         drop(permit);
     });
 }
 
-async fn read_lines(node: Arc<Controller>, stream: TcpStream) {
+async fn read_lines(membership: Arc<Membership>, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     let mut text = Vec::new();
     loop {
@@ -168,8 +168,8 @@
         if !matches!(tokio::time::timeout(STALE * 4, read).await, Ok(Ok(n)) if n > 0) {
             return;
         }
-        if let Err(problem) = take_line(&node, &text, Instant::now()) {
-            if lock(&node.heard).odd_lines.due(Instant::now()) {
+        if let Err(problem) = take_line(&membership, &text, Instant::now()) {
+            if lock(&membership.heard).odd_lines.due(Instant::now()) {
                 warn!(bytes = text.len(), %problem, "a line between controllers is dropped, and its connection");
             }
             return;
@@ -178,10 +178,10 @@
 }
 
 /// Takes in what a peer has said, or nothing at all of it.
-fn take_line(node: &Controller, text: &[u8], now: Instant) -> Result<(), BadLine> {
-    let line = Line::read(text, &node.settings.peers)?;
+fn take_line(membership: &Membership, text: &[u8], now: Instant) -> Result<(), BadLine> {
+    let line = Line::read(text, &membership.settings.peers)?;
     let (watermark, leads) = {
-        let watch_cache = node.store.watch_cache();
+        let watch_cache = membership.store.watch_cache();
         let leader_record = watch_cache.leader_record();
         if never_was(&line.node, line.watermark, leader_record, watch_cache.asking()) {
             return Err(BadLine::Token(line.node));
@@ -189,9 +189,9 @@
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
         (believed(&line.node, line.watermark, leader_record), leads)
     };
-    node.history.advance(watermark.unwrap_or(0));
+    membership.history.advance(watermark.unwrap_or(0));
     let many = {
-        let mut heard = lock(&node.heard);
+        let mut heard = lock(&membership.heard);
         heard.told(line.node, line.store_serves, line.wants, line.acknowledged, now);
         heard.counts.extend(line.counts);
         // Whoever does not lead has no account to tell.
@@ -201,43 +201,44 @@
         heard.counts.len() > MOST_HEARD
     };
     if many {
-        node.tidy_counts();
+        membership.tidy_counts();
     }
     Ok(())
 }
 
 /// One connection to one peer, made again whenever it breaks.
-pub async fn tell(node: Arc<Controller>, peer: Peer) {
+pub async fn tell(membership: Arc<Membership>, peer: Peer) {
     loop {
         if let Ok(Ok(stream)) = tokio::time::timeout(WRITE_WITHIN, TcpStream::connect(&peer.addr)).await {
-            let error = tell_over(&node, &peer.node, stream).await;
+            let error = tell_over(&membership, &peer.node, stream).await;
             debug!(?error, peer = peer.node, "connection to another controller");
         }
         tokio::time::sleep(crate::sync::jitter(EVERY)).await;
     }
 }
 
-async fn tell_over(node: &Controller, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
+async fn tell_over(membership: &Membership, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
     let begun = Instant::now();
     let mut told: HashMap<JobId, Counts> = HashMap::new();
     let mut served_next = Instant::now();
-    let mut news = node.wakeups.mesh.subscribe();
+    let mut news = membership.wakeups.mesh.subscribe();
     let mut whole_next = Instant::now();
     loop {
         let whole = Instant::now() >= whole_next;
         let mut counts = Vec::new();
         if whole {
             whole_next = Instant::now() + EVERY;
-            counts = node.counts_to_tell(&mut told, MOST_COUNTS);
+            counts = membership.counts_to_tell(&mut told, MOST_COUNTS);
         }
         let mut served = Vec::new();
         if Instant::now() >= served_next {
             served_next = Instant::now() + SERVED_EVERY;
-            served = node.served_to_tell();
+            served = membership.served_to_tell();
         }
-        let (name, wants) = (node.settings.node.clone(), node.wants());
-        let (watermark, acknowledged) = (node.watermark(), node.history.watermark());
-        let line = Line { node: name, store_serves: node.can_answer(), wants, counts, served, watermark, acknowledged };
+        let (name, wants) = (membership.settings.node.clone(), membership.wants());
+        let (watermark, acknowledged) = (membership.watermark(), membership.history.watermark());
+        let line =
+            Line { node: name, store_serves: membership.can_answer(), wants, counts, served, watermark, acknowledged };
         let mut text = serde_json::to_string(&line).unwrap_or_default();
         text.push('\n');
         tokio::time::timeout(WRITE_WITHIN, stream.write_all(text.as_bytes()))
@@ -249,7 +250,7 @@
         // Lines go into a dead connection for minutes before it is known to be dead, and after a cut it
         // is tried again only after as long as the cut took.
         let now = Instant::now();
-        if now.saturating_duration_since(begun) > ANEW_AFTER && !lock(&node.heard).hears(peer, now) {
+        if now.saturating_duration_since(begun) > ANEW_AFTER && !lock(&membership.heard).hears(peer, now) {
             return Err(std::io::ErrorKind::TimedOut.into());
         }
     }
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::controller::Controller;
 
 /// How long another has been answered tells an outage that has just ended from one of this controller's
 /// own: by its word of the moment every leader let its workers go at the end of every outage.
@@ -46,8 +47,9 @@
 }
 
 /// A controller for whose peer `node-1` leads by the store.
-fn node_that_knows_an_leader() -> Arc<Controller> {
-    let node = Controller::new(crate::settings::tests::example(), crate::settings::Properties::default());
+fn node_that_knows_an_leader() -> Arc<Membership> {
+    let controller = Controller::new(crate::settings::tests::example(), crate::settings::Properties::default());
+    let node = controller.membership.clone();
     let mut watch_cache = node.store.watch_cache();
     let loading = watch_cache.load();
     watch_cache.loaded(loading);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,346 +1,130 @@
-//! Election and leadership: which controller holds the election lease, and which leads.
+//! Which controller leads, what this one can prove of it, and what it may say to users, workers and its peers.
 //!
-//! The lease holder's key is attached to a lease of the state service. The lease holder writes the leader record; the
-//! version of that key is the leader's fencing token, which workers compare and on which every write of a placement is
-//! conditional. Clocks only decide how soon a new lease holder follows: a deposed leader is stopped by the version, not
-//! by the time.
-
+//! `election` takes the election lease and writes the leader record; `leadership` starts and ends leading; `mesh`
+//! exchanges lines with the other controllers; `pauses` handles pauses of this process; `judgement` says what may be
+//! answered by what is proven; `confirmation` and `watermark` confirm cancellations.
+//!
+//! # Lock order
+//!
+//! Locks are short and never held across an await. Where two are held at once, they are taken in this order:
+//!
+//! 1. the watch cache (`store::handle::StateStore::watch_cache`),
+//! 2. the cluster state (`scheduling::leader_state::LeaderState::cluster`),
+//! 3. what is kept here (peer states, unconfirmed cancellations and the rest), and the fleet's cloud operations,
+//! 4. the fair-share accounting, the history's questions and the audit, under which nothing else is locked.
+
+mod cache_changes;
+mod confirmation;
+mod election;
+mod ended_jobs;
+mod figures;
+mod judgement;
+mod leadership;
 pub mod mesh;
+mod pauses;
 pub mod records;
 pub mod serving_state;
+mod store_shares;
 mod turns;
 pub mod unreachable_leader;
 mod unreadable;
 pub mod watermark;
-#[cfg(test)]
-mod watermark_tests;
 mod yielding;
 
-use std::sync::Arc;
-use std::time::{Duration, Instant};
-
-use tracing::{debug, info, warn};
-
-use crate::controller::Controller;
-use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
-use crate::store::budget::RequestPriority;
-use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
-use records::{LeaderRecord, LeaseHolder, Watermark};
-use turns::{Pace, in_turn};
-use unreadable::UnreadableLeaseHolder;
-use watermark::Lag;
-use yielding::Yielding;
-
-/// A process ends the election lease of those before it on its address this often at the most: two controllers
-/// that were given one name by mistake must not do so to each other for ever.
-const MOST_EXPIRED: u32 = 2;
-
-/// Stands for a lease holder whose key cannot be read; no incarnation is empty.
-const UNREADABLE: &str = "";
-
-/// What this controller is to do next, from what it knows.
-#[derive(Debug, PartialEq, Eq)]
-enum Step {
-    Wait,
-    /// The process that holds the lease was this one's predecessor on its address, so it is gone: its lease is
-    /// ended before its lease runs out. The same of a lease holder whose key cannot be read.
-    Expire,
-    Campaign,
-    Renew,
-    WriteLeaderRecord,
-}
-
-/// Pure, so that every combination can be tried. `predecessor`: another incarnation of this controller's
-/// name holds the lease, or nobody whose key can be read.
-fn next_step(
-    me: &str,
-    lease_holder: Option<&str>,
-    predecessor: bool,
-    leader: Option<&str>,
-    raise: bool,
-    renew_due: bool,
-) -> Step {
-    match lease_holder {
-        None => Step::Campaign,
-        Some(l) if l != me && predecessor => Step::Expire,
-        Some(l) if l != me => Step::Wait,
-        Some(_) if leader != Some(me) || raise => Step::WriteLeaderRecord,
-        Some(_) if renew_due => Step::Renew,
-        Some(_) => Step::Wait,
-    }
-}
-
-/// This controller's own leader record stands, and it does not act on it: the write was carried out and not
-/// answered. It is written again, which answers under which fencing token to begin, or to go on.
-fn unheard(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
-    leader_record.is_some_and(|(leader, version)| {
-        leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < version)
-    })
-}
-
-/// What this controller knows of who holds the lease and leads at the moment it looks.
-struct View {
-    lease_holder: Option<LeaseHolder>,
-    lease_holder_version: u64,
-    unreadable_lease_holder: Option<u64>,
-    leader_record: Option<(LeaderRecord, u64)>,
-    leader_record_version: u64,
-}
-
-impl View {
-    /// None while the store is not read.
-    fn of(node: &Controller) -> Option<Self> {
-        let watch_cache = node.store.watch_cache();
-        watch_cache.ready.then(|| Self {
-            lease_holder: watch_cache.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
-            lease_holder_version: watch_cache.lease_holder_version(),
-            unreadable_lease_holder: watch_cache.unreadable_lease_holder(),
-            leader_record: watch_cache.leader_record().cloned(),
-            leader_record_version: watch_cache.leader_record_version(),
-        })
-    }
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex, OnceLock};
+use std::time::Instant;
 
-    /// Who holds the lease; a name that no process has where that cannot be read.
-    fn lease_holder(&self) -> Option<&str> {
-        let unreadable = self.unreadable_lease_holder.map(|_| UNREADABLE);
-        self.lease_holder.as_ref().map(|lease_holder| lease_holder.incarnation.as_str()).or(unreadable)
-    }
-}
+use tokio::task::AbortHandle;
 
-/// What this controller keeps of its own part in who holds the lease.
-struct Member {
-    pace: Pace,
-    /// The lease on which it leads, or led last.
-    permit: Option<u64>,
-    renewed: Instant,
-    wrote_leader_record_last: bool,
-    /// Predecessors whose election lease it has ended.
-    expired: u32,
-    yielding: Yielding,
-    unreadable: UnreadableLeaseHolder,
-}
-
-impl Member {
-    fn new(life: Duration) -> Self {
+#[cfg(test)]
+pub(crate) use election::{candidacy, expiry, naming};
+pub use ended_jobs::Over;
+pub(crate) use store_shares::{REQUESTS, SHARE_EVERY, WRITES, first_budget};
+
+use crate::history::reader::History;
+use crate::machine_kinds::SharedCatalog;
+use crate::process_pause::PauseDetector;
+use crate::scheduling::leader_state::LeaderState;
+use crate::settings::{Properties, Settings};
+use crate::store::handle::StateStore;
+use crate::wakeups::Wakeups;
+pub use election::run;
+use mesh::Heard;
+use serving_state::{Health, LetGo};
+use unreachable_leader::UnreachableLeader;
+use watermark::Unconfirmed;
+
+/// Starts the loops that run only while this controller leads.
+type StartLeaderLoops = Box<dyn Fn() -> Vec<AbortHandle> + Send + Sync>;
+
+/// One controller's part in the election, and what it knows of the leader and of its peers.
+pub struct Membership {
+    /// The platform's settings.
+    pub settings: Arc<Settings>,
+    /// The operators' properties.
+    pub properties: Arc<Properties>,
+    /// Names this process among all that ever ran; orders to the cloud are named after it.
+    pub incarnation: String,
+    pub(crate) store: Arc<StateStore>,
+    pub(crate) history: Arc<History>,
+    leader: Arc<LeaderState>,
+    catalog: Arc<SharedCatalog>,
+    wakeups: Arc<Wakeups>,
+    /// What the other controllers said last.
+    heard: Mutex<Heard>,
+    /// Notices that this process was paused.
+    pause_detector: Mutex<PauseDetector>,
+    /// Was paused for so long that another may lead by now; nothing is done until the store says.
+    unproven: AtomicBool,
+    unreachable_leader: Mutex<UnreachableLeader>,
+    /// What users and machines are told while little can be proven.
+    health: Mutex<Health>,
+    let_go: Mutex<LetGo>,
+    /// Cancellations that other controllers may not have heard this leader confirm.
+    unconfirmed: Mutex<Unconfirmed>,
+    start_leader_loops: OnceLock<StartLeaderLoops>,
+    leader_tasks: Mutex<Vec<AbortHandle>>,
+    /// Orders that are marked as done wait for a higher fencing token (`fleet::order_log`).
+    marks_pressed: AtomicBool,
+}
+
+impl Membership {
+    /// A controller that has heard of nobody and does not lead.
+    pub fn new(
+        settings: Arc<Settings>,
+        properties: Arc<Properties>,
+        store: Arc<StateStore>,
+        history: Arc<History>,
+        leader: Arc<LeaderState>,
+        catalog: Arc<SharedCatalog>,
+        wakeups: Arc<Wakeups>,
+    ) -> Self {
         Self {
-            pace: Pace { life },
-            permit: None,
-            renewed: Instant::now(),
-            wrote_leader_record_last: false,
-            expired: 0,
-            yielding: Yielding::default(),
-            unreadable: UnreadableLeaseHolder::default(),
-        }
-    }
-
-    /// Gives the election lease up where workers reach another controller. False if there is nothing to give up.
-    async fn yields(&mut self, node: &Controller) -> bool {
-        if let (Some(lease), Some(takeover_request)) = (self.permit, node.takeover_request_to_answer(Instant::now()))
-            && self.yielding.begins(takeover_request, lease, Instant::now())
-        {
-            warn!("yields: workers reach another controller and not this one");
-        }
-        let Some(lease) = self.yielding.to_release() else { return false };
-        match node.store.client.release(lease).await {
-            Ok(()) => {
-                self.permit = None;
-                self.yielding.released(Instant::now());
-            }
-            Err(error) => {
-                debug!(%error, "giving up the election lease");
-                tokio::time::sleep(crate::sync::jitter(self.pace.retry())).await;
-            }
-        }
-        true
-    }
-
-    /// What is to be done next.
-    fn next(&mut self, node: &Controller, view: &View) -> Step {
-        let fencing_token = node.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
-        let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
-        let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
-        let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
-        let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
-        let step = next_step(
-            &node.incarnation,
-            view.lease_holder(),
-            nobody || (own_name && self.expired < MOST_EXPIRED),
-            assigned.map(|(leader, _)| leader),
-            node.raise_wanted() || unheard(&node.incarnation, assigned, fencing_token),
-            renew_due,
-        );
-        in_turn(step, self.wrote_leader_record_last, renew_due)
-    }
-
-    async fn take(&mut self, node: &Arc<Controller>, view: &View, step: &Step) -> Result<(), StoreError> {
-        self.wrote_leader_record_last = *step == Step::WriteLeaderRecord;
-        match step {
-            Step::Wait => Ok(()),
-            Step::Expire => {
-                expire(node, view.lease_holder_version).await?;
-                self.expired += u32::from(view.unreadable_lease_holder.is_none());
-                Ok(())
-            }
-            Step::Campaign => {
-                campaign(node, &mut self.permit, self.pace.life).await?;
-                self.renewed = Instant::now();
-                Ok(())
-            }
-            Step::Renew => self.renew(node).await,
-            Step::WriteLeaderRecord => {
-                let writing = write_leader_record(node, view.lease_holder_version, view.leader_record_version);
-                let outcome = tokio::time::timeout(self.pace.write_timeout(), writing).await;
-                outcome.unwrap_or(Err(StoreError::Unanswered))
-            }
-        }
-    }
-
-    async fn renew(&mut self, node: &Controller) -> Result<(), StoreError> {
-        let Some(lease) = self.permit else { return Ok(()) };
-        let alive = node.store.client.renew(lease).await?;
-        self.renewed = Instant::now();
-        if !alive {
-            info!("election lease lost: it has ended");
-            self.permit = None;
-        }
-        Ok(())
-    }
-}
-
-/// Leads, or waits until it can, for ever.
-pub async fn run(node: Arc<Controller>) {
-    let mut member = Member::new(node.properties.election_lease);
-    let mut lag = Lag::default();
-    loop {
-        let _ = tokio::time::timeout(member.pace.look_every(), node.wakeups.membership.notified()).await;
-        let Some(view) = View::of(&node) else { continue };
-        node.check_deposed();
-        if member.yields(&node).await {
-            continue;
-        }
-        if view.lease_holder().is_none() && member.yielding.stands_back(Instant::now()) {
-            continue;
-        }
-        let step = member.next(&node, &view);
-        if let Err(error) = member.take(&node, &view, &step).await {
-            debug!(%error, ?step, "membership");
-            tokio::time::sleep(crate::sync::jitter(member.pace.retry())).await;
-        }
-        tend_watermark(&node, &mut lag).await;
-    }
-}
-
-/// Tells of a watermark that does not advance, and stores it for those who do not hear it.
-async fn tend_watermark(node: &Controller, lag: &mut Lag) {
-    let [_, waiting] = node.history.hidden();
-    if let Some(long) = lag.tells(waiting, node.history.watermark(), Instant::now()) {
-        warn!(
-            waiting,
-            for_s = long.as_secs(),
-            leader = node.leader_node(),
-            "withdrawals are stored and not confirmed by the leader: their users are told to come again"
-        );
-    }
-    if let Some(watermark) = node.watermark_to_store(Instant::now()) {
-        store_watermark(node, watermark).await;
-    }
-}
-
-/// Who holds the lease decides how soon there is a leader and nothing else: the leader record stands until a new lease
-/// holder writes the next one, and whatever its leader has sent is judged by that.
-pub(crate) fn expiry(version: u64) -> (Condition, Change) {
-    (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
-}
-
-async fn expire(node: &Controller, version: u64) -> Result<(), StoreError> {
-    let (condition, change) = expiry(version);
-    let outcome = node.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
-    info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
-    node.store.read_barrier.wait().await;
-    Ok(())
-}
-
-/// The election lease for whoever finds none.
-pub(crate) fn candidacy(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
-    let value = serde_json::to_value(me).unwrap_or_default();
-    (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
-}
-
-async fn campaign(node: &Controller, permit: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
-    let lease = match *permit {
-        Some(lease) if node.store.client.renew(lease).await? => lease,
-        _ => node.store.client.grant(life).await?,
-    };
-    *permit = Some(lease);
-    let me = LeaseHolder { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
-    let (condition, change) = candidacy(&me, lease);
-    match node.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await? {
-        CompareAndSwapOutcome::Applied(version) => {
-            info!(version, "leads");
-            node.store.watch_cache().note_lease_holder(me, version);
-            node.wakeups.membership.notify_one();
-        }
-        CompareAndSwapOutcome::Failed(_) => {
-            node.store.read_barrier.wait().await;
-        }
-        CompareAndSwapOutcome::LeaseExpired => *permit = None,
-    }
-    Ok(())
-}
-
-/// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(leader: &LeaderRecord, lease_holder_version: u64, version: u64) -> ([Condition; 2], Change) {
-    let change = Change::write(LEADER, serde_json::to_value(leader).unwrap_or_default());
-    ([Condition::at(LEASE_HOLDER, lease_holder_version), Condition::at(LEADER, version)], change)
-}
-
-/// Writes this controller as leader. Done again, it raises the fencing token: every command given under
-/// the older one is dead wherever the new one has been seen.
-async fn write_leader_record(
-    node: &Arc<Controller>,
-    lease_holder_version: u64,
-    version: u64,
-) -> Result<(), StoreError> {
-    let record = LeaderRecord {
-        node: node.settings.node.clone(),
-        incarnation: node.incarnation.clone(),
-        teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
-    };
-    let (conditions, change) = naming(&record, lease_holder_version, version);
-    match node.store.client.compare_and_swap(&conditions, &[change], RequestPriority::Critical).await? {
-        CompareAndSwapOutcome::Applied(fencing_token) => {
-            if node.store.watch_cache().note_leader_record(record, fencing_token) {
-                node.become_leader(fencing_token);
-            } else {
-                warn!(fencing_token, "assigned, and replaced before the answer came");
-            }
-        }
-        outcome => {
-            warn!(?outcome, "the assignment was not written");
-            node.store.read_barrier.wait().await;
+            settings,
+            properties,
+            incarnation: format!("{:016x}", rand::random::<u64>()),
+            store,
+            history,
+            leader,
+            catalog,
+            wakeups,
+            heard: Mutex::default(),
+            pause_detector: Mutex::new(PauseDetector::new(Instant::now())),
+            unproven: AtomicBool::new(false),
+            unreachable_leader: Mutex::default(),
+            health: Mutex::default(),
+            let_go: Mutex::default(),
+            unconfirmed: Mutex::default(),
+            start_leader_loops: OnceLock::new(),
+            leader_tasks: Mutex::default(),
+            marks_pressed: AtomicBool::new(false),
         }
     }
-    Ok(())
-}
-
-/// That it is stored under the leader record that its fencing token names makes it true. A late copy of an older one
-/// only makes a controller that has just started wait for the next.
-fn storing(watermark: Watermark) -> (Condition, Change) {
-    let value = serde_json::to_value(watermark).unwrap_or_default();
-    (Condition::at(LEADER, watermark.fencing_token), Change::write(WATERMARK, value))
-}
 
-/// Controllers that do not hear this leader read it there.
-async fn store_watermark(node: &Controller, watermark: Watermark) {
-    let (condition, change) = storing(watermark);
-    match node.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await {
-        Ok(CompareAndSwapOutcome::Applied(_)) => node.confirmed(watermark.revision, Instant::now()),
-        outcome => debug!(?outcome, "storing the watermark"),
+    /// What is started whenever this controller becomes the leader; only the first call counts. The loops are aborted
+    /// when it steps down.
+    pub fn start_leader_loops_with(&self, start: impl Fn() -> Vec<AbortHandle> + Send + Sync + 'static) {
+        let _ = self.start_leader_loops.set(Box::new(start));
     }
 }
-
-#[cfg(test)]
-mod late;
-
-#[cfg(test)]
-mod tests;
--- a/src/controller/absence.rs
+++ b/src/membership/pauses.rs
@@ -6,11 +6,11 @@
 
 use tracing::{info, warn};
 
-use super::Controller;
-use crate::membership::unreachable_leader::UnreachableLeader;
+use super::Membership;
+use super::unreachable_leader::UnreachableLeader;
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// To be called before anything is judged by time. The one place where a pause of this process is
     /// handed to all that do: their silences, idle times and proofs of before are void.
     pub fn beat(&self, now: Instant) {
--- a/src/controller/shares.rs
+++ b/src/membership/store_shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Controller;
+use super::Membership;
 use crate::store::budget::Budget;
 use crate::store::share::{Parts, Want, by_need};
 use crate::sync::lock;
@@ -11,17 +11,17 @@
 pub(crate) const WRITES: Parts = Parts { leader: 0.7, others: 0.25 };
 /// Users ask every controller alike; a leader needs few requests more than the others, since its
 /// writes go many at a time.
-pub(super) const REQUESTS: Parts = Parts { leader: 0.5, others: 0.45 };
+pub(crate) const REQUESTS: Parts = Parts { leader: 0.5, others: 0.45 };
 /// Shares are worked out again this often, as the others tell what they want.
-pub(super) const SHARE_EVERY: Duration = Duration::from_secs(1);
+pub(crate) const SHARE_EVERY: Duration = Duration::from_secs(1);
 
 /// What a controller begins with, as one that does not lead and hears nobody.
-pub(super) fn first_budget(parts: Parts, limit: f64, others: usize, now: Instant) -> Budget {
+pub(crate) fn first_budget(parts: Parts, limit: f64, others: usize, now: Instant) -> Budget {
     let share = parts.fixed(limit, others, false);
     Budget::new(share, share, now)
 }
 
-impl Controller {
+impl Membership {
     /// What this controller lately wanted of the state service, in requests and in changes.
     pub fn wants(&self) -> [Want; 2] {
         let leader = self.leader.cluster().is_some();
@@ -30,7 +30,7 @@
     }
 
     /// Works out this controller's shares of the state service's limits.
-    pub(super) fn share(&self) {
+    pub(crate) fn share(&self) {
         let (limits, others) = (&self.settings.params.state, self.settings.peers.len());
         let mine = self.wants();
         let heard = lock(&self.heard).wants(Instant::now());
--- a/src/membership/turns/tests.rs
+++ b/src/membership/turns/tests.rs
@@ -1,4 +1,4 @@
-use super::super::next_step;
+use super::super::election::next_step;
 use super::*;
 
 /// The most that `sync::jitter` makes of a pause.
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -104,3 +104,6 @@
         Some(long)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -4,10 +4,10 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::mesh::believed;
-use super::records::{LeaderRecord, Watermark};
-use super::storing;
-use super::watermark::{Lag, Unconfirmed, own_watermark};
+use super::super::election::storing;
+use super::super::mesh::believed;
+use super::super::records::{LeaderRecord, Watermark};
+use super::{Lag, Unconfirmed, own_watermark};
 use crate::jobs::record::{LEADER, WATERMARK};
 use crate::store::Change;
 
--- a/src/store/commit.rs
+++ b/src/scheduling/commit.rs
@@ -11,18 +11,22 @@
 
 use tracing::{debug, info, warn};
 
-use super::audit::Held;
-use super::budget::RequestPriority;
-use super::{Change, CompareAndSwapOutcome, Condition, StoreError};
-use crate::controller::Controller;
+use super::cluster::ShardWrite;
+use super::leader_state::LeaderState;
+use crate::audit::{Auditor, Held};
 use crate::history::moves::{end_among, end_changes, not_ended};
+use crate::history::reader::History;
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, LEADER, decode_shard, encode_shard, open_key, shard_key, shard_size, time_of_day_ms,
 };
 use crate::jobs::{End, JobId};
-use crate::scheduling::cluster::ShardWrite;
+use crate::membership::Membership;
+use crate::settings::Settings;
+use crate::store::budget::RequestPriority;
+use crate::store::handle::StateStore;
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::sync::jitter;
-use crate::sync::lock;
+use crate::wakeups::Wakeups;
 
 /// Lets a moment's changes go together; a tenth of what a person would notice.
 const GAP: Duration = Duration::from_millis(40);
@@ -37,6 +41,24 @@
 /// This many shards of ended jobs are too many for clean-up to wait: a new leader reads them all.
 const DROPS_PRESSED: usize = 48;
 
+/// What the group commit works with.
+pub struct GroupCommit {
+    /// The platform's settings.
+    pub settings: Arc<Settings>,
+    /// The state service.
+    pub store: Arc<StateStore>,
+    /// Told of each end that was stored.
+    pub history: Arc<History>,
+    /// Told where a transaction shows that another leads.
+    pub membership: Arc<Membership>,
+    /// The cluster state, whose changes are stored.
+    pub leader: Arc<LeaderState>,
+    /// Told of each end that the state service has acknowledged.
+    pub audit: Arc<Auditor>,
+    /// Wakes this loop, and those that act on what was stored.
+    pub wakeups: Arc<Wakeups>,
+}
+
 pub(crate) struct Batch {
     pub ends: Vec<Arc<JobRecord>>,
     pub shards: Vec<ShardWrite>,
@@ -86,27 +108,27 @@
 }
 
 /// Stores the leader's changes for as long as this controller leads: in batches, one transaction at a time.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(group_commit: Arc<GroupCommit>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wakeups.commit.notified()).await;
+        let _ = tokio::time::timeout(EVERY, group_commit.wakeups.commit.notified()).await;
         tokio::time::sleep(GAP).await;
-        while let Some(batch) = next(&node) {
-            if !store(&node, batch).await {
+        while let Some(batch) = next(&group_commit) {
+            if !store(&group_commit, batch).await {
                 return;
             }
-            if node.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
-                drop_some(&node, RequestPriority::Placement).await;
+            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
+                drop_some(&group_commit, RequestPriority::Placement).await;
             }
         }
-        drop_some(&node, RequestPriority::Background).await;
+        drop_some(&group_commit, RequestPriority::Background).await;
     }
 }
 
-fn next(node: &Controller) -> Option<Batch> {
+fn next(group_commit: &GroupCommit) -> Option<Batch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
-    let most = (node.settings.params.state.txn_ops as usize)
-        .min(node.store.client.writes_ready(RequestPriority::Placement).max(1));
-    let mut held = node.leader.cluster();
+    let most = (group_commit.settings.params.state.txn_ops as usize)
+        .min(group_commit.store.client.writes_ready(RequestPriority::Placement).max(1));
+    let mut held = group_commit.leader.cluster();
     let cluster = held.as_mut().filter(|b| b.loaded)?;
     let now = Instant::now();
     if !cluster.anything_to_store(now) {
@@ -124,33 +146,33 @@
 }
 
 /// False once this controller no longer leads.
-async fn store(node: &Arc<Controller>, batch: Batch) -> bool {
+async fn store(group_commit: &Arc<GroupCommit>, batch: Batch) -> bool {
     let changes = batch.changes();
     let priority = if batch.ends.is_empty() { RequestPriority::Placement } else { RequestPriority::Critical };
     let mut unanswered = false;
     loop {
-        let Some(fencing_token) = node.leader.cluster().as_ref().map(|b| b.fencing_token) else { return false };
-        match node.store.client.compare_and_swap(&batch.conditions(fencing_token), &changes, priority).await {
+        let Some(fencing_token) = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token) else { return false };
+        match group_commit.store.client.compare_and_swap(&batch.conditions(fencing_token), &changes, priority).await {
             Ok(CompareAndSwapOutcome::Applied(version)) => {
-                stored(node, &batch, version);
+                stored(group_commit, &batch, version);
                 return true;
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
-                let now_token = node.leader.cluster().as_ref().map(|b| b.fencing_token);
+                let now_token = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
                     // Wait for the watch cache to say who leads; it may be this controller itself,
                     // under a fencing token it has not heard the answer about.
-                    node.store.read_barrier.wait().await;
-                    node.check_deposed();
-                    node.wakeups.membership.notify_one();
+                    group_commit.store.read_barrier.wait().await;
+                    group_commit.membership.check_deposed();
+                    group_commit.wakeups.membership.notify_one();
                     tokio::time::sleep(jitter(RETRY)).await;
                     continue;
                 }
-                return settle(node, batch, keys).await;
+                return settle(group_commit, batch, keys).await;
             }
             Ok(CompareAndSwapOutcome::LeaseExpired) => {}
             Err(StoreError::Unanswered) => unanswered = true,
@@ -160,32 +182,32 @@
     }
 }
 
-fn stored(node: &Controller, batch: &Batch, version: u64) {
-    if let Some(cluster) = node.leader.cluster().as_mut() {
+fn stored(group_commit: &GroupCommit, batch: &Batch, version: u64) {
+    if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.shards_stored(&batch.shards, version);
     }
     for job in &batch.ends {
-        note_end(node, &job.spec.id, End::Done);
-        lock(&node.audit).note(Held::Ended(job.clone(), End::Done));
+        note_end(group_commit, &job.spec.id, End::Done);
+        group_commit.audit.note(Held::Ended(job.clone(), End::Done));
     }
-    node.wakeups.dispatch.notify_one();
+    group_commit.wakeups.dispatch.notify_one();
 }
 
 /// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
-fn note_end(node: &Controller, id: &JobId, end: End) {
+fn note_end(group_commit: &GroupCommit, id: &JobId, end: End) {
     info!(job = %id, ?end, "ended");
-    node.history.note_end(id, end);
-    if let Some(cluster) = node.leader.cluster().as_mut() {
+    group_commit.history.note_end(id, end);
+    if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.end_job(id, Some(end), Instant::now());
     }
-    node.wakeups.plan.notify_one();
+    group_commit.wakeups.plan.notify_one();
 }
 
 /// Some keys had other versions: each is read, and what it holds decides.
-async fn settle(node: &Arc<Controller>, batch: Batch, keys: Vec<String>) -> bool {
+async fn settle(group_commit: &Arc<GroupCommit>, batch: Batch, keys: Vec<String>) -> bool {
     for id in batch.jobs() {
         if let Some(end) = end_among(&keys, id) {
-            note_end(node, id, end);
+            note_end(group_commit, id, end);
         }
     }
     for write in &batch.shards {
@@ -194,10 +216,10 @@
             continue;
         }
         let item = loop {
-            if node.leader.cluster().is_none() {
+            if group_commit.leader.cluster().is_none() {
                 return false;
             }
-            match node.store.client.get(key, RequestPriority::Critical).await {
+            match group_commit.store.client.get(key, RequestPriority::Critical).await {
                 Ok(item) => break item,
                 Err(error) => {
                     debug!(%error, key, "settling");
@@ -205,7 +227,7 @@
                 }
             }
         };
-        let mut held = node.leader.cluster();
+        let mut held = group_commit.leader.cluster();
         let Some(cluster) = held.as_mut() else { return false };
         let version = item.as_ref().map_or(0, |i| i.version);
         let same = item.and_then(|i| decode_shard(&i.value)).is_some_and(|t| t == write.tasks);
@@ -217,10 +239,10 @@
             cluster.set_version(&write.job, write.shard, version);
         }
     }
-    if let Some(cluster) = node.leader.cluster().as_mut() {
+    if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.to_store_again(&batch.ended_ids(), &batch.shards);
     }
-    node.wakeups.dispatch.notify_one();
+    group_commit.wakeups.dispatch.notify_one();
     true
 }
 
@@ -240,9 +262,10 @@
 }
 
 /// Shards of jobs that are over, whenever the budget has room.
-async fn drop_some(node: &Arc<Controller>, priority: RequestPriority) {
-    let most = node.store.client.writes_ready(priority).min(node.settings.params.state.txn_ops as usize);
-    let (drops, fencing_token) = match node.leader.cluster().as_mut() {
+async fn drop_some(group_commit: &Arc<GroupCommit>, priority: RequestPriority) {
+    let most =
+        group_commit.store.client.writes_ready(priority).min(group_commit.settings.params.state.txn_ops as usize);
+    let (drops, fencing_token) = match group_commit.leader.cluster().as_mut() {
         Some(cluster) => (cluster.next_drops(most), cluster.fencing_token),
         None => return,
     };
@@ -251,13 +274,14 @@
     }
     let (conditions, changes) = shard_drops(&drops, fencing_token);
     let outcome =
-        tokio::time::timeout(DROP_WITHIN, node.store.client.compare_and_swap(&conditions, &changes, priority)).await;
+        tokio::time::timeout(DROP_WITHIN, group_commit.store.client.compare_and_swap(&conditions, &changes, priority))
+            .await;
     let failed = match outcome {
         Ok(Ok(CompareAndSwapOutcome::Applied(_))) => return,
         Ok(Ok(CompareAndSwapOutcome::Failed(keys))) => keys,
         _ => Vec::new(),
     };
-    if let Some(cluster) = node.leader.cluster().as_mut() {
+    if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.drop_again(still_to_drop(drops, &failed));
     }
 }
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -16,10 +16,10 @@
 use crate::jobs::{End, JobId};
 use crate::process_pause::ProcessPause;
 use crate::scheduling::cluster::{ClusterState, MachineId, MachineState};
+use crate::scheduling::commit::Batch;
 use crate::scheduling::plan;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::store::commit::Batch;
 use crate::store::{Change, Condition};
 
 /// Writes that a batch takes at most.
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -8,8 +8,8 @@
 use tokio::task::JoinSet;
 use tracing::{error, info};
 
+use super::scheduler::Scheduler;
 use crate::cloud_orders::{CloudOrder, ORDERS};
-use crate::controller::Controller;
 use crate::jobs::record::{
     DONE, EndedRecord, JobRecord, StoredTask, TASKS, decode_shard, ended_key, ended_keys, old_job_key, parse_shard_key,
     time_of_day_ms,
@@ -53,12 +53,12 @@
 }
 
 /// Reads every page of tasks into the cluster state, which decides nothing until the last one is in.
-pub async fn fill(node: &Arc<Controller>) -> Result<(), StoreError> {
+pub async fn fill(scheduler: &Arc<Scheduler>) -> Result<(), StoreError> {
     let begun = Instant::now();
     // Open jobs first: the watch cache was proven fresh after this controller's leader record stood.
     {
-        let watch_cache = node.store.watch_cache();
-        let mut held = node.leader.cluster();
+        let watch_cache = scheduler.store.watch_cache();
+        let mut held = scheduler.leader.cluster();
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         cluster.forget_all();
         for (_, record) in watch_cache.open_jobs() {
@@ -67,25 +67,25 @@
     }
     let mut ended = HashSet::new();
     let mut read_ends = HashMap::new();
-    let mut pages = node.store.client.pages(TASKS, None);
+    let mut pages = scheduler.store.client.pages(TASKS, None);
     let (mut shards, mut read) = (0usize, 0usize);
     while let Some(page) = pages.next().await? {
         read += 1;
         let page: Vec<Shard> = page.items.into_iter().filter_map(Shard::read).collect();
         shards += page.len();
-        take_page(node, page, &mut ended, &mut read_ends).await?;
+        take_page(scheduler, page, &mut ended, &mut read_ends).await?;
     }
     // What an earlier leader may still be doing, before anything is placed: nothing can be added to
     // it any more, since orders are conditional on the leader record.
     let mut orders = Vec::new();
-    let mut pages = node.store.client.pages(ORDERS, None);
+    let mut pages = scheduler.store.client.pages(ORDERS, None);
     while let Some(page) = pages.next().await? {
         orders.extend(page.items.iter().filter_map(CloudOrder::read));
     }
     let now = Instant::now();
     {
-        let watch_cache = node.store.watch_cache();
-        let mut held = node.leader.cluster();
+        let watch_cache = scheduler.store.watch_cache();
+        let mut held = scheduler.leader.cluster();
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         // What came and what ended while the tasks were being read.
         for (_, record) in watch_cache.open_jobs() {
@@ -94,17 +94,17 @@
         ended.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned());
         for id in &ended {
             let read = read_ends.get(id).copied();
-            let at = node.history.heard_at(id).or(read.map(|(at, _)| at));
-            cluster.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
+            let at = scheduler.history.heard_at(id).or(read.map(|(at, _)| at));
+            cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
             cluster.ended_after(id, watch_cache.ended_after(id).or(read.map(|(_, after)| after)).unwrap_or(0));
         }
         let inherited = orders.len();
         cluster.inherit_orders(orders, now);
         cluster.finish_load(now);
         cluster.holds_ends(watch_cache.asking());
-        node.took_over(cluster.known, now);
+        scheduler.membership.took_over(cluster.known, now);
         // Before anything else is decided.
-        node.intents_of(cluster, &watch_cache, now);
+        scheduler.intents.refresh_intents(cluster, &watch_cache, now);
         let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
         info!(
             jobs,
@@ -116,9 +116,9 @@
             "took over"
         );
     }
-    node.wakeups.plan.notify_one();
-    node.wakeups.dispatch.notify_one();
-    node.wakeups.fleet.notify_one();
+    scheduler.wakeups.plan.notify_one();
+    scheduler.wakeups.dispatch.notify_one();
+    scheduler.wakeups.fleet.notify_one();
     Ok(())
 }
 
@@ -126,21 +126,21 @@
 /// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
 /// was reported to have exited, though the last heartbeats were never written to its shard.
 async fn take_page(
-    node: &Arc<Controller>,
+    scheduler: &Arc<Scheduler>,
     page: Vec<Shard>,
     ended: &mut HashSet<JobId>,
     read_ends: &mut HashMap<JobId, (Instant, u64)>,
 ) -> Result<(), StoreError> {
     let over: BTreeSet<JobId> = {
-        let held = node.leader.cluster();
+        let held = scheduler.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Ok(()) };
         page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound()).map(|c| c.job.clone()).collect()
     };
-    let done = done_among(node, over).await?;
+    let done = done_among(scheduler, over).await?;
     let mut records: HashMap<JobId, Arc<JobRecord>> = HashMap::new();
     let mut unknown: HashSet<JobId> = HashSet::new();
     {
-        let (watch_cache, held) = (node.store.watch_cache(), node.leader.cluster());
+        let (watch_cache, held) = (scheduler.store.watch_cache(), scheduler.leader.cluster());
         let Some(cluster) = held.as_ref() else { return Ok(()) };
         for shard in page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound() && !done.contains(&c.job)) {
             match watch_cache.ended_record(&shard.job) {
@@ -153,8 +153,8 @@
     for ids in unknown.chunks(ASKED_AT_ONCE) {
         let mut asked = JoinSet::new();
         for id in ids {
-            let (node, id) = (node.clone(), id.clone());
-            asked.spawn(async move { (id.clone(), ended_record(&node, &id).await) });
+            let (scheduler, id) = (scheduler.clone(), id.clone());
+            asked.spawn(async move { (id.clone(), ended_record(&scheduler, &id).await) });
         }
         while let Some(answer) = asked.join_next().await {
             let Ok((id, record)) = answer else { continue };
@@ -167,7 +167,7 @@
         }
     }
     let now = Instant::now();
-    let mut held = node.leader.cluster();
+    let mut held = scheduler.leader.cluster();
     let Some(cluster) = held.as_mut() else { return Ok(()) };
     for (id, record) in records {
         cluster.add_job(record, now);
@@ -197,14 +197,14 @@
 }
 
 /// Which of these jobs, none of them open, are done.
-async fn done_among(node: &Controller, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
+async fn done_among(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
-    let at_once = node.settings.params.state.conditions().max(1);
+    let at_once = scheduler.settings.params.state.conditions().max(1);
     let mut done = HashSet::new();
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
         if let CompareAndSwapOutcome::Failed(keys) =
-            node.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
+            scheduler.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
         {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
@@ -213,9 +213,9 @@
 }
 
 /// The description of a job that has ended, wherever it is kept, how long ago it did, and a revision before that.
-async fn ended_record(node: &Controller, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
+async fn ended_record(scheduler: &Scheduler, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
-        if let Some(item) = node.store.client.get(&key, RequestPriority::Critical).await? {
+        if let Some(item) = scheduler.store.client.get(&key, RequestPriority::Critical).await? {
             return Ok(read_ended_record(id, &key, &item));
         }
     }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod backfill;
 pub mod cluster;
+pub mod commit;
 pub mod due;
 pub mod failure_attribution;
 pub mod fairness;
@@ -18,6 +19,7 @@
 pub mod reservations;
 pub mod room;
 mod schedule;
+pub mod scheduler;
 mod service_report;
 #[cfg(test)]
 mod tests;
@@ -29,8 +31,8 @@
 
 pub use cluster::ClusterState;
 
-use crate::controller::Controller;
 use schedule::{Schedule, TICK_INTERVAL};
+pub use scheduler::Scheduler;
 
 /// Placement follows events; this bounds how often, so that a burst is planned as one.
 const LEAST_PAUSE: Duration = Duration::from_millis(60);
@@ -41,26 +43,26 @@
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
-pub async fn run(node: Arc<Controller>) {
-    load_cluster_state(&node).await;
+pub async fn run(scheduler: Arc<Scheduler>) {
+    load_cluster_state(&scheduler).await;
     let mut schedule = Schedule::new(Instant::now());
     loop {
-        let _ = tokio::time::timeout(TICK_INTERVAL, node.wakeups.plan.notified()).await;
-        if node.unproven() {
+        let _ = tokio::time::timeout(TICK_INTERVAL, scheduler.wakeups.plan.notified()).await;
+        if scheduler.membership.unproven() {
             continue;
         }
         let now = Instant::now();
-        node.refresh_intents(now);
-        let placed = match (node.leader.cluster().as_mut(), node.catalog.get()) {
-            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &node.leader, &catalog, now),
+        scheduler.refresh_intents(now);
+        let placed = match (scheduler.leader.cluster().as_mut(), scheduler.catalog.get()) {
+            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &scheduler.leader, &catalog, now),
             _ => None,
         };
         if let Some(placed) = placed {
             if placed > 0 {
                 debug!(count = placed, took_ms = now.elapsed().as_millis(), "tasks placed");
-                node.wakeups.commit.notify_one();
+                scheduler.wakeups.commit.notify_one();
             }
-            node.wakeups.fleet.notify_one();
+            scheduler.wakeups.fleet.notify_one();
         }
         tokio::time::sleep(LEAST_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
     }
@@ -68,10 +70,10 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load_cluster_state(node: &Arc<Controller>) {
+async fn load_cluster_state(scheduler: &Arc<Scheduler>) {
     loop {
-        if node.store.read_barrier.wait().await {
-            match load::fill(node).await {
+        if scheduler.store.read_barrier.wait().await {
+            match load::fill(scheduler).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
             }
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -5,9 +5,9 @@
 use super::simulation::*;
 use super::world::*;
 use super::*;
-use crate::controller::WRITES;
 use crate::history::moves;
 use crate::jobs::{End, JobId};
+use crate::membership::WRITES;
 use crate::protocol::workers::ExitCause;
 use crate::store::budget::{Budget, RequestPriority};
 
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -6,9 +6,9 @@
 use crate::jobs::{End, JobId};
 use crate::protocol::workers::{ExitCause, WorkerCommand};
 use crate::scheduling::cluster::Direct;
+use crate::scheduling::commit::Batch;
 use crate::scheduling::plan::Placement;
 use crate::settings::Settings;
-use crate::store::commit::Batch;
 use std::collections::{BTreeMap, HashSet};
 
 pub(super) const JOB: &str = "run-000001";
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -7,9 +7,8 @@
 use hollylanding_emulator::world::store::Store;
 use serde_json::json;
 
-use super::audit::end_again;
-use super::commit::{Batch, shard_drops, still_to_drop};
 use super::{Change, Condition};
+use crate::audit::end_again;
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, Write};
@@ -22,6 +21,7 @@
 use crate::membership::records::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::membership::{candidacy, expiry, naming};
 use crate::scheduling::cluster::ShardWrite;
+use crate::scheduling::commit::{Batch, shard_drops, still_to_drop};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
 const TAKEN: [&str; 4] = ["plea", "chunks dropped", "order cleaned up", "order marked as done"];
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,10 +1,8 @@
 //! The state service: its client, this controller's share of its limits, and the watch cache of open jobs, leadership
 //! and declared things that every controller keeps.
 
-pub mod audit;
 pub mod budget;
 pub mod client;
-pub mod commit;
 pub mod handle;
 #[cfg(test)]
 mod late_transactions;
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -9,8 +9,8 @@
 use super::StoreError;
 use super::budget::RequestPriority;
 use super::client::WatchResponse;
-use crate::controller::Controller;
-use crate::history::upgrade;
+use super::handle::StateStore;
+use super::watch_cache::CacheChanges;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
 use crate::sync::lock;
 
@@ -37,10 +37,24 @@
 /// that begins again at every refusal never ends.
 const PAGE_TRIES: u32 = 12;
 
+/// Told of what the watch and the read barrier learn. Neither lock of the store is held meanwhile.
+pub trait WatchObserver: Send + Sync + 'static {
+    /// The watch cache has changed, or has been read to a later revision.
+    fn cache_changed(&self, changes: CacheChanges);
+    /// The watch cache has just been proven to be up to date.
+    fn cache_proven(&self);
+    /// How often this process was paused: a proof that spans a change of this counts for nothing.
+    fn process_pauses(&self) -> u64;
+    /// Whether this controller leads: it then has to hear of changes at once.
+    fn leads(&self) -> bool;
+    /// Takes over what an earlier build has left in the store.
+    fn upgrade_stored_data(&self) -> impl Future<Output = Result<(), StoreError>> + Send;
+}
+
 /// Reads page by page into what is kept; what an earlier build has left is taken over first.
-async fn reload(node: &Controller) -> Result<(), StoreError> {
-    let mut loading = node.store.watch_cache().load();
-    let mut pages = node.store.client.pages(CACHED, Some(CACHED_AFTER));
+async fn reload(store: &StateStore, observer: &impl WatchObserver) -> Result<(), StoreError> {
+    let mut loading = store.watch_cache().load();
+    let mut pages = store.client.pages(CACHED, Some(CACHED_AFTER));
     let mut tries = 0;
     loop {
         let page = match pages.next().await {
@@ -55,34 +69,34 @@
             Err(error) => return Err(error),
         };
         tries = 0;
-        let news = node.store.watch_cache().take_page(&mut loading, &page);
-        node.spread(news);
+        let news = store.watch_cache().take_page(&mut loading, &page);
+        observer.cache_changed(news);
     }
     if !loading.upgraded() {
-        return upgrade::run(&node.store.client).await;
+        return observer.upgrade_stored_data().await;
     }
-    let news = node.store.watch_cache().loaded(loading);
-    node.spread(news);
-    node.store.read_barrier.wanted.notify_one();
+    let news = store.watch_cache().loaded(loading);
+    observer.cache_changed(news);
+    store.read_barrier.wanted.notify_one();
     Ok(())
 }
 
 /// The watch: one at a time, for ever.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(store: Arc<StateStore>, observer: Arc<impl WatchObserver>) {
     loop {
-        let asking = node.store.watch_cache().asking();
+        let asking = store.watch_cache().asking();
         let outcome = match asking {
-            Some(revision) => node.store.client.watch(CACHED, revision, WATCH).await.map(|response| {
-                let (_, news) = node.store.watch_cache().apply(&response);
-                node.spread(news);
+            Some(revision) => store.client.watch(CACHED, revision, WATCH).await.map(|response| {
+                let (_, news) = store.watch_cache().apply(&response);
+                observer.cache_changed(news);
             }),
-            None => reload(&node).await,
+            None => reload(&store, &*observer).await,
         };
         match outcome {
             // The leader acts on what it hears; the others only have to know it soon.
-            Ok(()) if node.leader.cluster().is_some() => tokio::time::sleep(WATCH_GAP).await,
-            Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.client.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => node.store.watch_cache().ready = false,
+            Ok(()) if observer.leads() => tokio::time::sleep(WATCH_GAP).await,
+            Ok(()) => tokio::time::sleep(WATCH_GAP.max(store.client.time_for(WATCH_COST))).await,
+            Err(StoreError::TooOld) => store.watch_cache().ready = false,
             Err(error) => {
                 debug!(%error, "watching the store");
                 tokio::time::sleep(jitter(Duration::from_millis(300))).await;
@@ -92,63 +106,62 @@
 }
 
 /// All changes since a revision, at once.
-async fn changes_now(node: &Controller, revision: u64) -> Result<WatchResponse, StoreError> {
+async fn changes_now(store: &StateStore, revision: u64) -> Result<WatchResponse, StoreError> {
     // Waiting for one's own share is no sign of a connection that hangs.
-    node.store.client.reserve(RequestPriority::Critical).await?;
-    let first = node.store.client.watch_reserved(CACHED, revision, Duration::ZERO);
+    store.client.reserve(RequestPriority::Critical).await?;
+    let first = store.client.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = node.store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
+        outcome = store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
     }
 }
 
 /// Serves those who wait in `fresh`: one zero-wait watch answers all that asked before it began.
-pub async fn run_read_barrier(node: Arc<Controller>) {
+pub async fn run_read_barrier(store: Arc<StateStore>, observer: Arc<impl WatchObserver>) {
     loop {
-        let fresh = node.store.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
+        let fresh = store.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
         let pause = if fresh { PROOF_EVERY } else { PROOF_OVERDUE };
-        let _ = tokio::time::timeout(pause, node.store.read_barrier.wanted.notified()).await;
-        let ticket = node.store.read_barrier.ticket();
-        let pauses = node.pauses();
+        let _ = tokio::time::timeout(pause, store.read_barrier.wanted.notified()).await;
+        let ticket = store.read_barrier.ticket();
+        let pauses = observer.process_pauses();
         let begun = Instant::now();
-        let asking = node.store.watch_cache().asking();
+        let asking = store.watch_cache().asking();
         let Some(revision) = asking else {
-            node.store.read_barrier.failed.send_replace(ticket);
+            store.read_barrier.failed.send_replace(ticket);
             // After a process pause each beat asks for a proof anew, the one above too.
             tokio::time::sleep(PROOF_GAP).await;
             continue;
         };
-        match changes_now(&node, revision).await {
+        match changes_now(&store, revision).await {
             Ok(response) => {
-                let (taken, news) = node.store.watch_cache().apply(&response);
-                node.spread(news);
+                let (taken, news) = store.watch_cache().apply(&response);
+                observer.cache_changed(news);
                 // What was asked before a process pause proves nothing after it.
-                let taken = taken && node.pauses() == pauses;
+                let taken = taken && observer.process_pauses() == pauses;
                 if taken {
-                    node.store.read_barrier.proved(begun);
-                    node.proven();
+                    store.read_barrier.proved(begun);
+                    observer.cache_proven();
                 }
-                if taken { &node.store.read_barrier.proven } else { &node.store.read_barrier.failed }
-                    .send_replace(ticket);
+                if taken { &store.read_barrier.proven } else { &store.read_barrier.failed }.send_replace(ticket);
             }
             Err(StoreError::TooOld) => {
-                node.store.watch_cache().ready = false;
-                node.store.read_barrier.failed.send_replace(ticket);
+                store.watch_cache().ready = false;
+                store.read_barrier.failed.send_replace(ticket);
             }
             // A moment's shortage: those who ask wait a little longer, and are not sent away together.
-            Err(StoreError::Unavailable(429)) => node.store.read_barrier.wanted.notify_one(),
+            Err(StoreError::Unavailable(429)) => store.read_barrier.wanted.notify_one(),
             Err(error) => {
-                node.store.read_barrier.failed.send_replace(ticket);
+                store.read_barrier.failed.send_replace(ticket);
                 debug!(%error, "no proof of freshness");
             }
         }
-        tokio::time::sleep(PROOF_GAP.max(node.store.client.time_for(PROOF_COST))).await;
-        if node.store.read_barrier.ticket() > ticket {
-            node.store.read_barrier.wanted.notify_one();
+        tokio::time::sleep(PROOF_GAP.max(store.client.time_for(PROOF_COST))).await;
+        if store.read_barrier.ticket() > ticket {
+            store.read_barrier.wanted.notify_one();
         }
     }
 }
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -7,32 +7,31 @@
 use super::follow_ups::{FollowUps, Write};
 use super::lookup::{ended, look_up, moved_on, open_tasks, tell_end};
 use super::reply::Reply;
-use crate::controller::Controller;
+use super::service::UserService;
+use crate::audit::Held;
 use crate::history::moves;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::protocol::users::{JobAnswer, Status};
-use crate::store::audit::Held;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
-use crate::sync::lock;
 
 /// A job that its user calls off.
-pub(super) async fn cancel(node: &Controller, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
-    let found = look_up(node, id).await;
+pub(super) async fn cancel(service: &UserService, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
+    let found = look_up(service, id).await;
     if !is_open(&found) {
         return found;
     }
     let id: JobId = id.into();
     // It may have been found open before the watch cache heard of it.
-    if open_tasks(node, &id).is_none() {
-        node.store.read_barrier.wait().await;
+    if open_tasks(service, &id).is_none() {
+        service.store.read_barrier.wait().await;
     }
-    let record = node.store.watch_cache().open(&id).cloned();
+    let record = service.store.watch_cache().open(&id).cloned();
     if let Some(record) = record {
-        return write_cancellation(node, follow_ups, record).await;
+        return write_cancellation(service, follow_ups, record).await;
     }
-    let found = look_up(node, &id).await;
+    let found = look_up(service, &id).await;
     if is_open(&found) { Reply::later("the job has not been read yet") } else { found }
 }
 
@@ -41,12 +40,12 @@
 }
 
 /// Writes the end of a job that was seen open, and tells its user.
-async fn write_cancellation(node: &Controller, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
+async fn write_cancellation(service: &UserService, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
     let id = record.spec.id.clone();
-    let leader = node.cancels_under();
+    let leader = service.membership.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Cancellation, &record);
-    match node
+    match service
         .store
         .client
         .compare_and_swap(&cancellation.conditions, &cancellation.changes, RequestPriority::Critical)
@@ -54,20 +53,20 @@
     {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             sent.applied();
-            lock(&node.audit).note(Held::Ended(record, End::Cancelled));
-            if leader.is_some_and(|fencing_token| node.cancelled_by_leader(&id, fencing_token)) {
+            service.audit.note(Held::Ended(record, End::Cancelled));
+            if leader.is_some_and(|fencing_token| service.membership.cancelled_by_leader(&id, fencing_token)) {
                 return ended(&id, End::Cancelled);
             }
-            node.history.note_cancellation(&id, version);
-            tell_end(node, &id, End::Cancelled).await
+            service.history.note_cancellation(&id, version);
+            tell_end(service, &id, End::Cancelled).await
         }
         Ok(CompareAndSwapOutcome::Failed(keys)) => {
             sent.refused();
             if keys != [LEADER] {
-                return moved_on(node, &id, &keys).await;
+                return moved_on(service, &id, &keys).await;
             }
             // Another leads by now: the watch cache is about to hear it.
-            node.store.read_barrier.wanted.notify_one();
+            service.store.read_barrier.wanted.notify_one();
             Reply::later("who owns has just changed")
         }
         outcome => {
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 use super::lookup::open_tasks;
-use crate::controller::Controller;
+use super::service::UserService;
 use crate::history::query_queue::Verdict;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
@@ -71,13 +71,13 @@
 
 /// The writes of one controller that are under way or were not answered.
 pub(super) struct FollowUps {
-    node: Arc<Controller>,
+    service: Arc<UserService>,
     followed: Mutex<HashSet<(Write, JobId)>>,
 }
 
 impl FollowUps {
-    pub(super) fn new(node: Arc<Controller>) -> Arc<Self> {
-        Arc::new(Self { node, followed: Mutex::default() })
+    pub(super) fn new(service: Arc<UserService>) -> Arc<Self> {
+        Arc::new(Self { service, followed: Mutex::default() })
     }
 
     /// A write is about to be sent.
@@ -144,7 +144,7 @@
 
 async fn follow(follow_ups: Arc<FollowUps>, write: Write, record: Arc<JobRecord>) {
     let id = &record.spec.id;
-    let stored = tokio::time::timeout(FOLLOWED_FOR, became(&follow_ups.node, write, id)).await;
+    let stored = tokio::time::timeout(FOLLOWED_FOR, became(&follow_ups.service, write, id)).await;
     // Another try may have been answered, and logged, meanwhile.
     if follow_ups.remove(write, id) && stored == Ok(true) {
         log(write, &record.spec);
@@ -152,13 +152,13 @@
 }
 
 /// Whether it was carried out, once that is certain.
-async fn became(node: &Controller, write: Write, id: &JobId) -> bool {
+async fn became(service: &UserService, write: Write, id: &JobId) -> bool {
     loop {
-        match next(write, known(node, id)) {
+        match next(write, known(service, id)) {
             Next::Log => return true,
             Next::Forget => return false,
             Next::Ask => {
-                if let Verdict::Ended(end) = node.history.ask(id).await {
+                if let Verdict::Ended(end) = service.history.ask(id).await {
                     return next(write, Known::Ended(end)) == Next::Log;
                 }
             }
@@ -169,14 +169,14 @@
 }
 
 /// What this controller knows without asking.
-fn known(node: &Controller, id: &JobId) -> Known {
-    if let Some(end) = node.history.ended(id) {
+fn known(service: &UserService, id: &JobId) -> Known {
+    if let Some(end) = service.history.ended(id) {
         return Known::Ended(end);
     }
-    if open_tasks(node, id).is_some() {
+    if open_tasks(service, id).is_some() {
         return Known::Open;
     }
-    if node.store.watch_cache().ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
+    if service.store.watch_cache().ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
 }
 
 #[cfg(test)]
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -3,7 +3,7 @@
 use tracing::debug;
 
 use super::reply::{Refusal, Reply};
-use crate::controller::Controller;
+use super::service::UserService;
 use crate::history::moves::end_among;
 use crate::history::query_queue::Verdict;
 use crate::history::visibility::Visible;
@@ -15,20 +15,20 @@
 
 /// An end as its users may hear it: a cancellation only once the leader has it. Every path that tells of an end
 /// goes through here.
-pub(super) async fn tell_end(node: &Controller, id: &JobId, end: End) -> Reply {
-    node.watermark();
-    let mut visible = node.history.visible(id, end);
+pub(super) async fn tell_end(service: &UserService, id: &JobId, end: End) -> Reply {
+    service.membership.watermark();
+    let mut visible = service.history.visible(id, end);
     if visible == Visible::Unknown {
-        let version = node.store.watch_cache().ended_by(id);
+        let version = service.store.watch_cache().ended_by(id);
         match version {
-            Some(version) => node.history.note_cancellation(id, version),
+            Some(version) => service.history.note_cancellation(id, version),
             None => {
-                if let Err(error) = node.history.learn_version(&node.store.client, id).await {
+                if let Err(error) = service.history.learn_version(&service.store.client, id).await {
                     debug!(%error, job = %id, "asking when it was withdrawn");
                 }
             }
         }
-        visible = node.history.visible(id, end);
+        visible = service.history.visible(id, end);
     }
     match visible {
         Visible::Yes => ended(id, end),
@@ -46,53 +46,53 @@
 }
 
 /// An open job; its counts are for display and may run ahead of what is stored.
-fn open(node: &Controller, id: &JobId, tasks: u64) -> Reply {
-    let counts = node.counts(id);
+fn open(service: &UserService, id: &JobId, tasks: u64) -> Reply {
+    let counts = service.membership.counts(id);
     let status = if counts.running > 0 { Status::Running } else { Status::Pending };
     Reply::Job(200, JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
 /// The number of tasks of a job that is open, as far as the watch cache has heard.
-pub(super) fn open_tasks(node: &Controller, id: &str) -> Option<u64> {
-    node.store.watch_cache().open(id).map(|record| record.spec.tasks)
+pub(super) fn open_tasks(service: &UserService, id: &str) -> Option<u64> {
+    service.store.watch_cache().open(id).map(|record| record.spec.tasks)
 }
 
 /// The state of a job, no older than the moment of asking. Ends are final and told from memory;
 /// an open job is told from the watch cache once that is proven fresh; all else the store is asked for,
 /// which looks at every key that the job may have at one moment.
-pub(super) async fn look_up(node: &Controller, id: &str) -> Reply {
+pub(super) async fn look_up(service: &UserService, id: &str) -> Reply {
     if !well_formed_id(id) {
         return Reply::Refused(Refusal::NoSuchJob);
     }
     let id: JobId = id.into();
-    if let Some(end) = node.history.ended(&id) {
-        return tell_end(node, &id, end).await;
+    if let Some(end) = service.history.ended(&id) {
+        return tell_end(service, &id, end).await;
     }
-    if !node.store.watch_cache().ready {
+    if !service.store.watch_cache().ready {
         return Reply::later("the state service has not been read yet");
     }
-    if open_tasks(node, &id).is_some() {
-        if !node.store.read_barrier.wait().await {
+    if open_tasks(service, &id).is_some() {
+        if !service.store.read_barrier.wait().await {
             return Reply::later("the state service cannot be asked");
         }
-        if let Some(tasks) = open_tasks(node, &id) {
-            return open(node, &id, tasks);
+        if let Some(tasks) = open_tasks(service, &id) {
+            return open(service, &id, tasks);
         }
         // It has ended in between: how, the store says.
     }
-    match node.history.ask(&id).await {
-        Verdict::Ended(end) => tell_end(node, &id, end).await,
+    match service.history.ask(&id).await {
+        Verdict::Ended(end) => tell_end(service, &id, end).await,
         Verdict::Never => Reply::Refused(Refusal::NoSuchJob),
         // Accepted so lately that the watch cache has not heard.
-        Verdict::Open => open(node, &id, u64::MAX),
+        Verdict::Open => open(service, &id, u64::MAX),
         Verdict::Later => Reply::later("the state service cannot be asked, or too much is asked at once"),
     }
 }
 
 /// A transaction found the job further on; an end among the failed keys needs no question.
-pub(super) async fn moved_on(node: &Controller, id: &JobId, keys: &[String]) -> Reply {
+pub(super) async fn moved_on(service: &UserService, id: &JobId, keys: &[String]) -> Reply {
     if let Some(end) = end_among(keys, id) {
-        node.history.note_end(id, end);
+        service.history.note_end(id, end);
     }
-    look_up(node, id).await
+    look_up(service, id).await
 }
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -11,6 +11,8 @@
 mod lookup;
 mod reply;
 mod routes;
+pub mod service;
 mod submission;
 
 pub use routes::{bind, router, serve};
+pub use service::UserService;
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -11,15 +11,15 @@
 use super::follow_ups::FollowUps;
 use super::lookup::look_up;
 use super::reply::{COME_AGAIN_S, Refusal, Reply};
+use super::service::UserService;
 use super::submission::submit;
-use crate::controller::Controller;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
 use crate::workers::{self, Answer};
 
 /// The framework's side: one handler per path.
 struct Handle {
-    node: Arc<Controller>,
+    service: Arc<UserService>,
     follow_ups: Arc<FollowUps>,
     path: Path,
 }
@@ -50,9 +50,9 @@
 }
 
 /// The answer to a user.
-fn render_reply(node: &Controller, res: &mut Response, reply: Reply) {
+fn render_reply(service: &UserService, res: &mut Response, reply: Reply) {
     let later = matches!(reply, Reply::Later { .. });
-    node.traffic.count(if later { Passage::Later } else { Passage::Answered });
+    service.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match reply {
         Reply::Job(status, job) => render(res, status, protocol::encode(&job)),
         Reply::Refused(refusal) => {
@@ -67,18 +67,18 @@
 }
 
 /// The answer to a worker's heartbeat.
-fn render_answer(node: &Controller, res: &mut Response, answer: Answer) {
+fn render_answer(service: &UserService, res: &mut Response, answer: Answer) {
     match answer {
         Answer::WorkerCommands(orders) => {
-            node.traffic.count(Passage::Heartbeat);
+            service.traffic.count(Passage::Heartbeat);
             render(res, 200, protocol::encode(&orders));
         }
         Answer::Elsewhere(leader) => {
-            node.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
         Answer::Nobody => {
-            node.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 503, Vec::new());
         }
         Answer::Malformed => render(res, 400, Vec::new()),
@@ -88,35 +88,35 @@
 #[async_trait]
 impl Handler for Handle {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let node = &self.node;
+        let service = &self.service;
         let id = req.param::<String>("id").unwrap_or_default();
         let body = match self.path {
             Path::Submit | Path::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
-                    return render_reply(node, res, Reply::Refused(Refusal::Unreadable(error.to_string())));
+                    return render_reply(service, res, Reply::Refused(Refusal::Unreadable(error.to_string())));
                 }
             },
             _ => Default::default(),
         };
         match self.path {
-            Path::Submit => render_reply(node, res, submit(node, &self.follow_ups, &body).await),
+            Path::Submit => render_reply(service, res, submit(service, &self.follow_ups, &body).await),
             // Its user has given up and asks again: told so without work for it.
-            Path::LookUp if node.stale_question() => {
-                render_reply(node, res, Reply::later("this controller was paused"))
+            Path::LookUp if service.membership.stale_question() => {
+                render_reply(service, res, Reply::later("this controller was paused"))
             }
-            Path::LookUp => render_reply(node, res, look_up(node, &id).await),
-            Path::Cancel => render_reply(node, res, cancel(node, &self.follow_ups, &id).await),
-            Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Heartbeat => render_answer(node, res, workers::take_heartbeat(node, &body)),
+            Path::LookUp => render_reply(service, res, look_up(service, &id).await),
+            Path::Cancel => render_reply(service, res, cancel(service, &self.follow_ups, &id).await),
+            Path::Health => render(res, if service.membership.healthy() { 200 } else { 503 }, Vec::new()),
+            Path::Heartbeat => render_answer(service, res, workers::take_heartbeat(&service.workers, &body)),
         }
     }
 }
 
 /// All routes of one controller.
-pub fn router(node: &Arc<Controller>) -> Router {
-    let follow_ups = FollowUps::new(node.clone());
-    let handle = |path| Handle { node: node.clone(), follow_ups: follow_ups.clone(), path };
+pub fn router(service: &Arc<UserService>) -> Router {
+    let follow_ups = FollowUps::new(service.clone());
+    let handle = |path| Handle { service: service.clone(), follow_ups: follow_ups.clone(), path };
     Router::new()
         .push(
             Router::with_path("work").post(handle(Path::Submit)).push(
@@ -130,14 +130,14 @@
 }
 
 /// Takes the address, which no other process has from then on.
-pub async fn bind(node: &Controller) -> std::io::Result<TcpAcceptor> {
-    TcpListener::new(node.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
+pub async fn bind(service: &UserService) -> std::io::Result<TcpAcceptor> {
+    TcpListener::new(service.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
 }
 
 /// Serves until the process is killed.
-pub async fn serve(node: Arc<Controller>, acceptor: TcpAcceptor) -> std::io::Result<()> {
-    let router = router(&node);
-    info!(addr = node.settings.listen, "serving");
+pub async fn serve(service: Arc<UserService>, acceptor: TcpAcceptor) -> std::io::Result<()> {
+    let router = router(&service);
+    info!(addr = service.settings.listen, "serving");
     Server::new(acceptor).serve(router).await;
     Ok(())
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -10,14 +10,14 @@
 use super::follow_ups::{FollowUps, Write};
 use super::lookup::{look_up, moved_on, open_tasks};
 use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
-use crate::controller::Controller;
+use super::service::UserService;
+use crate::audit::Held;
 use crate::history::moves;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::can_hold;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
-use crate::store::audit::Held;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
@@ -36,8 +36,8 @@
 
 /// A submission that is refused for good, unless its job was accepted: that stays so, whoever accepted it and
 /// whatever its repeat says.
-async fn unless_accepted(node: &Controller, id: &str, refusal: Refusal) -> Reply {
-    match look_up(node, id).await {
+async fn unless_accepted(service: &UserService, id: &str, refusal: Refusal) -> Reply {
+    match look_up(service, id).await {
         Reply::Refused(Refusal::NoSuchJob) => Reply::Refused(refusal),
         other => other,
     }
@@ -51,89 +51,89 @@
 }
 
 /// A job as its user sends it, for the first time or again.
-pub(super) async fn submit(node: &Controller, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
+pub(super) async fn submit(service: &UserService, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
     let spec = match parse(body) {
         Ok(spec) => spec,
         Err(refusal) => {
             let Ok(named) = protocol::decode::<Named>(body) else { return Reply::Refused(refusal) };
-            return unless_accepted(node, &named.id, refusal).await;
+            return unless_accepted(service, &named.id, refusal).await;
         }
     };
-    if !node.store.watch_cache().ready {
+    if !service.store.watch_cache().ready {
         return Reply::later("the state service has not been read yet");
     }
     let id = spec.id.clone();
-    if open_tasks(node, &id).is_some() || node.history.ended(&id).is_some() {
-        return look_up(node, &id).await;
+    if open_tasks(service, &id).is_some() || service.history.ended(&id).is_some() {
+        return look_up(service, &id).await;
     }
-    let Some(catalog) = node.catalog.get() else {
+    let Some(catalog) = service.catalog.get() else {
         return Reply::later("the machine types are not known yet");
     };
-    if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
-        return unless_accepted(node, &id, impossible.into()).await;
+    if let Err(impossible) = can_ever_run(&spec, &service.settings, &catalog) {
+        return unless_accepted(service, &id, impossible.into()).await;
     }
-    accept(node, follow_ups, spec).await
+    accept(service, follow_ups, spec).await
 }
 
 /// A job that could run is accepted, if there is room for one more and its turn has come.
-async fn accept(node: &Controller, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
+async fn accept(service: &UserService, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
     let id = spec.id.clone();
     let (open, old_kept) = {
-        let watch_cache = node.store.watch_cache();
+        let watch_cache = service.store.watch_cache();
         (watch_cache.held(), watch_cache.old_kept())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
-    if !can_be_kept(node, &record) {
-        return unless_accepted(node, &id, Refusal::TooLarge).await;
+    if !can_be_kept(service, &record) {
+        return unless_accepted(service, &id, Refusal::TooLarge).await;
     }
-    if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
+    if !can_hold(&record.spec, open, service.settings.params.limits.memory_mb) {
         // A retry of a job that is already held must not be told so.
-        return match look_up(node, &id).await {
+        return match look_up(service, &id).await {
             Reply::Refused(Refusal::NoSuchJob) => {
                 Reply::Later { why: "more work is open than can be held", after_s: COME_AGAIN_LATER_S }
             }
             other => other,
         };
     }
-    let admitted = match admit(node, &record.spec) {
+    let admitted = match admit(service, &record.spec) {
         Ok(admitted) => admitted,
         // At once, without a question to the store; a retry of a job that is held is told later.
         Err(after_s) => return Reply::Later { why: "too many jobs are submitted at once", after_s },
     };
-    let reply = write_acceptance(node, follow_ups, Arc::new(record), old_kept).await;
+    let reply = write_acceptance(service, follow_ups, Arc::new(record), old_kept).await;
     drop(admitted);
     reply
 }
 
 /// Whether the store takes a value of this size, for ever.
-fn can_be_kept(node: &Controller, record: &JobRecord) -> bool {
+fn can_be_kept(service: &UserService, record: &JobRecord) -> bool {
     let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
-    size as f64 <= node.settings.params.state.value_kb * 1024.0
+    size as f64 <= service.settings.params.state.value_kb * 1024.0
 }
 
 /// Whether the job's turn has come, or after how many seconds its user is to come again.
-fn admit<'a>(node: &'a Controller, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
-    let mut admission = lock(&node.admission);
-    let (wait, per_second) = node.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
+fn admit<'a>(service: &'a UserService, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
+    let mut admission = lock(&service.admission);
+    let (wait, per_second) = service.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
     admission.admit(spec, wait, per_second, rand::random(), Instant::now())?;
-    Ok(Admitted { node, spec: spec.clone() })
+    Ok(Admitted { service, spec: spec.clone() })
 }
 
 /// Leaves admission control whatever becomes of the request.
 struct Admitted<'a> {
-    node: &'a Controller,
+    service: &'a UserService,
     spec: JobSpec,
 }
 
 impl Drop for Admitted<'_> {
     fn drop(&mut self) {
-        lock(&self.node.admission).leave(&self.spec);
+        lock(&self.service.admission).leave(&self.spec);
     }
 }
 
 /// Writes a job where there is none, and tells its user.
 async fn write_acceptance(
-    node: &Controller,
+    service: &UserService,
     follow_ups: &Arc<FollowUps>,
     record: Arc<JobRecord>,
     old_kept: bool,
@@ -142,16 +142,21 @@
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
-        match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical).await {
+        match service
+            .store
+            .client
+            .compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical)
+            .await
+        {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 sent.applied();
-                lock(&node.audit).note(Held::Accepted(record));
+                service.audit.note(Held::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
                 return Reply::Job(201, job);
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 sent.refused();
-                return moved_on(node, &id, &keys).await;
+                return moved_on(service, &id, &keys).await;
             }
             Err(StoreError::Unavailable(429)) => {
                 sent.refused();
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -6,8 +6,8 @@
 use hyper::Method;
 use tracing::debug;
 
+use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
-use crate::controller::Controller;
 use crate::protocol::{self, CallError};
 use crate::scheduling::cluster::{Direct, Via};
 use crate::traffic::Passage;
@@ -18,35 +18,35 @@
 const EVERY: Duration = Duration::from_millis(1000);
 
 /// Sends the commands that are due straight to their workers, for ever.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(service: Arc<WorkerService>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wakeups.dispatch.notified()).await;
-        if node.unproven() {
+        let _ = tokio::time::timeout(EVERY, service.wakeups.dispatch.notified()).await;
+        if service.membership.unproven() {
             continue;
         }
-        let due = match node.leader.cluster().as_mut() {
+        let due = match service.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
         // At most one command per machine is under way, which bounds these.
         for direct in due {
-            tokio::spawn(send(node.clone(), direct));
+            tokio::spawn(send(service.clone(), direct));
         }
     }
 }
 
-async fn send(node: Arc<Controller>, direct: Direct) {
+async fn send(service: Arc<WorkerService>, direct: Direct) {
     let body = protocol::encode(&WorkerCommands {
         fencing_token: direct.fencing_token,
         agent_epoch: Some(direct.agent_epoch),
         orders: direct.orders,
     });
-    node.traffic.count(Passage::Command);
-    let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
+    service.traffic.count(Passage::Command);
+    let outcome = service.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
     let now = Instant::now();
-    let catalog = node.catalog.get();
+    let catalog = service.catalog.get();
     {
-        let mut held = node.leader.cluster();
+        let mut held = service.leader.cluster();
         let Some(cluster) = held.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
@@ -62,6 +62,6 @@
             cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
         }
     }
-    node.wakeups.commit.notify_one();
-    node.wakeups.plan.notify_one();
+    service.wakeups.commit.notify_one();
+    service.wakeups.plan.notify_one();
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,20 +2,20 @@
 
 pub mod answer;
 pub mod dispatch;
+pub mod service;
 #[cfg(test)]
 mod tests;
 
-use std::sync::Arc;
 use std::time::Instant;
 
 use tracing::debug;
 
 use self::answer::Rights;
-use crate::controller::Controller;
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
 use crate::scheduling::cluster::Via;
+pub use service::WorkerService;
 
 /// What a heartbeat is answered with.
 pub enum Answer {
@@ -31,7 +31,7 @@
 
 /// One heartbeat. Only the leader takes it in; a fencing token higher than its own tells it that it is no
 /// longer the leader, and a 200 would then only hold the worker while its lease runs out.
-pub fn take_heartbeat(node: &Arc<Controller>, body: &[u8]) -> Answer {
+pub fn take_heartbeat(service: &WorkerService, body: &[u8]) -> Answer {
     let heartbeat = match crate::protocol::decode::<Heartbeat>(body) {
         Ok(heartbeat) if heartbeat.check() => heartbeat,
         Ok(_) => return Answer::Malformed,
@@ -40,8 +40,8 @@
             return Answer::Malformed;
         }
     };
-    let unproven = node.unproven();
-    let serves = unproven && node.store_serves();
+    let unproven = service.membership.unproven();
+    let serves = unproven && service.membership.store_serves();
     let mut rights = Rights { loaded: false, knows: false, unproven, serves };
     if rights.silent() {
         return Answer::Nobody;
@@ -49,16 +49,16 @@
     let now = Instant::now();
     let mut deposed = false;
     let (heartbeat_from, heartbeat_at) = (heartbeat.machine.clone(), (heartbeat.agent_epoch, heartbeat.seq));
-    rights.knows = node.knows_leader(now);
+    rights.knows = service.membership.knows_leader(now);
     // Of jobs that are over by the watch cache a leader stops what runs, whatever else it may do.
-    let over = node.over_among(&heartbeat, rights.acts());
+    let over = service.membership.over_among(&heartbeat, rights.acts());
     {
-        let mut held = node.leader.cluster();
+        let mut held = service.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             if heartbeat.fencing_token > cluster.fencing_token {
                 deposed = true;
             } else {
-                let catalog = node.catalog.get();
+                let catalog = service.catalog.get();
                 let name = heartbeat.machine.clone();
                 cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
@@ -69,9 +69,10 @@
                 };
                 let fencing_token = cluster.fencing_token;
                 drop(held);
-                node.wakeups.plan.notify_one();
-                node.wakeups.commit.notify_one();
-                let (spare, kept) = (|| node.may_hold_blindly(now), || node.holds(&name, now));
+                service.wakeups.plan.notify_one();
+                service.wakeups.commit.notify_one();
+                let (spare, kept) =
+                    (|| service.membership.may_hold_blindly(now), || service.membership.holds(&name, now));
                 if !rights.holds(over.since(fencing_token), spare, kept) {
                     return Answer::Nobody;
                 }
@@ -80,14 +81,14 @@
         }
     }
     if deposed {
-        node.step_down("a worker has seen a higher token");
+        service.membership.step_down("a worker has seen a higher token");
         return Answer::Nobody;
     }
-    debug!(machine = heartbeat_from, leader = node.leader_node(), "a report for the leader");
-    match node.leader_node() {
+    debug!(machine = heartbeat_from, leader = service.membership.leader_node(), "a report for the leader");
+    match service.membership.leader_node() {
         // Sent to a leader of long ago, workers would only come and go.
-        Some(leader) if leader != node.settings.node && node.knows_leader(now) => {
-            node.note_redirect(&heartbeat_from, heartbeat_at, now);
+        Some(leader) if leader != service.settings.node && service.membership.knows_leader(now) => {
+            service.membership.note_redirect(&heartbeat_from, heartbeat_at, now);
             Answer::Elsewhere(leader)
         }
         _ => Answer::Nobody,
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -258,6 +258,7 @@
                     // its watch.
                     let has = b
                         .controller
+                        .membership
                         .watermark()
                         .is_some_and(|cluster| cluster.fencing_token < version || cluster.revision >= version);
                     assert!(has && version > 0, "{n} was told with no loaded cluster state that has it");
@@ -268,7 +269,7 @@
                 }
             }
             waiting = rest;
-            if loaded.is_none() && b.controller.watermark().is_some() {
+            if loaded.is_none() && b.controller.membership.watermark().is_some() {
                 loaded = Some(Instant::now());
             }
         }
@@ -310,7 +311,7 @@
         ControllerProcess::start_with(&stage.world, &settings, "leader.lease.seconds=3")
     };
     let a = start(0);
-    stage.outside.block_on(until("the first leads", || async { a.controller.watermark().is_some() }));
+    stage.outside.block_on(until("the first leads", || async { a.controller.membership.watermark().is_some() }));
     let all = vec![a, start(1), start(2)];
     stage.outside.block_on(async {
         for at in &all {
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -113,7 +113,7 @@
 
 impl LeaderTokens {
     fn note(&mut self, node: &ControllerProcess) {
-        let Some(cluster) = node.controller.watermark() else { return };
+        let Some(cluster) = node.controller.membership.watermark() else { return };
         let name = &node.controller.settings.node;
         let by = self.0.entry(cluster.fencing_token).or_insert_with(|| name.clone());
         assert_eq!(by, name, "two lead under token {}", cluster.fencing_token);
@@ -143,8 +143,10 @@
         let both = [&second, &third];
         let asked = stage.all_answer(&both, 1, &LOOKS);
         let taken_over = async {
-            until("it leads", || async { second.controller.watermark().or(third.controller.watermark()).is_some() })
-                .await;
+            until("it leads", || async {
+                second.controller.membership.watermark().or(third.controller.membership.watermark()).is_some()
+            })
+            .await;
         };
         tokio::join!(asked, taken_over);
         fencing_tokens.note(&second);
--- a/tests/odd_requests.rs
+++ b/tests/odd_requests.rs
@@ -109,7 +109,7 @@
                 stage.look(&b, n, How::LookUp).await;
             }
             stage.hopeless(&b, 14..15).await;
-            b.controller.watermark().is_some()
+            b.controller.membership.watermark().is_some()
         })
         .await;
         stage.all_say([&b, &b], 3, "withdrawn").await;
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -102,7 +102,7 @@
         let (controller, addr) = runtime.block_on(async {
             let controller = Controller::new(settings, properties);
             controller.start();
-            let addr = listen(hollylanding::users::router(&controller)).await;
+            let addr = listen(hollylanding::users::router(&controller.users)).await;
             (controller, addr)
         });
         let name = controller.settings.node.clone();
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -67,7 +67,7 @@
     let world = outside.block_on(async { World::open(params) });
     let stage = Stage { outside, world, http: Http::default() };
     let a = stage.starts(names, 0, lease_s);
-    stage.outside.block_on(until("the first leads", || async { a.controller.watermark().is_some() }));
+    stage.outside.block_on(until("the first leads", || async { a.controller.membership.watermark().is_some() }));
     let b = stage.starts(names, 1, lease_s);
     stage.outside.block_on(until("the second is healthy", || stage.healthy(&b)));
     (stage, a, b)
@@ -217,6 +217,7 @@
         // watch.
         let has = |at: &&ControllerProcess| {
             at.controller
+                .membership
                 .watermark()
                 .is_some_and(|cluster| cluster.fencing_token < version || cluster.revision >= version)
         };
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -216,7 +216,7 @@
             stage.all_answer(&last, cancelled, &ALL),
             stage.all_answer(&last, cancelled_between, &ALL),
         );
-        until("it leads", || async { starting.controller.watermark().is_some() }).await;
+        until("it leads", || async { starting.controller.membership.watermark().is_some() }).await;
         for (n, want) in [(done, "done"), (cancelled, "withdrawn"), (cancelled_between, "withdrawn")] {
             stage.all_say(last, n, want).await;
         }
--- a/tests/unheard_cancellations.rs
+++ b/tests/unheard_cancellations.rs
@@ -39,7 +39,7 @@
     let lease = "leader.lease.seconds=10";
     let a = ControllerProcess::start_with(&world, &settings("node-a", &["node-b"], &door), lease);
     outside.block_on(until("the first leads", || async {
-        a.held("open_jobs") == 0 && a.controller.watermark().is_some()
+        a.held("open_jobs") == 0 && a.controller.membership.watermark().is_some()
     }));
     let b = ControllerProcess::start_with(&world, &settings("node-b", &["node-a"], &other_door), lease);
     outside.block_on(async {
@@ -150,7 +150,8 @@
         assert_eq!((status, &answer["status"]), (200, &json!("withdrawn")));
         let now = stage.world.now();
         stage.world.state.lock().unwrap().store.set_out(true, now);
-        until("it cannot prove anything", || async { !stage.a.controller.knows_leader(Instant::now()) }).await;
+        until("it cannot prove anything", || async { !stage.a.controller.membership.knows_leader(Instant::now()) })
+            .await;
         assert_eq!(stage.live(), 3);
         hang(Duration::ZERO);
         until("gone in the midst of the outage", || async { stage.live() == 0 }).await;
--- a/tests/unread_process_pause.rs
+++ b/tests/unread_process_pause.rs
@@ -24,8 +24,8 @@
     outside.block_on(async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert!(a.controller.store.watch_cache().asking().is_none(), "nothing is read yet");
-        a.controller.beat(Instant::now() + Duration::from_secs(5));
-        assert!(a.controller.unproven(), "it was paused for longer than an election lease");
+        a.controller.membership.beat(Instant::now() + Duration::from_secs(5));
+        assert!(a.controller.membership.unproven(), "it was paused for longer than an election lease");
 
         let mut given_up = a.controller.store.read_barrier.failed.subscribe();
         let until_then = Instant::now() + WATCHED;
@@ -38,7 +38,7 @@
 
         world.state.lock().unwrap().store.set_refused("0", false);
         until("proven once the store answers", || async {
-            !a.controller.unproven() && a.controller.watermark().is_some()
+            !a.controller.membership.unproven() && a.controller.membership.watermark().is_some()
         })
         .await;
     });
