--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use super::Membership;
-use super::records::Watermark;
 use super::watermark::{self, Unconfirmed};
 use crate::jobs::{End, JobId};
+use crate::records::leadership::Watermark;
 use crate::sync::lock;
 
 impl Membership {
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -11,12 +11,12 @@
 use tracing::{debug, info, warn};
 
 use super::Membership;
-use super::records::{LeaderRecord, LeaseHolder, Watermark};
 use super::turns::{Pace, in_turn};
 use super::unreadable::UnreadableLeaseHolder;
 use super::watermark::Lag;
 use super::yielding::Yielding;
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
+use crate::records::leadership::{LeaderRecord, LeaseHolder, Watermark};
 use crate::store::budget::RequestPriority;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -7,7 +7,7 @@
 use tracing::{info, warn};
 
 use super::Membership;
-use super::records::TakeoverRequest;
+use crate::records::leadership::TakeoverRequest;
 use crate::scheduling::cluster::ClusterState;
 use crate::store::budget::RequestPriority;
 use crate::sync::lock;
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -19,7 +19,7 @@
 
 use crate::jobs::{Counts, JobId};
 use crate::membership::Membership;
-use crate::membership::records::{LeaderRecord, Watermark};
+use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -22,7 +22,6 @@
 mod leadership;
 pub mod mesh;
 mod pauses;
-pub mod records;
 pub mod serving_state;
 mod store_shares;
 mod turns;
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -6,9 +6,9 @@
 
 use super::super::election::storing;
 use super::super::mesh::believed;
-use super::super::records::{LeaderRecord, Watermark};
 use super::{Lag, Unconfirmed, own_watermark};
 use crate::jobs::record::{LEADER, WATERMARK};
+use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::store::Change;
 
 fn leader_record(node: &str, version: u64) -> (LeaderRecord, u64) {
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -9,7 +9,8 @@
 use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::{Direct, Via};
+use crate::scheduling::cluster::Direct;
+use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
 /// Past this a command counts as one that may still arrive.
@@ -59,7 +60,7 @@
         }
         cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
-            cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
+            cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
     }
     service.wakeups.commit.notify_one();
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -14,7 +14,7 @@
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
-use crate::scheduling::cluster::Via;
+use crate::scheduling::messages::MessageKind;
 pub use service::WorkerService;
 
 /// What a heartbeat is answered with.
@@ -60,7 +60,7 @@
             } else {
                 let catalog = service.catalog.get();
                 let name = heartbeat.machine.clone();
-                cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
+                cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
                 let orders = if rights.whole() {
                     cluster.orders_in_answer(&name, now)
