--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -48,7 +48,7 @@
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
 pub async fn run(scheduler: Arc<Scheduler>) {
-    load_cluster_state(&scheduler).await;
+    load_until_done(&scheduler).await;
     let mut schedule = Schedule::new(Instant::now());
     loop {
         let _ = tokio::time::timeout(TICK_INTERVAL, scheduler.wakeups.plan.notified()).await;
@@ -74,10 +74,10 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load_cluster_state(scheduler: &Arc<Scheduler>) {
+async fn load_until_done(scheduler: &Arc<Scheduler>) {
     loop {
         if scheduler.store.read_barrier.wait().await {
-            match load::fill(scheduler).await {
+            match load::load_cluster_state(scheduler).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
             }
