--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -15,7 +15,7 @@
 use super::submission::submit;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
-use crate::workers::{self, Answer};
+use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
 /// The framework's side: one handler per path.
 struct Handle {
@@ -67,21 +67,21 @@
 }
 
 /// The answer to a worker's heartbeat.
-fn render_answer(service: &UserService, res: &mut Response, answer: Answer) {
-    match answer {
-        Answer::WorkerCommands(orders) => {
+fn render_heartbeat_response(service: &UserService, res: &mut Response, response: HeartbeatResponse) {
+    match response {
+        HeartbeatResponse::Commands(commands) => {
             service.traffic.count(Passage::Heartbeat);
-            render(res, 200, protocol::encode(&orders));
+            render(res, 200, protocol::encode(&commands));
         }
-        Answer::Elsewhere(leader) => {
+        HeartbeatResponse::Redirect(leader) => {
             service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
-        Answer::Nobody => {
+        HeartbeatResponse::Unavailable => {
             service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 503, Vec::new());
         }
-        Answer::Malformed => render(res, 400, Vec::new()),
+        HeartbeatResponse::Malformed => render(res, 400, Vec::new()),
     }
 }
 
@@ -108,7 +108,7 @@
             Path::LookUp => render_reply(service, res, look_up(service, &id).await),
             Path::Cancel => render_reply(service, res, cancel(service, &self.follow_ups, &id).await),
             Path::Health => render(res, if service.membership.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Heartbeat => render_answer(service, res, workers::take_heartbeat(&service.workers, &body)),
+            Path::Heartbeat => render_heartbeat_response(service, res, handle_heartbeat(&service.workers, &body)),
         }
     }
 }
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -3,25 +3,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use bytes::Bytes;
 use hyper::Method;
 use tracing::debug;
 
 use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::{Direct, MachineId};
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
-/// Past this a command counts as one that may still arrive.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2500);
-/// Looks again this often for what is due without having been told.
-const EVERY: Duration = Duration::from_millis(1000);
+/// A command that is not answered within this counts as one that may still arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest pause between two checks for due commands.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Sends the commands that are due straight to their workers, for ever.
+/// Sends commands directly to their workers as they become due. Never returns.
 pub async fn run(service: Arc<WorkerService>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, service.wakeups.dispatch.notified()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, service.wakeups.dispatch.notified()).await;
         if service.membership.unproven() {
             continue;
         }
@@ -29,7 +30,7 @@
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
-        // At most one command per machine is under way, which bounds these.
+        // At most one command per machine is in flight, which bounds the number of these tasks.
         for direct in due {
             tokio::spawn(send(service.clone(), direct));
         }
@@ -37,13 +38,20 @@
 }
 
 async fn send(service: Arc<WorkerService>, direct: Direct) {
-    let body = protocol::encode(&WorkerCommands {
-        fencing_token: direct.fencing_token,
-        agent_epoch: Some(direct.agent_epoch),
-        orders: direct.orders,
-    });
+    let Direct { machine, addr, fencing_token, agent_epoch, orders } = direct;
+    let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders });
     service.traffic.count(Passage::Command);
-    let outcome = service.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
+    let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
+    record_reply(&service, &machine, fencing_token, outcome);
+}
+
+/// Records the reply to a command in the cluster state.
+fn record_reply(
+    service: &WorkerService,
+    machine: &MachineId,
+    fencing_token: u64,
+    outcome: Result<(u16, Bytes), CallError>,
+) {
     let now = Instant::now();
     let catalog = service.catalog.get();
     {
@@ -56,9 +64,9 @@
         // Only a definite answer, or a connection that never was, settles what was sent.
         let settled = heartbeat.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
         if let Err(error) = &outcome {
-            debug!(machine = %direct.machine, %error, "direct command");
+            debug!(%machine, %error, "worker command failed");
         }
-        cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
+        cluster.command_over(machine, fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
             cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
