--- a/src/membership/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -6,7 +6,7 @@
 use crate::protocol::state::CompareAndSwap;
 use hollylanding_emulator::world::store::Store;
 
-use super::*;
+use super::super::*;
 use crate::jobs::record::CACHED;
 use crate::records::leadership::TakeoverRequest;
 use crate::store::watch_cache::WatchCache;
--- a/src/store/read_barrier.rs
+++ b/src/store/read_barrier.rs
@@ -13,7 +13,8 @@
 use super::StoreError;
 use super::budget::RequestPriority;
 use super::client::WatchResponse;
-use crate::controller::Controller;
+use super::handle::StateStore;
+use super::watch::WatchObserver;
 use crate::jobs::record::CACHED;
 use crate::sync::lock;
 
@@ -115,36 +116,36 @@
 }
 
 /// Makes a proof whenever one is requested, and regularly without a request, for ever.
-pub async fn run(node: Arc<Controller>) {
-    let barrier = &node.store.read_barrier;
+pub async fn run(store: Arc<StateStore>, observer: Arc<impl WatchObserver>) {
+    let barrier = &store.read_barrier;
     loop {
         let _ = tokio::time::timeout(barrier.interval(), barrier.requested.notified()).await;
         let ticket = barrier.last_ticket();
-        let pauses = node.pauses();
+        let pauses = observer.process_pauses();
         let requested_at = Instant::now();
-        let revision = node.store.watch_cache().watch_revision();
+        let revision = store.watch_cache().watch_revision();
         let Some(revision) = revision else {
             barrier.failed.send_replace(ticket);
             // The loop of process pauses requests proofs as well while there is none.
             tokio::time::sleep(PROOF_GAP).await;
             continue;
         };
-        match changes_since(&node, revision).await {
+        match changes_since(&store, revision).await {
             Ok(response) => {
-                let changes = node.store.watch_cache().apply_watch(&response);
+                let changes = store.watch_cache().apply_watch(&response);
                 let applied = changes.is_some();
-                node.spread(changes.unwrap_or_default());
+                observer.cache_changed(changes.unwrap_or_default());
                 // A proof requested before a process pause proves nothing after it.
-                if applied && node.pauses() == pauses {
+                if applied && observer.process_pauses() == pauses {
                     barrier.record_proof(requested_at);
-                    node.proven();
+                    observer.cache_proven();
                     barrier.proven.send_replace(ticket);
                 } else {
                     barrier.failed.send_replace(ticket);
                 }
             }
             Err(StoreError::TooOld) => {
-                node.store.watch_cache().require_reload();
+                store.watch_cache().require_reload();
                 barrier.failed.send_replace(ticket);
             }
             // The rate limit is used up for a moment: the callers wait a little longer, instead of all failing together.
@@ -154,7 +155,7 @@
                 debug!(%error, "linearizable read failed");
             }
         }
-        tokio::time::sleep(PROOF_GAP.max(node.store.client.time_for(PROOF_COST))).await;
+        tokio::time::sleep(PROOF_GAP.max(store.client.time_for(PROOF_COST))).await;
         if barrier.last_ticket() > ticket {
             barrier.request_proof();
         }
@@ -162,16 +163,16 @@
 }
 
 /// All changes since a revision, by a watch without waiting time.
-async fn changes_since(node: &Controller, revision: u64) -> Result<WatchResponse, StoreError> {
+async fn changes_since(store: &StateStore, revision: u64) -> Result<WatchResponse, StoreError> {
     // The request is reserved first: waiting for the own share of the rate limit is no sign of a connection that hangs.
-    node.store.client.reserve(RequestPriority::Critical).await?;
-    let first = node.store.client.watch_reserved(CACHED, revision, Duration::ZERO);
+    store.client.reserve(RequestPriority::Critical).await?;
+    let first = store.client.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(SECOND_REQUEST_AFTER, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = node.store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
+        outcome = store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
     }
 }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -7,6 +7,7 @@
 use hollylanding_emulator::world::store::Store;
 use serde_json::json;
 
+use crate::audit::end_again;
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, Write};
@@ -19,8 +20,7 @@
 use crate::membership::{candidacy, expiry, naming};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
-use crate::store::audit::end_again;
-use crate::store::commit::{Batch, shard_drops, still_to_drop};
+use crate::scheduling::commit::{Batch, shard_drops, still_to_drop};
 use crate::store::{Change, Condition};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -6,8 +6,8 @@
 use tracing::debug;
 
 use super::StoreError;
-use crate::controller::Controller;
-use crate::history::upgrade;
+use super::handle::StateStore;
+use super::watch_cache::CacheChanges;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
 use crate::sync::jitter;
 
@@ -25,19 +25,33 @@
 /// Pause after a page that could not be read, before jitter.
 const PAGE_RETRY: Duration = Duration::from_millis(200);
 
+/// What acts on the changes that the watch and the read barrier find. No lock of the store is held while it is called.
+pub trait WatchObserver: Send + Sync + 'static {
+    /// The watch cache has changed, or has been read up to a later revision.
+    fn cache_changed(&self, changes: CacheChanges);
+    /// The watch cache has just been proven to be up to date.
+    fn cache_proven(&self);
+    /// How often this process was paused: a proof during which this number changes does not count.
+    fn process_pauses(&self) -> u64;
+    /// Whether this controller leads: it then has to learn of changes at once.
+    fn leads(&self) -> bool;
+    /// Upgrades what an earlier build has left in the store.
+    fn upgrade_stored_data(&self) -> impl Future<Output = Result<(), StoreError>> + Send;
+}
+
 /// Watches the cached keys for ever, one watch at a time.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(store: Arc<StateStore>, observer: Arc<impl WatchObserver>) {
     loop {
-        let revision = node.store.watch_cache().watch_revision();
+        let revision = store.watch_cache().watch_revision();
         let outcome = match revision {
-            Some(revision) => watch_once(&node, revision).await,
-            None => reload(&node).await,
+            Some(revision) => watch_once(&store, &*observer, revision).await,
+            None => reload(&store, &*observer).await,
         };
         match outcome {
             // The leader acts on what it learns; for the others some delay is enough.
-            Ok(()) if node.leader.cluster().is_some() => tokio::time::sleep(WATCH_GAP).await,
-            Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.client.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => node.store.watch_cache().require_reload(),
+            Ok(()) if observer.leads() => tokio::time::sleep(WATCH_GAP).await,
+            Ok(()) => tokio::time::sleep(WATCH_GAP.max(store.client.time_for(WATCH_COST))).await,
+            Err(StoreError::TooOld) => store.watch_cache().require_reload(),
             Err(error) => {
                 debug!(%error, "store watch failed");
                 tokio::time::sleep(jitter(WATCH_RETRY)).await;
@@ -46,18 +60,18 @@
     }
 }
 
-async fn watch_once(node: &Controller, revision: u64) -> Result<(), StoreError> {
-    let response = node.store.client.watch(CACHED, revision, WATCH_TIMEOUT).await?;
-    let changes = node.store.watch_cache().apply_watch(&response);
-    node.spread(changes.unwrap_or_default());
+async fn watch_once(store: &StateStore, observer: &impl WatchObserver, revision: u64) -> Result<(), StoreError> {
+    let response = store.client.watch(CACHED, revision, WATCH_TIMEOUT).await?;
+    let changes = store.watch_cache().apply_watch(&response);
+    observer.cache_changed(changes.unwrap_or_default());
     Ok(())
 }
 
 /// Reads all cached keys anew, page by page. If the store is not marked as upgraded, it is upgraded instead, and the
 /// caller has to reload again.
-async fn reload(node: &Controller) -> Result<(), StoreError> {
-    let mut reload = node.store.watch_cache().begin_reload();
-    let mut pages = node.store.client.pages(CACHED, Some(CACHED_AFTER));
+async fn reload(store: &StateStore, observer: &impl WatchObserver) -> Result<(), StoreError> {
+    let mut reload = store.watch_cache().begin_reload();
+    let mut pages = store.client.pages(CACHED, Some(CACHED_AFTER));
     let mut failures = 0;
     loop {
         let page = match pages.next().await {
@@ -72,14 +86,14 @@
             Err(error) => return Err(error),
         };
         failures = 0;
-        let changes = node.store.watch_cache().apply_page(&mut reload, &page);
-        node.spread(changes);
+        let changes = store.watch_cache().apply_page(&mut reload, &page);
+        observer.cache_changed(changes);
     }
     if !reload.store_is_upgraded() {
-        return upgrade::run(&node.store.client).await;
+        return observer.upgrade_stored_data().await;
     }
-    let changes = node.store.watch_cache().finish_reload(reload);
-    node.spread(changes);
-    node.store.read_barrier.request_proof();
+    let changes = store.watch_cache().finish_reload(reload);
+    observer.cache_changed(changes);
+    store.read_barrier.request_proof();
     Ok(())
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -3,20 +3,21 @@
 
 pub mod dispatch;
 pub mod response_policy;
+pub mod service;
 #[cfg(test)]
 mod tests;
 
-use std::sync::Arc;
 use std::time::Instant;
 
 use tracing::debug;
 
 use self::response_policy::ResponsePolicy;
-use crate::controller::{Controller, Over};
+use crate::membership::Over;
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
 use crate::scheduling::messages::MessageKind;
+pub use service::WorkerService;
 
 /// The response to a heartbeat.
 pub enum HeartbeatResponse {
@@ -50,30 +51,30 @@
 /// Handles one heartbeat: validates it, fences off leaders that were replaced, reconciles and records it in the cluster
 /// state, and answers. Only the leader records it. A fencing token higher than its own tells it that it is no longer
 /// the leader; a 200 would then only renew the worker's lease without a leader.
-pub fn handle_heartbeat(node: &Arc<Controller>, body: &[u8]) -> HeartbeatResponse {
+pub fn handle_heartbeat(service: &WorkerService, body: &[u8]) -> HeartbeatResponse {
     let Some(heartbeat) = decode_valid(body) else { return HeartbeatResponse::Malformed };
-    let unproven = node.unproven();
+    let unproven = service.membership.unproven();
     let mut policy = ResponsePolicy {
         cluster_state_loaded: false,
         leader_known: false,
         unproven_since_pause: unproven,
-        store_answers: unproven && node.store_serves(),
+        store_answers: unproven && service.membership.store_serves(),
     };
     if policy.stays_silent() {
         return HeartbeatResponse::Unavailable;
     }
     let now = Instant::now();
     let id = HeartbeatId { machine: heartbeat.machine.clone(), agent_epoch: heartbeat.agent_epoch, seq: heartbeat.seq };
-    policy.leader_known = node.knows_leader(now);
+    policy.leader_known = service.membership.knows_leader(now);
     // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
-    let ended = node.over_among(&heartbeat, policy.may_command());
-    match record(node, heartbeat, &mut policy, &ended, now) {
-        Recorded::ByLeader(commands) => answer_as_leader(node, &id.machine, commands, policy, &ended, now),
+    let ended = service.membership.over_among(&heartbeat, policy.may_command());
+    match record(service, heartbeat, &mut policy, &ended, now) {
+        Recorded::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
         Recorded::Deposed => {
-            node.step_down("a worker has seen a higher token");
+            service.membership.step_down("a worker has seen a higher token");
             HeartbeatResponse::Unavailable
         }
-        Recorded::NotLeader => redirect(node, &id, now),
+        Recorded::NotLeader => redirect(service, &id, now),
     }
 }
 
@@ -90,18 +91,18 @@
 
 /// Compares the fencing tokens, then reconciles the heartbeat with the cluster state and records it there.
 fn record(
-    node: &Controller,
+    service: &WorkerService,
     heartbeat: Heartbeat,
     policy: &mut ResponsePolicy,
     ended: &Over,
     now: Instant,
 ) -> Recorded {
-    let mut held = node.leader.cluster();
+    let mut held = service.leader.cluster();
     let Some(cluster) = held.as_mut() else { return Recorded::NotLeader };
     if heartbeat.fencing_token > cluster.fencing_token {
         return Recorded::Deposed;
     }
-    let catalog = node.catalog.get();
+    let catalog = service.catalog.get();
     let machine = heartbeat.machine.clone();
     cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
     policy.cluster_state_loaded = cluster.loaded;
@@ -115,17 +116,17 @@
 
 /// Answers with the commands, if the worker's lease may be renewed.
 fn answer_as_leader(
-    node: &Controller,
+    service: &WorkerService,
     machine: &str,
     commands: WorkerCommands,
     policy: ResponsePolicy,
     ended: &Over,
     now: Instant,
 ) -> HeartbeatResponse {
-    node.wakeups.plan.notify_one();
-    node.wakeups.commit.notify_one();
-    let leases_expire_in_time = || node.may_hold_blindly(now);
-    let holds_machine = || node.holds(machine, now);
+    service.wakeups.plan.notify_one();
+    service.wakeups.commit.notify_one();
+    let leases_expire_in_time = || service.membership.may_hold_blindly(now);
+    let holds_machine = || service.membership.holds(machine, now);
     if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
         HeartbeatResponse::Commands(commands)
     } else {
@@ -135,12 +136,12 @@
 
 /// Sends the worker to the leader, as far as that is known for certain: sent to a leader of long ago, workers would
 /// only come and go.
-fn redirect(node: &Arc<Controller>, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
-    let leader = node.leader_node();
+fn redirect(service: &WorkerService, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
+    let leader = service.membership.leader_node();
     debug!(machine = id.machine, leader, "heartbeat redirected");
     match leader {
-        Some(leader) if leader != node.settings.node && node.knows_leader(now) => {
-            node.note_redirect(&id.machine, (id.agent_epoch, id.seq), now);
+        Some(leader) if leader != service.settings.node && service.membership.knows_leader(now) => {
+            service.membership.note_redirect(&id.machine, (id.agent_epoch, id.seq), now);
             HeartbeatResponse::Redirect(leader)
         }
         _ => HeartbeatResponse::Unavailable,
