--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -7,7 +7,7 @@
 use super::status::{WindowInstance, WindowStatus};
 use super::step::{JobProgress, StepContext, latest_claim_ms, latest_start_ms, new_claims, record_claim_ends};
 use crate::jobs::{JobId, JobSpec, Shape, Urgency};
-use crate::scheduling::intents::{Intents, RoomIntent, Turn};
+use crate::scheduling::intents::{Intents, RoomIntent, WindowPlace};
 
 /// Capacity for an opening is asked for so long ahead; provisioning knows how long boot and fetch take.
 const ROOM_AHEAD_MS: u64 = 900_000;
@@ -108,7 +108,7 @@
         let JobProgress::Open { begun, .. } = (context.progress)(&claim.job) else { continue };
         let has_started = claim.turn <= instance.turn;
         if has_started {
-            intents.turns.insert(claim.job.clone(), Turn { window: name.to_owned(), number: claim.turn });
+            intents.turns.insert(claim.job.clone(), WindowPlace { window: name.to_owned(), number: claim.turn });
         } else {
             intents.not_yet.insert(claim.job.clone());
         }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -120,7 +120,7 @@
     let (settings, properties) = load_config(files)?;
     start_logging();
     // The controller has logged the error.
-    let outcome = crate::node::serve(settings, properties);
+    let outcome = crate::controller::serve(settings, properties);
     Ok(if outcome.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
--- /dev/null
+++ b/src/declarations/context.rs
@@ -0,0 +1,91 @@
+//! What the driver of declarations may read and do at the leader, and what declarations ask of the cluster state.
+
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::driver::{self, JobEnds};
+use super::run::DeclarationContext;
+use super::table::KINDS;
+use crate::history::reader::History;
+use crate::jobs::JobId;
+use crate::jobs::record::time_of_day_ms;
+use crate::membership::Membership;
+use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::leader_state::LeaderState;
+use crate::scheduling::scheduler::IntentSource;
+use crate::store::budget::RequestPriority;
+use crate::store::handle::StateStore;
+use crate::store::watch_cache::WatchCache;
+use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
+use crate::wakeups::Wakeups;
+
+/// Declarations at one controller.
+pub struct DeclarationState {
+    /// The state service; its watch cache holds the declarations.
+    pub store: Arc<StateStore>,
+    /// Ends of jobs.
+    pub history: Arc<History>,
+    /// Whether this controller may act as the leader.
+    pub membership: Arc<Membership>,
+    /// The cluster state, of which declarations ask something.
+    pub leader: Arc<LeaderState>,
+    /// Wakes the driver, and the election where another may lead.
+    pub wakeups: Arc<Wakeups>,
+}
+
+impl IntentSource for DeclarationState {
+    fn refresh_intents(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
+        driver::refresh_intents(
+            KINDS,
+            cluster,
+            watch_cache.registry(),
+            &|id| self.history.ended(id),
+            now,
+            time_of_day_ms(),
+        );
+    }
+}
+
+impl DeclarationContext for DeclarationState {
+    fn is_idle(&self) -> bool {
+        let watch_cache = self.store.watch_cache();
+        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
+        nothing && self.leader.cluster().as_ref().is_none_or(|b| b.intents.is_empty())
+    }
+
+    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
+        if self.membership.unproven() {
+            return None;
+        }
+        let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
+        let cluster = held.as_mut()?;
+        Some(work(cluster, &mut watch_cache, &|id| self.history.ended(id)))
+    }
+
+    fn query_job_end(&self, id: &JobId) {
+        self.history.look_up(id);
+    }
+
+    fn writable_changes(&self, priority: RequestPriority) -> usize {
+        self.store.client.writes_ready(priority)
+    }
+
+    async fn compare_and_swap(
+        &self,
+        conditions: &[Condition],
+        changes: &[Change],
+        priority: RequestPriority,
+    ) -> Result<CompareAndSwapOutcome, StoreError> {
+        self.store.client.compare_and_swap(conditions, changes, priority).await
+    }
+
+    async fn refresh_after_conflict(&self) {
+        self.store.read_barrier.wait().await;
+        self.membership.check_deposed();
+        self.wakeups.membership.notify_one();
+    }
+
+    async fn wait_for_change(&self) {
+        self.wakeups.declarations.notified().await;
+    }
+}
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -137,7 +137,7 @@
         now: Instant,
         now_ms: u64,
     ) -> DriverOutput {
-        if !cluster.loaded || !watch_cache.ready {
+        if !cluster.loaded || !watch_cache.is_ready() {
             return DriverOutput::default();
         }
         let changes = watch_cache.registry_mut().take_status_changes();
@@ -146,7 +146,7 @@
         for change in changes.iter().filter(|c| now.saturating_duration_since(c.heard) < LOG_WITHIN) {
             output.events.extend(events_of_change(self.kinds, change));
         }
-        if watch_cache.revision >= self.stored_revision {
+        if watch_cache.revision() >= self.stored_revision {
             let view = view_state(cluster, watch_cache.registry(), job_end, now, now_ms);
             output.writes = self.choose_writes(&view, &mut output.events);
             output.unknown_ends = view.unknown_ends.into_inner();
--- a/src/declarations/mod.rs
+++ b/src/declarations/mod.rs
@@ -5,6 +5,7 @@
 //! status before it is stored: the intents that placement, provisioning and scale-in follow (`scheduling::intents`)
 //! derive from statuses as the watch cache has them, the cluster state and the time.
 
+pub mod context;
 pub mod driver;
 pub mod events;
 pub mod operator;
--- a/src/declarations/operator/session.rs
+++ b/src/declarations/operator/session.rs
@@ -13,7 +13,7 @@
 use crate::jobs::record::time_of_day_ms;
 use crate::protocol::Http;
 use crate::settings::Settings;
-use crate::store::budget::{Budget, Urgent};
+use crate::store::budget::{Budget, RequestPriority};
 use crate::store::{CompareAndSwapOutcome, StateClient, StoreError};
 use crate::sync::jitter;
 
@@ -140,7 +140,7 @@
         let Transaction { conditions, changes } = Transaction::new(kind, stored, writes, &marker);
         let unsure = Cell::new(false);
         let sent = self.retry_until_answered(async || {
-            let outcome = self.store.compare_and_swap(&conditions, &changes, Urgent::Second).await;
+            let outcome = self.store.compare_and_swap(&conditions, &changes, RequestPriority::Placement).await;
             unsure.set(unsure.get() || outcome == Err(StoreError::Unanswered));
             outcome
         });
@@ -158,7 +158,8 @@
     /// The revision of a transaction with this marker, if it is the last one that was applied: an earlier copy may have
     /// been the one that changed the key.
     async fn find_marker(&self, marker: &Value) -> Result<Option<u64>, OperatorError> {
-        let item = self.retry_until_answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
+        let item =
+            self.retry_until_answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
         Ok(item.filter(|item| item.value == *marker).map(|item| item.version))
     }
 
@@ -167,7 +168,8 @@
     /// # Errors
     /// No definite answer for as long as its patience lasts.
     pub async fn read_declarations(&self, kind: Option<DeclarationKind>) -> Result<StoredDeclarations, OperatorError> {
-        let item = self.retry_until_answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
+        let item =
+            self.retry_until_answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
         let operators_version = item.map_or(0, |item| item.version);
         let mut stored = StoredDeclarations { operators_version, ..StoredDeclarations::default() };
         for part in [SPECS, STATUSES] {
--- a/src/declarations/operator/stored.rs
+++ b/src/declarations/operator/stored.rs
@@ -10,7 +10,7 @@
 };
 use crate::declarations::registry::Versioned;
 use crate::declarations::table::Declaration;
-use crate::store::client::Item;
+use crate::store::client::KeyValue;
 use crate::store::{Change, Condition};
 
 /// The write of one spec.
@@ -47,7 +47,7 @@
 
 impl StoredDeclarations {
     /// Takes in an item that was read; items that are no declarations are ignored.
-    pub fn add_item(&mut self, item: Item) {
+    pub fn add_item(&mut self, item: KeyValue) {
         let Some(DeclarationKey { part, kind, name }) = parse_key(&item.path) else { return };
         let id = DeclarationId::new(kind, name);
         match part {
--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -11,7 +11,7 @@
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
 use crate::scheduling::ClusterState;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -35,13 +35,13 @@
     /// Asks the store how a job ended; `with_state` shows it once the store has answered.
     fn query_job_end(&self, id: &JobId);
     /// How many changes of this urgency could be stored at once.
-    fn writable_changes(&self, urgent: Urgent) -> usize;
+    fn writable_changes(&self, priority: RequestPriority) -> usize;
     /// Sends one transaction to the state service, within the controller's budget for calls of this urgency.
     fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: Urgent,
+        priority: RequestPriority,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
     /// A transaction was refused: waits until the watch cache is proven up to date, and checks who leads.
     fn refresh_after_conflict(&self) -> impl Future<Output = ()> + Send;
@@ -69,23 +69,32 @@
     }
 
     /// How many changes may go now, if `any` wait.
-    fn allowed_writes(&mut self, any: bool, now: Instant, writable_changes: impl Fn(Urgent) -> usize) -> usize {
+    fn allowed_writes(
+        &mut self,
+        any: bool,
+        now: Instant,
+        writable_changes: impl Fn(RequestPriority) -> usize,
+    ) -> usize {
         if !any || now < self.next {
             return 0;
         }
         let since = *self.waiting_since.get_or_insert(now);
         self.escalated |= now.saturating_duration_since(since) >= ESCALATE_AFTER;
         // The smallest budget holds less than one change and its reserve.
-        if self.escalated { writable_changes(Urgent::Second).max(1) } else { writable_changes(Urgent::Last) }
+        if self.escalated {
+            writable_changes(RequestPriority::Placement).max(1)
+        } else {
+            writable_changes(RequestPriority::Background)
+        }
     }
 
-    fn mark_sent(&mut self, now: Instant) -> Urgent {
+    fn mark_sent(&mut self, now: Instant) -> RequestPriority {
         self.next = now + EVALUATION_INTERVAL;
         if self.escalated {
-            return Urgent::Second;
+            return RequestPriority::Placement;
         }
         self.waiting_since = None;
-        Urgent::Last
+        RequestPriority::Background
     }
 }
 
@@ -106,12 +115,12 @@
         if settled {
             pacer.mark_settled();
         }
-        let allowed = pacer.allowed_writes(!writes.is_empty(), now, |urgent| context.writable_changes(urgent));
+        let allowed = pacer.allowed_writes(!writes.is_empty(), now, |priority| context.writable_changes(priority));
         writes.truncate(allowed);
         if !writes.is_empty() {
             driver.mark_sent(&writes);
-            let urgent = pacer.mark_sent(now);
-            if let Some(revision) = store_writes(&*context, &writes, fencing_token, urgent).await {
+            let priority = pacer.mark_sent(now);
+            if let Some(revision) = store_writes(&*context, &writes, fencing_token, priority).await {
                 driver.mark_stored(revision);
             }
         }
@@ -132,10 +141,10 @@
     context: &C,
     writes: &[StatusWrite],
     fencing_token: u64,
-    urgent: Urgent,
+    priority: RequestPriority,
 ) -> Option<u64> {
     let (conditions, changes) = (conditions(writes, fencing_token), changes(writes));
-    let sent = context.compare_and_swap(&conditions, &changes, urgent);
+    let sent = context.compare_and_swap(&conditions, &changes, priority);
     match tokio::time::timeout(WRITE_TIMEOUT, sent).await {
         Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => return Some(revision),
         Ok(Ok(outcome)) => {
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -27,7 +27,7 @@
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
-use crate::store::budget::Urgent;
+use crate::store::budget::RequestPriority;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
@@ -156,7 +156,7 @@
         }
         // What is asked for is what this controller's watch cache has, never what is only decided.
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
-        for NamedSpec { name, .. } in registry.specs::<Heat>().filter(|_| controller.watch_cache.ready) {
+        for NamedSpec { name, .. } in registry.specs::<Heat>().filter(|_| controller.watch_cache.is_ready()) {
             let at = registry.status::<Heat>(name).map_or(0, |status| status.value.at);
             assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
         }
@@ -419,14 +419,14 @@
         None
     }
     fn query_job_end(&self, _: &JobId) {}
-    fn writable_changes(&self, _: Urgent) -> usize {
+    fn writable_changes(&self, _: RequestPriority) -> usize {
         self.touched.fetch_add(1, Ordering::Relaxed)
     }
     async fn compare_and_swap(
         &self,
         _: &[Condition],
         _: &[Change],
-        _: Urgent,
+        _: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         self.touched.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -6,24 +6,22 @@
 use tracing::debug;
 
 use super::RETRY;
-use crate::node::Node;
-use crate::sync::{jitter, lock};
+use super::manager::Fleet;
+use crate::sync::jitter;
 
 /// The types are asked for anew this often.
 const CATALOG_EVERY: Duration = Duration::from_secs(60);
 
-/// Every controller needs the types to judge submissions.
-pub async fn learn_catalog(node: Arc<Node>) {
+/// Every controller needs the types to judge submissions. `after_each` is called after each answer of the cloud.
+pub async fn learn_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
     loop {
-        let pause = match node.cloud.catalog().await {
+        let pause = match fleet.cloud.catalog().await {
             Ok(catalog) => {
-                let mut held = lock(&node.catalog);
-                if held.as_deref() != Some(&catalog) {
-                    debug!(types = catalog.types.len(), "catalog");
-                    *held = Some(Arc::new(catalog));
+                let types = catalog.types.len();
+                if fleet.catalog.replace(catalog) {
+                    debug!(types, "catalog");
                 }
-                drop(held);
-                node.wake.plan.notify_one();
+                fleet.wakeups.plan.notify_one();
                 CATALOG_EVERY
             }
             Err(error) => {
@@ -31,8 +29,8 @@
                 RETRY
             }
         };
-        node.tidy_counts();
-        node.tell_held();
+        fleet.membership.tidy_counts();
+        after_each();
         tokio::time::sleep(jitter(pause)).await;
     }
 }
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -134,8 +134,7 @@
     let at_ms = now_ms.max(status.since_ms);
     if status.on {
         // The operator may have changed the rule since; the end follows the present rule.
-        let (until_ms, reason) =
-            HeatStatus::natural_end(rule, status.since_ms).unwrap_or((at_ms, HeatReason::Hours));
+        let (until_ms, reason) = HeatStatus::natural_end(rule, status.since_ms).unwrap_or((at_ms, HeatReason::Hours));
         if at_ms >= until_ms {
             let mut ended = status.change_to(false, reason, fencing_token, at_ms, 0);
             ended.ran_out_of_ms = (reason == HeatReason::RanOut).then_some(status.since_ms);
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -16,13 +16,13 @@
 use crate::jobs::record::{LEADER, WATERMARK, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::believed;
-use crate::membership::records::{LeaderRecord, Watermark};
 use crate::membership::serving_state::{LetGo, Observations, Patience};
 use crate::membership::watermark::Unconfirmed;
 use crate::protocol::workers::Heartbeat;
+use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
-use crate::workers::answer::Rights;
+use crate::workers::response_policy::ResponsePolicy;
 
 const FOLLOWERS: usize = 2;
 /// How often a leader's line goes to the others.
@@ -278,7 +278,7 @@
         }
     }
 
-    /// As `Node::watermark` has it.
+    /// As `Controller::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
         let (of, version) = self.users.leader_record(leader.seat.heard)?;
         let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
@@ -336,9 +336,14 @@
     }
 
     /// What this leader may answer with, by what it knows now.
-    pub(super) fn rights(&self, leader: &Leader) -> Rights {
+    pub(super) fn response_policy(&self, leader: &Leader) -> ResponsePolicy {
         if !self.users.on {
-            return Rights { loaded: true, knows: true, unproven: false, serves: true };
+            return ResponsePolicy {
+                cluster_state_loaded: true,
+                leader_known: true,
+                unproven_since_pause: false,
+                store_answers: true,
+            };
         }
         let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| self.now - at);
         let refused = since(leader.cut.map(|(at, _)| at)).max(since(self.users.out.map(|(at, _)| at)));
@@ -348,25 +353,30 @@
         let seen = Observations { proof, refused, peers: FOLLOWERS, heard, answering };
         let knows = seen.serving_state(Patience::of_leadership(LEADER_LEASE)).speaks();
         let serves = refused < Duration::from_secs(2);
-        Rights { loaded: leader.cluster.loaded, knows, unproven: leader.seat.unproven, serves }
+        ResponsePolicy {
+            cluster_state_loaded: leader.cluster.loaded,
+            leader_known: knows,
+            unproven_since_pause: leader.seat.unproven,
+            store_answers: serves,
+        }
     }
 
-    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Node::over_among` has it).
+    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Controller::over_among` has it).
     pub(super) fn over_among(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
         let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
     }
 
     /// Whether this machine is answered at all.
-    pub(super) fn holds(&self, leader: &mut Leader, rights: Rights, machine: &str) -> bool {
+    pub(super) fn holds(&self, leader: &mut Leader, policy: ResponsePolicy, machine: &str) -> bool {
         let now = self.now;
         let spare = example().params.workers.spare();
         let fresh = leader.seat.proof.is_some_and(|at| now - at < spare);
-        if rights.knows {
+        if policy.leader_known {
             leader.seat.let_go.clear();
         }
         let let_go = &mut leader.seat.let_go;
-        rights.holds(
+        policy.renews_lease(
             leader.seat.heard >= leader.cluster.fencing_token,
             || fresh,
             || let_go.holds(machine, FOLLOWERS, LEASE, now),
@@ -408,7 +418,7 @@
         }
     }
 
-    /// As `Node::cancelled_by_leader` has it: told at once if the cluster state has it.
+    /// As `Controller::cancelled_by_leader` has it: told at once if the cluster state has it.
     pub(super) fn cancelled_by_leader(&mut self, at: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader =
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -2,21 +2,28 @@
 
 pub mod backfill;
 pub mod cluster;
+pub mod commit;
 pub mod due;
 pub mod failure_attribution;
 pub mod fairness;
 pub mod forecast;
+pub mod ids;
 pub mod intents;
 #[cfg(test)]
 mod interleavings;
 pub mod large;
+pub mod leader_state;
 pub mod load;
+pub mod messages;
 pub mod one_way_partition;
+pub mod passed_over;
 pub mod plan;
 pub mod preempt;
+pub mod promises;
 pub mod reservations;
 pub mod room;
 mod schedule;
+pub mod scheduler;
 mod service_report;
 #[cfg(test)]
 mod tests;
@@ -28,9 +35,8 @@
 
 pub use cluster::ClusterState;
 
-use crate::node::Node;
-use crate::sync::lock;
 use schedule::{Schedule, TICK_INTERVAL};
+pub use scheduler::Scheduler;
 
 /// Placement follows events; this bounds how often, so that a burst is planned as one.
 const LEAST_PAUSE: Duration = Duration::from_millis(60);
@@ -41,26 +47,26 @@
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
-pub async fn run(node: Arc<Node>) {
-    load_cluster_state(&node).await;
+pub async fn run(scheduler: Arc<Scheduler>) {
+    load_until_done(&scheduler).await;
     let mut schedule = Schedule::new(Instant::now());
     loop {
-        let _ = tokio::time::timeout(TICK_INTERVAL, node.wake.plan.notified()).await;
-        if node.unproven() {
+        let _ = tokio::time::timeout(TICK_INTERVAL, scheduler.wakeups.plan.notified()).await;
+        if scheduler.membership.unproven() {
             continue;
         }
         let now = Instant::now();
-        node.refresh_intents(now);
-        let placed = match (lock(&node.cluster).as_mut(), node.catalog()) {
-            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &node.fairness, &catalog, now),
+        scheduler.refresh_intents(now);
+        let placed = match (scheduler.leader.cluster().as_mut(), scheduler.catalog.get()) {
+            (Some(cluster), Some(catalog)) => schedule.run_due_steps(cluster, &scheduler.leader, &catalog, now),
             _ => None,
         };
         if let Some(placed) = placed {
             if placed > 0 {
                 debug!(count = placed, took_ms = now.elapsed().as_millis(), "tasks placed");
-                node.wake.commit.notify_one();
+                scheduler.wakeups.commit.notify_one();
             }
-            node.wake.fleet.notify_one();
+            scheduler.wakeups.fleet.notify_one();
         }
         tokio::time::sleep(LEAST_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
     }
@@ -68,10 +74,10 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load_cluster_state(node: &Arc<Node>) {
+async fn load_until_done(scheduler: &Arc<Scheduler>) {
     loop {
-        if node.read_barrier.wait().await {
-            match load::fill(node).await {
+        if scheduler.store.read_barrier.wait().await {
+            match load::load_cluster_state(scheduler).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
             }
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -35,11 +35,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::cluster::{ClusterState, MachineState, Via};
+use super::cluster::{ClusterState, MachineState};
+use super::messages::MessageKind;
 use super::plan;
 use super::preempt;
-use crate::fleet::drain;
-use crate::fleet::scale_out::{self, CapacityRefusals};
+use crate::fleet::drain::choose_drains;
+use crate::fleet::scale_in::surplus_machines;
+use crate::fleet::scale_out::{CapacityRefusals, plan_scale_out};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
 use crate::jobs::{JobSpec, Shape, Urgency};
@@ -85,7 +87,7 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for (name, type_name, zone, spot) in machines {
-        cluster.take_heartbeat(heartbeat(name, type_name, zone, *spot, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(heartbeat(name, type_name, zone, *spot, 1, vec![]), MessageKind::Heartbeat, None, now);
     }
     cluster
 }
@@ -108,7 +110,12 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for i in 0..n {
-        cluster.take_heartbeat(heartbeat(&format!("m{i:04}"), "c8", "a", false, 1, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(
+            heartbeat(&format!("m{i:04}"), "c8", "a", false, 1, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            now,
+        );
     }
     cluster
 }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::scheduling::fairness::Whose;
 use crate::scheduling::fairness::floor::{Below, Names, Rank};
-use crate::scheduling::intents::{Ahead, Intents, RoomIntent, Turn};
+use crate::scheduling::intents::{Ahead, Intents, RoomIntent, WindowPlace};
 
 fn class(name: &str) -> Names {
     Names::of([(Whose::Class, name)].into_iter())
@@ -29,7 +29,7 @@
     let mut cluster = cluster(&[], start);
     for name in &names {
         let (of, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
-        cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), Via::Heartbeat, None, start);
+        cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), MessageKind::Heartbeat, None, start);
     }
     let now = start + Duration::from_secs(100);
     for n in 1..rng.random_range(4..30) {
@@ -61,7 +61,12 @@
             let m = &cluster.machines[name.as_str()];
             (m.type_name.clone(), m.zone.clone(), m.spot)
         };
-        cluster.take_heartbeat(heartbeat(name, &type_name, &zone, spot, seq + 10, vec![]), Via::Heartbeat, None, now);
+        cluster.take_heartbeat(
+            heartbeat(name, &type_name, &zone, spot, seq + 10, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            now,
+        );
     }
     (cluster, now)
 }
@@ -72,9 +77,9 @@
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
     let mut reservations: Vec<_> = super::super::reservations::choose(cluster, &catalog, now).into_iter().collect();
     reservations.sort_by(|a, b| a.0.cmp(&b.0));
-    let rented = scale_out::plan(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
-    let given_up = scale_out::to_give_up(cluster, &catalog, now);
-    let drained = drain::choose(cluster, &catalog, now);
+    let rented = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
+    let given_up = surplus_machines(cluster, &catalog, now);
+    let drained = choose_drains(cluster, &catalog, now);
     let placed = plan::place(cluster, &catalog, now);
     let reservations: Vec<_> = reservations.into_iter().map(|(m, h)| (m, h.job)).collect();
     format!("{queue:?} {reservations:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
@@ -88,7 +93,7 @@
         let (mut plain, now) = busy(seed, start);
         let (mut cluster, _) = busy(seed, start);
         cluster.set_intents(Intents {
-            turns: [(id(900), Turn { window: "w".into(), number: 1 })].into(),
+            turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
             room: vec![RoomIntent { like: spec(), tasks: 0, in_s: 0.0 }],
@@ -112,7 +117,7 @@
         add(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (id(n), Turn { window: window.into(), number });
+    let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
     let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
     let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), (100.0, 0.0));
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
@@ -216,7 +221,7 @@
         }
         let mut rng = StdRng::seed_from_u64(seed);
         cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
-            (id.clone(), Turn { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
+            (id.clone(), WindowPlace { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
         }).collect();
         let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
@@ -246,8 +251,8 @@
         let mut cluster = many(machines, start);
         cluster.intents.room = room(tasks, in_s);
         let rent = |asked: &HashMap<MachineKind, u64>| {
-            let wanted = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
-            wanted.into_iter().collect::<HashMap<MachineKind, u64>>()
+            let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
+            wanted.into_iter().map(|demand| (demand.kind, demand.count)).collect::<HashMap<MachineKind, u64>>()
         };
         let wanted = rent(&HashMap::new());
         assert_eq!(wanted.values().sum::<u64>(), want, "{name}");
@@ -258,15 +263,15 @@
         let mut cluster = many(5, start);
         for n in 0..5 {
             let heartbeat = heartbeat(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
-            cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, long);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, long);
         }
         cluster.intents.room = room(tasks, in_s);
-        assert_eq!(scale_out::to_give_up(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
+        assert_eq!(surplus_machines(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
         // One at a time is drained of so few.
-        let drained = drain::choose(&cluster, &catalog(), long);
+        let drained = choose_drains(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
         cluster.intents.room = room(10, in_s);
-        let scale_in_candidate = drain::choose(&cluster, &catalog(), long).len();
+        let scale_in_candidate = choose_drains(&cluster, &catalog(), long).len();
         assert_eq!(scale_in_candidate, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
 }
@@ -291,7 +296,7 @@
     for ahead in [false, true] {
         let cluster = make(ahead);
         assert_eq!(!super::super::reservations::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
-        let rented = scale_out::plan(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
+        let rented = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
         assert_eq!(!rented.is_empty(), ahead, "rented at once");
     }
 }
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -4,7 +4,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::record::StoredTask;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::ExitCause;
 
 /// Past any rest, by the example's settings and the default election lease.
 const PAST_THE_REST: f64 = 120.0;
@@ -37,7 +37,7 @@
         task: TaskKey { job: job.into(), index: 0 },
         attempt: 1,
         status,
-        cause: (status == AttemptStatus::Exited).then_some(Cause::Stopped),
+        cause: (status == AttemptStatus::Exited).then_some(ExitCause::Stopped),
         saved: None,
     };
     let ours = |attempts| Some((0, attempts));
@@ -75,7 +75,7 @@
         if let Some((below, attempts)) = heard {
             let fencing_token = cluster.first_fencing_token - below;
             let heartbeat = Heartbeat { fencing_token, ..heartbeat("m1", "c8", "a", false, 1, attempts) };
-            cluster.take_heartbeat(heartbeat, Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, world.now);
         }
         if returned {
             cluster.machine_gone(&"m1".into(), world.now);
@@ -158,7 +158,7 @@
     simulation.world.place(&mut simulation.cluster, "m1");
     simulation.heartbeats("m1");
     simulation.heartbeats("m1");
-    simulation.world.exits("m1", 0, 1, Cause::Done);
+    simulation.world.exits("m1", 0, 1, ExitCause::Done);
     simulation.plans = true;
     successor_cannot_read(&mut simulation);
     simulation.run(PAST_THE_REST);
@@ -180,7 +180,12 @@
             world.version = world.shard.as_ref().unwrap().0;
             cluster.finish_load(world.now);
             cluster.tick(world.now + s(PAST_THE_REST));
-            cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 1, vec![]), Via::Heartbeat, None, world.now);
+            cluster.take_heartbeat(
+                heartbeat("m1", "c8", "a", false, 1, vec![]),
+                MessageKind::Heartbeat,
+                None,
+                world.now,
+            );
             // Every change of the store is a start of this task.
             world.place(&mut cluster, "m1");
             let attempt = attempts(&cluster)[0];
