--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -25,6 +25,7 @@
 use crate::sizes::Sizes;
 use faults::Planned;
 use jobs::{PendingJob, jobs};
+pub use operators::CommandError;
 use operators::{DeclaredWatch, Operators};
 pub use samples::Sample;
 use samples::Sampler;
@@ -61,7 +62,7 @@
     /// Time from the end of all faults until every controller had answered about every job accepted by then.
     pub settled: Option<Duration>,
     /// Operator commands that did not have the expected result.
-    pub failed: Vec<String>,
+    pub failed: Vec<CommandError>,
     /// Requests that the state service refused for being beyond its limits.
     pub refused: u64,
     /// Cost of all machines.
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -8,7 +8,7 @@
 use crate::driver::relay::Passing;
 use crate::driver::{Link, lock};
 use crate::judge::Event;
-use crate::scenario::{Condition, Fault, Many, Who};
+use crate::scenario::{Condition, ControllerSelector, Fault, MachineAmount};
 use crate::world::cloud;
 use crate::world::fleet::Fleet;
 
@@ -61,16 +61,16 @@
     }
 
     /// Numbers of the controllers meant.
-    fn controllers_meant(&self, who: Who) -> Vec<usize> {
+    fn controllers_meant(&self, who: ControllerSelector) -> Vec<usize> {
         match who {
-            Who::All => (0..self.controllers.count()).collect(),
-            Who::Leader => vec![self.leader()],
-            Who::Number(n) => vec![n].into_iter().filter(|n| *n < self.controllers.count()).collect(),
+            ControllerSelector::All => (0..self.controllers.count()).collect(),
+            ControllerSelector::Leader => vec![self.leader()],
+            ControllerSelector::Number(n) => vec![n].into_iter().filter(|n| *n < self.controllers.count()).collect(),
         }
     }
 
     /// Randomly chosen machines.
-    fn some_machines(&mut self, many: Many) -> Vec<String> {
+    fn some_machines(&mut self, many: MachineAmount) -> Vec<String> {
         let names: Vec<String> = self.world.with_fleet(|fleet, _| fleet.names().cloned().collect());
         let n = many.of(names.len());
         names.choose_multiple(&mut self.rng, n).cloned().collect()
--- a/crates/emulator/src/rehearsal/operators.rs
+++ b/crates/emulator/src/rehearsal/operators.rs
@@ -10,7 +10,7 @@
 use crate::controllers::Controllers;
 use crate::driver::{World, lock};
 use crate::judge::Event;
-use crate::scenario::Verb;
+use crate::scenario::OperatorCommand;
 
 /// A command that did not have the expected result is retried for this long.
 const RETRY_VERB_FOR: Duration = Duration::from_secs(20);
@@ -33,7 +33,36 @@
     out
 }
 
-/// Runs commands, and keeps what came of them.
+/// Why an operator's command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// Its file cannot be written.
+    #[error("{}: {source}", file.display())]
+    WriteFile {
+        /// The file.
+        file: PathBuf,
+        /// The error of the file system.
+        source: std::io::Error,
+    },
+    /// It did not have the expected result within its time.
+    #[error("{command}: exit {exit:?}: {output}")]
+    Unexpected {
+        /// Its arguments.
+        command: String,
+        /// Its exit status, if it ended by itself.
+        exit: Option<i32>,
+        /// What it printed.
+        output: String,
+    },
+    /// The task that ran it has failed.
+    #[error(transparent)]
+    Task(#[from] tokio::task::JoinError),
+    /// So many commands were not over at the end.
+    #[error("{0} verbs were not over")]
+    Unfinished(usize),
+}
+
+/// Runs commands, and keeps their results.
 pub(super) struct Operators {
     /// Where files for the commands are written.
     folder: PathBuf,
@@ -41,8 +70,8 @@
     scenario_folder: PathBuf,
     /// Wall-clock time at which the world began, in seconds since 1970.
     begun_s: u64,
-    running: JoinSet<Result<String, String>>,
-    failed: Vec<String>,
+    running: JoinSet<Result<String, CommandError>>,
+    failed: Vec<CommandError>,
 }
 
 impl Operators {
@@ -53,12 +82,12 @@
 
     /// Starts a command, which is retried until it has the expected result or its time is over. `number` makes the name
     /// of its file unique.
-    pub(super) fn operate(&mut self, verb: &Verb, controllers: &Controllers, number: usize) {
+    pub(super) fn operate(&mut self, verb: &OperatorCommand, controllers: &Controllers, number: usize) {
         let file = self.folder.join(format!("spec-{number}.json"));
         if let Some(spec) = &verb.spec
-            && let Err(error) = std::fs::write(&file, times(spec, self.begun_s))
+            && let Err(source) = std::fs::write(&file, times(spec, self.begun_s))
         {
-            return self.failed.push(format!("{}: {error}", file.display()));
+            return self.failed.push(CommandError::WriteFile { file, source });
         }
         let args = verb.args.iter().map(|arg| self.argument(arg, &file)).collect();
         let runs = controllers.verbs(args);
@@ -70,7 +99,7 @@
                     return Ok(said);
                 }
                 if Instant::now() > until {
-                    return Err(format!("{}: exit {exit:?}: {said}", verb.args.join(" ")));
+                    return Err(CommandError::Unexpected { command: verb.args.join(" "), exit, output: said });
                 }
                 tokio::time::sleep(RETRY_AFTER).await;
             }
@@ -95,20 +124,20 @@
     pub(super) fn finished(&mut self) -> Vec<String> {
         let mut outputs = Vec::new();
         while let Some(done) = self.running.try_join_next() {
-            match done.unwrap_or_else(|error| Err(error.to_string())) {
+            match done.unwrap_or_else(|error| Err(error.into())) {
                 Ok(said) => outputs.push(said),
-                Err(why) => self.failed.push(why),
+                Err(error) => self.failed.push(error),
             }
         }
         outputs
     }
 
     /// Commands that failed, and how many were not over.
-    pub(super) fn failures(self) -> Vec<String> {
+    pub(super) fn failures(self) -> Vec<CommandError> {
         let late = self.running.len();
         let mut failed = self.failed;
         if late > 0 {
-            failed.push(format!("{late} verbs were not over"));
+            failed.push(CommandError::Unfinished(late));
         }
         failed
     }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -126,7 +126,10 @@
         ("submissions accepted after (p50, p95, p99)", [ms(0.5), ms(0.95), ms(0.99)].join(", ")),
         ("controllers ended by themselves", outcome.own_ends.to_string()),
         ("requests beyond the state service's limits", outcome.refused.to_string()),
-        ("verbs of operators that failed", outcome.failed.join("; ")),
+        (
+            "verbs of operators that failed",
+            outcome.failed.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
+        ),
         ("money spent", format!("{:.3}", outcome.spent)),
     ];
     let lost: Vec<String> = verdict.lost.iter().take(MOST_LOST).map(|t| format!("{}/{}", t.job, t.index)).collect();
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -8,30 +8,33 @@
         (
             "for n in 0..2 { at(10 + n, end(n, 3)) }",
             Ok(vec![
-                (Trigger::At(s(10)), Fault::End(Who::Number(0), s(3))),
-                (Trigger::At(s(11)), Fault::End(Who::Number(1), s(3))),
+                (Trigger::At(s(10)), Fault::End(ControllerSelector::Number(0), s(3))),
+                (Trigger::At(s(11)), Fault::End(ControllerSelector::Number(1), s(3))),
             ]),
         ),
         (
             "when(\"the owner has just placed\", lose_machines(0.5));\nat(2, cut(\"owner\", \"store\", 9.0));",
             Ok(vec![
-                (Trigger::When(Condition::JustPlaced, s(0)), Fault::LoseMachines(Many::Part(0.5))),
-                (Trigger::At(s(2)), Fault::Link(Who::Leader, Link::Store, Passing::Held, s(9))),
+                (Trigger::When(Condition::JustPlaced, s(0)), Fault::LoseMachines(MachineAmount::Part(0.5))),
+                (Trigger::At(s(2)), Fault::Link(ControllerSelector::Leader, Link::Store, Passing::Held, s(9))),
             ]),
         ),
         (
             "when(\"an election is under way\", 9, end(1, 0.05)); at(1, late_copies(2, 1, 30, 9)); at(2, lone(1, 4))",
             Ok(vec![
-                (Trigger::When(Condition::Election, s(9)), Fault::End(Who::Number(1), Duration::from_millis(50))),
-                (Trigger::At(s(1)), Fault::LateCopies(Many::Count(2), s(1), s(30), s(9))),
-                (Trigger::At(s(2)), Fault::Lone(Who::Number(1), s(4))),
+                (
+                    Trigger::When(Condition::Election, s(9)),
+                    Fault::End(ControllerSelector::Number(1), Duration::from_millis(50)),
+                ),
+                (Trigger::At(s(1)), Fault::LateCopies(MachineAmount::Count(2), s(1), s(30), s(9))),
+                (Trigger::At(s(2)), Fault::Lone(ControllerSelector::Number(1), s(4))),
             ]),
         ),
         (
             "at(3, says(\"met\", exits(2, operator([\"declare\", \"{spec}\"], #{name: \"w\"}))))",
             Ok(vec![(
                 Trigger::At(s(3)),
-                Fault::Operator(Verb {
+                Fault::Operator(OperatorCommand {
                     args: vec!["declare".into(), "{spec}".into()],
                     spec: Some("{\"name\":\"w\"}".into()),
                     exit: 2,
@@ -59,3 +62,10 @@
     assert_eq!(drawn(7), drawn(7), "the same for the same seed");
     assert_ne!(drawn(7), drawn(8));
 }
+
+#[test]
+fn leader_is_another_word_for_owner() {
+    let read_both = ["leader", "owner"].map(|word| read(&format!("at(1, end(\"{word}\", 2))"), 1).unwrap());
+    assert_eq!(read_both[0], read_both[1]);
+    assert_eq!(read_both[0].steps[0].1, Fault::End(ControllerSelector::Leader, Duration::from_secs(2)));
+}
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -1,17 +1,10 @@
 //! Sizes of a rehearsal: controllers, limits, machines, teams and work, from a checked TOML file.
 
-use std::time::Duration;
-
-use hollylanding_protocol::cloud::MachineType;
 use hollylanding_protocol::jobs::{JobSpec, Shape, Urgency};
 use serde::Deserialize;
-use serde_json::{Value, json};
 
-use crate::driver;
-use crate::judge::Terms;
-use crate::world::cloud::{self, Boots, Capacity};
-use crate::world::fleet;
-use crate::world::store::Limits;
+mod check;
+mod convert;
 
 /// The sizes used if no file is given.
 pub const DEFAULT: &str = include_str!("../../../scenarios/default.toml");
@@ -131,11 +124,29 @@
     #[serde(default)]
     pub cache_gb: Option<f64>,
     /// Zones, each with the number of on-demand and of spot machines available.
-    pub zones: Vec<(String, u64, u64)>,
+    pub zones: Vec<ZoneSupply>,
+}
+
+/// The machines of a type that a zone has; `[zone, on demand, spot]` in TOML.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[serde(from = "(String, u64, u64)")]
+pub struct ZoneSupply {
+    /// The zone.
+    pub zone: String,
+    /// Number of on-demand machines.
+    pub on_demand: u64,
+    /// Number of spot machines.
+    pub spot: u64,
+}
+
+impl From<(String, u64, u64)> for ZoneSupply {
+    fn from((zone, on_demand, spot): (String, u64, u64)) -> Self {
+        Self { zone, on_demand, spot }
+    }
 }
 
 /// A team's share of the cluster.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// The team's name.
@@ -154,11 +165,11 @@
     pub accelerators_max: f64,
 }
 
-fn one() -> f64 {
+fn default_estimate() -> f64 {
     1.0
 }
 
-fn normal() -> Urgency {
+fn default_urgency() -> Urgency {
     Urgency::Normal
 }
 
@@ -176,7 +187,7 @@
     /// How the tasks of a job depend on each other.
     pub shape: Shape,
     /// Priority of the jobs.
-    #[serde(default = "normal")]
+    #[serde(default = "default_urgency")]
     pub urgency: Urgency,
     /// Tasks of each job.
     pub tasks: u64,
@@ -193,7 +204,7 @@
     /// Usual run time of a task, in seconds; the real one varies.
     pub run_s: f64,
     /// The user's estimate as a multiple of `run_s`.
-    #[serde(default = "one")]
+    #[serde(default = "default_estimate")]
     pub estimate: f64,
     /// Interval of checkpoints in seconds; 0: none.
     #[serde(default)]
@@ -269,141 +280,17 @@
     }
 }
 
-/// The most jobs of one kind of work.
-const MOST_JOBS: f64 = 100_000.0;
-/// The largest amount of anything that has no bound of its own.
-const MOST_AMOUNT: f64 = 1e6;
-/// Seconds of an hour, and of a day.
-const HOUR_S: f64 = 3600.0;
-const DAY_S: f64 = 86_400.0;
-
-fn invalid(field: impl Into<String>, problem: impl Into<String>) -> SizesError {
-    SizesError::Value { field: field.into(), problem: problem.into() }
-}
-
-/// A value with the bounds that it has to keep.
-struct Bound {
-    field: String,
-    value: f64,
-    least: f64,
-    most: f64,
-}
-
-impl Bound {
-    fn new(field: impl Into<String>, value: f64, least: f64, most: f64) -> Self {
-        Self { field: field.into(), value, least, most }
-    }
-
-    fn check(&self) -> Result<(), SizesError> {
-        let Self { value, least, most, .. } = *self;
-        if (least..=most).contains(&value) {
-            Ok(())
-        } else {
-            Err(invalid(self.field.clone(), format!("{value} is not between {least} and {most}")))
-        }
-    }
-}
-
-impl Machine {
-    fn field(&self, name: &str) -> String {
-        format!("machines.{}.{name}", self.name)
-    }
-
-    fn check(&self) -> Result<(), SizesError> {
-        if self.zones.is_empty() { Err(invalid(self.field("zones"), "none is given")) } else { Ok(()) }
-    }
-
-    /// Whether a task of this work fits on an empty machine.
-    fn fits(&self, work: &Work) -> bool {
-        work.cpus <= self.cpus && work.memory_gb <= self.memory_gb && work.accelerators <= self.accelerators
-    }
-
-    fn bounds(&self) -> [Bound; 4] {
-        [
-            Bound::new(self.field("cpus"), self.cpus, 0.01, MOST_AMOUNT),
-            Bound::new(self.field("memory_gb"), self.memory_gb, 0.01, MOST_AMOUNT),
-            Bound::new(self.field("boot_s"), self.boot_s, 0.0, HOUR_S),
-            Bound::new(self.field("fetch_gb_per_s"), self.fetch_gb_per_s, 0.001, MOST_AMOUNT),
-        ]
-    }
-}
-
-impl Work {
-    fn field(&self, name: &str) -> String {
-        format!("work.{}.{name}", self.name)
-    }
-
-    fn bounds(&self) -> [Bound; 4] {
-        let jobs = self.jobs as f64 + self.per_second * self.for_s;
-        [
-            Bound::new(self.field("run_s"), self.run_s, 0.0, DAY_S),
-            Bound::new(self.field("from_s"), self.from_s, 0.0, DAY_S),
-            Bound::new(self.field("withdrawn"), self.cancelled, 0.0, 1.0),
-            Bound::new(self.field("jobs"), jobs, 0.0, MOST_JOBS),
-        ]
-    }
-}
-
 impl Sizes {
-    /// Reads sizes from TOML and checks them.
+    /// Parses sizes from TOML and checks them.
+    ///
+    /// # Errors
+    /// Where the text is not of the expected form, or which value is out of its bounds.
     pub fn parse(text: &str) -> Result<Self, SizesError> {
         let sizes: Self = toml::from_str(text)?;
         sizes.check()?;
         Ok(sizes)
     }
 
-    fn check(&self) -> Result<(), SizesError> {
-        for machine in &self.machines {
-            machine.check()?;
-        }
-        for work in &self.work {
-            self.check_work(work)?;
-        }
-        self.bounds().iter().try_for_each(Bound::check)?;
-        if self.machines.is_empty() || self.work.is_empty() {
-            return Err(invalid("machines, work", "at least one of each is needed"));
-        }
-        Ok(())
-    }
-
-    /// A kind of work has a valid job and a known team, and fits on a machine.
-    fn check_work(&self, work: &Work) -> Result<(), SizesError> {
-        if let Err(problem) = work.spec("run-1").check() {
-            return Err(invalid(format!("work.{}", work.name), problem.to_string()));
-        }
-        if !self.teams.is_empty() && !self.teams.iter().any(|team| team.name == work.team) {
-            return Err(invalid(work.field("team"), format!("{:?} is no team", work.team)));
-        }
-        if !self.machines.iter().any(|machine| machine.fits(work)) {
-            return Err(invalid(work.field("cpus"), "a task fits no machine"));
-        }
-        Ok(())
-    }
-
-    /// The bounds of all values, in the order in which they are checked.
-    fn bounds(&self) -> Vec<Bound> {
-        let (state, cloud, workers) = (&self.state, &self.cloud, &self.workers);
-        let mut bounds = vec![
-            Bound::new("seconds", self.seconds, 1.0, DAY_S),
-            Bound::new("controllers", self.controllers as f64, 1.0, 9.0),
-            Bound::new("state.requests_per_second", state.requests_per_second, 5.0, MOST_AMOUNT),
-            Bound::new("state.changes_per_second", state.changes_per_second, 2.0, MOST_AMOUNT),
-            Bound::new("state.value_kb", state.value_kb, 8.0, 64.0),
-            Bound::new("state.txn_ops", state.txn_ops as f64, 4.0, 1000.0),
-            Bound::new("cloud.requests_per_second", cloud.requests_per_second, 1.0, MOST_AMOUNT),
-            Bound::new("cloud.list_lag_s", cloud.list_lag_s, 0.0, 600.0),
-            Bound::new("cloud.notice_s", cloud.notice_s, 0.0, HOUR_S),
-            Bound::new("workers.report_s", workers.report_s, 0.05, 60.0),
-            Bound::new("workers.lease_s", workers.lease_s, 1.0, 600.0),
-            Bound::new("workers.cancel_s", workers.cancel_s, 1.0, 600.0),
-            Bound::new("cloud.silent", cloud.silent, 0.0, 1.0),
-            Bound::new("cloud.never_up", cloud.never_up, 0.0, 1.0),
-        ];
-        bounds.extend(self.machines.iter().flat_map(Machine::bounds));
-        bounds.extend(self.work.iter().flat_map(Work::bounds));
-        bounds
-    }
-
     fn team_names(&self) -> Vec<String> {
         let named = self.teams.iter().map(|t| t.name.clone());
         let of_work = self.work.iter().map(|w| w.team.clone());
@@ -416,96 +303,11 @@
     /// All zones, each once, in order.
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> =
-            self.machines.iter().flat_map(|m| m.zones.iter().map(|(zone, ..)| zone.clone())).collect();
+            self.machines.iter().flat_map(|m| m.zones.iter().map(|supply| supply.zone.clone())).collect();
         zones.sort_unstable();
         zones.dedup();
         zones
     }
-
-    /// The parameters of the emulated world.
-    pub fn world(&self, seed: u64, judged: bool) -> driver::Params {
-        let types = self.machines.iter().map(|m| MachineType {
-            name: m.name.clone(),
-            cpus: m.cpus,
-            gpus: m.accelerators,
-            memory_gb: m.memory_gb,
-            fetch_gb_per_s: m.fetch_gb_per_s,
-            cache_gb: m.cache_gb,
-            price: m.price,
-            spot_price: m.spot_price,
-            boot_s: m.boot_s,
-            zones: m.zones.iter().map(|(zone, ..)| zone.clone()).collect(),
-        });
-        let capacity = self.machines.iter().flat_map(|m| {
-            let of = |(zone, ordinary, spot): &(String, u64, u64)| Capacity {
-                type_name: m.name.clone(),
-                zone: zone.clone(),
-                ordinary: *ordinary,
-                spot: *spot,
-            };
-            m.zones.iter().map(of)
-        });
-        let seconds = Duration::from_secs_f64;
-        driver::Params {
-            limits: Limits {
-                requests_per_second: self.state.requests_per_second,
-                changes_per_second: self.state.changes_per_second,
-                value_kb: self.state.value_kb,
-                txn_ops: self.state.txn_ops,
-            },
-            cloud: cloud::Params {
-                types: types.collect(),
-                capacity: capacity.collect(),
-                requests_per_second: self.cloud.requests_per_second,
-                list_lag: seconds(self.cloud.list_lag_s),
-                notice: seconds(self.cloud.notice_s),
-                silent: self.cloud.silent,
-                never_up: self.cloud.never_up,
-                slow_up: self.cloud.slow_up,
-            },
-            fleet: fleet::Params {
-                lease: seconds(self.workers.lease_s),
-                gang_wait: seconds(self.workers.gang_wait_s),
-                gang_peer: seconds(self.workers.gang_peer_s),
-            },
-            boots: Boots::Usual,
-            heartbeat: seconds(self.workers.report_s),
-            page_most: usize::MAX,
-            seed,
-            judged,
-        }
-    }
-
-    /// The parameters of the judge's rules.
-    pub fn terms(&self) -> Terms {
-        let quotas = self.teams.iter().map(|t| (t.name.clone(), (t.cpus_max, t.accelerators_max)));
-        Terms {
-            quotas: quotas.collect(),
-            cancellation_deadline: Duration::from_secs_f64(self.workers.cancel_s),
-            ..Terms::default()
-        }
-    }
-
-    /// The `params` of a controller's settings file.
-    pub fn settings(&self) -> Value {
-        let team = |name: String| {
-            let of = self.teams.iter().find(|t| t.name == name);
-            let amounts = of.map(|t| (t.cpus, t.cpus_max, t.accelerators, t.accelerators_max)).unwrap_or_default();
-            json!({"name": name, "cpus": amounts.0, "cpus_max": amounts.1, "gpus": amounts.2, "gpus_max": amounts.3})
-        };
-        let w = &self.workers;
-        json!({
-            "size": self.controllers, "zones": self.zones(),
-            "teams": self.team_names().into_iter().map(team).collect::<Vec<_>>(), "objectives": [],
-            "workers": {"report_s": w.report_s, "lease_s": w.lease_s, "gang_wait_s": w.gang_wait_s,
-                "gang_peer_s": w.gang_peer_s, "cancel_s": w.cancel_s},
-            "state": {"rps": self.state.requests_per_second, "write_rps": self.state.changes_per_second,
-                "value_kb": self.state.value_kb, "txn_ops": self.state.txn_ops},
-            "cloud": {"rps": self.cloud.requests_per_second, "list_lag_s": self.cloud.list_lag_s},
-            "resources": {"cores": 1.0, "memory_mb": 512.0, "max_sockets": 10_000},
-            "skew_ms": 25.0,
-        })
-    }
 }
 
 #[cfg(test)]
