--- a/crates/emulator/src/judge/tasks.rs
+++ b/crates/emulator/src/judge/tasks.rs
@@ -59,7 +59,7 @@
         }
         let on = self.on.entry(task.clone()).or_default();
         on.push(Attempt { machine: machine.to_owned(), number: attempt });
-        self.note_begun(at, &task.job);
+        self.record_first_run(at, &task.job);
         for n in 0..self.terms.capacity.len() {
             if self.together(n) >= self.terms.capacity[n].1 {
                 self.full.insert(n);
@@ -127,7 +127,7 @@
         }
     }
 
-    fn note_begun(&mut self, at: Duration, id: &JobId) {
+    fn record_first_run(&mut self, at: Duration, id: &JobId) {
         let running = self.running(id) as u64;
         if let Some(job) = self.jobs.get_mut(id)
             && job.spec.as_ref().is_some_and(|spec| !spec.is_gang() || running == spec.tasks)
--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -84,7 +84,7 @@
     let tasks = if like.cpus > 0.0 { (cores / like.cpus - 1e-9).ceil().max(0.0) as u64 } else { like.tasks };
     let tasks = left.take(&like, tasks, f64::INFINITY);
     let in_s = instance.opens_ms.saturating_sub(now_ms) as f64 / 1000.0;
-    (tasks > 0).then_some(RoomIntent { like, tasks, in_s })
+    (tasks > 0).then_some(RoomIntent { task_spec: like, tasks, in_s })
 }
 
 /// `left`: what the window's team may still take; no room beyond it is of use to it.
@@ -141,7 +141,7 @@
         }
         expected -= tasks as f64 * like.cpus;
         let in_s = instance.opens_ms.saturating_sub(now_ms) as f64 / 1000.0;
-        intents.room.push(RoomIntent { like, tasks, in_s });
+        intents.room.push(RoomIntent { task_spec: like, tasks, in_s });
     }
     intents.room.extend(room_to_claim(spec, status, &instance, now_ms, &mut left));
 }
--- a/src/controller/display.rs
+++ b/src/controller/display.rs
@@ -7,7 +7,7 @@
 use super::Controller;
 use crate::jobs::{Counts, JobId};
 use crate::membership::mesh;
-use crate::scheduling::fairness::Row;
+use crate::scheduling::fairness::ServiceLevel;
 use crate::sync::lock;
 
 impl Controller {
@@ -38,7 +38,7 @@
     }
 
     /// The account as the leader sees it, for whoever may succeed it.
-    pub fn served_to_tell(&self) -> Vec<Row> {
+    pub fn served_to_tell(&self) -> Vec<ServiceLevel> {
         if self.leader.cluster().is_none() {
             return Vec::new();
         }
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -68,7 +68,7 @@
         pool.keep(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
     for (intent, _) in intents::room_kept(cluster, &pool.ground) {
-        pool.keep(&intent.like, &Zones::none(&intent.like), intent.tasks, false);
+        pool.keep(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -83,8 +83,8 @@
 
     /// Keeps capacity for the arrivals that are expected while a machine would boot.
     pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState, now: Instant) {
-        for (class, arrivals) in cluster.arrivals.iter().filter(|(_, arrivals)| !arrivals.like.spec.is_idle()) {
-            let spec = &arrivals.like.spec;
+        for (class, arrivals) in cluster.arrivals.iter().filter(|(_, arrivals)| !arrivals.latest.spec.is_idle()) {
+            let spec = &arrivals.latest.spec;
             let open = self.ground.open_to(spec, &Zones::none(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let mut objectives = cluster.settings.params.objectives.iter();
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -44,7 +44,7 @@
     let usual_s = catalog.get(&machine.type_name).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
     let patience = Duration::from_secs_f64(usual_s * cluster.properties.boot_patience) + BOOT_GRACE;
     // A new leader has not heard yet of machines that were up long before it.
-    let known_for = now.saturating_duration_since(machine.heard);
+    let known_for = now.saturating_duration_since(machine.last_seen);
     age > patience && known_for > cluster.properties.silence
 }
 
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -201,8 +201,8 @@
     }
 
     fn plan_room_intent(&mut self, intent: &'a RoomIntent, timelines: &mut Vec<Timeline<'a>>) {
-        let (ground, spec, zones) = (self.ground, &intent.like, Zones::none(&intent.like));
-        let mut job = self.cluster.as_if(spec, self.now);
+        let (ground, spec, zones) = (self.ground, &intent.task_spec, Zones::none(&intent.task_spec));
+        let mut job = self.cluster.hypothetical_job(spec, self.now);
         // All of it is needed at one time, so no place counts twice.
         job.agreement.run = CAPACITY_HELD_FOR;
         let open = ground.open_to(spec, &zones);
@@ -255,7 +255,7 @@
     fn is_due_for_intent(&self, intent: &RoomIntent, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
         let machine_type = priced.offer.of;
-        let fetch_s = intent.like.image_gb / machine_type.fetch_gb_per_s.max(0.001);
+        let fetch_s = intent.task_spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
         start_s > intent.in_s
             && machine_type.boot_s + LEAST_GAIN_S < start_s
             && intent.in_s <= machine_type.boot_s + fetch_s
@@ -296,7 +296,7 @@
     now: Instant,
 ) {
     for arrivals in cluster.arrivals.values() {
-        let Some(like) = cluster.like(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
+        let Some(like) = cluster.representative_job(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
         let zones = Zones::none(like.spec());
         let open = ground.open_to(like.spec(), &zones);
         let within_s = ground.longest_boot_s(&open);
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::declarations::records::DeclarationKind;
 use crate::declarations::{DeclarationLogic, DeclarationView, KnownNames, SpecError};
-use crate::scheduling::fairness::Whose;
+use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor;
 use crate::scheduling::intents::{Ahead, Intents};
 use waits::Waits;
@@ -27,8 +27,8 @@
 impl Rule {
     /// Whose work it is about.
     fn names(&self) -> floor::Names {
-        let classes = self.classes.iter().map(|name| (Whose::Class, name.as_str()));
-        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Whose::Team, name.as_str()))))
+        let classes = self.classes.iter().map(|name| (Subject::Class, name.as_str()));
+        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Subject::Team, name.as_str()))))
     }
 
     /// A stored time as the rule's operators read it.
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -20,7 +20,7 @@
 use crate::controller::Controller;
 use crate::jobs::{Counts, JobId};
 use crate::records::leadership::{LeaderRecord, Watermark};
-use crate::scheduling::fairness::Row;
+use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
 use crate::store::share::Want;
@@ -61,7 +61,7 @@
     /// Running and done tasks of open jobs, as the leader told them last. For display only.
     pub counts: HashMap<JobId, Counts>,
     /// What the leader told last of who is served, and when that was heard.
-    pub served: Option<(Vec<Row>, Instant)>,
+    pub served: Option<(Vec<ServiceLevel>, Instant)>,
 }
 
 impl Heard {
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -9,7 +9,7 @@
 
 use crate::jobs::{Counts, JobId, well_formed_id};
 use crate::records::leadership::Watermark;
-use crate::scheduling::fairness::Row;
+use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
 use crate::store::share::Want;
 
@@ -34,7 +34,7 @@
     pub counts: Vec<(JobId, Counts)>,
     /// The leader's account of who is served, once in a while.
     #[serde(default, deserialize_with = "readable")]
-    pub served: Vec<Row>,
+    pub served: Vec<ServiceLevel>,
     /// The leader's own watermark; builds before 0.3 tell none.
     #[serde(default, deserialize_with = "or_default")]
     pub watermark: Option<Watermark>,
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -59,7 +59,7 @@
         };
         if let Some(machine) = cluster.machines.get(&binding.machine) {
             (replica.type_name, replica.zone) = (machine.type_name.clone(), machine.zone.clone());
-            replica.heard = machine.reported() && since(machine.heard) < suspect;
+            replica.heard = machine.reported() && since(machine.last_seen) < suspect;
             // One that can be spared goes on with what can't move.
             let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
             replica.leaving = !stays;
--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -4,21 +4,21 @@
 
 use super::{ClusterState, JobState};
 use crate::jobs::JobId;
-use crate::scheduling::fairness::Note;
-use crate::scheduling::fairness::floor::Below;
+use crate::scheduling::fairness::AccountingEvent;
+use crate::scheduling::fairness::floor::Underserved;
 
 /// Notes between two updates of the accounting; more are not counted.
-const MOST_NOTES: usize = 20_000;
+const MOST_ACCOUNTING_EVENTS: usize = 20_000;
 
 impl ClusterState {
     /// What happened since the last call that the account counts, as (job, note, when).
-    pub fn take_notes(&mut self) -> Vec<(JobId, Note, Instant)> {
+    pub fn take_accounting_events(&mut self) -> Vec<(JobId, AccountingEvent, Instant)> {
         std::mem::take(&mut self.notes)
     }
 
     /// Who goes first from now on.
-    pub fn set_below(&mut self, below: Below) {
-        self.stirred |= self.below != below;
+    pub fn set_underserved(&mut self, below: Underserved) {
+        self.replan_needed |= self.below != below;
         self.below = below;
     }
 
@@ -43,8 +43,8 @@
         self.large.bound_credit(needs);
     }
 
-    pub(super) fn note(&mut self, id: &JobId, note: Note, now: Instant) {
-        if self.notes.len() < MOST_NOTES {
+    pub(super) fn note(&mut self, id: &JobId, note: AccountingEvent, now: Instant) {
+        if self.notes.len() < MOST_ACCOUNTING_EVENTS {
             self.notes.push((id.clone(), note, now));
         }
     }
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -6,14 +6,14 @@
 use super::{Binding, ClusterState, JobState, Phase, Placement};
 use crate::jobs::JobId;
 use crate::protocol::workers::TaskKey;
-use crate::scheduling::fairness::Note;
+use crate::scheduling::fairness::AccountingEvent;
 
 impl ClusterState {
     /// Binds each placed task to its machine; its launch waits until that is stored.
     pub fn bind_all(&mut self, placements: Vec<Placement>, now: Instant) {
         let mut first_places: HashMap<JobId, f64> = HashMap::new();
         // What may go ahead is bounded by what is given out: it may be more after this.
-        self.stirred |= self.intents.ahead.is_some() && !placements.is_empty();
+        self.replan_needed |= self.intents.ahead.is_some() && !placements.is_empty();
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.too_late(now.saturating_duration_since(job.since));
@@ -33,7 +33,7 @@
             self.bind(placement, now);
         }
         for (id, part) in first_places {
-            self.note(&id, Note::Started(part), now);
+            self.note(&id, AccountingEvent::Started(part), now);
         }
     }
 
@@ -55,7 +55,7 @@
         let used = self.usage.entry(job.record.spec.team.clone()).or_default();
         used.0 += job.record.spec.cpus;
         used.1 += job.record.spec.gpus;
-        self.dirty.start(&p.task);
+        self.unstored.start(&p.task);
     }
 
     /// Takes a proven-gone task off its machine; it waits again unless its job is over.
@@ -63,7 +63,7 @@
         self.release(key, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.ended.is_some() {
-            self.forget_if_over(&key.job);
+            self.forget_if_gone(&key.job);
         } else if job.spec().is_gang() && !job.complete() {
             // An attempt that lost a task is over; the rest must be gone before the next one.
             self.halt_job(&key.job, 0, now);
@@ -71,12 +71,12 @@
     }
 
     /// A task that is gone without having been stopped was lost.
-    pub(super) fn note_loss(&mut self, key: &TaskKey, now: Instant) {
+    pub(super) fn record_loss(&mut self, key: &TaskKey, now: Instant) {
         let lost = |job: &JobState| {
             job.ended.is_none() && job.binding(key.index).is_some_and(|b| b.status.is_some() && b.halting.is_none())
         };
         if self.jobs.get(&key.job).is_some_and(lost) {
-            self.note(&key.job, Note::Lost, now);
+            self.note(&key.job, AccountingEvent::Lost, now);
         }
     }
 
@@ -92,7 +92,7 @@
         task.stored = false;
         if job.ended.is_none() {
             job.waiting.insert(key.index);
-            self.dirty.news(key, now);
+            self.unstored.changes(key, now);
         }
     }
 
@@ -102,7 +102,7 @@
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
             machine.unbind(key, &job.record.spec, now);
         }
-        self.stirred = true;
+        self.replan_needed = true;
         job.bound.remove(&key.index);
         if let Some(used) = self.usage.get_mut(&job.record.spec.team) {
             used.0 = (used.0 - job.record.spec.cpus).max(0.0);
@@ -117,12 +117,12 @@
         let bound: Vec<u32> = job.bound.iter().copied().collect();
         for index in bound {
             let Some(binding) = self.jobs.get_mut(id).and_then(|j| j.binding_mut(index)) else { continue };
-            if binding.told.is_none() && !binding.inherited {
+            if binding.announced_in.is_none() && !binding.inherited {
                 self.release(&TaskKey { job: id.clone(), index }, now);
             } else if binding.halting.is_none() {
                 binding.halting = Some(grace_s);
                 if let Some(machine) = self.machines.get_mut(&binding.machine) {
-                    machine.tell = true;
+                    machine.command_due = true;
                 }
             }
         }
@@ -144,7 +144,7 @@
         {
             binding.halting = Some(grace_s);
             if let Some(machine) = self.machines.get_mut(&binding.machine) {
-                machine.tell = true;
+                machine.command_due = true;
             }
         }
     }
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -8,7 +8,7 @@
 use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey, WorkerCommand};
 
 /// Orders of one answer or command: about 60 bytes each, well below the body limit.
-const MOST_ORDERS: usize = 400;
+const MOST_COMMANDS: usize = 400;
 /// Direct commands to one machine are at least this far apart unless something new came up.
 const COMMAND_GAP: Duration = Duration::from_millis(1000);
 /// The same to machines that do not hear, and how many of these are tried at once.
@@ -21,7 +21,7 @@
 
 /// A command to be sent straight to a worker.
 #[derive(Debug)]
-pub struct Direct {
+pub struct DirectCommand {
     /// The machine that is to carry it out.
     pub machine: MachineId,
     /// Its worker's address.
@@ -31,29 +31,29 @@
     /// The agent's epoch that it is meant for.
     pub agent_epoch: u64,
     /// Launches, stops and reaps, in this order.
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 impl ClusterState {
     /// What the answer to this machine's heartbeat is to tell it.
-    pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
+    pub fn commands_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
         // never wrong, and this answer renews the lease, which is what else would end the task.
-        let orders = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.orders(m) };
-        self.note_told(&orders, machine);
+        let commands = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.commands(m) };
+        self.record_launches(&commands, machine);
         let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
-            m.partition.answered(fencing_token, m.fencing_token, &orders, now);
-            if orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
+            m.partition.record_answer(fencing_token, m.fencing_token, &commands, now);
+            if commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
                 m.launched_in = Some(m.newest_heartbeat);
             }
-            if !orders.is_empty() {
-                m.tell = false;
+            if !commands.is_empty() {
+                m.command_due = false;
                 m.next_command = now + COMMAND_GAP;
             }
         }
-        orders
+        commands
     }
 
     /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
@@ -73,36 +73,36 @@
             attempt: attempt_report.attempt,
             grace_s: 0,
         };
-        live.map(stop).take(MOST_ORDERS).collect()
+        live.map(stop).take(MOST_COMMANDS).collect()
     }
 
-    fn note_told(&mut self, orders: &[WorkerCommand], machine: &str) {
+    fn record_launches(&mut self, commands: &[WorkerCommand], machine: &str) {
         let Some(agent_epoch) = self.machines.get(machine).map(|m| m.agent_epoch) else { return };
-        for order in orders {
-            if let WorkerCommand::Launch { task, .. } = order
+        for command in commands {
+            if let WorkerCommand::Launch { task, .. } = command
                 && let Some(binding) = self.jobs.get_mut(&task.job).and_then(|j| j.binding_mut(task.index))
             {
-                binding.told.get_or_insert(agent_epoch);
+                binding.announced_in.get_or_insert(agent_epoch);
             }
         }
     }
 
     /// All that a machine should be told now, as a function of the cluster state alone.
-    fn orders(&self, m: &Machine) -> Vec<WorkerCommand> {
-        let mut orders = Vec::new();
+    fn commands(&self, m: &Machine) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
         if !self.loaded {
-            return orders;
+            return commands;
         }
-        orders.extend(m.attempts.iter().filter_map(|report| self.command_for_attempt(m, report)));
+        commands.extend(m.attempts.iter().filter_map(|report| self.command_for_attempt(m, report)));
         if m.recall.is_none() {
-            orders.extend(m.bound.iter().filter_map(|key| self.launch_of(m, key)));
+            commands.extend(m.bound.iter().filter_map(|key| self.launch_of(m, key)));
         }
         if m.state == MachineState::Terminating {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
-            orders.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
+            commands.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
         }
-        orders.truncate(MOST_ORDERS);
-        orders
+        commands.truncate(MOST_COMMANDS);
+        commands
     }
 
     /// What a machine is to do with an attempt that it has reported: forget it, stop it, or nothing.
@@ -147,7 +147,7 @@
     }
 
     /// Commands for machines that have something new to be told, or have not yet seen this leader's fencing token.
-    pub fn direct_commands(&mut self, now: Instant) -> Vec<Direct> {
+    pub fn direct_commands(&mut self, now: Instant) -> Vec<DirectCommand> {
         let due = self.machines_to_command(now);
         due.into_iter().filter_map(|id| self.direct_command(id, now)).collect()
     }
@@ -160,7 +160,7 @@
         for m in self.machines.values() {
             if m.command_under_way {
                 under_way += 1;
-            } else if m.state != MachineState::Terminating && m.tell {
+            } else if m.state != MachineState::Terminating && m.command_due {
                 with_news.push(m.id.clone());
             } else if m.state != MachineState::Terminating && now >= m.next_command {
                 if m.inbound_lost {
@@ -179,27 +179,27 @@
     }
 
     /// The command for one machine, which is under way from now on; none if it has nothing to be told.
-    fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<Direct> {
+    fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<DirectCommand> {
         let m = self.machines.get(&id)?;
         let addr = m.addr.clone()?;
-        let mut orders = self.orders(m);
+        let mut commands = self.commands(m);
         if m.inbound_lost {
             // Launches would only keep what they are for from being proven gone; they go with answers.
-            orders.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
-        } else if orders.is_empty() && m.fencing_token >= self.fencing_token {
+            commands.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
+        } else if commands.is_empty() && m.fencing_token >= self.fencing_token {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.tell = false;
+                m.command_due = false;
             }
             return None;
         }
-        self.note_told(&orders, &id);
+        self.record_launches(&commands, &id);
         let fencing_token = self.fencing_token;
         let m = self.machines.get_mut(&id)?;
         m.command_under_way = true;
-        m.launch_under_way = orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
-        m.tell = false;
+        m.launch_under_way = commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
+        m.command_due = false;
         m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
-        Some(Direct { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), orders })
+        Some(DirectCommand { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), commands })
     }
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -39,9 +39,9 @@
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
         let quarantined = self.attribution.suspects(&key.job);
-        let judged = self.attribution.failed(&failure, enough, now);
+        let response = self.attribution.failed(&failure, enough, now);
         info!(job = %key.job, task_index = key.index, machine = %on, "task failed");
-        if let Some(at) = judged.job_not_before {
+        if let Some(at) = response.job_not_before {
             job.not_before = job.not_before.max(at);
             if !quarantined {
                 let (team, class) = (&job.record.spec.team, &job.record.spec.class);
@@ -50,18 +50,18 @@
         }
         if let Some(machine) = self.machines.get_mut(on) {
             machine.failed = true;
-            if judged.machine && machine.state == MachineState::Up {
+            if response.machine && machine.state == MachineState::Up {
                 info!(machine = %on, "machine quarantined");
                 machine.quarantined = true;
             }
         }
-        for id in judged.cleared {
+        for id in response.cleared {
             self.clear_machine(&id);
         }
     }
 
     /// A task was done: its machine and its job are well.
-    pub(super) fn did_well(&mut self, key: &TaskKey, on: &MachineId) {
+    pub(super) fn record_success(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let quarantined = self.attribution.suspects(&key.job);
         self.attribution.done(key, &job.record.spec.class, on);
@@ -76,13 +76,13 @@
             machine.failed = false;
             if std::mem::take(&mut machine.quarantined) {
                 info!(machine = %id, "machine quarantine lifted");
-                self.stirred = true;
+                self.replan_needed = true;
             }
         }
     }
 
     /// Machines that have been quarantined for long enough: out, or back.
-    pub(super) fn decide_quarantines(&mut self, now: Instant) {
+    pub(super) fn end_due_quarantines(&mut self, now: Instant) {
         for (id, out) in self.attribution.decided(self.enough_failures(), now) {
             if !out {
                 self.clear_machine(&id);
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -51,7 +51,7 @@
             self.newest_heartbeat = sequence;
             self.last_heartbeat = now;
         }
-        self.heard = now;
+        self.last_seen = now;
     }
 
     /// Records what the message says. Returns whether room has come free that unknown tasks had taken.
@@ -91,7 +91,7 @@
 
 impl ClusterState {
     /// Takes in a worker's heartbeat, or its reply to a command: rejects what is stale, records what it says, and
-    /// reconciles the bindings with it. The answer is made by `orders_in_answer`.
+    /// reconciles the bindings with it. The answer is made by `commands_in_answer`.
     pub fn take_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -114,15 +114,15 @@
             return;
         }
         machine.enter_agent_epoch(heartbeat.agent_epoch);
-        self.stirred |= machine.join(now);
+        self.replan_needed |= machine.join(now);
         machine.record_arrival(sequence, message, now);
-        machine.partition.heard_of(&heartbeat, message, self.settings.params.workers.lease(), now);
+        machine.partition.record_message(&heartbeat, message, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
         if heartbeat.fencing_token >= self.first_fencing_token {
-            self.stirred |= !std::mem::replace(&mut machine.known, true);
+            self.replan_needed |= !std::mem::replace(&mut machine.known, true);
         }
         let notice_s = heartbeat.notice_s;
-        self.stirred |= machine.record_report(heartbeat, kind);
+        self.replan_needed |= machine.record_report(heartbeat, kind);
         let first_notice = machine.record_notice(notice_s, now);
         machine.record_machine_type(catalog);
         self.judge_partition(&id, now);
@@ -147,14 +147,14 @@
         }
         let findings = self.compare_attempts(id, now);
         for job in findings.begun {
-            self.note_begun(&job, now);
+            self.record_first_run(&job, now);
         }
         for (key, cause) in findings.exited {
             self.exited(&key, cause, id, now);
         }
         for key in findings.missing {
             debug!(job = %key.job, task_index = key.index, machine = %id, "task loss confirmed");
-            self.note_loss(&key, now);
+            self.record_loss(&key, now);
             self.unbind(&key, now);
         }
     }
@@ -221,21 +221,21 @@
 
     pub(super) fn completed_task(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
         self.leave(key, now);
-        self.did_well(key, on);
+        self.record_success(key, on);
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.tasks.get_mut(key.index as usize) else { return };
         task.phase = Phase::Done;
         task.stored = false;
         job.waiting.remove(&key.index);
         job.done += 1;
-        self.note_begun(&key.job, now);
+        self.record_first_run(&key.job, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.complete() {
             if !self.completed.contains(&key.job) {
                 self.completed.push_back(key.job.clone());
             }
         } else {
-            self.dirty.news(key, now);
+            self.unstored.changes(key, now);
         }
     }
 
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -12,7 +12,7 @@
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
-use crate::scheduling::fairness::Note;
+use crate::scheduling::fairness::AccountingEvent;
 use crate::scheduling::ids::MOST_CLASSES;
 use crate::scheduling::promises::promises_of;
 use crate::sla::Agreement;
@@ -74,13 +74,13 @@
         self.note_arrival(&record, age, now);
         self.large.record_offer(&record.spec, age, now);
         let job = self.begin(record, now.checked_sub(age).unwrap_or(now), now);
-        self.stirred = true;
+        self.replan_needed = true;
         self.intents_due = true;
         self.jobs.insert(id, job);
     }
 
     /// One task of a job that is not in the cluster state.
-    pub fn as_if(&self, spec: &JobSpec, now: Instant) -> JobState {
+    pub fn hypothetical_job(&self, spec: &JobSpec, now: Instant) -> JobState {
         let spec = JobSpec { tasks: 1, ..spec.clone() };
         self.begin(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
     }
@@ -184,14 +184,14 @@
             self.arrivals.remove(&oldest);
         }
         let arrivals = self.arrivals.entry(class.clone());
-        let arrivals = arrivals.or_insert_with(|| Arrivals { faded: 0.0, at: now, like: record.clone() });
+        let arrivals = arrivals.or_insert_with(|| Arrivals { faded: 0.0, at: now, latest: record.clone() });
         arrivals.come(record.clone(), age, now);
     }
 
     /// A job to stand for what is expected of a class, if one is still open.
-    pub fn like(&self, arrivals: &Arrivals) -> Option<&JobState> {
-        self.jobs.get(&arrivals.like.spec.id).or_else(|| {
-            let same = |j: &&JobState| j.record.spec.class == arrivals.like.spec.class;
+    pub fn representative_job(&self, arrivals: &Arrivals) -> Option<&JobState> {
+        self.jobs.get(&arrivals.latest.spec.id).or_else(|| {
+            let same = |j: &&JobState| j.record.spec.class == arrivals.latest.spec.class;
             self.jobs.values().filter(same).max_by_key(|j| j.since)
         })
     }
@@ -227,17 +227,17 @@
             let key = TaskKey { job: id.clone(), index };
             let Some(binding) = self.jobs.get(id).and_then(|j| j.binding(index)) else { continue };
             // Never told by anybody: nothing can arrive.
-            if binding.told.is_none() && !binding.inherited {
+            if binding.announced_in.is_none() && !binding.inherited {
                 self.unbind(&key, now);
             } else if let Some(machine) = self.machines.get_mut(&binding.machine) {
-                machine.tell = true;
+                machine.command_due = true;
             }
         }
-        self.forget_if_over(id);
+        self.forget_if_gone(id);
     }
 
     /// Tells once that a job runs; again after a takeover, since no change is written for it.
-    pub(super) fn note_begun(&mut self, id: &JobId, now: Instant) {
+    pub(super) fn record_first_run(&mut self, id: &JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.begun || job.ended.is_some() || !job.runs() {
             return;
@@ -249,11 +249,11 @@
         // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
         if own && self.large.is_large_gang(job.spec()) {
-            self.note(id, Note::Begun, now);
+            self.note(id, AccountingEvent::Begun, now);
         }
     }
 
-    pub(super) fn forget_if_over(&mut self, id: &JobId) {
+    pub(super) fn forget_if_gone(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id)
             && job.ended.is_some()
             && job.bound.is_empty()
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -21,7 +21,7 @@
         }
         let at = self.kind(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
-        self.stirred |= !std::mem::replace(&mut machine.known, true) && machine.reported();
+        self.replan_needed |= !std::mem::replace(&mut machine.known, true) && machine.reported();
         // A new leader hears of machines before it is told how long they have been held.
         machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
         if !machine.reported() {
@@ -39,7 +39,7 @@
     pub fn listed_up(&mut self, id: &str, now: Instant) {
         // From now on it should be heard of: until now it was booting, for all that is known here.
         if let Some(machine) = self.machines.get_mut(id).filter(|m| !m.reported() && !m.listed_up) {
-            (machine.listed_up, machine.heard) = (true, now);
+            (machine.listed_up, machine.last_seen) = (true, now);
         }
     }
 
@@ -94,7 +94,7 @@
         let Some(machine) = self.machines.get(id) else { return };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
         for key in keys {
-            self.note_loss(&key, now);
+            self.record_loss(&key, now);
             self.unbind(&key, now);
         }
         self.machines.remove(id);
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -27,18 +27,18 @@
 
 use lru::LruCache;
 
-pub use commands::Direct;
+pub use commands::DirectCommand;
 pub use model::{
     Ahead, Arrivals, Binding, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement, Replicas,
     Reservation, RoomIntent, Task, WindowPlace,
 };
-use storing::Dirty;
 pub use storing::ShardWrite;
+use storing::UnstoredShards;
 use unreadable::RestingJobs;
 
 use super::failure_attribution::FailureAttribution;
-use super::fairness::Note;
-use super::fairness::floor::{Below, CoreCredit};
+use super::fairness::AccountingEvent;
+use super::fairness::floor::{CoreCredit, Underserved};
 use super::ids::MOST_CLASSES;
 use super::large::LargeGangs;
 use super::passed_over::PassedOverJobs;
@@ -86,12 +86,12 @@
     /// Every type, zone and kind that a machine was ever of; machines name theirs by its place.
     kinds: Vec<MachineKind>,
     /// Something that placement depends on has changed since the last plan.
-    pub(super) stirred: bool,
+    pub(super) replan_needed: bool,
     /// Every machine that is held or was heard of, by name.
     pub machines: BTreeMap<MachineId, Machine>,
     gone: VecDeque<MachineId>,
     gone_set: HashSet<MachineId>,
-    dirty: Dirty,
+    unstored: UnstoredShards,
     /// Jobs complete but not yet stored as done.
     completed: VecDeque<JobId>,
     /// Shards of jobs that are over, to be dropped.
@@ -101,7 +101,7 @@
     raised: Instant,
     raise: bool,
     /// When many machines were last silent together.
-    many_silent_at: Option<Instant>,
+    many_silent_seen_at: Option<Instant>,
     /// When this controller last was paused.
     last_pause: Option<ProcessPause>,
     /// When everything stored was read.
@@ -121,7 +121,7 @@
     /// Jobs that wait although machines have room for them.
     pub(super) passed_over: PassedOverJobs,
     /// Classes and teams that go first, by the account.
-    pub below: Below,
+    pub below: Underserved,
     /// Whose fault failures are.
     pub attribution: FailureAttribution,
     /// What work that is late for everything may take before others.
@@ -135,7 +135,7 @@
     /// Jobs have come since that was worked out.
     pub intents_due: bool,
     /// What the account is to be told next.
-    notes: Vec<(JobId, Note, Instant)>,
+    notes: Vec<(JobId, AccountingEvent, Instant)>,
 }
 
 impl ClusterState {
@@ -152,17 +152,17 @@
             ending: BTreeSet::new(),
             resting: RestingJobs::new(),
             kinds: Vec::new(),
-            stirred: true,
+            replan_needed: true,
             machines: BTreeMap::new(),
             gone: VecDeque::new(),
             gone_set: HashSet::new(),
-            dirty: Dirty::default(),
+            unstored: UnstoredShards::default(),
             completed: VecDeque::new(),
             drops: VecDeque::new(),
             usage: HashMap::new(),
             raised: now,
             raise: false,
-            many_silent_at: None,
+            many_silent_seen_at: None,
             last_pause: None,
             loaded_at: now,
             observed: LruCache::new(MOST_CLASSES),
@@ -172,7 +172,7 @@
             preemption_reservations: HashMap::new(),
             keeping: None,
             passed_over: PassedOverJobs::default(),
-            below: Below::default(),
+            below: Underserved::default(),
             attribution: FailureAttribution::default(),
             core_credit: CoreCredit::default(),
             inherited: Vec::new(),
@@ -210,7 +210,7 @@
             ("returned", self.gone.len()),
             ("kinds", self.kinds.len()),
             ("classes", self.observed.len().max(self.arrivals.len())),
-            ("to_store", self.dirty.len() + self.completed.len()),
+            ("to_store", self.unstored.len() + self.completed.len()),
             ("to_drop", self.drops.len()),
         ]
     }
@@ -226,7 +226,7 @@
     }
 
     /// Whether a plan may find something that the last one did not.
-    pub fn take_stirred(&mut self) -> bool {
-        std::mem::take(&mut self.stirred)
+    pub fn take_replan_needed(&mut self) -> bool {
+        std::mem::take(&mut self.replan_needed)
     }
 }
--- a/src/scheduling/cluster/model/arrivals.rs
+++ b/src/scheduling/cluster/model/arrivals.rs
@@ -11,7 +11,7 @@
     pub(in crate::scheduling::cluster) faded: f64,
     pub(in crate::scheduling::cluster) at: Instant,
     /// The latest job of the class.
-    pub like: Arc<JobRecord>,
+    pub latest: Arc<JobRecord>,
 }
 
 /// Arrivals fade over this time: long enough to smooth single jobs, short enough to see an end.
@@ -27,7 +27,7 @@
     pub(in crate::scheduling::cluster) fn come(&mut self, record: Arc<JobRecord>, age: Duration, now: Instant) {
         let gone_by = (-age.as_secs_f64() / ARRIVALS_FADE.as_secs_f64()).exp();
         self.faded = self.fade(now) + record.spec.tasks as f64 * gone_by;
-        (self.at, self.like) = (now, record);
+        (self.at, self.latest) = (now, record);
     }
 
     /// Tasks a second, as of now.
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoomIntent {
     /// The shape of each task.
-    pub like: JobSpec,
+    pub task_spec: JobSpec,
     /// How many tasks.
     pub tasks: u64,
     /// Seconds from now; 0: now.
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -17,7 +17,7 @@
     /// The machine that the task is bound to.
     pub machine: MachineId,
     /// The agent epoch in which this leader first told the worker, if it did.
-    pub(in crate::scheduling::cluster) told: Option<u64>,
+    pub(in crate::scheduling::cluster) announced_in: Option<u64>,
     /// Stored by an earlier leader, which may have told the worker under an older fencing token.
     pub(in crate::scheduling::cluster) inherited: bool,
     /// What the worker last reported of the task; none before the first heartbeat that shows it.
@@ -32,7 +32,7 @@
 
 impl Binding {
     pub(in crate::scheduling::cluster) fn new(machine: MachineId, inherited: bool, now: Instant) -> Self {
-        Self { machine, told: None, inherited, status: None, running_since: None, halting: None, since: now }
+        Self { machine, announced_in: None, inherited, status: None, running_since: None, halting: None, since: now }
     }
 
     /// The worker reports the attempt in this state.
@@ -43,7 +43,7 @@
         now: Instant,
     ) {
         self.status = Some(status);
-        self.told.get_or_insert(agent_epoch);
+        self.announced_in.get_or_insert(agent_epoch);
         if status == AttemptStatus::Running {
             self.running_since.get_or_insert(now);
         }
@@ -52,7 +52,7 @@
     /// Whether a report that does not show the attempt proves that it is not there. `settled`: no launch can arrive
     /// any more. A task that this leader wants to start and that was never seen may still come.
     pub(in crate::scheduling::cluster) fn is_absent(&self, agent_epoch: u64, settled: bool, job_ended: bool) -> bool {
-        let epoch_over = self.told.is_some_and(|told| told < agent_epoch);
+        let epoch_over = self.announced_in.is_some_and(|announced_in| announced_in < agent_epoch);
         let unneeded = job_ended || self.halting.is_some() || self.inherited || self.status.is_some();
         epoch_over || (settled && unneeded)
     }
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -75,7 +75,7 @@
     /// The highest fencing token that its worker has reported.
     pub fencing_token: u64,
     /// When anything was last heard of it, by heartbeat or by reply.
-    pub heard: Instant,
+    pub last_seen: Instant,
     /// Its last true heartbeat, or when it was first heard of: replies to commands renew no lease.
     pub last_heartbeat: Instant,
     /// When it was rented, as far as is known.
@@ -94,7 +94,7 @@
     pub(in crate::scheduling::cluster) launched_in: Option<MessageSequence>,
     pub(in crate::scheduling::cluster) next_command: Instant,
     /// Something new is to be told without waiting for a heartbeat.
-    pub(in crate::scheduling::cluster) tell: bool,
+    pub(in crate::scheduling::cluster) command_due: bool,
     /// Since when nothing has been bound to it.
     pub idle_since: Option<Instant>,
     /// Something has failed on it since anything was done there.
@@ -141,7 +141,7 @@
             newest: MessageSequence::default(),
             newest_heartbeat: MessageSequence::default(),
             fencing_token: 0,
-            heard: now,
+            last_seen: now,
             last_heartbeat: now,
             since: now,
             recall: None,
@@ -152,7 +152,7 @@
             unsettled: None,
             launched_in: None,
             next_command: now,
-            tell: false,
+            command_due: false,
             idle_since: None,
             failed: false,
             scale_in_candidate: false,
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -8,7 +8,7 @@
 
 use super::tick::{MOST, TOGETHER};
 use super::{ClusterState, Machine, MachineId};
-use crate::scheduling::one_way_partition::{Verdict, judge};
+use crate::scheduling::one_way_partition::{InboundVerdict, judge};
 
 impl ClusterState {
     /// At least three machines, and one in `part` of those that should be heard of, of the zone if one is
@@ -31,22 +31,22 @@
     pub(super) fn judge_partition(&mut self, id: &MachineId, now: Instant) {
         let lease = self.settings.params.workers.lease();
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let signs = machine.partition.signs(false, now);
-        let inbound_lost = matches!(judge(signs, lease), Verdict::InboundLost | Verdict::GivenUp);
+        let evidence = machine.partition.evidence(false, now);
+        let inbound_lost = matches!(judge(evidence, lease), InboundVerdict::InboundLost | InboundVerdict::GivenUp);
         if inbound_lost == std::mem::replace(&mut machine.inbound_lost, inbound_lost) {
             return;
         }
         if inbound_lost {
             warn!(
                 machine = %id,
-                unacknowledged = signs.unheard,
-                expired_leases = signs.lost,
+                unacknowledged = evidence.unacknowledged,
+                expired_leases = evidence.expired_leases,
                 bound_tasks = machine.bound.len(),
                 "one-way partition detected; cordoning the machine"
             );
         } else {
             info!(machine = %id, "one-way partition healed");
-            self.stirred = true;
+            self.replan_needed = true;
         }
     }
 
@@ -64,8 +64,9 @@
         // What nobody else knows of speaks for nothing but itself; and what is still bound after so long only
         // a return proves gone, as where an earlier leader may yet launch it.
         let many = |m: &Machine| m.known && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
-        let out =
-            inbound_lost.into_iter().filter(|m| judge(m.partition.signs(many(m), now), lease) == Verdict::GivenUp);
+        let out = inbound_lost
+            .into_iter()
+            .filter(|m| judge(m.partition.evidence(many(m), now), lease) == InboundVerdict::GivenUp);
         out.map(|m| m.id.clone()).collect()
     }
 }
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -32,14 +32,14 @@
 
 /// Shards the store is behind on. Starts wait for theirs to be stored; news can bear to be late.
 #[derive(Debug, Default)]
-pub(super) struct Dirty {
+pub(super) struct UnstoredShards {
     starts: VecDeque<(JobId, u64)>,
-    news: VecDeque<((JobId, u64), Instant)>,
+    changes: VecDeque<((JobId, u64), Instant)>,
     /// Whether each listed shard holds a start.
     listed: HashMap<(JobId, u64), bool>,
 }
 
-impl Dirty {
+impl UnstoredShards {
     pub(super) fn len(&self) -> usize {
         self.listed.len()
     }
@@ -62,11 +62,11 @@
         }
     }
 
-    pub(super) fn news(&mut self, key: &TaskKey, now: Instant) {
+    pub(super) fn changes(&mut self, key: &TaskKey, now: Instant) {
         let shard = Self::shard(key);
         if !self.listed.contains_key(&shard) {
             self.listed.insert(shard.clone(), false);
-            self.news.push_back((shard, now));
+            self.changes.push_back((shard, now));
         }
     }
 
@@ -77,17 +77,17 @@
                 return Some(shard);
             }
         }
-        while let Some((shard, since)) = self.news.front() {
+        while let Some((shard, since)) = self.changes.front() {
             // One that was listed as a start meanwhile has gone with it.
             if self.listed.get(shard) != Some(&false) {
-                self.news.pop_front();
+                self.changes.pop_front();
                 continue;
             }
             if now.saturating_duration_since(*since) < NEWS_KEPT {
                 return None;
             }
             let shard = shard.clone();
-            self.news.pop_front();
+            self.changes.pop_front();
             self.listed.remove(&shard);
             return Some(shard);
         }
@@ -99,9 +99,9 @@
     /// Whether something is to be stored now.
     pub fn anything_to_store(&self, now: Instant) -> bool {
         let late = |since: &Instant| now.saturating_duration_since(*since) >= NEWS_KEPT;
-        !self.dirty.starts.is_empty()
+        !self.unstored.starts.is_empty()
             || !self.completed.is_empty()
-            || self.dirty.news.front().is_some_and(|(_, since)| late(since))
+            || self.unstored.changes.front().is_some_and(|(_, since)| late(since))
     }
 
     /// The next changes to store: ends first, then starts, then what else has changed, at most
@@ -116,7 +116,7 @@
         }
         let mut shards = Vec::new();
         while ends.len() * END_CHANGES + shards.len() < most {
-            let Some((id, shard)) = self.dirty.next(now) else { break };
+            let Some((id, shard)) = self.unstored.next(now) else { break };
             if let Some(write) = self.shard_write(&id, shard) {
                 shards.push(write);
             }
@@ -155,24 +155,24 @@
                 task.stored = task.as_stored() == *stored;
                 changed |= !task.stored;
                 if let (true, Phase::Bound(binding)) = (task.stored, &task.phase)
-                    && binding.told.is_none()
+                    && binding.announced_in.is_none()
                     && let Some(machine) = self.machines.get_mut(&binding.machine)
                 {
-                    machine.tell = true;
+                    machine.command_due = true;
                 }
             }
             // A gang in several shards is told to start by the last of them.
             if job.spec().is_gang() && job.versions.len() > 1 && job.launchable() {
                 for index in &job.bound {
                     if let Some(machine) = job.binding(*index).and_then(|b| self.machines.get_mut(&b.machine)) {
-                        machine.tell = true;
+                        machine.command_due = true;
                     }
                 }
             }
             // What changed since has been listed by whatever changed it; this is for safety's sake.
             let entry = (write.job.clone(), write.shard);
-            if changed && !self.dirty.listed.contains_key(&entry) {
-                self.dirty.put_start(entry, false);
+            if changed && !self.unstored.listed.contains_key(&entry) {
+                self.unstored.put_start(entry, false);
             }
         }
     }
@@ -185,7 +185,7 @@
             }
         }
         for write in writes.iter().rev() {
-            self.dirty.put_start((write.job.clone(), write.shard), true);
+            self.unstored.put_start((write.job.clone(), write.shard), true);
         }
     }
 
@@ -208,12 +208,12 @@
             task.stored = false;
         }
         self.set_version(id, shard, found);
-        self.dirty.put_start((id.clone(), shard), false);
+        self.unstored.put_start((id.clone(), shard), false);
     }
 
     /// A shard that could not be read is replaced, at the version that it was read under.
     pub(super) fn store_unreadable_shard_anew(&mut self, id: &JobId, shard: u64) {
-        self.dirty.put_start((id.clone(), shard), false);
+        self.unstored.put_start((id.clone(), shard), false);
     }
 
     /// Takes up to `most` shards of ended jobs that are to be dropped from the store.
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -25,7 +25,7 @@
     /// and what it missed may still be on its way.
     pub fn after_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
-            machine.heard = pause.forgive(machine.heard);
+            machine.last_seen = pause.forgive(machine.last_seen);
             machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
             machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
             machine.partition.after_pause(pause);
@@ -40,7 +40,7 @@
         let (mut all, mut silent) = (0, 0);
         for machine in self.machines.values().filter(|m| m.awaited()) {
             all += 1;
-            silent += usize::from(now.saturating_duration_since(machine.heard) > silence.mul_f64(0.8));
+            silent += usize::from(now.saturating_duration_since(machine.last_seen) > silence.mul_f64(0.8));
         }
         silent >= 3 && silent * part >= all
     }
@@ -80,7 +80,7 @@
             self.terminate(&id, reason);
         }
         self.stop_idle_on_scale_in_candidates(now);
-        self.decide_quarantines(now);
+        self.end_due_quarantines(now);
         self.release_resting(now);
     }
 
@@ -96,11 +96,11 @@
     /// which others would have to boot. Those that have died the cloud's list tells of.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
         if self.many_silent(self.properties.silence, TOGETHER, now) {
-            self.many_silent_at = Some(now);
+            self.many_silent_seen_at = Some(now);
         }
         // Those that are back do not report at the same moment: the last of them are not alone at once.
         let back_within = self.settings.params.workers.heartbeat_interval() * BACK_REPORTS;
-        let many = self.many_silent_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
+        let many = self.many_silent_seen_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
         if many { self.common_silence() } else { self.properties.silence }
     }
 
@@ -116,7 +116,7 @@
     }
 
     fn reason_to_terminate(&self, machine: &Machine, tolerated: Duration, now: Instant) -> Option<&'static str> {
-        let quiet = now.saturating_duration_since(machine.heard);
+        let quiet = now.saturating_duration_since(machine.last_seen);
         let without_heartbeat = now.saturating_duration_since(machine.last_heartbeat);
         if (machine.awaited() || machine.reported()) && quiet > tolerated {
             Some(if machine.reported() { "no heartbeat" } else { "never joined" })
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -141,7 +141,7 @@
             used.0 = (used.0 - resting.hidden.0).max(0.0);
             used.1 = (used.1 - resting.hidden.1).max(0.0);
         }
-        self.stirred = true;
+        self.replan_needed = true;
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.ended.is_none()) else { return };
         job.not_before = now;
         info!(job = %id, "job resumed");
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -54,7 +54,9 @@
     /// Whether a launch of this job was given by this leader and its machine has neither shown nor disproven the task.
     fn launch_in_flight(&self, job: &JobState) -> bool {
         job.bound.iter().any(|index| {
-            let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.told.is_some()) else { return false };
+            let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.announced_in.is_some()) else {
+                return false;
+            };
             let Some(machine) = self.machines.get(&binding.machine) else { return false };
             let attempt = job.tasks[*index as usize].attempt;
             let shows = |attempt_report: &AttemptReport| {
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -54,7 +54,7 @@
 
 /// Who is to blame for failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Attribution {
     /// Nobody yet.
     Unclear,
     /// The job fails by itself.
@@ -66,20 +66,20 @@
 }
 
 /// The whole judgement. `enough`: unexplained failures in a row after which a machine is suspected.
-pub fn judge(seen: Observations, enough: usize) -> Verdict {
+pub fn judge(seen: Observations, enough: usize) -> Attribution {
     if seen.job_does_well {
         return match seen {
-            Observations { task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => Verdict::Task,
-            Observations { machine_row, .. } if machine_row >= enough => Verdict::Machine,
-            _ => Verdict::Unclear,
+            Observations { task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => Attribution::Task,
+            Observations { machine_row, .. } if machine_row >= enough => Attribution::Machine,
+            _ => Attribution::Unclear,
         };
     }
     if seen.class_fails || seen.job_failed_on >= EVERYWHERE {
-        Verdict::Job
+        Attribution::Job
     } else if seen.machine_row >= enough {
-        Verdict::Machine
+        Attribution::Machine
     } else {
-        Verdict::Unclear
+        Attribution::Unclear
     }
 }
 
@@ -91,14 +91,14 @@
 }
 
 #[derive(Debug)]
-struct TaskTrial {
+struct TaskFailures {
     failed_on: Vec<MachineId>,
     round: u32,
     not_before: Instant,
 }
 
 #[derive(Debug, Default)]
-struct JobTrial {
+struct JobFailures {
     class: String,
     /// Machines on which it failed, a few more than convict it.
     failed_on: Vec<MachineId>,
@@ -106,20 +106,20 @@
     quarantined: bool,
     round: u32,
     not_before: Option<Instant>,
-    tasks: BTreeMap<u32, TaskTrial>,
+    tasks: BTreeMap<u32, TaskFailures>,
     /// All failures of its tasks, and where the latest were, the latest last.
     failures: u64,
     lately: VecDeque<MachineId>,
 }
 
-impl JobTrial {
+impl JobFailures {
     fn task_fails(&self, index: u32) -> bool {
         self.does_well && self.tasks.get(&index).is_some_and(|t| t.failed_on.len() >= TASK_EVERYWHERE)
     }
 }
 
 #[derive(Debug, Default)]
-struct MachineTrial {
+struct MachineFailures {
     failures: Vec<TaskKey>,
     quarantined: Option<Instant>,
 }
@@ -140,7 +140,7 @@
 
 /// What the cluster state is to do after a failure.
 #[derive(Debug, Default, PartialEq)]
-pub struct Judged {
+pub struct FailureResponse {
     /// The job is quarantined from now on, or still: not to be tried before this.
     pub job_not_before: Option<Instant>,
     /// The machine has just come quarantined.
@@ -152,8 +152,8 @@
 /// All that is remembered of failures.
 #[derive(Debug)]
 pub struct FailureAttribution {
-    jobs: HashMap<JobId, JobTrial>,
-    machines: BTreeMap<MachineId, MachineTrial>,
+    jobs: HashMap<JobId, JobFailures>,
+    machines: BTreeMap<MachineId, MachineFailures>,
     /// Jobs of a class that came quarantined since any of the class was done.
     classes: LruCache<String, Vec<JobId>>,
 }
@@ -172,7 +172,7 @@
 
 impl FailureAttribution {
     /// Takes in one failure and judges it. `enough`: unexplained failures in a row after which a machine is suspected.
-    pub fn failed(&mut self, failure: &Failure, enough: usize, now: Instant) -> Judged {
+    pub fn failed(&mut self, failure: &Failure, enough: usize, now: Instant) -> FailureResponse {
         let Failure { task, class, machine, job_does_well, at_once } = *failure;
         let trial = self.jobs.entry(task.job.clone()).or_default();
         trial.class.clear();
@@ -187,7 +187,7 @@
         let known = trial.tasks.len();
         if known < MOST_TASKS || trial.tasks.contains_key(&task.index) {
             let of_task = trial.tasks.entry(task.index);
-            let of_task = of_task.or_insert_with(|| TaskTrial { failed_on: Vec::new(), round: 0, not_before: now });
+            let of_task = of_task.or_insert_with(|| TaskFailures { failed_on: Vec::new(), round: 0, not_before: now });
             note(&mut of_task.failed_on, machine, TASK_EVERYWHERE);
         }
         let of_machine = self.machines.entry(machine.clone()).or_default();
@@ -195,28 +195,28 @@
             of_machine.failures.push(task.clone());
         }
         let seen = self.seen(task, machine);
-        let mut judged = Judged::default();
+        let mut response = FailureResponse::default();
         match judge(seen, enough) {
-            Verdict::Unclear => {}
-            Verdict::Job => {
-                judged.job_not_before = self.suspect(&task.job, at_once, now);
-                judged.cleared = self.clear_explained(enough);
+            Attribution::Unclear => {}
+            Attribution::Job => {
+                response.job_not_before = self.suspect(&task.job, at_once, now);
+                response.cleared = self.clear_explained(enough);
             }
-            Verdict::Task => {
+            Attribution::Task => {
                 if let Some(of_task) = self.jobs.get_mut(&task.job).and_then(|t| t.tasks.get_mut(&task.index)) {
                     of_task.not_before = now + pause(of_task.round, 1);
                     of_task.round += 1;
                 }
-                judged.cleared = self.clear_explained(enough);
+                response.cleared = self.clear_explained(enough);
             }
-            Verdict::Machine => {
+            Attribution::Machine => {
                 if let Some(of_machine) = self.machines.get_mut(machine).filter(|m| m.quarantined.is_none()) {
                     of_machine.quarantined = Some(now);
-                    judged.machine = true;
+                    response.machine = true;
                 }
             }
         }
-        judged
+        response
     }
 
     fn seen(&self, task: &TaskKey, machine: &MachineId) -> Observations {
@@ -314,7 +314,8 @@
 
     /// Machines whose time quarantined is over, and whether they are to be given up.
     pub fn decided(&mut self, enough: usize, now: Instant) -> Vec<(MachineId, bool)> {
-        let due = |t: &MachineTrial| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
+        let due =
+            |t: &MachineFailures| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
         let due: Vec<MachineId> = self.machines.iter().filter(|(_, t)| due(t)).map(|(id, _)| id.clone()).collect();
         let decided: Vec<(MachineId, bool)> = due.into_iter().map(|id| (id.clone(), self.row(&id) >= enough)).collect();
         for (id, _) in &decided {
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -10,19 +10,19 @@
         machine_row,
     };
     for (name, seen, want) in [
-        ("a first failure", seen(1, false, 1, false, 1), Verdict::Unclear),
-        ("many tasks of a new job on one machine", seen(1, false, 1, false, 1), Verdict::Unclear),
-        ("a second machine", seen(2, false, 1, false, 1), Verdict::Unclear),
-        ("a third machine", seen(3, false, 1, false, 1), Verdict::Job),
-        ("a third machine, on which others have failed", seen(3, false, 1, false, 2), Verdict::Job),
-        ("two jobs on one machine", seen(1, false, 1, false, 2), Verdict::Machine),
-        ("a job that does well elsewhere, once", seen(1, true, 1, false, 1), Verdict::Unclear),
-        ("a job that does well elsewhere, twice here", seen(1, true, 1, false, 2), Verdict::Machine),
-        ("a bad task of a good array", seen(3, true, 3, false, 1), Verdict::Task),
-        ("a bad task on a machine where another failed", seen(3, true, 3, false, 2), Verdict::Task),
-        ("a good array on three faulty machines", seen(3, true, 1, false, 2), Verdict::Machine),
-        ("the first failure of a job of a bad class", seen(1, false, 1, true, 1), Verdict::Job),
-        ("a good job of a bad class", seen(1, true, 1, true, 2), Verdict::Machine),
+        ("a first failure", seen(1, false, 1, false, 1), Attribution::Unclear),
+        ("many tasks of a new job on one machine", seen(1, false, 1, false, 1), Attribution::Unclear),
+        ("a second machine", seen(2, false, 1, false, 1), Attribution::Unclear),
+        ("a third machine", seen(3, false, 1, false, 1), Attribution::Job),
+        ("a third machine, on which others have failed", seen(3, false, 1, false, 2), Attribution::Job),
+        ("two jobs on one machine", seen(1, false, 1, false, 2), Attribution::Machine),
+        ("a job that does well elsewhere, once", seen(1, true, 1, false, 1), Attribution::Unclear),
+        ("a job that does well elsewhere, twice here", seen(1, true, 1, false, 2), Attribution::Machine),
+        ("a bad task of a good array", seen(3, true, 3, false, 1), Attribution::Task),
+        ("a bad task on a machine where another failed", seen(3, true, 3, false, 2), Attribution::Task),
+        ("a good array on three faulty machines", seen(3, true, 1, false, 2), Attribution::Machine),
+        ("the first failure of a job of a bad class", seen(1, false, 1, true, 1), Attribution::Job),
+        ("a good job of a bad class", seen(1, true, 1, true, 2), Attribution::Machine),
     ] {
         assert_eq!(judge(seen, 2), want, "{name}");
     }
@@ -102,8 +102,8 @@
     };
     (0..3).for_each(|job| (0..3).for_each(|m| drop(fail(job, job * 3 + m))));
     for job in 10..60 {
-        let judged = fail(job, 50 + job / 10);
-        assert!(judged.job_not_before.is_some() && !judged.machine, "job {job}");
+        let response = fail(job, 50 + job / 10);
+        assert!(response.job_not_before.is_some() && !response.machine, "job {job}");
     }
     for job in 0..60 {
         attribution.job_over(&format!("run-{job}").into());
--- a/src/scheduling/fairness/floor.rs
+++ b/src/scheduling/fairness/floor.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashSet;
 
-use super::Whose;
+use super::Subject;
 use crate::jobs::JobSpec;
 
 /// Credit for late work is kept up to this many cores, or to what the next of it needs.
@@ -21,13 +21,13 @@
 
 impl Names {
     /// The classes and teams among these names.
-    pub fn of<'a>(names: impl Iterator<Item = (Whose, &'a str)>) -> Self {
+    pub fn of<'a>(names: impl Iterator<Item = (Subject, &'a str)>) -> Self {
         let mut of = Self::default();
         for (whose, name) in names {
             match whose {
-                Whose::Class => of.classes.insert(name.to_owned()),
-                Whose::Team => of.teams.insert(name.to_owned()),
-                Whose::Largest => false,
+                Subject::Class => of.classes.insert(name.to_owned()),
+                Subject::Team => of.teams.insert(name.to_owned()),
+                Subject::Largest => false,
             };
         }
         of
@@ -47,7 +47,7 @@
 
 /// Of whom less than the floor was served lately, and who of them goes first.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Below {
+pub struct Underserved {
     /// Those below the floor.
     pub short: Names,
     /// Those of them that go first.
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -19,7 +19,7 @@
 use crate::scheduling::promises::{LARGEST, Promise, What, accounted, promises_of};
 use crate::settings::{Objective, Properties, Settings};
 use crate::sla::Agreement;
-use floor::{Below, Names};
+use floor::{Names, Underserved};
 
 /// The window is forgotten in so many parts.
 const PARTS: u64 = 20;
@@ -30,14 +30,14 @@
 
 /// How often a promise was kept and missed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PromiseCounts {
     /// Weight of the promises that were kept.
     pub kept: f64,
     /// Weight of the promises that were missed.
     pub missed: f64,
 }
 
-impl Kept {
+impl PromiseCounts {
     fn note(&mut self, kept: bool, weight: f64) {
         if kept {
             self.kept += weight;
@@ -46,7 +46,7 @@
         }
     }
 
-    fn add(&mut self, other: Kept) {
+    fn add(&mut self, other: PromiseCounts) {
         self.kept += other.kept;
         self.missed += other.missed;
     }
@@ -66,11 +66,11 @@
     /// Open, and past all that was promised of them.
     pub overdue: u64,
     /// By the number of the objective.
-    promises: BTreeMap<u16, Kept>,
+    promises: BTreeMap<u16, PromiseCounts>,
 }
 
 impl Tally {
-    fn promise(&mut self, at: u16) -> &mut Kept {
+    fn promise(&mut self, at: u16) -> &mut PromiseCounts {
         self.promises.entry(at).or_default()
     }
 
@@ -88,7 +88,7 @@
 
 /// What a name stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Whose {
+pub enum Subject {
     /// A class of jobs.
     Class,
     /// A team.
@@ -98,14 +98,14 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Part {
+struct WindowSlice {
     number: u64,
-    tallies: HashMap<(Whose, String), Tally>,
+    tallies: HashMap<(Subject, String), Tally>,
 }
 
-impl Part {
+impl WindowSlice {
     /// One name too many is not kept apart.
-    fn tally(&mut self, whose: Whose, name: &str) -> Option<&mut Tally> {
+    fn tally(&mut self, whose: Subject, name: &str) -> Option<&mut Tally> {
         let key = (whose, name.to_owned());
         if !self.tallies.contains_key(&key) && self.tallies.len() >= MOST_NAMES * 2 {
             return None;
@@ -116,7 +116,7 @@
 
 /// What the leader alone knows, told to the account by whoever holds the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum AccountingEvent {
     /// Tasks that were given their first place, as a part of their job's.
     Started(f64),
     /// A start that came to nothing: its machine or its gang was lost.
@@ -126,7 +126,7 @@
 }
 
 /// An open job as the account looks at it.
-pub struct Open<'a> {
+pub struct OpenJob<'a> {
     /// What was submitted.
     pub spec: &'a JobSpec,
     /// What its user was promised.
@@ -145,9 +145,9 @@
 
 /// One line of the account, for operators and for the other controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct ServiceLevel {
     /// What the name stands for.
-    pub whose: Whose,
+    pub whose: Subject,
     /// The class or team.
     pub name: String,
     /// Jobs that were submitted within the window.
@@ -161,9 +161,9 @@
     /// Starts that came to nothing.
     pub lost: u64,
     /// Starts and ends within what was promised, and not; those that count the worst promise.
-    pub started: Kept,
+    pub started: PromiseCounts,
     /// The same of ends.
-    pub ended: Kept,
+    pub ended: PromiseCounts,
     /// The served part: the worst promise's kept part against the part asked for; 1 at most, and
     /// 1 as well where too little was seen.
     pub served: f64,
@@ -173,12 +173,12 @@
     pub first: bool,
     /// Starts by promise: what a successor can't learn from the store.
     #[serde(default)]
-    starts: Vec<(u16, Kept)>,
+    starts: Vec<(u16, PromiseCounts)>,
 }
 
 /// The sliding account of all classes and teams.
 #[derive(Debug, Clone)]
-pub struct Account {
+pub struct FairShareAccounting {
     began: Instant,
     width: Duration,
     floor: f64,
@@ -186,14 +186,14 @@
     /// Within this the largest are to begin.
     large_begin: Duration,
     objectives: Vec<Objective>,
-    parts: VecDeque<Part>,
+    parts: VecDeque<WindowSlice>,
     /// When the last start was noted here or taken over.
     starts_as_of: Option<Instant>,
     /// What the last look has shown.
-    rows: Vec<Row>,
+    rows: Vec<ServiceLevel>,
 }
 
-impl Account {
+impl FairShareAccounting {
     /// An empty account.
     pub fn new(settings: &Settings, properties: &Properties, now: Instant) -> Self {
         let window = properties.served_window;
@@ -212,14 +212,14 @@
     }
 
     /// The account's lines, as of the last look.
-    pub fn rows(&self) -> &[Row] {
+    pub fn rows(&self) -> &[ServiceLevel] {
         &self.rows
     }
 
     /// A new leader goes on with the starts that the one before it told last, at `told`. They stand
     /// in place of whatever is known here: told by one that took them over in turn, they hold that
     /// too, and nobody is counted twice. Older ones than known here are passed over.
-    pub fn take_over(&mut self, rows: &[Row], told: Instant) {
+    pub fn take_over(&mut self, rows: &[ServiceLevel], told: Instant) {
         if self.starts_as_of.is_some_and(|at| at >= told) {
             return;
         }
@@ -242,11 +242,11 @@
     }
 
     /// The part of the window in which this moment lies, if it has not passed.
-    fn part(&mut self, at: Instant) -> Option<&mut Part> {
+    fn part(&mut self, at: Instant) -> Option<&mut WindowSlice> {
         let number = self.number(at);
         let newest = self.parts.back().map_or(0, |p| p.number);
         if self.parts.is_empty() || number > newest {
-            self.parts.push_back(Part { number, ..Part::default() });
+            self.parts.push_back(WindowSlice { number, ..WindowSlice::default() });
             while self.parts.front().is_some_and(|p| p.number + PARTS <= number) {
                 self.parts.pop_front();
             }
@@ -257,14 +257,14 @@
         }
         let place = self.parts.partition_point(|p| p.number < number);
         if self.parts.get(place).is_none_or(|p| p.number != number) {
-            self.parts.insert(place, Part { number, ..Part::default() });
+            self.parts.insert(place, WindowSlice { number, ..WindowSlice::default() });
         }
         self.parts.get_mut(place)
     }
 
     fn both(&mut self, spec: &JobSpec, at: Instant, mut change: impl FnMut(&mut Tally)) {
         let Some(part) = self.part(at) else { return };
-        for (whose, name) in [(Whose::Class, &spec.class), (Whose::Team, &spec.team)] {
+        for (whose, name) in [(Subject::Class, &spec.class), (Subject::Team, &spec.team)] {
             if let Some(tally) = part.tally(whose, name) {
                 change(tally);
             }
@@ -296,19 +296,19 @@
     }
 
     /// What the leader noted of an open job.
-    pub fn note(&mut self, note: Note, spec: &JobSpec, promises: &[Promise], age: Duration, now: Instant) {
+    pub fn note(&mut self, note: AccountingEvent, spec: &JobSpec, promises: &[Promise], age: Duration, now: Instant) {
         self.starts_as_of = Some(now);
-        if note == Note::Begun {
+        if note == AccountingEvent::Begun {
             let kept = age <= self.large_begin;
-            if let Some(tally) = self.part(now).and_then(|part| part.tally(Whose::Largest, &spec.class)) {
+            if let Some(tally) = self.part(now).and_then(|part| part.tally(Subject::Largest, &spec.class)) {
                 tally.promise(LARGEST).note(kept, 1.0);
             }
             return;
         }
         self.both(spec, now, |tally| match note {
-            Note::Lost => tally.lost += 1,
-            Note::Begun => {}
-            Note::Started(part) => {
+            AccountingEvent::Lost => tally.lost += 1,
+            AccountingEvent::Begun => {}
+            AccountingEvent::Started(part) => {
                 for promise in accounted(promises).filter(|p| p.what == What::Started) {
                     tally.promise(promise.at).note(age.as_secs_f64() <= promise.within_s, part);
                 }
@@ -317,25 +317,25 @@
     }
 
     /// The account as of now: what lies in the window, and what open jobs have missed already.
-    pub fn look<'a>(&mut self, open: impl Iterator<Item = Open<'a>>, now: Instant) -> &[Row] {
+    pub fn look<'a>(&mut self, open: impl Iterator<Item = OpenJob<'a>>, now: Instant) -> &[ServiceLevel] {
         let newest = self.number(now);
-        let mut sums: BTreeMap<(Whose, &str), Tally> = BTreeMap::new();
+        let mut sums: BTreeMap<(Subject, &str), Tally> = BTreeMap::new();
         for part in self.parts.iter().filter(|p| p.number + PARTS > newest) {
             for ((whose, name), tally) in &part.tallies {
                 sums.entry((*whose, name)).or_default().add(tally);
             }
         }
         // Told without what open jobs have missed: whoever takes them over sees those jobs itself.
-        let told: BTreeMap<(Whose, &str), Vec<(u16, Kept)>> =
+        let told: BTreeMap<(Subject, &str), Vec<(u16, PromiseCounts)>> =
             sums.iter().map(|(key, tally)| (*key, self.starts(tally))).collect();
         for job in open {
             let age = job.age.as_secs_f64();
             if job.large_waits && job.age > self.large_begin {
-                let tally = sums.entry((Whose::Largest, job.spec.class.as_str())).or_default();
+                let tally = sums.entry((Subject::Largest, job.spec.class.as_str())).or_default();
                 tally.promise(LARGEST).missed += 1.0;
                 tally.overdue += 1;
             }
-            for key in [(Whose::Class, job.spec.class.as_str()), (Whose::Team, job.spec.team.as_str())] {
+            for key in [(Subject::Class, job.spec.class.as_str()), (Subject::Team, job.spec.team.as_str())] {
                 let tally = sums.entry(key).or_default();
                 // What waits past the last moment to start is as good as missed: the floor acts on it before
                 // its time has passed.
@@ -347,18 +347,19 @@
                 tally.overdue += u64::from(job.promises.iter().all(|p| p.within_s < age));
             }
         }
-        let mut rows: Vec<Row> = sums.iter().map(|((whose, name), tally)| self.row(*whose, name, tally)).collect();
+        let mut rows: Vec<ServiceLevel> =
+            sums.iter().map(|((whose, name), tally)| self.row(*whose, name, tally)).collect();
         // By their offered work all classes would be served alike, and a team as the classes are that
         // it runs. A class that is short because it floods is not put first: that takes from the
         // others what it hardly gains by.
-        let all = served_of_all(rows.iter().filter(|r| r.whose == Whose::Class));
+        let all = served_of_all(rows.iter().filter(|r| r.whose == Subject::Class));
         let mut house = Tally::default();
-        sums.iter().filter(|((whose, _), _)| *whose == Whose::Team).for_each(|(_, tally)| house.add(tally));
+        sums.iter().filter(|((whose, _), _)| *whose == Subject::Team).for_each(|(_, tally)| house.add(tally));
         for (row, ((whose, _), tally)) in rows.iter_mut().zip(&sums) {
             let part = match whose {
-                Whose::Class => row.served / all.max(1e-9),
-                Whose::Team => part_of_expected(tally, &house),
-                Whose::Largest => 1.0,
+                Subject::Class => row.served / all.max(1e-9),
+                Subject::Team => part_of_expected(tally, &house),
+                Subject::Largest => 1.0,
             };
             row.first = row.below && part < self.floor;
             row.starts = told.get(&(row.whose, row.name.as_str())).cloned().unwrap_or_default();
@@ -377,12 +378,12 @@
         (objective.is_some_and(|o| o.kind == "wait"), if share > 0.0 { share.min(1.0) } else { 1.0 })
     }
 
-    fn starts(&self, tally: &Tally) -> Vec<(u16, Kept)> {
+    fn starts(&self, tally: &Tally) -> Vec<(u16, PromiseCounts)> {
         tally.promises.iter().filter(|(at, _)| self.asked(**at).0).map(|(at, kept)| (*at, *kept)).collect()
     }
 
-    fn row(&self, whose: Whose, name: &str, tally: &Tally) -> Row {
-        let (mut served, mut started, mut ended) = (1.0f64, Kept::default(), Kept::default());
+    fn row(&self, whose: Subject, name: &str, tally: &Tally) -> ServiceLevel {
+        let (mut served, mut started, mut ended) = (1.0f64, PromiseCounts::default(), PromiseCounts::default());
         for (at, kept) in &tally.promises {
             let (of_starts, share) = self.asked(*at);
             if of_starts {
@@ -395,7 +396,7 @@
                 served = served.min(kept.kept / all / share);
             }
         }
-        Row {
+        ServiceLevel {
             whose,
             name: name.to_owned(),
             offered: tally.offered,
@@ -413,9 +414,9 @@
     }
 
     /// Who goes first, by what a look has shown.
-    pub fn below(rows: &[Row]) -> Below {
-        let names = |chosen: fn(&&Row) -> bool| rows.iter().filter(chosen).map(|r| (r.whose, r.name.as_str()));
-        Below { short: Names::of(names(|r| r.below)), first: Names::of(names(|r| r.first)) }
+    pub fn below(rows: &[ServiceLevel]) -> Underserved {
+        let names = |chosen: fn(&&ServiceLevel) -> bool| rows.iter().filter(chosen).map(|r| (r.whose, r.name.as_str()));
+        Underserved { short: Names::of(names(|r| r.below)), first: Names::of(names(|r| r.first)) }
     }
 
     /// Entries of everything held, for `held`.
@@ -425,7 +426,7 @@
 }
 
 /// The served part of all together, each by what it offered.
-fn served_of_all<'a>(rows: impl Iterator<Item = &'a Row>) -> f64 {
+fn served_of_all<'a>(rows: impl Iterator<Item = &'a ServiceLevel>) -> f64 {
     let (served, offered) = rows.fold((0.0, 0.0), |(served, offered), row| {
         let n = row.offered as f64;
         (served + row.served * n, offered + n)
@@ -446,7 +447,7 @@
 }
 
 /// The one of which the lesser part was kept.
-fn worse(a: Kept, b: Kept) -> Kept {
-    let part = |k: Kept| k.kept / (k.kept + k.missed).max(1e-9);
+fn worse(a: PromiseCounts, b: PromiseCounts) -> PromiseCounts {
+    let part = |k: PromiseCounts| k.kept / (k.kept + k.missed).max(1e-9);
     if a.kept + a.missed == 0.0 || (b.kept + b.missed > 0.0 && part(b) < part(a)) { b } else { a }
 }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::floor::{Below, CoreCredit, Names};
+use super::floor::{CoreCredit, Names, Underserved};
 use super::*;
 use crate::jobs::record::time_of_day_ms;
 use crate::jobs::tests::spec;
@@ -76,10 +76,10 @@
     Catalog { types: vec![c8] }
 }
 
-fn first(classes: &[&str], teams: &[&str]) -> Below {
-    let classes = classes.iter().map(|n| (Whose::Class, *n));
-    let first = Names::of(classes.chain(teams.iter().map(|n| (Whose::Team, *n))));
-    Below { short: first.clone(), first }
+fn first(classes: &[&str], teams: &[&str]) -> Underserved {
+    let classes = classes.iter().map(|n| (Subject::Class, *n));
+    let first = Names::of(classes.chain(teams.iter().map(|n| (Subject::Team, *n))));
+    Underserved { short: first.clone(), first }
 }
 
 #[test]
@@ -183,7 +183,7 @@
     start: Instant,
     t: u32,
     cluster: ClusterState,
-    account: Account,
+    account: FairShareAccounting,
     /// Running: machine, task, attempt, when it ends.
     running: Vec<(String, TaskKey, u64, u32)>,
     runs_s: HashMap<String, u32>,
@@ -199,7 +199,7 @@
     fn new(machines: usize, properties: Properties) -> Self {
         let start = Instant::now();
         let settings = settings();
-        let account = Account::new(&settings, &properties, start);
+        let account = FairShareAccounting::new(&settings, &properties, start);
         let mut cluster = ClusterState::new(7, settings, properties, start);
         cluster.loaded = true;
         let machines = (0..machines).map(|n| (format!("m{n:02}"), false)).collect();
@@ -284,7 +284,7 @@
             self.cluster.end_job(&job.spec.id, Some(End::Done), now);
         }
         for (machine, _) in self.machines.clone().iter().filter(|(m, _)| up(m)) {
-            for order in self.cluster.orders_in_answer(machine, now) {
+            for order in self.cluster.commands_in_answer(machine, now) {
                 if let WorkerCommand::Launch { task, attempt } = order {
                     let run_s = self.cluster.job(&task.job).map_or(1, |j| self.runs_s[&j.record.spec.class]);
                     if !self.running.iter().any(|(.., key, a, _)| *key == task && *a == attempt) {
@@ -452,12 +452,12 @@
     }
 }
 
-fn tally(rows: &[Row], name: &str) -> Row {
+fn tally(rows: &[ServiceLevel], name: &str) -> ServiceLevel {
     rows.iter().find(|r| r.name == name).cloned().unwrap()
 }
 
-fn open<'a>(spec: &'a JobSpec, promises: &'a [Promise], age: f64, untouched: f64) -> Open<'a> {
-    Open { spec, promises, age: s(age), run: s(10.0), waits: untouched > 0.0, untouched, large_waits: false }
+fn open<'a>(spec: &'a JobSpec, promises: &'a [Promise], age: f64, untouched: f64) -> OpenJob<'a> {
+    OpenJob { spec, promises, age: s(age), run: s(10.0), waits: untouched > 0.0, untouched, large_waits: false }
 }
 
 #[test]
@@ -465,22 +465,26 @@
     let now = Instant::now();
     let at = |t: f64| now + s(t);
     let properties = Properties { served_window: s(100.0), ..Properties::default() };
-    let mut account = Account::new(&settings(), &properties, now);
+    let mut account = FairShareAccounting::new(&settings(), &properties, now);
     let one = job(1, "small", "red");
     let promises = promises_of(&settings().params.objectives, &one, &Agreement::of(&one, s(10.0), 4.0));
     for n in 0..10 {
         account.offered(&one, Duration::ZERO, at(0.0));
         // Six are started in time and four late; eight are done in time, two late.
-        account.note(Note::Started(1.0), &one, &promises, s(if n < 6 { 10.0 } else { 40.0 }), at(1.0));
+        account.note(AccountingEvent::Started(1.0), &one, &promises, s(if n < 6 { 10.0 } else { 40.0 }), at(1.0));
         account.ended(&record(one.clone()), Some(End::Done), s(if n < 8 { 50.0 } else { 150.0 }), at(2.0));
     }
     account.ended(&record(one.clone()), Some(End::Cancelled), s(50.0), at(2.0));
-    account.note(Note::Lost, &one, &promises, s(5.0), at(2.0));
+    account.note(AccountingEvent::Lost, &one, &promises, s(5.0), at(2.0));
     let row = tally(account.look([].into_iter(), at(3.0)), "small");
     assert_eq!((row.offered, row.done, row.given_up, row.lost, row.overdue), (10, 10, 1, 1, 0));
     let waits = open(&one, &promises, 120.0, 0.5);
     let row = tally(account.look([waits].into_iter(), at(3.0)), "small");
-    assert_eq!((row.started, row.overdue), (Kept { kept: 6.0, missed: 4.5 }, 1), "an open job has missed its start");
+    assert_eq!(
+        (row.started, row.overdue),
+        (PromiseCounts { kept: 6.0, missed: 4.5 }, 1),
+        "an open job has missed its start"
+    );
     assert!((row.served - 6.0 / 10.5 / 0.8).abs() < 1e-9, "the worst promise against what is asked: {}", row.served);
     assert!(row.below, "0.71 of 0.75");
     assert_eq!(tally(account.rows(), "red").served, row.served, "the team as well");
@@ -503,7 +507,7 @@
         ("too little seen", &[("small", "red", 80, 20), ("big", "blue", 0, 5)], &[], &[]),
     ];
     for (name, served, short, first) in cases {
-        let mut account = Account::new(&settings(), &properties, now);
+        let mut account = FairShareAccounting::new(&settings(), &properties, now);
         for (class, team, in_time, late) in served {
             let one = job(1, class, team);
             for n in 0..in_time + late {
@@ -512,7 +516,7 @@
             }
         }
         let rows = account.look([].into_iter(), now).to_vec();
-        let names = |chosen: fn(&&Row) -> bool| {
+        let names = |chosen: fn(&&ServiceLevel) -> bool| {
             let mut names: Vec<String> = rows.iter().filter(chosen).map(|r| r.name.clone()).collect();
             names.sort();
             names
@@ -525,7 +529,7 @@
 #[test]
 fn the_account_is_bounded_whatever_users_name() {
     let now = Instant::now();
-    let mut account = Account::new(&settings(), &Properties::default(), now);
+    let mut account = FairShareAccounting::new(&settings(), &Properties::default(), now);
     for n in 0..20_000 {
         let one = job(n, &format!("class-{n}"), "red");
         account.offered(&one, Duration::ZERO, now + s(f64::from(n)));
@@ -541,7 +545,7 @@
     let now = Instant::now();
     let at = |t: f64| now + s(t);
     let properties = Properties::default();
-    let mut accounts = [0, 1].map(|_| Account::new(&settings(), &properties, now));
+    let mut accounts = [0, 1].map(|_| FairShareAccounting::new(&settings(), &properties, now));
     let one = job(1, "small", "red");
     let promises = promises_of(&settings().params.objectives, &one, &Agreement::of(&one, s(10.0), 4.0));
     let mut leader = 0;
@@ -549,7 +553,13 @@
         let t = f64::from(round) * 40.0;
         for n in 0..10 {
             accounts.iter_mut().for_each(|a| a.offered(&one, Duration::ZERO, at(t)));
-            accounts[leader].note(Note::Started(1.0), &one, &promises, s(if n < 3 { 10.0 } else { 60.0 }), at(t + 1.0));
+            accounts[leader].note(
+                AccountingEvent::Started(1.0),
+                &one,
+                &promises,
+                s(if n < 3 { 10.0 } else { 60.0 }),
+                at(t + 1.0),
+            );
             accounts.iter_mut().for_each(|a| a.ended(&record(one.clone()), Some(End::Done), s(50.0), at(t + 2.0)));
         }
         // A job that has missed its start and is open still: both see it, and it counts once.
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -127,8 +127,9 @@
 
 /// Room for which what there is is kept by now, with the kinds that may give it.
 pub fn room_kept<'b>(cluster: &'b ClusterState, ground: &Ground) -> Vec<(&'b RoomIntent, Vec<bool>)> {
-    let open = |intent: &'b RoomIntent| (intent, ground.open_to(&intent.like, &Zones::none(&intent.like)));
-    let near = |(intent, open): &(&RoomIntent, Vec<bool>)| intent.in_s <= ready_s(&intent.like, ground, open) + KEPT_S;
+    let open = |intent: &'b RoomIntent| (intent, ground.open_to(&intent.task_spec, &Zones::none(&intent.task_spec)));
+    let near =
+        |(intent, open): &(&RoomIntent, Vec<bool>)| intent.in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S;
     cluster.intents.room.iter().map(open).filter(near).collect()
 }
 
@@ -146,9 +147,9 @@
     for (intent, open) in room_kept(cluster, &ground) {
         let mut left = intent.tasks;
         for room in rooms.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
-            let units = room.units(&intent.like, left);
+            let units = room.units(&intent.task_spec, left);
             let n = units as f64;
-            room.add(-n * intent.like.cpus, -n * intent.like.gpus, -n * intent.like.memory_gb);
+            room.add(-n * intent.task_spec.cpus, -n * intent.task_spec.gpus, -n * intent.task_spec.memory_gb);
             left -= units;
             if let Some(machine) = room.machine.filter(|m| units > 0 && m.bound.is_empty()) {
                 kept.insert(machine.id.clone());
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -33,7 +33,7 @@
             let over = self.over_among(&leader, &heartbeat);
             leader.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), now);
             orders = if rights.whole() {
-                leader.cluster.orders_in_answer(&id, now)
+                leader.cluster.commands_in_answer(&id, now)
             } else {
                 leader.cluster.stops_only(&id, &over)
             };
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -215,7 +215,7 @@
             let (fencing_token, agent_epoch, machine) = (direct.fencing_token, direct.agent_epoch, direct.machine);
             self.commands += 1;
             let id = self.commands;
-            self.trace(&format!("leader {i} commands {machine} {:?}", direct.orders));
+            self.trace(&format!("leader {i} commands {machine} {:?}", direct.commands));
             let given_up = GivenUp { id, to: i, machine, fencing_token };
             self.messages.push((self.now + COMMAND_WAITED, Message::GivenUp(given_up)));
             self.send(Message::Command(Command {
@@ -224,7 +224,7 @@
                 from: i,
                 fencing_token,
                 agent_epoch,
-                orders: direct.orders,
+                orders: direct.commands,
             }));
         }
     }
--- a/src/scheduling/leader_state.rs
+++ b/src/scheduling/leader_state.rs
@@ -5,20 +5,20 @@
 use std::time::Instant;
 
 use super::cluster::ClusterState;
-use super::fairness::Account;
+use super::fairness::FairShareAccounting;
 use crate::settings::{Properties, Settings};
 use crate::sync::lock;
 
 /// Owner of the cluster state and of the fair-share accounting.
 pub struct LeaderState {
     cluster: Mutex<Option<ClusterState>>,
-    accounting: Mutex<Account>,
+    accounting: Mutex<FairShareAccounting>,
 }
 
 impl LeaderState {
     /// The state of a controller that does not lead.
     pub fn new(settings: &Settings, properties: &Properties, now: Instant) -> Self {
-        Self { cluster: Mutex::default(), accounting: Mutex::new(Account::new(settings, properties, now)) }
+        Self { cluster: Mutex::default(), accounting: Mutex::new(FairShareAccounting::new(settings, properties, now)) }
     }
 
     /// The cluster state; none while this controller does not lead. Never held across an await.
@@ -27,7 +27,7 @@
     }
 
     /// Who was served lately. May be locked while the cluster state is held, never the other way round.
-    pub fn accounting(&self) -> MutexGuard<'_, Account> {
+    pub fn accounting(&self) -> MutexGuard<'_, FairShareAccounting> {
         lock(&self.accounting)
     }
 
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -27,11 +27,11 @@
 
 /// What speaks against a machine, and what for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Signs {
+pub struct PartitionEvidence {
     /// Answers in a row that had no effect where one had to show.
-    pub unheard: u32,
+    pub unacknowledged: u32,
     /// Leases that ended although reports were answered, since one has lasted.
-    pub lost: u32,
+    pub expired_leases: u32,
     /// Since the first of the row.
     pub for_: Duration,
     /// Many machines hear nothing, which points at the way out and at none of them.
@@ -40,7 +40,7 @@
 
 /// Whether a machine receives what is sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum InboundVerdict {
     /// It does.
     Reached,
     /// Too little was seen to tell.
@@ -52,24 +52,24 @@
 }
 
 /// The whole judgement.
-pub fn judge(signs: Signs, lease: Duration) -> Verdict {
-    let long = signs.lost >= LOST_LEASES || signs.for_ > lease * LOST_LEASES + MARGIN;
-    match signs.unheard {
-        0 => Verdict::Reached,
-        n if n < ENOUGH => Verdict::Unclear,
-        _ if long && !signs.many => Verdict::GivenUp,
-        _ => Verdict::InboundLost,
+pub fn judge(evidence: PartitionEvidence, lease: Duration) -> InboundVerdict {
+    let long = evidence.expired_leases >= LOST_LEASES || evidence.for_ > lease * LOST_LEASES + MARGIN;
+    match evidence.unacknowledged {
+        0 => InboundVerdict::Reached,
+        n if n < ENOUGH => InboundVerdict::Unclear,
+        _ if long && !evidence.many => InboundVerdict::GivenUp,
+        _ => InboundVerdict::InboundLost,
     }
 }
 
 /// What the heartbeat after an answer has to show if the answer was heard.
 #[derive(Debug)]
-struct Trial {
+struct ExpectedEffect {
     fencing_token: Option<u64>,
     launch: Option<(TaskKey, u64)>,
 }
 
-impl Trial {
+impl ExpectedEffect {
     fn shown(&self, heartbeat: &Heartbeat) -> bool {
         let fencing_token = self.fencing_token.is_some_and(|fencing_token| heartbeat.fencing_token >= fencing_token);
         let launch = |(task, attempt): &(TaskKey, u64)| {
@@ -85,8 +85,8 @@
 /// The evidence on one machine.
 #[derive(Debug)]
 pub struct PartitionDetector {
-    unheard: u32,
-    lost: u32,
+    unacknowledged: u32,
+    expired_leases: u32,
     /// When the first of the row was found to have had no effect.
     since: Option<Instant>,
     agent_epoch: u64,
@@ -94,7 +94,7 @@
     session_since: Instant,
     /// Answers given in this agent epoch, within about a lease.
     answers: VecDeque<Instant>,
-    trial: Option<Trial>,
+    expected_effect: Option<ExpectedEffect>,
     /// The newest heartbeat waits for its answer: answers to old ones reach nobody.
     unanswered: bool,
 }
@@ -103,56 +103,56 @@
     /// Nothing seen yet.
     pub fn new(now: Instant) -> Self {
         Self {
-            unheard: 0,
-            lost: 0,
+            unacknowledged: 0,
+            expired_leases: 0,
             since: None,
             agent_epoch: 0,
             session_since: now,
             answers: VecDeque::new(),
-            trial: None,
+            expected_effect: None,
             unanswered: false,
         }
     }
 
     /// A message newer than all before it.
-    pub fn heard_of(&mut self, heartbeat: &Heartbeat, kind: MessageKind, lease: Duration, now: Instant) {
+    pub fn record_message(&mut self, heartbeat: &Heartbeat, kind: MessageKind, lease: Duration, now: Instant) {
         let grown = heartbeat.agent_epoch > self.agent_epoch;
         if grown {
             (self.agent_epoch, self.session_since) = (heartbeat.agent_epoch, now);
         }
         if kind == MessageKind::CommandReply {
             // It was answered in time, so a command has reached it.
-            self.hears();
+            self.record_acknowledged();
             return;
         }
         self.unanswered = true;
-        let trial = self.trial.take();
+        let expected_effect = self.expected_effect.take();
         if grown {
             // An answer that was heard would have kept its lease for longer than this.
             let kept = |at: &&Instant| now.saturating_duration_since(**at) + MARGIN < lease;
-            let unheard = self.answers.iter().filter(kept).count() as u32;
+            let unacknowledged = self.answers.iter().filter(kept).count() as u32;
             self.answers.clear();
-            if unheard > 0 {
-                self.lost += 1;
-                self.not_heard(unheard, now);
+            if unacknowledged > 0 {
+                self.expired_leases += 1;
+                self.record_unacknowledged(unacknowledged, now);
             }
-        } else if let Some(trial) = trial {
-            if trial.shown(heartbeat) {
-                self.hears();
+        } else if let Some(expected_effect) = expected_effect {
+            if expected_effect.shown(heartbeat) {
+                self.record_acknowledged();
             } else {
-                self.not_heard(1, now);
+                self.record_unacknowledged(1, now);
             }
         }
         // A agent epoch outlives a lease only by answers.
         let began = self.since.map_or(self.session_since, |at| at.max(self.session_since));
         if now.saturating_duration_since(began) > lease + MARGIN {
-            self.hears();
-            self.lost = 0;
+            self.record_acknowledged();
+            self.expired_leases = 0;
         }
     }
 
     /// Its newest heartbeat is answered with this fencing token and these orders.
-    pub fn answered(&mut self, fencing_token: u64, knows: u64, orders: &[WorkerCommand], now: Instant) {
+    pub fn record_answer(&mut self, fencing_token: u64, knows: u64, orders: &[WorkerCommand], now: Instant) {
         if !std::mem::take(&mut self.unanswered) {
             return;
         }
@@ -168,7 +168,7 @@
         });
         let fencing_token = Some(fencing_token).filter(|fencing_token| *fencing_token > knows);
         if fencing_token.is_some() || launch.is_some() {
-            self.trial = Some(Trial { fencing_token, launch });
+            self.expected_effect = Some(ExpectedEffect { fencing_token, launch });
         }
     }
 
@@ -176,24 +176,24 @@
     pub fn after_pause(&mut self, pause: ProcessPause) {
         self.since = self.since.map(|at| pause.forgive(at));
         self.session_since = pause.forgive(self.session_since);
-        self.trial = None;
+        self.expected_effect = None;
         self.answers.clear();
     }
 
     /// Leases that it has lost stay counted until one lasts: commands may reach it where answers don't.
-    fn hears(&mut self) {
-        (self.unheard, self.since, self.trial) = (0, None, None);
+    fn record_acknowledged(&mut self) {
+        (self.unacknowledged, self.since, self.expected_effect) = (0, None, None);
     }
 
-    fn not_heard(&mut self, answers: u32, now: Instant) {
-        self.unheard = self.unheard.saturating_add(answers);
+    fn record_unacknowledged(&mut self, answers: u32, now: Instant) {
+        self.unacknowledged = self.unacknowledged.saturating_add(answers);
         self.since.get_or_insert(now);
     }
 
     /// What was seen so far, as the judgement takes it. `many`: many machines show the same.
-    pub fn signs(&self, many: bool, now: Instant) -> Signs {
+    pub fn evidence(&self, many: bool, now: Instant) -> PartitionEvidence {
         let for_ = self.since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        Signs { unheard: self.unheard, lost: self.lost, for_, many }
+        PartitionEvidence { unacknowledged: self.unacknowledged, expired_leases: self.expired_leases, for_, many }
     }
 }
 
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -6,18 +6,18 @@
 #[test]
 fn who_hears_by_cases() {
     let s = Duration::from_secs;
-    for (name, unheard, lost, for_, many, want) in [
-        ("nothing speaks against it", 0, 0, s(0), false, Verdict::Reached),
-        ("a lease lost long ago, and well since", 0, 1, s(0), false, Verdict::Reached),
-        ("a lost answer", 1, 0, s(3), false, Verdict::Unclear),
-        ("two, and a lease, as after a short cut", 2, 1, s(30), false, Verdict::Unclear),
-        ("three in a row", 3, 0, s(10), false, Verdict::InboundLost),
-        ("a lease that ended while it was answered", 4, 1, s(0), false, Verdict::InboundLost),
-        ("a second one", 8, 2, s(24), false, Verdict::GivenUp),
-        ("too long, though its lease was not seen to end", 5, 0, s(51), false, Verdict::GivenUp),
-        ("many, however long", 40, 9, s(600), true, Verdict::InboundLost),
+    for (name, unacknowledged, expired_leases, for_, many, want) in [
+        ("nothing speaks against it", 0, 0, s(0), false, InboundVerdict::Reached),
+        ("a lease lost long ago, and well since", 0, 1, s(0), false, InboundVerdict::Reached),
+        ("a lost answer", 1, 0, s(3), false, InboundVerdict::Unclear),
+        ("two, and a lease, as after a short cut", 2, 1, s(30), false, InboundVerdict::Unclear),
+        ("three in a row", 3, 0, s(10), false, InboundVerdict::InboundLost),
+        ("a lease that ended while it was answered", 4, 1, s(0), false, InboundVerdict::InboundLost),
+        ("a second one", 8, 2, s(24), false, InboundVerdict::GivenUp),
+        ("too long, though its lease was not seen to end", 5, 0, s(51), false, InboundVerdict::GivenUp),
+        ("many, however long", 40, 9, s(600), true, InboundVerdict::InboundLost),
     ] {
-        assert_eq!(judge(Signs { unheard, lost, for_, many }, LEASE), want, "{name}");
+        assert_eq!(judge(PartitionEvidence { unacknowledged, expired_leases, for_, many }, LEASE), want, "{name}");
     }
 }
 
@@ -50,16 +50,16 @@
         };
         let via = if message.starts_with('c') { MessageKind::CommandReply } else { MessageKind::Heartbeat };
         if !message.starts_with('o') {
-            one_way_partition.heard_of(&heartbeat, via, LEASE, now);
+            one_way_partition.record_message(&heartbeat, via, LEASE, now);
         }
         if let Some(answer) = answer {
             let launch = [WorkerCommand::Launch { task: task.clone(), attempt: 1 }];
             let orders: &[WorkerCommand] = if answer.contains('l') { &launch } else { &[] };
-            one_way_partition.answered(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
+            one_way_partition.record_answer(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
         }
     }
-    let signs = one_way_partition.signs(false, start);
-    (signs.unheard, signs.lost)
+    let evidence = one_way_partition.evidence(false, start);
+    (evidence.unacknowledged, evidence.expired_leases)
 }
 
 #[test]
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -49,7 +49,7 @@
     /// Before idle work is placed: rooms for what arrives while it would give way.
     pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState) {
         for arrivals in cluster.arrivals.values() {
-            let spec = &arrivals.like.spec;
+            let spec = &arrivals.latest.spec;
             let open = self.ground.open_to(spec, &Zones::none(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
@@ -57,7 +57,7 @@
             self.keep(spec, &open, &mut left);
         }
         for (intent, open) in intents::room_kept(cluster, &self.ground) {
-            self.keep(&intent.like, &open, &mut intent.tasks.clone());
+            self.keep(&intent.task_spec, &open, &mut intent.tasks.clone());
         }
     }
 
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::ClusterState;
-use super::fairness::Account;
+use super::fairness::FairShareAccounting;
 use super::leader_state::LeaderState;
 use super::{PAUSE_FACTOR, plan, preempt, reservations, service_report};
 use crate::machine_kinds::Catalog;
@@ -64,7 +64,7 @@
             self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
         }
         // Nothing that placement depends on has changed: the same would be decided.
-        if !cluster.take_stirred() && !self.plan.is_due(now) {
+        if !cluster.take_replan_needed() && !self.plan.is_due(now) {
             return None;
         }
         self.plan.restart(now);
@@ -77,7 +77,7 @@
         Some(placed)
     }
 
-    fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut Account, now: Instant) {
+    fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut FairShareAccounting, now: Instant) {
         service_report::update_accounting(accounting, cluster, now);
         if self.report.take_due(now) {
             service_report::log_accounting(accounting.rows());
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -6,12 +6,12 @@
 
 use super::cluster::ClusterState;
 use super::due::due;
-use super::fairness::{Account, Open, Row};
+use super::fairness::{FairShareAccounting, OpenJob, ServiceLevel};
 use crate::jobs::JobId;
 
 /// Updates the accounting with what the cluster state has to tell it, and the cluster state with what follows.
-pub(super) fn update_accounting(account: &mut Account, cluster: &mut ClusterState, now: Instant) {
-    for (id, note, at) in cluster.take_notes() {
+pub(super) fn update_accounting(account: &mut FairShareAccounting, cluster: &mut ClusterState, now: Instant) {
+    for (id, note, at) in cluster.take_accounting_events() {
         if let Some(job) = cluster.job(&id) {
             account.note(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
         }
@@ -22,7 +22,7 @@
     let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
     let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.waiting(id, job) == 0;
     let open = open.filter(|(id, job)| !held(id, job));
-    let open = open.map(|(_, job)| Open {
+    let open = open.map(|(_, job)| OpenJob {
         spec: job.spec(),
         promises: &job.promises,
         age: now.saturating_duration_since(job.since),
@@ -31,13 +31,13 @@
         untouched: job.untouched(),
         large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
     });
-    let below = Account::below(account.look(open, now));
-    cluster.set_below(below);
+    let below = FairShareAccounting::below(account.look(open, now));
+    cluster.set_underserved(below);
     cluster.bound_core_credit(now);
 }
 
 /// One line for each class and team.
-pub(super) fn log_accounting(rows: &[Row]) {
+pub(super) fn log_accounting(rows: &[ServiceLevel]) {
     for row in rows {
         info!(
             subject = ?row.whose,
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::jobs::JobId;
 use crate::protocol::workers::ExitCause;
-use crate::scheduling::cluster::{Direct, MachineId};
+use crate::scheduling::cluster::{DirectCommand, MachineId};
 
 /// After this long nobody waits for the reply to a command.
 const COMMAND_WAITED: Duration = Duration::from_millis(2500);
@@ -23,7 +23,7 @@
     /// Answers on their way, with the moment at which they arrive: late ones are dropped by the worker.
     answers: Vec<(Instant, Answer)>,
     /// Commands on their way, with the moment at which they are carried out.
-    commands: Vec<(Instant, Direct)>,
+    commands: Vec<(Instant, DirectCommand)>,
     /// Commands that are given up at this moment if no reply has come.
     waited_for: Vec<(Instant, MachineId, u64)>,
 }
@@ -42,7 +42,7 @@
     }
 
     /// A command is prompt, or is held up for 2 to 16 s and given up meanwhile.
-    fn command(&mut self, simulation: &mut Simulation, direct: Direct) {
+    fn command(&mut self, simulation: &mut Simulation, direct: DirectCommand) {
         if self.rng.random_bool(0.5) {
             match simulation.world.arrives(&direct) {
                 Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -5,7 +5,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::{End, JobId};
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::DirectCommand;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Settings, WorkerParams};
 
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Launch {
     /// By a direct command, which is held up.
-    Direct,
+    DirectCommand,
     /// In the answer to a heartbeat, which is held up.
     InAnswer,
 }
@@ -101,10 +101,10 @@
 #[test]
 fn nothing_starts_once_its_cancellation_is_confirmed() {
     for (launch, late_s) in [
-        (Launch::Direct, 2.0),
-        (Launch::Direct, 4.0),
-        (Launch::Direct, 9.0),
-        (Launch::Direct, 16.0),
+        (Launch::DirectCommand, 2.0),
+        (Launch::DirectCommand, 4.0),
+        (Launch::DirectCommand, 9.0),
+        (Launch::DirectCommand, 16.0),
         (Launch::InAnswer, 0.5),
         (Launch::InAnswer, 3.5),
     ] {
@@ -113,14 +113,14 @@
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
         simulation.cluster.holds_ends(Some(1000));
         simulation.world.now += s(10.0);
-        let mut held: Option<Direct> = None;
+        let mut held: Option<DirectCommand> = None;
         let mut answer = None;
         simulation.world.place(&mut simulation.cluster, "m1");
         match launch {
-            Launch::Direct => held = simulation.world.command(&mut simulation.cluster, "m1"),
+            Launch::DirectCommand => held = simulation.world.command(&mut simulation.cluster, "m1"),
             Launch::InAnswer => answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
         }
-        let orders = held.as_ref().map(|d| &d.orders).or(answer.as_ref().map(|a| &a.orders));
+        let orders = held.as_ref().map(|d| &d.commands).or(answer.as_ref().map(|a| &a.orders));
         assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
         let begun = simulation.world.now;
         // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -39,7 +39,7 @@
             assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
             cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
-            drop(cluster.orders_in_answer("m0", world.now));
+            drop(cluster.commands_in_answer("m0", world.now));
             for _ in 0..3 {
                 world.turn(&mut cluster, "m0");
                 world.store(&mut cluster);
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -6,12 +6,12 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
-use crate::scheduling::fairness::Whose;
-use crate::scheduling::fairness::floor::{Below, Names, Rank};
+use crate::scheduling::fairness::Subject;
+use crate::scheduling::fairness::floor::{Names, Rank, Underserved};
 use crate::scheduling::intents::{Ahead, Intents, RoomIntent, WindowPlace};
 
 fn class(name: &str) -> Names {
-    Names::of([(Whose::Class, name)].into_iter())
+    Names::of([(Subject::Class, name)].into_iter())
 }
 
 fn id(n: u32) -> crate::jobs::JobId {
@@ -54,7 +54,7 @@
         cluster.add_job(Arc::new(record), if n < 8 { start } else { now });
     }
     if rng.random() {
-        cluster.set_below(Below { short: class("d"), first: class("d") });
+        cluster.set_underserved(Underserved { short: class("d"), first: class("d") });
     }
     for (name, seq) in names.iter().zip(2..) {
         let (type_name, zone, spot) = {
@@ -96,7 +96,7 @@
             turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
-            room: vec![RoomIntent { like: spec(), tasks: 0, in_s: 0.0 }],
+            room: vec![RoomIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
             ..Intents::default()
         });
         assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
@@ -152,7 +152,7 @@
             &|b| {
                 given(b);
                 b.intents.ahead = ahead(0.5);
-                b.set_below(Below { short: Names::default(), first: class("x") });
+                b.set_underserved(Underserved { short: Names::default(), first: class("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
         ),
@@ -238,7 +238,7 @@
 #[test]
 fn room_that_is_asked_for_by_cases() {
     let start = Instant::now();
-    let room = |tasks, in_s| vec![RoomIntent { like: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
+    let room = |tasks, in_s| vec![RoomIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
     // The type boots for 30 s, and a fetch takes one.
     for (name, machines, tasks, in_s, want) in [
         ("nothing asked", 0, 0, 0.0, 0),
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -17,7 +17,7 @@
         world.now += s(10.0);
         world.place(&mut cluster, "m1");
         let held = world.command(&mut cluster, "m1").unwrap();
-        assert_eq!(launches(&held.orders), 1);
+        assert_eq!(launches(&held.commands), 1);
         let mut started = false;
         for step in 0..8 {
             if step == late_at {
@@ -67,7 +67,7 @@
         assert_eq!(launches(&answer.orders), 1);
         world.place_these(&mut cluster, &[1], "m1");
         let held = world.command(&mut cluster, "m1").unwrap();
-        assert_eq!(launches(&held.orders), 2, "nothing has shown the first");
+        assert_eq!(launches(&held.commands), 2, "nothing has shown the first");
         world.hears(&answer);
         world.exits("m1", 0, 1, cause);
         for step in 0..7 {
@@ -112,7 +112,7 @@
         cluster.halt(&task(0), 0, world.now);
         world.place_these(&mut cluster, &[1], "m1");
         let direct = world.command(&mut cluster, "m1").unwrap();
-        assert!(direct.orders.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
+        assert!(direct.commands.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
         let reply = world.arrives(&direct).unwrap();
         world.replied(&mut cluster, &direct, reply);
         bound(&cluster, 0, 1, "m1");
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -94,7 +94,7 @@
                 for copy in &copies {
                     simulation.cluster.take_heartbeat(copy.clone(), MessageKind::Heartbeat, None, simulation.world.now);
                     // Whoever sent it waits for no answer.
-                    drop(simulation.cluster.orders_in_answer("m1", simulation.world.now));
+                    drop(simulation.cluster.commands_in_answer("m1", simulation.world.now));
                 }
             };
             arrive(&mut simulation);
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -2,7 +2,7 @@
 
 use super::world::*;
 use super::*;
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::DirectCommand;
 
 /// The write that binds has no answer; it is carried out at once, late (and then refused, since another is the leader),
 /// or never. Until it is known to stand nothing is launched, by the leader or by the deposed one; the successor knows
@@ -22,7 +22,7 @@
         old.bind_all(decisions, world.now);
         let (_, writes) = old.next_writes(99, world.now);
         assert_eq!(writes.len(), 1, "{name}");
-        let mut held: Vec<Direct> = Vec::new();
+        let mut held: Vec<DirectCommand> = Vec::new();
         if stands {
             world.version += 1;
             world.shard = Some((world.version, writes[0].tasks.clone()));
@@ -48,7 +48,7 @@
                 }
             }
             for direct in old.direct_commands(world.now) {
-                assert!(known || launches(&direct.orders) == 0, "{name}, step {step}");
+                assert!(known || launches(&direct.commands) == 0, "{name}, step {step}");
                 old.command_over(&direct.machine, direct.fencing_token, false, world.now);
                 held.push(direct);
             }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -25,7 +25,7 @@
         |seq: u64, fencing_token: u64| Heartbeat { fencing_token, ..heartbeat("m", "c8", "a", false, seq, vec![]) };
     let take = |cluster: &mut ClusterState, heartbeat: Heartbeat, at: Instant| {
         cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, at);
-        cluster.orders_in_answer("m", at);
+        cluster.commands_in_answer("m", at);
     };
     type Known<'a> = &'a dyn Fn(&mut ClusterState);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
@@ -95,7 +95,7 @@
                 let agent_epoch = if m < inbound_lost { agent_epoch } else { 1 };
                 let heartbeat = heartbeat(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
                 cluster.take_heartbeat(Heartbeat { agent_epoch, ..heartbeat }, MessageKind::Heartbeat, None, now);
-                cluster.orders_in_answer(&format!("m{m:02}"), now);
+                cluster.commands_in_answer(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
             let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
@@ -138,7 +138,7 @@
                 ..heartbeat(&format!("m{m}"), "c8", "a", false, t + 1, vec![])
             };
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now);
-            cluster.orders_in_answer(&format!("m{m}"), now);
+            cluster.commands_in_answer(&format!("m{m}"), now);
         }
         cluster.tick(now);
     }
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -140,7 +140,7 @@
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
     for machine in ["m1", "m2", "m3", "m4"] {
-        cluster.orders_in_answer(machine, now);
+        cluster.commands_in_answer(machine, now);
     }
     for (seq, placement) in (2..).zip(&first) {
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -13,7 +13,7 @@
     // Stored and told, so that it has to be stopped rather than forgotten.
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
-    assert_eq!(cluster.orders_in_answer("m1", now).len(), 1);
+    assert_eq!(cluster.commands_in_answer("m1", now).len(), 1);
     add(&mut cluster, 2, now, |j| j.cpus = 8.0);
     let later = now + Duration::from_secs(5);
     preempt::preempt(&mut cluster, &catalog(), later);
@@ -39,7 +39,7 @@
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
     for machine in ["m1", "m2", "m3"] {
-        cluster.orders_in_answer(machine, now);
+        cluster.commands_in_answer(machine, now);
     }
     add(&mut cluster, 2, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 2, 5.0, true));
     preempt::preempt(&mut cluster, &catalog(), now);
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -173,7 +173,7 @@
         cluster.bind_all(first, now);
         let (_, shards) = cluster.next_writes(10, now);
         cluster.shards_stored(&shards, 1);
-        cluster.orders_in_answer("m1", now);
+        cluster.commands_in_answer("m1", now);
         cluster.drain(&"m1".into(), &[], now);
         cluster.tick(now);
         let job = cluster.job(&"run-000001".into()).unwrap();
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -21,7 +21,7 @@
             world.turn(&mut cluster, "m2");
             world.place(&mut cluster, "m1");
             let held = world.command(&mut cluster, "m1").unwrap();
-            assert_eq!(launches(&held.orders), 1);
+            assert_eq!(launches(&held.commands), 1);
             if given_up {
                 cluster.command_over(&before.machine, before.fencing_token, false, world.now);
             } else {
@@ -66,12 +66,12 @@
         world.turn(&mut first, "m1");
         world.place(&mut first, "m1");
         let held = world.command(&mut first, "m1").unwrap();
-        assert_eq!(launches(&held.orders), 1);
+        assert_eq!(launches(&held.commands), 1);
         drop(first);
         let mut between = world.leader();
         bound(&between, 0, 1, "m1");
         world.turn(&mut between, "m2");
-        assert_eq!(world.command(&mut between, "m1").map(|d| d.orders.len()), None, "no address to send it to");
+        assert_eq!(world.command(&mut between, "m1").map(|d| d.commands.len()), None, "no address to send it to");
         drop(between);
         let mut cluster = world.leader();
         assert!(cluster.first_fencing_token > held.fencing_token + 10);
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_troubles.rs
@@ -10,7 +10,7 @@
 use super::*;
 use crate::jobs::JobId;
 use crate::protocol::workers::ExitCause;
-use crate::scheduling::fairness::Account;
+use crate::scheduling::fairness::FairShareAccounting;
 
 /// What is left of a machine by what is on it and what is bound to it.
 fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
@@ -77,7 +77,8 @@
         simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
     }
     simulation.plans = true;
-    let mut account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
+    let mut account =
+        FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let mut ends: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
     let mut waits: BTreeMap<JobId, f64> = BTreeMap::new();
     let (mut longest, mut jobs) = ((0.0, String::new()), 1);
@@ -201,7 +202,8 @@
     let gang = simulation.world.accept(&mut simulation.cluster, 2, |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 2, 8.0, 5.0);
     });
-    let mut account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
+    let mut account =
+        FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let (mut small, mut came) = (None, 0.0);
     for step in 0..400 {
         let t = f64::from(step) * STEP;
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -107,7 +107,7 @@
     cluster.bind_all(first, now);
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
-    cluster.orders_in_answer("m1", now);
+    cluster.commands_in_answer("m1", now);
     let begun = now + s(110);
     for machine in ["m1", "m2"] {
         cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, begun);
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -6,7 +6,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::DirectCommand;
 
 pub(super) const STEP: f64 = 0.5;
 /// Steps from one heartbeat to the next.
@@ -23,7 +23,7 @@
     pub(super) unreached: Vec<&'static str>,
     /// These are paused: they report nothing, and what is sent to them lies there until they go on.
     pub(super) hang: Vec<&'static str>,
-    pub(super) lying: Vec<Direct>,
+    pub(super) lying: Vec<DirectCommand>,
     /// Their heartbeats arrive; answers and commands to them are lost.
     pub(super) inbound_lost: Vec<&'static str>,
     pub(super) cloud: bool,
@@ -109,7 +109,7 @@
         let hang = self.hang.clone();
         let (go_on, lying) = std::mem::take(&mut self.lying).into_iter().partition(|d| !hang.contains(&&*d.machine));
         self.lying = lying;
-        let go_on: Vec<Direct> = go_on;
+        let go_on: Vec<DirectCommand> = go_on;
         for direct in go_on {
             // Whoever sent it has given it up.
             drop(self.world.arrives(&direct));
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -23,7 +23,7 @@
         world.turn(&mut old, m);
     }
     let held = world.command(&mut old, "m2").unwrap();
-    assert_eq!(launches(&held.orders), 1);
+    assert_eq!(launches(&held.commands), 1);
     drop(old);
     let mut cluster = world.leader();
     for t in 0..40 {
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::jobs::JobId;
 use crate::protocol::workers::ExitCause;
-use crate::scheduling::fairness::Account;
+use crate::scheduling::fairness::FairShareAccounting;
 use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
 
@@ -82,7 +82,7 @@
     seed: u64,
     rng: StdRng,
     simulation: Simulation,
-    account: Account,
+    account: FairShareAccounting,
     /// Users are promised a start sooner than machines boot, so that room is kept for arrivals.
     prompt: bool,
     /// Work comes after the troubles as well.
@@ -101,7 +101,11 @@
             simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
         }
         simulation.plans = true;
-        let account = Account::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
+        let account = FairShareAccounting::new(
+            &simulation.cluster.settings,
+            &simulation.cluster.properties,
+            simulation.world.now,
+        );
         Self {
             seed,
             rng: StdRng::seed_from_u64(seed),
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -5,7 +5,7 @@
 use crate::jobs::record::StoredTask;
 use crate::jobs::{End, JobId};
 use crate::protocol::workers::{ExitCause, WorkerCommand};
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::DirectCommand;
 use crate::scheduling::cluster::Placement;
 use crate::settings::Settings;
 use crate::store::commit::Batch;
@@ -186,7 +186,7 @@
             to: m,
             agent_epoch,
             fencing_token: cluster.fencing_token,
-            orders: cluster.orders_in_answer(m, self.now),
+            orders: cluster.commands_in_answer(m, self.now),
             sent: self.now,
         }
     }
@@ -209,30 +209,30 @@
     }
 
     /// A direct command arrives, be it minutes late; the reply.
-    pub(super) fn arrives(&mut self, direct: &Direct) -> Option<Heartbeat> {
+    pub(super) fn arrives(&mut self, direct: &DirectCommand) -> Option<Heartbeat> {
         let (&m, w) = self.workers.iter_mut().find(|(m, _)| ***m == *direct.machine).unwrap();
         if w.gone {
             return None;
         }
         if direct.fencing_token >= w.fencing_token && direct.agent_epoch == w.agent_epoch {
             w.fencing_token = direct.fencing_token;
-            self.execute(m, &direct.orders);
+            self.execute(m, &direct.commands);
         }
         Some(self.heartbeat(m))
     }
 
-    pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &Direct, reply: Heartbeat) {
+    pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &DirectCommand, reply: Heartbeat) {
         cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
         cluster.take_heartbeat(reply, MessageKind::CommandReply, None, self.now);
     }
 
-    pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &Direct) {
+    pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &DirectCommand) {
         self.now += s(2.5);
         cluster.command_over(&direct.machine, direct.fencing_token, false, self.now);
     }
 
     /// The command that is due to this machine. All others are refused a connection.
-    pub(super) fn command(&mut self, cluster: &mut ClusterState, m: &str) -> Option<Direct> {
+    pub(super) fn command(&mut self, cluster: &mut ClusterState, m: &str) -> Option<DirectCommand> {
         let mut found = None;
         for direct in cluster.direct_commands(self.now) {
             if *direct.machine == *m {
@@ -427,7 +427,7 @@
 
 impl World {
     /// A greeting of this leader to a machine that has not seen its fencing token.
-    pub(super) fn leader_greets(&mut self, cluster: &mut ClusterState, m: &str) -> Direct {
+    pub(super) fn leader_greets(&mut self, cluster: &mut ClusterState, m: &str) -> DirectCommand {
         self.workers.get_mut(m).unwrap().fencing_token = 0;
         let mut before = None;
         for _ in 0..3 {
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -9,7 +9,7 @@
 use super::{Heartbeat, WorkerCommands};
 use crate::controller::Controller;
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::Direct;
+use crate::scheduling::cluster::DirectCommand;
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
@@ -36,11 +36,11 @@
     }
 }
 
-async fn send(node: Arc<Controller>, direct: Direct) {
+async fn send(node: Arc<Controller>, direct: DirectCommand) {
     let body = protocol::encode(&WorkerCommands {
         fencing_token: direct.fencing_token,
         agent_epoch: Some(direct.agent_epoch),
-        orders: direct.orders,
+        orders: direct.commands,
     });
     node.traffic.count(Passage::Command);
     let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -63,7 +63,7 @@
                 cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
                 let orders = if rights.whole() {
-                    cluster.orders_in_answer(&name, now)
+                    cluster.commands_in_answer(&name, now)
                 } else {
                     cluster.stops_only(&name, &over.jobs)
                 };
