--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -8,14 +8,14 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::declarations::driver::{DeclarationDriver, DriverOutput, Write, changes, conditions};
+use crate::declarations::driver::{DeclarationDriver, DriverOutput, StatusWrite, changes, conditions};
 use crate::declarations::table::KindOperations;
 use crate::jobs::End;
 use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
 use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::store::watch_cache::{Loading, WatchCache};
+use crate::store::watch_cache::{CacheReload, WatchCache};
 use crate::store::{Change, Condition};
 
 pub type Sent = (Vec<Condition>, Vec<Change>);
@@ -23,10 +23,10 @@
 #[derive(Default)]
 pub struct Controller<T> {
     pub watch_cache: WatchCache,
-    loading: Option<(Loading, String)>,
+    loading: Option<(CacheReload, String)>,
     pub leader: Option<(ClusterState, DeclarationDriver)>,
     /// Decided, and not sent yet.
-    decided: Option<(Vec<Write>, u64)>,
+    decided: Option<(Vec<StatusWrite>, u64)>,
     /// Its time of day is off by so much.
     pub skew_ms: i64,
     /// What else its kind's simulation keeps of it.
@@ -57,23 +57,23 @@
         loop {
             if let Some((mut loading, since)) = controller.loading.take() {
                 let page = self.store.page(CACHED, &since, 3);
-                controller.watch_cache.take_page(&mut loading, &page);
+                controller.watch_cache.apply_page(&mut loading, &page);
                 if page.more {
                     let since = page.items.last().map_or(since, |i| i.path.clone());
                     controller.loading = Some((loading, since));
                 } else {
-                    controller.watch_cache.loaded(loading);
+                    controller.watch_cache.finish_reload(loading);
                 }
-            } else if let Some(revision) = controller.watch_cache.asking() {
+            } else if let Some(revision) = controller.watch_cache.watch_revision() {
                 match self.store.watch(CACHED, revision) {
-                    Ok(followed) => drop(controller.watch_cache.apply(&followed)),
-                    Err(_) => controller.watch_cache.ready = false,
+                    Ok(followed) => drop(controller.watch_cache.apply_watch(&followed)),
+                    Err(_) => controller.watch_cache.require_reload(),
                 }
-                if controller.watch_cache.ready {
+                if controller.watch_cache.is_ready() {
                     return;
                 }
             } else {
-                controller.loading = Some((controller.watch_cache.load(), CACHED_AFTER.to_owned()));
+                controller.loading = Some((controller.watch_cache.begin_reload(), CACHED_AFTER.to_owned()));
             }
             if !whole {
                 return;
@@ -93,16 +93,21 @@
     }
 
     /// None where it never led. What is to be stored waits to be sent.
-    pub fn look(&mut self, at: usize, now_ms: u64, ended: impl Fn(&T, &str) -> Option<End>) -> Option<DriverOutput> {
+    pub fn evaluate(
+        &mut self,
+        at: usize,
+        now_ms: u64,
+        ended: impl Fn(&T, &str) -> Option<End>,
+    ) -> Option<DriverOutput> {
         let Controller { watch_cache, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
-        let looked = driver.look(cluster, watch_cache, &|id| ended(own, id), Instant::now(), now_ms);
-        if !looked.writes.is_empty() {
-            driver.sent(&looked.writes);
-            *decided = Some((looked.writes.clone(), looked.fencing_token));
+        let output = driver.evaluate(cluster, watch_cache, &|id| ended(own, id), Instant::now(), now_ms);
+        if !output.writes.is_empty() {
+            driver.mark_sent(&output.writes);
+            *decided = Some((output.writes.clone(), output.fencing_token));
         }
-        Some(looked)
+        Some(output)
     }
 
     /// What was decided, as it is sent.
@@ -125,7 +130,7 @@
 
     pub fn stored(&mut self, at: usize, revision: u64) {
         if let Some((_, driver)) = self.controllers[at].leader.as_mut() {
-            driver.stored(revision);
+            driver.mark_stored(revision);
         }
     }
 
--- a/src/controller/absence.rs
+++ b/src/membership/pauses.rs
@@ -6,17 +6,17 @@
 
 use tracing::{info, warn};
 
-use super::Controller;
-use crate::membership::unreachable_leader::UnreachableLeader;
+use super::Membership;
+use super::unreachable_leader::UnreachableLeader;
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// To be called before anything is judged by time. The one place where a pause of this process is
     /// handed to all that do: their silences, idle times and proofs of before are void.
     pub fn beat(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
-            self.store.read_barrier.wanted.notify_one();
+            self.store.read_barrier.request_proof();
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
@@ -30,7 +30,7 @@
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
         self.store.client.after_pause(pause);
-        self.store.read_barrier.wanted.notify_one();
+        self.store.read_barrier.request_proof();
         self.wakeups.membership.notify_one();
     }
 
--- a/src/membership/watermark_tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -4,9 +4,9 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::mesh::believed;
-use super::storing;
-use super::watermark::{Lag, Unconfirmed, own_watermark};
+use super::super::election::storing;
+use super::super::mesh::believed;
+use super::{Lag, Unconfirmed, own_watermark};
 use crate::jobs::record::{LEADER, WATERMARK};
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::store::Change;
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -12,9 +12,9 @@
 use tracing::{error, info};
 
 use crate::cloud_orders::{CloudOrder, ORDERS};
-use crate::controller::Controller;
 use crate::jobs::JobId;
 use crate::jobs::record::{JobRecord, TASKS};
+use crate::scheduling::scheduler::Scheduler;
 use crate::store::StoreError;
 use ended_jobs::{EndedJobs, done_among};
 use shard::Shard;
@@ -39,26 +39,26 @@
 /// # Errors
 ///
 /// If the store cannot be read; the load is then to be begun anew.
-pub async fn load_cluster_state(node: &Arc<Controller>) -> Result<(), StoreError> {
+pub async fn load_cluster_state(scheduler: &Arc<Scheduler>) -> Result<(), StoreError> {
     let begun = Instant::now();
-    if begin_load(node, begun).is_none() {
+    if begin_load(scheduler, begun).is_none() {
         return Ok(());
     }
     let mut ended = EndedJobs::default();
-    let counts = load_tasks(node, &mut ended).await?;
-    let orders = read_cloud_orders(node).await?;
-    if finish_load(node, &ended, orders, &counts, begun).is_some() {
-        node.wakeups.plan.notify_one();
-        node.wakeups.dispatch.notify_one();
-        node.wakeups.fleet.notify_one();
+    let counts = load_tasks(scheduler, &mut ended).await?;
+    let orders = read_cloud_orders(scheduler).await?;
+    if finish_load(scheduler, &ended, orders, &counts, begun).is_some() {
+        scheduler.wakeups.plan.notify_one();
+        scheduler.wakeups.dispatch.notify_one();
+        scheduler.wakeups.fleet.notify_one();
     }
     Ok(())
 }
 
 /// Open jobs first: the watch cache was proven fresh after this controller's leader record stood.
-fn begin_load(node: &Controller, now: Instant) -> Option<()> {
-    let watch_cache = node.store.watch_cache();
-    let mut held = node.leader.cluster();
+fn begin_load(scheduler: &Scheduler, now: Instant) -> Option<()> {
+    let watch_cache = scheduler.store.watch_cache();
+    let mut held = scheduler.leader.cluster();
     let cluster = held.as_mut()?;
     cluster.forget_all();
     for (_, record) in watch_cache.open_jobs() {
@@ -67,23 +67,23 @@
     Some(())
 }
 
-async fn load_tasks(node: &Arc<Controller>, ended: &mut EndedJobs) -> Result<LoadCounts, StoreError> {
+async fn load_tasks(scheduler: &Arc<Scheduler>, ended: &mut EndedJobs) -> Result<LoadCounts, StoreError> {
     let mut counts = LoadCounts::default();
-    let mut pages = node.store.client.pages(TASKS, None);
+    let mut pages = scheduler.store.client.pages(TASKS, None);
     while let Some(page) = pages.next().await? {
         counts.pages += 1;
         let shards: Vec<Shard> = page.items.into_iter().filter_map(Shard::read).collect();
         counts.shards += shards.len();
-        load_page(node, shards, ended).await?;
+        load_page(scheduler, shards, ended).await?;
     }
     Ok(counts)
 }
 
 /// What an earlier leader may still be doing, before anything is placed: nothing can be added to it any more, since
 /// orders are conditional on the leader record.
-async fn read_cloud_orders(node: &Controller) -> Result<Vec<CloudOrder>, StoreError> {
+async fn read_cloud_orders(scheduler: &Scheduler) -> Result<Vec<CloudOrder>, StoreError> {
     let mut orders = Vec::new();
-    let mut pages = node.store.client.pages(ORDERS, None);
+    let mut pages = scheduler.store.client.pages(ORDERS, None);
     while let Some(page) = pages.next().await? {
         orders.extend(page.items.iter().filter_map(CloudOrder::read));
     }
@@ -92,35 +92,35 @@
 
 /// Takes in what came and what ended while the tasks were being read; from here on the cluster state decides.
 fn finish_load(
-    node: &Arc<Controller>,
+    scheduler: &Arc<Scheduler>,
     ended: &EndedJobs,
     orders: Vec<CloudOrder>,
     counts: &LoadCounts,
     begun: Instant,
 ) -> Option<()> {
     let now = Instant::now();
-    let watch_cache = node.store.watch_cache();
-    let mut held = node.leader.cluster();
+    let watch_cache = scheduler.store.watch_cache();
+    let mut held = scheduler.leader.cluster();
     let cluster = held.as_mut()?;
     for (_, record) in watch_cache.open_jobs() {
         cluster.add_job(record.clone(), now);
     }
     let mut ids = ended.ids.clone();
-    ids.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned());
+    ids.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned());
     for id in &ids {
         let stored = ended.stored_ends.get(id);
-        let at = node.history.heard_at(id).or(stored.map(|end| end.at));
-        let earlier_revision = watch_cache.ended_after(id).or(stored.map(|end| end.earlier_revision));
-        cluster.end_job(id, node.history.ended(id), at.unwrap_or(now).min(now));
+        let at = scheduler.history.heard_at(id).or(stored.map(|end| end.at));
+        let earlier_revision = watch_cache.revision_before_end(id).or(stored.map(|end| end.earlier_revision));
+        cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
         cluster.ended_after(id, earlier_revision.unwrap_or(0));
     }
     let inherited = orders.len();
     cluster.inherit_orders(orders, now);
     cluster.finish_load(now);
-    cluster.holds_ends(watch_cache.asking());
-    node.took_over(cluster.known, now);
+    cluster.holds_ends(watch_cache.watch_revision());
+    scheduler.membership.took_over(cluster.known, now);
     // Before anything else is decided.
-    node.intents_of(cluster, &watch_cache, now);
+    scheduler.intents.refresh_intents(cluster, &watch_cache, now);
     let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
     let (shards, pages) = (counts.shards, counts.pages);
     let took_ms = (now - begun).as_millis() as u64;
@@ -131,14 +131,14 @@
 /// Tasks of cancelled jobs may still be on machines: those count until proven gone. What has
 /// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
 /// was reported to have exited, though the last heartbeats were never written to its shard.
-async fn load_page(node: &Arc<Controller>, page: Vec<Shard>, ended: &mut EndedJobs) -> Result<(), StoreError> {
-    let Some(closed) = closed_jobs(node, &page) else { return Ok(()) };
-    let done = done_among(node, closed).await?;
-    let Some(cached) = cached_records(node, &page, &done) else { return Ok(()) };
+async fn load_page(scheduler: &Arc<Scheduler>, page: Vec<Shard>, ended: &mut EndedJobs) -> Result<(), StoreError> {
+    let Some(closed) = closed_jobs(scheduler, &page) else { return Ok(()) };
+    let done = done_among(scheduler, closed).await?;
+    let Some(cached) = cached_records(scheduler, &page, &done) else { return Ok(()) };
     let mut records = cached.found;
-    records.extend(ended.read_records(node, cached.missing.into_iter().collect()).await?);
+    records.extend(ended.read_records(scheduler, cached.missing.into_iter().collect()).await?);
     let now = Instant::now();
-    let mut held = node.leader.cluster();
+    let mut held = scheduler.leader.cluster();
     let Some(cluster) = held.as_mut() else { return Ok(()) };
     for (id, record) in records {
         cluster.add_job(record, now);
@@ -161,16 +161,16 @@
 }
 
 /// Jobs of the page that are not open and may have something on machines. None if this controller no longer leads.
-fn closed_jobs(node: &Controller, page: &[Shard]) -> Option<BTreeSet<JobId>> {
-    let held = node.leader.cluster();
+fn closed_jobs(scheduler: &Scheduler, page: &[Shard]) -> Option<BTreeSet<JobId>> {
+    let held = scheduler.leader.cluster();
     let cluster = held.as_ref()?;
     let closed = page.iter().filter(|shard| !cluster.has_job(&shard.job) && shard.anything_bound());
     Some(closed.map(|shard| shard.job.clone()).collect())
 }
 
 /// Looks up the cancelled jobs of the page. None if this controller no longer leads.
-fn cached_records(node: &Controller, page: &[Shard], done: &HashSet<JobId>) -> Option<CachedRecords> {
-    let (watch_cache, held) = (node.store.watch_cache(), node.leader.cluster());
+fn cached_records(scheduler: &Scheduler, page: &[Shard], done: &HashSet<JobId>) -> Option<CachedRecords> {
+    let (watch_cache, held) = (scheduler.store.watch_cache(), scheduler.leader.cluster());
     let cluster = held.as_ref()?;
     let mut records = CachedRecords::default();
     let cancelled =
--- a/src/scheduling/load/ended_jobs.rs
+++ b/src/scheduling/load/ended_jobs.rs
@@ -8,9 +8,9 @@
 use tokio::task::JoinSet;
 use tracing::error;
 
-use crate::controller::Controller;
 use crate::jobs::record::{DONE, EndedRecord, JobRecord, ended_key, ended_keys, old_job_key, time_of_day_ms};
 use crate::jobs::{End, JobId};
+use crate::scheduling::scheduler::Scheduler;
 use crate::store::budget::RequestPriority;
 use crate::store::client::KeyValue;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
@@ -50,15 +50,15 @@
     /// Reads the records of these jobs from the store; those that it does not have are left out.
     pub(super) async fn read_records(
         &mut self,
-        node: &Arc<Controller>,
+        scheduler: &Arc<Scheduler>,
         ids: Vec<JobId>,
     ) -> Result<HashMap<JobId, Arc<JobRecord>>, StoreError> {
         let mut records = HashMap::new();
         for ids in ids.chunks(ASKED_AT_ONCE) {
             let mut asked = JoinSet::new();
             for id in ids {
-                let (node, id) = (node.clone(), id.clone());
-                asked.spawn(async move { (id.clone(), read_ended_job(&node, &id).await) });
+                let (scheduler, id) = (scheduler.clone(), id.clone());
+                asked.spawn(async move { (id.clone(), read_ended_job(&scheduler, &id).await) });
             }
             while let Some(answer) = asked.join_next().await {
                 let Ok((id, read)) = answer else { continue };
@@ -75,14 +75,14 @@
 }
 
 /// Which of these jobs, none of them open, are done.
-pub(super) async fn done_among(node: &Controller, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
+pub(super) async fn done_among(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
-    let at_once = node.settings.params.state.conditions().max(1);
+    let at_once = scheduler.settings.params.state.conditions().max(1);
     let mut done = HashSet::new();
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
         if let CompareAndSwapOutcome::Failed(keys) =
-            node.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
+            scheduler.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
         {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
@@ -91,9 +91,9 @@
 }
 
 /// Reads a job that has ended, wherever it is kept.
-async fn read_ended_job(node: &Controller, id: &str) -> Result<Option<EndedJob>, StoreError> {
+async fn read_ended_job(scheduler: &Scheduler, id: &str) -> Result<Option<EndedJob>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
-        if let Some(item) = node.store.client.get(&key, RequestPriority::Critical).await? {
+        if let Some(item) = scheduler.store.client.get(&key, RequestPriority::Critical).await? {
             return Ok(decode_ended_job(id, &key, &item));
         }
     }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -7,8 +7,8 @@
 use crate::protocol::workers::{ExitCause, WorkerCommand};
 use crate::scheduling::cluster::DirectCommand;
 use crate::scheduling::cluster::Placement;
+use crate::scheduling::commit::Batch;
 use crate::settings::Settings;
-use crate::store::commit::Batch;
 use std::collections::{BTreeMap, HashSet};
 
 pub(super) const JOB: &str = "run-000001";
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -7,9 +7,10 @@
 use hollylanding_emulator::world::store::Store;
 use serde_json::json;
 
+use crate::audit::end_again;
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
-use crate::declarations::driver::{self, Write};
+use crate::declarations::driver::{self, StatusWrite};
 use crate::declarations::records::{spec_key, status_key};
 use crate::history::moves::{self, Move};
 use crate::history::upgrade::upgraded;
@@ -19,8 +20,7 @@
 use crate::membership::{candidacy, expiry, naming};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
-use crate::store::audit::end_again;
-use crate::store::commit::{Batch, shard_drops, still_to_drop};
+use crate::scheduling::commit::{Batch, shard_drops, still_to_drop};
 use crate::store::{Change, Condition};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
@@ -103,7 +103,8 @@
         let version = |key: String| self.store.version(&key);
         let (spec_version, status_version) =
             (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
-        let write = [Write { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
+        let write =
+            [StatusWrite { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -3,51 +3,59 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use bytes::Bytes;
 use hyper::Method;
 use tracing::debug;
 
+use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
-use crate::controller::Controller;
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::DirectCommand;
+use crate::scheduling::cluster::{DirectCommand, MachineId};
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
-/// Past this a command counts as one that may still arrive.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2500);
-/// Looks again this often for what is due without having been told.
-const EVERY: Duration = Duration::from_millis(1000);
+/// A command that is not answered within this counts as one that may still arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest pause between two checks for due commands.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Sends the commands that are due straight to their workers, for ever.
-pub async fn run(node: Arc<Controller>) {
+/// Sends commands directly to their workers as they become due. Never returns.
+pub async fn run(service: Arc<WorkerService>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wakeups.dispatch.notified()).await;
-        if node.unproven() {
+        let _ = tokio::time::timeout(CHECK_INTERVAL, service.wakeups.dispatch.notified()).await;
+        if service.membership.unproven() {
             continue;
         }
-        let due = match node.leader.cluster().as_mut() {
+        let due = match service.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
-        // At most one command per machine is under way, which bounds these.
+        // At most one command per machine is in flight, which bounds the number of these tasks.
         for direct in due {
-            tokio::spawn(send(node.clone(), direct));
+            tokio::spawn(send(service.clone(), direct));
         }
     }
 }
 
-async fn send(node: Arc<Controller>, direct: DirectCommand) {
-    let body = protocol::encode(&WorkerCommands {
-        fencing_token: direct.fencing_token,
-        agent_epoch: Some(direct.agent_epoch),
-        orders: direct.commands,
-    });
-    node.traffic.count(Passage::Command);
-    let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
+async fn send(service: Arc<WorkerService>, direct: DirectCommand) {
+    let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = direct;
+    let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders: commands });
+    service.traffic.count(Passage::Command);
+    let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
+    record_reply(&service, &machine, fencing_token, outcome);
+}
+
+/// Records the reply to a command in the cluster state.
+fn record_reply(
+    service: &WorkerService,
+    machine: &MachineId,
+    fencing_token: u64,
+    outcome: Result<(u16, Bytes), CallError>,
+) {
     let now = Instant::now();
-    let catalog = node.catalog.get();
+    let catalog = service.catalog.get();
     {
-        let mut held = node.leader.cluster();
+        let mut held = service.leader.cluster();
         let Some(cluster) = held.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
@@ -56,13 +64,13 @@
         // Only a definite answer, or a connection that never was, settles what was sent.
         let settled = heartbeat.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
         if let Err(error) = &outcome {
-            debug!(machine = %direct.machine, %error, "direct command");
+            debug!(%machine, %error, "worker command failed");
         }
-        cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
+        cluster.command_over(machine, fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
             cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
     }
-    node.wakeups.commit.notify_one();
-    node.wakeups.plan.notify_one();
+    service.wakeups.commit.notify_one();
+    service.wakeups.plan.notify_one();
 }
