--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
 use crate::fleet::cloud::CloudClient;
 use crate::fleet::{self, Fleet};
 use crate::history::reader::{self, History, HistoryReader};
-use crate::history::sweep;
+use crate::history::sweep_loop;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::{self, Membership, REQUESTS, SHARE_EVERY, WRITES, first_budget, mesh};
@@ -21,7 +21,8 @@
 use crate::protocol::Http;
 use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
-use crate::scheduling::{self, Scheduler};
+use crate::scheduling::scheduler::Scheduler;
+use crate::scheduling::scheduling_loop;
 use crate::settings::{Properties, Settings};
 use crate::store::handle::StateStore;
 use crate::store::{StateClient, watch};
@@ -163,7 +164,7 @@
         tokio::spawn(watch::run_read_barrier(self.store.clone(), self.membership.clone()));
         let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
         tokio::spawn(reader::run(Arc::new(reader)));
-        tokio::spawn(sweep::run(self.history.clone(), self.store.client.clone()));
+        tokio::spawn(sweep_loop::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.audit.clone()));
         tokio::spawn(membership::run(self.membership.clone()));
         tokio::spawn(mesh::listen(self.membership.clone()));
@@ -193,7 +194,7 @@
     /// Starts the loops that run while this controller leads.
     fn start_leader_loops(&self) -> Vec<AbortHandle> {
         vec![
-            tokio::spawn(scheduling::run(self.scheduler.clone())).abort_handle(),
+            tokio::spawn(scheduling_loop::run(self.scheduler.clone())).abort_handle(),
             tokio::spawn(commit::run(self.group_commit.clone())).abort_handle(),
             tokio::spawn(dispatch::run(self.workers.clone())).abort_handle(),
             tokio::spawn(fleet::run(self.fleet.clone())).abort_handle(),
--- a/src/history/mod.rs
+++ b/src/history/mod.rs
@@ -11,6 +11,7 @@
 pub mod query_queue;
 pub mod reader;
 pub mod sweep;
+pub mod sweep_loop;
 #[cfg(test)]
 mod tests;
 pub mod upgrade;
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -7,7 +7,8 @@
 
 use crate::history::moves::end_changes;
 use crate::history::query_queue::{Batch, QueryQueue};
-use crate::history::sweep::{COST, Sweep};
+use crate::history::sweep::Sweep;
+use crate::history::sweep_loop::COST;
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use super::Membership;
+use super::state::Membership;
 use crate::history::upgrade;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::Membership;
+use super::state::Membership;
 use super::watermark::{self, Unconfirmed};
 use crate::jobs::{End, JobId};
 use crate::records::leadership::Watermark;
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -10,7 +10,8 @@
 
 use tracing::{debug, info, warn};
 
-use super::Membership;
+use super::state::Membership;
+use super::step::{ElectionObservations, Step, next_step};
 use super::turns::{Pace, in_turn};
 use super::unreadable::UnreadableLeaseHolder;
 use super::watermark::Lag;
@@ -27,38 +28,6 @@
 /// Stands for a lease holder whose key cannot be read; no incarnation is empty.
 const UNREADABLE: &str = "";
 
-/// What this controller is to do next, from what it knows.
-#[derive(Debug, PartialEq, Eq)]
-pub(super) enum Step {
-    Wait,
-    /// The process that holds the lease was this one's predecessor on its address, so it is gone: its lease is
-    /// ended before its lease runs out. The same of a lease holder whose key cannot be read.
-    Expire,
-    Campaign,
-    Renew,
-    WriteLeaderRecord,
-}
-
-/// Pure, so that every combination can be tried. `predecessor`: another incarnation of this controller's
-/// name holds the lease, or nobody whose key can be read.
-pub(super) fn next_step(
-    me: &str,
-    lease_holder: Option<&str>,
-    predecessor: bool,
-    leader: Option<&str>,
-    raise: bool,
-    renew_due: bool,
-) -> Step {
-    match lease_holder {
-        None => Step::Campaign,
-        Some(l) if l != me && predecessor => Step::Expire,
-        Some(l) if l != me => Step::Wait,
-        Some(_) if leader != Some(me) || raise => Step::WriteLeaderRecord,
-        Some(_) if renew_due => Step::Renew,
-        Some(_) => Step::Wait,
-    }
-}
-
 /// This controller's own leader record stands, and it does not act on it: the write was carried out and not
 /// answered. It is written again, which answers under which fencing token to begin, or to go on.
 fn unheard(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
@@ -152,14 +121,15 @@
             view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == membership.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
         let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
-        let step = next_step(
-            &membership.incarnation,
-            view.lease_holder(),
-            nobody || (own_name && self.expired < MOST_EXPIRED),
-            assigned.map(|(leader, _)| leader),
-            membership.raise_wanted() || unheard(&membership.incarnation, assigned, fencing_token),
-            renew_due,
-        );
+        let step = next_step(ElectionObservations {
+            me: &membership.incarnation,
+            lease_holder: view.lease_holder(),
+            lease_holder_gone: nobody || (own_name && self.expired < MOST_EXPIRED),
+            leader: assigned.map(|(leader, _)| leader),
+            new_fencing_token_wanted: membership.raise_wanted()
+                || unheard(&membership.incarnation, assigned, fencing_token),
+            renewal_due: renew_due,
+        });
         in_turn(step, self.wrote_leader_record_last, renew_due)
     }
 
--- a/src/membership/election/tests.rs
+++ b/src/membership/election/tests.rs
@@ -18,7 +18,18 @@
         ("renewal due", Some("a"), true, Some("a"), false, true, Step::Renew),
         ("all well", Some("a"), true, Some("a"), false, false, Step::Wait),
     ] {
-        assert_eq!(next_step("a", lease_holder, predecessor, leader, raise, due), want, "{name}");
+        assert_eq!(
+            next_step(ElectionObservations {
+                me: "a",
+                lease_holder,
+                lease_holder_gone: predecessor,
+                leader,
+                new_fencing_token_wanted: raise,
+                renewal_due: due
+            }),
+            want,
+            "{name}"
+        );
     }
 }
 
@@ -36,7 +47,18 @@
     ] {
         let leader = leader_record.map(|(leader, _)| leader);
         let again = unheard("a", leader_record, fencing_token);
-        assert_eq!(next_step("a", Some("a"), true, leader, again, false), want, "{name}");
+        assert_eq!(
+            next_step(ElectionObservations {
+                me: "a",
+                lease_holder: Some("a"),
+                lease_holder_gone: true,
+                leader,
+                new_fencing_token_wanted: again,
+                renewal_due: false
+            }),
+            want,
+            "{name}"
+        );
     }
 }
 
@@ -65,7 +87,14 @@
             let found = led_by(&store);
             let predecessor = expires && found.as_ref().is_some_and(|l| l.node == me.node);
             let found = found.map(|l| l.incarnation);
-            match next_step(&me.incarnation, found.as_deref(), predecessor, Some("a0"), false, false) {
+            match next_step(ElectionObservations {
+                me: &me.incarnation,
+                lease_holder: found.as_deref(),
+                lease_holder_gone: predecessor,
+                leader: Some("a0"),
+                new_fencing_token_wanted: false,
+                renewal_due: false,
+            }) {
                 Step::Expire => {
                     expired = Some(expiry(store.version(LEASE_HOLDER)));
                     let (condition, change) = expired.clone().unwrap();
--- a/src/membership/election/tests/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -52,7 +52,14 @@
 fn next(me: &str, watch_cache: &WatchCache, held: Option<u64>) -> Step {
     let assigned = watch_cache.leader_record().map(|(a, fencing_token)| (a.incarnation.as_str(), *fencing_token));
     let leads = watch_cache.lease_holder().map(|(l, _)| l.incarnation.as_str());
-    next_step(me, leads, false, assigned.map(|(o, _)| o), unheard(me, assigned, held), false)
+    next_step(ElectionObservations {
+        me,
+        lease_holder: leads,
+        lease_holder_gone: false,
+        leader: assigned.map(|(o, _)| o),
+        new_fencing_token_wanted: unheard(me, assigned, held),
+        renewal_due: false,
+    })
 }
 
 /// Nobody led any more, for as long as the assigned controller lived: it found itself assigned, and took
@@ -162,7 +169,17 @@
     assert!(send(&mut store, &late.0, &late.1).is_some());
     let mut watch_cache = watch_cache();
     hear(&mut watch_cache, &store);
-    assert_eq!(next_step("a2", Some("a1"), true, Some("a1"), false, false), Step::Expire);
+    assert_eq!(
+        next_step(ElectionObservations {
+            me: "a2",
+            lease_holder: Some("a1"),
+            lease_holder_gone: true,
+            leader: Some("a1"),
+            new_fencing_token_wanted: false,
+            renewal_due: false
+        }),
+        Step::Expire
+    );
     store.end_leases(Duration::from_millis(3100));
     hear(&mut watch_cache, &store);
     assert_eq!((next("a2", &watch_cache, None), store.version(LEADER)), (Step::Campaign, fencing_token));
--- a/src/membership/ended_jobs.rs
+++ b/src/membership/ended_jobs.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use super::Membership;
+use super::state::Membership;
 use crate::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
 
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::Membership;
 use super::mesh;
+use super::state::Membership;
 use crate::jobs::{Counts, JobId};
 use crate::scheduling::fairness::Row;
 use crate::sync::lock;
--- a/src/membership/judgement.rs
+++ b/src/membership/judgement.rs
@@ -4,8 +4,8 @@
 
 use tracing::warn;
 
-use super::Membership;
 use super::serving_state::{Observations, Patience, ServingState};
+use super::state::Membership;
 use crate::sync::lock;
 
 impl Membership {
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -6,7 +6,7 @@
 
 use tracing::{info, warn};
 
-use super::Membership;
+use super::state::Membership;
 use crate::records::leadership::TakeoverRequest;
 use crate::scheduling::cluster::ClusterState;
 use crate::store::budget::RequestPriority;
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -17,8 +17,8 @@
 
 use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
 
+use super::state::Membership;
 use crate::jobs::{Counts, JobId};
-use crate::membership::Membership;
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -6,7 +6,7 @@
 
 use tracing::{info, warn};
 
-use super::Membership;
+use super::state::Membership;
 use super::unreachable_leader::UnreachableLeader;
 use crate::sync::lock;
 
--- a/src/membership/store_shares.rs
+++ b/src/membership/store_shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Membership;
+use super::state::Membership;
 use crate::store::budget::Budget;
 use crate::store::share::{Parts, Want, by_need};
 use crate::sync::lock;
--- a/src/membership/turns.rs
+++ b/src/membership/turns.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::election::Step;
+use super::step::Step;
 
 /// The lease is renewed so many times in its life.
 const RENEWALS: u32 = 4;
--- a/src/membership/turns/tests.rs
+++ b/src/membership/turns/tests.rs
@@ -1,4 +1,4 @@
-use super::super::election::next_step;
+use super::super::step::{ElectionObservations, next_step};
 use super::*;
 
 /// The most that `sync::jitter` makes of a pause.
@@ -14,7 +14,18 @@
     while now < pace.life * 20 {
         now += pace.look_every();
         let due = now - renewed >= pace.renew_every();
-        let step = in_turn(next_step("a", Some("a"), false, Some("b"), true, due), wrote_leader_record_last, due);
+        let step = in_turn(
+            next_step(ElectionObservations {
+                me: "a",
+                lease_holder: Some("a"),
+                lease_holder_gone: false,
+                leader: Some("b"),
+                new_fencing_token_wanted: true,
+                renewal_due: due,
+            }),
+            wrote_leader_record_last,
+            due,
+        );
         wrote_leader_record_last = step == Step::WriteLeaderRecord;
         match step {
             Step::WriteLeaderRecord => now += pace.write_timeout() + pace.retry().mul_f64(MOST_JITTER),
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::ClusterState;
+use super::cluster::ClusterState;
 use crate::jobs::JobId;
 
 /// The open ones of them, bounded however many there are.
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -5,10 +5,13 @@
 use super::cluster::ClusterState;
 use super::fairness::Account;
 use super::leader_state::LeaderState;
-use super::{PAUSE_FACTOR, plan, preempt, reservations, service_report};
+use super::{plan, preempt, reservations, service_report};
 use crate::machine_kinds::Catalog;
 use crate::periodic::Periodic;
 
+/// A plan is followed by a pause of this many times as long as it took, so that heartbeats and users are not kept
+/// waiting however much there is to plan.
+pub(super) const PAUSE_FACTOR: u32 = 4;
 /// What time alone brings about, such as the silence of a machine, is looked for this often.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A plan is made this often even if nothing has changed.
--- a/src/store/handle.rs
+++ b/src/store/handle.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use super::StateClient;
-use super::watch::ReadBarrier;
+use super::read_barrier::ReadBarrier;
 use super::watch_cache::WatchCache;
 use crate::sync::lock;
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,6 +5,7 @@
 pub mod client;
 pub mod handle;
 pub mod log_limit;
+pub mod read_barrier;
 pub mod share;
 #[cfg(test)]
 mod tests;
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,10 +1,10 @@
 //! Keeps the watch cache up to date, and proves on request that it is.
 
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::sync::jitter;
-use tracing::{debug, warn};
+use tracing::debug;
 
 use super::StoreError;
 use super::budget::RequestPriority;
@@ -12,7 +12,6 @@
 use super::handle::StateStore;
 use super::watch_cache::CacheChanges;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
-use crate::sync::lock;
 
 const WATCH: Duration = Duration::from_secs(20);
 /// Between two proofs of freshness, so that polls share them: at least this, and at least the time
@@ -22,8 +21,6 @@
 /// The same between an answer to the watch and its next question: changes come many a second.
 const WATCH_GAP: Duration = Duration::from_millis(10);
 const WATCH_COST: f64 = 4.0;
-/// A poll is waited for 2 s; past this, 503 tells its user to come again.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Without a question this long, freshness is proven all the same: it is what health, redirects and the
 /// right to answer workers go by, and a watch that hangs is noticed by it.
@@ -165,68 +162,3 @@
         }
     }
 }
-
-/// Tickets: each asker draws one, and is served by a proof begun after that.
-pub struct ReadBarrier {
-    drawn: std::sync::atomic::AtomicU64,
-    /// Wakes `run_read_barrier`: somebody waits for a proof.
-    pub wanted: tokio::sync::Notify,
-    /// The highest ticket for which a proof has succeeded.
-    pub proven: tokio::sync::watch::Sender<u64>,
-    /// The highest ticket for which a proof has failed; those who hold it or a lower one give up at once.
-    pub failed: tokio::sync::watch::Sender<u64>,
-    /// When the last proof was asked for that came.
-    last: Mutex<Option<Instant>>,
-}
-
-impl Default for ReadBarrier {
-    fn default() -> Self {
-        Self {
-            drawn: 0.into(),
-            wanted: tokio::sync::Notify::new(),
-            proven: tokio::sync::watch::channel(0).0,
-            failed: tokio::sync::watch::channel(0).0,
-            last: Mutex::default(),
-        }
-    }
-}
-
-impl ReadBarrier {
-    fn ticket(&self) -> u64 {
-        self.drawn.load(std::sync::atomic::Ordering::Relaxed)
-    }
-
-    /// All that was stored before this is known here.
-    fn proved(&self, begun: Instant) {
-        *lock(&self.last) = Some(begun);
-    }
-
-    /// This process was paused: until the next proof nothing is known to be so.
-    pub fn after_pause(&self) {
-        *lock(&self.last) = None;
-    }
-
-    /// How old what is known here may be; none if nothing is proven.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
-        lock(&self.last).map(|at| now.saturating_duration_since(at))
-    }
-
-    /// True once the watch cache holds everything stored before the call. A failure is told at once.
-    pub async fn wait(&self) -> bool {
-        let ticket = self.drawn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
-        self.wanted.notify_one();
-        let (mut proven, mut failed) = (self.proven.subscribe(), self.failed.subscribe());
-        let outcome = tokio::time::timeout(PROOF_TIMEOUT, async {
-            tokio::select! {
-                biased;
-                r = proven.wait_for(|p| *p >= ticket) => r.is_ok(),
-                _ = failed.wait_for(|f| *f >= ticket) => false,
-            }
-        })
-        .await;
-        if outcome.is_err() {
-            warn!("no proof of freshness in time");
-        }
-        outcome.unwrap_or(false)
-    }
-}
