--- a/src/audit.rs
+++ b/src/audit.rs
@@ -191,7 +191,7 @@
 fn still_expected(auditor: &Auditor, held: &Held) -> bool {
     match held {
         Held::Accepted(record) => auditor.history.ended(&record.spec.id).is_none(),
-        Held::Open(id) => auditor.store.watch_cache().open(id).is_some() && auditor.history.ended(id).is_none(),
+        Held::Open(id) => auditor.store.watch_cache().open_job(id).is_some() && auditor.history.ended(id).is_none(),
         Held::Ended(..) => true,
         Held::Shard(id, shard, version) => {
             let held = auditor.leader.cluster();
@@ -207,7 +207,7 @@
     loop {
         tokio::time::sleep(GAP.max(auditor.store.client.time_for(COST))).await;
         let batch = lock(&auditor.audit).next(most, || stored_by_leader(&auditor));
-        if batch.is_empty() || !auditor.store.watch_cache().ready {
+        if batch.is_empty() || !auditor.store.watch_cache().is_ready() {
             continue;
         }
         let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
@@ -246,7 +246,7 @@
     match held {
         Held::Accepted(record) => accept_again(auditor, record).await,
         Held::Open(id) => {
-            let record = auditor.store.watch_cache().open(id).cloned();
+            let record = auditor.store.watch_cache().open_job(id).cloned();
             match record {
                 Some(record) => accept_again(auditor, &record).await,
                 None => Ok(()),
@@ -279,7 +279,7 @@
 }
 
 async fn accept_again(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept(record, auditor.store.watch_cache().old_kept());
+    let again = accept(record, auditor.store.watch_cache().may_hold_old_jobs());
     auditor
         .store
         .client
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -25,7 +25,7 @@
 use crate::scheduling::scheduling_loop;
 use crate::settings::{Properties, Settings};
 use crate::store::handle::StateStore;
-use crate::store::{StateClient, watch};
+use crate::store::{StateClient, read_barrier, watch};
 use crate::sync::lock;
 use crate::traffic::Traffic;
 use crate::users::UserService;
@@ -161,7 +161,7 @@
     /// Starts everything but the listener for users and workers.
     pub fn start(self: &Arc<Self>) {
         tokio::spawn(watch::run(self.store.clone(), self.membership.clone()));
-        tokio::spawn(watch::run_read_barrier(self.store.clone(), self.membership.clone()));
+        tokio::spawn(read_barrier::run(self.store.clone(), self.membership.clone()));
         let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
         tokio::spawn(reader::run(Arc::new(reader)));
         tokio::spawn(sweep_loop::run(self.history.clone(), self.store.client.clone()));
@@ -198,7 +198,7 @@
             tokio::spawn(commit::run(self.group_commit.clone())).abort_handle(),
             tokio::spawn(dispatch::run(self.workers.clone())).abort_handle(),
             tokio::spawn(fleet::run(self.fleet.clone())).abort_handle(),
-            tokio::spawn(declarations::run::run(self.declarations.clone())).abort_handle(),
+            tokio::spawn(declarations::run::run_declarations(self.declarations.clone())).abort_handle(),
         ]
     }
 
@@ -209,9 +209,9 @@
         {
             let watch_cache = self.store.watch_cache();
             held.push(("open_jobs", watch_cache.open_jobs().count()));
-            held.push(("open_tasks", watch_cache.held().tasks as usize));
-            held.push(("descriptions", watch_cache.ended_kept()));
-            held.push(("declared", watch_cache.registry().entries()));
+            held.push(("open_tasks", watch_cache.open_work().tasks as usize));
+            held.push(("descriptions", watch_cache.ended_count()));
+            held.push(("declared", watch_cache.registry().entry_count()));
         }
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", self.audit.remembered()));
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -46,7 +46,7 @@
     /// Drops the counts of jobs that are not open.
     pub fn tidy_counts(&self) {
         let watch_cache = self.store.watch_cache();
-        lock(&self.heard).counts.retain(|id, _| watch_cache.open(id).is_some());
+        lock(&self.heard).counts.retain(|id, _| watch_cache.open_job(id).is_some());
     }
 
     /// Entries that are remembered of peers and workers, for display.
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -106,18 +106,18 @@
         cluster.add_job(record.clone(), now);
     }
     let mut ids = ended.ids.clone();
-    ids.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open(id).is_none()).cloned());
+    ids.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned());
     for id in &ids {
         let stored = ended.stored_ends.get(id);
         let at = scheduler.history.heard_at(id).or(stored.map(|end| end.at));
-        let earlier_revision = watch_cache.ended_after(id).or(stored.map(|end| end.earlier_revision));
+        let earlier_revision = watch_cache.revision_before_end(id).or(stored.map(|end| end.earlier_revision));
         cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
         cluster.ended_after(id, earlier_revision.unwrap_or(0));
     }
     let inherited = orders.len();
     cluster.inherit_orders(orders, now);
     cluster.finish_load(now);
-    cluster.holds_ends(watch_cache.asking());
+    cluster.holds_ends(watch_cache.watch_revision());
     scheduler.membership.took_over(cluster.known, now);
     // Before anything else is decided.
     scheduler.intents.refresh_intents(cluster, &watch_cache, now);
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -27,7 +27,7 @@
     if open_tasks(service, &id).is_none() {
         service.store.read_barrier.wait().await;
     }
-    let record = service.store.watch_cache().open(&id).cloned();
+    let record = service.store.watch_cache().open_job(&id).cloned();
     if let Some(record) = record {
         return write_cancellation(service, follow_ups, record).await;
     }
@@ -66,7 +66,7 @@
                 return moved_on(service, &id, &keys).await;
             }
             // Another leads by now: the watch cache is about to hear it.
-            service.store.read_barrier.wanted.notify_one();
+            service.store.read_barrier.request_proof();
             Reply::later("who owns has just changed")
         }
         outcome => {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -19,7 +19,7 @@
     service.membership.watermark();
     let mut visible = service.history.visible(id, end);
     if visible == Visible::Unknown {
-        let version = service.store.watch_cache().ended_by(id);
+        let version = service.store.watch_cache().revision_with_end(id);
         match version {
             Some(version) => service.history.note_cancellation(id, version),
             None => {
@@ -54,7 +54,7 @@
 
 /// The number of tasks of a job that is open, as far as the watch cache has heard.
 pub(super) fn open_tasks(service: &UserService, id: &str) -> Option<u64> {
-    service.store.watch_cache().open(id).map(|record| record.spec.tasks)
+    service.store.watch_cache().open_job(id).map(|record| record.spec.tasks)
 }
 
 /// The state of a job, no older than the moment of asking. Ends are final and told from memory;
@@ -68,7 +68,7 @@
     if let Some(end) = service.history.ended(&id) {
         return tell_end(service, &id, end).await;
     }
-    if !service.store.watch_cache().ready {
+    if !service.store.watch_cache().is_ready() {
         return Reply::later("the state service has not been read yet");
     }
     if open_tasks(service, &id).is_some() {
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -14,7 +14,7 @@
 use crate::audit::Held;
 use crate::history::moves;
 use crate::jobs::JobSpec;
-use crate::jobs::limits::can_hold;
+use crate::jobs::limits::fits_in_memory;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
@@ -59,7 +59,7 @@
             return unless_accepted(service, &named.id, refusal).await;
         }
     };
-    if !service.store.watch_cache().ready {
+    if !service.store.watch_cache().is_ready() {
         return Reply::later("the state service has not been read yet");
     }
     let id = spec.id.clone();
@@ -80,13 +80,13 @@
     let id = spec.id.clone();
     let (open, old_kept) = {
         let watch_cache = service.store.watch_cache();
-        (watch_cache.held(), watch_cache.old_kept())
+        (watch_cache.open_work(), watch_cache.may_hold_old_jobs())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
     if !can_be_kept(service, &record) {
         return unless_accepted(service, &id, Refusal::TooLarge).await;
     }
-    if !can_hold(&record.spec, open, service.settings.params.limits.memory_mb) {
+    if !fits_in_memory(&record.spec, open, service.settings.params.limits.memory_mb) {
         // A retry of a job that is already held must not be told so.
         return match look_up(service, &id).await {
             Reply::Refused(Refusal::NoSuchJob) => {
