--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -4,9 +4,9 @@
 
 use tracing::debug;
 
-use super::follow_ups::{FollowUps, Write};
-use super::lookup::{ended, look_up, moved_on, open_tasks, tell_end};
-use super::reply::Reply;
+use super::lookup::{end_response, look_up_job, open_task_count, respond_after_conflict, respond_with_end};
+use super::response::UserResponse;
+use super::write_tracker::{JobWrite, WriteTracker};
 use crate::controller::Controller;
 use crate::history::moves;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
@@ -17,65 +17,69 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
-/// A job that its user calls off.
-pub(super) async fn cancel(node: &Controller, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
-    let found = look_up(node, id).await;
+/// Cancels a job on behalf of its user.
+pub(super) async fn cancel_job(node: &Controller, write_tracker: &Arc<WriteTracker>, id: &str) -> UserResponse {
+    let found = look_up_job(node, id).await;
     if !is_open(&found) {
         return found;
     }
     let id: JobId = id.into();
-    // It may have been found open before the watch cache heard of it.
-    if open_tasks(node, &id).is_none() {
+    // The store may have told of it before the watch cache has it.
+    if open_task_count(node, &id).is_none() {
         node.store.read_barrier.wait().await;
     }
     let record = node.store.watch_cache().open(&id).cloned();
     if let Some(record) = record {
-        return write_cancellation(node, follow_ups, record).await;
+        return write_cancellation(node, write_tracker, record).await;
     }
-    let found = look_up(node, &id).await;
-    if is_open(&found) { Reply::later("the job has not been read yet") } else { found }
+    let found = look_up_job(node, &id).await;
+    if is_open(&found) { UserResponse::retry_soon("the job has not been read yet") } else { found }
 }
 
-fn is_open(found: &Reply) -> bool {
-    matches!(found, Reply::Job(_, JobAnswer { status: Status::Pending | Status::Running, .. }))
+fn is_open(found: &UserResponse) -> bool {
+    matches!(found, UserResponse::Found(JobAnswer { status: Status::Pending | Status::Running, .. }))
 }
 
-/// Writes the end of a job that was seen open, and tells its user.
-async fn write_cancellation(node: &Controller, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
+/// Writes the end of an open job, and responds once the cancellation may be reported.
+async fn write_cancellation(
+    node: &Controller,
+    write_tracker: &Arc<WriteTracker>,
+    record: Arc<JobRecord>,
+) -> UserResponse {
     let id = record.spec.id.clone();
     let leader = node.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
-    let sent = follow_ups.begin(Write::Cancellation, &record);
-    match node
+    let tracked = write_tracker.track(JobWrite::Cancellation, &record);
+    let outcome = node
         .store
         .client
         .compare_and_swap(&cancellation.conditions, &cancellation.changes, RequestPriority::Critical)
-        .await
-    {
+        .await;
+    match outcome {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
-            sent.applied();
+            tracked.applied();
             lock(&node.audit).note(Held::Ended(record, End::Cancelled));
             if leader.is_some_and(|fencing_token| node.cancelled_by_leader(&id, fencing_token)) {
-                return ended(&id, End::Cancelled);
+                return end_response(&id, End::Cancelled);
             }
             node.history.note_cancellation(&id, version);
-            tell_end(node, &id, End::Cancelled).await
+            respond_with_end(node, &id, End::Cancelled).await
         }
         Ok(CompareAndSwapOutcome::Failed(keys)) => {
-            sent.refused();
+            tracked.not_applied();
             if keys != [LEADER] {
-                return moved_on(node, &id, &keys).await;
+                return respond_after_conflict(node, &id, &keys).await;
             }
-            // Another leads by now: the watch cache is about to hear it.
+            // Another controller leads by now; the watch cache is about to receive its leader record.
             node.store.read_barrier.wanted.notify_one();
-            Reply::later("who owns has just changed")
+            UserResponse::retry_soon("who owns has just changed")
         }
         outcome => {
             if matches!(outcome, Err(StoreError::Unavailable(_))) {
-                sent.refused();
+                tracked.not_applied();
             }
-            debug!(?outcome, job = %id, "withdrawing");
-            Reply::later("the state service cannot be written")
+            debug!(?outcome, job = %id, "job cancellation failed");
+            UserResponse::retry_soon("the state service cannot be written")
         }
     }
 }
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -11,12 +11,12 @@
 use crate::machine_kinds::{Catalog, MachineType};
 use crate::settings::Settings;
 
-/// What sums of amounts may be off by.
+/// Tolerance for rounding in sums of resources.
 const ROUNDING: f64 = 1e-6;
 
 /// Why a job can never run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub(super) enum Impossible {
+pub(super) enum InfeasibleJob {
     #[error("desk: {0:?} is no known team")]
     UnknownTeam(String),
     #[error("{field}: {needed} is above the team's limit of {limit}")]
@@ -29,17 +29,17 @@
     ApartInOneZone,
 }
 
-/// Whether the job could ever run: its team, its limits, some type that holds a task, and zones for all tasks.
-pub(super) fn can_ever_run(spec: &JobSpec, settings: &Settings, catalog: &Catalog) -> Result<(), Impossible> {
+/// Checks whether the job could ever run: its team, its limits, some type that holds a task, and zones for all tasks.
+pub(super) fn check_feasible(spec: &JobSpec, settings: &Settings, catalog: &Catalog) -> Result<(), InfeasibleJob> {
     check_team(spec, settings)?;
     let zones = zones_with_room(spec, catalog);
     if zones.is_empty() {
-        return Err(Impossible::FitsNoMachineType);
+        return Err(InfeasibleJob::FitsNoMachineType);
     }
     check_zones(spec, zones.len())
 }
 
-/// How many tasks must be there at the same time.
+/// How many tasks must run at the same time.
 fn tasks_at_once(spec: &JobSpec) -> u64 {
     match spec.shape {
         Shape::Array => 1,
@@ -47,16 +47,16 @@
     }
 }
 
-fn check_team(spec: &JobSpec, settings: &Settings) -> Result<(), Impossible> {
+fn check_team(spec: &JobSpec, settings: &Settings) -> Result<(), InfeasibleJob> {
     let Some(team) = settings.team(&spec.team) else {
-        return Err(Impossible::UnknownTeam(spec.team.clone()));
+        return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
     };
     let tasks = tasks_at_once(spec) as f64;
     for (field, limit, each) in [("cpus", team.cpus_max, spec.cpus), ("accelerators", team.gpus_max, spec.gpus)] {
         let needed = tasks * each;
         // A limit of zero is none.
         if limit > 0.0 && needed > limit + ROUNDING {
-            return Err(Impossible::AboveTeamLimit { field, needed, limit });
+            return Err(InfeasibleJob::AboveTeamLimit { field, needed, limit });
         }
     }
     Ok(())
@@ -78,15 +78,15 @@
 }
 
 /// At most half of a scattered job's tasks, rounded up, may be in one zone: two zones always do.
-fn check_zones(spec: &JobSpec, zones: usize) -> Result<(), Impossible> {
+fn check_zones(spec: &JobSpec, zones: usize) -> Result<(), InfeasibleJob> {
     if !spec.spread || tasks_at_once(spec) < 2 {
         return Ok(());
     }
     if spec.same_zone {
-        return Err(Impossible::TogetherAndApart);
+        return Err(InfeasibleJob::TogetherAndApart);
     }
     if zones < 2 {
-        return Err(Impossible::ApartInOneZone);
+        return Err(InfeasibleJob::ApartInOneZone);
     }
     Ok(())
 }
--- a/src/users/feasibility/tests.rs
+++ b/src/users/feasibility/tests.rs
@@ -31,6 +31,6 @@
     for (name, change, good) in cases {
         let mut job = spec();
         change(&mut job);
-        assert_eq!(can_ever_run(&job, &example(), &catalog).is_ok(), good, "{name}");
+        assert_eq!(check_feasible(&job, &example(), &catalog).is_ok(), good, "{name}");
     }
 }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -1,8 +1,8 @@
-//! Answers to questions about a job: its status as far as it may be reported to users.
+//! Status of a job, as far as it may be reported to users.
 
 use tracing::debug;
 
-use super::reply::{Refusal, Reply};
+use super::response::{RequestError, UserResponse};
 use crate::controller::Controller;
 use crate::history::moves::end_among;
 use crate::history::query_queue::Verdict;
@@ -10,89 +10,91 @@
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::protocol::users::{JobAnswer, Status};
 
-/// Stored, and hidden until the leader is known to have it (`history::visibility`).
+/// The cancellation is stored, and hidden until the leader is known to have it (`history::visibility`).
 const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
 
-/// An end as its users may hear it: a cancellation only once the leader has it. Every path that tells of an end
-/// goes through here.
-pub(super) async fn tell_end(node: &Controller, id: &JobId, end: End) -> Reply {
+/// Reports an end: a cancellation only once the leader has it. Every path that reports an end goes through here.
+pub(super) async fn respond_with_end(node: &Controller, id: &JobId, end: End) -> UserResponse {
     node.watermark();
     let mut visible = node.history.visible(id, end);
     if visible == Visible::Unknown {
-        let version = node.store.watch_cache().ended_by(id);
-        match version {
-            Some(version) => node.history.note_cancellation(id, version),
-            None => {
-                if let Err(error) = node.history.learn_version(&node.store.client, id).await {
-                    debug!(%error, job = %id, "asking when it was withdrawn");
-                }
-            }
-        }
+        learn_cancellation_version(node, id).await;
         visible = node.history.visible(id, end);
     }
     match visible {
-        Visible::Yes => ended(id, end),
-        Visible::NotYet | Visible::Unknown => Reply::later(UNCONFIRMED),
+        Visible::Yes => end_response(id, end),
+        Visible::NotYet | Visible::Unknown => UserResponse::retry_soon(UNCONFIRMED),
+    }
+}
+
+/// Finds out at which revision the job was cancelled: from the watch cache, or else from the store.
+async fn learn_cancellation_version(node: &Controller, id: &JobId) {
+    let version = node.store.watch_cache().ended_by(id);
+    if let Some(version) = version {
+        node.history.note_cancellation(id, version);
+    } else if let Err(error) = node.history.learn_version(&node.store.client, id).await {
+        debug!(%error, job = %id, "cancellation revision lookup failed");
     }
 }
 
-/// An end that may be told.
-pub(super) fn ended(id: &str, end: End) -> Reply {
+/// The response for an end that may be reported.
+pub(super) fn end_response(id: &str, end: End) -> UserResponse {
     let status = match end {
         End::Done => Status::Done,
         End::Cancelled => Status::Cancelled,
     };
-    Reply::Job(200, JobAnswer { id: id.to_owned(), status, done: 0, running: 0 })
+    UserResponse::Found(JobAnswer { id: id.to_owned(), status, done: 0, running: 0 })
 }
 
-/// An open job; its counts are for display and may run ahead of what is stored.
-fn open(node: &Controller, id: &JobId, tasks: u64) -> Reply {
+/// The response for an open job. Its counts are for display and may be ahead of what is stored.
+fn open_response(node: &Controller, id: &JobId, tasks: u64) -> UserResponse {
     let counts = node.counts(id);
     let status = if counts.running > 0 { Status::Running } else { Status::Pending };
-    Reply::Job(200, JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
+    UserResponse::Found(JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
-/// The number of tasks of a job that is open, as far as the watch cache has heard.
-pub(super) fn open_tasks(node: &Controller, id: &str) -> Option<u64> {
+/// The number of tasks of an open job, if the watch cache has it.
+pub(super) fn open_task_count(node: &Controller, id: &str) -> Option<u64> {
     node.store.watch_cache().open(id).map(|record| record.spec.tasks)
 }
 
-/// The state of a job, no older than the moment of asking. Ends are final and told from memory;
-/// an open job is told from the watch cache once that is proven fresh; all else the store is asked for,
-/// which looks at every key that the job may have at one moment.
-pub(super) async fn look_up(node: &Controller, id: &str) -> Reply {
+/// The status of a job, no older than the request. Ends are final and reported from memory; an open job is reported
+/// from the watch cache after a read barrier. For everything else the store is asked, in one read of every key that the
+/// job may have.
+pub(super) async fn look_up_job(node: &Controller, id: &str) -> UserResponse {
     if !well_formed_id(id) {
-        return Reply::Refused(Refusal::NoSuchJob);
+        return UserResponse::Rejected(RequestError::NoSuchJob);
     }
     let id: JobId = id.into();
     if let Some(end) = node.history.ended(&id) {
-        return tell_end(node, &id, end).await;
+        return respond_with_end(node, &id, end).await;
     }
     if !node.store.watch_cache().ready {
-        return Reply::later("the state service has not been read yet");
+        return UserResponse::retry_soon("the state service has not been read yet");
     }
-    if open_tasks(node, &id).is_some() {
+    if open_task_count(node, &id).is_some() {
         if !node.store.read_barrier.wait().await {
-            return Reply::later("the state service cannot be asked");
+            return UserResponse::retry_soon("the state service cannot be asked");
         }
-        if let Some(tasks) = open_tasks(node, &id) {
-            return open(node, &id, tasks);
+        if let Some(tasks) = open_task_count(node, &id) {
+            return open_response(node, &id, tasks);
         }
-        // It has ended in between: how, the store says.
+        // It has ended meanwhile; the store tells how.
     }
     match node.history.ask(&id).await {
-        Verdict::Ended(end) => tell_end(node, &id, end).await,
-        Verdict::Never => Reply::Refused(Refusal::NoSuchJob),
-        // Accepted so lately that the watch cache has not heard.
-        Verdict::Open => open(node, &id, u64::MAX),
-        Verdict::Later => Reply::later("the state service cannot be asked, or too much is asked at once"),
+        Verdict::Ended(end) => respond_with_end(node, &id, end).await,
+        Verdict::Never => UserResponse::Rejected(RequestError::NoSuchJob),
+        // Accepted so recently that the watch cache does not have it.
+        Verdict::Open => open_response(node, &id, u64::MAX),
+        Verdict::Later => UserResponse::retry_soon("the state service cannot be asked, or too much is asked at once"),
     }
 }
 
-/// A transaction found the job further on; an end among the failed keys needs no question.
-pub(super) async fn moved_on(node: &Controller, id: &JobId, keys: &[String]) -> Reply {
+/// The status of a job after a compare-and-swap found it changed. If the failed keys show an end, that is recorded and
+/// the store need not be asked.
+pub(super) async fn respond_after_conflict(node: &Controller, id: &JobId, keys: &[String]) -> UserResponse {
     if let Some(end) = end_among(keys, id) {
         node.history.note_end(id, end);
     }
-    look_up(node, id).await
+    look_up_job(node, id).await
 }
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -1,16 +1,15 @@
 //! The API that users, workers and health checks call.
 //!
-//! `routes` is the framework's side, with one handler per path. `submission` parses, checks and writes a job,
-//! `feasibility` says whether it could ever run, `lookup` tells what its users may hear of it, and `cancellation` ends
-//! it.
-//! `follow_ups` finds out what became of writes that were not answered, and `reply` holds the answers to users.
+//! `routes` maps paths to request handlers. `submission` decodes, checks and writes a job, `feasibility` tells whether it
+//! could ever run, `lookup` reports the status of a job, and `cancellation` ends it. `write_tracker` finds out the
+//! outcome of writes that were not answered, and `response` holds the responses to users.
 
 mod cancellation;
 mod feasibility;
-mod follow_ups;
 mod lookup;
-mod reply;
+mod response;
 mod routes;
 mod submission;
+mod write_tracker;
 
 pub use routes::{bind, router, serve};
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that users, workers and health checks call: the framework's side.
+//! The routes that users, workers and health checks call, on the web framework.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 use salvo::prelude::*;
 use tracing::info;
 
-use super::cancellation::cancel;
-use super::follow_ups::FollowUps;
-use super::lookup::look_up;
-use super::reply::{COME_AGAIN_S, Refusal, Reply};
-use super::submission::submit;
+use super::cancellation::cancel_job;
+use super::lookup::look_up_job;
+use super::response::{RETRY_SOON_S, RequestError, UserResponse};
+use super::submission::submit_job;
+use super::write_tracker::WriteTracker;
 use crate::controller::Controller;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
 use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
-/// The framework's side: one handler per path.
-struct Handle {
+/// Handles the requests of one endpoint.
+struct RequestHandler {
     node: Arc<Controller>,
-    follow_ups: Arc<FollowUps>,
-    path: Path,
+    write_tracker: Arc<WriteTracker>,
+    path: Endpoint,
 }
 
-/// What a handler serves.
+/// The endpoints of the API.
 #[derive(Clone, Copy)]
-enum Path {
+enum Endpoint {
     Submit,
     LookUp,
     Cancel,
@@ -34,14 +34,14 @@
     Heartbeat,
 }
 
-fn come_again(res: &mut Response, after_s: u64) {
+fn set_retry_after(res: &mut Response, after_s: u64) {
     let _ = res.add_header("retry-after", after_s.to_string(), true);
 }
 
 fn render(res: &mut Response, status: u16, body: Vec<u8>) {
     res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     if status == 503 {
-        come_again(res, COME_AGAIN_S);
+        set_retry_after(res, RETRY_SOON_S);
     }
     if !body.is_empty() {
         let _ = res.add_header("content-type", "application/msgpack", true);
@@ -49,24 +49,25 @@
     }
 }
 
-/// The answer to a user.
-fn render_reply(node: &Controller, res: &mut Response, reply: Reply) {
-    let later = matches!(reply, Reply::Later { .. });
+/// Writes a response to a user.
+fn render_user_response(node: &Controller, res: &mut Response, response: UserResponse) {
+    let later = matches!(response, UserResponse::RetryLater { .. });
     node.traffic.count(if later { Passage::Later } else { Passage::Answered });
-    match reply {
-        Reply::Job(status, job) => render(res, status, protocol::encode(&job)),
-        Reply::Refused(refusal) => {
-            let problem = serde_json::json!({"error": refusal.to_string()});
-            render(res, refusal.status(), protocol::encode(&problem));
+    match response {
+        UserResponse::Found(job) => render(res, 200, protocol::encode(&job)),
+        UserResponse::Created(job) => render(res, 201, protocol::encode(&job)),
+        UserResponse::Rejected(error) => {
+            let body = serde_json::json!({"error": error.to_string()});
+            render(res, error.status(), protocol::encode(&body));
         }
-        Reply::Later { why, after_s } => {
-            render(res, 503, protocol::encode(&serde_json::json!({"error": why})));
-            come_again(res, after_s);
+        UserResponse::RetryLater { reason, after_s } => {
+            render(res, 503, protocol::encode(&serde_json::json!({"error": reason})));
+            set_retry_after(res, after_s);
         }
     }
 }
 
-/// The answer to a worker's heartbeat.
+/// Writes the response to a worker's heartbeat.
 fn render_heartbeat_response(node: &Controller, res: &mut Response, response: HeartbeatResponse) {
     match response {
         HeartbeatResponse::Commands(commands) => {
@@ -86,50 +87,54 @@
 }
 
 #[async_trait]
-impl Handler for Handle {
+impl Handler for RequestHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let node = &self.node;
         let id = req.param::<String>("id").unwrap_or_default();
         let body = match self.path {
-            Path::Submit | Path::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
+            Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
-                    return render_reply(node, res, Reply::Refused(Refusal::Unreadable(error.to_string())));
+                    return render_user_response(
+                        node,
+                        res,
+                        UserResponse::Rejected(RequestError::UnreadableBody(error.into())),
+                    );
                 }
             },
             _ => Default::default(),
         };
         match self.path {
-            Path::Submit => render_reply(node, res, submit(node, &self.follow_ups, &body).await),
-            // Its user has given up and asks again: told so without work for it.
-            Path::LookUp if node.stale_question() => {
-                render_reply(node, res, Reply::later("this controller was paused"))
+            Endpoint::Submit => render_user_response(node, res, submit_job(node, &self.write_tracker, &body).await),
+            // The user has given up waiting and asks again, so that this request is not looked up.
+            Endpoint::LookUp if node.stale_question() => {
+                render_user_response(node, res, UserResponse::retry_soon("this controller was paused"))
             }
-            Path::LookUp => render_reply(node, res, look_up(node, &id).await),
-            Path::Cancel => render_reply(node, res, cancel(node, &self.follow_ups, &id).await),
-            Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Heartbeat => render_heartbeat_response(node, res, handle_heartbeat(node, &body)),
+            Endpoint::LookUp => render_user_response(node, res, look_up_job(node, &id).await),
+            Endpoint::Cancel => render_user_response(node, res, cancel_job(node, &self.write_tracker, &id).await),
+            Endpoint::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
+            Endpoint::Heartbeat => render_heartbeat_response(node, res, handle_heartbeat(node, &body)),
         }
     }
 }
 
 /// All routes of one controller.
 pub fn router(node: &Arc<Controller>) -> Router {
-    let follow_ups = FollowUps::new(node.clone());
-    let handle = |path| Handle { node: node.clone(), follow_ups: follow_ups.clone(), path };
+    let write_tracker = WriteTracker::new(node.clone());
+    let handle = |path| RequestHandler { node: node.clone(), write_tracker: write_tracker.clone(), path };
     Router::new()
         .push(
-            Router::with_path("work").post(handle(Path::Submit)).push(
+            Router::with_path("work").post(handle(Endpoint::Submit)).push(
                 Router::with_path("{id}")
-                    .get(handle(Path::LookUp))
-                    .push(Router::with_path("withdraw").post(handle(Path::Cancel))),
+                    .get(handle(Endpoint::LookUp))
+                    .push(Router::with_path("withdraw").post(handle(Endpoint::Cancel))),
             ),
         )
-        .push(Router::with_path("healthz").get(handle(Path::Health)))
-        .push(Router::with_path("v1/report").post(handle(Path::Heartbeat)))
+        .push(Router::with_path("healthz").get(handle(Endpoint::Health)))
+        .push(Router::with_path("v1/report").post(handle(Endpoint::Heartbeat)))
 }
 
-/// Takes the address, which no other process has from then on.
+/// Binds the address, which no other process has from then on.
 pub async fn bind(node: &Controller) -> std::io::Result<TcpAcceptor> {
     TcpListener::new(node.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
 }
@@ -137,7 +142,7 @@
 /// Serves until the process is killed.
 pub async fn serve(node: Arc<Controller>, acceptor: TcpAcceptor) -> std::io::Result<()> {
     let router = router(&node);
-    info!(addr = node.settings.listen, "serving");
+    info!(address = node.settings.listen, "API listener started");
     Server::new(acceptor).serve(router).await;
     Ok(())
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: parsed, checked and written.
+//! Submissions: decoded, checked and written.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use tracing::debug;
 
-use super::feasibility::can_ever_run;
-use super::follow_ups::{FollowUps, Write};
-use super::lookup::{look_up, moved_on, open_tasks};
-use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
+use super::feasibility::check_feasible;
+use super::lookup::{look_up_job, open_task_count, respond_after_conflict};
+use super::response::{RETRY_WHEN_JOBS_END_S, RequestError, UserResponse};
+use super::write_tracker::{JobWrite, WriteTracker};
 use crate::controller::Controller;
 use crate::history::moves;
 use crate::jobs::JobSpec;
@@ -22,151 +22,166 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
-/// Tries at a write that the limits refused, before its user is told to come again.
-const RETRIES: u32 = 2;
-/// Between two of them.
+/// Attempts at a write that the store's rate limit refuses, before the user is told to retry.
+const WRITE_ATTEMPTS: u32 = 2;
+/// Pause between two of them.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
+/// The status of a request that the store refuses because of its rate limit.
+const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Which job a submission speaks of, whatever else is wrong with it.
+/// The job that a submission names, whatever else is wrong with it.
 #[derive(Deserialize)]
-struct Named {
+struct SubmittedId {
     #[serde(rename = "uid")]
     id: String,
 }
 
-/// A submission that is refused for good, unless its job was accepted: that stays so, whoever accepted it and
-/// whatever its repeat says.
-async fn unless_accepted(node: &Controller, id: &str, refusal: Refusal) -> Reply {
-    match look_up(node, id).await {
-        Reply::Refused(Refusal::NoSuchJob) => Reply::Refused(refusal),
+/// Refuses a submission for good, unless its job was accepted before: that is final, whichever controller accepted it
+/// and whatever a repeated request says.
+async fn refuse_unless_accepted(node: &Controller, id: &str, error: RequestError) -> UserResponse {
+    match look_up_job(node, id).await {
+        UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::Rejected(error),
         other => other,
     }
 }
 
-/// A body that describes a job, whatever machines and teams there are.
-fn parse(body: &[u8]) -> Result<JobSpec, Refusal> {
+/// Decodes a job and checks what does not depend on machines and teams.
+fn decode_submission(body: &[u8]) -> Result<JobSpec, RequestError> {
     let spec: JobSpec = protocol::decode_whole(body)?;
     spec.check()?;
     Ok(spec)
 }
 
-/// A job as its user sends it, for the first time or again.
-pub(super) async fn submit(node: &Controller, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
-    let spec = match parse(body) {
+/// Handles a submission, which may be a repeated request.
+pub(super) async fn submit_job(node: &Controller, write_tracker: &Arc<WriteTracker>, body: &[u8]) -> UserResponse {
+    let spec = match decode_submission(body) {
         Ok(spec) => spec,
-        Err(refusal) => {
-            let Ok(named) = protocol::decode::<Named>(body) else { return Reply::Refused(refusal) };
-            return unless_accepted(node, &named.id, refusal).await;
+        Err(error) => {
+            let Ok(submitted) = protocol::decode::<SubmittedId>(body) else { return UserResponse::Rejected(error) };
+            return refuse_unless_accepted(node, &submitted.id, error).await;
         }
     };
     if !node.store.watch_cache().ready {
-        return Reply::later("the state service has not been read yet");
+        return UserResponse::retry_soon("the state service has not been read yet");
     }
     let id = spec.id.clone();
-    if open_tasks(node, &id).is_some() || node.history.ended(&id).is_some() {
-        return look_up(node, &id).await;
+    if open_task_count(node, &id).is_some() || node.history.ended(&id).is_some() {
+        return look_up_job(node, &id).await;
     }
     let Some(catalog) = node.catalog.get() else {
-        return Reply::later("the machine types are not known yet");
+        return UserResponse::retry_soon("the machine types are not known yet");
     };
-    if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
-        return unless_accepted(node, &id, impossible.into()).await;
+    if let Err(infeasible) = check_feasible(&spec, &node.settings, &catalog) {
+        return refuse_unless_accepted(node, &id, infeasible.into()).await;
     }
-    accept(node, follow_ups, spec).await
+    accept_job(node, write_tracker, spec).await
 }
 
-/// A job that could run is accepted, if there is room for one more and its turn has come.
-async fn accept(node: &Controller, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
+/// Accepts a feasible job, if there is capacity for one more open job and admission control lets it in.
+async fn accept_job(node: &Controller, write_tracker: &Arc<WriteTracker>, spec: JobSpec) -> UserResponse {
     let id = spec.id.clone();
     let (open, old_kept) = {
         let watch_cache = node.store.watch_cache();
         (watch_cache.held(), watch_cache.old_kept())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
-    if !can_be_kept(node, &record) {
-        return unless_accepted(node, &id, Refusal::TooLarge).await;
+    if !fits_in_store(node, &record) {
+        return refuse_unless_accepted(node, &id, RequestError::JobTooLarge).await;
     }
     if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
-        // A retry of a job that is already held must not be told so.
-        return match look_up(node, &id).await {
-            Reply::Refused(Refusal::NoSuchJob) => {
-                Reply::Later { why: "more work is open than can be held", after_s: COME_AGAIN_LATER_S }
-            }
+        // A repeated request for a job that was accepted gets its status instead.
+        return match look_up_job(node, &id).await {
+            UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::RetryLater {
+                reason: "more work is open than can be held",
+                after_s: RETRY_WHEN_JOBS_END_S,
+            },
             other => other,
         };
     }
-    let admitted = match admit(node, &record.spec) {
-        Ok(admitted) => admitted,
-        // At once, without a question to the store; a retry of a job that is held is told later.
-        Err(after_s) => return Reply::Later { why: "too many jobs are submitted at once", after_s },
+    let ticket = match admit_submission(node, &record.spec) {
+        Ok(ticket) => ticket,
+        // At once, without asking the store; a repeated request for a job that was accepted has to retry as well.
+        Err(busy) => {
+            return UserResponse::RetryLater {
+                reason: "too many jobs are submitted at once",
+                after_s: busy.retry_after_s,
+            };
+        }
     };
-    let reply = write_acceptance(node, follow_ups, Arc::new(record), old_kept).await;
-    drop(admitted);
-    reply
+    let response = write_acceptance(node, write_tracker, Arc::new(record), old_kept).await;
+    drop(ticket);
+    response
 }
 
-/// Whether the store takes a value of this size, for ever.
-fn can_be_kept(node: &Controller, record: &JobRecord) -> bool {
+/// Whether the job's record, with what its end adds to it, stays within the store's limit on a value.
+fn fits_in_store(node: &Controller, record: &JobRecord) -> bool {
     let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
     size as f64 <= node.settings.params.state.value_kb * 1024.0
 }
 
-/// Whether the job's turn has come, or after how many seconds its user is to come again.
-fn admit<'a>(node: &'a Controller, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
+/// Admission control does not let a submission in now.
+struct Busy {
+    retry_after_s: u64,
+}
+
+/// Passes admission control, or tells after how many seconds the user is to retry.
+fn admit_submission<'a>(node: &'a Controller, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
     let mut admission = lock(&node.admission);
     let (wait, per_second) = node.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
-    admission.admit(spec, wait, per_second, rand::random(), Instant::now())?;
-    Ok(Admitted { node, spec: spec.clone() })
+    admission
+        .admit(spec, wait, per_second, rand::random(), Instant::now())
+        .map_err(|retry_after_s| Busy { retry_after_s })?;
+    Ok(AdmissionTicket { node, spec: spec.clone() })
 }
 
-/// Leaves admission control whatever becomes of the request.
-struct Admitted<'a> {
+/// A submission that was admitted. Leaves admission control when dropped, whatever becomes of the request.
+struct AdmissionTicket<'a> {
     node: &'a Controller,
     spec: JobSpec,
 }
 
-impl Drop for Admitted<'_> {
+impl Drop for AdmissionTicket<'_> {
     fn drop(&mut self) {
         lock(&self.node.admission).leave(&self.spec);
     }
 }
 
-/// Writes a job where there is none, and tells its user.
+/// Writes a job unless it exists, and responds.
 async fn write_acceptance(
     node: &Controller,
-    follow_ups: &Arc<FollowUps>,
+    write_tracker: &Arc<WriteTracker>,
     record: Arc<JobRecord>,
     old_kept: bool,
-) -> Reply {
+) -> UserResponse {
     let id = record.spec.id.clone();
     let accept = moves::accept(&record, old_kept);
-    for _ in 0..RETRIES {
-        let sent = follow_ups.begin(Write::Acceptance, &record);
+    for _ in 0..WRITE_ATTEMPTS {
+        let tracked = write_tracker.track(JobWrite::Acceptance, &record);
         match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical).await {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
-                sent.applied();
+                tracked.applied();
                 lock(&node.audit).note(Held::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
-                return Reply::Job(201, job);
+                return UserResponse::Created(job);
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
-                sent.refused();
-                return moved_on(node, &id, &keys).await;
+                tracked.not_applied();
+                return respond_after_conflict(node, &id, &keys).await;
             }
-            Err(StoreError::Unavailable(429)) => {
-                sent.refused();
+            Err(StoreError::Unavailable(TOO_MANY_REQUESTS)) => {
+                tracked.not_applied();
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
             Err(StoreError::Unavailable(status)) => {
-                sent.refused();
-                debug!(status, job = %id, "accepting");
-                return Reply::later("the state service cannot be written");
+                tracked.not_applied();
+                debug!(status, job = %id, "job acceptance refused by the store");
+                return UserResponse::retry_soon("the state service cannot be written");
             }
             outcome => {
-                debug!(?outcome, job = %id, "accepting");
-                return Reply::later("the state service cannot be written");
+                debug!(?outcome, job = %id, "job acceptance unanswered");
+                return UserResponse::retry_soon("the state service cannot be written");
             }
         }
     }
-    Reply::later("too many changes at once")
+    UserResponse::retry_soon("too many changes at once")
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -525,11 +525,11 @@
 }
 
 fn accepted_line(n: u64) -> String {
-    format!("accepted job={} team=\"blue\" class=\"f\" tasks=1", id(n))
+    format!("job accepted job={} team=blue class=f tasks=1", id(n))
 }
 
 fn cancelled_line(n: u64) -> String {
-    format!("withdrawn job={}", id(n))
+    format!("job cancelled job={}", id(n))
 }
 
 impl Stage {
