--- a/src/controller/news.rs
+++ b/src/membership/cache_changes.rs
@@ -3,22 +3,22 @@
 
 use std::time::Instant;
 
-use super::Controller;
-use crate::declarations::driver;
-use crate::declarations::table::KINDS;
+use super::Membership;
+use crate::history::upgrade;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
-use crate::scheduling::ClusterState;
-use crate::store::watch_cache::{CacheChanges, WatchCache};
+use crate::store::StoreError;
+use crate::store::watch::WatchObserver;
+use crate::store::watch_cache::CacheChanges;
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// Hands what the watch cache learned to whoever acts on it.
-    pub fn spread(&self, news: CacheChanges) {
+    pub(super) fn apply_cache_changes(&self, news: CacheChanges) {
         if news.is_empty() {
             let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
             if let Some(cluster) = held.as_mut() {
-                cluster.holds_ends(watch_cache.asking());
+                cluster.holds_ends(watch_cache.watch_revision());
             }
             return;
         }
@@ -35,7 +35,7 @@
         }
         {
             let mut served = self.leader.accounting();
-            for record in news.opened.iter().filter_map(|id| watch_cache.open(id)) {
+            for record in news.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
                 served.offered(&record.spec, record.age(now_ms), now);
             }
             for id in &news.ended {
@@ -48,7 +48,7 @@
         let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
             for id in &news.opened {
-                if let Some(record) = watch_cache.open(id) {
+                if let Some(record) = watch_cache.open_job(id) {
                     cluster.add_job(record.clone(), now);
                 }
             }
@@ -57,26 +57,36 @@
                 cluster.end_job(id, how, now);
                 // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
                 if how != Some(End::Done) {
-                    lock(&self.unconfirmed).heard(watch_cache.ended_by(id).unwrap_or(watch_cache.revision), now);
+                    lock(&self.unconfirmed)
+                        .heard(watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision()), now);
                     self.wakeups.mesh.send_replace(());
                 }
             }
-            cluster.holds_ends(watch_cache.asking());
+            cluster.holds_ends(watch_cache.watch_revision());
             self.wakeups.plan.notify_one();
             self.wakeups.dispatch.notify_one();
         }
     }
+}
 
-    /// What is declared asks something of jobs that have just come, before they are placed.
-    pub fn refresh_intents(&self, now: Instant) {
-        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        if let Some(cluster) = held.as_mut().filter(|b| b.intents_due) {
-            self.intents_of(cluster, &watch_cache, now);
-        }
+impl WatchObserver for Membership {
+    fn cache_changed(&self, changes: CacheChanges) {
+        self.apply_cache_changes(changes);
+    }
+
+    fn cache_proven(&self) {
+        self.proven();
+    }
+
+    fn process_pauses(&self) -> u64 {
+        self.pauses()
+    }
+
+    fn leads(&self) -> bool {
+        self.leader.leads()
     }
 
-    /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
-    pub fn intents_of(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
-        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+    async fn upgrade_stored_data(&self) -> Result<(), StoreError> {
+        upgrade::run(&self.store.client).await
     }
 }
--- a/src/controller/serving_state.rs
+++ b/src/membership/judgement.rs
@@ -4,11 +4,11 @@
 
 use tracing::warn;
 
-use super::Controller;
-use crate::membership::serving_state::{Observations, Patience, ServingState};
+use super::Membership;
+use super::serving_state::{Observations, Patience, ServingState};
 use crate::sync::lock;
 
-impl Controller {
+impl Membership {
     /// Whether the state service has lately answered anything.
     pub fn store_serves(&self) -> bool {
         self.store.client.health().failing_for(Instant::now()) < Duration::from_secs(2)
@@ -25,7 +25,7 @@
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        self.store.watch_cache().ready
+        self.store.watch_cache().is_ready()
             && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
@@ -35,7 +35,7 @@
         let proving = self.unproven() && self.store_serves();
         let read = {
             let watch_cache = self.store.watch_cache();
-            watch_cache.ready || watch_cache.revision > 0
+            watch_cache.is_ready() || watch_cache.revision() > 0
         };
         let now = Instant::now();
         lock(&self.health).judge(read && !proving && self.catalog.get().is_some(), self.observations(now), now)
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -6,33 +6,32 @@
 
 use super::lookup::{end_response, look_up_job, open_task_count, respond_after_conflict, respond_with_end};
 use super::response::UserResponse;
+use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
-use crate::controller::Controller;
+use crate::audit::Held;
 use crate::history::moves;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::protocol::users::{JobAnswer, Status};
-use crate::store::audit::Held;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
-use crate::sync::lock;
 
 /// Cancels a job on behalf of its user.
-pub(super) async fn cancel_job(node: &Controller, write_tracker: &Arc<WriteTracker>, id: &str) -> UserResponse {
-    let found = look_up_job(node, id).await;
+pub(super) async fn cancel_job(service: &UserService, write_tracker: &Arc<WriteTracker>, id: &str) -> UserResponse {
+    let found = look_up_job(service, id).await;
     if !is_open(&found) {
         return found;
     }
     let id: JobId = id.into();
     // The store may have told of it before the watch cache has it.
-    if open_task_count(node, &id).is_none() {
-        node.store.read_barrier.wait().await;
+    if open_task_count(service, &id).is_none() {
+        service.store.read_barrier.wait().await;
     }
-    let record = node.store.watch_cache().open(&id).cloned();
+    let record = service.store.watch_cache().open_job(&id).cloned();
     if let Some(record) = record {
-        return write_cancellation(node, write_tracker, record).await;
+        return write_cancellation(service, write_tracker, record).await;
     }
-    let found = look_up_job(node, &id).await;
+    let found = look_up_job(service, &id).await;
     if is_open(&found) { UserResponse::retry_soon("the job has not been read yet") } else { found }
 }
 
@@ -42,15 +41,15 @@
 
 /// Writes the end of an open job, and responds once the cancellation may be reported.
 async fn write_cancellation(
-    node: &Controller,
+    service: &UserService,
     write_tracker: &Arc<WriteTracker>,
     record: Arc<JobRecord>,
 ) -> UserResponse {
     let id = record.spec.id.clone();
-    let leader = node.cancels_under();
+    let leader = service.membership.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
     let tracked = write_tracker.track(JobWrite::Cancellation, &record);
-    let outcome = node
+    let outcome = service
         .store
         .client
         .compare_and_swap(&cancellation.conditions, &cancellation.changes, RequestPriority::Critical)
@@ -58,20 +57,20 @@
     match outcome {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             tracked.applied();
-            lock(&node.audit).note(Held::Ended(record, End::Cancelled));
-            if leader.is_some_and(|fencing_token| node.cancelled_by_leader(&id, fencing_token)) {
+            service.audit.note(Held::Ended(record, End::Cancelled));
+            if leader.is_some_and(|fencing_token| service.membership.cancelled_by_leader(&id, fencing_token)) {
                 return end_response(&id, End::Cancelled);
             }
-            node.history.note_cancellation(&id, version);
-            respond_with_end(node, &id, End::Cancelled).await
+            service.history.note_cancellation(&id, version);
+            respond_with_end(service, &id, End::Cancelled).await
         }
         Ok(CompareAndSwapOutcome::Failed(keys)) => {
             tracked.not_applied();
             if keys != [LEADER] {
-                return respond_after_conflict(node, &id, &keys).await;
+                return respond_after_conflict(service, &id, &keys).await;
             }
             // Another controller leads by now; the watch cache is about to receive its leader record.
-            node.store.read_barrier.wanted.notify_one();
+            service.store.read_barrier.request_proof();
             UserResponse::retry_soon("who owns has just changed")
         }
         outcome => {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -3,7 +3,7 @@
 use tracing::debug;
 
 use super::response::{RequestError, UserResponse};
-use crate::controller::Controller;
+use super::service::UserService;
 use crate::history::moves::end_among;
 use crate::history::query_queue::Verdict;
 use crate::history::visibility::Visible;
@@ -14,12 +14,12 @@
 const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
 
 /// Reports an end: a cancellation only once the leader has it. Every path that reports an end goes through here.
-pub(super) async fn respond_with_end(node: &Controller, id: &JobId, end: End) -> UserResponse {
-    node.watermark();
-    let mut visible = node.history.visible(id, end);
+pub(super) async fn respond_with_end(service: &UserService, id: &JobId, end: End) -> UserResponse {
+    service.membership.watermark();
+    let mut visible = service.history.visible(id, end);
     if visible == Visible::Unknown {
-        learn_cancellation_version(node, id).await;
-        visible = node.history.visible(id, end);
+        learn_cancellation_version(service, id).await;
+        visible = service.history.visible(id, end);
     }
     match visible {
         Visible::Yes => end_response(id, end),
@@ -28,11 +28,11 @@
 }
 
 /// Finds out at which revision the job was cancelled: from the watch cache, or else from the store.
-async fn learn_cancellation_version(node: &Controller, id: &JobId) {
-    let version = node.store.watch_cache().ended_by(id);
+async fn learn_cancellation_version(service: &UserService, id: &JobId) {
+    let version = service.store.watch_cache().revision_with_end(id);
     if let Some(version) = version {
-        node.history.note_cancellation(id, version);
-    } else if let Err(error) = node.history.learn_version(&node.store.client, id).await {
+        service.history.note_cancellation(id, version);
+    } else if let Err(error) = service.history.learn_version(&service.store.client, id).await {
         debug!(%error, job = %id, "cancellation revision lookup failed");
     }
 }
@@ -47,54 +47,54 @@
 }
 
 /// The response for an open job. Its counts are for display and may be ahead of what is stored.
-fn open_response(node: &Controller, id: &JobId, tasks: u64) -> UserResponse {
-    let counts = node.counts(id);
+fn open_response(service: &UserService, id: &JobId, tasks: u64) -> UserResponse {
+    let counts = service.membership.counts(id);
     let status = if counts.running > 0 { Status::Running } else { Status::Pending };
     UserResponse::Found(JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
 /// The number of tasks of an open job, if the watch cache has it.
-pub(super) fn open_task_count(node: &Controller, id: &str) -> Option<u64> {
-    node.store.watch_cache().open(id).map(|record| record.spec.tasks)
+pub(super) fn open_task_count(service: &UserService, id: &str) -> Option<u64> {
+    service.store.watch_cache().open_job(id).map(|record| record.spec.tasks)
 }
 
 /// The status of a job, no older than the request. Ends are final and reported from memory; an open job is reported
 /// from the watch cache after a read barrier. For everything else the store is asked, in one read of every key that the
 /// job may have.
-pub(super) async fn look_up_job(node: &Controller, id: &str) -> UserResponse {
+pub(super) async fn look_up_job(service: &UserService, id: &str) -> UserResponse {
     if !well_formed_id(id) {
         return UserResponse::Rejected(RequestError::NoSuchJob);
     }
     let id: JobId = id.into();
-    if let Some(end) = node.history.ended(&id) {
-        return respond_with_end(node, &id, end).await;
+    if let Some(end) = service.history.ended(&id) {
+        return respond_with_end(service, &id, end).await;
     }
-    if !node.store.watch_cache().ready {
+    if !service.store.watch_cache().is_ready() {
         return UserResponse::retry_soon("the state service has not been read yet");
     }
-    if open_task_count(node, &id).is_some() {
-        if !node.store.read_barrier.wait().await {
+    if open_task_count(service, &id).is_some() {
+        if !service.store.read_barrier.wait().await {
             return UserResponse::retry_soon("the state service cannot be asked");
         }
-        if let Some(tasks) = open_task_count(node, &id) {
-            return open_response(node, &id, tasks);
+        if let Some(tasks) = open_task_count(service, &id) {
+            return open_response(service, &id, tasks);
         }
         // It has ended meanwhile; the store tells how.
     }
-    match node.history.ask(&id).await {
-        Verdict::Ended(end) => respond_with_end(node, &id, end).await,
+    match service.history.ask(&id).await {
+        Verdict::Ended(end) => respond_with_end(service, &id, end).await,
         Verdict::Never => UserResponse::Rejected(RequestError::NoSuchJob),
         // Accepted so recently that the watch cache does not have it.
-        Verdict::Open => open_response(node, &id, u64::MAX),
+        Verdict::Open => open_response(service, &id, u64::MAX),
         Verdict::Later => UserResponse::retry_soon("the state service cannot be asked, or too much is asked at once"),
     }
 }
 
 /// The status of a job after a compare-and-swap found it changed. If the failed keys show an end, that is recorded and
 /// the store need not be asked.
-pub(super) async fn respond_after_conflict(node: &Controller, id: &JobId, keys: &[String]) -> UserResponse {
+pub(super) async fn respond_after_conflict(service: &UserService, id: &JobId, keys: &[String]) -> UserResponse {
     if let Some(end) = end_among(keys, id) {
-        node.history.note_end(id, end);
+        service.history.note_end(id, end);
     }
-    look_up_job(node, id).await
+    look_up_job(service, id).await
 }
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -9,7 +9,9 @@
 mod lookup;
 mod response;
 mod routes;
+pub mod service;
 mod submission;
 mod write_tracker;
 
 pub use routes::{bind, router, serve};
+pub use service::UserService;
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -10,16 +10,16 @@
 use super::cancellation::cancel_job;
 use super::lookup::look_up_job;
 use super::response::{RETRY_SOON_S, RequestError, UserResponse};
+use super::service::UserService;
 use super::submission::submit_job;
 use super::write_tracker::WriteTracker;
-use crate::controller::Controller;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
 use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
 /// Handles the requests of one endpoint.
 struct RequestHandler {
-    node: Arc<Controller>,
+    service: Arc<UserService>,
     write_tracker: Arc<WriteTracker>,
     path: Endpoint,
 }
@@ -50,9 +50,9 @@
 }
 
 /// Writes a response to a user.
-fn render_user_response(node: &Controller, res: &mut Response, response: UserResponse) {
+fn render_user_response(service: &UserService, res: &mut Response, response: UserResponse) {
     let later = matches!(response, UserResponse::RetryLater { .. });
-    node.traffic.count(if later { Passage::Later } else { Passage::Answered });
+    service.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match response {
         UserResponse::Found(job) => render(res, 200, protocol::encode(&job)),
         UserResponse::Created(job) => render(res, 201, protocol::encode(&job)),
@@ -68,18 +68,18 @@
 }
 
 /// Writes the response to a worker's heartbeat.
-fn render_heartbeat_response(node: &Controller, res: &mut Response, response: HeartbeatResponse) {
+fn render_heartbeat_response(service: &UserService, res: &mut Response, response: HeartbeatResponse) {
     match response {
         HeartbeatResponse::Commands(commands) => {
-            node.traffic.count(Passage::Heartbeat);
+            service.traffic.count(Passage::Heartbeat);
             render(res, 200, protocol::encode(&commands));
         }
         HeartbeatResponse::Redirect(leader) => {
-            node.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
         HeartbeatResponse::Unavailable => {
-            node.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 503, Vec::new());
         }
         HeartbeatResponse::Malformed => render(res, 400, Vec::new()),
@@ -89,14 +89,14 @@
 #[async_trait]
 impl Handler for RequestHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let node = &self.node;
+        let service = &self.service;
         let id = req.param::<String>("id").unwrap_or_default();
         let body = match self.path {
             Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
                     return render_user_response(
-                        node,
+                        service,
                         res,
                         UserResponse::Rejected(RequestError::UnreadableBody(error.into())),
                     );
@@ -105,23 +105,25 @@
             _ => Default::default(),
         };
         match self.path {
-            Endpoint::Submit => render_user_response(node, res, submit_job(node, &self.write_tracker, &body).await),
+            Endpoint::Submit => {
+                render_user_response(service, res, submit_job(service, &self.write_tracker, &body).await)
+            }
             // The user has given up waiting and asks again, so that this request is not looked up.
-            Endpoint::LookUp if node.stale_question() => {
-                render_user_response(node, res, UserResponse::retry_soon("this controller was paused"))
+            Endpoint::LookUp if service.membership.stale_question() => {
+                render_user_response(service, res, UserResponse::retry_soon("this controller was paused"))
             }
-            Endpoint::LookUp => render_user_response(node, res, look_up_job(node, &id).await),
-            Endpoint::Cancel => render_user_response(node, res, cancel_job(node, &self.write_tracker, &id).await),
-            Endpoint::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Endpoint::Heartbeat => render_heartbeat_response(node, res, handle_heartbeat(node, &body)),
+            Endpoint::LookUp => render_user_response(service, res, look_up_job(service, &id).await),
+            Endpoint::Cancel => render_user_response(service, res, cancel_job(service, &self.write_tracker, &id).await),
+            Endpoint::Health => render(res, if service.membership.healthy() { 200 } else { 503 }, Vec::new()),
+            Endpoint::Heartbeat => render_heartbeat_response(service, res, handle_heartbeat(&service.workers, &body)),
         }
     }
 }
 
 /// All routes of one controller.
-pub fn router(node: &Arc<Controller>) -> Router {
-    let write_tracker = WriteTracker::new(node.clone());
-    let handle = |path| RequestHandler { node: node.clone(), write_tracker: write_tracker.clone(), path };
+pub fn router(service: &Arc<UserService>) -> Router {
+    let write_tracker = WriteTracker::new(service.clone());
+    let handle = |path| RequestHandler { service: service.clone(), write_tracker: write_tracker.clone(), path };
     Router::new()
         .push(
             Router::with_path("work").post(handle(Endpoint::Submit)).push(
@@ -135,14 +137,14 @@
 }
 
 /// Binds the address, which no other process has from then on.
-pub async fn bind(node: &Controller) -> std::io::Result<TcpAcceptor> {
-    TcpListener::new(node.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
+pub async fn bind(service: &UserService) -> std::io::Result<TcpAcceptor> {
+    TcpListener::new(service.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
 }
 
 /// Serves until the process is killed.
-pub async fn serve(node: Arc<Controller>, acceptor: TcpAcceptor) -> std::io::Result<()> {
-    let router = router(&node);
-    info!(address = node.settings.listen, "API listener started");
+pub async fn serve(service: Arc<UserService>, acceptor: TcpAcceptor) -> std::io::Result<()> {
+    let router = router(&service);
+    info!(address = service.settings.listen, "API listener started");
     Server::new(acceptor).serve(router).await;
     Ok(())
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -9,15 +9,15 @@
 use super::feasibility::check_feasible;
 use super::lookup::{look_up_job, open_task_count, respond_after_conflict};
 use super::response::{RETRY_WHEN_JOBS_END_S, RequestError, UserResponse};
+use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
-use crate::controller::Controller;
+use crate::audit::Held;
 use crate::history::moves;
 use crate::jobs::JobSpec;
-use crate::jobs::limits::can_hold;
+use crate::jobs::limits::fits_in_memory;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
-use crate::store::audit::Held;
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
@@ -38,8 +38,8 @@
 
 /// Refuses a submission for good, unless its job was accepted before: that is final, whichever controller accepted it
 /// and whatever a repeated request says.
-async fn refuse_unless_accepted(node: &Controller, id: &str, error: RequestError) -> UserResponse {
-    match look_up_job(node, id).await {
+async fn refuse_unless_accepted(service: &UserService, id: &str, error: RequestError) -> UserResponse {
+    match look_up_job(service, id).await {
         UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::Rejected(error),
         other => other,
     }
@@ -53,44 +53,44 @@
 }
 
 /// Handles a submission, which may be a repeated request.
-pub(super) async fn submit_job(node: &Controller, write_tracker: &Arc<WriteTracker>, body: &[u8]) -> UserResponse {
+pub(super) async fn submit_job(service: &UserService, write_tracker: &Arc<WriteTracker>, body: &[u8]) -> UserResponse {
     let spec = match decode_submission(body) {
         Ok(spec) => spec,
         Err(error) => {
             let Ok(submitted) = protocol::decode::<SubmittedId>(body) else { return UserResponse::Rejected(error) };
-            return refuse_unless_accepted(node, &submitted.id, error).await;
+            return refuse_unless_accepted(service, &submitted.id, error).await;
         }
     };
-    if !node.store.watch_cache().ready {
+    if !service.store.watch_cache().is_ready() {
         return UserResponse::retry_soon("the state service has not been read yet");
     }
     let id = spec.id.clone();
-    if open_task_count(node, &id).is_some() || node.history.ended(&id).is_some() {
-        return look_up_job(node, &id).await;
+    if open_task_count(service, &id).is_some() || service.history.ended(&id).is_some() {
+        return look_up_job(service, &id).await;
     }
-    let Some(catalog) = node.catalog.get() else {
+    let Some(catalog) = service.catalog.get() else {
         return UserResponse::retry_soon("the machine types are not known yet");
     };
-    if let Err(infeasible) = check_feasible(&spec, &node.settings, &catalog) {
-        return refuse_unless_accepted(node, &id, infeasible.into()).await;
+    if let Err(infeasible) = check_feasible(&spec, &service.settings, &catalog) {
+        return refuse_unless_accepted(service, &id, infeasible.into()).await;
     }
-    accept_job(node, write_tracker, spec).await
+    accept_job(service, write_tracker, spec).await
 }
 
 /// Accepts a feasible job, if there is capacity for one more open job and admission control lets it in.
-async fn accept_job(node: &Controller, write_tracker: &Arc<WriteTracker>, spec: JobSpec) -> UserResponse {
+async fn accept_job(service: &UserService, write_tracker: &Arc<WriteTracker>, spec: JobSpec) -> UserResponse {
     let id = spec.id.clone();
-    let (open, old_kept) = {
-        let watch_cache = node.store.watch_cache();
-        (watch_cache.held(), watch_cache.old_kept())
+    let (open_work, may_hold_old_jobs) = {
+        let watch_cache = service.store.watch_cache();
+        (watch_cache.open_work(), watch_cache.may_hold_old_jobs())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
-    if !fits_in_store(node, &record) {
-        return refuse_unless_accepted(node, &id, RequestError::JobTooLarge).await;
+    if !fits_in_store(service, &record) {
+        return refuse_unless_accepted(service, &id, RequestError::JobTooLarge).await;
     }
-    if !can_hold(&record.spec, open, node.settings.params.limits.memory_mb) {
+    if !fits_in_memory(&record.spec, open_work, service.settings.params.limits.memory_mb) {
         // A repeated request for a job that was accepted gets its status instead.
-        return match look_up_job(node, &id).await {
+        return match look_up_job(service, &id).await {
             UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::RetryLater {
                 reason: "more work is open than can be held",
                 after_s: RETRY_WHEN_JOBS_END_S,
@@ -98,7 +98,7 @@
             other => other,
         };
     }
-    let ticket = match admit_submission(node, &record.spec) {
+    let ticket = match admit_submission(service, &record.spec) {
         Ok(ticket) => ticket,
         // At once, without asking the store; a repeated request for a job that was accepted has to retry as well.
         Err(busy) => {
@@ -108,15 +108,15 @@
             };
         }
     };
-    let response = write_acceptance(node, write_tracker, Arc::new(record), old_kept).await;
+    let response = write_acceptance(service, write_tracker, Arc::new(record), may_hold_old_jobs).await;
     drop(ticket);
     response
 }
 
 /// Whether the job's record, with what its end adds to it, stays within the store's limit on a value.
-fn fits_in_store(node: &Controller, record: &JobRecord) -> bool {
+fn fits_in_store(service: &UserService, record: &JobRecord) -> bool {
     let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
-    size as f64 <= node.settings.params.state.value_kb * 1024.0
+    size as f64 <= service.settings.params.state.value_kb * 1024.0
 }
 
 /// Admission control does not let a submission in now.
@@ -125,48 +125,53 @@
 }
 
 /// Passes admission control, or tells after how many seconds the user is to retry.
-fn admit_submission<'a>(node: &'a Controller, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
-    let mut admission = lock(&node.admission);
-    let (wait, per_second) = node.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
+fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
+    let mut admission = lock(&service.admission);
+    let (wait, per_second) = service.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
     admission
         .admit(spec, wait, per_second, rand::random(), Instant::now())
         .map_err(|retry_after_s| Busy { retry_after_s })?;
-    Ok(AdmissionTicket { node, spec: spec.clone() })
+    Ok(AdmissionTicket { service, spec: spec.clone() })
 }
 
 /// A submission that was admitted. Leaves admission control when dropped, whatever becomes of the request.
 struct AdmissionTicket<'a> {
-    node: &'a Controller,
+    service: &'a UserService,
     spec: JobSpec,
 }
 
 impl Drop for AdmissionTicket<'_> {
     fn drop(&mut self) {
-        lock(&self.node.admission).leave(&self.spec);
+        lock(&self.service.admission).leave(&self.spec);
     }
 }
 
 /// Writes a job unless it exists, and responds.
 async fn write_acceptance(
-    node: &Controller,
+    service: &UserService,
     write_tracker: &Arc<WriteTracker>,
     record: Arc<JobRecord>,
-    old_kept: bool,
+    may_hold_old_jobs: bool,
 ) -> UserResponse {
     let id = record.spec.id.clone();
-    let accept = moves::accept(&record, old_kept);
+    let accept = moves::accept(&record, may_hold_old_jobs);
     for _ in 0..WRITE_ATTEMPTS {
         let tracked = write_tracker.track(JobWrite::Acceptance, &record);
-        match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical).await {
+        match service
+            .store
+            .client
+            .compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical)
+            .await
+        {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 tracked.applied();
-                lock(&node.audit).note(Held::Accepted(record));
+                service.audit.note(Held::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
                 return UserResponse::Created(job);
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 tracked.not_applied();
-                return respond_after_conflict(node, &id, &keys).await;
+                return respond_after_conflict(service, &id, &keys).await;
             }
             Err(StoreError::Unavailable(TOO_MANY_REQUESTS)) => {
                 tracked.not_applied();
--- a/src/users/write_tracker.rs
+++ b/src/users/write_tracker.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 use super::lookup::open_task_count;
-use crate::controller::Controller;
+use super::service::UserService;
 use crate::history::query_queue::Verdict;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
@@ -72,13 +72,13 @@
 
 /// The unanswered writes of one controller.
 pub(super) struct WriteTracker {
-    node: Arc<Controller>,
+    service: Arc<UserService>,
     unanswered: Mutex<HashSet<(JobWrite, JobId)>>,
 }
 
 impl WriteTracker {
-    pub(super) fn new(node: Arc<Controller>) -> Arc<Self> {
-        Arc::new(Self { node, unanswered: Mutex::default() })
+    pub(super) fn new(service: Arc<UserService>) -> Arc<Self> {
+        Arc::new(Self { service, unanswered: Mutex::default() })
     }
 
     /// Tracks a write that is about to be sent.
@@ -146,7 +146,7 @@
 /// Finds out whether an unanswered write was applied, and logs it if so.
 async fn await_outcome(write_tracker: Arc<WriteTracker>, write: JobWrite, record: Arc<JobRecord>) {
     let id = &record.spec.id;
-    let applied = tokio::time::timeout(TRACKED_FOR, was_applied(&write_tracker.node, write, id)).await;
+    let applied = tokio::time::timeout(TRACKED_FOR, was_applied(&write_tracker.service, write, id)).await;
     // Another attempt may have been answered, and logged, meanwhile.
     if write_tracker.remove(write, id) && applied == Ok(true) {
         log_applied(write, &record.spec);
@@ -154,13 +154,13 @@
 }
 
 /// Whether the write was applied, once that is certain.
-async fn was_applied(node: &Controller, write: JobWrite, id: &JobId) -> bool {
+async fn was_applied(service: &UserService, write: JobWrite, id: &JobId) -> bool {
     loop {
-        match next_step(write, known_job_state(node, id)) {
+        match next_step(write, known_job_state(service, id)) {
             TrackingStep::Log => return true,
             TrackingStep::Discard => return false,
             TrackingStep::QueryStore => {
-                if let Verdict::Ended(end) = node.history.ask(id).await {
+                if let Verdict::Ended(end) = service.history.ask(id).await {
                     return next_step(write, KnownJobState::Ended(end)) == TrackingStep::Log;
                 }
             }
@@ -171,14 +171,18 @@
 }
 
 /// What this controller knows of a job without asking the store.
-fn known_job_state(node: &Controller, id: &JobId) -> KnownJobState {
-    if let Some(end) = node.history.ended(id) {
+fn known_job_state(service: &UserService, id: &JobId) -> KnownJobState {
+    if let Some(end) = service.history.ended(id) {
         return KnownJobState::Ended(end);
     }
-    if open_task_count(node, id).is_some() {
+    if open_task_count(service, id).is_some() {
         return KnownJobState::Open;
     }
-    if node.store.watch_cache().ended_record(id).is_some() { KnownJobState::EndUnknown } else { KnownJobState::Unknown }
+    if service.store.watch_cache().ended_record(id).is_some() {
+        KnownJobState::EndUnknown
+    } else {
+        KnownJobState::Unknown
+    }
 }
 
 #[cfg(test)]
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -7,8 +7,8 @@
 use hyper::Method;
 use tracing::debug;
 
+use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
-use crate::controller::Controller;
 use crate::protocol::{self, CallError};
 use crate::scheduling::cluster::{Direct, MachineId};
 use crate::scheduling::messages::MessageKind;
@@ -20,37 +20,42 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Sends commands directly to their workers as they become due. Never returns.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(service: Arc<WorkerService>) {
     loop {
-        let _ = tokio::time::timeout(CHECK_INTERVAL, node.wakeups.dispatch.notified()).await;
-        if node.unproven() {
+        let _ = tokio::time::timeout(CHECK_INTERVAL, service.wakeups.dispatch.notified()).await;
+        if service.membership.unproven() {
             continue;
         }
-        let due = match node.leader.cluster().as_mut() {
+        let due = match service.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
         // At most one command per machine is in flight, which bounds the number of these tasks.
         for direct in due {
-            tokio::spawn(send(node.clone(), direct));
+            tokio::spawn(send(service.clone(), direct));
         }
     }
 }
 
-async fn send(node: Arc<Controller>, direct: Direct) {
+async fn send(service: Arc<WorkerService>, direct: Direct) {
     let Direct { machine, addr, fencing_token, agent_epoch, orders } = direct;
     let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders });
-    node.traffic.count(Passage::Command);
-    let outcome = node.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
-    record_reply(&node, &machine, fencing_token, outcome);
+    service.traffic.count(Passage::Command);
+    let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
+    record_reply(&service, &machine, fencing_token, outcome);
 }
 
 /// Records the reply to a command in the cluster state.
-fn record_reply(node: &Controller, machine: &MachineId, fencing_token: u64, outcome: Result<(u16, Bytes), CallError>) {
+fn record_reply(
+    service: &WorkerService,
+    machine: &MachineId,
+    fencing_token: u64,
+    outcome: Result<(u16, Bytes), CallError>,
+) {
     let now = Instant::now();
-    let catalog = node.catalog.get();
+    let catalog = service.catalog.get();
     {
-        let mut held = node.leader.cluster();
+        let mut held = service.leader.cluster();
         let Some(cluster) = held.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
@@ -66,6 +71,6 @@
             cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
     }
-    node.wakeups.commit.notify_one();
-    node.wakeups.plan.notify_one();
+    service.wakeups.commit.notify_one();
+    service.wakeups.plan.notify_one();
 }
