--- a/src/controller.rs
+++ b/src/controller.rs
@@ -197,7 +197,7 @@
             tokio::spawn(commit::run(self.group_commit.clone())).abort_handle(),
             tokio::spawn(dispatch::run(self.workers.clone())).abort_handle(),
             tokio::spawn(fleet::run(self.fleet.clone())).abort_handle(),
-            tokio::spawn(declarations::run::run(self.declarations.clone())).abort_handle(),
+            tokio::spawn(declarations::run::run_declarations(self.declarations.clone())).abort_handle(),
         ]
     }
 
@@ -210,7 +210,7 @@
             held.push(("open_jobs", watch_cache.open_jobs().count()));
             held.push(("open_tasks", watch_cache.open_work().tasks as usize));
             held.push(("descriptions", watch_cache.ended_count()));
-            held.push(("declared", watch_cache.registry().entries()));
+            held.push(("declared", watch_cache.registry().entry_count()));
         }
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", self.audit.remembered()));
--- a/src/declarations/context.rs
+++ b/src/declarations/context.rs
@@ -35,7 +35,14 @@
 
 impl IntentSource for DeclarationState {
     fn refresh_intents(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
-        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+        driver::refresh_intents(
+            KINDS,
+            cluster,
+            watch_cache.registry(),
+            &|id| self.history.ended(id),
+            now,
+            time_of_day_ms(),
+        );
     }
 }
 
@@ -46,30 +53,30 @@
         nothing && self.leader.cluster().as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
-    fn with_state<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
+    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
         if self.membership.unproven() {
             return None;
         }
         let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         let cluster = held.as_mut()?;
-        Some(look(cluster, &mut watch_cache, &|id| self.history.ended(id)))
+        Some(work(cluster, &mut watch_cache, &|id| self.history.ended(id)))
     }
 
     fn query_job_end(&self, id: &JobId) {
         self.history.look_up(id);
     }
 
-    fn writable_changes(&self, urgent: RequestPriority) -> usize {
-        self.store.client.writes_ready(urgent)
+    fn writable_changes(&self, priority: RequestPriority) -> usize {
+        self.store.client.writes_ready(priority)
     }
 
     async fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
-        urgent: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
-        self.store.client.compare_and_swap(conditions, changes, urgent).await
+        self.store.client.compare_and_swap(conditions, changes, priority).await
     }
 
     async fn refresh_after_conflict(&self) {
