--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -5,7 +5,7 @@
 
 use super::readings::{Reading, median_reading};
 use crate::declarations::SpecError;
-use crate::scheduling::fairness::{Whose, floor};
+use crate::scheduling::fairness::{Subject, floor};
 
 const MAX_NAMED: usize = 32;
 const MAX_SENSORS: usize = 16;
@@ -169,8 +169,8 @@
 
     /// The classes and teams whose jobs go ahead.
     pub fn named_work(&self) -> floor::Names {
-        let classes = self.classes.iter().map(|name| (Whose::Class, name.as_str()));
-        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Whose::Team, name.as_str()))))
+        let classes = self.classes.iter().map(|name| (Subject::Class, name.as_str()));
+        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Subject::Team, name.as_str()))))
     }
 
     /// The hours in which a moment lies.
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -39,34 +39,34 @@
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
         let quarantined = self.attribution.suspects(&key.job);
-        let judged = self.attribution.failed(&failure, enough, now);
-        info!(task = %key.job, index = key.index, machine = %on, "task failed");
-        if let Some(at) = judged.job_not_before {
+        let response = self.attribution.failed(&failure, enough, now);
+        info!(job = %key.job, task_index = key.index, machine = %on, "task failed");
+        if let Some(at) = response.job_not_before {
             job.not_before = job.not_before.max(at);
             if !quarantined {
                 let (team, class) = (&job.record.spec.team, &job.record.spec.class);
-                warn!(job = %key.job, team, class, "fails on every machine: tried again now and then, behind all else");
+                warn!(job = %key.job, %team, %class, "job quarantined; retrying it at intervals behind all other work");
             }
         }
         if let Some(machine) = self.machines.get_mut(on) {
             machine.failed = true;
-            if judged.machine && machine.state == MachineState::Up {
-                info!(machine = %on, "under suspicion: no new work for now");
+            if response.machine && machine.state == MachineState::Up {
+                info!(machine = %on, "machine quarantined");
                 machine.quarantined = true;
             }
         }
-        for id in judged.cleared {
+        for id in response.cleared {
             self.clear_machine(&id);
         }
     }
 
     /// A task was done: its machine and its job are well.
-    pub(super) fn did_well(&mut self, key: &TaskKey, on: &MachineId) {
+    pub(super) fn record_success(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let quarantined = self.attribution.suspects(&key.job);
         self.attribution.done(key, &job.record.spec.class, on);
         if quarantined {
-            info!(job = %key.job, "does well after all");
+            info!(job = %key.job, "job quarantine lifted");
         }
         self.clear_machine(on);
     }
@@ -75,19 +75,19 @@
         if let Some(machine) = self.machines.get_mut(id) {
             machine.failed = false;
             if std::mem::take(&mut machine.quarantined) {
-                info!(machine = %id, "cleared: what failed there fails elsewhere, or something was done there");
-                self.stirred = true;
+                info!(machine = %id, "machine quarantine lifted");
+                self.replan_needed = true;
             }
         }
     }
 
     /// Machines that have been quarantined for long enough: out, or back.
-    pub(super) fn decide_quarantines(&mut self, now: Instant) {
+    pub(super) fn end_due_quarantines(&mut self, now: Instant) {
         for (id, out) in self.attribution.decided(self.enough_failures(), now) {
             if !out {
                 self.clear_machine(&id);
             } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.state == MachineState::Up) {
-                warn!(machine = %id, "given up: task after task fails on it");
+                warn!(machine = %id, "faulty machine detected; draining it for termination");
                 machine.state = MachineState::Draining;
             }
         }
