--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -102,17 +102,15 @@
 }
 
 fn load_config(files: &ConfigFiles) -> Result<(Settings, Properties), SettingsError> {
-    let config = files
-        .config
-        .as_deref()
-        .ok_or_else(|| SettingsError { file: "--config".into(), problem: "no settings file is given".into() })?;
+    let config = files.config.as_deref().ok_or(SettingsError::NoFile)?;
     let settings = Settings::load(config)?;
     let properties = match &files.properties {
         Some(path) => Properties::load(path)?,
         None => Properties::default(),
     };
-    let file = files.properties.as_deref().unwrap_or(config).display().to_string();
-    settings.check_with(&properties).map_err(|problem| SettingsError { file, problem })?;
+    let file = files.properties.as_deref().unwrap_or(config);
+    let checked = settings.check_with(&properties);
+    checked.map_err(|source| SettingsError::Settings { file: file.to_owned(), source })?;
     Ok((settings, properties))
 }
 
--- a/src/rollouts/intents.rs
+++ b/src/rollouts/intents.rs
@@ -5,7 +5,7 @@
 use super::observation::{JobPresence, ObservedJob, RolloutObservation};
 use super::spec::RolloutSpec;
 use super::status::{RolloutPhase, RolloutStatus};
-use super::step::{allowed_old, min_available, serving};
+use super::step::{allowed_old, count_serving, min_available};
 use crate::scheduling::intents::Replicas;
 
 /// What is asked for the old and for the new job.
@@ -24,7 +24,7 @@
         return [nothing.clone(), nothing];
     }
     let min_available = min_available(spec, status, seen);
-    let serving = serving(status, seen);
+    let serving = count_serving(status, seen);
     // What is meant to go does not count, and goes only while enough others do: looked at again at the
     // very moment, since machines may have been lost after it was decided.
     let stops = serving >= min_available && status.phase != RolloutPhase::Paused;
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -13,9 +13,9 @@
 
 /// The next status, or none if it stays.
 pub fn decide(spec: &RolloutSpec, status: &RolloutStatus, seen: &RolloutObservation) -> Option<RolloutStatus> {
-    let mut turn = Turn { spec, seen, status: status.clone() };
-    turn.advance();
-    let mut next = turn.status;
+    let mut decision = StepDecision { spec, seen, status: status.clone() };
+    decision.advance();
+    let mut next = decision.status;
     // A clock that was set back would make a step hold for hours.
     if next.phase != status.phase || next.step != status.step || next.since_ms > seen.now_ms {
         next.since_ms = seen.now_ms;
@@ -27,7 +27,7 @@
     Some(next)
 }
 
-struct Turn<'a> {
+struct StepDecision<'a> {
     spec: &'a RolloutSpec,
     seen: &'a RolloutObservation,
     status: RolloutStatus,
@@ -38,66 +38,66 @@
     (0..seen.old.tasks).filter(|i| !status.stopping_old.0.contains(i)).collect()
 }
 
-/// What runs of both and counts.
-pub fn serving(status: &RolloutStatus, seen: &RolloutObservation) -> usize {
+/// The replicas of both versions that count as capacity.
+pub fn count_serving(status: &RolloutStatus, seen: &RolloutObservation) -> usize {
     seen.old.serving(&allowed_old(status, seen)).len() + seen.new.serving(&status.allowed_new.0).len()
 }
 
-/// What has to run at every moment: on the way back no more than the old job has.
+/// Replicas that have to run at every moment: on the way back no more than the old job has.
 pub fn min_available(spec: &RolloutSpec, status: &RolloutStatus, seen: &RolloutObservation) -> usize {
     let min_available = spec.min_available();
     let back = matches!(status.phase, RolloutPhase::GoingBack | RolloutPhase::Back);
     (if back { min_available.min(seen.old.tasks) } else { min_available }) as usize
 }
 
-impl Turn<'_> {
+impl StepDecision<'_> {
     fn advance(&mut self) {
-        let new_word = self.status.request_no != self.spec.request_no;
+        let new_request = self.status.request_no != self.spec.request_no;
         self.status.request_no = self.spec.request_no;
         if !self.status.phase.begun() {
             // What is over stays so, unless the spec names other jobs by now.
             let jobs = [Some(&self.spec.old), Some(&self.spec.new)];
             if self.status.phase != RolloutPhase::Ended || [self.status.old.as_ref(), self.status.new.as_ref()] != jobs
             {
-                self.plan();
+                self.start_if_ready();
             }
             return;
         }
         if let Some(reason) = &self.seen.conflict {
             return self.set_phase(RolloutPhase::Refused, reason);
         }
-        self.status.failure_counts.count(self.seen);
+        self.status.failure_counts.add_failures(self.seen);
         let (old_over, new_over) =
             (self.seen.old.known == JobPresence::Ended, self.seen.new.known == JobPresence::Ended);
         if old_over && new_over {
             return self.set_phase(RolloutPhase::Ended, "both jobs are over");
         }
         if new_over {
-            return self.back("the new version's job is over");
+            return self.roll_back("the new version's job is over");
         }
         if old_over {
-            return self.forward("the old version's job is over");
+            return self.roll_forward("the old version's job is over");
         }
         let phase = self.status.phase;
         let turned = matches!(phase, RolloutPhase::GoingBack | RolloutPhase::Back);
         match self.spec.goal {
-            RolloutGoal::Back => self.back("the operator wants it"),
+            RolloutGoal::Back => self.roll_back("the operator wants it"),
             RolloutGoal::Paused if turned && phase == RolloutPhase::Back || phase == RolloutPhase::Done => {}
             RolloutGoal::Paused => self.pause("the operator wants it"),
             // What it decided by itself stands until the operator says something new.
-            RolloutGoal::Forward | RolloutGoal::Finish if turned && !new_word => {
+            RolloutGoal::Forward | RolloutGoal::Finish if turned && !new_request => {
                 let reason = self.status.reason.clone();
-                self.back(&reason);
+                self.roll_back(&reason);
             }
-            RolloutGoal::Forward | RolloutGoal::Finish if phase == RolloutPhase::Paused && !new_word => {
+            RolloutGoal::Forward | RolloutGoal::Finish if phase == RolloutPhase::Paused && !new_request => {
                 let reason = self.status.reason.clone();
                 self.pause(&reason);
             }
             RolloutGoal::Forward | RolloutGoal::Finish => {
-                if new_word {
+                if new_request {
                     self.status.failure_counts = FailureCounts::start_counting(self.seen);
                 }
-                self.forward("");
+                self.roll_forward("");
             }
         }
     }
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Whether it can begin, and what is missing.
-    fn plan(&mut self) {
+    /// Starts the rollout, or says what is missing.
+    fn start_if_ready(&mut self) {
         let (spec, seen) = (self.spec, self.seen);
         if let Some(reason) = &seen.conflict {
             return self.set_phase(RolloutPhase::Refused, reason);
@@ -157,11 +157,10 @@
         self.seen.new.running_for(&self.status.allowed_new.0, self.spec.ready_s())
     }
 
-    /// Capacity first: where replicas were lost, old ones that were meant to go come back for them. True
-    /// while fewer run than have to.
-    fn repair(&mut self) -> bool {
+    /// Lets old replicas that were meant to stop run again where others were lost. True while fewer run than have to.
+    fn restore_capacity(&mut self) -> bool {
         let min_available = min_available(self.spec, &self.status, self.seen);
-        let serving = serving(&self.status, self.seen);
+        let serving = count_serving(&self.status, self.seen);
         if serving >= min_available || self.seen.old.known == JobPresence::Ended {
             return serving < min_available;
         }
@@ -191,10 +190,10 @@
 
     fn pause(&mut self, reason: &str) {
         self.set_phase(RolloutPhase::Paused, reason);
-        self.repair();
+        self.restore_capacity();
     }
 
-    fn forward(&mut self, reason: &str) {
+    fn roll_forward(&mut self, reason: &str) {
         let targets = self.spec.targets();
         let last = targets.len().saturating_sub(1) as u32;
         let old_over = self.seen.old.known == JobPresence::Ended;
@@ -216,13 +215,13 @@
         if !old_over && self.spec.goal != RolloutGoal::Finish {
             match self.status.failure_counts.judge_version(self.spec, self.seen, &self.status.allowed_new.0) {
                 Some(VersionVerdict::Version(reason)) => {
-                    return self.back(&format!("the new version is bad: {reason}"));
+                    return self.roll_back(&format!("the new version is bad: {reason}"));
                 }
                 Some(VersionVerdict::Both(reason)) => return self.pause(&format!("both versions fail: {reason}")),
                 None => {}
             }
         }
-        if !self.repair() {
+        if !self.restore_capacity() {
             self.shrink_old(target);
             self.shrink_new(target);
         }
@@ -230,7 +229,7 @@
             self.grow_old((self.spec.replicas - target) as usize);
         }
         self.grow_new(target);
-        self.settle(target, last, reason);
+        self.update_phase(target, last, reason);
     }
 
     fn grow_new(&mut self, target: u32) {
@@ -249,7 +248,7 @@
         }
     }
 
-    /// Old replicas come back, up to so many, as far as there is room for them.
+    /// Lets old replicas run again, up to so many, within the surge.
     fn grow_old(&mut self, most: usize) {
         let room = (self.spec.replicas + self.spec.surge) as usize;
         let most = most.min(self.seen.old.tasks as usize);
@@ -258,8 +257,7 @@
         }
     }
 
-    /// More of the new version runs than this step has: what was there when it began, or a spec that
-    /// was changed.
+    /// Stops new replicas beyond the step's target: some ran before the rollout, or the spec was changed.
     fn shrink_new(&mut self, target: u32) {
         while self.status.allowed_new.0.len() > target as usize {
             let (live, min_available) = (self.live_new(), min_available(self.spec, &self.status, self.seen));
@@ -271,8 +269,8 @@
         }
     }
 
-    /// Old replicas go for new ones that have run for long enough: first what does not run anyway, then
-    /// where others of the zone stay.
+    /// Stops old replicas for new ones that have run for long enough: first those that do not run anyway, then those
+    /// whose zone keeps another.
     fn shrink_old(&mut self, target: u32) {
         let (spec, seen) = (self.spec, self.seen);
         let settled = self.settled_new();
@@ -296,7 +294,7 @@
         }
     }
 
-    /// The new version has not shown yet that it does well, or something speaks against it.
+    /// Whether the new version has not shown yet that it runs well, or has failed in this step.
     fn is_unproven(&self) -> bool {
         let may = &self.status.allowed_new.0;
         let long = self.spec.ready_s() + self.spec.hold_s;
@@ -304,8 +302,8 @@
         !proven || (self.status.failure_counts.new > 0 && self.settled_new().len() < may.len())
     }
 
-    /// Which phase it is in, and whether its step is over.
-    fn settle(&mut self, target: u32, last: u32, reason: &str) {
+    /// Sets the phase, and the next step once this one has held for long enough.
+    fn update_phase(&mut self, target: u32, last: u32, reason: &str) {
         let (spec, seen) = (self.spec, self.seen);
         let settled = self.settled_new();
         let allowed_old = self.allowed_old();
@@ -340,9 +338,9 @@
         }
     }
 
-    /// Back to the old version, with the same guarantees. What of the new one does not run takes
-    /// nobody's place, so that nothing here waits for it.
-    fn back(&mut self, reason: &str) {
+    /// Returns to the old version, with the same guarantees. New replicas that do not run are dropped at once, since
+    /// they hold no capacity.
+    fn roll_back(&mut self, reason: &str) {
         let (spec, seen) = (self.spec, self.seen);
         if self.status.phase == RolloutPhase::Back {
             return;
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -386,13 +386,13 @@
     let mut seen = seen(&OLD, &[]);
     seen.new.failures = 3;
     let mut failure_counts = FailureCounts::start_counting(&seen);
-    failure_counts.count(&seen);
+    failure_counts.add_failures(&seen);
     assert_eq!(failure_counts.new, 0, "failures of before the step");
     seen.new.failures = 5;
-    (0..2).for_each(|_| failure_counts.count(&seen));
+    (0..2).for_each(|_| failure_counts.add_failures(&seen));
     assert_eq!(failure_counts.new, 2);
     (seen.fencing_token, seen.new.failures) = (8, 1);
-    (0..2).for_each(|_| failure_counts.count(&seen));
+    (0..2).for_each(|_| failure_counts.add_failures(&seen));
     assert_eq!(failure_counts.new, 3, "another leader's own");
 }
 
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -24,9 +24,9 @@
         Self { fencing_token: seen.fencing_token, counted_new, counted_old, ..Self::default() }
     }
 
-    /// Adds what has failed since the last look. A leader counts from none, so that nothing is counted
+    /// Adds what has failed since the last evaluation. A leader counts from none, so that nothing is counted
     /// twice, and what an earlier leader heard and did not store is lost.
-    pub fn count(&mut self, seen: &RolloutObservation) {
+    pub fn add_failures(&mut self, seen: &RolloutObservation) {
         let same = self.fencing_token == seen.fencing_token;
         let since = |all: u64, counted: u64| if same { all.saturating_sub(counted) } else { all };
         let new = since(seen.new.failures, self.counted_new);
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -3,24 +3,24 @@
 
 use std::net::SocketAddr;
 
-use super::{Params, Properties, Settings, WorkerParams};
+use super::{InvalidSettings, Params, Properties, Settings, WorkerParams};
 
-/// Largest rate, duration in seconds or size that is taken for meant.
-const MOST: f64 = 1e6;
+/// Largest plausible rate, duration in seconds, or size.
+const MAX_VALUE: f64 = 1e6;
 /// Largest memory in megabytes, and largest difference of clocks in milliseconds.
-const MOST_WIDE: f64 = 1e9;
-/// Shorter durations are no durations that a timer could keep.
-const LEAST_SECONDS: f64 = 0.001;
-/// A worker reports every `report_s`, plus or minus a quarter.
-const LONGEST_REPORT: f64 = 1.25;
+const MAX_WIDE: f64 = 1e9;
+/// Shorter durations could not be kept by a timer.
+const MIN_SECONDS: f64 = 0.001;
+/// A worker sends a heartbeat every `report_s`, plus or minus a quarter.
+const MAX_HEARTBEAT_FACTOR: f64 = 1.25;
 /// An acceptance and an end take two changes each.
-const LEAST_TXN_OPS: u64 = 2;
+const MIN_TXN_OPS: u64 = 2;
 /// Connections to the store, the cloud, workers, users and other controllers.
-const LEAST_SOCKETS: u64 = 16;
+const MIN_SOCKETS: u64 = 16;
 
 impl Settings {
-    /// Names the first field whose value cannot be worked with.
-    pub(super) fn check(&self) -> Result<(), String> {
+    /// Names the first field whose value cannot be used.
+    pub(super) fn check(&self) -> Result<(), InvalidSettings> {
         self.check_addresses()?;
         self.check_peers()?;
         let params = &self.params;
@@ -28,30 +28,33 @@
         check_times(&params.workers)?;
         check_objectives(params)?;
         if self.node.is_empty() {
-            return Err("host_name: \"\" names nobody".into());
+            return Err(InvalidSettings::field("host_name", "\"\" names nobody"));
         }
         if params.zones.is_empty() {
-            return Err("params.zones: [] leaves nowhere to run".into());
+            return Err(InvalidSettings::field("params.zones", "[] leaves nowhere to run"));
         }
         check_teams(params)
     }
 
     /// Whether the operators' own settings keep the times that the platform sets: where the end of a lease holder
     /// outlasts the leases of workers, it costs all that runs.
-    pub fn check_with(&self, properties: &Properties) -> Result<(), String> {
+    pub fn check_with(&self, properties: &Properties) -> Result<(), InvalidSettings> {
         let workers = &self.params.workers;
         let election_lease = properties.election_lease.as_secs_f64();
-        let most = workers.lease_s - workers.report_s * LONGEST_REPORT;
+        let most = workers.lease_s - workers.report_s * MAX_HEARTBEAT_FACTOR;
         if election_lease > most {
-            return Err(format!(
-                "leader.lease.seconds: {election_lease} is above {most}, which is lease_s without the longest pause \
+            return Err(InvalidSettings::field(
+                "leader.lease.seconds",
+                format!(
+                    "{election_lease} is above {most}, which is lease_s without the longest pause \
                  between two reports: workers would lose their work before another controller leads"
+                ),
             ));
         }
         Ok(())
     }
 
-    fn check_addresses(&self) -> Result<(), String> {
+    fn check_addresses(&self) -> Result<(), InvalidSettings> {
         let mut addresses = vec![
             ("api_addr", &self.listen),
             ("mesh_addr", &self.mesh_listen),
@@ -61,17 +64,17 @@
         addresses.extend(self.peers.iter().map(|peer| ("peers.endpoint", &peer.addr)));
         for (field, value) in addresses {
             if value.parse::<SocketAddr>().is_err() {
-                return Err(format!("{field}: {value:?} is not an IP address with a port"));
+                return Err(InvalidSettings::field(field, format!("{value:?} is not an IP address with a port")));
             }
         }
         Ok(())
     }
 
-    fn check_peers(&self) -> Result<(), String> {
+    fn check_peers(&self) -> Result<(), InvalidSettings> {
         match self.params.size {
-            Some(0) => Err("params.size: 0 is below 1".into()),
+            Some(0) => Err(InvalidSettings::field("params.size", "0 is below 1")),
             Some(size) if size > 1 && self.peers.is_empty() => {
-                Err(format!("peers: [] names no other controller, and params.size is {size}"))
+                Err(InvalidSettings::field("peers", format!("[] names no other controller, and params.size is {size}")))
             }
             _ => Ok(()),
         }
@@ -79,7 +82,7 @@
 }
 
 /// Limits of the platform's services and of this controller.
-fn check_limits(params: &Params) -> Result<(), String> {
+fn check_limits(params: &Params) -> Result<(), InvalidSettings> {
     let positive = [
         ("params.state.rps", params.state.rps),
         ("params.state.write_rps", params.state.write_rps),
@@ -87,69 +90,90 @@
         ("params.cloud.rps", params.cloud.rps),
     ];
     for (field, value) in positive {
-        if !(value > 0.0 && value <= MOST) {
-            return Err(format!("{field}: {value} is not above 0 and at most {MOST}"));
+        if !(value > 0.0 && value <= MAX_VALUE) {
+            return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
-    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MOST_WIDE)) {
-        return Err(format!("params.resources.memory_mb: {mb} is not above 0 and at most {MOST_WIDE}"));
+    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MAX_WIDE)) {
+        return Err(InvalidSettings::field(
+            "params.resources.memory_mb",
+            format!("{mb} is not above 0 and at most {MAX_WIDE}"),
+        ));
     }
-    if !(0.0..=MOST_WIDE).contains(&params.skew_ms) {
-        return Err(format!("params.skew_ms: {} is not between 0 and {MOST_WIDE}", params.skew_ms));
+    if !(0.0..=MAX_WIDE).contains(&params.skew_ms) {
+        return Err(InvalidSettings::field(
+            "params.skew_ms",
+            format!("{} is not between 0 and {MAX_WIDE}", params.skew_ms),
+        ));
     }
-    if params.state.txn_ops < LEAST_TXN_OPS {
-        return Err(format!("params.state.txn_ops: {} is below {LEAST_TXN_OPS}", params.state.txn_ops));
+    if params.state.txn_ops < MIN_TXN_OPS {
+        return Err(InvalidSettings::field(
+            "params.state.txn_ops",
+            format!("{} is below {MIN_TXN_OPS}", params.state.txn_ops),
+        ));
     }
-    if params.limits.max_sockets < LEAST_SOCKETS {
-        return Err(format!("params.resources.max_sockets: {} is below {LEAST_SOCKETS}", params.limits.max_sockets));
+    if params.limits.max_sockets < MIN_SOCKETS {
+        return Err(InvalidSettings::field(
+            "params.resources.max_sockets",
+            format!("{} is below {MIN_SOCKETS}", params.limits.max_sockets),
+        ));
     }
     Ok(())
 }
 
 /// Times between workers and controllers, one by one and against each other.
-fn check_times(workers: &WorkerParams) -> Result<(), String> {
+fn check_times(workers: &WorkerParams) -> Result<(), InvalidSettings> {
     let durations = [
         ("params.workers.report_s", workers.report_s),
         ("params.workers.lease_s", workers.lease_s),
         ("params.workers.cancel_s", workers.cancel_s),
     ];
     for (field, value) in durations {
-        if !(LEAST_SECONDS..=MOST).contains(&value) {
-            return Err(format!("{field}: {value} is not above 0 and at most {MOST}"));
+        if !(MIN_SECONDS..=MAX_VALUE).contains(&value) {
+            return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
-    let longest_pause = workers.report_s * LONGEST_REPORT;
+    let longest_pause = workers.report_s * MAX_HEARTBEAT_FACTOR;
     if workers.lease_s <= longest_pause {
-        return Err(format!(
-            "params.workers.lease_s: {} is not above {longest_pause}, the longest pause between two reports: \
+        return Err(InvalidSettings::field(
+            "params.workers.lease_s",
+            format!(
+                "{} is not above {longest_pause}, the longest pause between two reports: \
              no lease would last until it is renewed",
-            workers.lease_s
+                workers.lease_s
+            ),
         ));
     }
     // What a machine that is told nothing any more still runs is gone with its lease.
     let margin = workers.lease_margin_s();
     let least = workers.lease_s + workers.report_s + margin;
     if workers.cancel_s < least {
-        return Err(format!(
-            "params.workers.cancel_s: {} is below {least}, which is lease_s, report_s and {margin} s together: \
+        return Err(InvalidSettings::field(
+            "params.workers.cancel_s",
+            format!(
+                "{} is below {least}, which is lease_s, report_s and {margin} s together: \
              withdrawn work could not be gone in time",
-            workers.cancel_s
+                workers.cancel_s
+            ),
         ));
     }
     Ok(())
 }
 
 /// What is promised to classes of jobs.
-fn check_objectives(params: &Params) -> Result<(), String> {
+fn check_objectives(params: &Params) -> Result<(), InvalidSettings> {
     for (number, objective) in params.objectives.iter().enumerate() {
         let amounts = [
-            ("within_s", objective.within_s, MOST_WIDE),
-            ("times", objective.times, MOST),
+            ("within_s", objective.within_s, MAX_WIDE),
+            ("times", objective.times, MAX_VALUE),
             ("share", objective.share, 1.0),
         ];
         for (field, value, most) in amounts {
             if !(0.0..=most).contains(&value) {
-                return Err(format!("params.objectives.{number}.{field}: {value} is not between 0 and {most}"));
+                return Err(InvalidSettings::field(
+                    format!("params.objectives.{number}.{field}"),
+                    format!("{value} is not between 0 and {most}"),
+                ));
             }
         }
     }
@@ -157,13 +181,16 @@
 }
 
 /// Guarantees and limits of the teams.
-fn check_teams(params: &Params) -> Result<(), String> {
+fn check_teams(params: &Params) -> Result<(), InvalidSettings> {
     for team in &params.teams {
         let amounts =
             [("cpus", team.cpus), ("cpus_max", team.cpus_max), ("gpus", team.gpus), ("gpus_max", team.gpus_max)];
         for (field, value) in amounts {
             if !(value.is_finite() && value >= 0.0) {
-                return Err(format!("params.teams.{}.{field}: {value} is negative", team.name));
+                return Err(InvalidSettings::field(
+                    format!("params.teams.{}.{field}", team.name),
+                    format!("{value} is negative"),
+                ));
             }
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -2,8 +2,10 @@
 //! operators set.
 
 mod check;
+mod error;
 mod properties;
 
+pub use error::{InvalidProperties, InvalidSettings, SettingsError};
 pub use properties::Properties;
 
 use std::path::Path;
@@ -11,16 +13,6 @@
 
 use serde::Deserialize;
 
-/// Why a settings or properties file was refused.
-#[derive(Debug, thiserror::Error)]
-#[error("{file}: {problem}")]
-pub struct SettingsError {
-    /// Path of the file, as it was given.
-    pub file: String,
-    /// What is wrong: an I/O or syntax error, or a field with its value and the bound that it breaks.
-    pub problem: String,
-}
-
 /// Configuration of one controller, as the platform writes it. [`Settings::load`] and [`Settings::parse`] return only
 /// values that passed every check of this module; unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
@@ -218,18 +210,24 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file. The error names the file and the first field that cannot be used.
+    /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    /// Names the file and the first field that cannot be used.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let fail = |problem: String| SettingsError { file: path.display().to_string(), problem };
-        let text = std::fs::read_to_string(path).map_err(|e| fail(e.to_string()))?;
-        Self::parse(&text).map_err(fail)
+        let read = std::fs::read_to_string(path);
+        let text = read.map_err(|source| SettingsError::Read { file: path.to_owned(), source })?;
+        Self::parse(&text).map_err(|source| SettingsError::Settings { file: path.to_owned(), source })
     }
 
-    /// Reads and checks settings from JSON text. The error names the first field that cannot be used.
-    pub fn parse(text: &str) -> Result<Self, String> {
+    /// Reads and checks settings from JSON text.
+    ///
+    /// # Errors
+    /// Names the first field that cannot be used.
+    pub fn parse(text: &str) -> Result<Self, InvalidSettings> {
         let mut reader = serde_json::Deserializer::from_str(text);
-        let settings: Self = serde_path_to_error::deserialize(&mut reader).map_err(|error| error.to_string())?;
-        reader.end().map_err(|error| error.to_string())?;
+        let settings: Self = serde_path_to_error::deserialize(&mut reader)?;
+        reader.end()?;
         settings.check()?;
         Ok(settings)
     }
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use super::SettingsError;
+use super::{InvalidProperties, SettingsError};
 
 macro_rules! properties {
     ($($(#[doc = $doc:literal])+ $field:ident: $kind:ident = $default:expr, $name:literal, $low:expr, $high:expr;)+) => {
@@ -26,18 +26,19 @@
                 vec![$(($name, properties!(@show $kind, self.$field)),)+]
             }
 
-            fn set(&mut self, name: &str, text: &str) -> Result<(), String> {
+            fn set(&mut self, name: &str, text: &str) -> Result<(), InvalidProperties> {
                 match name {
                     $($name => {
                         let value: f64 = text.trim().parse()
-                            .map_err(|_| format!("{name}: {text:?} is not a number"))?;
+                            .map_err(|_| InvalidProperties::NotANumber { name: $name, text: text.to_owned() })?;
                         if !($low..=$high).contains(&value) {
-                            return Err(format!("{name}: {text} is not between {} and {}", $low, $high));
+                            let (low, high) = ($low, $high);
+                            return Err(InvalidProperties::OutOfRange { name: $name, text: text.to_owned(), low, high });
                         }
                         self.$field = properties!(@make $kind, value);
                         Ok(())
                     })+
-                    _ => Err(format!("{name}: unknown property (value {text:?})")),
+                    _ => Err(InvalidProperties::Unknown { name: name.to_owned(), text: text.to_owned() }),
                 }
             }
         }
@@ -83,15 +84,20 @@
 impl Properties {
     /// Reads a properties file. What it does not mention keeps its default; an unknown name or a value out of range is
     /// an error that names the file.
+    ///
+    /// # Errors
+    /// Names the file and the first property that cannot be used.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let fail = |problem: String| SettingsError { file: path.display().to_string(), problem };
-        let text = std::fs::read(path).map_err(|e| fail(e.to_string()))?;
-        Self::parse(&text).map_err(fail)
+        let text = std::fs::read(path).map_err(|source| SettingsError::Read { file: path.to_owned(), source })?;
+        Self::parse(&text).map_err(|source| SettingsError::Properties { file: path.to_owned(), source })
     }
 
     /// Reads properties from the text of a file, by the same rules as [`Self::load`].
-    pub fn parse(text: &[u8]) -> Result<Self, String> {
-        let entries: HashMap<String, String> = java_properties::read(text).map_err(|e| e.to_string())?;
+    ///
+    /// # Errors
+    /// Names the first property that cannot be used.
+    pub fn parse(text: &[u8]) -> Result<Self, InvalidProperties> {
+        let entries: HashMap<String, String> = java_properties::read(text)?;
         let mut properties = Self::default();
         let mut entries: Vec<_> = entries.into_iter().collect();
         entries.sort();
--- a/src/settings/properties/tests.rs
+++ b/src/settings/properties/tests.rs
@@ -13,7 +13,7 @@
         ("leader.lease.seconds=0", "leader.lease.seconds: 0 is not between"),
         ("machines.idle.seconds=-1", "machines.idle.seconds: -1 is not between"),
     ] {
-        let problem = Properties::parse(text.as_bytes()).unwrap_err();
+        let problem = Properties::parse(text.as_bytes()).unwrap_err().to_string();
         assert!(problem.contains(want), "{problem}");
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -45,7 +45,7 @@
         ("\"host_name\":\"node-0\",", "", "host_name"),
     ] {
         let text = EXAMPLE.replacen(from, to, 1);
-        let problem = Settings::parse(&text).unwrap_err();
+        let problem = Settings::parse(&text).unwrap_err().to_string();
         assert!(problem.contains(want), "{problem}");
     }
 }
@@ -86,7 +86,7 @@
     ] {
         let text = EXAMPLE.replacen(from, to, 1);
         assert_ne!(text, EXAMPLE, "{from}");
-        let problem = Settings::parse(&text).unwrap_err();
+        let problem = Settings::parse(&text).unwrap_err().to_string();
         assert!(problem.contains(want), "{to}: {problem}");
     }
     let alone = EXAMPLE.replacen("\"size\":3,", "", 1);
@@ -104,7 +104,7 @@
     ] {
         let outcome = example().check_with(&Properties::parse(text.as_bytes()).unwrap());
         assert_eq!(outcome.is_err(), refused, "{text}: {outcome:?}");
-        let named = outcome.err().is_none_or(|problem| problem.contains(&text.replace('=', ": ")));
+        let named = outcome.err().is_none_or(|problem| problem.to_string().contains(&text.replace('=', ": ")));
         assert!(named, "{text}");
     }
 }
