--- a/src/audit.rs
+++ b/src/audit.rs
@@ -18,8 +18,8 @@
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 
-use crate::history::moves::{Move, accept, end_changes, not_ended, not_there};
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
+use crate::history::job_transactions::{JobTransaction, accept_job, end_changes, never_accepted, not_ended};
 use crate::jobs::record::{JobRecord, ended_key, open_key, shard_key, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::scheduling::leader_state::LeaderState;
@@ -52,8 +52,8 @@
     /// The keys to compare: of all but a shard at least one must exist.
     fn conditions(&self) -> Vec<Condition> {
         match self {
-            Self::Accepted(record) => not_there(&record.spec.id, false).collect(),
-            Self::Open(id) => not_there(id, false).collect(),
+            Self::Accepted(record) => never_accepted(&record.spec.id, false).collect(),
+            Self::Open(id) => never_accepted(id, false).collect(),
             Self::Ended(record, end) => vec![Condition::absent(ended_key(&record.spec.id, *end))],
             Self::Shard(id, shard, version) => vec![Condition::at(shard_key(id, *shard), *version)],
         }
@@ -146,7 +146,7 @@
 pub struct Auditor {
     settings: Arc<Settings>,
     store: Arc<StateStore>,
-    history: Arc<History>,
+    history: Arc<JobHistory>,
     leader: Arc<LeaderState>,
     wakeups: Arc<Wakeups>,
     audit: Mutex<Audit>,
@@ -157,7 +157,7 @@
     pub fn new(
         settings: Arc<Settings>,
         store: Arc<StateStore>,
-        history: Arc<History>,
+        history: Arc<JobHistory>,
         leader: Arc<LeaderState>,
         wakeups: Arc<Wakeups>,
     ) -> Self {
@@ -237,8 +237,11 @@
 }
 
 /// An end that is nowhere any more, nor the other.
-pub(crate) fn end_again(record: &JobRecord, end: End, now_ms: u64) -> Move {
-    Move { conditions: not_ended(&record.spec.id).collect(), changes: end_changes(record, end, now_ms).into() }
+pub(crate) fn end_again(record: &JobRecord, end: End, now_ms: u64) -> JobTransaction {
+    JobTransaction {
+        conditions: not_ended(&record.spec.id).collect(),
+        changes: end_changes(record, end, now_ms).into(),
+    }
 }
 
 /// Writes again what was lost, unless it stands elsewhere by now.
@@ -279,7 +282,7 @@
 }
 
 async fn accept_again(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept(record, auditor.store.watch_cache().may_hold_old_jobs());
+    let again = accept_job(record, auditor.store.watch_cache().may_hold_old_jobs());
     auditor
         .store
         .client
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -12,8 +12,9 @@
 use crate::declarations::{self, context::DeclarationState};
 use crate::fleet::cloud::CloudClient;
 use crate::fleet::{self, Fleet};
-use crate::history::reader::{self, History, HistoryReader};
-use crate::history::sweep;
+use crate::history::end_sweep;
+use crate::history::job_history::JobHistory;
+use crate::history::reader::{self, HistoryReader};
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::{self, Membership, REQUESTS, SHARE_EVERY, WRITES, first_budget, mesh};
@@ -44,7 +45,7 @@
     /// The API for users.
     pub users: Arc<UserService>,
     traffic: Arc<Traffic>,
-    history: Arc<History>,
+    history: Arc<JobHistory>,
     leader: Arc<LeaderState>,
     audit: Arc<Auditor>,
     scheduler: Arc<Scheduler>,
@@ -63,7 +64,7 @@
         let traffic = Arc::<Traffic>::default();
         let wakeups = Arc::<Wakeups>::default();
         let catalog = Arc::<SharedCatalog>::default();
-        let history = Arc::new(History::new(&settings));
+        let history = Arc::new(JobHistory::new(&settings));
         let leader = Arc::new(LeaderState::new(&settings, &properties, now));
         let store = Arc::new(state_store(&settings, http.clone(), traffic.clone(), now));
         let cloud = CloudClient::new(http.clone(), &settings, traffic.clone(), now);
@@ -163,7 +164,7 @@
         tokio::spawn(read_barrier::run(self.store.clone(), self.membership.clone()));
         let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
         tokio::spawn(reader::run(Arc::new(reader)));
-        tokio::spawn(sweep::run(self.history.clone(), self.store.client.clone()));
+        tokio::spawn(end_sweep::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.audit.clone()));
         tokio::spawn(membership::run(self.membership.clone()));
         tokio::spawn(mesh::listen(self.membership.clone()));
@@ -212,9 +213,14 @@
             held.push(("descriptions", watch_cache.ended_count()));
             held.push(("declared", watch_cache.registry().entries()));
         }
-        let [ends, asked, waiting] = self.history.held();
+        let history = self.history.counts();
         held.push(("audited", self.audit.remembered()));
-        held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
+        held.extend([
+            ("ends", history.cached_ends),
+            ("asked", history.queued_jobs),
+            ("waiting", history.waiters),
+            ("hidden", self.history.hidden_cancellations().remembered),
+        ]);
         held.push(("served", self.leader.accounting().entries()));
         held.push(("in_admission", lock(&self.users.admission).waiting()));
         held.extend(self.membership.held());
--- a/src/declarations/context.rs
+++ b/src/declarations/context.rs
@@ -6,7 +6,7 @@
 use super::driver::{self, JobEnds};
 use super::run::DeclarationContext;
 use super::table::KINDS;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
 use crate::membership::Membership;
@@ -24,7 +24,7 @@
     /// The state service; its watch cache holds the declarations.
     pub store: Arc<StateStore>,
     /// Ends of jobs.
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     /// Whether this controller may act as the leader.
     pub membership: Arc<Membership>,
     /// The cluster state, of which declarations ask something.
@@ -56,7 +56,7 @@
     }
 
     fn query_job_end(&self, id: &JobId) {
-        self.history.look_up(id);
+        self.history.prefetch_end(id);
     }
 
     fn writable_changes(&self, urgent: RequestPriority) -> usize {
--- /dev/null
+++ b/src/history/job_history.rs
@@ -0,0 +1,177 @@
+//! What one controller knows about jobs that have ended, and the queries about jobs that are not known to be open.
+
+use std::num::NonZeroUsize;
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+use lru::LruCache;
+use tokio::sync::{Notify, oneshot};
+
+use super::end_sweep::EndSweep;
+use super::query_queue::{JobQueryAnswer, QueryCounts, QueryQueue};
+use super::visibility::{EndVisibility, HiddenCancellations};
+use crate::jobs::record::{ended_key, old_end_key};
+use crate::jobs::{End, JobId};
+use crate::settings::Settings;
+use crate::store::budget::RequestPriority;
+use crate::store::log_limit::LogLimit;
+use crate::store::{StateClient, StoreError};
+use crate::sync::lock;
+
+/// Delivers the answer to a query.
+pub(super) type Waiter = oneshot::Sender<JobQueryAnswer>;
+
+/// Number of ends whose time of arrival is kept: a new leader counts from there. As many as the watch cache keeps.
+const MAX_SEEN_ENDS: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
+/// How long a query waits for its answer. Users wait for 2 s.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// The ends that one controller has in memory, and its queries to the store.
+pub struct JobHistory {
+    pub(super) queries: Mutex<QueryQueue<Waiter>>,
+    /// Wakes `reader`: a query was queued.
+    pub(super) queued: Notify,
+    sweep: Mutex<EndSweep>,
+    sweep_requested: Notify,
+    /// When the watch cache learned of the latest ends.
+    seen_ends: Mutex<LruCache<JobId, Instant>>,
+    /// Limits the log lines about ends of earlier builds that cannot be decoded: their users ask again and again.
+    pub(super) undecodable: Mutex<LogLimit>,
+}
+
+impl JobHistory {
+    /// An empty history. The size of a batch of queries follows from the state service's limit for one compare-and-swap.
+    pub fn new(settings: &Settings) -> Self {
+        // The service takes four conditions for each change, and a job needs four at the most.
+        let batch_size = settings.params.state.txn_ops as usize;
+        Self {
+            queries: Mutex::new(QueryQueue::new(batch_size)),
+            queued: Notify::new(),
+            sweep: Mutex::default(),
+            sweep_requested: Notify::new(),
+            seen_ends: Mutex::new(LruCache::new(MAX_SEEN_ENDS)),
+            undecodable: Mutex::default(),
+        }
+    }
+
+    /// How a job ended, if this controller has lately seen its end in the store.
+    pub fn ended(&self, id: &str) -> Option<End> {
+        lock(&self.queries).ended(id)
+    }
+
+    /// Records an end that stands in the store, so that it is answered from memory.
+    pub fn note_end(&self, id: &JobId, end: End) {
+        lock(&self.queries).note_end(id, end);
+    }
+
+    /// Records ends with the revisions at which they were stored.
+    pub fn note_ends<'a>(&self, ends: impl Iterator<Item = (&'a str, End, u64)>) {
+        let mut queries = lock(&self.queries);
+        for (id, end, version) in ends {
+            match end {
+                End::Done => queries.note_end(id, end),
+                End::Cancelled => queries.note_cancellation(&id.into(), version),
+            }
+        }
+    }
+
+    /// Records that the watch cache has learned of an end.
+    pub fn note_end_seen(&self, id: &JobId, now: Instant) {
+        lock(&self.seen_ends).put(id.clone(), now);
+    }
+
+    /// When the watch cache learned of this end; none if that is long ago or has not happened.
+    pub fn end_seen_at(&self, id: &str) -> Option<Instant> {
+        lock(&self.seen_ends).peek(id).copied()
+    }
+
+    /// Records that a cancellation was stored at this revision or before.
+    pub fn note_cancellation(&self, id: &JobId, version: u64) {
+        lock(&self.queries).note_cancellation(id, version);
+    }
+
+    /// Marks a cancellation that stands in this leader's loaded cluster state as visible to users.
+    pub fn mark_visible(&self, id: &JobId) {
+        lock(&self.queries).mark_visible(id);
+    }
+
+    /// A leader's loaded cluster state holds all ends up to this revision.
+    pub fn advance_watermark(&self, watermark: u64) {
+        lock(&self.queries).advance_watermark(watermark);
+    }
+
+    /// The highest watermark of any leader that this controller has learned of.
+    pub fn watermark(&self) -> u64 {
+        lock(&self.queries).watermark()
+    }
+
+    /// Whether users may be told of this end (`visibility`).
+    pub fn end_visibility(&self, id: &JobId, end: End) -> EndVisibility {
+        lock(&self.queries).end_visibility(id, end)
+    }
+
+    /// Reads from the store at which revision a cancellation was stored, if that is not known.
+    ///
+    /// # Errors
+    ///
+    /// The state service refused or did not answer.
+    pub async fn learn_version(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
+        for key in [ended_key(id, End::Cancelled), old_end_key(id)] {
+            if let Some(item) = store.get(&key, RequestPriority::Query).await? {
+                self.note_cancellation(id, item.version);
+                return Ok(());
+            }
+        }
+        Ok(())
+    }
+
+    /// How many cancellations users may not be told of yet.
+    pub fn hidden_cancellations(&self) -> HiddenCancellations {
+        lock(&self.queries).hidden_cancellations()
+    }
+
+    /// Calls a function with the progress of the end sweep.
+    pub(super) fn with_sweep<R>(&self, call: impl FnOnce(&mut EndSweep) -> R) -> R {
+        call(&mut lock(&self.sweep))
+    }
+
+    /// Waits until a sweep is requested.
+    pub(super) async fn sweep_requested(&self) {
+        self.sweep_requested.notified().await;
+    }
+
+    /// Queries the store about a job. The answer holds as of some moment after this call.
+    pub async fn query_job(&self, id: &JobId) -> JobQueryAnswer {
+        let (waiter, answer) = oneshot::channel();
+        let now = Instant::now();
+        let (queued, half_full) = {
+            let mut queries = lock(&self.queries);
+            (queries.enqueue(id, waiter, now).is_ok(), queries.is_half_full())
+        };
+        if half_full {
+            self.with_sweep(|sweep| sweep.request(now));
+            self.sweep_requested.notify_one();
+        }
+        if !queued {
+            return JobQueryAnswer::Unavailable;
+        }
+        self.queued.notify_one();
+        match tokio::time::timeout(QUERY_TIMEOUT, answer).await {
+            Ok(Ok(answer)) => answer,
+            _ => JobQueryAnswer::Unavailable,
+        }
+    }
+
+    /// Queries the store about a job without waiting: once answered, [`ended`](Self::ended) knows its end for a while.
+    pub fn prefetch_end(&self, id: &JobId) {
+        let (waiter, _) = oneshot::channel();
+        if lock(&self.queries).enqueue(id, waiter, Instant::now()).is_ok() {
+            self.queued.notify_one();
+        }
+    }
+
+    /// Sizes for display.
+    pub fn counts(&self) -> QueryCounts {
+        lock(&self.queries).counts()
+    }
+}
--- /dev/null
+++ b/src/history/job_transactions.rs
@@ -0,0 +1,109 @@
+//! The compare-and-swaps that move a job from key to key: accepted, ended, adopted from an earlier build.
+//!
+//! Each is conditional on all keys that the job may have. So whichever is applied first decides, and a late copy of any
+//! of them finds the job under another key and fails.
+
+use serde::Serialize;
+use serde_json::Value;
+
+use crate::jobs::End;
+use crate::jobs::record::{
+    CANCELLED, DONE, EndedRecord, JobRecord, LEADER, OLD_JOBS, OPEN, ended_key, ended_keys, old_end_key, old_job_key,
+    open_key,
+};
+use crate::store::{Change, Condition};
+
+/// A compare-and-swap about one job, before it is sent.
+#[derive(Debug, Clone, PartialEq)]
+pub struct JobTransaction {
+    /// Key versions that must hold for the changes to be applied.
+    pub conditions: Vec<Condition>,
+    /// Keys written and dropped if they do.
+    pub changes: Vec<Change>,
+}
+
+/// The key under which a job was found.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum JobLocation {
+    /// Its open key.
+    Open,
+    /// The key of its end.
+    Ended(End),
+    /// The key of an earlier build: ended, unless that build's acceptance was applied late.
+    EarlierBuild,
+}
+
+fn to_value(record: &impl Serialize) -> Value {
+    serde_json::to_value(record).unwrap_or_default()
+}
+
+/// Conditions that hold if the job has not ended.
+pub fn not_ended(id: &str) -> impl Iterator<Item = Condition> {
+    ended_keys(id).into_iter().map(Condition::absent)
+}
+
+/// Conditions that hold if the job was never accepted. `old_jobs_kept`: the store may hold jobs of earlier builds.
+pub fn never_accepted(id: &str, old_jobs_kept: bool) -> impl Iterator<Item = Condition> {
+    let old = old_jobs_kept.then(|| Condition::absent(old_job_key(id)));
+    std::iter::once(Condition::absent(open_key(id))).chain(not_ended(id)).chain(old)
+}
+
+/// The job that a key belongs to, and where the key shows it to be; none if the key is not a job's. The keys of failed
+/// conditions of [`never_accepted`] and [`not_ended`] exist.
+pub fn locate_job(key: &str) -> Option<(&str, JobLocation)> {
+    let locations = [
+        (OPEN, JobLocation::Open),
+        (DONE, JobLocation::Ended(End::Done)),
+        (CANCELLED, JobLocation::Ended(End::Cancelled)),
+        (OLD_JOBS, JobLocation::EarlierBuild),
+    ];
+    locations.into_iter().find_map(|(prefix, location)| Some((key.strip_prefix(prefix)?, location)))
+}
+
+/// The job's end, if one of these existing keys shows it.
+pub fn find_end<'a>(keys: impl IntoIterator<Item = &'a String>, id: &str) -> Option<End> {
+    keys.into_iter().filter_map(|key| locate_job(key)).find_map(|(job, location)| match location {
+        JobLocation::Ended(end) if job == id => Some(end),
+        _ => None,
+    })
+}
+
+/// Accepts a job: it is open from then on, once.
+pub fn accept_job(record: &JobRecord, old_jobs_kept: bool) -> JobTransaction {
+    let id = &record.spec.id;
+    JobTransaction {
+        conditions: never_accepted(id, old_jobs_kept).collect(),
+        changes: vec![Change::write(open_key(id), to_value(record))],
+    }
+}
+
+/// The two changes that end a job: its final key is written, its open key dropped.
+pub fn end_changes(record: &JobRecord, end: End, now_ms: u64) -> [Change; 2] {
+    let id = &record.spec.id;
+    let ended = EndedRecord { job: record.clone(), ended_ms: now_ms };
+    [Change::write(ended_key(id, end), to_value(&ended)), Change::Drop { drop: open_key(id) }]
+}
+
+/// Cancels a job that was seen open: it can have left its open key only by ending. With a fencing token as `leader` the
+/// cancellation is applied only under this leader record, which a leader needs to report it at once.
+pub fn cancel_job(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> JobTransaction {
+    let under_leader = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
+    JobTransaction {
+        conditions: not_ended(&record.spec.id).chain(under_leader).collect(),
+        changes: end_changes(record, End::Cancelled, now_ms).into(),
+    }
+}
+
+/// Moves an open job of an earlier build, found at this version, to its new key.
+pub fn adopt_job(record: &JobRecord, version: u64) -> JobTransaction {
+    let id = &record.spec.id;
+    let (job, end) = (old_job_key(id), old_end_key(id));
+    let old = [Condition::at(job.clone(), version), Condition::absent(end)];
+    JobTransaction {
+        conditions: old.into_iter().chain(never_accepted(id, false)).collect(),
+        changes: vec![Change::write(open_key(id), to_value(record)), Change::Drop { drop: job }],
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/history/moves/tests.rs
+++ b/src/history/job_transactions/tests.rs
@@ -19,16 +19,16 @@
 #[test]
 fn keys_tell_where_a_job_is() {
     for (key, want) in [
-        ("c/o/run-1", Some(("run-1", Place::Open))),
-        ("h/d/run-1", Some(("run-1", Place::Ended(End::Done)))),
-        ("h/w/run-1", Some(("run-1", Place::Ended(End::Cancelled)))),
-        ("c/j/run-1", Some(("run-1", Place::Old))),
+        ("c/o/run-1", Some(("run-1", JobLocation::Open))),
+        ("h/d/run-1", Some(("run-1", JobLocation::Ended(End::Done)))),
+        ("h/w/run-1", Some(("run-1", JobLocation::Ended(End::Cancelled)))),
+        ("c/j/run-1", Some(("run-1", JobLocation::EarlierBuild))),
         ("t/run-1/00000", None),
         ("c/owner/0", None),
     ] {
-        assert_eq!(place_of(key), want, "{key}");
+        assert_eq!(locate_job(key), want, "{key}");
     }
     let keys = ["c/owner/0".to_owned(), "h/w/run-1".to_owned()];
-    assert_eq!(end_among(&keys, "run-1"), Some(End::Cancelled));
-    assert_eq!(end_among(&keys, "run-2"), None, "another job's end");
+    assert_eq!(find_end(&keys, "run-1"), Some(End::Cancelled));
+    assert_eq!(find_end(&keys, "run-2"), None, "another job's end");
 }
--- a/src/history/mod.rs
+++ b/src/history/mod.rs
@@ -1,16 +1,16 @@
-//! What has ended: kept for ever in the store under one key a job, and read only when asked for.
+//! Jobs that have ended: kept for ever in the store under one key each, and read only when somebody asks.
 //!
-//! `moves` holds the transactions that take a job from key to key, `query_queue` the questions about jobs
-//! that are not known to be open, `reader` asks the store for them in batches, `ends` keeps how jobs
-//! ended at hand, `visibility` says which cancellations users may hear of, `sweep` reads many ends at once when
-//! many are asked about, and `upgrade` takes over what earlier builds have stored. The argument is in
-//! docs/history.md.
+//! `job_history` is what one controller knows of them, `job_transactions` holds the compare-and-swaps that move a job from key to key, `query_queue` the queries about jobs
+//! that are not known to be open, `reader` sends them to the store in batches, `end_cache` keeps ends in memory,
+//! `visibility` decides which cancellations users may be told of, `end_sweep` reads many ends at once when many are asked
+//! about, and `upgrade` moves what earlier builds have stored. The reasons are in docs/history.md.
 
-pub mod ends;
-pub mod moves;
+pub mod end_cache;
+pub mod end_sweep;
+pub mod job_history;
+pub mod job_transactions;
 pub mod query_queue;
 pub mod reader;
-pub mod sweep;
 #[cfg(test)]
 mod tests;
 pub mod upgrade;
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::history::moves::end_changes;
-use crate::history::query_queue::{Batch, QueryQueue};
-use crate::history::sweep::{COST, Sweep};
+use crate::history::end_sweep::{EndSweep, PAGE_COST};
+use crate::history::job_transactions::end_changes;
+use crate::history::query_queue::{QueryBatch, QueryQueue};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
@@ -22,7 +22,7 @@
 const NAMES: usize = 1000;
 
 enum Due {
-    Compared(Batch<usize>),
+    Compared(QueryBatch<usize>),
     Page(usize),
 }
 
@@ -31,14 +31,14 @@
 fn all_answered(jobs: usize, per_second: f64, txn_ops: usize, swept: bool) -> u64 {
     let start = Instant::now();
     let ids: Vec<JobId> = (0..jobs).map(|n| format!("run-{n:06}").into()).collect();
-    let (mut queries, mut sweep) = (QueryQueue::new(txn_ops), Sweep::default());
+    let (mut queries, mut sweep) = (QueryQueue::new(txn_ops), EndSweep::default());
     let mut budget = Budget::new(per_second, per_second, start);
     let mut due: BTreeMap<u64, Vec<Due>> = BTreeMap::new();
     let (mut under_way, mut reading) = (0, false);
     // Proofs of freshness take a quarter of the share, the watch as much; the next one of each by its time.
     let mut proofs: BinaryHeap<Reverse<u64>> = [Reverse(0), Reverse(50)].into();
     let proof_every = (4000.0 / per_second) as u64;
-    let page_every = (1000.0 * COST / per_second) as u64;
+    let page_every = (1000.0 * PAGE_COST / per_second) as u64;
     // When the next comparison began to wait for its turn, and when the next page may be asked for.
     let (mut asks, mut page_at) = (None, 0);
     let mut waiting: HashSet<usize> = (0..jobs).collect();
@@ -53,13 +53,13 @@
                 Due::Compared(batch) => {
                     under_way -= 1;
                     let failed: Vec<String> = batch.ids().map(|id| format!("h/d/{id}")).collect();
-                    queries.answered(batch, &failed).0.into_iter().for_each(|(at, _)| _ = waiting.remove(&at));
+                    queries.resolve(batch, &failed).answers.into_iter().for_each(|(at, _)| _ = waiting.remove(&at));
                 }
                 Due::Page(from) => {
                     reading = false;
                     let upto = (from + NAMES).min(jobs);
                     ids[from..upto].iter().for_each(|id| queries.note_end(id, End::Done));
-                    sweep.took(ids.get(upto - 1).map(|id| id.to_string()), upto < jobs, now);
+                    sweep.finish_page(ids.get(upto - 1).map(|id| id.to_string()), upto < jobs, now);
                 }
             }
         }
@@ -69,20 +69,20 @@
             if queries.ended(&ids[at]).is_some() {
                 waiting.remove(&at);
             } else {
-                let _ = queries.ask(&ids[at], at, now);
+                let _ = queries.enqueue(&ids[at], at, now);
             }
         }
-        if swept && queries.pressed() {
-            sweep.want(now);
+        if swept && queries.is_half_full() {
+            sweep.request(now);
         }
-        if under_way < 4 && queries.anything_to_ask() {
+        if under_way < 4 && queries.has_queued() {
             let right = RequestPriority::Query.after(MS * (ms - *asks.get_or_insert(ms)) as u32);
             if budget.take(1.0, right, now).is_ok() {
                 (asks, under_way) = (None, under_way + 1);
-                due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(queries.next_batch(now).0));
+                due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(queries.next_batch(now).due));
             }
         }
-        if let Some(since) = sweep.next(now).filter(|_| !reading && ms >= page_at)
+        if let Some(since) = sweep.next_page(now).filter(|_| !reading && ms >= page_at)
             && budget.take(1.0, RequestPriority::Placement, now).is_ok()
         {
             let from = since.map_or(0, |id| ids.partition_point(|known| **known <= *id));
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -12,8 +12,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use crate::history::moves::{self, Move, end_changes, not_ended, not_there, place_of};
-use crate::history::query_queue::{Batch, QueryQueue, Verdict};
+use crate::history::job_transactions::{self, JobTransaction, end_changes, locate_job, never_accepted, not_ended};
+use crate::history::query_queue::{JobQueryAnswer, NextBatch, QueryBatch, QueryQueue, ResolvedBatch};
 use crate::jobs::record::{
     CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
     open_key,
@@ -57,7 +57,7 @@
 enum Answer {
     Watch { asked: u64, response: WatchResponse },
     Page { epoch: u64, page: KeyValuePage },
-    Compared { batch: Batch<usize>, failed: Vec<String> },
+    Compared { batch: QueryBatch<usize>, failed: Vec<String> },
     Moved { question: usize, outcome: Result<u64, Vec<String>>, told: Told },
     Ended { id: JobId, outcome: Result<u64, Vec<String>> },
     Swept { names: Vec<String> },
@@ -108,7 +108,7 @@
     /// Answers to controllers, by when they come, to whom and to which of its lives.
     answers: Vec<(u64, usize, u64, Answer)>,
     /// Transactions still to be applied: who asked, and what it is then told.
-    moves: Vec<(u64, Move, Option<Waits>)>,
+    moves: Vec<(u64, JobTransaction, Option<Waits>)>,
     questions: BTreeMap<usize, (usize, Question)>,
     asked: usize,
     submitted: HashMap<JobId, JobRecord>,
@@ -165,11 +165,11 @@
         for n in 0..6 {
             let id = id(n);
             let record = self.record(&id);
-            let accept = Move {
+            let accept = JobTransaction {
                 conditions: vec![Condition::absent(old_job_key(&id))],
                 changes: vec![Change::write(old_job_key(&id), serde_json::to_value(record).unwrap())],
             };
-            let end = |end: &str| Move {
+            let end = |end: &str| JobTransaction {
                 conditions: vec![Condition::absent(old_end_key(&id))],
                 changes: vec![Change::write(old_end_key(&id), json!({"end": end, "at_ms": 3}))],
             };
@@ -210,7 +210,7 @@
     }
 
     /// A transaction on its way, and at times a copy of it that is applied much later.
-    fn send(&mut self, from: usize, sent: Move, waiting: Waiting) {
+    fn send(&mut self, from: usize, sent: JobTransaction, waiting: Waiting) {
         if self.rng.random_bool(0.25) {
             let due = self.step + self.rng.random_range(1..400);
             self.moves.push((due, sent.clone(), None));
@@ -270,7 +270,7 @@
         }
         asked.proof_after = None;
         let instant = std::time::Instant::now();
-        if controller.queries.ask(&job, question, instant).is_err() {
+        if controller.queries.enqueue(&job, question, instant).is_err() {
             self.tell(question, None);
         }
     }
@@ -283,7 +283,7 @@
                 self.cancelled.entry(job).or_insert(self.step);
                 self.send(
                     at,
-                    moves::cancel(&record, None, 9),
+                    job_transactions::cancel_job(&record, None, 9),
                     Waiting::Question(question, Told::Ended(End::Cancelled)),
                 );
             }
@@ -311,7 +311,11 @@
         if intent == Intent::Submit && controller.watch_cache.is_ready() && !known {
             let old_kept = controller.watch_cache.may_hold_old_jobs();
             let record = self.record(&job);
-            return self.send(at, moves::accept(&record, old_kept), Waiting::Question(question, Told::Open));
+            return self.send(
+                at,
+                job_transactions::accept_job(&record, old_kept),
+                Waiting::Question(question, Told::Open),
+            );
         }
         self.look_up(at, question, false);
     }
@@ -326,19 +330,25 @@
             return;
         }
         let (job, record) = open.swap_remove(self.rng.random_range(0..open.len()));
-        let end = Move { conditions: not_ended(&job).collect(), changes: end_changes(&record, End::Done, 9).into() };
+        let end = JobTransaction {
+            conditions: not_ended(&job).collect(),
+            changes: end_changes(&record, End::Done, 9).into(),
+        };
         self.send(at, end, Waiting::End(job));
     }
 
-    fn apply(&mut self, sent: &Move) -> Result<u64, Vec<String>> {
+    fn apply(&mut self, sent: &JobTransaction) -> Result<u64, Vec<String>> {
         let version = self.store.apply_if(&sent.conditions, &sent.changes).map_err(|refused| refused.failed)?;
         for change in &sent.changes {
             let Change::Write { write, value, .. } = change else { continue };
             assert!(value.to_string().len() < 1024 + ENDED_EXTRA);
-            let Some((job, place)) = place_of(write) else { continue };
+            let Some((job, place)) = locate_job(write) else { continue };
             let ends = [End::Done, End::Cancelled].map(|end| self.store.has(&ended_key(job, end)));
             let keys = usize::from(self.store.has(&open_key(job))) + ends.iter().filter(|has| **has).count();
-            assert!(keys == 1 || (place == moves::Place::Old && keys <= 1), "{job} has {keys} keys");
+            assert!(
+                keys == 1 || (place == job_transactions::JobLocation::EarlierBuild && keys <= 1),
+                "{job} has {keys} keys"
+            );
         }
         Ok(version)
     }
@@ -382,11 +392,12 @@
             }
             _ => {}
         }
-        let (batch, stale) = self.controllers[at].queries.next_batch(std::time::Instant::now());
+        let NextBatch { due: batch, expired: stale } =
+            self.controllers[at].queries.next_batch(std::time::Instant::now());
         assert!(stale.is_empty());
         if !batch.is_empty() {
             let old_kept = self.controllers[at].watch_cache.may_hold_old_jobs();
-            let conditions: Vec<_> = batch.ids().flat_map(|id| not_there(id, old_kept)).collect();
+            let conditions: Vec<_> = batch.ids().flat_map(|id| never_accepted(id, old_kept)).collect();
             let failed = self.store.compare(&conditions);
             self.answer(at, Answer::Compared { batch, failed });
         }
@@ -412,7 +423,7 @@
                 up.jobs.pop_front();
                 if up.ends.front() != Some(&job) {
                     let record = self.submitted[&*job].clone();
-                    let _ = self.apply(&moves::adopt(&record, version));
+                    let _ = self.apply(&job_transactions::adopt_job(&record, version));
                 }
             }
         } else {
@@ -464,16 +475,16 @@
                 }
             }
             Answer::Compared { batch, failed } => {
-                let (answers, old) = self.controllers[at].queries.answered(batch, &failed);
+                let ResolvedBatch { answers, old_jobs: old } = self.controllers[at].queries.resolve(batch, &failed);
                 for (question, verdict) in answers {
                     match verdict {
-                        Verdict::Never => self.tell(question, Some(Told::Never)),
-                        Verdict::Ended(end) => self.tell(question, Some(Told::Ended(end))),
-                        Verdict::Open => self.found_open(at, question),
-                        Verdict::Later => self.tell(question, None),
+                        JobQueryAnswer::NeverAccepted => self.tell(question, Some(Told::Never)),
+                        JobQueryAnswer::Ended(end) => self.tell(question, Some(Told::Ended(end))),
+                        JobQueryAnswer::Open => self.found_open(at, question),
+                        JobQueryAnswer::Unavailable => self.tell(question, None),
                     }
                 }
-                for (job, waiters) in old.into_asked() {
+                for (job, waiters) in old.into_queries() {
                     // Looked at at a moment of its own.
                     let end = self.store.value(&old_end_key(&job)).map(|v| v["end"] == "done");
                     let told = match end {
@@ -481,7 +492,8 @@
                         None => {
                             let record = self.submitted[&job].clone();
                             let version = self.store.version(&old_job_key(&job));
-                            let adopted = version > 0 && self.apply(&moves::adopt(&record, version)).is_ok();
+                            let adopted =
+                                version > 0 && self.apply(&job_transactions::adopt_job(&record, version)).is_ok();
                             adopted.then_some(Told::Open)
                         }
                     };
@@ -507,22 +519,24 @@
                 Err(keys) => {
                     let Some((_, asked)) = self.questions.get(&question) else { return };
                     let job = asked.id.clone();
-                    if let Some(end) = moves::end_among(&keys, &job) {
+                    if let Some(end) = job_transactions::find_end(&keys, &job) {
                         self.controllers[at].queries.note_end(&job, end);
                     }
                     self.look_up(at, question, false);
                 }
             },
             Answer::Swept { names } => {
-                for (id, place) in names.iter().filter_map(|name| place_of(name)) {
-                    let moves::Place::Ended(end) = place else { panic!("{id} is not under an end's key") };
+                for (id, place) in names.iter().filter_map(|name| locate_job(name)) {
+                    let job_transactions::JobLocation::Ended(end) = place else {
+                        panic!("{id} is not under an end's key")
+                    };
                     self.controllers[at].queries.note_end(id, end);
                 }
             }
             Answer::Ended { id, outcome } => {
                 let end = match outcome {
                     Ok(_) => Some(End::Done),
-                    Err(keys) => moves::end_among(&keys, &id),
+                    Err(keys) => job_transactions::find_end(&keys, &id),
                 };
                 if let Some(end) = end {
                     self.controllers[at].queries.note_end(&id, end);
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use tracing::{error, info};
 
-use super::moves::adopt;
+use super::job_transactions::adopt_job;
 use crate::jobs::record::{JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, Upgraded};
 use crate::store::budget::RequestPriority;
 use crate::store::client::{KeyValue, Pages};
@@ -71,7 +71,7 @@
         }
         match JobRecord::deserialize(&item.value) {
             Ok(record) => {
-                let adopt = adopt(&record, item.version);
+                let adopt = adopt_job(&record, item.version);
                 // Failed: another controller was faster, or it has ended meanwhile.
                 let outcome =
                     store.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await?;
--- a/src/history/visibility.rs
+++ b/src/history/visibility.rs
@@ -1,11 +1,11 @@
 //! Which cancellations may be reported to users.
 //!
-//! Any controller may store a cancellation; the leader carries it out. A leader that the state service refuses hears of
+//! Any controller may store a cancellation; the leader carries it out. A leader that the state service refuses learns of
 //! no cancellation and goes on answering workers, so that work whose cancellation was reported would run on. So the
 //! leader publishes a watermark, the revision up to which its loaded cluster state holds every end (a read index, as in
 //! replicated logs), and a cancellation is reported only at or below a watermark. Once reached, that stays true: the
-//! leader of that time has the end in its cluster state, and every later one reads it before it leads. A `done` needs
-//! no watermark, since nothing is to be stopped. Pure.
+//! leader of that time has the end in its cluster state, and every later one reads it before it leads. An end `done`
+//! needs no watermark, since nothing is to be stopped. Pure.
 
 use std::num::NonZeroUsize;
 
@@ -13,82 +13,85 @@
 
 use crate::jobs::{End, JobId};
 
-/// Cancellations remembered that wait for the watermark, the latest: of others the state service is asked
-/// for the version.
-const MOST_WAITING: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
+/// Number of cancellations remembered until the watermark reaches them, the latest ones. For others the state service
+/// is asked for the version.
+const MAX_PENDING: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
 
-/// What users may hear of an end that stands in the store.
+/// Whether users may be told of an end that stands in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Visible {
+pub enum EndVisibility {
     /// They may be told.
-    Yes,
+    Visible,
     /// Stored, and not yet known to be in the leader's cluster state.
     NotYet,
-    /// When it was stored is not known here.
+    /// This controller does not know at which revision it was stored.
     Unknown,
 }
 
-/// The whole rule. `shown`: it was found visible before. `version`: of the end, or anything above it.
-/// `watermark`: the highest of any leader that was heard of here.
-pub fn visible(end: End, shown: bool, version: Option<u64>, watermark: u64) -> Visible {
+/// The whole rule. `was_visible`: the end was found visible before. `version`: the revision at which it was stored, or
+/// any above that. `watermark`: the highest one of any leader that this controller has learned of.
+pub fn end_visibility(end: End, was_visible: bool, version: Option<u64>, watermark: u64) -> EndVisibility {
     match (end, version) {
-        (End::Done, _) => Visible::Yes,
-        _ if shown => Visible::Yes,
-        (End::Cancelled, Some(version)) if version <= watermark => Visible::Yes,
-        (End::Cancelled, Some(_)) => Visible::NotYet,
-        (End::Cancelled, None) => Visible::Unknown,
+        (End::Done, _) => EndVisibility::Visible,
+        _ if was_visible => EndVisibility::Visible,
+        (End::Cancelled, Some(version)) if version <= watermark => EndVisibility::Visible,
+        (End::Cancelled, Some(_)) => EndVisibility::NotYet,
+        (End::Cancelled, None) => EndVisibility::Unknown,
     }
 }
 
-/// What one controller knows of this.
+/// Numbers of cancellations that users may not be told of yet, for display.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct HiddenCancellations {
+    /// Cancellations whose versions are remembered.
+    pub remembered: usize,
+    /// Those of them above the watermark.
+    pub above_watermark: usize,
+}
+
+/// The watermark, and the cancellations that it may not have reached.
 #[derive(Debug)]
-pub struct Visibility {
+pub struct PendingCancellations {
     watermark: u64,
-    waiting: LruCache<JobId, u64>,
+    versions: LruCache<JobId, u64>,
 }
 
-impl Default for Visibility {
+impl Default for PendingCancellations {
     fn default() -> Self {
-        Self { watermark: 0, waiting: LruCache::new(MOST_WAITING) }
+        Self { watermark: 0, versions: LruCache::new(MAX_PENDING) }
     }
 }
 
-impl Visibility {
-    /// The highest watermark heard of; 0 before the first.
+impl PendingCancellations {
+    /// The highest watermark known; 0 before the first.
     pub fn watermark(&self) -> u64 {
         self.watermark
     }
 
-    /// A leader's loaded cluster state holds all ends up to this revision.
-    pub fn advance(&mut self, watermark: u64) {
-        if watermark > self.watermark {
-            self.watermark = watermark;
-        }
+    /// Raises the watermark; a lower one that arrives late is ignored.
+    pub fn advance_watermark(&mut self, watermark: u64) {
+        self.watermark = self.watermark.max(watermark);
     }
 
-    /// A cancellation was stored at this revision, or before.
-    pub fn stored_at(&mut self, id: &JobId, version: u64) {
-        let known = self.waiting.get(id).copied().unwrap_or(version);
-        self.waiting.put(id.clone(), known.min(version));
+    /// Remembers that a cancellation was stored at this revision or before. The lowest revision counts.
+    pub fn note_version(&mut self, id: &JobId, version: u64) {
+        let known = self.versions.get(id).copied().unwrap_or(version);
+        self.versions.put(id.clone(), known.min(version));
     }
 
-    /// When the cancellation was stored, as far as it is known here.
+    /// The revision at which the cancellation was stored or a later one; none if it is not remembered.
     pub fn version(&self, id: &str) -> Option<u64> {
-        self.waiting.peek(id).copied()
+        self.versions.peek(id).copied()
     }
 
-    /// It need not wait any more.
+    /// Forgets a cancellation that has become visible.
     pub fn forget(&mut self, id: &str) {
-        self.waiting.pop(id);
-    }
-
-    /// Number of cancellations whose versions are kept.
-    pub fn held(&self) -> usize {
-        self.waiting.len()
+        self.versions.pop(id);
     }
 
-    /// Cancellations above the watermark.
-    pub fn waiting(&self) -> usize {
-        self.waiting.iter().filter(|(_, version)| **version > self.watermark).count()
+    /// How many cancellations users may not be told of yet.
+    pub fn hidden_cancellations(&self) -> HiddenCancellations {
+        let above_watermark = self.versions.iter().filter(|(_, version)| **version > self.watermark).count();
+        HiddenCancellations { remembered: self.versions.len(), above_watermark }
     }
 }
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -31,7 +31,7 @@
         let watch_cache = self.store.watch_cache();
         let (now, now_ms) = (Instant::now(), time_of_day_ms());
         if let Some(stored) = watch_cache.watermark() {
-            self.history.advance(stored.revision);
+            self.history.advance_watermark(stored.revision);
         }
         {
             let mut served = self.leader.accounting();
@@ -39,7 +39,7 @@
                 served.offered(&record.spec, record.age(now_ms), now);
             }
             for id in &news.ended {
-                self.history.heard(id, now);
+                self.history.note_end_seen(id, now);
                 if let Some(record) = watch_cache.ended_record(id) {
                     served.ended(&record, self.history.ended(id), record.age(now_ms), now);
                 }
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -24,7 +24,7 @@
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
         let watermark = watermark::own_watermark(&self.incarnation, cluster, watch_cache.leader_record())?;
         drop((watch_cache, held));
-        self.history.advance(watermark.revision);
+        self.history.advance_watermark(watermark.revision);
         Some(watermark)
     }
 
@@ -60,7 +60,7 @@
         drop(held);
         self.wakeups.dispatch.notify_one();
         if obeyed {
-            self.history.show(id);
+            self.history.mark_visible(id);
         }
         obeyed
     }
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -223,7 +223,7 @@
 
 /// Tells of a watermark that does not advance, and stores it for those who do not hear it.
 async fn tend_watermark(membership: &Membership, lag: &mut Lag) {
-    let [_, waiting] = membership.history.hidden();
+    let waiting = membership.history.hidden_cancellations().above_watermark;
     if let Some(long) = lag.tells(waiting, membership.history.watermark(), Instant::now()) {
         warn!(
             waiting,
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -189,7 +189,7 @@
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
         (believed(&line.node, line.watermark, leader_record), leads)
     };
-    membership.history.advance(watermark.unwrap_or(0));
+    membership.history.advance_watermark(watermark.unwrap_or(0));
     let many = {
         let mut heard = lock(&membership.heard);
         heard.told(line.node, line.store_serves, line.wants, line.acknowledged, now);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -41,7 +41,7 @@
 pub use ended_jobs::Over;
 pub(crate) use store_shares::{REQUESTS, SHARE_EVERY, WRITES, first_budget};
 
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::machine_kinds::SharedCatalog;
 use crate::process_pause::PauseDetector;
 use crate::scheduling::leader_state::LeaderState;
@@ -66,7 +66,7 @@
     /// Names this process among all that ever ran; orders to the cloud are named after it.
     pub incarnation: String,
     pub(crate) store: Arc<StateStore>,
-    pub(crate) history: Arc<History>,
+    pub(crate) history: Arc<JobHistory>,
     leader: Arc<LeaderState>,
     catalog: Arc<SharedCatalog>,
     wakeups: Arc<Wakeups>,
@@ -94,7 +94,7 @@
         settings: Arc<Settings>,
         properties: Arc<Properties>,
         store: Arc<StateStore>,
-        history: Arc<History>,
+        history: Arc<JobHistory>,
         leader: Arc<LeaderState>,
         catalog: Arc<SharedCatalog>,
         wakeups: Arc<Wakeups>,
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -14,8 +14,8 @@
 use super::cluster::ShardWrite;
 use super::leader_state::LeaderState;
 use crate::audit::{Auditor, Held};
-use crate::history::moves::{end_among, end_changes, not_ended};
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
+use crate::history::job_transactions::{end_changes, find_end, not_ended};
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, LEADER, decode_shard, encode_shard, open_key, shard_key, shard_size, time_of_day_ms,
 };
@@ -48,7 +48,7 @@
     /// The state service.
     pub store: Arc<StateStore>,
     /// Told of each end that was stored.
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     /// Told where a transaction shows that another leads.
     pub membership: Arc<Membership>,
     /// The cluster state, whose changes are stored.
@@ -59,13 +59,13 @@
     pub wakeups: Arc<Wakeups>,
 }
 
-pub(crate) struct Batch {
+pub(crate) struct CommitBatch {
     pub ends: Vec<Arc<JobRecord>>,
     pub shards: Vec<ShardWrite>,
     pub at_ms: u64,
 }
 
-impl Batch {
+impl CommitBatch {
     pub fn changes(&self) -> Vec<Change> {
         let ends = self.ends.iter().flat_map(|job| end_changes(job, End::Done, self.at_ms));
         let shards = self.shards.iter().map(|c| Change::write(shard_key(&c.job, c.shard), encode_shard(&c.tasks)));
@@ -124,7 +124,7 @@
     }
 }
 
-fn next(group_commit: &GroupCommit) -> Option<Batch> {
+fn next(group_commit: &GroupCommit) -> Option<CommitBatch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
     let most = (group_commit.settings.params.state.txn_ops as usize)
         .min(group_commit.store.client.writes_ready(RequestPriority::Placement).max(1));
@@ -141,12 +141,12 @@
     let rest = shards.split_off(fitting(&mut bytes, shards.iter().map(|c| shard_size(&c.tasks) + FRAME)));
     let late_ends: Vec<JobId> = late_ends.iter().map(|job| job.spec.id.clone()).collect();
     cluster.to_store_again(&late_ends, &rest);
-    let batch = Batch { ends, shards, at_ms: time_of_day_ms() };
+    let batch = CommitBatch { ends, shards, at_ms: time_of_day_ms() };
     (!batch.is_empty()).then_some(batch)
 }
 
 /// False once this controller no longer leads.
-async fn store(group_commit: &Arc<GroupCommit>, batch: Batch) -> bool {
+async fn store(group_commit: &Arc<GroupCommit>, batch: CommitBatch) -> bool {
     let changes = batch.changes();
     let priority = if batch.ends.is_empty() { RequestPriority::Placement } else { RequestPriority::Critical };
     let mut unanswered = false;
@@ -182,7 +182,7 @@
     }
 }
 
-fn stored(group_commit: &GroupCommit, batch: &Batch, version: u64) {
+fn stored(group_commit: &GroupCommit, batch: &CommitBatch, version: u64) {
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.shards_stored(&batch.shards, version);
     }
@@ -204,9 +204,9 @@
 }
 
 /// Some keys had other versions: each is read, and what it holds decides.
-async fn settle(group_commit: &Arc<GroupCommit>, batch: Batch, keys: Vec<String>) -> bool {
+async fn settle(group_commit: &Arc<GroupCommit>, batch: CommitBatch, keys: Vec<String>) -> bool {
     for id in batch.jobs() {
-        if let Some(end) = end_among(&keys, id) {
+        if let Some(end) = find_end(&keys, id) {
             note_end(group_commit, id, end);
         }
     }
--- a/src/scheduling/interleavings/jobs.rs
+++ b/src/scheduling/interleavings/jobs.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::world::World;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::record::{JobRecord, TASKS_PER_SHARD, open_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{JobId, Shape};
@@ -27,7 +27,7 @@
         // Never any age by the time of day: a run takes as long as it takes, and runs the same again.
         let record = Arc::new(JobRecord { spec: job, at_ms: u64::MAX });
         self.records.insert(record.spec.id.clone(), record.clone());
-        self.send_move(moves::accept(&record, false));
+        self.send_move(job_transactions::accept_job(&record, false));
     }
 
     pub(super) fn cancel(&mut self) {
@@ -39,7 +39,7 @@
             return;
         }
         let id = open[self.rng.random_range(0..open.len())].clone();
-        let cancellation = moves::cancel(&self.records[&id], None, 0);
+        let cancellation = job_transactions::cancel_job(&self.records[&id], None, 0);
         self.send_move(cancellation);
     }
 }
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -11,12 +11,12 @@
 use super::store::ended;
 use super::users::Seat;
 use super::world::World;
-use crate::history::moves::end_among;
+use crate::history::job_transactions::find_end;
 use crate::jobs::record::{LEADER, TASKS, decode_shard, ended_key, open_key, parse_shard_key, shard_key};
 use crate::jobs::{End, JobId};
 use crate::process_pause::ProcessPause;
 use crate::scheduling::cluster::{ClusterState, MachineId, MachineState};
-use crate::scheduling::commit::Batch;
+use crate::scheduling::commit::CommitBatch;
 use crate::scheduling::plan;
 use crate::settings::Properties;
 use crate::settings::tests::example;
@@ -40,7 +40,7 @@
 /// A controller that leads, or that did and has not learned that it leads no longer.
 pub(super) struct Leader {
     pub(super) cluster: ClusterState,
-    pub(super) batch: Option<(Batch, Instant)>,
+    pub(super) batch: Option<(CommitBatch, Instant)>,
     /// What its watch will tell, in order.
     pub(super) news: Vec<DeliveredChange>,
     pub(super) returning: HashSet<MachineId>,
@@ -195,7 +195,7 @@
         let now = self.now;
         if leader.batch.is_none() {
             let (ends, shards) = leader.cluster.next_writes(WRITES_PER_BATCH, now);
-            let batch = Batch { ends, shards, at_ms: 0 };
+            let batch = CommitBatch { ends, shards, at_ms: 0 };
             if !batch.is_empty() {
                 leader.batch = Some((batch, now));
             }
@@ -247,7 +247,7 @@
     }
 
     /// True if the leader learned that it is one no longer.
-    pub(super) fn store_batch(&mut self, leader: &mut Leader, batch: Batch) -> bool {
+    pub(super) fn store_batch(&mut self, leader: &mut Leader, batch: CommitBatch) -> bool {
         let (conditions, changes) = (batch.conditions(leader.cluster.fencing_token), batch.changes());
         let fate = if self.quiet { 1.0 } else { self.rng.random::<f64>() };
         let unanswered = if self.slow() { 0.4 } else { 0.05 };
@@ -291,9 +291,9 @@
     }
 
     /// A batch was refused for these keys: what they say is taken over, and the rest is stored again.
-    fn take_refusal(&self, leader: &mut Leader, batch: &Batch, keys: &[String]) {
+    fn take_refusal(&self, leader: &mut Leader, batch: &CommitBatch, keys: &[String]) {
         for id in batch.jobs() {
-            if let Some(end) = end_among(keys, id) {
+            if let Some(end) = find_end(keys, id) {
                 leader.cluster.end_job(id, Some(end), self.now);
             }
         }
--- a/src/scheduling/interleavings/meetings.rs
+++ b/src/scheduling/interleavings/meetings.rs
@@ -317,7 +317,7 @@
     world.runs_endlessly(&id, 1);
     world.refuse_leader(Duration::from_secs(14));
     (0..5).for_each(|_| world.step());
-    let sent = crate::history::moves::cancel(&world.records[&id], None, 0);
+    let sent = crate::history::job_transactions::cancel_job(&world.records[&id], None, 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
     (0..15).for_each(|_| world.step());
     world.out_for(Duration::from_secs(68));
@@ -348,7 +348,7 @@
     world.workers.iter_mut().for_each(|w| w.hangs_until = endless);
     let (leader, told) = (world.leader, world.now);
     let fencing_token = world.leaders[leader].as_ref().expect("it leads").cluster.fencing_token;
-    let sent = crate::history::moves::cancel(&world.records[&id], Some(fencing_token), 0);
+    let sent = crate::history::job_transactions::cancel_job(&world.records[&id], Some(fencing_token), 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the leader");
     world.cancelled_by_leader(leader, &id, fencing_token);
     for at in ends_at_s {
@@ -390,7 +390,7 @@
     }
     world.refuse_leader(Duration::from_secs(120));
     world.take_over();
-    let sent = crate::history::moves::cancel(&world.records[&id], None, 0);
+    let sent = crate::history::job_transactions::cancel_job(&world.records[&id], None, 0);
     world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
     let successor = world.leader;
     while world.leaders[successor].as_ref().is_some_and(|leader| !leader.cluster.loaded) {
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::world::World;
-use crate::history::moves::Move;
+use crate::history::job_transactions::JobTransaction;
 use crate::jobs::JobId;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::records::leadership::Watermark;
@@ -110,7 +110,7 @@
     }
 
     /// A user's transaction: applied, and at times again much later, as a copy that was held back.
-    pub(super) fn send_move(&mut self, sent: Move) {
+    pub(super) fn send_move(&mut self, sent: JobTransaction) {
         let copies = if !self.quiet && self.rng.random_bool(0.2) { 2 } else { 1 };
         for _ in 0..copies {
             let due = self.now + self.delay();
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -11,7 +11,7 @@
 use super::workers::Worker;
 use super::world::World;
 use super::{CANCEL, LEADER_LEASE, STEP};
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::JobId;
 use crate::jobs::record::{LEADER, open_key};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
@@ -165,7 +165,7 @@
         let open: Vec<JobId> =
             self.records.keys().filter(|id| bad(id) && self.store.has(&open_key(id))).cloned().collect();
         for id in open {
-            let cancellation = moves::cancel(&self.records[&id], None, 0);
+            let cancellation = job_transactions::cancel_job(&self.records[&id], None, 0);
             self.send_move(cancellation);
         }
     }
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -6,7 +6,7 @@
 
 use super::leaders::DeliveredChange;
 use super::world::World;
-use crate::history::moves::{Place, place_of};
+use crate::history::job_transactions::{JobLocation, locate_job};
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
 use crate::jobs::{End, JobId};
 use crate::protocol::workers::TaskKey;
@@ -28,15 +28,15 @@
                 let stored: Watermark = serde_json::from_value(value.clone()).expect("own values");
                 self.note_mark(version, stored.revision);
             }
-            let Some((id, place)) = place_of(write) else { continue };
+            let Some((id, place)) = locate_job(write) else { continue };
             let (id, record) = self.records.get_key_value(id).expect("a job that was submitted");
             let (id, record) = (id.clone(), record.clone());
             let [done, cancelled] = ended_keys(&id).map(|key| self.store.has(&key));
             let keys = usize::from(self.store.has(&open_key(&id))) + usize::from(done) + usize::from(cancelled);
             assert_eq!(keys, 1, "{id} has {keys} keys: came back, or ended twice");
             match place {
-                Place::Open => self.tell(&id, true, version),
-                Place::Ended(End::Done) => {
+                JobLocation::Open => self.tell(&id, true, version),
+                JobLocation::Ended(End::Done) => {
                     let done = |index: u64| self.completed.contains(&TaskKey { job: id.clone(), index: index as u32 });
                     let gang = record.spec.is_gang();
                     let enough = if gang { (0..record.spec.tasks).any(done) } else { (0..record.spec.tasks).all(done) };
@@ -44,11 +44,11 @@
                     self.note_ended(&id, End::Done, version);
                     self.tell(&id, false, version);
                 }
-                Place::Ended(End::Cancelled) => {
+                JobLocation::Ended(End::Cancelled) => {
                     self.note_ended(&id, End::Cancelled, version);
                     self.tell(&id, false, version);
                 }
-                Place::Old => unreachable!("nothing writes earlier builds' keys"),
+                JobLocation::EarlierBuild => unreachable!("nothing writes earlier builds' keys"),
             }
         }
         Ok(version)
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -11,8 +11,8 @@
 use super::workers::Worker;
 use super::world::World;
 use super::{CANCEL, LEADER_LEASE, LEASE};
-use crate::history::moves;
-use crate::history::visibility::{Visible, visible};
+use crate::history::job_transactions;
+use crate::history::visibility::{EndVisibility, end_visibility};
 use crate::jobs::record::{LEADER, WATERMARK, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::believed;
@@ -398,7 +398,7 @@
         if self.rng.random_bool(0.5) {
             if self.users.followers.iter().any(|f| f.refused_until <= self.now) {
                 let due = self.now + Duration::from_millis(self.rng.random_range(1..150));
-                let sent = moves::cancel(&self.records[&id], None, 0);
+                let sent = job_transactions::cancel_job(&self.records[&id], None, 0);
                 let (conditions, changes) = (sent.conditions, sent.changes);
                 self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             }
@@ -412,7 +412,7 @@
         }
         let at = leaders[self.rng.random_range(0..leaders.len())];
         let fencing_token = self.leaders[at].as_ref().expect("it leads").cluster.fencing_token;
-        let sent = moves::cancel(&self.records[&id], Some(fencing_token), 0);
+        let sent = job_transactions::cancel_job(&self.records[&id], Some(fencing_token), 0);
         if self.apply(&sent.conditions, &sent.changes).is_ok() && !(self.slow() && self.rng.random_bool(0.4)) {
             self.send(Message::Cancelled { to: at, id, fencing_token });
         }
@@ -469,9 +469,9 @@
             let leaders = self.leaders.iter().flatten().filter(|o| o.frozen.is_none()).map(|o| o.seat.watermark);
             let answers: Vec<u64> = self.users.followers.iter().map(|f| f.watermark).chain(leaders).collect();
             let watermark = answers[self.rng.random_range(0..answers.len())];
-            match visible(End::Cancelled, false, Some(version), watermark) {
-                Visible::Yes => self.tell_user(&id),
-                Visible::NotYet | Visible::Unknown => self.users.tally.not_told += 1,
+            match end_visibility(End::Cancelled, false, Some(version), watermark) {
+                EndVisibility::Visible => self.tell_user(&id),
+                EndVisibility::NotYet | EndVisibility::Unknown => self.users.tally.not_told += 1,
             }
         }
     }
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -109,7 +109,7 @@
     ids.extend(cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned());
     for id in &ids {
         let stored = ended.stored_ends.get(id);
-        let at = scheduler.history.heard_at(id).or(stored.map(|end| end.at));
+        let at = scheduler.history.end_seen_at(id).or(stored.map(|end| end.at));
         let earlier_revision = watch_cache.revision_before_end(id).or(stored.map(|end| end.earlier_revision));
         cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
         cluster.ended_after(id, earlier_revision.unwrap_or(0));
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -5,7 +5,7 @@
 
 use super::cluster::ClusterState;
 use super::leader_state::LeaderState;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::Membership;
 use crate::settings::Settings;
@@ -27,7 +27,7 @@
     /// The state service and its watch cache.
     pub store: Arc<StateStore>,
     /// Ends of jobs.
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     /// Whether this controller may act as the leader.
     pub membership: Arc<Membership>,
     /// The cluster state and the fair-share accounting.
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -5,7 +5,7 @@
 use super::simulation::*;
 use super::world::*;
 use super::*;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::{End, JobId};
 use crate::membership::WRITES;
 use crate::protocol::workers::ExitCause;
@@ -105,7 +105,8 @@
         let (now, part) = (simulation.world.now, &mut parts[(f64::from(step) * STEP / PART_S) as usize]);
         for n in [2 * step + 2, 2 * step + 3] {
             let id = simulation.world.accept(&mut simulation.cluster, n, |j| j.estimate_s = 2.0);
-            part.changes_of_others += moves::accept(&simulation.cluster.job(&id).unwrap().record, false).changes.len();
+            part.changes_of_others +=
+                job_transactions::accept_job(&simulation.cluster.job(&id).unwrap().record, false).changes.len();
             part.transactions += 1;
             accepted.insert(id, now);
         }
@@ -115,7 +116,7 @@
             if let Some(record) =
                 simulation.cluster.job(&id).filter(|job| job.ended.is_none()).map(|job| job.record.clone())
             {
-                part.changes_of_others += moves::cancel(&record, None, 0).changes.len();
+                part.changes_of_others += job_transactions::cancel_job(&record, None, 0).changes.len();
                 part.transactions += 1;
                 simulation.cancel(&id);
             }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -7,7 +7,7 @@
 use crate::protocol::workers::{ExitCause, WorkerCommand};
 use crate::scheduling::cluster::Direct;
 use crate::scheduling::cluster::Placement;
-use crate::scheduling::commit::Batch;
+use crate::scheduling::commit::CommitBatch;
 use crate::settings::Settings;
 use std::collections::{BTreeMap, HashSet};
 
@@ -347,7 +347,7 @@
     /// The same in one transaction of at most so many changes; how many it had.
     pub(super) fn store_some(&mut self, cluster: &mut ClusterState, most: usize, now: Instant) -> usize {
         let (ends, shards) = cluster.next_writes(most, now);
-        let batch = Batch { ends, shards, at_ms: 0 };
+        let batch = CommitBatch { ends, shards, at_ms: 0 };
         self.version += u64::from(!batch.shards.is_empty());
         for write in &batch.shards {
             let next = (self.version, write.tasks.clone());
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -7,9 +7,7 @@
 use super::share::Meter;
 use crate::process_pause::ProcessPause;
 pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
-use crate::protocol::state::{
-    CompareAndSwap, FailedConditions, GrantedLease, KeyVersion, KeyVersionPage, StoreRevision,
-};
+use crate::protocol::state::{CompareAndSwap, FailedConditions, GrantedLease, KeyVersionPage, StoreRevision};
 use crate::protocol::{self, CallError, Http};
 use crate::traffic::{Passage, Traffic};
 use hyper::Method;
@@ -299,17 +297,17 @@
 
     /// One page of the keys under a prefix with their versions, at most `most` of them, beginning after `since` if it is
     /// given. The values are skipped while the answer is decoded.
-    pub async fn names(
+    pub async fn key_versions(
         &self,
         prefix: &str,
         since: Option<&str>,
         most: usize,
         priority: RequestPriority,
-    ) -> Result<(Vec<KeyVersion>, bool), StoreError> {
+    ) -> Result<KeyVersionPage, StoreError> {
         let since = since.map(|key| format!("&since={}", escaped(key))).unwrap_or_default();
         let path = format!("/keys?prefix={prefix}&most={most}{since}");
         match self.call(Method::GET, &path, None, ANSWER_WITHIN * 2, priority).await? {
-            (200, body) => parse::<KeyVersionPage>(&body).map(|n| (n.items, n.more)),
+            (200, body) => parse(&body),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a listing"))),
         }
     }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -12,7 +12,7 @@
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, Write};
 use crate::declarations::records::{spec_key, status_key};
-use crate::history::moves::{self, Move};
+use crate::history::job_transactions::{self, JobTransaction};
 use crate::history::upgrade::upgraded;
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
 use crate::jobs::tests::spec;
@@ -20,7 +20,7 @@
 use crate::membership::{candidacy, expiry, naming};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
-use crate::scheduling::commit::{Batch, shard_drops, still_to_drop};
+use crate::scheduling::commit::{CommitBatch, shard_drops, still_to_drop};
 use crate::store::{Change, Condition};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
@@ -71,7 +71,7 @@
         version
     }
 
-    fn send_move(&mut self, name: &'static str, sent: Move) -> u64 {
+    fn send_move(&mut self, name: &'static str, sent: JobTransaction) -> u64 {
         self.send(name, sent.conditions, sent.changes)
     }
 
@@ -82,7 +82,7 @@
         ends: Vec<Arc<JobRecord>>,
         shards: Vec<ShardWrite>,
     ) -> u64 {
-        let batch = Batch { ends, shards, at_ms: 5 };
+        let batch = CommitBatch { ends, shards, at_ms: 5 };
         self.send(name, batch.conditions(fencing_token), batch.changes())
     }
 
@@ -126,22 +126,22 @@
     // An earlier build's job, taken over.
     let old = serde_json::to_value(&*jobs[3]).unwrap();
     let version = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
-    life.send_move("adoption", moves::adopt(&jobs[3], version));
+    life.send_move("adoption", job_transactions::adopt_job(&jobs[3], version));
     let (condition, change) = upgraded(true);
     life.send("upgraded", [condition], [change]);
 
-    life.send_move("acceptance", moves::accept(&jobs[0], true));
+    life.send_move("acceptance", job_transactions::accept_job(&jobs[0], true));
     let placed = life.batch("first placement", fencing_token, vec![], vec![shard(&jobs[0], 0, 1)]);
     let placed = life.batch("next placement", fencing_token, vec![], vec![shard(&jobs[0], placed, 2)]);
-    life.send_move("second acceptance", moves::accept(&jobs[1], true));
+    life.send_move("second acceptance", job_transactions::accept_job(&jobs[1], true));
     life.batch("placement beside it", fencing_token, vec![], vec![shard(&jobs[1], 0, 1)]);
-    life.send_move("withdrawal", moves::cancel(&jobs[1], None, 5));
+    life.send_move("withdrawal", job_transactions::cancel_job(&jobs[1], None, 5));
     life.batch("news of the first", fencing_token, vec![], vec![shard(&jobs[0], placed, 3)]);
     life.batch("done", fencing_token, vec![jobs[0].clone()], vec![]);
     let drops = jobs[..2].iter().map(|job| (job.spec.id.clone(), 0)).collect::<Vec<_>>();
     let (conditions, changes) = shard_drops(&drops, fencing_token);
     life.send("chunks dropped", conditions, changes);
-    life.send_move("third acceptance", moves::accept(&jobs[2], true));
+    life.send_move("third acceptance", job_transactions::accept_job(&jobs[2], true));
 
     // An order of which one try was not answered, and one of which all were.
     for (n, name, cleaned, unsure) in
@@ -176,7 +176,7 @@
     life.store.vanish("h/d/", 1);
     life.send_move("end put back", end_again(&jobs[0], End::Done, 9));
     life.store.vanish(&open_key(&jobs[2].spec.id), 1);
-    life.send_move("job put back", moves::accept(&jobs[2], true));
+    life.send_move("job put back", job_transactions::accept_job(&jobs[2], true));
 
     let fencing_token = life.become_leader("a leads under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
@@ -199,9 +199,9 @@
 fn a_late_drop_of_shards_takes_nothing_of_a_job_that_was_put_back() {
     let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
     store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
-    let accept = moves::accept(&job, false);
-    let place = |version| Batch { ends: vec![], shards: vec![shard(&job, version, 1)], at_ms: 5 };
-    let end = Batch { ends: vec![job.clone()], shards: vec![], at_ms: 5 };
+    let accept = job_transactions::accept_job(&job, false);
+    let place = |version| CommitBatch { ends: vec![], shards: vec![shard(&job, version, 1)], at_ms: 5 };
+    let end = CommitBatch { ends: vec![job.clone()], shards: vec![], at_ms: 5 };
     store.apply_if(&accept.conditions, &accept.changes).unwrap();
     store.apply_if(&place(0).conditions(fencing_token), &place(0).changes()).unwrap();
     store.apply_if(&end.conditions(fencing_token), &end.changes()).unwrap();
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -9,7 +9,7 @@
 use super::reply::Reply;
 use super::service::UserService;
 use crate::audit::Held;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::protocol::users::{JobAnswer, Status};
@@ -43,7 +43,7 @@
 async fn write_cancellation(service: &UserService, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
     let id = record.spec.id.clone();
     let leader = service.membership.cancels_under();
-    let cancellation = moves::cancel(&record, leader, time_of_day_ms());
+    let cancellation = job_transactions::cancel_job(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Cancellation, &record);
     match service
         .store
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -15,7 +15,7 @@
 
 use super::lookup::open_tasks;
 use super::service::UserService;
-use crate::history::query_queue::Verdict;
+use crate::history::query_queue::JobQueryAnswer;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::sync::lock;
@@ -158,7 +158,7 @@
             Next::Log => return true,
             Next::Forget => return false,
             Next::Ask => {
-                if let Verdict::Ended(end) = service.history.ask(id).await {
+                if let JobQueryAnswer::Ended(end) = service.history.query_job(id).await {
                     return next(write, Known::Ended(end)) == Next::Log;
                 }
             }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -4,9 +4,9 @@
 
 use super::reply::{Refusal, Reply};
 use super::service::UserService;
-use crate::history::moves::end_among;
-use crate::history::query_queue::Verdict;
-use crate::history::visibility::Visible;
+use crate::history::job_transactions::find_end;
+use crate::history::query_queue::JobQueryAnswer;
+use crate::history::visibility::EndVisibility;
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::protocol::users::{JobAnswer, Status};
 
@@ -17,8 +17,8 @@
 /// goes through here.
 pub(super) async fn tell_end(service: &UserService, id: &JobId, end: End) -> Reply {
     service.membership.watermark();
-    let mut visible = service.history.visible(id, end);
-    if visible == Visible::Unknown {
+    let mut visible = service.history.end_visibility(id, end);
+    if visible == EndVisibility::Unknown {
         let version = service.store.watch_cache().revision_with_end(id);
         match version {
             Some(version) => service.history.note_cancellation(id, version),
@@ -28,11 +28,11 @@
                 }
             }
         }
-        visible = service.history.visible(id, end);
+        visible = service.history.end_visibility(id, end);
     }
     match visible {
-        Visible::Yes => ended(id, end),
-        Visible::NotYet | Visible::Unknown => Reply::later(UNCONFIRMED),
+        EndVisibility::Visible => ended(id, end),
+        EndVisibility::NotYet | EndVisibility::Unknown => Reply::later(UNCONFIRMED),
     }
 }
 
@@ -80,18 +80,18 @@
         }
         // It has ended in between: how, the store says.
     }
-    match service.history.ask(&id).await {
-        Verdict::Ended(end) => tell_end(service, &id, end).await,
-        Verdict::Never => Reply::Refused(Refusal::NoSuchJob),
+    match service.history.query_job(&id).await {
+        JobQueryAnswer::Ended(end) => tell_end(service, &id, end).await,
+        JobQueryAnswer::NeverAccepted => Reply::Refused(Refusal::NoSuchJob),
         // Accepted so lately that the watch cache has not heard.
-        Verdict::Open => open(service, &id, u64::MAX),
-        Verdict::Later => Reply::later("the state service cannot be asked, or too much is asked at once"),
+        JobQueryAnswer::Open => open(service, &id, u64::MAX),
+        JobQueryAnswer::Unavailable => Reply::later("the state service cannot be asked, or too much is asked at once"),
     }
 }
 
 /// A transaction found the job further on; an end among the failed keys needs no question.
 pub(super) async fn moved_on(service: &UserService, id: &JobId, keys: &[String]) -> Reply {
-    if let Some(end) = end_among(keys, id) {
+    if let Some(end) = find_end(keys, id) {
         service.history.note_end(id, end);
     }
     look_up(service, id).await
--- a/src/users/service.rs
+++ b/src/users/service.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use crate::audit::Auditor;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::Membership;
@@ -19,7 +19,7 @@
     /// The state service and its watch cache.
     pub store: Arc<StateStore>,
     /// Ends of jobs.
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     /// What this controller may tell users.
     pub membership: Arc<Membership>,
     /// The machine types, by which it is judged whether a job can ever run.
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -12,7 +12,7 @@
 use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
 use super::service::UserService;
 use crate::audit::Held;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::fits_in_memory;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
@@ -139,7 +139,7 @@
     old_kept: bool,
 ) -> Reply {
     let id = record.spec.id.clone();
-    let accept = moves::accept(&record, old_kept);
+    let accept = job_transactions::accept_job(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
         match service
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -12,6 +12,7 @@
 use std::time::{Duration, Instant};
 
 use hollylanding::fleet::cloud::{CloudClient, CloudError};
+use hollylanding::protocol::state::KeyVersionPage;
 use hollylanding::protocol::{self, Http};
 use hollylanding::settings::Settings;
 use hollylanding::store::budget::{Budget, RequestPriority};
@@ -150,7 +151,8 @@
         assert_eq!(value(&pages.next().await.unwrap().unwrap()), recorded(FILE, number));
     }
     assert!(pages.next().await.unwrap().is_none());
-    let (names, more) = client.names("h/", Some("h/d/run-000001"), 2, first).await.unwrap();
+    let KeyVersionPage { items: names, more } =
+        client.key_versions("h/", Some("h/d/run-000001"), 2, first).await.unwrap();
     let names: Vec<_> = names.iter().map(|name| (name.path.as_str(), name.version)).collect();
     assert_eq!((names, more), (vec![("c/o/run-000412", 412), ("c/o/run-000413", 413)], true));
     let followed = client.watch("c/", 431, Duration::from_secs(10)).await.unwrap();
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hollylanding::history::ends::Ends;
+use hollylanding::history::end_cache::EndCache;
 use hollylanding::jobs::record::time_of_day_ms;
 use hollylanding::protocol::{self, Http};
 use hollylanding_emulator::world::store::Limits;
@@ -232,7 +232,7 @@
         assert_eq!(refused, 0, "the limits are kept whatever is asked");
         for controller in [&a, &b] {
             println!("held: {:?}", controller.controller.held());
-            assert!(controller.held("ends") <= Ends::most() && controller.held("descriptions") <= 2000);
+            assert!(controller.held("ends") <= EndCache::capacity() && controller.held("descriptions") <= 2000);
             until("it knows what is open", || async { controller.held("open_jobs") as u64 == open }).await;
             until("nobody waits", || async { (controller.held("asked"), controller.held("waiting")) == (0, 0) }).await;
         }
