--- a/src/controller.rs
+++ b/src/controller.rs
@@ -12,7 +12,7 @@
 use crate::declarations::{self, context::DeclarationState};
 use crate::fleet::cloud::CloudClient;
 use crate::fleet::{self, Fleet};
-use crate::history::end_sweep;
+use crate::history::end_sweep_loop;
 use crate::history::job_history::JobHistory;
 use crate::history::reader::{self, HistoryReader};
 use crate::jobs::admission::Admission;
@@ -22,7 +22,8 @@
 use crate::protocol::Http;
 use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
-use crate::scheduling::{self, Scheduler};
+use crate::scheduling::scheduler::Scheduler;
+use crate::scheduling::scheduling_loop;
 use crate::settings::{Properties, Settings};
 use crate::store::handle::StateStore;
 use crate::store::{StateClient, read_barrier, watch};
@@ -164,7 +165,7 @@
         tokio::spawn(read_barrier::run(self.store.clone(), self.membership.clone()));
         let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
         tokio::spawn(reader::run(Arc::new(reader)));
-        tokio::spawn(end_sweep::run(self.history.clone(), self.store.client.clone()));
+        tokio::spawn(end_sweep_loop::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.audit.clone()));
         tokio::spawn(membership::run(self.membership.clone()));
         tokio::spawn(mesh::listen(self.membership.clone()));
@@ -194,11 +195,11 @@
     /// Starts the loops that run while this controller leads.
     fn start_leader_loops(&self) -> Vec<AbortHandle> {
         vec![
-            tokio::spawn(scheduling::run(self.scheduler.clone())).abort_handle(),
+            tokio::spawn(scheduling_loop::run(self.scheduler.clone())).abort_handle(),
             tokio::spawn(commit::run(self.group_commit.clone())).abort_handle(),
             tokio::spawn(dispatch::run(self.workers.clone())).abort_handle(),
             tokio::spawn(fleet::run(self.fleet.clone())).abort_handle(),
-            tokio::spawn(declarations::run::run(self.declarations.clone())).abort_handle(),
+            tokio::spawn(declarations::run::run_declarations(self.declarations.clone())).abort_handle(),
         ]
     }
 
@@ -211,7 +212,7 @@
             held.push(("open_jobs", watch_cache.open_jobs().count()));
             held.push(("open_tasks", watch_cache.open_work().tasks as usize));
             held.push(("descriptions", watch_cache.ended_count()));
-            held.push(("declared", watch_cache.registry().entries()));
+            held.push(("declared", watch_cache.registry().entry_count()));
         }
         let history = self.history.counts();
         held.push(("audited", self.audit.remembered()));
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::history::end_sweep::{EndSweep, PAGE_COST};
+use crate::history::end_sweep::EndSweep;
+use crate::history::end_sweep_loop::PAGE_COST;
 use crate::history::job_transactions::end_changes;
 use crate::history::query_queue::{QueryBatch, QueryQueue};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -5,10 +5,10 @@
 
 use super::{ClusterState, Machine, MachineId, MachineState, Phase};
 use crate::jobs::JobId;
-use crate::protocol::workers::{AttemptReport, AttemptStatus, WorkerCommand};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey, WorkerCommand};
 
 /// Orders of one answer or command: about 60 bytes each, well below the body limit.
-const MOST_ORDERS: usize = 400;
+const MOST_COMMANDS: usize = 400;
 /// Direct commands to one machine are at least this far apart unless something new came up.
 const COMMAND_GAP: Duration = Duration::from_millis(1000);
 /// The same to machines that do not hear, and how many of these are tried at once.
@@ -21,7 +21,7 @@
 
 /// A command to be sent straight to a worker.
 #[derive(Debug)]
-pub struct Direct {
+pub struct DirectCommand {
     /// The machine that is to carry it out.
     pub machine: MachineId,
     /// Its worker's address.
@@ -31,29 +31,29 @@
     /// The agent's epoch that it is meant for.
     pub agent_epoch: u64,
     /// Launches, stops and reaps, in this order.
-    pub orders: Vec<WorkerCommand>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 impl ClusterState {
     /// What the answer to this machine's heartbeat is to tell it.
-    pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
+    pub fn commands_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
         // never wrong, and this answer renews the lease, which is what else would end the task.
-        let orders = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.orders(m) };
-        self.note_told(&orders, machine);
+        let commands = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.commands(m) };
+        self.record_launches(&commands, machine);
         let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
-            m.partition.answered(fencing_token, m.fencing_token, &orders, now);
-            if orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
+            m.partition.record_answer(fencing_token, m.fencing_token, &commands, now);
+            if commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
                 m.launched_in = Some(m.newest_heartbeat);
             }
-            if !orders.is_empty() {
-                m.tell = false;
+            if !commands.is_empty() {
+                m.command_due = false;
                 m.next_command = now + COMMAND_GAP;
             }
         }
-        orders
+        commands
     }
 
     /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
@@ -73,130 +73,133 @@
             attempt: attempt_report.attempt,
             grace_s: 0,
         };
-        live.map(stop).take(MOST_ORDERS).collect()
+        live.map(stop).take(MOST_COMMANDS).collect()
     }
 
-    fn note_told(&mut self, orders: &[WorkerCommand], machine: &str) {
+    fn record_launches(&mut self, commands: &[WorkerCommand], machine: &str) {
         let Some(agent_epoch) = self.machines.get(machine).map(|m| m.agent_epoch) else { return };
-        for order in orders {
-            if let WorkerCommand::Launch { task, .. } = order
+        for command in commands {
+            if let WorkerCommand::Launch { task, .. } = command
                 && let Some(binding) = self.jobs.get_mut(&task.job).and_then(|j| j.binding_mut(task.index))
             {
-                binding.told.get_or_insert(agent_epoch);
+                binding.announced_in.get_or_insert(agent_epoch);
             }
         }
     }
 
     /// All that a machine should be told now, as a function of the cluster state alone.
-    fn orders(&self, m: &Machine) -> Vec<WorkerCommand> {
-        let mut orders = Vec::new();
+    fn commands(&self, m: &Machine) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
         if !self.loaded {
-            return orders;
-        }
-        for attempt_report in &m.attempts {
-            let (task, attempt) = (attempt_report.task.clone(), attempt_report.attempt);
-            // A job that is not in a loaded cluster state is over: whatever was ever launched had been
-            // accepted before, and all open jobs are here.
-            let job = self.jobs.get(&task.job);
-            let known = job.and_then(|j| j.tasks.get(task.index as usize).map(|t| (j, t)));
-            let binding = known.and_then(|(_, t)| match &t.phase {
-                Phase::Bound(b) if t.attempt == attempt && b.machine == m.id => Some(b),
-                _ => None,
-            });
-            let ended = job.is_none_or(|j| j.ended.is_some());
-            if attempt_report.status == AttemptStatus::Exited {
-                // A completion is stored before it may be forgotten, and nothing is forgotten
-                // that a command still under way could start again.
-                let unstored =
-                    matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
-                // What has ended of a job that rests is looked at once it is released.
-                if binding.is_none() && !unstored && m.settled() && !self.rests(&task.job) {
-                    orders.push(WorkerCommand::Reap { task, attempt });
-                }
-            } else if binding.is_none() || ended {
-                orders.push(WorkerCommand::Halt { task, attempt, grace_s: 0 });
-            } else if let Some(grace_s) = binding.and_then(|b| b.halting)
-                && (attempt_report.status != AttemptStatus::Saving || grace_s == 0)
-            {
-                orders.push(WorkerCommand::Halt { task, attempt, grace_s });
-            }
+            return commands;
         }
+        commands.extend(m.attempts.iter().filter_map(|report| self.command_for_attempt(m, report)));
         if m.recall.is_none() {
-            for key in &m.bound {
-                let Some(job) = self.jobs.get(&key.job) else { continue };
-                let Some(task) = job.tasks.get(key.index as usize) else { continue };
-                let Phase::Bound(binding) = &task.phase else { continue };
-                let shown = m
-                    .attempts
-                    .iter()
-                    .any(|l| l.task.index == key.index && l.attempt == task.attempt && l.task.job == key.job);
-                if task.stored
-                    && !shown
-                    && !binding.inherited
-                    && job.ended.is_none()
-                    && binding.halting.is_none()
-                    && job.launchable()
-                {
-                    orders.push(WorkerCommand::Launch { task: key.clone(), attempt: task.attempt });
-                }
-            }
+            commands.extend(m.bound.iter().filter_map(|key| self.launch_of(m, key)));
         }
         if m.state == MachineState::Terminating {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
-            orders.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
+            commands.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
         }
-        orders.truncate(MOST_ORDERS);
-        orders
+        commands.truncate(MOST_COMMANDS);
+        commands
+    }
+
+    /// What a machine is to do with an attempt that it has reported: forget it, stop it, or nothing.
+    fn command_for_attempt(&self, m: &Machine, report: &AttemptReport) -> Option<WorkerCommand> {
+        let (task, attempt) = (report.task.clone(), report.attempt);
+        let job = self.jobs.get(&task.job);
+        let known = job.and_then(|j| j.tasks.get(task.index as usize).map(|t| (j, t)));
+        let binding = known.and_then(|(_, t)| match &t.phase {
+            Phase::Bound(b) if t.attempt == attempt && b.machine == m.id => Some(b),
+            _ => None,
+        });
+        if report.status == AttemptStatus::Exited {
+            // A completion is stored before it may be forgotten, and nothing is forgotten
+            // that a command still under way could start again.
+            let unstored =
+                matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
+            // What has ended of a job that rests is looked at once it is released.
+            let may_reap = binding.is_none() && !unstored && m.settled() && !self.rests(&task.job);
+            return may_reap.then_some(WorkerCommand::Reap { task, attempt });
+        }
+        let ended = job.is_none_or(|j| j.ended.is_some());
+        let grace_s = match binding {
+            Some(binding) if !ended => binding.halting?,
+            _ => return Some(WorkerCommand::Halt { task, attempt, grace_s: 0 }),
+        };
+        let must_halt = report.status != AttemptStatus::Saving || grace_s == 0;
+        must_halt.then_some(WorkerCommand::Halt { task, attempt, grace_s })
     }
 
-    /// Machines that have something new to be told, or have not yet seen this leader's fencing token.
-    pub fn direct_commands(&mut self, now: Instant) -> Vec<Direct> {
-        let mut due = Vec::new();
-        let (mut news, mut greetings, mut under_way) = (Vec::new(), Vec::new(), 0);
+    /// The launch of a bound task that is stored and not shown by its machine, if it may start.
+    fn launch_of(&self, m: &Machine, key: &TaskKey) -> Option<WorkerCommand> {
+        let job = self.jobs.get(&key.job)?;
+        let task = job.tasks.get(key.index as usize)?;
+        let Phase::Bound(binding) = &task.phase else { return None };
+        let may_launch = task.stored
+            && m.reported_attempt(key, task.attempt).is_none()
+            && !binding.inherited
+            && job.ended.is_none()
+            && binding.halting.is_none()
+            && job.launchable();
+        may_launch.then(|| WorkerCommand::Launch { task: key.clone(), attempt: task.attempt })
+    }
+
+    /// Commands for machines that have something new to be told, or have not yet seen this leader's fencing token.
+    pub fn direct_commands(&mut self, now: Instant) -> Vec<DirectCommand> {
+        let due = self.machines_to_command(now);
+        due.into_iter().filter_map(|id| self.direct_command(id, now)).collect()
+    }
+
+    /// Machines that may be sent a command now: with news first, then those that are to see the fencing token.
+    fn machines_to_command(&self, now: Instant) -> Vec<MachineId> {
+        let (mut with_news, mut unaware, mut under_way) = (Vec::new(), Vec::new(), 0);
         // Whether those that do not hear do now: the answer to a command tells at once.
         let mut probes = Vec::new();
         for m in self.machines.values() {
             if m.command_under_way {
                 under_way += 1;
-            } else if m.state != MachineState::Terminating && m.tell {
-                news.push(m.id.clone());
+            } else if m.state != MachineState::Terminating && m.command_due {
+                with_news.push(m.id.clone());
             } else if m.state != MachineState::Terminating && now >= m.next_command {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
                 } else if m.fencing_token < self.fencing_token {
-                    greetings.push(m.id.clone());
+                    unaware.push(m.id.clone());
                 }
             }
         }
-        // Each takes a socket, and reports need as many; what is left over goes with the next.
+        // Each takes a socket, and heartbeats need as many; what is left over goes with the next.
         let most = (self.settings.params.limits.max_sockets / COMMANDS_PART).max(4) as usize;
         let most = most.saturating_sub(under_way);
-        let due_now = news.len() + greetings.len();
+        let due_now = with_news.len() + unaware.len();
         probes.truncate(most.saturating_sub(due_now).min(PROBES));
-        let ids: Vec<MachineId> = news.into_iter().chain(greetings).chain(probes).take(most).collect();
-        for id in ids {
-            let Some(m) = self.machines.get(&id) else { continue };
-            let Some(addr) = m.addr.clone() else { continue };
-            let mut orders = self.orders(m);
-            if m.inbound_lost {
-                // Launches would only keep what they are for from being proven gone; they go with answers.
-                orders.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
-            } else if orders.is_empty() && m.fencing_token >= self.fencing_token {
-                if let Some(m) = self.machines.get_mut(&id) {
-                    m.tell = false;
-                }
-                continue;
+        with_news.into_iter().chain(unaware).chain(probes).take(most).collect()
+    }
+
+    /// The command for one machine, which is under way from now on; none if it has nothing to be told.
+    fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<DirectCommand> {
+        let m = self.machines.get(&id)?;
+        let addr = m.addr.clone()?;
+        let mut commands = self.commands(m);
+        if m.inbound_lost {
+            // Launches would only keep what they are for from being proven gone; they go with answers.
+            commands.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
+        } else if commands.is_empty() && m.fencing_token >= self.fencing_token {
+            if let Some(m) = self.machines.get_mut(&id) {
+                m.command_due = false;
             }
-            self.note_told(&orders, &id);
-            let fencing_token = self.fencing_token;
-            let Some(m) = self.machines.get_mut(&id) else { continue };
-            m.command_under_way = true;
-            m.launch_under_way = orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
-            m.tell = false;
-            m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
-            due.push(Direct { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), orders });
+            return None;
         }
-        due
+        self.record_launches(&commands, &id);
+        let fencing_token = self.fencing_token;
+        let m = self.machines.get_mut(&id)?;
+        m.command_under_way = true;
+        m.launch_under_way = commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
+        m.command_due = false;
+        m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
+        Some(DirectCommand { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), commands })
     }
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -208,8 +208,8 @@
     fn apply_write(&mut self, key: &str, event: &WatchEvent, changes: &mut CacheChanges) {
         if self.control.set(key, &event.value, event.version) {
             changes.leadership = true;
-        } else if records::declared(key) {
-            changes.declared |= self.registry.put(key, &event.value, event.version);
+        } else if records::is_declaration_key(key) {
+            changes.declared |= self.registry.put_key(key, &event.value, event.version);
         } else if let Some(id) = key.strip_prefix(OPEN) {
             self.jobs.add(id, key, &event.value, changes);
         }
@@ -218,8 +218,8 @@
     fn apply_drop(&mut self, key: &str, version: u64, changes: &mut CacheChanges) {
         if self.control.remove(key) {
             changes.leadership = true;
-        } else if records::declared(key) {
-            changes.declared |= self.registry.drop_key(key, version);
+        } else if records::is_declaration_key(key) {
+            changes.declared |= self.registry.remove_key(key, version);
         } else if let Some(id) = key.strip_prefix(OPEN) {
             self.jobs.end(id, version.saturating_sub(1), version, changes);
         }
--- a/src/store/watch_cache/reload.rs
+++ b/src/store/watch_cache/reload.rs
@@ -47,8 +47,8 @@
             if reload.control.set(&item.path, &item.value, item.version) {
                 continue;
             }
-            if records::declared(&item.path) {
-                reload.registry.put(&item.path, &item.value, item.version);
+            if records::is_declaration_key(&item.path) {
+                reload.registry.put_key(&item.path, &item.value, item.version);
                 continue;
             }
             let Some(id) = item.path.strip_prefix(OPEN) else { continue };
@@ -63,7 +63,7 @@
     /// Ends a reload after its last page: jobs that were on none of the pages have ended.
     pub fn finish_reload(&mut self, reload: CacheReload) -> CacheChanges {
         let gone: Vec<JobId> = self.jobs.open.keys().filter(|id| !reload.seen.contains(*id)).cloned().collect();
-        let declared = self.registry.replace(reload.registry, self.revision == 0);
+        let declared = self.registry.replace_with(reload.registry, self.revision == 0);
         let mut changes = CacheChanges { leadership: true, declared, ..CacheChanges::default() };
         for id in gone {
             self.jobs.end(&id, self.revision, reload.newest_revision, &mut changes);
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -10,7 +10,7 @@
 use super::service::WorkerService;
 use super::{Heartbeat, WorkerCommands};
 use crate::protocol::{self, CallError};
-use crate::scheduling::cluster::{Direct, MachineId};
+use crate::scheduling::cluster::{DirectCommand, MachineId};
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::Passage;
 
@@ -37,9 +37,9 @@
     }
 }
 
-async fn send(service: Arc<WorkerService>, direct: Direct) {
-    let Direct { machine, addr, fencing_token, agent_epoch, orders } = direct;
-    let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders });
+async fn send(service: Arc<WorkerService>, direct: DirectCommand) {
+    let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = direct;
+    let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders: commands });
     service.traffic.count(Passage::Command);
     let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
     record_reply(&service, &machine, fencing_token, outcome);
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -107,7 +107,7 @@
     cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
     policy.cluster_state_loaded = cluster.loaded;
     let orders = if policy.sends_all_commands() {
-        cluster.orders_in_answer(&machine, now)
+        cluster.commands_in_answer(&machine, now)
     } else {
         cluster.stops_only(&machine, &ended.jobs)
     };
