--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -9,8 +9,6 @@
 pub mod forecast;
 pub mod ids;
 pub mod intents;
-#[cfg(test)]
-mod interleavings;
 pub mod large;
 pub mod leader_state;
 pub mod load;
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -7,6 +7,7 @@
 mod ends_across_takeovers;
 mod hangs;
 mod intents;
+mod interleaved_simulation;
 mod late_commands;
 mod leader_changes;
 mod new_machines;
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/tests/interleaved_simulation/mod.rs
@@ -3,14 +3,14 @@
 //! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are cancelled. The
 //! model checks the rules itself.
 
+mod combined_faults;
 mod deliveries;
+mod faults;
 mod jobs;
 mod leaders;
-mod meetings;
 mod messages;
 mod steps;
 mod store;
-mod troubles;
 mod users;
 mod workers;
 mod world;
