--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -18,7 +18,7 @@
 mod preemption;
 mod renting;
 mod repeated_leadership;
-mod room_after_troubles;
+mod room_after_faults;
 mod silence;
 mod simulation;
 mod steady_load;
--- a/src/scheduling/tests/interleaved_simulation/combined_faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/combined_faults.rs
@@ -1,4 +1,4 @@
-//! Simulations in which two and three troubles meet, mostly where something was just stored, acted on or answered.
+//! Simulations in which two and three faults meet, mostly where something was just stored, acted on or answered.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 use crate::jobs::JobId;
 use crate::jobs::record::open_key;
 
-/// How many kinds of trouble are drawn: those below it.
+/// How many kinds of fault are drawn: those below it.
 const KINDS: usize = 17;
 const OUTAGE: usize = 0;
 const OUTAGE_AGAIN: usize = 1;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Where troubles meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new agent
+    /// Where faults meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new agent
     /// epoch: a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without
     /// users have machines that hang on and on, and so have the simulations of fixed steps below.
     pub(super) fn hang(&mut self, w: usize, until: Instant) {
@@ -132,7 +132,7 @@
         Duration::from_millis(self.rng.random_range(range))
     }
 
-    /// Begins a trouble of this kind.
+    /// Begins a fault of this kind.
     fn begin(&mut self, kind: usize) {
         match kind {
             OUTAGE | OUTAGE_AGAIN => self.begin_outage(),
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn rules_hold_where_troubles_meet() {
+fn rules_hold_under_combined_faults() {
     let mut tally = Tally::default();
     for seed in seeds() {
         println!("seed {seed}");
--- a/src/scheduling/tests/interleaved_simulation/mod.rs
+++ b/src/scheduling/tests/interleaved_simulation/mod.rs
@@ -28,8 +28,8 @@
 const COMMAND_WAITED: Duration = Duration::from_millis(2500);
 
 #[test]
-fn rules_hold_whatever_the_order() {
-    let (mut starts, mut process_pauses, mut failures, mut troubles) = (0, 0, 0, [0; 4]);
+fn rules_hold_in_any_interleaving() {
+    let (mut starts, mut process_pauses, mut failures, mut faults) = (0, 0, 0, [0; 4]);
     for seed in 0..40 {
         let mut world = World::new(seed, 6);
         world.simulate(1200);
@@ -37,11 +37,11 @@
         process_pauses += world.process_pauses;
         failures += world.failures;
         let of_world = [world.copies, world.inbound_lost, world.cuts, world.restarts];
-        troubles.iter_mut().zip(of_world).for_each(|(all, n)| *all += n);
+        faults.iter_mut().zip(of_world).for_each(|(all, n)| *all += n);
     }
     assert!(starts > 5000, "the model has hardly worked: {starts} starts");
     assert!(process_pauses > 50 && failures > 100, "{process_pauses} process pauses, {failures} failures");
-    assert!(troubles.iter().all(|n| *n > 20), "copies, partitioned one way, cut off, restarted: {troubles:?}");
+    assert!(faults.iter().all(|n| *n > 20), "copies, partitioned one way, cut off, restarted: {faults:?}");
 }
 
 /// The same at a size where plans, shards and commands no longer fit one turn.
--- a/src/scheduling/tests/interleaved_simulation/steps.rs
+++ b/src/scheduling/tests/interleaved_simulation/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a simulation: messages, workers and leaders in turn, troubles before them, checks after them.
+//! The steps of a simulation: messages, workers and leaders in turn, faults before them, checks after them.
 
 use std::time::{Duration, Instant};
 
@@ -17,9 +17,9 @@
 use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::store::{Change, Condition};
 
-/// In so many steps without trouble everything has to end.
+/// In so many steps without fault everything has to end.
 const QUIET_STEPS: usize = 4000;
-/// Users cancel what fails as often as this once there is no more trouble.
+/// Users cancel what fails as often as this once there is no more fault.
 const STEPS_BETWEEN_CANCELLATIONS: usize = 50;
 
 impl World {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Draws the troubles of a step.
+    /// Draws the faults of a step.
     pub(super) fn trouble(&mut self, step: usize) {
         let every = 360 / self.machines.clamp(1, 360);
         if step.is_multiple_of(every) && self.records.len() < self.jobs {
@@ -105,7 +105,7 @@
         if self.rng.random_bool(0.004) {
             self.cancel();
         }
-        // Where troubles meet, hand-overs are drawn with them.
+        // Where faults meet, hand-overs are drawn with them.
         if self.rng.random_bool(if self.users.on { 0.001 } else { 0.006 }) {
             // The deposed leader goes on until it learns of it.
             self.take_over();
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -129,7 +129,7 @@
     marks: Vec<(u64, u64)>,
     /// Cancellations that are stored and not told, with their versions.
     pub(super) hidden: BTreeMap<JobId, u64>,
-    /// Something was just stored, acted on or answered: a moment for trouble.
+    /// Something was just stored, acted on or answered: a moment for fault.
     pub(super) moment: bool,
     pub(super) plan: Vec<(Instant, usize)>,
     pub(super) tally: Tally,
--- a/src/scheduling/tests/room_after_troubles.rs
+++ b/src/scheduling/tests/room_after_faults.rs
@@ -1,4 +1,4 @@
-//! Once all troubles are over no job waits for 90 s while a machine that fits has room.
+//! Once all faults are over no job waits for 90 s while a machine that fits has room.
 
 use std::collections::BTreeMap;
 
@@ -12,63 +12,8 @@
 use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::FairShareAccounting;
 
-/// What is left of a machine by what is on it and what is bound to it.
-fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
-    let worker = &simulation.world.workers[m];
-    let machine = simulation.cluster.machines.get(m)?;
-    if worker.gone || machine.state != MachineState::Up || machine.recall.is_some() {
-        return None;
-    }
-    let of = catalog().get(worker.type_name)?.clone();
-    let strays =
-        worker.attempts.iter().filter(|l| l.status != AttemptStatus::Exited && !machine.bound.contains(&l.task));
-    let mut left = (of.cpus - machine.taken().cpus, of.gpus - machine.taken().gpus, of.memory_gb);
-    left.2 -= machine.taken().memory_gb;
-    for attempt_report in strays {
-        let spec = simulation.world.spec_of(&attempt_report.task.job);
-        left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
-    }
-    Some(left)
-}
-
-/// Whether a job could start something now: one task of an array or a service, all of a gang.
-fn could_start(simulation: &Simulation, id: &JobId) -> bool {
-    let Some(job) = simulation.cluster.job(id) else { return false };
-    let spec = job.spec();
-    let gang = spec.is_gang();
-    if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
-        return false;
-    }
-    let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&simulation.cluster).allows(spec, need as f64) {
-        return false;
-    }
-    let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
-    zones.iter().any(|zones| {
-        let mut at = crate::scheduling::room::Zones::new(&simulation.cluster, job);
-        let mut found = 0;
-        for (m, worker) in &simulation.world.workers {
-            let allowed = crate::scheduling::room::allowed(spec, worker.type_name, worker.zone, false);
-            let Some(mut left) = room_left(simulation, m).filter(|_| allowed && zones.contains(&worker.zone)) else {
-                continue;
-            };
-            while found < need
-                && at.allow(worker.zone)
-                && spec.cpus <= left.0 + 1e-6
-                && spec.gpus <= left.1 + 1e-6
-                && spec.memory_gb <= left.2 + 1e-6
-            {
-                left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
-                at.take(worker.zone);
-                found += 1;
-            }
-        }
-        found == need
-    })
-}
-
-/// How long jobs of which something could start have waited, once the troubles are over; a seed's longest.
-fn longest_wait_after_troubles(seed: u64, steady: bool) -> (f64, String) {
+/// How long jobs of which something could start have waited, once the faults are over; a seed's longest.
+fn longest_wait_after_faults(seed: u64, steady: bool) -> (f64, String) {
     const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
     let mut rng = StdRng::seed_from_u64(seed);
     let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
@@ -137,7 +82,7 @@
                 Default::default();
             simulation.store = true;
         }
-        // Tasks end, or fail while there are troubles.
+        // Tasks end, or fail while there are faults.
         for m in NAMES {
             if simulation.hang.contains(&m) || simulation.world.workers[m].gone {
                 continue;
@@ -168,7 +113,7 @@
             waits.retain(|id, _| ids.contains(id));
             for id in ids {
                 let waited = waits.entry(id.clone()).or_default();
-                *waited = if could_start(&simulation, &id) { *waited + STEP } else { 0.0 };
+                *waited = if simulation.could_start(&id, Draining::HasNoRoom) { *waited + STEP } else { 0.0 };
                 if *waited > longest.0 {
                     longest = (
                         *waited,
@@ -182,9 +127,9 @@
 }
 
 #[test]
-fn once_the_troubles_are_over_no_job_waits_while_a_machine_has_room() {
+fn no_job_waits_beside_room_once_faults_are_over() {
     for seed in 0..16 {
-        let (waited, who) = longest_wait_after_troubles(seed, seed % 2 == 0);
+        let (waited, who) = longest_wait_after_faults(seed, seed % 2 == 0);
         assert!(waited < 90.0, "{waited} s: {who}");
     }
 }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -7,11 +7,19 @@
 use super::*;
 use crate::jobs::JobId;
 use crate::scheduling::cluster::DirectCommand;
+use crate::scheduling::room::{SLACK, Zones, allowed};
 
 pub(super) const STEP: f64 = 0.5;
 /// Steps from one heartbeat to the next.
 pub(super) const REPORT_STEPS: usize = 6;
 
+/// Whether a machine that is drained as a scale-in candidate counts as room, which it is for as long as it is there.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Draining {
+    HasNoRoom,
+    HasRoomIfScaleInCandidate,
+}
+
 /// One leader at a time, and who reaches whom.
 pub(super) struct Simulation {
     pub(super) world: World,
@@ -221,3 +229,79 @@
         }
     }
 }
+
+/// What is left of a machine.
+#[derive(Clone, Copy)]
+struct RoomLeft {
+    cpus: f64,
+    gpus: f64,
+    memory_gb: f64,
+}
+
+impl RoomLeft {
+    fn fits(self, spec: &JobSpec) -> bool {
+        spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
+    }
+
+    fn take(&mut self, spec: &JobSpec) {
+        self.cpus -= spec.cpus;
+        self.gpus -= spec.gpus;
+        self.memory_gb -= spec.memory_gb;
+    }
+}
+
+impl Simulation {
+    /// What is left of a machine by what runs on it and what is bound to it. None on a machine that takes no work.
+    fn room_left(&self, m: &str, draining: Draining) -> Option<RoomLeft> {
+        let worker = &self.world.workers[m];
+        let machine = self.cluster.machines.get(m)?;
+        let stays = machine.state == MachineState::Up
+            || (draining == Draining::HasRoomIfScaleInCandidate
+                && machine.state == MachineState::Draining
+                && machine.scale_in_candidate);
+        if worker.gone || !stays || machine.recall.is_some() {
+            return None;
+        }
+        let machine_type = catalog().get(worker.type_name)?.clone();
+        let taken = machine.taken();
+        let mut left = RoomLeft {
+            cpus: machine_type.cpus - taken.cpus,
+            gpus: machine_type.gpus - taken.gpus,
+            memory_gb: machine_type.memory_gb - taken.memory_gb,
+        };
+        let live = worker.attempts.iter().filter(|report| report.status != AttemptStatus::Exited);
+        for stray in live.filter(|report| !machine.bound.contains(&report.task)) {
+            left.take(self.world.spec_of(&stray.task.job));
+        }
+        Some(left)
+    }
+
+    /// Whether a job could start something now: one task of an array or a service, all of a gang.
+    pub(super) fn could_start(&self, id: &JobId, draining: Draining) -> bool {
+        let Some(job) = self.cluster.job(id) else { return false };
+        let spec = job.spec();
+        let gang = spec.is_gang();
+        if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
+            return false;
+        }
+        let need = if gang { job.waiting.len() } else { 1 };
+        if !plan::Quotas::new(&self.cluster).allows(spec, need as f64) {
+            return false;
+        }
+        let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
+        zones.iter().any(|zones| {
+            let mut at = Zones::new(&self.cluster, job);
+            let mut found = 0;
+            for (m, worker) in &self.world.workers {
+                let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
+                let Some(mut left) = self.room_left(m, draining).filter(|_| open) else { continue };
+                while found < need && at.allow(worker.zone) && left.fits(spec) {
+                    left.take(spec);
+                    at.take(worker.zone);
+                    found += 1;
+                }
+            }
+            found == need
+        })
+    }
+}
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -10,7 +10,7 @@
 /// simulation checks at every step that never more than 20 cores of it run, wherever. In the end all five do.
 #[test]
 fn a_cancelled_task_counts_for_its_team_until_it_is_proven_gone() {
-    // Seconds from the trouble's begin to the cancellation, and to the changes of leaders.
+    // Seconds from the fault's begin to the cancellation, and to the changes of leaders.
     let orders: [(f64, &[f64]); 6] =
         [(0.0, &[]), (0.0, &[0.5]), (3.0, &[0.5]), (10.0, &[2.0]), (6.0, &[2.0, 4.0, 7.0]), (15.0, &[1.0, 14.5, 15.5])];
     for (cancelled_at, changes) in orders {
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -99,14 +99,14 @@
 #[test]
 fn what_an_unreadable_shard_hides_never_runs_twice() {
     type Trouble = fn(&mut Simulation);
-    let troubles: [(&str, Trouble); 4] = [
+    let faults: [(&str, Trouble); 4] = [
         ("none", |_| ()),
         ("its machine is paused", |simulation| simulation.hang = vec!["m1"]),
         ("its reports are lost", |simulation| simulation.outbound_lost = vec!["m1"]),
         ("it hears nothing", |simulation| simulation.inbound_lost = vec!["m1"]),
     ];
     for (shape, tasks) in [(Shape::Array, 3), (Shape::Gang, 2)] {
-        for (name, trouble) in troubles {
+        for (name, trouble) in faults {
             let name = format!("{shape:?}, {name}");
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| {
                 (j.shape, j.tasks, j.estimate_s) = (shape, tasks, 900.0);
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! No job, of whatever urgency, waits for 90 s beside room once the troubles are over: drawn simulations of the cluster
+//! No job, of whatever urgency, waits for 90 s beside room once the faults are over: drawn simulations of the cluster
 //! state, plans, holds, preemption and draining, with idle work among the rest.
 
 use std::collections::BTreeMap;
@@ -6,77 +6,22 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{STEP, Simulation};
+use super::simulation::{Draining, STEP, Simulation};
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
 use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::FairShareAccounting;
-use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
 
 const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
-/// These have no troubles, so that there is anything to wait for.
+/// These have no faults, so that there is anything to wait for.
 const SOUND: [&str; 3] = ["m0", "m1", "m8"];
-const TROUBLES_S: f64 = 100.0;
+const FAULTS_S: f64 = 100.0;
 const END_S: f64 = 270.0;
 /// No job waits so long beside room.
 const LIMIT_S: f64 = 90.0;
 
-/// What is left of a machine, as (cpus, gpus, GB), by what runs on it and what is bound to it. One that is
-/// drained since it can be spared has room for as long as it is there; one on which tasks fail has none.
-fn room_left(simulation: &Simulation, m: &str) -> Option<(f64, f64, f64)> {
-    let worker = &simulation.world.workers[m];
-    let machine = simulation.cluster.machines.get(m)?;
-    let stays =
-        machine.state == MachineState::Up || (machine.state == MachineState::Draining && machine.scale_in_candidate);
-    if worker.gone || !stays || machine.recall.is_some() {
-        return None;
-    }
-    let of = catalog().get(worker.type_name)?.clone();
-    let taken = machine.taken();
-    let mut left = (of.cpus - taken.cpus, of.gpus - taken.gpus, of.memory_gb - taken.memory_gb);
-    for attempt_report in
-        worker.attempts.iter().filter(|l| l.status != AttemptStatus::Exited && !machine.bound.contains(&l.task))
-    {
-        let spec = simulation.world.spec_of(&attempt_report.task.job);
-        left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
-    }
-    Some(left)
-}
-
-/// Whether a job could start something now: one task of an array or a service, all of a gang.
-fn could_start(simulation: &Simulation, id: &JobId) -> bool {
-    let Some(job) = simulation.cluster.job(id) else { return false };
-    let spec = job.spec();
-    let gang = spec.is_gang();
-    if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
-        return false;
-    }
-    let need = if gang { job.waiting.len() } else { 1 };
-    if !plan::Quotas::new(&simulation.cluster).allows(spec, need as f64) {
-        return false;
-    }
-    let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
-    zones.iter().any(|zones| {
-        let mut at = Zones::new(&simulation.cluster, job);
-        let mut found = 0;
-        for (m, worker) in &simulation.world.workers {
-            let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
-            let Some(mut left) = room_left(simulation, m).filter(|_| open) else { continue };
-            let fits = |left: (f64, f64, f64)| {
-                spec.cpus <= left.0 + SLACK && spec.gpus <= left.1 + SLACK && spec.memory_gb <= left.2 + SLACK
-            };
-            while found < need && at.allow(worker.zone) && fits(left) {
-                left = (left.0 - spec.cpus, left.1 - spec.gpus, left.2 - spec.memory_gb);
-                at.take(worker.zone);
-                found += 1;
-            }
-        }
-        found == need
-    })
-}
-
 /// One simulation: its draws, and how long jobs have waited beside room.
 struct Day {
     seed: u64,
@@ -85,7 +30,7 @@
     account: FairShareAccounting,
     /// Users are promised a start sooner than machines boot, so that room is kept for arrivals.
     prompt: bool,
-    /// Work comes after the troubles as well.
+    /// Work comes after the faults as well.
     steady: bool,
     jobs: u32,
     ends: BTreeMap<(TaskKey, u64), Instant>,
@@ -170,7 +115,7 @@
         }
     }
 
-    /// Tasks end, or fail while there are troubles.
+    /// Tasks end, or fail while there are faults.
     fn tasks_end(&mut self, trouble: bool) {
         let now = self.simulation.world.now;
         for m in NAMES.into_iter().filter(|m| !self.simulation.hang.contains(m)) {
@@ -227,7 +172,7 @@
         let ids: Vec<JobId> = self.simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
         self.waits.retain(|id, _| ids.contains(id));
         for id in ids {
-            let waits = self.counts(&id) && could_start(&self.simulation, &id);
+            let waits = self.counts(&id) && self.simulation.could_start(&id, Draining::HasRoomIfScaleInCandidate);
             let waited = self.waits.entry(id.clone()).or_default();
             *waited = if waits { *waited + STEP } else { 0.0 };
             if *waited > self.longest.0 {
@@ -238,11 +183,11 @@
         }
     }
 
-    /// The longest wait beside room once the troubles are over, in seconds, and whose it was.
+    /// The longest wait beside room once the faults are over, in seconds, and whose it was.
     fn simulate(mut self) -> (f64, String) {
         for step in 0..(END_S / STEP) as u32 {
             let t = f64::from(step) * STEP;
-            let trouble = t < TROUBLES_S;
+            let trouble = t < FAULTS_S;
             if (trouble || self.steady) && self.rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
                 self.submit();
             }
@@ -267,7 +212,7 @@
 }
 
 #[test]
-fn once_the_troubles_are_over_no_job_of_any_urgency_waits_beside_room() {
+fn no_job_of_any_urgency_waits_beside_room_once_faults_are_over() {
     let longest: Vec<(f64, String)> = (0..32).map(|seed| Day::new(seed).simulate()).collect();
     let late: Vec<&(f64, String)> = longest.iter().filter(|(waited, _)| *waited >= LIMIT_S).collect();
     assert!(late.is_empty(), "waited for {LIMIT_S} s or more: {late:#?}");
