--- a/src/audit.rs
+++ b/src/audit.rs
@@ -215,7 +215,7 @@
             Ok(CompareAndSwapOutcome::Failed(keys)) => keys,
             Ok(_) => Vec::new(),
             Err(error) => {
-                debug!(%error, "comparing what is stored");
+                debug!(%error, "audit read failed");
                 continue;
             }
         };
@@ -225,9 +225,9 @@
         }
         for held in lost {
             if still_expected(&auditor, &held) {
-                error!(key = held.name(), "the state service has lost what it had acknowledged");
+                error!(key = held.name(), "acknowledged write lost; writing it again");
                 if let Err(error) = mend(&auditor, &held).await {
-                    debug!(%error, key = held.name(), "mending");
+                    debug!(%error, key = held.name(), "lost write not restored");
                 }
             } else {
                 lock(&auditor.audit).forget(&held);
@@ -261,7 +261,7 @@
                 .await?
             {
                 // Another end stands: what was told before cannot be made true any more.
-                error!(?keys, job = %record.spec.id, "lost and ended otherwise since");
+                error!(?keys, job = %record.spec.id, "lost job end superseded; keeping the other end");
                 lock(&auditor.audit).forget(held);
             }
             Ok(())
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -167,9 +167,9 @@
         tokio::spawn(sweep_loop::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.audit.clone()));
         tokio::spawn(membership::run(self.membership.clone()));
-        tokio::spawn(mesh::listen(self.membership.clone()));
+        tokio::spawn(mesh::accept_connections(self.membership.clone()));
         for peer in &self.settings.peers {
-            tokio::spawn(mesh::tell(self.membership.clone(), peer.clone()));
+            tokio::spawn(mesh::send_lines(self.membership.clone(), peer.clone()));
         }
         let controller = self.clone();
         tokio::spawn(fleet::learn_catalog(self.fleet.clone(), move || controller.tell_held()));
@@ -229,7 +229,7 @@
     pub fn tell_held(&self) {
         if tracing::enabled!(tracing::Level::DEBUG) {
             let held: Vec<String> = self.held().iter().map(|(what, n)| format!("{what}={n}")).collect();
-            debug!(held = held.join(" "), "held");
+            debug!(entries = held.join(" "), "entry counts reported");
         }
     }
 }
@@ -248,7 +248,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let controller = Controller::new(settings, properties);
-        info!(node = controller.settings.node, incarnation = controller.membership.incarnation, "starting");
+        info!(
+            controller = controller.settings.node,
+            incarnation = controller.membership.incarnation,
+            "controller started"
+        );
         // The address first: whoever had it under this name is gone, which membership goes by.
         let outcome = async {
             let acceptor = crate::users::bind(&controller.users).await?;
@@ -257,7 +261,7 @@
         }
         .await;
         if let Err(error) = &outcome {
-            error!(%error, addr = controller.settings.listen, "cannot serve");
+            error!(%error, address = controller.settings.listen, "API listener failed; exiting");
         }
         outcome
     })
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -29,7 +29,7 @@
                 RETRY
             }
         };
-        fleet.membership.tidy_counts();
+        fleet.membership.drop_counts_of_ended_jobs();
         after_each();
         tokio::time::sleep(jitter(pause)).await;
     }
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -107,6 +107,6 @@
     if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
         let mut operations = lock(operations);
         operations.cleaned_up(&keys, fencing_token);
-        fleet.membership.press_marks(operations.marks_press());
+        fleet.membership.want_new_fencing_token_for_orders(operations.marks_press());
     }
 }
--- a/src/history/sweep_loop.rs
+++ b/src/history/sweep_loop.rs
@@ -40,11 +40,11 @@
                 let over = history.sweep(|sweep| sweep.took(last, more, Instant::now()));
                 if over {
                     let [at_hand, ..] = history.held();
-                    info!(at_hand, "read how jobs ended, since many are asked about");
+                    info!(count = at_hand, "job end history loaded");
                 }
             }
             Err(error) => {
-                debug!(%error, "reading how jobs ended");
+                debug!(%error, "job end history read failed");
                 tokio::time::sleep(jitter(Duration::from_millis(300))).await;
             }
         }
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -3,16 +3,16 @@
 use std::time::Instant;
 
 use super::state::Membership;
-use super::watermark::{self, Unconfirmed};
+use super::watermark::{self, UnconfirmedCancellations};
 use crate::jobs::{End, JobId};
 use crate::records::leadership::Watermark;
 use crate::sync::lock;
 
 impl Membership {
     /// This leader's cluster state is loaded, with all ends up to this revision.
-    pub fn took_over(&self, known: u64, now: Instant) {
+    pub fn cluster_state_loaded(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
-        *unconfirmed = Unconfirmed::default();
+        *unconfirmed = UnconfirmedCancellations::default();
         unconfirmed.heard(known, now);
         self.wakeups.mesh.send_replace(());
     }
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -10,12 +10,12 @@
 
 use tracing::{debug, info, warn};
 
+use super::leadership_transfer::LeadershipTransfer;
+use super::lease_timing::{LeaseTiming, renewal_first};
 use super::state::Membership;
 use super::step::{ElectionObservations, Step, next_step};
-use super::turns::{Pace, in_turn};
 use super::unreadable::UnreadableLeaseHolder;
-use super::watermark::Lag;
-use super::yielding::Yielding;
+use super::watermark::WatermarkStall;
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, Watermark};
 use crate::store::budget::RequestPriority;
@@ -30,14 +30,14 @@
 
 /// This controller's own leader record stands, and it does not act on it: the write was carried out and not
 /// answered. It is written again, which answers under which fencing token to begin, or to go on.
-fn unheard(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
+fn own_record_unanswered(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
     leader_record.is_some_and(|(leader, version)| {
         leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < version)
     })
 }
 
 /// What this controller knows of who holds the lease and leads at the moment it looks.
-struct View {
+struct ElectionView {
     lease_holder: Option<LeaseHolder>,
     lease_holder_version: u64,
     unreadable_lease_holder: Option<u64>,
@@ -45,7 +45,7 @@
     leader_record_version: u64,
 }
 
-impl View {
+impl ElectionView {
     /// None while the store is not read.
     fn of(membership: &Membership) -> Option<Self> {
         let watch_cache = membership.store.watch_cache();
@@ -66,27 +66,27 @@
 }
 
 /// What this controller keeps of its own part in who holds the lease.
-struct Member {
-    pace: Pace,
+struct ElectionParticipant {
+    pace: LeaseTiming,
     /// The lease on which it leads, or led last.
     permit: Option<u64>,
     renewed: Instant,
     wrote_leader_record_last: bool,
     /// Predecessors whose election lease it has ended.
     expired: u32,
-    yielding: Yielding,
+    leadership_transfer: LeadershipTransfer,
     unreadable: UnreadableLeaseHolder,
 }
 
-impl Member {
+impl ElectionParticipant {
     fn new(life: Duration) -> Self {
         Self {
-            pace: Pace { life },
+            pace: LeaseTiming { life },
             permit: None,
             renewed: Instant::now(),
             wrote_leader_record_last: false,
             expired: 0,
-            yielding: Yielding::default(),
+            leadership_transfer: LeadershipTransfer::default(),
             unreadable: UnreadableLeaseHolder::default(),
         }
     }
@@ -95,18 +95,18 @@
     async fn yields(&mut self, membership: &Membership) -> bool {
         if let (Some(lease), Some(takeover_request)) =
             (self.permit, membership.takeover_request_to_answer(Instant::now()))
-            && self.yielding.begins(takeover_request, lease, Instant::now())
+            && self.leadership_transfer.begins(takeover_request, lease, Instant::now())
         {
-            warn!("yields: workers reach another controller and not this one");
+            warn!("leader unreachable for workers; releasing the election lease to another controller");
         }
-        let Some(lease) = self.yielding.to_release() else { return false };
+        let Some(lease) = self.leadership_transfer.to_release() else { return false };
         match membership.store.client.release(lease).await {
             Ok(()) => {
                 self.permit = None;
-                self.yielding.released(Instant::now());
+                self.leadership_transfer.released(Instant::now());
             }
             Err(error) => {
-                debug!(%error, "giving up the election lease");
+                debug!(%error, "election lease release failed");
                 tokio::time::sleep(crate::sync::jitter(self.pace.retry())).await;
             }
         }
@@ -114,7 +114,7 @@
     }
 
     /// What is to be done next.
-    fn next(&mut self, membership: &Membership, view: &View) -> Step {
+    fn next(&mut self, membership: &Membership, view: &ElectionView) -> Step {
         let fencing_token = membership.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
         let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
         let own_name =
@@ -126,14 +126,14 @@
             lease_holder: view.lease_holder(),
             lease_holder_gone: nobody || (own_name && self.expired < MOST_EXPIRED),
             leader: assigned.map(|(leader, _)| leader),
-            new_fencing_token_wanted: membership.raise_wanted()
-                || unheard(&membership.incarnation, assigned, fencing_token),
+            new_fencing_token_wanted: membership.new_fencing_token_wanted()
+                || own_record_unanswered(&membership.incarnation, assigned, fencing_token),
             renewal_due: renew_due,
         });
-        in_turn(step, self.wrote_leader_record_last, renew_due)
+        renewal_first(step, self.wrote_leader_record_last, renew_due)
     }
 
-    async fn take(&mut self, membership: &Arc<Membership>, view: &View, step: &Step) -> Result<(), StoreError> {
+    async fn take(&mut self, membership: &Arc<Membership>, view: &ElectionView, step: &Step) -> Result<(), StoreError> {
         self.wrote_leader_record_last = *step == Step::WriteLeaderRecord;
         match step {
             Step::Wait => Ok(()),
@@ -161,7 +161,7 @@
         let alive = membership.store.client.renew(lease).await?;
         self.renewed = Instant::now();
         if !alive {
-            info!("election lease lost: it has ended");
+            info!("election lease expired");
             self.permit = None;
         }
         Ok(())
@@ -170,36 +170,36 @@
 
 /// Leads, or waits until it can, for ever.
 pub async fn run(membership: Arc<Membership>) {
-    let mut member = Member::new(membership.properties.election_lease);
-    let mut lag = Lag::default();
+    let mut member = ElectionParticipant::new(membership.properties.election_lease);
+    let mut lag = WatermarkStall::default();
     loop {
         let _ = tokio::time::timeout(member.pace.look_every(), membership.wakeups.membership.notified()).await;
-        let Some(view) = View::of(&membership) else { continue };
+        let Some(view) = ElectionView::of(&membership) else { continue };
         membership.check_deposed();
         if member.yields(&membership).await {
             continue;
         }
-        if view.lease_holder().is_none() && member.yielding.stands_back(Instant::now()) {
+        if view.lease_holder().is_none() && member.leadership_transfer.stands_back(Instant::now()) {
             continue;
         }
         let step = member.next(&membership, &view);
         if let Err(error) = member.take(&membership, &view, &step).await {
-            debug!(%error, ?step, "membership");
+            debug!(%error, ?step, "membership step failed");
             tokio::time::sleep(crate::sync::jitter(member.pace.retry())).await;
         }
-        tend_watermark(&membership, &mut lag).await;
+        maintain_watermark(&membership, &mut lag).await;
     }
 }
 
 /// Tells of a watermark that does not advance, and stores it for those who do not hear it.
-async fn tend_watermark(membership: &Membership, lag: &mut Lag) {
+async fn maintain_watermark(membership: &Membership, lag: &mut WatermarkStall) {
     let [_, waiting] = membership.history.hidden();
     if let Some(long) = lag.tells(waiting, membership.history.watermark(), Instant::now()) {
         warn!(
             waiting,
             for_s = long.as_secs(),
             leader = membership.leader_node(),
-            "withdrawals are stored and not confirmed by the leader: their users are told to come again"
+            "cancellations unconfirmed by the leader; answering their users with 503"
         );
     }
     if let Some(watermark) = membership.watermark_to_store(Instant::now()) {
@@ -209,20 +209,20 @@
 
 /// Who holds the lease decides how soon there is a leader and nothing else: the leader record stands until a new lease
 /// holder writes the next one, and whatever its leader has sent is judged by that.
-pub(crate) fn expiry(version: u64) -> (Condition, Change) {
+pub(crate) fn lease_removal(version: u64) -> (Condition, Change) {
     (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
 }
 
 async fn expire(membership: &Membership, version: u64) -> Result<(), StoreError> {
-    let (condition, change) = expiry(version);
+    let (condition, change) = lease_removal(version);
     let outcome = membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
-    info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
+    info!(?outcome, "stale election lease revoked");
     membership.store.read_barrier.wait().await;
     Ok(())
 }
 
 /// The election lease for whoever finds none.
-pub(crate) fn candidacy(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
+pub(crate) fn lease_acquisition(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
     let value = serde_json::to_value(me).unwrap_or_default();
     (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
 }
@@ -234,10 +234,10 @@
     };
     *permit = Some(lease);
     let me = LeaseHolder { node: membership.settings.node.clone(), incarnation: membership.incarnation.clone() };
-    let (condition, change) = candidacy(&me, lease);
+    let (condition, change) = lease_acquisition(&me, lease);
     match membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(version) => {
-            info!(version, "leads");
+            info!(revision = version, "election lease acquired");
             membership.store.watch_cache().note_lease_holder(me, version);
             membership.wakeups.membership.notify_one();
         }
@@ -250,7 +250,11 @@
 }
 
 /// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
-pub(crate) fn naming(leader: &LeaderRecord, lease_holder_version: u64, version: u64) -> ([Condition; 2], Change) {
+pub(crate) fn leader_record_write(
+    leader: &LeaderRecord,
+    lease_holder_version: u64,
+    version: u64,
+) -> ([Condition; 2], Change) {
     let change = Change::write(LEADER, serde_json::to_value(leader).unwrap_or_default());
     ([Condition::at(LEASE_HOLDER, lease_holder_version), Condition::at(LEADER, version)], change)
 }
@@ -267,17 +271,17 @@
         incarnation: membership.incarnation.clone(),
         teams: membership.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
     };
-    let (conditions, change) = naming(&record, lease_holder_version, version);
+    let (conditions, change) = leader_record_write(&record, lease_holder_version, version);
     match membership.store.client.compare_and_swap(&conditions, &[change], RequestPriority::Critical).await? {
         CompareAndSwapOutcome::Applied(fencing_token) => {
             if membership.store.watch_cache().note_leader_record(record, fencing_token) {
                 membership.become_leader(fencing_token);
             } else {
-                warn!(fencing_token, "assigned, and replaced before the answer came");
+                warn!(fencing_token, "leader record superseded; not becoming leader");
             }
         }
         outcome => {
-            warn!(?outcome, "the assignment was not written");
+            warn!(?outcome, "leader record write rejected; refreshing the watch cache and retrying");
             membership.store.read_barrier.wait().await;
         }
     }
@@ -286,17 +290,17 @@
 
 /// That it is stored under the leader record that its fencing token names makes it true. A late copy of an older one
 /// only makes a controller that has just started wait for the next.
-pub(super) fn storing(watermark: Watermark) -> (Condition, Change) {
+pub(super) fn watermark_write(watermark: Watermark) -> (Condition, Change) {
     let value = serde_json::to_value(watermark).unwrap_or_default();
     (Condition::at(LEADER, watermark.fencing_token), Change::write(WATERMARK, value))
 }
 
 /// Controllers that do not hear this leader read it there.
 async fn store_watermark(membership: &Membership, watermark: Watermark) {
-    let (condition, change) = storing(watermark);
+    let (condition, change) = watermark_write(watermark);
     match membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await {
         Ok(CompareAndSwapOutcome::Applied(_)) => membership.confirmed(watermark.revision, Instant::now()),
-        outcome => debug!(?outcome, "storing the watermark"),
+        outcome => debug!(?outcome, "watermark write failed"),
     }
 }
 
--- a/src/membership/election/tests.rs
+++ b/src/membership/election/tests.rs
@@ -46,7 +46,7 @@
         ("raised, the mirror is behind", Some(("a", 20)), Some(21), Step::Wait),
     ] {
         let leader = leader_record.map(|(leader, _)| leader);
-        let again = unheard("a", leader_record, fencing_token);
+        let again = own_record_unanswered("a", leader_record, fencing_token);
         assert_eq!(
             next_step(ElectionObservations {
                 me: "a",
@@ -74,7 +74,7 @@
         |store: &Store| store.value(LEASE_HOLDER).map(|v| serde_json::from_value::<LeaseHolder>(v.clone()).unwrap());
     let mut store = Store::default();
     let lease = store.grant(LIFE, ms(0)).unwrap();
-    let (condition, change) = candidacy(&lease_holder("a", "a0"), lease);
+    let (condition, change) = lease_acquisition(&lease_holder("a", "a0"), lease);
     store.apply_if(&[condition], &[change]).unwrap();
     let up = since_renewal + away + 150;
     let mut expired = None;
@@ -96,13 +96,13 @@
                 renewal_due: false,
             }) {
                 Step::Expire => {
-                    expired = Some(expiry(store.version(LEASE_HOLDER)));
+                    expired = Some(lease_removal(store.version(LEASE_HOLDER)));
                     let (condition, change) = expired.clone().unwrap();
                     store.apply_if(&[condition], &[change]).unwrap();
                 }
                 Step::Campaign => {
                     let lease = store.grant(LIFE, ms(now)).unwrap();
-                    let (condition, change) = candidacy(&me, lease);
+                    let (condition, change) = lease_acquisition(&me, lease);
                     store.apply_if(&[condition], &[change]).unwrap();
                     // A late copy of an expiry must not end whoever holds the lease since.
                     assert!(expired.is_none_or(|(c, change)| store.apply_if(&[c], &[change]).is_err()));
--- a/src/membership/election/tests/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -28,12 +28,12 @@
 
 fn take_lease(store: &mut Store, me: &str) -> (u64, u64) {
     let lease = store.grant(3000, NOW).unwrap();
-    let (condition, change) = candidacy(&lease_holder(me), lease);
+    let (condition, change) = lease_acquisition(&lease_holder(me), lease);
     (lease, send(store, &[condition], &[change]).unwrap())
 }
 
 fn become_leader(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = naming(&leader(me), store.version(LEASE_HOLDER), store.version(LEADER));
+    let (conditions, change) = leader_record_write(&leader(me), store.version(LEASE_HOLDER), store.version(LEADER));
     send(store, &conditions, &[change])
 }
 
@@ -57,7 +57,7 @@
         lease_holder: leads,
         lease_holder_gone: false,
         leader: assigned.map(|(o, _)| o),
-        new_fencing_token_wanted: unheard(me, assigned, held),
+        new_fencing_token_wanted: own_record_unanswered(me, assigned, held),
         renewal_due: false,
     })
 }
@@ -74,18 +74,29 @@
         let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
         hear(&mut watch_cache, &store);
         // Carried out, and nobody hears of it but by the watch.
-        let (conditions, change) = naming(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
-        let unheard = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
+        let (conditions, change) =
+            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
+        let own_record_unanswered = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         hear(&mut watch_cache, &store);
         assert_eq!(next("a1", &watch_cache, held), Step::WriteLeaderRecord, "held {held:?}");
         let fencing_token = become_leader(&mut store, "a1").unwrap();
         hear(&mut watch_cache, &store);
         assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "and once only");
-        assert!(fencing_token > unheard, "no process leads twice under one token: names of rentals rest on it");
+        assert!(
+            fencing_token > own_record_unanswered,
+            "no process leads twice under one token: names of rentals rest on it"
+        );
         assert_eq!(send(&mut store, &conditions, &[change]), None, "a later copy is refused");
     }
-    assert!(!unheard("a1", Some(("a1", 5)), Some(5)) && !unheard("a1", Some(("a1", 5)), Some(7)), "heard ahead");
-    assert!(!unheard("a1", Some(("b1", 5)), None) && !unheard("a1", None, None), "another's, or none");
+    assert!(
+        !own_record_unanswered("a1", Some(("a1", 5)), Some(5))
+            && !own_record_unanswered("a1", Some(("a1", 5)), Some(7)),
+        "heard ahead"
+    );
+    assert!(
+        !own_record_unanswered("a1", Some(("b1", 5)), None) && !own_record_unanswered("a1", None, None),
+        "another's, or none"
+    );
 }
 
 /// What a late copy does, one line a case: what is sent late, what has come since, whether it is refused.
@@ -95,16 +106,17 @@
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
     fn naming_now(store: &mut Store) -> Sent {
-        let (conditions, change) = naming(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
+        let (conditions, change) =
+            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
         (conditions.into(), vec![change])
     }
     fn candidacy_now(store: &mut Store) -> Sent {
         let lease = store.grant(3000, NOW).unwrap();
-        let (condition, change) = candidacy(&lease_holder("a1"), lease);
+        let (condition, change) = lease_acquisition(&lease_holder("a1"), lease);
         (vec![condition], vec![change])
     }
     fn expiry_now(store: &mut Store) -> Sent {
-        let (condition, change) = expiry(store.version(LEASE_HOLDER));
+        let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
@@ -160,11 +172,11 @@
 fn a_candidacy_after_an_expiry_leads_until_its_lease_ends_and_owns_nothing() {
     let mut store = Store::default();
     let lease = store.grant(3000, NOW).unwrap();
-    let (condition, change) = candidacy(&lease_holder("a1"), lease);
+    let (condition, change) = lease_acquisition(&lease_holder("a1"), lease);
     let late = ([condition], [change]);
     send(&mut store, &late.0, &late.1).unwrap();
     let fencing_token = become_leader(&mut store, "a1").unwrap();
-    let (condition, change) = expiry(store.version(LEASE_HOLDER));
+    let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late.0, &late.1).is_some());
     let mut watch_cache = watch_cache();
@@ -198,7 +210,7 @@
     store.end_leases(s(5));
     assert!(!store.has(LEASE_HOLDER));
     let lease = store.grant(3000, s(5)).unwrap();
-    let (condition, change) = candidacy(&lease_holder("b1"), lease);
+    let (condition, change) = lease_acquisition(&lease_holder("b1"), lease);
     let version = send(&mut store, &[condition], &[change]).unwrap();
     assert!(store.renew(old, s(5)).is_err() && store.release(old).is_err());
     store.grant(3000, s(5)).unwrap();
@@ -250,12 +262,12 @@
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     assert!(watch_cache.note_leader_record(leader("a1"), fencing_token));
     watch_cache.finish_reload(loading);
-    let believed = watch_cache.leader_record().map(|(a, version)| (a.incarnation.clone(), *version)).unwrap();
-    assert_eq!(believed, ("b1".to_owned(), before), "for a moment");
+    let accepted_watermark = watch_cache.leader_record().map(|(a, version)| (a.incarnation.clone(), *version)).unwrap();
+    assert_eq!(accepted_watermark, ("b1".to_owned(), before), "for a moment");
     assert!(before < fencing_token, "which is no newer than the token that is held");
     assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "the other seems to hold the lease");
     let leads = watch_cache.lease_holder().map_or(0, |(_, version)| *version);
-    let (conditions, change) = naming(&leader("a1"), leads, before);
+    let (conditions, change) = leader_record_write(&leader("a1"), leads, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
     hear(&mut watch_cache, &store);
     assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -18,7 +18,7 @@
     }
 
     /// What changed since the peer was last told, at most `most` of it.
-    pub fn counts_to_tell(&self, told: &mut HashMap<JobId, Counts>, most: usize) -> Vec<(JobId, Counts)> {
+    pub fn changed_counts(&self, told: &mut HashMap<JobId, Counts>, most: usize) -> Vec<(JobId, Counts)> {
         let held = self.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut changed = Vec::new();
@@ -36,7 +36,7 @@
     }
 
     /// The account as the leader sees it, for whoever may succeed it.
-    pub fn served_to_tell(&self) -> Vec<Row> {
+    pub fn accounting_to_send(&self) -> Vec<Row> {
         if self.leader.cluster().is_none() {
             return Vec::new();
         }
@@ -44,7 +44,7 @@
     }
 
     /// Drops the counts of jobs that are not open.
-    pub fn tidy_counts(&self) {
+    pub fn drop_counts_of_ended_jobs(&self) {
         let watch_cache = self.store.watch_cache();
         lock(&self.heard).counts.retain(|id, _| watch_cache.open_job(id).is_some());
     }
@@ -54,7 +54,7 @@
         [
             ("counts_heard", lock(&self.heard).counts.len()),
             ("stranded", lock(&self.unreachable_leader).remembered()),
-            ("let_go", lock(&self.let_go).remembered()),
+            ("let_go", lock(&self.leader_searches).remembered()),
         ]
     }
 }
--- a/src/membership/judgement.rs
+++ b/src/membership/judgement.rs
@@ -10,7 +10,7 @@
 
 impl Membership {
     /// Whether the state service has lately answered anything.
-    pub fn store_serves(&self) -> bool {
+    pub fn state_service_answers(&self) -> bool {
         self.store.client.health().failing_for(Instant::now()) < Duration::from_secs(2)
     }
 
@@ -26,13 +26,13 @@
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
         self.store.watch_cache().is_ready()
-            && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
+            && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Fresh
     }
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
     pub fn healthy(&self) -> bool {
         // After a process pause a proof is a moment away, unless the store answers nobody.
-        let proving = self.unproven() && self.store_serves();
+        let proving = self.unproven() && self.state_service_answers();
         let read = {
             let watch_cache = self.store.watch_cache();
             watch_cache.is_ready() || watch_cache.revision() > 0
@@ -49,18 +49,16 @@
     /// Whether this machine is held by a leader that may be one no more (`membership::serving_state`).
     pub fn holds(&self, machine: &str, now: Instant) -> bool {
         let (others, lease) = (self.settings.peers.len(), self.settings.params.workers.lease());
-        let mut let_go = lock(&self.let_go);
-        if let_go.begins() {
-            warn!(
-                "neither the store nor another controller tells who leads: workers are let go, and held if they come back"
-            );
+        let mut leader_searches = lock(&self.leader_searches);
+        if leader_searches.begins() {
+            warn!("leadership unproven; releasing workers that report and holding those that return");
         }
-        let_go.holds(machine, others, lease, now)
+        leader_searches.holds(machine, others, lease, now)
     }
 
     /// A leader that knows no end that was stored since its last proof may hold machines for so long that
     /// their leases are over when the first such task has to be gone.
-    pub fn may_hold_blindly(&self, now: Instant) -> bool {
+    pub fn leases_end_in_time(&self, now: Instant) -> bool {
         let spare = self.settings.params.workers.spare();
         self.store.read_barrier.age(now).is_some_and(|age| age < spare)
     }
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -15,14 +15,14 @@
 impl Membership {
     /// This controller's record stands as the leader record, under this fencing token.
     pub fn become_leader(&self, fencing_token: u64) {
-        self.press_marks(false);
+        self.want_new_fencing_token_for_orders(false);
         let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             cluster.raise_fencing_token(fencing_token);
-            info!(fencing_token, "token raised");
+            info!(fencing_token, "fencing token raised");
             return;
         }
-        info!(fencing_token, "leads");
+        info!(fencing_token, "leadership acquired");
         if let Some((rows, told)) = lock(&self.heard).served.take() {
             self.leader.accounting().take_over(&rows, told);
         }
@@ -39,10 +39,13 @@
     }
 
     /// Stops leading at once: somebody newer does.
-    pub fn step_down(&self, why: &str) {
+    pub fn step_down(&self, reason: &str) {
         let cluster = self.leader.cluster().take();
         if let Some(cluster) = cluster {
-            warn!(fencing_token = cluster.fencing_token, why, "no longer leads");
+            warn!(
+                fencing_token = cluster.fencing_token,
+                reason, "leadership lost; stopping all scheduling on this controller"
+            );
             for task in lock(&self.leader_tasks).drain(..) {
                 task.abort();
             }
@@ -62,29 +65,29 @@
         if let (Some(newer), Some(fencing_token)) = (newer, fencing_token)
             && newer > fencing_token
         {
-            self.step_down("another controller is assigned");
+            self.step_down("newer leader record seen");
         }
     }
 
     /// Whether the leader's fencing token is to be raised: commands are to be made void, or marks of orders to be
     /// dropped.
-    pub fn raise_wanted(&self) -> bool {
-        let marks = self.marks_pressed.load(Ordering::Relaxed);
+    pub fn new_fencing_token_wanted(&self) -> bool {
+        let marks = self.orders_want_new_fencing_token.load(Ordering::Relaxed);
         self.leader.cluster().as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
     }
 
     /// Whether so many orders are marked as done that a higher fencing token is wanted, under which they can be
     /// dropped.
-    pub fn press_marks(&self, pressed: bool) {
-        self.marks_pressed.store(pressed, Ordering::Relaxed);
+    pub fn want_new_fencing_token_for_orders(&self, pressed: bool) {
+        self.orders_want_new_fencing_token.store(pressed, Ordering::Relaxed);
     }
 
     /// A worker was sent to the leader. If workers keep coming back, the leader is told through the
     /// store, which it must still reach since it holds its lease.
-    pub fn note_redirect(&self, machine: &str, heartbeat: (u64, u64), now: Instant) {
+    pub fn record_redirect(&self, machine: &str, heartbeat: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, heartbeat, now) else { return };
         let Some(fencing_token) = self.store.watch_cache().leader_record().map(|(_, version)| *version) else { return };
-        warn!(machines, "workers cannot reach the leader");
+        warn!(count = machines, "leader unreachable for workers; requesting a takeover");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
         let store = self.store.clone();
         tokio::spawn(async move {
--- a/src/membership/yielding.rs
+++ b/src/membership/leadership_transfer.rs
@@ -13,7 +13,7 @@
 
 /// What a controller remembers of its yields.
 #[derive(Debug, Default)]
-pub struct Yielding {
+pub struct LeadershipTransfer {
     /// The version of the last takeover request that was answered.
     answered: u64,
     begun: Option<Instant>,
@@ -22,7 +22,7 @@
     back_off_until: Option<Instant>,
 }
 
-impl Yielding {
+impl LeadershipTransfer {
     /// Whether to step down now for the takeover request with this version, giving up this lease. Counts as answered.
     pub fn begins(&mut self, takeover_request: u64, lease: u64, now: Instant) -> bool {
         let rested = self.begun.is_none_or(|at| now.saturating_duration_since(at) >= YIELD_GAP);
--- a/src/membership/yielding/tests.rs
+++ b/src/membership/leadership_transfer/tests.rs
@@ -11,12 +11,14 @@
 #[test]
 fn a_takeover_request_that_stays_is_answered_once() {
     let start = Instant::now();
-    let mut yielding = Yielding::default();
+    let mut leadership_transfer = LeadershipTransfer::default();
     let mut yields = 0;
     for second in 0..600 {
-        if !yielding.stands_back(at(start, second)) && yielding.begins(40, LEASE, at(start, second)) {
+        if !leadership_transfer.stands_back(at(start, second))
+            && leadership_transfer.begins(40, LEASE, at(start, second))
+        {
             yields += 1;
-            yielding.released(at(start, second));
+            leadership_transfer.released(at(start, second));
         }
     }
     assert_eq!(yields, 1);
@@ -27,13 +29,13 @@
 #[test]
 fn takeover_requests_that_go_on_cost_a_yield_a_minute() {
     let start = Instant::now();
-    let mut yielding = Yielding::default();
+    let mut leadership_transfer = LeadershipTransfer::default();
     let (mut yields, mut away) = (Vec::new(), 0);
     for second in 0..180 {
-        away += usize::from(yielding.stands_back(at(start, second)));
-        if yielding.begins(40 + second / 3, LEASE, at(start, second)) {
+        away += usize::from(leadership_transfer.stands_back(at(start, second)));
+        if leadership_transfer.begins(40 + second / 3, LEASE, at(start, second)) {
             yields.push(second);
-            yielding.released(at(start, second));
+            leadership_transfer.released(at(start, second));
         }
     }
     assert_eq!(yields, [0, 60, 120]);
@@ -45,15 +47,15 @@
 #[test]
 fn a_release_without_an_answer_is_asked_for_again_and_nothing_else() {
     let start = Instant::now();
-    let mut yielding = Yielding::default();
-    assert!(!yielding.stands_back(start) && yielding.to_release().is_none());
-    assert!(yielding.begins(40, LEASE, start));
+    let mut leadership_transfer = LeadershipTransfer::default();
+    assert!(!leadership_transfer.stands_back(start) && leadership_transfer.to_release().is_none());
+    assert!(leadership_transfer.begins(40, LEASE, start));
     for second in 0..30 {
-        assert_eq!(yielding.to_release(), Some(LEASE));
-        assert!(yielding.stands_back(at(start, second)), "{second}");
-        assert!(!yielding.begins(40, LEASE, at(start, second)), "{second}");
+        assert_eq!(leadership_transfer.to_release(), Some(LEASE));
+        assert!(leadership_transfer.stands_back(at(start, second)), "{second}");
+        assert!(!leadership_transfer.begins(40, LEASE, at(start, second)), "{second}");
     }
-    yielding.released(at(start, 30));
-    assert!(yielding.to_release().is_none());
-    assert!(yielding.stands_back(at(start, 39)) && !yielding.stands_back(at(start, 40)));
+    leadership_transfer.released(at(start, 30));
+    assert!(leadership_transfer.to_release().is_none());
+    assert!(leadership_transfer.stands_back(at(start, 39)) && !leadership_transfer.stands_back(at(start, 40)));
 }
--- a/src/membership/turns.rs
+++ b/src/membership/lease_timing.rs
@@ -19,11 +19,11 @@
 
 /// How long this lease holder's steps may take, by the life of its lease.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct LeaseTiming {
     pub life: Duration,
 }
 
-impl Pace {
+impl LeaseTiming {
     /// Between two renewals.
     pub fn renew_every(self) -> Duration {
         self.life / RENEWALS
@@ -46,7 +46,7 @@
 }
 
 /// The step that goes next: a renewal that is due before a second leader record.
-pub(super) fn in_turn(step: Step, wrote_leader_record_last: bool, renew_due: bool) -> Step {
+pub(super) fn renewal_first(step: Step, wrote_leader_record_last: bool, renew_due: bool) -> Step {
     if step == Step::WriteLeaderRecord && wrote_leader_record_last && renew_due { Step::Renew } else { step }
 }
 
--- a/src/membership/turns/tests.rs
+++ b/src/membership/lease_timing/tests.rs
@@ -8,13 +8,13 @@
 
 /// The longest time between two renewals of a lease holder that is to write the leader record and never gets an answer,
 /// each step and pause taking as long as it may.
-fn longest_without_renewal(pace: Pace) -> Duration {
+fn longest_without_renewal(pace: LeaseTiming) -> Duration {
     let (mut now, mut renewed, mut longest) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
     let mut wrote_leader_record_last = false;
     while now < pace.life * 20 {
         now += pace.look_every();
         let due = now - renewed >= pace.renew_every();
-        let step = in_turn(
+        let step = renewal_first(
             next_step(ElectionObservations {
                 me: "a",
                 lease_holder: Some("a"),
@@ -44,7 +44,7 @@
 #[test]
 fn assignments_without_an_answer_cost_no_lease() {
     for life_ms in [500, 1000, 3000, 10_000, 600_000] {
-        let pace = Pace { life: Duration::from_millis(life_ms) };
+        let pace = LeaseTiming { life: Duration::from_millis(life_ms) };
         let longest = longest_without_renewal(pace);
         assert!(longest < pace.life, "a lease of {life_ms} ms is renewed after {longest:?}");
     }
@@ -60,6 +60,6 @@
         ("another holds the lease", Step::Wait, true, true, Step::Wait),
         ("its predecessor holds the lease", Step::Expire, true, true, Step::Expire),
     ] {
-        assert_eq!(in_turn(step, wrote_leader_record_last, due), want, "{name}");
+        assert_eq!(renewal_first(step, wrote_leader_record_last, due), want, "{name}");
     }
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Semaphore;
 use tracing::{debug, warn};
 
-use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
+use line::{LINE_LIMIT, Line, LineError, MOST_COUNTS};
 
 use super::state::Membership;
 use crate::jobs::{Counts, JobId};
@@ -43,7 +43,7 @@
 
 /// What one other controller said last.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct PeerState {
     /// Since when it has said without a break that the store serves it.
     serves_since: Option<Instant>,
     wants: [Want; 2],
@@ -53,8 +53,8 @@
 
 /// What the other controllers have said.
 #[derive(Debug, Default)]
-pub struct Heard {
-    peers: HashMap<String, Told>,
+pub struct PeerStates {
+    peers: HashMap<String, PeerState>,
     /// Lines that are dropped, and connections.
     odd_lines: LogLimit,
     too_many: LogLimit,
@@ -64,7 +64,7 @@
     pub served: Option<(Vec<Row>, Instant)>,
 }
 
-impl Heard {
+impl PeerStates {
     /// How many others were heard of lately, and for how long one of them has said that the store serves it.
     pub fn others(&self, now: Instant) -> (usize, Option<Duration>) {
         let since = self.lately(now).filter_map(|told| told.serves_since);
@@ -76,10 +76,10 @@
     fn told(&mut self, node: String, serves: bool, wants: [Want; 2], acknowledged: u64, now: Instant) {
         let before = self.peers.get(&node).filter(|told| told.fresh(now));
         let serves_since = serves.then(|| before.and_then(|told| told.serves_since).unwrap_or(now));
-        self.peers.insert(node, Told { serves_since, wants, acknowledged, at: now });
+        self.peers.insert(node, PeerState { serves_since, wants, acknowledged, at: now });
     }
 
-    fn lately(&self, now: Instant) -> impl Iterator<Item = &Told> {
+    fn lately(&self, now: Instant) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |told| told.fresh(now))
     }
 
@@ -100,7 +100,7 @@
     }
 }
 
-impl Told {
+impl PeerState {
     fn fresh(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) < STALE
     }
@@ -108,14 +108,23 @@
 
 /// A watermark counts if its fencing token is that of the leader record as it is known here, and the sender its leader:
 /// one of a leader that is not known here yet, or no more, is told again by whoever leads.
-pub fn believed(from: &str, told: Option<Watermark>, leader_record: Option<&(LeaderRecord, u64)>) -> Option<u64> {
+pub fn accepted_watermark(
+    from: &str,
+    told: Option<Watermark>,
+    leader_record: Option<&(LeaderRecord, u64)>,
+) -> Option<u64> {
     let (told, (leader, version)) = (told?, leader_record?);
     (leader.node == from && *version == told.fencing_token).then_some(told.revision)
 }
 
 /// Whether no leader can have told this watermark, by all that the store has told up to this revision: its fencing
 /// token is newer than the last leader record and not newer than that, or the last leader record is another's.
-fn never_was(from: &str, told: Option<Watermark>, known: Option<&(LeaderRecord, u64)>, through: Option<u64>) -> bool {
+fn names_impossible_leader(
+    from: &str,
+    told: Option<Watermark>,
+    known: Option<&(LeaderRecord, u64)>,
+    through: Option<u64>,
+) -> bool {
     let (Some(told), Some((leader, version)), Some(through)) = (told, known, through) else { return false };
     let missed = told.fencing_token > *version && told.fencing_token <= through;
     missed || (told.fencing_token == *version && leader.node != from)
@@ -123,12 +132,12 @@
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
 /// tries again every second.
-pub async fn listen(membership: Arc<Membership>) {
+pub async fn accept_connections(membership: Arc<Membership>) {
     let listener = loop {
         match TcpListener::bind(&membership.settings.mesh_listen).await {
             Ok(listener) => break listener,
             Err(error) => {
-                warn!(%error, addr = membership.settings.mesh_listen, "cannot listen to the other controllers");
+                warn!(%error, address = membership.settings.mesh_listen, "peer listener bind failed; retrying every second");
                 tokio::time::sleep(EVERY).await;
             }
         }
@@ -146,7 +155,7 @@
 fn accept(membership: &Arc<Membership>, free: &Arc<Semaphore>, stream: TcpStream) {
     let Ok(permit) = free.clone().try_acquire_owned() else {
         if lock(&membership.heard).too_many.due(Instant::now()) {
-            warn!(most = MOST_CONNECTIONS, "too many connections between controllers: one is dropped");
+            warn!(limit = MOST_CONNECTIONS, "peer connection limit reached; closing the new connection");
         }
         return;
     };
@@ -168,9 +177,9 @@
         if !matches!(tokio::time::timeout(STALE * 4, read).await, Ok(Ok(n)) if n > 0) {
             return;
         }
-        if let Err(problem) = take_line(&membership, &text, Instant::now()) {
+        if let Err(error) = apply_line(&membership, &text, Instant::now()) {
             if lock(&membership.heard).odd_lines.due(Instant::now()) {
-                warn!(bytes = text.len(), %problem, "a line between controllers is dropped, and its connection");
+                warn!(bytes = text.len(), %error, "peer message rejected; closing the connection");
             }
             return;
         }
@@ -178,16 +187,16 @@
 }
 
 /// Takes in what a peer has said, or nothing at all of it.
-fn take_line(membership: &Membership, text: &[u8], now: Instant) -> Result<(), BadLine> {
+fn apply_line(membership: &Membership, text: &[u8], now: Instant) -> Result<(), LineError> {
     let line = Line::read(text, &membership.settings.peers)?;
     let (watermark, leads) = {
         let watch_cache = membership.store.watch_cache();
         let leader_record = watch_cache.leader_record();
-        if never_was(&line.node, line.watermark, leader_record, watch_cache.watch_revision()) {
-            return Err(BadLine::Token(line.node));
+        if names_impossible_leader(&line.node, line.watermark, leader_record, watch_cache.watch_revision()) {
+            return Err(LineError::Token(line.node));
         }
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
-        (believed(&line.node, line.watermark, leader_record), leads)
+        (accepted_watermark(&line.node, line.watermark, leader_record), leads)
     };
     membership.history.advance(watermark.unwrap_or(0));
     let many = {
@@ -201,23 +210,23 @@
         heard.counts.len() > MOST_HEARD
     };
     if many {
-        membership.tidy_counts();
+        membership.drop_counts_of_ended_jobs();
     }
     Ok(())
 }
 
 /// One connection to one peer, made again whenever it breaks.
-pub async fn tell(membership: Arc<Membership>, peer: Peer) {
+pub async fn send_lines(membership: Arc<Membership>, peer: Peer) {
     loop {
         if let Ok(Ok(stream)) = tokio::time::timeout(WRITE_WITHIN, TcpStream::connect(&peer.addr)).await {
-            let error = tell_over(&membership, &peer.node, stream).await;
-            debug!(?error, peer = peer.node, "connection to another controller");
+            let error = send_lines_over(&membership, &peer.node, stream).await;
+            debug!(?error, peer = peer.node, "peer connection lost");
         }
         tokio::time::sleep(crate::sync::jitter(EVERY)).await;
     }
 }
 
-async fn tell_over(membership: &Membership, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
+async fn send_lines_over(membership: &Membership, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
     let begun = Instant::now();
     let mut told: HashMap<JobId, Counts> = HashMap::new();
     let mut served_next = Instant::now();
@@ -228,12 +237,12 @@
         let mut counts = Vec::new();
         if whole {
             whole_next = Instant::now() + EVERY;
-            counts = membership.counts_to_tell(&mut told, MOST_COUNTS);
+            counts = membership.changed_counts(&mut told, MOST_COUNTS);
         }
         let mut served = Vec::new();
         if Instant::now() >= served_next {
             served_next = Instant::now() + SERVED_EVERY;
-            served = membership.served_to_tell();
+            served = membership.accounting_to_send();
         }
         let (name, wants) = (membership.settings.node.clone(), membership.wants());
         let (watermark, acknowledged) = (membership.watermark(), membership.history.watermark());
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -45,7 +45,7 @@
 
 /// Why a line is dropped.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum BadLine {
+pub(super) enum LineError {
     #[error("it is longer than {LINE_LIMIT} bytes")]
     TooLong,
     #[error("it ends in the middle")]
@@ -53,21 +53,21 @@
     #[error("it cannot be read: {0}")]
     Unreadable(String),
     #[error("{0:?} is no controller by the settings")]
-    Stranger(String),
+    UnknownPeer(String),
     #[error("{0:?} names an assignment that never was")]
     Token(String),
 }
 
 impl Line {
     /// A line of one of these peers, with the end of the line.
-    pub fn read(text: &[u8], peers: &[Peer]) -> Result<Self, BadLine> {
+    pub fn read(text: &[u8], peers: &[Peer]) -> Result<Self, LineError> {
         if text.last() != Some(&b'\n') {
             let whole = (text.len() as u64) < LINE_LIMIT;
-            return Err(if whole { BadLine::Unfinished } else { BadLine::TooLong });
+            return Err(if whole { LineError::Unfinished } else { LineError::TooLong });
         }
-        let mut line: Self = serde_json::from_slice(text).map_err(|error| BadLine::Unreadable(error.to_string()))?;
+        let mut line: Self = serde_json::from_slice(text).map_err(|error| LineError::Unreadable(error.to_string()))?;
         if !peers.iter().any(|peer| peer.node == line.node) {
-            return Err(BadLine::Stranger(line.node));
+            return Err(LineError::UnknownPeer(line.node));
         }
         line.counts.retain(|(id, _)| well_formed_id(id));
         line.counts.truncate(MOST_COUNTS);
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn since_when_the_others_can_answer() {
     let (t, s) = (Instant::now(), Duration::from_secs);
-    let mut heard = Heard::default();
+    let mut heard = PeerStates::default();
     for (at, node, serves, want) in [
         (0, "b", true, (1, Some(0))),
         (1, "b", true, (1, Some(1))),
@@ -41,9 +41,9 @@
     ] {
         let known = known.map(|(node, version)| assigned(node, version));
         let told = Some(Watermark { fencing_token, revision: 50 });
-        assert_eq!(never_was(from, told, known.as_ref(), through), want, "{name}");
+        assert_eq!(names_impossible_leader(from, told, known.as_ref(), through), want, "{name}");
     }
-    assert!(!never_was("b", None, Some(&assigned("c", 7)), Some(9)), "no watermark at all");
+    assert!(!names_impossible_leader("b", None, Some(&assigned("c", 7)), Some(9)), "no watermark at all");
 }
 
 /// A controller for whose peer `node-1` leads by the store.
@@ -69,13 +69,13 @@
         format!(r#"{{"node":"node-9","store_serves":true,{counts}}}{}"#, "\n"),
         format!(r#"{{"node":"node-1","store_serves":true,{counts}"#),
     ] {
-        take_line(&node, text.as_bytes(), now).unwrap_err();
+        apply_line(&node, text.as_bytes(), now).unwrap_err();
         let heard = lock(&node.heard);
         assert!(!heard.hears("node-1", now) && heard.counts.is_empty(), "{text}");
     }
     let line =
         format!(r#"{{"node":"node-1","store_serves":true,{counts},"watermark":{{"token":7,"revision":50}}}}{}"#, "\n");
-    take_line(&node, line.as_bytes(), now).unwrap();
+    apply_line(&node, line.as_bytes(), now).unwrap();
     assert!(lock(&node.heard).hears("node-1", now));
     assert_eq!((lock(&node.heard).counts.len(), node.history.watermark()), (1, 50));
 }
@@ -87,8 +87,8 @@
     let read_on = crate::store::client::WatchResponse { revision: 90, log: Vec::new() };
     node.store.watch_cache().apply_watch(&read_on);
     let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
-    let outcome = take_line(&node, format!("{line}\n").as_bytes(), Instant::now());
-    assert_eq!(outcome, Err(BadLine::Token("node-1".into())));
+    let outcome = apply_line(&node, format!("{line}\n").as_bytes(), Instant::now());
+    assert_eq!(outcome, Err(LineError::Token("node-1".into())));
     assert_eq!(node.history.watermark(), 0);
 }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -16,25 +16,25 @@
 mod cache_changes;
 mod confirmation;
 mod election;
-mod ended_jobs;
 mod figures;
 mod judgement;
 mod leadership;
+mod leadership_transfer;
+mod lease_timing;
 pub mod mesh;
 mod pauses;
+mod reported_ends;
 pub mod serving_state;
 mod state;
 mod step;
 mod store_shares;
-mod turns;
 pub mod unreachable_leader;
 mod unreadable;
 pub mod watermark;
-mod yielding;
 
 pub use election::run;
 #[cfg(test)]
-pub(crate) use election::{candidacy, expiry, naming};
-pub use ended_jobs::Over;
+pub(crate) use election::{leader_record_write, lease_acquisition, lease_removal};
+pub use reported_ends::ReportedEnds;
 pub use state::Membership;
 pub(crate) use store_shares::{REQUESTS, SHARE_EVERY, WRITES, first_budget};
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -20,7 +20,11 @@
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
-        warn!(pause_s = pause.length().as_secs_f64(), leadership_open = void.leadership, "process was paused");
+        warn!(
+            pause_s = pause.length().as_secs_f64(),
+            leadership_unproven = void.leadership,
+            "process pause detected; discarding time-based observations"
+        );
         if void.leadership {
             self.unproven.store(true, Ordering::Relaxed);
             self.store.read_barrier.after_pause();
@@ -43,12 +47,9 @@
     /// The watch cache was just proven fresh: who leads is known again.
     pub fn proven(&self) {
         self.check_deposed();
-        lock(&self.let_go).clear();
+        lock(&self.leader_searches).clear();
         if self.unproven.swap(false, Ordering::Relaxed) {
-            info!(
-                leads = self.leader.cluster().is_some(),
-                "what was known before the process pause is proven or dropped"
-            );
+            info!(leads = self.leader.cluster().is_some(), "state proven after process pause");
         }
     }
 
--- a/src/membership/ended_jobs.rs
+++ b/src/membership/reported_ends.rs
@@ -9,13 +9,13 @@
 
 /// Jobs that are over, by a watch cache that holds everything up to a revision.
 #[derive(Debug, Default)]
-pub struct Over {
+pub struct ReportedEnds {
     /// Jobs of the heartbeat that have ended by the watch cache; their tasks are to be stopped.
     pub jobs: HashSet<JobId>,
     through: u64,
 }
 
-impl Over {
+impl ReportedEnds {
     /// Whether all that was stored before this revision is known.
     pub fn since(&self, revision: u64) -> bool {
         self.through >= revision
@@ -25,10 +25,10 @@
 impl Membership {
     /// Which jobs of a heartbeat are over, as far as the watch cache tells. Only looked for where the cluster state
     /// alone may not decide: it is not loaded, or `acts` is false.
-    pub fn over_among(&self, heartbeat: &Heartbeat, acts: bool) -> Over {
+    pub fn reported_ends(&self, heartbeat: &Heartbeat, acts: bool) -> ReportedEnds {
         let fencing_token = match self.leader.cluster().as_ref() {
             Some(cluster) if !(acts && cluster.loaded) => cluster.fencing_token,
-            _ => return Over::default(),
+            _ => return ReportedEnds::default(),
         };
         let watch_cache = self.store.watch_cache();
         let through = watch_cache.watch_revision().unwrap_or(0);
@@ -39,6 +39,6 @@
         };
         let jobs =
             heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
-        Over { jobs, through }
+        ReportedEnds { jobs, through }
     }
 }
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -28,13 +28,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
     /// Knows what is stored.
-    Sound,
+    Fresh,
     /// Does not, and another does.
-    Passed,
+    Superseded,
     /// All others were heard of and none knows either, or only just: nobody can have come to lead.
     Outage,
     /// Does not, and cannot tell what the others know.
-    Lone,
+    Isolated,
 }
 
 /// How long it may take until something counts.
@@ -70,10 +70,10 @@
     pub fn serving_state(&self, patience: Patience) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
-            _ if knows => ServingState::Sound,
-            Observations { answering: Some(long), .. } if *long >= patience.answering => ServingState::Passed,
+            _ if knows => ServingState::Fresh,
+            Observations { answering: Some(long), .. } if *long >= patience.answering => ServingState::Superseded,
             Observations { peers, heard, .. } if heard >= peers => ServingState::Outage,
-            _ => ServingState::Lone,
+            _ => ServingState::Isolated,
         }
     }
 }
@@ -82,7 +82,7 @@
     /// Whether users are sent here, and workers held or sent on as the watch cache has it. In an outage the load
     /// balancer must have someone, and leadership cannot change.
     pub fn speaks(self) -> bool {
-        matches!(self, Self::Sound | Self::Outage)
+        matches!(self, Self::Fresh | Self::Outage)
     }
 }
 
@@ -91,12 +91,12 @@
 
 /// How often users were sent elsewhere of late. Pure.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct HealthCheck {
     removed: Vec<Instant>,
     out: bool,
 }
 
-impl Health {
+impl HealthCheck {
     /// Whether users are to be sent here now; to be asked about once a second.
     pub fn judge(&mut self, begun: bool, seen: Observations, now: Instant) -> bool {
         self.removed.retain(|at| now.saturating_duration_since(*at) < REMEMBERED);
@@ -120,7 +120,7 @@
 const MOST: usize = 10_000;
 
 #[derive(Debug, Clone, Copy)]
-enum Errand {
+enum SearchState {
     Away(Instant),
     Held(Instant),
 }
@@ -128,12 +128,12 @@
 /// Machines that heartbeat to a leader which may be one no more. Each is sent to look for another; one that
 /// comes back has found none and is held, so that its lease does not end, and sent again later. Pure.
 #[derive(Debug, Default)]
-pub struct LetGo {
-    errands: HashMap<String, Errand>,
+pub struct LeaderSearches {
+    errands: HashMap<String, SearchState>,
     begun: bool,
 }
 
-impl LetGo {
+impl LeaderSearches {
     /// Whether this machine is to be held. `lease` is its own; `others` how many controllers it may ask.
     pub fn holds(&mut self, machine: &str, others: usize, lease: Duration, now: Instant) -> bool {
         // Its lease must outlast a round, or it would lose its work by looking.
@@ -146,13 +146,13 @@
         }
         let since = |at: Instant| now.saturating_duration_since(at);
         let errand = match self.errands.get(machine) {
-            Some(Errand::Away(at)) if since(*at) < BACK_AFTER => return false,
-            Some(Errand::Away(at)) if since(*at) < lease => Errand::Held(now),
-            Some(Errand::Held(at)) if since(*at) < lease / 3 => return true,
-            _ => Errand::Away(now),
+            Some(SearchState::Away(at)) if since(*at) < BACK_AFTER => return false,
+            Some(SearchState::Away(at)) if since(*at) < lease => SearchState::Held(now),
+            Some(SearchState::Held(at)) if since(*at) < lease / 3 => return true,
+            _ => SearchState::Away(now),
         };
         self.errands.insert(machine.to_owned(), errand);
-        matches!(errand, Errand::Held(_))
+        matches!(errand, SearchState::Held(_))
     }
 
     /// Number of machines remembered.
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -12,22 +12,22 @@
     let (health, leader) = (Patience::of_health(0), Patience::of_leadership(s(3)));
     // (name, proof, refused for, heard of two others, one answering for, towards users, towards workers)
     for (name, proof, refused, heard, answering, users, workers) in [
-        ("all well", Some(1), 0, 2, Some(99), Sound, Sound),
-        ("all well, the others are ended", Some(1), 0, 0, None, Sound, Sound),
-        ("refused for a moment", Some(1), 1, 2, Some(99), Sound, Sound),
-        ("refused, the others are not", Some(3), 3, 2, Some(99), Passed, Sound),
-        ("for longer than the election lease", Some(7), 7, 2, Some(99), Passed, Passed),
-        ("served, but cannot prove anything", Some(5), 0, 2, Some(99), Passed, Sound),
-        ("the same, for longer", Some(6), 0, 2, Some(99), Passed, Passed),
-        ("back from a process pause", None, 0, 2, Some(99), Passed, Passed),
+        ("all well", Some(1), 0, 2, Some(99), Fresh, Fresh),
+        ("all well, the others are ended", Some(1), 0, 0, None, Fresh, Fresh),
+        ("refused for a moment", Some(1), 1, 2, Some(99), Fresh, Fresh),
+        ("refused, the others are not", Some(3), 3, 2, Some(99), Superseded, Fresh),
+        ("for longer than the election lease", Some(7), 7, 2, Some(99), Superseded, Superseded),
+        ("served, but cannot prove anything", Some(5), 0, 2, Some(99), Superseded, Fresh),
+        ("the same, for longer", Some(6), 0, 2, Some(99), Superseded, Superseded),
+        ("back from a process pause", None, 0, 2, Some(99), Superseded, Superseded),
         ("the state service is out", Some(40), 40, 2, None, Outage, Outage),
         ("it is back, another was told sooner", Some(40), 40, 2, Some(1), Outage, Outage),
-        ("for longer, and no lease can be over yet", Some(40), 40, 2, Some(2), Passed, Outage),
-        ("for as long as a lease", Some(40), 40, 2, Some(3), Passed, Passed),
-        ("it is out, and one controller is ended", Some(40), 40, 1, None, Lone, Lone),
-        ("a zone is cut off with two of three in it", Some(40), 40, 1, None, Lone, Lone),
-        ("cut off from all", Some(40), 40, 0, None, Lone, Lone),
-        ("cut off from the state service, hears one", Some(40), 40, 1, Some(99), Passed, Passed),
+        ("for longer, and no lease can be over yet", Some(40), 40, 2, Some(2), Superseded, Outage),
+        ("for as long as a lease", Some(40), 40, 2, Some(3), Superseded, Superseded),
+        ("it is out, and one controller is ended", Some(40), 40, 1, None, Isolated, Isolated),
+        ("a zone is cut off with two of three in it", Some(40), 40, 1, None, Isolated, Isolated),
+        ("cut off from all", Some(40), 40, 0, None, Isolated, Isolated),
+        ("cut off from the state service, hears one", Some(40), 40, 1, Some(99), Superseded, Superseded),
     ] {
         let (proof, answering) = (proof.map(s), answering.map(s));
         let seen = Observations { proof, refused: s(refused), peers: 2, heard, answering };
@@ -42,7 +42,7 @@
 #[test]
 fn health_does_not_flap() {
     let start = Instant::now();
-    let mut health = Health::default();
+    let mut health = HealthCheck::default();
     let (mut removals, mut last) = (0, true);
     // Refused for 8 s of every 10, for ten minutes.
     for second in 0..600 {
@@ -74,12 +74,12 @@
         ("nobody, others do not answer", None, 4, None),
     ] {
         let start = Instant::now();
-        let mut let_go = LetGo::default();
+        let mut leader_searches = LeaderSearches::default();
         let (mut at, mut node, mut answered) = (0u64, 0, 0);
         let mut found = None;
         while at < 200 && found.is_none() {
             match node {
-                0 if let_go.holds("m", 2, lease, start + s(at)) => {
+                0 if leader_searches.holds("m", 2, lease, start + s(at)) => {
                     answered = at;
                     at += 1;
                     continue;
@@ -94,7 +94,7 @@
         }
         assert_eq!(found.is_some(), found_by.is_some(), "{name}");
         assert!(found <= found_by, "{name}: {found:?}");
-        assert_eq!(let_go.remembered(), 1);
+        assert_eq!(leader_searches.remembered(), 1);
     }
-    assert!(LetGo::default().holds("m", 4, lease, Instant::now()), "a round would outlast its lease");
+    assert!(LeaderSearches::default().holds("m", 4, lease, Instant::now()), "a round would outlast its lease");
 }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -6,10 +6,10 @@
 
 use tokio::task::AbortHandle;
 
-use super::mesh::Heard;
-use super::serving_state::{Health, LetGo};
+use super::mesh::PeerStates;
+use super::serving_state::{HealthCheck, LeaderSearches};
 use super::unreachable_leader::UnreachableLeader;
-use super::watermark::Unconfirmed;
+use super::watermark::UnconfirmedCancellations;
 use crate::history::reader::History;
 use crate::machine_kinds::SharedCatalog;
 use crate::process_pause::PauseDetector;
@@ -35,21 +35,21 @@
     pub(super) catalog: Arc<SharedCatalog>,
     pub(super) wakeups: Arc<Wakeups>,
     /// What the other controllers said last.
-    pub(super) heard: Mutex<Heard>,
+    pub(super) heard: Mutex<PeerStates>,
     /// Notices that this process was paused.
     pub(super) pause_detector: Mutex<PauseDetector>,
     /// Was paused for so long that another may lead by now; nothing is done until the store says.
     pub(super) unproven: AtomicBool,
     pub(super) unreachable_leader: Mutex<UnreachableLeader>,
     /// What users and machines are told while little can be proven.
-    pub(super) health: Mutex<Health>,
-    pub(super) let_go: Mutex<LetGo>,
+    pub(super) health: Mutex<HealthCheck>,
+    pub(super) leader_searches: Mutex<LeaderSearches>,
     /// Cancellations that other controllers may not have heard this leader confirm.
-    pub(super) unconfirmed: Mutex<Unconfirmed>,
+    pub(super) unconfirmed: Mutex<UnconfirmedCancellations>,
     pub(super) start_leader_loops: OnceLock<StartLeaderLoops>,
     pub(super) leader_tasks: Mutex<Vec<AbortHandle>>,
     /// Orders that are marked as done wait for a higher fencing token (`fleet::order_log`).
-    pub(super) marks_pressed: AtomicBool,
+    pub(super) orders_want_new_fencing_token: AtomicBool,
 }
 
 impl Membership {
@@ -77,11 +77,11 @@
             unproven: AtomicBool::new(false),
             unreachable_leader: Mutex::default(),
             health: Mutex::default(),
-            let_go: Mutex::default(),
+            leader_searches: Mutex::default(),
             unconfirmed: Mutex::default(),
             start_leader_loops: OnceLock::new(),
             leader_tasks: Mutex::default(),
-            marks_pressed: AtomicBool::new(false),
+            orders_want_new_fencing_token: AtomicBool::new(false),
         }
     }
 
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -32,7 +32,7 @@
 
 /// Cancellations that others may not have heard the leader confirm.
 #[derive(Debug, Default)]
-pub struct Unconfirmed {
+pub struct UnconfirmedCancellations {
     /// The oldest and the newest of them, and since when.
     range: Option<(u64, u64, Instant)>,
     tried: Option<Instant>,
@@ -40,7 +40,7 @@
     acknowledged: Option<(u64, Instant)>,
 }
 
-impl Unconfirmed {
+impl UnconfirmedCancellations {
     /// The leader has heard of a cancellation that was stored at this revision.
     pub fn heard(&mut self, version: u64, now: Instant) {
         let (oldest, newest, since) = self.range.unwrap_or((version, version, now));
@@ -84,13 +84,13 @@
 
 /// Whether the watermark does not advance while cancellations wait for it.
 #[derive(Debug, Default)]
-pub struct Lag {
+pub struct WatermarkStall {
     /// The watermark, and since when it has been so with something waiting.
     stands: Option<(u64, Instant)>,
     told: Option<Instant>,
 }
 
-impl Lag {
+impl WatermarkStall {
     /// For how long it has not advanced, if that is to be told now. `waiting`: cancellations above it.
     pub fn tells(&mut self, waiting: usize, watermark: u64, now: Instant) -> Option<Duration> {
         let same = self.stands.filter(|(before, _)| *before == watermark && waiting > 0);
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -4,9 +4,9 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::super::election::storing;
-use super::super::mesh::believed;
-use super::{Lag, Unconfirmed, own_watermark};
+use super::super::election::watermark_write;
+use super::super::mesh::accepted_watermark;
+use super::{UnconfirmedCancellations, WatermarkStall, own_watermark};
 use crate::jobs::record::{LEADER, WATERMARK};
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::store::Change;
@@ -28,7 +28,7 @@
         ("nobody leads, as far as is known", "a", told(7), None, None),
     ] {
         let known = known.map(|(node, version)| leader_record(node, version));
-        assert_eq!(believed(from, told, known.as_ref()), want, "{name}");
+        assert_eq!(accepted_watermark(from, told, known.as_ref()), want, "{name}");
     }
 }
 
@@ -63,7 +63,7 @@
         ("one that is ended", None, 8),
     ] {
         let start = Instant::now();
-        let mut unconfirmed = Unconfirmed::default();
+        let mut unconfirmed = UnconfirmedCancellations::default();
         let mut stored = 0;
         for ms in (0..10_000u64).step_by(100) {
             let now = start + Duration::from_millis(ms);
@@ -80,7 +80,7 @@
     }
     // Once it is stored it is not stored again.
     let start = Instant::now();
-    let mut unconfirmed = Unconfirmed::default();
+    let mut unconfirmed = UnconfirmedCancellations::default();
     unconfirmed.heard(5, start);
     assert!(unconfirmed.due(start + Duration::from_secs(3)));
     unconfirmed.confirmed(5, start + Duration::from_secs(3));
@@ -94,7 +94,7 @@
     let mut store = Store::default();
     let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
     let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
-    let (condition, change) = storing(Watermark { fencing_token, revision: 3 });
+    let (condition, change) = watermark_write(Watermark { fencing_token, revision: 3 });
     store.apply_if(std::slice::from_ref(&condition), std::slice::from_ref(&change)).unwrap();
     let stored: Watermark = serde_json::from_value(store.value(WATERMARK).unwrap().clone()).unwrap();
     assert_eq!(stored, Watermark { fencing_token, revision: 3 });
@@ -107,7 +107,7 @@
 fn a_watermark_that_stands_still_is_told_of() {
     let s = Duration::from_secs;
     let start = Instant::now();
-    let mut lag = Lag::default();
+    let mut lag = WatermarkStall::default();
     let mut told = Vec::new();
     for second in 0..200 {
         // It moves on every 5 s at first, does not advance from 30 to 150 s, and then nothing waits.
@@ -135,7 +135,7 @@
     ];
     for (name, acknowledged, stores) in cases {
         let start = Instant::now();
-        let mut unconfirmed = Unconfirmed::default();
+        let mut unconfirmed = UnconfirmedCancellations::default();
         let due = |second: &u64| unconfirmed.lags(acknowledged(*second), (101 + *second).min(1000), start + s(*second));
         assert_eq!((0..60).filter(due).count(), stores, "{name}");
     }
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -158,7 +158,7 @@
                 return true;
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
-                debug!(?keys, unanswered, "a transaction did not apply");
+                debug!(?keys, unanswered, "transaction rejected");
                 let now_token = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > fencing_token) {
@@ -176,7 +176,7 @@
             }
             Ok(CompareAndSwapOutcome::LeaseExpired) => {}
             Err(StoreError::Unanswered) => unanswered = true,
-            Err(error) => debug!(%error, "storing"),
+            Err(error) => debug!(%error, "transaction failed"),
         }
         tokio::time::sleep(jitter(RETRY)).await;
     }
@@ -195,7 +195,7 @@
 
 /// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
 fn note_end(group_commit: &GroupCommit, id: &JobId, end: End) {
-    info!(job = %id, ?end, "ended");
+    info!(job = %id, ?end, "job finished");
     group_commit.history.note_end(id, end);
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.end_job(id, Some(end), Instant::now());
@@ -222,7 +222,7 @@
             match group_commit.store.client.get(key, RequestPriority::Critical).await {
                 Ok(item) => break item,
                 Err(error) => {
-                    debug!(%error, key, "settling");
+                    debug!(%error, key, "task shard read failed while resolving a rejected transaction");
                     tokio::time::sleep(jitter(RETRY)).await;
                 }
             }
@@ -235,7 +235,7 @@
             // An earlier copy of this transaction did apply.
             cluster.shards_stored(std::slice::from_ref(write), version);
         } else {
-            warn!(key, "tasks in the store differ from the cluster state");
+            warn!(key, "stored task shard conflicts with the cluster state; overwriting it");
             cluster.set_version(&write.job, write.shard, version);
         }
     }
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -30,7 +30,7 @@
         let mut orders = Vec::new();
         let mut held = false;
         if !policy.stays_silent() {
-            let over = self.over_among(&leader, &heartbeat);
+            let over = self.reported_ends(&leader, &heartbeat);
             leader.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), now);
             orders = if policy.sends_all_commands() {
                 leader.cluster.orders_in_answer(&id, now)
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -15,9 +15,9 @@
 use crate::history::visibility::{Visible, visible};
 use crate::jobs::record::{LEADER, WATERMARK, open_key};
 use crate::jobs::{End, JobId};
-use crate::membership::mesh::believed;
-use crate::membership::serving_state::{LetGo, Observations, Patience};
-use crate::membership::watermark::Unconfirmed;
+use crate::membership::mesh::accepted_watermark;
+use crate::membership::serving_state::{LeaderSearches, Observations, Patience};
+use crate::membership::watermark::UnconfirmedCancellations;
 use crate::protocol::workers::Heartbeat;
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::settings::tests::example;
@@ -48,9 +48,9 @@
     proof: Option<Instant>,
     pub(super) unproven: bool,
     load_at: Instant,
-    unconfirmed: Unconfirmed,
+    unconfirmed: UnconfirmedCancellations,
     acknowledged: [u64; FOLLOWERS],
-    let_go: LetGo,
+    leader_searches: LeaderSearches,
     next_line: Instant,
     /// Cut from the store, it still has the other controllers.
     pub(super) hears_others: bool,
@@ -66,9 +66,9 @@
             proof: Some(proof),
             unproven: false,
             load_at: now,
-            unconfirmed: Unconfirmed::default(),
+            unconfirmed: UnconfirmedCancellations::default(),
             acknowledged: [0; FOLLOWERS],
-            let_go: LetGo::default(),
+            leader_searches: LeaderSearches::default(),
             next_line: now,
             hears_others: false,
             deposed: false,
@@ -256,7 +256,7 @@
                 self.trace(&format!("leader {i} loads at {revision}"));
                 leader.news.clear();
                 leader.seat.heard = revision;
-                leader.seat.unconfirmed = Unconfirmed::default();
+                leader.seat.unconfirmed = UnconfirmedCancellations::default();
                 leader.seat.unconfirmed.heard(revision, now);
                 leader.inherited = leader.cluster.machines.keys().cloned().collect();
                 self.users.moment = true;
@@ -278,7 +278,7 @@
         }
     }
 
-    /// As `Controller::watermark` has it.
+    /// As `Membership::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
         let (of, version) = self.users.leader_record(leader.seat.heard)?;
         let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
@@ -327,7 +327,7 @@
         if follower.unheard_until > self.now {
             return;
         }
-        let revision = believed(&from.to_string(), Some(watermark), known.as_ref()).unwrap_or(0);
+        let revision = accepted_watermark(&from.to_string(), Some(watermark), known.as_ref()).unwrap_or(0);
         follower.watermark = follower.watermark.max(revision);
         let acknowledged = follower.watermark;
         if let Some(leader) = self.leaders[from].as_mut().filter(|_| self.rng.random_bool(0.8)) {
@@ -361,8 +361,8 @@
         }
     }
 
-    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Controller::over_among` has it).
-    pub(super) fn over_among(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
+    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Membership::reported_ends` has it).
+    pub(super) fn reported_ends(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
         let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
     }
@@ -373,13 +373,13 @@
         let spare = example().params.workers.spare();
         let fresh = leader.seat.proof.is_some_and(|at| now - at < spare);
         if policy.leader_known {
-            leader.seat.let_go.clear();
+            leader.seat.leader_searches.clear();
         }
-        let let_go = &mut leader.seat.let_go;
+        let leader_searches = &mut leader.seat.leader_searches;
         policy.renews_lease(
             leader.seat.heard >= leader.cluster.fencing_token,
             || fresh,
-            || let_go.holds(machine, FOLLOWERS, LEASE, now),
+            || leader_searches.holds(machine, FOLLOWERS, LEASE, now),
         )
     }
 
@@ -418,7 +418,7 @@
         }
     }
 
-    /// As `Controller::cancelled_by_leader` has it: told at once if the cluster state has it.
+    /// As `Membership::cancelled_by_leader` has it: told at once if the cluster state has it.
     pub(super) fn cancelled_by_leader(&mut self, at: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader =
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -118,7 +118,7 @@
     cluster.inherit_orders(orders, now);
     cluster.finish_load(now);
     cluster.holds_ends(watch_cache.watch_revision());
-    scheduler.membership.took_over(cluster.known, now);
+    scheduler.membership.cluster_state_loaded(cluster.known, now);
     // Before anything else is decided.
     scheduler.intents.refresh_intents(cluster, &watch_cache, now);
     let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -111,7 +111,7 @@
 
 /// A machine that hangs and is returned by nobody, since no controller has a loaded cluster state: the last answer that
 /// held it without naming a cancellation was given `spare` after that was told at the latest
-/// (`Controller::may_hold_blindly`), to a report that was sent before. So by the worker's clock its lease is over `spare` and
+/// (`Membership::leases_end_in_time`), to a report that was sent before. So by the worker's clock its lease is over `spare` and
 /// `lease_s` after the cancellation, and what it goes on with after that is nothing (protocol: it kills and forgets its
 /// tasks). By a clock that is right this is within `cancel_s`, with the margin left over for one that runs slow and for
 /// an answer on its way.
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -17,7 +17,7 @@
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::membership::{candidacy, expiry, naming};
+use crate::membership::{leader_record_write, lease_acquisition, lease_removal};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
 use crate::scheduling::commit::{Batch, shard_drops, still_to_drop};
@@ -88,14 +88,15 @@
 
     fn become_leader(&mut self, name: &'static str) -> u64 {
         let me = LeaderRecord { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
-        let (conditions, change) = naming(&me, self.store.version(LEASE_HOLDER), self.store.version(LEADER));
+        let (conditions, change) =
+            leader_record_write(&me, self.store.version(LEASE_HOLDER), self.store.version(LEADER));
         self.send(name, conditions, [change])
     }
 
     fn take_lease(&mut self, name: &'static str) {
         let lease = self.store.grant(3000, std::time::Duration::ZERO).unwrap();
         let me = LeaseHolder { node: "a".into(), incarnation: name.into() };
-        let (condition, change) = candidacy(&me, lease);
+        let (condition, change) = lease_acquisition(&me, lease);
         self.send(name, [condition], [change]);
     }
 
@@ -182,7 +183,7 @@
     let fencing_token = life.become_leader("a leads under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
     life.sent.retain(|(name, ..)| *name != "a holds the lease");
-    let (condition, change) = expiry(life.store.version(LEASE_HOLDER));
+    let (condition, change) = lease_removal(life.store.version(LEASE_HOLDER));
     life.send("expiry", [condition], [change]);
     life.take_lease("b holds the lease");
     life.become_leader("b leads");
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -72,7 +72,7 @@
             tokio::time::sleep(EVERY).await;
             let passed: Vec<String> = self.take().iter().map(|(what, n)| format!("{what}={n}")).collect();
             if !passed.is_empty() {
-                debug!(passed = passed.join(" "), "traffic");
+                debug!(traffic = passed.join(" "), "traffic reported");
             }
         }
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -12,7 +12,7 @@
 use tracing::debug;
 
 use self::response_policy::ResponsePolicy;
-use crate::membership::Over;
+use crate::membership::ReportedEnds;
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
@@ -58,7 +58,7 @@
         cluster_state_loaded: false,
         leader_known: false,
         unproven_since_pause: unproven,
-        store_answers: unproven && service.membership.store_serves(),
+        store_answers: unproven && service.membership.state_service_answers(),
     };
     if policy.stays_silent() {
         return HeartbeatResponse::Unavailable;
@@ -67,11 +67,11 @@
     let id = HeartbeatId { machine: heartbeat.machine.clone(), agent_epoch: heartbeat.agent_epoch, seq: heartbeat.seq };
     policy.leader_known = service.membership.knows_leader(now);
     // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
-    let ended = service.membership.over_among(&heartbeat, policy.may_command());
+    let ended = service.membership.reported_ends(&heartbeat, policy.may_command());
     match record(service, heartbeat, &mut policy, &ended, now) {
         Recorded::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
         Recorded::Deposed => {
-            service.membership.step_down("a worker has seen a higher token");
+            service.membership.step_down("worker reported a higher fencing token");
             HeartbeatResponse::Unavailable
         }
         Recorded::NotLeader => redirect(service, &id, now),
@@ -94,7 +94,7 @@
     service: &WorkerService,
     heartbeat: Heartbeat,
     policy: &mut ResponsePolicy,
-    ended: &Over,
+    ended: &ReportedEnds,
     now: Instant,
 ) -> Recorded {
     let mut held = service.leader.cluster();
@@ -120,12 +120,12 @@
     machine: &str,
     commands: WorkerCommands,
     policy: ResponsePolicy,
-    ended: &Over,
+    ended: &ReportedEnds,
     now: Instant,
 ) -> HeartbeatResponse {
     service.wakeups.plan.notify_one();
     service.wakeups.commit.notify_one();
-    let leases_expire_in_time = || service.membership.may_hold_blindly(now);
+    let leases_expire_in_time = || service.membership.leases_end_in_time(now);
     let holds_machine = || service.membership.holds(machine, now);
     if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
         HeartbeatResponse::Commands(commands)
@@ -141,7 +141,7 @@
     debug!(machine = id.machine, leader, "heartbeat redirected");
     match leader {
         Some(leader) if leader != service.settings.node && service.membership.knows_leader(now) => {
-            service.membership.note_redirect(&id.machine, (id.agent_epoch, id.seq), now);
+            service.membership.record_redirect(&id.machine, (id.agent_epoch, id.seq), now);
             HeartbeatResponse::Redirect(leader)
         }
         _ => HeartbeatResponse::Unavailable,
