--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -84,7 +84,7 @@
     // Without a core, as many tasks as last time.
     let tasks = if like.cpus > 0.0 { (cores / like.cpus - 1e-9).ceil().max(0.0) as u64 } else { like.tasks };
     let tasks = quota.reserve(&like, tasks, f64::INFINITY);
-    (tasks > 0).then(|| RoomIntent { like, tasks, in_s: seconds_to_opening(instance, now_ms) })
+    (tasks > 0).then(|| RoomIntent { task_spec: like, tasks, in_s: seconds_to_opening(instance, now_ms) })
 }
 
 /// Adds the intents of a window. `quota` bounds the capacity that is asked for, `job_spec` describes an open job.
@@ -118,7 +118,7 @@
             quota.reserve(&like, like.tasks, f64::INFINITY);
         } else if let Some(tasks) = reserve_for_claim(&mut quota, &like, expected) {
             expected -= tasks as f64 * like.cpus;
-            intents.room.push(RoomIntent { like, tasks, in_s: seconds_to_opening(&instance, now_ms) });
+            intents.room.push(RoomIntent { task_spec: like, tasks, in_s: seconds_to_opening(&instance, now_ms) });
         }
     }
     intents.room.extend(unclaimed_room(spec, status, &instance, now_ms, &mut quota));
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -77,7 +77,7 @@
     if let Some(machine) = cluster.machines.get(&binding.machine) {
         replica.type_name = machine.type_name.clone();
         replica.zone = machine.zone.clone();
-        replica.heard = machine.reported() && since(machine.heard) < suspect_after(cluster);
+        replica.heard = machine.reported() && since(machine.last_seen) < suspect_after(cluster);
         // A scale-in candidate keeps running tasks that cannot move.
         let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
         replica.leaving = !stays;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -71,7 +71,7 @@
     match record(service, heartbeat, &mut policy, &ended, now) {
         Recorded::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
         Recorded::Deposed => {
-            service.membership.step_down("worker reported a higher fencing token");
+            service.membership.step_down("higher fencing token reported by a worker");
             HeartbeatResponse::Unavailable
         }
         Recorded::NotLeader => redirect(service, &id, now),
@@ -107,7 +107,7 @@
     cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
     policy.cluster_state_loaded = cluster.loaded;
     let orders = if policy.sends_all_commands() {
-        cluster.orders_in_answer(&machine, now)
+        cluster.commands_in_answer(&machine, now)
     } else {
         cluster.stops_only(&machine, &ended.jobs)
     };
