--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -20,9 +20,9 @@
 pub const ORDERS: &str = "d/";
 
 /// Most machines in one provisioning request.
-pub const MOST_RENTED: u64 = 50;
+pub const MOST_PER_PROVISIONING: u64 = 50;
 /// Most machines in one termination request.
-pub const MOST_RETURNED: usize = 100;
+pub const MOST_PER_TERMINATION: usize = 100;
 
 /// What an order asks of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -44,9 +44,9 @@
 enum InvalidOrder {
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    #[error("count: {0} is not between 1 and {MOST_RENTED}")]
+    #[error("count: {0} is not between 1 and {MOST_PER_PROVISIONING}")]
     ProvisionCount(u64),
-    #[error("return: {0} machines are more than {MOST_RETURNED}")]
+    #[error("return: {0} machines are more than {MOST_PER_TERMINATION}")]
     TooManyTerminations(usize),
 }
 
@@ -55,12 +55,12 @@
     fn check(&self) -> Result<(), InvalidOrder> {
         match self {
             Self::Provision(requests) => {
-                match requests.iter().find(|request| !(1..=MOST_RENTED).contains(&request.count)) {
+                match requests.iter().find(|request| !(1..=MOST_PER_PROVISIONING).contains(&request.count)) {
                     Some(request) => Err(InvalidOrder::ProvisionCount(request.count)),
                     None => Ok(()),
                 }
             }
-            Self::Terminate(machines) if machines.len() > MOST_RETURNED => {
+            Self::Terminate(machines) if machines.len() > MOST_PER_TERMINATION => {
                 Err(InvalidOrder::TooManyTerminations(machines.len()))
             }
             Self::Terminate(_) | Self::Completed => Ok(()),
@@ -162,18 +162,18 @@
     }
 }
 
-/// A provisioning order of an earlier leader.
+/// A stored provisioning order.
 #[derive(Debug, PartialEq)]
-pub struct InheritedProvisioning {
+pub struct ProvisioningOrder {
     /// The order's key.
     pub key: String,
     /// Its requests, to be repeated under their own names.
     pub requests: Vec<ProvisioningRequest>,
 }
 
-/// Termination orders of earlier leaders that fit into one call.
+/// Stored termination orders that are carried out in one call.
 #[derive(Debug, PartialEq)]
-pub struct InheritedTermination {
+pub struct TerminationCall {
     /// Keys of all orders in it.
     pub keys: Vec<String>,
     /// Machines to terminate.
@@ -184,9 +184,9 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct InheritedOrders {
     /// One entry for each provisioning order.
-    pub provisioning: Vec<InheritedProvisioning>,
+    pub provisioning: Vec<ProvisioningOrder>,
     /// Termination orders, merged into few calls.
-    pub terminations: Vec<InheritedTermination>,
+    pub terminations: Vec<TerminationCall>,
     /// Keys of orders that were carried out and are still stored.
     pub completed: Vec<String>,
 }
@@ -198,7 +198,7 @@
         for order in orders {
             match order.action {
                 CloudAction::Provision(requests) => {
-                    inherited.provisioning.push(InheritedProvisioning { key: order.key, requests });
+                    inherited.provisioning.push(ProvisioningOrder { key: order.key, requests });
                 }
                 CloudAction::Terminate(machines) => inherited.add_termination(order.key, machines, most),
                 CloudAction::Completed => inherited.completed.push(order.key),
@@ -213,7 +213,7 @@
                 last.machines.extend(machines);
                 last.keys.push(key);
             }
-            _ => self.terminations.push(InheritedTermination { keys: vec![key], machines }),
+            _ => self.terminations.push(TerminationCall { keys: vec![key], machines }),
         }
     }
 }
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -191,11 +191,11 @@
     };
     let names = |n: usize| written(CloudAction::Terminate(vec!["m".into(); n]));
     for (name, value, read) in [
-        ("a rental", of(MOST_RENTED), true),
+        ("a rental", of(MOST_PER_PROVISIONING), true),
         ("of none", of(0), false),
         ("of more than the cloud rents at once", of(u64::MAX), false),
-        ("a return", names(MOST_RETURNED), true),
-        ("of more than the cloud takes at once", names(MOST_RETURNED + 1), false),
+        ("a return", names(MOST_PER_TERMINATION), true),
+        ("of more than the cloud takes at once", names(MOST_PER_TERMINATION + 1), false),
         ("done", written(CloudAction::Completed), true),
         ("of a later build", json!({"epoch": 7, "what": {"move": []}}), false),
         ("with a field of a later build", json!({"epoch": 7, "what": "done", "why": "x"}), true),
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -85,7 +85,7 @@
     store.apply_if(&drops.conditions, &drops.changes).unwrap();
     store.apply_if(&orders[1].conditions(fencing_token), &[orders[1].change()]).unwrap();
     assert!(store.apply_if(&drops.conditions, &drops.changes).is_ok(), "again, under the same token");
-    let newer = InheritedTermination { keys: vec![orders[1].key.clone()], machines: vec!["m2".to_owned()] };
+    let newer = TerminationCall { keys: vec![orders[1].key.clone()], machines: vec!["m2".to_owned()] };
     assert_eq!(open(&store).terminations, [newer], "the newer one stands");
     write_leader_record(&mut store);
     assert!(store.apply_if(&drops.conditions, &drops.changes).is_err(), "replaced");
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -5,28 +5,28 @@
 
 use tracing::debug;
 
-use super::RETRY;
+use super::RETRY_PAUSE;
 use super::manager::Fleet;
 use crate::sync::jitter;
 
-/// The types are asked for anew this often.
-const CATALOG_EVERY: Duration = Duration::from_secs(60);
+/// Interval at which the catalog is read.
+const CATALOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Every controller needs the types to judge submissions. `after_each` is called after each answer of the cloud.
+/// Reads the catalog at intervals, at every controller: submissions are checked against it. `after_each` is called after each answer of the cloud.
 pub async fn learn_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
     loop {
-        let pause = match fleet.cloud.catalog().await {
+        let pause = match fleet.cloud.fetch_catalog().await {
             Ok(catalog) => {
-                let types = catalog.types.len();
+                let count = catalog.types.len();
                 if fleet.catalog.replace(catalog) {
-                    debug!(types, "catalog");
+                    debug!(count, "machine catalog updated");
                 }
                 fleet.wakeups.plan.notify_one();
-                CATALOG_EVERY
+                CATALOG_INTERVAL
             }
             Err(error) => {
-                debug!(%error, "asking for the catalog");
-                RETRY
+                debug!(%error, "machine catalog request failed");
+                RETRY_PAUSE
             }
         };
         fleet.membership.tidy_counts();
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud's API: the catalog, rentals, returns and the list of machines.
+//! Client of the cloud's API: the catalog, provisioning, termination and the list of machines.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -6,21 +6,23 @@
 use hyper::Method;
 
 #[cfg(doc)]
-use crate::cloud_orders::MOST_RETURNED;
+use crate::cloud_orders::MOST_PER_TERMINATION;
 use crate::machine_kinds::Catalog;
 pub use crate::protocol::cloud::{CloudMachine, ProvisioningRequest};
 use crate::protocol::cloud::{MachineNames, MachinePage};
-use crate::protocol::{self, Http};
+use crate::protocol::{self, DecodeError, Http};
 use crate::settings::Settings;
 use crate::store::budget::{Budget, RequestPriority};
 use crate::sync::lock;
 use crate::traffic::{Passage, Traffic};
 
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+/// A call that is not answered within this may still be carried out.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Most machines in one page of the list.
 const MOST_LISTED: u64 = 500;
 
 /// Why a call to the cloud has no usable answer.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
 pub enum CloudError {
     /// The cloud has no machine of the kind now. Nothing was rented.
     #[error("no capacity")]
@@ -31,9 +33,12 @@
     /// May have been, or may yet be, carried out.
     #[error("the cloud did not answer")]
     Unanswered,
-    /// The call was answered, so it may have been carried out, but the body cannot be read. The text says why.
+    /// The call was answered, so it may have been carried out, but the body cannot be decoded.
     #[error("the cloud answered what cannot be read: {0}")]
-    Malformed(String),
+    Malformed(#[from] DecodeError),
+    /// The catalog has no machine types.
+    #[error("the cloud answered what cannot be read: a catalog without types")]
+    EmptyCatalog,
 }
 
 /// Client of the cloud's API. Calls wait until the rate limit allows them, and each waits a few seconds for its
@@ -63,20 +68,20 @@
             tokio::time::sleep(wait).await;
         }
         self.traffic.count(Passage::CloudCall);
-        match self.http.call(method, &self.addr, path, body, ANSWER_WITHIN).await {
+        match self.http.call(method, &self.addr, path, body, ANSWER_TIMEOUT).await {
             Ok(answer) => Ok(answer),
             Err(protocol::CallError::NotSent) => Err(CloudError::Refused(0)),
             Err(protocol::CallError::Unanswered | protocol::CallError::TooLarge) => Err(CloudError::Unanswered),
         }
     }
 
-    /// The machine types on offer. A catalog without types is reported as malformed.
-    pub async fn catalog(&self) -> Result<Catalog, CloudError> {
+    /// The machine types on offer. A catalog without types is an error.
+    pub async fn fetch_catalog(&self) -> Result<Catalog, CloudError> {
         match self.call(Method::GET, "/catalog", None).await? {
             (200, body) => {
                 let catalog: Catalog = read(&body)?;
                 if catalog.types.is_empty() {
-                    return Err(CloudError::Malformed("a catalog without types".into()));
+                    return Err(CloudError::EmptyCatalog);
                 }
                 Ok(catalog)
             }
@@ -84,10 +89,10 @@
         }
     }
 
-    /// Rents machines and returns their names, which may be fewer than asked for. The cloud answers a request name
+    /// Provisions machines and returns their names, which may be fewer than asked for. The cloud answers a request name
     /// (`ProvisioningRequest`) alike however often it is sent, so an unanswered call can be repeated.
-    pub async fn rent(&self, rental: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
-        match self.call(Method::POST, "/rentals", Some(protocol::encode(rental))).await? {
+    pub async fn provision(&self, request: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
+        match self.call(Method::POST, "/rentals", Some(protocol::encode(request))).await? {
             (200, body) => Ok(read::<MachineNames>(&body)?.machines),
             (503, body) if read::<serde_json::Value>(&body).is_ok_and(|v| v["error"] == "no capacity") => {
                 Err(CloudError::NoCapacity)
@@ -96,16 +101,16 @@
         }
     }
 
-    /// Returns machines, at most [`MOST_RETURNED`] in one call. May be repeated when it was not answered.
-    pub async fn give_back(&self, machines: Vec<String>) -> Result<(), CloudError> {
+    /// Terminates machines, at most [`MOST_PER_TERMINATION`] in one call. May be repeated when it was not answered.
+    pub async fn terminate(&self, machines: Vec<String>) -> Result<(), CloudError> {
         match self.call(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines }))).await? {
             (200, _) => Ok(()),
             (status, _) => Err(CloudError::Refused(status)),
         }
     }
 
-    /// All machines that are rented now, read page by page; machines that change meanwhile may or may not be included.
-    pub async fn list(&self) -> Result<Vec<CloudMachine>, CloudError> {
+    /// All machines that are held now, read page by page; machines that change meanwhile may or may not be included.
+    pub async fn list_machines(&self) -> Result<Vec<CloudMachine>, CloudError> {
         let mut all: Vec<CloudMachine> = Vec::new();
         loop {
             let since = all.last().map(|m| format!("&since={}", m.id)).unwrap_or_default();
@@ -126,5 +131,5 @@
 }
 
 fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
-    protocol::decode(body).map_err(|e| CloudError::Malformed(e.to_string()))
+    Ok(protocol::decode(body)?)
 }
--- a/src/fleet/cloud_operations.rs
+++ b/src/fleet/cloud_operations.rs
@@ -1,71 +1,105 @@
-//! The leader's memory of its calls to the cloud: refusals, machines asked for or being returned, and stored orders
-//! that are to be cleaned up.
+//! Cloud operations in progress: what the leader has requested from the cloud, and stored orders to clean up.
 
 use std::collections::{HashMap, HashSet};
-use std::sync::Arc;
+use std::sync::{Arc, Mutex, MutexGuard};
 
+use super::manager::Fleet;
 use super::scale_out::CapacityRefusals;
+use crate::cloud_orders::{UnansweredWrites, unique_name};
 use crate::machine_kinds::MachineKind;
+use crate::sync::lock;
 
-/// Keys of orders that stay marked as done under one fencing token, and one clean-up more at the most.
+/// Most orders marked as completed under one fencing token, apart from those of one more clean-up.
 pub(super) const MOST_MARKED: usize = 64;
 
-/// What the leader remembers of its dealings with the cloud.
+/// What the leader remembers of its cloud operations.
 #[derive(Default)]
-pub struct CloudOperations {
+pub(super) struct CloudOperations {
     /// Kinds that were refused lately.
-    pub refusals: CapacityRefusals,
-    /// Machines asked for and not yet named.
-    pub asked: HashMap<MachineKind, u64>,
-    /// Machines whose return is under way.
-    pub(super) returning: HashSet<String>,
-    /// The number of the last name that was given to an order or a rental.
-    pub(super) next: u64,
-    /// Orders that were carried out and are still stored.
-    pub(super) finished: Vec<String>,
-    /// Orders of which a try was not answered, and the last fencing token of such a try.
-    pub(super) late: HashMap<String, u64>,
-    /// Those among them that are marked as done, to be dropped under a later fencing token.
+    pub(super) refusals: CapacityRefusals,
+    /// Machines requested and not named by the cloud yet.
+    pub(super) requested: HashMap<MachineKind, u64>,
+    /// Machines whose termination is in progress.
+    pub(super) terminating: HashSet<String>,
+    /// The number in the last name that was given to an order or a request.
+    last_number: u64,
+    /// Keys of orders that were carried out and are still stored.
+    pub(super) completed: Vec<String>,
+    /// Orders with an unanswered write.
+    pub(super) unanswered: UnansweredWrites,
+    /// Keys of those among them that are marked as completed, to be deleted under a later fencing token.
     pub(super) marked: Vec<String>,
 }
 
 impl CloudOperations {
-    /// So many machines of a kind were named, or will not be.
-    pub(super) fn no_longer_asked(&mut self, kind: &MachineKind, count: u64) {
-        if let Some(asked) = self.asked.get_mut(kind) {
-            *asked = asked.saturating_sub(count);
+    /// A number that no other order or request of this incarnation has.
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    /// Counts machines as requested.
+    pub(super) fn add_requested(&mut self, kind: MachineKind, count: u64) {
+        *self.requested.entry(kind).or_default() += count;
+    }
+
+    /// Counts machines as requested no longer: the cloud named them, or will not.
+    pub(super) fn remove_requested(&mut self, kind: &MachineKind, count: u64) {
+        if let Some(requested) = self.requested.get_mut(kind) {
+            *requested = requested.saturating_sub(count);
         }
-        self.asked.retain(|_, n| *n > 0);
+        self.requested.retain(|_, count| *count > 0);
     }
 
-    /// What is to be cleaned up under this fencing token: what was marked under an earlier one too.
-    pub(super) fn due_for_clean_up(&mut self, fencing_token: u64) -> &[String] {
-        let late = &self.late;
-        let free = |key: &mut String| late.get(key).is_none_or(|under| *under < fencing_token);
-        self.finished.extend(self.marked.extract_if(.., free));
-        &self.finished
+    /// Keys of the orders to clean up under this fencing token, with those marked under an earlier one.
+    pub(super) fn orders_to_clean_up(&mut self, fencing_token: u64) -> &[String] {
+        let unanswered = &self.unanswered;
+        let may_be_deleted = |key: &mut String| unanswered.get(key).is_none_or(|under| *under < fencing_token);
+        self.completed.extend(self.marked.extract_if(.., may_be_deleted));
+        &self.completed
     }
 
-    /// Whether so many are marked that a higher fencing token is wanted, under which they can be dropped.
-    pub(super) fn marks_press(&self) -> bool {
+    /// Whether so many orders are marked that a higher fencing token is needed, under which they can be deleted.
+    pub(super) fn needs_higher_fencing_token(&self) -> bool {
         self.marked.len() >= MOST_MARKED
     }
 
-    /// These were cleaned up under this fencing token.
-    pub(super) fn cleaned_up(&mut self, keys: &[String], fencing_token: u64) {
-        self.finished.retain(|key| !keys.contains(key));
+    /// Records that these orders were cleaned up under this fencing token: deleted, or marked as completed.
+    pub(super) fn record_clean_up(&mut self, keys: &[String], fencing_token: u64) {
+        self.completed.retain(|key| !keys.contains(key));
         for key in keys {
-            if self.late.get(key).is_some_and(|under| *under >= fencing_token) {
+            if self.unanswered.get(key).is_some_and(|under| *under >= fencing_token) {
                 self.marked.push(key.clone());
             } else {
-                self.late.remove(key);
+                self.unanswered.remove(key);
             }
         }
     }
 }
 
-/// The same, shared by what is under way with the cloud.
-pub(super) type SharedOperations = Arc<std::sync::Mutex<CloudOperations>>;
+/// Carries out cloud operations for the leader. Clones share their state.
+#[derive(Clone)]
+pub(super) struct CloudOperator {
+    pub(super) fleet: Arc<Fleet>,
+    operations: Arc<Mutex<CloudOperations>>,
+}
+
+impl CloudOperator {
+    /// An operator with no operations in progress.
+    pub(super) fn new(fleet: Arc<Fleet>) -> Self {
+        Self { fleet, operations: Arc::default() }
+    }
+
+    /// The operations in progress. Locked after the cluster state where both are needed.
+    pub(super) fn operations(&self) -> MutexGuard<'_, CloudOperations> {
+        lock(&self.operations)
+    }
+
+    /// A name for a request to the cloud that no other request has.
+    pub(super) fn unique_request_name(&self, fencing_token: u64, operations: &mut CloudOperations) -> String {
+        unique_name(&self.fleet.membership.incarnation, fencing_token, operations.next_number())
+    }
+}
 
 #[cfg(test)]
 mod tests;
--- a/src/fleet/cloud_operations/tests.rs
+++ b/src/fleet/cloud_operations/tests.rs
@@ -8,19 +8,24 @@
 #[test]
 fn marks_go_with_the_next_token() {
     let (unsure, sure) = ("d/me-7-1".to_owned(), "d/me-7-2".to_owned());
-    let mut operations = CloudOperations { finished: vec![unsure.clone(), sure.clone()], ..CloudOperations::default() };
-    operations.late.insert(unsure.clone(), 7);
-    let keys = operations.due_for_clean_up(7).to_vec();
+    let mut operations =
+        CloudOperations { completed: vec![unsure.clone(), sure.clone()], ..CloudOperations::default() };
+    operations.unanswered.insert(unsure.clone(), 7);
+    let keys = operations.orders_to_clean_up(7).to_vec();
     assert_eq!(keys, [unsure.clone(), sure]);
-    operations.cleaned_up(&keys, 7);
-    assert!(operations.due_for_clean_up(7).is_empty(), "nothing more under this token");
-    assert_eq!(operations.due_for_clean_up(9), std::slice::from_ref(&unsure));
+    operations.record_clean_up(&keys, 7);
+    assert!(operations.orders_to_clean_up(7).is_empty(), "nothing more under this token");
+    assert_eq!(operations.orders_to_clean_up(9), std::slice::from_ref(&unsure));
     assert_eq!(
-        OrderCleanUp::new(std::slice::from_ref(&unsure), &operations.late, 9).changes,
+        OrderCleanUp::new(std::slice::from_ref(&unsure), &operations.unanswered, 9).changes,
         [Change::Drop { drop: unsure.clone() }]
     );
-    operations.cleaned_up(&[unsure], 9);
-    assert!(operations.due_for_clean_up(10).is_empty() && operations.late.is_empty() && operations.marked.is_empty());
+    operations.record_clean_up(&[unsure], 9);
+    assert!(
+        operations.orders_to_clean_up(10).is_empty()
+            && operations.unanswered.is_empty()
+            && operations.marked.is_empty()
+    );
 }
 
 /// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one fencing
@@ -31,17 +36,17 @@
     let mut operations = CloudOperations::default();
     for number in 1..=1000 {
         let key = format!("{ORDERS}{}", unique_name("me", fencing_token, number));
-        operations.late.insert(key.clone(), fencing_token);
-        operations.finished.push(key);
-        let keys: Vec<String> = operations.due_for_clean_up(fencing_token).iter().take(24).cloned().collect();
-        operations.cleaned_up(&keys, fencing_token);
+        operations.unanswered.insert(key.clone(), fencing_token);
+        operations.completed.push(key);
+        let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(24).cloned().collect();
+        operations.record_clean_up(&keys, fencing_token);
         most = most.max(operations.marked.len());
-        if operations.marks_press() {
+        if operations.needs_higher_fencing_token() {
             fencing_token += 1;
             raises += 1;
         }
     }
     assert!(most <= MOST_MARKED + 24, "{most} marks");
-    assert!(operations.late.len() <= MOST_MARKED * 2 + 24, "{} orders in mind", operations.late.len());
+    assert!(operations.unanswered.len() <= MOST_MARKED * 2 + 24, "{} orders in mind", operations.unanswered.len());
     assert!(raises <= 1000 / MOST_MARKED + 1, "{raises} tokens");
 }
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -10,7 +10,7 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::{AttemptStatus, TaskKey};
-use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId};
+use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId, TaskMove};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::Zones;
@@ -33,9 +33,8 @@
 pub struct DrainDecision {
     /// The machine that is no longer needed.
     pub machine: MachineId,
-    /// Tasks to stop there so that they continue elsewhere, each with its grace period in seconds: the time in which
-    /// it saves a checkpoint.
-    pub moves: Vec<(TaskKey, u64)>,
+    /// Tasks to stop there so that they continue elsewhere.
+    pub moves: Vec<TaskMove>,
 }
 
 /// The dearest machines that are not needed, emptier ones first among equals.
@@ -97,7 +96,7 @@
     pool: &mut CapacityPool,
     candidate: Candidate,
     now: Instant,
-) -> Option<Vec<(TaskKey, u64)>> {
+) -> Option<Vec<TaskMove>> {
     let (mut moves, mut stops, mut moved_specs) = (Vec::new(), Vec::new(), Vec::new());
     for key in &candidate.machine.bound {
         let Some(job) = cluster.job(&key.job) else { continue };
@@ -122,8 +121,8 @@
     Some(moves)
 }
 
-fn task_move(key: &TaskKey, spec: &JobSpec) -> (TaskKey, u64) {
-    (key.clone(), spec.save_s.ceil() as u64 + 1)
+fn task_move(key: &TaskKey, spec: &JobSpec) -> TaskMove {
+    TaskMove { task: key.clone(), grace_s: spec.save_s.ceil() as u64 + 1 }
 }
 
 fn judge_task(
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -1,18 +1,18 @@
-//! What the cloud lists, taken into the cluster state, and the fleet as operators see it.
+//! The machines that the cloud lists, recorded in the cluster state, and a summary of the fleet for operators.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use tracing::debug;
 
-use super::cloud;
+use super::cloud::CloudMachine;
 use super::manager::Fleet;
 use crate::machine_kinds::MachineKind;
-use crate::scheduling::cluster::MachineState;
-use crate::scheduling::room::Ground;
+use crate::scheduling::cluster::{Machine, MachineState};
+use crate::scheduling::room::{Ground, Room};
 
-/// Machines that the cloud lists, with their ages and states.
-pub(super) fn take_list(fleet: &Fleet, machines: Vec<cloud::CloudMachine>) {
+/// Records the machines that the cloud lists, with their ages and states.
+pub(super) fn record_listed_machines(fleet: &Fleet, machines: Vec<CloudMachine>) {
     let now = Instant::now();
     let mut held = fleet.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
@@ -29,30 +29,62 @@
     fleet.wakeups.dispatch.notify_one();
 }
 
-/// What is held of each kind and how full it is, for whoever looks at costs.
-pub(super) fn tell_fleet(fleet: &Fleet) {
+/// Machines of one kind by state, and their utilization.
+#[derive(Default)]
+struct KindSummary {
+    booting: u32,
+    up: u32,
+    /// Draining or being terminated.
+    terminating: u32,
+    /// Not booting, with no task bound.
+    idle: u32,
+    /// Sum of the used parts of each machine's cores, from 0 to 1 each.
+    cpus_used: f64,
+    /// The same of accelerators.
+    gpus_used: f64,
+}
+
+impl KindSummary {
+    fn add(&mut self, machine: &Machine, room: &Room) {
+        match machine.state {
+            MachineState::Booting => self.booting += 1,
+            MachineState::Up => self.up += 1,
+            MachineState::Draining | MachineState::Terminating => self.terminating += 1,
+        }
+        if machine.state != MachineState::Booting {
+            let taken = machine.taken();
+            self.idle += u32::from(machine.bound.is_empty());
+            self.cpus_used += taken.cpus / room.of.cpus;
+            self.gpus_used += if room.of.gpus > 0.0 { taken.gpus / room.of.gpus } else { 0.0 };
+        }
+    }
+
+    /// The average of a sum of used parts over the machines that do not boot, in percent.
+    fn percent(&self, used: f64) -> f64 {
+        (100.0 * used / f64::from((self.up + self.terminating).max(1))).round()
+    }
+}
+
+/// Logs how many machines of each kind there are and how full they are, for operators who look at costs.
+pub(super) fn log_fleet_summary(fleet: &Fleet) {
     let (Some(catalog), held) = (fleet.catalog.get(), fleet.leader.cluster()) else { return };
     let Some(cluster) = held.as_ref() else { return };
     let ground = Ground::new(cluster, &catalog);
-    let mut held_of = BTreeMap::<usize, (u32, u32, u32, u32, f64, f64)>::new();
+    let mut summaries = BTreeMap::<usize, KindSummary>::new();
     for machine in cluster.machines.values() {
         let Some(room) = ground.room(machine) else { continue };
-        let of = held_of.entry(room.kind).or_default();
-        match machine.state {
-            MachineState::Booting => of.0 += 1,
-            MachineState::Up => of.1 += 1,
-            MachineState::Draining | MachineState::Terminating => of.2 += 1,
-        }
-        if machine.state != MachineState::Booting {
-            of.3 += u32::from(machine.bound.is_empty());
-            of.4 += machine.taken().cpus / room.of.cpus;
-            of.5 += if room.of.gpus > 0.0 { machine.taken().gpus / room.of.gpus } else { 0.0 };
-        }
+        summaries.entry(room.kind).or_default().add(machine, &room);
     }
-    for (kind, (booting, up, leaving, empty, cpus, gpus)) in held_of {
-        let n = f64::from((up + leaving).max(1));
-        let (cpus_used, gpus_used) = ((100.0 * cpus / n).round(), (100.0 * gpus / n).round());
-        let kind = &cluster.kinds()[kind];
-        debug!(%kind, booting, up, leaving, empty, cpus_used, gpus_used, "fleet");
+    for (kind, summary) in summaries {
+        debug!(
+            machine_kind = %cluster.kinds()[kind],
+            booting = summary.booting,
+            up = summary.up,
+            terminating = summary.terminating,
+            idle = summary.idle,
+            cpus_used_percent = summary.percent(summary.cpus_used),
+            gpus_used_percent = summary.percent(summary.gpus_used),
+            "fleet summarized"
+        );
     }
 }
--- /dev/null
+++ b/src/fleet/order_storage.rs
@@ -0,0 +1,121 @@
+//! Orders in the store: written before they are carried out, deleted afterwards, and inherited from earlier leaders.
+
+use std::time::Duration;
+
+use tracing::{debug, info};
+
+use super::RETRY_PAUSE;
+use super::cloud_operations::CloudOperator;
+use super::provisioning::requested_kind;
+use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_PER_TERMINATION, OrderCleanUp, StoreStep};
+use crate::store::budget::RequestPriority;
+use crate::store::{CompareAndSwapOutcome, StoreError};
+use crate::sync::jitter;
+
+/// From so many completed orders on, the clean-up does not wait for an idle moment: a new leader would carry them all
+/// out once more.
+const MANY_COMPLETED: usize = 12;
+/// The clean-up is given up after this.
+const CLEAN_UP_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Why an order was not stored.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(super) enum NotStored {
+    /// This controller leads no longer.
+    #[error("another controller leads")]
+    Deposed,
+    /// The caller gave up waiting. The write may still be applied; the order is cleaned up like a completed one.
+    #[error("the store did not answer in time")]
+    GivenUp,
+}
+
+impl CloudOperator {
+    /// Takes over the orders of earlier leaders, once. From then on they are this leader's.
+    pub(super) fn take_inherited_orders(&self) -> InheritedOrders {
+        let orders = {
+            let mut held = self.fleet.leader.cluster();
+            held.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited)).unwrap_or_default()
+        };
+        let inherited = InheritedOrders::group(orders, MOST_PER_TERMINATION);
+        let mut operations = self.operations();
+        for order in &inherited.provisioning {
+            info!(key = order.key, count = order.requests.len(), "inherited scale-out order resumed");
+            for request in &order.requests {
+                operations.add_requested(requested_kind(request), request.count);
+            }
+        }
+        for call in &inherited.terminations {
+            info!(orders = call.keys.len(), count = call.machines.len(), "inherited scale-in orders resumed");
+            operations.terminating.extend(call.machines.iter().cloned());
+        }
+        operations.completed.extend(inherited.completed.iter().cloned());
+        inherited
+    }
+
+    fn fencing_token(&self) -> Option<u64> {
+        self.fleet.leader.cluster().as_ref().map(|cluster| cluster.fencing_token)
+    }
+
+    /// Stores an order on condition of this leader's leader record, and returns its key. Repeats the write until it is
+    /// answered, another controller leads, or `gives_up` is true after an attempt.
+    pub(super) async fn store_order(
+        &self,
+        action: CloudAction,
+        gives_up: impl Fn() -> bool,
+    ) -> Result<String, NotStored> {
+        let fleet = &self.fleet;
+        let Some(epoch) = self.fencing_token() else { return Err(NotStored::Deposed) };
+        let number = self.operations().next_number();
+        let order = CloudOrder::new(&fleet.membership.incarnation, epoch, number, action);
+        let change = [order.change()];
+        loop {
+            let Some(fencing_token) = self.fencing_token() else { return Err(NotStored::Deposed) };
+            let conditions = order.conditions(fencing_token);
+            let outcome = fleet.store.client.compare_and_swap(&conditions, &change, RequestPriority::Critical).await;
+            if outcome == Err(StoreError::Unanswered) {
+                self.operations().unanswered.insert(order.key.clone(), fencing_token);
+            }
+            match order.step_after(&outcome, self.fencing_token()) {
+                StoreStep::Execute => return Ok(order.key),
+                StoreStep::Abandon => return Err(NotStored::Deposed),
+                StoreStep::Retry if gives_up() => {
+                    self.operations().completed.push(order.key);
+                    return Err(NotStored::GivenUp);
+                }
+                StoreStep::Retry => {
+                    debug!(?outcome, key = order.key, "cloud order write failed");
+                    if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
+                        fleet.store.read_barrier.wait().await;
+                        fleet.membership.check_deposed();
+                    }
+                    tokio::time::sleep(jitter(RETRY_PAUSE)).await;
+                }
+            }
+        }
+    }
+
+    /// Deletes completed orders together, with a lower priority than everything else unless there are many.
+    pub(super) async fn clean_up_orders(&self) {
+        let Some(fencing_token) = self.fencing_token() else { return };
+        let client = &self.fleet.store.client;
+        let many = self.operations().orders_to_clean_up(fencing_token).len() >= MANY_COMPLETED;
+        let priority = if many { RequestPriority::Placement } else { RequestPriority::Background };
+        let most = client.writes_ready(priority).min(self.fleet.settings.params.state.txn_ops as usize);
+        let (keys, clean_up) = {
+            let mut operations = self.operations();
+            let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(most).cloned().collect();
+            let clean_up = OrderCleanUp::new(&keys, &operations.unanswered, fencing_token);
+            (keys, clean_up)
+        };
+        if keys.is_empty() {
+            return;
+        }
+        let write = client.compare_and_swap(&clean_up.conditions, &clean_up.changes, priority);
+        let outcome = tokio::time::timeout(CLEAN_UP_TIMEOUT, write).await;
+        if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
+            let mut operations = self.operations();
+            operations.record_clean_up(&keys, fencing_token);
+            self.fleet.membership.press_marks(operations.needs_higher_fencing_token());
+        }
+    }
+}
--- a/src/fleet/terminations.rs
+++ b/src/fleet/terminations.rs
@@ -1,71 +1,82 @@
-//! Returning machines that are terminating, under a stored order.
+//! Termination of machines at the cloud, under a stored order.
 
-use std::sync::Arc;
 use std::time::Instant;
 
 use tracing::debug;
 
-use super::RETRY;
-use super::cloud_operations::SharedOperations;
-use super::manager::Fleet;
-use super::order_log::store;
-use crate::cloud_orders::{CloudAction, MOST_RETURNED, StoreStep};
+use super::RETRY_PAUSE;
+use super::cloud_operations::CloudOperator;
+use super::order_storage::NotStored;
+use crate::cloud_orders::{CloudAction, MOST_PER_TERMINATION, TerminationCall};
 use crate::scheduling::cluster::MachineState;
-use crate::sync::{jitter, lock};
+use crate::sync::jitter;
 
-/// Machines to be returned now, in calls of as many as the cloud takes.
-pub(super) fn to_return(fleet: &Fleet, operations: &SharedOperations) -> Vec<Vec<String>> {
-    let held = fleet.leader.cluster();
-    let Some(cluster) = held.as_ref() else { return Vec::new() };
-    let mut operations = lock(operations);
-    let names: Vec<String> = cluster
-        .machines
-        .values()
-        .filter(|m| m.state == MachineState::Terminating && !operations.returning.contains(&*m.id))
-        .map(|m| m.id.to_string())
-        .collect();
-    operations.returning.extend(names.iter().cloned());
-    // What is urgent goes by itself, so that it takes nothing else along.
-    let overdue = cluster.overdue(Instant::now());
-    let (urgent, rest): (Vec<String>, Vec<String>) = names.into_iter().partition(|n| overdue.contains(n.as_str()));
-    urgent.chunks(MOST_RETURNED).chain(rest.chunks(MOST_RETURNED)).map(<[String]>::to_vec).collect()
-}
-
-/// Returns machines once the order for it is stored. A controller that was deposed without knowing, as
-/// after a process pause, stores none; one that is paused between the two returns what its
-/// successor has read to be returned. Only what a cancellation makes urgent goes without where the store
-/// does not answer, since too late would be worse than too much.
-pub(super) async fn return_all(fleet: Arc<Fleet>, operations: SharedOperations, names: Vec<String>) {
-    let urgent = || {
-        let overdue = fleet.leader.cluster().as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
-        names.iter().any(|n| overdue.contains(n.as_str()))
-    };
-    match store(&fleet, &operations, CloudAction::Terminate(names.clone()), urgent).await {
-        Ok(key) => give_back(fleet.clone(), operations, names.clone(), vec![key]).await,
-        Err(StoreStep::Retry) => give_back(fleet.clone(), operations, names.clone(), Vec::new()).await,
-        Err(_) => {}
+impl CloudOperator {
+    /// Machines to terminate now, in groups of as many as the cloud takes in one call. They count as being terminated
+    /// from here on.
+    pub(super) fn take_machines_to_terminate(&self) -> Vec<Vec<String>> {
+        let held = self.fleet.leader.cluster();
+        let Some(cluster) = held.as_ref() else { return Vec::new() };
+        let mut operations = self.operations();
+        let machines: Vec<String> = cluster
+            .machines
+            .values()
+            .filter(|m| m.state == MachineState::Terminating && !operations.terminating.contains(&*m.id))
+            .map(|m| m.id.to_string())
+            .collect();
+        operations.terminating.extend(machines.iter().cloned());
+        // Overdue ones get calls of their own, so that the others still wait for their order to be stored.
+        let overdue = cluster.overdue(Instant::now());
+        let (overdue, others): (Vec<String>, Vec<String>) =
+            machines.into_iter().partition(|machine| overdue.contains(machine.as_str()));
+        overdue
+            .chunks(MOST_PER_TERMINATION)
+            .chain(others.chunks(MOST_PER_TERMINATION))
+            .map(<[String]>::to_vec)
+            .collect()
     }
-}
 
-/// Asked again until answered: only the answer proves that the machines and all on them are gone.
-pub(super) async fn give_back(fleet: Arc<Fleet>, operations: SharedOperations, names: Vec<String>, keys: Vec<String>) {
-    if fleet.leader.cluster().is_none() {
-        return;
+    /// Terminates machines once the order for it is stored. A controller that was deposed without knowing, as after a
+    /// process pause, cannot store one; one that is paused between the two terminates what its successor has read to be
+    /// terminated. Only machines whose termination is overdue because of a cancellation are terminated without an order
+    /// where the store does not answer, since too late would be worse than too much.
+    pub(super) async fn terminate(self, machines: Vec<String>) {
+        let is_overdue = || {
+            let overdue = {
+                let held = self.fleet.leader.cluster();
+                held.as_ref().map(|cluster| cluster.overdue(Instant::now())).unwrap_or_default()
+            };
+            machines.iter().any(|machine| overdue.contains(machine.as_str()))
+        };
+        let keys = match self.store_order(CloudAction::Terminate(machines.clone()), is_overdue).await {
+            Ok(key) => vec![key],
+            Err(NotStored::GivenUp) => Vec::new(),
+            Err(NotStored::Deposed) => return,
+        };
+        self.complete_termination(TerminationCall { keys, machines }).await;
     }
-    while let Err(error) = fleet.cloud.give_back(names.clone()).await {
-        debug!(%error, "returning machines");
-        tokio::time::sleep(jitter(RETRY)).await;
-    }
-    let now = Instant::now();
-    if let Some(cluster) = fleet.leader.cluster().as_mut() {
-        for name in &names {
-            cluster.machine_gone(&name.as_str().into(), now);
+
+    /// Calls the cloud until it answers: only the answer proves that the machines and all tasks on them are gone.
+    pub(super) async fn complete_termination(self, call: TerminationCall) {
+        let fleet = &self.fleet;
+        if fleet.leader.cluster().is_none() {
+            return;
         }
+        while let Err(error) = fleet.cloud.terminate(call.machines.clone()).await {
+            debug!(%error, count = call.machines.len(), "scale-in request failed");
+            tokio::time::sleep(jitter(RETRY_PAUSE)).await;
+        }
+        let now = Instant::now();
+        if let Some(cluster) = fleet.leader.cluster().as_mut() {
+            for machine in &call.machines {
+                cluster.machine_gone(&machine.as_str().into(), now);
+            }
+        }
+        let mut operations = self.operations();
+        for machine in &call.machines {
+            operations.terminating.remove(machine);
+        }
+        operations.completed.extend(call.keys);
+        fleet.wakeups.plan.notify_one();
     }
-    let mut operations = lock(&operations);
-    for name in &names {
-        operations.returning.remove(name);
-    }
-    operations.finished.extend(keys);
-    fleet.wakeups.plan.notify_one();
 }
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -12,6 +12,15 @@
 /// Names of returned machines kept, so that their late heartbeats are not taken for news.
 const GONE_KEPT: usize = 20_000;
 
+/// A task that is stopped on its machine so that it continues elsewhere.
+#[derive(Debug, Clone, PartialEq)]
+pub struct TaskMove {
+    /// The task.
+    pub task: TaskKey,
+    /// Grace period in seconds: the time in which it saves a checkpoint.
+    pub grace_s: u64,
+}
+
 impl ClusterState {
     /// A machine that was rented or listed, before it reports.
     pub fn expect(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
@@ -79,12 +88,12 @@
     }
 
     /// No new work for a machine that can be spared; these tasks of it save and move.
-    pub fn drain(&mut self, id: &MachineId, moves: &[(TaskKey, u64)], now: Instant) {
+    pub fn drain(&mut self, id: &MachineId, moves: &[TaskMove], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         (machine.state, machine.scale_in_candidate) = (MachineState::Draining, true);
         info!(machine = %id, bound = machine.bound.len(), moved = moves.len(), "drained: it can be spared");
-        for (key, grace_s) in moves {
-            self.halt(key, *grace_s, now);
+        for task_move in moves {
+            self.halt(&task_move.task, task_move.grace_s, now);
         }
     }
 
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -28,6 +28,7 @@
 use lru::LruCache;
 
 pub use commands::Direct;
+pub use machines::TaskMove;
 pub use model::{
     Ahead, Arrivals, Binding, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement, Replicas,
     Reservation, RoomIntent, Task, WindowPlace,
