--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -48,6 +48,16 @@
         self.world.state.lock().unwrap().count(ORDERS)
     }
 
+    /// A job that needs machines is accepted at this controller, and the answer to the order that the leader stores for
+    /// them is lost.
+    async fn lose_the_answer_of_an_order(&self, at: &Controller) {
+        let job = whole_machines(1);
+        upload(&self.world, &job, ENDLESS);
+        self.lose_an_answer(ORDERS);
+        until("accepted", || async { self.submit(at, &job).await.0 / 100 == 2 }).await;
+        until("ordered", || async { self.answers_to_lose() == 0 }).await;
+    }
+
     /// A new job is accepted, runs and is done: work goes on.
     async fn goes_on(&self, at: &ControllerProcess, n: u64) {
         self.accepted(at, n, SHORT).await;
@@ -195,12 +205,8 @@
 #[test]
 fn a_rental_order_whose_answer_is_lost_rents_once() {
     let (stage, leader, other) = stage(LONG_LEASE_S);
-    let job = whole_machines(1);
-    upload(&stage.world, &job, ENDLESS);
-    stage.lose_an_answer(ORDERS);
     stage.outside.block_on(async {
-        until("accepted", || async { stage.submit(&other, &job).await.0 / 100 == 2 }).await;
-        until("ordered", || async { stage.answers_to_lose() == 0 }).await;
+        stage.lose_the_answer_of_an_order(&other).await;
         stage.looks([&other, &leader], 1, &[How::LookUp], 5).await;
         let most = Peak::default().until_settled(&stage, 1).await;
         assert_eq!(most, TASKS, "as many as are needed");
@@ -223,13 +229,7 @@
 #[test]
 fn a_rental_order_whose_leader_ends_unanswered_is_carried_out_once() {
     let (stage, leader, other) = stage(SHORT_LEASE_S);
-    let job = whole_machines(1);
-    upload(&stage.world, &job, ENDLESS);
-    stage.lose_an_answer(ORDERS);
-    stage.outside.block_on(async {
-        until("accepted", || async { stage.submit(&other, &job).await.0 / 100 == 2 }).await;
-        until("ordered", || async { stage.answers_to_lose() == 0 }).await;
-    });
+    stage.outside.block_on(stage.lose_the_answer_of_an_order(&other));
     drop(leader);
     assert_eq!((stage.machines(), stage.orders()), (0, 1), "ordered, and nothing rented");
     stage.outside.block_on(async {
