--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use super::Membership;
 use super::mesh;
+use super::state::Membership;
 use crate::jobs::{Counts, JobId};
-use crate::scheduling::fairness::Row;
+use crate::scheduling::fairness::ServiceLevel;
 use crate::sync::lock;
 
 impl Membership {
@@ -36,7 +36,7 @@
     }
 
     /// The account as the leader sees it, for whoever may succeed it.
-    pub fn served_to_tell(&self) -> Vec<Row> {
+    pub fn served_to_tell(&self) -> Vec<ServiceLevel> {
         if self.leader.cluster().is_none() {
             return Vec::new();
         }
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -3,12 +3,15 @@
 use std::time::{Duration, Instant};
 
 use super::cluster::ClusterState;
-use super::fairness::Account;
+use super::fairness::FairShareAccounting;
 use super::leader_state::LeaderState;
-use super::{PAUSE_FACTOR, plan, preempt, reservations, service_report};
+use super::{plan, preempt, reservations, service_report};
 use crate::machine_kinds::Catalog;
 use crate::periodic::Periodic;
 
+/// A plan is followed by a pause of this many times as long as it took, so that heartbeats and users are not kept
+/// waiting however much there is to plan.
+pub(super) const PAUSE_FACTOR: u32 = 4;
 /// What time alone brings about, such as the silence of a machine, is looked for this often.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A plan is made this often even if nothing has changed.
@@ -64,7 +67,7 @@
             self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
         }
         // Nothing that placement depends on has changed: the same would be decided.
-        if !cluster.take_stirred() && !self.plan.is_due(now) {
+        if !cluster.take_replan_needed() && !self.plan.is_due(now) {
             return None;
         }
         self.plan.restart(now);
@@ -77,7 +80,7 @@
         Some(placed)
     }
 
-    fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut Account, now: Instant) {
+    fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut FairShareAccounting, now: Instant) {
         service_report::update_accounting(accounting, cluster, now);
         if self.report.take_due(now) {
             service_report::log_accounting(accounting.rows());
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -50,7 +50,7 @@
 
     /// A job that needs machines is accepted at this controller, and the answer to the order that the leader stores for
     /// them is lost.
-    async fn lose_the_answer_of_an_order(&self, at: &Controller) {
+    async fn lose_the_answer_of_an_order(&self, at: &ControllerProcess) {
         let job = whole_machines(1);
         upload(&self.world, &job, ENDLESS);
         self.lose_an_answer(ORDERS);
