--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -115,7 +115,7 @@
         if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
             let mut operations = self.operations();
             operations.record_clean_up(&keys, fencing_token);
-            self.fleet.membership.press_marks(operations.needs_higher_fencing_token());
+            self.fleet.membership.want_new_fencing_token_for_orders(operations.needs_higher_fencing_token());
         }
     }
 }
