--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -3,16 +3,16 @@
 use std::time::Instant;
 
 use super::state::Membership;
-use super::watermark::{self, Unconfirmed};
+use super::watermark::{self, UnconfirmedCancellations};
 use crate::jobs::{End, JobId};
 use crate::records::leadership::Watermark;
 use crate::sync::lock;
 
 impl Membership {
     /// This leader's cluster state is loaded, with all ends up to this revision.
-    pub fn took_over(&self, known: u64, now: Instant) {
+    pub fn cluster_state_loaded(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
-        *unconfirmed = Unconfirmed::default();
+        *unconfirmed = UnconfirmedCancellations::default();
         unconfirmed.heard(known, now);
         self.wakeups.mesh.send_replace(());
     }
@@ -24,7 +24,7 @@
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
         let watermark = watermark::own_watermark(&self.incarnation, cluster, watch_cache.leader_record())?;
         drop((watch_cache, held));
-        self.history.advance(watermark.revision);
+        self.history.advance_watermark(watermark.revision);
         Some(watermark)
     }
 
@@ -60,7 +60,7 @@
         drop(held);
         self.wakeups.dispatch.notify_one();
         if obeyed {
-            self.history.show(id);
+            self.history.mark_visible(id);
         }
         obeyed
     }
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -9,7 +9,7 @@
 use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
 use crate::audit::Held;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::protocol::users::{JobAnswer, Status};
@@ -47,7 +47,7 @@
 ) -> UserResponse {
     let id = record.spec.id.clone();
     let leader = service.membership.cancels_under();
-    let cancellation = moves::cancel(&record, leader, time_of_day_ms());
+    let cancellation = job_transactions::cancel_job(&record, leader, time_of_day_ms());
     let tracked = write_tracker.track(JobWrite::Cancellation, &record);
     let outcome = service
         .store
