--- a/crates/emulator/src/declarations.rs
+++ b/crates/emulator/src/declarations.rs
@@ -12,7 +12,7 @@
 const SEEN_WITHIN: Duration = Duration::from_millis(500);
 /// Tasks of others that begin ahead of vents that wait, before these count as passed over: a rule takes
 /// only a part of all cores, and a large job of its own needs room together.
-const MOST_AHEAD: u32 = 24;
+const MAX_AHEAD: u32 = 24;
 
 #[derive(Debug, Default)]
 struct Instance {
@@ -98,7 +98,7 @@
         let count = |job: &JobId| {
             let passed = self.passed.entry(job.clone()).or_default();
             *passed += 1;
-            *passed == MOST_AHEAD
+            *passed == MAX_AHEAD
         };
         waits.into_iter().filter(count).collect()
     }
--- a/crates/emulator/src/driver/machines.rs
+++ b/crates/emulator/src/driver/machines.rs
@@ -13,6 +13,7 @@
 use super::server::serve_worker;
 use super::{Link, Node, STEP, World, lock};
 use crate::judge::Event;
+use crate::world::cloud::MachineInfo;
 use crate::world::fleet;
 
 /// Least time between two heartbeats of a worker, however often something changes.
@@ -53,7 +54,7 @@
 
     /// A machine comes up, and its worker begins to report.
     pub(super) async fn up(self: &Arc<Self>, name: &str) {
-        let Some((of, zone, spot)) = lock(&self.cloud).machine(name) else { return };
+        let Some(MachineInfo { machine_type: of, zone, spot }) = lock(&self.cloud).machine(name) else { return };
         let addr = serve_worker(self, name).await;
         let addrs = self.worker_addrs(&addr).await;
         lock(&self.addrs).insert(name.to_owned(), addrs);
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -45,7 +45,7 @@
 
 impl From<cloud::Refusal> for Answer {
     fn from(refusal: cloud::Refusal) -> Self {
-        let (status, why) = refusal.wire();
+        let (status, why) = refusal.status_and_text();
         Self::new(status, json!({"error": why}))
     }
 }
@@ -173,11 +173,11 @@
             ("/catalog", _) => serde_json::to_value(cloud.catalog(now)),
             ("/rentals", "POST") => {
                 let rental: ProvisioningRequest = serde_json::from_value(body).map_err(malformed)?;
-                serde_json::to_value(MachineNames { machines: cloud.rent(&rental, now)? })
+                serde_json::to_value(MachineNames { machines: cloud.provision(&rental, now)? })
             }
             ("/rentals/return", _) => {
                 let names: MachineNames = serde_json::from_value(body).map_err(malformed)?;
-                let held = cloud.give_back(&names.machines, now)?;
+                let held = cloud.terminate(&names.machines, now)?;
                 drop(cloud);
                 world.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.gone(name, now)));
                 serde_json::to_value(MachineNames { machines: held })
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -21,7 +21,7 @@
 pub use answers::SILENT;
 pub use rule::Rule;
 use state::Judge;
-pub use verdict::{BEGIN_WITHIN, Break, Largest, Verdict};
+pub use verdict::{BEGIN_WITHIN, Break, LargestJobs, Verdict};
 
 /// The kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -9,7 +9,7 @@
 use hollylanding_protocol::workers::{ExitCause, TaskKey};
 
 use super::answers::{PollCounts, Unanswered};
-use super::verdict::{JobResult, largest};
+use super::verdict::{JobResult, summarize_largest};
 use super::{BEGIN_WITHIN, Break, Entry, Event, Rule, Terms, Verdict};
 use crate::declarations::Declared;
 use crate::world::fleet::Happening;
@@ -215,6 +215,6 @@
                 }
             }
         }
-        verdict.largest = classes.into_iter().map(|(class, jobs)| largest(class, jobs)).collect();
+        verdict.largest = classes.into_iter().map(|(class, jobs)| summarize_largest(class, jobs)).collect();
     }
 }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -1,4 +1,4 @@
-use super::verdict::{JobResult, largest};
+use super::verdict::{JobResult, summarize_largest};
 use super::*;
 use hollylanding_protocol::jobs::{Shape, Urgency};
 use hollylanding_protocol::workers::{ExitCause, TaskKey};
@@ -213,7 +213,7 @@
     ];
     for (jobs, want, served) in rows {
         let results = jobs.iter().map(|(tasks, done, begun)| JobResult { tasks: *tasks, done: *done, begun: *begun });
-        let told = largest("c", results.collect());
+        let told = summarize_largest("c", results.collect());
         assert_eq!((told.jobs, told.done, told.begun), want, "{jobs:?}");
         let verdict = Verdict { largest: vec![told], ..Verdict::default() };
         assert_eq!((verdict.clean(), verdict.line().contains("under half: c")), (served, !served), "{jobs:?}");
--- a/crates/emulator/src/judge/verdict.rs
+++ b/crates/emulator/src/judge/verdict.rs
@@ -10,7 +10,7 @@
 /// Time after the acceptance within which the largest jobs have to start.
 pub const BEGIN_WITHIN: Duration = Duration::from_secs(240);
 /// The largest jobs of a class are this part of it: one of so many.
-const LARGEST_OF: usize = 10;
+const LARGEST_DIVISOR: usize = 10;
 
 /// A broken rule.
 #[derive(Debug, Clone)]
@@ -27,7 +27,7 @@
 
 /// The outcome of a class's largest jobs: its top tenth by number of tasks, more where sizes are equal.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Largest {
+pub struct LargestJobs {
     /// The class.
     pub class: String,
     /// Number of these jobs.
@@ -39,7 +39,7 @@
     pub begun: usize,
 }
 
-impl Largest {
+impl LargestJobs {
     fn served(&self) -> bool {
         self.done * 2 >= self.jobs && self.begun * 2 >= self.jobs
     }
@@ -57,11 +57,11 @@
 }
 
 /// Sums up the largest of a class's jobs.
-pub(super) fn largest(class: &str, mut jobs: Vec<JobResult>) -> Largest {
+pub(super) fn summarize_largest(class: &str, mut jobs: Vec<JobResult>) -> LargestJobs {
     jobs.sort_unstable_by_key(|job| std::cmp::Reverse(job.tasks));
-    let last = jobs.len().div_ceil(LARGEST_OF).saturating_sub(1);
+    let last = jobs.len().div_ceil(LARGEST_DIVISOR).saturating_sub(1);
     let least_tasks = jobs.get(last).map_or(0, |job| job.tasks);
-    let mut sum = Largest { class: class.to_owned(), ..Largest::default() };
+    let mut sum = LargestJobs { class: class.to_owned(), ..LargestJobs::default() };
     for job in jobs.iter().filter(|job| job.tasks >= least_tasks) {
         sum.jobs += 1;
         sum.done += usize::from(job.done);
@@ -84,14 +84,14 @@
     /// Expected tasks without a result.
     pub lost: Vec<TaskKey>,
     /// The largest jobs of each class.
-    pub largest: Vec<Largest>,
+    pub largest: Vec<LargestJobs>,
 }
 
 impl Verdict {
     /// Whether no rule was broken, every expected task has exactly one result, and the largest jobs were served.
     pub fn clean(&self) -> bool {
         let whole = self.breaks.is_empty() && self.delivered == self.expected && self.repeated == 0;
-        whole && self.largest.iter().all(Largest::served)
+        whole && self.largest.iter().all(LargestJobs::served)
     }
 
     /// The first break of a rule, if there is one.
@@ -123,7 +123,7 @@
     }
 
     fn largest_line(&self) -> String {
-        let sum = |count: fn(&Largest) -> usize| self.largest.iter().map(count).sum::<usize>();
+        let sum = |count: fn(&LargestJobs) -> usize| self.largest.iter().map(count).sum::<usize>();
         let (all, done, begun) = (sum(|l| l.jobs), sum(|l| l.done), sum(|l| l.begun));
         let within = BEGIN_WITHIN.as_secs();
         let counts = format!("{done} of {all} done, {begun} begun within {within} s");
--- a/crates/emulator/src/rehearsal/samples.rs
+++ b/crates/emulator/src/rehearsal/samples.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use crate::driver::{World, lock};
+use crate::world::cloud::MachineCounts;
 
 /// Interval between two samples.
 const SAMPLE: Duration = Duration::from_millis(500);
@@ -66,7 +67,7 @@
         let totals = Totals::of(world);
         let before = std::mem::replace(&mut self.totals, totals);
         let rate = |now: u64, then: u64| (now - then) as f64 / passed.as_secs_f64();
-        let (booting, up, spot) = lock(&world.cloud).counts();
+        let MachineCounts { booting, up, spot } = lock(&world.cloud).count_machines();
         let (running, done) = world.with_fleet(|fleet, _| (fleet.live_all(), fleet.results().len()));
         let sample = Sample {
             at_s: world.now().as_secs_f64(),
--- a/crates/emulator/src/rehearsal/users.rs
+++ b/crates/emulator/src/rehearsal/users.rs
@@ -30,7 +30,7 @@
 /// Once no fault is active any more, each controller is asked about every job within this time.
 pub(super) const ROUND: Duration = Duration::from_secs(5);
 /// The most jobs that a round asks about; of more jobs, evenly chosen ones.
-const MOST_ASKED: usize = 2000;
+const MAX_QUERIES: usize = 2000;
 /// Longest answer time that the histogram distinguishes, in milliseconds.
 const LONGEST_MS: u64 = 120_000;
 /// Significant decimal digits of answer times.
@@ -230,7 +230,7 @@
     /// The first jobs that were accepted, or evenly chosen ones of them.
     fn asked_about(&self, first: usize) -> Vec<JobId> {
         let jobs = lock(&self.accepted);
-        let step = jobs.len().div_ceil(MOST_ASKED).max(1);
+        let step = jobs.len().div_ceil(MAX_QUERIES).max(1);
         jobs.iter().take(first).step_by(step).cloned().collect()
     }
 
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -9,7 +9,7 @@
 
 const SIZE: (u32, u32) = (920, 260);
 /// The most tasks without a result that are listed by name.
-const MOST_LOST: usize = 200;
+const MAX_LOST_SHOWN: usize = 200;
 
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
@@ -132,7 +132,8 @@
         ),
         ("money spent", format!("{:.3}", outcome.spent)),
     ];
-    let lost: Vec<String> = verdict.lost.iter().take(MOST_LOST).map(|t| format!("{}/{}", t.job, t.index)).collect();
+    let lost: Vec<String> =
+        verdict.lost.iter().take(MAX_LOST_SHOWN).map(|t| format!("{}/{}", t.job, t.index)).collect();
     let faults: Vec<(String, &String)> =
         outcome.faults.iter().map(|note| (format!("{:.1}", note.at_s), &note.what)).collect();
     let mut environment = Environment::new();
--- a/crates/emulator/src/sizes/check.rs
+++ b/crates/emulator/src/sizes/check.rs
@@ -3,9 +3,9 @@
 use super::{Machine, Sizes, SizesError, Work};
 
 /// The most jobs of one kind of work.
-const MOST_JOBS: f64 = 100_000.0;
+const MAX_JOBS: f64 = 100_000.0;
 /// The largest amount of anything that has no bound of its own.
-const MOST_AMOUNT: f64 = 1e6;
+const MAX_AMOUNT: f64 = 1e6;
 /// Seconds of an hour, and of a day.
 const HOUR_S: f64 = 3600.0;
 const DAY_S: f64 = 86_400.0;
@@ -53,10 +53,10 @@
 
     fn bounds(&self) -> [Bound; 4] {
         [
-            Bound::new(self.field("cpus"), self.cpus, 0.01, MOST_AMOUNT),
-            Bound::new(self.field("memory_gb"), self.memory_gb, 0.01, MOST_AMOUNT),
+            Bound::new(self.field("cpus"), self.cpus, 0.01, MAX_AMOUNT),
+            Bound::new(self.field("memory_gb"), self.memory_gb, 0.01, MAX_AMOUNT),
             Bound::new(self.field("boot_s"), self.boot_s, 0.0, HOUR_S),
-            Bound::new(self.field("fetch_gb_per_s"), self.fetch_gb_per_s, 0.001, MOST_AMOUNT),
+            Bound::new(self.field("fetch_gb_per_s"), self.fetch_gb_per_s, 0.001, MAX_AMOUNT),
         ]
     }
 }
@@ -72,7 +72,7 @@
             Bound::new(self.field("run_s"), self.run_s, 0.0, DAY_S),
             Bound::new(self.field("from_s"), self.from_s, 0.0, DAY_S),
             Bound::new(self.field("withdrawn"), self.cancelled, 0.0, 1.0),
-            Bound::new(self.field("jobs"), jobs, 0.0, MOST_JOBS),
+            Bound::new(self.field("jobs"), jobs, 0.0, MAX_JOBS),
         ]
     }
 }
@@ -113,11 +113,11 @@
         let mut bounds = vec![
             Bound::new("seconds", self.seconds, 1.0, DAY_S),
             Bound::new("controllers", self.controllers as f64, 1.0, 9.0),
-            Bound::new("state.requests_per_second", state.requests_per_second, 5.0, MOST_AMOUNT),
-            Bound::new("state.changes_per_second", state.changes_per_second, 2.0, MOST_AMOUNT),
+            Bound::new("state.requests_per_second", state.requests_per_second, 5.0, MAX_AMOUNT),
+            Bound::new("state.changes_per_second", state.changes_per_second, 2.0, MAX_AMOUNT),
             Bound::new("state.value_kb", state.value_kb, 8.0, 64.0),
             Bound::new("state.txn_ops", state.txn_ops as f64, 4.0, 1000.0),
-            Bound::new("cloud.requests_per_second", cloud.requests_per_second, 1.0, MOST_AMOUNT),
+            Bound::new("cloud.requests_per_second", cloud.requests_per_second, 1.0, MAX_AMOUNT),
             Bound::new("cloud.list_lag_s", cloud.list_lag_s, 0.0, 600.0),
             Bound::new("cloud.notice_s", cloud.notice_s, 0.0, HOUR_S),
             Bound::new("workers.report_s", workers.report_s, 0.05, 60.0),
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -10,21 +10,21 @@
 
 mod types;
 
-pub use self::types::{Boots, Capacity, Event, Params, Refusal};
+pub use self::types::{Boots, Capacity, Event, MachineCounts, MachineInfo, Params, Refusal};
 use super::bucket::Bucket;
 
 /// The most machines that one rental may ask for.
-pub const MOST_RENTED: u64 = 50;
+pub const MAX_PROVISIONED: u64 = 50;
 /// The most machines that one request may return.
-pub const MOST_RETURNED: usize = 100;
+pub const MAX_TERMINATED: usize = 100;
 /// The most machines on one page of the list.
-pub const MOST_LISTED: usize = 500;
+pub const MAX_LISTED: usize = 500;
 /// Bursts of requests, in seconds' worth.
 const BURST_S: f64 = 2.0;
 /// A machine that is deleted costs at least this long.
-const LEAST_CHARGED: Duration = Duration::from_secs(60);
+const MIN_CHARGED: Duration = Duration::from_secs(60);
 /// A machine that has died is listed as running for about this long.
-const DEATH_UNNOTICED: Duration = Duration::from_secs(30);
+const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(30);
 /// Spot prices move by up to a third around the nominal one, within this time and back.
 const PRICE_SWING: f64 = 1.0 / 3.0;
 const PRICE_PERIOD_S: f64 = 1800.0;
@@ -67,7 +67,7 @@
     requests: Bucket,
     machines: BTreeMap<String, Machine>,
     /// Every name of a rental that was answered, with what it brought.
-    charters: HashMap<String, Vec<String>>,
+    answered_requests: HashMap<String, Vec<String>>,
     next: u64,
     out: bool,
     boots: Boots,
@@ -83,7 +83,7 @@
             params,
             rng: ChaCha8Rng::seed_from_u64(seed),
             machines: BTreeMap::new(),
-            charters: HashMap::new(),
+            answered_requests: HashMap::new(),
             next: 1,
             out: false,
             boots: Boots::Usual,
@@ -124,11 +124,11 @@
     }
 
     /// `POST /rentals`
-    pub fn rent(&mut self, rental: &ProvisioningRequest, now: Duration) -> Result<Vec<String>, Refusal> {
-        if let Some(names) = self.charters.get(&rental.request) {
+    pub fn provision(&mut self, rental: &ProvisioningRequest, now: Duration) -> Result<Vec<String>, Refusal> {
+        if let Some(names) = self.answered_requests.get(&rental.request) {
             return Ok(names.clone());
         }
-        if rental.count == 0 || rental.count > MOST_RENTED {
+        if rental.count == 0 || rental.count > MAX_PROVISIONED {
             return Err(Refusal::Malformed("count is 1 to 50"));
         }
         let Some(of) = self.params.types.iter().find(|t| t.name == rental.type_name).cloned() else {
@@ -145,7 +145,7 @@
             return Err(Refusal::NoCapacity);
         }
         let names: Vec<String> = (0..count).map(|_| self.begin(&of, rental, now)).collect();
-        self.charters.insert(rental.request.clone(), names.clone());
+        self.answered_requests.insert(rental.request.clone(), names.clone());
         Ok(names)
     }
 
@@ -189,8 +189,8 @@
     }
 
     /// `POST /rentals/return`: the machines that were still there. All that is on them is gone.
-    pub fn give_back(&mut self, names: &[String], now: Duration) -> Result<Vec<String>, Refusal> {
-        if names.len() > MOST_RETURNED {
+    pub fn terminate(&mut self, names: &[String], now: Duration) -> Result<Vec<String>, Refusal> {
+        if names.len() > MAX_TERMINATED {
             return Err(Refusal::Malformed("at most 100 names"));
         }
         self.advance(now);
@@ -200,11 +200,7 @@
             let rest = self.machines.get(name).map_or(0.0, |m| {
                 // A machine that has died is not charged any more, however short it lived.
                 let lived = now.saturating_sub(m.rented);
-                if m.died.is_some() {
-                    0.0
-                } else {
-                    self.rate(m, now) * LEAST_CHARGED.saturating_sub(lived).as_secs_f64()
-                }
+                if m.died.is_some() { 0.0 } else { self.rate(m, now) * MIN_CHARGED.saturating_sub(lived).as_secs_f64() }
             });
             self.end(name, now);
             self.charge(name, rest);
@@ -220,10 +216,10 @@
         let later = self.machines.range::<str, _>((std::ops::Bound::Excluded(since), std::ops::Bound::Unbounded));
         let mut later = later.filter(|(_, m)| shown(m)).peekable();
         let mut machines = Vec::new();
-        while machines.len() < most.clamp(1, MOST_LISTED)
+        while machines.len() < most.clamp(1, MAX_LISTED)
             && let Some((name, m)) = later.next()
         {
-            let state = if m.died.is_some_and(|at| view >= at + DEATH_UNNOTICED) {
+            let state = if m.died.is_some_and(|at| view >= at + DEATH_DETECTION_DELAY) {
                 "failed"
             } else if m.up.is_some_and(|at| view >= at) {
                 "running"
@@ -323,23 +319,23 @@
         events
     }
 
-    /// A machine's type, zone and kind.
-    pub fn machine(&self, name: &str) -> Option<(MachineType, String, bool)> {
+    /// A machine's type and place.
+    pub fn machine(&self, name: &str) -> Option<MachineInfo> {
         let machine = self.machines.get(name)?;
         let of = self.params.types.iter().find(|t| t.name == machine.type_name)?;
-        Some((of.clone(), machine.zone.clone(), machine.spot))
+        Some(MachineInfo { machine_type: of.clone(), zone: machine.zone.clone(), spot: machine.spot })
     }
 
-    /// Machines held, by how they are: booting, up, and of these spot ones.
-    pub fn counts(&self) -> (usize, usize, usize) {
-        let held = self.machines.values().filter(|m| m.gone.is_none());
-        let (mut booting, mut up, mut spot) = (0, 0, 0);
-        for machine in held {
-            booting += usize::from(!machine.was_up);
-            up += usize::from(machine.was_up && machine.died.is_none());
-            spot += usize::from(machine.was_up && machine.died.is_none() && machine.spot);
+    /// Numbers of the machines that are neither terminated nor taken.
+    pub fn count_machines(&self) -> MachineCounts {
+        let mut counts = MachineCounts::default();
+        for machine in self.machines.values().filter(|m| m.gone.is_none()) {
+            let is_up = machine.was_up && machine.died.is_none();
+            counts.booting += usize::from(!machine.was_up);
+            counts.up += usize::from(is_up);
+            counts.spot += usize::from(is_up && machine.spot);
         }
-        (booting, up, spot)
+        counts
     }
 
     /// Money spent so far.
--- a/crates/emulator/src/world/cloud/tests.rs
+++ b/crates/emulator/src/world/cloud/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn rentals_by_cases() {
     let mut cloud = cloud(|_| ());
-    let mut of = |rental: &ProvisioningRequest| cloud.rent(rental, s(1)).map(|names| names.len());
+    let mut of = |rental: &ProvisioningRequest| cloud.provision(rental, s(1)).map(|names| names.len());
     let strange = ProvisioningRequest { type_name: "g9".into(), ..rental("x", false, 1) };
     for (name, rental, want) in [
         ("as many as asked", rental("r1", false, 50), Ok(50)),
@@ -50,25 +50,25 @@
         ("no such type", strange, Err((400, "no such type"))),
         ("another zone", ProvisioningRequest { zone: "b".into(), ..rental("r7", true, 1) }, Err((503, "no capacity"))),
     ] {
-        assert_eq!(of(&rental).map_err(|r| r.wire()), want, "{name}");
+        assert_eq!(of(&rental).map_err(|r| r.status_and_text()), want, "{name}");
     }
-    let again = cloud.rent(&rental("r2", false, 50), s(9)).unwrap();
+    let again = cloud.provision(&rental("r2", false, 50), s(9)).unwrap();
     assert_eq!((again.len(), cloud.held(s(9))), (10, 65), "a repeated name rents nothing");
-    cloud.give_back(&again, s(10)).unwrap();
-    assert_eq!(cloud.rent(&rental("r2", false, 50), s(11)).unwrap(), again, "not even once they are returned");
+    cloud.terminate(&again, s(10)).unwrap();
+    assert_eq!(cloud.provision(&rental("r2", false, 50), s(11)).unwrap(), again, "not even once they are returned");
     // Refused before, it may be sent again.
-    assert_eq!(cloud.rent(&rental("r3", false, 1), s(11)).unwrap().len(), 1);
-    assert!(cloud.give_back(&vec!["host-9".to_owned(); 101], s(11)).is_err());
-    assert_eq!(cloud.give_back(&["host-999999".to_owned()], s(11)).unwrap(), Vec::<String>::new(), "unknown");
+    assert_eq!(cloud.provision(&rental("r3", false, 1), s(11)).unwrap().len(), 1);
+    assert!(cloud.terminate(&vec!["host-9".to_owned(); 101], s(11)).is_err());
+    assert_eq!(cloud.terminate(&["host-999999".to_owned()], s(11)).unwrap(), Vec::<String>::new(), "unknown");
 }
 
 #[test]
 fn limits_allow_bursts_of_two_seconds() {
     let mut cloud = cloud(|_| ());
     assert_eq!((0..10).filter(|_| cloud.admit(s(0)).is_ok()).count(), 6);
-    assert_eq!((cloud.admit(s(0)).unwrap_err().wire().0, cloud.admit(s(1))), (429, Ok(())));
+    assert_eq!((cloud.admit(s(0)).unwrap_err().status_and_text().0, cloud.admit(s(1))), (429, Ok(())));
     cloud.set_out(true);
-    assert_eq!(cloud.admit(s(5)).unwrap_err().wire(), (503, "trouble"));
+    assert_eq!(cloud.admit(s(5)).unwrap_err().status_and_text(), (503, "trouble"));
 }
 
 #[test]
@@ -84,7 +84,7 @@
     for (name, change, boots, within, want) in rows {
         let mut cloud = cloud(change);
         cloud.set_boots(boots);
-        cloud.rent(&rental("r", false, 50), s(0)).unwrap();
+        cloud.provision(&rental("r", false, 50), s(0)).unwrap();
         let ups: Vec<u64> = (0..600).flat_map(|t| cloud.tick(s(t)).into_iter().map(move |_| t)).collect();
         assert_eq!(ups.len(), want, "{name}");
         assert!(ups.iter().all(|t| within.contains(&t.saturating_sub(1)) || within.contains(t)), "{name}: {ups:?}");
@@ -97,7 +97,7 @@
 fn the_list_lags_and_may_be_older_than_the_one_before() {
     let mut cloud = cloud(|_| ());
     cloud.set_boots(Boots::AtOnce);
-    let names = cloud.rent(&rental("r", false, 50), s(0)).unwrap();
+    let names = cloud.provision(&rental("r", false, 50), s(0)).unwrap();
     assert!(cloud.list("", 500, s(3)).machines.is_empty(), "not listed yet");
     assert_eq!(cloud.list("", 500, s(16)).machines.len(), 50, "listed by twice the lag");
     let ages: Vec<f64> = (16..60).map(|t| cloud.list("", 500, s(t)).machines[0].held_s).collect();
@@ -117,7 +117,7 @@
     assert_eq!((state(&mut cloud, 90), state(&mut cloud, 120)), ("running".into(), "failed".into()));
     cloud.tick(s(500));
     assert_eq!(state(&mut cloud, 500), "failed", "listed until it is returned");
-    cloud.give_back(&names, s(500)).unwrap();
+    cloud.terminate(&names, s(500)).unwrap();
     assert_eq!(cloud.list("", 500, s(501)).machines.len(), 50, "what is gone still appears");
     cloud.tick(s(520));
     assert!(cloud.list("", 500, s(520)).machines.is_empty());
@@ -126,8 +126,8 @@
 #[test]
 fn what_is_held_is_charged_by_the_second() {
     let mut cloud = cloud(|_| ());
-    let names = cloud.rent(&rental("r", false, 3), s(0)).unwrap();
-    cloud.give_back(&names[..1], s(10)).unwrap();
+    let names = cloud.provision(&rental("r", false, 3), s(0)).unwrap();
+    cloud.terminate(&names[..1], s(10)).unwrap();
     assert!((cloud.spent() - 80.0).abs() < 1e-6, "3 x 10 s, and the rest of a minute: {}", cloud.spent());
     cloud.kill(&names[1], s(100));
     cloud.tick(s(200));
@@ -140,7 +140,7 @@
 #[test]
 fn spot_machines_are_taken_with_and_without_notice() {
     let mut told = cloud(|_| ());
-    told.rent(&rental("r", true, 20), s(0)).unwrap();
+    told.provision(&rental("r", true, 20), s(0)).unwrap();
     let notices = told.take_spot(1.0, s(100));
     assert!(notices.iter().all(|e| matches!(e, Event::Notice(_, left) if (s(10)..=s(30)).contains(left))));
     assert_eq!((notices.len(), told.held(s(105))), (20, 20));
@@ -148,8 +148,8 @@
     let taken = told.tick(s(131)).into_iter().filter(|e| matches!(e, Event::Taken(_))).count();
     assert!(taken > 0 && told.held(s(131)) == 0);
     let mut silent = cloud(|p| p.silent = 1.0);
-    silent.rent(&rental("r", true, 20), s(0)).unwrap();
-    silent.rent(&rental("o", false, 5), s(0)).unwrap();
+    silent.provision(&rental("r", true, 20), s(0)).unwrap();
+    silent.provision(&rental("o", false, 5), s(0)).unwrap();
     assert!(silent.take_spot(1.0, s(100)).is_empty());
     silent.tick(s(100));
     assert_eq!(silent.held(s(100)), 5, "ordinary machines stay");
--- a/crates/emulator/src/world/cloud/types.rs
+++ b/crates/emulator/src/world/cloud/types.rs
@@ -81,7 +81,7 @@
 
 impl Refusal {
     /// The HTTP status, and the text of the answer's `error` field.
-    pub fn wire(&self) -> (u16, &'static str) {
+    pub fn status_and_text(&self) -> (u16, &'static str) {
         match self {
             Self::Malformed(why) => (400, why),
             Self::TooMany => (429, "too many requests"),
@@ -101,3 +101,25 @@
     /// The machine of this name was taken.
     Taken(String),
 }
+
+/// A machine's type and place.
+#[derive(Debug, Clone)]
+pub struct MachineInfo {
+    /// Its type.
+    pub machine_type: MachineType,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
+/// Numbers of machines.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct MachineCounts {
+    /// Machines that boot.
+    pub booting: usize,
+    /// Machines that are up.
+    pub up: usize,
+    /// Spot machines among those that are up.
+    pub spot: usize,
+}
--- a/crates/emulator/src/world/fleet/heartbeats.rs
+++ b/crates/emulator/src/world/fleet/heartbeats.rs
@@ -9,7 +9,7 @@
 use super::{ANSWER_TAKEN, Fleet};
 
 /// The most copies of heartbeats that wait for delivery; no more are made then.
-const MOST_COPIES: usize = 20_000;
+const MAX_COPIES: usize = 20_000;
 
 /// Which reports of a worker are copied, and how long after the heartbeat a copy is delivered.
 #[derive(Debug, Clone, Copy, Default)]
@@ -59,7 +59,7 @@
     pub fn heartbeat(&mut self, name: &str, now: Duration) -> Option<Heartbeat> {
         let heartbeat = self.build_report(name, now)?;
         let window = self.workers.get(name)?.copied;
-        if now < window.until && self.copies.len() < MOST_COPIES {
+        if now < window.until && self.copies.len() < MAX_COPIES {
             let range = window.most_delay - window.least_delay;
             let due = now + window.least_delay + range.mul_f64(fraction_of(name, &heartbeat));
             self.copies.push(ReportCopy { due, heartbeat: heartbeat.clone() });
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -10,79 +10,28 @@
 };
 use serde_json::Value;
 
+mod types;
+
+pub use self::types::{Limits, Refusal};
 use super::bucket::Bucket;
 
 /// Number of changes kept for watches; an older watch has to list again.
-pub const CHANGES_KEPT: usize = 10_000;
+pub const MAX_LOG_LENGTH: usize = 10_000;
 /// The most items on one page of a listing.
-pub const MOST_ITEMS: usize = 1000;
+pub const MAX_PAGE_ITEMS: usize = 1000;
 /// The most bytes on one page of a listing.
-pub const MOST_LISTED: usize = 512 * 1024;
+pub const MAX_PAGE_BYTES: usize = 512 * 1024;
 /// The most bytes of a transaction.
-pub const MOST_TXN: usize = 64 * 1024;
+pub const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// The most bytes of a key.
-pub const MOST_KEY: usize = 200;
+pub const MAX_KEY_BYTES: usize = 200;
 /// Conditions of a transaction for each change that it may have.
 const CONDITIONS: usize = 4;
 /// A lease's life, in milliseconds.
 const LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
-/// Limits of the state service; infinite where nothing is limited.
-#[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    /// Requests per second.
-    pub requests_per_second: f64,
-    /// Changes of keys per second.
-    pub changes_per_second: f64,
-    /// Largest value, in kB.
-    pub value_kb: f64,
-    /// The most changes in one transaction.
-    pub txn_ops: usize,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            requests_per_second: f64::INFINITY,
-            changes_per_second: f64::INFINITY,
-            value_kb: f64::INFINITY,
-            txn_ops: usize::MAX / CONDITIONS,
-        }
-    }
-}
-
-/// Why a request was refused. None of these was carried out.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refusal {
-    /// Status 400: the request is invalid.
-    Malformed(&'static str),
-    /// Status 400: the lease named has ended.
-    LeaseExpired,
-    /// Status 404: the key does not exist.
-    Absent,
-    /// Status 410: the watch starts before the changes that are kept.
-    TooOld,
-    /// Status 429: a rate limit is exceeded.
-    TooMany,
-    /// Status 503: an outage, or this node alone is refused.
-    Unavailable,
-}
-
-impl Refusal {
-    /// The HTTP status.
-    pub fn status(&self) -> u16 {
-        match self {
-            Self::Malformed(_) | Self::LeaseExpired => 400,
-            Self::Absent => 404,
-            Self::TooOld => 410,
-            Self::TooMany => 429,
-            Self::Unavailable => 503,
-        }
-    }
-}
-
 #[derive(Debug)]
-struct Kept {
+struct StoredValue {
     value: Value,
     version: u64,
     permit: Option<u64>,
@@ -101,7 +50,7 @@
     limits: Limits,
     requests: Bucket,
     changes: Bucket,
-    keys: BTreeMap<String, Kept>,
+    keys: BTreeMap<String, StoredValue>,
     /// The revision of the last change.
     revision: u64,
     log: VecDeque<WatchEvent>,
@@ -124,8 +73,8 @@
     value.to_string().len()
 }
 
-fn well_formed(key: &str) -> Result<(), Refusal> {
-    let good = (1..=MOST_KEY).contains(&key.len()) && !key.contains(' ');
+fn check_key(key: &str) -> Result<(), Refusal> {
+    let good = (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ');
     if good { Ok(()) } else { Err(Refusal::Malformed("a key of 1 to 200 bytes without spaces")) }
 }
 
@@ -206,7 +155,7 @@
 
     fn append(&mut self, event: WatchEvent) {
         self.log.push_back(event);
-        if self.log.len() > CHANGES_KEPT
+        if self.log.len() > MAX_LOG_LENGTH
             && let Some(oldest) = self.log.pop_front()
         {
             self.forgotten = oldest.version;
@@ -270,7 +219,7 @@
 
     /// `GET /keys/{key}`
     pub fn get(&self, key: &str) -> Result<KeyValue, Refusal> {
-        well_formed(key)?;
+        check_key(key)?;
         let kept = self.keys.get(key).ok_or(Refusal::Absent)?;
         Ok(KeyValue { path: key.to_owned(), value: kept.value.clone(), version: kept.version })
     }
@@ -285,7 +234,7 @@
         let (mut items, mut bytes) = (Vec::new(), 0);
         while let Some((key, kept)) = all.peek() {
             bytes += key.len() + json_size(&kept.value) + 40;
-            if items.len() >= most.clamp(1, MOST_ITEMS) || (bytes > MOST_LISTED && !items.is_empty()) {
+            if items.len() >= most.clamp(1, MAX_PAGE_ITEMS) || (bytes > MAX_PAGE_BYTES && !items.is_empty()) {
                 break;
             }
             items.push(KeyValue { path: (*key).clone(), value: kept.value.clone(), version: kept.version });
@@ -311,7 +260,7 @@
         }
         let mut bytes = 0;
         for condition in compare_and_swap.conditions.iter() {
-            well_formed(&condition.path)?;
+            check_key(&condition.path)?;
             bytes += condition.path.len() + 30;
         }
         for change in compare_and_swap.apply.iter() {
@@ -319,13 +268,13 @@
                 Change::Write { write, value, .. } => (write, json_size(value)),
                 Change::Drop { drop } => (drop, 0),
             };
-            well_formed(key)?;
+            check_key(key)?;
             if size as f64 > self.limits.value_kb * 1024.0 {
                 return Err(Refusal::Malformed("a value above the limit"));
             }
             bytes += key.len() + size + 30;
         }
-        if bytes > MOST_TXN && self.limits.value_kb.is_finite() {
+        if bytes > MAX_TRANSACTION_BYTES && self.limits.value_kb.is_finite() {
             return Err(Refusal::Malformed("a transaction above 64 KiB"));
         }
         // Counted whether or not its conditions hold.
@@ -367,7 +316,7 @@
                     if let Some(lease) = permit.and_then(|p| self.leases.get_mut(&p)) {
                         lease.keys.insert(write.clone());
                     }
-                    self.keys.insert(write.clone(), Kept { value: value.clone(), version, permit: *permit });
+                    self.keys.insert(write.clone(), StoredValue { value: value.clone(), version, permit: *permit });
                     self.append(WatchEvent { write: Some(write.clone()), drop: None, value: value.clone(), version });
                 }
                 Change::Drop { drop } => {
--- a/crates/emulator/src/world/store/tests.rs
+++ b/crates/emulator/src/world/store/tests.rs
@@ -112,13 +112,13 @@
 #[test]
 fn watches_tell_what_is_kept_and_say_when_it_is_not() {
     let mut store = Store::default();
-    for n in 0..CHANGES_KEPT + 5 {
+    for n in 0..MAX_LOG_LENGTH + 5 {
         let key = format!("{}/{n}", if n.is_multiple_of(2) { "even" } else { "odd" });
         put(&mut store, &[Change::write(key, json!(n))], T).unwrap().unwrap();
     }
     assert_eq!(store.watch("even/", 4).unwrap_err(), Refusal::TooOld);
     let told = store.watch("even/", 5).unwrap();
-    assert_eq!((told.log.len(), told.revision), (CHANGES_KEPT / 2, store.revision()));
+    assert_eq!((told.log.len(), told.revision), (MAX_LOG_LENGTH / 2, store.revision()));
     assert!(told.log.iter().all(|e| e.path().starts_with("even/")));
     assert!(store.watch("", store.revision()).unwrap().log.is_empty());
 }
@@ -134,9 +134,9 @@
     let (mut since, mut seen, mut pages) = (String::new(), Vec::new(), 0);
     loop {
         let page = store.page("k/", &since, 5000);
-        assert!(page.items.len() <= MOST_ITEMS);
+        assert!(page.items.len() <= MAX_PAGE_ITEMS);
         let bytes: usize = page.items.iter().map(|i| json_size(&i.value)).sum();
-        assert!(bytes <= MOST_LISTED);
+        assert!(bytes <= MAX_PAGE_BYTES);
         seen.extend(page.items.iter().map(|i| i.path.clone()));
         pages += 1;
         if !page.more {
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -85,7 +85,7 @@
     let mut cloud = Cloud::new(params, 1);
     fault(&mut cloud);
     let rental = ProvisioningRequest { request: "r".into(), type_name: "c8".into(), zone: "a".into(), spot, count: 3 };
-    cloud.rent(&rental, s(0)).unwrap();
+    cloud.provision(&rental, s(0)).unwrap();
     cloud
 }
 
