--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,7 +2,9 @@
 //!
 //! Nothing below knows of this module. Which locks may be held together, and in which order, stands at `membership`.
 
-use std::sync::{Arc, Mutex, Weak};
+mod state_owners;
+
+use std::sync::{Arc, Weak};
 use std::time::Instant;
 
 use tokio::task::AbortHandle;
@@ -10,27 +12,24 @@
 
 use crate::audit::{self, Auditor};
 use crate::declarations::{self, context::DeclarationState};
-use crate::fleet::cloud::CloudClient;
 use crate::fleet::{self, Fleet};
 use crate::history::reader::{self, History, HistoryReader};
 use crate::history::sweep_loop;
-use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
-use crate::membership::{self, Membership, REQUESTS, SHARE_EVERY, WRITES, first_budget, mesh};
+use crate::membership::{self, Membership, SHARE_EVERY, mesh};
 use crate::process_pause::BEAT;
-use crate::protocol::Http;
 use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
 use crate::scheduling::scheduler::Scheduler;
 use crate::scheduling::scheduling_loop;
 use crate::settings::{Properties, Settings};
 use crate::store::handle::StateStore;
-use crate::store::{StateClient, read_barrier, watch};
+use crate::store::{read_barrier, watch};
 use crate::sync::lock;
 use crate::traffic::Traffic;
 use crate::users::UserService;
-use crate::wakeups::Wakeups;
 use crate::workers::{WorkerService, dispatch};
+use state_owners::StateOwners;
 
 /// One controller, whole.
 pub struct Controller {
@@ -58,98 +57,24 @@
 impl Controller {
     /// A controller that does nothing before `start`.
     pub fn new(settings: Settings, properties: Properties) -> Arc<Self> {
-        let (settings, properties) = (Arc::new(settings), Arc::new(properties));
-        let now = Instant::now();
-        let http = Http::default();
-        let traffic = Arc::<Traffic>::default();
-        let wakeups = Arc::<Wakeups>::default();
-        let catalog = Arc::<SharedCatalog>::default();
-        let history = Arc::new(History::new(&settings));
-        let leader = Arc::new(LeaderState::new(&settings, &properties, now));
-        let store = Arc::new(state_store(&settings, http.clone(), traffic.clone(), now));
-        let cloud = CloudClient::new(http.clone(), &settings, traffic.clone(), now);
-        let membership = Arc::new(Membership::new(
-            settings.clone(),
-            properties.clone(),
-            store.clone(),
-            history.clone(),
-            leader.clone(),
-            catalog.clone(),
-            wakeups.clone(),
-        ));
-        let audit =
-            Arc::new(Auditor::new(settings.clone(), store.clone(), history.clone(), leader.clone(), wakeups.clone()));
-        let declarations = Arc::new(DeclarationState {
-            store: store.clone(),
-            history: history.clone(),
-            membership: membership.clone(),
-            leader: leader.clone(),
-            wakeups: wakeups.clone(),
-        });
-        let scheduler = Arc::new(Scheduler {
-            settings: settings.clone(),
-            store: store.clone(),
-            history: history.clone(),
-            membership: membership.clone(),
-            leader: leader.clone(),
-            catalog: catalog.clone(),
-            intents: declarations.clone(),
-            wakeups: wakeups.clone(),
-        });
-        let group_commit = Arc::new(GroupCommit {
-            settings: settings.clone(),
-            store: store.clone(),
-            history: history.clone(),
-            membership: membership.clone(),
-            leader: leader.clone(),
-            audit: audit.clone(),
-            wakeups: wakeups.clone(),
-        });
-        let workers = Arc::new(WorkerService {
-            settings: settings.clone(),
-            membership: membership.clone(),
-            leader: leader.clone(),
-            catalog: catalog.clone(),
-            wakeups: wakeups.clone(),
-            http,
-            traffic: traffic.clone(),
-        });
-        let fleet = Arc::new(Fleet {
-            settings: settings.clone(),
-            properties,
-            store: store.clone(),
-            membership: membership.clone(),
-            leader: leader.clone(),
-            catalog: catalog.clone(),
-            cloud,
-            wakeups,
-        });
-        let users = Arc::new(UserService {
-            settings: settings.clone(),
-            store: store.clone(),
-            history: history.clone(),
-            membership: membership.clone(),
-            catalog: catalog.clone(),
-            audit: audit.clone(),
-            traffic: traffic.clone(),
-            workers: workers.clone(),
-            admission: Mutex::new(Admission::new(now)),
-        });
+        let owners = StateOwners::new(settings, properties, Instant::now());
+        let declarations = Arc::new(owners.declarations());
+        let workers = Arc::new(owners.workers());
         let controller = Arc::new(Self {
-            settings,
-            store,
-            catalog,
-            membership,
-            users,
-            traffic,
-            history,
-            leader,
-            audit,
-            scheduler,
-            group_commit,
-            workers,
-            fleet,
+            scheduler: Arc::new(owners.scheduler(declarations.clone())),
+            group_commit: Arc::new(owners.group_commit()),
+            fleet: Arc::new(owners.fleet()),
+            users: Arc::new(owners.users(workers.clone())),
             declarations,
+            workers,
+            settings: owners.settings,
+            store: owners.store,
+            catalog: owners.catalog,
+            membership: owners.membership,
+            traffic: owners.traffic,
+            history: owners.history,
+            leader: owners.leader,
+            audit: owners.audit,
         });
         // Weak, since the controller owns the membership that keeps this.
         let weak = Arc::downgrade(&controller);
@@ -234,15 +159,6 @@
     }
 }
 
-/// The state service, with what a controller begins with of its limits.
-fn state_store(settings: &Settings, http: Http, traffic: Arc<Traffic>, now: Instant) -> StateStore {
-    let (limits, others) = (&settings.params.state, settings.peers.len());
-    let requests = first_budget(REQUESTS, limits.rps, others, now);
-    let writes = first_budget(WRITES, limits.write_rps, others, now);
-    let client = StateClient::new(http, settings.endpoints.state.clone(), requests, writes, traffic);
-    StateStore::new(Arc::new(client))
-}
-
 /// The whole controller on the current thread, until it is killed.
 pub fn serve(settings: Settings, properties: Properties) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -7,66 +7,85 @@
 use crate::history::upgrade;
 use crate::jobs::End;
 use crate::jobs::record::time_of_day_ms;
+use crate::scheduling::cluster::ClusterState;
 use crate::store::StoreError;
 use crate::store::watch::WatchObserver;
-use crate::store::watch_cache::CacheChanges;
+use crate::store::watch_cache::{CacheChanges, WatchCache};
 use crate::sync::lock;
 
 impl Membership {
-    /// Hands what the watch cache learned to whoever acts on it.
-    pub(super) fn apply_cache_changes(&self, news: CacheChanges) {
-        if news.is_empty() {
-            let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-            if let Some(cluster) = held.as_mut() {
-                cluster.holds_ends(watch_cache.watch_revision());
-            }
+    /// Passes on what the watch cache has learned, in the order accounting and history, cluster state, loops. The watch
+    /// cache stays locked from the accounting on, so that the cluster state hears of changes in their order.
+    fn apply_cache_changes(&self, changes: CacheChanges) {
+        if changes.is_empty() {
+            self.advance_cluster_revision();
             return;
         }
-        if news.leadership {
+        if changes.leadership {
             self.wakeups.membership.notify_one();
         }
-        if news.declared {
+        if changes.declared {
             self.wakeups.declarations.notify_one();
         }
         let watch_cache = self.store.watch_cache();
-        let (now, now_ms) = (Instant::now(), time_of_day_ms());
+        let now = Instant::now();
         if let Some(stored) = watch_cache.watermark() {
             self.history.advance(stored.revision);
         }
-        {
-            let mut served = self.leader.accounting();
-            for record in news.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
-                served.offered(&record.spec, record.age(now_ms), now);
-            }
-            for id in &news.ended {
-                self.history.heard(id, now);
-                if let Some(record) = watch_cache.ended_record(id) {
-                    served.ended(&record, self.history.ended(id), record.age(now_ms), now);
-                }
-            }
-        }
+        self.account_for_changes(&changes, &watch_cache, now);
         let mut held = self.leader.cluster();
-        if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
-            for id in &news.opened {
-                if let Some(record) = watch_cache.open_job(id) {
-                    cluster.add_job(record.clone(), now);
-                }
-            }
-            for id in &news.ended {
-                let how = self.history.ended(id);
-                cluster.end_job(id, how, now);
-                // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
-                if how != Some(End::Done) {
-                    lock(&self.unconfirmed)
-                        .heard(watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision()), now);
-                    self.wakeups.mesh.send_replace(());
-                }
-            }
-            cluster.holds_ends(watch_cache.watch_revision());
+        if let Some(cluster) = held.as_mut().filter(|cluster| cluster.loaded) {
+            self.apply_to_cluster(&changes, &watch_cache, cluster, now);
             self.wakeups.plan.notify_one();
             self.wakeups.dispatch.notify_one();
         }
     }
+
+    /// Nothing has changed, up to a later revision.
+    fn advance_cluster_revision(&self) {
+        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
+        if let Some(cluster) = held.as_mut() {
+            cluster.holds_ends(watch_cache.watch_revision());
+        }
+    }
+
+    /// Jobs that were offered, and jobs that have ended.
+    fn account_for_changes(&self, changes: &CacheChanges, watch_cache: &WatchCache, now: Instant) {
+        let now_ms = time_of_day_ms();
+        let mut accounting = self.leader.accounting();
+        for record in changes.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
+            accounting.offered(&record.spec, record.age(now_ms), now);
+        }
+        for id in &changes.ended {
+            self.history.heard(id, now);
+            if let Some(record) = watch_cache.ended_record(id) {
+                accounting.ended(&record, self.history.ended(id), record.age(now_ms), now);
+            }
+        }
+    }
+
+    fn apply_to_cluster(
+        &self,
+        changes: &CacheChanges,
+        watch_cache: &WatchCache,
+        cluster: &mut ClusterState,
+        now: Instant,
+    ) {
+        for record in changes.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
+            cluster.add_job(record.clone(), now);
+        }
+        for id in &changes.ended {
+            let end = self.history.ended(id);
+            cluster.end_job(id, end, now);
+            // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
+            if end != Some(End::Done) {
+                let revision = watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision());
+                lock(&self.unconfirmed).heard(revision, now);
+                self.wakeups.mesh.send_replace(());
+            }
+        }
+        cluster.holds_ends(watch_cache.watch_revision());
+    }
 }
 
 impl WatchObserver for Membership {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -8,10 +8,14 @@
 //!
 //! Locks are short and never held across an await. Where two are held at once, they are taken in this order:
 //!
-//! 1. the watch cache (`store::handle::StateStore::watch_cache`),
-//! 2. the cluster state (`scheduling::leader_state::LeaderState::cluster`),
-//! 3. what is kept here (peer states, unconfirmed cancellations and the rest), and the fleet's cloud operations,
-//! 4. the fair-share accounting, the history's questions and the audit, under which nothing else is locked.
+//! 1. the audit (`audit::Auditor`),
+//! 2. the watch cache (`store::handle::StateStore::watch_cache`),
+//! 3. the cluster state (`scheduling::leader_state::LeaderState::cluster`),
+//! 4. the fleet's cloud operations, and each of the locks of `Membership`, of which no two are held at once,
+//! 5. the fair-share accounting (`LeaderState::accounting`),
+//! 6. the history's questions.
+//!
+//! The admission and the read barrier are locked while none of these is held, and take only the store client's budgets.
 
 mod cache_changes;
 mod confirmation;
