--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,8 +13,9 @@
 use crate::audit::{self, Auditor};
 use crate::declarations::{self, context::DeclarationState};
 use crate::fleet::{self, Fleet};
-use crate::history::reader::{self, History, HistoryReader};
-use crate::history::sweep_loop;
+use crate::history::end_sweep_loop;
+use crate::history::job_history::JobHistory;
+use crate::history::reader::{self, HistoryReader};
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::{self, Membership, SHARE_EVERY, mesh};
 use crate::process_pause::BEAT;
@@ -44,7 +45,7 @@
     /// The API for users.
     pub users: Arc<UserService>,
     traffic: Arc<Traffic>,
-    history: Arc<History>,
+    history: Arc<JobHistory>,
     leader: Arc<LeaderState>,
     audit: Arc<Auditor>,
     scheduler: Arc<Scheduler>,
@@ -89,7 +90,7 @@
         tokio::spawn(read_barrier::run(self.store.clone(), self.membership.clone()));
         let reader = HistoryReader { history: self.history.clone(), store: self.store.clone() };
         tokio::spawn(reader::run(Arc::new(reader)));
-        tokio::spawn(sweep_loop::run(self.history.clone(), self.store.client.clone()));
+        tokio::spawn(end_sweep_loop::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.audit.clone()));
         tokio::spawn(membership::run(self.membership.clone()));
         tokio::spawn(mesh::accept_connections(self.membership.clone()));
@@ -138,9 +139,14 @@
             held.push(("descriptions", watch_cache.ended_count()));
             held.push(("declared", watch_cache.registry().entry_count()));
         }
-        let [ends, asked, waiting] = self.history.held();
+        let history = self.history.counts();
         held.push(("audited", self.audit.remembered()));
-        held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
+        held.extend([
+            ("ends", history.cached_ends),
+            ("asked", history.queued_jobs),
+            ("waiting", history.waiters),
+            ("hidden", self.history.hidden_cancellations().remembered),
+        ]);
         held.push(("served", self.leader.accounting().entries()));
         held.push(("in_admission", lock(&self.users.admission).waiting()));
         held.extend(self.membership.held());
--- a/src/controller/state_owners.rs
+++ b/src/controller/state_owners.rs
@@ -7,7 +7,7 @@
 use crate::declarations::context::DeclarationState;
 use crate::fleet::Fleet;
 use crate::fleet::cloud::CloudClient;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::{Membership, REQUESTS, WRITES, first_budget};
@@ -32,7 +32,7 @@
     pub wakeups: Arc<Wakeups>,
     pub catalog: Arc<SharedCatalog>,
     pub store: Arc<StateStore>,
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     pub leader: Arc<LeaderState>,
     pub membership: Arc<Membership>,
     pub audit: Arc<Auditor>,
@@ -47,7 +47,7 @@
         let wakeups = Arc::<Wakeups>::default();
         let catalog = Arc::<SharedCatalog>::default();
         let store = Arc::new(state_store(&settings, http.clone(), traffic.clone(), now));
-        let history = Arc::new(History::new(&settings));
+        let history = Arc::new(JobHistory::new(&settings));
         let leader = Arc::new(LeaderState::new(&settings, &properties, now));
         let membership = Arc::new(Membership::new(
             settings.clone(),
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -30,7 +30,7 @@
         let watch_cache = self.store.watch_cache();
         let now = Instant::now();
         if let Some(stored) = watch_cache.watermark() {
-            self.history.advance(stored.revision);
+            self.history.advance_watermark(stored.revision);
         }
         self.account_for_changes(&changes, &watch_cache, now);
         let mut held = self.leader.cluster();
@@ -57,7 +57,7 @@
             accounting.offered(&record.spec, record.age(now_ms), now);
         }
         for id in &changes.ended {
-            self.history.heard(id, now);
+            self.history.note_end_seen(id, now);
             if let Some(record) = watch_cache.ended_record(id) {
                 accounting.ended(&record, self.history.ended(id), record.age(now_ms), now);
             }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -10,7 +10,7 @@
 use super::serving_state::{HealthCheck, LeaderSearches};
 use super::unreachable_leader::UnreachableLeader;
 use super::watermark::UnconfirmedCancellations;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::machine_kinds::SharedCatalog;
 use crate::process_pause::PauseDetector;
 use crate::scheduling::leader_state::LeaderState;
@@ -30,7 +30,7 @@
     /// Names this process among all that ever ran; orders to the cloud are named after it.
     pub incarnation: String,
     pub(super) store: Arc<StateStore>,
-    pub(super) history: Arc<History>,
+    pub(super) history: Arc<JobHistory>,
     pub(super) leader: Arc<LeaderState>,
     pub(super) catalog: Arc<SharedCatalog>,
     pub(super) wakeups: Arc<Wakeups>,
@@ -58,7 +58,7 @@
         settings: Arc<Settings>,
         properties: Arc<Properties>,
         store: Arc<StateStore>,
-        history: Arc<History>,
+        history: Arc<JobHistory>,
         leader: Arc<LeaderState>,
         catalog: Arc<SharedCatalog>,
         wakeups: Arc<Wakeups>,
--- a/src/users/write_tracker.rs
+++ b/src/users/write_tracker.rs
@@ -15,7 +15,7 @@
 
 use super::lookup::open_task_count;
 use super::service::UserService;
-use crate::history::query_queue::Verdict;
+use crate::history::query_queue::JobQueryAnswer;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::sync::lock;
@@ -160,7 +160,7 @@
             TrackingStep::Log => return true,
             TrackingStep::Discard => return false,
             TrackingStep::QueryStore => {
-                if let Verdict::Ended(end) = service.history.ask(id).await {
+                if let JobQueryAnswer::Ended(end) = service.history.query_job(id).await {
                     return next_step(write, KnownJobState::Ended(end)) == TrackingStep::Log;
                 }
             }
