--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -70,7 +70,8 @@
         let mut open = self.ground.open_to(spec, zones);
         // Idle work keeps no machine with accelerators that it has no use for.
         for (open, offer) in open.iter_mut().zip(&self.ground.offers) {
-            *open &= offer.is_some_and(|offer| backfill::may(spec, &offer, 1.0, f64::INFINITY, false).keep);
+            *open &=
+                offer.is_some_and(|offer| backfill::idle_permissions(spec, &offer, 1.0, f64::INFINITY, false).keep);
         }
         let overdue = overdue && !spec.is_idle();
         if !self.pack(spec, &open, count, None) {
--- a/src/fleet/scale_out.rs
+++ b/src/fleet/scale_out.rs
@@ -12,7 +12,7 @@
 
 use crate::machine_kinds::{Catalog, MachineKind};
 use crate::scheduling::cluster::ClusterState;
-use crate::scheduling::plan::{Turn, queue};
+use crate::scheduling::plan::{QueuedJob, queue};
 use crate::scheduling::room::Ground;
 
 /// Work that has waited no longer than this is placed before expected arrivals.
@@ -49,7 +49,7 @@
 ) -> Vec<MachineDemand> {
     // Nothing is provisioned for jobs that fail everywhere.
     let turns = queue(cluster, now).into_iter().filter(|turn| !turn.quarantined);
-    let (idle, urgent): (Vec<Turn>, Vec<Turn>) = turns.partition(|turn| turn.job.spec().is_idle());
+    let (idle, urgent): (Vec<QueuedJob>, Vec<QueuedJob>) = turns.partition(|turn| turn.job.spec().is_idle());
     let capacity_declared = !cluster.intents.room.is_empty();
     if idle.is_empty() && urgent.is_empty() && !capacity_declared {
         return Vec::new();
@@ -61,7 +61,7 @@
     if !urgent.is_empty() || capacity_declared {
         let mut timelines = planner.timelines(true);
         // Work that has waited for long competes with expected arrivals as well: fresh work has the higher return.
-        let (fresh, waited): (Vec<Turn>, Vec<Turn>) = urgent.into_iter().partition(|turn| turn.age < FRESH);
+        let (fresh, waited): (Vec<QueuedJob>, Vec<QueuedJob>) = urgent.into_iter().partition(|turn| turn.age < FRESH);
         planner.plan_jobs(fresh, &mut timelines);
         planner.plan_declared_capacity(&mut timelines);
         if !waited.is_empty() {
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -11,7 +11,7 @@
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
 use crate::scheduling::intents::RoomIntent;
-use crate::scheduling::plan::{Quotas, Turn};
+use crate::scheduling::plan::{QueuedJob, Quotas};
 use crate::scheduling::promises::starts_left_s;
 use crate::scheduling::room::{Ground, Offer, Room, Zones};
 
@@ -53,7 +53,7 @@
 
 /// What decides whether a machine is provisioned for a waiting job.
 struct WaitingJob<'t, 'a> {
-    turn: &'t Turn<'a>,
+    turn: &'t QueuedJob<'a>,
     spec: &'a JobSpec,
     /// Offers on which its tasks may run.
     open: Vec<bool>,
@@ -66,7 +66,7 @@
 }
 
 impl<'t, 'a> WaitingJob<'t, 'a> {
-    fn new(cluster: &ClusterState, ground: &Ground<'a>, turn: &'t Turn<'a>, zones: &Zones) -> Self {
+    fn new(cluster: &ClusterState, ground: &Ground<'a>, turn: &'t QueuedJob<'a>, zones: &Zones) -> Self {
         let job = turn.job;
         let spec = job.spec();
         let open = ground.open_to(spec, zones);
@@ -144,7 +144,7 @@
     }
 
     /// Places the waiting tasks of these jobs in the forecast, and provisions machines where they would start too late.
-    pub(super) fn plan_jobs(&mut self, turns: Vec<Turn<'a>>, timelines: &mut Vec<Timeline<'a>>) {
+    pub(super) fn plan_jobs(&mut self, turns: Vec<QueuedJob<'a>>, timelines: &mut Vec<Timeline<'a>>) {
         for turn in turns {
             self.jobs_placed += 1;
             if self.jobs_placed > MOST_JOBS {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn plan_job(&mut self, turn: &Turn<'a>, timelines: &mut Vec<Timeline<'a>>) {
+    fn plan_job(&mut self, turn: &QueuedJob<'a>, timelines: &mut Vec<Timeline<'a>>) {
         let (ground, spec) = (self.ground, turn.job.spec());
         if spec.is_gang() && !self.quotas.allows(spec, spec.tasks as f64) {
             return;
@@ -248,7 +248,7 @@
         self.fleet_may_grow()
             && start_s > waiting.bearable_wait_s(boot_s, priced.cost_per_task)
             && boot_s + LEAST_GAIN_S < start_s
-            && backfill::may(waiting.spec, &priced.offer, relative_cost, most_dear, overdue).rent
+            && backfill::idle_permissions(waiting.spec, &priced.offer, relative_cost, most_dear, overdue).rent
     }
 
     /// Whether a machine has to be requested now to be ready when the declared capacity is needed.
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -30,7 +30,7 @@
 
 /// What idle work may cause at the cloud and to machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct May {
+pub struct IdlePermissions {
     /// Machines of this kind may be rented for it.
     pub rent: bool,
     /// A machine of this kind is kept for it, where it could be spared.
@@ -40,12 +40,12 @@
 /// For work of any urgency: what it may cause of a kind of machine. `dearer`: what a task costs there,
 /// against the cheapest kind open to it; `most_dear`: how much dearer a kind idle work may take.
 /// `overdue`: it has waited for longer than it runs, and would for ever where the cheap kinds are refused.
-pub fn may(spec: &JobSpec, offer: &Offer, dearer: f64, most_dear: f64, overdue: bool) -> May {
+pub fn idle_permissions(spec: &JobSpec, offer: &Offer, dearer: f64, most_dear: f64, overdue: bool) -> IdlePermissions {
     if !spec.is_idle() {
-        return May { rent: true, keep: true };
+        return IdlePermissions { rent: true, keep: true };
     }
     let apt = offer.apt(spec);
-    May { rent: apt && (dearer <= most_dear || overdue), keep: apt }
+    IdlePermissions { rent: apt && (dearer <= most_dear || overdue), keep: apt }
 }
 
 /// A waiting task of other than idle work: what it asks of a machine, and where it may go.
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -22,7 +22,7 @@
     ] {
         let job = JobSpec { urgency, gpus, ..spec() };
         let offer = Offer { of, zone: "a", spot: false };
-        let got = may(&job, &offer, dearer, 3.0, overdue);
+        let got = idle_permissions(&job, &offer, dearer, 3.0, overdue);
         assert_eq!((got.rent, got.keep), want, "{name}");
     }
 }
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -6,114 +6,29 @@
 //! lost), and nothing is written to the store for it.
 
 pub mod floor;
+mod tally;
 #[cfg(test)]
 mod tests;
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobSpec};
-use crate::scheduling::promises::{LARGEST, Promise, What, accounted, promises_of};
+use crate::scheduling::promises::{LARGEST, Promise, PromiseKind, accounted, promises_of};
 use crate::settings::{Objective, Properties, Settings};
 use crate::sla::Agreement;
 use floor::{Names, Underserved};
+use tally::{MOST_NAMES, WindowSlice};
+pub use tally::{PromiseCounts, Subject, Tally};
 
 /// The window is forgotten in so many parts.
 const PARTS: u64 = 20;
-/// Names of classes, and of teams, kept apart in one part; users name classes as they like.
-const MOST_NAMES: usize = 256;
 /// Fewer verdicts on a promise say nothing of a class.
 const FEWEST: f64 = 6.0;
 
-/// How often a promise was kept and missed.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct PromiseCounts {
-    /// Weight of the promises that were kept.
-    pub kept: f64,
-    /// Weight of the promises that were missed.
-    pub missed: f64,
-}
-
-impl PromiseCounts {
-    fn note(&mut self, kept: bool, weight: f64) {
-        if kept {
-            self.kept += weight;
-        } else {
-            self.missed += weight;
-        }
-    }
-
-    fn add(&mut self, other: PromiseCounts) {
-        self.kept += other.kept;
-        self.missed += other.missed;
-    }
-}
-
-/// What was seen of one class or team.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Tally {
-    /// Jobs that were submitted.
-    pub offered: u64,
-    /// Jobs that were done.
-    pub done: u64,
-    /// Cancelled by their users.
-    pub given_up: u64,
-    /// Starts whose task was lost before it was done.
-    pub lost: u64,
-    /// Open, and past all that was promised of them.
-    pub overdue: u64,
-    /// By the number of the objective.
-    promises: BTreeMap<u16, PromiseCounts>,
-}
-
-impl Tally {
-    fn promise(&mut self, at: u16) -> &mut PromiseCounts {
-        self.promises.entry(at).or_default()
-    }
-
-    fn add(&mut self, other: &Tally) {
-        self.offered += other.offered;
-        self.done += other.done;
-        self.given_up += other.given_up;
-        self.lost += other.lost;
-        self.overdue += other.overdue;
-        for (at, kept) in &other.promises {
-            self.promise(*at).add(*kept);
-        }
-    }
-}
-
-/// What a name stands for.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Subject {
-    /// A class of jobs.
-    Class,
-    /// A team.
-    Team,
-    /// The largest gangs of a class: told, and given their floor by `scheduling::large`.
-    Largest,
-}
-
-#[derive(Debug, Clone, Default)]
-struct WindowSlice {
-    number: u64,
-    tallies: HashMap<(Subject, String), Tally>,
-}
-
-impl WindowSlice {
-    /// One name too many is not kept apart.
-    fn tally(&mut self, whose: Subject, name: &str) -> Option<&mut Tally> {
-        let key = (whose, name.to_owned());
-        if !self.tallies.contains_key(&key) && self.tallies.len() >= MOST_NAMES * 2 {
-            return None;
-        }
-        Some(self.tallies.entry(key).or_default())
-    }
-}
-
 /// What the leader alone knows, told to the account by whoever holds the cluster state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AccountingEvent {
@@ -289,7 +204,7 @@
         let promises = promises_of(&self.objectives, spec, &agreement);
         self.both(spec, now, |tally| {
             tally.done += 1;
-            for promise in accounted(&promises).filter(|p| p.what == What::Done) {
+            for promise in accounted(&promises).filter(|p| p.what == PromiseKind::Done) {
                 tally.promise(promise.at).note(age.as_secs_f64() <= promise.within_s, 1.0);
             }
         });
@@ -309,7 +224,7 @@
             AccountingEvent::Lost => tally.lost += 1,
             AccountingEvent::Begun => {}
             AccountingEvent::Started(part) => {
-                for promise in accounted(promises).filter(|p| p.what == What::Started) {
+                for promise in accounted(promises).filter(|p| p.what == PromiseKind::Started) {
                     tally.promise(promise.at).note(age.as_secs_f64() <= promise.within_s, part);
                 }
             }
@@ -317,7 +232,7 @@
     }
 
     /// The account as of now: what lies in the window, and what open jobs have missed already.
-    pub fn look<'a>(&mut self, open: impl Iterator<Item = OpenJob<'a>>, now: Instant) -> &[ServiceLevel] {
+    pub fn update<'a>(&mut self, open: impl Iterator<Item = OpenJob<'a>>, now: Instant) -> &[ServiceLevel] {
         let newest = self.number(now);
         let mut sums: BTreeMap<(Subject, &str), Tally> = BTreeMap::new();
         for part in self.parts.iter().filter(|p| p.number + PARTS > newest) {
@@ -341,7 +256,7 @@
                 // its time has passed.
                 let lost = |p: &Promise| age > p.within_s || (job.waits && p.start_left_s(job.run, job.age) <= 0.0);
                 for promise in accounted(job.promises).filter(lost) {
-                    let missed = if promise.what == What::Started { job.untouched } else { 1.0 };
+                    let missed = if promise.what == PromiseKind::Started { job.untouched } else { 1.0 };
                     tally.promise(promise.at).missed += missed;
                 }
                 tally.overdue += u64::from(job.promises.iter().all(|p| p.within_s < age));
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -476,10 +476,10 @@
     }
     account.ended(&record(one.clone()), Some(End::Cancelled), s(50.0), at(2.0));
     account.note(AccountingEvent::Lost, &one, &promises, s(5.0), at(2.0));
-    let row = tally(account.look([].into_iter(), at(3.0)), "small");
+    let row = tally(account.update([].into_iter(), at(3.0)), "small");
     assert_eq!((row.offered, row.done, row.given_up, row.lost, row.overdue), (10, 10, 1, 1, 0));
     let waits = open(&one, &promises, 120.0, 0.5);
-    let row = tally(account.look([waits].into_iter(), at(3.0)), "small");
+    let row = tally(account.update([waits].into_iter(), at(3.0)), "small");
     assert_eq!(
         (row.started, row.overdue),
         (PromiseCounts { kept: 6.0, missed: 4.5 }, 1),
@@ -488,7 +488,7 @@
     assert!((row.served - 6.0 / 10.5 / 0.8).abs() < 1e-9, "the worst promise against what is asked: {}", row.served);
     assert!(row.below, "0.71 of 0.75");
     assert_eq!(tally(account.rows(), "red").served, row.served, "the team as well");
-    assert!(account.look([].into_iter(), at(200.0)).is_empty(), "forgotten after the window");
+    assert!(account.update([].into_iter(), at(200.0)).is_empty(), "forgotten after the window");
 }
 
 /// Who goes first is told by what each would get by its offered work.
@@ -515,7 +515,7 @@
                 account.ended(&record(one.clone()), Some(End::Done), s(if n < *in_time { 50.0 } else { 300.0 }), now);
             }
         }
-        let rows = account.look([].into_iter(), now).to_vec();
+        let rows = account.update([].into_iter(), now).to_vec();
         let names = |chosen: fn(&&ServiceLevel) -> bool| {
             let mut names: Vec<String> = rows.iter().filter(chosen).map(|r| r.name.clone()).collect();
             names.sort();
@@ -564,12 +564,12 @@
         }
         // A job that has missed its start and is open still: both see it, and it counts once.
         let late = || [open(&one, &promises, 120.0, 1.0)].into_iter();
-        let rows = accounts[leader].look(late(), at(t + 5.0)).to_vec();
+        let rows = accounts[leader].update(late(), at(t + 5.0)).to_vec();
         let successor = 1 - leader;
         accounts[successor].take_over(&rows, at(t + 5.0));
         // What is told late, by one that was replaced since, is passed over.
         accounts[successor].take_over(&rows, at(t));
-        let inherited = accounts[successor].look(late(), at(t + 5.0)).to_vec();
+        let inherited = accounts[successor].update(late(), at(t + 5.0)).to_vec();
         assert_eq!(tally(&inherited, "small").started, tally(&rows, "small").started, "round {round}");
         assert_eq!(inherited, rows, "round {round}");
         assert_eq!(tally(&rows, "small").started.kept, 3.0 * f64::from(round + 1), "round {round}");
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -19,58 +19,58 @@
 const KEPT_S: f64 = 60.0;
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
-pub fn order(cluster: &ClusterState, turns: &mut [plan::Turn]) {
+pub fn order(cluster: &ClusterState, queued_jobs: &mut [plan::QueuedJob]) {
     if let Some(ahead) = &cluster.intents.ahead {
-        mark_ahead(cluster, ahead, turns);
-        ahead_first(turns);
+        mark_ahead(cluster, ahead, queued_jobs);
+        ahead_first(queued_jobs);
     }
     if !cluster.intents.turns.is_empty() {
-        in_turn(&cluster.intents.turns, turns);
+        in_turn(&cluster.intents.turns, queued_jobs);
     }
 }
 
 /// Beyond teams short of their guarantee and who is below the floor, who keep their place.
-fn by_return(turn: &plan::Turn) -> bool {
-    !turn.quarantined && !turn.guaranteed && turn.rank != Rank::First
+fn by_return(queued: &plan::QueuedJob) -> bool {
+    !queued.quarantined && !queued.guaranteed && queued.rank != Rank::First
 }
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
-fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, turns: &mut [plan::Turn]) {
+fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, queued_jobs: &mut [plan::QueuedJob]) {
     let given: f64 = cluster.usage.values().map(|(cpus, _)| cpus).sum();
     let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
     let most = given * ahead.most_part;
-    let mut asked: Vec<&mut plan::Turn> =
-        turns.iter_mut().filter(|t| !t.quarantined && ahead.names.has(t.job.spec())).collect();
-    asked.sort_by_key(|turn| Reverse(turn.age));
-    for turn in asked {
-        let (spec, waiting) = (turn.job.spec(), turn.job.waiting.len());
-        let left = if taken > 0.0 { most - taken } else { most.max(turn.job.cores_at_once()) };
+    let mut asked: Vec<&mut plan::QueuedJob> =
+        queued_jobs.iter_mut().filter(|t| !t.quarantined && ahead.names.has(t.job.spec())).collect();
+    asked.sort_by_key(|queued| Reverse(queued.age));
+    for queued in asked {
+        let (spec, waiting) = (queued.job.spec(), queued.job.waiting.len());
+        let left = if taken > 0.0 { most - taken } else { most.max(queued.job.cores_at_once()) };
         let tasks = if spec.cpus > 0.0 { ((left + SLACK) / spec.cpus).max(0.0) as usize } else { waiting };
         if tasks == 0 || (spec.is_gang() && tasks < waiting) {
             continue;
         }
-        turn.ahead = true;
+        queued.ahead = true;
         taken += tasks.min(waiting) as f64 * spec.cpus;
-        if by_return(turn) {
-            turn.most = tasks;
+        if by_return(queued) {
+            queued.most = tasks;
         }
     }
 }
 
 /// Among those of one urgency who go ahead take the first places that any of them has; nobody else's
 /// place changes.
-pub fn ahead_first(turns: &mut [plan::Turn]) {
+pub fn ahead_first(queued_jobs: &mut [plan::QueuedJob]) {
     let mut places: BTreeMap<Urgency, Vec<usize>> = BTreeMap::new();
-    for (at, turn) in turns.iter().enumerate().filter(|(_, t)| by_return(t)) {
-        places.entry(turn.job.spec().urgency).or_default().push(at);
+    for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| by_return(t)) {
+        places.entry(queued.job.spec().urgency).or_default().push(at);
     }
     for places in places.values() {
-        let mut of: Vec<plan::Turn> = places.iter().map(|at| turns[*at]).collect();
-        of.sort_by_key(|turn| !turn.ahead);
-        for (at, turn) in places.iter().zip(of) {
-            turns[*at] = turn;
+        let mut of: Vec<plan::QueuedJob> = places.iter().map(|at| queued_jobs[*at]).collect();
+        of.sort_by_key(|queued| !queued.ahead);
+        for (at, queued) in places.iter().zip(of) {
+            queued_jobs[*at] = queued;
         }
     }
 }
@@ -89,17 +89,17 @@
 
 /// Jobs of one window take the places that they have in the order of their turns. Where they stand
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
-fn in_turn(intended: &HashMap<JobId, WindowPlace>, turns: &mut [plan::Turn]) {
+fn in_turn(intended: &HashMap<JobId, WindowPlace>, queued_jobs: &mut [plan::QueuedJob]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
-    for (at, turn) in turns.iter().enumerate().filter(|(_, t)| !t.quarantined) {
-        if let Some(intent) = intended.get(turn.id) {
+    for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| !t.quarantined) {
+        if let Some(intent) = intended.get(queued.id) {
             windows.entry(&intent.window).or_default().push((at, intent.number));
         }
     }
     // Where each is to stand: at its place, or right behind another's.
-    let mut place: Vec<(usize, u32)> = (0..turns.len()).map(|at| (at, 0)).collect();
+    let mut place: Vec<(usize, u32)> = (0..queued_jobs.len()).map(|at| (at, 0)).collect();
     for mut of in windows.into_values() {
-        let alike = |at: usize| (turns[at].guaranteed, turns[at].rank);
+        let alike = |at: usize| (queued_jobs[at].guaranteed, queued_jobs[at].rank);
         let places: Vec<usize> = of.iter().map(|(at, _)| *at).collect();
         of.sort_by_key(|(at, number)| (*number, *at));
         let mut free = places.clone();
@@ -110,11 +110,11 @@
             place[at] = (last, number);
         }
     }
-    let before: Vec<plan::Turn> = turns.to_vec();
-    let mut order: Vec<usize> = (0..turns.len()).collect();
+    let before: Vec<plan::QueuedJob> = queued_jobs.to_vec();
+    let mut order: Vec<usize> = (0..queued_jobs.len()).collect();
     order.sort_by_key(|at| (place[*at], *at));
-    for (turn, at) in turns.iter_mut().zip(order) {
-        *turn = before[at];
+    for (queued, at) in queued_jobs.iter_mut().zip(order) {
+        *queued = before[at];
     }
 }
 
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -20,10 +20,10 @@
 
 use super::cluster::{ClusterState, Placement};
 use crate::machine_kinds::Catalog;
-use decide::{Decided, decide};
+use decide::{PlanOutcome, decide};
 
 pub use super::room::SLACK;
-pub use queue::{Turn, queue};
+pub use queue::{QueuedJob, queue};
 pub use quotas::Quotas;
 
 /// Room is kept for gangs for so long in a row, and not once anybody has waited so long beside room; then whoever waits
@@ -49,7 +49,7 @@
     }
     let spell = cluster.keeping.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
-    let Decided { placements, looked, kept, passed_over } = decide(cluster, catalog, may_keep, now);
+    let PlanOutcome { placements, rooms_examined, kept, passed_over } = decide(cluster, catalog, may_keep, now);
     for placement in &placements {
         if cluster.passed_over.overdue(&placement.task.job, now) {
             cluster.take_back(&placement.machine);
@@ -61,5 +61,5 @@
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
         cluster.keeping = None;
     }
-    (placements, looked)
+    (placements, rooms_examined)
 }
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use super::queue::Turn;
+use super::queue::QueuedJob;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::room::{Ground, Room, Zones, usable};
@@ -17,10 +17,11 @@
 }
 
 /// Ordinary kinds open to work that waits and may use no cheap ones.
-pub(super) fn sought(ground: &Ground, turns: &[Turn]) -> Rc<[bool]> {
+pub(super) fn sought(ground: &Ground, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
-    for turn in turns.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
-        for (sought, open) in sought.iter_mut().zip(ground.open_to(turn.job.spec(), &Zones::none(turn.job.spec()))) {
+    for queued in queued_jobs.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
+        for (sought, open) in sought.iter_mut().zip(ground.open_to(queued.job.spec(), &Zones::none(queued.job.spec())))
+        {
             *sought |= open;
         }
     }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-use super::queue::{Turn, queue};
+use super::queue::{QueuedJob, queue};
 use super::quotas::Quotas;
 use super::search::{PlacedTask, Plan};
 use crate::jobs::{JobId, JobSpec};
@@ -19,10 +19,10 @@
 
 /// What one plan comes to.
 #[derive(Default)]
-pub(super) struct Decided {
+pub(super) struct PlanOutcome {
     pub(super) placements: Vec<Placement>,
     /// How many rooms were looked at.
-    pub(super) looked: u64,
+    pub(super) rooms_examined: u64,
     /// Whether any was kept for a gang.
     pub(super) kept: bool,
     /// Jobs that wait although a room fits.
@@ -37,82 +37,84 @@
 }
 
 /// What can be placed now, job after job in the order of the queue.
-pub(super) fn decide(cluster: &ClusterState, catalog: &Catalog, may_keep: bool, now: Instant) -> Decided {
-    let mut decided = Decided::default();
-    let mut turns = queue(cluster, now);
-    if turns.is_empty() {
+pub(super) fn decide(cluster: &ClusterState, catalog: &Catalog, may_keep: bool, now: Instant) -> PlanOutcome {
+    let mut decided = PlanOutcome::default();
+    let mut queued_jobs = queue(cluster, now);
+    if queued_jobs.is_empty() {
         return decided;
     }
-    let earned = advance_late_work(cluster, &mut turns);
-    let mut plan = Plan::new(cluster, catalog, &turns, now);
+    let earned = advance_late_work(cluster, &mut queued_jobs);
+    let mut plan = Plan::new(cluster, catalog, &queued_jobs, now);
     let mut quotas = Quotas::new(cluster);
     let mut idle_begun = false;
-    for turn in turns {
-        if turn.rank == Rank::Idle && !std::mem::replace(&mut idle_begun, true) {
+    for queued in queued_jobs {
+        if queued.rank == Rank::Idle && !std::mem::replace(&mut idle_begun, true) {
             plan.keep_for_arrivals(cluster);
         }
         if decided.placements.len() >= MOST_PLACEMENTS {
             break;
         }
-        let earned = earned.as_ref().filter(|earned| earned.job == turn.id);
+        let earned = earned.as_ref().filter(|earned| earned.job == queued.id);
         let left = MOST_PLACEMENTS - decided.placements.len();
-        let most = most_tasks(cluster, &turn, earned, &quotas, left, now);
+        let most = most_tasks(cluster, &queued, earned, &quotas, left, now);
         if most == 0 {
             continue;
         }
-        let keep = may_keep && (turn.credited || earned.is_some());
-        let mut zones = Zones::new(cluster, turn.job);
-        let placed = plan.place_job(&turn, &mut zones, most, keep);
-        quotas.take(turn.job.spec(), placed.len() as f64);
-        if plan.passes_over(&turn, &zones, placed.len(), &quotas) {
-            decided.passed_over.insert(turn.id.clone());
+        let keep = may_keep && (queued.credited || earned.is_some());
+        let mut zones = Zones::new(cluster, queued.job);
+        let placed = plan.place_job(&queued, &mut zones, most, keep);
+        quotas.take(queued.job.spec(), placed.len() as f64);
+        if plan.passes_over(&queued, &zones, placed.len(), &quotas) {
+            decided.passed_over.insert(queued.id.clone());
         }
-        decided.placements.extend(placements(&turn, placed));
+        decided.placements.extend(placements(&queued, placed));
     }
-    decided.looked = plan.looked;
+    decided.rooms_examined = plan.rooms_examined;
     decided.kept = !plan.kept.is_empty();
     decided
 }
 
 /// Late work goes first as far as it has earned, the oldest of it.
-fn advance_late_work<'a>(cluster: &ClusterState, turns: &mut Vec<Turn<'a>>) -> Option<Earned<'a>> {
+fn advance_late_work<'a>(cluster: &ClusterState, queued_jobs: &mut Vec<QueuedJob<'a>>) -> Option<Earned<'a>> {
     let credit = cluster.core_credit.credit();
-    let late =
-        turns.iter().enumerate().filter(|(_, t)| t.late && !t.guaranteed && !t.quarantined && t.rank != Rank::Idle);
+    let late = queued_jobs
+        .iter()
+        .enumerate()
+        .filter(|(_, t)| t.late && !t.guaranteed && !t.quarantined && t.rank != Rank::Idle);
     let (at, oldest) = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
     let needs = oldest.job.cores_at_once();
     if needs > credit {
         return None;
     }
-    let turn = turns.remove(at);
-    let behind_guaranteed = turns.iter().take_while(|t| t.guaranteed).count();
-    turns.insert(behind_guaranteed, turn);
-    Some(Earned { job: turn.id, tasks: (credit / needs.max(SLACK)) as usize })
+    let queued = queued_jobs.remove(at);
+    let behind_guaranteed = queued_jobs.iter().take_while(|t| t.guaranteed).count();
+    queued_jobs.insert(behind_guaranteed, queued);
+    Some(Earned { job: queued.id, tasks: (credit / needs.max(SLACK)) as usize })
 }
 
 /// How many tasks of a job may be placed in its turn, of `left` that the plan may still place.
 fn most_tasks(
     cluster: &ClusterState,
-    turn: &Turn,
+    queued: &QueuedJob,
     earned: Option<&Earned>,
     quotas: &Quotas,
     left: usize,
     now: Instant,
 ) -> usize {
-    let (job, spec) = (turn.job, turn.job.spec());
-    let most = turn.most.min(left);
+    let (job, spec) = (queued.job, queued.job.spec());
+    let most = queued.most.min(left);
     if spec.is_gang() {
         return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
     }
-    let mut most = within_quota(quotas, spec, most.min(cluster.intents.waiting(turn.id, job)));
-    let overdue = cluster.passed_over.overdue(turn.id, now);
+    let mut most = within_quota(quotas, spec, most.min(cluster.intents.waiting(queued.id, job)));
+    let overdue = cluster.passed_over.overdue(queued.id, now);
     if let Some(earned) = earned.filter(|_| !overdue) {
         most = most.min(earned.tasks);
     }
-    if overdue && turn.rank == Rank::Idle && job.bound.is_empty() {
+    if overdue && queued.rank == Rank::Idle && job.bound.is_empty() {
         most = most.min(1);
     }
-    if turn.quarantined && !overdue {
+    if queued.quarantined && !overdue {
         most = most.min(PROBES.saturating_sub(job.bound.len()));
     }
     most
@@ -129,8 +131,8 @@
 }
 
 /// The placements of one job, with the numbers of their attempts.
-fn placements<'a>(turn: &Turn<'a>, placed: Vec<PlacedTask>) -> impl Iterator<Item = Placement> + use<'a> {
-    let (id, job) = (turn.id, turn.job);
+fn placements<'a>(queued: &QueuedJob<'a>, placed: Vec<PlacedTask>) -> impl Iterator<Item = Placement> + use<'a> {
+    let (id, job) = (queued.id, queued.job);
     // The tasks of a gang find one another by a common attempt number.
     let gang_attempt = job.spec().is_gang().then(|| job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1);
     let attempt_of = |index: u32| job.tasks.get(index as usize).map_or(0, |t| t.attempt) + 1;
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::candidate::Candidate;
-use super::queue::Turn;
+use super::queue::QueuedJob;
 use crate::jobs::JobId;
 use crate::scheduling::backfill::Backfill;
 use crate::scheduling::cluster::{JobState, MachineId};
@@ -62,7 +62,7 @@
 impl<'a> Demand<'a> {
     /// A task of the job whose turn it is.
     pub(super) fn new(
-        turn: &Turn<'a>,
+        queued: &QueuedJob<'a>,
         attribution: &'a FailureAttribution,
         backfill: Option<Rc<Backfill>>,
         open: Vec<bool>,
@@ -70,14 +70,14 @@
         overdue: bool,
         now: Instant,
     ) -> Self {
-        let (job, age) = (turn.job, turn.age);
+        let (job, age) = (queued.job, queued.age);
         let agreement = &job.agreement;
         Self {
-            id: turn.id,
+            id: queued.id,
             job,
             over: now + agreement.run,
             pressed: agreement.within_reach(age) && !agreement.within_reach(age + PRESSED_WITHIN),
-            first: turn.rank == Rank::First || turn.credited,
+            first: queued.rank == Rank::First || queued.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
             backfill,
@@ -89,8 +89,8 @@
             hard: agreement.within_reach(age),
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
             wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
-            failed_on: attribution.failed_on(turn.id),
-            held_back: attribution.held_back(turn.id, now),
+            failed_on: attribution.failed_on(queued.id),
+            held_back: attribution.held_back(queued.id, now),
             open,
             sought,
         }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -13,7 +13,7 @@
 
 impl<'a> Plan<'a> {
     /// Takes the room that there is for a gang, in the zone that has most of it, out of this plan.
-    pub(super) fn keep_pieces(&mut self, demand: &Demand<'a>) {
+    pub(super) fn keep_room_for_gang(&mut self, demand: &Demand<'a>) {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut zones = self.units_by_zone(demand);
@@ -40,7 +40,7 @@
     }
 
     /// Work like this found no room. Shared with the idle jobs that are placed after it, not copied for each.
-    pub(super) fn note_waits(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+    pub(super) fn record_waiting(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
         if !spec.is_idle() {
             Rc::make_mut(&mut self.wanted).waits(spec, open, quarantined);
         }
--- a/src/scheduling/plan/large_first.rs
+++ b/src/scheduling/plan/large_first.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-use super::queue::Turn;
+use super::queue::QueuedJob;
 use crate::jobs::JobId;
 use crate::scheduling::large::{LargeGangs, PATIENCE};
 
 /// The one that has waited longest of the largest that begin with their first task, idle work too, that has
 /// not begun and of which nothing is on its way: one task of it is little, and goes first.
-pub(super) fn to_begin<'a>(large: &LargeGangs, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
-    let may = |t: &&Turn<'a>| {
+pub(super) fn to_begin<'a>(large: &LargeGangs, queued_jobs: &[QueuedJob<'a>], within: Duration) -> Option<&'a JobId> {
+    let may = |t: &&QueuedJob<'a>| {
         let spec = t.job.spec();
         let waits = t.age >= within.mul_f64(PATIENCE) && !t.job.begun() && t.job.bound.is_empty();
         waits && !t.quarantined && !spec.is_gang() && large.is_largest(spec)
     };
-    turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
+    queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
 }
 
 /// Who of those that wait goes first now: the one that has waited longest, once enough is earned for it.
-pub(super) fn credited<'a>(large: &LargeGangs, turns: &[Turn<'a>], within: Duration) -> Option<&'a JobId> {
-    let may = |t: &&Turn<'a>| !t.quarantined && large.may_go_first(t.job.spec(), t.age, within);
-    let oldest = turns.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
+pub(super) fn credited<'a>(large: &LargeGangs, queued_jobs: &[QueuedJob<'a>], within: Duration) -> Option<&'a JobId> {
+    let may = |t: &&QueuedJob<'a>| !t.quarantined && large.may_go_first(t.job.spec(), t.age, within);
+    let oldest = queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
     (oldest.job.cores_at_once() <= large.credit()).then_some(oldest.id)
 }
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -3,19 +3,19 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::queue::Turn;
+use super::queue::QueuedJob;
 use super::quotas::Quotas;
 use super::search::Plan;
-use super::unfit::Unfit;
+use super::unfit::UnfitRequest;
 use crate::scheduling::cluster::JobState;
 use crate::scheduling::room::{Room, Zones};
 
 impl<'a> Plan<'a> {
     /// Whether a job of which so many tasks were placed in this plan has more that some room fits, by the machines, its
     /// own words and its team's limit alone.
-    pub fn passes_over(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
-        let (job, spec) = (turn.job, turn.job.spec());
-        let waiting = self.cluster.intents.waiting(turn.id, job);
+    pub fn passes_over(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
+        let (job, spec) = (queued.job, queued.job.spec());
+        let waiting = self.cluster.intents.waiting(queued.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
             return false;
         }
@@ -28,13 +28,13 @@
     fn fits_somewhere(&mut self, job: &'a JobState, zones: &Zones<'a>, need: usize, kept_from: bool) -> bool {
         let spec = job.spec();
         let open = self.ground.open_to(spec, zones);
-        if self.full.iter().any(|full| full.covers(job, need, &open)) {
+        if self.unfit_anywhere.iter().any(|unfit_anywhere| unfit_anywhere.covers(job, need, &open)) {
             return false;
         }
         let mut by_zone: HashMap<&str, u64> = HashMap::new();
         let most_in_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u64::MAX };
         for at in 0..self.rooms.len() {
-            self.looked += 1;
+            self.rooms_examined += 1;
             let kind = self.rooms[at].kind;
             if open.get(kind) != Some(&true) || (kept_from && self.rooms[at].kept) {
                 continue;
@@ -50,7 +50,7 @@
         // A spread gang was refused rooms that others may use; for single tasks `open` says all of it.
         let refused_by_spread = spec.is_gang() && spec.spread;
         if !kept_from && !refused_by_spread {
-            self.full.push(Unfit { spec, run: Duration::ZERO, tasks: need, open });
+            self.unfit_anywhere.push(UnfitRequest { spec, run: Duration::ZERO, tasks: need, open });
         }
         false
     }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -12,7 +12,7 @@
 
 /// A job's place in the queue.
 #[derive(Clone, Copy)]
-pub struct Turn<'a> {
+pub struct QueuedJob<'a> {
     /// The id of the job.
     pub id: &'a JobId,
     /// Its state.
@@ -38,16 +38,16 @@
 
 /// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
 /// still be in time, then by return; work of no return by age.
-pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<Turn<'_>> {
-    let mut turns: Vec<Turn> = cluster
+pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<QueuedJob<'_>> {
+    let mut queued_jobs: Vec<QueuedJob> = cluster
         .jobs()
         .filter(|(id, job)| may_be_placed(cluster, id, job, now))
-        .map(|(id, job)| turn(cluster, id, job, now))
+        .map(|(id, job)| queued(cluster, id, job, now))
         .collect();
-    mark_large(cluster, &mut turns);
-    turns.sort_by(by_precedence);
-    intents::order(cluster, &mut turns);
-    turns
+    mark_large(cluster, &mut queued_jobs);
+    queued_jobs.sort_by(by_precedence);
+    intents::order(cluster, &mut queued_jobs);
+    queued_jobs
 }
 
 /// Whether tasks of the job wait that may be placed now.
@@ -59,11 +59,11 @@
         && !cluster.intents.not_yet.contains(id)
 }
 
-fn turn<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> Turn<'a> {
+fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
     let age = now.saturating_duration_since(job.since);
     let late = job.too_late(age);
     let first = cluster.below.first.has(job.spec()) || cluster.intents.short(id);
-    Turn {
+    QueuedJob {
         id,
         job,
         guaranteed: within_guarantee(cluster, job.spec()),
@@ -79,20 +79,20 @@
 }
 
 /// Marks the large job for which room is kept, and the one of which a first task is to begin.
-fn mark_large(cluster: &ClusterState, turns: &mut [Turn]) {
-    let credited = credited(&cluster.large, turns, cluster.properties.large_begin);
-    let to_begin = to_begin(&cluster.large, turns, cluster.properties.large_begin);
-    for turn in turns {
-        turn.credited = credited == Some(turn.id);
-        if to_begin == Some(turn.id) {
-            turn.credited = true;
-            turn.most = 1;
-            turn.rank = turn.rank.min(Rank::ByReturn);
+fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
+    let credited = credited(&cluster.large, queued_jobs, cluster.properties.large_begin);
+    let to_begin = to_begin(&cluster.large, queued_jobs, cluster.properties.large_begin);
+    for queued in queued_jobs {
+        queued.credited = credited == Some(queued.id);
+        if to_begin == Some(queued.id) {
+            queued.credited = true;
+            queued.most = 1;
+            queued.rank = queued.rank.min(Rank::ByReturn);
         }
     }
 }
 
-fn by_precedence(a: &Turn, b: &Turn) -> Ordering {
+fn by_precedence(a: &QueuedJob, b: &QueuedJob) -> Ordering {
     (a.quarantined.cmp(&b.quarantined))
         .then(b.guaranteed.cmp(&a.guaranteed))
         .then(a.rank.cmp(&b.rank))
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -7,8 +7,8 @@
 use super::available::{giving, held, sought};
 use super::candidate::Candidate;
 use super::demand::Demand;
-use super::queue::Turn;
-use super::unfit::Unfit;
+use super::queue::QueuedJob;
+use super::unfit::UnfitRequest;
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill::Backfill;
@@ -49,9 +49,9 @@
     pub(super) intents: &'a Intents,
     pub(super) ground: Ground<'a>,
     pub(super) rooms: Vec<Room<'a>>,
-    pub(super) unfit: Vec<Unfit<'a>>,
+    pub(super) unfit: Vec<UnfitRequest<'a>>,
     /// What fits nowhere even if nothing is kept from it.
-    pub(super) full: Vec<Unfit<'a>>,
+    pub(super) unfit_anywhere: Vec<UnfitRequest<'a>>,
     /// Pieces of rooms that were kept for gangs.
     pub(super) set_aside: Vec<SetAside<'a>>,
     /// What more urgent work than idle found no room for.
@@ -63,15 +63,15 @@
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
     pub(super) kept: Vec<&'a str>,
     /// How many rooms were looked at.
-    pub looked: u64,
+    pub rooms_examined: u64,
 }
 
 impl<'a> Plan<'a> {
     /// A plan for these jobs, before anything is placed.
-    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, turns: &[Turn], now: Instant) -> Self {
+    pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, queued_jobs: &[QueuedJob], now: Instant) -> Self {
         let ground = Ground::new(cluster, catalog);
         let suspect = suspect_after(cluster);
-        let least = turns.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
+        let least = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
         let rooms = cluster
             .machines
             .values()
@@ -81,7 +81,7 @@
             .map(|r| held(cluster, r, now))
             .collect();
         let giving = giving(cluster, &ground, suspect, now);
-        let sought = sought(&ground, turns);
+        let sought = sought(&ground, queued_jobs);
         Self {
             cluster,
             attribution: &cluster.attribution,
@@ -91,17 +91,17 @@
             ground,
             rooms,
             unfit: Vec::new(),
-            full: Vec::new(),
+            unfit_anywhere: Vec::new(),
             set_aside: Vec::new(),
             wanted: Rc::default(),
             now,
             kept: Vec::new(),
-            looked: 0,
+            rooms_examined: 0,
         }
     }
 
     /// Places up to `most` tasks, the best machine first, and gives them with their rooms.
-    pub(super) fn fill(
+    pub(super) fn place_greedily(
         &mut self,
         demand: &Demand<'a>,
         zones: &mut Zones<'a>,
@@ -110,7 +110,7 @@
     ) -> Vec<Pick> {
         let ground = &self.ground;
         let in_zone = |room: &Room| only.is_none_or(|z| z == ground.zone(room.kind));
-        self.looked += self.rooms.len() as u64;
+        self.rooms_examined += self.rooms.len() as u64;
         let mut heap: BinaryHeap<Candidate> = self
             .rooms
             .iter()
@@ -121,7 +121,7 @@
         let mut picks = Vec::new();
         for index in demand.startable().take(most) {
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
-            self.looked += 1;
+            self.rooms_examined += 1;
             demand.occupy(&mut self.rooms[best]);
             zones.take(self.ground.zone(self.rooms[best].kind));
             picks.push(Pick { index, at: best });
@@ -144,27 +144,36 @@
 
     /// Places as many tasks of one job as there is room for; all or none of a gang.
     /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
-    pub fn place_job(&mut self, turn: &Turn<'a>, zones: &mut Zones<'a>, most: usize, keep: bool) -> Vec<PlacedTask> {
-        let (job, spec) = (turn.job, turn.job.spec());
+    pub fn place_job(
+        &mut self,
+        queued: &QueuedJob<'a>,
+        zones: &mut Zones<'a>,
+        most: usize,
+        keep: bool,
+    ) -> Vec<PlacedTask> {
+        let (job, spec) = (queued.job, queued.job.spec());
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
-        let waiting = self.intents.waiting(turn.id, job);
+        let waiting = self.intents.waiting(queued.id, job);
         let keep = keep && spec.is_gang();
-        let demand = self.demand(turn, zones, waiting);
+        let demand = self.demand(queued, zones, waiting);
         if !keep && self.known_unfit(&demand, tasks) {
-            self.note_waits(spec, &demand.open, turn.quarantined);
+            self.record_waiting(spec, &demand.open, queued.quarantined);
             return Vec::new();
         }
-        let picks =
-            if spec.is_gang() { self.place_gang(&demand, zones) } else { self.fill(&demand, zones, most, None) };
+        let picks = if spec.is_gang() {
+            self.place_gang(&demand, zones)
+        } else {
+            self.place_greedily(&demand, zones, most, None)
+        };
         let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
         if short {
-            self.note_waits(spec, &demand.open, turn.quarantined);
+            self.record_waiting(spec, &demand.open, queued.quarantined);
         }
         if short && keep {
-            self.keep_pieces(&demand);
+            self.keep_room_for_gang(&demand);
         }
         if short {
-            self.note_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
+            self.record_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
         }
         let rooms = &self.rooms;
         let placed = |pick: Pick| Some(PlacedTask { index: pick.index, machine: rooms[pick.at].machine?.id.clone() });
@@ -172,7 +181,7 @@
     }
 
     /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
-    fn note_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
+    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
         let (job, spec) = (demand.job, demand.job.spec());
         // A spread gang was refused rooms that others may use.
         if spec.is_gang() && spec.spread {
@@ -185,20 +194,20 @@
             return;
         }
         let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
-        self.unfit.push(Unfit { spec, run: job.agreement.run, tasks, open });
+        self.unfit.push(UnfitRequest { spec, run: job.agreement.run, tasks, open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
-    fn demand(&mut self, turn: &Turn<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
-        let spec = turn.job.spec();
+    fn demand(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
+        let spec = queued.job.spec();
         let open = self.ground.open_to(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
-        let backfill = (spec.is_idle() && turn.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.cluster.passed_over.overdue(turn.id, self.now);
-        let mut demand = Demand::new(turn, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped(turn.id));
+        let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
+        let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
+        let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
+        demand.held_back.extend(self.intents.stopped(queued.id));
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
-        if turn.ahead {
+        if queued.ahead {
             demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
             demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
@@ -233,13 +242,13 @@
     pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
-        self.looked += self.rooms.len() as u64;
+        self.rooms_examined += self.rooms.len() as u64;
         let mut enough: Vec<&str> =
             self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
         enough.sort_unstable();
         for zone in enough {
             let before = zones.counts();
-            let picks = self.fill(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
+            let picks = self.place_greedily(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
             if picks.len() == need {
                 return picks;
             }
--- a/src/scheduling/plan/unfit.rs
+++ b/src/scheduling/plan/unfit.rs
@@ -7,14 +7,14 @@
 
 /// What found no room in this plan. Room only shrinks within a plan, so work that asks for at
 /// least as much, on no other machines, need not look.
-pub(super) struct Unfit<'a> {
+pub(super) struct UnfitRequest<'a> {
     pub(super) spec: &'a JobSpec,
     pub(super) run: Duration,
     pub(super) tasks: usize,
     pub(super) open: Vec<bool>,
 }
 
-impl Unfit<'_> {
+impl UnfitRequest<'_> {
     pub(super) fn covers(&self, job: &JobState, tasks: usize, open: &[bool]) -> bool {
         let spec = job.spec();
         // Shorter work may yet end before what is held is wanted.
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -10,7 +10,7 @@
 use tracing::info;
 
 use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase, Reservation};
-use super::plan::{Quotas, SLACK, Turn, queue};
+use super::plan::{QueuedJob, Quotas, SLACK, queue};
 use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
@@ -72,12 +72,12 @@
     let ground = Ground::new(cluster, catalog);
     // Whoever may stop nothing need not look.
     let lowest = cluster.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
-    let turns = queue(cluster, now);
-    let may = turns.iter().filter(|t| !t.quarantined && (lowest < t.job.spec().urgency || t.guaranteed));
-    for turn in may.take(MOST_JOBS) {
-        let (job, spec) = (turn.job, turn.job.spec());
+    let queued_jobs = queue(cluster, now);
+    let may = queued_jobs.iter().filter(|t| !t.quarantined && (lowest < t.job.spec().urgency || t.guaranteed));
+    for queued in may.take(MOST_JOBS) {
+        let (job, spec) = (queued.job, queued.job.spec());
         let need = if spec.is_gang() { job.waiting.len() as u64 } else { 1 };
-        let waited = job.last_end.map_or(turn.age, |t| now.saturating_duration_since(t));
+        let waited = job.last_end.map_or(queued.age, |t| now.saturating_duration_since(t));
         let after = if lowest == Urgency::Idle && !spec.is_idle() { Duration::ZERO } else { AFTER };
         if waited < after || !quotas.allows(spec, need as f64) {
             continue;
@@ -85,10 +85,10 @@
         let zones = Zones::new(cluster, job);
         let open = ground.open_to(spec, &zones);
         let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
-        let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *turn.id));
-        let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, turn, &open, need, now)).collect();
+        let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *queued.id));
+        let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, queued, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
-        let waiting = cluster.intents.waiting(turn.id, job) as u64;
+        let waiting = cluster.intents.waiting(queued.id, job) as u64;
         let wanted = if spec.is_gang() { need } else { waiting.min(MOST_MACHINES as u64) };
         let Some(chosen) = choose(places, spec, &zones, need, wanted) else { continue };
         let stops: Vec<(MachineId, Victims)> = chosen.into_iter().map(|p| (p.machine.id.clone(), p.victims)).collect();
@@ -96,7 +96,7 @@
         if stops.iter().all(|(_, victims)| victims.is_empty()) {
             continue;
         }
-        return Some((turn.id.clone(), stops));
+        return Some((queued.id.clone(), stops));
     }
     None
 }
@@ -147,15 +147,16 @@
     cluster: &'a ClusterState,
     ground: &Ground<'a>,
     machine: &'a Machine,
-    turn: &Turn,
+    queued: &QueuedJob,
     open: &[bool],
     need: u64,
     now: Instant,
 ) -> Option<Place<'a>> {
-    let spec = turn.job.spec();
+    let spec = queued.job.spec();
     let mut room = ground.room(machine).filter(|r| open[r.kind])?;
     let may_stop = |other: &JobSpec| {
-        other.urgency < spec.urgency || (turn.guaranteed && other.team != spec.team && beyond_guarantee(cluster, other))
+        other.urgency < spec.urgency
+            || (queued.guaranteed && other.team != spec.team && beyond_guarantee(cluster, other))
     };
     let mut stoppable: Vec<(f64, TaskKey, &JobSpec)> = Vec::new();
     for key in &machine.bound {
@@ -172,7 +173,7 @@
     stoppable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let (mut victims, mut lost) = (Vec::new(), 0.0);
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
-    let most = if spec.is_gang() { need } else { cluster.intents.waiting(turn.id, turn.job) as u64 };
+    let most = if spec.is_gang() { need } else { cluster.intents.waiting(queued.id, queued.job) as u64 };
     let mut emptied = room;
     stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
     let most_here = emptied.units(spec, most).max(1);
--- a/src/scheduling/promises.rs
+++ b/src/scheduling/promises.rs
@@ -17,7 +17,7 @@
 
 /// What is to happen in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum What {
+pub enum PromiseKind {
     /// The job's tasks have started.
     Started,
     /// The job is done.
@@ -30,7 +30,7 @@
     /// The number of its objective in the settings, `OWN` or `LARGEST`.
     pub at: u16,
     /// What is to happen.
-    pub what: What,
+    pub what: PromiseKind,
     /// Seconds from the submission.
     pub within_s: f64,
 }
@@ -40,9 +40,9 @@
     fn of(at: usize, objective: &Objective, spec: &JobSpec) -> Option<Self> {
         let at = u16::try_from(at).ok().filter(|at| *at < LARGEST && objective.class == spec.class)?;
         let (what, within_s) = match (objective.kind.as_str(), spec.due_s) {
-            ("deadline", Some(due)) => (What::Done, due * objective.times),
-            ("finished", _) => (What::Done, objective.within_s),
-            ("wait", _) => (What::Started, objective.within_s),
+            ("deadline", Some(due)) => (PromiseKind::Done, due * objective.times),
+            ("finished", _) => (PromiseKind::Done, objective.within_s),
+            ("wait", _) => (PromiseKind::Started, objective.within_s),
             _ => return None,
         };
         (within_s > 0.0).then_some(Self { at, what, within_s })
@@ -52,8 +52,8 @@
     pub fn start_left_s(self, run: Duration, age: Duration) -> f64 {
         let left = self.within_s - age.as_secs_f64();
         match self.what {
-            What::Started => left,
-            What::Done => left - run.as_secs_f64() * MARGIN,
+            PromiseKind::Started => left,
+            PromiseKind::Done => left - run.as_secs_f64() * MARGIN,
         }
     }
 }
@@ -63,7 +63,7 @@
 pub fn promises_of(objectives: &[Objective], spec: &JobSpec, agreement: &Agreement) -> Vec<Promise> {
     let mut promises: Vec<Promise> =
         objectives.iter().enumerate().filter_map(|(at, o)| Promise::of(at, o, spec)).collect();
-    let own = |within_s| Promise { at: OWN, what: What::Done, within_s };
+    let own = |within_s| Promise { at: OWN, what: PromiseKind::Done, within_s };
     match spec.due_s {
         Some(due) => promises.push(own(due)),
         None if promises.is_empty() => promises.push(own(agreement.deadline.as_secs_f64())),
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -8,7 +8,7 @@
 
 use super::cluster::{ClusterState, MachineId, Reservation};
 use super::intents;
-use super::plan::{Quotas, Turn, queue};
+use super::plan::{QueuedJob, Quotas, queue};
 use super::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
@@ -26,34 +26,36 @@
 /// What to hold now, by machine.
 pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Reservation> {
     let mut reservations = HashMap::new();
-    let mut turns: Vec<Turn> = queue(cluster, now)
+    let mut queued_jobs: Vec<QueuedJob> = queue(cluster, now)
         .into_iter()
         .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= RESERVE_AFTER || t.ahead))
         .collect();
-    if turns.is_empty() {
+    if queued_jobs.is_empty() {
         return reservations;
     }
-    turns.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
-    intents::ahead_first(&mut turns);
-    turns.truncate(MOST_RESERVING);
+    queued_jobs.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
+    intents::ahead_first(&mut queued_jobs);
+    queued_jobs.truncate(MOST_RESERVING);
     let ground = Ground::new(cluster, catalog);
     let suspect = suspect_after(cluster);
     let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
     let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(cluster, &ground, m, false, now)).collect();
     let most = timelines.len() / PART;
     let quotas = Quotas::new(cluster);
-    for turn in turns {
+    for queued in queued_jobs {
         if reservations.len() >= most {
             break;
         }
-        if !quotas.allows(turn.job.spec(), turn.job.spec().tasks as f64) {
+        if !quotas.allows(queued.job.spec(), queued.job.spec().tasks as f64) {
             continue;
         }
-        let Some(Gathering { within_s, taken }) = gather(cluster, &ground, &mut timelines, &turn) else { continue };
+        let Some(Gathering { within_s, taken }) = choose_machines(cluster, &ground, &mut timelines, &queued) else {
+            continue;
+        };
         let until = now + Duration::from_secs_f64(within_s);
         for which in taken {
             if let Some(machine) = timelines[which].room.machine {
-                reservations.entry(machine.id.clone()).or_insert_with(|| Reservation { job: turn.id.clone(), until });
+                reservations.entry(machine.id.clone()).or_insert_with(|| Reservation { job: queued.id.clone(), until });
             }
         }
     }
@@ -71,14 +73,14 @@
 /// The machines on which a gang would soonest fit together, and when. Machines with accelerators
 /// are left to work that needs them, unless there are too few others. None if it does not fit soon; then the
 /// timelines are as before.
-fn gather<'a>(
+fn choose_machines<'a>(
     cluster: &'a ClusterState,
     ground: &Ground<'a>,
     timelines: &mut [Timeline<'a>],
-    turn: &Turn<'a>,
+    queued: &QueuedJob<'a>,
 ) -> Option<Gathering> {
-    let kinds = soonest_kinds(cluster, ground, timelines, turn)?;
-    take_places(ground, timelines, turn, &kinds)
+    let kinds = soonest_kinds(cluster, ground, timelines, queued)?;
+    take_places(ground, timelines, queued, &kinds)
 }
 
 /// The kinds of machine, by their place in the list of kinds, on which a gang would soonest fit together: in one zone
@@ -87,9 +89,9 @@
     cluster: &'a ClusterState,
     ground: &Ground<'a>,
     timelines: &[Timeline<'a>],
-    turn: &Turn<'a>,
+    queued: &QueuedJob<'a>,
 ) -> Option<Vec<bool>> {
-    let (job, spec) = (turn.job, turn.job.spec());
+    let (job, spec) = (queued.job, queued.job.spec());
     let open = ground.open_to(spec, &Zones::new(cluster, job));
     let apt = |kind: usize| ground.offers[kind].is_some_and(|o| o.apt(spec));
     let mut best: Option<(f64, Vec<bool>)> = None;
@@ -136,10 +138,10 @@
 fn take_places<'a>(
     ground: &Ground<'a>,
     timelines: &mut [Timeline<'a>],
-    turn: &Turn<'a>,
+    queued: &QueuedJob<'a>,
     kinds: &[bool],
 ) -> Option<Gathering> {
-    let job = turn.job;
+    let job = queued.job;
     let mut slots = Slots::new(timelines, job, kinds);
     let none = Zones::none(job.spec());
     let mut undo = Vec::new();
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -31,7 +31,7 @@
         untouched: job.untouched(),
         large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
     });
-    let below = FairShareAccounting::below(account.look(open, now));
+    let below = FairShareAccounting::below(account.update(open, now));
     cluster.set_underserved(below);
     cluster.bound_core_credit(now);
 }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -207,7 +207,7 @@
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
             let given: f64 = cluster.usage.values().map(|u| u.0).sum();
-            let by_return = |t: &&plan::Turn| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
+            let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
             let one = before == 0.0 && more.len() <= 1;
