--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -4,9 +4,9 @@
 
 use super::response::{RequestError, UserResponse};
 use super::service::UserService;
-use crate::history::moves::end_among;
-use crate::history::query_queue::Verdict;
-use crate::history::visibility::Visible;
+use crate::history::job_transactions::find_end;
+use crate::history::query_queue::JobQueryAnswer;
+use crate::history::visibility::EndVisibility;
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::protocol::users::{JobAnswer, Status};
 
@@ -16,14 +16,14 @@
 /// Reports an end: a cancellation only once the leader has it. Every path that reports an end goes through here.
 pub(super) async fn respond_with_end(service: &UserService, id: &JobId, end: End) -> UserResponse {
     service.membership.watermark();
-    let mut visible = service.history.visible(id, end);
-    if visible == Visible::Unknown {
+    let mut visible = service.history.end_visibility(id, end);
+    if visible == EndVisibility::Unknown {
         learn_cancellation_version(service, id).await;
-        visible = service.history.visible(id, end);
+        visible = service.history.end_visibility(id, end);
     }
     match visible {
-        Visible::Yes => end_response(id, end),
-        Visible::NotYet | Visible::Unknown => UserResponse::retry_soon(UNCONFIRMED),
+        EndVisibility::Visible => end_response(id, end),
+        EndVisibility::NotYet | EndVisibility::Unknown => UserResponse::retry_soon(UNCONFIRMED),
     }
 }
 
@@ -81,19 +81,21 @@
         }
         // It has ended meanwhile; the store tells how.
     }
-    match service.history.ask(&id).await {
-        Verdict::Ended(end) => respond_with_end(service, &id, end).await,
-        Verdict::Never => UserResponse::Rejected(RequestError::NoSuchJob),
+    match service.history.query_job(&id).await {
+        JobQueryAnswer::Ended(end) => respond_with_end(service, &id, end).await,
+        JobQueryAnswer::NeverAccepted => UserResponse::Rejected(RequestError::NoSuchJob),
         // Accepted so recently that the watch cache does not have it.
-        Verdict::Open => open_response(service, &id, u64::MAX),
-        Verdict::Later => UserResponse::retry_soon("the state service cannot be asked, or too much is asked at once"),
+        JobQueryAnswer::Open => open_response(service, &id, u64::MAX),
+        JobQueryAnswer::Unavailable => {
+            UserResponse::retry_soon("the state service cannot be asked, or too much is asked at once")
+        }
     }
 }
 
 /// The status of a job after a compare-and-swap found it changed. If the failed keys show an end, that is recorded and
 /// the store need not be asked.
 pub(super) async fn respond_after_conflict(service: &UserService, id: &JobId, keys: &[String]) -> UserResponse {
-    if let Some(end) = end_among(keys, id) {
+    if let Some(end) = find_end(keys, id) {
         service.history.note_end(id, end);
     }
     look_up_job(service, id).await
