--- a/crates/emulator/src/declarations.rs
+++ b/crates/emulator/src/declarations.rs
@@ -15,7 +15,7 @@
 const MAX_AHEAD: u32 = 24;
 
 #[derive(Debug, Default)]
-struct Instance {
+struct WindowInstance {
     closes_ms: u64,
     end: Option<Value>,
     /// Who has which turn, and when each had come.
@@ -23,9 +23,9 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Declared {
+pub struct DeclarationRules {
     /// By window and day.
-    windows: BTreeMap<(String, i64), Instance>,
+    windows: BTreeMap<(String, i64), WindowInstance>,
     /// Classes and teams of rules that are on.
     hot: HashMap<String, (Value, Value)>,
     /// Vents that wait, and how much of others has begun since while it was hot.
@@ -36,7 +36,7 @@
     names.as_array().is_some_and(|names| names.iter().any(|n| n == name))
 }
 
-impl Declared {
+impl DeclarationRules {
     /// A status was stored. What is wrong with it.
     pub fn stored(&mut self, at: Duration, kind: &str, name: &str, spec: &Value, status: &Value) -> Vec<String> {
         match kind {
--- a/crates/emulator/src/declarations/tests.rs
+++ b/crates/emulator/src/declarations/tests.rs
@@ -16,7 +16,7 @@
         ("a turn twice", vec![current(1, "run-2"), ended("met")], 5, "was given to"),
         ("too early", vec![ended("met")], 2, "had come"),
     ] {
-        let mut declared = Declared::default();
+        let mut declared = DeclarationRules::default();
         let mut wrong = Vec::new();
         let first = [current(0, "run-1"), current(1, "run-1")];
         for (n, status) in first.into_iter().chain(more).enumerate() {
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -11,7 +11,7 @@
 use super::answers::{PollCounts, Unanswered};
 use super::verdict::{JobResult, summarize_largest};
 use super::{BEGIN_WITHIN, Break, Entry, Event, Rule, Terms, Verdict};
-use crate::declarations::Declared;
+use crate::declarations::DeclarationRules;
 use crate::world::fleet::Happening;
 
 /// The most lines of a job's history that are kept.
@@ -94,7 +94,7 @@
     pub(super) quiet: bool,
     /// Indices of those `terms.capacity` whose replicas have all run once.
     pub(super) full: HashSet<usize>,
-    pub(super) declared: Declared,
+    pub(super) declared: DeclarationRules,
     breaks: Vec<Break>,
 }
 
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -242,9 +242,8 @@
         }
     }
 
-    /// Injects a fault, and plans its end.
-    pub(super) async fn apply(&mut self, fault: &Fault) {
-        self.add_note(format!("{fault:?}"));
+    /// Disturbances of links of controllers.
+    fn on_links(&mut self, fault: &Fault) {
         match fault {
             Fault::Link(who, link, passing, time) => {
                 for of in self.controllers_meant(*who) {
@@ -260,6 +259,14 @@
                     self.peers(of, Passing::Held, *time);
                 }
             }
+            _ => {}
+        }
+    }
+
+    /// Injects a fault, and plans its end.
+    pub(super) async fn apply(&mut self, fault: &Fault) {
+        self.add_note(format!("{fault:?}"));
+        match fault {
             Fault::Refuse(who, time) => {
                 for of in self.controllers_meant(*who) {
                     lock(&self.world.state).store.set_refused(&of.to_string(), true);
@@ -285,13 +292,14 @@
                     self.later(every.mul_f64(of as f64), Undo::End(of));
                 }
             }
-            Fault::Operator(verb) => self.operators.operate(verb, &self.controllers, self.notes.len()),
+            Fault::Operator(command) => self.operators.operate(command, &self.controllers, self.notes.len()),
             Fault::WillCancel(job) => self.world.note(Event::CancellationAsked(job.clone())),
             Fault::CancelShare(part) => {
                 let n = self.users.cancel_share(*part);
                 self.add_note(format!("{n} users withdraw their jobs"));
             }
             other => {
+                self.on_links(other);
                 self.on_machines(other);
                 self.on_store(other);
             }
