--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -31,10 +31,10 @@
     /// The same where it is to be stored, since another controller has not acknowledged it.
     pub fn watermark_to_store(&self, now: Instant) -> Option<Watermark> {
         let watermark = self.watermark()?;
-        let acknowledged = lock(&self.heard).acknowledged(&self.settings.peers, now);
+        let acknowledged = lock(&self.peer_states).acknowledged(&self.settings.peers, now);
         let mut unconfirmed = lock(&self.unconfirmed);
         unconfirmed.confirmed(acknowledged, now);
-        (unconfirmed.due(now) || unconfirmed.lags(acknowledged, watermark.revision, now)).then_some(watermark)
+        (unconfirmed.due(now) || unconfirmed.peer_lags(acknowledged, watermark.revision, now)).then_some(watermark)
     }
 
     /// Every controller can read a watermark this high.
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -171,7 +171,7 @@
 /// Leads, or waits until it can, for ever.
 pub async fn run(membership: Arc<Membership>) {
     let mut member = ElectionParticipant::new(membership.properties.election_lease);
-    let mut lag = WatermarkStall::default();
+    let mut stall = WatermarkStall::default();
     loop {
         let _ = tokio::time::timeout(member.pace.look_every(), membership.wakeups.membership.notified()).await;
         let Some(view) = ElectionView::of(&membership) else { continue };
@@ -187,14 +187,14 @@
             debug!(%error, ?step, "membership step failed");
             tokio::time::sleep(crate::sync::jitter(member.pace.retry())).await;
         }
-        maintain_watermark(&membership, &mut lag).await;
+        maintain_watermark(&membership, &mut stall).await;
     }
 }
 
 /// Tells of a watermark that does not advance, and stores it for those who do not hear it.
-async fn maintain_watermark(membership: &Membership, lag: &mut WatermarkStall) {
+async fn maintain_watermark(membership: &Membership, stall: &mut WatermarkStall) {
     let waiting = membership.history.hidden_cancellations().above_watermark;
-    if let Some(long) = lag.tells(waiting, membership.history.watermark(), Instant::now()) {
+    if let Some(long) = stall.due_for_log(waiting, membership.history.watermark(), Instant::now()) {
         warn!(
             waiting,
             for_s = long.as_secs(),
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -14,7 +14,7 @@
         if let Some(cluster) = self.leader.cluster().as_ref() {
             return cluster.counts(id);
         }
-        lock(&self.heard).counts.get(id).copied().unwrap_or_default()
+        lock(&self.peer_states).counts.get(id).copied().unwrap_or_default()
     }
 
     /// What changed since the peer was last told, at most `most` of it.
@@ -46,13 +46,13 @@
     /// Drops the counts of jobs that are not open.
     pub fn drop_counts_of_ended_jobs(&self) {
         let watch_cache = self.store.watch_cache();
-        lock(&self.heard).counts.retain(|id, _| watch_cache.open_job(id).is_some());
+        lock(&self.peer_states).counts.retain(|id, _| watch_cache.open_job(id).is_some());
     }
 
     /// Entries that are remembered of peers and workers, for display.
     pub fn held(&self) -> [(&'static str, usize); 3] {
         [
-            ("counts_heard", lock(&self.heard).counts.len()),
+            ("counts_heard", lock(&self.peer_states).counts.len()),
             ("stranded", lock(&self.unreachable_leader).remembered()),
             ("let_go", lock(&self.leader_searches).remembered()),
         ]
--- a/src/membership/judgement.rs
+++ b/src/membership/judgement.rs
@@ -16,7 +16,7 @@
 
     /// What this controller can prove, and what it hears of the others.
     fn observations(&self, now: Instant) -> Observations {
-        let (heard, answering) = lock(&self.heard).others(now);
+        let (heard, answering) = lock(&self.peer_states).others(now);
         let proof = self.store.read_barrier.age(now);
         let refused = self.store.client.health().failing_for(now);
         Observations { proof, refused, peers: self.settings.peers.len(), heard, answering }
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -23,7 +23,7 @@
             return;
         }
         info!(fencing_token, "leadership acquired");
-        if let Some((rows, told)) = lock(&self.heard).served.take() {
+        if let Some((rows, told)) = lock(&self.peer_states).served.take() {
             self.leader.accounting().take_over(&rows, told);
         }
         *held = Some(ClusterState::new(
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -1,5 +1,17 @@
-use super::*;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+
+use super::line::{LINE_LIMIT, LineError};
+use super::peers::{PeerReport, PeerStates};
+use super::receive::{accept, apply_line, names_impossible_leader};
 use crate::controller::Controller;
+use crate::membership::Membership;
+use crate::records::leadership::{LeaderRecord, Watermark};
+use crate::sync::lock;
 
 /// How long another has been answered tells an outage that has just ended from one of this controller's
 /// own: by its word of the moment every leader let its workers go at the end of every outage.
@@ -17,7 +29,8 @@
         // Not heard for a while: whatever it said before is void.
         (20, "b", true, (1, Some(0))),
     ] {
-        heard.told(node.into(), serves, Default::default(), 0, t + s(at));
+        let report = PeerReport { node: node.into(), store_serves: serves, wants: Default::default(), acknowledged: 0 };
+        heard.record(report, t + s(at));
         assert_eq!(heard.others(t + s(at)), (want.0, want.1.map(s)), "{node} at {at}");
     }
     assert!(heard.hears("b", t + s(23)) && !heard.hears("b", t + s(24)) && !heard.hears("c", t + s(20)));
@@ -70,14 +83,14 @@
         format!(r#"{{"node":"node-1","store_serves":true,{counts}"#),
     ] {
         apply_line(&node, text.as_bytes(), now).unwrap_err();
-        let heard = lock(&node.heard);
+        let heard = lock(&node.peer_states);
         assert!(!heard.hears("node-1", now) && heard.counts.is_empty(), "{text}");
     }
     let line =
         format!(r#"{{"node":"node-1","store_serves":true,{counts},"watermark":{{"token":7,"revision":50}}}}{}"#, "\n");
     apply_line(&node, line.as_bytes(), now).unwrap();
-    assert!(lock(&node.heard).hears("node-1", now));
-    assert_eq!((lock(&node.heard).counts.len(), node.history.watermark()), (1, 50));
+    assert!(lock(&node.peer_states).hears("node-1", now));
+    assert_eq!((lock(&node.peer_states).counts.len(), node.history.watermark()), (1, 50));
 }
 
 /// By a fencing token that the store would have told of, nothing of the line counts.
@@ -110,14 +123,17 @@
         let mut first = connect().await;
         let mut second = connect().await;
         assert_eq!(second.read(&mut end).await.unwrap(), 0, "one too many");
-        assert!(!lock(&node.heard).too_many.due(Instant::now()), "closed at once and told, and not for its silence");
+        assert!(
+            !lock(&node.peer_states).refused_connections.due(Instant::now()),
+            "closed at once and told, and not for its silence"
+        );
         // Too long, without the end of a line; the reader hangs up in the middle of it.
         let long = vec![b'x'; LINE_LIMIT as usize];
         first.write_all(&long).await.unwrap();
         assert!(matches!(first.read(&mut end).await, Ok(0) | Err(_)));
         let regained = free.acquire().await.unwrap();
         drop(regained);
-        assert!(!lock(&node.heard).odd_lines.due(Instant::now()), "told");
-        assert!(!lock(&node.heard).hears("node-1", Instant::now()));
+        assert!(!lock(&node.peer_states).rejected_lines.due(Instant::now()), "told");
+        assert!(!lock(&node.peer_states).hears("node-1", Instant::now()));
     });
 }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::AbortHandle;
 
-use super::mesh::PeerStates;
+use super::mesh::peers::PeerStates;
 use super::serving_state::{HealthCheck, LeaderSearches};
 use super::unreachable_leader::UnreachableLeader;
 use super::watermark::UnconfirmedCancellations;
@@ -35,7 +35,7 @@
     pub(super) catalog: Arc<SharedCatalog>,
     pub(super) wakeups: Arc<Wakeups>,
     /// What the other controllers said last.
-    pub(super) heard: Mutex<PeerStates>,
+    pub(super) peer_states: Mutex<PeerStates>,
     /// Notices that this process was paused.
     pub(super) pause_detector: Mutex<PauseDetector>,
     /// Was paused for so long that another may lead by now; nothing is done until the store says.
@@ -72,7 +72,7 @@
             leader,
             catalog,
             wakeups,
-            heard: Mutex::default(),
+            peer_states: Mutex::default(),
             pause_detector: Mutex::new(PauseDetector::new(Instant::now())),
             unproven: AtomicBool::new(false),
             unreachable_leader: Mutex::default(),
--- a/src/membership/store_shares.rs
+++ b/src/membership/store_shares.rs
@@ -33,7 +33,7 @@
     pub(crate) fn share(&self) {
         let (limits, others) = (&self.settings.params.state, self.settings.peers.len());
         let mine = self.wants();
-        let heard = lock(&self.heard).wants(Instant::now());
+        let heard = lock(&self.peer_states).wants(Instant::now());
         let share = |at: usize, parts: Parts, limit: f64| {
             if heard.len() < others {
                 return parts.fixed(limit, others, mine[at].leader);
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -10,13 +10,13 @@
 
 /// A cancellation that some controller has not acknowledged for this long is told through the store.
 /// Acknowledgements come with the lines, one a second.
-const PATIENCE: Duration = Duration::from_millis(2500);
+const ACKNOWLEDGE_WITHIN: Duration = Duration::from_millis(2500);
 /// The watermark is stored this often at the most: one change.
-const GAP: Duration = Duration::from_secs(1);
+const STORE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Where a controller has acknowledged nothing new for so long, the watermark is stored this often without any
 /// cancellation: it may know of one by a later revision than the one at which it was stored, as after a reading.
-const LAGS: Duration = Duration::from_secs(10);
+const LAG_LIMIT: Duration = Duration::from_secs(10);
 
 /// What a controller may tell as the leader's watermark: its loaded cluster state's fencing token and what that holds,
 /// and only if by all that it has heard, which is no less, it is still the one that is the leader. Past the leader
@@ -30,37 +30,63 @@
     (leader.incarnation == me && *version == fencing_token).then_some(Watermark { fencing_token, revision })
 }
 
+/// The revisions of the oldest and the newest unconfirmed cancellation.
+#[derive(Debug, Clone, Copy)]
+struct UnconfirmedRange {
+    oldest: u64,
+    newest: u64,
+    /// Since when the oldest has been so.
+    since: Instant,
+}
+
+/// A revision that has been the same for a while.
+#[derive(Debug, Clone, Copy)]
+struct Unchanged {
+    revision: u64,
+    since: Instant,
+}
+
+impl Unchanged {
+    /// The same value keeps its time; another one begins now.
+    fn update(before: Option<Self>, revision: u64, now: Instant) -> Self {
+        before.filter(|before| before.revision == revision).unwrap_or(Self { revision, since: now })
+    }
+}
+
 /// Cancellations that others may not have heard the leader confirm.
 #[derive(Debug, Default)]
 pub struct UnconfirmedCancellations {
-    /// The oldest and the newest of them, and since when.
-    range: Option<(u64, u64, Instant)>,
+    range: Option<UnconfirmedRange>,
+    /// When the watermark was last to be stored.
     tried: Option<Instant>,
-    /// What every controller has acknowledged, and since when no more than that.
-    acknowledged: Option<(u64, Instant)>,
+    /// What every controller has acknowledged.
+    acknowledged: Option<Unchanged>,
 }
 
 impl UnconfirmedCancellations {
     /// The leader has heard of a cancellation that was stored at this revision.
     pub fn heard(&mut self, version: u64, now: Instant) {
-        let (oldest, newest, since) = self.range.unwrap_or((version, version, now));
-        self.range = Some((oldest.min(version), newest.max(version), since));
+        let range = self.range.unwrap_or(UnconfirmedRange { oldest: version, newest: version, since: now });
+        self.range =
+            Some(UnconfirmedRange { oldest: range.oldest.min(version), newest: range.newest.max(version), ..range });
     }
 
     /// Every controller holds a watermark this high, told or stored.
     pub fn confirmed(&mut self, watermark: u64, now: Instant) {
-        self.range = self.range.filter(|(_, newest, _)| *newest > watermark).map(|(oldest, newest, since)| {
-            if oldest > watermark { (oldest, newest, since) } else { (watermark + 1, newest, now) }
+        let left = self.range.filter(|range| range.newest > watermark);
+        self.range = left.map(|range| match range.oldest > watermark {
+            true => range,
+            false => UnconfirmedRange { oldest: watermark + 1, newest: range.newest, since: now },
         });
     }
 
     /// Whether some controller has fallen behind for long, so that the watermark is to be stored now; counts as
     /// tried. `acknowledged`: by every controller.
-    pub fn lags(&mut self, acknowledged: u64, watermark: u64, now: Instant) -> bool {
-        let since = self.acknowledged.filter(|(before, _)| *before == acknowledged).map_or(now, |(_, at)| at);
-        self.acknowledged = Some((acknowledged, since));
-        let long = |at: Instant| now.saturating_duration_since(at) >= LAGS;
-        let due = watermark > acknowledged && long(since) && self.tried.is_none_or(long);
+    pub fn peer_lags(&mut self, acknowledged: u64, watermark: u64, now: Instant) -> bool {
+        let unchanged = Unchanged::update(self.acknowledged, acknowledged, now);
+        self.acknowledged = Some(unchanged);
+        let long = |at: Instant| now.saturating_duration_since(at) >= LAG_LIMIT;
+        let due = watermark > acknowledged && long(unchanged.since) && self.tried.is_none_or(long);
         if due {
             self.tried = Some(now);
         }
@@ -69,8 +95,8 @@
 
     /// Whether the watermark is to be stored now; counts as tried.
     pub fn due(&mut self, now: Instant) -> bool {
-        let waits = self.range.is_some_and(|(.., since)| now.saturating_duration_since(since) >= PATIENCE);
-        let rested = self.tried.is_none_or(|at| now.saturating_duration_since(at) >= GAP);
+        let waits = self.range.is_some_and(|range| now.saturating_duration_since(range.since) >= ACKNOWLEDGE_WITHIN);
+        let rested = self.tried.is_none_or(|at| now.saturating_duration_since(at) >= STORE_INTERVAL);
         if waits && rested {
             self.tried = Some(now);
         }
@@ -78,29 +104,28 @@
     }
 }
 
-/// Cancellations that have waited for so long are told of in the log, this often.
-const TOLD_AFTER: Duration = Duration::from_secs(10);
-const TOLD_EVERY: Duration = Duration::from_secs(60);
+/// Cancellations that have waited for so long are logged, this often.
+const LOG_AFTER: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Whether the watermark does not advance while cancellations wait for it.
 #[derive(Debug, Default)]
 pub struct WatermarkStall {
-    /// The watermark, and since when it has been so with something waiting.
-    stands: Option<(u64, Instant)>,
-    told: Option<Instant>,
+    /// The watermark, as long as something waits for it.
+    stalled: Option<Unchanged>,
+    logged: Option<Instant>,
 }
 
 impl WatermarkStall {
     /// For how long it has not advanced, if that is to be told now. `waiting`: cancellations above it.
-    pub fn tells(&mut self, waiting: usize, watermark: u64, now: Instant) -> Option<Duration> {
-        let same = self.stands.filter(|(before, _)| *before == watermark && waiting > 0);
-        self.stands = (waiting > 0).then(|| same.unwrap_or((watermark, now)));
-        let long = now.saturating_duration_since(self.stands?.1);
-        let rested = self.told.is_none_or(|at| now.saturating_duration_since(at) >= TOLD_EVERY);
-        if long < TOLD_AFTER || !rested {
+    pub fn due_for_log(&mut self, waiting: usize, watermark: u64, now: Instant) -> Option<Duration> {
+        self.stalled = (waiting > 0).then(|| Unchanged::update(self.stalled, watermark, now));
+        let long = now.saturating_duration_since(self.stalled?.since);
+        let rested = self.logged.is_none_or(|at| now.saturating_duration_since(at) >= LOG_INTERVAL);
+        if long < LOG_AFTER || !rested {
             return None;
         }
-        self.told = Some(now);
+        self.logged = Some(now);
         Some(long)
     }
 }
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -113,7 +113,7 @@
         // It moves on every 5 s at first, does not advance from 30 to 150 s, and then nothing waits.
         let watermark = second.min(30) / 5;
         let waiting = usize::from(second < 150);
-        if let Some(long) = lag.tells(waiting, watermark, start + s(second)) {
+        if let Some(long) = lag.due_for_log(waiting, watermark, start + s(second)) {
             told.push((second, long.as_secs()));
         }
     }
@@ -136,7 +136,8 @@
     for (name, acknowledged, stores) in cases {
         let start = Instant::now();
         let mut unconfirmed = UnconfirmedCancellations::default();
-        let due = |second: &u64| unconfirmed.lags(acknowledged(*second), (101 + *second).min(1000), start + s(*second));
+        let due =
+            |second: &u64| unconfirmed.peer_lags(acknowledged(*second), (101 + *second).min(1000), start + s(*second));
         assert_eq!((0..60).filter(due).count(), stores, "{name}");
     }
 }
