--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -148,7 +148,7 @@
 
     /// Decodes a stored order. `None`, with an error in the log, if it cannot be decoded or exceeds the limits of the
     /// cloud's calls.
-    pub fn read(item: &KeyValue) -> Option<Self> {
+    pub fn from_item(item: &KeyValue) -> Option<Self> {
         match StoredOrder::decode(&item.value) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, action: stored.action }),
             Err(error) => {
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_follows_a_try_by_cases() {
+fn step_after_an_attempt_to_store_by_cases() {
     let order = CloudOrder::new("me", 7, 1, CloudAction::Terminate(vec!["m1".into()]));
     assert_eq!(order.key, "d/me-7-1");
     let cases = [
@@ -32,11 +32,11 @@
         assert_eq!(order.step_after(&outcome, fencing_token), want, "{name}");
     }
     let item = KeyValue { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
-    assert_eq!(CloudOrder::read(&item), None, "an order of which half is missing");
+    assert_eq!(CloudOrder::from_item(&item), None, "an order of which half is missing");
 }
 
 #[test]
-fn what_is_inherited_takes_few_calls() {
+fn inherited_terminations_are_merged_into_few_calls() {
     let names = |from: usize, n: usize| (from..from + n).map(|m| format!("m{m}")).collect::<Vec<_>>();
     let sizes = [60, 30, 20, 100, 1];
     let orders = (1..).zip(sizes).map(|(n, size)| CloudOrder::new("me", 7, n, CloudAction::Terminate(names(0, size))));
@@ -45,18 +45,18 @@
     assert_eq!(sizes, [(90, 2), (20, 1), (100, 1), (1, 1)], "nothing is split, and none over the limit");
 }
 
-/// A process that led twice gave its rentals the names of the first time again, and the cloud
-/// answered with the machines of then.
+/// Regression: a process that led twice gave its requests the names of its first term again, and the cloud answered
+/// with the machines of that term.
 #[test]
-fn no_name_is_used_twice() {
+fn request_names_are_unique_across_terms() {
     let terms = [("a", 3), ("b", 5), ("a", 9)];
     let names: BTreeSet<String> = terms.iter().flat_map(|(i, t)| (1..50).map(|n| unique_name(i, *t, n))).collect();
     assert_eq!(names.len(), terms.len() * 49);
 }
 
-/// A holder at some step of a return: it may be paused before any of them.
+/// A leader at some step of a return: it may be paused before any of them.
 #[derive(Clone)]
-struct Holder {
+struct SimulatedLeader {
     fencing_token: u64,
     /// Machines that it takes to be there and not on their way out, and what it has placed.
     fleet: BTreeSet<String>,
@@ -66,69 +66,69 @@
     number: u64,
 }
 
-/// Holders replace one another at any moment, and any of them may go on later. `fenced`: orders
+/// SimulatedLeaders replace one another at any moment, and any of them may go on later. `fenced`: orders
 /// are stored, and read by the next one. Gives how often a machine was returned by one that no
 /// longer led while its successor had work on it.
 fn simulate(seed: u64, fenced: bool) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut store = Store::new(Limits::default());
     let mut cloud: BTreeSet<String> = (0..12).map(|n| format!("m{n:02}")).collect();
-    let mut holders: Vec<Holder> = Vec::new();
+    let mut leaders: Vec<SimulatedLeader> = Vec::new();
     let (mut late, mut harm): (Vec<(CloudOrder, u64)>, usize) = (Vec::new(), 0);
     for step in 0..400 {
-        if holders.is_empty() || rng.random_ratio(1, 25) {
+        if leaders.is_empty() || rng.random_ratio(1, 25) {
             let write = [Change::write(LEADER, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, version)| {
-                CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
+                CloudOrder::from_item(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| fenced).map(|o| (o, true)).collect();
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
             let fleet = cloud.difference(&leaving).cloned().collect();
             let (placed, unanswered) = (BTreeSet::new(), HashMap::new());
-            holders.push(Holder { fencing_token, fleet, placed, orders, unanswered, number: 0 });
+            leaders.push(SimulatedLeader { fencing_token, fleet, placed, orders, unanswered, number: 0 });
         }
         // The present leader mostly, or one that was replaced and has not heard of it.
-        let newest = holders.len() - 1;
-        let which = if rng.random_ratio(3, 4) { newest } else { rng.random_range(0..holders.len()) };
+        let newest = leaders.len() - 1;
+        let which = if rng.random_ratio(3, 4) { newest } else { rng.random_range(0..leaders.len()) };
         let leads = which == newest;
-        let used = holders[newest].placed.clone();
-        let holder = &mut holders[which];
+        let used = leaders[newest].placed.clone();
+        let leader = &mut leaders[which];
         match rng.random_range(0..5) {
             0 => {
                 // Decides to return an empty machine.
-                let free = holder.fleet.iter().find(|m| !holder.placed.contains(*m)).cloned();
+                let free = leader.fleet.iter().find(|m| !leader.placed.contains(*m)).cloned();
                 if let Some(machine) = free {
-                    holder.fleet.remove(&machine);
-                    holder.number += 1;
+                    leader.fleet.remove(&machine);
+                    leader.number += 1;
                     let action = CloudAction::Terminate(vec![machine]);
-                    holder.orders.push((CloudOrder::new("h", holder.fencing_token, holder.number, action), false));
+                    leader.orders.push((CloudOrder::new("h", leader.fencing_token, leader.number, action), false));
                 }
             }
             1 => {
                 // Stores what it has decided; some tries are answered late or never.
-                let open: Vec<usize> = (0..holder.orders.len()).filter(|n| !holder.orders[*n].1).collect();
+                let open: Vec<usize> = (0..leader.orders.len()).filter(|n| !leader.orders[*n].1).collect();
                 for n in open {
-                    let order = holder.orders[n].0.clone();
+                    let order = leader.orders[n].0.clone();
                     if !fenced {
-                        holder.orders[n].1 = true;
+                        leader.orders[n].1 = true;
                     } else if rng.random_ratio(1, 4) {
-                        holder.unanswered.insert(order.key.clone(), holder.fencing_token);
-                        late.push((order, holder.fencing_token));
+                        leader.unanswered.insert(order.key.clone(), leader.fencing_token);
+                        late.push((order, leader.fencing_token));
                     } else {
-                        let outcome = store.apply_if(&order.conditions(holder.fencing_token), &[order.change()]);
+                        let outcome = store.apply_if(&order.conditions(leader.fencing_token), &[order.change()]);
                         let outcome = match outcome {
                             Ok(version) => Ok(CompareAndSwapOutcome::Applied(version)),
                             Err(refused) => Ok(CompareAndSwapOutcome::Failed(refused.failed)),
                         };
-                        holder.orders[n].1 =
-                            order.step_after(&outcome, Some(holder.fencing_token)) == StoreStep::Execute;
+                        leader.orders[n].1 =
+                            order.step_after(&outcome, Some(leader.fencing_token)) == StoreStep::Execute;
                     }
                 }
             }
             2 => {
                 // Carries out what stands.
-                for (order, _) in holder.orders.iter().filter(|(_, stands)| *stands) {
+                for (order, _) in leader.orders.iter().filter(|(_, stands)| *stands) {
                     for machine in returned(order) {
                         if cloud.remove(&machine) && !leads {
                             harm += usize::from(used.contains(&machine));
@@ -136,17 +136,17 @@
                     }
                 }
                 if leads && fenced {
-                    let stands = holder.orders.iter().filter(|(_, stands)| *stands);
+                    let stands = leader.orders.iter().filter(|(_, stands)| *stands);
                     let keys: Vec<String> = stands.map(|(o, _)| o.key.clone()).collect();
-                    let clean_up = OrderCleanUp::new(&keys, &holder.unanswered, holder.fencing_token);
+                    let clean_up = OrderCleanUp::new(&keys, &leader.unanswered, leader.fencing_token);
                     store.apply_if(&clean_up.conditions, &clean_up.changes).unwrap();
-                    holder.orders.retain(|(_, stands)| !stands);
+                    leader.orders.retain(|(_, stands)| !stands);
                 }
             }
             3 => {
                 // Places on whatever it takes to be there; only the present leader's placement counts.
                 let n = rng.random_range(0..12);
-                holder.placed.extend(holder.fleet.iter().nth(n).cloned());
+                leader.placed.extend(leader.fleet.iter().nth(n).cloned());
             }
             _ => {
                 // A try that was not answered comes late.
@@ -156,7 +156,7 @@
                 // New machines keep the simulation going.
                 let name = format!("m{:02}-{step}", rng.random_range(0..99));
                 cloud.insert(name.clone());
-                holders[newest].fleet.insert(name);
+                leaders[newest].fleet.insert(name);
             }
         }
     }
@@ -173,15 +173,15 @@
 /// A controller that was paused between asking the store and calling the cloud returned machines on
 /// which its successor had placed work.
 #[test]
-fn a_replaced_holder_returns_nothing_that_its_successor_uses() {
+fn replaced_leader_terminates_no_machine_that_its_successor_uses() {
     let harm = |fenced| (0..200).map(|seed| simulate(seed, fenced)).sum::<usize>();
     assert_eq!(harm(true), 0);
     assert!(harm(false) > 0, "without stored orders the simulation finds it");
 }
 
-/// What cannot be carried out is left as it is; a controller goes on with the other orders.
+/// An order that cannot be carried out is left in the store; a controller continues with the others.
 #[test]
-fn stored_orders_by_cases() {
+fn stored_orders_are_checked_by_cases() {
     let rental = |count: u64| json!({"request": "r", "typeName": "g8", "zone": "a", "spot": false, "count": count});
     let written = |action: CloudAction| serde_json::to_value(StoredOrder { epoch: 7, action }).unwrap();
     let of = |count: u64| {
@@ -204,6 +204,6 @@
         ("nothing", json!(null), false),
     ] {
         let item = KeyValue { path: "d/me-7-1".into(), value, version: 1 };
-        assert_eq!(CloudOrder::read(&item).is_some(), read, "{name}");
+        assert_eq!(CloudOrder::from_item(&item).is_some(), read, "{name}");
     }
 }
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -20,7 +20,7 @@
 
 fn open(store: &Store) -> InheritedOrders {
     let read = |(path, value, version): (&str, &serde_json::Value, u64)| {
-        CloudOrder::read(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
+        CloudOrder::from_item(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
     };
     InheritedOrders::group(store.under(ORDERS).map(read).collect(), 100)
 }
@@ -29,7 +29,7 @@
 /// asked for the machines once more, got those that had been refused before, and waited for those that had
 /// gone long ago.
 #[test]
-fn an_order_that_was_carried_out_is_not_open_again_by_its_late_copy() {
+fn late_copy_does_not_reopen_a_completed_order() {
     for action in [CloudAction::Provision(vec![rental()]), CloudAction::Terminate(vec!["host-000007".into()])] {
         let mut store = Store::default();
         let fencing_token = write_leader_record(&mut store);
@@ -56,7 +56,7 @@
 
 /// One change each as ever: an order of which every try was answered is dropped at once.
 #[test]
-fn what_clean_up_writes_by_cases() {
+fn clean_up_deletes_or_marks_by_cases() {
     let key = "d/me-7-1".to_owned();
     let late = |under: u64| HashMap::from([(key.clone(), under)]);
     let cases = [
@@ -74,7 +74,7 @@
 
 /// A copy of a drop takes nothing but what was carried out, and none of a leader that was replaced counts.
 #[test]
-fn a_late_clean_up_by_cases() {
+fn late_clean_up_deletes_only_completed_orders() {
     let mut store = Store::default();
     let fencing_token = write_leader_record(&mut store);
     let orders: Vec<CloudOrder> = (1..=2)
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -59,7 +59,12 @@
         Self { http, addr: settings.endpoints.cloud.clone(), budget, traffic }
     }
 
-    async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Result<(u16, bytes::Bytes), CloudError> {
+    async fn call_cloud(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+    ) -> Result<(u16, bytes::Bytes), CloudError> {
         loop {
             let wait = match lock(&self.budget).take(1.0, RequestPriority::Critical, Instant::now()) {
                 Ok(()) => break,
@@ -77,9 +82,9 @@
 
     /// The machine types on offer. A catalog without types is an error.
     pub async fn fetch_catalog(&self) -> Result<Catalog, CloudError> {
-        match self.call(Method::GET, "/catalog", None).await? {
+        match self.call_cloud(Method::GET, "/catalog", None).await? {
             (200, body) => {
-                let catalog: Catalog = read(&body)?;
+                let catalog: Catalog = decode_body(&body)?;
                 if catalog.types.is_empty() {
                     return Err(CloudError::EmptyCatalog);
                 }
@@ -92,9 +97,9 @@
     /// Provisions machines and returns their names, which may be fewer than asked for. The cloud answers a request name
     /// (`ProvisioningRequest`) alike however often it is sent, so an unanswered call can be repeated.
     pub async fn provision(&self, request: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
-        match self.call(Method::POST, "/rentals", Some(protocol::encode(request))).await? {
-            (200, body) => Ok(read::<MachineNames>(&body)?.machines),
-            (503, body) if read::<serde_json::Value>(&body).is_ok_and(|v| v["error"] == "no capacity") => {
+        match self.call_cloud(Method::POST, "/rentals", Some(protocol::encode(request))).await? {
+            (200, body) => Ok(decode_body::<MachineNames>(&body)?.machines),
+            (503, body) if decode_body::<serde_json::Value>(&body).is_ok_and(|v| v["error"] == "no capacity") => {
                 Err(CloudError::NoCapacity)
             }
             (status, _) => Err(CloudError::Refused(status)),
@@ -103,7 +108,10 @@
 
     /// Terminates machines, at most [`MOST_PER_TERMINATION`] in one call. May be repeated when it was not answered.
     pub async fn terminate(&self, machines: Vec<String>) -> Result<(), CloudError> {
-        match self.call(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines }))).await? {
+        match self
+            .call_cloud(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines })))
+            .await?
+        {
             (200, _) => Ok(()),
             (status, _) => Err(CloudError::Refused(status)),
         }
@@ -115,9 +123,9 @@
         loop {
             let since = all.last().map(|m| format!("&since={}", m.id)).unwrap_or_default();
             let path = format!("/rentals?most={MOST_LISTED}{since}");
-            match self.call(Method::GET, &path, None).await? {
+            match self.call_cloud(Method::GET, &path, None).await? {
                 (200, body) => {
-                    let page: MachinePage = read(&body)?;
+                    let page: MachinePage = decode_body(&body)?;
                     let empty = page.machines.is_empty();
                     all.extend(page.machines);
                     if !page.more || empty {
@@ -130,6 +138,6 @@
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
+fn decode_body<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
     Ok(protocol::decode(body)?)
 }
--- a/src/fleet/cloud_operations/tests.rs
+++ b/src/fleet/cloud_operations/tests.rs
@@ -6,7 +6,7 @@
 
 /// What was marked as done waits for a later fencing token, and is then dropped once.
 #[test]
-fn marks_go_with_the_next_token() {
+fn marked_orders_are_deleted_under_the_next_fencing_token() {
     let (unsure, sure) = ("d/me-7-1".to_owned(), "d/me-7-2".to_owned());
     let mut operations =
         CloudOperations { completed: vec![unsure.clone(), sure.clone()], ..CloudOperations::default() };
@@ -31,7 +31,7 @@
 /// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one fencing
 /// token may leave, and not one for each order.
 #[test]
-fn marks_stay_few_in_a_long_term() {
+fn marked_orders_stay_bounded_in_a_long_term() {
     let (mut fencing_token, mut raises, mut most) = (7, 0, 0);
     let mut operations = CloudOperations::default();
     for number in 1..=1000 {
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -51,7 +51,7 @@
         let Some(candidate) = pool.candidate(index, now) else { continue };
         searched += usize::from(!candidate.machine.bound.is_empty());
         if let Some(moves) = plan_moves(cluster, &mut pool, candidate, now) {
-            pool.close(index);
+            pool.close_machine(index);
             chosen.push(DrainDecision { machine: candidate.machine.id.clone(), moves });
         }
     }
@@ -64,16 +64,16 @@
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
         let overdue = turn.ahead || turn.age > job.agreement.run;
-        pool.keep(job.spec(), &Zones::new(cluster, job), waiting, overdue);
+        pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
     for (intent, _) in intents::room_kept(cluster, &pool.ground) {
-        pool.keep(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
+        pool.keep_capacity(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
         let tasks = (cluster.intents.waiting(id, job) + job.bound.len()) as u64;
         if tasks > 0 && !cluster.attribution.suspects(id) {
-            pool.keep(job.spec(), &Zones::none(job.spec()), tasks, false);
+            pool.keep_capacity(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
     }
 }
@@ -114,7 +114,7 @@
             TaskDrain::Stays => return None,
         }
     }
-    if !pool.repack(&moved_specs, candidate.index) {
+    if !pool.repack_tasks(&moved_specs, candidate.index) {
         return None;
     }
     moves.extend(stops);
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -66,14 +66,14 @@
 
     /// Keeps capacity for `count` tasks like this. Where there is not enough, no machine that they could use is a
     /// candidate; machines with accelerators that they have no use for only if the work is `overdue`.
-    pub(super) fn keep(&mut self, spec: &JobSpec, zones: &Zones, count: u64, overdue: bool) {
+    pub(super) fn keep_capacity(&mut self, spec: &JobSpec, zones: &Zones, count: u64, overdue: bool) {
         let mut open = self.ground.open_to(spec, zones);
         // Idle work keeps no machine with accelerators that it has no use for.
         for (open, offer) in open.iter_mut().zip(&self.ground.offers) {
             *open &= offer.is_some_and(|offer| backfill::may(spec, &offer, 1.0, f64::INFINITY, false).keep);
         }
         let overdue = overdue && !spec.is_idle();
-        if !self.pack(spec, &open, count, None) {
+        if !self.pack_tasks(spec, &open, count, None) {
             for (index, offer) in self.ground.offers.iter().enumerate() {
                 let suitable = offer.is_some_and(|offer| overdue || offer.apt(spec));
                 self.short[index] |= open[index] && suitable;
@@ -91,13 +91,13 @@
             let prompt = objectives.any(|o| o.kind == "wait" && o.class == *class && o.within_s < boot_s);
             let boots = if prompt { SPARE_BOOTS_PROMPT } else { SPARE_BOOTS };
             let tasks = (arrivals.per_second(now) * boot_s * boots).round() as u64;
-            self.keep(spec, &Zones::none(spec), tasks, false);
+            self.keep_capacity(spec, &Zones::none(spec), tasks, false);
         }
     }
 
     /// Packs up to `count` tasks like this into the first machines that take them, but not into `except`. False if some
     /// are left.
-    fn pack(&mut self, spec: &JobSpec, open: &[bool], mut count: u64, except: Option<usize>) -> bool {
+    fn pack_tasks(&mut self, spec: &JobSpec, open: &[bool], mut count: u64, except: Option<usize>) -> bool {
         for (index, room) in self.rooms.iter_mut().enumerate() {
             if count == 0 {
                 break;
@@ -118,14 +118,14 @@
 
     /// Packs one task of each of these jobs into machines other than `except`. If one does not fit, nothing changes
     /// but the marks of machines that took others.
-    pub(super) fn repack(&mut self, specs: &[&JobSpec], except: usize) -> bool {
+    pub(super) fn repack_tasks(&mut self, specs: &[&JobSpec], except: usize) -> bool {
         if specs.is_empty() {
             return true;
         }
         let before = self.rooms.clone();
         for spec in specs {
             let open = self.ground.open_to(spec, &Zones::none(spec));
-            if !self.pack(spec, &open, 1, Some(except)) {
+            if !self.pack_tasks(spec, &open, 1, Some(except)) {
                 self.rooms = before;
                 return false;
             }
@@ -153,7 +153,7 @@
     }
 
     /// Takes the machine out, so that nothing is packed into one that is about to be drained.
-    pub(super) fn close(&mut self, index: usize) {
+    pub(super) fn close_machine(&mut self, index: usize) {
         self.rooms[index].cpus = -1.0;
     }
 }
--- a/src/fleet/manager.rs
+++ b/src/fleet/manager.rs
@@ -1,4 +1,4 @@
-//! What the fleet's loops work with.
+//! Handles to the state and the services that the fleet's loops use.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::store::handle::StateStore;
 use crate::wakeups::Wakeups;
 
-/// Scales machines out and in while this controller leads, and reads the catalog always.
+/// Provisions and terminates machines while this controller leads, and reads the catalog whether it leads or not.
 pub struct Fleet {
     /// The platform's settings.
     pub settings: Arc<Settings>,
@@ -20,9 +20,9 @@
     pub store: Arc<StateStore>,
     /// Whether this controller may act as the leader, and the incarnation after which orders are named.
     pub membership: Arc<Membership>,
-    /// The cluster state, by which machines are ordered and returned.
+    /// The cluster state, from which it is decided which machines to provision and to terminate.
     pub leader: Arc<LeaderState>,
-    /// The machine types, which are read here.
+    /// The machine types, kept up to date by `learn_catalog`.
     pub catalog: Arc<SharedCatalog>,
     /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -116,7 +116,7 @@
         let mut operations = self.operations();
         operations.remove_requested(&kind, request.count);
         if filled {
-            operations.refusals.clear(&kind);
+            operations.refusals.forget_refusals(&kind);
         } else {
             operations.refusals.record_refusal(kind, self.fleet.properties.refusal, now);
         }
--- a/src/fleet/scale_out/capacity_refusals.rs
+++ b/src/fleet/scale_out/capacity_refusals.rs
@@ -13,7 +13,7 @@
 /// A refusal is remembered for this long after its pause.
 const REFUSAL_MEMORY: Duration = Duration::from_secs(3600);
 /// Most kinds whose largest machine count is remembered; more than any catalog has.
-const MOST_KINDS: usize = 1000;
+const MOST_MACHINE_KINDS: usize = 1000;
 
 /// Refusals in a row of one machine kind.
 #[derive(Debug)]
@@ -52,14 +52,14 @@
         for (kind, count) in held {
             if let Some(most) = self.most_held.get_mut(kind) {
                 *most = (*most).max(*count);
-            } else if self.most_held.len() < MOST_KINDS {
+            } else if self.most_held.len() < MOST_MACHINE_KINDS {
                 self.most_held.insert(kind.clone(), *count);
             }
         }
     }
 
     /// Forgets the refusals of a kind, once its machines were provisioned again.
-    pub fn clear(&mut self, kind: &MachineKind) {
+    pub fn forget_refusals(&mut self, kind: &MachineKind) {
         self.refused.remove(kind);
     }
 
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -85,7 +85,7 @@
     let mut orders = Vec::new();
     let mut pages = scheduler.store.client.pages(ORDERS, None);
     while let Some(page) = pages.next().await? {
-        orders.extend(page.items.iter().filter_map(CloudOrder::read));
+        orders.extend(page.items.iter().filter_map(CloudOrder::from_item));
     }
     Ok(orders)
 }
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -32,7 +32,7 @@
 /// Checks whether the job could ever run: its team, its limits, some type that holds a task, and zones for all tasks.
 pub(super) fn check_feasible(spec: &JobSpec, settings: &Settings, catalog: &Catalog) -> Result<(), InfeasibleJob> {
     check_team(spec, settings)?;
-    let zones = zones_with_room(spec, catalog);
+    let zones = zones_with_capacity(spec, catalog);
     if zones.is_empty() {
         return Err(InfeasibleJob::FitsNoMachineType);
     }
@@ -63,7 +63,7 @@
 }
 
 /// The allowed zones in which some allowed type holds a task.
-fn zones_with_room<'a>(spec: &JobSpec, catalog: &'a Catalog) -> BTreeSet<&'a str> {
+fn zones_with_capacity<'a>(spec: &JobSpec, catalog: &'a Catalog) -> BTreeSet<&'a str> {
     let types = catalog.types.iter().filter(|of| allows_type(spec, of) && holds_a_task(spec, of));
     let zones = types.flat_map(|of| of.zones.iter().map(String::as_str));
     zones.filter(|zone| spec.zone.as_deref().is_none_or(|only| only == *zone)).collect()
--- a/src/users/feasibility/tests.rs
+++ b/src/users/feasibility/tests.rs
@@ -4,7 +4,7 @@
 use crate::settings::tests::example;
 
 #[test]
-fn what_can_never_run() {
+fn infeasible_jobs_by_cases() {
     let of = machine_type("c8", 8.0, 0.0, 1.0);
     let catalog = Catalog { types: vec![of] };
     type Case = (&'static str, fn(&mut JobSpec), bool);
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -38,7 +38,7 @@
     let _ = res.add_header("retry-after", after_s.to_string(), true);
 }
 
-fn render(res: &mut Response, status: u16, body: Vec<u8>) {
+fn write_response(res: &mut Response, status: u16, body: Vec<u8>) {
     res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     if status == 503 {
         set_retry_after(res, RETRY_SOON_S);
@@ -50,39 +50,39 @@
 }
 
 /// Writes a response to a user.
-fn render_user_response(service: &UserService, res: &mut Response, response: UserResponse) {
+fn write_user_response(service: &UserService, res: &mut Response, response: UserResponse) {
     let later = matches!(response, UserResponse::RetryLater { .. });
     service.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match response {
-        UserResponse::Found(job) => render(res, 200, protocol::encode(&job)),
-        UserResponse::Created(job) => render(res, 201, protocol::encode(&job)),
+        UserResponse::Found(job) => write_response(res, 200, protocol::encode(&job)),
+        UserResponse::Created(job) => write_response(res, 201, protocol::encode(&job)),
         UserResponse::Rejected(error) => {
             let body = serde_json::json!({"error": error.to_string()});
-            render(res, error.status(), protocol::encode(&body));
+            write_response(res, error.status(), protocol::encode(&body));
         }
         UserResponse::RetryLater { reason, after_s } => {
-            render(res, 503, protocol::encode(&serde_json::json!({"error": reason})));
+            write_response(res, 503, protocol::encode(&serde_json::json!({"error": reason})));
             set_retry_after(res, after_s);
         }
     }
 }
 
 /// Writes the response to a worker's heartbeat.
-fn render_heartbeat_response(service: &UserService, res: &mut Response, response: HeartbeatResponse) {
+fn write_heartbeat_response(service: &UserService, res: &mut Response, response: HeartbeatResponse) {
     match response {
         HeartbeatResponse::Commands(commands) => {
             service.traffic.count(Passage::Heartbeat);
-            render(res, 200, protocol::encode(&commands));
+            write_response(res, 200, protocol::encode(&commands));
         }
         HeartbeatResponse::Redirect(leader) => {
             service.traffic.count(Passage::HeartbeatElsewhere);
-            render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
+            write_response(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
         HeartbeatResponse::Unavailable => {
             service.traffic.count(Passage::HeartbeatElsewhere);
-            render(res, 503, Vec::new());
+            write_response(res, 503, Vec::new());
         }
-        HeartbeatResponse::Malformed => render(res, 400, Vec::new()),
+        HeartbeatResponse::Malformed => write_response(res, 400, Vec::new()),
     }
 }
 
@@ -95,7 +95,7 @@
             Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
-                    return render_user_response(
+                    return write_user_response(
                         service,
                         res,
                         UserResponse::Rejected(RequestError::UnreadableBody(error.into())),
@@ -106,16 +106,16 @@
         };
         match self.path {
             Endpoint::Submit => {
-                render_user_response(service, res, submit_job(service, &self.write_tracker, &body).await)
+                write_user_response(service, res, submit_job(service, &self.write_tracker, &body).await)
             }
             // The user has given up waiting and asks again, so that this request is not looked up.
             Endpoint::LookUp if service.membership.stale_question() => {
-                render_user_response(service, res, UserResponse::retry_soon("this controller was paused"))
+                write_user_response(service, res, UserResponse::retry_soon("this controller was paused"))
             }
-            Endpoint::LookUp => render_user_response(service, res, look_up_job(service, &id).await),
-            Endpoint::Cancel => render_user_response(service, res, cancel_job(service, &self.write_tracker, &id).await),
-            Endpoint::Health => render(res, if service.membership.healthy() { 200 } else { 503 }, Vec::new()),
-            Endpoint::Heartbeat => render_heartbeat_response(service, res, handle_heartbeat(&service.workers, &body)),
+            Endpoint::LookUp => write_user_response(service, res, look_up_job(service, &id).await),
+            Endpoint::Cancel => write_user_response(service, res, cancel_job(service, &self.write_tracker, &id).await),
+            Endpoint::Health => write_response(res, if service.membership.healthy() { 200 } else { 503 }, Vec::new()),
+            Endpoint::Heartbeat => write_heartbeat_response(service, res, handle_heartbeat(&service.workers, &body)),
         }
     }
 }
--- a/src/users/service.rs
+++ b/src/users/service.rs
@@ -1,4 +1,4 @@
-//! What the API for users works with.
+//! Handles to the state and the services that the API for users uses.
 
 use std::sync::{Arc, Mutex};
 
@@ -24,7 +24,7 @@
     pub membership: Arc<Membership>,
     /// The machine types, by which it is judged whether a job can ever run.
     pub catalog: Arc<SharedCatalog>,
-    /// Told of each write that the state service has acknowledged.
+    /// Records each write that the state service has acknowledged.
     pub audit: Arc<Auditor>,
     /// Counts of answers.
     pub traffic: Arc<Traffic>,
--- a/src/users/write_tracker/tests.rs
+++ b/src/users/write_tracker/tests.rs
@@ -2,7 +2,7 @@
 
 /// Every write with all that can be known of its job.
 #[test]
-fn what_becomes_of_an_unanswered_write_by_cases() {
+fn next_step_of_an_unanswered_write_by_cases() {
     let (done, cancelled) = (KnownJobState::Ended(End::Done), KnownJobState::Ended(End::Cancelled));
     for (write, known, want) in [
         (JobWrite::Acceptance, KnownJobState::Unknown, TrackingStep::Wait),
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -32,12 +32,12 @@
         };
         // At most one command per machine is in flight, which bounds the number of these tasks.
         for direct in due {
-            tokio::spawn(send(service.clone(), direct));
+            tokio::spawn(send_command(service.clone(), direct));
         }
     }
 }
 
-async fn send(service: Arc<WorkerService>, direct: DirectCommand) {
+async fn send_command(service: Arc<WorkerService>, direct: DirectCommand) {
     let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = direct;
     let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders: commands });
     service.traffic.count(Passage::Command);
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -52,7 +52,7 @@
 /// state, and answers. Only the leader records it. A fencing token higher than its own tells it that it is no longer
 /// the leader; a 200 would then only renew the worker's lease without a leader.
 pub fn handle_heartbeat(service: &WorkerService, body: &[u8]) -> HeartbeatResponse {
-    let Some(heartbeat) = decode_valid(body) else { return HeartbeatResponse::Malformed };
+    let Some(heartbeat) = decode_valid_heartbeat(body) else { return HeartbeatResponse::Malformed };
     let unproven = service.membership.unproven();
     let mut policy = ResponsePolicy {
         cluster_state_loaded: false,
@@ -68,18 +68,18 @@
     policy.leader_known = service.membership.knows_leader(now);
     // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
     let ended = service.membership.reported_ends(&heartbeat, policy.may_command());
-    match record(service, heartbeat, &mut policy, &ended, now) {
+    match record_heartbeat(service, heartbeat, &mut policy, &ended, now) {
         Recorded::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
         Recorded::Deposed => {
             service.membership.step_down("higher fencing token reported by a worker");
             HeartbeatResponse::Unavailable
         }
-        Recorded::NotLeader => redirect(service, &id, now),
+        Recorded::NotLeader => redirect_to_leader(service, &id, now),
     }
 }
 
 /// Decodes a heartbeat. `None` if it breaks a rule of the protocol.
-fn decode_valid(body: &[u8]) -> Option<Heartbeat> {
+fn decode_valid_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     match crate::protocol::decode::<Heartbeat>(body) {
         Ok(heartbeat) => heartbeat.check().then_some(heartbeat),
         Err(error) => {
@@ -90,7 +90,7 @@
 }
 
 /// Compares the fencing tokens, then reconciles the heartbeat with the cluster state and records it there.
-fn record(
+fn record_heartbeat(
     service: &WorkerService,
     heartbeat: Heartbeat,
     policy: &mut ResponsePolicy,
@@ -136,7 +136,7 @@
 
 /// Sends the worker to the leader, as far as that is known for certain: sent to a leader of long ago, workers would
 /// only come and go.
-fn redirect(service: &WorkerService, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
+fn redirect_to_leader(service: &WorkerService, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
     let leader = service.membership.leader_node();
     debug!(machine = id.machine, leader, "heartbeat redirected");
     match leader {
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -1,4 +1,4 @@
-//! What the communication with workers works with.
+//! Handles to the state and the services that communication with workers uses.
 
 use std::sync::Arc;
 
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -4,7 +4,7 @@
 
 /// By what the leader knows of itself: all orders, stops only, or nothing at all.
 #[test]
-fn response_to_a_heartbeat_by_cases() {
+fn heartbeat_response_by_cases() {
     let sound = ResponsePolicy {
         cluster_state_loaded: true,
         leader_known: true,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -86,7 +86,7 @@
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
     let item = state::KeyValue { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
-    match CloudOrder::read(&item).map(|order| order.change()) {
+    match CloudOrder::from_item(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
     }
