--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -12,7 +12,7 @@
 use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
 use crate::audit::Held;
-use crate::history::moves;
+use crate::history::job_transactions;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::fits_in_memory;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
@@ -154,7 +154,7 @@
     may_hold_old_jobs: bool,
 ) -> UserResponse {
     let id = record.spec.id.clone();
-    let accept = moves::accept(&record, may_hold_old_jobs);
+    let accept = job_transactions::accept_job(&record, may_hold_old_jobs);
     for _ in 0..WRITE_ATTEMPTS {
         let tracked = write_tracker.track(JobWrite::Acceptance, &record);
         match service
