--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -10,7 +10,7 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::{AttemptStatus, TaskKey};
-use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId};
+use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId, TaskMove};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::Zones;
@@ -33,9 +33,8 @@
 pub struct DrainDecision {
     /// The machine that is no longer needed.
     pub machine: MachineId,
-    /// Tasks to stop there so that they continue elsewhere, each with its grace period in seconds: the time in which
-    /// it saves a checkpoint.
-    pub moves: Vec<(TaskKey, u64)>,
+    /// Tasks to stop there so that they continue elsewhere.
+    pub moves: Vec<TaskMove>,
 }
 
 /// The dearest machines that are not needed, emptier ones first among equals.
@@ -52,7 +51,7 @@
         let Some(candidate) = pool.candidate(index, now) else { continue };
         searched += usize::from(!candidate.machine.bound.is_empty());
         if let Some(moves) = plan_moves(cluster, &mut pool, candidate, now) {
-            pool.close(index);
+            pool.close_machine(index);
             chosen.push(DrainDecision { machine: candidate.machine.id.clone(), moves });
         }
     }
@@ -65,16 +64,16 @@
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
         let overdue = turn.ahead || turn.age > job.agreement.run;
-        pool.keep(job.spec(), &Zones::new(cluster, job), waiting, overdue);
+        pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
     for (intent, _) in intents::room_kept(cluster, &pool.ground) {
-        pool.keep(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
+        pool.keep_capacity(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
         let tasks = (cluster.intents.waiting(id, job) + job.bound.len()) as u64;
         if tasks > 0 && !cluster.attribution.suspects(id) {
-            pool.keep(job.spec(), &Zones::none(job.spec()), tasks, false);
+            pool.keep_capacity(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
     }
 }
@@ -97,7 +96,7 @@
     pool: &mut CapacityPool,
     candidate: Candidate,
     now: Instant,
-) -> Option<Vec<(TaskKey, u64)>> {
+) -> Option<Vec<TaskMove>> {
     let (mut moves, mut stops, mut moved_specs) = (Vec::new(), Vec::new(), Vec::new());
     for key in &candidate.machine.bound {
         let Some(job) = cluster.job(&key.job) else { continue };
@@ -115,15 +114,15 @@
             TaskDrain::Stays => return None,
         }
     }
-    if !pool.repack(&moved_specs, candidate.index) {
+    if !pool.repack_tasks(&moved_specs, candidate.index) {
         return None;
     }
     moves.extend(stops);
     Some(moves)
 }
 
-fn task_move(key: &TaskKey, spec: &JobSpec) -> (TaskKey, u64) {
-    (key.clone(), spec.save_s.ceil() as u64 + 1)
+fn task_move(key: &TaskKey, spec: &JobSpec) -> TaskMove {
+    TaskMove { task: key.clone(), grace_s: spec.save_s.ceil() as u64 + 1 }
 }
 
 fn judge_task(
--- a/src/users/service.rs
+++ b/src/users/service.rs
@@ -1,9 +1,9 @@
-//! What the API for users works with.
+//! Handles to the state and the services that the API for users uses.
 
 use std::sync::{Arc, Mutex};
 
 use crate::audit::Auditor;
-use crate::history::reader::History;
+use crate::history::job_history::JobHistory;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::Membership;
@@ -19,12 +19,12 @@
     /// The state service and its watch cache.
     pub store: Arc<StateStore>,
     /// Ends of jobs.
-    pub history: Arc<History>,
+    pub history: Arc<JobHistory>,
     /// What this controller may tell users.
     pub membership: Arc<Membership>,
     /// The machine types, by which it is judged whether a job can ever run.
     pub catalog: Arc<SharedCatalog>,
-    /// Told of each write that the state service has acknowledged.
+    /// Records each write that the state service has acknowledged.
     pub audit: Arc<Auditor>,
     /// Counts of answers.
     pub traffic: Arc<Traffic>,
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -12,6 +12,7 @@
 use std::time::{Duration, Instant};
 
 use hollylanding::fleet::cloud::{CloudClient, CloudError};
+use hollylanding::protocol::state::KeyVersionPage;
 use hollylanding::protocol::{self, Http};
 use hollylanding::settings::Settings;
 use hollylanding::store::budget::{Budget, RequestPriority};
@@ -150,7 +151,8 @@
         assert_eq!(value(&pages.next().await.unwrap().unwrap()), recorded(FILE, number));
     }
     assert!(pages.next().await.unwrap().is_none());
-    let (names, more) = client.names("h/", Some("h/d/run-000001"), 2, first).await.unwrap();
+    let KeyVersionPage { items: names, more } =
+        client.key_versions("h/", Some("h/d/run-000001"), 2, first).await.unwrap();
     let names: Vec<_> = names.iter().map(|name| (name.path.as_str(), name.version)).collect();
     assert_eq!((names, more), (vec![("c/o/run-000412", 412), ("c/o/run-000413", 413)], true));
     let followed = client.watch("c/", 431, Duration::from_secs(10)).await.unwrap();
@@ -170,14 +172,14 @@
     let (left, addr) = scripted(FILE).await;
     let settings = Settings::parse(&settings("node-a", &[], &addr).to_string()).unwrap();
     let client = CloudClient::new(Http::default(), &settings, Default::default(), Instant::now());
-    assert_eq!(value(&client.catalog().await.unwrap()), recorded(FILE, 0));
+    assert_eq!(value(&client.fetch_catalog().await.unwrap()), recorded(FILE, 0));
     let rental = serde_json::from_value(fixtures::entries(FILE)[1]["body"].clone()).unwrap();
     let names = vec!["host-000231".to_owned(), "host-000232".to_owned()];
-    assert_eq!(client.rent(&rental).await, Ok(names.clone()));
-    assert_eq!(client.rent(&rental).await, Err(CloudError::NoCapacity));
-    assert_eq!(client.rent(&rental).await, Err(CloudError::Refused(503)));
-    assert_eq!(client.give_back(names).await, Ok(()));
-    let listed = value(&client.list().await.unwrap());
+    assert_eq!(client.provision(&rental).await.unwrap(), names);
+    assert!(matches!(client.provision(&rental).await, Err(CloudError::NoCapacity)));
+    assert!(matches!(client.provision(&rental).await, Err(CloudError::Refused(503))));
+    client.terminate(names).await.unwrap();
+    let listed = value(&client.list_machines().await.unwrap());
     let pages = [5, 6].map(|number| recorded(FILE, number)["berths"].as_array().unwrap().clone());
     assert_eq!(listed, json!(pages.concat()));
     assert!(left.lock().unwrap().is_empty());
