--- a/src/calendar/tests/interleaved_simulation.rs
+++ b/src/calendar/tests/interleaved_simulation.rs
@@ -266,7 +266,7 @@
 /// Each window ends once, in order; none slips past; turns and claims are never given twice or taken
 /// back, and nothing begins before its turn is stored, whoever leads and whatever comes late.
 #[test]
-fn leaders_come_and_go_and_no_window_slips_past() {
+fn no_window_is_skipped_while_leaders_change() {
     let (mut met, mut claims, mut over) = (0, 0, 0);
     for seed in 0..120 {
         let simulation = simulate(seed, Without::Nothing);
@@ -282,7 +282,7 @@
 
 /// The simulations find what breaks without the condition on the status, and without waiting for turns.
 #[test]
-fn the_simulation_finds_what_breaks() {
+fn simulation_breaks_without_conditions_or_turns() {
     for without in [Without::WindowStatus, Without::Turns] {
         let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
         assert!(found.is_some(), "{without:?}");
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -302,7 +302,7 @@
 
 /// Whose turn it is: the one before has begun or is over, or waiting on would cost a window.
 #[test]
-fn the_turn_goes_on_by_cases() {
+fn turn_advances_by_cases() {
     let spec = window(json!({"turns": ["roster", "plan"], "early_s": 600}));
     let mut world = World::at(MIDNIGHT + 6 * HOUR - 60_000);
     let turn = |status: &WindowStatus| status.current.as_ref().map_or(0, |i| i.turn);
@@ -345,7 +345,7 @@
 /// Room is asked for ahead of the opening, within what is expected and what the team may take, and
 /// given back where nobody claims.
 #[test]
-fn room_by_cases() {
+fn reserved_capacity_by_cases() {
     let tasks = |fields: Value, hours: f64, left: RemainingQuota| {
         let world = World::at(MIDNIGHT + (hours * HOUR as f64) as u64);
         let intents = world.intents(&window(fields), &WindowStatus::default(), left);
@@ -432,7 +432,7 @@
 
 /// Missed ones are told once a stage, kept until confirmed, and bounded; what is dropped is told.
 #[test]
-fn what_is_told_and_kept() {
+fn stages_are_reported_once_and_missed_instances_kept() {
     let mut spec = window(json!({}));
     let mut world = World::at(MIDNIGHT + 5 * HOUR);
     let mut status = world.step(&spec, &WindowStatus::default());
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -117,7 +117,7 @@
     /// Guards: each window ends once and in order, never reopens, turns go in order, whatever leaders,
     /// jobs and clocks do; and none slips past, however long nobody looked.
     #[test]
-    fn each_ends_once_and_turns_go_in_order(
+    fn instances_end_once_and_turns_go_in_order(
         spec in any_window(),
         start_s in 0u64..2400,
         events in proptest::collection::vec(any_event(), 1..60),
--- a/src/declarations/records/tests.rs
+++ b/src/declarations/records/tests.rs
@@ -2,7 +2,7 @@
 
 /// A name becomes a part of a key and of a path in a request.
 #[test]
-fn keys_read_back_and_names_are_plain() {
+fn keys_are_parsed_back_and_names_checked() {
     for kind in DeclarationKind::ALL {
         assert_eq!(
             parse_key(&spec_key(kind, "a.b-1")),
--- a/src/declarations/run/tests.rs
+++ b/src/declarations/run/tests.rs
@@ -2,7 +2,7 @@
 
 /// Behind everything else, yet a leader that never has an idle moment stores what is declared.
 #[test]
-fn one_transaction_a_second_and_none_waits_for_ever() {
+fn writes_go_once_a_second_and_do_not_starve() {
     let t = Instant::now();
     let at = |s: f64| t + Duration::from_secs_f64(s);
     let (idle, busy) = (
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -286,7 +286,7 @@
 /// A status is written by who leads, from the spec and the status as they stand, and counts on by one
 /// each time; every change is told, and by nobody twice; all of it goes on to its end.
 #[test]
-fn leaders_come_and_go_and_every_status_goes_on() {
+fn statuses_advance_once_each_while_leaders_change() {
     for seed in 0..150 {
         let simulation = simulate(seed, Without::Nothing);
         assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
@@ -312,7 +312,7 @@
 
 /// Each condition is there for a reason, which the same simulations show.
 #[test]
-fn without_any_of_its_conditions_the_simulation_finds_what_breaks() {
+fn simulation_breaks_without_any_of_the_conditions() {
     for without in [Without::LeaderRecord, Without::Spec, Without::Status, Without::Operators] {
         let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
         assert!(found.is_some(), "{without:?}");
@@ -346,7 +346,7 @@
 
 /// Whatever wants a change each second keeps nothing else from its own.
 #[test]
-fn nobody_is_kept_from_his_turn() {
+fn declarations_that_change_each_second_delay_no_other() {
     let entries: Vec<(String, serde_json::Value)> = (0..20)
         .map(|n| (spec_key(DeclarationKind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
         .chain((0..5).map(|n| (spec_key(DeclarationKind::Heat, &format!("h{n}")), json!({"goal": 2}))))
@@ -367,7 +367,7 @@
 
 /// What strangers put there stops nothing, is told, and is never written over.
 #[test]
-fn what_cannot_be_read_is_left_as_it_is() {
+fn undecodable_declarations_are_left_as_they_are() {
     let large = "x".repeat(9000);
     let entries = [
         ("c/s/heat/bad", json!({"goal": "much"})),
@@ -391,7 +391,7 @@
 
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
 #[test]
-fn what_is_kept_is_bounded() {
+fn registry_is_bounded() {
     let mut registry = super::DeclarationRegistry::default();
     for n in (0..1000).rev() {
         registry.put_key(&spec_key(DeclarationKind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
@@ -441,7 +441,7 @@
 
 /// Nothing declared: no look, no request, and no timer, which would need a runtime that is not there.
 #[test]
-fn where_nothing_is_declared_the_task_sleeps() {
+fn task_sleeps_while_nothing_is_declared() {
     let context = Arc::new(Idle::default());
     let mut task = std::pin::pin!(run_declarations(context.clone()));
     assert!(task.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_pending());
@@ -452,7 +452,7 @@
 /// add to a controller's start, and what is stored a second. A takeover reads none of it: every
 /// controller has it.
 #[test]
-fn the_cost_of_a_full_registry() {
+fn full_registry_is_loaded_and_written_within_bounds() {
     let mut entries = Vec::new();
     for (kind, n) in DeclarationKind::ALL.into_iter().zip([1000, 50, 200, 20]) {
         for name in (0..n).map(|n| format!("{}-{n:04}", kind.as_str())) {
--- a/src/heat/tests/interleaved_simulation.rs
+++ b/src/heat/tests/interleaved_simulation.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn on_and_off_are_decided_once_and_a_successor_goes_on() {
+fn switches_are_decided_once_while_leaders_change() {
     let (mut turns, mut ons) = (0, 0);
     for seed in 0..60 {
         let mut simulation = Simulation::new(seed);
--- a/src/heat/tests/mod.rs
+++ b/src/heat/tests/mod.rs
@@ -109,7 +109,7 @@
 
 /// Contradictory readings are settled by a stated rule, and old or future ones do not count.
 #[test]
-fn what_is_hot_by_cases() {
+fn heat_signal_by_cases() {
     let now = DAY + 11 * HOUR;
     let hours = rule().hours_at(now).unwrap();
     // (name, readings as (value, minutes ago), what is thought)
@@ -138,7 +138,7 @@
 
 /// On and off as time goes on: minutes since 10:00 in UTC, what is read then, and what holds after it.
 #[test]
-fn on_and_off_through_time() {
+fn rule_switches_on_and_off_through_time() {
     let hot_assumed = HeatRule { assume: rule::AssumedHeat::Hot, ..rule() };
     let nights =
         HeatRule { from: "23:00".parse().unwrap(), to: "01:00".parse().unwrap(), offset_min: 0, ..hot_assumed.clone() };
@@ -275,7 +275,7 @@
 
 /// Each stage is told once, what waits is told each minute, and the end of it too.
 #[test]
-fn what_waits_is_told_by_cases() {
+fn backlog_is_reported_by_cases() {
     let waits = |jobs, oldest_s: u64, minute: u64| Backlog {
         jobs,
         oldest_s,
--- a/src/rollouts/status/tests.rs
+++ b/src/rollouts/status/tests.rs
@@ -3,7 +3,7 @@
 
 /// A status has to fit the smallest value that stores take (8 KiB), however its replicas lie.
 #[test]
-fn a_status_reads_back_and_fits() {
+fn status_is_decoded_again_and_fits_a_value() {
     let odd = ReplicaIndexes((0..MAX_REPLICAS).filter(|n| n % 2 == 1).collect());
     let on =
         |n| FailedMachine { machine: format!("host-{n:012}"), type_name: "g8-of-a-long-name".into(), faulty: false };
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -201,7 +201,7 @@
 
 /// Refused, or kept from beginning, by what the cluster state says of the jobs and the team.
 #[test]
-fn who_may_not_begin_by_cases() {
+fn rollouts_that_may_not_begin_by_cases() {
     type Change = fn(&mut JobSpec);
     let blue: fn(&mut Bench) = |_| ();
     // The team's limit is 20 cores.
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_is_next_by_cases() {
+fn next_status_by_cases() {
     use RolloutPhase::*;
     type Change = fn(&mut RolloutSpec, &mut RolloutObservation, &mut RolloutStatus);
     type Replicas = &'static [(u32, &'static str, f64)];
@@ -330,7 +330,7 @@
 
 /// What speaks against the version, against machines, or against both versions.
 #[test]
-fn whose_fault_by_cases() {
+fn version_verdict_by_cases() {
     use RolloutPhase::{GoingBack, Growing, Paused};
     let on = |n: u32, t: &str| failed_on(format!("m{n}"), t);
     // (name, failures of new and old, on these, suspected machines, change, phase, in the reason)
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn what_is_asked_by_cases() {
+fn replica_intents_by_cases() {
     let stop = |status: &RolloutStatus, seen: &RolloutObservation| {
         replica_intents(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)))
     };
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -589,7 +589,7 @@
 
 /// Nothing is lost by itself: no moment may have fewer than asked, whoever leads and whatever is late.
 #[test]
-fn controllers_that_fail_leave_no_gap() {
+fn failing_controllers_leave_no_gap() {
     let (mut stops, mut leaders) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(game(seed));
@@ -601,7 +601,7 @@
 
 /// Machines and zones are lost as well: what the leader could know of is never stopped against.
 #[test]
-fn losses_are_made_up_for_before_anything_else_goes() {
+fn losses_are_replaced_before_anything_else_stops() {
     let mut lost = 0;
     for seed in 0..60 {
         let mut world = World::new(Game { losses: true, zones: 3, surge: 2, replicas: 6, old: 6, ..game(seed) });
@@ -612,7 +612,7 @@
 }
 
 #[test]
-fn a_bad_version_goes_back_by_itself() {
+fn bad_version_is_rolled_back() {
     for flaw in [Flaw::NeverRuns, Flaw::FailsAtOnce, Flaw::FailsLater, Flaw::OneType, Flaw::WhenWhole] {
         for seed in 0..12 {
             // A few failures are the operator's to bear: one type shows where many come at once.
@@ -627,7 +627,7 @@
 /// Forward, back and paused at any moment, while leaders are replaced: a stop that is on its way may
 /// be for what is wanted again by now.
 #[test]
-fn the_operators_words_leave_no_gap() {
+fn operators_requests_leave_no_gap() {
     for seed in 0..100 {
         let mut rng = StdRng::seed_from_u64(seed);
         let word = |n: u64, rng: &mut StdRng| {
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -170,7 +170,7 @@
 
 /// Exit status 0, 1 and 2, as scripts see them.
 #[test]
-fn the_command_says_how_it_went() {
+fn command_exit_statuses() {
     let runtime = Runtime::new().unwrap();
     let (_world, door) = runtime.block_on(open_world());
     let file = std::env::temp_dir().join(format!("hollylanding-declared-{}.json", std::process::id()));
