--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -17,9 +17,9 @@
     }
 
     /// Who goes first from now on.
-    pub fn set_underserved(&mut self, below: Underserved) {
-        self.replan_needed |= self.below != below;
-        self.below = below;
+    pub fn set_underserved(&mut self, underserved: Underserved) {
+        self.replan_needed |= self.underserved != underserved;
+        self.underserved = underserved;
     }
 
     /// What late work has earned is bounded by what the oldest of it needs.
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -119,8 +119,8 @@
             // that a command still under way could start again.
             let unstored =
                 matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
-            // What has ended of a job that rests is looked at once it is released.
-            let may_reap = binding.is_none() && !unstored && m.settled() && !self.rests(&task.job);
+            // What has ended of a job that is suspended is looked at once it is released.
+            let may_reap = binding.is_none() && !unstored && m.settled() && !self.is_suspended(&task.job);
             return may_reap.then_some(WorkerCommand::Reap { task, attempt });
         }
         let ended = job.is_none_or(|j| j.ended.is_some());
@@ -215,22 +215,22 @@
         // A late stop or reap does nothing that was not meant for ever; a late launch does.
         if !settled && std::mem::take(&mut m.launch_under_way) {
             m.unsettled = Some(m.unsettled.map_or(fencing_token, |t| t.max(fencing_token)));
-            self.raise = true;
+            self.higher_token_wanted = true;
         }
     }
 
     /// Whether commands that may still arrive are to be made void by a higher fencing token.
     pub fn raise_wanted(&self, now: Instant) -> bool {
-        self.raise
+        self.higher_token_wanted
             && self.loaded
-            && now.saturating_duration_since(self.raised) >= RAISE_GAP
+            && now.saturating_duration_since(self.token_raised_at) >= RAISE_GAP
             && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.fencing_token))
     }
 
     /// Goes on under a higher fencing token of the same leader, which voids all earlier commands.
     pub fn raise_fencing_token(&mut self, fencing_token: u64) {
         self.fencing_token = self.fencing_token.max(fencing_token);
-        self.raise = false;
-        self.raised += RAISE_GAP;
+        self.higher_token_wanted = false;
+        self.token_raised_at += RAISE_GAP;
     }
 }
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -84,7 +84,7 @@
         self.cache_gb = machine_type.and_then(|machine_type| machine_type.cache_gb);
         if catalog.is_some() && machine_type.is_none() {
             let (machine, machine_type) = (&self.id, &self.type_name);
-            warn!(%machine, machine_type, "machine type missing in the catalog; placing no work on it");
+            warn!(%machine, %machine_type, "machine type missing in the catalog; placing no work on it");
         }
     }
 }
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -55,8 +55,8 @@
     pub fn forget_all(&mut self) {
         self.jobs.clear();
         self.ending.clear();
-        self.resting.clear();
-        self.drops.clear();
+        self.suspended.clear();
+        self.shards_to_drop.clear();
         self.usage.clear();
         self.arrivals.clear();
         for machine in self.machines.values_mut() {
@@ -169,7 +169,7 @@
         let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.complete());
         self.completed.extend(complete.map(|(id, _)| id.clone()));
         (self.loaded, self.loaded_at) = (true, now);
-        self.stop_resting_gangs(now);
+        self.halt_suspended_gangs(now);
         self.reconcile_all(now);
     }
 
@@ -259,7 +259,7 @@
             && job.bound.is_empty()
         {
             let stored: Vec<u64> = (0u64..).zip(&job.versions).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
-            self.drops.extend(stored.into_iter().map(|c| (id.clone(), c)));
+            self.shards_to_drop.extend(stored.into_iter().map(|c| (id.clone(), c)));
             self.jobs.remove(id);
             self.ending.remove(id);
         }
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -35,7 +35,7 @@
 };
 pub use storing::ShardWrite;
 use storing::UnstoredShards;
-use unreadable::RestingJobs;
+use unreadable::SuspendedJobs;
 
 use super::failure_attribution::FailureAttribution;
 use super::fairness::AccountingEvent;
@@ -63,7 +63,7 @@
 type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
 /// What the leader knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
-/// no clock.
+/// no clock. One lock, held by `scheduling::leader_state`, guards all of it.
 pub struct ClusterState {
     /// The fencing token of this leader, raised when commands have to be voided.
     pub fencing_token: u64,
@@ -74,6 +74,7 @@
     pub loaded: bool,
     /// Every end that stood in the store at this revision is in this cluster state, once it is loaded.
     pub known: u64,
+    /// The cancellation watermark, a revision of the store; it never goes back.
     watermark: u64,
     /// What the platform has handed over.
     pub settings: Settings,
@@ -83,24 +84,29 @@
     /// Jobs whose end is known and of which something is still bound.
     ending: BTreeSet<JobId>,
     /// Jobs with shards that could not be read.
-    resting: RestingJobs,
+    suspended: SuspendedJobs,
     /// Every type, zone and kind that a machine was ever of; machines name theirs by its place.
     kinds: Vec<MachineKind>,
     /// Something that placement depends on has changed since the last plan.
     pub(super) replan_needed: bool,
     /// Every machine that is held or was heard of, by name.
     pub machines: BTreeMap<MachineId, Machine>,
+    /// Machines that were returned, the latest last, so that their late heartbeats are not taken for new ones.
     gone: VecDeque<MachineId>,
+    /// The same, for lookup.
     gone_set: HashSet<MachineId>,
+    /// Task shards that the store is behind on.
     unstored: UnstoredShards,
     /// Jobs complete but not yet stored as done.
     completed: VecDeque<JobId>,
     /// Shards of jobs that are over, to be dropped.
-    drops: VecDeque<(JobId, u64)>,
+    shards_to_drop: VecDeque<(JobId, u64)>,
     /// Cores and accelerators that each team's bound tasks take.
     pub usage: HashMap<String, (f64, f64)>,
-    raised: Instant,
-    raise: bool,
+    /// When the fencing token was last raised.
+    token_raised_at: Instant,
+    /// A launch that may still arrive is to be voided by a higher fencing token.
+    higher_token_wanted: bool,
     /// When many machines were last silent together.
     many_silent_seen_at: Option<Instant>,
     /// When this controller last was paused.
@@ -111,31 +117,31 @@
     observed: LruCache<String, (f64, f64)>,
     /// How fast tasks of each class have lately come.
     pub arrivals: BTreeMap<String, Arrivals>,
-    /// What the largest gangs offer and earn.
+    /// Offered work and credit of the largest gangs.
     pub large: LargeGangs,
     /// Machines kept for gangs that will soon fit.
     pub reservations: HashMap<MachineId, Reservation>,
     /// Machines on which others were stopped for a job, until it has come there.
     pub preemption_reservations: HashMap<MachineId, Reservation>,
     /// Since when plans have kept room for a gang.
-    pub(super) keeping: Option<Instant>,
+    pub(super) room_kept_since: Option<Instant>,
     /// Jobs that wait although machines have room for them.
     pub(super) passed_over: PassedOverJobs,
-    /// Classes and teams that go first, by the account.
-    pub below: Underserved,
-    /// Whose fault failures are.
+    /// Classes and teams that were served less than the floor, by fair-share accounting.
+    pub underserved: Underserved,
+    /// What is known of failures, by which they are attributed to a job, a task or a machine.
     pub attribution: FailureAttribution,
-    /// What work that is late for everything may take before others.
+    /// Cores that work which is late for all its objectives may take before others.
     pub core_credit: CoreCredit,
     /// Orders to the cloud that an earlier leader has left, for whoever carries them out.
     pub inherited: Vec<CloudOrder>,
     /// When jobs ended, of the last ones that this leader heard of.
     ended_at: LruCache<JobId, Instant>,
-    /// What operators have declared asks for.
+    /// What the operators' declarations ask of scheduling.
     pub intents: Intents,
     /// Jobs have come since that was worked out.
     pub intents_due: bool,
-    /// What the account is to be told next.
+    /// Events that fair-share accounting has not been told of yet.
     notes: Vec<(JobId, AccountingEvent, Instant)>,
 }
 
@@ -151,7 +157,7 @@
             settings,
             jobs: HashMap::default(),
             ending: BTreeSet::new(),
-            resting: RestingJobs::new(),
+            suspended: SuspendedJobs::new(),
             kinds: Vec::new(),
             replan_needed: true,
             machines: BTreeMap::new(),
@@ -159,10 +165,10 @@
             gone_set: HashSet::new(),
             unstored: UnstoredShards::default(),
             completed: VecDeque::new(),
-            drops: VecDeque::new(),
+            shards_to_drop: VecDeque::new(),
             usage: HashMap::new(),
-            raised: now,
-            raise: false,
+            token_raised_at: now,
+            higher_token_wanted: false,
             many_silent_seen_at: None,
             last_pause: None,
             loaded_at: now,
@@ -171,9 +177,9 @@
             large: LargeGangs::new(&properties, now),
             reservations: HashMap::new(),
             preemption_reservations: HashMap::new(),
-            keeping: None,
+            room_kept_since: None,
             passed_over: PassedOverJobs::default(),
-            below: Underserved::default(),
+            underserved: Underserved::default(),
             attribution: FailureAttribution::default(),
             core_credit: CoreCredit::default(),
             inherited: Vec::new(),
@@ -212,7 +218,7 @@
             ("kinds", self.kinds.len()),
             ("classes", self.observed.len().max(self.arrivals.len())),
             ("to_store", self.unstored.len() + self.completed.len()),
-            ("to_drop", self.drops.len()),
+            ("to_drop", self.shards_to_drop.len()),
         ]
     }
 
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -218,17 +218,17 @@
 
     /// Takes up to `most` shards of ended jobs that are to be dropped from the store.
     pub fn next_drops(&mut self, most: usize) -> Vec<(JobId, u64)> {
-        let n = self.drops.len().min(most);
-        self.drops.drain(..n).collect()
+        let n = self.shards_to_drop.len().min(most);
+        self.shards_to_drop.drain(..n).collect()
     }
 
     /// How many shards wait to be dropped.
     pub fn drops_waiting(&self) -> usize {
-        self.drops.len()
+        self.shards_to_drop.len()
     }
 
     /// Puts back shards whose drop failed.
-    pub fn drop_again(&mut self, drops: Vec<(JobId, u64)>) {
-        self.drops.extend(drops);
+    pub fn drop_again(&mut self, shards_to_drop: Vec<(JobId, u64)>) {
+        self.shards_to_drop.extend(shards_to_drop);
     }
 }
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -81,7 +81,7 @@
         }
         self.stop_idle_on_scale_in_candidates(now);
         self.end_due_quarantines(now);
-        self.release_resting(now);
+        self.resume_suspended_jobs(now);
     }
 
     /// How long many machines may be silent together: longer than one alone.
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -1,11 +1,11 @@
-//! Shards that a new leader cannot read: their jobs rest until nothing that such a shard hides can run.
+//! Shards that a new leader cannot read: their jobs are suspended until nothing that such a shard hides can run.
 //!
 //! An unreadable shard may hide bindings. Its job is placed again only when all of this holds:
 //!
 //! - Every machine that is known has reported under this leader's fencing token, or is gone. Such a heartbeat shows all that runs
 //!   there, and commands of earlier leaders, which have lower fencing tokens, are refused from then on.
 //! - None of these heartbeats shows a hidden task alive. What they show is stopped, as anything without a binding.
-//! - `rest()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
+//! - `suspension()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
 //!   that it answered last has ended, so nothing runs on a machine that nobody here knows.
 //!
 //! Until then the shard is not stored anew, so a successor finds it unreadable as well and waits in its turn. A task
@@ -34,27 +34,27 @@
 const ANSWERS_AFTER_LEASE: Duration = Duration::from_secs(3);
 /// Covers the drift of a machine's clock and the way of a heartbeat.
 const MARGIN: Duration = Duration::from_secs(5);
-/// A job that rests is not placed before it is released; this is far beyond any rest.
+/// A job that is suspended is not placed before it is released; this is far beyond any suspension.
 const UNTIL_RELEASED: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// A job of which shards could not be read.
 #[derive(Debug)]
-pub(super) struct Resting {
+pub(super) struct SuspendedJob {
     shards: BTreeSet<u64>,
     team: String,
     /// Cores and accelerators that its hidden tasks may take; its team's usage includes them.
     hidden: (f64, f64),
 }
 
-impl Resting {
+impl SuspendedJob {
     fn hides(&self, id: &JobId, attempt_report: &AttemptReport) -> bool {
         attempt_report.task.job == *id
             && self.shards.contains(&(u64::from(attempt_report.task.index) / TASKS_PER_SHARD))
     }
 }
 
-/// Jobs that rest, by id.
-pub(super) type RestingJobs = BTreeMap<JobId, Resting>;
+/// Suspended jobs, by id.
+pub(super) type SuspendedJobs = BTreeMap<JobId, SuspendedJob>;
 
 /// The last attempt that may have been made of a task whose shard was last changed at this revision.
 fn hidden_attempt(version: u64) -> u64 {
@@ -68,7 +68,7 @@
 }
 
 impl ClusterState {
-    /// A shard of a job that was just added, which nobody can read: the job rests, and the shard counts as bound for
+    /// A shard of a job that was just added, which nobody can read: the job is suspended, and the shard counts as bound for
     /// its team's limit.
     pub fn load_unreadable_shard(&mut self, id: &JobId, shard: u64, version: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -83,69 +83,69 @@
         job.touched += hidden_tasks;
         job.not_before = now + UNTIL_RELEASED;
         let spec = job.record.spec.clone();
-        let resting = self.resting.entry(id.clone()).or_insert_with(|| Resting {
+        let suspended = self.suspended.entry(id.clone()).or_insert_with(|| SuspendedJob {
             shards: BTreeSet::new(),
             team: spec.team.clone(),
             hidden: (0.0, 0.0),
         });
-        resting.shards.insert(shard);
+        suspended.shards.insert(shard);
         let (cpus, gpus) = (spec.cpus * hidden_tasks as f64, spec.gpus * hidden_tasks as f64);
-        resting.hidden.0 += cpus;
-        resting.hidden.1 += gpus;
+        suspended.hidden.0 += cpus;
+        suspended.hidden.1 += gpus;
         let used = self.usage.entry(spec.team).or_default();
         used.0 += cpus;
         used.1 += gpus;
         error!(job = %id, shard, "task shard not decoded; suspending the job until no hidden task can run");
     }
 
-    /// What can be read of a gang that rests is stopped: its attempt has lost the tasks that are hidden.
-    pub(super) fn stop_resting_gangs(&mut self, now: Instant) {
+    /// What can be read of a gang that is suspended is stopped: its attempt has lost the tasks that are hidden.
+    pub(super) fn halt_suspended_gangs(&mut self, now: Instant) {
         let gang = |id: &&JobId| self.jobs.get(*id).is_some_and(|job| job.spec().is_gang() && !job.complete());
-        let gangs: Vec<JobId> = self.resting.keys().filter(gang).cloned().collect();
+        let gangs: Vec<JobId> = self.suspended.keys().filter(gang).cloned().collect();
         for id in gangs {
             self.halt_job(&id, 0, now);
         }
     }
 
     /// How long after the load an earlier leader's tasks may run on a machine that is not known here.
-    pub(super) fn rest(&self) -> Duration {
+    pub(super) fn suspension(&self) -> Duration {
         let answers = self.properties.election_lease.max(PROOF_EVERY) + ANSWERS_AFTER_LEASE;
         answers + self.settings.params.workers.lease() + MARGIN
     }
 
-    /// Ends the rest of jobs of which nothing hidden can run any more.
-    pub(super) fn release_resting(&mut self, now: Instant) {
-        if self.resting.is_empty() || now.saturating_duration_since(self.loaded_at) < self.rest() {
+    /// Resumes jobs of which nothing hidden can run any more.
+    pub(super) fn resume_suspended_jobs(&mut self, now: Instant) {
+        if self.suspended.is_empty() || now.saturating_duration_since(self.loaded_at) < self.suspension() {
             return;
         }
         if self.machines.values().any(|m| unheard(m, self.first_fencing_token, self.loaded_at)) {
             return;
         }
-        let runs = |id: &JobId, resting: &Resting| {
+        let runs = |id: &JobId, suspended: &SuspendedJob| {
             let live = |attempt_report: &AttemptReport| {
-                attempt_report.status != AttemptStatus::Exited && resting.hides(id, attempt_report)
+                attempt_report.status != AttemptStatus::Exited && suspended.hides(id, attempt_report)
             };
             self.machines.values().any(|m| m.attempts.iter().any(live))
         };
         let over: Vec<JobId> =
-            self.resting.iter().filter(|(id, resting)| !runs(id, resting)).map(|(id, _)| id.clone()).collect();
+            self.suspended.iter().filter(|(id, suspended)| !runs(id, suspended)).map(|(id, _)| id.clone()).collect();
         for id in over {
-            self.release_job(&id, now);
+            self.resume_job(&id, now);
         }
     }
 
-    fn release_job(&mut self, id: &JobId, now: Instant) {
-        let Some(resting) = self.resting.remove(id) else { return };
-        let done = self.reported_done(id, &resting);
-        if let Some(used) = self.usage.get_mut(&resting.team) {
-            used.0 = (used.0 - resting.hidden.0).max(0.0);
-            used.1 = (used.1 - resting.hidden.1).max(0.0);
+    fn resume_job(&mut self, id: &JobId, now: Instant) {
+        let Some(suspended) = self.suspended.remove(id) else { return };
+        let done = self.reported_done(id, &suspended);
+        if let Some(used) = self.usage.get_mut(&suspended.team) {
+            used.0 = (used.0 - suspended.hidden.0).max(0.0);
+            used.1 = (used.1 - suspended.hidden.1).max(0.0);
         }
         self.replan_needed = true;
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.ended.is_none()) else { return };
         job.not_before = now;
         info!(job = %id, "job resumed");
-        for shard in resting.shards {
+        for shard in suspended.shards {
             self.store_unreadable_shard_anew(id, shard);
         }
         for (key, machine) in done {
@@ -154,7 +154,7 @@
     }
 
     /// Hidden tasks that workers report as done, each once, with its machine. A service is never done.
-    fn reported_done(&self, id: &JobId, resting: &Resting) -> BTreeMap<TaskKey, MachineId> {
+    fn reported_done(&self, id: &JobId, suspended: &SuspendedJob) -> BTreeMap<TaskKey, MachineId> {
         let Some(job) = self.jobs.get(id).filter(|job| job.spec().shape != Shape::Service) else {
             return BTreeMap::new();
         };
@@ -166,7 +166,7 @@
             let attempts = machine
                 .attempts
                 .iter()
-                .filter(|attempt_report| resting.hides(id, attempt_report) && waits(attempt_report));
+                .filter(|attempt_report| suspended.hides(id, attempt_report) && waits(attempt_report));
             let attempts = attempts.filter(|attempt_report| {
                 attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(ExitCause::Done)
             });
@@ -176,7 +176,7 @@
     }
 
     /// Whether a job waits until nothing of its unreadable shards can run.
-    pub fn rests(&self, id: &JobId) -> bool {
-        self.resting.contains_key(id)
+    pub fn is_suspended(&self, id: &JobId) -> bool {
+        self.suspended.contains_key(id)
     }
 }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -146,7 +146,7 @@
         // Without guarantees: those of teams go before everything, as they did.
         let mut cluster = waiting(&jobs, now);
         cluster.settings.params.teams.iter_mut().for_each(|t| t.cpus = 0.0);
-        cluster.below = first(classes, teams);
+        cluster.underserved = first(classes, teams);
         assert_eq!(order(&cluster, now), want, "{name}");
     }
 }
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -83,7 +83,7 @@
         let now = world.now + s(after_s);
         cluster.tick(now);
         let job = cluster.job(&JOB.into()).unwrap();
-        assert_eq!((cluster.rests(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
+        assert_eq!((cluster.is_suspended(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
         let stored = cluster.next_writes(9, now).1;
         let expected: Vec<u64> = if rests { vec![] } else { vec![5] };
         assert_eq!(
@@ -120,7 +120,7 @@
             successor_cannot_read(&mut simulation);
             simulation.run(15.0);
             // A second one reads the same, since nothing was stored over it.
-            assert!(simulation.cluster.rests(&JOB.into()), "{name}");
+            assert!(simulation.cluster.is_suspended(&JOB.into()), "{name}");
             successor_cannot_read(&mut simulation);
             simulation.run(PAST_THE_REST);
             assert_eq!(simulation.live(&JOB.into()).len() as u64, tasks, "{name}: it runs again");
