--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -4,8 +4,8 @@
 //! Each write also changes one key common to all operators. So writes are serialized, the bounds on how much is
 //! declared hold exactly, and a delayed copy of a write changes nothing.
 
+mod client;
 pub mod error;
-mod session;
 pub(super) mod stored;
 
 use std::collections::BTreeMap;
@@ -13,8 +13,8 @@
 
 use serde_json::{Value, json};
 
+use self::client::{Attempt, OperatorClient};
 pub use self::error::{NoAnswer, OperatorError, Refusal};
-use self::session::{Attempt, Session};
 use self::stored::{SpecWrite, StoredDeclarations};
 use super::records::{DeclarationId, MAX_SPECS_BYTES, is_valid_name};
 use super::table::{Declaration, KindOperations, find_kind};
@@ -43,13 +43,13 @@
 /// The operators' side: reads and writes specs directly in the store.
 pub struct Operator {
     kinds: &'static [KindOperations],
-    session: Session,
+    client: OperatorClient,
 }
 
 impl Operator {
     /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, kinds: &'static [KindOperations], patience: Duration) -> Self {
-        Self { kinds, session: Session::new(settings, patience) }
+        Self { kinds, client: OperatorClient::new(settings, patience) }
     }
 
     fn operations(&self, kind: DeclarationKind) -> Result<&'static KindOperations, Refusal> {
@@ -69,7 +69,7 @@
         if list.len() > kind.max_count() {
             return Err(Refusal::TooMany { kind, count: list.len() }.into());
         }
-        let names = KnownNames::from_settings(&self.session.settings);
+        let names = KnownNames::from_settings(&self.client.settings);
         let (mut specs, mut refusals) = (BTreeMap::new(), Vec::new());
         for (index, mut spec) in list.into_iter().enumerate() {
             let name = spec.as_object_mut().and_then(|fields| fields.remove("name"));
@@ -98,7 +98,7 @@
     ) -> Result<Vec<String>, OperatorError> {
         let operations = self.operations(kind)?;
         let decide = async |stored: &StoredDeclarations, _| decide_declare(operations, stored, specs);
-        self.session.read_and_write(kind, decide).await
+        self.client.read_and_write(kind, decide).await
     }
 
     /// Removes a spec.
@@ -111,7 +111,7 @@
             Err(_) if attempt == Attempt::Repeated => Ok(Vec::new()),
             Err(refusal) => Err(refusal.into()),
         };
-        self.session.read_and_write(kind, decide).await.map(drop)
+        self.client.read_and_write(kind, decide).await.map(drop)
     }
 
     /// Applies one of the kind's verbs. A job that is to be cancelled with it is cancelled first, at this controller,
@@ -130,11 +130,11 @@
         let decide = async |stored: &StoredDeclarations, _| {
             let outcome = (operations.apply_verb)(verb, stored.declaration(kind, name)?, time_of_day_ms())?;
             if let Some(job) = outcome.cancel {
-                self.session.cancel_job(node, &job).await?;
+                self.client.cancel_job(node, &job).await?;
             }
             Ok(vec![SpecWrite::put(name, outcome.spec)])
         };
-        self.session.read_and_write(kind, decide).await.map(drop)
+        self.client.read_and_write(kind, decide).await.map(drop)
     }
 
     /// Stores a sensor's reading of a time of day. A reading of a later time is not replaced.
@@ -144,7 +144,7 @@
     pub async fn store_reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), OperatorError> {
         let kind = DeclarationKind::Reading;
         let operations = self.operations(kind)?;
-        let settings = &self.session.settings;
+        let settings = &self.client.settings;
         if !is_valid_name(name) {
             return Err(invalid_name(format_args!("{name:?}")).into());
         }
@@ -163,7 +163,7 @@
             }
             Ok(vec![SpecWrite::put(name, spec)])
         };
-        self.session.read_and_write(kind, decide).await.map(drop)
+        self.client.read_and_write(kind, decide).await.map(drop)
     }
 
     /// Shows all declarations, or those of one kind, or one of them; and statuses that are still to be dropped.
@@ -175,7 +175,7 @@
         kind: Option<DeclarationKind>,
         name: Option<&str>,
     ) -> Result<Vec<DeclarationReport>, OperatorError> {
-        let stored = self.session.read_declarations(kind).await?;
+        let stored = self.client.read_declarations(kind).await?;
         if let (Some(kind), Some(name)) = (kind, name) {
             stored.declaration(kind, name)?;
         }
--- a/src/declarations/operator/session.rs
+++ b/src/declarations/operator/client.rs
@@ -46,7 +46,7 @@
 }
 
 /// Access to the state service and the controllers on behalf of an operator.
-pub struct Session {
+pub struct OperatorClient {
     /// The settings.
     pub settings: Settings,
     store: StateClient,
@@ -55,7 +55,7 @@
     patience: Duration,
 }
 
-impl Session {
+impl OperatorClient {
     /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, patience: Duration) -> Self {
         let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
