--- a/src/controller.rs
+++ b/src/controller.rs
@@ -112,7 +112,7 @@
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(BEAT).await;
-                membership.beat(Instant::now());
+                membership.detect_pause(Instant::now());
             }
         });
     }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -14,7 +14,7 @@
 use crate::settings::Settings;
 use crate::store::budget::{Budget, RequestPriority};
 use crate::sync::lock;
-use crate::traffic::{Passage, Traffic};
+use crate::traffic::{CallKind, Traffic};
 
 /// A call that is not answered within this may still be carried out.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
@@ -72,7 +72,7 @@
             };
             tokio::time::sleep(wait).await;
         }
-        self.traffic.count(Passage::CloudCall);
+        self.traffic.count(CallKind::CloudCall);
         match self.http.call(method, &self.addr, path, body, ANSWER_TIMEOUT).await {
             Ok(answer) => Ok(answer),
             Err(protocol::CallError::NotSent) => Err(CloudError::Refused(0)),
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -94,7 +94,7 @@
     }
 
     fn cache_proven(&self) {
-        self.proven();
+        self.cache_proven_fresh();
     }
 
     fn process_pauses(&self) -> u64 {
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -67,9 +67,9 @@
 
 /// What this controller keeps of its own part in who holds the lease.
 struct ElectionParticipant {
-    pace: LeaseTiming,
+    timing: LeaseTiming,
     /// The lease on which it leads, or led last.
-    permit: Option<u64>,
+    lease: Option<u64>,
     renewed: Instant,
     wrote_leader_record_last: bool,
     /// Predecessors whose election lease it has ended.
@@ -81,8 +81,8 @@
 impl ElectionParticipant {
     fn new(life: Duration) -> Self {
         Self {
-            pace: LeaseTiming { life },
-            permit: None,
+            timing: LeaseTiming { life },
+            lease: None,
             renewed: Instant::now(),
             wrote_leader_record_last: false,
             expired: 0,
@@ -92,9 +92,9 @@
     }
 
     /// Gives the election lease up where workers reach another controller. False if there is nothing to give up.
-    async fn yields(&mut self, membership: &Membership) -> bool {
+    async fn transfer_leadership(&mut self, membership: &Membership) -> bool {
         if let (Some(lease), Some(takeover_request)) =
-            (self.permit, membership.takeover_request_to_answer(Instant::now()))
+            (self.lease, membership.takeover_request_to_answer(Instant::now()))
             && self.leadership_transfer.begins(takeover_request, lease, Instant::now())
         {
             warn!("leader unreachable for workers; releasing the election lease to another controller");
@@ -102,25 +102,25 @@
         let Some(lease) = self.leadership_transfer.to_release() else { return false };
         match membership.store.client.release(lease).await {
             Ok(()) => {
-                self.permit = None;
+                self.lease = None;
                 self.leadership_transfer.released(Instant::now());
             }
             Err(error) => {
                 debug!(%error, "election lease release failed");
-                tokio::time::sleep(crate::sync::jitter(self.pace.retry())).await;
+                tokio::time::sleep(crate::sync::jitter(self.timing.retry())).await;
             }
         }
         true
     }
 
     /// What is to be done next.
-    fn next(&mut self, membership: &Membership, view: &ElectionView) -> Step {
+    fn decide_step(&mut self, membership: &Membership, view: &ElectionView) -> Step {
         let fencing_token = membership.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
         let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
         let own_name =
             view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == membership.settings.node);
-        let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
-        let renew_due = self.renewed.elapsed() >= self.pace.renew_every();
+        let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.timing.life, Instant::now());
+        let renew_due = self.renewed.elapsed() >= self.timing.renew_every();
         let step = next_step(ElectionObservations {
             me: &membership.incarnation,
             lease_holder: view.lease_holder(),
@@ -133,7 +133,12 @@
         renewal_first(step, self.wrote_leader_record_last, renew_due)
     }
 
-    async fn take(&mut self, membership: &Arc<Membership>, view: &ElectionView, step: &Step) -> Result<(), StoreError> {
+    async fn take_step(
+        &mut self,
+        membership: &Arc<Membership>,
+        view: &ElectionView,
+        step: &Step,
+    ) -> Result<(), StoreError> {
         self.wrote_leader_record_last = *step == Step::WriteLeaderRecord;
         match step {
             Step::Wait => Ok(()),
@@ -143,26 +148,26 @@
                 Ok(())
             }
             Step::Campaign => {
-                campaign(membership, &mut self.permit, self.pace.life).await?;
+                campaign(membership, &mut self.lease, self.timing.life).await?;
                 self.renewed = Instant::now();
                 Ok(())
             }
             Step::Renew => self.renew(membership).await,
             Step::WriteLeaderRecord => {
                 let writing = write_leader_record(membership, view.lease_holder_version, view.leader_record_version);
-                let outcome = tokio::time::timeout(self.pace.write_timeout(), writing).await;
+                let outcome = tokio::time::timeout(self.timing.write_timeout(), writing).await;
                 outcome.unwrap_or(Err(StoreError::Unanswered))
             }
         }
     }
 
     async fn renew(&mut self, membership: &Membership) -> Result<(), StoreError> {
-        let Some(lease) = self.permit else { return Ok(()) };
+        let Some(lease) = self.lease else { return Ok(()) };
         let alive = membership.store.client.renew(lease).await?;
         self.renewed = Instant::now();
         if !alive {
             info!("election lease expired");
-            self.permit = None;
+            self.lease = None;
         }
         Ok(())
     }
@@ -170,22 +175,22 @@
 
 /// Leads, or waits until it can, for ever.
 pub async fn run(membership: Arc<Membership>) {
-    let mut member = ElectionParticipant::new(membership.properties.election_lease);
+    let mut participant = ElectionParticipant::new(membership.properties.election_lease);
     let mut stall = WatermarkStall::default();
     loop {
-        let _ = tokio::time::timeout(member.pace.look_every(), membership.wakeups.membership.notified()).await;
+        let _ = tokio::time::timeout(participant.timing.look_every(), membership.wakeups.membership.notified()).await;
         let Some(view) = ElectionView::of(&membership) else { continue };
         membership.check_deposed();
-        if member.yields(&membership).await {
+        if participant.transfer_leadership(&membership).await {
             continue;
         }
-        if view.lease_holder().is_none() && member.leadership_transfer.stands_back(Instant::now()) {
+        if view.lease_holder().is_none() && participant.leadership_transfer.stands_back(Instant::now()) {
             continue;
         }
-        let step = member.next(&membership, &view);
-        if let Err(error) = member.take(&membership, &view, &step).await {
+        let step = participant.decide_step(&membership, &view);
+        if let Err(error) = participant.take_step(&membership, &view, &step).await {
             debug!(%error, ?step, "membership step failed");
-            tokio::time::sleep(crate::sync::jitter(member.pace.retry())).await;
+            tokio::time::sleep(crate::sync::jitter(participant.timing.retry())).await;
         }
         maintain_watermark(&membership, &mut stall).await;
     }
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -13,7 +13,7 @@
 impl Membership {
     /// To be called before anything is judged by time. The one place where a pause of this process is
     /// handed to all that do: their silences, idle times and proofs of before are void.
-    pub fn beat(&self, now: Instant) {
+    pub fn detect_pause(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
             self.store.read_barrier.request_proof();
@@ -40,12 +40,12 @@
 
     /// Begins something that only counts if the process does not pause meanwhile.
     pub fn pauses(&self) -> u64 {
-        self.beat(Instant::now());
+        self.detect_pause(Instant::now());
         lock(&self.pause_detector).pauses()
     }
 
     /// The watch cache was just proven fresh: who leads is known again.
-    pub fn proven(&self) {
+    pub fn cache_proven_fresh(&self) {
         self.check_deposed();
         lock(&self.leader_searches).clear();
         if self.unproven.swap(false, Ordering::Relaxed) {
@@ -55,14 +55,14 @@
 
     /// Nothing may be decided or answered yet, after a process pause.
     pub fn unproven(&self) -> bool {
-        self.beat(Instant::now());
+        self.detect_pause(Instant::now());
         self.unproven.load(Ordering::Relaxed)
     }
 
     /// Whether a question read now was most likely given up by who asked it, while this process was paused.
     pub fn stale_question(&self) -> bool {
         let now = Instant::now();
-        self.beat(now);
+        self.detect_pause(now);
         lock(&self.pause_detector).last().is_some_and(|pause| pause.stale_question(now))
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -9,7 +9,7 @@
 pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
 use crate::protocol::state::{CompareAndSwap, FailedConditions, GrantedLease, KeyVersionPage, StoreRevision};
 use crate::protocol::{self, CallError, Http};
-use crate::traffic::{Passage, Traffic};
+use crate::traffic::{CallKind, Traffic};
 use hyper::Method;
 
 /// Answers usually take 10 ms and at times a few hundred; past this one is not waited for.
@@ -221,10 +221,10 @@
         body: Option<Vec<u8>>,
         within: Duration,
     ) -> Result<(u16, bytes::Bytes), StoreError> {
-        self.traffic.count(Passage::StoreRequest);
+        self.traffic.count(CallKind::StoreRequest);
         let outcome = self.http.call(method, &self.addr, path, body, within).await;
         if !matches!(outcome, Ok((status, _)) if status != 429 && status != 503) {
-            self.traffic.count(Passage::StoreRefused);
+            self.traffic.count(CallKind::StoreRefused);
         }
         let served = matches!(outcome, Ok((status, _)) if status != 503) || outcome == Err(CallError::TooLarge);
         {
@@ -255,7 +255,7 @@
         if !apply.is_empty() {
             crate::sync::lock(&self.wanted).1.count(apply.len() as f64, Instant::now());
             Self::budgeted(&self.writes, apply.len() as f64, priority).await?;
-            self.traffic.add(Passage::StoreChange, apply.len() as u64);
+            self.traffic.add(CallKind::StoreChange, apply.len() as u64);
         }
         let body = protocol::encode(&CompareAndSwap::new(conditions, apply));
         let (status, body) = self.call(Method::POST, "/txn", Some(body), ANSWER_WITHIN, priority).await?;
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -8,17 +8,17 @@
 
 const EVERY: Duration = Duration::from_secs(1);
 
-macro_rules! passages {
+macro_rules! call_kinds {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal,)+) => {
-        /// Kinds of calls, in the order in which they are told.
+        /// Kinds of calls, in the order in which they are logged.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-        pub enum Passage { $($(#[doc = $doc])+ $variant,)+ }
+        pub enum CallKind { $($(#[doc = $doc])+ $variant,)+ }
 
         const NAMES: &[&str] = &[$($name,)+];
     };
 }
 
-passages! {
+call_kinds! {
     /// Requests sent to the state service.
     StoreRequest = "store_requests",
     /// Puts and deletes sent to the state service.
@@ -51,13 +51,13 @@
 
 impl Traffic {
     /// Counts one.
-    pub fn count(&self, passage: Passage) {
-        self.add(passage, 1);
+    pub fn count(&self, kind: CallKind) {
+        self.add(kind, 1);
     }
 
     /// Counts several.
-    pub fn add(&self, passage: Passage, n: u64) {
-        self.0[passage as usize].fetch_add(n, Ordering::Relaxed);
+    pub fn add(&self, kind: CallKind, n: u64) {
+        self.0[kind as usize].fetch_add(n, Ordering::Relaxed);
     }
 
     /// What has passed since the last call, by name; what has not is left out.
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -14,7 +14,7 @@
 use super::submission::submit_job;
 use super::write_tracker::WriteTracker;
 use crate::protocol::{self, BODY_LIMIT};
-use crate::traffic::Passage;
+use crate::traffic::CallKind;
 use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
 /// Handles the requests of one endpoint.
@@ -52,7 +52,7 @@
 /// Writes a response to a user.
 fn write_user_response(service: &UserService, res: &mut Response, response: UserResponse) {
     let later = matches!(response, UserResponse::RetryLater { .. });
-    service.traffic.count(if later { Passage::Later } else { Passage::Answered });
+    service.traffic.count(if later { CallKind::Later } else { CallKind::Answered });
     match response {
         UserResponse::Found(job) => write_response(res, 200, protocol::encode(&job)),
         UserResponse::Created(job) => write_response(res, 201, protocol::encode(&job)),
@@ -71,15 +71,15 @@
 fn write_heartbeat_response(service: &UserService, res: &mut Response, response: HeartbeatResponse) {
     match response {
         HeartbeatResponse::Commands(commands) => {
-            service.traffic.count(Passage::Heartbeat);
+            service.traffic.count(CallKind::Heartbeat);
             write_response(res, 200, protocol::encode(&commands));
         }
         HeartbeatResponse::Redirect(leader) => {
-            service.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(CallKind::HeartbeatElsewhere);
             write_response(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
         HeartbeatResponse::Unavailable => {
-            service.traffic.count(Passage::HeartbeatElsewhere);
+            service.traffic.count(CallKind::HeartbeatElsewhere);
             write_response(res, 503, Vec::new());
         }
         HeartbeatResponse::Malformed => write_response(res, 400, Vec::new()),
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::protocol::{self, CallError};
 use crate::scheduling::cluster::{DirectCommand, MachineId};
 use crate::scheduling::messages::MessageKind;
-use crate::traffic::Passage;
+use crate::traffic::CallKind;
 
 /// A command that is not answered within this counts as one that may still arrive.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -40,7 +40,7 @@
 async fn send_command(service: Arc<WorkerService>, direct: DirectCommand) {
     let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = direct;
     let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders: commands });
-    service.traffic.count(Passage::Command);
+    service.traffic.count(CallKind::Command);
     let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
     record_reply(&service, &machine, fencing_token, outcome);
 }
--- a/tests/unread_process_pause.rs
+++ b/tests/unread_process_pause.rs
@@ -24,7 +24,7 @@
     outside.block_on(async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert!(a.controller.store.watch_cache().watch_revision().is_none(), "nothing is read yet");
-        a.controller.membership.beat(Instant::now() + Duration::from_secs(5));
+        a.controller.membership.detect_pause(Instant::now() + Duration::from_secs(5));
         assert!(a.controller.membership.unproven(), "it was paused for longer than an election lease");
 
         let mut given_up = a.controller.store.read_barrier.subscribe_failed();
