--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -44,18 +44,23 @@
 }
 
 /// Why a line is dropped.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub(super) enum LineError {
+    /// No end of the line within the limit.
     #[error("it is longer than {LINE_LIMIT} bytes")]
     TooLong,
+    /// The connection ended within the line.
     #[error("it ends in the middle")]
     Unfinished,
-    #[error("it cannot be read: {0}")]
-    Unreadable(String),
+    /// It is not the JSON of a line.
+    #[error("it cannot be decoded: {0}")]
+    Undecodable(#[from] serde_json::Error),
+    /// It names a sender that the settings do not.
     #[error("{0:?} is no controller by the settings")]
     UnknownPeer(String),
-    #[error("{0:?} names an assignment that never was")]
-    Token(String),
+    /// Its watermark names a leader record that never was; given with its sender.
+    #[error("{0:?} names a leader record that never was")]
+    UnknownLeaderRecord(String),
 }
 
 impl Line {
@@ -65,7 +70,7 @@
             let whole = (text.len() as u64) < LINE_LIMIT;
             return Err(if whole { LineError::Unfinished } else { LineError::TooLong });
         }
-        let mut line: Self = serde_json::from_slice(text).map_err(|error| LineError::Unreadable(error.to_string()))?;
+        let mut line: Self = serde_json::from_slice(text)?;
         if !peers.iter().any(|peer| peer.node == line.node) {
             return Err(LineError::UnknownPeer(line.node));
         }
--- a/src/membership/mesh/line/tests.rs
+++ b/src/membership/mesh/line/tests.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn lines_that_are_dropped_by_cases() {
-    let unreadable = |outcome: &Result<Line, LineError>| matches!(outcome, Err(LineError::Unreadable(_)));
+    let unreadable = |outcome: &Result<Line, LineError>| matches!(outcome, Err(LineError::Undecodable(_)));
     let long = vec![b' '; LINE_LIMIT as usize];
     let deep = format!("{}\n", "[".repeat(100_000));
     let texts: [&[u8]; 9] = [
@@ -40,10 +40,10 @@
         let outcome = Line::read(text, &peers());
         assert!(unreadable(&outcome), "{outcome:?}");
     }
-    assert_eq!(Line::read(&long, &peers()).unwrap_err(), LineError::TooLong);
-    assert_eq!(Line::read(b"{\"node\":", &peers()).unwrap_err(), LineError::Unfinished);
+    assert!(matches!(Line::read(&long, &peers()), Err(LineError::TooLong)));
+    assert!(matches!(Line::read(b"{\"node\":", &peers()), Err(LineError::Unfinished)));
     let stranger = json!({"node": "node-9", "store_serves": true});
-    assert_eq!(read(&stranger).unwrap_err(), LineError::UnknownPeer("node-9".into()));
+    assert!(matches!(read(&stranger), Err(LineError::UnknownPeer(node)) if node == "node-9"));
 }
 
 /// An earlier build tells less and a later one more: what both know counts, and the line of neither is lost.
--- a/src/membership/mesh/receive.rs
+++ b/src/membership/mesh/receive.rs
@@ -109,7 +109,7 @@
         let watch_cache = membership.store.watch_cache();
         let leader_record = watch_cache.leader_record();
         if names_impossible_leader(&line.node, line.watermark, leader_record, watch_cache.watch_revision()) {
-            return Err(LineError::Token(line.node));
+            return Err(LineError::UnknownLeaderRecord(line.node));
         }
         let leads = leader_record.is_some_and(|(leader, _)| leader.node == line.node);
         (accepted_watermark(&line.node, line.watermark, leader_record), leads)
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -101,7 +101,7 @@
     node.store.watch_cache().apply_watch(&read_on);
     let line = r#"{"node":"node-1","store_serves":true,"watermark":{"token":80,"revision":85}}"#;
     let outcome = apply_line(&node, format!("{line}\n").as_bytes(), Instant::now());
-    assert_eq!(outcome, Err(LineError::Token("node-1".into())));
+    assert!(matches!(outcome, Err(LineError::UnknownLeaderRecord(node)) if node == "node-1"));
     assert_eq!(node.history.watermark(), 0);
 }
 
