--- a/src/calendar/window.rs
+++ b/src/calendar/window.rs
@@ -11,6 +11,7 @@
     DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NamedSpec, SpecError, VerbOutcome,
 };
 use crate::jobs::{End, JobId};
+use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::intents::Intents;
 
 /// The logic of planning windows.
@@ -53,7 +54,7 @@
 
 /// What the team's limits leave, in cores and in accelerators.
 fn remaining_quota(spec: &WindowSpec, view: &DeclarationView) -> RemainingQuota {
-    let (cpus, gpus) = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
+    let TeamUsage { cpus, gpus } = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
     let below = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
     view.settings.team(&spec.team).map_or(RemainingQuota { cpus: 0.0, gpus: 0.0 }, |team| RemainingQuota {
         cpus: below(team.cpus_max, cpus),
--- a/src/rollouts/feasibility.rs
+++ b/src/rollouts/feasibility.rs
@@ -65,7 +65,7 @@
         };
         let used = view.cluster.usage.get(name).copied().unwrap_or_default();
         let (cpus, gpus): (Amount, Amount) = (|job| job.cpus, |job| job.gpus);
-        let amounts = [("cpus", team.cpus_max, used.0, cpus), ("gpus", team.gpus_max, used.1, gpus)];
+        let amounts = [("cpus", team.cpus_max, used.cpus, cpus), ("gpus", team.gpus_max, used.gpus, gpus)];
         for (what, limit, used, amount) in amounts {
             let own: f64 = [old, new].iter().map(|job| amount_of(job.spec(), job.bound.len() as u32, amount)).sum();
             let both = |olds: u32, news: u32| amount_of(old.spec(), olds, amount) + amount_of(new.spec(), news, amount);
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -53,8 +53,7 @@
         machine.remember_image(job.image, job.record.spec.image_gb);
         machine.bind(p.task.clone(), job, now);
         let used = self.usage.entry(job.record.spec.team.clone()).or_default();
-        used.0 += job.record.spec.cpus;
-        used.1 += job.record.spec.gpus;
+        used.add(job.record.spec.cpus, job.record.spec.gpus);
         self.unstored.start(&p.task);
     }
 
@@ -105,8 +104,7 @@
         self.replan_needed = true;
         job.bound.remove(&key.index);
         if let Some(used) = self.usage.get_mut(&job.record.spec.team) {
-            used.0 = (used.0 - job.record.spec.cpus).max(0.0);
-            used.1 = (used.1 - job.record.spec.gpus).max(0.0);
+            used.release(job.record.spec.cpus, job.record.spec.gpus);
         }
     }
 
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -150,8 +150,7 @@
             machine.bind(TaskKey { job: id.clone(), index }, job, now);
             machine.remember_image(job.image, job.record.spec.image_gb);
             let used = self.usage.entry(job.record.spec.team.clone()).or_default();
-            used.0 += job.record.spec.cpus;
-            used.1 += job.record.spec.gpus;
+            used.add(job.record.spec.cpus, job.record.spec.gpus);
         }
     }
 
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -31,7 +31,7 @@
 pub use machines::TaskMove;
 pub use model::{
     Ahead, Arrivals, Binding, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement, Replicas,
-    Reservation, RoomIntent, Task, WindowPlace,
+    Reservation, RoomIntent, Task, TeamUsage, WindowPlace,
 };
 pub use storing::ShardWrite;
 use storing::UnstoredShards;
@@ -102,7 +102,7 @@
     /// Shards of jobs that are over, to be dropped.
     shards_to_drop: VecDeque<(JobId, u64)>,
     /// Cores and accelerators that each team's bound tasks take.
-    pub usage: HashMap<String, (f64, f64)>,
+    pub usage: HashMap<String, TeamUsage>,
     /// When the fencing token was last raised.
     token_raised_at: Instant,
     /// A launch that may still arrive is to be voided by a higher fencing token.
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -6,6 +6,7 @@
 mod load;
 mod machine;
 mod placement;
+mod team_usage;
 
 pub use arrivals::Arrivals;
 pub use intents::{Ahead, Intents, Replicas, RoomIntent, WindowPlace};
@@ -15,5 +16,6 @@
 pub use machine::Amounts;
 pub use machine::{Machine, MachineState, image_id};
 pub use placement::{Placement, Reservation};
+pub use team_usage::TeamUsage;
 
 pub use crate::scheduling::ids::MachineId;
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -21,7 +21,7 @@
 
 use tracing::{error, info};
 
-use super::{ClusterState, Machine, MachineId, Phase};
+use super::{ClusterState, Machine, MachineId, Phase, TeamUsage};
 use crate::jobs::record::{MOST_ATTEMPTS, TASKS_PER_SHARD};
 use crate::jobs::{JobId, Shape};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, TaskKey};
@@ -43,7 +43,7 @@
     shards: BTreeSet<u64>,
     team: String,
     /// Cores and accelerators that its hidden tasks may take; its team's usage includes them.
-    hidden: (f64, f64),
+    hidden: TeamUsage,
 }
 
 impl SuspendedJob {
@@ -86,15 +86,13 @@
         let suspended = self.suspended.entry(id.clone()).or_insert_with(|| SuspendedJob {
             shards: BTreeSet::new(),
             team: spec.team.clone(),
-            hidden: (0.0, 0.0),
+            hidden: TeamUsage::default(),
         });
         suspended.shards.insert(shard);
         let (cpus, gpus) = (spec.cpus * hidden_tasks as f64, spec.gpus * hidden_tasks as f64);
-        suspended.hidden.0 += cpus;
-        suspended.hidden.1 += gpus;
+        suspended.hidden.add(cpus, gpus);
         let used = self.usage.entry(spec.team).or_default();
-        used.0 += cpus;
-        used.1 += gpus;
+        used.add(cpus, gpus);
         error!(job = %id, shard, "task shard not decoded; suspending the job until no hidden task can run");
     }
 
@@ -138,8 +136,7 @@
         let Some(suspended) = self.suspended.remove(id) else { return };
         let done = self.reported_done(id, &suspended);
         if let Some(used) = self.usage.get_mut(&suspended.team) {
-            used.0 = (used.0 - suspended.hidden.0).max(0.0);
-            used.1 = (used.1 - suspended.hidden.1).max(0.0);
+            used.release(suspended.hidden.cpus, suspended.hidden.gpus);
         }
         self.replan_needed = true;
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.ended.is_none()) else { return };
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -37,7 +37,7 @@
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
 fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, queued_jobs: &mut [plan::QueuedJob]) {
-    let given: f64 = cluster.usage.values().map(|(cpus, _)| cpus).sum();
+    let given: f64 = cluster.usage.values().map(|usage| usage.cpus).sum();
     let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
     let most = given * ahead.most_part;
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -109,5 +109,5 @@
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
     let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
-    used.0 + n * spec.cpus <= team.cpus + SLACK && used.1 + n * spec.gpus <= team.gpus + SLACK
+    used.cpus + n * spec.cpus <= team.cpus + SLACK && used.gpus + n * spec.gpus <= team.gpus + SLACK
 }
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 
 use crate::jobs::JobSpec;
-use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::cluster::{ClusterState, TeamUsage};
 use crate::scheduling::room::SLACK;
 
 /// What a team may still use, as (cpus, gpus).
 pub struct Quotas<'a> {
     cluster: &'a ClusterState,
-    used: HashMap<&'a str, (f64, f64)>,
+    used: HashMap<&'a str, TeamUsage>,
 }
 
 impl<'a> Quotas<'a> {
@@ -23,13 +23,13 @@
         let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
         let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
         let within = |limit: f64, used: f64, more: f64| limit <= 0.0 || used + more <= limit + SLACK;
-        within(team.cpus_max, used.0, n * spec.cpus) && within(team.gpus_max, used.1, n * spec.gpus)
+        within(team.cpus_max, used.cpus, n * spec.cpus) && within(team.gpus_max, used.gpus, n * spec.gpus)
     }
 
     /// Counts so many tasks of the job as used.
     pub fn take(&mut self, spec: &'a JobSpec, n: f64) {
         let used = self.used.entry(spec.team.as_str()).or_default();
-        used.0 += n * spec.cpus;
-        used.1 += n * spec.gpus;
+        used.cpus += n * spec.cpus;
+        used.gpus += n * spec.gpus;
     }
 }
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -213,5 +213,5 @@
 fn beyond_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return true };
     let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
-    used.0 - spec.cpus >= team.cpus - SLACK && used.1 - spec.gpus >= team.gpus - SLACK
+    used.cpus - spec.cpus >= team.cpus - SLACK && used.gpus - spec.gpus >= team.gpus - SLACK
 }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -6,6 +6,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
+use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor::{Names, Rank, Underserved};
 use crate::scheduling::intents::{Ahead, Intents, RoomIntent, WindowPlace};
@@ -119,7 +120,7 @@
     };
     let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
     let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
-    let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), (100.0, 0.0));
+    let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("none", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
@@ -180,7 +181,7 @@
     let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
     add(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
-    cluster.usage.insert("red".into(), (20.0, 0.0));
+    cluster.usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
     cluster.intents.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
     let of = |n: u32| placed.iter().filter(|p| p.task.job == id(n)).count();
@@ -206,7 +207,7 @@
             let before: f64 = theirs.map(|(_, j)| held(j.bound.len(), j)).sum();
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
-            let given: f64 = cluster.usage.values().map(|u| u.0).sum();
+            let given: f64 = cluster.usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -54,7 +54,7 @@
             }
             if let Some(successor) = &mut successor {
                 if step == 4 {
-                    let usage = successor.usage.get("blue").copied().unwrap_or_default().0;
+                    let usage = successor.usage.get("blue").copied().unwrap_or_default().cpus;
                     assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the successor knows what stands");
                 }
                 if step >= 6 {
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -43,7 +43,7 @@
     add(&mut cluster, 2, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 4.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_all(first, now);
-    assert_eq!(cluster.usage["red"].0, 20.0);
+    assert_eq!(cluster.usage["red"].cpus, 20.0);
     assert!(plan::place(&mut cluster, &catalog(), now).is_empty());
 }
 
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -56,7 +56,7 @@
         cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), shards, now);
     }
     cluster.loaded = true;
-    assert_eq!((cluster.machines.len(), cluster.usage["blue"].0), (1000, 6000.0));
+    assert_eq!((cluster.machines.len(), cluster.usage["blue"].cpus), (1000, 6000.0));
     assert!(cluster.machines.values().all(|m| m.taken() == cluster.taken_afresh(m) && m.bound.len() == 6));
     assert!(plan::place(&mut cluster, &catalog(), now).is_empty(), "all are bound, and nobody has reported");
     let commands = cluster.direct_commands(now).len();
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -49,7 +49,7 @@
         bound(&cluster, 4, 1, "m4");
         world.place(&mut cluster, "m5");
         world.turn(&mut cluster, "m5");
-        assert_eq!(cluster.usage["blue"].0, 5.0, "all of it counts for the team, heard of or not");
+        assert_eq!(cluster.usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
         cluster.tick(world.now);
         world.now += s(0.1);
         if t == 20 {
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -5,6 +5,7 @@
 use super::*;
 use crate::jobs::record::StoredTask;
 use crate::protocol::workers::ExitCause;
+use crate::scheduling::cluster::TeamUsage;
 
 /// Past any rest, by the example's settings and the default election lease.
 const PAST_THE_REST: f64 = 120.0;
@@ -146,9 +147,9 @@
     let mut cluster = leader_with_unreadable(&mut world);
     cluster.finish_load(world.now);
     let team = world.record.spec.team.clone();
-    assert_eq!(cluster.usage[&team], (6.0, 0.0));
+    assert_eq!(cluster.usage[&team], TeamUsage { cpus: 6.0, gpus: 0.0 });
     cluster.tick(world.now + s(PAST_THE_REST));
-    assert_eq!(cluster.usage[&team], (0.0, 0.0));
+    assert_eq!(cluster.usage[&team], TeamUsage::default());
 }
 
 /// A task that a worker reports as done is not reaped before that is stored, and does not start again.
