--- a/src/declarations/operator/session.rs
+++ b/src/declarations/operator/session.rs
@@ -209,7 +209,7 @@
         loop {
             match call().await {
                 Ok(answer) => return Ok(answer),
-                Err(source) if begun.elapsed() > self.patience || matches!(source, StoreError::Malformed(_)) => {
+                Err(source) if begun.elapsed() > self.patience || source.is_invalid_answer() => {
                     return Err(NoAnswer::StateService { endpoint: self.settings.endpoints.state.clone(), source });
                 }
                 Err(_) => tokio::time::sleep(jitter(RETRY_INTERVAL)).await,
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -1,9 +1,9 @@
-//! Takes over what an earlier build has stored: its open jobs move to their new key, its ended ones
-//! stay where they are and are read when somebody asks.
+//! Upgrades what an earlier build has stored: its open jobs move to their new keys, its ended ones stay under the old keys
+//! and are read when somebody asks.
 //!
 //! Both listings are read side by side in the order of their keys, a page of each at a time. Every
 //! job moves in a transaction of its own, conditional on all its keys: an interrupted upgrade is
-//! begun again, and two controllers at it at once get in each other's way but lose nothing.
+//! begun again, and two controllers that upgrade at once delay each other but lose nothing.
 
 use std::collections::VecDeque;
 
@@ -16,14 +16,14 @@
 use crate::store::client::{KeyValue, Pages};
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 
-/// One listing, item by item.
-struct Cursor<'a> {
+/// A listing, read item by item.
+struct ListingCursor<'a> {
     pages: Pages<'a>,
     held: VecDeque<KeyValue>,
     prefix: &'static str,
 }
 
-impl<'a> Cursor<'a> {
+impl<'a> ListingCursor<'a> {
     fn new(store: &'a StateClient, prefix: &'static str) -> Self {
         Self { pages: store.pages(prefix, None), held: VecDeque::new(), prefix }
     }
@@ -39,32 +39,36 @@
     }
 
     /// The next item's id, if there is one.
-    async fn id(&mut self) -> Result<Option<String>, StoreError> {
+    async fn peek_id(&mut self) -> Result<Option<String>, StoreError> {
         let prefix = self.prefix;
         Ok(self.peek().await?.map(|item| item.path.trim_start_matches(prefix).to_owned()))
     }
 
-    fn pass(&mut self) -> Option<KeyValue> {
+    fn advance(&mut self) -> Option<KeyValue> {
         self.held.pop_front()
     }
 }
 
-/// Said once: whoever says it first has seen all that there was.
-pub(crate) fn upgraded(old_kept: bool) -> (Condition, Change) {
+/// Marks the store as upgraded. The mark is written once, by whoever has first moved everything.
+pub(crate) fn mark_upgraded(old_kept: bool) -> (Condition, Change) {
     let value = serde_json::to_value(Upgraded { old_jobs_kept: old_kept }).unwrap_or_default();
     (Condition::absent(UPGRADED), Change::write(UPGRADED, value))
 }
 
-/// Moves what is open and says so in the store. Done again after any error.
+/// Moves all open jobs and marks the store as upgraded. To be run again after an error.
+///
+/// # Errors
+///
+/// The state service refused or did not answer.
 pub async fn run(store: &StateClient) -> Result<(), StoreError> {
-    let (mut jobs, mut ends) = (Cursor::new(store, OLD_JOBS), Cursor::new(store, OLD_ENDS));
+    let (mut jobs, mut ends) = (ListingCursor::new(store, OLD_JOBS), ListingCursor::new(store, OLD_ENDS));
     let (mut open, mut ended) = (0u64, 0u64);
-    while let Some(id) = jobs.id().await? {
-        while ends.id().await?.is_some_and(|e| e < id) {
-            ends.pass();
+    while let Some(id) = jobs.peek_id().await? {
+        while ends.peek_id().await?.is_some_and(|e| e < id) {
+            ends.advance();
         }
-        let over = ends.id().await?.is_some_and(|e| e == id);
-        let Some(item) = jobs.pass() else { break };
+        let over = ends.peek_id().await?.is_some_and(|e| e == id);
+        let Some(item) = jobs.advance() else { break };
         if over {
             ended += 1;
             continue;
@@ -77,14 +81,16 @@
                     store.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await?;
                 open += u64::from(matches!(outcome, CompareAndSwapOutcome::Applied(_)));
             }
-            Err(error) => error!(%error, path = item.path, "unreadable job of an earlier build"),
+            Err(error) => {
+                error!(%error, key = item.path, "stored job of an earlier build not decoded; skipping it in the upgrade")
+            }
         }
     }
     let old_kept = open + ended > 0;
-    let (condition, change) = upgraded(old_kept);
+    let (condition, change) = mark_upgraded(old_kept);
     store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
     if old_kept {
-        info!(open, ended, "took over what an earlier build has stored");
+        info!(open, ended, "store upgrade completed");
     }
     Ok(())
 }
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -23,7 +23,7 @@
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
-use crate::store::share::Want;
+use crate::store::share::LimitDemand;
 use crate::sync::lock;
 
 const EVERY: Duration = Duration::from_secs(1);
@@ -46,7 +46,7 @@
 struct PeerState {
     /// Since when it has said without a break that the store serves it.
     serves_since: Option<Instant>,
-    wants: [Want; 2],
+    wants: [LimitDemand; 2],
     acknowledged: u64,
     at: Instant,
 }
@@ -73,7 +73,7 @@
     }
 
     /// A line of a peer.
-    fn told(&mut self, node: String, serves: bool, wants: [Want; 2], acknowledged: u64, now: Instant) {
+    fn told(&mut self, node: String, serves: bool, wants: [LimitDemand; 2], acknowledged: u64, now: Instant) {
         let before = self.peers.get(&node).filter(|told| told.fresh(now));
         let serves_since = serves.then(|| before.and_then(|told| told.serves_since).unwrap_or(now));
         self.peers.insert(node, PeerState { serves_since, wants, acknowledged, at: now });
@@ -89,7 +89,7 @@
     }
 
     /// What those want of the state service that were heard of lately.
-    pub fn wants(&self, now: Instant) -> Vec<[Want; 2]> {
+    pub fn wants(&self, now: Instant) -> Vec<[LimitDemand; 2]> {
         self.lately(now).map(|told| told.wants).collect()
     }
 
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -11,7 +11,7 @@
 use crate::records::leadership::Watermark;
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
-use crate::store::share::Want;
+use crate::store::share::LimitDemand;
 
 /// A line is dropped with its connection past this size, in bytes.
 pub(super) const LINE_LIMIT: u64 = 256 * 1024;
@@ -28,7 +28,7 @@
     pub store_serves: bool,
     /// What the sender wants of the state service, in requests and in changes.
     #[serde(default, deserialize_with = "or_default")]
-    pub wants: [Want; 2],
+    pub wants: [LimitDemand; 2],
     /// Counts of jobs that changed since the last line, from the leader.
     #[serde(default, deserialize_with = "readable")]
     pub counts: Vec<(JobId, Counts)>,
--- a/src/membership/store_shares.rs
+++ b/src/membership/store_shares.rs
@@ -4,29 +4,30 @@
 
 use super::state::Membership;
 use crate::store::budget::Budget;
-use crate::store::share::{Parts, Want, by_need};
+use crate::store::client::RequestRates;
+use crate::store::share::{FixedShares, LimitDemand, share_by_demand};
 use crate::sync::lock;
 
 /// A leader writes most; the others keep enough for users and for a campaign.
-pub(crate) const WRITES: Parts = Parts { leader: 0.7, others: 0.25 };
+pub(crate) const WRITES: FixedShares = FixedShares { leader: 0.7, others: 0.25 };
 /// Users ask every controller alike; a leader needs few requests more than the others, since its
 /// writes go many at a time.
-pub(crate) const REQUESTS: Parts = Parts { leader: 0.5, others: 0.45 };
+pub(crate) const REQUESTS: FixedShares = FixedShares { leader: 0.5, others: 0.45 };
 /// Shares are worked out again this often, as the others tell what they want.
 pub(crate) const SHARE_EVERY: Duration = Duration::from_secs(1);
 
 /// What a controller begins with, as one that does not lead and hears nobody.
-pub(crate) fn first_budget(parts: Parts, limit: f64, others: usize, now: Instant) -> Budget {
+pub(crate) fn first_budget(parts: FixedShares, limit: f64, others: usize, now: Instant) -> Budget {
     let share = parts.fixed(limit, others, false);
     Budget::new(share, share, now)
 }
 
 impl Membership {
     /// What this controller lately wanted of the state service, in requests and in changes.
-    pub fn wants(&self) -> [Want; 2] {
+    pub fn wants(&self) -> [LimitDemand; 2] {
         let leader = self.leader.cluster().is_some();
-        let (requests, writes) = self.store.client.wants();
-        [requests, writes].map(|per_second| Want { leader, per_second })
+        let demand = self.store.client.demand();
+        [demand.requests, demand.writes].map(|per_second| LimitDemand { leader, per_second })
     }
 
     /// Works out this controller's shares of the state service's limits.
@@ -34,13 +35,16 @@
         let (limits, others) = (&self.settings.params.state, self.settings.peers.len());
         let mine = self.wants();
         let heard = lock(&self.heard).wants(Instant::now());
-        let share = |at: usize, parts: Parts, limit: f64| {
+        let share = |at: usize, parts: FixedShares, limit: f64| {
             if heard.len() < others {
                 return parts.fixed(limit, others, mine[at].leader);
             }
-            let all: Vec<Want> = std::iter::once(mine[at]).chain(heard.iter().map(|w| w[at])).collect();
-            by_need(limit, parts, &all)
+            let all: Vec<LimitDemand> = std::iter::once(mine[at]).chain(heard.iter().map(|w| w[at])).collect();
+            share_by_demand(limit, parts, &all)
         };
-        self.store.client.set_shares(share(0, REQUESTS, limits.rps), share(1, WRITES, limits.write_rps));
+        self.store.client.set_shares(RequestRates {
+            requests: share(0, REQUESTS, limits.rps),
+            writes: share(1, WRITES, limits.write_rps),
+        });
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -4,54 +4,83 @@
 use std::time::{Duration, Instant};
 
 use super::budget::{Budget, RequestPriority};
-use super::share::Meter;
+use super::share::RateMeter;
 use crate::process_pause::ProcessPause;
 pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
 use crate::protocol::state::{CompareAndSwap, FailedConditions, GrantedLease, KeyVersionPage, StoreRevision};
-use crate::protocol::{self, CallError, Http};
+use crate::protocol::{self, CallError, DecodeError, Http};
 use crate::traffic::{Passage, Traffic};
 use hyper::Method;
 
-/// Answers usually take 10 ms and at times a few hundred; past this one is not waited for.
+/// Deadline of a call. Answers usually take 10 ms and sometimes a few hundred.
 const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
-/// Keys of one page. A page is all that is held of a listing.
-const PAGE: u64 = 250;
-/// Stands in place of a status where an answer was larger than can be read.
+/// Number of keys of one page; only one page of a listing is in memory at a time.
+const PAGE_SIZE: u64 = 250;
+/// Stands for the status of an answer that was too large to be read.
 const TOO_LARGE: u16 = 0;
-/// Between two looks at it: a right may have grown meanwhile.
-const LONGEST_NAP: Duration = Duration::from_millis(200);
-/// Longest wait for this controller's own share of the limits.
-const BUDGET_WAIT: Duration = Duration::from_millis(2000);
+/// Longest time between two tries to take from the budget: the priority of the call may have risen in the meantime.
+const MAX_BUDGET_SLEEP: Duration = Duration::from_millis(200);
+/// How long a critical call waits for this controller's share of the limits before it fails.
+const MAX_BUDGET_WAIT: Duration = Duration::from_millis(2000);
 
 /// Why a call to the state service has no usable answer, and whether it can still take effect.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
 pub enum StoreError {
-    /// Refused or never sent: not executed, now or later.
+    /// Refused with this status, or never sent (0): not executed, now or later.
     #[error("the state service refused or could not be reached (status {0})")]
     Unavailable(u16),
-    /// Executed, not executed, or executed later.
+    /// No answer in time: executed, not executed, or executed later.
     #[error("the state service did not answer")]
     Unanswered,
-    /// An answer that makes no sense.
+    /// An answer with a status that its protocol does not allow for this request.
+    #[error("the state service answered {status} to {request}")]
+    UnexpectedStatus {
+        /// The HTTP status; 0 if the answer was too large to be read.
+        status: u16,
+        /// What was requested.
+        request: &'static str,
+    },
+    /// An answer whose body cannot be decoded.
     #[error("the state service answered {0}")]
-    Malformed(String),
+    Undecodable(#[from] UndecodableAnswer),
     /// The watch begins before what the service still keeps, or has more to tell than can be read.
     #[error("the revision is too old to follow")]
     TooOld,
 }
 
-/// The definite answer to a transaction.
+impl StoreError {
+    /// Whether the service has answered, but not as its protocol says.
+    #[must_use]
+    pub fn is_invalid_answer(&self) -> bool {
+        matches!(self, Self::UnexpectedStatus { .. } | Self::Undecodable(_))
+    }
+}
+
+/// Why the body of an answer could not be decoded. Comparable, as [`StoreError`] is: by the message.
+#[derive(Debug, thiserror::Error, Clone)]
+#[error(transparent)]
+pub struct UndecodableAnswer(Arc<DecodeError>);
+
+impl PartialEq for UndecodableAnswer {
+    fn eq(&self, other: &Self) -> bool {
+        self.0.to_string() == other.0.to_string()
+    }
+}
+
+impl Eq for UndecodableAnswer {}
+
+/// The definite answer to a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CompareAndSwapOutcome {
     /// Applied, at this revision: the version of every key that it wrote.
     Applied(u64),
-    /// These keys had other versions than asked.
+    /// Not applied: these keys had other versions than the conditions require.
     Failed(Vec<String>),
     /// A write was to be attached to a lease that does not exist any more. Nothing was applied.
     LeaseExpired,
 }
 
-/// A listing under way. Each page is as of its own moment, none older than the one before.
+/// A listing in progress. Each page is consistent as of its own revision, none older than the one before.
 pub struct Pages<'a> {
     client: &'a StateClient,
     prefix: &'a str,
@@ -65,7 +94,7 @@
         if !self.more {
             return Ok(None);
         }
-        let mut path = format!("/keys?prefix={}&most={PAGE}", self.prefix);
+        let mut path = format!("/keys?prefix={}&most={PAGE_SIZE}", self.prefix);
         if let Some(since) = &self.since {
             path.push_str("&since=");
             path.push_str(&escaped(since));
@@ -73,7 +102,7 @@
         let page: KeyValuePage =
             match self.client.call(Method::GET, &path, None, ANSWER_WITHIN * 2, RequestPriority::Critical).await? {
                 (200, body) => parse(&body)?,
-                (other, _) => return Err(StoreError::Malformed(format!("{other} to a listing"))),
+                (status, _) => return Err(StoreError::UnexpectedStatus { status, request: "a listing" }),
             };
         self.more = page.more && !page.items.is_empty();
         self.since = page.items.last().map(|i| i.path.clone());
@@ -90,11 +119,35 @@
     writes: Mutex<Budget>,
     /// When the service last served this controller, and when it last failed to.
     health: Mutex<Health>,
-    /// Requests and changes that were asked for.
-    wanted: Mutex<(Meter, Meter)>,
+    /// How many requests and changes this controller lately wanted, admitted or not.
+    demand: Mutex<DemandMeters>,
     traffic: Arc<Traffic>,
 }
 
+/// Requests and changes a second.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RequestRates {
+    /// Requests per second.
+    pub requests: f64,
+    /// Changes of keys per second.
+    pub writes: f64,
+}
+
+/// When further changes could be written.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WriteDelay {
+    /// Time until then.
+    pub wait: Duration,
+    /// Rate at which this controller may write changes.
+    pub per_second: f64,
+}
+
+/// What this controller lately wanted of the service's limits.
+struct DemandMeters {
+    requests: RateMeter,
+    writes: RateMeter,
+}
+
 /// When the state service last answered and last failed to, by this process's steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
@@ -105,7 +158,7 @@
 }
 
 impl Health {
-    /// Failing for this long without a single answer in between.
+    /// For how long the service has been failing without a single answer in between; zero if it is not failing.
     pub fn failing_for(&self, now: Instant) -> Duration {
         match (self.served, self.failed) {
             (Some(served), Some(failed)) if failed > served => now.saturating_duration_since(served),
@@ -115,10 +168,11 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    protocol::decode(body).map_err(|e| StoreError::Malformed(e.to_string()))
+    protocol::decode(body).map_err(|error| UndecodableAnswer(Arc::new(error)).into())
 }
 
-/// A key as part of an address: one that holds what no address may hold would end every listing at itself.
+/// A key, percent-encoded for an address. Without it a key with a character that no address may contain would end every
+/// listing at that key.
 pub(super) fn escaped(key: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte);
     let mut text = String::with_capacity(key.len());
@@ -137,8 +191,8 @@
     pub fn new(http: Http, addr: String, requests: Budget, writes: Budget, traffic: Arc<Traffic>) -> Self {
         let (requests, writes) = (Mutex::new(requests), Mutex::new(writes));
         let now = Instant::now();
-        let wanted = Mutex::new((Meter::new(now), Meter::new(now)));
-        Self { http, addr, requests, writes, health: Mutex::default(), wanted, traffic }
+        let demand = Mutex::new(DemandMeters { requests: RateMeter::new(now), writes: RateMeter::new(now) });
+        Self { http, addr, requests, writes, health: Mutex::default(), demand, traffic }
     }
 
     /// When the service last answered and last failed to.
@@ -146,23 +200,23 @@
         *crate::sync::lock(&self.health)
     }
 
-    /// Changes the shares, in requests and changes a second.
-    pub fn set_shares(&self, requests: f64, writes: f64) {
+    /// Changes this controller's shares of the limits.
+    pub fn set_shares(&self, shares: RequestRates) {
         let now = Instant::now();
-        crate::sync::lock(&self.requests).change(requests, requests, now);
-        crate::sync::lock(&self.writes).change(writes, writes, now);
+        crate::sync::lock(&self.requests).change(shares.requests, shares.requests, now);
+        crate::sync::lock(&self.writes).change(shares.writes, shares.writes, now);
     }
 
-    /// This process was paused: the store was not failing meanwhile, as far as anybody knows here.
+    /// Accounts for a pause of this process: during it the service was not failing, as far as this controller knows.
     pub fn after_pause(&self, pause: ProcessPause) {
         let mut health = crate::sync::lock(&self.health);
         health.served = health.served.map(|at| pause.forgive(at));
     }
 
-    /// What this controller lately wanted, in requests and changes a second.
-    pub fn wants(&self) -> (f64, f64) {
-        let (now, wanted) = (Instant::now(), crate::sync::lock(&self.wanted));
-        (wanted.0.per_second(now), wanted.1.per_second(now))
+    /// The rates that this controller lately wanted.
+    pub fn demand(&self) -> RequestRates {
+        let (now, demand) = (Instant::now(), crate::sync::lock(&self.demand));
+        RequestRates { requests: demand.requests.per_second(now), writes: demand.writes.per_second(now) }
     }
 
     /// The time in which this controller's share of the requests grows by `n`.
@@ -170,29 +224,29 @@
         crate::sync::lock(&self.requests).time_for(n)
     }
 
-    /// After how long `n` more changes of the highest right could be written, and how many a second.
-    pub fn wait_for_writes(&self, n: f64) -> (Duration, f64) {
+    /// When `n` more changes of the highest priority could be written.
+    pub fn estimate_write_delay(&self, n: f64) -> WriteDelay {
         let mut writes = crate::sync::lock(&self.writes);
         let short = n - writes.available(RequestPriority::Critical, Instant::now());
-        (writes.time_for(short.max(0.0)), writes.per_second())
+        WriteDelay { wait: writes.time_for(short.max(0.0)), per_second: writes.per_second() }
     }
 
-    /// How many changes of this right could be written at once.
+    /// How many changes of this priority could be written at once.
     pub fn writes_ready(&self, priority: RequestPriority) -> usize {
         crate::sync::lock(&self.writes).available(priority, Instant::now()).max(0.0) as usize
     }
 
-    async fn budgeted(budget: &Mutex<Budget>, n: f64, priority: RequestPriority) -> Result<(), StoreError> {
+    async fn take_from_budget(budget: &Mutex<Budget>, n: f64, priority: RequestPriority) -> Result<(), StoreError> {
         let begun = Instant::now();
         loop {
             let wait = match crate::sync::lock(budget).take(n, priority.after(begun.elapsed()), Instant::now()) {
                 Ok(()) => return Ok(()),
                 Err(wait) => wait,
             };
-            if begun.elapsed() + wait > BUDGET_WAIT && priority == RequestPriority::Critical {
+            if begun.elapsed() + wait > MAX_BUDGET_WAIT && priority == RequestPriority::Critical {
                 return Err(StoreError::Unavailable(429));
             }
-            tokio::time::sleep(wait.clamp(Duration::from_millis(2), LONGEST_NAP)).await;
+            tokio::time::sleep(wait.clamp(Duration::from_millis(2), MAX_BUDGET_SLEEP)).await;
         }
     }
 
@@ -208,10 +262,10 @@
         self.call_reserved(method, path, body, within).await
     }
 
-    /// Waits until one request of this right may be sent, and counts it as sent.
+    /// Waits until one request of this priority may be sent, and counts it as sent.
     pub async fn reserve(&self, priority: RequestPriority) -> Result<(), StoreError> {
-        crate::sync::lock(&self.wanted).0.count(1.0, Instant::now());
-        Self::budgeted(&self.requests, 1.0, priority).await
+        crate::sync::lock(&self.demand).requests.count(1.0, Instant::now());
+        Self::take_from_budget(&self.requests, 1.0, priority).await
     }
 
     async fn call_reserved(
@@ -227,15 +281,7 @@
             self.traffic.count(Passage::StoreRefused);
         }
         let served = matches!(outcome, Ok((status, _)) if status != 503) || outcome == Err(CallError::TooLarge);
-        {
-            let mut health = crate::sync::lock(&self.health);
-            let at = Some(Instant::now());
-            if served {
-                health.served = at;
-            } else {
-                health.failed = at;
-            }
-        }
+        self.record_health(served);
         match outcome {
             Ok((status @ (429 | 503), _)) => Err(StoreError::Unavailable(status)),
             Ok(answer) => Ok(answer),
@@ -245,6 +291,16 @@
         }
     }
 
+    fn record_health(&self, served: bool) {
+        let mut health = crate::sync::lock(&self.health);
+        let at = Some(Instant::now());
+        if served {
+            health.served = at;
+        } else {
+            health.failed = at;
+        }
+    }
+
     /// Applies all changes if all conditions hold, and nothing otherwise. Without changes it only compares.
     pub async fn compare_and_swap(
         &self,
@@ -253,8 +309,8 @@
         priority: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
         if !apply.is_empty() {
-            crate::sync::lock(&self.wanted).1.count(apply.len() as f64, Instant::now());
-            Self::budgeted(&self.writes, apply.len() as f64, priority).await?;
+            crate::sync::lock(&self.demand).writes.count(apply.len() as f64, Instant::now());
+            Self::take_from_budget(&self.writes, apply.len() as f64, priority).await?;
             self.traffic.add(Passage::StoreChange, apply.len() as u64);
         }
         let body = protocol::encode(&CompareAndSwap::new(conditions, apply));
@@ -265,7 +321,7 @@
             400 if apply.iter().any(|c| matches!(c, Change::Write { permit: Some(_), .. })) => {
                 Ok(CompareAndSwapOutcome::LeaseExpired)
             }
-            other => Err(StoreError::Malformed(format!("{other} to a transaction"))),
+            status => Err(StoreError::UnexpectedStatus { status, request: "a transaction" }),
         }
     }
 
@@ -275,18 +331,18 @@
         match self.call(Method::GET, &path, None, ANSWER_WITHIN, priority).await? {
             (200, body) => Ok(Some(parse(&body)?)),
             (404, _) => Ok(None),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a read"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a read" }),
         }
     }
 
-    /// Compares without changing anything, with a request that was reserved before: the keys that
-    /// had other versions than asked, all as of one moment.
+    /// Compares versions without changing anything, with a request that was reserved before. Returns the keys that had
+    /// other versions than required, all as of one revision.
     pub async fn compare_reserved(&self, conditions: &[Condition]) -> Result<Vec<String>, StoreError> {
         let body = protocol::encode(&CompareAndSwap::new(conditions, &[]));
         match self.call_reserved(Method::POST, "/txn", Some(body), ANSWER_WITHIN).await? {
             (200, _) => Ok(Vec::new()),
             (409, body) => Ok(parse::<FailedConditions>(&body)?.failed),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a comparison"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a comparison" }),
         }
     }
 
@@ -308,7 +364,7 @@
         let path = format!("/keys?prefix={prefix}&most={most}{since}");
         match self.call(Method::GET, &path, None, ANSWER_WITHIN * 2, priority).await? {
             (200, body) => parse(&body),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a listing"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a listing" }),
         }
     }
 
@@ -319,14 +375,14 @@
         self.watch_reserved(prefix, since, wait).await
     }
 
-    /// The same, with a request that was reserved before.
+    /// Watches like [`watch`](Self::watch), with a request that was reserved before.
     pub async fn watch_reserved(&self, prefix: &str, since: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
         let path = format!("/follow?prefix={prefix}&since={since}&waitMs={}", wait.as_millis());
         let within = wait + ANSWER_WITHIN;
         match self.call_reserved(Method::GET, &path, None, within).await? {
             (200, body) => parse(&body),
             (410 | TOO_LARGE, _) => Err(StoreError::TooOld),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a watch"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a watch" }),
         }
     }
 
@@ -336,7 +392,7 @@
         let body = protocol::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
         match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, RequestPriority::Critical).await? {
             (200, body) => Ok(parse::<GrantedLease>(&body)?.permit),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a lease"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a lease" }),
         }
     }
 
@@ -345,11 +401,11 @@
         let path = format!("/grants/{permit}");
         match self.call(Method::DELETE, &path, None, ANSWER_WITHIN, RequestPriority::Critical).await? {
             (200..=299 | 404, _) => Ok(()),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to the end of a lease"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "the end of a lease" }),
         }
     }
 
-    /// Whether the lease still lives.
+    /// Renews a lease. False if it does not exist any more.
     pub async fn renew(&self, permit: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{permit}/renew");
         match self
@@ -364,7 +420,7 @@
         {
             (200, _) => Ok(true),
             (404, _) => Ok(false),
-            (other, _) => Err(StoreError::Malformed(format!("{other} to a renewal"))),
+            (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a renewal" }),
         }
     }
 }
--- a/src/store/log_limit.rs
+++ b/src/store/log_limit.rs
@@ -1,20 +1,20 @@
-//! Limits log lines that input from outside can cause to one a minute.
+//! Limits log lines that input from outside can cause to one per minute.
 
 use std::time::{Duration, Instant};
 
-/// Between two lines about the same thing.
-const LOG_EVERY: Duration = Duration::from_secs(60);
+/// Time between two log lines about the same thing.
+const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// When something was logged last.
+/// When a line was last logged.
 #[derive(Debug, Default)]
 pub struct LogLimit {
     logged: Option<Instant>,
 }
 
 impl LogLimit {
-    /// Whether it is to be logged now; counts as logged.
+    /// Whether the line is to be logged now. If so, it counts as logged.
     pub fn due(&mut self, now: Instant) -> bool {
-        let due = self.logged.is_none_or(|at| now.saturating_duration_since(at) >= LOG_EVERY);
+        let due = self.logged.is_none_or(|at| now.saturating_duration_since(at) >= LOG_INTERVAL);
         if due {
             self.logged = Some(now);
         }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -13,7 +13,7 @@
 use crate::declarations::driver::{self, StatusWrite};
 use crate::declarations::records::{spec_key, status_key};
 use crate::history::job_transactions::{self, JobTransaction};
-use crate::history::upgrade::upgraded;
+use crate::history::upgrade::mark_upgraded;
 use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
@@ -129,7 +129,7 @@
     let old = serde_json::to_value(&*jobs[3]).unwrap();
     let version = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
     life.send_move("adoption", job_transactions::adopt_job(&jobs[3], version));
-    let (condition, change) = upgraded(true);
+    let (condition, change) = mark_upgraded(true);
     life.send("upgraded", [condition], [change]);
 
     life.send_move("acceptance", job_transactions::accept_job(&jobs[0], true));
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -19,6 +19,7 @@
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::budget::RequestPriority;
+use crate::store::client::WriteDelay;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
@@ -127,7 +128,7 @@
 /// Passes admission control, or tells after how many seconds the user is to retry.
 fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
     let mut admission = lock(&service.admission);
-    let (wait, per_second) = service.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
+    let WriteDelay { wait, per_second } = service.store.client.estimate_write_delay(admission.waiting() as f64 + 1.0);
     admission
         .admit(spec, wait, per_second, rand::random(), Instant::now())
         .map_err(|retry_after_s| Busy { retry_after_s })?;
