--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -112,7 +112,7 @@
 }
 
 impl CloudOrder {
-    /// An order under a name of its own. `number` must be new among the orders and rentals of this incarnation and
+    /// An order under a name of its own. `number` must be new among the orders and requests of this incarnation and
     /// epoch.
     pub fn new(incarnation: &str, epoch: u64, number: u64, action: CloudAction) -> Self {
         Self { key: format!("{ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -24,7 +24,7 @@
 /// Why a call to the cloud has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// The cloud has no machine of the kind now. Nothing was rented.
+    /// The cloud has no machine of the kind now. Nothing was provisioned.
     #[error("no capacity")]
     NoCapacity,
     /// Refused for now: not carried out.
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -3,7 +3,7 @@
 //! An array can run one task at a time. A gang needs all of its tasks at once, and a service is complete only with all
 //! of its replicas: the protocol compares both with the team's limit with all tasks, and so does this module with
 //! everything else. Whether the cloud has ordinary or spot machines of a type is not known in advance: it names a
-//! price for both, and capacity shows only when machines are rented.
+//! price for both, and capacity shows only when machines are requested.
 
 use std::collections::BTreeSet;
 
