--- a/src/membership/mesh/peers.rs
+++ b/src/membership/mesh/peers.rs
@@ -7,7 +7,7 @@
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
-use crate::store::share::Want;
+use crate::store::share::LimitDemand;
 
 /// What was heard longer ago says nothing.
 pub(super) const STALE: Duration = Duration::from_secs(4);
@@ -17,7 +17,7 @@
 struct PeerState {
     /// Since when it has said without a break that the store serves it.
     serves_since: Option<Instant>,
-    wants: [Want; 2],
+    wants: [LimitDemand; 2],
     acknowledged: u64,
     at: Instant,
 }
@@ -28,7 +28,7 @@
     /// Whether the state service answers the sender.
     pub store_serves: bool,
     /// What the sender wants of the state service, in requests and in changes.
-    pub wants: [Want; 2],
+    pub wants: [LimitDemand; 2],
     /// The highest watermark that the sender has heard of.
     pub acknowledged: u64,
 }
@@ -72,7 +72,7 @@
     }
 
     /// What those want of the state service that were heard of lately.
-    pub fn wants(&self, now: Instant) -> Vec<[Want; 2]> {
+    pub fn wants(&self, now: Instant) -> Vec<[LimitDemand; 2]> {
         self.recent(now).map(|state| state.wants).collect()
     }
 
