--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -62,7 +62,7 @@
 fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
     let age = now.saturating_duration_since(job.since);
     let late = job.too_late(age);
-    let first = cluster.below.first.has(job.spec()) || cluster.intents.short(id);
+    let first = cluster.underserved.first.has(job.spec()) || cluster.intents.short(id);
     QueuedJob {
         id,
         job,
@@ -109,5 +109,5 @@
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
     let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
-    used.0 + n * spec.cpus <= team.cpus + SLACK && used.1 + n * spec.gpus <= team.gpus + SLACK
+    used.cpus + n * spec.cpus <= team.cpus + SLACK && used.gpus + n * spec.gpus <= team.gpus + SLACK
 }
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -5,6 +5,7 @@
 use super::*;
 use crate::jobs::record::StoredTask;
 use crate::protocol::workers::ExitCause;
+use crate::scheduling::cluster::TeamUsage;
 
 /// Past any rest, by the example's settings and the default election lease.
 const PAST_THE_REST: f64 = 120.0;
@@ -83,7 +84,7 @@
         let now = world.now + s(after_s);
         cluster.tick(now);
         let job = cluster.job(&JOB.into()).unwrap();
-        assert_eq!((cluster.rests(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
+        assert_eq!((cluster.is_suspended(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
         let stored = cluster.next_writes(9, now).1;
         let expected: Vec<u64> = if rests { vec![] } else { vec![5] };
         assert_eq!(
@@ -120,7 +121,7 @@
             successor_cannot_read(&mut simulation);
             simulation.run(15.0);
             // A second one reads the same, since nothing was stored over it.
-            assert!(simulation.cluster.rests(&JOB.into()), "{name}");
+            assert!(simulation.cluster.is_suspended(&JOB.into()), "{name}");
             successor_cannot_read(&mut simulation);
             simulation.run(PAST_THE_REST);
             assert_eq!(simulation.live(&JOB.into()).len() as u64, tasks, "{name}: it runs again");
@@ -146,9 +147,9 @@
     let mut cluster = leader_with_unreadable(&mut world);
     cluster.finish_load(world.now);
     let team = world.record.spec.team.clone();
-    assert_eq!(cluster.usage[&team], (6.0, 0.0));
+    assert_eq!(cluster.usage[&team], TeamUsage { cpus: 6.0, gpus: 0.0 });
     cluster.tick(world.now + s(PAST_THE_REST));
-    assert_eq!(cluster.usage[&team], (0.0, 0.0));
+    assert_eq!(cluster.usage[&team], TeamUsage::default());
 }
 
 /// A task that a worker reports as done is not reaped before that is stored, and does not start again.
