--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -48,7 +48,7 @@
     pub(super) unconfirmed: Mutex<UnconfirmedCancellations>,
     pub(super) start_leader_loops: OnceLock<StartLeaderLoops>,
     pub(super) leader_tasks: Mutex<Vec<AbortHandle>>,
-    /// Orders that are marked as done wait for a higher fencing token (`fleet::order_log`).
+    /// Orders that are marked as done wait for a higher fencing token (`fleet::order_storage`).
     pub(super) orders_want_new_fencing_token: AtomicBool,
 }
 
