--- a/src/audit.rs
+++ b/src/audit.rs
@@ -29,15 +29,15 @@
 use crate::wakeups::Wakeups;
 
 /// Acceptances and ends remembered, the latest: about a KiB each.
-const REMEMBERED: usize = 512;
+const MAX_REMEMBERED: usize = 512;
 /// Between two comparisons: at least this, and at least the time in which the share of requests
 /// grows by so many.
 const GAP: Duration = Duration::from_secs(1);
 const COST: f64 = 8.0;
 
-/// What the store has acknowledged.
+/// A write that the store has acknowledged.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Held {
+pub enum AcknowledgedWrite {
     /// A job that this controller has accepted: open, or ended since.
     Accepted(Arc<JobRecord>),
     /// A job that is open, by the leader's watch.
@@ -48,7 +48,7 @@
     Shard(JobId, u64, u64),
 }
 
-impl Held {
+impl AcknowledgedWrite {
     /// The keys to compare: of all but a shard at least one must exist.
     fn conditions(&self) -> Vec<Condition> {
         match self {
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Whether it still stands, by the keys that were not as the conditions have them.
-    fn stands(&self, failed: &HashSet<&str>) -> bool {
+    /// Whether the write is still stored, by the keys whose conditions failed.
+    fn is_stored(&self, failed: &HashSet<&str>) -> bool {
         let any = self.conditions().iter().any(|c| failed.contains(c.path.as_str()));
         if matches!(self, Self::Shard(..)) { !any } else { any }
     }
 
-    fn name(&self) -> String {
+    fn key(&self) -> String {
         match self {
             Self::Accepted(record) => open_key(&record.spec.id),
             Self::Open(id) => open_key(id),
@@ -75,70 +75,70 @@
     }
 }
 
-/// What is yet to be compared, in turns. Pure.
+/// The writes to compare with the store, in rounds. Pure.
 #[derive(Debug, Default)]
 pub struct Audit {
-    told: VecDeque<Held>,
-    turn: VecDeque<Held>,
-    /// Missing once, by name.
-    suspects: HashMap<String, Held>,
+    remembered: VecDeque<AcknowledgedWrite>,
+    round: VecDeque<AcknowledgedWrite>,
+    /// Writes that were missing once, by key.
+    suspects: HashMap<String, AcknowledgedWrite>,
 }
 
 impl Audit {
-    /// Acknowledged just now.
-    pub fn note(&mut self, held: Held) {
-        if self.told.len() >= REMEMBERED {
-            self.told.pop_front();
+    /// Remembers a write that was acknowledged just now.
+    pub fn remember(&mut self, held: AcknowledgedWrite) {
+        if self.remembered.len() >= MAX_REMEMBERED {
+            self.remembered.pop_front();
         }
-        self.told.push_back(held);
+        self.remembered.push_back(held);
     }
 
     /// The next to compare, with `most` conditions at the most: suspects first. `stored` gives what
     /// the leader holds besides, once a turn.
-    fn next(&mut self, most: usize, stored: impl FnOnce() -> Vec<Held>) -> Vec<Held> {
-        if self.turn.is_empty() {
-            self.turn.extend(self.told.iter().cloned());
-            self.turn.extend(stored());
+    fn next_batch(&mut self, most: usize, stored: impl FnOnce() -> Vec<AcknowledgedWrite>) -> Vec<AcknowledgedWrite> {
+        if self.round.is_empty() {
+            self.round.extend(self.remembered.iter().cloned());
+            self.round.extend(stored());
         }
         let mut left = most;
-        let mut fits = |held: &Held| {
+        let mut fits = |held: &AcknowledgedWrite| {
             let rest = left.checked_sub(held.conditions().len());
             left = rest.unwrap_or(0);
             rest.is_some()
         };
-        let mut batch: Vec<Held> = self.suspects.values().take_while(|held| fits(held)).cloned().collect();
-        while self.turn.front().is_some_and(&mut fits) {
-            batch.extend(self.turn.pop_front());
+        let mut batch: Vec<AcknowledgedWrite> = self.suspects.values().take_while(|held| fits(held)).cloned().collect();
+        while self.round.front().is_some_and(&mut fits) {
+            batch.extend(self.round.pop_front());
         }
         batch
     }
 
-    /// What is missing now and was missing before.
-    fn compared(&mut self, batch: Vec<Held>, failed: &[String]) -> Vec<Held> {
+    /// The writes of a batch that are missing now and were missing before.
+    fn find_lost(&mut self, batch: Vec<AcknowledgedWrite>, failed: &[String]) -> Vec<AcknowledgedWrite> {
         let failed: HashSet<&str> = failed.iter().map(String::as_str).collect();
         let mut lost = Vec::new();
         for held in batch {
-            let before = self.suspects.remove(&held.name());
-            if held.stands(&failed) {
+            let before = self.suspects.remove(&held.key());
+            if held.is_stored(&failed) {
                 continue;
             }
             if before.as_ref() == Some(&held) {
                 lost.push(held);
             } else {
-                self.suspects.insert(held.name(), held);
+                self.suspects.insert(held.key(), held);
             }
         }
         lost
     }
 
-    /// Not lost after all: it has moved on by itself.
-    fn forget(&mut self, held: &Held) {
-        self.told.retain(|told| told != held);
+    /// Forgets a write that is not lost after all: its job has moved on.
+    fn forget(&mut self, held: &AcknowledgedWrite) {
+        self.remembered.retain(|told| told != held);
     }
 
     /// Number of entries held, of all sorts together, for display.
     pub fn remembered(&self) -> usize {
-        self.told.len() + self.turn.len() + self.suspects.len()
+        self.remembered.len() + self.round.len() + self.suspects.len()
     }
 }
 
@@ -165,8 +165,8 @@
     }
 
     /// The state service has just acknowledged this.
-    pub fn note(&self, held: Held) {
-        lock(&self.audit).note(held);
+    pub fn remember(&self, held: AcknowledgedWrite) {
+        lock(&self.audit).remember(held);
     }
 
     /// Number of entries held, for display.
@@ -175,25 +175,27 @@
     }
 }
 
-/// Everything that the leader knows to be stored.
-fn stored_by_leader(auditor: &Auditor) -> Vec<Held> {
+/// All writes that the leader knows to be stored.
+fn writes_of_leader(auditor: &Auditor) -> Vec<AcknowledgedWrite> {
     let held = auditor.leader.cluster();
     let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
     let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
-        let shards = job.settled_shards().map(|(shard, version)| Held::Shard(id.clone(), shard, version));
-        std::iter::once(Held::Open(id.clone())).chain(shards)
+        let shards = job.settled_shards().map(|(shard, version)| AcknowledgedWrite::Shard(id.clone(), shard, version));
+        std::iter::once(AcknowledgedWrite::Open(id.clone())).chain(shards)
     })
     .collect()
 }
 
 /// Whether this is still to be expected: what a watch or an answer has told since counts.
-fn still_expected(auditor: &Auditor, held: &Held) -> bool {
+fn still_expected(auditor: &Auditor, held: &AcknowledgedWrite) -> bool {
     match held {
-        Held::Accepted(record) => auditor.history.ended(&record.spec.id).is_none(),
-        Held::Open(id) => auditor.store.watch_cache().open_job(id).is_some() && auditor.history.ended(id).is_none(),
-        Held::Ended(..) => true,
-        Held::Shard(id, shard, version) => {
+        AcknowledgedWrite::Accepted(record) => auditor.history.ended(&record.spec.id).is_none(),
+        AcknowledgedWrite::Open(id) => {
+            auditor.store.watch_cache().open_job(id).is_some() && auditor.history.ended(id).is_none()
+        }
+        AcknowledgedWrite::Ended(..) => true,
+        AcknowledgedWrite::Shard(id, shard, version) => {
             let held = auditor.leader.cluster();
             let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
             job.is_some_and(|j| j.settled_shards().any(|settled| settled == (*shard, *version)))
@@ -206,11 +208,11 @@
     let most = auditor.settings.params.state.conditions();
     loop {
         tokio::time::sleep(GAP.max(auditor.store.client.time_for(COST))).await;
-        let batch = lock(&auditor.audit).next(most, || stored_by_leader(&auditor));
+        let batch = lock(&auditor.audit).next_batch(most, || writes_of_leader(&auditor));
         if batch.is_empty() || !auditor.store.watch_cache().is_ready() {
             continue;
         }
-        let conditions: Vec<Condition> = batch.iter().flat_map(Held::conditions).collect();
+        let conditions: Vec<Condition> = batch.iter().flat_map(AcknowledgedWrite::conditions).collect();
         let failed = match auditor.store.client.compare_and_swap(&conditions, &[], RequestPriority::Background).await {
             Ok(CompareAndSwapOutcome::Failed(keys)) => keys,
             Ok(_) => Vec::new(),
@@ -219,15 +221,15 @@
                 continue;
             }
         };
-        let lost = lock(&auditor.audit).compared(batch, &failed);
+        let lost = lock(&auditor.audit).find_lost(batch, &failed);
         if lost.is_empty() || !auditor.store.read_barrier.wait().await {
             continue;
         }
         for held in lost {
             if still_expected(&auditor, &held) {
-                error!(key = held.name(), "acknowledged write lost; writing it again");
-                if let Err(error) = mend(&auditor, &held).await {
-                    debug!(%error, key = held.name(), "lost write not restored");
+                error!(key = held.key(), "acknowledged write lost; writing it again");
+                if let Err(error) = restore(&auditor, &held).await {
+                    debug!(%error, key = held.key(), "lost write not restored");
                 }
             } else {
                 lock(&auditor.audit).forget(&held);
@@ -236,27 +238,27 @@
     }
 }
 
-/// An end that is nowhere any more, nor the other.
-pub(crate) fn end_again(record: &JobRecord, end: End, now_ms: u64) -> JobTransaction {
+/// Writes an end again, on condition that the job has no end at all.
+pub(crate) fn restore_end(record: &JobRecord, end: End, now_ms: u64) -> JobTransaction {
     JobTransaction {
         conditions: not_ended(&record.spec.id).collect(),
         changes: end_changes(record, end, now_ms).into(),
     }
 }
 
-/// Writes again what was lost, unless it stands elsewhere by now.
-async fn mend(auditor: &Auditor, held: &Held) -> Result<(), StoreError> {
+/// Writes again what was lost, unless the job has other keys by now.
+async fn restore(auditor: &Auditor, held: &AcknowledgedWrite) -> Result<(), StoreError> {
     match held {
-        Held::Accepted(record) => accept_again(auditor, record).await,
-        Held::Open(id) => {
+        AcknowledgedWrite::Accepted(record) => restore_acceptance(auditor, record).await,
+        AcknowledgedWrite::Open(id) => {
             let record = auditor.store.watch_cache().open_job(id).cloned();
             match record {
-                Some(record) => accept_again(auditor, &record).await,
+                Some(record) => restore_acceptance(auditor, &record).await,
                 None => Ok(()),
             }
         }
-        Held::Ended(record, end) => {
-            let again = end_again(record, *end, time_of_day_ms());
+        AcknowledgedWrite::Ended(record, end) => {
+            let again = restore_end(record, *end, time_of_day_ms());
             if let CompareAndSwapOutcome::Failed(keys) = auditor
                 .store
                 .client
@@ -269,7 +271,7 @@
             }
             Ok(())
         }
-        Held::Shard(id, shard, version) => {
+        AcknowledgedWrite::Shard(id, shard, version) => {
             let item = auditor.store.client.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
             let found = item.map_or(0, |i| i.version);
             if let Some(cluster) = auditor.leader.cluster().as_mut() {
@@ -281,7 +283,7 @@
     }
 }
 
-async fn accept_again(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
+async fn restore_acceptance(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
     let again = accept_job(record, auditor.store.watch_cache().may_hold_old_jobs());
     auditor
         .store
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -13,7 +13,7 @@
 
 use super::cluster::ShardWrite;
 use super::leader_state::LeaderState;
-use crate::audit::{Auditor, Held};
+use crate::audit::{AcknowledgedWrite, Auditor};
 use crate::history::job_history::JobHistory;
 use crate::history::job_transactions::{end_changes, find_end, not_ended};
 use crate::jobs::record::{
@@ -188,7 +188,7 @@
     }
     for job in &batch.ends {
         note_end(group_commit, &job.spec.id, End::Done);
-        group_commit.audit.note(Held::Ended(job.clone(), End::Done));
+        group_commit.audit.remember(AcknowledgedWrite::Ended(job.clone(), End::Done));
     }
     group_commit.wakeups.dispatch.notify_one();
 }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -7,7 +7,7 @@
 use hollylanding_emulator::world::store::Store;
 use serde_json::json;
 
-use crate::audit::end_again;
+use crate::audit::restore_end;
 use crate::cloud_orders::{CloudAction, CloudOrder, OrderCleanUp};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::{self, StatusWrite};
@@ -176,7 +176,7 @@
 
     // What the store has lost is put back.
     life.store.vanish("h/d/", 1);
-    life.send_move("end put back", end_again(&jobs[0], End::Done, 9));
+    life.send_move("end put back", restore_end(&jobs[0], End::Done, 9));
     life.store.vanish(&open_key(&jobs[2].spec.id), 1);
     life.send_move("job put back", job_transactions::accept_job(&jobs[2], true));
 
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -8,7 +8,7 @@
 use super::response::UserResponse;
 use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
-use crate::audit::Held;
+use crate::audit::AcknowledgedWrite;
 use crate::history::job_transactions;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
@@ -57,7 +57,7 @@
     match outcome {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             tracked.applied();
-            service.audit.note(Held::Ended(record, End::Cancelled));
+            service.audit.remember(AcknowledgedWrite::Ended(record, End::Cancelled));
             if leader.is_some_and(|fencing_token| service.membership.cancelled_by_leader(&id, fencing_token)) {
                 return end_response(&id, End::Cancelled);
             }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -11,7 +11,7 @@
 use super::response::{RETRY_WHEN_JOBS_END_S, RequestError, UserResponse};
 use super::service::UserService;
 use super::write_tracker::{JobWrite, WriteTracker};
-use crate::audit::Held;
+use crate::audit::AcknowledgedWrite;
 use crate::history::job_transactions;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::fits_in_memory;
@@ -166,7 +166,7 @@
         {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 tracked.applied();
-                service.audit.note(Held::Accepted(record));
+                service.audit.remember(AcknowledgedWrite::Accepted(record));
                 let job = JobAnswer { id: id.to_string(), status: Status::Pending, done: 0, running: 0 };
                 return UserResponse::Created(job);
             }
