--- a/src/declarations/operator/session.rs
+++ b/src/declarations/operator/client.rs
@@ -46,7 +46,7 @@
 }
 
 /// Access to the state service and the controllers on behalf of an operator.
-pub struct Session {
+pub struct OperatorClient {
     /// The settings.
     pub settings: Settings,
     store: StateClient,
@@ -55,7 +55,7 @@
     patience: Duration,
 }
 
-impl Session {
+impl OperatorClient {
     /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, patience: Duration) -> Self {
         let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
@@ -209,7 +209,7 @@
         loop {
             match call().await {
                 Ok(answer) => return Ok(answer),
-                Err(source) if begun.elapsed() > self.patience || matches!(source, StoreError::Malformed(_)) => {
+                Err(source) if begun.elapsed() > self.patience || source.is_invalid_answer() => {
                     return Err(NoAnswer::StateService { endpoint: self.settings.endpoints.state.clone(), source });
                 }
                 Err(_) => tokio::time::sleep(jitter(RETRY_INTERVAL)).await,
