--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -1,6 +1,6 @@
 //! What the judge takes for the moment from which a cancelled job's tasks must be gone.
 
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/emulator/tests/scenario.rs
+++ b/crates/emulator/tests/scenario.rs
@@ -1,7 +1,7 @@
 //! Faults of the scenario language, with errors that name what is wrong and its value.
 
 #![cfg(feature = "commands")]
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 use std::time::Duration;
 
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -1,6 +1,6 @@
 //! A slow state service carries out what it is asked at once, and answers later.
 
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 use std::time::{Duration, Instant};
 
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -3,7 +3,7 @@
 //! nothing older than what stood when it was asked.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,7 +1,7 @@
 //! End to end over HTTP: two real controllers against stand-ins. Waits on conditions only.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -2,7 +2,7 @@
 //! those that users and workers send to it, and what the command line says.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod fixtures;
 mod stand_in;
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,7 +3,7 @@
 //! in `src/membership/mesh/line/tests.rs`.
 
 // A fixture that cannot be read fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod fixtures;
 
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -2,7 +2,7 @@
 //! build has left, and what users are told at each moment of a job's life by whom.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -3,7 +3,7 @@
 //! under one fencing token, and work goes on. Acceptances, cancellations and ends are in `close_looks.rs`.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/odd_requests.rs
+++ b/tests/odd_requests.rs
@@ -1,7 +1,7 @@
 //! Odd requests: accepted jobs that are submitted again in other words, and jobs that can never run, at every moment.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -2,7 +2,7 @@
 //! what becomes of a write whose answer is late or lost.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -4,7 +4,7 @@
 //! Every answer is held against what is stored before and after it (`stand_in::observer`).
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
--- a/tests/unheard_cancellations.rs
+++ b/tests/unheard_cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancellations that the leader has not heard of: no user is told by any path, and nothing told runs on.
 
 // A stand-in that panics fails its test, as it should.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
 
