--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,24 @@
 //! hollylanding: a cluster scheduler that admits work by deadline share and return.
 //!
-//! Several controllers run at once. One of them leads and makes itself the leader: it places the tasks of all jobs,
-//! rents and returns machines and answers workers. Every controller serves users. Durable state is kept in the state
-//! service.
+//! Several controllers run at once, and one of them is the leader: it places the tasks of all jobs, commands the
+//! workers, and scales the fleet out and in. Every controller serves users. Durable state is kept in the state service.
+//! `docs/architecture.md` tells who owns which state and the way of a request.
 //!
-//! `sla` holds the arithmetic of the paper that the scheduler follows, `jobs` what a job is and how it is stored,
-//! `users` the API for users, `workers` reports and commands, `scheduling` the leader's cluster state and the placement
-//! decisions, `fleet` machines and the cloud, `cloud_orders` the stored orders to
-//! the cloud, `store` the state service, `history` jobs that have ended, and
-//! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
-//! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
-//! services). `controller` builds the parts of one controller and starts their loops, `wakeups` holds the notifications
-//! between them, `process_pause` detects pauses of the process,
-//! `records` holds stored values that several slices read, `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`,
-//! `periodic` (steps of loops that are due at intervals) and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
+//! From the top down:
+//!
+//! - [`controller`] builds the parts of one controller and starts their loops; [`cli`] holds the commands.
+//! - [`users`], [`workers`] and [`fleet`] serve the three outer interfaces; [`declarations`] carries out what operators
+//!   declare, of the kinds [`calendar`] (planning windows), [`heat`] (work that goes ahead during midday heat) and
+//!   [`rollouts`] (new versions of services).
+//! - [`audit`] compares what the store has acknowledged with what it holds.
+//! - [`membership`] elects the leader and tells what a controller may say.
+//! - [`scheduling`] holds the leader's cluster state, the placement decisions and the group commit.
+//! - [`history`] knows jobs that have ended; [`store`] is the client of the state service with its watch cache.
+//! - [`records`], [`jobs`], [`cloud_orders`] and [`machine_kinds`] are the model and its stored forms; [`sla`] is the
+//!   arithmetic of the paper; [`settings`], [`process_pause`], [`periodic`], [`wakeups`], [`traffic`] and [`sync`] serve
+//!   all of them, and [`protocol`] has the messages of every interface.
+//!
+//! Imports run downwards. I/O stays at the edges: decisions are functions of state and time.
 
 #![warn(missing_docs)]
 // Tables of cases are long; the limit is for the code itself.
