--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -14,7 +14,7 @@
     Query,
     /// Clean-up and audit.
     Background,
-    /// A query that has waited for [`QUERY_PATIENCE`]: it may put the bucket into debt, because calls of higher
+    /// A query that has waited for `QUERY_PATIENCE`: it may put the bucket into debt, because calls of higher
     /// priority would otherwise take each token as it comes.
     OverdueQuery,
 }
