--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,14 +1,15 @@
-//! Calls to the state service. Every error says whether the call can still take effect.
+//! Calls to the state service, within this controller's share of its limits.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use super::budget::{Budget, RequestPriority};
+use super::error::{StoreError, UndecodableAnswer};
 use super::share::RateMeter;
 use crate::process_pause::ProcessPause;
 pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
 use crate::protocol::state::{CompareAndSwap, FailedConditions, GrantedLease, KeyVersionPage, StoreRevision};
-use crate::protocol::{self, CallError, DecodeError, Http};
+use crate::protocol::{self, CallError, Http};
 use crate::traffic::{CallKind, Traffic};
 use hyper::Method;
 
@@ -23,52 +24,6 @@
 /// How long a critical call waits for this controller's share of the limits before it fails.
 const MAX_BUDGET_WAIT: Duration = Duration::from_millis(2000);
 
-/// Why a call to the state service has no usable answer, and whether it can still take effect.
-#[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
-pub enum StoreError {
-    /// Refused with this status, or never sent (0): not executed, now or later.
-    #[error("the state service refused or could not be reached (status {0})")]
-    Unavailable(u16),
-    /// No answer in time: executed, not executed, or executed later.
-    #[error("the state service did not answer")]
-    Unanswered,
-    /// An answer with a status that its protocol does not allow for this request.
-    #[error("the state service answered {status} to {request}")]
-    UnexpectedStatus {
-        /// The HTTP status; 0 if the answer was too large to be read.
-        status: u16,
-        /// What was requested.
-        request: &'static str,
-    },
-    /// An answer whose body cannot be decoded.
-    #[error("the state service answered {0}")]
-    Undecodable(#[from] UndecodableAnswer),
-    /// The watch begins before what the service still keeps, or has more to tell than can be read.
-    #[error("the revision is too old to follow")]
-    TooOld,
-}
-
-impl StoreError {
-    /// Whether the service has answered, but not as its protocol says.
-    #[must_use]
-    pub fn is_invalid_answer(&self) -> bool {
-        matches!(self, Self::UnexpectedStatus { .. } | Self::Undecodable(_))
-    }
-}
-
-/// Why the body of an answer could not be decoded. Comparable, as [`StoreError`] is: by the message.
-#[derive(Debug, thiserror::Error, Clone)]
-#[error(transparent)]
-pub struct UndecodableAnswer(Arc<DecodeError>);
-
-impl PartialEq for UndecodableAnswer {
-    fn eq(&self, other: &Self) -> bool {
-        self.0.to_string() == other.0.to_string()
-    }
-}
-
-impl Eq for UndecodableAnswer {}
-
 /// The definite answer to a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CompareAndSwapOutcome {
@@ -168,7 +123,7 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    protocol::decode(body).map_err(|error| UndecodableAnswer(Arc::new(error)).into())
+    protocol::decode(body).map_err(|error| UndecodableAnswer::from(error).into())
 }
 
 /// A key, percent-encoded for an address. Without it a key with a character that no address may contain would end every
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod budget;
 pub mod client;
+pub mod error;
 pub mod handle;
 pub mod log_limit;
 pub mod read_barrier;
@@ -12,4 +13,5 @@
 pub mod watch;
 pub mod watch_cache;
 
-pub use client::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
+pub use client::{Change, CompareAndSwapOutcome, Condition, StateClient};
+pub use error::StoreError;
