--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -166,7 +166,7 @@
 
 /// Cancelled in the same moment in which it was accepted, at all three at once, while others look and submit again.
 #[test]
-fn a_job_canceln_at_once_is_cancelled_to_all_three() {
+fn a_job_cancelled_at_once_is_cancelled_to_all_three() {
     let (deployment, leader, lagging) = two_of_three(10);
     for (n, at) in [(1, &leader), (2, &lagging), (3, &leader), (4, &lagging)] {
         let starting = starting(&deployment, 1, 10);
