--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -7,10 +7,10 @@
 use super::status::{WindowInstance, WindowStatus};
 use super::step::{JobProgress, StepContext, latest_claim_ms, latest_start_ms, new_claims, record_claim_ends};
 use crate::jobs::{JobId, JobSpec, Shape, Urgency};
-use crate::scheduling::intents::{Intents, RoomIntent, WindowPlace};
+use crate::scheduling::intents::{CapacityIntent, Intents, WindowPlace};
 
 /// Capacity for an opening is asked for so long ahead; provisioning knows how long boot and fetch take.
-const ROOM_AHEAD_MS: u64 = 900_000;
+const CAPACITY_AHEAD_MS: u64 = 900_000;
 
 /// What a team's limits leave it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -63,16 +63,16 @@
 }
 
 /// Capacity for turns that nobody has claimed yet: from ahead of the opening until it is released.
-fn unclaimed_room(
+fn unclaimed_capacity(
     spec: &WindowSpec,
     status: &WindowStatus,
     instance: &WindowInstance,
     now_ms: u64,
     quota: &mut RemainingQuota,
-) -> Option<RoomIntent> {
+) -> Option<CapacityIntent> {
     let kept = instance.opens_ms.saturating_add(u64::from(spec.room_s) * 1000);
     let until = kept.min(latest_claim_ms(spec, status, instance));
-    if instance.unclaimed || now_ms >= until || now_ms.saturating_add(ROOM_AHEAD_MS) < instance.opens_ms {
+    if instance.unclaimed || now_ms >= until || now_ms.saturating_add(CAPACITY_AHEAD_MS) < instance.opens_ms {
         return None;
     }
     let unclaimed = f64::from(spec.jobs).max(1.0);
@@ -84,7 +84,7 @@
     // Without a core, as many tasks as last time.
     let tasks = if like.cpus > 0.0 { (cores / like.cpus - 1e-9).ceil().max(0.0) as u64 } else { like.tasks };
     let tasks = quota.reserve(&like, tasks, f64::INFINITY);
-    (tasks > 0).then(|| RoomIntent { task_spec: like, tasks, in_s: seconds_to_opening(instance, now_ms) })
+    (tasks > 0).then(|| CapacityIntent { task_spec: like, tasks, in_s: seconds_to_opening(instance, now_ms) })
 }
 
 /// Adds the intents of a window. `quota` bounds the capacity that is asked for, `job_spec` describes an open job.
@@ -102,7 +102,7 @@
     // A cancelled job makes way for another, which waits from here on as if it had claimed.
     record_claim_ends(&mut instance, context);
     hold_back_claimants(spec, &instance, context, intents);
-    let soon = now_ms.saturating_add(ROOM_AHEAD_MS) >= instance.opens_ms;
+    let soon = now_ms.saturating_add(CAPACITY_AHEAD_MS) >= instance.opens_ms;
     let mut expected = expected_cores(spec, status);
     for claim in instance.claims.iter().filter(|claim| claim.end.is_none()) {
         let JobProgress::Open { begun, .. } = (context.progress)(&claim.job) else { continue };
@@ -118,10 +118,14 @@
             quota.reserve(&like, like.tasks, f64::INFINITY);
         } else if let Some(tasks) = reserve_for_claim(&mut quota, &like, expected) {
             expected -= tasks as f64 * like.cpus;
-            intents.room.push(RoomIntent { task_spec: like, tasks, in_s: seconds_to_opening(&instance, now_ms) });
+            intents.capacity.push(CapacityIntent {
+                task_spec: like,
+                tasks,
+                in_s: seconds_to_opening(&instance, now_ms),
+            });
         }
     }
-    intents.room.extend(unclaimed_room(spec, status, &instance, now_ms, &mut quota));
+    intents.capacity.extend(unclaimed_capacity(spec, status, &instance, now_ms, &mut quota));
 }
 
 /// Holds back jobs that would claim a turn now, and those of the next instance, unless that makes them too late.
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -349,7 +349,7 @@
     let tasks = |fields: Value, hours: f64, left: RemainingQuota| {
         let world = World::at(MIDNIGHT + (hours * HOUR as f64) as u64);
         let intents = world.intents(&window(fields), &WindowStatus::default(), left);
-        intents.room.iter().map(|room| (room.tasks, room.in_s)).collect::<Vec<_>>()
+        intents.capacity.iter().map(|capacity| (capacity.tasks, capacity.in_s)).collect::<Vec<_>>()
     };
     let some = |cpus| RemainingQuota { cpus, gpus: 0.0 };
     for (name, fields, hours, left, want) in [
@@ -374,10 +374,10 @@
     (1..=2).for_each(|n| world.set(n, JobProgress::Done { at_ms: None }));
     status = world.step(&spec, &status);
     world.now_ms += 24 * HOUR;
-    assert_eq!(world.intents(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 2);
+    assert_eq!(world.intents(&spec, &status, PLENTY).capacity.iter().map(|r| r.tasks).sum::<u64>(), 2);
     world.submit(3, "plan");
     status = world.step(&spec, &status);
-    assert_eq!(world.intents(&spec, &status, PLENTY).room.iter().map(|r| r.tasks).sum::<u64>(), 1);
+    assert_eq!(world.intents(&spec, &status, PLENTY).capacity.iter().map(|r| r.tasks).sum::<u64>(), 1);
 
     // A gang whose turn has not come has whole room or none.
     for (cores, want) in [(7.0, 0), (8.0, 8)] {
@@ -388,8 +388,8 @@
         world.submit(1, "plan");
         world.jobs[0] = Arc::new(JobRecord { spec: gang, at_ms: world.now_ms });
         let status = world.step(&spec, &WindowStatus::default());
-        let room = world.intents(&spec, &status, PLENTY).room;
-        assert_eq!(room.iter().map(|r| r.tasks).sum::<u64>(), want, "{cores}");
+        let capacity = world.intents(&spec, &status, PLENTY).capacity;
+        assert_eq!(capacity.iter().map(|r| r.tasks).sum::<u64>(), want, "{cores}");
     }
 }
 
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -10,10 +10,10 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::{AttemptStatus, TaskKey};
+use crate::scheduling::capacity::Zones;
 use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId, TaskMove};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
-use crate::scheduling::room::Zones;
 use crate::sla;
 
 /// A task stopped sooner after its start does not count as started, and has hardly worked.
@@ -66,7 +66,7 @@
         let overdue = turn.ahead || turn.age > job.agreement.run;
         pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
-    for (intent, _) in intents::room_kept(cluster, &pool.ground) {
+    for (intent, _) in intents::reserved_capacity(cluster, &pool.ground) {
         pool.keep_capacity(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -5,8 +5,8 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill;
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones, suspect_after, usable};
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
-use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
 
 /// A machine costs this long in any case.
 const LEAST_CHARGED: Duration = Duration::from_secs(60);
@@ -19,8 +19,8 @@
 /// accelerators last, and of machines alike the fullest first. A machine that nothing was packed into is a candidate
 /// for scale-in.
 pub(super) struct CapacityPool<'a> {
-    pub(super) ground: Ground<'a>,
-    rooms: Vec<Room<'a>>,
+    pub(super) ground: CapacityContext<'a>,
+    capacities: Vec<FreeCapacity<'a>>,
     /// Whether waiting or expected work was packed into each machine.
     packed: Vec<bool>,
     /// Kinds for which more work waits or is expected than there is capacity for.
@@ -40,28 +40,29 @@
 impl<'a> CapacityPool<'a> {
     /// The machines that are up or boot. Idle work counts as absent: it gives way, and is packed last.
     pub(super) fn new(cluster: &'a ClusterState, catalog: &'a Catalog, now: Instant) -> Self {
-        let ground = Ground::new(cluster, catalog);
+        let ground = CapacityContext::new(cluster, catalog);
         let suspect = suspect_after(cluster);
-        let mut rooms: Vec<Room> = cluster
+        let mut capacities: Vec<FreeCapacity> = cluster
             .machines
             .values()
             .filter(|machine| usable(machine, suspect, now) || machine.state == MachineState::Booting)
-            .filter_map(|machine| ground.room(machine))
-            .map(|room| room.without_idle())
+            .filter_map(|machine| ground.capacity(machine))
+            .map(|capacity| capacity.without_idle())
             .collect();
-        rooms.sort_by(|a, b| {
-            let accelerated = |room: &Room| room.of.gpus > 0.0;
+        capacities.sort_by(|a, b| {
+            let accelerated = |capacity: &FreeCapacity| capacity.of.gpus > 0.0;
             accelerated(a).cmp(&accelerated(b)).then(a.price().total_cmp(&b.price())).then(a.cpus.total_cmp(&b.cpus))
         });
-        let reserved = |room: &Room| room.machine.is_some_and(|m| cluster.reservations.contains_key(&m.id));
-        let packed = rooms.iter().map(reserved).collect();
+        let reserved =
+            |capacity: &FreeCapacity| capacity.machine.is_some_and(|m| cluster.reservations.contains_key(&m.id));
+        let packed = capacities.iter().map(reserved).collect();
         let short = vec![false; ground.offers.len()];
-        Self { ground, rooms, packed, short }
+        Self { ground, capacities, packed, short }
     }
 
     /// Number of machines.
     pub(super) fn len(&self) -> usize {
-        self.rooms.len()
+        self.capacities.len()
     }
 
     /// Keeps capacity for `count` tasks like this. Where there is not enough, no machine that they could use is a
@@ -99,17 +100,17 @@
     /// Packs up to `count` tasks like this into the first machines that take them, but not into `except`. False if some
     /// are left.
     fn pack_tasks(&mut self, spec: &JobSpec, open: &[bool], mut count: u64, except: Option<usize>) -> bool {
-        for (index, room) in self.rooms.iter_mut().enumerate() {
+        for (index, capacity) in self.capacities.iter_mut().enumerate() {
             if count == 0 {
                 break;
             }
-            if Some(index) == except || !open.get(room.kind).copied().unwrap_or(false) {
+            if Some(index) == except || !open.get(capacity.kind).copied().unwrap_or(false) {
                 continue;
             }
-            let tasks = room.units(spec, count);
+            let tasks = capacity.units(spec, count);
             if tasks > 0 {
                 let n = tasks as f64;
-                room.add(-n * spec.cpus, -n * spec.gpus, -n * spec.memory_gb);
+                capacity.add(-n * spec.cpus, -n * spec.gpus, -n * spec.memory_gb);
                 self.packed[index] = true;
                 count -= tasks;
             }
@@ -123,11 +124,11 @@
         if specs.is_empty() {
             return true;
         }
-        let before = self.rooms.clone();
+        let before = self.capacities.clone();
         for spec in specs {
             let open = self.ground.open_to(spec, &Zones::none(spec));
             if !self.pack_tasks(spec, &open, 1, Some(except)) {
-                self.rooms = before;
+                self.capacities = before;
                 return false;
             }
         }
@@ -136,25 +137,25 @@
 
     /// Machines in the order in which they are considered for scale-in: the dearest first, and the emptiest of these.
     pub(super) fn scale_in_order(&self) -> Vec<usize> {
-        let bound = |index: usize| self.rooms[index].machine.map_or(0, |machine| machine.bound.len());
-        let price = |index: usize| self.rooms[index].price();
-        let mut order: Vec<usize> = (0..self.rooms.len()).collect();
+        let bound = |index: usize| self.capacities[index].machine.map_or(0, |machine| machine.bound.len());
+        let price = |index: usize| self.capacities[index].price();
+        let mut order: Vec<usize> = (0..self.capacities.len()).collect();
         order.sort_by(|a, b| price(*b).total_cmp(&price(*a)).then(bound(*a).cmp(&bound(*b))).then(b.cmp(a)));
         order
     }
 
     /// The machine at this place, if it may be drained as far as its capacity and age go.
     pub(super) fn candidate(&self, index: usize, now: Instant) -> Option<Candidate<'a>> {
-        let room = &self.rooms[index];
-        let machine = room.machine?;
+        let capacity = &self.capacities[index];
+        let machine = capacity.machine?;
         let charged = now.saturating_duration_since(machine.since) >= LEAST_CHARGED;
-        let needed = self.packed[index] || self.short[room.kind];
+        let needed = self.packed[index] || self.short[capacity.kind];
         let is_candidate = !needed && machine.state == MachineState::Up && charged;
-        is_candidate.then_some(Candidate { index, machine, accelerated: room.of.gpus > 0.0 })
+        is_candidate.then_some(Candidate { index, machine, accelerated: capacity.of.gpus > 0.0 })
     }
 
     /// Takes the machine out, so that nothing is packed into one that is about to be drained.
     pub(super) fn close_machine(&mut self, index: usize) {
-        self.rooms[index].cpus = -1.0;
+        self.capacities[index].cpus = -1.0;
     }
 }
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -8,8 +8,8 @@
 use super::cloud::CloudMachine;
 use super::manager::Fleet;
 use crate::machine_kinds::MachineKind;
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity};
 use crate::scheduling::cluster::{Machine, MachineState};
-use crate::scheduling::room::{Ground, Room};
 
 /// Records the machines that the cloud lists, with their ages and states.
 pub(super) fn record_listed_machines(fleet: &Fleet, machines: Vec<CloudMachine>) {
@@ -45,7 +45,7 @@
 }
 
 impl KindSummary {
-    fn add(&mut self, machine: &Machine, room: &Room) {
+    fn add(&mut self, machine: &Machine, capacity: &FreeCapacity) {
         match machine.state {
             MachineState::Booting => self.booting += 1,
             MachineState::Up => self.up += 1,
@@ -54,8 +54,8 @@
         if machine.state != MachineState::Booting {
             let taken = machine.taken();
             self.idle += u32::from(machine.bound.is_empty());
-            self.cpus_used += taken.cpus / room.of.cpus;
-            self.gpus_used += if room.of.gpus > 0.0 { taken.gpus / room.of.gpus } else { 0.0 };
+            self.cpus_used += taken.cpus / capacity.of.cpus;
+            self.gpus_used += if capacity.of.gpus > 0.0 { taken.gpus / capacity.of.gpus } else { 0.0 };
         }
     }
 
@@ -69,11 +69,11 @@
 pub(super) fn log_fleet_summary(fleet: &Fleet) {
     let (Some(catalog), held) = (fleet.catalog.get(), fleet.leader.cluster()) else { return };
     let Some(cluster) = held.as_ref() else { return };
-    let ground = Ground::new(cluster, &catalog);
+    let ground = CapacityContext::new(cluster, &catalog);
     let mut summaries = BTreeMap::<usize, KindSummary>::new();
     for machine in cluster.machines.values() {
-        let Some(room) = ground.room(machine) else { continue };
-        summaries.entry(room.kind).or_default().add(machine, &room);
+        let Some(capacity) = ground.capacity(machine) else { continue };
+        summaries.entry(capacity.kind).or_default().add(machine, &capacity);
     }
     for (kind, summary) in summaries {
         debug!(
--- a/src/fleet/scale_out.rs
+++ b/src/fleet/scale_out.rs
@@ -11,9 +11,9 @@
 use planner::{ScaleOutPlanner, place_expected_arrivals};
 
 use crate::machine_kinds::{Catalog, MachineKind};
+use crate::scheduling::capacity::CapacityContext;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::plan::{QueuedJob, queue};
-use crate::scheduling::room::Ground;
 
 /// Work that has waited no longer than this is placed before expected arrivals.
 const FRESH: Duration = Duration::from_secs(20);
@@ -50,11 +50,11 @@
     // Nothing is provisioned for jobs that fail everywhere.
     let turns = queue(cluster, now).into_iter().filter(|turn| !turn.quarantined);
     let (idle, urgent): (Vec<QueuedJob>, Vec<QueuedJob>) = turns.partition(|turn| turn.job.spec().is_idle());
-    let capacity_declared = !cluster.intents.room.is_empty();
+    let capacity_declared = !cluster.intents.capacity.is_empty();
     if idle.is_empty() && urgent.is_empty() && !capacity_declared {
         return Vec::new();
     }
-    let ground = Ground::with_all_offers(cluster, catalog);
+    let ground = CapacityContext::with_all_offers(cluster, catalog);
     let mut planner = ScaleOutPlanner::new(cluster, &ground, refusals, requested, now);
     // Idle tasks give way, so that their capacity counts for others. What they wait for themselves is planned after
     // that, on the machines as they are.
--- a/src/fleet/scale_out/cheapest_offer.rs
+++ b/src/fleet/scale_out/cheapest_offer.rs
@@ -1,7 +1,7 @@
 //! The cheapest machine kind for the waiting tasks of a job.
 
 use crate::jobs::JobSpec;
-use crate::scheduling::room::{Ground, Offer, Room};
+use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity};
 
 /// Costs per task that differ by less than this count as equal.
 const COST_TOLERANCE: f64 = 1e-12;
@@ -9,9 +9,9 @@
 /// A machine kind that a job could run on, by its place among the offers.
 #[derive(Clone, Copy)]
 pub(super) struct PricedOffer<'a> {
-    /// Index into [`Ground::offers`].
+    /// Index into [`CapacityContext::offers`].
     pub index: usize,
-    pub offer: Offer<'a>,
+    pub offer: CapacityOffer<'a>,
     /// Price of one machine divided by the tasks it would run.
     pub cost_per_task: f64,
 }
@@ -28,15 +28,15 @@
 
 /// The cheapest way, per task, to run `count` more tasks of a job on the kinds that `is_open` admits.
 pub(super) fn cheapest_offer<'a>(
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     spec: &JobSpec,
     count: u64,
-    is_open: impl Fn(usize, &Offer<'a>) -> bool,
+    is_open: impl Fn(usize, &CapacityOffer<'a>) -> bool,
 ) -> Option<PricedOffer<'a>> {
     let mut cheapest: Option<PricedOffer> = None;
     for (index, offer) in ground.offers.iter().enumerate() {
         let Some(offer) = offer.filter(|offer| is_open(index, offer)) else { continue };
-        let tasks = Room::empty(offer.of, index).units(spec, count);
+        let tasks = FreeCapacity::empty(offer.of, index).units(spec, count);
         if tasks == 0 {
             continue;
         }
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -8,12 +8,12 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::scheduling::backfill;
+use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity, Zones};
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
-use crate::scheduling::intents::RoomIntent;
+use crate::scheduling::intents::CapacityIntent;
 use crate::scheduling::plan::{QueuedJob, Quotas};
 use crate::scheduling::promises::starts_left_s;
-use crate::scheduling::room::{Ground, Offer, Room, Zones};
 
 /// The earliest objective that a new machine can still meet sets the slack of waiting work; work past all of them has
 /// its own run time as slack. It waits for this part of its slack before the cheapest kind of machine is provisioned
@@ -35,7 +35,7 @@
 /// The machines to provision, found job by job.
 pub(super) struct ScaleOutPlanner<'a> {
     cluster: &'a ClusterState,
-    ground: &'a Ground<'a>,
+    ground: &'a CapacityContext<'a>,
     /// Machines requested and not named by the cloud yet.
     requested: &'a HashMap<MachineKind, u64>,
     /// Kind of each offer.
@@ -66,7 +66,7 @@
 }
 
 impl<'t, 'a> WaitingJob<'t, 'a> {
-    fn new(cluster: &ClusterState, ground: &Ground<'a>, turn: &'t QueuedJob<'a>, zones: &Zones) -> Self {
+    fn new(cluster: &ClusterState, ground: &CapacityContext<'a>, turn: &'t QueuedJob<'a>, zones: &Zones) -> Self {
         let job = turn.job;
         let spec = job.spec();
         let open = ground.open_to(spec, zones);
@@ -94,7 +94,7 @@
 impl<'a> ScaleOutPlanner<'a> {
     pub(super) fn new(
         cluster: &'a ClusterState,
-        ground: &'a Ground<'a>,
+        ground: &'a CapacityContext<'a>,
         refusals: &CapacityRefusals,
         requested: &'a HashMap<MachineKind, u64>,
         now: Instant,
@@ -168,8 +168,9 @@
         while missing > 0 && self.may_place_task(spec) {
             self.tasks_placed += 1;
             let existing = slots.next(timelines, ground, &zones);
-            let is_open =
-                |index: usize, offer: &Offer| self.is_requestable(&waiting.open, index) && zones.allow(offer.zone);
+            let is_open = |index: usize, offer: &CapacityOffer| {
+                self.is_requestable(&waiting.open, index) && zones.allow(offer.zone)
+            };
             let priced = *cheapest.get_or_insert_with(|| cheapest_offer(ground, spec, missing, is_open));
             let slot = match priced.filter(|priced| self.is_worth_provisioning(&waiting, priced, existing)) {
                 Some(priced) => {
@@ -181,7 +182,7 @@
             };
             let Some(slot) = slot else { break };
             if zones.matter() {
-                zones.take(ground.zone(timelines[slot.which].room.kind));
+                zones.take(ground.zone(timelines[slot.which].capacity.kind));
                 cheapest = None;
             }
             slots.take(timelines, slot);
@@ -193,14 +194,14 @@
     /// Places the capacity that operators have declared. What would not be available in time is provisioned as late as
     /// a machine takes to boot and to fetch its image, and counts as taken for everything planned afterwards.
     pub(super) fn plan_declared_capacity(&mut self, timelines: &mut Vec<Timeline<'a>>) {
-        let mut declared: Vec<&RoomIntent> = self.cluster.intents.room.iter().collect();
+        let mut declared: Vec<&CapacityIntent> = self.cluster.intents.capacity.iter().collect();
         declared.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
         for intent in declared {
-            self.plan_room_intent(intent, timelines);
+            self.plan_capacity_intent(intent, timelines);
         }
     }
 
-    fn plan_room_intent(&mut self, intent: &'a RoomIntent, timelines: &mut Vec<Timeline<'a>>) {
+    fn plan_capacity_intent(&mut self, intent: &'a CapacityIntent, timelines: &mut Vec<Timeline<'a>>) {
         let (ground, spec, zones) = (self.ground, &intent.task_spec, Zones::none(&intent.task_spec));
         let mut job = self.cluster.hypothetical_job(spec, self.now);
         // All of it is needed at one time, so no place counts twice.
@@ -213,7 +214,7 @@
             }
             self.tasks_placed += 1;
             let existing = slots.next(timelines, ground, &zones);
-            let is_open = |index: usize, _: &Offer| self.is_requestable(&open, index);
+            let is_open = |index: usize, _: &CapacityOffer| self.is_requestable(&open, index);
             let priced = cheapest_offer(ground, spec, intent.tasks - placed, is_open);
             if let Some(priced) = priced.filter(|priced| self.is_due_for_intent(intent, priced, existing)) {
                 self.provision(&priced, timelines, &mut slots);
@@ -252,7 +253,7 @@
     }
 
     /// Whether a machine has to be requested now to be ready when the declared capacity is needed.
-    fn is_due_for_intent(&self, intent: &RoomIntent, priced: &PricedOffer, existing: Option<Slot>) -> bool {
+    fn is_due_for_intent(&self, intent: &CapacityIntent, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
         let machine_type = priced.offer.of;
         let fetch_s = intent.task_spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
@@ -284,14 +285,14 @@
         && (!machine.inbound_lost || most_inbound_lost)
 }
 
-fn new_machine<'a>(index: usize, offer: &Offer<'a>) -> Timeline<'a> {
-    Timeline::new(Room::empty(offer.of, index), offer.of.boot_s)
+fn new_machine<'a>(index: usize, offer: &CapacityOffer<'a>) -> Timeline<'a> {
+    Timeline::new(FreeCapacity::empty(offer.of, index), offer.of.boot_s)
 }
 
 /// Places the arrivals that are expected while a machine would boot, each task at the time when it comes.
 pub(super) fn place_expected_arrivals<'a>(
     cluster: &'a ClusterState,
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     timelines: &mut [Timeline<'a>],
     now: Instant,
 ) {
--- a/src/membership/mesh/receive.rs
+++ b/src/membership/mesh/receive.rs
@@ -20,7 +20,7 @@
 /// Connections that are read at once, of all peers and strangers.
 const MOST_CONNECTIONS: usize = 32;
 /// Counts kept before those of ended jobs are looked for; open jobs are what remains.
-const MOST_HEARD: usize = 10_000;
+const MOST_COUNTS_KEPT: usize = 10_000;
 
 /// A watermark counts if its fencing token is that of the leader record as it is known here, and the sender its leader:
 /// one of a leader that is not known here yet, or no more, is told again by whoever leads.
@@ -131,7 +131,7 @@
         if leads && !line.served.is_empty() {
             heard.served = Some((line.served, now));
         }
-        heard.counts.len() > MOST_HEARD
+        heard.counts.len() > MOST_COUNTS_KEPT
     };
     if many {
         membership.drop_counts_of_ended_jobs();
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -12,7 +12,7 @@
 /// up for a second at the most (docs/measurements.md).
 pub const SHORTEST_PAUSE: Duration = Duration::from_millis(2000);
 /// Workers need about this long to tell a controller that was absent what has happened.
-const TOLD_WITHIN: Duration = Duration::from_secs(5);
+const CONFIRMATION_TIME: Duration = Duration::from_secs(5);
 /// Of the time a cancelled task has to be gone in: past this part nothing is waited for any more.
 pub const PROOF_PART: f64 = 0.75;
 /// Questions read so soon after a pause were mostly asked within it.
@@ -60,7 +60,7 @@
     /// the cancellation was heard of; `allowed`: the time in which the task must be gone.
     pub fn proof_due(&self, at: Instant, allowed: Duration, now: Instant) -> bool {
         at >= self.ended
-            || now >= self.ended + TOLD_WITHIN
+            || now >= self.ended + CONFIRMATION_TIME
             || now.saturating_duration_since(at) >= allowed.mul_f64(PROOF_PART)
     }
 
--- a/src/rollouts/feasibility.rs
+++ b/src/rollouts/feasibility.rs
@@ -8,7 +8,7 @@
 use super::status::{RolloutPhase, RolloutStatus};
 use crate::declarations::{DeclarationView, NamedSpec};
 use crate::jobs::{JobSpec, Shape};
-use crate::scheduling::room::SLACK;
+use crate::scheduling::capacity::SLACK;
 
 /// Why these jobs can have no rollout as declared.
 pub fn find_conflict(name: &str, spec: &RolloutSpec, status: &RolloutStatus, view: &DeclarationView) -> Option<String> {
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -9,8 +9,8 @@
 use crate::declarations::DeclarationView;
 use crate::jobs::JobId;
 use crate::protocol::workers::AttemptStatus;
+use crate::scheduling::capacity::suspect_after;
 use crate::scheduling::cluster::{JobState, MachineId, MachineState};
-use crate::scheduling::room::suspect_after;
 
 /// Observes both jobs of a rollout.
 pub fn observe_rollout(
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -250,9 +250,9 @@
 
     /// Lets old replicas run again, up to so many, within the surge.
     fn grow_old(&mut self, most: usize) {
-        let room = (self.spec.replicas + self.spec.surge) as usize;
+        let capacity = (self.spec.replicas + self.spec.surge) as usize;
         let most = most.min(self.seen.old.tasks as usize);
-        while self.allowed_old().len() < most && self.allowed_old().len() + self.status.allowed_new.0.len() < room {
+        while self.allowed_old().len() < most && self.allowed_old().len() + self.status.allowed_new.0.len() < capacity {
             self.unmark_old();
         }
     }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::room::{Offer, Room, SLACK};
+use super::capacity::{CapacityOffer, FreeCapacity, SLACK};
 use crate::jobs::JobSpec;
 use crate::settings::Objective;
 
@@ -40,7 +40,13 @@
 /// For work of any urgency: what it may cause of a kind of machine. `dearer`: what a task costs there,
 /// against the cheapest kind open to it; `most_dear`: how much dearer a kind idle work may take.
 /// `overdue`: it has waited for longer than it runs, and would for ever where the cheap kinds are refused.
-pub fn idle_permissions(spec: &JobSpec, offer: &Offer, dearer: f64, most_dear: f64, overdue: bool) -> IdlePermissions {
+pub fn idle_permissions(
+    spec: &JobSpec,
+    offer: &CapacityOffer,
+    dearer: f64,
+    most_dear: f64,
+    overdue: bool,
+) -> IdlePermissions {
     if !spec.is_idle() {
         return IdlePermissions { rent: true, keep: true };
     }
@@ -58,8 +64,10 @@
 }
 
 impl Wanted {
-    fn fits(&self, room: &Room) -> bool {
-        self.cpus <= room.cpus + SLACK && self.gpus <= room.gpus + SLACK && self.memory_gb <= room.memory_gb + SLACK
+    fn fits(&self, capacity: &FreeCapacity) -> bool {
+        self.cpus <= capacity.cpus + SLACK
+            && self.gpus <= capacity.gpus + SLACK
+            && self.memory_gb <= capacity.memory_gb + SLACK
     }
 }
 
@@ -91,32 +99,32 @@
     /// accelerators that it has no use for, and not where waiting work would fit once the idle work
     /// there is stopped.
     /// `waited`: how long it has waited for that.
-    pub fn may_use(&self, spec: &JobSpec, room: &Room, waited: Duration) -> bool {
-        let apt = room.apt(spec);
-        let free = room.without_idle();
-        let alone = free.cpus >= room.of.cpus - SLACK;
-        if room.kept {
+    pub fn may_use(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
+        let apt = capacity.apt(spec);
+        let free = capacity.without_idle();
+        let alone = free.cpus >= capacity.of.cpus - SLACK;
+        if capacity.kept {
             return false;
         }
         // Of a machine that is being left it has what the rest leaves over, and saves when that is gone.
-        if room.leaving && spec.checkpoint_s <= 0.0 {
+        if capacity.leaving && spec.checkpoint_s <= 0.0 {
             return false;
         }
         // Machines that it uses as they are it has whole, so that whole ones come free when it gives way; of
         // others it fills what is over. Of any it may have so little that hardly anything is kept out by it.
         let little = |idle: f64, more: f64, all: f64| idle + more <= all * LITTLE + SLACK;
-        let little =
-            little(room.idle.0, spec.cpus, room.of.cpus) && little(room.idle.2, spec.memory_gb, room.of.memory_gb);
+        let little = little(capacity.idle.0, spec.cpus, capacity.of.cpus)
+            && little(capacity.idle.2, spec.memory_gb, capacity.of.memory_gb);
         // What is tiny and has waited takes any hole that nobody waits for.
-        let tiny = spec.cpus <= room.of.cpus * TINY && spec.memory_gb <= room.of.memory_gb * TINY;
-        let whole = apt && !room.leaving;
+        let tiny = spec.cpus <= capacity.of.cpus * TINY && spec.memory_gb <= capacity.of.memory_gb * TINY;
+        let whole = apt && !capacity.leaving;
         if whole != alone && !(whole && (little || (tiny && waited >= TINY_WAITS))) {
             return false;
         }
         // What is free here but for idle work would be taken from who waits for it.
-        let mut after = *room;
+        let mut after = *capacity;
         after.take(spec);
-        !self.wanted.iter().any(|w| w.open.get(room.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
+        !self.wanted.iter().any(|w| w.open.get(capacity.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
     }
 }
 
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -21,7 +21,7 @@
         ("idle work that uses accelerators", Urgency::Idle, 1.0, &dear, 2.0, false, (true, true)),
     ] {
         let job = JobSpec { urgency, gpus, ..spec() };
-        let offer = Offer { of, zone: "a", spot: false };
+        let offer = CapacityOffer { of, zone: "a", spot: false };
         let got = idle_permissions(&job, &offer, dearer, 3.0, overdue);
         assert_eq!((got.rent, got.keep), want, "{name}");
     }
@@ -63,9 +63,9 @@
         ("one that is being left, beside others", &plain, 4.0, 4.0, true, None, true),
         ("one that the others have left", &plain, 0.0, 4.0, true, None, false),
     ] {
-        let mut room = Room::empty(of, 0);
-        (room.idle, room.leaving) = ((idle, 0.0, 0.0), leaving);
-        room.add(-others - idle, 0.0, 0.0);
+        let mut capacity = FreeCapacity::empty(of, 0);
+        (capacity.idle, capacity.leaving) = ((idle, 0.0, 0.0), leaving);
+        capacity.add(-others - idle, 0.0, 0.0);
         let mut backfill = Backfill::default();
         if let Some(spec) = waits {
             backfill.waits(spec, &[true], false);
@@ -73,16 +73,16 @@
             assert_eq!(backfill.wanted.len(), 1, "like asks are one");
         }
         let job = JobSpec { urgency: Urgency::Idle, checkpoint_s: 30.0, ..spec() };
-        assert_eq!(backfill.may_use(&job, &room, Duration::ZERO), want, "{name}");
+        assert_eq!(backfill.may_use(&job, &capacity, Duration::ZERO), want, "{name}");
     }
-    let mut shared = Room::empty(&plain, 0);
+    let mut shared = FreeCapacity::empty(&plain, 0);
     shared.add(-4.0, 0.0, -4.0);
     let tiny = JobSpec { urgency: Urgency::Idle, cpus: 0.25, ..spec() };
     assert!(Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
     shared.idle.0 = 1.0;
     assert!(!Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "and no more than that");
     assert!(Backfill::default().may_use(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
-    let mut kept = Room::empty(&plain, 0);
+    let mut kept = FreeCapacity::empty(&plain, 0);
     kept.kept = true;
     assert!(!Backfill::default().may_use(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
     let mut backfill = Backfill::default();
--- a/src/scheduling/room.rs
+++ b/src/scheduling/capacity.rs
@@ -20,7 +20,7 @@
 
 /// A type, zone and kind, with what the cloud says of the type.
 #[derive(Debug, Clone, Copy)]
-pub struct Offer<'a> {
+pub struct CapacityOffer<'a> {
     /// The machine type: its size, prices and usual boot time.
     pub of: &'a MachineType,
     /// The zone in which it is offered.
@@ -29,7 +29,7 @@
     pub spot: bool,
 }
 
-impl Offer<'_> {
+impl CapacityOffer<'_> {
     /// Price per hour of a machine of this kind, spot or on demand.
     pub fn price(&self) -> f64 {
         self.of.price(self.spot)
@@ -49,15 +49,16 @@
 /// Every type, zone and kind: those that machines are of first, at the places the cluster state gives
 /// them, then what else the cloud offers. Rooms name theirs by its place, so that what a job
 /// allows is worked out once per job and not once per machine.
-pub struct Ground<'a> {
+pub struct CapacityContext<'a> {
     /// None where the cloud knows no such type.
-    pub offers: Vec<Option<Offer<'a>>>,
+    pub offers: Vec<Option<CapacityOffer<'a>>>,
 }
 
-impl<'a> Ground<'a> {
+impl<'a> CapacityContext<'a> {
     /// The kinds that machines of the cluster state are of, and no others.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
-        let offer = |k: &'a MachineKind| Some(Offer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
+        let offer =
+            |k: &'a MachineKind| Some(CapacityOffer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
         Self { offers: cluster.kinds().iter().map(offer).collect() }
     }
 
@@ -67,11 +68,11 @@
         for of in &catalog.types {
             for zone in &of.zones {
                 for spot in [true, false] {
-                    let known = |o: &Option<Offer>| {
+                    let known = |o: &Option<CapacityOffer>| {
                         o.is_some_and(|o| o.of.name == of.name && o.zone == *zone && o.spot == spot)
                     };
                     if !ground.offers.iter().any(known) {
-                        ground.offers.push(Some(Offer { of, zone, spot }));
+                        ground.offers.push(Some(CapacityOffer { of, zone, spot }));
                     }
                 }
             }
@@ -80,11 +81,11 @@
     }
 
     /// What is left of a machine; none if its type is unknown.
-    pub fn room(&self, machine: &'a Machine) -> Option<Room<'a>> {
+    pub fn capacity(&self, machine: &'a Machine) -> Option<FreeCapacity<'a>> {
         let kind = machine.kind?;
         let of = self.offers.get(kind).copied().flatten()?.of;
         let taken = machine.taken();
-        Some(Room {
+        Some(FreeCapacity {
             machine: Some(machine),
             of,
             kind,
@@ -113,20 +114,21 @@
 
     /// Which of the kinds a job's own words and where its other tasks are allow.
     pub fn open_to(&self, spec: &JobSpec, zones: &Zones) -> Vec<bool> {
-        let open =
-            |o: &Option<Offer>| o.is_some_and(|o| allowed(spec, &o.of.name, o.zone, o.spot) && zones.allow(o.zone));
+        let open = |o: &Option<CapacityOffer>| {
+            o.is_some_and(|o| allowed(spec, &o.of.name, o.zone, o.spot) && zones.allow(o.zone))
+        };
         self.offers.iter().map(open).collect()
     }
 }
 
 /// What is left of a machine, and what is on it in the paper's terms.
 #[derive(Debug, Clone, Copy)]
-pub struct Room<'a> {
+pub struct FreeCapacity<'a> {
     /// None: one that could be rented.
     pub machine: Option<&'a Machine>,
     /// The machine's type.
     pub of: &'a MachineType,
-    /// Place of the machine's kind among [`Ground::offers`].
+    /// Place of the machine's kind among [`CapacityContext::offers`].
     pub kind: usize,
     /// Free cores. Below zero where more is bound than the type has.
     pub cpus: f64,
@@ -148,8 +150,8 @@
     pub reserved: bool,
 }
 
-impl<'a> Room<'a> {
-    /// An empty machine of a type that could be rented; `kind` is its place among [`Ground::offers`].
+impl<'a> FreeCapacity<'a> {
+    /// An empty machine of a type that could be rented; `kind` is its place among [`CapacityContext::offers`].
     pub fn empty(of: &'a MachineType, kind: usize) -> Self {
         Self {
             machine: None,
@@ -179,9 +181,9 @@
 
     /// The room there would be without its idle work.
     pub fn without_idle(&self) -> Self {
-        let mut room = *self;
-        room.add(self.idle.0, self.idle.1, self.idle.2);
-        room
+        let mut capacity = *self;
+        capacity.add(self.idle.0, self.idle.1, self.idle.2);
+        capacity
     }
 
     /// How many tasks like this fit, up to `most`.
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -30,8 +30,8 @@
 pub use commands::DirectCommand;
 pub use machines::TaskMove;
 pub use model::{
-    Ahead, Arrivals, Binding, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement, Replicas,
-    Reservation, RoomIntent, Task, TeamUsage, WindowPlace,
+    Ahead, Arrivals, Binding, CapacityIntent, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement,
+    Replicas, Reservation, Task, TeamUsage, WindowPlace,
 };
 pub use storing::ShardWrite;
 use storing::UnstoredShards;
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -27,7 +27,7 @@
 
 /// Room that is to be there for tasks yet to come.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoomIntent {
+pub struct CapacityIntent {
     /// The shape of each task.
     pub task_spec: JobSpec,
     /// How many tasks.
@@ -59,7 +59,7 @@
     /// Classes and teams that go ahead at the moment.
     pub ahead: Option<Ahead>,
     /// Room that is to be there in time.
-    pub room: Vec<RoomIntent>,
+    pub capacity: Vec<CapacityIntent>,
     /// Services whose replicas are decided elsewhere.
     pub replicas: HashMap<JobId, Replicas>,
 }
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -9,7 +9,7 @@
 mod team_usage;
 
 pub use arrivals::Arrivals;
-pub use intents::{Ahead, Intents, Replicas, RoomIntent, WindowPlace};
+pub use intents::{Ahead, CapacityIntent, Intents, Replicas, WindowPlace};
 pub use job::{Binding, JobState, Phase, Task};
 pub(super) use load::weigh;
 #[cfg(test)]
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -12,7 +12,7 @@
 /// A shard in which tasks have only ended or been released is stored this much later: more of
 /// them then go in one change. Nothing waits for it but the reaping of what has exited, and a
 /// new leader hears the same from the workers.
-const NEWS_KEPT: Duration = Duration::from_millis(1500);
+const CHANGES_DELAY: Duration = Duration::from_millis(1500);
 
 /// Changes that an end takes: its final key, and the open one gone.
 const END_CHANGES: usize = 2;
@@ -83,7 +83,7 @@
                 self.changes.pop_front();
                 continue;
             }
-            if now.saturating_duration_since(*since) < NEWS_KEPT {
+            if now.saturating_duration_since(*since) < CHANGES_DELAY {
                 return None;
             }
             let shard = shard.clone();
@@ -98,7 +98,7 @@
 impl ClusterState {
     /// Whether something is to be stored now.
     pub fn anything_to_store(&self, now: Instant) -> bool {
-        let late = |since: &Instant| now.saturating_duration_since(*since) >= NEWS_KEPT;
+        let late = |since: &Instant| now.saturating_duration_since(*since) >= CHANGES_DELAY;
         !self.unstored.starts.is_empty()
             || !self.completed.is_empty()
             || self.unstored.changes.front().is_some_and(|(_, since)| late(since))
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -39,7 +39,7 @@
 /// Keys and conditions of one change, in bytes.
 const FRAME: usize = 200;
 /// This many shards of ended jobs are too many for clean-up to wait: a new leader reads them all.
-const DROPS_PRESSED: usize = 48;
+const URGENT_DROPS: usize = 48;
 
 /// What the group commit works with.
 pub struct GroupCommit {
@@ -116,7 +116,7 @@
             if !store(&group_commit, batch).await {
                 return;
             }
-            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
+            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= URGENT_DROPS) {
                 drop_some(&group_commit, RequestPriority::Placement).await;
             }
         }
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones};
 use crate::scheduling::cluster::{ClusterState, JobState, Machine, MachineState};
-use crate::scheduling::room::{Ground, Room, Zones};
 use crate::sla;
 
 /// Past its saving, an idle task is gone and another in its place within this time.
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 pub struct Timeline<'a> {
     /// The room that is left on the machine, as of the times below.
-    pub room: Room<'a>,
+    pub capacity: FreeCapacity<'a>,
     from_s: f64,
     /// Earliest first.
     releases: Vec<Release>,
@@ -28,27 +28,27 @@
 
 impl<'a> Timeline<'a> {
     /// A machine whose room is free from `from_s` seconds from now on.
-    pub fn new(room: Room<'a>, from_s: f64) -> Self {
-        Self { room, from_s, releases: Vec::new() }
+    pub fn new(capacity: FreeCapacity<'a>, from_s: f64) -> Self {
+        Self { capacity, from_s, releases: Vec::new() }
     }
 
     /// A machine of the cluster state with what its tasks still have to run. `for_urgent`: for work that may have
     /// the room of idle tasks as soon as these have saved.
     pub fn of(
         cluster: &'a ClusterState,
-        ground: &Ground<'a>,
+        ground: &CapacityContext<'a>,
         machine: &'a Machine,
         for_urgent: bool,
         now: Instant,
     ) -> Option<Self> {
-        let room = ground.room(machine)?;
+        let capacity = ground.capacity(machine)?;
         let from = match machine.state {
             MachineState::Booting => {
-                Duration::from_secs_f64(room.of.boot_s).saturating_sub(now.saturating_duration_since(machine.since))
+                Duration::from_secs_f64(capacity.of.boot_s).saturating_sub(now.saturating_duration_since(machine.since))
             }
             _ => Duration::ZERO,
         };
-        let mut timeline = Self::new(room, from.as_secs_f64());
+        let mut timeline = Self::new(capacity, from.as_secs_f64());
         for key in &machine.bound {
             let Some(job) = cluster.job(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
@@ -70,13 +70,13 @@
 
     /// Seconds from now until a task of this job could start there; none if never.
     pub fn earliest(&self, spec: &JobSpec) -> Option<f64> {
-        if self.room.fits(spec) {
+        if self.capacity.fits(spec) {
             return Some(self.from_s);
         }
-        let mut room = self.room;
+        let mut capacity = self.capacity;
         for (at, cpus, gpus, memory_gb) in &self.releases {
-            room.add(*cpus, *gpus, *memory_gb);
-            if room.fits(spec) {
+            capacity.add(*cpus, *gpus, *memory_gb);
+            if capacity.fits(spec) {
                 return Some(at.max(self.from_s));
             }
         }
@@ -88,10 +88,10 @@
     fn take(&mut self, spec: &JobSpec, at: f64, run_s: f64) {
         let due = self.releases.partition_point(|r| r.0 <= at);
         for (_, cpus, gpus, memory_gb) in self.releases.drain(..due) {
-            self.room.add(cpus, gpus, memory_gb);
+            self.capacity.add(cpus, gpus, memory_gb);
         }
         self.from_s = self.from_s.max(at);
-        self.room.take(spec);
+        self.capacity.take(spec);
         let end = at + run_s;
         let place = self.releases.partition_point(|r| r.0 <= end);
         self.releases.insert(place, (end, spec.cpus, spec.gpus, spec.memory_gb));
@@ -136,21 +136,21 @@
     /// Places for the tasks of `job` on the kinds of machine that are `open` to it.
     pub fn new(timelines: &[Timeline], job: &'j JobState, open: &[bool]) -> Self {
         let mut slots = Self { job, heap: BinaryHeap::new() };
-        let places = timelines.iter().enumerate().filter(|(_, t)| open.get(t.room.kind) == Some(&true));
+        let places = timelines.iter().enumerate().filter(|(_, t)| open.get(t.capacity.kind) == Some(&true));
         slots.heap = places.filter_map(|(which, t)| slots.slot(t, which)).map(Reverse).collect();
         slots
     }
 
     fn slot(&self, timeline: &Timeline, which: usize) -> Option<Slot> {
         let spec = self.job.spec();
-        let wasteful = timeline.room.of.gpus > 0.0 && spec.gpus <= 0.0;
+        let wasteful = timeline.capacity.of.gpus > 0.0 && spec.gpus <= 0.0;
         timeline.earliest(spec).map(|at_s| Slot { at_s, wasteful, which })
     }
 
     /// The next place, left where it is. Places that the job's other tasks have closed are dropped.
-    pub fn next(&mut self, timelines: &[Timeline], ground: &Ground, zones: &Zones) -> Option<Slot> {
+    pub fn next(&mut self, timelines: &[Timeline], ground: &CapacityContext, zones: &Zones) -> Option<Slot> {
         while let Some(Reverse(slot)) = self.heap.peek() {
-            if !zones.matter() || zones.allow(ground.zone(timelines[slot.which].room.kind)) {
+            if !zones.matter() || zones.allow(ground.zone(timelines[slot.which].capacity.kind)) {
                 return Some(*slot);
             }
             self.heap.pop();
@@ -173,10 +173,10 @@
         }
         let timeline = &mut timelines[slot.which];
         let spec = self.job.spec();
-        let fetch = if timeline.room.holds_image(self.job) {
+        let fetch = if timeline.capacity.holds_image(self.job) {
             0.0
         } else {
-            spec.image_gb / timeline.room.of.fetch_gb_per_s.max(0.001)
+            spec.image_gb / timeline.capacity.of.fetch_gb_per_s.max(0.001)
         };
         timeline.take(spec, slot.at_s, fetch + self.job.agreement.run.as_secs_f64());
         self.push(timelines, slot.which);
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Instant;
 
-pub use super::cluster::{Ahead, Intents, Replicas, RoomIntent, WindowPlace};
+use super::capacity::{CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable};
+pub use super::cluster::{Ahead, CapacityIntent, Intents, Replicas, WindowPlace};
 use super::cluster::{ClusterState, MachineId, MachineState};
 use super::fairness::floor::Rank;
 use super::plan;
-use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use crate::jobs::{JobId, JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
 
@@ -119,39 +119,44 @@
 }
 
 /// When a machine of some kind that was asked for now would have run such a task's fetch.
-pub fn ready_s(spec: &JobSpec, ground: &Ground, open: &[bool]) -> f64 {
+pub fn ready_s(spec: &JobSpec, ground: &CapacityContext, open: &[bool]) -> f64 {
     let offers = ground.offers.iter().zip(open).filter(|(_, open)| **open).filter_map(|(offer, _)| offer.as_ref());
     let ready = offers.map(|o| o.of.boot_s + spec.image_gb / o.of.fetch_gb_per_s.max(0.001));
     ready.fold(0.0, f64::max)
 }
 
 /// Room for which what there is is kept by now, with the kinds that may give it.
-pub fn room_kept<'b>(cluster: &'b ClusterState, ground: &Ground) -> Vec<(&'b RoomIntent, Vec<bool>)> {
-    let open = |intent: &'b RoomIntent| (intent, ground.open_to(&intent.task_spec, &Zones::none(&intent.task_spec)));
-    let near =
-        |(intent, open): &(&RoomIntent, Vec<bool>)| intent.in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S;
-    cluster.intents.room.iter().map(open).filter(near).collect()
+pub fn reserved_capacity<'b>(
+    cluster: &'b ClusterState,
+    ground: &CapacityContext,
+) -> Vec<(&'b CapacityIntent, Vec<bool>)> {
+    let open =
+        |intent: &'b CapacityIntent| (intent, ground.open_to(&intent.task_spec, &Zones::none(&intent.task_spec)));
+    let near = |(intent, open): &(&CapacityIntent, Vec<bool>)| {
+        intent.in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S
+    };
+    cluster.intents.capacity.iter().map(open).filter(near).collect()
 }
 
 /// Idle machines that are needed for room that is asked for, beside those that run something.
 pub fn idle_kept(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
     let mut kept = HashSet::new();
-    if cluster.intents.room.is_empty() {
+    if cluster.intents.capacity.is_empty() {
         return kept;
     }
-    let ground = Ground::new(cluster, catalog);
+    let ground = CapacityContext::new(cluster, catalog);
     let suspect = suspect_after(cluster);
     let there = cluster.machines.values().filter(|m| m.state == MachineState::Up && usable(m, suspect, now));
-    let mut rooms: Vec<Room> = there.filter_map(|m| ground.room(m)).collect();
-    rooms.sort_by_key(|room| room.machine.is_some_and(|m| m.bound.is_empty()));
-    for (intent, open) in room_kept(cluster, &ground) {
+    let mut capacities: Vec<FreeCapacity> = there.filter_map(|m| ground.capacity(m)).collect();
+    capacities.sort_by_key(|capacity| capacity.machine.is_some_and(|m| m.bound.is_empty()));
+    for (intent, open) in reserved_capacity(cluster, &ground) {
         let mut left = intent.tasks;
-        for room in rooms.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
-            let units = room.units(&intent.task_spec, left);
+        for capacity in capacities.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
+            let units = capacity.units(&intent.task_spec, left);
             let n = units as f64;
-            room.add(-n * intent.task_spec.cpus, -n * intent.task_spec.gpus, -n * intent.task_spec.memory_gb);
+            capacity.add(-n * intent.task_spec.cpus, -n * intent.task_spec.gpus, -n * intent.task_spec.memory_gb);
             left -= units;
-            if let Some(machine) = room.machine.filter(|m| units > 0 && m.bound.is_empty()) {
+            if let Some(machine) = capacity.machine.filter(|m| units > 0 && m.bound.is_empty()) {
                 kept.insert(machine.id.clone());
             }
         }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,6 +1,7 @@
 //! Which task runs where: the leader's cluster state, the decisions taken on it, and their loop.
 
 pub mod backfill;
+pub mod capacity;
 pub mod cluster;
 pub mod commit;
 pub mod due;
@@ -19,7 +20,6 @@
 pub mod preempt;
 pub mod promises;
 pub mod reservations;
-pub mod room;
 mod schedule;
 pub mod scheduler;
 pub mod scheduling_loop;
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -4,20 +4,20 @@
 use std::time::{Duration, Instant};
 
 use super::queue::QueuedJob;
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones, usable};
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::fairness::floor::Rank;
-use crate::scheduling::room::{Ground, Room, Zones, usable};
 
 /// The room with what it is held for.
-pub(super) fn held<'a>(cluster: &'a ClusterState, room: Room<'a>, now: Instant) -> Room<'a> {
-    let reservation = room.machine.and_then(|m| cluster.reservation(&m.id, now));
+pub(super) fn held<'a>(cluster: &'a ClusterState, capacity: FreeCapacity<'a>, now: Instant) -> FreeCapacity<'a> {
+    let reservation = capacity.machine.and_then(|m| cluster.reservation(&m.id, now));
     let reserved =
-        room.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
-    Room { reservation, reserved, ..room }
+        capacity.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
+    FreeCapacity { reservation, reserved, ..capacity }
 }
 
 /// Ordinary kinds open to work that waits and may use no cheap ones.
-pub(super) fn sought(ground: &Ground, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
+pub(super) fn sought(ground: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
     for queued in queued_jobs.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
         for (sought, open) in sought.iter_mut().zip(ground.open_to(queued.job.spec(), &Zones::none(queued.job.spec())))
@@ -31,11 +31,11 @@
 /// Machines without accelerators, and free of reservations, on which idle work would give way.
 pub(super) fn giving<'a>(
     cluster: &'a ClusterState,
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     suspect: Duration,
     now: Instant,
-) -> Vec<Room<'a>> {
+) -> Vec<FreeCapacity<'a>> {
     let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
     let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
-    free.filter_map(|m| ground.room(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
+    free.filter_map(|m| ground.capacity(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -9,10 +9,10 @@
 use crate::jobs::{JobId, JobSpec};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::TaskKey;
+use crate::scheduling::capacity::{SLACK, Zones};
 use crate::scheduling::cluster::{ClusterState, Placement};
 use crate::scheduling::failure_attribution::PROBES;
 use crate::scheduling::fairness::floor::Rank;
-use crate::scheduling::room::{SLACK, Zones};
 
 /// Placements of one plan: what can be stored in about a second.
 const MOST_PLACEMENTS: usize = 1000;
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -7,10 +7,10 @@
 use super::queue::QueuedJob;
 use crate::jobs::JobId;
 use crate::scheduling::backfill::Backfill;
+use crate::scheduling::capacity::FreeCapacity;
 use crate::scheduling::cluster::{JobState, MachineId};
 use crate::scheduling::failure_attribution::FailureAttribution;
 use crate::scheduling::fairness::floor::Rank;
-use crate::scheduling::room::Room;
 use crate::sla;
 
 /// Work that was started so often in vain gets the machines least likely to be lost.
@@ -18,7 +18,7 @@
 /// Idle work that was started so often goes to no machine that is being left.
 const MOST_LEFT: u64 = 4;
 /// Hard work that must start within this time to be done in time is not kept waiting for reservations.
-const PRESSED_WITHIN: Duration = Duration::from_secs(30);
+const URGENT_WITHIN: Duration = Duration::from_secs(30);
 
 /// A task of one job, as machines are judged by it.
 pub(super) struct Demand<'a> {
@@ -76,7 +76,7 @@
             id: queued.id,
             job,
             over: now + agreement.run,
-            pressed: agreement.within_reach(age) && !agreement.within_reach(age + PRESSED_WITHIN),
+            pressed: agreement.within_reach(age) && !agreement.within_reach(age + URGENT_WITHIN),
             first: queued.rank == Rank::First || queued.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
@@ -107,31 +107,31 @@
     }
 
     /// Whether the rules leave the room to this work, whatever its size.
-    pub(super) fn may_use(&self, room: &Room) -> bool {
+    pub(super) fn may_use(&self, capacity: &FreeCapacity) -> bool {
         if self.overdue {
-            return self.is_open(room.kind) && self.may_use_overdue(room);
+            return self.is_open(capacity.kind) && self.may_use_overdue(capacity);
         }
-        self.is_open(room.kind)
+        self.is_open(capacity.kind)
             && match &self.backfill {
                 Some(backfill) => {
-                    backfill.may_use(self.job.spec(), room, self.waited)
-                        && (!room.leaving || !self.job.lost_starts(MOST_LEFT))
+                    backfill.may_use(self.job.spec(), capacity, self.waited)
+                        && (!capacity.leaving || !self.job.lost_starts(MOST_LEFT))
                 }
-                None => !room.leaving,
+                None => !capacity.leaving,
             }
-            && self.passes_hold(room)
+            && self.passes_hold(capacity)
     }
 
     /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
     /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
-    pub(super) fn may_use_overdue(&self, room: &Room) -> bool {
-        let for_arrivals = room.kept && self.backfill.is_some() && !self.job.bound.is_empty();
-        !for_arrivals && (!room.reserved || self.passes_hold(room))
+    pub(super) fn may_use_overdue(&self, capacity: &FreeCapacity) -> bool {
+        let for_arrivals = capacity.kept && self.backfill.is_some() && !self.job.bound.is_empty();
+        !for_arrivals && (!capacity.reserved || self.passes_hold(capacity))
     }
 
     /// Whether what the room is held for, if it is, leaves it to this work.
-    pub(super) fn passes_hold(&self, room: &Room) -> bool {
-        room.reservation.is_none_or(|reservation| {
+    pub(super) fn passes_hold(&self, capacity: &FreeCapacity) -> bool {
+        capacity.reservation.is_none_or(|reservation| {
             ((self.pressed && !self.ahead.contains(&&reservation.job))
                 || self.first
                 || reservation.job == *self.id
@@ -141,44 +141,44 @@
     }
 
     /// The room as a place for a task; none if the task does not fit or may not go there.
-    pub(super) fn candidate(&self, at: usize, room: &Room) -> Option<Candidate> {
+    pub(super) fn candidate(&self, at: usize, capacity: &FreeCapacity) -> Option<Candidate> {
         let spec = self.job.spec();
-        if !room.fits(spec) || !self.may_use(room) {
+        if !capacity.fits(spec) || !self.may_use(capacity) {
             return None;
         }
-        if self.apt_only && room.waste(spec) > 1 {
+        if self.apt_only && capacity.waste(spec) > 1 {
             return None;
         }
         // Fit-now is the whole test for hard work; soft work must also be admitted.
-        let new_return = match sla::admit(room.load, room.of.cpus, self.share, self.task_return) {
+        let new_return = match sla::admit(capacity.load, capacity.of.cpus, self.share, self.task_return) {
             Some(new_return) => new_return,
-            None if self.hard || self.overdue => room.load.total_return + self.task_return,
+            None if self.hard || self.overdue => capacity.load.total_return + self.task_return,
             None => return None,
         };
         Some(Candidate {
-            failed: room.machine.is_some_and(|m| self.failed_on.contains(&m.id)),
-            held: room.reservation.is_some_and(|reservation| reservation.job != *self.id),
-            risk: if self.wary { room.risk() } else { 0 },
-            sought: spec.spot && self.sought.get(room.kind) == Some(&true),
-            waste: room.waste(spec),
-            has_image: room.holds_image(self.job),
+            failed: capacity.machine.is_some_and(|m| self.failed_on.contains(&m.id)),
+            held: capacity.reservation.is_some_and(|reservation| reservation.job != *self.id),
+            risk: if self.wary { capacity.risk() } else { 0 },
+            sought: spec.spot && self.sought.get(capacity.kind) == Some(&true),
+            waste: capacity.waste(spec),
+            has_image: capacity.holds_image(self.job),
             new_return,
-            left: room.cpus,
+            left: capacity.cpus,
             at,
         })
     }
 
     /// Counts a task as placed in the room.
-    pub(super) fn occupy(&self, room: &mut Room) {
-        room.take(self.job.spec());
-        room.load.share += self.share;
-        room.load.total_return += self.task_return;
+    pub(super) fn occupy(&self, capacity: &mut FreeCapacity) {
+        capacity.take(self.job.spec());
+        capacity.load.share += self.share;
+        capacity.load.total_return += self.task_return;
     }
 
     /// Takes back what `occupy` did.
-    pub(super) fn vacate(&self, room: &mut Room) {
-        room.give_back(self.job.spec());
-        room.load.share -= self.share;
-        room.load.total_return -= self.task_return;
+    pub(super) fn vacate(&self, capacity: &mut FreeCapacity) {
+        capacity.give_back(self.job.spec());
+        capacity.load.share -= self.share;
+        capacity.load.total_return -= self.task_return;
     }
 }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -7,13 +7,13 @@
 use super::search::{Plan, SetAside};
 use crate::jobs::JobSpec;
 use crate::scheduling::backfill;
+use crate::scheduling::capacity::Zones;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::intents;
-use crate::scheduling::room::Zones;
 
 impl<'a> Plan<'a> {
     /// Takes the room that there is for a gang, in the zone that has most of it, out of this plan.
-    pub(super) fn keep_room_for_gang(&mut self, demand: &Demand<'a>) {
+    pub(super) fn reserve_capacity_for_gang(&mut self, demand: &Demand<'a>) {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut zones = self.units_by_zone(demand);
@@ -22,17 +22,17 @@
         let Some((zone, _)) = zones.iter().find(|(zone, _)| free(zone)).copied() else { return };
         self.kept.push(zone);
         let mut left = need;
-        let mut order: Vec<usize> = (0..self.rooms.len()).collect();
-        order.sort_by_key(|at| self.rooms[*at].waste(spec));
+        let mut order: Vec<usize> = (0..self.capacities.len()).collect();
+        order.sort_by_key(|at| self.capacities[*at].waste(spec));
         for at in order {
-            let room = &self.rooms[at];
-            let here = zone.is_empty() || self.ground.zone(room.kind) == zone;
-            if left == 0 || !here || !demand.may_use(room) {
+            let capacity = &self.capacities[at];
+            let here = zone.is_empty() || self.ground.zone(capacity.kind) == zone;
+            if left == 0 || !here || !demand.may_use(capacity) {
                 continue;
             }
-            let units = room.units(spec, left);
+            let units = capacity.units(spec, left);
             for _ in 0..units {
-                self.rooms[at].take(spec);
+                self.capacities[at].take(spec);
             }
             self.set_aside.push(SetAside { at, tasks: units, spec });
             left -= units;
@@ -56,18 +56,18 @@
             let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
-        for (intent, open) in intents::room_kept(cluster, &self.ground) {
+        for (intent, open) in intents::reserved_capacity(cluster, &self.ground) {
             self.keep(&intent.task_spec, &open, &mut intent.tasks.clone());
         }
     }
 
     pub(super) fn keep(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
-        for room in self.rooms.iter_mut().filter(|r| !r.leaving && !r.kept && r.apt(spec)) {
+        for capacity in self.capacities.iter_mut().filter(|r| !r.leaving && !r.kept && r.apt(spec)) {
             if *left == 0 {
                 break;
             }
-            let units = if open.get(room.kind) == Some(&true) { room.units(spec, *left) } else { 0 };
-            room.kept = units > 0;
+            let units = if open.get(capacity.kind) == Some(&true) { capacity.units(spec, *left) } else { 0 };
+            capacity.kept = units > 0;
             *left -= units;
         }
     }
@@ -79,19 +79,19 @@
             return false;
         }
         let mut units: BTreeMap<&str, u64> = BTreeMap::new();
-        for room in self.giving.iter().filter(|r| open.get(r.kind) == Some(&true)) {
-            let zone = if spec.same_zone { self.ground.zone(room.kind) } else { "" };
-            *units.entry(zone).or_default() += room.units(spec, need);
+        for capacity in self.giving.iter().filter(|r| open.get(r.kind) == Some(&true)) {
+            let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
+            *units.entry(zone).or_default() += capacity.units(spec, need);
         }
         let Some(zone) = units.into_iter().find(|(_, n)| *n >= need).map(|(zone, _)| zone) else { return false };
         let mut left = need;
-        for room in &mut self.giving {
-            let here = zone.is_empty() || self.ground.zone(room.kind) == zone;
-            if left == 0 || !here || open.get(room.kind) != Some(&true) {
+        for capacity in &mut self.giving {
+            let here = zone.is_empty() || self.ground.zone(capacity.kind) == zone;
+            if left == 0 || !here || open.get(capacity.kind) != Some(&true) {
                 continue;
             }
-            let n = room.units(spec, left);
-            room.add(-(n as f64) * spec.cpus, 0.0, -(n as f64) * spec.memory_gb);
+            let n = capacity.units(spec, left);
+            capacity.add(-(n as f64) * spec.cpus, 0.0, -(n as f64) * spec.memory_gb);
             left -= n;
         }
         true
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -7,8 +7,8 @@
 use super::quotas::Quotas;
 use super::search::Plan;
 use super::unfit::UnfitRequest;
+use crate::scheduling::capacity::{FreeCapacity, Zones};
 use crate::scheduling::cluster::JobState;
-use crate::scheduling::room::{Room, Zones};
 
 impl<'a> Plan<'a> {
     /// Whether a job of which so many tasks were placed in this plan has more that some room fits, by the machines, its
@@ -33,10 +33,10 @@
         }
         let mut by_zone: HashMap<&str, u64> = HashMap::new();
         let most_in_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u64::MAX };
-        for at in 0..self.rooms.len() {
+        for at in 0..self.capacities.len() {
             self.rooms_examined += 1;
-            let kind = self.rooms[at].kind;
-            if open.get(kind) != Some(&true) || (kept_from && self.rooms[at].kept) {
+            let kind = self.capacities[at].kind;
+            if open.get(kind) != Some(&true) || (kept_from && self.capacities[at].kept) {
                 continue;
             }
             let units = self.with_set_aside(at).units(spec, need as u64);
@@ -56,11 +56,11 @@
     }
 
     /// A room with what this plan has kept of it for gangs.
-    fn with_set_aside(&self, at: usize) -> Room<'a> {
-        let mut room = self.rooms[at];
+    fn with_set_aside(&self, at: usize) -> FreeCapacity<'a> {
+        let mut capacity = self.capacities[at];
         for piece in self.set_aside.iter().filter(|piece| piece.at == at) {
-            (0..piece.tasks).for_each(|_| room.give_back(piece.spec));
+            (0..piece.tasks).for_each(|_| capacity.give_back(piece.spec));
         }
-        room
+        capacity
     }
 }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -5,10 +5,10 @@
 
 use super::large_first::{credited, to_begin};
 use crate::jobs::{JobId, JobSpec};
+use crate::scheduling::capacity::SLACK;
 use crate::scheduling::cluster::{ClusterState, JobState};
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::intents;
-use crate::scheduling::room::SLACK;
 
 /// A job's place in the queue.
 #[derive(Clone, Copy)]
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use crate::jobs::JobSpec;
+use crate::scheduling::capacity::SLACK;
 use crate::scheduling::cluster::{ClusterState, TeamUsage};
-use crate::scheduling::room::SLACK;
 
 /// What a team may still use, as (cpus, gpus).
 pub struct Quotas<'a> {
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -12,11 +12,13 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill::Backfill;
+use crate::scheduling::capacity::{
+    CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable, usable_until_left,
+};
 use crate::scheduling::cluster::{ClusterState, MachineId};
 use crate::scheduling::failure_attribution::FailureAttribution;
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::intents::{self, Intents};
-use crate::scheduling::room::{Ground, Room, SLACK, Zones, suspect_after, usable, usable_until_left};
 
 /// A task of a job, and the machine on which it is placed.
 pub struct PlacedTask {
@@ -47,8 +49,8 @@
     pub(super) cluster: &'a ClusterState,
     pub(super) attribution: &'a FailureAttribution,
     pub(super) intents: &'a Intents,
-    pub(super) ground: Ground<'a>,
-    pub(super) rooms: Vec<Room<'a>>,
+    pub(super) ground: CapacityContext<'a>,
+    pub(super) capacities: Vec<FreeCapacity<'a>>,
     pub(super) unfit: Vec<UnfitRequest<'a>>,
     /// What fits nowhere even if nothing is kept from it.
     pub(super) unfit_anywhere: Vec<UnfitRequest<'a>>,
@@ -57,7 +59,7 @@
     /// What more urgent work than idle found no room for.
     pub(super) wanted: Rc<Backfill>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
-    pub(super) giving: Vec<Room<'a>>,
+    pub(super) giving: Vec<FreeCapacity<'a>>,
     pub(super) sought: Rc<[bool]>,
     pub(super) now: Instant,
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
@@ -69,14 +71,14 @@
 impl<'a> Plan<'a> {
     /// A plan for these jobs, before anything is placed.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, queued_jobs: &[QueuedJob], now: Instant) -> Self {
-        let ground = Ground::new(cluster, catalog);
+        let ground = CapacityContext::new(cluster, catalog);
         let suspect = suspect_after(cluster);
         let least = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
-        let rooms = cluster
+        let capacities = cluster
             .machines
             .values()
             .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
-            .filter_map(|m| ground.room(m))
+            .filter_map(|m| ground.capacity(m))
             .filter(|r| r.cpus + SLACK >= least)
             .map(|r| held(cluster, r, now))
             .collect();
@@ -89,7 +91,7 @@
             giving,
             sought,
             ground,
-            rooms,
+            capacities,
             unfit: Vec::new(),
             unfit_anywhere: Vec::new(),
             set_aside: Vec::new(),
@@ -109,23 +111,23 @@
         only: Option<&str>,
     ) -> Vec<Pick> {
         let ground = &self.ground;
-        let in_zone = |room: &Room| only.is_none_or(|z| z == ground.zone(room.kind));
-        self.rooms_examined += self.rooms.len() as u64;
+        let in_zone = |capacity: &FreeCapacity| only.is_none_or(|z| z == ground.zone(capacity.kind));
+        self.rooms_examined += self.capacities.len() as u64;
         let mut heap: BinaryHeap<Candidate> = self
-            .rooms
+            .capacities
             .iter()
             .enumerate()
-            .filter(|(_, room)| in_zone(room))
-            .filter_map(|(at, room)| demand.candidate(at, room))
+            .filter(|(_, capacity)| in_zone(capacity))
+            .filter_map(|(at, capacity)| demand.candidate(at, capacity))
             .collect();
         let mut picks = Vec::new();
         for index in demand.startable().take(most) {
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
             self.rooms_examined += 1;
-            demand.occupy(&mut self.rooms[best]);
-            zones.take(self.ground.zone(self.rooms[best].kind));
+            demand.occupy(&mut self.capacities[best]);
+            zones.take(self.ground.zone(self.capacities[best].kind));
             picks.push(Pick { index, at: best });
-            heap.extend(demand.candidate(best, &self.rooms[best]));
+            heap.extend(demand.candidate(best, &self.capacities[best]));
         }
         picks
     }
@@ -134,11 +136,11 @@
     /// job has used up, all candidates in such zones are dropped in one pass.
     fn pop_allowed(&self, heap: &mut BinaryHeap<Candidate>, demand: &Demand<'a>, zones: &Zones<'a>) -> Option<usize> {
         let best = heap.pop()?.at;
-        if zones.allow(self.ground.zone(self.rooms[best].kind)) {
+        if zones.allow(self.ground.zone(self.capacities[best].kind)) {
             return Some(best);
         }
         let open = self.ground.open_to(demand.job.spec(), zones);
-        heap.retain(|candidate| open.get(self.rooms[candidate.at].kind) == Some(&true));
+        heap.retain(|candidate| open.get(self.capacities[candidate.at].kind) == Some(&true));
         heap.pop().map(|candidate| candidate.at)
     }
 
@@ -170,13 +172,14 @@
             self.record_waiting(spec, &demand.open, queued.quarantined);
         }
         if short && keep {
-            self.keep_room_for_gang(&demand);
+            self.reserve_capacity_for_gang(&demand);
         }
         if short {
             self.record_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
         }
-        let rooms = &self.rooms;
-        let placed = |pick: Pick| Some(PlacedTask { index: pick.index, machine: rooms[pick.at].machine?.id.clone() });
+        let capacities = &self.capacities;
+        let placed =
+            |pick: Pick| Some(PlacedTask { index: pick.index, machine: capacities[pick.at].machine?.id.clone() });
         picks.into_iter().filter_map(placed).collect()
     }
 
@@ -217,12 +220,13 @@
 
     /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
     fn known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
-        let is_held =
-            |room: &Room| room.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job));
+        let is_held = |capacity: &FreeCapacity| {
+            capacity.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job))
+        };
         !demand.pressed
             && !demand.overdue
             && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.open))
-            && !self.rooms.iter().any(is_held)
+            && !self.capacities.iter().any(is_held)
     }
 
     /// How many tasks of a gang fit in each zone that it may use, or in all together.
@@ -230,10 +234,10 @@
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut units: HashMap<&str, u64> = HashMap::new();
-        let apt = |r: &Room| !demand.apt_only || r.waste(spec) <= 1;
-        for room in self.rooms.iter().filter(|r| demand.may_use(r) && apt(r)) {
-            let zone = if spec.same_zone { self.ground.zone(room.kind) } else { "" };
-            *units.entry(zone).or_default() += room.units(spec, need);
+        let apt = |r: &FreeCapacity| !demand.apt_only || r.waste(spec) <= 1;
+        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
+            let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
+            *units.entry(zone).or_default() += capacity.units(spec, need);
         }
         units.into_iter().collect()
     }
@@ -242,7 +246,7 @@
     pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
-        self.rooms_examined += self.rooms.len() as u64;
+        self.rooms_examined += self.capacities.len() as u64;
         let mut enough: Vec<&str> =
             self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
         enough.sort_unstable();
@@ -253,7 +257,7 @@
                 return picks;
             }
             for pick in &picks {
-                demand.vacate(&mut self.rooms[pick.at]);
+                demand.vacate(&mut self.capacities[pick.at]);
             }
             zones.set_counts(before);
         }
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -9,9 +9,9 @@
 
 use tracing::info;
 
+use super::capacity::{CapacityContext, Zones, suspect_after, usable};
 use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase, Reservation};
 use super::plan::{QueuedJob, Quotas, SLACK, queue};
-use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::TaskKey;
@@ -69,7 +69,7 @@
 ) -> Option<(crate::jobs::JobId, Vec<(MachineId, Victims)>)> {
     let quotas = Quotas::new(cluster);
     let suspect = suspect_after(cluster);
-    let ground = Ground::new(cluster, catalog);
+    let ground = CapacityContext::new(cluster, catalog);
     // Whoever may stop nothing need not look.
     let lowest = cluster.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
     let queued_jobs = queue(cluster, now);
@@ -145,7 +145,7 @@
 /// loss first; none if it holds no task of the job even so.
 fn place<'a>(
     cluster: &'a ClusterState,
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     machine: &'a Machine,
     queued: &QueuedJob,
     open: &[bool],
@@ -153,7 +153,7 @@
     now: Instant,
 ) -> Option<Place<'a>> {
     let spec = queued.job.spec();
-    let mut room = ground.room(machine).filter(|r| open[r.kind])?;
+    let mut capacity = ground.capacity(machine).filter(|r| open[r.kind])?;
     let may_stop = |other: &JobSpec| {
         other.urgency < spec.urgency
             || (queued.guaranteed && other.team != spec.team && beyond_guarantee(cluster, other))
@@ -165,7 +165,7 @@
         let Phase::Bound(binding) = &task.phase else { continue };
         if binding.halting.is_some() {
             // Room is being made here already.
-            room.give_back(other.spec());
+            capacity.give_back(other.spec());
         } else if may_stop(other.spec()) && task.attempt < most_starts(other.spec()) && !begins(other) {
             stoppable.push((loss(other, binding.ran(now)), key.clone(), other.spec()));
         }
@@ -174,20 +174,20 @@
     let (mut victims, mut lost) = (Vec::new(), 0.0);
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
     let most = if spec.is_gang() { need } else { cluster.intents.waiting(queued.id, queued.job) as u64 };
-    let mut emptied = room;
+    let mut emptied = capacity;
     stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
     let most_here = emptied.units(spec, most).max(1);
     for (loss, key, other) in stoppable {
-        if room.units(spec, most) >= if other.is_idle() { most_here } else { 1 } {
+        if capacity.units(spec, most) >= if other.is_idle() { most_here } else { 1 } {
             break;
         }
-        room.give_back(other);
+        capacity.give_back(other);
         lost += loss;
         victims.push((key, other.save_s.ceil() as u64 + 1));
     }
-    let units = room.units(spec, most);
-    let zone = ground.zone(room.kind);
-    let dear = !room.apt(spec);
+    let units = capacity.units(spec, most);
+    let zone = ground.zone(capacity.kind);
+    let dear = !capacity.apt(spec);
     (units > 0).then_some(Place { machine, zone, units, victims, dear, loss: lost })
 }
 
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -6,10 +6,10 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+use super::capacity::{CapacityContext, FreeCapacity, Zones, suspect_after, usable};
 use super::cluster::{ClusterState, MachineId, Reservation};
 use super::intents;
 use super::plan::{QueuedJob, Quotas, queue};
-use super::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::forecast::{Slots, Timeline};
@@ -36,7 +36,7 @@
     queued_jobs.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
     intents::ahead_first(&mut queued_jobs);
     queued_jobs.truncate(MOST_RESERVING);
-    let ground = Ground::new(cluster, catalog);
+    let ground = CapacityContext::new(cluster, catalog);
     let suspect = suspect_after(cluster);
     let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
     let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(cluster, &ground, m, false, now)).collect();
@@ -54,7 +54,7 @@
         };
         let until = now + Duration::from_secs_f64(within_s);
         for which in taken {
-            if let Some(machine) = timelines[which].room.machine {
+            if let Some(machine) = timelines[which].capacity.machine {
                 reservations.entry(machine.id.clone()).or_insert_with(|| Reservation { job: queued.id.clone(), until });
             }
         }
@@ -75,7 +75,7 @@
 /// timelines are as before.
 fn choose_machines<'a>(
     cluster: &'a ClusterState,
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     timelines: &mut [Timeline<'a>],
     queued: &QueuedJob<'a>,
 ) -> Option<Gathering> {
@@ -87,7 +87,7 @@
 /// if it must.
 fn soonest_kinds<'a>(
     cluster: &'a ClusterState,
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     timelines: &[Timeline<'a>],
     queued: &QueuedJob<'a>,
 ) -> Option<Vec<bool>> {
@@ -111,7 +111,7 @@
 }
 
 /// Every zone, for a gang that must run in one; else one entry, the empty name, which stands for all.
-fn zones_to_try<'a>(ground: &Ground<'a>, spec: &JobSpec) -> Vec<&'a str> {
+fn zones_to_try<'a>(ground: &CapacityContext<'a>, spec: &JobSpec) -> Vec<&'a str> {
     if !spec.same_zone {
         return vec![""];
     }
@@ -124,8 +124,8 @@
 /// Seconds from now until `need` tasks could start on machines of these kinds; none if those are too few even when
 /// empty.
 fn common_start_s(timelines: &[Timeline], spec: &JobSpec, need: usize, kinds: &[bool]) -> Option<f64> {
-    let of_kinds = || timelines.iter().filter(|t| kinds.get(t.room.kind) == Some(&true));
-    let units: u64 = of_kinds().map(|t| Room::empty(t.room.of, t.room.kind).units(spec, 64)).sum();
+    let of_kinds = || timelines.iter().filter(|t| kinds.get(t.capacity.kind) == Some(&true));
+    let units: u64 = of_kinds().map(|t| FreeCapacity::empty(t.capacity.of, t.capacity.kind).units(spec, 64)).sum();
     if units < need as u64 {
         return None;
     }
@@ -136,7 +136,7 @@
 
 /// Takes the earliest place for each waiting task of the gang, or none at all.
 fn take_places<'a>(
-    ground: &Ground<'a>,
+    ground: &CapacityContext<'a>,
     timelines: &mut [Timeline<'a>],
     queued: &QueuedJob<'a>,
     kinds: &[bool],
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -9,7 +9,7 @@
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor::{Names, Rank, Underserved};
-use crate::scheduling::intents::{Ahead, Intents, RoomIntent, WindowPlace};
+use crate::scheduling::intents::{Ahead, CapacityIntent, Intents, WindowPlace};
 
 fn class(name: &str) -> Names {
     Names::of([(Subject::Class, name)].into_iter())
@@ -97,7 +97,7 @@
             turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
             not_yet: [id(901)].into(),
             ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
-            room: vec![RoomIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
+            capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
             ..Intents::default()
         });
         assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
@@ -239,7 +239,7 @@
 #[test]
 fn room_that_is_asked_for_by_cases() {
     let start = Instant::now();
-    let room = |tasks, in_s| vec![RoomIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
+    let capacity = |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
     // The type boots for 30 s, and a fetch takes one.
     for (name, machines, tasks, in_s, want) in [
         ("nothing asked", 0, 0, 0.0, 0),
@@ -250,7 +250,7 @@
         ("half there", 1, 4, 20.0, 1),
     ] {
         let mut cluster = many(machines, start);
-        cluster.intents.room = room(tasks, in_s);
+        cluster.intents.capacity = capacity(tasks, in_s);
         let rent = |asked: &HashMap<MachineKind, u64>| {
             let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
             wanted.into_iter().map(|demand| (demand.kind, demand.count)).collect::<HashMap<MachineKind, u64>>()
@@ -266,12 +266,12 @@
             let heartbeat = heartbeat(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, long);
         }
-        cluster.intents.room = room(tasks, in_s);
+        cluster.intents.capacity = capacity(tasks, in_s);
         assert_eq!(surplus_machines(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
         // One at a time is drained of so few.
         let drained = choose_drains(&cluster, &catalog(), long);
         assert_eq!(drained.len(), 1, "{name}");
-        cluster.intents.room = room(10, in_s);
+        cluster.intents.capacity = capacity(10, in_s);
         let scale_in_candidate = choose_drains(&cluster, &catalog(), long).len();
         assert_eq!(scale_in_candidate, usize::from(in_s > 100.0), "{name}: all of it needed");
     }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -6,8 +6,8 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
+use crate::scheduling::capacity::{SLACK, Zones, allowed};
 use crate::scheduling::cluster::DirectCommand;
-use crate::scheduling::room::{SLACK, Zones, allowed};
 
 pub(super) const STEP: f64 = 0.5;
 /// Steps from one heartbeat to the next.
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -146,8 +146,9 @@
         let most = (budget.available(RequestPriority::Placement, now).max(0.0) as usize).min(limits.txn_ops as usize);
         let stored = simulation.world.store_some(&mut simulation.cluster, most, now);
         assert!(stored == 0 || budget.take(stored as f64, RequestPriority::Critical, now).is_ok(), "step {step}");
-        let room = (budget.available(RequestPriority::Background, now).max(0.0) as usize).min(limits.txn_ops as usize);
-        let dropped = simulation.world.drop_some(&mut simulation.cluster, room);
+        let capacity =
+            (budget.available(RequestPriority::Background, now).max(0.0) as usize).min(limits.txn_ops as usize);
+        let dropped = simulation.world.drop_some(&mut simulation.cluster, capacity);
         assert!(dropped == 0 || budget.take(dropped as f64, RequestPriority::Background, now).is_ok(), "step {step}");
         part.transactions += usize::from(stored > 0) + usize::from(dropped > 0);
         part.changes_of_leader += stored + dropped;
