--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -80,7 +80,7 @@
             // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
             if end != Some(End::Done) {
                 let revision = watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision());
-                lock(&self.unconfirmed).heard(revision, now);
+                lock(&self.unconfirmed).observe_end(revision, now);
                 self.wakeups.mesh.send_replace(());
             }
         }
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -13,7 +13,7 @@
     pub fn cluster_state_loaded(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
         *unconfirmed = UnconfirmedCancellations::default();
-        unconfirmed.heard(known, now);
+        unconfirmed.observe_end(known, now);
         self.wakeups.mesh.send_replace(());
     }
 
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -65,7 +65,7 @@
 
 impl UnconfirmedCancellations {
     /// The leader has heard of a cancellation that was stored at this revision.
-    pub fn heard(&mut self, version: u64, now: Instant) {
+    pub fn observe_end(&mut self, version: u64, now: Instant) {
         let range = self.range.unwrap_or(UnconfirmedRange { oldest: version, newest: version, since: now });
         self.range =
             Some(UnconfirmedRange { oldest: range.oldest.min(version), newest: range.newest.max(version), ..range });
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -69,7 +69,7 @@
             let now = start + Duration::from_millis(ms);
             // Ten a second in the first half second.
             if ms < 500 {
-                unconfirmed.heard(100 + ms / 100, now);
+                unconfirmed.observe_end(100 + ms / 100, now);
             }
             if acknowledges_after.is_some_and(|after| ms >= after) {
                 unconfirmed.confirmed(200, now);
@@ -81,7 +81,7 @@
     // Once it is stored it is not stored again.
     let start = Instant::now();
     let mut unconfirmed = UnconfirmedCancellations::default();
-    unconfirmed.heard(5, start);
+    unconfirmed.observe_end(5, start);
     assert!(unconfirmed.due(start + Duration::from_secs(3)));
     unconfirmed.confirmed(5, start + Duration::from_secs(3));
     assert!(!unconfirmed.due(start + Duration::from_secs(60)));
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -257,7 +257,7 @@
                 leader.news.clear();
                 leader.seat.heard = revision;
                 leader.seat.unconfirmed = UnconfirmedCancellations::default();
-                leader.seat.unconfirmed.heard(revision, now);
+                leader.seat.unconfirmed.observe_end(revision, now);
                 leader.inherited = leader.cluster.machines.keys().cloned().collect();
                 self.users.moment = true;
             }
@@ -274,7 +274,7 @@
     /// A leader heard of an end.
     pub(super) fn heard_end(&self, leader: &mut Leader, id: &JobId, version: u64) {
         if self.users.on && self.users.ended.contains_key(id) {
-            leader.seat.unconfirmed.heard(version, self.now);
+            leader.seat.unconfirmed.observe_end(version, self.now);
         }
     }
 
