--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between owners, workers, the store and the cloud, and how long they are on their way.
+//! Messages between leaders, workers, the store and the cloud, and how long they are on their way.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 use crate::store::{Change, Condition};
 use crate::wire::workers::{Order, Report};
 
-/// A report of a worker on its way to an owner.
+/// A report of a worker on its way to a leader.
 pub(super) struct SentReport {
     pub(super) to: usize,
     pub(super) report: Report,
@@ -33,7 +33,7 @@
     pub(super) whole: bool,
 }
 
-/// Orders that an owner sends to a worker directly.
+/// Orders that a leader sends to a worker directly.
 pub(super) struct Command {
     pub(super) id: u64,
     pub(super) worker: usize,
@@ -52,7 +52,7 @@
     pub(super) report: Report,
 }
 
-/// The end of the time for which an owner waits for a reply.
+/// The end of the time for which a leader waits for a reply.
 pub(super) struct GivenUp {
     pub(super) id: u64,
     pub(super) to: usize,
@@ -60,7 +60,7 @@
     pub(super) token: u64,
 }
 
-/// What is on its way between owners, workers, the store and the cloud.
+/// What is on its way between leaders, workers, the store and the cloud.
 pub(super) enum Message {
     Report(SentReport),
     Answer(Answer),
@@ -79,13 +79,13 @@
         to: usize,
         machine: MachineId,
     },
-    /// A line of an owner to another controller.
+    /// A line of a leader to another controller.
     Line {
         from: usize,
         to: usize,
         watermark: Watermark,
     },
-    /// The store's answer to the owner's own user.
+    /// The store's answer to the leader's own user.
     Withdrawn {
         to: usize,
         id: JobId,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// When an owner that is paused reads what was sent to it.
+    /// When a leader that is paused reads what was sent to it.
     pub(super) fn read_at(&self, message: &Message) -> Option<Instant> {
         let to = match message {
             Message::Report(SentReport { to, .. })
@@ -129,11 +129,11 @@
             | Message::Withdrawn { to, .. } => *to,
             _ => return None,
         };
-        let frozen = self.owners.get(to)?.as_ref()?.frozen?;
+        let frozen = self.leaders.get(to)?.as_ref()?.frozen?;
         Some(frozen.1).filter(|until| *until > self.now)
     }
 
-    /// Whoever it is for does what it says; an owner that is paused reads it afterwards.
+    /// Whoever it is for does what it says; a leader that is paused reads it afterwards.
     pub(super) fn deliver(&mut self, message: Message) {
         if let Some(at) = self.read_at(&message) {
             self.messages.push((at, message));
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -1,13 +1,13 @@
 //! Seeded interleavings: the real cluster state, placement and transactions in a small model of store,
-//! workers and cloud where messages and transactions come late, twice or are lost, owners go on after
+//! workers and cloud where messages and transactions come late, twice or are lost, leaders go on after
 //! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are withdrawn. The
 //! model checks the rules itself.
 
 mod deliveries;
 mod jobs;
+mod leaders;
 mod meetings;
 mod messages;
-mod owners;
 mod steps;
 mod store;
 mod troubles;
@@ -23,7 +23,7 @@
 const LEASE: Duration = Duration::from_secs(24);
 const CANCEL: Duration = Duration::from_secs(49);
 const ANSWER_TAKEN: Duration = Duration::from_secs(4);
-/// After this long without a sign of life another owns.
+/// After this long without a sign of life another leads.
 const LEADER_LEASE: Duration = Duration::from_secs(3);
 const COMMAND_WAITED: Duration = Duration::from_millis(2500);
 
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a simulation: messages, workers and owners in turn, troubles before them, checks after them.
+//! The steps of a simulation: messages, workers and leaders in turn, troubles before them, checks after them.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use super::jobs::bad;
-use super::owners::Owner;
+use super::leaders::Leader;
 use super::store::ended;
 use super::workers::Worker;
 use super::world::World;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// One step: messages that are due, workers, owners, then whoever owns next, users and the checks.
+    /// One step: messages that are due, workers, leaders, then whoever leads next, users and the checks.
     pub(super) fn step(&mut self) {
         self.now += STEP;
         let (due, later) = std::mem::take(&mut self.messages).into_iter().partition(|(at, _)| *at <= self.now);
@@ -43,12 +43,12 @@
             self.deliver(message);
         }
         self.run_workers();
-        for i in 0..self.owners.len() {
-            self.run_owner(i);
+        for i in 0..self.leaders.len() {
+            self.run_leader(i);
         }
-        self.replace_lost_owner();
-        if self.owners[self.owner].is_none() {
-            if self.now >= self.owns_from {
+        self.replace_lost_leader();
+        if self.leaders[self.leader].is_none() {
+            if self.now >= self.leads_from {
                 self.take_over();
             }
         } else if self.raise_wanted() {
@@ -58,19 +58,19 @@
         self.check_withdrawn();
     }
 
-    /// Another owns once the leader's lease has run out.
-    fn replace_lost_owner(&mut self) {
+    /// Another leads once the leader's lease has run out.
+    fn replace_lost_leader(&mut self) {
         let lost =
             |since: Option<(Instant, Instant)>| since.is_some_and(|(began, _)| self.lost_for(began) > LEADER_LEASE);
-        let gone = |o: &Owner| lost(o.frozen) || lost(o.cut);
-        if self.owners[self.owner].as_ref().is_some_and(gone) {
+        let gone = |o: &Leader| lost(o.frozen) || lost(o.cut);
+        if self.leaders[self.leader].as_ref().is_some_and(gone) {
             self.take_over();
         }
     }
 
-    /// Whether the owner's cluster state wants its token raised, and the owner can write that.
+    /// Whether the leader's cluster state wants its token raised, and the leader can write that.
     fn raise_wanted(&self) -> bool {
-        self.owners[self.owner].as_ref().is_some_and(|o| {
+        self.leaders[self.leader].as_ref().is_some_and(|o| {
             o.frozen.is_none()
                 && o.cut.is_none()
                 && self.users.out.is_none()
@@ -81,14 +81,14 @@
 
     /// One whose cluster state is raised writes the assignment again, as the leader would.
     fn raise_token(&mut self) {
-        let owner = self.owner;
+        let leader = self.leader;
         let stamp = self.store.stamp(ASSIGNMENT);
-        let change = Change::write(ASSIGNMENT, Value::from(owner));
+        let change = Change::write(ASSIGNMENT, Value::from(leader));
         if let Ok(token) = self.store.apply_if(&[Condition::at(ASSIGNMENT, stamp)], &[change])
-            && let Some(o) = self.owners[owner].as_mut()
+            && let Some(o) = self.leaders[leader].as_mut()
         {
             o.cluster.raise_token(token);
-            self.users.assigned.push((token, owner));
+            self.users.assigned.push((token, leader));
         }
     }
 
@@ -107,11 +107,11 @@
         }
         // Where troubles meet, hand-overs are drawn with them.
         if self.rng.random_bool(if self.users.on { 0.001 } else { 0.006 }) {
-            // The deposed owner goes on until it learns of it.
+            // The deposed leader goes on until it learns of it.
             self.take_over();
         }
         if self.rng.random_bool(0.004) {
-            self.pause_an_owner();
+            self.pause_an_leader();
         }
         if self.rng.random_bool(0.01) {
             let w = self.rng.random_range(0..self.workers.len());
@@ -128,26 +128,26 @@
         self.rent();
     }
 
-    /// Under and over the lease, of an owner or of one that was replaced, at any point of its work.
-    fn pause_an_owner(&mut self) {
-        let alive: Vec<usize> = (0..self.owners.len()).filter(|i| self.owners[*i].is_some()).collect();
-        let i = alive.get(self.rng.random_range(0..alive.len().max(1))).copied().unwrap_or(self.owner);
+    /// Under and over the lease, of a leader or of one that was replaced, at any point of its work.
+    fn pause_an_leader(&mut self) {
+        let alive: Vec<usize> = (0..self.leaders.len()).filter(|i| self.leaders[*i].is_some()).collect();
+        let i = alive.get(self.rng.random_range(0..alive.len().max(1))).copied().unwrap_or(self.leader);
         let (ms, now) = (self.rng.random_range(500..40_000), self.now);
-        if let Some(owner) = self.owners[i].as_mut().filter(|o| o.frozen.is_none()) {
-            owner.frozen = Some((now, now + Duration::from_millis(ms)));
+        if let Some(leader) = self.leaders[i].as_mut().filter(|o| o.frozen.is_none()) {
+            leader.frozen = Some((now, now + Duration::from_millis(ms)));
             self.process_pauses += 1;
             self.workers.iter_mut().for_each(|w| w.unheard = (i, 0));
         }
     }
 
-    /// Stops a task of the owner, as preemption and draining do.
+    /// Stops a task of the leader, as preemption and draining do.
     fn halt_a_task(&mut self) {
         let now = self.now;
         let pick = self.rng.random_range(0..1000usize);
-        if let Some(owner) = self.owners[self.owner].as_mut() {
-            let bound: Vec<TaskKey> = owner.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
+        if let Some(leader) = self.leaders[self.leader].as_mut() {
+            let bound: Vec<TaskKey> = leader.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
             if !bound.is_empty() {
-                owner.cluster.halt(&bound[pick % bound.len()], 3, now);
+                leader.cluster.halt(&bound[pick % bound.len()], 3, now);
             }
         }
     }
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -4,7 +4,7 @@
 
 use hollylanding_emulator::world::store::Store;
 
-use super::owners::News;
+use super::leaders::News;
 use super::world::World;
 use crate::history::moves::{Place, place_of};
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
@@ -56,15 +56,15 @@
 
     /// Every watch tells in the order of the changes, sooner or later.
     pub(super) fn tell(&mut self, id: &JobId, opened: bool, stamp: u64) {
-        for i in 0..self.owners.len() {
+        for i in 0..self.leaders.len() {
             let mut due = self.now + self.delay();
             if self.users.on {
                 // A watch that is held up for long proves nothing to its owner meanwhile.
                 due = due.min(self.now + Duration::from_secs(5));
             }
-            if let Some(owner) = self.owners[i].as_mut() {
-                let after = owner.news.last().map_or(due, |news| due.max(news.due));
-                owner.news.push(News { due: after, job: id.clone(), opened, revision: stamp });
+            if let Some(leader) = self.leaders[i].as_mut() {
+                let after = leader.news.last().map_or(due, |news| due.max(news.due));
+                leader.news.push(News { due: after, job: id.clone(), opened, revision: stamp });
             }
         }
     }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -28,9 +28,9 @@
     pub(super) hangs_until: Instant,
     /// Answers and commands do not reach it, while its reports arrive.
     pub(super) inbound_lost_until: Instant,
-    /// Answers in a row that it did not hear, and the owner that gave them.
+    /// Answers in a row that it did not hear, and the leader that gave them.
     pub(super) unheard: (usize, u32),
-    /// Reports to this owner, which answers it, whoever owns by now.
+    /// Reports to this leader, which answers it, whoever leads by now.
     pub(super) home: Option<usize>,
     /// Cut off until then with its home: others' commands are held back, and it finds nobody else.
     pub(super) apart_until: Instant,
@@ -186,11 +186,11 @@
                 worker.waits_until = Some(now + ANSWER_TAKEN);
                 worker.next_report = now + Duration::from_secs(3);
                 let report = worker.report();
-                // Some workers still know only the deposed owner.
+                // Some workers still know only the deposed leader.
                 let back = if self.quiet { 0 } else { usize::from(self.rng.random_bool(0.2)) };
                 let apart = self.workers[w].apart_until > now;
-                let home = self.workers[w].home.filter(|home| apart || self.owners[*home].is_some());
-                let to = home.unwrap_or(self.owner.saturating_sub(back));
+                let home = self.workers[w].home.filter(|home| apart || self.leaders[*home].is_some());
+                let to = home.unwrap_or(self.leader.saturating_sub(back));
                 self.copy_late(&report);
                 self.send(Message::Report(SentReport { to, report, sent: now, copy: false }));
             }
--- a/src/scheduling/interleavings/world.rs
+++ b/src/scheduling/interleavings/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: store, workers, owners, messages on their way, and what the checks remember.
+//! The state of the model: store, workers, leaders, messages on their way, and what the checks remember.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
+use super::leaders::Leader;
 use super::messages::Message;
-use super::owners::Owner;
 use super::users::Users;
 use super::workers::Worker;
 use crate::jobs::JobId;
@@ -24,12 +24,12 @@
     pub(super) now: Instant,
     pub(super) store: Store,
     pub(super) workers: Vec<Worker>,
-    pub(super) owners: Vec<Option<Owner>>,
-    pub(super) owner: usize,
+    pub(super) leaders: Vec<Option<Leader>>,
+    pub(super) leader: usize,
     /// Who came back at the address of a process that was ended.
     pub(super) reborn: HashMap<usize, usize>,
     /// The lease of an ended lease holder runs until then.
-    pub(super) owns_from: Instant,
+    pub(super) leads_from: Instant,
     pub(super) messages: Vec<(Instant, Message)>,
     /// Direct commands that were answered or given up, whichever came first.
     pub(super) over: HashSet<u64>,
@@ -63,10 +63,10 @@
             now: start,
             store: Store::default(),
             workers: (0..machines).map(|n| Worker::new(n, start)).collect(),
-            owners: Vec::new(),
-            owner: 0,
+            leaders: Vec::new(),
+            leader: 0,
             reborn: HashMap::new(),
-            owns_from: start,
+            leads_from: start,
             messages: Vec::new(),
             over: HashSet::new(),
             commands: 0,
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -76,7 +76,7 @@
         chunks += page.len();
         take_page(node, page, &mut ended, &mut read_ends).await?;
     }
-    // What an earlier owner may still be doing, before anything is placed: nothing can be added to
+    // What an earlier leader may still be doing, before anything is placed: nothing can be added to
     // it any more, since orders are conditional on the assignment.
     let mut orders = Vec::new();
     let mut pages = node.store.pages(ORDERS, None);
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,4 +1,4 @@
-//! Which task runs where: the owner's cluster state, the decisions taken on it, and their loop.
+//! Which task runs where: the leader's cluster state, the decisions taken on it, and their loop.
 
 pub mod backfill;
 pub mod cluster;
@@ -48,7 +48,7 @@
 /// waiting however much there is to plan.
 const REST: u32 = 4;
 
-/// Reads what is stored, then plans on every event until this controller no longer owns.
+/// Reads what is stored, then plans on every event until this controller no longer leads.
 pub async fn run(node: Arc<Node>) {
     load(&node).await;
     let (mut ticked, mut planned, mut reserve_next) = (Instant::now(), None::<Instant>, Instant::now());
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -2,7 +2,7 @@
 //! may not reach them. Judged by answers that had to show an effect in the next report and did not: a higher token to
 //! learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
 //!
-//! The owner keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
+//! The leader keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
 //! not depend on the verdict: a task on such a machine stays bound until it is proven gone.
 
 use std::collections::VecDeque;
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Feeds messages to and answers of one owner with token 7, as (seconds, what): `r` a report, `R` one of the
+/// Feeds messages to and answers of one leader with token 7, as (seconds, what): `r` a report, `R` one of the
 /// next session, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
 /// launch and to a worker that does not know the token, `+` without either; `l` and `t` show them.
 fn simulate(steps: &[(f64, &str)]) -> (u32, u32) {
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -41,7 +41,7 @@
         apt(self.of, spec)
     }
 
-    /// The same as a key that owns its names.
+    /// The same as a key that leads its names.
     pub fn kind(&self) -> Kind {
         Kind { type_name: self.of.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
     }
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -15,7 +15,7 @@
 mod plan_work;
 mod preemption;
 mod renting;
-mod repeated_ownership;
+mod repeated_leadership;
 mod room_after_troubles;
 mod silence;
 mod simulation;
--- a/src/scheduling/tests/confirmed_withdrawals.rs
+++ b/src/scheduling/tests/confirmed_withdrawals.rs
@@ -41,7 +41,7 @@
 }
 
 /// No controller has a loaded cluster state. The last report that is answered without a stop was sent at the
-/// withdrawal, or by an owner that has read nothing yet up to `spare` after it; the worker's clock is the slowest that
+/// withdrawal, or by a leader that has read nothing yet up to `spare` after it; the worker's clock is the slowest that
 /// the protocol allows, and the machine hangs from then on. Over all settings that are accepted, the tightest of each
 /// kind among them.
 #[test]
--- a/src/scheduling/tests/hangs.rs
+++ b/src/scheduling/tests/hangs.rs
@@ -4,7 +4,7 @@
 use super::world::*;
 
 /// It hangs before, at or after the withdrawal, with the stop lying there or refused, and goes on within its lease: the
-/// task is stopped or its machine returned in time, whether or not the cloud answers and whoever owns by then.
+/// task is stopped or its machine returned in time, whether or not the cloud answers and whoever leads by then.
 #[test]
 fn a_withdrawn_task_that_goes_on_after_a_hang_is_gone_in_time() {
     for (hangs_at, hang_s) in
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -65,7 +65,7 @@
 }
 
 /// The grown deployments: a plan at 1,000 machines with thousands of waiting tasks took most of
-/// the owner's processor time. Counted in rooms looked at, not in time.
+/// the leader's processor time. Counted in rooms looked at, not in time.
 #[test]
 fn the_work_of_a_plan_is_bounded() {
     let now = Instant::now();
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -1,11 +1,11 @@
-//! Machines that say nothing, and owners that could not hear them: which are given up, and which are not.
+//! Machines that say nothing, and leaders that could not hear them: which are given up, and which are not.
 
 use super::*;
 use crate::fleet::rent;
 use crate::kinds::Kind;
 use crate::process_pause::ProcessPause;
 
-/// Incident ab99: an owner cut off from its workers, or one that had been paused, took the whole
+/// Incident ab99: a leader cut off from its workers, or one that had been paused, took the whole
 /// fleet for dead and returned it.
 #[test]
 fn a_fleet_that_falls_silent_together_is_not_given_up() {
@@ -37,7 +37,7 @@
 
 /// Found on fa-lima-fleet: a zone was cut off when its owner was replaced, and after 12 s the new one
 /// returned all 767 machines there, since only machines that it had heard itself counted as silent
-/// together. Nor did such an owner ever hand over when it was the one cut off.
+/// together. Nor did such a leader ever hand over when it was the one cut off.
 #[test]
 fn inherited_machines_that_fall_silent_together_are_not_given_up() {
     use crate::jobs::record::Stored;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Found on fa-lima-fleet: an owner that nobody could reach returned 682 idle machines as never come
+/// Found on fa-lima-fleet: a leader that nobody could reach returned 682 idle machines as never come
 /// up, though the cloud listed them as running.
 #[test]
 fn what_the_cloud_lists_as_running_has_come_up() {
@@ -90,7 +90,7 @@
     assert_eq!(cluster.machines["running"].state, MachineState::Condemned, "but it is alone in its silence");
 }
 
-/// An owner that was paused for half a minute found idle machines idle for too long, and withdrawn tasks
+/// A leader that was paused for half a minute found idle machines idle for too long, and withdrawn tasks
 /// not proven gone for too long, since it had not been there to hear of anything.
 #[test]
 fn a_process_pause_returns_nothing() {
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -33,7 +33,7 @@
     assert!((1..=4).contains(&writes), "5 s of ends in {writes} changes");
 }
 
-/// A new owner reads thousands of bindings; its sums are what a count afresh gives.
+/// A new leader reads thousands of bindings; its sums are what a count afresh gives.
 #[test]
 fn a_takeover_of_thousands_of_tasks() {
     use crate::jobs::record::{CHUNK, Stored};
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The owner's decisions but for placement; of the machines that can be spared at most one is drained at a time.
+    /// The leader's decisions but for placement; of the machines that can be spared at most one is drained at a time.
     fn decide(&mut self, step: u32) {
         let (cluster, now) = (&mut self.simulation.cluster, self.simulation.world.now);
         if self.prompt && cluster.settings.params.objectives.is_empty() {
--- a/src/sla/mod.rs
+++ b/src/sla/mod.rs
@@ -40,7 +40,7 @@
 }
 
 impl Agreement {
-    /// `estimate` is the owner's, corrected by what was observed of the class.
+    /// `estimate` is the leader's, corrected by what was observed of the class.
     /// `soft_deadline` is how many estimates a job without a deadline is given.
     pub fn of(spec: &JobSpec, estimate: Duration, soft_deadline: f64) -> Self {
         let run = estimate.max(LEAST_RUN);
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: the owner's changes, many per transaction, one transaction at a time.
+//! Group commit: the leader's changes, many per transaction, one transaction at a time.
 //!
 //! Every transaction is conditional on the assignment, on the versions of its chunks and on the
 //! absence of an end for each job it speaks of. One that was not answered is sent again as it
@@ -34,7 +34,7 @@
 const BYTES: usize = 40 * 1024;
 /// Keys and conditions of one change, in bytes.
 const FRAME: usize = 200;
-/// This many chunks of ended jobs are too many for clean-up to wait: a new owner reads them all.
+/// This many chunks of ended jobs are too many for clean-up to wait: a new leader reads them all.
 const DROPS_PRESSED: usize = 48;
 
 pub(crate) struct Batch {
@@ -85,7 +85,7 @@
     n
 }
 
-/// Stores the owner's changes for as long as this controller owns: in batches, one transaction at a time.
+/// Stores the leader's changes for as long as this controller leads: in batches, one transaction at a time.
 pub async fn run(node: Arc<Node>) {
     loop {
         let _ = tokio::time::timeout(EVERY, node.wake.commit.notified()).await;
@@ -122,7 +122,7 @@
     (!batch.is_empty()).then_some(batch)
 }
 
-/// False once this controller no longer owns.
+/// False once this controller no longer leads.
 async fn store(node: &Arc<Node>, batch: Batch) -> bool {
     let changes = batch.changes();
     let urgent = if batch.ends.is_empty() { Urgent::Second } else { Urgent::First };
@@ -141,7 +141,7 @@
                     if now_token.is_some_and(|t| t > token) {
                         continue;
                     }
-                    // Wait for the mirror to say who owns; it may be this controller itself,
+                    // Wait for the mirror to say who leads; it may be this controller itself,
                     // under a token it has not heard the answer about.
                     node.fresh.wait().await;
                     node.check_deposed();
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -79,7 +79,7 @@
             None => reload(&node).await,
         };
         match outcome {
-            // The owner acts on what it hears; the others only have to know it soon.
+            // The leader acts on what it hears; the others only have to know it soon.
             Ok(()) if lock(&node.cluster).is_some() => tokio::time::sleep(WATCH_GAP).await,
             Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.time_for(WATCH_COST))).await,
             Err(StoreError::TooOld) => lock(&node.mirror).ready = false,
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,4 +1,4 @@
-//! What every controller knows of open jobs, of ownership and of what is declared, as of one revision.
+//! What every controller knows of open jobs, of leadership and of what is declared, as of one revision.
 //!
 //! It changes by what the store lists and tells, and by nothing else: what this controller has
 //! itself seen stored ahead of its watch is kept elsewhere (`history`), so that no late answer can
@@ -24,7 +24,7 @@
 const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 
 /// One key with its version. What cannot be read is there all the same, and is written over by its version:
-/// taken for absent, it would keep everybody from taking the lease and owning for ever.
+/// taken for absent, it would keep everybody from taking the lease and leading for ever.
 #[derive(Debug, Default)]
 enum Slot<T> {
     #[default]
@@ -93,7 +93,7 @@
     }
 }
 
-/// Open jobs, the keys of the election lease and of ownership, and what is declared, as of one revision of the store.
+/// Open jobs, the keys of the election lease and of leadership, and what is declared, as of one revision of the store.
 #[derive(Debug)]
 pub struct Mirror {
     /// Everything stored up to this revision is included; 0 before the first reading.
@@ -102,7 +102,7 @@
     pub ready: bool,
     open: HashMap<JobId, Arc<JobRecord>>,
     held: Held,
-    /// Descriptions of jobs that ended last: a new owner needs them for tasks not yet proven gone,
+    /// Descriptions of jobs that ended last: a new leader needs them for tasks not yet proven gone,
     /// and reading them one by one took it seconds.
     ended: LruCache<JobId, Ended>,
     control: Control,
@@ -142,8 +142,8 @@
     pub opened: Vec<JobId>,
     /// Jobs that were open and have ended.
     pub ended: Vec<JobId>,
-    /// One of the keys of the election lease or of ownership changed, or the mirror was read anew.
-    pub ownership: bool,
+    /// One of the keys of the election lease or of leadership changed, or the mirror was read anew.
+    pub leadership: bool,
     /// A spec or a status changed.
     pub declared: bool,
 }
@@ -208,7 +208,7 @@
         self.open.iter()
     }
 
-    /// What all open jobs together make an owner hold.
+    /// What all open jobs together make a leader hold.
     pub fn held(&self) -> Held {
         self.held
     }
@@ -251,7 +251,7 @@
         }
     }
 
-    /// The assignment and its version, which is the owner's token; none if there is none or it cannot be read.
+    /// The assignment and its version, which is the leader's token; none if there is none or it cannot be read.
     pub fn assignment(&self) -> Option<&(Assignment, u64)> {
         self.control.assignment.value()
     }
@@ -266,7 +266,7 @@
         self.control.takeover_request.value()
     }
 
-    /// What an owner has stored for controllers that do not hear it.
+    /// What a leader has stored for controllers that do not hear it.
     pub fn watermark(&self) -> Option<&Watermark> {
         self.control.watermark.as_ref()
     }
@@ -347,7 +347,7 @@
     pub fn loaded(&mut self, loading: Loading) -> News {
         let gone: Vec<JobId> = self.open.keys().filter(|id| !loading.seen.contains(*id)).cloned().collect();
         let declared = self.registry.replace(loading.registry, self.revision == 0);
-        let mut news = News { ownership: true, declared, ..News::default() };
+        let mut news = News { leadership: true, declared, ..News::default() };
         for id in gone {
             self.end(&id, self.revision, loading.newest, &mut news);
         }
@@ -375,7 +375,7 @@
     fn event(&mut self, event: &Event, news: &mut News) {
         if let Some(path) = &event.write {
             if self.control.put(path, &event.value, event.stamp) {
-                news.ownership = true;
+                news.leadership = true;
             } else if records::declared(path) {
                 news.declared |= self.registry.put(path, &event.value, event.stamp);
             } else if let Some(id) = path.strip_prefix(OPEN) {
@@ -383,7 +383,7 @@
             }
         } else if let Some(path) = &event.drop {
             if self.control.drop(path) {
-                news.ownership = true;
+                news.leadership = true;
             } else if records::declared(path) {
                 news.declared |= self.registry.drop_key(path, event.stamp);
             } else if let Some(id) = path.strip_prefix(OPEN) {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The state service: its client, this controller's share of its limits, and the mirror of open jobs, ownership and
+//! The state service: its client, this controller's share of its limits, and the mirror of open jobs, leadership and
 //! declared things that every controller keeps.
 
 pub mod audit;
--- a/src/store/share.rs
+++ b/src/store/share.rs
@@ -11,7 +11,7 @@
 
 /// The part of a limit that is given out; the rest is for moments in which controllers disagree.
 const GIVEN: f64 = 0.95;
-/// The part of what is given out that the others may take from the owner: their acceptances and
+/// The part of what is given out that the others may take from the leader: their acceptances and
 /// questions have users waiting, and its changes go many at a time.
 const OTHERS_MOST: f64 = 0.5;
 /// What was wanted lately is given this many times over, so that single bursts do not wait.
@@ -19,21 +19,21 @@
 /// What was wanted fades over this time.
 const FADE: Duration = Duration::from_secs(4);
 
-/// Fixed shares: a part of a limit for the owner, and one that the others share.
+/// Fixed shares: a part of a limit for the leader, and one that the others share.
 #[derive(Debug, Clone, Copy)]
 pub struct Parts {
-    /// Part of the limit for the owner, from 0 to 1.
-    pub owner: f64,
+    /// Part of the limit for the leader, from 0 to 1.
+    pub leader: f64,
     /// Part of the limit that all other controllers share evenly, from 0 to 1.
     pub others: f64,
 }
 
 impl Parts {
     /// One controller's fixed share of a limit, per second.
-    pub fn fixed(&self, limit: f64, others: usize, owner: bool) -> f64 {
-        match (others, owner) {
+    pub fn fixed(&self, limit: f64, others: usize, leader: bool) -> f64 {
+        match (others, leader) {
             (0, _) => limit * GIVEN,
-            (_, true) => limit * self.owner,
+            (_, true) => limit * self.leader,
             (n, false) => limit * self.others / n as f64,
         }
     }
@@ -42,28 +42,29 @@
 /// What a controller lately wanted of a limit, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Want {
-    /// Whether this controller owns, by its own knowledge.
-    pub owner: bool,
+    /// Whether this controller leads, by its own knowledge.
+    #[serde(rename = "owner")]
+    pub leader: bool,
     /// What it wanted lately, per second.
     pub per_second: f64,
 }
 
-/// The share of the first of these controllers, by what all of them want: whoever does not own has its
-/// fixed share or what it needs, the owner the rest.
+/// The share of the first of these controllers, by what all of them want: whoever does not lead has its
+/// fixed share or what it needs, the leader the rest.
 pub fn by_need(limit: f64, parts: Parts, wants: &[Want]) -> f64 {
     let given = limit * GIVEN;
-    let owners = wants.iter().filter(|w| w.owner).count();
-    let others = wants.len() - owners;
+    let leaders = wants.iter().filter(|w| w.leader).count();
+    let others = wants.len() - leaders;
     let most = given * OTHERS_MOST / others.max(1) as f64;
     let of_other = |w: &Want| {
         let fixed = parts.fixed(limit, others, false);
         (w.per_second * AMPLE).clamp(fixed.min(most), most)
     };
     match wants.first() {
-        Some(me) if me.owner => {
-            let theirs: f64 = wants.iter().filter(|w| !w.owner).map(of_other).sum();
-            // Several may believe that they own.
-            (given - theirs).max(0.0) / owners as f64
+        Some(me) if me.leader => {
+            let theirs: f64 = wants.iter().filter(|w| !w.leader).map(of_other).sum();
+            // Several may believe that they lead.
+            (given - theirs).max(0.0) / leaders as f64
         }
         Some(me) => of_other(me),
         None => given,
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -11,10 +11,10 @@
 use crate::sync::lock;
 use crate::wire::users::{JobAnswer, Status};
 
-/// Stored, and hidden until the owner is known to have it (`history::visibility`).
-const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
+/// Stored, and hidden until the leader is known to have it (`history::visibility`).
+const UNCONFIRMED: &str = "the job is being withdrawn: its leader has not confirmed that yet";
 
-/// An end as its users may hear it: a withdrawal only once the owner has it. Every path that tells of an end
+/// An end as its users may hear it: a withdrawal only once the leader has it. Every path that tells of an end
 /// goes through here.
 pub(super) async fn tell_end(node: &Node, id: &JobId, end: End) -> Reply {
     node.watermark();
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -73,9 +73,9 @@
             node.traffic.count(Passage::Report);
             render(res, 200, wire::encode(&orders));
         }
-        Answer::Elsewhere(owner) => {
+        Answer::Elsewhere(leader) => {
             node.traffic.count(Passage::ReportElsewhere);
-            render(res, 421, wire::encode(&serde_json::json!({"dispatcher": owner})));
+            render(res, 421, wire::encode(&serde_json::json!({"dispatcher": leader})));
         }
         Answer::Nobody => {
             node.traffic.count(Passage::ReportElsewhere);
--- a/src/users/withdrawal.rs
+++ b/src/users/withdrawal.rs
@@ -43,14 +43,14 @@
 /// Writes the end of a job that was seen open, and tells its user.
 async fn write_withdrawal(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
     let id = record.spec.id.clone();
-    let owner = node.withdraws_under();
-    let withdrawal = moves::withdraw(&record, owner, time_of_day_ms());
+    let leader = node.withdraws_under();
+    let withdrawal = moves::withdraw(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Withdrawal, &record);
     match node.store.txn(&withdrawal.conditions, &withdrawal.changes, Urgent::First).await {
         Ok(TxnOutcome::Applied(stamp)) => {
             sent.applied();
             lock(&node.audit).note(Held::Ended(record, End::Withdrawn));
-            if owner.is_some_and(|token| node.withdrew(&id, token)) {
+            if leader.is_some_and(|token| node.withdrew(&id, token)) {
                 return ended(&id, End::Withdrawn);
             }
             node.history.note_withdrawal(&id, stamp);
@@ -61,9 +61,9 @@
             if keys != [ASSIGNMENT] {
                 return moved_on(node, &id, &keys).await;
             }
-            // Another owns by now: the mirror is about to hear it.
+            // Another leads by now: the mirror is about to hear it.
             node.fresh.wanted.notify_one();
-            Reply::later("who owns has just changed")
+            Reply::later("who leads has just changed")
         }
         outcome => {
             if matches!(outcome, Err(StoreError::Unavailable(_))) {
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -1,11 +1,11 @@
-//! What an owner may answer to a worker's report, depending on what it can prove of its ownership. Pure.
+//! What a leader may answer to a worker's report, depending on what it can prove of its leadership. Pure.
 
-/// What an owner knows when a report comes.
+/// What a leader knows when a report comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rights {
     /// Its cluster state is loaded.
     pub loaded: bool,
-    /// What is known here of who owns may be acted on towards workers (`membership::serving_state`).
+    /// What is known here of who leads may be acted on towards workers (`membership::serving_state`).
     pub knows: bool,
     /// Nothing was proven yet since a process pause.
     pub unproven: bool,
@@ -14,13 +14,13 @@
 }
 
 impl Rights {
-    /// After a process pause another may own: the worker finds it by asking elsewhere. Where the store answers
-    /// nobody, no other can own either, and the worker's lease is held without telling it anything new.
+    /// After a process pause another may lead: the worker finds it by asking elsewhere. Where the store answers
+    /// nobody, no other can lead either, and the worker's lease is held without telling it anything new.
     pub fn silent(&self) -> bool {
         self.unproven && self.serves
     }
 
-    /// Whether it may act as the owner: give orders beyond stopping what is over.
+    /// Whether it may act as the leader: give orders beyond stopping what is over.
     pub fn acts(&self) -> bool {
         self.knows && !self.unproven
     }
@@ -38,7 +38,7 @@
 
     /// Whether the machine is answered. What has ended since its last proof is in no cluster state of one that is
     /// blind: whoever is not held may run on nowhere. `spare`: its leases still end in time; `kept`: whether one that
-    /// may be owner no more holds this machine, asked only where it matters.
+    /// may be leader no more holds this machine, asked only where it matters.
     pub fn holds(&self, through: bool, spare: impl FnOnce() -> bool, kept: impl FnOnce() -> bool) -> bool {
         (!self.blind(through) || spare()) && (self.knows || kept())
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -20,7 +20,7 @@
 pub enum Answer {
     /// 200: the report was taken in; what the worker is to do.
     Orders(Orders),
-    /// 421, naming the owner.
+    /// 421, naming the leader.
     Elsewhere(String),
     /// 503: nobody known here may answer for the controllers.
     Nobody,
@@ -28,8 +28,8 @@
     Malformed,
 }
 
-/// One report. Only the owner takes it in; a token higher than its own tells it that it is no
-/// longer the owner, and a 200 would then only hold the worker while its lease runs out.
+/// One report. Only the leader takes it in; a token higher than its own tells it that it is no
+/// longer the leader, and a 200 would then only hold the worker while its lease runs out.
 pub fn take_report(node: &Arc<Node>, body: &[u8]) -> Answer {
     let report = match crate::wire::decode::<Report>(body) {
         Ok(report) if report.check() => report,
@@ -48,8 +48,8 @@
     let now = Instant::now();
     let mut deposed = false;
     let (report_from, report_at) = (report.machine.clone(), (report.session, report.seq));
-    rights.knows = node.knows_owner(now);
-    // Of jobs that are over by the mirror an owner stops what runs, whatever else it may do.
+    rights.knows = node.knows_leader(now);
+    // Of jobs that are over by the mirror a leader stops what runs, whatever else it may do.
     let over = node.over_among(&report, rights.acts());
     {
         let mut held = lock(&node.cluster);
@@ -82,12 +82,12 @@
         node.step_down("a worker has seen a higher token");
         return Answer::Nobody;
     }
-    debug!(machine = report_from, owner = node.owner_node(), "a report for the owner");
-    match node.owner_node() {
-        // Sent to an owner of long ago, workers would only come and go.
-        Some(owner) if owner != node.settings.node && node.knows_owner(now) => {
+    debug!(machine = report_from, leader = node.leader_node(), "a report for the leader");
+    match node.leader_node() {
+        // Sent to a leader of long ago, workers would only come and go.
+        Some(leader) if leader != node.settings.node && node.knows_leader(now) => {
             node.note_redirect(&report_from, report_at, now);
-            Answer::Elsewhere(owner)
+            Answer::Elsewhere(leader)
         }
         _ => Answer::Nobody,
     }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -2,7 +2,7 @@
 
 use super::answer::Rights;
 
-/// By what the owner knows of itself: all orders, stops only, or nothing at all.
+/// By what the leader knows of itself: all orders, stops only, or nothing at all.
 #[test]
 fn what_a_report_is_answered_with_by_cases() {
     let sound = Rights { loaded: true, knows: true, unproven: false, serves: true };
@@ -12,7 +12,7 @@
     // (name, rights, its mirror is past its assignment, leases still end in time, it holds this machine;
     //  silent, all orders, answered)
     for (name, rights, through, spare, kept, want) in [
-        ("the owner", sound, true, false, false, (false, true, true)),
+        ("the leader", sound, true, false, false, (false, true, true)),
         ("back from a pause", paused, true, false, false, (true, false, true)),
         (
             "back from a pause into an outage",
@@ -22,8 +22,8 @@
             false,
             (false, false, true),
         ),
-        ("may be owner no more", lone, true, false, false, (false, false, false)),
-        ("may be owner no more, the machine found nobody", lone, true, false, true, (false, false, true)),
+        ("may be leader no more", lone, true, false, false, (false, false, false)),
+        ("may be leader no more, the machine found nobody", lone, true, false, true, (false, false, true)),
         ("has not read its cluster state, knows every end", unread, true, false, false, (false, false, true)),
         ("has read nothing", unread, false, true, false, (false, false, true)),
         ("has read nothing, for too long", unread, false, false, false, (false, false, false)),
--- a/tests/odd_requests.rs
+++ b/tests/odd_requests.rs
@@ -87,7 +87,7 @@
             stage.faults(|faults| faults.quiet_watches = false);
         }
 
-        // The owner is refused: the withdrawal is stored, and cannot be told.
+        // The leader is refused: the withdrawal is stored, and cannot be told.
         stage.world.state.lock().unwrap().store.set_refused("0", true);
         let (code, answer) = stage.ask(&b, 3, How::Withdraw).await;
         assert_eq!((code, stage.stands(3)), (503, Stands::Withdrawn), "{answer}");
@@ -100,7 +100,7 @@
         assert_eq!(stage.look(&b, 2, How::Withdraw).await.as_deref(), Some("done"));
         stage.world.state.lock().unwrap().store.set_refused("0", false);
     });
-    // The owner ends, if it still is the owner; somebody takes over.
+    // The leader ends, if it still is the leader; somebody takes over.
     drop(a);
     stage.outside.block_on(async {
         until("taken over", || async {
