--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -30,8 +30,8 @@
     Submit,
     /// Asks for a job's status.
     Status,
-    /// Asks that a job be withdrawn.
-    Withdraw,
+    /// Asks that a job be cancelled.
+    Cancel,
 }
 
 /// Something that happened, as the judge sees it.
@@ -39,8 +39,8 @@
 pub enum Event {
     /// A user is about to submit a job for the first time.
     Submitted(Arc<JobSpec>),
-    /// A user is about to ask for the first time that a job be withdrawn.
-    WithdrawalAsked(JobId),
+    /// A user is about to ask for the first time that a job be cancelled.
+    CancellationAsked(JobId),
     /// The answer to a user's request.
     Answered {
         /// The job that the request is about.
@@ -94,8 +94,8 @@
 pub struct Terms {
     /// The most cores and accelerators that each team's tasks may use; 0: unlimited.
     pub quotas: HashMap<String, (f64, f64)>,
-    /// Time from the report that a job is withdrawn until none of its tasks may run.
-    pub cancel: Duration,
+    /// Time from the report that a job is cancelled until none of its tasks may run.
+    pub cancellation_deadline: Duration,
     /// Sets of services that replace one another, with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
     /// Wall-clock time at which the world began, in ms since 1970.
--- a/crates/emulator/src/judge/rule.rs
+++ b/crates/emulator/src/judge/rule.rs
@@ -9,7 +9,7 @@
     Quota,
     /// A task started on a machine that its job does not allow.
     WrongPlace,
-    /// A task ran too long after its job was reported withdrawn.
+    /// A task ran too long after its job was reported cancelled.
     RanCancelled,
     /// An accepted job was answered as unknown, was refused, or was not answered while others were.
     Forgotten,
@@ -17,7 +17,7 @@
     Invented,
     /// A job was reported done before all its tasks were.
     NotDone,
-    /// A final status changed, or a job was reported withdrawn although nobody asked.
+    /// A final status changed, or a job was reported cancelled although nobody asked.
     WentBack,
     /// No task started at all.
     NothingRan,
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -25,7 +25,7 @@
     pub(super) accepted: Option<Duration>,
     /// When all of a gang, or the first task of another job, was on machines.
     pub(super) begun: Option<Duration>,
-    pub(super) withdrawal_asked: bool,
+    pub(super) cancellation_asked: bool,
     /// The final status that a user was told, and when first.
     pub(super) final_status: Option<(Status, Duration)>,
     /// Tasks with a result.
@@ -43,11 +43,11 @@
         self.spec.as_ref().is_some_and(|spec| spec.is_gang()) && !self.done.is_empty()
     }
 
-    /// Whether it is or may be withdrawn, so that no results are expected.
-    fn withdrawn(&self) -> bool {
+    /// Whether it is or may be cancelled, so that no results are expected.
+    fn cancelled(&self) -> bool {
         match self.final_status {
-            Some((status, _)) => status == Status::Withdrawn,
-            None => self.withdrawal_asked,
+            Some((status, _)) => status == Status::Cancelled,
+            None => self.cancellation_asked,
         }
     }
 }
@@ -126,9 +126,9 @@
                 self.write(at, &spec.id, format!("submitted: {} tasks", spec.tasks));
                 self.jobs.entry(spec.id.clone()).or_default().spec = Some(spec.clone());
             }
-            Event::WithdrawalAsked(job) => {
+            Event::CancellationAsked(job) => {
                 self.write(at, job, "withdrawal asked".into());
-                self.jobs.entry(job.clone()).or_default().withdrawal_asked = true;
+                self.jobs.entry(job.clone()).or_default().cancellation_asked = true;
             }
             Event::Answered { job, ask, code, status } => self.answered(at, job, *ask, *code, *status),
             Event::Up { machine, type_name, zone, spot } => {
@@ -200,7 +200,7 @@
         for (id, job) in jobs {
             let Some(spec) = job.spec.as_ref().filter(|spec| spec.shape != Shape::Service) else { continue };
             let Some(accepted) = job.accepted else { continue };
-            if job.withdrawn() {
+            if job.cancelled() {
                 continue;
             }
             let done = job.gang_done() || job.done.len() as u64 == spec.tasks;
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -67,13 +67,13 @@
 fn terms() -> Terms {
     Terms {
         quotas: [("blue".to_owned(), (6.0, 0.0))].into(),
-        cancel: Duration::from_secs(20),
+        cancellation_deadline: Duration::from_secs(20),
         capacity: vec![(vec!["run-1".into(), "run-3".into()], 2)],
         begun_ms: 0,
     }
 }
 
-/// A day on which all goes well: one job is done, with a machine lost on the way, one withdrawn.
+/// A day on which all goes well: one job is done, with a machine lost on the way, one cancelled.
 fn good() -> Vec<Entry> {
     vec![
         up("m1", "c8", "a", false),
@@ -95,11 +95,11 @@
         entry(11.0, Event::Submitted(Arc::new(spec("run-2")))),
         told(12.0, "run-2", Ask::Submit, 201, Status::Pending),
         started(13.0, "run-2", 0, 1, "m1"),
-        entry(14.0, Event::WithdrawalAsked("run-2".into())),
-        told(15.0, "run-2", Ask::Withdraw, 200, Status::Withdrawn),
+        entry(14.0, Event::CancellationAsked("run-2".into())),
+        told(15.0, "run-2", Ask::Cancel, 200, Status::Cancelled),
         ended(16.0, "run-2", 0, 1, "m1", Cause::Stopped),
         entry(17.0, Event::Answered { job: "run-9".into(), ask: Ask::Status, code: Some(404), status: None }),
-        told(60.0, "run-2", Ask::Status, 200, Status::Withdrawn),
+        told(60.0, "run-2", Ask::Status, 200, Status::Cancelled),
     ]
 }
 
--- a/crates/emulator/src/judge/verdict.rs
+++ b/crates/emulator/src/judge/verdict.rs
@@ -75,7 +75,7 @@
 pub struct Verdict {
     /// Broken rules in the order in which they were found.
     pub breaks: Vec<Break>,
-    /// Number of tasks of accepted jobs that were not withdrawn.
+    /// Number of tasks of accepted jobs that were not cancelled.
     pub expected: usize,
     /// Number of expected tasks that have a result.
     pub delivered: usize,
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -286,9 +286,9 @@
                 }
             }
             Fault::Operator(verb) => self.operators.operate(verb, &self.controllers, self.notes.len()),
-            Fault::WillWithdraw(job) => self.world.note(Event::WithdrawalAsked(job.clone())),
-            Fault::WithdrawShare(part) => {
-                let n = self.users.withdraw_share(*part);
+            Fault::WillCancel(job) => self.world.note(Event::CancellationAsked(job.clone())),
+            Fault::CancelShare(part) => {
+                let n = self.users.cancel_share(*part);
                 self.add_note(format!("{n} users withdraw their jobs"));
             }
             other => {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -106,10 +106,10 @@
     Roll(Duration),
     /// An operator runs a command.
     Operator(Verb),
-    /// Announces that somebody other than the rehearsal's users is about to withdraw a job.
-    WillWithdraw(JobId),
-    /// This fraction of the users whose jobs are accepted and not over withdraw them now.
-    WithdrawShare(f64),
+    /// Announces that somebody other than the rehearsal's users is about to cancel a job.
+    WillCancel(JobId),
+    /// This fraction of the users whose jobs are accepted and not over cancel them now.
+    CancelShare(f64),
     /// Breaks a rule on purpose: a running task is started on a second machine.
     StartTwice,
 }
@@ -362,9 +362,9 @@
             other => Err(format!("{other:?} has no exit status").into()),
         })
         .register_fn("withdraw_share", |part: Dynamic| {
-            within("withdraw_share", &part, 0.0, 1.0).map(Fault::WithdrawShare)
+            within("withdraw_share", &part, 0.0, 1.0).map(Fault::CancelShare)
         })
-        .register_fn("will_withdraw", |job: &str| Fault::WillWithdraw(job.into()));
+        .register_fn("will_withdraw", |job: &str| Fault::WillCancel(job.into()));
 }
 
 /// Reads a script. `seed` determines what it draws at random.
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -102,7 +102,7 @@
     pub gang_wait_s: f64,
     /// How long the members of a gang take to notice that one is missing.
     pub gang_peer_s: f64,
-    /// Time within which all tasks of a withdrawn job have to be gone.
+    /// Time within which all tasks of a cancelled job have to be gone.
     pub cancel_s: f64,
 }
 
@@ -225,12 +225,12 @@
     /// Time of the first submission, in seconds since the world began.
     #[serde(default)]
     pub from_s: f64,
-    /// Whether the jobs are faulty: they fail everywhere, and are withdrawn at the end, as services are.
+    /// Whether the jobs are faulty: they fail everywhere, and are cancelled at the end, as services are.
     #[serde(default)]
     pub broken: bool,
-    /// Fraction of the jobs that their users withdraw a few seconds after the acceptance.
+    /// Fraction of the jobs that their users cancel a few seconds after the acceptance.
     #[serde(default)]
-    pub withdrawn: f64,
+    pub cancelled: f64,
 }
 
 impl Work {
@@ -337,7 +337,7 @@
         [
             Bound::new(self.field("run_s"), self.run_s, 0.0, DAY_S),
             Bound::new(self.field("from_s"), self.from_s, 0.0, DAY_S),
-            Bound::new(self.field("withdrawn"), self.withdrawn, 0.0, 1.0),
+            Bound::new(self.field("withdrawn"), self.cancelled, 0.0, 1.0),
             Bound::new(self.field("jobs"), jobs, 0.0, MOST_JOBS),
         ]
     }
@@ -478,7 +478,11 @@
     /// The parameters of the judge's rules.
     pub fn terms(&self) -> Terms {
         let quotas = self.teams.iter().map(|t| (t.name.clone(), (t.cpus_max, t.accelerators_max)));
-        Terms { quotas: quotas.collect(), cancel: Duration::from_secs_f64(self.workers.cancel_s), ..Terms::default() }
+        Terms {
+            quotas: quotas.collect(),
+            cancellation_deadline: Duration::from_secs_f64(self.workers.cancel_s),
+            ..Terms::default()
+        }
     }
 
     /// The `params` of a controller's settings file.
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -13,10 +13,11 @@
     /// Every task has its result. Final.
     Done,
     /// Cancelled by its user. Final.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
-/// The answer to a submission, a query or a withdrawal.
+/// The answer to a submission, a query or a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobAnswer {
     /// The job's id.
--- a/src/calendar/declare.rs
+++ b/src/calendar/declare.rs
@@ -24,7 +24,7 @@
                 view.now_ms.saturating_sub(u64::try_from(ago).unwrap_or(u64::MAX))
             }),
         },
-        (Some(End::Withdrawn), _) => Fate::Withdrawn,
+        (Some(End::Cancelled), _) => Fate::Cancelled,
         (None, Some(job)) if job.ended.is_none() => Fate::Open {
             begun: job.untouched() < 1.0,
             at_ms: job.record.at_ms,
@@ -101,6 +101,6 @@
         let Some(day) = status.confirmable().filter(|day| confirmed.is_none_or(|before| *day > before)) else {
             return Err(Problem::new("confirm", "nothing of it is to be confirmed"));
         };
-        Ok(Acted { spec: Spec { confirmed: Some(date_of(day)), ..spec.clone() }, withdraw: None })
+        Ok(Acted { spec: Spec { confirmed: Some(date_of(day)), ..spec.clone() }, cancel: None })
     }
 }
--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -100,7 +100,7 @@
 ) {
     let now_ms = facts.now_ms;
     let Some(mut instance) = status.instance(spec, now_ms) else { return };
-    // A withdrawn job makes way for another, which waits from here on as if it had claimed.
+    // A cancelled job makes way for another, which waits from here on as if it had claimed.
     see(&mut instance, facts);
     let still = |closes_ms, fate| match fate {
         Fate::Open { needs_s, .. } => now_ms < latest_ms(closes_ms, needs_s),
--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -1,7 +1,7 @@
 //! Planning windows: when they open and close, which job's turn it is, and that operators are told of each one that
 //! closes unclaimed (docs/calendar.md).
 //!
-//! Jobs come from users only: nothing here submits, withdraws or ends one.
+//! Jobs come from users only: nothing here submits, cancels or ends one.
 
 mod declare;
 mod intents;
--- a/src/calendar/status.rs
+++ b/src/calendar/status.rs
@@ -24,7 +24,8 @@
 pub enum Reason {
     Unclaimed,
     Late,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
     NoRoom,
 }
 
@@ -42,7 +43,8 @@
 pub enum Over {
     /// When, in ms since 1970.
     Done(u64),
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// A job and its turn, from 1: neither is given twice in an instance.
@@ -92,9 +94,9 @@
         Span { day: self.day, opens_ms: self.opens_ms, closes_ms: self.closes_ms }
     }
 
-    /// Claims whose jobs were not withdrawn: a withdrawn one leaves room for another in a turn of its own.
+    /// Claims whose jobs were not cancelled: a cancelled one leaves room for another in a turn of its own.
     pub fn live(&self) -> usize {
-        self.claims.iter().filter(|c| c.over != Some(Over::Withdrawn)).count()
+        self.claims.iter().filter(|c| c.over != Some(Over::Cancelled)).count()
     }
 
     /// Claimed jobs that were done in time.
@@ -206,7 +208,7 @@
     match reason {
         Reason::Unclaimed => "unclaimed",
         Reason::Late => "late",
-        Reason::Withdrawn => "withdrawn",
+        Reason::Cancelled => "withdrawn",
         Reason::NoRoom => "no room",
     }
 }
@@ -254,7 +256,7 @@
                 let state = match claim.over {
                     Some(Over::Done(at)) if at > instance.closes_ms => "done late",
                     Some(Over::Done(_)) => "done",
-                    Some(Over::Withdrawn) => "withdrawn",
+                    Some(Over::Cancelled) => "withdrawn",
                     None if claim.turn <= instance.turn => "its turn has come",
                     None => "waits for its turn",
                 };
--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -37,7 +37,7 @@
     Done {
         at_ms: Option<u64>,
     },
-    Withdrawn,
+    Cancelled,
     /// It is over, and how is not known here.
     Unknown,
 }
@@ -76,7 +76,7 @@
 }
 
 /// The turn that a job of this class would claim, if there is one for it. A turn is given once, also
-/// after its job was withdrawn; whoever comes instead gets one behind all others.
+/// after its job was cancelled; whoever comes instead gets one behind all others.
 fn turn_for(spec: &Spec, instance: &Instance, job: &JobId, class: &str) -> Option<u32> {
     if instance.claims.iter().any(|claim| claim.job == *job) || instance.claims.len() >= MOST_TURNS as usize {
         return None;
@@ -96,7 +96,7 @@
     for claim in instance.claims.iter_mut().filter(|claim| claim.over.is_none()) {
         claim.over = match (facts.fate)(&claim.job) {
             Fate::Done { at_ms } => Some(Over::Done(at_ms.unwrap_or(facts.now_ms))),
-            Fate::Withdrawn => Some(Over::Withdrawn),
+            Fate::Cancelled => Some(Over::Cancelled),
             Fate::Open { .. } | Fate::Unknown => None,
         };
     }
@@ -164,11 +164,11 @@
         _ => false,
     };
     let late = !open.is_empty() || instance.in_time(u64::MAX) > instance.in_time(until);
-    let withdrawn = instance.live() < instance.claims.len();
-    Some(Outcome::Missed(match (open.iter().any(no_room), late, withdrawn) {
+    let cancelled = instance.live() < instance.claims.len();
+    Some(Outcome::Missed(match (open.iter().any(no_room), late, cancelled) {
         (true, _, _) => Reason::NoRoom,
         (_, true, _) => Reason::Late,
-        (_, _, true) => Reason::Withdrawn,
+        (_, _, true) => Reason::Cancelled,
         _ => Reason::Unclaimed,
     }))
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -64,7 +64,8 @@
         id: String,
     },
     /// Withdraws a job
-    Withdraw {
+    #[command(name = "withdraw")]
+    Cancel {
         /// A controller's address, such as 127.0.0.1:8080
         #[arg(long)]
         node: String,
@@ -84,7 +85,7 @@
         Some(Command::Check(files)) => check(&files),
         Some(Command::Submit { node, file }) => submit(&node, &file),
         Some(Command::Status { node, id }) => ask(&node, Method::GET, &format!("/work/{id}"), None),
-        Some(Command::Withdraw { node, id }) => {
+        Some(Command::Cancel { node, id }) => {
             ask(&node, Method::POST, &format!("/work/{id}/withdraw"), Some(Vec::new()))
         }
         Some(Command::Declared(verb)) => verbs::run(&verb),
--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -87,11 +87,11 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Pauses or resumes a rollout, takes it back, or finishes it by withdrawing the old job
+    /// Pauses or resumes a rollout, takes it back, or finishes it by cancelling the old job
     Rollout {
         step: Step,
         name: String,
-        /// The controller that withdraws the old job; if not given, the one whose settings these are
+        /// The controller that cancels the old job; if not given, the one whose settings these are
         #[arg(long)]
         node: Option<String>,
         #[command(flatten)]
--- a/src/declared/mod.rs
+++ b/src/declared/mod.rs
@@ -112,8 +112,8 @@
 pub struct Acted<S> {
     /// What operators have declared.
     pub spec: S,
-    /// A job to be withdrawn as its user would, before the spec is written.
-    pub withdraw: Option<JobId>,
+    /// A job to be cancelled as its user would, before the spec is written.
+    pub cancel: Option<JobId>,
 }
 
 /// One kind of declared thing. All of it is pure.
--- a/src/declared/operator.rs
+++ b/src/declared/operator.rs
@@ -26,7 +26,7 @@
 /// Requests that may go at once.
 const BURST: f64 = 20.0;
 const RETRY: Duration = Duration::from_millis(300);
-/// A controller's answer to a withdrawal is waited for like this.
+/// A controller's answer to a cancellation is waited for like this.
 const CALL_WITHIN: Duration = Duration::from_secs(5);
 /// Room in a transaction's 64 KiB for specs; the rest is conditions and framing.
 const BYTES: usize = 40 * 1024;
@@ -195,14 +195,14 @@
         gone.await.map(drop)
     }
 
-    /// One of the verbs that the kind knows. A job that is to be withdrawn with it is withdrawn first, at
+    /// One of the verbs that the kind knows. A job that is to be cancelled with it is cancelled first, at
     /// this controller, as its user would.
     pub async fn act(&self, kind: Kind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
         let entry = self.entry(kind)?;
         let acted = self.change(kind, async |known: &Known, _| {
             let acted = (entry.act)(verb, known.declaration(kind, name)?, time_of_day_ms())?;
-            if let Some(job) = acted.withdraw {
-                self.withdraw(node, &job).await?;
+            if let Some(job) = acted.cancel {
+                self.cancel(node, &job).await?;
             }
             Ok(Writes::from([(name.to_owned(), Some(acted.spec))]))
         });
@@ -352,7 +352,7 @@
         Ok(known)
     }
 
-    async fn withdraw(&self, node: &str, job: &str) -> Result<(), Failed> {
+    async fn cancel(&self, node: &str, job: &str) -> Result<(), Failed> {
         let (path, begun) = (format!("/work/{job}/withdraw"), Instant::now());
         loop {
             let outcome = self.http.call(Method::POST, node, &path, Some(Vec::new()), CALL_WITHIN).await;
--- a/src/declared/table.rs
+++ b/src/declared/table.rs
@@ -170,5 +170,5 @@
 
 fn act<D: Declared>(verb: &str, of: Declaration, now_ms: u64) -> Result<Acted<Value>, Problem> {
     let acted = D::act(verb, &read(of.spec)?, &read_status::<D>(of.status)?, now_ms)?;
-    Ok(Acted { spec: write(&acted.spec)?, withdraw: acted.withdraw })
+    Ok(Acted { spec: write(&acted.spec)?, cancel: acted.cancel })
 }
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -34,7 +34,7 @@
 
 /// Returns machines once the order for it is stored. A controller that was deposed without knowing, as
 /// after a process pause, stores none; one that is paused between the two returns what its
-/// successor has read to be returned. Only what a withdrawal makes urgent goes without where the store
+/// successor has read to be returned. Only what a cancellation makes urgent goes without where the store
 /// does not answer, since too late would be worse than too much.
 pub(super) async fn return_all(node: Arc<Node>, dealings: Shared, names: Vec<String>) {
     let urgent = || {
--- a/src/history/answer_time.rs
+++ b/src/history/answer_time.rs
@@ -117,7 +117,7 @@
     let [class, team, image, g8, c96] = names;
     let spec = JobSpec { class, team, image, types: Some(vec![g8, c96]), due_s: Some(86_399.5), ..spec() };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
-    let [Change::Write { write, value, .. }, _] = end_changes(&record, End::Withdrawn, time_of_day_ms()) else {
+    let [Change::Write { write, value, .. }, _] = end_changes(&record, End::Cancelled, time_of_day_ms()) else {
         panic!("a write and a drop");
     };
     let item = serde_json::json!({"path": write, "value": value, "stamp": 1_000_000_000});
--- a/src/history/moves.rs
+++ b/src/history/moves.rs
@@ -8,7 +8,7 @@
 
 use crate::jobs::End;
 use crate::jobs::record::{
-    DONE, EndedRecord, JobRecord, LEADER, OLD_JOBS, OPEN, WITHDRAWN, ended_key, ended_keys, old_end_key, old_job_key,
+    CANCELLED, DONE, EndedRecord, JobRecord, LEADER, OLD_JOBS, OPEN, ended_key, ended_keys, old_end_key, old_job_key,
     open_key,
 };
 use crate::store::{Change, Condition};
@@ -53,7 +53,7 @@
     let places = [
         (OPEN, Place::Open),
         (DONE, Place::Ended(End::Done)),
-        (WITHDRAWN, Place::Ended(End::Withdrawn)),
+        (CANCELLED, Place::Ended(End::Cancelled)),
         (OLD_JOBS, Place::Old),
     ];
     places.into_iter().find_map(|(prefix, place)| Some((key.strip_prefix(prefix)?, place)))
@@ -82,11 +82,11 @@
 
 /// A user ends a job that was seen open: it can have left its key only by ending. `leader`: under which
 /// leader record alone, if it is to be told at once.
-pub fn withdraw(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> Move {
+pub fn cancel(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> Move {
     let under = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
     Move {
         conditions: not_ended(&record.spec.id).chain(under).collect(),
-        changes: end_changes(record, End::Withdrawn, now_ms).into(),
+        changes: end_changes(record, End::Cancelled, now_ms).into(),
     }
 }
 
--- a/src/history/query_queue/tests.rs
+++ b/src/history/query_queue/tests.rs
@@ -26,7 +26,7 @@
             ('b', Verdict::Never),
             ('c', Verdict::Open),
             ('d', ended(End::Done)),
-            ('e', ended(End::Withdrawn)),
+            ('e', ended(End::Cancelled)),
         ]
     );
     assert!(old.is_empty(), "its own end goes before an earlier build's key");
--- a/src/history/reader/tests.rs
+++ b/src/history/reader/tests.rs
@@ -7,7 +7,7 @@
 fn ends_of_earlier_builds_by_cases() {
     let cases: [(Value, Verdict); 6] = [
         (json!({"end": "done"}), Verdict::Ended(End::Done)),
-        (json!({"end": "withdrawn", "later": 1}), Verdict::Ended(End::Withdrawn)),
+        (json!({"end": "withdrawn", "later": 1}), Verdict::Ended(End::Cancelled)),
         (json!({"end": "lost"}), Verdict::Later),
         (json!({}), Verdict::Later),
         (json!(null), Verdict::Later),
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -15,7 +15,8 @@
     /// All tasks finished.
     Done,
     /// Its user cancelled it.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// How many tasks of a job run and are done, for display.
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -1,7 +1,7 @@
 //! Keys and values in the store, and the compact form of a job's tasks.
 //!
 //! A job has exactly one key from its acceptance on: `c/o/ID` while it is open, then `h/d/ID` once
-//! done or `h/w/ID` once withdrawn, for ever. Every controller mirrors `c/` from `c/k` on: open
+//! done or `h/w/ID` once cancelled, for ever. Every controller mirrors `c/` from `c/k` on: open
 //! jobs, the lease holder, the leader record. `h/` is read only when somebody asks. `t/` holds the tasks of
 //! open jobs in chunks and is read by leaders only.
 
@@ -20,8 +20,8 @@
 pub const OPEN: &str = "c/o/";
 /// Prefix of the keys of jobs that are done; the job's id follows.
 pub const DONE: &str = "h/d/";
-/// Prefix of the keys of withdrawn jobs; the job's id follows.
-pub const WITHDRAWN: &str = "h/w/";
+/// Prefix of the keys of cancelled jobs; the job's id follows.
+pub const CANCELLED: &str = "h/w/";
 /// Jobs and ends as builds before 0.2 kept them; ended ones stay there and are read when asked for.
 pub const OLD_JOBS: &str = "c/j/";
 /// Prefix of the ends of jobs as builds before 0.2 kept them; the job's id follows.
@@ -52,12 +52,12 @@
 pub fn ended_key(id: &str, end: End) -> String {
     match end {
         End::Done => format!("{DONE}{id}"),
-        End::Withdrawn => format!("{WITHDRAWN}{id}"),
+        End::Cancelled => format!("{CANCELLED}{id}"),
     }
 }
 /// Both keys that a job may have ended under; none of them exists while it is open.
 pub fn ended_keys(id: &str) -> [String; 2] {
-    [End::Done, End::Withdrawn].map(|end| ended_key(id, end))
+    [End::Done, End::Cancelled].map(|end| ended_key(id, end))
 }
 /// Key of a job, open or ended, in builds before 0.2.
 pub fn old_job_key(id: &str) -> String {
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -243,7 +243,7 @@
         tokio::time::timeout(WRITE_WITHIN, stream.write_all(text.as_bytes()))
             .await
             .map_err(|_| std::io::ErrorKind::TimedOut)??;
-        // At once where a withdrawal waits for it, and all there is to say once a second.
+        // At once where a cancellation waits for it, and all there is to say once a second.
         tokio::time::sleep(PROMPT).await;
         let _ = tokio::time::timeout(whole_next.saturating_duration_since(Instant::now()), news.changed()).await;
         // Lines go into a dead connection for minutes before it is known to be dead, and after a cut it
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -1,21 +1,21 @@
 //! When the leader stores its watermark, because some controller does not hear it.
 //!
 //! Controllers tell each other watermarks (`mesh`), which costs no request to the store. A controller that does not
-//! hear the leader, as where connections between controllers are refused, would never report a withdrawal to its users.
-//! The leader sees from the acknowledgements that one lags behind, and stores the watermark for it. Pure.
+//! hear the leader, as where connections between controllers are refused, would never report a cancellation to its
+//! users. The leader sees from the acknowledgements that one lags behind, and stores the watermark for it. Pure.
 
 use std::time::{Duration, Instant};
 
 use super::records::{LeaderRecord, Watermark};
 
-/// A withdrawal that some controller has not acknowledged for this long is told through the store.
+/// A cancellation that some controller has not acknowledged for this long is told through the store.
 /// Acknowledgements come with the lines, one a second.
 const PATIENCE: Duration = Duration::from_millis(2500);
 /// The watermark is stored this often at the most: one change.
 const GAP: Duration = Duration::from_secs(1);
 
 /// Where a controller has acknowledged nothing new for so long, the watermark is stored this often without any
-/// withdrawal: it may know of one by a later revision than the one at which it was stored, as after a reading.
+/// cancellation: it may know of one by a later revision than the one at which it was stored, as after a reading.
 const LAGS: Duration = Duration::from_secs(10);
 
 /// What a controller may tell as the leader's watermark: its loaded cluster state's fencing token and what that holds,
@@ -30,7 +30,7 @@
     (leader.incarnation == me && *stamp == fencing_token).then_some(Watermark { fencing_token, revision })
 }
 
-/// Withdrawals that others may not have heard the leader confirm.
+/// Cancellations that others may not have heard the leader confirm.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
     /// The oldest and the newest of them, and since when.
@@ -41,7 +41,7 @@
 }
 
 impl Unconfirmed {
-    /// The leader has heard of a withdrawal that was stored at this revision.
+    /// The leader has heard of a cancellation that was stored at this revision.
     pub fn heard(&mut self, stamp: u64, now: Instant) {
         let (oldest, newest, since) = self.range.unwrap_or((stamp, stamp, now));
         self.range = Some((oldest.min(stamp), newest.max(stamp), since));
@@ -78,11 +78,11 @@
     }
 }
 
-/// Withdrawals that have waited for so long are told of in the log, this often.
+/// Cancellations that have waited for so long are told of in the log, this often.
 const TOLD_AFTER: Duration = Duration::from_secs(10);
 const TOLD_EVERY: Duration = Duration::from_secs(60);
 
-/// Whether the watermark does not advance while withdrawals wait for it.
+/// Whether the watermark does not advance while cancellations wait for it.
 #[derive(Debug, Default)]
 pub struct Lag {
     /// The watermark, and since when it has been so with something waiting.
@@ -91,7 +91,7 @@
 }
 
 impl Lag {
-    /// For how long it has not advanced, if that is to be told now. `waiting`: withdrawals above it.
+    /// For how long it has not advanced, if that is to be told now. `waiting`: cancellations above it.
     pub fn tells(&mut self, waiting: usize, watermark: u64, now: Instant) -> Option<Duration> {
         let same = self.stands.filter(|(before, _)| *before == watermark && waiting > 0);
         self.stands = (waiting > 0).then(|| same.unwrap_or((watermark, now)));
--- a/src/node.rs
+++ b/src/node.rs
@@ -107,7 +107,7 @@
     /// What users and machines are told while little can be proven.
     health: Mutex<Health>,
     let_go: Mutex<LetGo>,
-    /// Withdrawals that other controllers may not have heard this leader confirm.
+    /// Cancellations that other controllers may not have heard this leader confirm.
     unconfirmed: Mutex<Unconfirmed>,
     leader_tasks: Mutex<Vec<tokio::task::AbortHandle>>,
     /// Orders that are marked as done wait for a higher fencing token (`fleet::orders`).
--- a/src/node/confirmation.rs
+++ b/src/node/confirmation.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that this leader confirms to the other controllers and to users (`membership::watermark`).
+//! Cancellations that this leader confirms to the other controllers and to users (`membership::watermark`).
 
 use std::time::Instant;
 
@@ -17,7 +17,7 @@
         self.wake.mesh.send_replace(());
     }
 
-    /// As the leader: up to which revision withdrawals are in its loaded cluster state, and obeyed
+    /// As the leader: up to which revision cancellations are in its loaded cluster state, and obeyed
     /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (mirror, mut held) = (lock(&self.mirror), lock(&self.cluster));
@@ -42,20 +42,20 @@
         lock(&self.unconfirmed).confirmed(watermark, now);
     }
 
-    /// The fencing token under which a withdrawal that is stored by this leader may be told at once.
-    pub fn withdraws_under(&self) -> Option<u64> {
+    /// The fencing token under which a cancellation that is stored by this leader may be told at once.
+    pub fn cancels_under(&self) -> Option<u64> {
         lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.fencing_token)
     }
 
-    /// A withdrawal was stored while this controller led under this fencing token. True if its cluster state has it
+    /// A cancellation was stored while this controller led under this fencing token. True if its cluster state has it
     /// now, no machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has
     /// read it.
-    pub fn withdrew(&self, id: &JobId, fencing_token: u64) -> bool {
+    pub fn cancelled_by_leader(&self, id: &JobId, fencing_token: u64) -> bool {
         let mut held = lock(&self.cluster);
         let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_fencing_token <= fencing_token) else {
             return false;
         };
-        cluster.end_job(id, Some(End::Withdrawn), Instant::now());
+        cluster.end_job(id, Some(End::Cancelled), Instant::now());
         let obeyed = cluster.obeyed_in(id);
         drop(held);
         self.wake.dispatch.notify_one();
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -55,7 +55,7 @@
             for id in &news.ended {
                 let how = self.history.ended(id);
                 cluster.end_job(id, how, now);
-                // What this leader has stored as done needs no confirmation; of the rest any may be withdrawn.
+                // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
                 if how != Some(End::Done) {
                     lock(&self.unconfirmed).heard(mirror.ended_by(id).unwrap_or(mirror.revision), now);
                     self.wake.mesh.send_replace(());
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -13,7 +13,7 @@
 pub const SHORTEST_PAUSE: Duration = Duration::from_millis(2000);
 /// Workers need about this long to tell a controller that was absent what has happened.
 const TOLD_WITHIN: Duration = Duration::from_secs(5);
-/// Of the time a withdrawn task has to be gone in: past this part nothing is waited for any more.
+/// Of the time a cancelled task has to be gone in: past this part nothing is waited for any more.
 pub const PROOF_PART: f64 = 0.75;
 /// Questions read so soon after a pause were mostly asked within it.
 const BACKLOG: Duration = Duration::from_millis(300);
@@ -56,8 +56,8 @@
         if at >= self.ended { at } else { (at + self.length()).min(self.ended) }
     }
 
-    /// Whether a machine that has not proven a withdrawn task gone may be judged by that now. `at`: when
-    /// the withdrawal was heard of; `allowed`: the time in which the task must be gone.
+    /// Whether a machine that has not proven a cancelled task gone may be judged by that now. `at`: when
+    /// the cancellation was heard of; `allowed`: the time in which the task must be gone.
     pub fn proof_due(&self, at: Instant, allowed: Duration, now: Instant) -> bool {
         at >= self.ended
             || now >= self.ended + TOLD_WITHIN
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! `spec` is what an operator declares, `status` what the leader stores; `look` reads both jobs off the
 //! cluster state, `version_verdict` judges the new version, `step` decides what is next and `intents` what is asked of
-//! placing and stopping. All of it is pure; the service never submits or withdraws a job.
+//! placing and stopping. All of it is pure; the service never submits or cancels a job.
 
 pub mod intents;
 mod look;
@@ -99,7 +99,7 @@
     }
 
     fn act(verb: &str, spec: &Spec, status: &Status, _: u64) -> Result<Acted<Spec>, Problem> {
-        let said = |wanted| Ok(Acted { spec: spec.said(wanted), withdraw: None });
+        let said = |wanted| Ok(Acted { spec: spec.said(wanted), cancel: None });
         match verb {
             "pause" => said(Wanted::Paused),
             "resume" => said(Wanted::Forward),
@@ -109,7 +109,7 @@
             "back" => said(Wanted::Back),
             // One that was told to go back may have begun to.
             "finish" if status.phase == Phase::Done && spec.wanted != Wanted::Back => {
-                Ok(Acted { spec: spec.said(Wanted::Finish), withdraw: status.old.clone() })
+                Ok(Acted { spec: spec.said(Wanted::Finish), cancel: status.old.clone() })
             }
             "finish" => {
                 let why =
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -10,7 +10,7 @@
     Unknown,
     /// The job is open.
     Open,
-    /// Done, withdrawn, or both forgotten.
+    /// Done, cancelled, or both forgotten.
     Over,
 }
 
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -24,7 +24,7 @@
     Paused,
     /// Go back to the old version.
     Back,
-    /// The old job is withdrawn; there is no way back.
+    /// The old job is cancelled; there is no way back.
     Finish,
 }
 
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -190,7 +190,7 @@
     assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
     assert_eq!(phases.last(), Some(&Phase::Done));
     assert!(bench.cluster.has_job(&"run-1".into()), "held at no replicas, and known");
-    // Withdrawn as its user would, and removed: the new job is as any other.
+    // Cancelled as its user would, and removed: the new job is as any other.
     bench.cluster.end_job(&"run-1".into(), None, bench.now);
     bench.pass(1);
     assert!(bench.turn().is_empty());
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -462,10 +462,10 @@
         self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
     }
 
-    /// Machines that hold a task of a job that was withdrawn, and have not proven it gone for too
+    /// Machines that hold a task of a job that was cancelled, and have not proven it gone for too
     /// long. What is left of a job that is done has exited.
     pub fn overdue(&self, now: Instant) -> BTreeSet<MachineId> {
-        let allowed = self.settings.params.workers.cancel();
+        let allowed = self.settings.params.workers.cancellation_deadline();
         let patience = allowed.mul_f64(CANCEL_PATIENCE);
         // A leader that has come since begins no new patience, or several would add up; but machines get two
         // reports to prove to it what they have proven to the one before.
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -146,7 +146,7 @@
     /// How many tasks are done.
     pub done: u64,
     stamps: Vec<u64>,
-    /// When this process heard that the job ended, done or withdrawn.
+    /// When this process heard that the job ended, done or cancelled.
     pub ended: Option<Instant>,
     /// Its end was not stored yet at this revision.
     ended_after: u64,
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -1,13 +1,13 @@
-//! The leader's watermark: the revision up to which withdrawals may be reported to users.
+//! The leader's watermark: the revision up to which cancellations may be reported to users.
 //!
-//! It is not enough that the withdrawal is in this cluster state. A machine that has not yet heard of this leader still
-//! obeys the previous one, which may know nothing of the withdrawal and may answer the machine for as long as an outage
-//! lasts; and this leader may end at any moment. So a withdrawal counts only once every machine that may run a task of
-//! it, from an earlier leader, has seen this leader's fencing token: from then on it obeys only this leader or a later
-//! one, which reads the end before it leads. A machine that does not prove this in time is returned, like one with an
-//! overdue task.
+//! It is not enough that the cancellation is in this cluster state. A machine that has not yet heard of this leader
+//! still obeys the previous one, which may know nothing of the cancellation and may answer the machine for as long as
+//! an outage lasts; and this leader may end at any moment. So a cancellation counts only once every machine that may
+//! run a task of it, from an earlier leader, has seen this leader's fencing token: from then on it obeys only this
+//! leader or a later one, which reads the end before it leads. A machine that does not prove this in time is returned,
+//! like one with an overdue task.
 //!
-//! Nor does a withdrawal count while a launch of one of its tasks may still arrive: a delayed command starts its task
+//! Nor does a cancellation count while a launch of one of its tasks may still arrive: a delayed command starts its task
 //! as long as fencing token and agent epoch match. Once the machine has reported the attempt, or has proven it absent,
 //! no launch of it can start anything, and no further one is sent.
 
@@ -30,18 +30,18 @@
         }
     }
 
-    /// Every withdrawal that stood in the store at this revision is in this cluster state, every machine that may run
+    /// Every cancellation that stood in the store at this revision is in this cluster state, every machine that may run
     /// a task of it obeys this leader or a later one, and no launch of it is in flight. Never goes back.
     pub fn watermark(&mut self) -> u64 {
-        // Nothing that this leader starts is inherited, and it starts nothing that is withdrawn: once all is heard, it
+        // Nothing that this leader starts is inherited, and it starts nothing that is cancelled: once all is heard, it
         // stays so.
-        let withdrawn = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
-        let least = withdrawn.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
+        let cancelled = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
+        let least = cancelled.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
         self.watermark = self.watermark.max(least.map_or(self.known, |after| after.min(self.known)));
         self.watermark
     }
 
-    /// Whether this withdrawal may be told of now, whatever the watermark.
+    /// Whether this cancellation may be told of now, whatever the watermark.
     pub fn obeyed_in(&self, id: &JobId) -> bool {
         !self.jobs.get(id).is_some_and(|job| self.may_start_yet(job))
     }
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -60,7 +60,7 @@
     pub offered: u64,
     /// Jobs that were done.
     pub done: u64,
-    /// Withdrawn by their users.
+    /// Cancelled by their users.
     pub given_up: u64,
     /// Starts whose task was lost before it was done.
     pub lost: u64,
@@ -155,7 +155,7 @@
     pub offered: u64,
     /// Jobs that were done within the window.
     pub done: u64,
-    /// Jobs that their users withdrew.
+    /// Jobs that their users cancelled.
     pub given_up: u64,
     /// Open jobs that have missed a promise.
     pub overdue: u64,
@@ -280,10 +280,10 @@
         }
     }
 
-    /// A job's end was seen. It is done where nobody has heard that it was withdrawn.
+    /// A job's end was seen. It is done where nobody has heard that it was cancelled.
     pub fn ended(&mut self, record: &JobRecord, how: Option<End>, age: Duration, now: Instant) {
         let spec = &record.spec;
-        if how == Some(End::Withdrawn) {
+        if how == Some(End::Cancelled) {
             return self.both(spec, now, |tally| tally.given_up += 1);
         }
         let agreement = Agreement::of(spec, spec.estimate(), self.soft_deadline);
--- a/src/scheduling/interleavings/jobs.rs
+++ b/src/scheduling/interleavings/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of the model: how they are submitted and withdrawn, and which of them fail.
+//! The jobs of the model: how they are submitted and cancelled, and which of them fail.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::jobs::tests::spec;
 use crate::jobs::{JobId, Shape};
 
-/// Submitted with a mistake: fails wherever it runs, until its user withdraws it.
+/// Submitted with a mistake: fails wherever it runs, until its user cancels it.
 pub(super) fn bad(id: &str) -> bool {
     id.ends_with(['3', '8'])
 }
@@ -30,16 +30,16 @@
         self.send_move(moves::accept(&record, false));
     }
 
-    pub(super) fn withdraw(&mut self) {
+    pub(super) fn cancel(&mut self) {
         if self.users.on {
-            return self.withdraw_somewhere();
+            return self.cancel_somewhere();
         }
         let open: Vec<JobId> = self.records.keys().filter(|id| self.store.has(&open_key(id))).cloned().collect();
         if open.is_empty() {
             return;
         }
         let id = open[self.rng.random_range(0..open.len())].clone();
-        let withdrawal = moves::withdraw(&self.records[&id], None, 0);
-        self.send_move(withdrawal);
+        let cancellation = moves::cancel(&self.records[&id], None, 0);
+        self.send_move(cancellation);
     }
 }
--- a/src/scheduling/interleavings/leaders.rs
+++ b/src/scheduling/interleavings/leaders.rs
@@ -231,7 +231,7 @@
 
     /// Asks the cloud to end condemned machines, each once or, as where an answer is lost, twice.
     fn return_machines(&mut self, i: usize, leader: &mut Leader, cut: bool) {
-        // Without the store no order stands, and only what a withdrawal makes urgent goes without.
+        // Without the store no order stands, and only what a cancellation makes urgent goes without.
         let overdue = if cut { leader.cluster.overdue(self.now) } else { Default::default() };
         let condemned = leader.cluster.machines.values().filter(|m| m.state == MachineState::Condemned);
         let condemned: Vec<MachineId> =
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -86,7 +86,7 @@
         watermark: Watermark,
     },
     /// The store's answer to the leader's own user.
-    Withdrawn {
+    Cancelled {
         to: usize,
         id: JobId,
         fencing_token: u64,
@@ -126,7 +126,7 @@
             | Message::Reply(Reply { to, .. })
             | Message::GivenUp(GivenUp { to, .. })
             | Message::Returned { to, .. }
-            | Message::Withdrawn { to, .. } => *to,
+            | Message::Cancelled { to, .. } => *to,
             _ => return None,
         };
         let frozen = self.leaders.get(to)?.as_ref()?.frozen?;
@@ -147,7 +147,7 @@
             Message::GivenUp(message) => self.deliver_given_up(message),
             Message::Txn { conditions, changes } => self.deliver_transaction(conditions, changes),
             Message::Line { from, to, watermark } => self.hear_line(from, to, watermark),
-            Message::Withdrawn { to, id, fencing_token } => self.withdrew(to, &id, fencing_token),
+            Message::Cancelled { to, id, fencing_token } => self.cancelled_by_leader(to, &id, fencing_token),
             Message::Return { from, machine } => self.deliver_return(from, machine),
             Message::Returned { to, machine } => self.deliver_returned(to, &machine),
         }
--- a/src/scheduling/interleavings/mod.rs
+++ b/src/scheduling/interleavings/mod.rs
@@ -1,6 +1,6 @@
 //! Seeded interleavings: the real cluster state, placement and transactions in a small model of store,
 //! workers and cloud where messages and transactions come late, twice or are lost, leaders go on after
-//! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are withdrawn. The
+//! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are cancelled. The
 //! model checks the rules itself.
 
 mod deliveries;
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -19,13 +19,13 @@
 
 /// In so many steps without trouble everything has to end.
 const QUIET_STEPS: usize = 4000;
-/// Users withdraw what fails as often as this once there is no more trouble.
-const STEPS_BETWEEN_WITHDRAWALS: usize = 50;
+/// Users cancel what fails as often as this once there is no more trouble.
+const STEPS_BETWEEN_CANCELLATIONS: usize = 50;
 
 impl World {
-    /// Nothing of a withdrawn job is live beyond the time that is allowed.
-    pub(super) fn check_withdrawn(&self) {
-        for (id, at) in &self.withdrawn {
+    /// Nothing of a cancelled job is live beyond the time that is allowed.
+    pub(super) fn check_cancelled(&self) {
+        for (id, at) in &self.cancelled {
             if self.now - *at > CANCEL {
                 let live = self.workers.iter().flat_map(|w| w.attempts.iter().filter(move |_| !w.gone));
                 let left: Vec<_> = live.filter(|l| l.task.job == *id && l.status != AttemptStatus::Exited).collect();
@@ -55,7 +55,7 @@
             self.raise_fencing_token();
         }
         self.run_users();
-        self.check_withdrawn();
+        self.check_cancelled();
     }
 
     /// Another leads once the leader's lease has run out.
@@ -103,7 +103,7 @@
             return self.rent();
         }
         if self.rng.random_bool(0.004) {
-            self.withdraw();
+            self.cancel();
         }
         // Where troubles meet, hand-overs are drawn with them.
         if self.rng.random_bool(if self.users.on { 0.001 } else { 0.006 }) {
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Users withdraw the jobs that fail wherever they run.
-    fn withdraw_what_fails(&mut self) {
+    /// Users cancel the jobs that fail wherever they run.
+    fn cancel_what_fails(&mut self) {
         let open: Vec<JobId> =
             self.records.keys().filter(|id| bad(id) && self.store.has(&open_key(id))).cloned().collect();
         for id in open {
-            let withdrawal = moves::withdraw(&self.records[&id], None, 0);
-            self.send_move(withdrawal);
+            let cancellation = moves::cancel(&self.records[&id], None, 0);
+            self.send_move(cancellation);
         }
     }
 
@@ -179,8 +179,8 @@
         self.quiet = true;
         for step in 0..QUIET_STEPS {
             self.step();
-            if step % STEPS_BETWEEN_WITHDRAWALS == 0 {
-                self.withdraw_what_fails();
+            if step % STEPS_BETWEEN_CANCELLATIONS == 0 {
+                self.cancel_what_fails();
             }
             self.rent();
             // A machine that never hears again has to be returned, whatever else is well.
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -31,8 +31,8 @@
             let Some((id, place)) = place_of(write) else { continue };
             let (id, record) = self.records.get_key_value(id).expect("a job that was submitted");
             let (id, record) = (id.clone(), record.clone());
-            let [done, withdrawn] = ended_keys(&id).map(|key| self.store.has(&key));
-            let keys = usize::from(self.store.has(&open_key(&id))) + usize::from(done) + usize::from(withdrawn);
+            let [done, cancelled] = ended_keys(&id).map(|key| self.store.has(&key));
+            let keys = usize::from(self.store.has(&open_key(&id))) + usize::from(done) + usize::from(cancelled);
             assert_eq!(keys, 1, "{id} has {keys} keys: came back, or ended twice");
             match place {
                 Place::Open => self.tell(&id, true, stamp),
@@ -44,8 +44,8 @@
                     self.note_ended(&id, End::Done, stamp);
                     self.tell(&id, false, stamp);
                 }
-                Place::Ended(End::Withdrawn) => {
-                    self.note_ended(&id, End::Withdrawn, stamp);
+                Place::Ended(End::Cancelled) => {
+                    self.note_ended(&id, End::Cancelled, stamp);
                     self.tell(&id, false, stamp);
                 }
                 Place::Old => unreachable!("nothing writes earlier builds' keys"),
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -1,4 +1,4 @@
-//! Users and the controllers that answer them: withdrawals through anybody, told by the production rule, and
+//! Users and the controllers that answer them: cancellations through anybody, told by the production rule, and
 //! what a leader may tell workers by what it can prove. The store may be out for all, slow, or refuse one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -117,7 +117,7 @@
 }
 
 pub(super) struct Users {
-    /// Whether this world has any; without, a withdrawal counts from when it is stored, which is stricter.
+    /// Whether this world has any; without, a cancellation counts from when it is stored, which is stricter.
     pub(super) on: bool,
     pub(super) followers: Vec<Follower>,
     pub(super) out: Option<(Instant, Instant)>,
@@ -127,7 +127,7 @@
     pub(super) assigned: Vec<(u64, usize)>,
     ended: HashMap<JobId, u64>,
     marks: Vec<(u64, u64)>,
-    /// Withdrawals that are stored and not told, with their stamps.
+    /// Cancellations that are stored and not told, with their stamps.
     pub(super) hidden: BTreeMap<JobId, u64>,
     /// Something was just stored, acted on or answered: a moment for trouble.
     pub(super) moment: bool,
@@ -200,19 +200,19 @@
         self.trace(&format!("stored {id} {end:?} at {stamp}"));
         self.users.ended.insert(id.clone(), stamp);
         self.ended_since.insert(id.clone(), self.now);
-        if end == End::Withdrawn {
+        if end == End::Cancelled {
             if self.users.on {
                 self.users.hidden.insert(id.clone(), stamp);
                 self.users.moment = true;
             } else {
-                self.withdrawn.insert(id.clone(), self.now);
+                self.cancelled.insert(id.clone(), self.now);
             }
         }
     }
 
     fn tell_user(&mut self, id: &JobId) {
         self.trace(&format!("told {id}"));
-        self.withdrawn.entry(id.clone()).or_insert(self.now);
+        self.cancelled.entry(id.clone()).or_insert(self.now);
         self.users.hidden.remove(id);
         self.users.tally.told += 1;
         self.users.moment = true;
@@ -374,7 +374,7 @@
     }
 
     /// A user of some controller: of a follower that the store serves, or of whoever thinks that it leads.
-    pub(super) fn withdraw_somewhere(&mut self) {
+    pub(super) fn cancel_somewhere(&mut self) {
         let open: Vec<JobId> = self.records.keys().filter(|id| self.store.has(&open_key(id))).cloned().collect();
         if open.is_empty() || self.store_out() {
             return;
@@ -388,7 +388,7 @@
         if self.rng.random_bool(0.5) {
             if self.users.followers.iter().any(|f| f.refused_until <= self.now) {
                 let due = self.now + Duration::from_millis(self.rng.random_range(1..150));
-                let sent = moves::withdraw(&self.records[&id], None, 0);
+                let sent = moves::cancel(&self.records[&id], None, 0);
                 let (conditions, changes) = (sent.conditions, sent.changes);
                 self.messages.push((due, Message::Txn { conditions, changes }));
             }
@@ -402,19 +402,19 @@
         }
         let at = leaders[self.rng.random_range(0..leaders.len())];
         let fencing_token = self.leaders[at].as_ref().expect("it leads").cluster.fencing_token;
-        let sent = moves::withdraw(&self.records[&id], Some(fencing_token), 0);
+        let sent = moves::cancel(&self.records[&id], Some(fencing_token), 0);
         if self.apply(&sent.conditions, &sent.changes).is_ok() && !(self.slow() && self.rng.random_bool(0.4)) {
-            self.send(Message::Withdrawn { to: at, id, fencing_token });
+            self.send(Message::Cancelled { to: at, id, fencing_token });
         }
     }
 
-    /// As `Node::withdrew` has it: told at once if the cluster state has it.
-    pub(super) fn withdrew(&mut self, at: usize, id: &JobId, fencing_token: u64) {
+    /// As `Node::cancelled_by_leader` has it: told at once if the cluster state has it.
+    pub(super) fn cancelled_by_leader(&mut self, at: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader =
             self.leaders[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_fencing_token <= fencing_token);
         let Some(leader) = leader else { return };
-        leader.cluster.end_job(id, Some(End::Withdrawn), now);
+        leader.cluster.end_job(id, Some(End::Cancelled), now);
         if leader.cluster.obeyed_in(id) {
             self.users.tally.told_by_leader += 1;
             self.tell_user(id);
@@ -459,7 +459,7 @@
             let leaders = self.leaders.iter().flatten().filter(|o| o.frozen.is_none()).map(|o| o.seat.watermark);
             let answers: Vec<u64> = self.users.followers.iter().map(|f| f.watermark).chain(leaders).collect();
             let watermark = answers[self.rng.random_range(0..answers.len())];
-            match visible(End::Withdrawn, false, Some(stamp), watermark) {
+            match visible(End::Cancelled, false, Some(stamp), watermark) {
                 Visible::Yes => self.tell_user(&id),
                 Visible::NotYet | Visible::Unknown => self.users.tally.not_told += 1,
             }
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -139,7 +139,7 @@
         // The rules, at the moment of a start.
         let elsewhere = self.workers.iter().find(|o| o.live(&task));
         assert!(elsewhere.is_none(), "ran twice: {task:?} on {} and {}", self.workers[w].id, elsewhere.unwrap().id);
-        if let Some(at) = self.withdrawn.get(&task.job) {
+        if let Some(at) = self.cancelled.get(&task.job) {
             assert!(!self.users.on, "started {task:?} though its user was told that it is withdrawn");
             assert!(self.now - *at < CANCEL, "started {task:?} long after its withdrawal");
         }
--- a/src/scheduling/interleavings/world.rs
+++ b/src/scheduling/interleavings/world.rs
@@ -35,7 +35,7 @@
     pub(super) over: HashSet<u64>,
     pub(super) commands: u64,
     pub(super) records: BTreeMap<JobId, Arc<JobRecord>>,
-    pub(super) withdrawn: HashMap<JobId, Instant>,
+    pub(super) cancelled: HashMap<JobId, Instant>,
     /// When each end was stored.
     pub(super) ended_since: HashMap<JobId, Instant>,
     pub(super) completed: HashSet<TaskKey>,
@@ -71,7 +71,7 @@
             over: HashSet::new(),
             commands: 0,
             records: BTreeMap::new(),
-            withdrawn: HashMap::new(),
+            cancelled: HashMap::new(),
             ended_since: HashMap::new(),
             completed: HashSet::new(),
             catalog: Catalog { types: vec![of] },
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-/// Tasks of withdrawn jobs may still be on machines: those count until proven gone. What has
+/// Tasks of cancelled jobs may still be on machines: those count until proven gone. What has
 /// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
 /// was reported to have exited, though the last reports were never written to its chunk.
 async fn take_page(
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -62,13 +62,13 @@
         change(&mut job);
         let id = job.spec.id.clone();
         let key_of = if name == "another job's id" { "run-000001" } else { &*id };
-        let key = ended_key(key_of, End::Withdrawn);
+        let key = ended_key(key_of, End::Cancelled);
         let value = serde_json::to_value(EndedRecord { job, ended_ms: 9 }).unwrap();
         let read = read_ended_record(key_of, &key, &item(&key, value));
         assert_eq!(read.is_some(), good, "{name}");
     }
     for value in [json!(["x"]), json!({"spec": 7, "at_ms": 1}), Value::Null] {
-        let key = ended_key("run-000001", End::Withdrawn);
+        let key = ended_key("run-000001", End::Cancelled);
         assert!(read_ended_record("run-000001", &key, &item(&key, value.clone())).is_none(), "{value}");
     }
 }
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -2,7 +2,8 @@
 
 mod absences;
 mod beyond_room;
-mod confirmed_withdrawals;
+mod cancellations;
+mod confirmed_cancellations;
 mod ends_across_takeovers;
 mod hangs;
 mod intents;
@@ -27,7 +28,6 @@
 mod unreadable_chunks;
 mod waiting;
 mod watermark;
-mod withdrawals;
 mod world;
 mod zones;
 
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -99,7 +99,7 @@
         }
         world.store(&mut cluster);
         assert_eq!(world.ended, Some(End::Done), "{heard}");
-        // What is left is on a machine that nobody hears. It is none of a withdrawal's, and starts nowhere.
+        // What is left is on a machine that nobody hears. It is none of a cancellation's, and starts nowhere.
         world.now += s(40.0);
         assert!(cluster.overdue(world.now).is_empty());
         assert_eq!(placed(&mut cluster, world.now), []);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -79,7 +79,7 @@
     /// Service level objectives: what the users of each class of jobs were promised. May be empty.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Reports and leases of workers, and how soon withdrawn work must be gone.
+    /// Reports and leases of workers, and how soon cancelled work must be gone.
     pub workers: WorkerParams,
     /// Limits of the state service.
     pub state: StateParams,
@@ -141,7 +141,7 @@
     /// Seconds from the sending of a report that was answered until the worker stops everything it runs, unless a
     /// later report is answered meanwhile.
     pub lease_s: f64,
-    /// Seconds from the moment at which users are told of a withdrawal until no task of the job may run any more.
+    /// Seconds from the moment at which users are told of a cancellation until no task of the job may run any more.
     pub cancel_s: f64,
 }
 
@@ -196,7 +196,7 @@
         Duration::from_secs_f64(self.report_s)
     }
     /// [`Self::cancel_s`] as a duration.
-    pub fn cancel(&self) -> Duration {
+    pub fn cancellation_deadline(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
     /// [`Self::lease_s`] as a duration.
@@ -210,8 +210,8 @@
         LEASE_MARGIN_S.max(ANSWER_TAKEN_S + self.cancel_s * CLOCK_DRIFT)
     }
 
-    /// Of the time in which a withdrawn task must be gone, what is left where only the end of its machine's
-    /// lease ends it: a report may have been answered last so long after the withdrawal was told.
+    /// Of the time in which a cancelled task must be gone, what is left where only the end of its machine's
+    /// lease ends it: a report may have been answered last so long after the cancellation was told.
     pub fn spare(&self) -> Duration {
         Duration::try_from_secs_f64(self.cancel_s - self.lease_s - self.lease_margin_s()).unwrap_or_default()
     }
--- a/src/store/late_transactions.rs
+++ b/src/store/late_transactions.rs
@@ -133,7 +133,7 @@
     let placed = life.batch("next placement", fencing_token, vec![], vec![chunk(&jobs[0], placed, 2)]);
     life.send_move("second acceptance", moves::accept(&jobs[1], true));
     life.batch("placement beside it", fencing_token, vec![], vec![chunk(&jobs[1], 0, 1)]);
-    life.send_move("withdrawal", moves::withdraw(&jobs[1], None, 5));
+    life.send_move("withdrawal", moves::cancel(&jobs[1], None, 5));
     life.batch("news of the first", fencing_token, vec![], vec![chunk(&jobs[0], placed, 3)]);
     life.batch("done", fencing_token, vec![jobs[0].clone()], vec![]);
     let drops = jobs[..2].iter().map(|job| (job.spec.id.clone(), 0)).collect::<Vec<_>>();
--- a/src/store/mirror/tests.rs
+++ b/src/store/mirror/tests.rs
@@ -206,7 +206,7 @@
     }
 }
 
-/// A watermark ahead of the store would let users hear of withdrawals that no leader knows.
+/// A watermark ahead of the store would let users hear of cancellations that no leader knows.
 #[test]
 fn a_stored_watermark_ahead_of_the_store_is_not_believed() {
     for (fencing_token, revision, believed) in
--- a/src/users/withdrawal.rs
+++ b/src/users/cancellation.rs
@@ -1,4 +1,4 @@
-//! Withdrawal of jobs by users.
+//! Cancellation of jobs by users.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::wire::users::{JobAnswer, Status};
 
 /// A job that its user calls off.
-pub(super) async fn withdraw(node: &Node, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
+pub(super) async fn cancel(node: &Node, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
     let found = look_up(node, id).await;
     if !is_open(&found) {
         return found;
@@ -30,7 +30,7 @@
     }
     let record = lock(&node.mirror).open(&id).cloned();
     if let Some(record) = record {
-        return write_withdrawal(node, follow_ups, record).await;
+        return write_cancellation(node, follow_ups, record).await;
     }
     let found = look_up(node, &id).await;
     if is_open(&found) { Reply::later("the job has not been read yet") } else { found }
@@ -41,20 +41,20 @@
 }
 
 /// Writes the end of a job that was seen open, and tells its user.
-async fn write_withdrawal(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
+async fn write_cancellation(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
     let id = record.spec.id.clone();
-    let leader = node.withdraws_under();
-    let withdrawal = moves::withdraw(&record, leader, time_of_day_ms());
-    let sent = follow_ups.begin(Write::Withdrawal, &record);
-    match node.store.txn(&withdrawal.conditions, &withdrawal.changes, Urgent::First).await {
+    let leader = node.cancels_under();
+    let cancellation = moves::cancel(&record, leader, time_of_day_ms());
+    let sent = follow_ups.begin(Write::Cancellation, &record);
+    match node.store.txn(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
         Ok(TxnOutcome::Applied(stamp)) => {
             sent.applied();
-            lock(&node.audit).note(Held::Ended(record, End::Withdrawn));
-            if leader.is_some_and(|fencing_token| node.withdrew(&id, fencing_token)) {
-                return ended(&id, End::Withdrawn);
+            lock(&node.audit).note(Held::Ended(record, End::Cancelled));
+            if leader.is_some_and(|fencing_token| node.cancelled_by_leader(&id, fencing_token)) {
+                return ended(&id, End::Cancelled);
             }
-            node.history.note_withdrawal(&id, stamp);
-            tell_end(node, &id, End::Withdrawn).await
+            node.history.note_cancellation(&id, stamp);
+            tell_end(node, &id, End::Cancelled).await
         }
         Ok(TxnOutcome::Failed(keys)) => {
             sent.refused();
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -1,7 +1,7 @@
 //! Finds out the result of writes that were not answered.
 //!
 //! The state service may carry out a write whose answer is lost, or carry it out later. The user asks again and is
-//! told what is stored, and the log has to agree: whoever counts by the log would take a job whose withdrawal has no
+//! told what is stored, and the log has to agree: whoever counts by the log would take a job whose cancellation has no
 //! line for work that was never served. So each write is tracked from before it is sent until its answer, or the
 //! store, tells the result. For an acceptance the mirror is enough, which costs nothing; for a job that has ended the
 //! store is asked once how it did.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Write {
     Acceptance,
-    Withdrawal,
+    Cancellation,
 }
 
 /// What is known of a job whose write was not answered.
@@ -56,16 +56,16 @@
     Forget,
 }
 
-/// The whole rule. A withdrawal that is stored may be another user's request by another controller: it is logged all
+/// The whole rule. A cancellation that is stored may be another user's request by another controller: it is logged all
 /// the same, since the line says what became of the job.
 fn next(write: Write, known: Known) -> Next {
     match (write, known) {
         (_, Known::Nothing) => Next::Wait,
         (Write::Acceptance, _) => Next::Log,
-        (Write::Withdrawal, Known::Open) => Next::Wait,
-        (Write::Withdrawal, Known::EndedSomehow) => Next::Ask,
-        (Write::Withdrawal, Known::Ended(End::Withdrawn)) => Next::Log,
-        (Write::Withdrawal, Known::Ended(End::Done)) => Next::Forget,
+        (Write::Cancellation, Known::Open) => Next::Wait,
+        (Write::Cancellation, Known::EndedSomehow) => Next::Ask,
+        (Write::Cancellation, Known::Ended(End::Cancelled)) => Next::Log,
+        (Write::Cancellation, Known::Ended(End::Done)) => Next::Forget,
     }
 }
 
@@ -138,7 +138,7 @@
         Write::Acceptance => {
             info!(job = %spec.id, team = spec.team, class = spec.class, tasks = spec.tasks, "accepted");
         }
-        Write::Withdrawal => info!(job = %spec.id, "withdrawn"),
+        Write::Cancellation => info!(job = %spec.id, "withdrawn"),
     }
 }
 
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -14,7 +14,7 @@
 /// Stored, and hidden until the leader is known to have it (`history::visibility`).
 const UNCONFIRMED: &str = "the job is being withdrawn: its leader has not confirmed that yet";
 
-/// An end as its users may hear it: a withdrawal only once the leader has it. Every path that tells of an end
+/// An end as its users may hear it: a cancellation only once the leader has it. Every path that tells of an end
 /// goes through here.
 pub(super) async fn tell_end(node: &Node, id: &JobId, end: End) -> Reply {
     node.watermark();
@@ -22,7 +22,7 @@
     if visible == Visible::Unknown {
         let stamp = lock(&node.mirror).ended_by(id);
         match stamp {
-            Some(stamp) => node.history.note_withdrawal(id, stamp),
+            Some(stamp) => node.history.note_cancellation(id, stamp),
             None => {
                 if let Err(error) = node.history.learn_stamp(&node.store, id).await {
                     debug!(%error, job = %id, "asking when it was withdrawn");
@@ -41,7 +41,7 @@
 pub(super) fn ended(id: &str, end: End) -> Reply {
     let status = match end {
         End::Done => Status::Done,
-        End::Withdrawn => Status::Withdrawn,
+        End::Cancelled => Status::Cancelled,
     };
     Reply::Job(200, JobAnswer { id: id.to_owned(), status, done: 0, running: 0 })
 }
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -7,11 +7,11 @@
 use salvo::prelude::*;
 use tracing::info;
 
+use super::cancellation::cancel;
 use super::follow_ups::FollowUps;
 use super::lookup::look_up;
 use super::reply::{COME_AGAIN_S, Refusal, Reply};
 use super::submission::submit;
-use super::withdrawal::withdraw;
 use crate::node::Node;
 use crate::traffic::Passage;
 use crate::wire::{self, BODY_LIMIT};
@@ -29,7 +29,7 @@
 enum Path {
     Submit,
     LookUp,
-    Withdraw,
+    Cancel,
     Health,
     Report,
 }
@@ -106,7 +106,7 @@
                 render_reply(node, res, Reply::later("this controller was paused"))
             }
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
-            Path::Withdraw => render_reply(node, res, withdraw(node, &self.follow_ups, &id).await),
+            Path::Cancel => render_reply(node, res, cancel(node, &self.follow_ups, &id).await),
             Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
             Path::Report => render_answer(node, res, workers::take_report(node, &body)),
         }
@@ -122,7 +122,7 @@
             Router::with_path("work").post(handle(Path::Submit)).push(
                 Router::with_path("{id}")
                     .get(handle(Path::LookUp))
-                    .push(Router::with_path("withdraw").post(handle(Path::Withdraw))),
+                    .push(Router::with_path("withdraw").post(handle(Path::Cancel))),
             ),
         )
         .push(Router::with_path("healthz").get(handle(Path::Health)))
