--- a/crates/emulator/src/declarations.rs
+++ b/crates/emulator/src/declarations.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobId, JobSpec};
+use hollylanding_protocol::jobs::{JobId, JobSpec};
 use serde_json::Value;
 
 /// A window may end this much later than it closes.
--- a/crates/emulator/src/driver/machines.rs
+++ b/crates/emulator/src/driver/machines.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_wire::workers::{Orders, Report};
-use hollylanding_wire::{self as wire, CallError};
+use hollylanding_protocol::workers::{Heartbeat, WorkerCommands};
+use hollylanding_protocol::{self as protocol, CallError};
 use hyper::Method;
 use hyper::body::Bytes;
 use serde_json::Value;
@@ -15,7 +15,7 @@
 use crate::judge::Event;
 use crate::world::fleet;
 
-/// Least time between two reports of a worker, however often something changes.
+/// Least time between two heartbeats of a worker, however often something changes.
 const CHANGE_GAP: Duration = Duration::from_millis(500);
 /// Time until a worker turns to the next controller.
 const NEXT_AFTER: Duration = Duration::from_secs(1);
@@ -29,11 +29,11 @@
 const MISDIRECTED: u16 = 421;
 
 impl World {
-    /// Delivers a copy of a report to every controller, whoever leads by now; the answers are dropped.
-    pub(super) fn deliver_copy(self: &Arc<Self>, mut report: Report) {
+    /// Delivers a copy of a heartbeat to every controller, whoever leads by now; the answers are dropped.
+    pub(super) fn deliver_copy(self: &Arc<Self>, mut heartbeat: Heartbeat) {
         for (at, node) in lock(&self.nodes).clone().into_iter().enumerate() {
-            report.addr = self.addr_for(&report.machine, at).unwrap_or(report.addr);
-            let (world, body) = (self.clone(), Some(wire::encode(&report)));
+            heartbeat.addr = self.addr_for(&heartbeat.machine, at).unwrap_or(heartbeat.addr);
+            let (world, body) = (self.clone(), Some(protocol::encode(&heartbeat)));
             tokio::spawn(
                 async move { world.http.call(Method::POST, &node.addr, REPORT_PATH, body, ANSWER_WITHIN).await },
             );
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sends the reports of one machine for as long as it is rented, to whichever controller takes them.
+/// Sends the heartbeats of one machine for as long as it is rented, to whichever controller takes them.
 struct Reporter {
     world: Arc<World>,
     /// The machine.
@@ -99,9 +99,9 @@
     turn: usize,
     /// Digest of the state that was reported last; none if it has to be reported again.
     reported: Option<u64>,
-    /// When the next report is due even if nothing changes.
+    /// When the next heartbeat is due even if nothing changes.
     due: Duration,
-    /// Before this time no report is sent.
+    /// Before this time no heartbeat is sent.
     earliest: Duration,
 }
 
@@ -123,38 +123,38 @@
                 continue;
             }
             // A hanging machine sends nothing, and continues later.
-            let Some(report) = self.world.with_fleet(|fleet, now| fleet.report(&self.name, now)) else {
+            let Some(heartbeat) = self.world.with_fleet(|fleet, now| fleet.heartbeat(&self.name, now)) else {
                 tokio::time::sleep(HANGING_STEP).await;
                 continue;
             };
             self.schedule(sent, digest);
-            self.send(report, sent).await;
+            self.send(heartbeat, sent).await;
         }
     }
 
-    /// When the next report is sent.
+    /// When the next heartbeat is sent.
     fn schedule(&mut self, sent: Duration, digest: u64) {
-        let interval = self.world.params.report;
+        let interval = self.world.params.heartbeat;
         let fraction = f64::from(digest as u8) / f64::from(u8::MAX);
         self.reported = Some(digest);
         self.earliest = sent + CHANGE_GAP.min(interval);
         self.due = sent + interval.mul_f64(0.75 + fraction / 2.0);
     }
 
-    /// Sends a report, and acts on the answer.
-    async fn send(&mut self, mut report: Report, sent: Duration) {
+    /// Sends a heartbeat, and acts on the answer.
+    async fn send(&mut self, mut heartbeat: Heartbeat, sent: Duration) {
         let nodes = lock(&self.world.nodes).clone();
         let at = self.turn % nodes.len().max(1);
         let Some(node) = nodes.get(at) else {
             tokio::time::sleep(STEP).await;
             return;
         };
-        report.addr = self.world.addr_for(&self.name, at).unwrap_or(report.addr);
-        let body = Some(wire::encode(&report));
+        heartbeat.addr = self.world.addr_for(&self.name, at).unwrap_or(heartbeat.addr);
+        let body = Some(protocol::encode(&heartbeat));
         let answer = self.world.http.call(Method::POST, &node.addr, REPORT_PATH, body, ANSWER_WITHIN).await;
         let reachable = lock(&self.world.fleet).is_reachable(&self.name, self.world.now());
         if reachable {
-            self.take(answer, report.agent_epoch, sent, at, &nodes);
+            self.take(answer, heartbeat.agent_epoch, sent, at, &nodes);
         } else {
             // A worker that receives nothing waits as long as for no answer, and turns to the next controller.
             tokio::time::sleep((sent + ANSWER_WITHIN).saturating_sub(self.world.now())).await;
@@ -173,12 +173,12 @@
     ) {
         match answer {
             Ok((200, body)) => {
-                if let Ok(orders) = wire::decode::<Orders>(&body) {
+                if let Ok(orders) = protocol::decode::<WorkerCommands>(&body) {
                     self.world.with_fleet(|fleet, now| fleet.answer(&self.name, agent_epoch, sent, &orders, now));
                 }
             }
             Ok((MISDIRECTED, body)) => {
-                let answer: Value = wire::decode(&body).unwrap_or_default();
+                let answer: Value = protocol::decode(&body).unwrap_or_default();
                 let named = nodes.iter().position(|node| answer["dispatcher"] == node.name.as_str());
                 match named.filter(|named| *named != at) {
                     Some(named) => self.turn_to(named, sent),
@@ -189,17 +189,17 @@
         }
     }
 
-    /// Reports to this controller at once.
+    /// Heartbeats to this controller at once.
     fn turn_to(&mut self, controller: usize, sent: Duration) {
         self.turn = controller;
         self.due = sent;
         self.earliest = sent;
     }
 
-    /// Reports to the next controller after a while.
+    /// Heartbeats to the next controller after a while.
     fn turn_to_next(&mut self) {
         self.turn += 1;
         self.reported = None;
-        self.earliest = self.world.now() + NEXT_AFTER.min(self.world.params.report);
+        self.earliest = self.world.now() + NEXT_AFTER.min(self.world.params.heartbeat);
     }
 }
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use hollylanding_wire::Http;
-use hollylanding_wire::jobs::{JobSpec, Shape};
+use hollylanding_protocol::Http;
+use hollylanding_protocol::jobs::{JobSpec, Shape};
 
 use crate::judge::{Entry, Event};
 use crate::world::cloud::{self, Boots, Cloud};
@@ -41,8 +41,8 @@
     pub fleet: fleet::Params,
     /// How new machines boot.
     pub boots: Boots,
-    /// Interval between two reports of a worker; each one varies by up to a quarter.
-    pub report: Duration,
+    /// Interval between two heartbeats of a worker; each one varies by up to a quarter.
+    pub heartbeat: Duration,
     /// The most keys or machines on one page of a listing, whatever the request asks for.
     pub page_most: usize,
     /// Seed of all randomness.
@@ -209,7 +209,7 @@
                 fleet.tick(now);
                 fleet.copies_due(now)
             });
-            copies.into_iter().for_each(|report| self.deliver_copy(report));
+            copies.into_iter().for_each(|heartbeat| self.deliver_copy(heartbeat));
             tokio::time::sleep(STEP).await;
         }
     }
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hollylanding_wire as wire;
-use hollylanding_wire::cloud::{Names, Rental};
-use hollylanding_wire::workers::Orders;
+use hollylanding_protocol as protocol;
+use hollylanding_protocol::cloud::{Names, Rental};
+use hollylanding_protocol::workers::WorkerCommands;
 use salvo::conn::tcp::TcpListener;
 use salvo::http::StatusCode;
 use salvo::prelude::*;
@@ -57,7 +57,7 @@
 /// The body of a request; null if there is none or it is malformed.
 async fn body(req: &mut Request) -> Value {
     match req.payload().await {
-        Ok(body) if !body.is_empty() => wire::decode(body).unwrap_or_default(),
+        Ok(body) if !body.is_empty() => protocol::decode(body).unwrap_or_default(),
         _ => Value::Null,
     }
 }
@@ -103,12 +103,12 @@
 
 impl WorkerEndpoint {
     async fn answer(&self, req: &mut Request) -> Answer {
-        let Ok(orders) = serde_json::from_value::<Orders>(body(req).await) else { return Answer::empty(400) };
+        let Ok(orders) = serde_json::from_value::<WorkerCommands>(body(req).await) else { return Answer::empty(400) };
         let outcome = self.world.with_fleet(|fleet, now| fleet.command(&self.machine, &orders, now));
         match outcome {
-            Some((taken, report)) => {
+            Some((taken, heartbeat)) => {
                 let status = if taken { 200 } else { 409 };
-                Answer::new(status, serde_json::to_value(report).unwrap_or_default())
+                Answer::new(status, serde_json::to_value(heartbeat).unwrap_or_default())
             }
             None => {
                 // It hangs, or it is gone: either way it does not answer.
@@ -123,7 +123,7 @@
 impl Handler for WorkerEndpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = self.answer(req).await;
-        write_answer(res, answer.status, wire::encode(&answer.body));
+        write_answer(res, answer.status, protocol::encode(&answer.body));
     }
 }
 
@@ -266,7 +266,7 @@
 impl Handler for ControllerEndpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = self.answer(req).await;
-        let body = wire::encode(&answer.body);
+        let body = protocol::encode(&answer.body);
         let mut state = lock(&self.world.state);
         state.largest = state.largest.max(body.len());
         drop(state);
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use hollylanding_wire::state::{Change, CompareAndSwap};
+use hollylanding_protocol::state::{Change, CompareAndSwap};
 use serde_json::{Value, json};
 
 use crate::world::store::{Limits, Refusal, Store};
@@ -245,7 +245,7 @@
         }
     }
 
-    /// The answer of a watch that reports no change.
+    /// The answer of a watch that heartbeats no change.
     pub fn nothing_new(&self) -> Value {
         json!({"ledgerRev": self.store.revision(), "log": []})
     }
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobId, JobSpec};
-use hollylanding_wire::users::Status;
+use hollylanding_protocol::jobs::{JobId, JobSpec};
+use hollylanding_protocol::users::Status;
 use serde_json::Value;
 
 use crate::world::fleet::Happening;
--- a/crates/emulator/src/judge/answers.rs
+++ b/crates/emulator/src/judge/answers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobId, Shape};
-use hollylanding_wire::users::Status;
+use hollylanding_protocol::jobs::{JobId, Shape};
+use hollylanding_protocol::users::Status;
 
 use super::state::Judge;
 use super::{Ask, Rule};
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobId, JobSpec, Shape};
-use hollylanding_wire::users::Status;
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::jobs::{JobId, JobSpec, Shape};
+use hollylanding_protocol::users::Status;
+use hollylanding_protocol::workers::{Cause, TaskKey};
 
 use super::answers::{PollCounts, Unanswered};
 use super::verdict::{JobResult, largest};
--- a/crates/emulator/src/judge/tasks.rs
+++ b/crates/emulator/src/judge/tasks.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobId, JobSpec};
-use hollylanding_wire::users::Status;
-use hollylanding_wire::workers::TaskKey;
+use hollylanding_protocol::jobs::{JobId, JobSpec};
+use hollylanding_protocol::users::Status;
+use hollylanding_protocol::workers::TaskKey;
 
 use super::Rule;
 use super::state::{Attempt, Job, Judge, Place};
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -1,7 +1,7 @@
 use super::verdict::{JobResult, largest};
 use super::*;
-use hollylanding_wire::jobs::{Shape, Urgency};
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::jobs::{Shape, Urgency};
+use hollylanding_protocol::workers::{Cause, TaskKey};
 use serde_json::json;
 
 fn spec(id: &str) -> JobSpec {
--- a/crates/emulator/src/judge/verdict.rs
+++ b/crates/emulator/src/judge/verdict.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hollylanding_wire::workers::TaskKey;
+use hollylanding_protocol::workers::TaskKey;
 
 use super::Rule;
 
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, SystemTime};
 
 use hdrhistogram::Histogram;
-use hollylanding_wire::jobs::JobId;
+use hollylanding_protocol::jobs::JobId;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinSet;
--- a/crates/emulator/src/rehearsal/jobs.rs
+++ b/crates/emulator/src/rehearsal/jobs.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use hollylanding_wire::jobs::{JobSpec, Shape};
+use hollylanding_protocol::jobs::{JobSpec, Shape};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use hollylanding_wire::jobs::JobId;
+use hollylanding_protocol::jobs::JobId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rhai::{Dynamic, Engine, EvalAltResult};
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hollylanding_wire::cloud::MachineType;
-use hollylanding_wire::jobs::{JobSpec, Shape, Urgency};
+use hollylanding_protocol::cloud::MachineType;
+use hollylanding_protocol::jobs::{JobSpec, Shape, Urgency};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/crates/emulator/src/world/cloud.rs
+++ b/crates/emulator/src/world/cloud.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use hollylanding_wire::cloud::{Catalog, ListPage, Listed, MachineType, Rental};
+use hollylanding_protocol::cloud::{Catalog, ListPage, Listed, MachineType, Rental};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -5,9 +5,9 @@
 
 mod faults;
 mod gangs;
+mod heartbeats;
 mod images;
 mod orders;
-mod reports;
 mod running;
 mod worker;
 
@@ -16,21 +16,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_wire::cloud::MachineType;
-use hollylanding_wire::jobs::{JobId, JobSpec};
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::cloud::MachineType;
+use hollylanding_protocol::jobs::{JobId, JobSpec};
+use hollylanding_protocol::workers::{Cause, TaskKey};
 
 use gangs::{GangAttempt, Stop};
-use reports::ReportCopy;
+use heartbeats::ReportCopy;
 use worker::{Task, TaskState, Worker};
 
-/// A worker ignores an answer that arrives later than this after its report.
+/// A worker ignores an answer that arrives later than this after its heartbeat.
 pub const ANSWER_TAKEN: Duration = Duration::from_secs(4);
 
 /// Timeouts of the workers.
 #[derive(Debug, Clone, Copy)]
 pub struct Params {
-    /// A worker ends its agent epoch and its tasks if no report was answered for this long.
+    /// A worker ends its agent epoch and its tasks if no heartbeat was answered for this long.
     pub lease: Duration,
     /// How long a member of a gang waits for the others before it gives up.
     pub gang_wait: Duration,
@@ -112,7 +112,7 @@
     /// Gangs that are done: if one task is, all are.
     gangs_done: HashSet<JobId>,
     happened: Vec<Happening>,
-    /// Copies of reports that will be delivered later: kept here, since they outlive their machines.
+    /// Copies of heartbeats that will be delivered later: kept here, since they outlive their machines.
     copies: Vec<ReportCopy>,
     at: Duration,
 }
--- a/crates/emulator/src/world/fleet/faults.rs
+++ b/crates/emulator/src/world/fleet/faults.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use hollylanding_wire::workers::TaskKey;
+use hollylanding_protocol::workers::TaskKey;
 
 use super::Fleet;
-use super::reports::CopyWindow;
+use super::heartbeats::CopyWindow;
 use super::worker::{TaskState, Worker};
 
 /// Added to the number of an attempt that is started a second time, so that it differs from any real one.
@@ -34,7 +34,7 @@
         self.workers.get(name).is_some_and(|w| w.unreachable_until <= now)
     }
 
-    /// A copy of each of its reports until then comes between `from` and `to` later, in whatever order.
+    /// A copy of each of its heartbeats until then comes between `from` and `to` later, in whatever order.
     pub fn copy_reports(&mut self, name: &str, until: Duration, from: Duration, to: Duration) {
         self.on_worker(name, |worker| {
             worker.copied = CopyWindow { until, least_delay: from, most_delay: to.max(from) }
--- a/crates/emulator/src/world/fleet/gangs.rs
+++ b/crates/emulator/src/world/fleet/gangs.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use hollylanding_wire::jobs::JobId;
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::jobs::JobId;
+use hollylanding_protocol::workers::{Cause, TaskKey};
 
 use super::Fleet;
 use super::worker::{Task, TaskState, Worker};
--- a/crates/emulator/src/world/fleet/running.rs
+++ b/crates/emulator/src/world/fleet/running.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollylanding_wire::workers::Cause;
+use hollylanding_protocol::workers::Cause;
 
 use super::Fleet;
 use super::worker::{Task, TaskState};
--- a/crates/emulator/src/world/fleet/worker.rs
+++ b/crates/emulator/src/world/fleet/worker.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollylanding_wire::jobs::JobSpec;
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::jobs::JobSpec;
+use hollylanding_protocol::workers::{Cause, TaskKey};
 
+use super::heartbeats::CopyWindow;
 use super::images::CachedImage;
-use super::reports::CopyWindow;
 use super::{Machine, Upload};
 
 /// Tolerance when amounts of cores, accelerators and memory are compared.
@@ -85,7 +85,7 @@
     pub(super) hangs_until: Duration,
     /// Hears neither answers nor commands until then, though its own reports arrive.
     pub(super) unreachable_until: Duration,
-    /// Which of its reports are copied.
+    /// Which of its heartbeats are copied.
     pub(super) copied: CopyWindow,
     /// Fails every task that it starts.
     pub(super) sick: bool,
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use hollylanding_wire::state::{Change, CompareAndSwap, Condition, Event, Item, Page, Refused, WatchResponse};
+use hollylanding_protocol::state::{Change, CompareAndSwap, Condition, Event, Item, Page, Refused, WatchResponse};
 use serde_json::Value;
 
 use super::bucket::Bucket;
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -7,9 +7,9 @@
 
 use hollylanding_emulator::judge::{Ask, Entry, Event, Rule, Terms, judge};
 use hollylanding_emulator::world::fleet::Happening;
-use hollylanding_wire::jobs::JobSpec;
-use hollylanding_wire::users::Status;
-use hollylanding_wire::workers::{Cause, TaskKey};
+use hollylanding_protocol::jobs::JobSpec;
+use hollylanding_protocol::users::Status;
+use hollylanding_protocol::workers::{Cause, TaskKey};
 use serde_json::json;
 
 fn spec() -> JobSpec {
--- a/crates/wire/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -94,9 +94,9 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's report (heartbeat): what it is and all attempts on it.
+/// A worker's heartbeat (heartbeat): what it is and all attempts on it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The cloud's name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
@@ -116,7 +116,7 @@
     /// attempts.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Sequence number of the report; an older report has a smaller one.
+    /// Sequence number of the heartbeat; an older heartbeat has a smaller one.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// The highest fencing token that the worker has seen; it refuses orders under a smaller one.
@@ -130,7 +130,7 @@
     pub attempts: Vec<AttemptReport>,
 }
 
-impl Report {
+impl Heartbeat {
     /// Whether the fields are consistent with each other and within their bounds.
     pub fn check(&self) -> bool {
         self.agent_epoch >= 1
@@ -144,7 +144,7 @@
 /// An order to a worker, which executes orders in sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Starts an attempt. Repeated, it changes nothing.
     Launch {
         /// The task.
@@ -166,7 +166,7 @@
         #[serde(rename = "windDownS")]
         grace_s: u64,
     },
-    /// Removes an attempt that has ended from the worker's reports.
+    /// Removes an attempt that has ended from the worker's heartbeats.
     Reap {
         /// The task.
         #[serde(rename = "leg")]
@@ -177,17 +177,17 @@
     },
 }
 
-/// Orders under a fencing token: the answer to a report, or sent directly to a worker.
+/// Orders under a fencing token: the answer to a heartbeat, or sent directly to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct WorkerCommands {
     /// The fencing token of the controller that sends them.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The agent epoch they are meant for; absent in the answer to a report.
+    /// The agent epoch they are meant for; absent in the answer to a heartbeat.
     #[serde(default, rename = "shift", skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
     /// The orders, executed in sequence.
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 #[cfg(test)]
--- a/crates/wire/src/workers/tests.rs
+++ b/crates/protocol/src/workers/tests.rs
@@ -6,7 +6,7 @@
     let good = json!({"berth":"host-1","endpoint":"127.0.0.1:9","fleet":"g","yard":"a","borrowed":true,
         "shift":1,"tally":8,"baton":0,"recallS":null,"legs":[
           {"leg":"run-1/3","try":2,"status":"ended","cause":"done"}]});
-    let read = |v: &serde_json::Value| crate::decode::<Report>(&crate::encode(v)).ok().filter(Report::check);
+    let read = |v: &serde_json::Value| crate::decode::<Heartbeat>(&crate::encode(v)).ok().filter(Heartbeat::check);
     assert_eq!(read(&good).unwrap().attempts[0].task.index, 3);
     for (pointer, bad) in [
         ("/legs/0/leg", json!("run-1")),
@@ -25,6 +25,6 @@
 #[test]
 fn orders_as_written() {
     let task = TaskKey { job: "run-7".into(), index: 1 };
-    let order = Order::Halt { task, attempt: 3, grace_s: 10 };
+    let order = WorkerCommand::Halt { task, attempt: 3, grace_s: 10 };
     assert_eq!(serde_json::to_value(&order).unwrap(), json!({"verb":"halt","leg":"run-7/1","try":3,"windDownS":10}));
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -11,8 +11,8 @@
 use tracing_subscriber::EnvFilter;
 
 use crate::jobs::JobSpec;
+use crate::protocol::{self, Http};
 use crate::settings::{Properties, Settings, SettingsError};
-use crate::wire::{self, Http};
 
 /// Settings that cannot be used, or a request that was refused.
 const UNUSABLE: u8 = 2;
@@ -157,7 +157,7 @@
     if let Err(problem) = spec.check() {
         return unusable(format!("{}: {problem}", file.display()));
     }
-    ask(node, Method::POST, "/work", Some(wire::encode(&spec)))
+    ask(node, Method::POST, "/work", Some(protocol::encode(&spec)))
 }
 
 fn ask(node: &str, method: Method, path: &str, body: Option<Vec<u8>>) -> ExitCode {
@@ -178,7 +178,7 @@
             ExitCode::FAILURE
         }
         Ok((status, body)) => {
-            let text = wire::decode::<serde_json::Value>(&body).map(|v| v.to_string()).unwrap_or_default();
+            let text = protocol::decode::<serde_json::Value>(&body).map(|v| v.to_string()).unwrap_or_default();
             if (200..300).contains(&status) {
                 println!("{text}");
                 return ExitCode::SUCCESS;
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -14,12 +14,12 @@
 use super::table::{Declaration, Entry, entry};
 use super::{DeclarationKind, Names, Problem};
 use crate::jobs::record::time_of_day_ms;
+use crate::protocol::Http;
 use crate::settings::Settings;
 use crate::store::budget::{Budget, Urgent};
 use crate::store::client::Item;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use crate::sync::jitter;
-use crate::wire::Http;
 
 /// The part of the state service's limits that controllers leave over.
 const PART: f64 = 0.05;
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -6,13 +6,13 @@
 use hyper::Method;
 
 use crate::machine_kinds::Catalog;
+use crate::protocol::cloud::{ListPage, Names};
+pub use crate::protocol::cloud::{Listed, Rental};
+use crate::protocol::{self, Http};
 use crate::settings::Settings;
 use crate::store::budget::{Budget, Urgent};
 use crate::sync::lock;
 use crate::traffic::{Passage, Traffic};
-use crate::wire::cloud::{ListPage, Names};
-pub use crate::wire::cloud::{Listed, Rental};
-use crate::wire::{self, Http};
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 /// Most machines in one rental request.
@@ -67,8 +67,8 @@
         self.traffic.count(Passage::CloudCall);
         match self.http.call(method, &self.addr, path, body, ANSWER_WITHIN).await {
             Ok(answer) => Ok(answer),
-            Err(wire::CallError::NotSent) => Err(CloudError::Refused(0)),
-            Err(wire::CallError::Unanswered | wire::CallError::TooLarge) => Err(CloudError::Unanswered),
+            Err(protocol::CallError::NotSent) => Err(CloudError::Refused(0)),
+            Err(protocol::CallError::Unanswered | protocol::CallError::TooLarge) => Err(CloudError::Unanswered),
         }
     }
 
@@ -89,7 +89,7 @@
     /// Rents machines and returns their names, which may be fewer than asked for. The cloud answers a request name
     /// (`Rental`) alike however often it is sent, so an unanswered call can be repeated.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<String>, CloudError> {
-        match self.call(Method::POST, "/rentals", Some(wire::encode(rental))).await? {
+        match self.call(Method::POST, "/rentals", Some(protocol::encode(rental))).await? {
             (200, body) => Ok(read::<Names>(&body)?.machines),
             (503, body) if read::<serde_json::Value>(&body).is_ok_and(|v| v["error"] == "no capacity") => {
                 Err(CloudError::NoCapacity)
@@ -100,7 +100,7 @@
 
     /// Returns machines, at most [`MOST_RETURNED`] in one call. May be repeated when it was not answered.
     pub async fn give_back(&self, machines: Vec<String>) -> Result<(), CloudError> {
-        match self.call(Method::POST, "/rentals/return", Some(wire::encode(&Names { machines }))).await? {
+        match self.call(Method::POST, "/rentals/return", Some(protocol::encode(&Names { machines }))).await? {
             (200, _) => Ok(()),
             (status, _) => Err(CloudError::Refused(status)),
         }
@@ -128,5 +128,5 @@
 }
 
 fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
-    wire::decode(body).map_err(|e| CloudError::Malformed(e.to_string()))
+    protocol::decode(body).map_err(|e| CloudError::Malformed(e.to_string()))
 }
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -5,13 +5,13 @@
 
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
+use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::backfill;
 use crate::scheduling::cluster::{ClusterState, Machine, MachineId, MachineState};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
 use crate::scheduling::room::{Ground, Room, Zones, suspect_after, usable};
 use crate::sla;
-use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// A machine costs this long in any case.
 const LEAST_CHARGED: Duration = Duration::from_secs(60);
--- a/src/fleet/orders.rs
+++ b/src/fleet/orders.rs
@@ -13,9 +13,9 @@
 
 use super::cloud::{MOST_RENTED, MOST_RETURNED};
 use crate::jobs::record::LEADER;
+use crate::protocol::cloud::Rental;
+use crate::protocol::state::Item;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
-use crate::wire::cloud::Rental;
-use crate::wire::state::Item;
 
 /// Open orders, one key each.
 pub const ORDERS: &str = "d/";
--- a/src/fleet/rent.rs
+++ b/src/fleet/rent.rs
@@ -208,8 +208,8 @@
 
     /// The machines there are and those asked for.
     fn timelines(&self, for_urgent: bool) -> Vec<Timeline<'a>> {
-        // Those that do not hear take no work, nor may there be any of whom only old reports tell. A second fleet would
-        // hear no more where most don't.
+        // Those that do not hear take no work, nor may there be any of whom only old heartbeats tell. A second fleet
+        // would hear no more where most don't.
         let most_inbound_lost = self.cluster.most_inbound_lost();
         let stays = |m: &&Machine| {
             !matches!(m.state, MachineState::Terminating | MachineState::Draining)
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use crate::wire::jobs::{JobId, JobSpec, MOST_TASKS, Shape, Urgency, well_formed_id};
+pub use crate::protocol::jobs::{JobId, JobSpec, MOST_TASKS, Shape, Urgency, well_formed_id};
 
 /// How a job ended. There is no way back from either.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -64,7 +64,7 @@
     ] {
         let mut cut = whole.clone();
         cut.as_object_mut().unwrap().remove(field);
-        let read = crate::wire::decode::<JobSpec>(&crate::wire::encode(&cut));
+        let read = crate::protocol::decode::<JobSpec>(&crate::protocol::encode(&cut));
         assert_eq!(read.is_err(), needed, "{field}");
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,4 +36,4 @@
 pub mod users;
 pub mod workers;
 
-pub use hollylanding_wire as wire;
+pub use hollylanding_protocol as protocol;
--- a/src/machine_kinds.rs
+++ b/src/machine_kinds.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-pub use crate::wire::cloud::{Catalog, MachineType};
+pub use crate::protocol::cloud::{Catalog, MachineType};
 
 /// What can be rented: a type, in a zone, ordinary or spot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/src/membership/late.rs
+++ b/src/membership/late.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::wire::state::CompareAndSwap;
+use crate::protocol::state::CompareAndSwap;
 use hollylanding_emulator::world::store::Store;
 
 use super::records::TakeoverRequest;
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -125,7 +125,7 @@
     Held(Instant),
 }
 
-/// Machines that report to a leader which may be one no more. Each is sent to look for another; one that
+/// Machines that heartbeat to a leader which may be one no more. Each is sent to look for another; one that
 /// comes back has found none and is held, so that its lease does not end, and sent again later. Pure.
 #[derive(Debug, Default)]
 pub struct LetGo {
--- a/src/membership/unreachable_leader.rs
+++ b/src/membership/unreachable_leader.rs
@@ -18,7 +18,7 @@
 struct Redirected {
     /// When it was last redirected.
     at: Instant,
-    /// (agent epoch, seq) of the newest report: a late copy of an older one is no coming back.
+    /// (agent epoch, seq) of the newest heartbeat: a late copy of an older one is no coming back.
     newest: (u64, u64),
     /// It came back in vain.
     back: bool,
@@ -37,18 +37,18 @@
         self.redirected.len()
     }
 
-    /// Notes a redirect of the report with this (agent epoch, seq). Gives the number of workers that cannot reach the
-    /// leader when it is time for a takeover request.
-    pub fn note(&mut self, machine: &str, report: (u64, u64), now: Instant) -> Option<usize> {
+    /// Notes a redirect of the heartbeat with this (agent epoch, seq). Gives the number of workers that cannot reach
+    /// the leader when it is time for a takeover request.
+    pub fn note(&mut self, machine: &str, heartbeat: (u64, u64), now: Instant) -> Option<usize> {
         self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
         if let Some(seen) = self.redirected.get_mut(machine) {
-            if report <= seen.newest {
+            if heartbeat <= seen.newest {
                 return None;
             }
             seen.back |= now.saturating_duration_since(seen.at) >= APART;
-            (seen.at, seen.newest) = (now, report);
+            (seen.at, seen.newest) = (now, heartbeat);
         } else if self.redirected.len() < MOST {
-            self.redirected.insert(machine.to_owned(), Redirected { at: now, newest: report, back: false });
+            self.redirected.insert(machine.to_owned(), Redirected { at: now, newest: heartbeat, back: false });
         }
         let n = self.redirected.values().filter(|seen| seen.back).count();
         let rested = self.requested.is_none_or(|at| now.saturating_duration_since(at) >= TAKEOVER_REQUEST_GAP);
--- a/src/membership/unreachable_leader/tests.rs
+++ b/src/membership/unreachable_leader/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(unreachable_leader.note("a", (1, 9), t + s(60)), None, "long ago does not count");
 }
 
-/// Copies of reports that come late, several and out of order, were taken for workers that come back.
+/// Copies of heartbeats that come late, several and out of order, were taken for workers that come back.
 #[test]
 fn late_copies_are_no_coming_back() {
     let t = Instant::now();
--- a/src/node.rs
+++ b/src/node.rs
@@ -33,6 +33,7 @@
 use crate::membership::watermark::Unconfirmed;
 use crate::membership::{self, mesh};
 use crate::process_pause::{BEAT, PauseDetector};
+use crate::protocol::Http;
 use crate::scheduling::ClusterState;
 use crate::scheduling::fairness::Account;
 use crate::settings::{Properties, Settings};
@@ -42,7 +43,6 @@
 use crate::store::{StateClient, watch};
 use crate::sync::lock;
 use crate::traffic::Traffic;
-use crate::wire::Http;
 
 /// Who is to look again because something changed.
 #[derive(Default)]
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -83,8 +83,8 @@
 
     /// A worker was sent to the leader. If workers keep coming back, the leader is told through the
     /// store, which it must still reach since it holds its lease.
-    pub fn note_redirect(self: &Arc<Self>, machine: &str, report: (u64, u64), now: Instant) {
-        let Some(machines) = lock(&self.unreachable_leader).note(machine, report, now) else { return };
+    pub fn note_redirect(self: &Arc<Self>, machine: &str, heartbeat: (u64, u64), now: Instant) {
+        let Some(machines) = lock(&self.unreachable_leader).note(machine, heartbeat, now) else { return };
         let Some(fencing_token) = lock(&self.watch_cache).leader_record().map(|(_, version)| *version) else { return };
         warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
--- a/src/node/over.rs
+++ b/src/node/over.rs
@@ -1,17 +1,17 @@
-//! Which jobs in a worker's report have ended by the watch cache. Needed where the cluster state alone may not decide:
-//! it is not loaded yet, or this controller may have been replaced as leader.
+//! Which jobs in a worker's heartbeat have ended by the watch cache. Needed where the cluster state alone may not
+//! decide: it is not loaded yet, or this controller may have been replaced as leader.
 
 use std::collections::HashSet;
 
 use super::Node;
 use crate::jobs::JobId;
+use crate::protocol::workers::Heartbeat;
 use crate::sync::lock;
-use crate::wire::workers::Report;
 
 /// Jobs that are over, by a watch cache that holds everything up to a revision.
 #[derive(Debug, Default)]
 pub struct Over {
-    /// Jobs of the report that have ended by the watch cache; their tasks are to be stopped.
+    /// Jobs of the heartbeat that have ended by the watch cache; their tasks are to be stopped.
     pub jobs: HashSet<JobId>,
     through: u64,
 }
@@ -24,9 +24,9 @@
 }
 
 impl Node {
-    /// Which jobs of a report are over, as far as the watch cache tells. Only looked for where the cluster state alone
-    /// may not decide: it is not loaded, or `acts` is false.
-    pub fn over_among(&self, report: &Report, acts: bool) -> Over {
+    /// Which jobs of a heartbeat are over, as far as the watch cache tells. Only looked for where the cluster state
+    /// alone may not decide: it is not loaded, or `acts` is false.
+    pub fn over_among(&self, heartbeat: &Heartbeat, acts: bool) -> Over {
         let fencing_token = match lock(&self.cluster).as_ref() {
             Some(cluster) if !(acts && cluster.loaded) => cluster.fencing_token,
             _ => return Over::default(),
@@ -39,7 +39,7 @@
             missing || watch_cache.ended_by(id).is_some() || self.history.ended(id).is_some()
         };
         let jobs =
-            report.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
+            heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job).filter(over).cloned().collect();
         Over { jobs, through }
     }
 }
--- a/src/rollouts/look.rs
+++ b/src/rollouts/look.rs
@@ -9,9 +9,9 @@
 use super::status::{Phase, Status};
 use crate::declarations::View;
 use crate::jobs::{JobId, JobSpec, Shape};
+use crate::protocol::workers::AttemptStatus;
 use crate::scheduling::cluster::MachineState;
 use crate::scheduling::room::{SLACK, suspect_after};
-use crate::wire::workers::AttemptStatus;
 
 pub fn look(name: &str, spec: &Spec, status: &Status, view: &View) -> Observation {
     let begun = status.phase.begun();
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -23,7 +23,7 @@
     pub type_name: String,
     /// The machine's zone.
     pub zone: String,
-    /// By the last report.
+    /// By the last heartbeat.
     pub running: bool,
     /// Was told to stop by this leader.
     pub stopping: bool,
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -5,9 +5,9 @@
 
 use super::{Binding, ClusterState, JobState, Phase};
 use crate::jobs::JobId;
+use crate::protocol::workers::TaskKey;
 use crate::scheduling::fairness::Note;
 use crate::scheduling::plan::Placement;
-use crate::wire::workers::TaskKey;
 
 impl ClusterState {
     /// Binds each placed task to its machine; its launch waits until that is stored.
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -5,7 +5,7 @@
 
 use super::{ClusterState, Direct, Machine, MachineId, MachineState, Phase};
 use crate::jobs::JobId;
-use crate::wire::workers::{AttemptReport, AttemptStatus, Order};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, WorkerCommand};
 
 /// Orders of one answer or command: about 60 bytes each, well below the body limit.
 const MOST_ORDERS: usize = 400;
@@ -20,8 +20,8 @@
 const RAISE_GAP: Duration = Duration::from_secs(5);
 
 impl ClusterState {
-    /// What the answer to this machine's report is to tell it.
-    pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<Order> {
+    /// What the answer to this machine's heartbeat is to tell it.
+    pub fn orders_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
         // never wrong, and this answer renews the lease, which is what else would end the task.
@@ -30,8 +30,8 @@
         let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
             m.partition.answered(fencing_token, m.fencing_token, &orders, now);
-            if orders.iter().any(|o| matches!(o, Order::Launch { .. })) {
-                m.launched_in = Some(m.newest_report);
+            if orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
+                m.launched_in = Some(m.newest_heartbeat);
             }
             if !orders.is_empty() {
                 m.tell = false;
@@ -44,7 +44,7 @@
     /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
     /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
     /// fencing token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
-    pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<Order> {
+    pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
             over.contains(id) || self.ended_at.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
@@ -53,7 +53,7 @@
             .attempts
             .iter()
             .filter(|attempt_report| attempt_report.status != AttemptStatus::Exited && ended(&attempt_report.task.job));
-        let stop = |attempt_report: &AttemptReport| Order::Halt {
+        let stop = |attempt_report: &AttemptReport| WorkerCommand::Halt {
             task: attempt_report.task.clone(),
             attempt: attempt_report.attempt,
             grace_s: 0,
@@ -61,10 +61,10 @@
         live.map(stop).take(MOST_ORDERS).collect()
     }
 
-    fn note_told(&mut self, orders: &[Order], machine: &str) {
+    fn note_told(&mut self, orders: &[WorkerCommand], machine: &str) {
         let Some(agent_epoch) = self.machines.get(machine).map(|m| m.agent_epoch) else { return };
         for order in orders {
-            if let Order::Launch { task, .. } = order
+            if let WorkerCommand::Launch { task, .. } = order
                 && let Some(binding) = self.jobs.get_mut(&task.job).and_then(|j| j.binding_mut(task.index))
             {
                 binding.told.get_or_insert(agent_epoch);
@@ -73,7 +73,7 @@
     }
 
     /// All that a machine should be told now, as a function of the cluster state alone.
-    fn orders(&self, m: &Machine) -> Vec<Order> {
+    fn orders(&self, m: &Machine) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         if !self.loaded {
             return orders;
@@ -96,14 +96,14 @@
                     matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
                 // What has ended of a job that rests is looked at once it is released.
                 if binding.is_none() && !unstored && m.settled() && !self.rests(&task.job) {
-                    orders.push(Order::Reap { task, attempt });
+                    orders.push(WorkerCommand::Reap { task, attempt });
                 }
             } else if binding.is_none() || ended {
-                orders.push(Order::Halt { task, attempt, grace_s: 0 });
+                orders.push(WorkerCommand::Halt { task, attempt, grace_s: 0 });
             } else if let Some(grace_s) = binding.and_then(|b| b.halting)
                 && (attempt_report.status != AttemptStatus::Saving || grace_s == 0)
             {
-                orders.push(Order::Halt { task, attempt, grace_s });
+                orders.push(WorkerCommand::Halt { task, attempt, grace_s });
             }
         }
         if m.recall.is_none() {
@@ -122,13 +122,13 @@
                     && binding.halting.is_none()
                     && job.launchable()
                 {
-                    orders.push(Order::Launch { task: key.clone(), attempt: task.attempt });
+                    orders.push(WorkerCommand::Launch { task: key.clone(), attempt: task.attempt });
                 }
             }
         }
         if m.state == MachineState::Terminating {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
-            orders.retain(|o| matches!(o, Order::Halt { .. }));
+            orders.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
         }
         orders.truncate(MOST_ORDERS);
         orders
@@ -165,7 +165,7 @@
             let mut orders = self.orders(m);
             if m.inbound_lost {
                 // Launches would only keep what they are for from being proven gone; they go with answers.
-                orders.retain(|o| !matches!(o, Order::Launch { .. }));
+                orders.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
             } else if orders.is_empty() && m.fencing_token >= self.fencing_token {
                 if let Some(m) = self.machines.get_mut(&id) {
                     m.tell = false;
@@ -176,7 +176,7 @@
             let fencing_token = self.fencing_token;
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.command_under_way = true;
-            m.launch_under_way = orders.iter().any(|o| matches!(o, Order::Launch { .. }));
+            m.launch_under_way = orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
             m.tell = false;
             m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
             due.push(Direct { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), orders });
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -5,8 +5,8 @@
 use tracing::{info, warn};
 
 use super::{ClusterState, JobState, MachineId, MachineState};
+use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::failure_attribution::{Failure, PROBES};
-use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// What has run for so long does well, as far as failures at the start are concerned.
 const WELL_AFTER: Duration = Duration::from_secs(15);
--- a/src/scheduling/cluster/reports.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports: what workers say, compared with what is bound to them.
+//! Heartbeats: what workers say, compared with what is bound to them.
 
 use std::time::{Duration, Instant};
 
@@ -7,65 +7,65 @@
 use super::{ClusterState, Machine, MachineId, MachineState, Phase, Via};
 use crate::jobs::Shape;
 use crate::machine_kinds::Catalog;
+use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey};
 use crate::sla;
-use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Report, TaskKey};
 
 impl ClusterState {
-    /// Takes in a worker's report, or its reply to a command.
-    pub fn take_report(&mut self, report: Report, via: Via, catalog: Option<&Catalog>, now: Instant) {
-        let id: MachineId = report.machine.as_str().into();
+    /// Takes in a worker's heartbeat, or its reply to a command.
+    pub fn take_heartbeat(&mut self, heartbeat: Heartbeat, via: Via, catalog: Option<&Catalog>, now: Instant) {
+        let id: MachineId = heartbeat.machine.as_str().into();
         if self.gone_set.contains(&id) {
             return;
         }
-        let kind = self.kind(&report.type_name, &report.zone, report.spot);
+        let kind = self.kind(&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| {
             info!(machine = %id, "adopted");
             Machine::new(id.clone(), now)
         });
-        let at = (report.agent_epoch, report.seq);
+        let at = (heartbeat.agent_epoch, heartbeat.seq);
         if at <= machine.newest {
             debug!(machine = %id, "an old report");
             return;
         }
         if machine.state == MachineState::Booting {
             machine.state = MachineState::Up;
-            machine.reported_at = now;
+            machine.last_heartbeat = now;
             self.stirred = true;
             machine.idle_since = machine.bound.is_empty().then_some(now);
             info!(machine = %id, after_s = now.saturating_duration_since(machine.since).as_secs(), "machine is up");
         }
-        if report.agent_epoch > machine.agent_epoch {
-            machine.agent_epoch = report.agent_epoch;
+        if heartbeat.agent_epoch > machine.agent_epoch {
+            machine.agent_epoch = heartbeat.agent_epoch;
             // Commands of an earlier agent epoch are refused by the worker.
             machine.unsettled = None;
             machine.launched_in = None;
             machine.images.clear();
         }
         machine.newest = at;
-        if via == Via::Report {
-            machine.newest_report = at;
-            machine.reported_at = now;
+        if via == Via::Heartbeat {
+            machine.newest_heartbeat = at;
+            machine.last_heartbeat = now;
         }
         machine.heard = now;
-        machine.partition.heard_of(&report, via, self.settings.params.workers.lease(), now);
+        machine.partition.heard_of(&heartbeat, via, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
-        if report.fencing_token >= self.first_fencing_token && !std::mem::replace(&mut machine.known, true) {
+        if heartbeat.fencing_token >= self.first_fencing_token && !std::mem::replace(&mut machine.known, true) {
             self.stirred = true;
         }
-        machine.addr = Some(report.addr);
-        machine.type_name = report.type_name;
-        machine.zone = report.zone;
-        machine.spot = report.spot;
+        machine.addr = Some(heartbeat.addr);
+        machine.type_name = heartbeat.type_name;
+        machine.zone = heartbeat.zone;
+        machine.spot = heartbeat.spot;
         machine.kind = kind;
-        machine.fencing_token = machine.fencing_token.max(report.fencing_token);
+        machine.fencing_token = machine.fencing_token.max(heartbeat.fencing_token);
         if machine.unsettled.is_some_and(|t| machine.fencing_token > t) {
             machine.unsettled = None;
         }
-        machine.attempts = report.attempts;
+        machine.attempts = heartbeat.attempts;
         let had_strays = machine.has_strays();
         machine.look_for_strays();
         self.stirred |= had_strays && !machine.has_strays();
-        let notice = report.notice_s.map(|s| now + Duration::from_secs_f64(s.max(0.0)));
+        let notice = heartbeat.notice_s.map(|s| now + Duration::from_secs_f64(s.max(0.0)));
         let news = notice.is_some() && machine.recall.is_none();
         machine.recall = notice.or(machine.recall);
         let of = catalog.and_then(|c| c.get(&machine.type_name));
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -11,10 +11,10 @@
 use crate::jobs::Counts;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
+use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::fairness::Note;
 use crate::scheduling::fairness::promises::promises_of;
 use crate::sla::Agreement;
-use crate::wire::workers::{AttemptStatus, TaskKey};
 
 impl ClusterState {
     /// Every job that is held, open or ending.
--- a/src/scheduling/cluster/machine.rs
+++ b/src/scheduling/cluster/machine.rs
@@ -11,11 +11,11 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::{PROOF_PART, ProcessPause};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey};
 use crate::scheduling::one_way_partition::PartitionDetector;
 use crate::sla::{self, Load};
-use crate::wire::workers::{AttemptReport, AttemptStatus, TaskKey};
 
-/// Names of returned machines kept, so that their late reports are not taken for news.
+/// Names of returned machines kept, so that their late heartbeats are not taken for news.
 const GONE_KEPT: usize = 20_000;
 /// How far into the time allowed for a cancellation a machine that proves nothing is returned.
 const CANCEL_PATIENCE: f64 = 0.45;
@@ -25,7 +25,7 @@
 pub(super) const MOST: usize = 3;
 /// How many leases many machines that are silent together get.
 const SILENT_LEASES: u32 = 2;
-/// Past the end of these; covers a machine's clock's drift and the way of a report.
+/// Past the end of these; covers a machine's clock's drift and the way of a heartbeat.
 const LEASE_MARGIN: Duration = Duration::from_secs(2);
 /// Many that were silent together are all back within so many reports' time.
 const BACK_REPORTS: u32 = 3;
@@ -89,15 +89,15 @@
     /// Where it is between its rental and its return.
     pub state: MachineState,
     pub(super) agent_epoch: u64,
-    /// (agent epoch, seq) of the newest message of any kind, and of the newest true report.
+    /// (agent epoch, seq) of the newest message of any kind, and of the newest true heartbeat.
     pub(super) newest: (u64, u64),
-    pub(super) newest_report: (u64, u64),
+    pub(super) newest_heartbeat: (u64, u64),
     /// The highest fencing token that its worker has reported.
     pub fencing_token: u64,
-    /// When anything was last heard of it, by report or by reply.
+    /// When anything was last heard of it, by heartbeat or by reply.
     pub heard: Instant,
-    /// Its last true report, or when it was first heard of: replies to commands renew no lease.
-    pub reported_at: Instant,
+    /// Its last true heartbeat, or when it was first heard of: replies to commands renew no lease.
+    pub last_heartbeat: Instant,
     /// When it was rented, as far as is known.
     pub since: Instant,
     /// When the cloud takes it back, if it has given notice.
@@ -110,10 +110,10 @@
     pub(super) launch_under_way: bool,
     /// A command given under this fencing token may still arrive.
     pub(super) unsettled: Option<u64>,
-    /// The report whose answer carried a launch.
+    /// The heartbeat whose answer carried a launch.
     pub(super) launched_in: Option<(u64, u64)>,
     pub(super) next_command: Instant,
-    /// Something new is to be told without waiting for a report.
+    /// Something new is to be told without waiting for a heartbeat.
     pub(super) tell: bool,
     /// Since when nothing has been bound to it.
     pub idle_since: Option<Instant>,
@@ -123,11 +123,11 @@
     pub scale_in_candidate: bool,
     /// Quarantined: no new work until it is decided whose fault its failures are.
     pub quarantined: bool,
-    /// Its reports arrive and nothing reaches it: no new work until it hears again.
+    /// Its heartbeats arrive and nothing reaches it: no new work until it hears again.
     pub inbound_lost: bool,
     pub(super) partition: PartitionDetector,
     /// This leader has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
-    /// that is known of it may be copies of reports of a machine that is gone: no work for it yet.
+    /// that is known of it may be copies of heartbeats of a machine that is gone: no work for it yet.
     pub known: bool,
     /// Images it is thought to hold, the most recently used last, with their sizes.
     pub(super) images: VecDeque<(u64, f64)>,
@@ -159,10 +159,10 @@
             state: MachineState::Booting,
             agent_epoch: 0,
             newest: (0, 0),
-            newest_report: (0, 0),
+            newest_heartbeat: (0, 0),
             fencing_token: 0,
             heard: now,
-            reported_at: now,
+            last_heartbeat: now,
             since: now,
             recall: None,
             bound: BTreeSet::new(),
@@ -195,7 +195,9 @@
     /// No launch is under way towards it, so that what it does not report is not there and a
     /// reaped task cannot be started again.
     pub(super) fn settled(&self) -> bool {
-        !self.command_under_way && self.unsettled.is_none() && self.launched_in.is_none_or(|l| self.newest_report > l)
+        !self.command_under_way
+            && self.unsettled.is_none()
+            && self.launched_in.is_none_or(|l| self.newest_heartbeat > l)
     }
 
     /// Live tasks that are not bound here: their room is not free, whoever they belong to.
@@ -437,7 +439,7 @@
     pub fn after_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
             machine.heard = pause.forgive(machine.heard);
-            machine.reported_at = pause.forgive(machine.reported_at);
+            machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
             machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
             machine.partition.after_pause(pause);
         }
@@ -456,9 +458,9 @@
         silent >= 3 && silent * part >= all
     }
 
-    /// Most machines have missed two reports, or hear nothing: whoever they talk to, it is not this controller.
+    /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
     pub fn lost_most(&self, now: Instant) -> bool {
-        let missed = self.settings.params.workers.report().mul_f64(2.0);
+        let missed = self.settings.params.workers.heartbeat().mul_f64(2.0);
         self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
     }
 
@@ -469,7 +471,7 @@
         let patience = allowed.mul_f64(CANCEL_PATIENCE);
         // A leader that has come since begins no new patience, or several would add up; but machines get two
         // reports to prove to it what they have proven to the one before.
-        let told_within = self.settings.params.workers.report() * 2;
+        let told_within = self.settings.params.workers.heartbeat() * 2;
         let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
         let due = |at: Instant| {
             let age = now.saturating_duration_since(at);
@@ -495,7 +497,7 @@
             self.many_silent_at = Some(now);
         }
         // Those that are back do not report at the same moment: the last of them are not alone at once.
-        let back_within = self.settings.params.workers.report() * BACK_REPORTS;
+        let back_within = self.settings.params.workers.heartbeat() * BACK_REPORTS;
         let many = self.many_silent_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
         let silence = if many { long } else { self.properties.silence };
         let mut terminate: Vec<(MachineId, &str)> =
@@ -505,7 +507,7 @@
             if (machine.awaited() || machine.reported()) && quiet > silence {
                 let why = if machine.reported() { "silent" } else { "should be up and was never heard of" };
                 terminate.push((machine.id.clone(), why));
-            } else if machine.reported() && now.saturating_duration_since(machine.reported_at) > long {
+            } else if machine.reported() && now.saturating_duration_since(machine.last_heartbeat) > long {
                 terminate.push((machine.id.clone(), "commands reach it, and it reports nothing"));
             } else if machine.state == MachineState::Draining && machine.bound.is_empty() {
                 terminate.push((machine.id.clone(), "drained"));
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -1,17 +1,17 @@
 //! The leader's cluster state: tasks, machines and the bindings between them.
 //!
 //! A task is bound to its machine from the moment it is chosen until something proves it gone:
-//! its exit, a report newer than every command that may still arrive, a new agent epoch, or
-//! a completed return of the machine. The cluster state is changed by reports, by what was stored and by
+//! its exit, a heartbeat newer than every command that may still arrive, a new agent epoch, or
+//! a completed return of the machine. The cluster state is changed by heartbeats, by what was stored and by
 //! decisions; it does no I/O and reads no clock.
 
 mod bindings;
 mod commands;
 mod failures;
+mod heartbeats;
 mod jobs;
 mod machine;
 mod one_way_partition;
-mod reports;
 mod storing;
 mod unreadable;
 mod watermark;
@@ -39,9 +39,9 @@
 use crate::jobs::{JobId, JobSpec};
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
+use crate::protocol::workers::{AttemptStatus, WorkerCommand};
 use crate::settings::{Properties, Settings};
 use crate::sla::Agreement;
-use crate::wire::workers::{AttemptStatus, Order};
 
 /// The cloud's name of a machine, shared by all that refer to it.
 pub type MachineId = Arc<str>;
@@ -57,11 +57,11 @@
 /// Notes for the account between two looks; more are not counted.
 const MOST_NOTES: usize = 20_000;
 
-/// How a message reached us: only true reports prove that an earlier answer is dead.
+/// How a message reached us: only true heartbeats prove that an earlier answer is dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Via {
-    /// A report that the worker sent by itself.
-    Report,
+    /// A heartbeat that the worker sent by itself.
+    Heartbeat,
     /// The reply to a direct command.
     Command,
 }
@@ -75,7 +75,7 @@
     told: Option<u64>,
     /// Stored by an earlier leader, which may have told the worker under an older fencing token.
     inherited: bool,
-    /// What the worker last reported of the task; none before the first report that shows it.
+    /// What the worker last reported of the task; none before the first heartbeat that shows it.
     pub status: Option<AttemptStatus>,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
@@ -270,7 +270,7 @@
     /// The agent's epoch that it is meant for.
     pub agent_epoch: u64,
     /// Launches, stops and reaps, in this order.
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 /// One shard as it is about to be stored.
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -7,7 +7,7 @@
 use super::{ClusterState, Phase, ShardWrite, Task};
 use crate::jobs::JobId;
 use crate::jobs::record::{JobRecord, TASKS_PER_SHARD};
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 
 /// A shard in which tasks have only ended or been released is stored this much later: more of
 /// them then go in one change. Nothing waits for it but the reaping of what has exited, and a
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -2,9 +2,9 @@
 //!
 //! An unreadable shard may hide bindings. Its job is placed again only when all of this holds:
 //!
-//! - Every machine that is known has reported under this leader's fencing token, or is gone. Such a report shows all that runs
+//! - Every machine that is known has reported under this leader's fencing token, or is gone. Such a heartbeat shows all that runs
 //!   there, and commands of earlier leaders, which have lower fencing tokens, are refused from then on.
-//! - None of these reports shows a hidden task alive. What they show is stopped, as anything without a binding.
+//! - None of these heartbeats shows a hidden task alive. What they show is stopped, as anything without a binding.
 //! - `rest()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
 //!   that it answered last has ended, so nothing runs on a machine that nobody here knows.
 //!
@@ -24,7 +24,7 @@
 use super::{ClusterState, Machine, MachineId, Phase};
 use crate::jobs::record::{MOST_ATTEMPTS, TASKS_PER_SHARD};
 use crate::jobs::{JobId, Shape};
-use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, TaskKey};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, TaskKey};
 
 /// Attempts of tasks that an unreadable shard hides are numbered after this and the shard's revision.
 pub(super) const HIDDEN_ATTEMPTS: u64 = 1 << 32;
@@ -32,7 +32,7 @@
 const PROOF_EVERY: Duration = Duration::from_secs(2);
 /// A leader without proof answers reports for its lease and this long (`membership::serving_state`).
 const ANSWERS_AFTER_LEASE: Duration = Duration::from_secs(3);
-/// Covers the drift of a machine's clock and the way of a report.
+/// Covers the drift of a machine's clock and the way of a heartbeat.
 const MARGIN: Duration = Duration::from_secs(5);
 /// A job that rests is not placed before it is released; this is far beyond any rest.
 const UNTIL_RELEASED: Duration = Duration::from_secs(365 * 24 * 3600);
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -13,7 +13,7 @@
 
 use super::{ClusterState, JobState};
 use crate::jobs::JobId;
-use crate::wire::workers::AttemptReport;
+use crate::protocol::workers::AttemptReport;
 
 impl ClusterState {
     /// Everything that stood in the store at this revision has been heard here.
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -14,7 +14,7 @@
 
 use super::cluster::MachineId;
 use crate::jobs::JobId;
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 
 /// A job that has failed on so many machines, and done well on none, fails by itself.
 const EVERYWHERE: usize = 3;
--- a/src/scheduling/fairness/tests/large.rs
+++ b/src/scheduling/fairness/tests/large.rs
@@ -1,8 +1,8 @@
 //! The floor by size: the largest gangs of a class begin within a stated time.
 
 use super::*;
+use crate::protocol::jobs::Urgency;
 use crate::scheduling::large::Large;
-use crate::wire::jobs::Urgency;
 
 /// What began in time of the largest, and of the others, in a steady overload: gangs of two, and now and then one
 /// of a dozen, on twenty machines that take two tasks each.
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -12,7 +12,7 @@
 use super::room::{Ground, Room, SLACK, Zones, suspect_after, usable};
 use crate::jobs::{JobId, JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 
 /// Machines that stand idle are kept for room that is asked for at most so much later than a new one
 /// would be there: a machine costs that long in any case.
--- a/src/scheduling/interleavings/deliveries.rs
+++ b/src/scheduling/interleavings/deliveries.rs
@@ -5,32 +5,32 @@
 use rand::Rng;
 
 use super::ANSWER_TAKEN;
-use super::messages::{Answer, Command, GivenUp, Message, Reply, SentReport};
+use super::messages::{Answer, Command, GivenUp, Message, Reply, SentHeartbeat};
 use super::world::World;
+use crate::protocol::workers::WorkerCommand;
 use crate::scheduling::cluster::{MachineId, Via};
 use crate::store::{Change, Condition};
-use crate::wire::workers::Order;
 
 impl World {
-    /// A leader takes a report, and answers with what it has the right to say.
-    pub(super) fn deliver_report(&mut self, message: SentReport) {
-        let SentReport { to, report, sent, copy } = message;
+    /// A leader takes a heartbeat, and answers with what it has the right to say.
+    pub(super) fn deliver_report(&mut self, message: SentHeartbeat) {
+        let SentHeartbeat { to, heartbeat, sent, copy } = message;
         let now = self.now;
         let to = if copy { self.reader() } else { self.reborn.get(&to).copied().unwrap_or(to) };
-        let Some(w) = self.workers.iter().position(|w| w.id == report.machine) else { return };
+        let Some(w) = self.workers.iter().position(|w| w.id == heartbeat.machine) else { return };
         let Some(mut leader) = self.leaders.get_mut(to).and_then(Option::take) else { return };
-        if report.fencing_token > leader.cluster.fencing_token {
+        if heartbeat.fencing_token > leader.cluster.fencing_token {
             return;
         }
-        let agent_epoch = report.agent_epoch;
+        let agent_epoch = heartbeat.agent_epoch;
         let rights = self.rights(&leader);
         self.users.tally.unloaded += usize::from(!rights.loaded);
         let id = self.workers[w].id.clone();
         let mut orders = Vec::new();
         let mut held = false;
         if !rights.silent() {
-            let over = self.over_among(&leader, &report);
-            leader.cluster.take_report(report, Via::Report, Some(&self.catalog), now);
+            let over = self.over_among(&leader, &heartbeat);
+            leader.cluster.take_heartbeat(heartbeat, Via::Heartbeat, Some(&self.catalog), now);
             orders = if rights.whole() {
                 leader.cluster.orders_in_answer(&id, now)
             } else {
@@ -61,7 +61,8 @@
         let w = &mut self.workers[worker];
         let late = now - sent > ANSWER_TAKEN || w.waits_until.is_none();
         if w.inbound_lost_until > now {
-            let tells = fencing_token > w.fencing_token || orders.iter().any(|o| matches!(o, Order::Launch { .. }));
+            let tells =
+                fencing_token > w.fencing_token || orders.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
             let row = if w.unheard.0 == from { w.unheard.1 } else { 0 };
             w.unheard = (from, row + u32::from(tells && !late && whole));
             return;
@@ -74,7 +75,7 @@
         self.execute(worker, orders);
     }
 
-    /// A worker carries out a direct command and replies with a report.
+    /// A worker carries out a direct command and replies with a heartbeat.
     pub(super) fn deliver_command(&mut self, message: Command) {
         let Command { id, worker, from, fencing_token, agent_epoch, orders } = message;
         let now = self.now;
@@ -102,19 +103,19 @@
             w.fencing_token = fencing_token;
             self.execute(worker, orders);
         }
-        let report = self.workers[worker].report();
-        let machine: MachineId = report.machine.as_str().into();
-        self.send(Message::Reply(Reply { id, to: from, machine, fencing_token, report }));
+        let heartbeat = self.workers[worker].heartbeat();
+        let machine: MachineId = heartbeat.machine.as_str().into();
+        self.send(Message::Reply(Reply { id, to: from, machine, fencing_token, heartbeat }));
     }
 
     /// The reply to a direct command, unless the command was given up before.
     pub(super) fn deliver_reply(&mut self, message: Reply) {
-        let Reply { id, to, machine, fencing_token, report } = message;
+        let Reply { id, to, machine, fencing_token, heartbeat } = message;
         let now = self.now;
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
             leader.cluster.command_over(&machine, fencing_token, true, now);
-            leader.cluster.take_report(report, Via::Command, Some(&self.catalog), now);
+            leader.cluster.take_heartbeat(heartbeat, Via::Command, Some(&self.catalog), now);
         }
     }
 
--- a/src/scheduling/interleavings/messages.rs
+++ b/src/scheduling/interleavings/messages.rs
@@ -8,27 +8,27 @@
 use crate::history::moves::Move;
 use crate::jobs::JobId;
 use crate::membership::records::Watermark;
+use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::scheduling::cluster::MachineId;
 use crate::store::{Change, Condition};
-use crate::wire::workers::{Order, Report};
 
-/// A report of a worker on its way to a leader.
-pub(super) struct SentReport {
+/// A heartbeat of a worker on its way to a leader.
+pub(super) struct SentHeartbeat {
     pub(super) to: usize,
-    pub(super) report: Report,
+    pub(super) heartbeat: Heartbeat,
     pub(super) sent: Instant,
     /// Held back until nobody waits for its answer.
     pub(super) copy: bool,
 }
 
-/// An answer to a report.
+/// An answer to a heartbeat.
 pub(super) struct Answer {
     pub(super) worker: usize,
     pub(super) from: usize,
     pub(super) agent_epoch: u64,
     pub(super) sent: Instant,
     pub(super) fencing_token: u64,
-    pub(super) orders: Vec<Order>,
+    pub(super) orders: Vec<WorkerCommand>,
     /// All orders, not stops alone.
     pub(super) whole: bool,
 }
@@ -40,7 +40,7 @@
     pub(super) from: usize,
     pub(super) fencing_token: u64,
     pub(super) agent_epoch: u64,
-    pub(super) orders: Vec<Order>,
+    pub(super) orders: Vec<WorkerCommand>,
 }
 
 /// The reply to a direct command.
@@ -49,7 +49,7 @@
     pub(super) to: usize,
     pub(super) machine: MachineId,
     pub(super) fencing_token: u64,
-    pub(super) report: Report,
+    pub(super) heartbeat: Heartbeat,
 }
 
 /// The end of the time for which a leader waits for a reply.
@@ -62,7 +62,7 @@
 
 /// What is on its way between leaders, workers, the store and the cloud.
 pub(super) enum Message {
-    Report(SentReport),
+    Heartbeat(SentHeartbeat),
     Answer(Answer),
     Command(Command),
     Reply(Reply),
@@ -122,7 +122,7 @@
     /// When a leader that is paused reads what was sent to it.
     pub(super) fn read_at(&self, message: &Message) -> Option<Instant> {
         let to = match message {
-            Message::Report(SentReport { to, .. })
+            Message::Heartbeat(SentHeartbeat { to, .. })
             | Message::Reply(Reply { to, .. })
             | Message::GivenUp(GivenUp { to, .. })
             | Message::Returned { to, .. }
@@ -140,7 +140,7 @@
             return;
         }
         match message {
-            Message::Report(message) => self.deliver_report(message),
+            Message::Heartbeat(message) => self.deliver_report(message),
             Message::Answer(message) => self.deliver_answer(message),
             Message::Command(message) => self.deliver_command(message),
             Message::Reply(message) => self.deliver_reply(message),
--- a/src/scheduling/interleavings/steps.rs
+++ b/src/scheduling/interleavings/steps.rs
@@ -14,8 +14,8 @@
 use crate::history::moves;
 use crate::jobs::JobId;
 use crate::jobs::record::{LEADER, open_key};
+use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::store::{Change, Condition};
-use crate::wire::workers::{AttemptStatus, TaskKey};
 
 /// In so many steps without trouble everything has to end.
 const QUIET_STEPS: usize = 4000;
--- a/src/scheduling/interleavings/store.rs
+++ b/src/scheduling/interleavings/store.rs
@@ -10,8 +10,8 @@
 use crate::jobs::record::{WATERMARK, ended_keys, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::records::Watermark;
+use crate::protocol::workers::TaskKey;
 use crate::store::{Change, Condition};
-use crate::wire::workers::TaskKey;
 
 pub(super) fn ended(store: &Store, id: &str) -> bool {
     ended_keys(id).iter().any(|key| store.has(key))
--- a/src/scheduling/interleavings/troubles.rs
+++ b/src/scheduling/interleavings/troubles.rs
@@ -1,4 +1,4 @@
-//! Machines that hear nothing, copies of reports that come late, leaders that lose the store and not their
+//! Machines that hear nothing, copies of heartbeats that come late, leaders that lose the store and not their
 //! workers, and processes that are back at once.
 
 use std::time::Duration;
@@ -7,26 +7,28 @@
 
 use super::LEADER_LEASE;
 use super::leaders::Leader;
-use super::messages::{Message, SentReport};
+use super::messages::{Message, SentHeartbeat};
 use super::workers::Worker;
 use super::world::World;
+use crate::protocol::workers::Heartbeat;
 use crate::scheduling::plan::Placement;
-use crate::wire::workers::Report;
 
 /// By so many prompt answers in a row with something to do and without effect a leader knows that a machine does not
 /// hear.
 const KNOWN_AFTER: u32 = 5;
 
 impl World {
-    /// Copies of a report, several and out of order, from seconds to far beyond a lease.
-    pub(super) fn copy_late(&mut self, report: &Report) {
+    /// Copies of a heartbeat, several and out of order, from seconds to far beyond a lease.
+    pub(super) fn copy_late(&mut self, heartbeat: &Heartbeat) {
         if self.quiet || !self.rng.random_bool(0.08) {
             return;
         }
         for _ in 0..self.rng.random_range(1..4) {
             let due = self.now + Duration::from_millis(self.rng.random_range(1000..120_000));
-            self.messages
-                .push((due, Message::Report(SentReport { to: 0, report: report.clone(), sent: self.now, copy: true })));
+            self.messages.push((
+                due,
+                Message::Heartbeat(SentHeartbeat { to: 0, heartbeat: heartbeat.clone(), sent: self.now, copy: true }),
+            ));
             self.copies += 1;
         }
     }
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -19,9 +19,9 @@
 use crate::membership::records::{LeaderRecord, Watermark};
 use crate::membership::serving_state::{LetGo, Observations, Patience};
 use crate::membership::watermark::Unconfirmed;
+use crate::protocol::workers::Heartbeat;
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
-use crate::wire::workers::Report;
 use crate::workers::answer::Rights;
 
 const FOLLOWERS: usize = 2;
@@ -85,7 +85,7 @@
     pub(super) stored_marks: usize,
     pub(super) outages: usize,
     pub(super) beyond_cancel: usize,
-    /// Reports to successors that had not loaded their cluster state.
+    /// Heartbeats to successors that had not loaded their cluster state.
     pub(super) unloaded: usize,
     pub(super) stops: usize,
     pub(super) nobody: usize,
@@ -351,9 +351,9 @@
         Rights { loaded: leader.cluster.loaded, knows, unproven: leader.seat.unproven, serves }
     }
 
-    /// Jobs of a report that are over by this leader's watch cache (as `Node::over_among` has it).
-    pub(super) fn over_among(&self, leader: &Leader, report: &Report) -> HashSet<JobId> {
-        let attempts = report.attempts.iter().map(|attempt_report| &attempt_report.task.job);
+    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Node::over_among` has it).
+    pub(super) fn over_among(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
+        let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
     }
 
--- a/src/scheduling/interleavings/workers.rs
+++ b/src/scheduling/interleavings/workers.rs
@@ -6,12 +6,12 @@
 use rand::Rng;
 
 use super::jobs::bad;
-use super::messages::{Message, SentReport};
+use super::messages::{Message, SentHeartbeat};
 use super::store::ended;
 use super::world::World;
 use super::{ANSWER_TAKEN, CANCEL, LEASE};
 use crate::jobs::record::{StoredTask, TASKS_PER_SHARD, decode_shard, shard_key};
-use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Order, Report, TaskKey};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand};
 
 pub(super) struct Worker {
     pub(super) id: String,
@@ -26,11 +26,11 @@
     pub(super) next_report: Instant,
     pub(super) waits_until: Option<Instant>,
     pub(super) hangs_until: Instant,
-    /// Answers and commands do not reach it, while its reports arrive.
+    /// Answers and commands do not reach it, while its heartbeats arrive.
     pub(super) inbound_lost_until: Instant,
     /// Answers in a row that it did not hear, and the leader that gave them.
     pub(super) unheard: (usize, u32),
-    /// Reports to this leader, which answers it, whoever leads by now.
+    /// Heartbeats to this leader, which answers it, whoever leads by now.
     pub(super) home: Option<usize>,
     /// Cut off until then with its home: others' commands are held back, and it finds nobody else.
     pub(super) apart_until: Instant,
@@ -64,9 +64,9 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Report {
+    pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
             type_name: "t".into(),
@@ -96,11 +96,11 @@
 }
 
 impl World {
-    pub(super) fn execute(&mut self, w: usize, orders: Vec<Order>) {
+    pub(super) fn execute(&mut self, w: usize, orders: Vec<WorkerCommand>) {
         for order in orders {
             match order {
-                Order::Launch { task, attempt } => self.launch(w, task, attempt),
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Launch { task, attempt } => self.launch(w, task, attempt),
+                WorkerCommand::Halt { task, attempt, .. } => {
                     for attempt_report in &mut self.workers[w].attempts {
                         if attempt_report.task == task
                             && attempt_report.attempt == attempt
@@ -111,7 +111,7 @@
                         }
                     }
                 }
-                Order::Reap { task, attempt } => {
+                WorkerCommand::Reap { task, attempt } => {
                     let exited =
                         |l: &AttemptReport| l.task == task && l.attempt == attempt && l.status == AttemptStatus::Exited;
                     let Some(at) = self.workers[w].attempts.iter().position(exited) else { continue };
@@ -191,14 +191,14 @@
             } else if worker.waits_until.is_none() && worker.next_report <= now {
                 worker.waits_until = Some(now + ANSWER_TAKEN);
                 worker.next_report = now + Duration::from_secs(3);
-                let report = worker.report();
+                let heartbeat = worker.heartbeat();
                 // Some workers still know only the deposed leader.
                 let back = if self.quiet { 0 } else { usize::from(self.rng.random_bool(0.2)) };
                 let apart = self.workers[w].apart_until > now;
                 let home = self.workers[w].home.filter(|home| apart || self.leaders[*home].is_some());
                 let to = home.unwrap_or(self.leader.saturating_sub(back));
-                self.copy_late(&report);
-                self.send(Message::Report(SentReport { to, report, sent: now, copy: false }));
+                self.copy_late(&heartbeat);
+                self.send(Message::Heartbeat(SentHeartbeat { to, heartbeat, sent: now, copy: false }));
             }
         }
     }
--- a/src/scheduling/interleavings/world.rs
+++ b/src/scheduling/interleavings/world.rs
@@ -16,7 +16,7 @@
 use crate::jobs::record::JobRecord;
 use crate::machine_kinds::tests::machine_type;
 use crate::machine_kinds::{Catalog, MachineType};
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 
 pub(super) struct World {
     pub(super) rng: StdRng,
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -21,7 +21,7 @@
 
 /// From this part of the time within which it is to begin, a large gang may go first.
 const PATIENCE: f64 = 0.5;
-/// Reports, a start told and a fetch lie between a place and a beginning.
+/// Heartbeats, a start told and a fetch lie between a place and a beginning.
 const START_MARGIN: Duration = Duration::from_secs(15);
 /// The largest are one in so many of a class, and whoever is as large.
 const PART: usize = 10;
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -125,7 +125,7 @@
 
 /// Tasks of cancelled jobs may still be on machines: those count until proven gone. What has
 /// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
-/// was reported to have exited, though the last reports were never written to its shard.
+/// was reported to have exited, though the last heartbeats were never written to its shard.
 async fn take_page(
     node: &Arc<Node>,
     page: Vec<Shard>,
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -44,7 +44,7 @@
 /// The account is looked at this often, and told this often.
 const LOOK_EVERY: Duration = Duration::from_secs(2);
 const TELL_EVERY: Duration = Duration::from_secs(60);
-/// A plan rests this many times as long as it took, so that reports and users are not kept
+/// A plan rests this many times as long as it took, so that heartbeats and users are not kept
 /// waiting however much there is to plan.
 const REST: u32 = 4;
 
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -1,6 +1,7 @@
-//! Detects machines with a one-way partition: their reports arrive, so that they look alive, but answers and commands
-//! may not reach them. Judged by answers that had to show an effect in the next report and did not: a higher fencing
-//! token to learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not hear").
+//! Detects machines with a one-way partition: their heartbeats arrive, so that they look alive, but answers and
+//! commands may not reach them. Judged by answers that had to show an effect in the next heartbeat and did not: a
+//! higher fencing token to learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not
+//! hear").
 //!
 //! The leader keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
 //! not depend on the verdict: a task on such a machine stays bound until it is proven gone.
@@ -10,13 +11,13 @@
 
 use super::cluster::Via;
 use crate::process_pause::ProcessPause;
-use crate::wire::workers::{Order, Report, TaskKey};
+use crate::protocol::workers::{Heartbeat, TaskKey, WorkerCommand};
 
 /// So many answers in a row without effect are no chance: a lost one is made good by the next.
 const ENOUGH: u32 = 3;
 /// A machine that hears nothing is returned once so many leases have ended, or past the time of as many.
 const LOST_LEASES: u32 = 2;
-/// Past the end of a lease; covers a machine's clock's drift and the way of a report.
+/// Past the end of a lease; covers a machine's clock's drift and the way of a heartbeat.
 const MARGIN: Duration = Duration::from_secs(2);
 /// Answers closer together than this count once when a lease has ended: reports that were held up come in
 /// a burst, and a worker that got no answer asks again 5 s later.
@@ -61,7 +62,7 @@
     }
 }
 
-/// What the report after an answer has to show if the answer was heard.
+/// What the heartbeat after an answer has to show if the answer was heard.
 #[derive(Debug)]
 struct Trial {
     fencing_token: Option<u64>,
@@ -69,10 +70,10 @@
 }
 
 impl Trial {
-    fn shown(&self, report: &Report) -> bool {
-        let fencing_token = self.fencing_token.is_some_and(|fencing_token| report.fencing_token >= fencing_token);
+    fn shown(&self, heartbeat: &Heartbeat) -> bool {
+        let fencing_token = self.fencing_token.is_some_and(|fencing_token| heartbeat.fencing_token >= fencing_token);
         let launch = |(task, attempt): &(TaskKey, u64)| {
-            report
+            heartbeat
                 .attempts
                 .iter()
                 .any(|attempt_report| attempt_report.task == *task && attempt_report.attempt == *attempt)
@@ -94,7 +95,7 @@
     /// Answers given in this agent epoch, within about a lease.
     answers: VecDeque<Instant>,
     trial: Option<Trial>,
-    /// The newest report waits for its answer: answers to old ones reach nobody.
+    /// The newest heartbeat waits for its answer: answers to old ones reach nobody.
     unanswered: bool,
 }
 
@@ -114,10 +115,10 @@
     }
 
     /// A message newer than all before it.
-    pub fn heard_of(&mut self, report: &Report, via: Via, lease: Duration, now: Instant) {
-        let grown = report.agent_epoch > self.agent_epoch;
+    pub fn heard_of(&mut self, heartbeat: &Heartbeat, via: Via, lease: Duration, now: Instant) {
+        let grown = heartbeat.agent_epoch > self.agent_epoch;
         if grown {
-            (self.agent_epoch, self.session_since) = (report.agent_epoch, now);
+            (self.agent_epoch, self.session_since) = (heartbeat.agent_epoch, now);
         }
         if via == Via::Command {
             // It was answered in time, so a command has reached it.
@@ -136,7 +137,7 @@
                 self.not_heard(unheard, now);
             }
         } else if let Some(trial) = trial {
-            if trial.shown(report) {
+            if trial.shown(heartbeat) {
                 self.hears();
             } else {
                 self.not_heard(1, now);
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Its newest report is answered with this fencing token and these orders.
-    pub fn answered(&mut self, fencing_token: u64, knows: u64, orders: &[Order], now: Instant) {
+    /// Its newest heartbeat is answered with this fencing token and these orders.
+    pub fn answered(&mut self, fencing_token: u64, knows: u64, orders: &[WorkerCommand], now: Instant) {
         if !std::mem::take(&mut self.unanswered) {
             return;
         }
@@ -162,7 +163,7 @@
             }
         }
         let launch = orders.iter().find_map(|o| match o {
-            Order::Launch { task, attempt } => Some((task.clone(), *attempt)),
+            WorkerCommand::Launch { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         });
         let fencing_token = Some(fencing_token).filter(|fencing_token| *fencing_token > knows);
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::workers::{AttemptReport, AttemptStatus};
+use crate::protocol::workers::{AttemptReport, AttemptStatus};
 
 const LEASE: Duration = Duration::from_secs(24);
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Feeds messages to and answers of one leader with fencing token 7, as (seconds, what): `r` a report, `R` one of the
-/// next agent epoch, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
+/// Feeds messages to and answers of one leader with fencing token 7, as (seconds, what): `r` a heartbeat, `R` one of
+/// the next agent epoch, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
 /// launch and to a worker that does not know the fencing token, `+` without either; `l` and `t` show them.
 fn simulate(steps: &[(f64, &str)]) -> (u32, u32) {
     let start = Instant::now();
@@ -36,7 +36,7 @@
         seq += 1;
         let attempt_report =
             AttemptReport { task: task.clone(), attempt: 1, status: AttemptStatus::Fetching, cause: None, saved: None };
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:9".into(),
             type_name: "t".into(),
@@ -48,13 +48,13 @@
             notice_s: None,
             attempts: if message.contains('l') { vec![attempt_report] } else { Vec::new() },
         };
-        let via = if message.starts_with('c') { Via::Command } else { Via::Report };
+        let via = if message.starts_with('c') { Via::Command } else { Via::Heartbeat };
         if !message.starts_with('o') {
-            one_way_partition.heard_of(&report, via, LEASE, now);
+            one_way_partition.heard_of(&heartbeat, via, LEASE, now);
         }
         if let Some(answer) = answer {
-            let launch = [Order::Launch { task: task.clone(), attempt: 1 }];
-            let orders: &[Order] = if answer.contains('l') { &launch } else { &[] };
+            let launch = [WorkerCommand::Launch { task: task.clone(), attempt: 1 }];
+            let orders: &[WorkerCommand] = if answer.contains('l') { &launch } else { &[] };
             one_way_partition.answered(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
         }
     }
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -19,7 +19,7 @@
 
 use super::cluster::{ClusterState, MachineId};
 use crate::machine_kinds::Catalog;
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 use decide::{Decided, decide};
 
 pub use super::room::SLACK;
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -15,14 +15,14 @@
 use super::room::{Ground, Zones, suspect_after, usable};
 use crate::jobs::{JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
-use crate::wire::workers::TaskKey;
+use crate::protocol::workers::TaskKey;
 
 /// Work that may preempt others than idle work waits at least this long for room to come free by itself.
 const AFTER: Duration = Duration::from_secs(3);
 /// Jobs looked at in one call, and machines on which anything is stopped in one.
 const MOST_JOBS: usize = 20;
 const MOST_MACHINES: usize = 64;
-/// What was stopped is held for whom it was stopped for until then: saving, a report, the next plan.
+/// What was stopped is held for whom it was stopped for until then: saving, a heartbeat, the next plan.
 const HELD_PAST_SAVING: Duration = Duration::from_secs(12);
 /// A task started so often is not stopped any more for a job of which it is not the only way: every
 /// task is stopped a bounded number of times for others.
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -270,13 +270,13 @@
         && machine.known
         && !machine.quarantined
         && !machine.inbound_lost
-        && now.saturating_duration_since(machine.reported_at) < suspect
+        && now.saturating_duration_since(machine.last_heartbeat) < suspect
         && !machine.has_strays()
 }
 
-/// After this long without a report a machine gets no new work.
+/// After this long without a heartbeat a machine gets no new work.
 pub fn suspect_after(cluster: &ClusterState) -> Duration {
-    cluster.settings.params.workers.report().mul_f64(SUSPECT_REPORTS)
+    cluster.settings.params.workers.heartbeat().mul_f64(SUSPECT_REPORTS)
 }
 
 /// The zone of a machine of which only the name is known.
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -46,9 +46,9 @@
 use crate::machine_kinds::MachineKind;
 use crate::machine_kinds::tests::machine_type;
 use crate::machine_kinds::{Catalog, MachineType};
+use crate::protocol::workers::{AttemptReport, AttemptStatus, Heartbeat, TaskKey};
 use crate::settings::Properties;
 use crate::settings::tests::example;
-use crate::wire::workers::{AttemptReport, AttemptStatus, Report, TaskKey};
 
 fn of(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType { zones: vec!["a".into(), "b".into()], ..machine_type(name, cpus, gpus, price) }
@@ -58,8 +58,15 @@
     Catalog { types: vec![of("c8", 8.0, 0.0, 1.0), of("g2", 8.0, 2.0, 4.0)] }
 }
 
-fn report(machine: &str, type_name: &str, zone: &str, spot: bool, seq: u64, attempts: Vec<AttemptReport>) -> Report {
-    Report {
+fn heartbeat(
+    machine: &str,
+    type_name: &str,
+    zone: &str,
+    spot: bool,
+    seq: u64,
+    attempts: Vec<AttemptReport>,
+) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         type_name: type_name.into(),
@@ -78,7 +85,7 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for (name, type_name, zone, spot) in machines {
-        cluster.take_report(report(name, type_name, zone, *spot, 1, vec![]), Via::Report, None, now);
+        cluster.take_heartbeat(heartbeat(name, type_name, zone, *spot, 1, vec![]), Via::Heartbeat, None, now);
     }
     cluster
 }
@@ -101,7 +108,7 @@
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for i in 0..n {
-        cluster.take_report(report(&format!("m{i:04}"), "c8", "a", false, 1, vec![]), Via::Report, None, now);
+        cluster.take_heartbeat(heartbeat(&format!("m{i:04}"), "c8", "a", false, 1, vec![]), Via::Heartbeat, None, now);
     }
     cluster
 }
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -7,7 +7,8 @@
 // All controllers are away for longer than a lease.
 
 /// The workers have killed their tasks and go on with the next agent epoch, all at once or one long after. What each
-/// had is placed again once it has heard the new leader, and none that reports is returned. Away for less, all goes on.
+/// had is placed again once it has heard the new leader, and none that heartbeats is returned. Away for less, all goes
+/// on.
 #[test]
 fn after_all_controllers_were_away_past_the_lease_nothing_is_lost_or_returned() {
     for (shape, away_s, late) in [
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -80,7 +80,7 @@
                 drop(world.arrives(&held));
             }
         };
-        // Its reports come, answers to it are lost: its fencing token is the first.
+        // Its heartbeats come, answers to it are lost: its fencing token is the first.
         for step in 0..3 {
             late(&mut world, step);
             drop(world.asks(&mut cluster, "m1"));
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -8,8 +8,8 @@
 use crate::history::moves;
 use crate::jobs::{End, JobId};
 use crate::node::WRITES;
+use crate::protocol::workers::Cause;
 use crate::store::budget::{Budget, Urgent};
-use crate::wire::workers::Cause;
 
 /// With a change of leaders in the middle: everything that could grow is small at each moment, and all are served.
 #[test]
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -10,10 +10,10 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
+use crate::protocol::workers::Cause;
 use crate::scheduling::fairness::Account;
 use crate::scheduling::room::{SLACK, Zones, allowed};
 use crate::settings::Objective;
-use crate::wire::workers::Cause;
 
 const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
 /// These have no troubles, so that there is anything to wait for.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -6,10 +6,10 @@
 use super::budget::{Budget, Urgent};
 use super::share::Meter;
 use crate::process_pause::ProcessPause;
+pub use crate::protocol::state::{Change, Condition, Event, Item, Page, WatchResponse};
+use crate::protocol::state::{CompareAndSwap, Granted, Name, Names, Refused, Revision};
+use crate::protocol::{self, CallError, Http};
 use crate::traffic::{Passage, Traffic};
-pub use crate::wire::state::{Change, Condition, Event, Item, Page, WatchResponse};
-use crate::wire::state::{CompareAndSwap, Granted, Name, Names, Refused, Revision};
-use crate::wire::{self, CallError, Http};
 use hyper::Method;
 
 /// Answers usually take 10 ms and at times a few hundred; past this one is not waited for.
@@ -114,7 +114,7 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    wire::decode(body).map_err(|e| StoreError::Malformed(e.to_string()))
+    protocol::decode(body).map_err(|e| StoreError::Malformed(e.to_string()))
 }
 
 /// A key as part of an address: one that holds what no address may hold would end every listing at itself.
@@ -256,7 +256,7 @@
             Self::budgeted(&self.writes, apply.len() as f64, urgent).await?;
             self.traffic.add(Passage::StoreChange, apply.len() as u64);
         }
-        let body = wire::encode(&CompareAndSwap::new(conditions, apply));
+        let body = protocol::encode(&CompareAndSwap::new(conditions, apply));
         let (status, body) = self.call(Method::POST, "/txn", Some(body), ANSWER_WITHIN, urgent).await?;
         match status {
             200 => Ok(CompareAndSwapOutcome::Applied(parse::<Revision>(&body)?.revision)),
@@ -281,7 +281,7 @@
     /// Compares without changing anything, with a request that was reserved before: the keys that
     /// had other versions than asked, all as of one moment.
     pub async fn compare_reserved(&self, conditions: &[Condition]) -> Result<Vec<String>, StoreError> {
-        let body = wire::encode(&CompareAndSwap::new(conditions, &[]));
+        let body = protocol::encode(&CompareAndSwap::new(conditions, &[]));
         match self.call_reserved(Method::POST, "/txn", Some(body), ANSWER_WITHIN).await? {
             (200, _) => Ok(Vec::new()),
             (409, body) => Ok(parse::<Refused>(&body)?.failed),
@@ -332,7 +332,7 @@
     /// Creates a lease that ends after `life` unless it is renewed, and returns its number. Keys attached to it are
     /// dropped when it ends.
     pub async fn grant(&self, life: Duration) -> Result<u64, StoreError> {
-        let body = wire::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
+        let body = protocol::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
         match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, Urgent::First).await? {
             (200, body) => Ok(parse::<Granted>(&body)?.permit),
             (other, _) => Err(StoreError::Malformed(format!("{other} to a lease"))),
@@ -352,7 +352,7 @@
     pub async fn renew(&self, permit: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{permit}/renew");
         match self
-            .call(Method::POST, &path, Some(wire::encode(&serde_json::json!({}))), ANSWER_WITHIN, Urgent::First)
+            .call(Method::POST, &path, Some(protocol::encode(&serde_json::json!({}))), ANSWER_WITHIN, Urgent::First)
             .await?
         {
             (200, _) => Ok(true),
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -30,9 +30,9 @@
     /// Commands sent straight to workers.
     Command = "commands",
     /// Workers' reports that were taken in.
-    Report = "reports",
-    /// Reports sent on to another controller, or away.
-    ReportElsewhere = "reports_elsewhere",
+    Heartbeat = "reports",
+    /// Heartbeats sent on to another controller, or away.
+    HeartbeatElsewhere = "reports_elsewhere",
     /// Users' requests that got what they asked for.
     Answered = "answered",
     /// Users' requests told to come again.
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -11,11 +11,11 @@
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::node::Node;
+use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
 use crate::store::budget::Urgent;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
-use crate::wire::users::{JobAnswer, Status};
 
 /// A job that its user calls off.
 pub(super) async fn cancel(node: &Node, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -8,8 +8,8 @@
 use crate::history::visibility::Visible;
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::node::Node;
+use crate::protocol::users::{JobAnswer, Status};
 use crate::sync::lock;
-use crate::wire::users::{JobAnswer, Status};
 
 /// Stored, and hidden until the leader is known to have it (`history::visibility`).
 const UNCONFIRMED: &str = "the job is being withdrawn: its leader has not confirmed that yet";
--- a/src/users/reply.rs
+++ b/src/users/reply.rs
@@ -1,9 +1,9 @@
 //! Answers to users, independent of the web framework.
 
 use super::feasibility::Impossible;
-use crate::wire::DecodeError;
-use crate::wire::jobs::InvalidField;
-use crate::wire::users::JobAnswer;
+use crate::protocol::DecodeError;
+use crate::protocol::jobs::InvalidField;
+use crate::protocol::users::JobAnswer;
 
 /// When to come again, after a refusal that should soon be over, in seconds.
 pub(super) const COME_AGAIN_S: u64 = 1;
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -13,8 +13,8 @@
 use super::reply::{COME_AGAIN_S, Refusal, Reply};
 use super::submission::submit;
 use crate::node::Node;
+use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
-use crate::wire::{self, BODY_LIMIT};
 use crate::workers::{self, Answer};
 
 /// The framework's side: one handler per path.
@@ -31,7 +31,7 @@
     LookUp,
     Cancel,
     Health,
-    Report,
+    Heartbeat,
 }
 
 fn come_again(res: &mut Response, after_s: u64) {
@@ -54,31 +54,31 @@
     let later = matches!(reply, Reply::Later { .. });
     node.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match reply {
-        Reply::Job(status, job) => render(res, status, wire::encode(&job)),
+        Reply::Job(status, job) => render(res, status, protocol::encode(&job)),
         Reply::Refused(refusal) => {
             let problem = serde_json::json!({"error": refusal.to_string()});
-            render(res, refusal.status(), wire::encode(&problem));
+            render(res, refusal.status(), protocol::encode(&problem));
         }
         Reply::Later { why, after_s } => {
-            render(res, 503, wire::encode(&serde_json::json!({"error": why})));
+            render(res, 503, protocol::encode(&serde_json::json!({"error": why})));
             come_again(res, after_s);
         }
     }
 }
 
-/// The answer to a worker's report.
+/// The answer to a worker's heartbeat.
 fn render_answer(node: &Node, res: &mut Response, answer: Answer) {
     match answer {
-        Answer::Orders(orders) => {
-            node.traffic.count(Passage::Report);
-            render(res, 200, wire::encode(&orders));
+        Answer::WorkerCommands(orders) => {
+            node.traffic.count(Passage::Heartbeat);
+            render(res, 200, protocol::encode(&orders));
         }
         Answer::Elsewhere(leader) => {
-            node.traffic.count(Passage::ReportElsewhere);
-            render(res, 421, wire::encode(&serde_json::json!({"dispatcher": leader})));
+            node.traffic.count(Passage::HeartbeatElsewhere);
+            render(res, 421, protocol::encode(&serde_json::json!({"dispatcher": leader})));
         }
         Answer::Nobody => {
-            node.traffic.count(Passage::ReportElsewhere);
+            node.traffic.count(Passage::HeartbeatElsewhere);
             render(res, 503, Vec::new());
         }
         Answer::Malformed => render(res, 400, Vec::new()),
@@ -91,7 +91,7 @@
         let node = &self.node;
         let id = req.param::<String>("id").unwrap_or_default();
         let body = match self.path {
-            Path::Submit | Path::Report => match req.payload_with_max_size(BODY_LIMIT).await {
+            Path::Submit | Path::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
                     return render_reply(node, res, Reply::Refused(Refusal::Unreadable(error.to_string())));
@@ -108,7 +108,7 @@
             Path::LookUp => render_reply(node, res, look_up(node, &id).await),
             Path::Cancel => render_reply(node, res, cancel(node, &self.follow_ups, &id).await),
             Path::Health => render(res, if node.healthy() { 200 } else { 503 }, Vec::new()),
-            Path::Report => render_answer(node, res, workers::take_report(node, &body)),
+            Path::Heartbeat => render_answer(node, res, workers::take_heartbeat(node, &body)),
         }
     }
 }
@@ -126,7 +126,7 @@
             ),
         )
         .push(Router::with_path("healthz").get(handle(Path::Health)))
-        .push(Router::with_path("v1/report").post(handle(Path::Report)))
+        .push(Router::with_path("v1/report").post(handle(Path::Heartbeat)))
 }
 
 /// Takes the address, which no other process has from then on.
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -15,12 +15,12 @@
 use crate::jobs::limits::can_hold;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
 use crate::node::Node;
+use crate::protocol;
+use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
 use crate::store::budget::Urgent;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
-use crate::wire;
-use crate::wire::users::{JobAnswer, Status};
 
 /// Tries at a write that the limits refused, before its user is told to come again.
 const RETRIES: u32 = 2;
@@ -45,7 +45,7 @@
 
 /// A body that describes a job, whatever machines and teams there are.
 fn parse(body: &[u8]) -> Result<JobSpec, Refusal> {
-    let spec: JobSpec = wire::decode_whole(body)?;
+    let spec: JobSpec = protocol::decode_whole(body)?;
     spec.check()?;
     Ok(spec)
 }
@@ -55,7 +55,7 @@
     let spec = match parse(body) {
         Ok(spec) => spec,
         Err(refusal) => {
-            let Ok(named) = wire::decode::<Named>(body) else { return Reply::Refused(refusal) };
+            let Ok(named) = protocol::decode::<Named>(body) else { return Reply::Refused(refusal) };
             return unless_accepted(node, &named.id, refusal).await;
         }
     };
--- a/src/workers/answer.rs
+++ b/src/workers/answer.rs
@@ -1,6 +1,6 @@
-//! What a leader may answer to a worker's report, depending on what it can prove of its leadership. Pure.
+//! What a leader may answer to a worker's heartbeat, depending on what it can prove of its leadership. Pure.
 
-/// What a leader knows when a report comes.
+/// What a leader knows when a heartbeat comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rights {
     /// Its cluster state is loaded.
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends due commands to workers directly, so that they need not wait for the answer to their next report.
+//! Sends due commands to workers directly, so that they need not wait for the answer to their next heartbeat.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,12 +6,12 @@
 use hyper::Method;
 use tracing::debug;
 
-use super::{Orders, Report};
+use super::{Heartbeat, WorkerCommands};
 use crate::node::Node;
+use crate::protocol::{self, CallError};
 use crate::scheduling::cluster::{Direct, Via};
 use crate::sync::lock;
 use crate::traffic::Passage;
-use crate::wire::{self, CallError};
 
 /// Past this a command counts as one that may still arrive.
 const ANSWER_WITHIN: Duration = Duration::from_millis(2500);
@@ -37,7 +37,7 @@
 }
 
 async fn send(node: Arc<Node>, direct: Direct) {
-    let body = wire::encode(&Orders {
+    let body = protocol::encode(&WorkerCommands {
         fencing_token: direct.fencing_token,
         agent_epoch: Some(direct.agent_epoch),
         orders: direct.orders,
@@ -49,18 +49,18 @@
     {
         let mut held = lock(&node.cluster);
         let Some(cluster) = held.as_mut() else { return };
-        let report = match &outcome {
-            Ok((200 | 409, body)) => wire::decode::<Report>(body).ok().filter(Report::check),
+        let heartbeat = match &outcome {
+            Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
             _ => None,
         };
         // Only a definite answer, or a connection that never was, settles what was sent.
-        let settled = report.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
+        let settled = heartbeat.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
         if let Err(error) = &outcome {
             debug!(machine = %direct.machine, %error, "direct command");
         }
         cluster.command_over(&direct.machine, direct.fencing_token, settled, now);
-        if let Some(report) = report {
-            cluster.take_report(report, Via::Command, catalog.as_deref(), now);
+        if let Some(heartbeat) = heartbeat {
+            cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
         }
     }
     node.wake.commit.notify_one();
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Communication with workers: their reports, which are answered with orders, and commands sent to them directly.
+//! Communication with workers: their heartbeats, which are answered with orders, and commands sent to them directly.
 
 pub mod answer;
 pub mod dispatch;
@@ -12,27 +12,29 @@
 
 use self::answer::Rights;
 use crate::node::Node;
+pub use crate::protocol::workers::{
+    AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
+};
 use crate::scheduling::cluster::Via;
 use crate::sync::lock;
-pub use crate::wire::workers::{AttemptReport, AttemptStatus, Cause, Order, Orders, Report, TaskKey};
 
-/// What a report is answered with.
+/// What a heartbeat is answered with.
 pub enum Answer {
-    /// 200: the report was taken in; what the worker is to do.
-    Orders(Orders),
+    /// 200: the heartbeat was taken in; what the worker is to do.
+    WorkerCommands(WorkerCommands),
     /// 421, naming the leader.
     Elsewhere(String),
     /// 503: nobody known here may answer for the controllers.
     Nobody,
-    /// 400: the report cannot be read, or breaks a rule of the protocol.
+    /// 400: the heartbeat cannot be read, or breaks a rule of the protocol.
     Malformed,
 }
 
-/// One report. Only the leader takes it in; a fencing token higher than its own tells it that it is no
+/// One heartbeat. Only the leader takes it in; a fencing token higher than its own tells it that it is no
 /// longer the leader, and a 200 would then only hold the worker while its lease runs out.
-pub fn take_report(node: &Arc<Node>, body: &[u8]) -> Answer {
-    let report = match crate::wire::decode::<Report>(body) {
-        Ok(report) if report.check() => report,
+pub fn take_heartbeat(node: &Arc<Node>, body: &[u8]) -> Answer {
+    let heartbeat = match crate::protocol::decode::<Heartbeat>(body) {
+        Ok(heartbeat) if heartbeat.check() => heartbeat,
         Ok(_) => return Answer::Malformed,
         Err(error) => {
             debug!(%error, "malformed report");
@@ -47,19 +49,19 @@
     }
     let now = Instant::now();
     let mut deposed = false;
-    let (report_from, report_at) = (report.machine.clone(), (report.agent_epoch, report.seq));
+    let (heartbeat_from, heartbeat_at) = (heartbeat.machine.clone(), (heartbeat.agent_epoch, heartbeat.seq));
     rights.knows = node.knows_leader(now);
     // Of jobs that are over by the watch cache a leader stops what runs, whatever else it may do.
-    let over = node.over_among(&report, rights.acts());
+    let over = node.over_among(&heartbeat, rights.acts());
     {
         let mut held = lock(&node.cluster);
         if let Some(cluster) = held.as_mut() {
-            if report.fencing_token > cluster.fencing_token {
+            if heartbeat.fencing_token > cluster.fencing_token {
                 deposed = true;
             } else {
                 let catalog = node.catalog();
-                let name = report.machine.clone();
-                cluster.take_report(report, Via::Report, catalog.as_deref(), now);
+                let name = heartbeat.machine.clone();
+                cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
                 let orders = if rights.whole() {
                     cluster.orders_in_answer(&name, now)
@@ -74,7 +76,7 @@
                 if !rights.holds(over.since(fencing_token), spare, kept) {
                     return Answer::Nobody;
                 }
-                return Answer::Orders(Orders { fencing_token, agent_epoch: None, orders });
+                return Answer::WorkerCommands(WorkerCommands { fencing_token, agent_epoch: None, orders });
             }
         }
     }
@@ -82,11 +84,11 @@
         node.step_down("a worker has seen a higher token");
         return Answer::Nobody;
     }
-    debug!(machine = report_from, leader = node.leader_node(), "a report for the leader");
+    debug!(machine = heartbeat_from, leader = node.leader_node(), "a report for the leader");
     match node.leader_node() {
         // Sent to a leader of long ago, workers would only come and go.
         Some(leader) if leader != node.settings.node && node.knows_leader(now) => {
-            node.note_redirect(&report_from, report_at, now);
+            node.note_redirect(&heartbeat_from, heartbeat_at, now);
             Answer::Elsewhere(leader)
         }
         _ => Answer::Nobody,
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a report may be answered with.
+//! Tests of what a heartbeat may be answered with.
 
 use super::answer::Rights;
 
