--- a/src/calendar/jobs_by_window.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -7,28 +7,28 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use super::spec::{Span, Spec, Times};
-use super::status::Status;
-use super::step::Arrival;
+use super::spec::{InstanceSpan, WindowSpec, WindowTimes};
+use super::status::WindowStatus;
+use super::step::WindowJob;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, Shape};
 
-/// A window as it stands.
+/// A window's spec with its status.
 pub struct DeclaredWindow {
     pub name: String,
-    pub spec: Spec,
-    pub status: Status,
-    times: Option<Times>,
+    pub spec: WindowSpec,
+    pub status: WindowStatus,
+    times: Option<WindowTimes>,
 }
 
 impl DeclaredWindow {
-    pub fn new(name: &str, spec: Spec, status: Status) -> Self {
+    pub fn new(name: &str, spec: WindowSpec, status: WindowStatus) -> Self {
         Self { name: name.to_owned(), times: spec.times(), spec, status }
     }
 
     /// The instance that a job accepted at this moment belongs to. One that is stored keeps its times.
-    fn taking(&self, at_ms: u64) -> Option<Span> {
-        let by_spec = || self.times.as_ref()?.taking(at_ms);
+    fn instance_for_job(&self, at_ms: u64) -> Option<InstanceSpan> {
+        let by_spec = || self.times.as_ref()?.instance_for_job(at_ms);
         let Some(current) = self.status.current.as_ref() else { return by_spec() };
         let from = current.opens_ms.saturating_sub(u64::from(self.spec.early_s) * 1000);
         if (from..current.closes_ms).contains(&at_ms) {
@@ -41,12 +41,12 @@
 /// Open jobs by window, as they were accepted.
 #[derive(Debug, Default)]
 pub struct JobsByWindow {
-    arrivals: HashMap<String, Vec<Arrival>>,
+    by_window: HashMap<String, Vec<WindowJob>>,
 }
 
 impl JobsByWindow {
     /// The open jobs that belong to each of these windows.
-    pub fn of<'a>(windows: &[DeclaredWindow], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
+    pub fn new<'a>(windows: &[DeclaredWindow], jobs: impl Iterator<Item = &'a Arc<JobRecord>>) -> Self {
         let mut by_class: HashMap<(&str, &str), Vec<&DeclaredWindow>> = HashMap::new();
         let mut claimed: HashSet<&JobId> = HashSet::new();
         for window in windows {
@@ -55,7 +55,7 @@
             }
             claimed.extend(window.status.current.iter().flat_map(|i| &i.claims).map(|claim| &claim.job));
         }
-        let mut arrivals: HashMap<String, Vec<Arrival>> = HashMap::new();
+        let mut window_jobs: HashMap<String, Vec<WindowJob>> = HashMap::new();
         for record in jobs {
             let job = &record.spec;
             // A service never ends: it could not be done by a closing.
@@ -63,26 +63,28 @@
                 continue;
             }
             let Some(of_class) = by_class.get(&(job.team.as_str(), job.class.as_str())) else { continue };
-            let taking = of_class.iter().filter_map(|window| Some((*window, window.taking(record.at_ms)?)));
-            let first = taking.min_by_key(|(window, span)| {
+            let instance_for_job =
+                of_class.iter().filter_map(|window| Some((*window, window.instance_for_job(record.at_ms)?)));
+            let first = instance_for_job.min_by_key(|(window, span)| {
                 let named = window.spec.turns.iter().any(|turn| **turn == *job.id);
                 (!named, span.closes_ms, window.name.as_str())
             });
-            let open =
-                |(window, span): &(&DeclaredWindow, Span)| window.status.last_day().is_none_or(|last| span.day > last);
+            let open = |(window, span): &(&DeclaredWindow, InstanceSpan)| {
+                window.status.last_day().is_none_or(|last| span.day > last)
+            };
             if let Some((window, span)) = first.filter(open) {
-                let arrival = Arrival { record: record.clone(), day: span.day };
-                arrivals.entry(window.name.clone()).or_default().push(arrival);
+                let window_job = WindowJob { record: record.clone(), day: span.day };
+                window_jobs.entry(window.name.clone()).or_default().push(window_job);
             }
         }
-        for of_window in arrivals.values_mut() {
+        for of_window in window_jobs.values_mut() {
             of_window.sort_by(|a, b| (a.record.at_ms, &a.record.spec.id).cmp(&(b.record.at_ms, &b.record.spec.id)));
         }
-        Self { arrivals }
+        Self { by_window: window_jobs }
     }
 
     /// The jobs that belong to this window.
-    pub fn arrivals(&self, window: &str) -> &[Arrival] {
-        self.arrivals.get(window).map_or(&[], Vec::as_slice)
+    pub fn of_window(&self, window: &str) -> &[WindowJob] {
+        self.by_window.get(window).map_or(&[], Vec::as_slice)
     }
 }
--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -1,9 +1,10 @@
-//! Planning windows: when they open and close, which job's turn it is, and that operators are told of each one that
-//! closes unclaimed (docs/calendar.md).
+//! Planning windows: when they open and close, which job's turn it is, and reports of each instance that closes
+//! unclaimed (docs/calendar.md).
 //!
 //! Jobs come from users only: nothing here submits, cancels or ends one.
 
-mod declare;
+mod describe;
+mod events;
 mod intents;
 mod jobs_by_window;
 mod spec;
@@ -11,8 +12,10 @@
 mod step;
 #[cfg(test)]
 mod tests;
+mod window;
 
-pub use declare::Window;
+pub use events::WindowEvent;
 pub use jobs_by_window::JobsByWindow;
-pub use spec::Spec;
-pub use status::Status;
+pub use spec::WindowSpec;
+pub use status::WindowStatus;
+pub use window::Window;
--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -18,28 +18,28 @@
 const FIRST_OF_ERA: i32 = 719_163;
 
 /// Turns of one instance: what is stored of each has to fit a status.
-pub const MOST_TURNS: u32 = 32;
-const MOST_CLASSES: usize = 16;
-const LONGEST_NAME: usize = 64;
-const MOST_CORES: f64 = 1e6;
-/// Offsets from UTC that are in use somewhere.
+pub const MAX_TURNS: u32 = 32;
+const MAX_CLASSES: usize = 16;
+const MAX_NAME_LENGTH: usize = 64;
+const MAX_CORES: f64 = 1e6;
+/// Offsets from UTC that are in use somewhere, in minutes.
 const OFFSETS: std::ops::RangeInclusive<i32> = -720..=840;
 /// With an instance of at most a day, two days hold every instance a moment may belong to.
-const MOST_EARLY_S: u32 = 12 * 3600;
-const MOST_ROOM_S: u32 = 12 * 3600;
+const MAX_EARLY_S: u32 = 12 * 3600;
+const MAX_ROOM_S: u32 = 12 * 3600;
 
-fn one() -> u32 {
+fn default_jobs() -> u32 {
     1
 }
 
-fn ten_minutes() -> u32 {
+fn default_room_s() -> u32 {
     600
 }
 
 /// A planning window as operators declare it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Spec {
+pub struct WindowSpec {
     /// The team whose jobs belong to it.
     pub team: String,
     /// Jobs of these may claim its turns.
@@ -48,7 +48,7 @@
     pub opens: String,
     /// The time of day at which it closes, as `HH:MM`.
     pub closes: String,
-    /// The closing is that of the day after the opening.
+    /// The closing is on the day after the opening.
     #[serde(default)]
     pub closes_next_day: bool,
     /// As "mon"; neither days nor a date: daily.
@@ -61,7 +61,7 @@
     #[serde(default)]
     pub utc_offset_min: i32,
     /// Jobs that have to be done by the closing.
-    #[serde(default = "one")]
+    #[serde(default = "default_jobs")]
     pub jobs: u32,
     /// Cores that they take at once, all together; 0: what they took last time.
     #[serde(default)]
@@ -72,158 +72,197 @@
     /// Job ids or classes in the order of their turns; jobs beyond them as they were accepted.
     #[serde(default)]
     pub turns: Vec<String>,
-    /// Jobs accepted so long before the opening belong to it too, and wait for it.
+    /// Jobs accepted up to so many seconds before the opening belong to it too, and wait for it.
     #[serde(default)]
     pub early_s: u32,
-    /// Room for what is not claimed is kept for so long after the opening.
-    #[serde(default = "ten_minutes")]
+    /// Capacity for unclaimed turns is reserved for so many seconds after the opening.
+    #[serde(default = "default_room_s")]
     pub room_s: u32,
     /// Instances up to this date were confirmed by an operator.
     #[serde(default)]
     pub confirmed: Option<String>,
-    /// When it was declared, by the operator's time of day: what closed before is none of its.
+    /// When it was declared, by the operator's time of day: instances that closed before are not its own.
     #[serde(default)]
     pub declared_ms: Option<u64>,
 }
 
 /// One opening and closing, in ms since 1970.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct InstanceSpan {
     pub day: Day,
     pub opens_ms: u64,
     pub closes_ms: u64,
 }
 
-/// As 06:00 or 06:00:30, in ms since midnight.
-fn time(text: &str) -> Option<i64> {
+/// Parses 06:00 or 06:00:30 to ms since midnight.
+fn parse_time(text: &str) -> Option<i64> {
     let read = NaiveTime::parse_from_str(text, "%H:%M").or_else(|_| NaiveTime::parse_from_str(text, "%H:%M:%S"));
     read.ok().map(|t| i64::from(t.num_seconds_from_midnight()) * 1000)
 }
 
-pub fn day_of(text: &str) -> Option<Day> {
+/// Parses a date such as 2026-12-24.
+pub fn parse_day(text: &str) -> Option<Day> {
     let date = NaiveDate::parse_from_str(text, "%Y-%m-%d").ok()?;
     Some(date.num_days_from_ce() - FIRST_OF_ERA)
 }
 
-pub fn date_of(day: Day) -> String {
+/// The date of a day.
+pub fn format_day(day: Day) -> String {
     let date = day.checked_add(FIRST_OF_ERA).and_then(NaiveDate::from_num_days_from_ce_opt);
     date.map_or_else(|| format!("day {day}"), |date| date.to_string())
 }
 
 /// 1970 began on a Thursday.
-fn weekday_of(day: Day) -> Weekday {
+fn weekday(day: Day) -> Weekday {
     Weekday::try_from((day + 3).rem_euclid(7) as u8).unwrap_or(Weekday::Mon)
 }
 
-impl Spec {
+fn refuse<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, SpecError> {
+    Err(SpecError::new(field, reason))
+}
+
+fn check_time(field: &str, text: &str) -> Result<i64, SpecError> {
+    let Some(time) = parse_time(text) else {
+        return refuse(field, format!("{text:?} is no time of day such as 06:00"));
+    };
+    Ok(time)
+}
+
+impl WindowSpec {
+    /// Checks all fields.
+    ///
+    /// # Errors
     /// Names the first field that cannot be used.
     pub fn check(&self, names: &KnownNames) -> Result<(), SpecError> {
-        let refuse = |field: &str, why: String| Err(SpecError::new(field, why));
         let Some(team) = names.teams.iter().find(|t| t.name == self.team) else {
             return refuse("team", format!("{:?} is no team of the settings", self.team));
         };
-        if self.classes.is_empty() || self.classes.len() > MOST_CLASSES {
-            return refuse("classes", format!("{} are not between 1 and {MOST_CLASSES}", self.classes.len()));
+        self.check_classes(names)?;
+        self.check_times()?;
+        self.check_days()?;
+        self.check_amounts(team.cpus_max)?;
+        self.check_turns()?;
+        for (field, value, max) in [("early_s", self.early_s, MAX_EARLY_S), ("room_s", self.room_s, MAX_ROOM_S)] {
+            if value > max {
+                return refuse(field, format!("{value} is more than {max}"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_classes(&self, names: &KnownNames) -> Result<(), SpecError> {
+        if self.classes.is_empty() || self.classes.len() > MAX_CLASSES {
+            return refuse("classes", format!("{} are not between 1 and {MAX_CLASSES}", self.classes.len()));
         }
         for (at, class) in self.classes.iter().enumerate() {
             // Settings without objectives name no classes at all.
             if !names.classes.is_empty() && !names.classes.contains(&class.as_str()) {
-                return refuse(&format!("classes[{at}]"), format!("{class:?} is no class of the settings"));
+                return refuse(format!("classes[{at}]"), format!("{class:?} is no class of the settings"));
             }
         }
-        let (Some(opens), Some(closes)) = (time(&self.opens), time(&self.closes)) else {
-            let (field, value) =
-                if time(&self.opens).is_none() { ("opens", &self.opens) } else { ("closes", &self.closes) };
-            return refuse(field, format!("{value:?} is no time of day such as 06:00"));
-        };
+        Ok(())
+    }
+
+    fn check_times(&self) -> Result<(), SpecError> {
+        let opens = check_time("opens", &self.opens)?;
+        let closes = check_time("closes", &self.closes)?;
         if closes <= opens && !self.closes_next_day {
-            let why = format!("{} is not after {}; with closes_next_day it is the next day's", self.closes, self.opens);
-            return refuse("closes", why);
+            let reason =
+                format!("{} is not after {}; with closes_next_day it is the next day's", self.closes, self.opens);
+            return refuse("closes", reason);
         }
         if closes > opens && self.closes_next_day {
             return refuse("closes", format!("{} is more than a day after {}", self.closes, self.opens));
         }
+        Ok(())
+    }
+
+    fn check_days(&self) -> Result<(), SpecError> {
         if self.days.is_some() && self.date.is_some() {
-            return refuse("date", "there are days as well; one of the two".into());
+            return refuse("date", "there are days as well; one of the two");
         }
         if let Some(days) = &self.days {
             if days.is_empty() {
-                return refuse("days", "[] never comes; left out it is daily".into());
+                return refuse("days", "[] never comes; left out it is daily");
             }
             for (at, day) in days.iter().enumerate() {
                 if day.parse::<Weekday>().is_err() {
-                    return refuse(&format!("days[{at}]"), format!("{day:?} is no weekday such as \"mon\""));
+                    return refuse(format!("days[{at}]"), format!("{day:?} is no weekday such as \"mon\""));
                 }
             }
         }
         for (field, date) in [("date", &self.date), ("confirmed", &self.confirmed)] {
-            if let Some(date) = date.as_ref().filter(|d| day_of(d).is_none()) {
+            if let Some(date) = date.as_ref().filter(|date| parse_day(date).is_none()) {
                 return refuse(field, format!("{date:?} is no date such as 2026-12-24"));
             }
         }
         if !OFFSETS.contains(&self.utc_offset_min) {
             return refuse("utc_offset_min", format!("{} is not between -720 and 840", self.utc_offset_min));
         }
-        if !(1..=MOST_TURNS).contains(&self.jobs) {
-            return refuse("jobs", format!("{} is not between 1 and {MOST_TURNS}", self.jobs));
+        Ok(())
+    }
+
+    /// `cpus_max`: the team's limit; 0 for none.
+    fn check_amounts(&self, cpus_max: f64) -> Result<(), SpecError> {
+        if !(1..=MAX_TURNS).contains(&self.jobs) {
+            return refuse("jobs", format!("{} is not between 1 and {MAX_TURNS}", self.jobs));
         }
-        let most = if team.cpus_max > 0.0 { team.cpus_max } else { MOST_CORES };
-        if !(0.0..=most).contains(&self.cores) {
-            return refuse("cores", format!("{} is not between 0 and {most}, what its team may have", self.cores));
+        let max = if cpus_max > 0.0 { cpus_max } else { MAX_CORES };
+        if !(0.0..=max).contains(&self.cores) {
+            return refuse("cores", format!("{} is not between 0 and {max}, what its team may have", self.cores));
         }
         if !(0.0..=DAY_MS as f64 / 1000.0).contains(&self.estimate_s) {
             return refuse("estimate_s", format!("{} is not between 0 and a day", self.estimate_s));
         }
+        Ok(())
+    }
+
+    fn check_turns(&self) -> Result<(), SpecError> {
         if self.turns.len() > self.jobs as usize {
             return refuse("turns", format!("{} are more than the {} of jobs", self.turns.len(), self.jobs));
         }
         for (at, turn) in self.turns.iter().enumerate() {
-            if turn.len() > LONGEST_NAME || !(well_formed_id(turn) || self.classes.contains(turn)) {
-                let why = format!("{turn:?} is neither a job id nor one of its classes");
-                return refuse(&format!("turns[{at}]"), why);
+            if turn.len() > MAX_NAME_LENGTH || !(well_formed_id(turn) || self.classes.contains(turn)) {
+                let reason = format!("{turn:?} is neither a job id nor one of its classes");
+                return refuse(format!("turns[{at}]"), reason);
             }
             if well_formed_id(turn) && self.turns.iter().take(at).any(|other| other == turn) {
-                return refuse(&format!("turns[{at}]"), format!("{turn:?} has a turn already"));
-            }
-        }
-        for (field, value, most) in [("early_s", self.early_s, MOST_EARLY_S), ("room_s", self.room_s, MOST_ROOM_S)] {
-            if value > most {
-                return refuse(field, format!("{value} is more than {most}"));
+                return refuse(format!("turns[{at}]"), format!("{turn:?} has a turn already"));
             }
         }
         Ok(())
     }
 
-    /// Its times, read once; none where they cannot be read.
-    pub fn times(&self) -> Option<Times> {
+    /// Its parsed times; none where they cannot be parsed.
+    pub fn times(&self) -> Option<WindowTimes> {
         let next_day = if self.closes_next_day { DAY_MS } else { 0 };
-        let on = match (&self.date, &self.days) {
-            (Some(date), _) => On::Date(day_of(date)?),
-            (None, Some(days)) => On::Days(days.iter().filter_map(|day| day.parse().ok()).collect()),
-            (None, None) => On::Daily,
+        let recurrence = match (&self.date, &self.days) {
+            (Some(date), _) => Recurrence::Date(parse_day(date)?),
+            (None, Some(days)) => Recurrence::Days(days.iter().filter_map(|day| day.parse().ok()).collect()),
+            (None, None) => Recurrence::Daily,
         };
-        Some(Times {
-            opens: time(&self.opens)?,
-            closes: time(&self.closes)? + next_day,
+        Some(WindowTimes {
+            opens: parse_time(&self.opens)?,
+            closes: parse_time(&self.closes)? + next_day,
             offset: i64::from(self.utc_offset_min) * MINUTE_MS,
             early: u64::from(self.early_s) * 1000,
-            on,
+            recurrence,
         })
     }
 
     /// The instance that opens on a day, if one does.
-    pub fn on(&self, day: Day) -> Option<Span> {
-        self.times()?.on(day)
+    pub fn instance_on(&self, day: Day) -> Option<InstanceSpan> {
+        self.times()?.instance_on(day)
     }
 
-    /// The first instance after a day; without one the first that closes after `from_ms`, or the
-    /// declared date whenever it is: what is past already when it is declared is told as missed.
-    pub fn following(&self, after: Option<Day>, from_ms: u64) -> Option<Span> {
-        self.times()?.following(after, from_ms)
+    /// The first instance after a day; without a day the first that closes after `from_ms`, or the one of the declared
+    /// date, even if that has passed: then it is reported as missed.
+    pub fn next_instance(&self, after: Option<Day>, from_ms: u64) -> Option<InstanceSpan> {
+        self.times()?.next_instance(after, from_ms)
     }
 
-    /// How operators read when it is.
-    pub fn when(&self) -> String {
+    /// The schedule as operators read it.
+    pub fn describe_schedule(&self) -> String {
         let days = match (&self.date, &self.days) {
             (Some(date), _) => date.clone(),
             (None, Some(days)) => days.join(","),
@@ -235,8 +274,9 @@
     }
 }
 
+/// On which days a window opens.
 #[derive(Debug)]
-enum On {
+enum Recurrence {
     Daily,
     Days(Vec<Weekday>),
     Date(Day),
@@ -244,20 +284,20 @@
 
 /// When a window opens and closes, in ms since midnight of its offset from UTC.
 #[derive(Debug)]
-pub struct Times {
+pub struct WindowTimes {
     opens: i64,
     closes: i64,
     offset: i64,
     early: u64,
-    on: On,
+    recurrence: Recurrence,
 }
 
-impl Times {
+impl WindowTimes {
     fn falls_on(&self, day: Day) -> bool {
-        match &self.on {
-            On::Daily => true,
-            On::Days(days) => days.contains(&weekday_of(day)),
-            On::Date(date) => *date == day,
+        match &self.recurrence {
+            Recurrence::Daily => true,
+            Recurrence::Days(days) => days.contains(&weekday(day)),
+            Recurrence::Date(date) => *date == day,
         }
     }
 
@@ -266,27 +306,26 @@
         Day::try_from(local.div_euclid(DAY_MS)).unwrap_or(Day::MAX / 2)
     }
 
-    fn on(&self, day: Day) -> Option<Span> {
+    fn instance_on(&self, day: Day) -> Option<InstanceSpan> {
         let midnight = i64::from(day) * DAY_MS - self.offset;
         let at = |ms: i64| u64::try_from(midnight + ms).ok();
-        let span = Span { day, opens_ms: at(self.opens)?, closes_ms: at(self.closes)? };
+        let span = InstanceSpan { day, opens_ms: at(self.opens)?, closes_ms: at(self.closes)? };
         Some(span).filter(|_| self.falls_on(day))
     }
 
-    fn following(&self, after: Option<Day>, from_ms: u64) -> Option<Span> {
-        if let On::Date(day) = self.on {
-            return self.on(day).filter(|_| after.is_none_or(|after| day > after));
+    fn next_instance(&self, after: Option<Day>, from_ms: u64) -> Option<InstanceSpan> {
+        if let Recurrence::Date(day) = self.recurrence {
+            return self.instance_on(day).filter(|_| after.is_none_or(|after| day > after));
         }
-        // What closed before the spec was written is none of its, however its days were before.
+        // Instances that closed before the spec was written are not its own, whatever its days were before.
         let first = after.map_or(Day::MIN, |day| day.saturating_add(1)).max(self.local_day(from_ms).saturating_sub(1));
-        (first..first.saturating_add(9)).filter_map(|day| self.on(day)).find(|span| span.closes_ms > from_ms)
+        (first..first.saturating_add(9)).filter_map(|day| self.instance_on(day)).find(|span| span.closes_ms > from_ms)
     }
 
-    /// The instance that a job accepted at this moment belongs to: one that is open, before one
-    /// that is about to open.
-    pub fn taking(&self, at_ms: u64) -> Option<Span> {
+    /// The instance that a job accepted at this time belongs to: the open one before the one about to open.
+    pub fn instance_for_job(&self, at_ms: u64) -> Option<InstanceSpan> {
         let last = self.local_day(at_ms.saturating_add(self.early));
-        let mut spans = (last.saturating_sub(1)..=last).filter_map(|day| self.on(day));
+        let mut spans = (last.saturating_sub(1)..=last).filter_map(|day| self.instance_on(day));
         spans.find(|span| (span.opens_ms.saturating_sub(self.early)..span.closes_ms).contains(&at_ms))
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,6 @@
 //! The command line: its commands and their arguments.
 
+mod error;
 mod verbs;
 
 use std::path::{Path, PathBuf};
@@ -8,15 +9,15 @@
 
 use clap::{Args, Parser, Subcommand};
 use hyper::Method;
+use serde_json::Value;
 use tracing_subscriber::EnvFilter;
 
+use self::error::CliError;
 use crate::jobs::JobSpec;
 use crate::protocol::{self, Http};
 use crate::settings::{Properties, Settings, SettingsError};
 
-/// Settings that cannot be used, or a request that was refused.
-const UNUSABLE: u8 = 2;
-const CALL_WITHIN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// hollylanding, a cluster scheduler that admits work by deadline share and return.
 ///
@@ -26,13 +27,13 @@
 #[command(version, args_conflicts_with_subcommands = true, arg_required_else_help = true)]
 struct Cli {
     #[command(flatten)]
-    files: Files,
+    files: ConfigFiles,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
 #[derive(Args, Clone)]
-struct Files {
+struct ConfigFiles {
     /// Settings file (JSON) that the platform hands over
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -44,9 +45,9 @@
 #[derive(Subcommand)]
 enum Command {
     /// Runs a controller until it is killed (the same as giving --config alone)
-    Serve(Files),
+    Serve(ConfigFiles),
     /// Checks settings and properties and prints the properties in effect
-    Check(Files),
+    Check(ConfigFiles),
     /// Submits a job described in a JSON file
     Submit {
         /// A controller's address, such as 127.0.0.1:8080
@@ -73,26 +74,34 @@
         id: String,
     },
     #[command(flatten)]
-    Declared(verbs::Verb),
+    Declarations(verbs::Verb),
 }
 
 /// Runs the command line; the exit status is the README's.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
+    match run_command(cli) {
+        Ok(exit_code) => exit_code,
+        Err(error) => error.report(),
+    }
+}
+
+fn run_command(cli: Cli) -> Result<ExitCode, CliError> {
     match cli.command {
-        None => serve(&cli.files),
-        Some(Command::Serve(files)) => serve(&files),
-        Some(Command::Check(files)) => check(&files),
-        Some(Command::Submit { node, file }) => submit(&node, &file),
-        Some(Command::Status { node, id }) => ask(&node, Method::GET, &format!("/work/{id}"), None),
+        None => return serve(&cli.files),
+        Some(Command::Serve(files)) => return serve(&files),
+        Some(Command::Check(files)) => check(&files)?,
+        Some(Command::Submit { node, file }) => submit(&node, &file)?,
+        Some(Command::Status { node, id }) => call_controller(&node, Method::GET, &format!("/work/{id}"), None)?,
         Some(Command::Cancel { node, id }) => {
-            ask(&node, Method::POST, &format!("/work/{id}/withdraw"), Some(Vec::new()))
+            call_controller(&node, Method::POST, &format!("/work/{id}/withdraw"), Some(Vec::new()))?;
         }
-        Some(Command::Declared(verb)) => verbs::run(&verb),
+        Some(Command::Declarations(verb)) => verbs::run_verb(&verb)?,
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn load(files: &Files) -> Result<(Settings, Properties), SettingsError> {
+fn load_config(files: &ConfigFiles) -> Result<(Settings, Properties), SettingsError> {
     let config = files
         .config
         .as_deref()
@@ -107,16 +116,16 @@
     Ok((settings, properties))
 }
 
-fn unusable(problem: impl std::fmt::Display) -> ExitCode {
-    eprintln!("hollylanding: {problem}");
-    ExitCode::from(UNUSABLE)
+fn serve(files: &ConfigFiles) -> Result<ExitCode, CliError> {
+    let (settings, properties) = load_config(files)?;
+    start_logging();
+    // The controller has logged the error.
+    let outcome = crate::node::serve(settings, properties);
+    Ok(if outcome.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn serve(files: &Files) -> ExitCode {
-    let (settings, properties) = match load(files) {
-        Ok(loaded) => loaded,
-        Err(error) => return unusable(error),
-    };
+/// Logs to standard error, at the level that `LOG_LEVEL` names.
+fn start_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let filter = EnvFilter::try_new(format!("error,hollylanding={level}"))
         .unwrap_or_else(|_| EnvFilter::new("error,hollylanding=info"));
@@ -126,65 +135,42 @@
         .with_ansi(false)
         .without_time()
         .init();
-    match crate::node::serve(settings, properties) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(_) => ExitCode::FAILURE,
-    }
 }
 
-fn check(files: &Files) -> ExitCode {
-    match load(files) {
-        Err(error) => unusable(error),
-        Ok((settings, properties)) => {
-            println!("# controller {}, {} others", settings.node, settings.peers.len());
-            for (name, value) in properties.lines() {
-                println!("{name}={value}");
-            }
-            ExitCode::SUCCESS
-        }
+fn check(files: &ConfigFiles) -> Result<(), CliError> {
+    let (settings, properties) = load_config(files)?;
+    println!("# controller {}, {} others", settings.node, settings.peers.len());
+    for (name, value) in properties.lines() {
+        println!("{name}={value}");
     }
+    Ok(())
 }
 
-fn submit(node: &str, file: &Path) -> ExitCode {
-    let text = match std::fs::read_to_string(file) {
-        Ok(text) => text,
-        Err(error) => return unusable(format!("{}: {error}", file.display())),
-    };
-    let spec: JobSpec = match serde_json::from_str(&text) {
-        Ok(spec) => spec,
-        Err(error) => return unusable(format!("{}: {error}", file.display())),
-    };
-    if let Err(problem) = spec.check() {
-        return unusable(format!("{}: {problem}", file.display()));
-    }
-    ask(node, Method::POST, "/work", Some(protocol::encode(&spec)))
+fn submit(node: &str, file: &Path) -> Result<(), CliError> {
+    let named = || file.to_owned();
+    let text = std::fs::read_to_string(file).map_err(|source| CliError::ReadFile { file: named(), source })?;
+    let decoded = serde_json::from_str(&text);
+    let spec: JobSpec = decoded.map_err(|source| CliError::DecodeJob { file: named(), source })?;
+    spec.check().map_err(|reason| CliError::InvalidJob { file: named(), reason })?;
+    call_controller(node, Method::POST, "/work", Some(protocol::encode(&spec)))
+}
+
+fn start_runtime() -> Result<tokio::runtime::Runtime, CliError> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)
 }
 
-fn ask(node: &str, method: Method, path: &str, body: Option<Vec<u8>>) -> ExitCode {
+/// Calls a controller and prints its answer as JSON.
+fn call_controller(node: &str, method: Method, path: &str, body: Option<Vec<u8>>) -> Result<(), CliError> {
     if node.parse::<std::net::SocketAddr>().is_err() {
-        return unusable(format!("--node: {node:?} is not an IP address with a port"));
+        return Err(CliError::InvalidAddress(node.to_owned()));
     }
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => runtime,
-        Err(error) => {
-            eprintln!("hollylanding: {error}");
-            return ExitCode::FAILURE;
-        }
-    };
-    let outcome = runtime.block_on(async { Http::default().call(method, node, path, body, CALL_WITHIN).await });
-    match outcome {
-        Err(error) => {
-            eprintln!("hollylanding: {node}: {error}");
-            ExitCode::FAILURE
-        }
-        Ok((status, body)) => {
-            let text = protocol::decode::<serde_json::Value>(&body).map(|v| v.to_string()).unwrap_or_default();
-            if (200..300).contains(&status) {
-                println!("{text}");
-                return ExitCode::SUCCESS;
-            }
-            eprintln!("hollylanding: {node} answered {status} {text}");
-            if matches!(status, 429 | 500..) { ExitCode::FAILURE } else { ExitCode::from(UNUSABLE) }
-        }
+    let runtime = start_runtime()?;
+    let answer = runtime.block_on(async { Http::default().call(method, node, path, body, CALL_TIMEOUT).await });
+    let (status, body) = answer.map_err(|source| CliError::Call { node: node.to_owned(), source })?;
+    let body = protocol::decode::<Value>(&body).map(|value| value.to_string()).unwrap_or_default();
+    if !(200..300).contains(&status) {
+        return Err(CliError::Answer { node: node.to_owned(), status, body });
     }
+    println!("{body}");
+    Ok(())
 }
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -1,22 +1,22 @@
-//! The leader's work on declared things, without any I/O: which statuses to store next, which intents follow from those
-//! that are stored, and what is to be logged.
+//! The leader's decisions on declarations, free of I/O: which statuses to store next, which intents follow from those
+//! that are stored, and which events are to be logged.
 //!
 //! Every status is written on condition of the leader record, of the spec's version and of the status's own: a replaced
 //! leader stores nothing, no status is derived from a spec that has changed since, and of two writes that began from
 //! the same status the store takes one. So a write that was not answered needs no memory: the next decision begins
-//! from the same versions, and a late copy of either write is refused once the other is stored.
+//! from the same versions, and a delayed copy of either write is refused once the other is stored.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use tracing::Level;
 
 use super::DeclarationView;
-use super::records::{DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
-use super::registry::{DeclarationRegistry, StatusChange};
-use super::table::{KindOperations, News, NextStatus, entry};
+use super::events::DeclarationEvent;
+use super::records::{DeclarationId, DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
+use super::registry::{DeclarationRegistry, OrphanedStatus, StatusChange};
+use super::table::{KindOperations, NextStatus, find_kind};
 use crate::jobs::record::LEADER;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
@@ -26,20 +26,20 @@
 
 /// Statuses stored in one transaction; there is one a second.
 pub const MAX_WRITES: usize = 2;
-/// A change heard of so long ago was told by whoever led then.
+/// A change heard of longer ago than this was logged by the leader of that time.
 const LOG_WITHIN: Duration = Duration::from_secs(60);
 
-/// What is known here of how jobs ended.
+/// How jobs ended, as far as this controller knows.
 pub type JobEnds<'a> = &'a dyn Fn(&str) -> Option<End>;
 
-/// One change of a status.
+/// The write of one status.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Write {
-    /// The kind of what is declared.
+pub struct StatusWrite {
+    /// The declaration's kind.
     pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
-    /// 0: the spec is gone, and its status goes after it.
+    /// 0: the spec is gone, and its status is dropped.
     pub spec_version: u64,
     /// The version of the status that is replaced; 0 for a first one.
     pub status_version: u64,
@@ -47,7 +47,13 @@
     pub value: Option<Value>,
 }
 
-impl Write {
+impl StatusWrite {
+    /// Drops a status after its spec.
+    fn drop_orphan(orphan: OrphanedStatus) -> Self {
+        let OrphanedStatus { kind, name, version } = orphan;
+        Self { kind, name: name.to_owned(), spec_version: 0, status_version: version, value: None }
+    }
+
     fn change(&self) -> Change {
         let key = status_key(self.kind, &self.name);
         match &self.value {
@@ -55,104 +61,110 @@
             None => Change::Drop { drop: key },
         }
     }
+
+    fn conditions(&self) -> [Condition; 2] {
+        let spec = Condition::at(spec_key(self.kind, &self.name), self.spec_version);
+        [spec, Condition::at(status_key(self.kind, &self.name), self.status_version)]
+    }
 }
 
-/// One transaction's conditions.
-pub fn conditions(writes: &[Write], fencing_token: u64) -> Vec<Condition> {
-    let of = |w: &Write| {
-        let spec = Condition::at(spec_key(w.kind, &w.name), w.spec_version);
-        [spec, Condition::at(status_key(w.kind, &w.name), w.status_version)]
-    };
-    std::iter::once(Condition::at(LEADER, fencing_token)).chain(writes.iter().flat_map(of)).collect()
+/// The conditions of a transaction with these writes.
+pub fn conditions(writes: &[StatusWrite], fencing_token: u64) -> Vec<Condition> {
+    let leader_record = Condition::at(LEADER, fencing_token);
+    std::iter::once(leader_record).chain(writes.iter().flat_map(StatusWrite::conditions)).collect()
 }
 
-/// The changes of a transaction that makes these writes.
-pub fn changes(writes: &[Write]) -> Vec<Change> {
-    writes.iter().map(Write::change).collect()
+/// The changes of a transaction with these writes.
+pub fn changes(writes: &[StatusWrite]) -> Vec<Change> {
+    writes.iter().map(StatusWrite::change).collect()
 }
 
-/// What comes of a look.
+/// The result of an evaluation.
 #[derive(Debug, Default)]
 pub struct DriverOutput {
     /// To be stored together, if anything.
-    pub writes: Vec<Write>,
-    /// There is nothing more to store: all that was is heard of.
+    pub writes: Vec<StatusWrite>,
+    /// There is nothing more to store, and the watch cache holds all that was stored.
     pub settled: bool,
     /// The leader's fencing token, on which the writes are conditional.
     pub fencing_token: u64,
-    /// What is logged once the writes are stored.
-    pub news: News,
-    /// Jobs of which it has to be known how they ended.
-    pub unknown: BTreeSet<JobId>,
+    /// To be logged.
+    pub events: Vec<DeclarationEvent>,
+    /// Jobs whose ends have to be queried.
+    pub unknown_ends: BTreeSet<JobId>,
 }
 
-/// Brings statuses up to what is declared, one transaction at a time.
+/// Decides the next statuses of all declarations, one transaction at a time.
 pub struct DeclarationDriver {
     kinds: &'static [KindOperations],
-    /// Where to go on among the kinds, and in each kind: whoever wants changes each second keeps nobody
-    /// else from his.
-    turn: usize,
-    last: BTreeMap<DeclarationKind, String>,
-    /// Nothing is decided before the watch cache holds this revision: what was stored last.
-    stored: u64,
-    /// Statuses that are too large to be stored, told once.
-    too_large: BTreeSet<(DeclarationKind, String)>,
+    /// Index of the kind to start with. Together with `last_written` it makes the order round-robin: a declaration
+    /// that changes each second delays no other.
+    next_kind: usize,
+    /// The name that was written last, of each kind.
+    last_written: BTreeMap<DeclarationKind, String>,
+    /// Nothing is decided before the watch cache holds this revision, that of the last write.
+    stored_revision: u64,
+    /// Declarations whose status is too large to be stored, each logged once.
+    too_large: BTreeSet<DeclarationId>,
 }
 
 impl DeclarationDriver {
-    /// A driver of these kinds that knows nothing yet.
+    /// A driver of these kinds that has stored nothing yet.
     pub fn new(kinds: &'static [KindOperations]) -> Self {
-        Self { kinds, turn: 0, last: BTreeMap::new(), stored: 0, too_large: BTreeSet::new() }
+        Self { kinds, next_kind: 0, last_written: BTreeMap::new(), stored_revision: 0, too_large: BTreeSet::new() }
     }
 
-    /// These go to the store now, which is others' turn next.
-    pub fn sent(&mut self, writes: &[Write]) {
+    /// Notes that these writes are being sent; the next evaluation starts after them.
+    pub fn mark_sent(&mut self, writes: &[StatusWrite]) {
         for write in writes.iter().filter(|w| w.value.is_some()) {
-            self.turn = self.kinds.iter().position(|entry| entry.kind == write.kind).map_or(0, |at| at + 1);
-            self.last.insert(write.kind, write.name.clone());
+            self.next_kind = self.kinds.iter().position(|entry| entry.kind == write.kind).map_or(0, |at| at + 1);
+            self.last_written.insert(write.kind, write.name.clone());
         }
     }
 
-    /// The last transaction was applied at this revision.
-    pub fn stored(&mut self, revision: u64) {
-        self.stored = self.stored.max(revision);
+    /// Notes that the last transaction was applied at this revision.
+    pub fn mark_stored(&mut self, revision: u64) {
+        self.stored_revision = self.stored_revision.max(revision);
     }
 
-    /// Everything that follows from how things stand. Nothing where the cluster state is not whole yet, or the
-    /// watch cache is being read anew: jobs unknown to it would look as if they were over.
-    pub fn look(
+    /// Refreshes the intents, and decides the next writes and events. Does nothing while the cluster state is not
+    /// loaded or the watch cache is being reloaded: jobs unknown to it would look as if they had ended.
+    pub fn evaluate(
         &mut self,
         cluster: &mut ClusterState,
         watch_cache: &mut WatchCache,
-        ended: JobEnds,
+        job_end: JobEnds,
         now: Instant,
         now_ms: u64,
     ) -> DriverOutput {
         if !cluster.loaded || !watch_cache.ready {
             return DriverOutput::default();
         }
-        let changed = watch_cache.registry_mut().take_status_changes();
-        refresh(self.kinds, cluster, watch_cache.registry(), ended, now, now_ms);
-        let mut looked = DriverOutput { fencing_token: cluster.fencing_token, ..DriverOutput::default() };
-        for change in changed.iter().filter(|c| now.saturating_duration_since(c.heard) < LOG_WITHIN) {
-            looked.news.extend(news(self.kinds, change));
+        let changes = watch_cache.registry_mut().take_status_changes();
+        refresh_intents(self.kinds, cluster, watch_cache.registry(), job_end, now, now_ms);
+        let mut output = DriverOutput { fencing_token: cluster.fencing_token, ..DriverOutput::default() };
+        for change in changes.iter().filter(|c| now.saturating_duration_since(c.heard) < LOG_WITHIN) {
+            output.events.extend(events_of_change(self.kinds, change));
         }
-        if watch_cache.revision >= self.stored {
-            let view = view(cluster, watch_cache.registry(), ended, now, now_ms);
-            looked.writes = self.decide(&view, &mut looked.news);
-            looked.unknown = view.unknown.into_inner();
-            looked.settled = looked.writes.is_empty();
+        if watch_cache.revision >= self.stored_revision {
+            let view = view_state(cluster, watch_cache.registry(), job_end, now, now_ms);
+            output.writes = self.choose_writes(&view, &mut output.events);
+            output.unknown_ends = view.unknown_ends.into_inner();
+            output.settled = output.writes.is_empty();
         }
-        looked
+        output
     }
 
-    /// Up to `MAX_WRITES`, of as many kinds as want any.
-    fn decide(&mut self, view: &DeclarationView, told: &mut News) -> Vec<Write> {
-        let mut writes: Vec<Write> = orphaned_statuses(view.registry).take(1).collect();
-        let mut kinds: Vec<usize> = (0..self.kinds.len()).map(|n| (self.turn + n) % self.kinds.len()).collect();
+    /// Up to `MAX_WRITES`, from as many kinds as have any.
+    fn choose_writes(&mut self, view: &DeclarationView, events: &mut Vec<DeclarationEvent>) -> Vec<StatusWrite> {
+        let orphans = view.registry.orphaned_statuses().map(StatusWrite::drop_orphan);
+        let mut writes: Vec<StatusWrite> = orphans.take(1).collect();
+        let count = self.kinds.len();
+        let mut kinds: Vec<usize> = (0..count).map(|n| (self.next_kind + n) % count).collect();
         while writes.len() < MAX_WRITES && !kinds.is_empty() {
             kinds.retain(|at| {
-                let found = (writes.len() < MAX_WRITES).then(|| self.next_of(*at, view, &writes, told)).flatten();
+                let has_room = writes.len() < MAX_WRITES;
+                let found = has_room.then(|| self.next_write_of_kind(*at, view, &writes, events)).flatten();
                 let any = found.is_some();
                 writes.extend(found);
                 any
@@ -161,80 +173,79 @@
         writes
     }
 
-    /// The next one of a kind that wants a change, after the last one that got it.
-    fn next_of(&mut self, at: usize, view: &DeclarationView, writes: &[Write], told: &mut News) -> Option<Write> {
-        let entry = &self.kinds[at];
-        let kind = entry.kind;
-        let last = self.last.get(&kind).cloned().unwrap_or_default();
+    /// The next declaration of a kind whose status changes, in order of names after the one written last.
+    fn next_write_of_kind(
+        &mut self,
+        at: usize,
+        view: &DeclarationView,
+        writes: &[StatusWrite],
+        events: &mut Vec<DeclarationEvent>,
+    ) -> Option<StatusWrite> {
+        let operations = &self.kinds[at];
+        let kind = operations.kind;
+        let last = self.last_written.get(&kind).cloned().unwrap_or_default();
         let (before, after): (Vec<&str>, Vec<&str>) =
-            view.registry.names(kind).partition(|name| *name <= last.as_str());
-        let most = MAX_VALUE_BYTES.min((view.settings.params.state.value_kb * 1024.0) as usize);
+            view.registry.names_of_kind(kind).partition(|name| *name <= last.as_str());
+        let max = MAX_VALUE_BYTES.min((view.settings.params.state.value_kb * 1024.0) as usize);
         for name in after.into_iter().chain(before) {
             if writes.iter().any(|w| w.kind == kind && w.name == name) {
                 continue;
             }
-            let Some(NextStatus { spec_version, status_version, value }) = (entry.step)(name, view) else { continue };
-            let size = value.to_string().len();
-            if size > most {
-                if self.too_large.len() < kind.most() && self.too_large.insert((kind, name.to_owned())) {
-                    let line = format!("{} {name}: its status of {size} bytes cannot be stored", kind.word());
-                    told.push((Level::ERROR, line));
-                }
+            let Some(next) = (operations.next_status)(name, view) else { continue };
+            let bytes = next.value.to_string().len();
+            if bytes > max {
+                events.extend(self.report_too_large(kind, name, bytes));
                 continue;
             }
-            return Some(Write { kind, name: name.to_owned(), spec_version, status_version, value: Some(value) });
+            let NextStatus { spec_version, status_version, value } = next;
+            return Some(StatusWrite { kind, name: name.to_owned(), spec_version, status_version, value: Some(value) });
         }
         None
     }
-}
 
-/// Statuses that are dropped since their spec is gone.
-fn orphaned_statuses(registry: &DeclarationRegistry) -> impl Iterator<Item = Write> {
-    registry.orphaned_statuses().map(|(kind, name, status_version)| Write {
-        kind,
-        name: name.to_owned(),
-        spec_version: 0,
-        status_version,
-        value: None,
-    })
+    /// The event of a status that is too large, once for each declaration.
+    fn report_too_large(&mut self, kind: DeclarationKind, name: &str, bytes: usize) -> Option<DeclarationEvent> {
+        let is_new = self.too_large.len() < kind.max_count() && self.too_large.insert(DeclarationId::new(kind, name));
+        is_new.then(|| DeclarationEvent::StatusTooLarge { kind, name: name.to_owned(), bytes })
+    }
 }
 
-fn news(kinds: &[KindOperations], changed: &StatusChange) -> News {
-    let StatusChange { kind, name, .. } = changed;
-    match (changed.after(), entry(kinds, *kind)) {
-        (None, _) => vec![(Level::INFO, format!("{} {name}: removed", kind.word()))],
-        (Some(after), Some(entry)) => (entry.news)(name, changed.before().as_ref(), &after),
+fn events_of_change(kinds: &[KindOperations], change: &StatusChange) -> Vec<DeclarationEvent> {
+    let StatusChange { kind, name, .. } = change;
+    match (change.after(), find_kind(kinds, *kind)) {
+        (None, _) => vec![DeclarationEvent::Removed { kind: *kind, name: name.clone() }],
+        (Some(after), Some(operations)) => (operations.status_events)(name, change.before().as_ref(), &after),
         (Some(_), None) => Vec::new(),
     }
 }
 
-fn view<'a>(
+fn view_state<'a>(
     cluster: &'a ClusterState,
     registry: &'a DeclarationRegistry,
-    ended: JobEnds<'a>,
+    job_end: JobEnds<'a>,
     now: Instant,
     now_ms: u64,
 ) -> DeclarationView<'a> {
     DeclarationView {
         cluster,
-        ended,
+        job_end,
         registry,
         now,
         now_ms,
-        epoch: cluster.fencing_token,
+        fencing_token: cluster.fencing_token,
         settings: &cluster.settings,
         jobs_by_window: OnceCell::new(),
-        unknown: RefCell::default(),
+        unknown_ends: RefCell::default(),
     }
 }
 
-/// Works out anew what is asked for by what is stored: before anything is decided after a takeover, when
-/// jobs have come, and each second. Does nothing as long as nothing is declared.
-pub fn refresh(
+/// Computes the intents anew from what is stored: before anything is decided after a failover, when jobs have come, and
+/// each second. Does nothing as long as nothing is declared.
+pub fn refresh_intents(
     kinds: &[KindOperations],
     cluster: &mut ClusterState,
     registry: &DeclarationRegistry,
-    ended: JobEnds,
+    job_end: JobEnds,
     now: Instant,
     now_ms: u64,
 ) {
@@ -243,9 +254,9 @@
         return;
     }
     let mut intents = Intents::default();
-    let view = view(cluster, registry, ended, now, now_ms);
-    for entry in kinds {
-        (entry.add_intents)(&view, &mut intents);
+    let view = view_state(cluster, registry, job_end, now, now_ms);
+    for operations in kinds {
+        (operations.add_intents)(&view, &mut intents);
     }
     cluster.set_intents(intents);
 }
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -1,94 +1,34 @@
-//! Operators' writes through the state service: read, compute, write on condition of the versions read, and start
-//! again if somebody else has written meanwhile.
+//! Operators' verbs through the state service: read, compute, write on condition of the versions read, and start again
+//! if somebody else has written meanwhile.
 //!
 //! Each write also changes one key common to all operators. So writes are serialized, the bounds on how much is
-//! declared hold exactly, and a late copy of a write changes nothing.
+//! declared hold exactly, and a delayed copy of a write changes nothing.
+
+pub mod error;
+mod session;
+pub(super) mod stored;
 
 use std::collections::BTreeMap;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-use hyper::Method;
 use serde_json::{Value, json};
 
-use super::records::{
-    DeclarationPart, MAX_SPECS_BYTES, OPERATORS, SPECS, STATUSES, is_valid_name, parse, spec_key, status_key,
-};
-use super::table::{Declaration, KindOperations, entry};
+pub use self::error::{NoAnswer, OperatorError, Refusal};
+use self::session::{Attempt, Session};
+use self::stored::{SpecWrite, StoredDeclarations};
+use super::records::{DeclarationId, MAX_SPECS_BYTES, is_valid_name};
+use super::table::{Declaration, KindOperations, find_kind};
 use super::{DeclarationKind, KnownNames, SpecError};
 use crate::jobs::record::time_of_day_ms;
-use crate::protocol::Http;
 use crate::settings::Settings;
-use crate::store::budget::{Budget, Urgent};
-use crate::store::client::Item;
-use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
-use crate::sync::jitter;
-
-/// The part of the state service's limits that controllers leave over.
-const PART: f64 = 0.05;
-/// Requests that may go at once.
-const BURST: f64 = 20.0;
-const RETRY: Duration = Duration::from_millis(300);
-/// A controller's answer to a cancellation is waited for like this.
-const CALL_WITHIN: Duration = Duration::from_secs(5);
-/// Room in a transaction's 64 KiB for specs; the rest is conditions and framing.
-const BYTES: usize = 40 * 1024;
-const FRAME: usize = 200;
-/// Problems told of one list.
-const MOST_TOLD: usize = 20;
-
-/// Why a verb was not carried out. What was refused has left nothing behind.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Failed {
-    /// The spec is refused, for these reasons.
-    Refused(Vec<String>),
-    /// No answer that says so, for as long as was waited.
-    NoAnswer(String),
-}
-
-impl From<SpecError> for Failed {
-    fn from(problem: SpecError) -> Self {
-        Self::Refused(vec![problem.to_string()])
-    }
-}
-
-fn refused<T>(line: impl Into<String>) -> Result<T, Failed> {
-    Err(Failed::Refused(vec![line.into()]))
-}
-
-/// Specs by name, or none where one is to be dropped.
-type SpecWrites = BTreeMap<String, Option<Value>>;
-
-/// What stands of one kind, or of all.
-#[derive(Debug, Default)]
-pub(super) struct StoredDeclarations {
-    /// The version of the key common to all operators.
-    pub operators: u64,
-    pub specs: BTreeMap<(DeclarationKind, String), (Value, u64)>,
-    pub statuses: BTreeMap<(DeclarationKind, String), Value>,
-}
-
-impl StoredDeclarations {
-    pub fn take(&mut self, item: Item) {
-        match parse(&item.path).map(|(part, kind, name)| (part, (kind, name.to_owned()))) {
-            Some((DeclarationPart::Spec, of)) => drop(self.specs.insert(of, (item.value, item.version))),
-            Some((DeclarationPart::Status, of)) => drop(self.statuses.insert(of, item.value)),
-            None => {}
-        }
-    }
 
-    fn declaration<'a>(&'a self, kind: DeclarationKind, name: &'a str) -> Result<Declaration<'a>, Failed> {
-        let of = (kind, name.to_owned());
-        match self.specs.get(&of) {
-            Some((spec, _)) => Ok(Declaration { name, spec, status: self.statuses.get(&of) }),
-            None => refused(format!("name: no {} {name:?} is declared", kind.word())),
-        }
-    }
-}
+/// Reasons shown for one list.
+const MAX_REFUSALS: usize = 20;
 
-/// One declared thing, as operators see it.
+/// A declaration as operators see it.
 #[derive(Debug, serde::Serialize)]
 pub struct DeclarationReport {
-    /// The kind of what is declared.
+    /// Its kind.
     pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
@@ -96,325 +36,222 @@
     pub spec: Option<Value>,
     /// The stored status.
     pub status: Option<Value>,
-    /// The same in words.
+    /// Both, described in lines.
     pub lines: Vec<String>,
 }
 
 /// The operators' side: reads and writes specs directly in the store.
 pub struct Operator {
     kinds: &'static [KindOperations],
-    settings: Settings,
-    store: StateClient,
-    http: Http,
-    /// How long it goes on without an answer.
-    patience: Duration,
+    session: Session,
 }
 
 impl Operator {
     /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, kinds: &'static [KindOperations], patience: Duration) -> Self {
-        let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
-        let requests = Budget::new(limits.rps * PART, BURST, now);
-        let writes = Budget::new(limits.write_rps * PART, limits.txn_ops as f64, now);
-        let store =
-            StateClient::new(http.clone(), settings.endpoints.state.clone(), requests, writes, Default::default());
-        Self { kinds, settings, store, http, patience }
+        Self { kinds, session: Session::new(settings, patience) }
     }
 
-    fn entry(&self, kind: DeclarationKind) -> Result<&'static KindOperations, Failed> {
-        match entry(self.kinds, kind) {
-            Some(entry) => Ok(entry),
-            None => refused(format!("kind: this build carries out no {}", kind.word())),
-        }
+    fn operations(&self, kind: DeclarationKind) -> Result<&'static KindOperations, Refusal> {
+        find_kind(self.kinds, kind).ok_or(Refusal::UnsupportedKind(kind))
     }
 
-    /// Reads one object or a list of them, each with its name, and checks all without asking anybody.
-    pub fn read_list(&self, kind: DeclarationKind, text: &str) -> Result<BTreeMap<String, Value>, Failed> {
-        let entry = self.entry(kind)?;
-        let read: Value = serde_json::from_str(text).or_else(|error| refused(error.to_string()))?;
-        let list = match read {
+    /// Parses one object or a list of them, each with its name, and checks all without any request.
+    ///
+    /// # Errors
+    /// Names what is wrong with each entry.
+    pub fn parse_specs(&self, kind: DeclarationKind, text: &str) -> Result<BTreeMap<String, Value>, OperatorError> {
+        let operations = self.operations(kind)?;
+        let list = match serde_json::from_str(text).map_err(Refusal::Json)? {
             Value::Array(list) => list,
             one => vec![one],
         };
-        if list.len() > kind.most() {
-            return refused(too_many(kind, list.len()));
+        if list.len() > kind.max_count() {
+            return Err(Refusal::TooMany { kind, count: list.len() }.into());
         }
-        let names = KnownNames::of(&self.settings);
-        let (mut specs, mut problems) = (BTreeMap::new(), Vec::new());
-        for (n, mut spec) in list.into_iter().enumerate() {
+        let names = KnownNames::from_settings(&self.session.settings);
+        let (mut specs, mut refusals) = (BTreeMap::new(), Vec::new());
+        for (index, mut spec) in list.into_iter().enumerate() {
             let name = spec.as_object_mut().and_then(|fields| fields.remove("name"));
-            let at = name.as_ref().and_then(Value::as_str).map_or(format!("[{n}]"), str::to_owned);
-            match name {
-                Some(Value::String(name)) if is_valid_name(&name) => match (entry.check)(&spec, &names) {
-                    Err(problem) => problems.push(format!("{at}: {problem}")),
-                    Ok(()) if specs.contains_key(&name) => problems.push(format!("{at}: name: given twice")),
-                    Ok(()) => drop(specs.insert(name, spec)),
-                },
-                Some(name) => problems.push(format!("{at}: name: {name} is not 1 to 64 of a-z, 0-9, dot and dash")),
-                None => problems.push(format!("{at}: name: missing")),
+            let entry = name.as_ref().and_then(Value::as_str).map_or(format!("[{index}]"), str::to_owned);
+            let checked = check_name(name).and_then(|name| {
+                (operations.check_spec)(&spec, &names)?;
+                if specs.contains_key(&name) { Err(SpecError::new("name", "given twice")) } else { Ok(name) }
+            });
+            match checked {
+                Ok(name) => drop(specs.insert(name, spec)),
+                Err(source) => refusals.push(Refusal::Entry { entry, source }),
             }
         }
-        problems.truncate(MOST_TOLD);
-        if problems.is_empty() { Ok(specs) } else { Err(Failed::Refused(problems)) }
+        refusals.truncate(MAX_REFUSALS);
+        if refusals.is_empty() { Ok(specs) } else { Err(OperatorError::Refused(refusals)) }
     }
 
-    /// Writes these specs, and gives the names of those that were not as given already.
-    pub async fn declare(&self, kind: DeclarationKind, specs: &BTreeMap<String, Value>) -> Result<Vec<String>, Failed> {
-        let entry = self.entry(kind)?;
-        self.change(kind, async |known: &StoredDeclarations, _| {
-            let stand = known.specs.iter().filter(|((k, _), _)| *k == kind);
-            let mut all: BTreeMap<String, Value> =
-                stand.map(|((_, name), (spec, _))| (name.clone(), spec.clone())).collect();
-            let mut new = SpecWrites::new();
-            for (name, spec) in specs {
-                let before = all.get(name);
-                let spec = (entry.declared)(spec, before, time_of_day_ms())?;
-                if before != Some(&spec) {
-                    new.insert(name.clone(), Some(spec.clone()));
-                    all.insert(name.clone(), spec);
-                }
-            }
-            if all.len() > kind.most() {
-                return refused(too_many(kind, all.len()));
-            }
-            let bytes: usize = all.values().map(|spec| spec.to_string().len()).sum();
-            if bytes > MAX_SPECS_BYTES {
-                return refused(format!("{}: {bytes} bytes are more than the {MAX_SPECS_BYTES} together", kind.word()));
-            }
-            (entry.check_all)(&all)?;
-            Ok(new)
-        })
-        .await
+    /// Writes these specs, and gives the names of those that were not stored as given already.
+    ///
+    /// # Errors
+    /// There would be too much, or there is no answer.
+    pub async fn declare(
+        &self,
+        kind: DeclarationKind,
+        specs: &BTreeMap<String, Value>,
+    ) -> Result<Vec<String>, OperatorError> {
+        let operations = self.operations(kind)?;
+        let decide = async |stored: &StoredDeclarations, _| decide_declare(operations, stored, specs);
+        self.session.read_and_write(kind, decide).await
     }
 
-    /// Takes back what was declared.
-    pub async fn remove(&self, kind: DeclarationKind, name: &str) -> Result<(), Failed> {
-        let gone = self.change(kind, async |known: &StoredDeclarations, again| match known.declaration(kind, name) {
-            Ok(_) => Ok(SpecWrites::from([(name.to_owned(), None)])),
-            Err(_) if again => Ok(SpecWrites::new()),
-            Err(failed) => Err(failed),
-        });
-        gone.await.map(drop)
+    /// Removes a spec.
+    ///
+    /// # Errors
+    /// It is not declared, or there is no answer.
+    pub async fn remove(&self, kind: DeclarationKind, name: &str) -> Result<(), OperatorError> {
+        let decide = async |stored: &StoredDeclarations, attempt| match stored.declaration(kind, name) {
+            Ok(_) => Ok(vec![SpecWrite::remove(name)]),
+            Err(_) if attempt == Attempt::Repeated => Ok(Vec::new()),
+            Err(refusal) => Err(refusal.into()),
+        };
+        self.session.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// One of the verbs that the kind knows. A job that is to be cancelled with it is cancelled first, at
-    /// this controller, as its user would.
-    pub async fn act(&self, kind: DeclarationKind, verb: &str, name: &str, node: &str) -> Result<(), Failed> {
-        let entry = self.entry(kind)?;
-        let acted = self.change(kind, async |known: &StoredDeclarations, _| {
-            let acted = (entry.act)(verb, known.declaration(kind, name)?, time_of_day_ms())?;
-            if let Some(job) = acted.cancel {
-                self.cancel(node, &job).await?;
+    /// Applies one of the kind's verbs. A job that is to be cancelled with it is cancelled first, at this controller,
+    /// as its user would.
+    ///
+    /// # Errors
+    /// The verb cannot be applied, or there is no answer.
+    pub async fn apply_verb(
+        &self,
+        kind: DeclarationKind,
+        verb: &str,
+        name: &str,
+        node: &str,
+    ) -> Result<(), OperatorError> {
+        let operations = self.operations(kind)?;
+        let decide = async |stored: &StoredDeclarations, _| {
+            let outcome = (operations.apply_verb)(verb, stored.declaration(kind, name)?, time_of_day_ms())?;
+            if let Some(job) = outcome.cancel {
+                self.session.cancel_job(node, &job).await?;
             }
-            Ok(SpecWrites::from([(name.to_owned(), Some(acted.spec))]))
-        });
-        acted.await.map(drop)
+            Ok(vec![SpecWrite::put(name, outcome.spec)])
+        };
+        self.session.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// A sensor's reading of a time of day. One of a later time is not replaced.
-    pub async fn reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), Failed> {
+    /// Stores a sensor's reading of a time of day. A reading of a later time is not replaced.
+    ///
+    /// # Errors
+    /// The reading cannot be used, or there is no answer.
+    pub async fn store_reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), OperatorError> {
         let kind = DeclarationKind::Reading;
-        let entry = self.entry(kind)?;
+        let operations = self.operations(kind)?;
+        let settings = &self.session.settings;
         if !is_valid_name(name) {
-            return refused(format!("name: {name:?} is not 1 to 64 of a-z, 0-9, dot and dash"));
+            return Err(invalid_name(format_args!("{name:?}")).into());
         }
         if !value.is_finite() {
-            return refused(format!("value: {value} is no reading"));
+            return Err(SpecError::new("value", format!("{value} is no reading")).into());
         }
-        if at_ms > time_of_day_ms() + self.settings.params.skew_ms as u64 {
-            return refused(format!("at: {at_ms} ms lies ahead of the time of day"));
+        if at_ms > time_of_day_ms() + settings.params.skew_ms as u64 {
+            return Err(SpecError::new("at", format!("{at_ms} ms lies ahead of the time of day")).into());
         }
-        let read = self.change(kind, async |known: &StoredDeclarations, _| {
-            let stands = known.specs.get(&(kind, name.to_owned())).map(|(spec, _)| spec);
-            let later = stands.and_then(|spec| spec["at_ms"].as_u64()).filter(|stands| *stands > at_ms);
-            if let Some(later) = later {
-                return refused(format!("at: {at_ms} ms is before the reading of {later} ms that is there"));
+        let names = KnownNames::from_settings(settings);
+        let decide = async |stored: &StoredDeclarations, _| {
+            let spec = decide_reading(stored, name, value, at_ms)?;
+            (operations.check_spec)(&spec, &names)?;
+            if stored.spec(&DeclarationId::new(kind, name)).is_none() && stored.specs.len() >= kind.max_count() {
+                return Err(Refusal::TooMany { kind, count: stored.specs.len() + 1 }.into());
             }
-            let mut spec = stands.cloned().unwrap_or_else(|| json!({}));
-            spec["value"] = json!(value);
-            spec["at_ms"] = json!(at_ms);
-            (entry.check)(&spec, &KnownNames::of(&self.settings))?;
-            if stands.is_none() && known.specs.len() >= kind.most() {
-                return refused(too_many(kind, known.specs.len() + 1));
-            }
-            Ok(SpecWrites::from([(name.to_owned(), Some(spec))]))
-        });
-        read.await.map(drop)
+            Ok(vec![SpecWrite::put(name, spec)])
+        };
+        self.session.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// All that is declared, or one kind, or one of it; and statuses that are left to be dropped.
+    /// Shows all declarations, or those of one kind, or one of them; and statuses that are still to be dropped.
+    ///
+    /// # Errors
+    /// The name is not declared, or there is no answer.
     pub async fn show(
         &self,
         kind: Option<DeclarationKind>,
         name: Option<&str>,
-    ) -> Result<Vec<DeclarationReport>, Failed> {
-        let known = self.known(kind).await?;
+    ) -> Result<Vec<DeclarationReport>, OperatorError> {
+        let stored = self.session.read_declarations(kind).await?;
         if let (Some(kind), Some(name)) = (kind, name) {
-            known.declaration(kind, name)?;
+            stored.declaration(kind, name)?;
         }
-        let mut all: Vec<&(DeclarationKind, String)> = known.specs.keys().chain(known.statuses.keys()).collect();
-        all.sort_unstable();
-        all.dedup();
+        let mut ids: Vec<&DeclarationId> = stored.specs.keys().chain(stored.statuses.keys()).collect();
+        ids.sort_unstable();
+        ids.dedup();
+        ids.retain(|id| name.is_none_or(|name| name == id.name));
         let now_ms = time_of_day_ms();
-        let shown = all.into_iter().filter(|(_, of)| name.is_none_or(|name| name == of)).map(|of| {
-            let (spec, status) = (known.specs.get(of).map(|(spec, _)| spec), known.statuses.get(of));
-            let lines = match (spec, entry(self.kinds, of.0)) {
-                (None, _) => Ok(vec!["removed; its status goes as soon as that is told".to_owned()]),
-                (Some(_), None) => Ok(vec!["this build does not carry it out".to_owned()]),
-                (Some(spec), Some(entry)) => (entry.tell)(Declaration { name: &of.1, spec, status }, now_ms),
-            };
-            let lines = lines.unwrap_or_else(|problem| vec![problem.to_string()]);
-            DeclarationReport { kind: of.0, name: of.1.clone(), spec: spec.cloned(), status: status.cloned(), lines }
-        });
-        Ok(shown.collect())
+        Ok(ids.into_iter().map(|id| self.report(&stored, id, now_ms)).collect())
     }
 
-    /// Reads, lets `work` say what to write, and writes it; again from the start where something else was
-    /// written meanwhile. `work` is told whether it is asked again.
-    async fn change(
-        &self,
-        kind: DeclarationKind,
-        work: impl AsyncFn(&StoredDeclarations, bool) -> Result<SpecWrites, Failed>,
-    ) -> Result<Vec<String>, Failed> {
-        let (mut moved, mut written, mut again) = (Instant::now(), Vec::new(), false);
-        'read: loop {
-            let mut known = self.known(Some(kind)).await?;
-            let writes: Vec<(String, Option<Value>)> = work(&known, again).await?.into_iter().collect();
-            let mut left = writes.as_slice();
-            while !left.is_empty() {
-                let (now, later) = left.split_at(self.fitting(left));
-                match self.write(kind, &known, now).await? {
-                    Ok(revision) => {
-                        known.operators = revision;
-                        moved = Instant::now();
-                        written.extend(now.iter().map(|(name, _)| name.clone()));
-                        left = later;
-                    }
-                    Err(keys) if moved.elapsed() > self.patience => {
-                        let removed = keys.iter().any(|key| key.starts_with(STATUSES));
-                        let why = if removed { "still being removed" } else { "written by others again and again" };
-                        return Err(Failed::NoAnswer(format!("{why}: {}", keys.join(" "))));
-                    }
-                    Err(_) => {
-                        tokio::time::sleep(jitter(RETRY)).await;
-                        again = true;
-                        continue 'read;
-                    }
-                }
+    fn report(&self, stored: &StoredDeclarations, id: &DeclarationId, now_ms: u64) -> DeclarationReport {
+        let (spec, status) = (stored.spec(id), stored.statuses.get(id));
+        let lines = match (spec, find_kind(self.kinds, id.kind)) {
+            (None, _) => vec!["removed; its status goes as soon as that is told".to_owned()],
+            (Some(_), None) => vec!["this build does not carry it out".to_owned()],
+            (Some(spec), Some(operations)) => {
+                let declaration = Declaration { name: &id.name, spec, status };
+                (operations.describe)(declaration, now_ms).unwrap_or_else(|error| vec![error.to_string()])
             }
-            return Ok(written);
-        }
+        };
+        DeclarationReport { kind: id.kind, name: id.name.clone(), spec: spec.cloned(), status: status.cloned(), lines }
     }
+}
 
-    /// How many of these go together.
-    fn fitting(&self, writes: &[(String, Option<Value>)]) -> usize {
-        let most = (self.settings.params.state.txn_ops as usize).saturating_sub(1).max(1);
-        let mut bytes = 0;
-        let fits = writes.iter().take(most).take_while(|(_, value)| {
-            bytes += value.as_ref().map_or(0, |v| v.to_string().len()) + FRAME;
-            bytes <= BYTES
-        });
-        fits.count().max(1)
-    }
+fn invalid_name(name: impl std::fmt::Display) -> SpecError {
+    SpecError::new("name", format!("{name} is not 1 to 64 of a-z, 0-9, dot and dash"))
+}
 
-    /// One transaction, until its answer is definite: the revision, or the keys that were not as read.
-    async fn write(
-        &self,
-        kind: DeclarationKind,
-        known: &StoredDeclarations,
-        writes: &[(String, Option<Value>)],
-    ) -> Result<Result<u64, Vec<String>>, Failed> {
-        let mine = json!({"by": format!("{:016x}", rand::random::<u64>()), "at_ms": time_of_day_ms()});
-        let (conditions, changes) = transaction(kind, known, writes, &mine);
-        let unsure = std::cell::Cell::new(false);
-        let sent = self.answered(async || {
-            let outcome = self.store.compare_and_swap(&conditions, &changes, Urgent::Second).await;
-            unsure.set(unsure.get() || outcome == Err(StoreError::Unanswered));
-            outcome
-        });
-        match sent.await? {
-            CompareAndSwapOutcome::Applied(revision) => Ok(Ok(revision)),
-            CompareAndSwapOutcome::LeaseExpired => Ok(Err(Vec::new())),
-            CompareAndSwapOutcome::Failed(keys) if unsure.get() => {
-                // An earlier copy may have been the one that moved the key.
-                let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
-                Ok(stands.filter(|item| item.value == mine).map(|item| item.version).ok_or(keys))
-            }
-            CompareAndSwapOutcome::Failed(keys) => Ok(Err(keys)),
-        }
+/// The name of an entry of a list.
+fn check_name(name: Option<Value>) -> Result<String, SpecError> {
+    match name {
+        Some(Value::String(name)) if is_valid_name(&name) => Ok(name),
+        Some(name) => Err(invalid_name(name)),
+        None => Err(SpecError::new("name", "missing")),
     }
+}
 
-    /// What operators have written of a kind, and its statuses, none older than `operators`.
-    async fn known(&self, kind: Option<DeclarationKind>) -> Result<StoredDeclarations, Failed> {
-        let stands = self.answered(async || self.store.get(OPERATORS, Urgent::Second).await).await?;
-        let mut known =
-            StoredDeclarations { operators: stands.map_or(0, |item| item.version), ..StoredDeclarations::default() };
-        for part in [SPECS, STATUSES] {
-            let prefix = kind.map_or(part.to_owned(), |kind| format!("{part}{}/", kind.word()));
-            let pages = tokio::sync::Mutex::new(self.store.pages(&prefix, None));
-            while let Some(page) = self.answered(async || pages.lock().await.next().await).await? {
-                page.items.into_iter().for_each(|item| known.take(item));
-            }
+/// Which of these specs have to be written, if all of them may stand together with those that are stored.
+fn decide_declare(
+    operations: &KindOperations,
+    stored: &StoredDeclarations,
+    specs: &BTreeMap<String, Value>,
+) -> Result<Vec<SpecWrite>, OperatorError> {
+    let kind = operations.kind;
+    let of_kind = stored.specs.iter().filter(|(id, _)| id.kind == kind);
+    let mut all: BTreeMap<String, Value> = of_kind.map(|(id, spec)| (id.name.clone(), spec.value.clone())).collect();
+    let mut writes = Vec::new();
+    for (name, spec) in specs {
+        let before = all.get(name);
+        let spec = (operations.spec_to_store)(spec, before, time_of_day_ms())?;
+        if before != Some(&spec) {
+            writes.push(SpecWrite::put(name, spec.clone()));
+            all.insert(name.clone(), spec);
         }
-        Ok(known)
     }
-
-    async fn cancel(&self, node: &str, job: &str) -> Result<(), Failed> {
-        let (path, begun) = (format!("/work/{job}/withdraw"), Instant::now());
-        loop {
-            let outcome = self.http.call(Method::POST, node, &path, Some(Vec::new()), CALL_WITHIN).await;
-            match outcome {
-                Ok((200, _)) => return Ok(()),
-                Ok((status, _)) if !matches!(status, 429 | 500..) => {
-                    return refused(format!("{job}: {node} answered {status} to its withdrawal"));
-                }
-                _ if begun.elapsed() > self.patience => {
-                    return Err(Failed::NoAnswer(format!("{node} does not withdraw {job}")));
-                }
-                _ => tokio::time::sleep(jitter(RETRY)).await,
-            }
-        }
+    if all.len() > kind.max_count() {
+        return Err(Refusal::TooMany { kind, count: all.len() }.into());
     }
-
-    /// Asks until there is an answer, for as long as its patience lasts.
-    async fn answered<T>(&self, ask: impl AsyncFn() -> Result<T, StoreError>) -> Result<T, Failed> {
-        let begun = Instant::now();
-        loop {
-            match ask().await {
-                Ok(answer) => return Ok(answer),
-                Err(error) if begun.elapsed() > self.patience || matches!(error, StoreError::Malformed(_)) => {
-                    return Err(Failed::NoAnswer(format!("{}: {error}", self.settings.endpoints.state)));
-                }
-                Err(_) => tokio::time::sleep(jitter(RETRY)).await,
-            }
-        }
+    let bytes: usize = all.values().map(|spec| spec.to_string().len()).sum();
+    if bytes > MAX_SPECS_BYTES {
+        return Err(Refusal::TooLarge { kind, bytes }.into());
     }
+    (operations.check_all_specs)(&all)?;
+    Ok(writes)
 }
 
-/// Writes on what was read, with the key that all operators move.
-pub(super) fn transaction(
-    kind: DeclarationKind,
-    known: &StoredDeclarations,
-    writes: &[(String, Option<Value>)],
-    mine: &Value,
-) -> (Vec<Condition>, Vec<Change>) {
-    let mut conditions = vec![Condition::at(OPERATORS, known.operators)];
-    let mut changes = vec![Change::write(OPERATORS, mine.clone())];
-    for (name, value) in writes {
-        let version = known.specs.get(&(kind, name.clone())).map_or(0, |(_, version)| *version);
-        conditions.push(Condition::at(spec_key(kind, name), version));
-        // What was removed is final: a name is free once its status is gone.
-        if version == 0 {
-            conditions.push(Condition::absent(status_key(kind, name)));
-        }
-        changes.push(match value {
-            Some(value) => Change::write(spec_key(kind, name), value.clone()),
-            None => Change::Drop { drop: spec_key(kind, name) },
-        });
+/// The spec of a reading, unless one of a later time is stored.
+fn decide_reading(stored: &StoredDeclarations, name: &str, value: f64, at_ms: u64) -> Result<Value, SpecError> {
+    let present = stored.spec(&DeclarationId::new(DeclarationKind::Reading, name));
+    let later = present.and_then(|spec| spec["at_ms"].as_u64()).filter(|present_ms| *present_ms > at_ms);
+    if let Some(later) = later {
+        return Err(SpecError::new("at", format!("{at_ms} ms is before the reading of {later} ms that is there")));
     }
-    (conditions, changes)
-}
-
-fn too_many(kind: DeclarationKind, n: usize) -> String {
-    format!("{}: {n} are more than the {} that can be declared", kind.word(), kind.most())
+    let mut spec = present.cloned().unwrap_or_else(|| json!({}));
+    spec["value"] = json!(value);
+    spec["at_ms"] = json!(at_ms);
+    Ok(spec)
 }
--- a/src/declarations/records.rs
+++ b/src/declarations/records.rs
@@ -1,26 +1,27 @@
-//! Keys of what is declared, and how much of it there may be.
+//! Keys of declarations, and how many of them there may be.
 //!
-//! They lie below the prefix that every controller mirrors already, so that nothing more is asked
-//! or watched: `c/s/KIND/NAME` is a spec, which operators alone write, and `c/t/KIND/NAME` its
-//! status, which the leader alone writes.
+//! They lie below the prefix that every controller watches already, so that no further request or watch is needed:
+//! `c/s/KIND/NAME` is a spec, which only operators write, and `c/t/KIND/NAME` its status, which only the leader writes.
+
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of what operators declare.
+/// Prefix of specs.
 pub const SPECS: &str = "c/s/";
-/// Prefix of what the leader stores of it.
+/// Prefix of statuses.
 pub const STATUSES: &str = "c/t/";
-/// Every write of an operator moves this key, so that a copy of an earlier one that comes late finds
-/// another version. It lies before what controllers list.
+/// Every write of an operator changes this key, so that a delayed copy of an earlier write fails its condition on the
+/// key's version. It sorts before the keys that controllers list.
 pub const OPERATORS: &str = "c/declared";
 
 /// Largest spec and largest status, in bytes of JSON; less where the state service takes less.
 pub const MAX_VALUE_BYTES: usize = 8 * 1024;
-/// All specs of a kind together: every controller holds them.
+/// Largest total of all specs of a kind, in bytes of JSON: every controller keeps them in memory.
 pub const MAX_SPECS_BYTES: usize = 2 * 1024 * 1024;
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_LENGTH: usize = 64;
 
-/// What can be declared.
+/// The kinds of declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DeclarationKind {
@@ -39,7 +40,7 @@
     pub const ALL: [Self; 4] = [Self::Window, Self::Heat, Self::Reading, Self::Rollout];
 
     /// The kind's name in keys and commands.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Window => "window",
             Self::Heat => "heat",
@@ -49,12 +50,12 @@
     }
 
     /// The kind of this name.
-    pub fn of_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|kind| kind.word() == word)
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// Most of this kind that can be declared.
-    pub fn most(self) -> usize {
+    /// How many of this kind can be declared.
+    pub fn max_count(self) -> usize {
         match self {
             Self::Window => 1000,
             Self::Heat | Self::Rollout => 50,
@@ -63,7 +64,13 @@
     }
 }
 
-/// What a key holds.
+impl fmt::Display for DeclarationKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// Which half of a declaration a key holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeclarationPart {
     /// What an operator wrote.
@@ -72,35 +79,63 @@
     Status,
 }
 
+/// Identifies a declaration.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct DeclarationId {
+    /// Its kind.
+    pub kind: DeclarationKind,
+    /// Its name, unique among those of the kind.
+    pub name: String,
+}
+
+impl DeclarationId {
+    /// The id of the declaration of a kind and name.
+    pub fn new(kind: DeclarationKind, name: impl Into<String>) -> Self {
+        Self { kind, name: name.into() }
+    }
+}
+
+/// A parsed key.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct DeclarationKey<'a> {
+    /// Spec or status.
+    pub part: DeclarationPart,
+    /// The declaration's kind.
+    pub kind: DeclarationKind,
+    /// Its name.
+    pub name: &'a str,
+}
+
 /// Key of a spec.
 pub fn spec_key(kind: DeclarationKind, name: &str) -> String {
-    format!("{SPECS}{}/{name}", kind.word())
+    format!("{SPECS}{kind}/{name}")
 }
 
 /// Key of a status.
 pub fn status_key(kind: DeclarationKind, name: &str) -> String {
-    format!("{STATUSES}{}/{name}", kind.word())
+    format!("{STATUSES}{kind}/{name}")
 }
 
 /// Whether a key is one of a spec or a status, of whatever kind.
-pub fn declared(path: &str) -> bool {
+pub fn is_declaration_key(path: &str) -> bool {
     path.starts_with(SPECS) || path.starts_with(STATUSES)
 }
 
-/// Reads back what `spec_key` and `status_key` made; none of kinds that a later build knows.
-pub fn parse(path: &str) -> Option<(DeclarationPart, DeclarationKind, &str)> {
+/// Parses keys made by `spec_key` and `status_key`; none for kinds that only a later build knows.
+pub fn parse_key(path: &str) -> Option<DeclarationKey<'_>> {
     let (part, rest) = match path.strip_prefix(SPECS) {
         Some(rest) => (DeclarationPart::Spec, rest),
         None => (DeclarationPart::Status, path.strip_prefix(STATUSES)?),
     };
     let (kind, name) = rest.split_once('/')?;
-    Some((part, DeclarationKind::of_word(kind)?, name)).filter(|_| is_valid_name(name))
+    let key = DeclarationKey { part, kind: DeclarationKind::from_name(kind)?, name };
+    Some(key).filter(|key| is_valid_name(key.name))
 }
 
 /// 1 to 64 of small letters, digits, dots and dashes, beginning with a letter or a digit.
 pub fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    name.len() <= LONGEST_NAME && name.starts_with(plain) && name.chars().all(|c| plain(c) || matches!(c, '.' | '-'))
+    name.len() <= MAX_NAME_LENGTH && name.starts_with(plain) && name.chars().all(|c| plain(c) || matches!(c, '.' | '-'))
 }
 
 #[cfg(test)]
--- a/src/declarations/registry.rs
+++ b/src/declarations/registry.rs
@@ -1,7 +1,7 @@
-//! All declared things in the watch cache: specs, statuses, and which statuses changed last.
+//! All declarations in the watch cache: specs, statuses, and which statuses changed last.
 //!
-//! A value is kept as text and parsed as its kind's type when it is first used, which only leaders do. A value that
-//! cannot be parsed is kept as it is and logged once; it does not affect the reading of others.
+//! A value is kept as text and decoded as its kind's type when it is first used, which only leaders do. A value that
+//! cannot be decoded is kept as it is and logged once; it does not affect the reading of others.
 
 use std::any::Any;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,44 +13,82 @@
 use tracing::{error, warn};
 
 use super::DeclarationLogic;
-use super::records::{DeclarationKind, DeclarationPart, MAX_VALUE_BYTES, parse};
+use super::records::{DeclarationKey, DeclarationKind, DeclarationPart, MAX_VALUE_BYTES, parse_key};
 
-/// Changes of statuses kept until they are told; more are not told.
+/// Changes of statuses kept until they are logged; older ones are dropped.
 const MAX_PENDING_CHANGES: usize = 256;
 
-/// One value, and what it reads as.
+/// A value with the version of its key.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Versioned<T> {
+    /// The value.
+    pub value: T,
+    /// Its key's version in the store.
+    pub version: u64,
+}
+
+/// A spec with its name and version.
+#[derive(Debug, Clone, PartialEq)]
+pub struct NamedSpec<'a, S> {
+    /// The declaration's name.
+    pub name: &'a str,
+    /// The spec.
+    pub spec: S,
+    /// Its key's version in the store.
+    pub version: u64,
+}
+
+/// A status that has no spec any more.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OrphanedStatus<'a> {
+    /// The declaration's kind.
+    pub kind: DeclarationKind,
+    /// Its name.
+    pub name: &'a str,
+    /// The status key's version in the store.
+    pub version: u64,
+}
+
+/// One value as text, and as it was decoded when it was first used.
 #[derive(Debug, Clone)]
 struct StoredValue {
     json: Box<str>,
     version: u64,
-    read: OnceLock<Option<Arc<dyn Any + Send + Sync>>>,
+    decoded: OnceLock<Option<Arc<dyn Any + Send + Sync>>>,
 }
 
 impl StoredValue {
-    fn read<T: DeserializeOwned + Clone + Send + Sync + 'static>(
-        &self,
-        kind: DeclarationKind,
-        name: &str,
-    ) -> Option<T> {
-        let read = self.read.get_or_init(|| match serde_json::from_str::<T>(&self.json) {
-            Ok(read) => Some(Arc::new(read)),
-            Err(problem) => {
-                warn!(kind = kind.word(), name, %problem, "unreadable in the store; left as it is");
+    fn decode<T>(&self, kind: DeclarationKind, name: &str) -> Option<Versioned<T>>
+    where
+        T: DeserializeOwned + Clone + Send + Sync + 'static,
+    {
+        let decoded = self.decoded.get_or_init(|| match serde_json::from_str::<T>(&self.json) {
+            Ok(decoded) => Some(Arc::new(decoded)),
+            Err(error) => {
+                warn!(
+                    kind = kind.as_str(),
+                    name, %error, "stored declaration not decoded; leaving it in the store and ignoring it"
+                );
                 None
             }
         });
-        read.as_ref()?.downcast_ref::<T>().cloned()
+        let value = decoded.as_ref()?.downcast_ref::<T>().cloned()?;
+        Some(Versioned { value, version: self.version })
+    }
+
+    fn raw(&self) -> Versioned<Value> {
+        Versioned { value: parse_json(&self.json), version: self.version }
     }
 }
 
-fn value(json: &str) -> Value {
+fn parse_json(json: &str) -> Value {
     serde_json::from_str(json).unwrap_or_default()
 }
 
 /// A status that was stored over another, or dropped after its spec.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StatusChange {
-    /// The kind of what has changed.
+    /// The declaration's kind.
     pub kind: DeclarationKind,
     /// Its name.
     pub name: String,
@@ -63,175 +101,175 @@
 impl StatusChange {
     /// The value before the change.
     pub fn before(&self) -> Option<Value> {
-        self.before.as_deref().map(value)
+        self.before.as_deref().map(parse_json)
     }
 
     /// The value after the change.
     pub fn after(&self) -> Option<Value> {
-        self.after.as_deref().map(value)
+        self.after.as_deref().map(parse_json)
     }
 }
 
-type Of = BTreeMap<DeclarationKind, BTreeMap<String, StoredValue>>;
+type ValuesByName = BTreeMap<String, StoredValue>;
+type ValuesByKind = BTreeMap<DeclarationKind, ValuesByName>;
 
-/// What is declared, as this controller has read it from the store.
+/// All declarations, as this controller has read them from the store.
 #[derive(Debug, Default)]
 pub struct DeclarationRegistry {
-    specs: Of,
-    statuses: Of,
-    changed: VecDeque<StatusChange>,
+    specs: ValuesByKind,
+    statuses: ValuesByKind,
+    status_changes: VecDeque<StatusChange>,
 }
 
 impl DeclarationRegistry {
     /// Whether nothing is declared.
     pub fn is_empty(&self) -> bool {
-        self.entries() == 0
+        self.entry_count() == 0
     }
 
-    /// Specs and statuses.
-    pub fn entries(&self) -> usize {
+    /// Number of specs and statuses.
+    pub fn entry_count(&self) -> usize {
         self.specs.values().chain(self.statuses.values()).map(BTreeMap::len).sum()
     }
 
-    /// What is declared of a kind and can be read, by name, with the versions: the first ones by name
-    /// where there are more than may be, which every controller decides alike.
-    pub fn specs<D: DeclarationLogic>(&self) -> impl Iterator<Item = (&str, D::Spec, u64)> {
-        self.specs
-            .get(&D::KIND)
-            .into_iter()
-            .flatten()
-            .take(D::KIND.most())
-            .filter_map(|(name, kept)| kept.read(D::KIND, name).map(|spec| (name.as_str(), spec, kept.version)))
+    /// The specs of a kind that can be decoded, by name. Where there are more than may be, only the first ones by name
+    /// count, which every controller decides alike.
+    pub fn specs<D: DeclarationLogic>(&self) -> impl Iterator<Item = NamedSpec<'_, D::Spec>> {
+        self.specs.get(&D::KIND).into_iter().flatten().take(D::KIND.max_count()).filter_map(|(name, stored)| {
+            let Versioned { value, version } = stored.decode(D::KIND, name)?;
+            Some(NamedSpec { name, spec: value, version })
+        })
     }
 
-    /// A spec with its version; none if it cannot be read.
-    pub fn spec<D: DeclarationLogic>(&self, name: &str) -> Option<(D::Spec, u64)> {
-        let kept = self.specs.get(&D::KIND)?.get(name)?;
-        kept.read(D::KIND, name).map(|spec| (spec, kept.version))
+    /// A spec; none if it cannot be decoded.
+    pub fn spec<D: DeclarationLogic>(&self, name: &str) -> Option<Versioned<D::Spec>> {
+        self.specs.get(&D::KIND)?.get(name)?.decode(D::KIND, name)
     }
 
-    /// A status with its version; none if it cannot be read.
-    pub fn status<D: DeclarationLogic>(&self, name: &str) -> Option<(D::Status, u64)> {
-        let kept = self.statuses.get(&D::KIND)?.get(name)?;
-        kept.read(D::KIND, name).map(|status| (status, kept.version))
+    /// A status; none if it cannot be decoded.
+    pub fn status<D: DeclarationLogic>(&self, name: &str) -> Option<Versioned<D::Status>> {
+        self.statuses.get(&D::KIND)?.get(name)?.decode(D::KIND, name)
     }
 
-    /// A spec as it is stored, with its version.
-    pub fn raw_spec(&self, kind: DeclarationKind, name: &str) -> Option<(Value, u64)> {
-        self.specs.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
+    /// A spec as it is stored.
+    pub fn raw_spec(&self, kind: DeclarationKind, name: &str) -> Option<Versioned<Value>> {
+        self.specs.get(&kind)?.get(name).map(StoredValue::raw)
     }
 
-    /// A status as it is stored, with its version.
-    pub fn raw_status(&self, kind: DeclarationKind, name: &str) -> Option<(Value, u64)> {
-        self.statuses.get(&kind)?.get(name).map(|kept| (value(&kept.json), kept.version))
+    /// A status as it is stored.
+    pub fn raw_status(&self, kind: DeclarationKind, name: &str) -> Option<Versioned<Value>> {
+        self.statuses.get(&kind)?.get(name).map(StoredValue::raw)
     }
 
-    /// Whether there is a status, readable or not.
+    /// Whether there is a status, decodable or not.
     pub fn has_status(&self, kind: DeclarationKind, name: &str) -> bool {
-        self.statuses.get(&kind).is_some_and(|of| of.contains_key(name))
+        self.statuses.get(&kind).is_some_and(|statuses| statuses.contains_key(name))
     }
 
-    /// KnownNames of a kind, readable or not: all that specs may be looked at of.
-    pub fn names(&self, kind: DeclarationKind) -> impl Iterator<Item = &str> {
-        self.specs.get(&kind).into_iter().flatten().take(kind.most()).map(|(name, _)| name.as_str())
+    /// Names of the specs of a kind, decodable or not, as many as may be declared.
+    pub fn names_of_kind(&self, kind: DeclarationKind) -> impl Iterator<Item = &str> {
+        self.specs.get(&kind).into_iter().flatten().take(kind.max_count()).map(|(name, _)| name.as_str())
     }
 
-    /// Statuses whose spec is gone, with their versions.
-    pub fn orphaned_statuses(&self) -> impl Iterator<Item = (DeclarationKind, &str, u64)> {
-        let all = self.statuses.iter().flat_map(|(kind, of)| of.iter().map(move |(name, kept)| (*kind, name, kept)));
-        all.filter(|(kind, name, _)| !self.specs.get(kind).is_some_and(|of| of.contains_key(*name)))
-            .map(|(kind, name, kept)| (kind, name.as_str(), kept.version))
+    /// Statuses whose spec is gone.
+    pub fn orphaned_statuses(&self) -> impl Iterator<Item = OrphanedStatus<'_>> {
+        let all = self.statuses.iter().flat_map(|(kind, statuses)| {
+            statuses.iter().map(|(name, stored)| OrphanedStatus { kind: *kind, name, version: stored.version })
+        });
+        all.filter(|status| !self.specs.get(&status.kind).is_some_and(|specs| specs.contains_key(status.name)))
     }
 
-    /// What the store holds under a key since a revision. What is older than what is known, as after
-    /// reading anew, is passed over. False if the key is none of what is declared.
-    pub fn put(&mut self, path: &str, value: &Value, version: u64) -> bool {
-        let Some((part, kind, name)) = parse(path) else { return false };
+    /// Takes in what the store holds under a key. A version older than the known one, as after a reload, is ignored.
+    /// False if the key is none of a declaration.
+    pub fn put_key(&mut self, path: &str, value: &Value, version: u64) -> bool {
+        let Some(DeclarationKey { part, kind, name }) = parse_key(path) else { return false };
         let json = value.to_string().into_boxed_str();
         if json.len() > MAX_VALUE_BYTES {
-            error!(path, "larger than anything declared may be; not taken in");
-            return self.drop_key(path, version);
+            error!(key = path, "stored declaration too large; dropping it from the registry");
+            return self.remove_key(path, version);
         }
-        let of = self.of(part).entry(kind).or_default();
-        if of.get(name).is_some_and(|kept| kept.version >= version) {
+        let values = self.values_mut(part).entry(kind).or_default();
+        if values.get(name).is_some_and(|stored| stored.version >= version) {
             return true;
         }
-        // Operators' writes keep to half of this; a stranger's may take no more.
-        if !of.contains_key(name) && of.len() >= 2 * kind.most() {
-            error!(path, "too many of them; not taken in");
+        // Operators' writes keep to half of this; a foreign writer's may take no more.
+        if !values.contains_key(name) && values.len() >= 2 * kind.max_count() {
+            error!(key = path, "declaration limit exceeded; ignoring the new entry");
             return true;
         }
-        let kept = StoredValue { json: json.clone(), version, read: OnceLock::new() };
-        let before = of.insert(name.to_owned(), kept).map(|kept| kept.json);
+        let stored = StoredValue { json: json.clone(), version, decoded: OnceLock::new() };
+        let before = values.insert(name.to_owned(), stored).map(|stored| stored.json);
         if part == DeclarationPart::Status && before.as_ref() != Some(&json) {
-            self.note(kind, name, before, Some(json));
+            self.record_change(kind, name, before, Some(json));
         }
         true
     }
 
-    /// The same of a key that is no more since a revision.
-    pub fn drop_key(&mut self, path: &str, version: u64) -> bool {
-        let Some((part, kind, name)) = parse(path) else { return false };
-        let older = |kept: &StoredValue| kept.version <= version;
-        let of = self.of(part).get_mut(&kind).filter(|of| of.get(name).is_some_and(older));
-        let before = of.and_then(|of| of.remove(name));
+    /// Takes in that a key was dropped at a revision. False if the key is none of a declaration.
+    pub fn remove_key(&mut self, path: &str, revision: u64) -> bool {
+        let Some(DeclarationKey { part, kind, name }) = parse_key(path) else { return false };
+        let is_older = |stored: &StoredValue| stored.version <= revision;
+        let values = self.values_mut(part).get_mut(&kind).filter(|values| values.get(name).is_some_and(is_older));
+        let before = values.and_then(|values| values.remove(name));
         if let Some(before) = before.filter(|_| part == DeclarationPart::Status) {
-            self.note(kind, name, Some(before.json), None);
+            self.record_change(kind, name, Some(before.json), None);
         }
         true
     }
 
-    /// All of it was read anew. What changed meanwhile is noted, but nothing of a first reading. False
-    /// if nothing is declared and nothing was.
-    pub fn replace(&mut self, read: Self, first: bool) -> bool {
-        let before = std::mem::replace(self, read);
+    /// Takes in a reload of all keys. Statuses that changed meanwhile are recorded as changes, but none of the first
+    /// load. False if nothing is declared and nothing was.
+    pub fn replace_with(&mut self, loaded: Self, first: bool) -> bool {
+        let before = std::mem::replace(self, loaded);
         let any = !before.is_empty() || !self.is_empty();
-        self.changed = before.changed;
+        self.status_changes = before.status_changes;
         if first {
             return any;
         }
-        let mut changes = Vec::new();
+        let (none, after) = (ValuesByName::new(), std::mem::take(&mut self.statuses));
         for kind in DeclarationKind::ALL {
-            let (was, is) = (before.statuses.get(&kind), self.statuses.get(&kind));
-            let mut names: Vec<&String> = was.into_iter().chain(is).flat_map(BTreeMap::keys).collect();
-            names.sort_unstable();
-            names.dedup();
-            for name in names {
-                let value =
-                    |of: Option<&BTreeMap<String, StoredValue>>| of.and_then(|of| Some(of.get(name)?.json.clone()));
-                let (was, is) = (value(was), value(is));
-                if was != is {
-                    changes.push((kind, name.clone(), was, is));
-                }
-            }
-        }
-        for (kind, name, was, is) in changes {
-            self.note(kind, &name, was, is);
+            let before = before.statuses.get(&kind).unwrap_or(&none);
+            self.record_differences(kind, before, after.get(&kind).unwrap_or(&none));
         }
+        self.statuses = after;
         any
     }
 
-    /// Something changed that nobody has taken yet.
+    fn record_differences(&mut self, kind: DeclarationKind, before: &ValuesByName, after: &ValuesByName) {
+        let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
+        names.sort_unstable();
+        names.dedup();
+        for name in names {
+            let json = |values: &ValuesByName| values.get(name).map(|stored| stored.json.clone());
+            let (before, after) = (json(before), json(after));
+            if before != after {
+                self.record_change(kind, name, before, after);
+            }
+        }
+    }
+
+    /// Whether there are changes that nobody has taken yet.
     pub fn has_status_changes(&self) -> bool {
-        !self.changed.is_empty()
+        !self.status_changes.is_empty()
     }
 
     /// Statuses that changed since the last call, oldest first.
     pub fn take_status_changes(&mut self) -> Vec<StatusChange> {
-        self.changed.drain(..).collect()
+        self.status_changes.drain(..).collect()
     }
 
-    fn of(&mut self, part: DeclarationPart) -> &mut Of {
+    fn values_mut(&mut self, part: DeclarationPart) -> &mut ValuesByKind {
         match part {
             DeclarationPart::Spec => &mut self.specs,
             DeclarationPart::Status => &mut self.statuses,
         }
     }
 
-    fn note(&mut self, kind: DeclarationKind, name: &str, before: Option<Box<str>>, after: Option<Box<str>>) {
-        if self.changed.len() >= MAX_PENDING_CHANGES {
-            self.changed.pop_front();
+    fn record_change(&mut self, kind: DeclarationKind, name: &str, before: Option<Box<str>>, after: Option<Box<str>>) {
+        if self.status_changes.len() >= MAX_PENDING_CHANGES {
+            self.status_changes.pop_front();
         }
-        self.changed.push_back(StatusChange { kind, name: name.to_owned(), before, after, heard: Instant::now() });
+        let heard = Instant::now();
+        self.status_changes.push_back(StatusChange { kind, name: name.to_owned(), before, after, heard });
     }
 }
--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -1,12 +1,12 @@
-//! The leader's task for declared things: works out the next status, stores it, and logs what is stored.
+//! The leader's task for declarations: evaluates them, stores the next statuses, and logs what was stored.
 
 use std::future::Future;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use tracing::{Level, debug, error, info, warn};
+use tracing::debug;
 
-use super::driver::{DeclarationDriver, DriverOutput, JobEnds, changes, conditions};
+use super::driver::{DeclarationDriver, DriverOutput, JobEnds, StatusWrite, changes, conditions};
 use super::table::KINDS;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
@@ -15,127 +15,136 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
-/// As long as anything is declared it is looked at this often, and at most one transaction goes.
-const EVERY: Duration = Duration::from_secs(1);
-/// Between two looks, so that a burst of news is looked at once; and a look rests this many times as
-/// long as it took.
-const GAP: Duration = Duration::from_millis(250);
-const REST: u32 = 8;
-/// Behind acceptances, placements and ends, but not for ever: what has waited for so long goes with
-/// placements, which its two changes a second hardly notice.
-const PRESSED: Duration = Duration::from_secs(5);
-const STORE_WITHIN: Duration = Duration::from_secs(2);
+/// As long as anything is declared it is evaluated at least this often, and at most one transaction goes.
+const EVALUATION_INTERVAL: Duration = Duration::from_secs(1);
+/// Least pause between two evaluations, so that a burst of changes is evaluated at once.
+const MIN_PAUSE: Duration = Duration::from_millis(250);
+/// The pause after an evaluation is at least this many times as long as it took.
+const PAUSE_PER_EVALUATION: u32 = 8;
+/// Writes go after acceptances, placements and ends, but do not starve: what has waited for so long goes with
+/// placements, which its two changes a second hardly slow down.
+const ESCALATE_AFTER: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the task may do with its controller.
+/// What the task needs of its controller.
 pub trait DeclarationContext: Send + Sync + 'static {
-    /// Nothing is declared, nothing was, and nothing of it is left to be told or asked for.
+    /// Nothing is declared, nothing was, and nothing of it is left to be logged or asked for.
     fn is_idle(&self) -> bool;
-    /// Runs this on how things stand; none if nothing may be decided at the moment.
+    /// Runs this on the present state; none if nothing may be decided at the moment.
     fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T>;
-    /// Asks the store how a job ended; `with_state` shows it once it has answered.
+    /// Asks the store how a job ended; `with_state` shows it once the store has answered.
     fn query_job_end(&self, id: &JobId);
-    /// How many changes of this right could be stored at once.
+    /// How many changes of this urgency could be stored at once.
     fn writable_changes(&self, urgent: Urgent) -> usize;
-    /// Sends one transaction to the state service, with what is left of its limits for calls of this urgency.
+    /// Sends one transaction to the state service, within the controller's budget for calls of this urgency.
     fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
         urgent: Urgent,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
-    /// A transaction was refused: waits until the watch cache is proven fresh, and sees who leads.
+    /// A transaction was refused: waits until the watch cache is proven up to date, and checks who leads.
     fn refresh_after_conflict(&self) -> impl Future<Output = ()> + Send;
-    /// Until something declared changes.
+    /// Waits until a declaration changes.
     fn wait_for_change(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// When a transaction may go, and by which right.
+/// Decides when a transaction may go, and with which urgency.
 struct WritePacer {
     next: Instant,
-    /// Something has been waiting to be stored since then.
-    waits: Option<Instant>,
-    /// For so long that it goes with placements, until nothing waits any more.
-    pressed: bool,
+    /// Since when something has been waiting to be stored.
+    waiting_since: Option<Instant>,
+    /// It has waited for so long that it goes with placements, until nothing waits any more.
+    escalated: bool,
 }
 
 impl WritePacer {
     fn new(now: Instant) -> Self {
-        Self { next: now, waits: None, pressed: false }
+        Self { next: now, waiting_since: None, escalated: false }
     }
 
-    fn settled(&mut self) {
-        (self.waits, self.pressed) = (None, false);
+    fn mark_settled(&mut self) {
+        self.waiting_since = None;
+        self.escalated = false;
     }
 
-    /// How many changes may go now, of which `any` wait.
-    fn most(&mut self, any: bool, now: Instant, ready: impl Fn(Urgent) -> usize) -> usize {
+    /// How many changes may go now, if `any` wait.
+    fn allowed_writes(&mut self, any: bool, now: Instant, writable_changes: impl Fn(Urgent) -> usize) -> usize {
         if !any || now < self.next {
             return 0;
         }
-        let since = *self.waits.get_or_insert(now);
-        self.pressed |= now.saturating_duration_since(since) >= PRESSED;
-        // The smallest share holds less than one change and its reserve.
-        if self.pressed { ready(Urgent::Second).max(1) } else { ready(Urgent::Last) }
+        let since = *self.waiting_since.get_or_insert(now);
+        self.escalated |= now.saturating_duration_since(since) >= ESCALATE_AFTER;
+        // The smallest budget holds less than one change and its reserve.
+        if self.escalated { writable_changes(Urgent::Second).max(1) } else { writable_changes(Urgent::Last) }
     }
 
-    fn sent(&mut self, now: Instant) -> Urgent {
-        self.next = now + EVERY;
-        if self.pressed {
+    fn mark_sent(&mut self, now: Instant) -> Urgent {
+        self.next = now + EVALUATION_INTERVAL;
+        if self.escalated {
             return Urgent::Second;
         }
-        self.waits = None;
+        self.waiting_since = None;
         Urgent::Last
     }
 }
 
-/// For as long as this controller leads.
-pub async fn run<C: DeclarationContext>(context: Arc<C>) {
+/// Runs for as long as this controller leads.
+pub async fn run_declarations<C: DeclarationContext>(context: Arc<C>) {
     let mut driver = DeclarationDriver::new(KINDS);
-    let mut pace = WritePacer::new(Instant::now());
+    let mut pacer = WritePacer::new(Instant::now());
     loop {
-        if context.is_idle() {
-            context.wait_for_change().await;
-        } else {
-            let _ = tokio::time::timeout(EVERY, context.wait_for_change()).await;
-        }
+        wait_for_work(&*context).await;
         let now = Instant::now();
-        let looked = context
-            .with_state(|cluster, watch_cache, ended| driver.look(cluster, watch_cache, ended, now, time_of_day_ms()));
-        let rest = GAP.max(now.elapsed() * REST);
-        let DriverOutput { mut writes, settled, fencing_token, news, unknown } = looked.unwrap_or_default();
-        unknown.iter().for_each(|id| context.query_job_end(id));
-        for (level, line) in news {
-            tell(level, &line);
-        }
+        let output = context.with_state(|cluster, watch_cache, job_end| {
+            driver.evaluate(cluster, watch_cache, job_end, now, time_of_day_ms())
+        });
+        let pause = MIN_PAUSE.max(now.elapsed() * PAUSE_PER_EVALUATION);
+        let DriverOutput { mut writes, settled, fencing_token, events, unknown_ends } = output.unwrap_or_default();
+        unknown_ends.iter().for_each(|id| context.query_job_end(id));
+        events.iter().for_each(|event| event.log());
         if settled {
-            pace.settled();
+            pacer.mark_settled();
         }
-        let most = pace.most(!writes.is_empty(), now, |urgent| context.writable_changes(urgent));
-        writes.truncate(most);
+        let allowed = pacer.allowed_writes(!writes.is_empty(), now, |urgent| context.writable_changes(urgent));
+        writes.truncate(allowed);
         if !writes.is_empty() {
-            driver.sent(&writes);
-            let urgent = pace.sent(now);
-            let (conditions, changes) = (conditions(&writes, fencing_token), changes(&writes));
-            let sent = context.compare_and_swap(&conditions, &changes, urgent);
-            match tokio::time::timeout(STORE_WITHIN, sent).await {
-                Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => driver.stored(revision),
-                Ok(Ok(outcome)) => {
-                    debug!(?outcome, "a status was not stored");
-                    context.refresh_after_conflict().await;
-                }
-                outcome => debug!(?outcome, "storing a status"),
+            driver.mark_sent(&writes);
+            let urgent = pacer.mark_sent(now);
+            if let Some(revision) = store_writes(&*context, &writes, fencing_token, urgent).await {
+                driver.mark_stored(revision);
             }
         }
-        tokio::time::sleep(rest).await;
+        tokio::time::sleep(pause).await;
+    }
+}
+
+async fn wait_for_work<C: DeclarationContext>(context: &C) {
+    if context.is_idle() {
+        context.wait_for_change().await;
+    } else {
+        let _ = tokio::time::timeout(EVALUATION_INTERVAL, context.wait_for_change()).await;
     }
 }
 
-fn tell(level: Level, line: &str) {
-    match level {
-        Level::ERROR => error!("{line}"),
-        Level::WARN => warn!("{line}"),
-        _ => info!("{line}"),
+/// The revision at which the writes were applied, if that is known.
+async fn store_writes<C: DeclarationContext>(
+    context: &C,
+    writes: &[StatusWrite],
+    fencing_token: u64,
+    urgent: Urgent,
+) -> Option<u64> {
+    let (conditions, changes) = (conditions(writes, fencing_token), changes(writes));
+    let sent = context.compare_and_swap(&conditions, &changes, urgent);
+    match tokio::time::timeout(WRITE_TIMEOUT, sent).await {
+        Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => return Some(revision),
+        Ok(Ok(outcome)) => {
+            debug!(?outcome, "declaration status write rejected");
+            context.refresh_after_conflict().await;
+        }
+        outcome => debug!(?outcome, "declaration status write failed"),
     }
+    None
 }
 
 #[cfg(test)]
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -8,17 +8,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::readings::{AHEAD_MS, Reading};
-use super::rule::{Assume, Rule, Weather};
-use super::waits::Waits;
+use super::backlog::Backlog;
+use super::readings::{MAX_CLOCK_SKEW_MS, Reading};
+use super::rule::{AssumedHeat, HeatRule, HeatSignal};
 
 /// Changes that are remembered.
-const MOST_HISTORY: usize = 8;
+const MAX_HISTORY: usize = 8;
 
 /// Why a rule is on or off.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum HeatReason {
     /// Nothing has been decided yet.
     #[default]
     Undecided,
@@ -40,7 +40,7 @@
     Clock,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for HeatReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Undecided => f.write_str("not decided yet"),
@@ -56,108 +56,113 @@
     }
 }
 
-/// One change, as it is remembered.
+/// A past change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Turned {
+pub struct HeatChange {
     /// Whether the rule applies.
     pub on: bool,
     /// Why it does, or does not.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: HeatReason,
     /// The leader that decided.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub fencing_token: u64,
     /// When it was decided, by time of day.
     pub at_ms: u64,
 }
 
-/// What is stored of a rule. Only the leader writes it; everybody acts on it as it is stored.
+/// What the leader stores of a rule.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Status {
+pub struct HeatStatus {
     /// Whether the rule applies.
     pub on: bool,
     /// Why.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: HeatReason,
     /// Of the leader that decided.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub fencing_token: u64,
     /// Times of day in milliseconds since 1970: the last change, and when what is on ends by itself.
     pub since_ms: u64,
     /// When it ends by itself, if it applies.
     pub until_ms: u64,
-    /// When it went on that time that it ran out: it stays off for the rest of those hours.
+    /// When it began to apply that time that it ran out: it stays off for the rest of those hours.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ran_out_of_ms: Option<u64>,
     /// The last changes, the newest last.
-    pub history: Vec<Turned>,
-    /// Its work that waited while it was on, as last told.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub waits: Option<Waits>,
+    pub history: Vec<HeatChange>,
+    /// Its jobs that wait while it applies, as last reported.
+    #[serde(rename = "waits", skip_serializing_if = "Option::is_none")]
+    pub backlog: Option<Backlog>,
 }
 
-impl Status {
-    /// Whether it holds: also without anybody who could write that it ended.
-    pub fn holds(&self, now_ms: u64) -> bool {
-        self.on && now_ms < self.until_ms && self.since_ms <= now_ms.saturating_add(AHEAD_MS)
+impl HeatStatus {
+    /// Whether the rule applies at a time of day. It ends in time also if no leader can write that.
+    pub fn applies_at(&self, now_ms: u64) -> bool {
+        self.on && now_ms < self.until_ms && self.since_ms <= now_ms.saturating_add(MAX_CLOCK_SKEW_MS)
     }
 
-    fn turned(&self, on: bool, why: Why, epoch: u64, at_ms: u64, until_ms: u64) -> Self {
-        let mut next = Self { on, why, epoch, since_ms: at_ms, until_ms, waits: None, ..self.clone() };
-        let before = next.history.len().saturating_sub(MOST_HISTORY - 1);
+    fn change_to(&self, on: bool, reason: HeatReason, fencing_token: u64, at_ms: u64, until_ms: u64) -> Self {
+        let mut next = Self { on, reason, fencing_token, since_ms: at_ms, until_ms, backlog: None, ..self.clone() };
+        let before = next.history.len().saturating_sub(MAX_HISTORY - 1);
         next.history.drain(..before);
-        next.history.push(Turned { on, why, epoch, at_ms });
+        next.history.push(HeatChange { on, reason, fencing_token, at_ms });
         next
     }
 
-    /// What is on ends with its hours, or when it has been on for as long as it may.
-    fn end_of(rule: &Rule, since_ms: u64) -> Option<(u64, Why)> {
-        let hours = rule.hours(since_ms)?;
+    /// When a rule that applies ends by itself, with its hours or after the longest time allowed, and why.
+    fn natural_end(rule: &HeatRule, since_ms: u64) -> Option<(u64, HeatReason)> {
+        let hours = rule.hours_at(since_ms)?;
         let out_ms = since_ms.saturating_add(rule.longest_ms());
-        Some(if out_ms < hours.end_ms { (out_ms, Why::RanOut) } else { (hours.end_ms, Why::Hours) })
+        Some(if out_ms < hours.end_ms { (out_ms, HeatReason::RanOut) } else { (hours.end_ms, HeatReason::Hours) })
     }
 }
 
 /// The next status; none where it stays as it is.
-pub fn decide<'a>(
-    rule: &Rule,
-    status: &Status,
+pub fn decide_heat<'a>(
+    rule: &HeatRule,
+    status: &HeatStatus,
     readings: impl Iterator<Item = &'a Reading>,
-    epoch: u64,
+    fencing_token: u64,
     now_ms: u64,
-) -> Option<Status> {
-    if status.since_ms > now_ms.saturating_add(AHEAD_MS) {
-        let before = Status { ran_out_of_ms: None, ..status.clone() };
-        return Some(before.turned(false, Why::Clock, epoch, now_ms, 0));
+) -> Option<HeatStatus> {
+    if status.since_ms > now_ms.saturating_add(MAX_CLOCK_SKEW_MS) {
+        let before = HeatStatus { ran_out_of_ms: None, ..status.clone() };
+        return Some(before.change_to(false, HeatReason::Clock, fencing_token, now_ms, 0));
     }
     let at_ms = now_ms.max(status.since_ms);
     if status.on {
-        // The operator may have changed the rule since; what was decided ends by what it says now.
-        let (until_ms, why) = Status::end_of(rule, status.since_ms).unwrap_or((at_ms, Why::Hours));
+        // The operator may have changed the rule since; the end follows the present rule.
+        let (until_ms, reason) =
+            HeatStatus::natural_end(rule, status.since_ms).unwrap_or((at_ms, HeatReason::Hours));
         if at_ms >= until_ms {
-            let mut over = status.turned(false, why, epoch, at_ms, 0);
-            over.ran_out_of_ms = (why == Why::RanOut).then_some(status.since_ms);
-            return Some(over);
+            let mut ended = status.change_to(false, reason, fencing_token, at_ms, 0);
+            ended.ran_out_of_ms = (reason == HeatReason::RanOut).then_some(status.since_ms);
+            return Some(ended);
         }
         if until_ms != status.until_ms {
-            return Some(Status { until_ms, ..status.clone() });
+            return Some(HeatStatus { until_ms, ..status.clone() });
         }
     }
-    let turn = |on: bool, why: Why, until_ms: u64| {
-        (on != status.on || (!on && status.why == Why::Undecided))
-            .then(|| status.turned(on, why, epoch, at_ms, until_ms))
+    let switch_to = |on: bool, reason: HeatReason, until_ms: u64| {
+        (on != status.on || (!on && status.reason == HeatReason::Undecided))
+            .then(|| status.change_to(on, reason, fencing_token, at_ms, until_ms))
     };
-    let Some(hours) = rule.hours(at_ms) else { return turn(false, Why::Hours, 0) };
+    let Some(hours) = rule.hours_at(at_ms) else { return switch_to(false, HeatReason::Hours, 0) };
     let out = status.ran_out_of_ms.filter(|since| (hours.begin_ms..=at_ms).contains(since));
     if out.is_some_and(|since| since.saturating_add(rule.longest_ms()) <= at_ms) {
-        return turn(false, Why::RanOut, 0);
+        return switch_to(false, HeatReason::RanOut, 0);
     }
-    let (on, why) = match rule.weather(&hours, readings, now_ms) {
-        Weather::HotDay => (true, Why::HotDay),
-        Weather::Hot(value) => (true, Why::Hot(value)),
-        Weather::Between(value) if status.on => (true, Why::Hot(value)),
-        Weather::Between(value) | Weather::Over(value) => (false, Why::Over(value)),
-        Weather::Unknown if rule.assume == Assume::Hot => (true, Why::AssumedHot),
-        Weather::Unknown => (false, Why::NoReading),
+    let (on, reason) = match rule.assess(&hours, readings, now_ms) {
+        HeatSignal::HotDay => (true, HeatReason::HotDay),
+        HeatSignal::Hot(value) => (true, HeatReason::Hot(value)),
+        HeatSignal::Between(value) if status.on => (true, HeatReason::Hot(value)),
+        HeatSignal::Between(value) | HeatSignal::Over(value) => (false, HeatReason::Over(value)),
+        HeatSignal::Unknown if rule.assume == AssumedHeat::Hot => (true, HeatReason::AssumedHot),
+        HeatSignal::Unknown => (false, HeatReason::NoReading),
     };
     let since_ms = out.unwrap_or(at_ms);
-    let (until_ms, _) = Status::end_of(rule, since_ms)?;
-    turn(on, why, if on { until_ms } else { 0 })
+    let (until_ms, _) = HeatStatus::natural_end(rule, since_ms)?;
+    switch_to(on, reason, if on { until_ms } else { 0 })
 }
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -1,23 +1,24 @@
-//! What operators declare of heat, its checks, and the hours in which it may hold.
+//! Heat rules as operators declare them: their checks, and the hours in which they may apply.
 
 use chrono::{DateTime, FixedOffset, NaiveDate, NaiveTime};
 use serde::{Deserialize, Serialize};
 
-use super::readings::{Reading, settle};
+use super::readings::{Reading, median_reading};
 use crate::declarations::SpecError;
+use crate::scheduling::fairness::{Whose, floor};
 
-const MOST_NAMED: usize = 32;
-const MOST_SENSORS: usize = 16;
-const MOST_DAYS: usize = 200;
-const MOST_OFFSET_MIN: i32 = 14 * 60;
+const MAX_NAMED: usize = 32;
+const MAX_SENSORS: usize = 16;
+const MAX_DAYS: usize = 200;
+const MAX_OFFSET_MIN: i32 = 14 * 60;
 const DAY_S: f64 = 86_400.0;
 /// Of the cores a rule takes at most this part before others, so that something is left whatever is declared.
-pub const MOST_PART: f64 = 0.9;
+pub const MAX_PART: f64 = 0.9;
 
 /// What a rule believes while it has no fresh reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Assume {
+pub enum AssumedHeat {
     /// Hot.
     Hot,
     /// Not hot.
@@ -27,7 +28,7 @@
 /// Which work goes ahead, when it may, and what is hot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rule {
+pub struct HeatRule {
     /// Classes of jobs that go ahead.
     #[serde(default)]
     pub classes: Vec<String>,
@@ -53,23 +54,23 @@
     #[serde(default)]
     pub hot_days: Vec<NaiveDate>,
     /// Older readings do not count, in seconds.
-    #[serde(default = "usual_fresh_s")]
+    #[serde(default = "default_fresh_s")]
     pub fresh_s: f64,
     /// What holds with no fresh reading of any sensor.
-    pub assume: Assume,
+    pub assume: AssumedHeat,
     /// Longest time that it stays on by itself, in seconds.
     pub longest_s: f64,
     /// Of all cores, the part that its work may take before others.
     pub most_part: f64,
 }
 
-fn usual_fresh_s() -> f64 {
+fn default_fresh_s() -> f64 {
     1800.0
 }
 
 /// The hours of one day, as times of day in milliseconds since 1970: from the first to before the second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hours {
+pub struct RuleHours {
     /// The local day.
     pub day: NaiveDate,
     /// Its begin, by time of day.
@@ -80,7 +81,7 @@
 
 /// What the readings and the calendar say of one moment within the hours.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Weather {
+pub enum HeatSignal {
     /// The day is declared hot.
     HotDay,
     /// A reading is above the threshold.
@@ -93,62 +94,87 @@
     Unknown,
 }
 
-impl Rule {
+fn refuse(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
+    Err(SpecError::new(field, reason))
+}
+
+impl HeatRule {
+    /// Checks all fields.
+    ///
+    /// # Errors
     /// Names the first field that cannot be used, with its value.
     pub fn check(&self, classes: &[&str], teams: &[&str]) -> Result<(), SpecError> {
-        let no = |field: &str, why: String| Err(SpecError { field: field.to_owned(), why });
+        self.check_named_work(classes, teams)?;
+        self.check_hours_and_lists()?;
+        self.check_thresholds()?;
+        if self.sensors.is_empty() && self.hot_days.is_empty() && self.assume == AssumedHeat::Not {
+            return refuse("assume", "\"not\", with no sensors and no hot_days: it would never hold");
+        }
+        for (field, value, low, high) in [
+            ("fresh_s", self.fresh_s, 1.0, DAY_S),
+            ("longest_s", self.longest_s, 60.0, DAY_S),
+            ("most_part", self.most_part, 0.01, MAX_PART),
+        ] {
+            if !(low..=high).contains(&value) {
+                return refuse(field, format!("{value} is not between {low} and {high}"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_named_work(&self, classes: &[&str], teams: &[&str]) -> Result<(), SpecError> {
         if self.classes.is_empty() && self.teams.is_empty() {
-            return no("classes", "[] and no teams: it names no work".into());
+            return refuse("classes", "[] and no teams: it names no work");
         }
         for (field, named, known) in [("classes", &self.classes, classes), ("teams", &self.teams, teams)] {
-            if named.len() > MOST_NAMED {
-                return no(field, format!("{} names are more than {MOST_NAMED}", named.len()));
+            if named.len() > MAX_NAMED {
+                return refuse(field, format!("{} names are more than {MAX_NAMED}", named.len()));
             }
             if let Some(name) = named.iter().find(|name| !known.contains(&name.as_str())) {
-                return no(field, format!("{name:?} is not in the settings"));
+                return refuse(field, format!("{name:?} is not in the settings"));
             }
         }
+        Ok(())
+    }
+
+    fn check_hours_and_lists(&self) -> Result<(), SpecError> {
         if self.from == self.to {
-            return no("to", format!("{} is where it begins", self.to));
+            return refuse("to", format!("{} is where it begins", self.to));
         }
-        if self.offset_min.abs() > MOST_OFFSET_MIN {
-            return no("offset_min", format!("{} is more than {MOST_OFFSET_MIN}", self.offset_min));
+        if self.offset_min.abs() > MAX_OFFSET_MIN {
+            return refuse("offset_min", format!("{} is more than {MAX_OFFSET_MIN}", self.offset_min));
         }
-        if self.sensors.len() > MOST_SENSORS {
-            return no("sensors", format!("{} are more than {MOST_SENSORS}", self.sensors.len()));
+        if self.sensors.len() > MAX_SENSORS {
+            return refuse("sensors", format!("{} are more than {MAX_SENSORS}", self.sensors.len()));
         }
-        if self.hot_days.len() > MOST_DAYS {
-            return no("hot_days", format!("{} are more than {MOST_DAYS}", self.hot_days.len()));
+        if self.hot_days.len() > MAX_DAYS {
+            return refuse("hot_days", format!("{} are more than {MAX_DAYS}", self.hot_days.len()));
         }
+        Ok(())
+    }
+
+    fn check_thresholds(&self) -> Result<(), SpecError> {
         for (field, value) in [("hot_above", self.hot_above), ("over_below", self.over_below)] {
             match value {
-                None if !self.sensors.is_empty() => return no(field, "is needed where sensors are named".into()),
-                Some(value) if !value.is_finite() => return no(field, format!("{value} is no number")),
+                None if !self.sensors.is_empty() => return refuse(field, "is needed where sensors are named"),
+                Some(value) if !value.is_finite() => return refuse(field, format!("{value} is no number")),
                 _ => {}
             }
         }
-        if let (Some(hot), Some(over)) = (self.hot_above, self.over_below)
-            && over > hot
-        {
-            return no("over_below", format!("{over} is above hot_above, {hot}"));
+        match (self.hot_above, self.over_below) {
+            (Some(hot), Some(over)) if over > hot => refuse("over_below", format!("{over} is above hot_above, {hot}")),
+            _ => Ok(()),
         }
-        if self.sensors.is_empty() && self.hot_days.is_empty() && self.assume == Assume::Not {
-            return no("assume", "\"not\", with no sensors and no hot_days: it would never hold".into());
-        }
-        for (field, value, low, high) in [
-            ("fresh_s", self.fresh_s, 1.0, DAY_S),
-            ("longest_s", self.longest_s, 60.0, DAY_S),
-            ("most_part", self.most_part, 0.01, MOST_PART),
-        ] {
-            if !(low..=high).contains(&value) {
-                return no(field, format!("{value} is not between {low} and {high}"));
-            }
-        }
-        Ok(())
+    }
+
+    /// The classes and teams whose jobs go ahead.
+    pub fn named_work(&self) -> floor::Names {
+        let classes = self.classes.iter().map(|name| (Whose::Class, name.as_str()));
+        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Whose::Team, name.as_str()))))
     }
 
     /// The hours in which a moment lies.
-    pub fn hours(&self, at_ms: u64) -> Option<Hours> {
+    pub fn hours_at(&self, at_ms: u64) -> Option<RuleHours> {
         let offset = FixedOffset::east_opt(self.offset_min.checked_mul(60)?)?;
         let at = DateTime::from_timestamp_millis(i64::try_from(at_ms).ok()?)?.with_timezone(&offset);
         let ms = |day: NaiveDate, time| {
@@ -159,7 +185,7 @@
         [today, today.pred_opt()?].into_iter().find_map(|day| {
             let last = if self.to <= self.from { day.succ_opt()? } else { day };
             let (begin_ms, end_ms) = (ms(day, self.from)?, ms(last, self.to)?);
-            (begin_ms..end_ms).contains(&at_ms).then_some(Hours { day, begin_ms, end_ms })
+            (begin_ms..end_ms).contains(&at_ms).then_some(RuleHours { day, begin_ms, end_ms })
         })
     }
 
@@ -168,23 +194,28 @@
         (self.longest_s * 1000.0) as u64
     }
 
-    /// What is to be thought of a moment in these hours.
-    pub fn weather<'a>(&self, hours: &Hours, readings: impl Iterator<Item = &'a Reading>, now_ms: u64) -> Weather {
+    /// What the readings and the declared hot days say of a moment in these hours.
+    pub fn assess<'a>(
+        &self,
+        hours: &RuleHours,
+        readings: impl Iterator<Item = &'a Reading>,
+        now_ms: u64,
+    ) -> HeatSignal {
         if self.hot_days.contains(&hours.day) {
-            return Weather::HotDay;
+            return HeatSignal::HotDay;
         }
         let most_ms = (self.fresh_s * 1000.0) as u64;
         let fresh = readings.filter(|r| r.age_ms(now_ms).is_some_and(|age| age <= most_ms));
-        let settled = settle(fresh.map(|r| r.value));
+        let settled = median_reading(fresh.map(|r| r.value));
         let (Some(value), Some(hot), Some(over)) = (settled, self.hot_above, self.over_below) else {
-            return Weather::Unknown;
+            return HeatSignal::Unknown;
         };
         if value > hot {
-            Weather::Hot(value)
+            HeatSignal::Hot(value)
         } else if value < over {
-            Weather::Over(value)
+            HeatSignal::Over(value)
         } else {
-            Weather::Between(value)
+            HeatSignal::Between(value)
         }
     }
 }
--- a/src/node/display.rs
+++ b/src/node/display.rs
@@ -60,7 +60,7 @@
             held.push(("open_jobs", watch_cache.open_jobs().count()));
             held.push(("open_tasks", watch_cache.held().tasks as usize));
             held.push(("descriptions", watch_cache.ended_kept()));
-            held.push(("declared", watch_cache.registry().entries()));
+            held.push(("declared", watch_cache.registry().entry_count()));
         }
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", lock(&self.audit).remembered()));
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -39,7 +39,7 @@
         tasks.push(tokio::spawn(commit::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(dispatch::run(self.clone())).abort_handle());
         tasks.push(tokio::spawn(fleet::run(self.clone())).abort_handle());
-        tasks.push(tokio::spawn(declarations::run::run(self.clone())).abort_handle());
+        tasks.push(tokio::spawn(declarations::run::run_declarations(self.clone())).abort_handle());
     }
 
     /// Stops leading at once: somebody newer does.
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -77,6 +77,13 @@
 
     /// What is declared asks of this cluster state, by what is stored; to be called before anything is placed by it.
     pub fn intents_of(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant) {
-        driver::refresh(KINDS, cluster, watch_cache.registry(), &|id| self.history.ended(id), now, time_of_day_ms());
+        driver::refresh_intents(
+            KINDS,
+            cluster,
+            watch_cache.registry(),
+            &|id| self.history.ended(id),
+            now,
+            time_of_day_ms(),
+        );
     }
 }
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -1,22 +1,24 @@
-//! What a rollout looks at: both jobs as the leader sees them, without the cluster state.
+//! The input of a rollout's decisions: both jobs as the leader sees them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::status::FailedMachine;
+
 /// What is known of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Known {
+pub enum JobPresence {
     /// Never heard of.
     #[default]
     Unknown,
     /// The job is open.
     Open,
-    /// Done, cancelled, or both forgotten.
-    Over,
+    /// It is done, cancelled, or was forgotten.
+    Ended,
 }
 
 /// A replica that has a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Replica {
+pub struct ObservedReplica {
     /// Where it is bound.
     pub machine: String,
     /// The machine's type.
@@ -40,54 +42,53 @@
     pub bound_s: f64,
 }
 
-impl Replica {
-    /// Runs, or may for all that is known: a new leader has heard of nothing yet.
+impl ObservedReplica {
+    /// Whether it may be running: a new leader has received no heartbeats yet.
     pub fn may_run(&self) -> bool {
         !self.stopping && !self.leaving && (self.running || !self.heard)
     }
 }
 
-/// One of the two jobs.
+/// One of the two jobs of a rollout.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Side {
+pub struct ObservedJob {
     /// What is known of the job.
-    pub known: Known,
+    pub known: JobPresence,
     /// Replicas that it was submitted with.
     pub tasks: u32,
     /// Bound replicas, by number.
-    pub replicas: BTreeMap<u32, Replica>,
-    /// Failures of its replicas that this leader has heard of, and the machines of the latest of them, the
-    /// latest last, with their types.
+    pub replicas: BTreeMap<u32, ObservedReplica>,
+    /// Failures of its replicas that this leader has heard of.
     pub failures: u64,
-    /// Machine and machine type of the latest failures.
-    pub failed_lately: Vec<(String, String)>,
+    /// Machines of the latest failures, the latest last.
+    pub failed_lately: Vec<FailedMachine>,
     /// Fails wherever it is tried (`scheduling::failure_attribution`).
     pub quarantined: bool,
 }
 
-impl Side {
-    /// Those of the allowed replicas that count as capacity.
-    pub fn live(&self, may: &BTreeSet<u32>) -> BTreeSet<u32> {
+impl ObservedJob {
+    /// The allowed replicas that count as capacity.
+    pub fn serving(&self, may: &BTreeSet<u32>) -> BTreeSet<u32> {
         self.running_for(may, 0.0)
     }
 
-    /// Those of the allowed replicas that are not known to be lost.
-    pub fn not_lost(&self, may: &BTreeSet<u32>) -> usize {
+    /// How many of the allowed replicas are not known to be lost.
+    pub fn count_not_lost(&self, may: &BTreeSet<u32>) -> usize {
         self.replicas.iter().filter(|(i, r)| may.contains(i) && r.may_run()).count()
     }
 
-    /// Those that have counted for so many seconds.
+    /// The allowed replicas that have counted as capacity for so many seconds.
     pub fn running_for(&self, may: &BTreeSet<u32>, seconds: f64) -> BTreeSet<u32> {
-        if self.known == Known::Over {
+        if self.known == JobPresence::Ended {
             return BTreeSet::new();
         }
-        let counts = |(_, r): &(&u32, &Replica)| r.sure && r.running && !r.stopping && r.ran_s >= seconds;
+        let counts = |(_, r): &(&u32, &ObservedReplica)| r.sure && r.running && !r.stopping && r.ran_s >= seconds;
         self.replicas.iter().filter(counts).map(|(i, _)| *i).filter(|i| may.contains(i)).collect()
     }
 
-    /// What of its replicas beyond the allowed ones still has a machine.
-    pub fn leaving(&self, may: &BTreeSet<u32>) -> usize {
-        if self.known == Known::Over { 0 } else { self.replicas.keys().filter(|i| !may.contains(i)).count() }
+    /// How many replicas beyond the allowed ones still have a machine.
+    pub fn count_leaving(&self, may: &BTreeSet<u32>) -> usize {
+        if self.known == JobPresence::Ended { 0 } else { self.replicas.keys().filter(|i| !may.contains(i)).count() }
     }
 
     /// The zone of a replica; empty if it is not bound.
@@ -96,21 +97,21 @@
     }
 }
 
-/// All that is looked at for one decision.
+/// The input of one decision.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Observation {
+pub struct RolloutObservation {
     /// The version that is replaced.
-    pub old: Side,
+    pub old: ObservedJob,
     /// The version that replaces it.
-    pub new: Side,
+    pub new: ObservedJob,
     /// Why these jobs can have no rollout as declared.
-    pub unfit: Option<String>,
-    /// Why the rollout has no room to begin.
-    pub no_room: Option<String>,
-    /// Machines quarantined.
+    pub conflict: Option<String>,
+    /// Why the team's limits do not let it begin.
+    pub quota_shortage: Option<String>,
+    /// Quarantined machines.
     pub quarantined: BTreeSet<String>,
     /// Time of day, in ms since 1970.
     pub now_ms: u64,
     /// The fencing token under which this leader began.
-    pub epoch: u64,
+    pub fencing_token: u64,
 }
