--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -126,7 +126,7 @@
         .with_ansi(false)
         .without_time()
         .init();
-    match crate::node::serve(settings, properties) {
+    match crate::controller::serve(settings, properties) {
         Ok(()) => ExitCode::SUCCESS,
         Err(_) => ExitCode::FAILURE,
     }
--- a/src/node.rs
+++ b/src/controller.rs
@@ -14,7 +14,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use tokio::sync::Notify;
 use tracing::{error, info};
 
 pub use over::Over;
@@ -26,7 +25,7 @@
 use crate::history::reader::{self, History};
 use crate::history::sweep;
 use crate::jobs::admission::Admission;
-use crate::machine_kinds::Catalog;
+use crate::machine_kinds::SharedCatalog;
 use crate::membership::mesh::Heard;
 use crate::membership::serving_state::{Health, LetGo};
 use crate::membership::unreachable_leader::UnreachableLeader;
@@ -34,37 +33,16 @@
 use crate::membership::{self, mesh};
 use crate::process_pause::{BEAT, PauseDetector};
 use crate::protocol::Http;
-use crate::scheduling::ClusterState;
-use crate::scheduling::fairness::Account;
+use crate::scheduling::leader_state::LeaderState;
 use crate::settings::{Properties, Settings};
 use crate::store::audit::{self, Audit};
-use crate::store::watch::ReadBarrier;
-use crate::store::watch_cache::WatchCache;
+use crate::store::handle::StateStore;
 use crate::store::{StateClient, watch};
-use crate::sync::lock;
 use crate::traffic::Traffic;
-
-/// Who is to look again because something changed.
-#[derive(Default)]
-pub struct Wake {
-    /// Wakes `membership`: leadership, the lease holder or this process's own proofs may have changed.
-    pub membership: Notify,
-    /// Wakes placement (`scheduling`): reports, jobs or what is stored changed.
-    pub plan: Notify,
-    /// Wakes the group commit (`store::commit`): the cluster state has something to store.
-    pub commit: Notify,
-    /// Wakes `workers::dispatch`: commands may be due.
-    pub dispatch: Notify,
-    /// Wakes `fleet`: what to rent or to return may have changed.
-    pub fleet: Notify,
-    /// Wakes the driver of what is declared (`declarations::run`): a spec or a status changed.
-    pub declared: Notify,
-    /// Other controllers are to hear the watermark at once.
-    pub mesh: tokio::sync::watch::Sender<()>,
-}
+use crate::wakeups::Wakeups;
 
 /// All that the parts of one controller share.
-pub struct Node {
+pub struct Controller {
     /// The platform's settings, as checked at the start.
     pub settings: Settings,
     /// The operators' properties, as checked at the start.
@@ -75,30 +53,24 @@
     pub http: Http,
     /// Counts of requests and messages by kind, for operators.
     pub traffic: Arc<Traffic>,
-    /// Client of the state service, which keeps to this controller's share of its limits.
-    pub store: Arc<StateClient>,
+    /// The state service: its client, the watch cache and the read barrier.
+    pub store: Arc<StateStore>,
     /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
-    /// Open jobs, leadership and what is declared, as the store has told them.
-    pub watch_cache: Mutex<WatchCache>,
-    /// Proofs that `watch_cache` is up to date.
-    pub read_barrier: ReadBarrier,
     /// Answers questions about jobs that are not open by the watch cache.
     pub history: Arc<History>,
     /// What the store has acknowledged and is compared with from time to time.
     pub audit: Mutex<Audit>,
-    /// The machine types that the cloud offers, as last read; none before the first answer.
-    pub catalog: Mutex<Option<Arc<Catalog>>>,
-    /// The cluster state of tasks and machines, while this controller leads them.
-    pub cluster: Mutex<Option<ClusterState>>,
+    /// The machine types that the cloud offers.
+    pub catalog: Arc<SharedCatalog>,
+    /// The leader's cluster state and the fair-share accounting.
+    pub leader: Arc<LeaderState>,
     /// What the other controllers said last.
     pub heard: Mutex<Heard>,
     /// Submissions that wait to be written.
     pub admission: Mutex<Admission>,
-    /// Who was served lately, kept by every controller.
-    pub fairness: Mutex<Account>,
     /// Notifications between the tasks of this controller.
-    pub wake: Wake,
+    pub wakeups: Arc<Wakeups>,
     /// Notices that this process was paused.
     pause_detector: Mutex<PauseDetector>,
     /// Was paused for so long that another may lead by now; nothing is done until the store says.
@@ -114,7 +86,7 @@
     marks_pressed: AtomicBool,
 }
 
-impl Node {
+impl Controller {
     /// A controller that does nothing before `start`.
     pub fn new(settings: Settings, properties: Properties) -> Arc<Self> {
         let now = Instant::now();
@@ -124,7 +96,8 @@
         let requests = first_budget(REQUESTS, limits.rps, others, now);
         let writes = first_budget(WRITES, limits.write_rps, others, now);
         let state = settings.endpoints.state.clone();
-        let store = Arc::new(StateClient::new(http.clone(), state, requests, writes, traffic.clone()));
+        let client = StateClient::new(http.clone(), state, requests, writes, traffic.clone());
+        let store = Arc::new(StateStore::new(Arc::new(client)));
         let cloud = CloudClient::new(http.clone(), &settings, traffic.clone(), now);
         Arc::new(Self {
             incarnation: format!("{:016x}", rand::random::<u64>()),
@@ -132,16 +105,13 @@
             traffic,
             store,
             cloud,
-            watch_cache: Mutex::default(),
-            read_barrier: ReadBarrier::default(),
             history: Arc::new(History::new(&settings)),
             audit: Mutex::default(),
-            catalog: Mutex::default(),
-            cluster: Mutex::default(),
+            catalog: Arc::default(),
+            leader: Arc::new(LeaderState::new(&settings, &properties, now)),
             heard: Mutex::default(),
             admission: Mutex::new(Admission::new(now)),
-            fairness: Mutex::new(Account::new(&settings, &properties, now)),
-            wake: Wake::default(),
+            wakeups: Arc::default(),
             pause_detector: Mutex::new(PauseDetector::new(now)),
             unproven: AtomicBool::new(false),
             unreachable_leader: Mutex::default(),
@@ -160,7 +130,7 @@
         tokio::spawn(watch::run(self.clone()));
         tokio::spawn(watch::run_read_barrier(self.clone()));
         tokio::spawn(reader::run(self.clone()));
-        tokio::spawn(sweep::run(self.history.clone(), self.store.clone()));
+        tokio::spawn(sweep::run(self.history.clone(), self.store.client.clone()));
         tokio::spawn(audit::run(self.clone()));
         tokio::spawn(membership::run(self.clone()));
         tokio::spawn(mesh::listen(self.clone()));
@@ -185,18 +155,13 @@
             }
         });
     }
-
-    /// The types of machines, once the cloud has named them.
-    pub fn catalog(&self) -> Option<Arc<Catalog>> {
-        lock(&self.catalog).clone()
-    }
 }
 
 /// The whole controller on the current thread, until it is killed.
 pub fn serve(settings: Settings, properties: Properties) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let node = Node::new(settings, properties);
+        let node = Controller::new(settings, properties);
         info!(node = node.settings.node, incarnation = node.incarnation, "starting");
         // The address first: whoever had it under this name is gone, which membership goes by.
         let outcome = async {
--- a/src/node/absence.rs
+++ b/src/controller/absence.rs
@@ -6,32 +6,32 @@
 
 use tracing::{info, warn};
 
-use super::Node;
+use super::Controller;
 use crate::membership::unreachable_leader::UnreachableLeader;
 use crate::sync::lock;
 
-impl Node {
+impl Controller {
     /// To be called before anything is judged by time. The one place where a pause of this process is
     /// handed to all that do: their silences, idle times and proofs of before are void.
     pub fn beat(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
-            self.read_barrier.wanted.notify_one();
+            self.store.read_barrier.wanted.notify_one();
         }
         let Some(pause) = pause else { return };
         let void = pause.void(self.properties.election_lease);
         warn!(pause_s = pause.length().as_secs_f64(), leadership_open = void.leadership, "process was paused");
         if void.leadership {
             self.unproven.store(true, Ordering::Relaxed);
-            self.read_barrier.after_pause();
+            self.store.read_barrier.after_pause();
         }
-        if let Some(cluster) = lock(&self.cluster).as_mut() {
+        if let Some(cluster) = self.leader.cluster().as_mut() {
             cluster.after_pause(pause);
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
-        self.store.after_pause(pause);
-        self.read_barrier.wanted.notify_one();
-        self.wake.membership.notify_one();
+        self.store.client.after_pause(pause);
+        self.store.read_barrier.wanted.notify_one();
+        self.wakeups.membership.notify_one();
     }
 
     /// Begins something that only counts if the process does not pause meanwhile.
@@ -46,7 +46,7 @@
         lock(&self.let_go).clear();
         if self.unproven.swap(false, Ordering::Relaxed) {
             info!(
-                leads = lock(&self.cluster).is_some(),
+                leads = self.leader.cluster().is_some(),
                 "what was known before the process pause is proven or dropped"
             );
         }
--- a/src/node/confirmation.rs
+++ b/src/controller/confirmation.rs
@@ -2,25 +2,25 @@
 
 use std::time::Instant;
 
-use super::Node;
+use super::Controller;
 use crate::jobs::{End, JobId};
 use crate::membership::records::Watermark;
 use crate::membership::watermark::{self, Unconfirmed};
 use crate::sync::lock;
 
-impl Node {
+impl Controller {
     /// This leader's cluster state is loaded, with all ends up to this revision.
     pub fn took_over(&self, known: u64, now: Instant) {
         let mut unconfirmed = lock(&self.unconfirmed);
         *unconfirmed = Unconfirmed::default();
         unconfirmed.heard(known, now);
-        self.wake.mesh.send_replace(());
+        self.wakeups.mesh.send_replace(());
     }
 
     /// As the leader: up to which revision cancellations are in its loaded cluster state, and obeyed
     /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
-        let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
+        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
         let watermark = watermark::own_watermark(&self.incarnation, cluster, watch_cache.leader_record())?;
         drop((watch_cache, held));
@@ -44,21 +44,21 @@
 
     /// The fencing token under which a cancellation that is stored by this leader may be told at once.
     pub fn cancels_under(&self) -> Option<u64> {
-        lock(&self.cluster).as_ref().filter(|b| b.loaded).map(|b| b.fencing_token)
+        self.leader.cluster().as_ref().filter(|b| b.loaded).map(|b| b.fencing_token)
     }
 
     /// A cancellation was stored while this controller led under this fencing token. True if its cluster state has it
     /// now, no machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has
     /// read it.
     pub fn cancelled_by_leader(&self, id: &JobId, fencing_token: u64) -> bool {
-        let mut held = lock(&self.cluster);
+        let mut held = self.leader.cluster();
         let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_fencing_token <= fencing_token) else {
             return false;
         };
         cluster.end_job(id, Some(End::Cancelled), Instant::now());
         let obeyed = cluster.obeyed_in(id);
         drop(held);
-        self.wake.dispatch.notify_one();
+        self.wakeups.dispatch.notify_one();
         if obeyed {
             self.history.show(id);
         }
--- a/src/node/display.rs
+++ b/src/controller/display.rs
@@ -4,16 +4,16 @@
 
 use tracing::debug;
 
-use super::Node;
+use super::Controller;
 use crate::jobs::{Counts, JobId};
 use crate::membership::mesh;
 use crate::scheduling::fairness::Row;
 use crate::sync::lock;
 
-impl Node {
+impl Controller {
     /// How many tasks of a job run and are done, as far as is known here.
     pub fn counts(&self, id: &JobId) -> Counts {
-        if let Some(cluster) = lock(&self.cluster).as_ref() {
+        if let Some(cluster) = self.leader.cluster().as_ref() {
             return cluster.counts(id);
         }
         lock(&self.heard).counts.get(id).copied().unwrap_or_default()
@@ -21,7 +21,7 @@
 
     /// What changed since the peer was last told, at most `most` of it.
     pub fn counts_to_tell(&self, told: &mut HashMap<JobId, Counts>, most: usize) -> Vec<(JobId, Counts)> {
-        let held = lock(&self.cluster);
+        let held = self.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut changed = Vec::new();
         for (id, counts) in cluster.all_counts() {
@@ -39,15 +39,15 @@
 
     /// The account as the leader sees it, for whoever may succeed it.
     pub fn served_to_tell(&self) -> Vec<Row> {
-        if lock(&self.cluster).is_none() {
+        if self.leader.cluster().is_none() {
             return Vec::new();
         }
-        lock(&self.fairness).rows().iter().take(mesh::MOST_ROWS).cloned().collect()
+        self.leader.accounting().rows().iter().take(mesh::MOST_ROWS).cloned().collect()
     }
 
     /// Drops the counts of jobs that are not open.
     pub fn tidy_counts(&self) {
-        let watch_cache = lock(&self.watch_cache);
+        let watch_cache = self.store.watch_cache();
         lock(&self.heard).counts.retain(|id, _| watch_cache.open(id).is_some());
     }
 
@@ -56,7 +56,7 @@
     pub fn held(&self) -> Vec<(&'static str, usize)> {
         let mut held = Vec::new();
         {
-            let watch_cache = lock(&self.watch_cache);
+            let watch_cache = self.store.watch_cache();
             held.push(("open_jobs", watch_cache.open_jobs().count()));
             held.push(("open_tasks", watch_cache.held().tasks as usize));
             held.push(("descriptions", watch_cache.ended_kept()));
@@ -65,12 +65,12 @@
         let [ends, asked, waiting] = self.history.held();
         held.push(("audited", lock(&self.audit).remembered()));
         held.extend([("ends", ends), ("asked", asked), ("waiting", waiting), ("hidden", self.history.hidden()[0])]);
-        held.push(("served", lock(&self.fairness).entries()));
+        held.push(("served", self.leader.accounting().entries()));
         held.push(("in_admission", lock(&self.admission).waiting()));
         held.push(("counts_heard", lock(&self.heard).counts.len()));
         held.push(("stranded", lock(&self.unreachable_leader).remembered()));
         held.push(("let_go", lock(&self.let_go).remembered()));
-        if let Some(cluster) = lock(&self.cluster).as_ref() {
+        if let Some(cluster) = self.leader.cluster().as_ref() {
             held.extend(cluster.held());
         }
         held
--- a/src/node/hands.rs
+++ b/src/controller/hands.rs
@@ -1,6 +1,6 @@
 //! Implements `declarations::run::Hands` for a controller: what the driver of declared things may read and do.
 
-use super::Node;
+use super::Controller;
 use crate::declarations::driver::Ended;
 use crate::declarations::run::Hands;
 use crate::jobs::JobId;
@@ -8,20 +8,19 @@
 use crate::store::budget::Urgent;
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
-use crate::sync::lock;
 
-impl Hands for Node {
+impl Hands for Controller {
     fn quiet(&self) -> bool {
-        let watch_cache = lock(&self.watch_cache);
+        let watch_cache = self.store.watch_cache();
         let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().any_changed();
-        nothing && lock(&self.cluster).as_ref().is_none_or(|b| b.intents.is_empty())
+        nothing && self.leader.cluster().as_ref().is_none_or(|b| b.intents.is_empty())
     }
 
     fn look<T>(&self, look: impl FnOnce(&mut ClusterState, &mut WatchCache, Ended) -> T) -> Option<T> {
         if self.unproven() {
             return None;
         }
-        let (mut watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
+        let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         let cluster = held.as_mut()?;
         Some(look(cluster, &mut watch_cache, &|id| self.history.ended(id)))
     }
@@ -31,7 +30,7 @@
     }
 
     fn ready(&self, urgent: Urgent) -> usize {
-        self.store.writes_ready(urgent)
+        self.store.client.writes_ready(urgent)
     }
 
     async fn store(
@@ -40,16 +39,16 @@
         changes: &[Change],
         urgent: Urgent,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
-        self.store.compare_and_swap(conditions, changes, urgent).await
+        self.store.client.compare_and_swap(conditions, changes, urgent).await
     }
 
     async fn refused(&self) {
-        self.read_barrier.wait().await;
+        self.store.read_barrier.wait().await;
         self.check_deposed();
-        self.wake.membership.notify_one();
+        self.wakeups.membership.notify_one();
     }
 
     async fn woken(&self) {
-        self.wake.declared.notified().await;
+        self.wakeups.declarations.notified().await;
     }
 }
--- a/src/node/leadership.rs
+++ b/src/controller/leadership.rs
@@ -7,7 +7,7 @@
 
 use tracing::{info, warn};
 
-use super::Node;
+use super::Controller;
 use crate::declarations;
 use crate::fleet;
 use crate::membership::records::TakeoverRequest;
@@ -17,11 +17,11 @@
 use crate::sync::lock;
 use crate::workers::dispatch;
 
-impl Node {
+impl Controller {
     /// This controller's record stands as the leader record, under this fencing token.
     pub fn become_leader(self: &Arc<Self>, fencing_token: u64) {
         self.press_marks(false);
-        let mut held = lock(&self.cluster);
+        let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             cluster.raise_fencing_token(fencing_token);
             info!(fencing_token, "token raised");
@@ -29,7 +29,7 @@
         }
         info!(fencing_token, "leads");
         if let Some((rows, told)) = lock(&self.heard).served.take() {
-            lock(&self.fairness).take_over(&rows, told);
+            self.leader.accounting().take_over(&rows, told);
         }
         *held = Some(ClusterState::new(fencing_token, self.settings.clone(), self.properties.clone(), Instant::now()));
         drop(held);
@@ -44,7 +44,7 @@
 
     /// Stops leading at once: somebody newer does.
     pub fn step_down(&self, why: &str) {
-        let cluster = lock(&self.cluster).take();
+        let cluster = self.leader.cluster().take();
         if let Some(cluster) = cluster {
             warn!(fencing_token = cluster.fencing_token, why, "no longer leads");
             for task in lock(&self.leader_tasks).drain(..) {
@@ -56,11 +56,13 @@
 
     /// Compares the cluster state's fencing token with the leader record as cached.
     pub fn check_deposed(&self) {
-        let newer = lock(&self.watch_cache)
+        let newer = self
+            .store
+            .watch_cache()
             .leader_record()
             .filter(|(a, _)| a.incarnation != self.incarnation)
             .map(|(_, version)| *version);
-        let fencing_token = lock(&self.cluster).as_ref().map(|b| b.fencing_token);
+        let fencing_token = self.leader.cluster().as_ref().map(|b| b.fencing_token);
         if let (Some(newer), Some(fencing_token)) = (newer, fencing_token)
             && newer > fencing_token
         {
@@ -72,7 +74,7 @@
     /// dropped.
     pub fn raise_wanted(&self) -> bool {
         let marks = self.marks_pressed.load(Ordering::Relaxed);
-        lock(&self.cluster).as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
+        self.leader.cluster().as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
     }
 
     /// Whether so many orders are marked as done that a higher fencing token is wanted, under which they can be
@@ -85,20 +87,22 @@
     /// store, which it must still reach since it holds its lease.
     pub fn note_redirect(self: &Arc<Self>, machine: &str, heartbeat: (u64, u64), now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, heartbeat, now) else { return };
-        let Some(fencing_token) = lock(&self.watch_cache).leader_record().map(|(_, version)| *version) else { return };
+        let Some(fencing_token) = self.store.watch_cache().leader_record().map(|(_, version)| *version) else { return };
         warn!(machines, "workers cannot reach the leader");
         let takeover_request = TakeoverRequest { node: self.settings.node.clone(), fencing_token, machines };
         let node = self.clone();
         tokio::spawn(async move {
             let (conditions, changes) = takeover_request.transaction();
-            let _ = node.store.compare_and_swap(&conditions, &changes, Urgent::First).await;
+            let _ = node.store.client.compare_and_swap(&conditions, &changes, Urgent::First).await;
         });
     }
 
     /// The version of a takeover request of another controller for workers that this leader has indeed lost.
     pub fn takeover_request_to_answer(&self, now: Instant) -> Option<u64> {
-        let (takeover_request, version) = lock(&self.watch_cache).takeover_request().cloned()?;
-        let lost = lock(&self.cluster)
+        let (takeover_request, version) = self.store.watch_cache().takeover_request().cloned()?;
+        let lost = self
+            .leader
+            .cluster()
             .as_ref()
             .is_some_and(|b| b.fencing_token == takeover_request.fencing_token && b.lost_most(now));
         lost.then_some(version)
@@ -106,7 +110,7 @@
 
     /// The node that workers should report to, as far as known here.
     pub fn leader_node(&self) -> Option<String> {
-        let watch_cache = lock(&self.watch_cache);
+        let watch_cache = self.store.watch_cache();
         watch_cache.lease_holder()?;
         watch_cache.leader_record().map(|(a, _)| a.node.clone())
     }
--- a/src/node/news.rs
+++ b/src/controller/news.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use super::Node;
+use super::Controller;
 use crate::declarations::driver;
 use crate::declarations::table::KINDS;
 use crate::jobs::End;
@@ -12,29 +12,29 @@
 use crate::store::watch_cache::{News, WatchCache};
 use crate::sync::lock;
 
-impl Node {
+impl Controller {
     /// Hands what the watch cache learned to whoever acts on it.
     pub fn spread(&self, news: News) {
         if news.is_empty() {
-            let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
+            let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
             if let Some(cluster) = held.as_mut() {
                 cluster.holds_ends(watch_cache.asking());
             }
             return;
         }
         if news.leadership {
-            self.wake.membership.notify_one();
+            self.wakeups.membership.notify_one();
         }
         if news.declared {
-            self.wake.declared.notify_one();
+            self.wakeups.declarations.notify_one();
         }
-        let watch_cache = lock(&self.watch_cache);
+        let watch_cache = self.store.watch_cache();
         let (now, now_ms) = (Instant::now(), time_of_day_ms());
         if let Some(stored) = watch_cache.watermark() {
             self.history.advance(stored.revision);
         }
         {
-            let mut served = lock(&self.fairness);
+            let mut served = self.leader.accounting();
             for record in news.opened.iter().filter_map(|id| watch_cache.open(id)) {
                 served.offered(&record.spec, record.age(now_ms), now);
             }
@@ -45,7 +45,7 @@
                 }
             }
         }
-        let mut held = lock(&self.cluster);
+        let mut held = self.leader.cluster();
         if let Some(cluster) = held.as_mut().filter(|b| b.loaded) {
             for id in &news.opened {
                 if let Some(record) = watch_cache.open(id) {
@@ -58,18 +58,18 @@
                 // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
                 if how != Some(End::Done) {
                     lock(&self.unconfirmed).heard(watch_cache.ended_by(id).unwrap_or(watch_cache.revision), now);
-                    self.wake.mesh.send_replace(());
+                    self.wakeups.mesh.send_replace(());
                 }
             }
             cluster.holds_ends(watch_cache.asking());
-            self.wake.plan.notify_one();
-            self.wake.dispatch.notify_one();
+            self.wakeups.plan.notify_one();
+            self.wakeups.dispatch.notify_one();
         }
     }
 
     /// What is declared asks something of jobs that have just come, before they are placed.
     pub fn refresh_intents(&self, now: Instant) {
-        let (watch_cache, mut held) = (lock(&self.watch_cache), lock(&self.cluster));
+        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         if let Some(cluster) = held.as_mut().filter(|b| b.intents_due) {
             self.intents_of(cluster, &watch_cache, now);
         }
--- a/src/node/over.rs
+++ b/src/controller/over.rs
@@ -3,10 +3,9 @@
 
 use std::collections::HashSet;
 
-use super::Node;
+use super::Controller;
 use crate::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
-use crate::sync::lock;
 
 /// Jobs that are over, by a watch cache that holds everything up to a revision.
 #[derive(Debug, Default)]
@@ -23,15 +22,15 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Which jobs of a heartbeat are over, as far as the watch cache tells. Only looked for where the cluster state
     /// alone may not decide: it is not loaded, or `acts` is false.
     pub fn over_among(&self, heartbeat: &Heartbeat, acts: bool) -> Over {
-        let fencing_token = match lock(&self.cluster).as_ref() {
+        let fencing_token = match self.leader.cluster().as_ref() {
             Some(cluster) if !(acts && cluster.loaded) => cluster.fencing_token,
             _ => return Over::default(),
         };
-        let watch_cache = lock(&self.watch_cache);
+        let watch_cache = self.store.watch_cache();
         let through = watch_cache.asking().unwrap_or(0);
         let over = |id: &&JobId| {
             // All that was ever started before this leader record had been accepted before it.
--- a/src/node/serving_state.rs
+++ b/src/controller/serving_state.rs
@@ -4,28 +4,28 @@
 
 use tracing::warn;
 
-use super::Node;
+use super::Controller;
 use crate::membership::serving_state::{Observations, Patience, ServingState};
 use crate::sync::lock;
 
-impl Node {
+impl Controller {
     /// Whether the state service has lately answered anything.
     pub fn store_serves(&self) -> bool {
-        self.store.health().failing_for(Instant::now()) < Duration::from_secs(2)
+        self.store.client.health().failing_for(Instant::now()) < Duration::from_secs(2)
     }
 
     /// What this controller can prove, and what it hears of the others.
     fn observations(&self, now: Instant) -> Observations {
         let (heard, answering) = lock(&self.heard).others(now);
-        let proof = self.read_barrier.age(now);
-        let refused = self.store.health().failing_for(now);
+        let proof = self.store.read_barrier.age(now);
+        let refused = self.store.client.health().failing_for(now);
         Observations { proof, refused, peers: self.settings.peers.len(), heard, answering }
     }
 
     /// Questions can be answered by what is stored.
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
-        lock(&self.watch_cache).ready
+        self.store.watch_cache().ready
             && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Sound
     }
 
@@ -34,11 +34,11 @@
         // After a process pause a proof is a moment away, unless the store answers nobody.
         let proving = self.unproven() && self.store_serves();
         let read = {
-            let watch_cache = lock(&self.watch_cache);
+            let watch_cache = self.store.watch_cache();
             watch_cache.ready || watch_cache.revision > 0
         };
         let now = Instant::now();
-        lock(&self.health).judge(read && !proving && self.catalog().is_some(), self.observations(now), now)
+        lock(&self.health).judge(read && !proving && self.catalog.get().is_some(), self.observations(now), now)
     }
 
     /// Whether what is known here of who leads may be acted on towards workers.
@@ -62,6 +62,6 @@
     /// their leases are over when the first such task has to be gone.
     pub fn may_hold_blindly(&self, now: Instant) -> bool {
         let spare = self.settings.params.workers.spare();
-        self.read_barrier.age(now).is_some_and(|age| age < spare)
+        self.store.read_barrier.age(now).is_some_and(|age| age < spare)
     }
 }
--- a/src/node/shares.rs
+++ b/src/controller/shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Node;
+use super::Controller;
 use crate::store::budget::Budget;
 use crate::store::share::{Parts, Want, by_need};
 use crate::sync::lock;
@@ -21,11 +21,11 @@
     Budget::new(share, share, now)
 }
 
-impl Node {
+impl Controller {
     /// What this controller lately wanted of the state service, in requests and in changes.
     pub fn wants(&self) -> [Want; 2] {
-        let leader = lock(&self.cluster).is_some();
-        let (requests, writes) = self.store.wants();
+        let leader = self.leader.cluster().is_some();
+        let (requests, writes) = self.store.client.wants();
         [requests, writes].map(|per_second| Want { leader, per_second })
     }
 
@@ -41,6 +41,6 @@
             let all: Vec<Want> = std::iter::once(mine[at]).chain(heard.iter().map(|w| w[at])).collect();
             by_need(limit, parts, &all)
         };
-        self.store.set_shares(share(0, REQUESTS, limits.rps), share(1, WRITES, limits.write_rps));
+        self.store.client.set_shares(share(0, REQUESTS, limits.rps), share(1, WRITES, limits.write_rps));
     }
 }
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -6,24 +6,22 @@
 use tracing::debug;
 
 use super::RETRY;
-use crate::node::Node;
-use crate::sync::{jitter, lock};
+use crate::controller::Controller;
+use crate::sync::jitter;
 
 /// The types are asked for anew this often.
 const CATALOG_EVERY: Duration = Duration::from_secs(60);
 
 /// Every controller needs the types to judge submissions.
-pub async fn learn_catalog(node: Arc<Node>) {
+pub async fn learn_catalog(node: Arc<Controller>) {
     loop {
         let pause = match node.cloud.catalog().await {
             Ok(catalog) => {
-                let mut held = lock(&node.catalog);
-                if held.as_deref() != Some(&catalog) {
-                    debug!(types = catalog.types.len(), "catalog");
-                    *held = Some(Arc::new(catalog));
+                let types = catalog.types.len();
+                if node.catalog.replace(catalog) {
+                    debug!(types, "catalog");
                 }
-                drop(held);
-                node.wake.plan.notify_one();
+                node.wakeups.plan.notify_one();
                 CATALOG_EVERY
             }
             Err(error) => {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,8 +23,7 @@
 use rentals::{carry_out, decide, rent as rent_all};
 use returns::{give_back, return_all, to_return};
 
-use crate::node::Node;
-use crate::sync::lock;
+use crate::controller::Controller;
 
 /// Between two tries of a call to the cloud or of an order.
 const RETRY: Duration = Duration::from_millis(700);
@@ -42,14 +41,14 @@
 const REST: u32 = 8;
 
 /// Lists, drains, rents and returns for as long as this controller leads.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     let dealings = Shared::default();
     let (mut listed, mut told, mut drained) = (None::<Instant>, None::<Instant>, Instant::now());
     let (mut renting, mut returning) = (tokio::task::JoinSet::new(), tokio::task::JoinSet::new());
     let mut tidying = tokio::task::JoinSet::new();
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wake.fleet.notified()).await;
-        if node.unproven() || !lock(&node.cluster).as_ref().is_some_and(|b| b.loaded) {
+        let _ = tokio::time::timeout(EVERY, node.wakeups.fleet.notified()).await;
+        if node.unproven() || !node.leader.cluster().as_ref().is_some_and(|b| b.loaded) {
             continue;
         }
         if listed.is_none_or(|at| at.elapsed() >= LIST_EVERY) {
@@ -93,10 +92,10 @@
 }
 
 /// Gives up machines that do not come up, and drains those that can be spared.
-fn drain_some(node: &Node) {
+fn drain_some(node: &Controller) {
     let now = Instant::now();
-    let Some(catalog) = node.catalog() else { return };
-    let mut held = lock(&node.cluster);
+    let Some(catalog) = node.catalog.get() else { return };
+    let mut held = node.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
     for (id, why) in rent::to_give_up(cluster, &catalog, now) {
         cluster.terminate(&id, why);
@@ -109,5 +108,5 @@
         cluster.drain(&drain.machine, &drain.moves, now);
     }
     cluster.tick(now);
-    node.wake.dispatch.notify_one();
+    node.wakeups.dispatch.notify_one();
 }
--- a/src/fleet/order_log.rs
+++ b/src/fleet/order_log.rs
@@ -10,7 +10,7 @@
 use super::dealings::Shared;
 use super::orders::{self, CloudOrder, Inherited, Next, What};
 use super::rentals::kind_of;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::store::budget::Urgent;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::{jitter, lock};
@@ -21,8 +21,8 @@
 const TIDY_WITHIN: Duration = Duration::from_millis(400);
 
 /// What an earlier leader has left, once; from here on it is this leader's.
-pub(super) fn inherited(node: &Node, dealings: &Shared) -> Inherited {
-    let orders = lock(&node.cluster).as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
+pub(super) fn inherited(node: &Controller, dealings: &Shared) -> Inherited {
+    let orders = node.leader.cluster().as_mut().map(|b| std::mem::take(&mut b.inherited)).unwrap_or_default();
     let inherited = Inherited::of(orders, MOST_RETURNED);
     let mut dealings = lock(dealings);
     for (rentals, key) in &inherited.rentals {
@@ -39,14 +39,14 @@
     inherited
 }
 
-fn fencing_token(node: &Node) -> Option<u64> {
-    lock(&node.cluster).as_ref().map(|b| b.fencing_token)
+fn fencing_token(node: &Controller) -> Option<u64> {
+    node.leader.cluster().as_ref().map(|b| b.fencing_token)
 }
 
 /// Stores an order under this leader's leader record; its key, once it stands. None where another leads
 /// by now, or where `give_up` says that it can't wait any longer.
 pub(super) async fn store(
-    node: &Node,
+    node: &Controller,
     dealings: &Shared,
     what: What,
     give_up: impl Fn() -> bool,
@@ -60,7 +60,7 @@
     let change = [order.change()];
     loop {
         let Some(under) = fencing_token(node) else { return Err(Next::Stop) };
-        let outcome = node.store.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
+        let outcome = node.store.client.compare_and_swap(&order.conditions(under), &change, Urgent::First).await;
         if outcome == Err(StoreError::Unanswered) {
             lock(dealings).late.insert(order.key.clone(), under);
         }
@@ -75,7 +75,7 @@
             Next::Again => {
                 debug!(?outcome, key = order.key, "storing an order");
                 if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
-                    node.read_barrier.wait().await;
+                    node.store.read_barrier.wait().await;
                     node.check_deposed();
                 }
                 tokio::time::sleep(jitter(RETRY)).await;
@@ -85,11 +85,11 @@
 }
 
 /// Orders that were carried out are dropped together, behind everything else.
-pub(super) async fn tidy(node: &Node, dealings: &Shared) {
+pub(super) async fn tidy(node: &Controller, dealings: &Shared) {
     let Some(fencing_token) = fencing_token(node) else { return };
     let pressed = lock(dealings).due_for_clean_up(fencing_token).len() >= TIDY_PRESSED;
     let urgent = if pressed { Urgent::Second } else { Urgent::Last };
-    let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
+    let most = node.store.client.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
     let (keys, (conditions, changes)) = {
         let mut dealings = lock(dealings);
         let keys: Vec<String> = dealings.due_for_clean_up(fencing_token).iter().take(most).cloned().collect();
@@ -99,7 +99,8 @@
     if keys.is_empty() {
         return;
     }
-    let outcome = tokio::time::timeout(TIDY_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
+    let outcome =
+        tokio::time::timeout(TIDY_WITHIN, node.store.client.compare_and_swap(&conditions, &changes, urgent)).await;
     if matches!(outcome, Ok(Ok(CompareAndSwapOutcome::Applied(_)))) {
         let mut dealings = lock(dealings);
         dealings.cleaned_up(&keys, fencing_token);
--- a/src/fleet/rentals.rs
+++ b/src/fleet/rentals.rs
@@ -11,8 +11,8 @@
 use super::order_log::store;
 use super::orders::{self, What};
 use super::rent as plan;
+use crate::controller::Controller;
 use crate::machine_kinds::MachineKind;
-use crate::node::Node;
 use crate::sync::{jitter, lock};
 
 /// Rentals of one kind asked for at once, each of up to `MOST_RENTED` machines.
@@ -22,10 +22,10 @@
 const RENT_TRIES: u32 = 6;
 
 /// What to rent, the requests of each kind together.
-pub(super) fn decide(node: &Node, dealings: &Shared) -> Vec<Vec<Rental>> {
+pub(super) fn decide(node: &Controller, dealings: &Shared) -> Vec<Vec<Rental>> {
     let now = Instant::now();
-    let Some(catalog) = node.catalog() else { return Vec::new() };
-    let held = lock(&node.cluster);
+    let Some(catalog) = node.catalog.get() else { return Vec::new() };
+    let held = node.leader.cluster();
     let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut dealings = lock(dealings);
     dealings.refusals.holds(&plan::held_by_kind(cluster));
@@ -53,7 +53,7 @@
 }
 
 /// The requests of one kind, stored before the first is made.
-pub(super) async fn rent(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>) {
+pub(super) async fn rent(node: Arc<Controller>, dealings: Shared, rentals: Vec<Rental>) {
     match store(&node, &dealings, What::Rent(rentals.clone()), || false).await {
         Ok(key) => carry_out(node, dealings, rentals, key).await,
         Err(_) => {
@@ -66,7 +66,7 @@
 }
 
 /// One after another: once one was not filled, the rest would only use up the cloud's calls.
-pub(super) async fn carry_out(node: Arc<Node>, dealings: Shared, rentals: Vec<Rental>, key: String) {
+pub(super) async fn carry_out(node: Arc<Controller>, dealings: Shared, rentals: Vec<Rental>, key: String) {
     let mut rentals = rentals.into_iter();
     for rental in rentals.by_ref() {
         if !carry_out_one(&node, &dealings, rental).await {
@@ -86,7 +86,7 @@
 }
 
 /// Whether it was filled.
-async fn carry_out_one(node: &Node, dealings: &Shared, rental: Rental) -> bool {
+async fn carry_out_one(node: &Controller, dealings: &Shared, rental: Rental) -> bool {
     let kind = kind_of(&rental);
     let mut outcome = Err(CloudError::Unanswered);
     for _ in 0..RENT_TRIES {
@@ -109,7 +109,7 @@
     let short = (rented.len() as u64) < rental.count;
     info!(kind = %kind, asked = rental.count, got = rented.len(), "rented");
     {
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             for name in &rented {
                 cluster.expect(name, &kind, None, Duration::ZERO, now);
@@ -123,6 +123,6 @@
     } else {
         dealings.refusals.clear(&kind);
     }
-    node.wake.fleet.notify_one();
+    node.wakeups.fleet.notify_one();
     !short
 }
--- a/src/fleet/returns.rs
+++ b/src/fleet/returns.rs
@@ -10,13 +10,13 @@
 use super::dealings::Shared;
 use super::order_log::store;
 use super::orders::{Next, What};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::scheduling::cluster::MachineState;
 use crate::sync::{jitter, lock};
 
 /// Machines to be returned now, in calls of as many as the cloud takes.
-pub(super) fn to_return(node: &Node, dealings: &Shared) -> Vec<Vec<String>> {
-    let held = lock(&node.cluster);
+pub(super) fn to_return(node: &Controller, dealings: &Shared) -> Vec<Vec<String>> {
+    let held = node.leader.cluster();
     let Some(cluster) = held.as_ref() else { return Vec::new() };
     let mut dealings = lock(dealings);
     let names: Vec<String> = cluster
@@ -36,9 +36,9 @@
 /// after a process pause, stores none; one that is paused between the two returns what its
 /// successor has read to be returned. Only what a cancellation makes urgent goes without where the store
 /// does not answer, since too late would be worse than too much.
-pub(super) async fn return_all(node: Arc<Node>, dealings: Shared, names: Vec<String>) {
+pub(super) async fn return_all(node: Arc<Controller>, dealings: Shared, names: Vec<String>) {
     let urgent = || {
-        let overdue = lock(&node.cluster).as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
+        let overdue = node.leader.cluster().as_ref().map(|b| b.overdue(Instant::now())).unwrap_or_default();
         names.iter().any(|n| overdue.contains(n.as_str()))
     };
     match store(&node, &dealings, What::Return(names.clone()), urgent).await {
@@ -49,8 +49,8 @@
 }
 
 /// Asked again until answered: only the answer proves that the machines and all on them are gone.
-pub(super) async fn give_back(node: Arc<Node>, dealings: Shared, names: Vec<String>, keys: Vec<String>) {
-    if lock(&node.cluster).is_none() {
+pub(super) async fn give_back(node: Arc<Controller>, dealings: Shared, names: Vec<String>, keys: Vec<String>) {
+    if node.leader.cluster().is_none() {
         return;
     }
     while let Err(error) = node.cloud.give_back(names.clone()).await {
@@ -58,7 +58,7 @@
         tokio::time::sleep(jitter(RETRY)).await;
     }
     let now = Instant::now();
-    if let Some(cluster) = lock(&node.cluster).as_mut() {
+    if let Some(cluster) = node.leader.cluster().as_mut() {
         for name in &names {
             cluster.machine_gone(&name.as_str().into(), now);
         }
@@ -68,5 +68,5 @@
         dealings.returning.remove(name);
     }
     dealings.finished.extend(keys);
-    node.wake.plan.notify_one();
+    node.wakeups.plan.notify_one();
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,7 @@
 //! decisions, `fleet` machines and the cloud, `store` the state service, `history` jobs that have ended, and
 //! `membership` leadership and leadership. `declarations` holds what operators ask for beside jobs; its kinds are in
 //! `calendar` (planning windows), `heat` (work that goes ahead during midday heat) and `rollouts` (new versions of
-//! services). `node` is what the parts of one controller share, `process_pause` detects pauses of the process,
+//! services). `controller` builds the parts of one controller and starts their loops, `wakeups` holds the notifications between them, `process_pause` detects pauses of the process,
 //! `traffic` counts requests and messages, `settings` reads the configuration and `cli` holds the commands; `machine_kinds`
 //! and `sync` are used by all of them. I/O stays at the edges: decisions are functions of state and time.
 
@@ -17,6 +17,7 @@
 
 pub mod calendar;
 pub mod cli;
+pub mod controller;
 pub mod declarations;
 pub mod fleet;
 pub mod heat;
@@ -24,7 +25,6 @@
 pub mod jobs;
 pub mod machine_kinds;
 pub mod membership;
-pub mod node;
 pub mod process_pause;
 pub mod rollouts;
 pub mod scheduling;
@@ -34,6 +34,7 @@
 pub mod sync;
 pub mod traffic;
 pub mod users;
+pub mod wakeups;
 pub mod workers;
 
 pub use hollylanding_protocol as protocol;
--- a/src/membership/mesh.rs
+++ b/src/membership/mesh.rs
@@ -17,9 +17,9 @@
 
 use line::{BadLine, LINE_LIMIT, Line, MOST_COUNTS};
 
+use crate::controller::Controller;
 use crate::jobs::{Counts, JobId};
 use crate::membership::records::{LeaderRecord, Watermark};
-use crate::node::Node;
 use crate::scheduling::fairness::Row;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
@@ -123,7 +123,7 @@
 
 /// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
 /// tries again every second.
-pub async fn listen(node: Arc<Node>) {
+pub async fn listen(node: Arc<Controller>) {
     let listener = loop {
         match TcpListener::bind(&node.settings.mesh_listen).await {
             Ok(listener) => break listener,
@@ -143,7 +143,7 @@
 }
 
 /// Reads from one more connection, if there are not too many: each may hold a line.
-fn accept(node: &Arc<Node>, free: &Arc<Semaphore>, stream: TcpStream) {
+fn accept(node: &Arc<Controller>, free: &Arc<Semaphore>, stream: TcpStream) {
     let Ok(permit) = free.clone().try_acquire_owned() else {
         if lock(&node.heard).too_many.due(Instant::now()) {
             warn!(most = MOST_CONNECTIONS, "too many connections between controllers: one is dropped");
@@ -157,7 +157,7 @@
     });
 }
 
-async fn read_lines(node: Arc<Node>, stream: TcpStream) {
+async fn read_lines(node: Arc<Controller>, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     let mut text = Vec::new();
     loop {
@@ -178,10 +178,10 @@
 }
 
 /// Takes in what a peer has said, or nothing at all of it.
-fn take_line(node: &Node, text: &[u8], now: Instant) -> Result<(), BadLine> {
+fn take_line(node: &Controller, text: &[u8], now: Instant) -> Result<(), BadLine> {
     let line = Line::read(text, &node.settings.peers)?;
     let (watermark, leads) = {
-        let watch_cache = lock(&node.watch_cache);
+        let watch_cache = node.store.watch_cache();
         let leader_record = watch_cache.leader_record();
         if never_was(&line.node, line.watermark, leader_record, watch_cache.asking()) {
             return Err(BadLine::Token(line.node));
@@ -207,7 +207,7 @@
 }
 
 /// One connection to one peer, made again whenever it breaks.
-pub async fn tell(node: Arc<Node>, peer: Peer) {
+pub async fn tell(node: Arc<Controller>, peer: Peer) {
     loop {
         if let Ok(Ok(stream)) = tokio::time::timeout(WRITE_WITHIN, TcpStream::connect(&peer.addr)).await {
             let error = tell_over(&node, &peer.node, stream).await;
@@ -217,11 +217,11 @@
     }
 }
 
-async fn tell_over(node: &Node, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
+async fn tell_over(node: &Controller, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
     let begun = Instant::now();
     let mut told: HashMap<JobId, Counts> = HashMap::new();
     let mut served_next = Instant::now();
-    let mut news = node.wake.mesh.subscribe();
+    let mut news = node.wakeups.mesh.subscribe();
     let mut whole_next = Instant::now();
     loop {
         let whole = Instant::now() >= whole_next;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -21,11 +21,10 @@
 
 use tracing::{debug, info, warn};
 
+use crate::controller::Controller;
 use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
-use crate::node::Node;
 use crate::store::budget::Urgent;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
-use crate::sync::lock;
 use records::{LeaderRecord, LeaseHolder, Watermark};
 use turns::{Pace, in_turn};
 use unreadable::UnreadableLeaseHolder;
@@ -90,8 +89,8 @@
 
 impl View {
     /// None while the store is not read.
-    fn of(node: &Node) -> Option<Self> {
-        let watch_cache = lock(&node.watch_cache);
+    fn of(node: &Controller) -> Option<Self> {
+        let watch_cache = node.store.watch_cache();
         watch_cache.ready.then(|| Self {
             lease_holder: watch_cache.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
             lease_holder_version: watch_cache.lease_holder_version(),
@@ -135,14 +134,14 @@
     }
 
     /// Gives the election lease up where workers reach another controller. False if there is nothing to give up.
-    async fn yields(&mut self, node: &Node) -> bool {
+    async fn yields(&mut self, node: &Controller) -> bool {
         if let (Some(lease), Some(takeover_request)) = (self.permit, node.takeover_request_to_answer(Instant::now()))
             && self.yielding.begins(takeover_request, lease, Instant::now())
         {
             warn!("yields: workers reach another controller and not this one");
         }
         let Some(lease) = self.yielding.to_release() else { return false };
-        match node.store.release(lease).await {
+        match node.store.client.release(lease).await {
             Ok(()) => {
                 self.permit = None;
                 self.yielding.released(Instant::now());
@@ -156,8 +155,8 @@
     }
 
     /// What is to be done next.
-    fn next(&mut self, node: &Node, view: &View) -> Step {
-        let fencing_token = lock(&node.cluster).as_ref().map(|cluster| cluster.fencing_token);
+    fn next(&mut self, node: &Controller, view: &View) -> Step {
+        let fencing_token = node.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
         let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
         let own_name = view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == node.settings.node);
         let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.pace.life, Instant::now());
@@ -173,7 +172,7 @@
         in_turn(step, self.wrote_leader_record_last, renew_due)
     }
 
-    async fn take(&mut self, node: &Arc<Node>, view: &View, step: &Step) -> Result<(), StoreError> {
+    async fn take(&mut self, node: &Arc<Controller>, view: &View, step: &Step) -> Result<(), StoreError> {
         self.wrote_leader_record_last = *step == Step::WriteLeaderRecord;
         match step {
             Step::Wait => Ok(()),
@@ -196,9 +195,9 @@
         }
     }
 
-    async fn renew(&mut self, node: &Node) -> Result<(), StoreError> {
+    async fn renew(&mut self, node: &Controller) -> Result<(), StoreError> {
         let Some(lease) = self.permit else { return Ok(()) };
-        let alive = node.store.renew(lease).await?;
+        let alive = node.store.client.renew(lease).await?;
         self.renewed = Instant::now();
         if !alive {
             info!("election lease lost: it has ended");
@@ -209,11 +208,11 @@
 }
 
 /// Leads, or waits until it can, for ever.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     let mut member = Member::new(node.properties.election_lease);
     let mut lag = Lag::default();
     loop {
-        let _ = tokio::time::timeout(member.pace.look_every(), node.wake.membership.notified()).await;
+        let _ = tokio::time::timeout(member.pace.look_every(), node.wakeups.membership.notified()).await;
         let Some(view) = View::of(&node) else { continue };
         node.check_deposed();
         if member.yields(&node).await {
@@ -232,7 +231,7 @@
 }
 
 /// Tells of a watermark that does not advance, and stores it for those who do not hear it.
-async fn tend_watermark(node: &Node, lag: &mut Lag) {
+async fn tend_watermark(node: &Controller, lag: &mut Lag) {
     let [_, waiting] = node.history.hidden();
     if let Some(long) = lag.tells(waiting, node.history.watermark(), Instant::now()) {
         warn!(
@@ -253,11 +252,11 @@
     (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
 }
 
-async fn expire(node: &Node, version: u64) -> Result<(), StoreError> {
+async fn expire(node: &Controller, version: u64) -> Result<(), StoreError> {
     let (condition, change) = expiry(version);
-    let outcome = node.store.compare_and_swap(&[condition], &[change], Urgent::First).await?;
+    let outcome = node.store.client.compare_and_swap(&[condition], &[change], Urgent::First).await?;
     info!(?outcome, "its predecessor held the lease, or nobody whose key can be read: that is over");
-    node.read_barrier.wait().await;
+    node.store.read_barrier.wait().await;
     Ok(())
 }
 
@@ -267,22 +266,22 @@
     (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
 }
 
-async fn campaign(node: &Node, permit: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
+async fn campaign(node: &Controller, permit: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
     let lease = match *permit {
-        Some(lease) if node.store.renew(lease).await? => lease,
-        _ => node.store.grant(life).await?,
+        Some(lease) if node.store.client.renew(lease).await? => lease,
+        _ => node.store.client.grant(life).await?,
     };
     *permit = Some(lease);
     let me = LeaseHolder { node: node.settings.node.clone(), incarnation: node.incarnation.clone() };
     let (condition, change) = candidacy(&me, lease);
-    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await? {
+    match node.store.client.compare_and_swap(&[condition], &[change], Urgent::First).await? {
         CompareAndSwapOutcome::Applied(version) => {
             info!(version, "leads");
-            lock(&node.watch_cache).note_lease_holder(me, version);
-            node.wake.membership.notify_one();
+            node.store.watch_cache().note_lease_holder(me, version);
+            node.wakeups.membership.notify_one();
         }
         CompareAndSwapOutcome::Failed(_) => {
-            node.read_barrier.wait().await;
+            node.store.read_barrier.wait().await;
         }
         CompareAndSwapOutcome::LeaseExpired => *permit = None,
     }
@@ -297,16 +296,20 @@
 
 /// Writes this controller as leader. Done again, it raises the fencing token: every command given under
 /// the older one is dead wherever the new one has been seen.
-async fn write_leader_record(node: &Arc<Node>, lease_holder_version: u64, version: u64) -> Result<(), StoreError> {
+async fn write_leader_record(
+    node: &Arc<Controller>,
+    lease_holder_version: u64,
+    version: u64,
+) -> Result<(), StoreError> {
     let record = LeaderRecord {
         node: node.settings.node.clone(),
         incarnation: node.incarnation.clone(),
         teams: node.settings.params.teams.iter().map(|t| t.name.clone()).collect(),
     };
     let (conditions, change) = naming(&record, lease_holder_version, version);
-    match node.store.compare_and_swap(&conditions, &[change], Urgent::First).await? {
+    match node.store.client.compare_and_swap(&conditions, &[change], Urgent::First).await? {
         CompareAndSwapOutcome::Applied(fencing_token) => {
-            if lock(&node.watch_cache).note_leader_record(record, fencing_token) {
+            if node.store.watch_cache().note_leader_record(record, fencing_token) {
                 node.become_leader(fencing_token);
             } else {
                 warn!(fencing_token, "assigned, and replaced before the answer came");
@@ -314,7 +317,7 @@
         }
         outcome => {
             warn!(?outcome, "the assignment was not written");
-            node.read_barrier.wait().await;
+            node.store.read_barrier.wait().await;
         }
     }
     Ok(())
@@ -328,9 +331,9 @@
 }
 
 /// Controllers that do not hear this leader read it there.
-async fn store_watermark(node: &Node, watermark: Watermark) {
+async fn store_watermark(node: &Controller, watermark: Watermark) {
     let (condition, change) = storing(watermark);
-    match node.store.compare_and_swap(&[condition], &[change], Urgent::First).await {
+    match node.store.client.compare_and_swap(&[condition], &[change], Urgent::First).await {
         Ok(CompareAndSwapOutcome::Applied(_)) => node.confirmed(watermark.revision, Instant::now()),
         outcome => debug!(?outcome, "storing the watermark"),
     }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -11,7 +11,7 @@
 pub struct LeaseHolder {
     /// Name of the controller that holds the lease.
     pub node: String,
-    /// The leading process ([`Node::incarnation`](crate::node::Node)).
+    /// The leading process ([`Controller::incarnation`](crate::controller::Controller)).
     pub incarnation: String,
 }
 
--- a/src/scheduling/interleavings/users.rs
+++ b/src/scheduling/interleavings/users.rs
@@ -278,7 +278,7 @@
         }
     }
 
-    /// As `Node::watermark` has it.
+    /// As `Controller::watermark` has it.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
         let (of, version) = self.users.leader_record(leader.seat.heard)?;
         let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
@@ -351,7 +351,7 @@
         Rights { loaded: leader.cluster.loaded, knows, unproven: leader.seat.unproven, serves }
     }
 
-    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Node::over_among` has it).
+    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Controller::over_among` has it).
     pub(super) fn over_among(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
         let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
@@ -408,7 +408,7 @@
         }
     }
 
-    /// As `Node::cancelled_by_leader` has it: told at once if the cluster state has it.
+    /// As `Controller::cancelled_by_leader` has it: told at once if the cluster state has it.
     pub(super) fn cancelled_by_leader(&mut self, at: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader =
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -8,18 +8,17 @@
 use tokio::task::JoinSet;
 use tracing::{error, info};
 
+use crate::controller::Controller;
 use crate::fleet::orders::{CloudOrder, ORDERS};
 use crate::jobs::record::{
     DONE, EndedRecord, JobRecord, StoredTask, TASKS, decode_shard, ended_key, ended_keys, old_job_key, parse_shard_key,
     time_of_day_ms,
 };
 use crate::jobs::{End, JobId};
-use crate::node::Node;
 use crate::scheduling::cluster::ClusterState;
 use crate::store::budget::Urgent;
 use crate::store::client::Item;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
-use crate::sync::lock;
 
 /// Descriptions of ended jobs asked for at once.
 const ASKED_AT_ONCE: usize = 8;
@@ -54,12 +53,12 @@
 }
 
 /// Reads every page of tasks into the cluster state, which decides nothing until the last one is in.
-pub async fn fill(node: &Arc<Node>) -> Result<(), StoreError> {
+pub async fn fill(node: &Arc<Controller>) -> Result<(), StoreError> {
     let begun = Instant::now();
     // Open jobs first: the watch cache was proven fresh after this controller's leader record stood.
     {
-        let watch_cache = lock(&node.watch_cache);
-        let mut held = lock(&node.cluster);
+        let watch_cache = node.store.watch_cache();
+        let mut held = node.leader.cluster();
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         cluster.forget_all();
         for (_, record) in watch_cache.open_jobs() {
@@ -68,7 +67,7 @@
     }
     let mut ended = HashSet::new();
     let mut read_ends = HashMap::new();
-    let mut pages = node.store.pages(TASKS, None);
+    let mut pages = node.store.client.pages(TASKS, None);
     let (mut shards, mut read) = (0usize, 0usize);
     while let Some(page) = pages.next().await? {
         read += 1;
@@ -79,14 +78,14 @@
     // What an earlier leader may still be doing, before anything is placed: nothing can be added to
     // it any more, since orders are conditional on the leader record.
     let mut orders = Vec::new();
-    let mut pages = node.store.pages(ORDERS, None);
+    let mut pages = node.store.client.pages(ORDERS, None);
     while let Some(page) = pages.next().await? {
         orders.extend(page.items.iter().filter_map(CloudOrder::read));
     }
     let now = Instant::now();
     {
-        let watch_cache = lock(&node.watch_cache);
-        let mut held = lock(&node.cluster);
+        let watch_cache = node.store.watch_cache();
+        let mut held = node.leader.cluster();
         let Some(cluster) = held.as_mut() else { return Ok(()) };
         // What came and what ended while the tasks were being read.
         for (_, record) in watch_cache.open_jobs() {
@@ -117,9 +116,9 @@
             "took over"
         );
     }
-    node.wake.plan.notify_one();
-    node.wake.dispatch.notify_one();
-    node.wake.fleet.notify_one();
+    node.wakeups.plan.notify_one();
+    node.wakeups.dispatch.notify_one();
+    node.wakeups.fleet.notify_one();
     Ok(())
 }
 
@@ -127,13 +126,13 @@
 /// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
 /// was reported to have exited, though the last heartbeats were never written to its shard.
 async fn take_page(
-    node: &Arc<Node>,
+    node: &Arc<Controller>,
     page: Vec<Shard>,
     ended: &mut HashSet<JobId>,
     read_ends: &mut HashMap<JobId, (Instant, u64)>,
 ) -> Result<(), StoreError> {
     let over: BTreeSet<JobId> = {
-        let held = lock(&node.cluster);
+        let held = node.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Ok(()) };
         page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound()).map(|c| c.job.clone()).collect()
     };
@@ -141,7 +140,7 @@
     let mut records: HashMap<JobId, Arc<JobRecord>> = HashMap::new();
     let mut unknown: HashSet<JobId> = HashSet::new();
     {
-        let (watch_cache, held) = (lock(&node.watch_cache), lock(&node.cluster));
+        let (watch_cache, held) = (node.store.watch_cache(), node.leader.cluster());
         let Some(cluster) = held.as_ref() else { return Ok(()) };
         for shard in page.iter().filter(|c| !cluster.has_job(&c.job) && c.anything_bound() && !done.contains(&c.job)) {
             match watch_cache.ended_record(&shard.job) {
@@ -168,7 +167,7 @@
         }
     }
     let now = Instant::now();
-    let mut held = lock(&node.cluster);
+    let mut held = node.leader.cluster();
     let Some(cluster) = held.as_mut() else { return Ok(()) };
     for (id, record) in records {
         cluster.add_job(record, now);
@@ -198,13 +197,15 @@
 }
 
 /// Which of these jobs, none of them open, are done.
-async fn done_among(node: &Node, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
+async fn done_among(node: &Controller, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
     let at_once = node.settings.params.state.conditions().max(1);
     let mut done = HashSet::new();
     for ids in ids.chunks(at_once) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
-        if let CompareAndSwapOutcome::Failed(keys) = node.store.compare_and_swap(&absent, &[], Urgent::First).await? {
+        if let CompareAndSwapOutcome::Failed(keys) =
+            node.store.client.compare_and_swap(&absent, &[], Urgent::First).await?
+        {
             done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
         }
     }
@@ -212,9 +213,9 @@
 }
 
 /// The description of a job that has ended, wherever it is kept, how long ago it did, and a revision before that.
-async fn ended_record(node: &Node, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
+async fn ended_record(node: &Controller, id: &str) -> Result<Option<(JobRecord, Duration, u64)>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
-        if let Some(item) = node.store.get(&key, Urgent::First).await? {
+        if let Some(item) = node.store.client.get(&key, Urgent::First).await? {
             return Ok(read_ended_record(id, &key, &item));
         }
     }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -10,6 +10,7 @@
 #[cfg(test)]
 mod interleavings;
 pub mod large;
+pub mod leader_state;
 pub mod load;
 pub mod one_way_partition;
 pub mod plan;
@@ -27,9 +28,8 @@
 pub use cluster::ClusterState;
 use fairness::{Account, Open, Row};
 
+use crate::controller::Controller;
 use crate::jobs::JobId;
-use crate::node::Node;
-use crate::sync::lock;
 use due::{Due, due};
 
 /// Placement follows events; this bounds how often, so that a burst is planned as one.
@@ -49,27 +49,27 @@
 const REST: u32 = 4;
 
 /// Reads what is stored, then plans on every event until this controller no longer leads.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     load(&node).await;
     let (mut ticked, mut planned, mut reserve_next) = (Instant::now(), None::<Instant>, Instant::now());
     let mut preempt_next = Instant::now();
     let (mut look_next, mut tell_next) = (Instant::now(), Instant::now() + TELL_EVERY);
     loop {
-        let _ = tokio::time::timeout(TICK, node.wake.plan.notified()).await;
+        let _ = tokio::time::timeout(TICK, node.wakeups.plan.notified()).await;
         if node.unproven() {
             continue;
         }
         let now = Instant::now();
         let mut placed = None;
         node.refresh_intents(now);
-        if let (Some(cluster), Some(catalog)) = (lock(&node.cluster).as_mut(), node.catalog()) {
+        if let (Some(cluster), Some(catalog)) = (node.leader.cluster().as_mut(), node.catalog.get()) {
             if now.saturating_duration_since(ticked) >= TICK {
                 ticked = now;
                 cluster.tick(now);
             }
             if now >= look_next && cluster.loaded {
                 look_next = now + LOOK_EVERY;
-                let mut account = lock(&node.fairness);
+                let mut account = node.leader.accounting();
                 look(&mut account, cluster, now);
                 if now >= tell_next {
                     tell_next = now + TELL_EVERY;
@@ -96,9 +96,9 @@
         if let Some(placed) = placed {
             if placed > 0 {
                 debug!(placed, took_ms = now.elapsed().as_millis(), "placed");
-                node.wake.commit.notify_one();
+                node.wakeups.commit.notify_one();
             }
-            node.wake.fleet.notify_one();
+            node.wakeups.fleet.notify_one();
         }
         tokio::time::sleep(GAP.max(now.elapsed() * REST)).await;
     }
@@ -162,9 +162,9 @@
 
 /// Everything stored before this controller's leader record is read; nothing older can come after,
 /// since every placement is conditional on the leader record it was made under.
-async fn load(node: &Arc<Node>) {
+async fn load(node: &Arc<Controller>) {
     loop {
-        if node.read_barrier.wait().await {
+        if node.store.read_barrier.wait().await {
             match load::fill(node).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "reading tasks"),
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -14,12 +14,12 @@
 use super::audit::Held;
 use super::budget::Urgent;
 use super::{Change, CompareAndSwapOutcome, Condition, StoreError};
+use crate::controller::Controller;
 use crate::history::moves::{end_among, end_changes, not_ended};
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, LEADER, decode_shard, encode_shard, open_key, shard_key, shard_size, time_of_day_ms,
 };
 use crate::jobs::{End, JobId};
-use crate::node::Node;
 use crate::scheduling::cluster::ShardWrite;
 use crate::sync::jitter;
 use crate::sync::lock;
@@ -86,15 +86,15 @@
 }
 
 /// Stores the leader's changes for as long as this controller leads: in batches, one transaction at a time.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wake.commit.notified()).await;
+        let _ = tokio::time::timeout(EVERY, node.wakeups.commit.notified()).await;
         tokio::time::sleep(GAP).await;
         while let Some(batch) = next(&node) {
             if !store(&node, batch).await {
                 return;
             }
-            if lock(&node.cluster).as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
+            if node.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= DROPS_PRESSED) {
                 drop_some(&node, Urgent::Second).await;
             }
         }
@@ -102,10 +102,10 @@
     }
 }
 
-fn next(node: &Node) -> Option<Batch> {
+fn next(node: &Controller) -> Option<Batch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
-    let most = (node.settings.params.state.txn_ops as usize).min(node.store.writes_ready(Urgent::Second).max(1));
-    let mut held = lock(&node.cluster);
+    let most = (node.settings.params.state.txn_ops as usize).min(node.store.client.writes_ready(Urgent::Second).max(1));
+    let mut held = node.leader.cluster();
     let cluster = held.as_mut().filter(|b| b.loaded)?;
     let now = Instant::now();
     if !cluster.anything_to_store(now) {
@@ -123,29 +123,29 @@
 }
 
 /// False once this controller no longer leads.
-async fn store(node: &Arc<Node>, batch: Batch) -> bool {
+async fn store(node: &Arc<Controller>, batch: Batch) -> bool {
     let changes = batch.changes();
     let urgent = if batch.ends.is_empty() { Urgent::Second } else { Urgent::First };
     let mut unanswered = false;
     loop {
-        let Some(fencing_token) = lock(&node.cluster).as_ref().map(|b| b.fencing_token) else { return false };
-        match node.store.compare_and_swap(&batch.conditions(fencing_token), &changes, urgent).await {
+        let Some(fencing_token) = node.leader.cluster().as_ref().map(|b| b.fencing_token) else { return false };
+        match node.store.client.compare_and_swap(&batch.conditions(fencing_token), &changes, urgent).await {
             Ok(CompareAndSwapOutcome::Applied(version)) => {
                 stored(node, &batch, version);
                 return true;
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "a transaction did not apply");
-                let now_token = lock(&node.cluster).as_ref().map(|b| b.fencing_token);
+                let now_token = node.leader.cluster().as_ref().map(|b| b.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
                     // Wait for the watch cache to say who leads; it may be this controller itself,
                     // under a fencing token it has not heard the answer about.
-                    node.read_barrier.wait().await;
+                    node.store.read_barrier.wait().await;
                     node.check_deposed();
-                    node.wake.membership.notify_one();
+                    node.wakeups.membership.notify_one();
                     tokio::time::sleep(jitter(RETRY)).await;
                     continue;
                 }
@@ -159,29 +159,29 @@
     }
 }
 
-fn stored(node: &Node, batch: &Batch, version: u64) {
-    if let Some(cluster) = lock(&node.cluster).as_mut() {
+fn stored(node: &Controller, batch: &Batch, version: u64) {
+    if let Some(cluster) = node.leader.cluster().as_mut() {
         cluster.shards_stored(&batch.shards, version);
     }
     for job in &batch.ends {
         note_end(node, &job.spec.id, End::Done);
         lock(&node.audit).note(Held::Ended(job.clone(), End::Done));
     }
-    node.wake.dispatch.notify_one();
+    node.wakeups.dispatch.notify_one();
 }
 
 /// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
-fn note_end(node: &Node, id: &JobId, end: End) {
+fn note_end(node: &Controller, id: &JobId, end: End) {
     info!(job = %id, ?end, "ended");
     node.history.note_end(id, end);
-    if let Some(cluster) = lock(&node.cluster).as_mut() {
+    if let Some(cluster) = node.leader.cluster().as_mut() {
         cluster.end_job(id, Some(end), Instant::now());
     }
-    node.wake.plan.notify_one();
+    node.wakeups.plan.notify_one();
 }
 
 /// Some keys had other versions: each is read, and what it holds decides.
-async fn settle(node: &Arc<Node>, batch: Batch, keys: Vec<String>) -> bool {
+async fn settle(node: &Arc<Controller>, batch: Batch, keys: Vec<String>) -> bool {
     for id in batch.jobs() {
         if let Some(end) = end_among(&keys, id) {
             note_end(node, id, end);
@@ -193,10 +193,10 @@
             continue;
         }
         let item = loop {
-            if lock(&node.cluster).is_none() {
+            if node.leader.cluster().is_none() {
                 return false;
             }
-            match node.store.get(key, Urgent::First).await {
+            match node.store.client.get(key, Urgent::First).await {
                 Ok(item) => break item,
                 Err(error) => {
                     debug!(%error, key, "settling");
@@ -204,7 +204,7 @@
                 }
             }
         };
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         let Some(cluster) = held.as_mut() else { return false };
         let version = item.as_ref().map_or(0, |i| i.version);
         let same = item.and_then(|i| decode_shard(&i.value)).is_some_and(|t| t == write.tasks);
@@ -216,10 +216,10 @@
             cluster.set_version(&write.job, write.shard, version);
         }
     }
-    if let Some(cluster) = lock(&node.cluster).as_mut() {
+    if let Some(cluster) = node.leader.cluster().as_mut() {
         cluster.to_store_again(&batch.ended_ids(), &batch.shards);
     }
-    node.wake.dispatch.notify_one();
+    node.wakeups.dispatch.notify_one();
     true
 }
 
@@ -239,9 +239,9 @@
 }
 
 /// Shards of jobs that are over, whenever the budget has room.
-async fn drop_some(node: &Arc<Node>, urgent: Urgent) {
-    let most = node.store.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
-    let (drops, fencing_token) = match lock(&node.cluster).as_mut() {
+async fn drop_some(node: &Arc<Controller>, urgent: Urgent) {
+    let most = node.store.client.writes_ready(urgent).min(node.settings.params.state.txn_ops as usize);
+    let (drops, fencing_token) = match node.leader.cluster().as_mut() {
         Some(cluster) => (cluster.next_drops(most), cluster.fencing_token),
         None => return,
     };
@@ -249,13 +249,14 @@
         return;
     }
     let (conditions, changes) = shard_drops(&drops, fencing_token);
-    let outcome = tokio::time::timeout(DROP_WITHIN, node.store.compare_and_swap(&conditions, &changes, urgent)).await;
+    let outcome =
+        tokio::time::timeout(DROP_WITHIN, node.store.client.compare_and_swap(&conditions, &changes, urgent)).await;
     let failed = match outcome {
         Ok(Ok(CompareAndSwapOutcome::Applied(_))) => return,
         Ok(Ok(CompareAndSwapOutcome::Failed(keys))) => keys,
         _ => Vec::new(),
     };
-    if let Some(cluster) = lock(&node.cluster).as_mut() {
+    if let Some(cluster) = node.leader.cluster().as_mut() {
         cluster.drop_again(still_to_drop(drops, &failed));
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,6 +5,7 @@
 pub mod budget;
 pub mod client;
 pub mod commit;
+pub mod handle;
 #[cfg(test)]
 mod late_transactions;
 pub mod log_limit;
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -9,9 +9,9 @@
 use super::StoreError;
 use super::budget::Urgent;
 use super::client::WatchResponse;
+use crate::controller::Controller;
 use crate::history::upgrade;
 use crate::jobs::record::{CACHED, CACHED_AFTER};
-use crate::node::Node;
 use crate::sync::lock;
 
 const WATCH: Duration = Duration::from_secs(20);
@@ -38,9 +38,9 @@
 const PAGE_TRIES: u32 = 12;
 
 /// Reads page by page into what is kept; what an earlier build has left is taken over first.
-async fn reload(node: &Node) -> Result<(), StoreError> {
-    let mut loading = lock(&node.watch_cache).load();
-    let mut pages = node.store.pages(CACHED, Some(CACHED_AFTER));
+async fn reload(node: &Controller) -> Result<(), StoreError> {
+    let mut loading = node.store.watch_cache().load();
+    let mut pages = node.store.client.pages(CACHED, Some(CACHED_AFTER));
     let mut tries = 0;
     loop {
         let page = match pages.next().await {
@@ -55,34 +55,34 @@
             Err(error) => return Err(error),
         };
         tries = 0;
-        let news = lock(&node.watch_cache).take_page(&mut loading, &page);
+        let news = node.store.watch_cache().take_page(&mut loading, &page);
         node.spread(news);
     }
     if !loading.upgraded() {
-        return upgrade::run(&node.store).await;
+        return upgrade::run(&node.store.client).await;
     }
-    let news = lock(&node.watch_cache).loaded(loading);
+    let news = node.store.watch_cache().loaded(loading);
     node.spread(news);
-    node.read_barrier.wanted.notify_one();
+    node.store.read_barrier.wanted.notify_one();
     Ok(())
 }
 
 /// The watch: one at a time, for ever.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     loop {
-        let asking = lock(&node.watch_cache).asking();
+        let asking = node.store.watch_cache().asking();
         let outcome = match asking {
-            Some(revision) => node.store.watch(CACHED, revision, WATCH).await.map(|response| {
-                let (_, news) = lock(&node.watch_cache).apply(&response);
+            Some(revision) => node.store.client.watch(CACHED, revision, WATCH).await.map(|response| {
+                let (_, news) = node.store.watch_cache().apply(&response);
                 node.spread(news);
             }),
             None => reload(&node).await,
         };
         match outcome {
             // The leader acts on what it hears; the others only have to know it soon.
-            Ok(()) if lock(&node.cluster).is_some() => tokio::time::sleep(WATCH_GAP).await,
-            Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => lock(&node.watch_cache).ready = false,
+            Ok(()) if node.leader.cluster().is_some() => tokio::time::sleep(WATCH_GAP).await,
+            Ok(()) => tokio::time::sleep(WATCH_GAP.max(node.store.client.time_for(WATCH_COST))).await,
+            Err(StoreError::TooOld) => node.store.watch_cache().ready = false,
             Err(error) => {
                 debug!(%error, "watching the store");
                 tokio::time::sleep(jitter(Duration::from_millis(300))).await;
@@ -92,62 +92,63 @@
 }
 
 /// All changes since a revision, at once.
-async fn changes_now(node: &Node, revision: u64) -> Result<WatchResponse, StoreError> {
+async fn changes_now(node: &Controller, revision: u64) -> Result<WatchResponse, StoreError> {
     // Waiting for one's own share is no sign of a connection that hangs.
-    node.store.reserve(Urgent::First).await?;
-    let first = node.store.watch_reserved(CACHED, revision, Duration::ZERO);
+    node.store.client.reserve(Urgent::First).await?;
+    let first = node.store.client.watch_reserved(CACHED, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = node.store.watch(CACHED, revision, Duration::ZERO) => outcome,
+        outcome = node.store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
     }
 }
 
 /// Serves those who wait in `fresh`: one zero-wait watch answers all that asked before it began.
-pub async fn run_read_barrier(node: Arc<Node>) {
+pub async fn run_read_barrier(node: Arc<Controller>) {
     loop {
-        let fresh = node.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
+        let fresh = node.store.read_barrier.age(Instant::now()).is_some_and(|age| age < PROOF_EVERY * 2);
         let pause = if fresh { PROOF_EVERY } else { PROOF_OVERDUE };
-        let _ = tokio::time::timeout(pause, node.read_barrier.wanted.notified()).await;
-        let ticket = node.read_barrier.ticket();
+        let _ = tokio::time::timeout(pause, node.store.read_barrier.wanted.notified()).await;
+        let ticket = node.store.read_barrier.ticket();
         let pauses = node.pauses();
         let begun = Instant::now();
-        let asking = lock(&node.watch_cache).asking();
+        let asking = node.store.watch_cache().asking();
         let Some(revision) = asking else {
-            node.read_barrier.failed.send_replace(ticket);
+            node.store.read_barrier.failed.send_replace(ticket);
             // After a process pause each beat asks for a proof anew, the one above too.
             tokio::time::sleep(PROOF_GAP).await;
             continue;
         };
         match changes_now(&node, revision).await {
             Ok(response) => {
-                let (taken, news) = lock(&node.watch_cache).apply(&response);
+                let (taken, news) = node.store.watch_cache().apply(&response);
                 node.spread(news);
                 // What was asked before a process pause proves nothing after it.
                 let taken = taken && node.pauses() == pauses;
                 if taken {
-                    node.read_barrier.proved(begun);
+                    node.store.read_barrier.proved(begun);
                     node.proven();
                 }
-                if taken { &node.read_barrier.proven } else { &node.read_barrier.failed }.send_replace(ticket);
+                if taken { &node.store.read_barrier.proven } else { &node.store.read_barrier.failed }
+                    .send_replace(ticket);
             }
             Err(StoreError::TooOld) => {
-                lock(&node.watch_cache).ready = false;
-                node.read_barrier.failed.send_replace(ticket);
+                node.store.watch_cache().ready = false;
+                node.store.read_barrier.failed.send_replace(ticket);
             }
             // A moment's shortage: those who ask wait a little longer, and are not sent away together.
-            Err(StoreError::Unavailable(429)) => node.read_barrier.wanted.notify_one(),
+            Err(StoreError::Unavailable(429)) => node.store.read_barrier.wanted.notify_one(),
             Err(error) => {
-                node.read_barrier.failed.send_replace(ticket);
+                node.store.read_barrier.failed.send_replace(ticket);
                 debug!(%error, "no proof of freshness");
             }
         }
-        tokio::time::sleep(PROOF_GAP.max(node.store.time_for(PROOF_COST))).await;
-        if node.read_barrier.ticket() > ticket {
-            node.read_barrier.wanted.notify_one();
+        tokio::time::sleep(PROOF_GAP.max(node.store.client.time_for(PROOF_COST))).await;
+        if node.store.read_barrier.ticket() > ticket {
+            node.store.read_barrier.wanted.notify_one();
         }
     }
 }
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -7,10 +7,10 @@
 use super::follow_ups::{FollowUps, Write};
 use super::lookup::{ended, look_up, moved_on, open_tasks, tell_end};
 use super::reply::Reply;
+use crate::controller::Controller;
 use crate::history::moves;
 use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
 use crate::jobs::{End, JobId};
-use crate::node::Node;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
 use crate::store::budget::Urgent;
@@ -18,7 +18,7 @@
 use crate::sync::lock;
 
 /// A job that its user calls off.
-pub(super) async fn cancel(node: &Node, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
+pub(super) async fn cancel(node: &Controller, follow_ups: &Arc<FollowUps>, id: &str) -> Reply {
     let found = look_up(node, id).await;
     if !is_open(&found) {
         return found;
@@ -26,9 +26,9 @@
     let id: JobId = id.into();
     // It may have been found open before the watch cache heard of it.
     if open_tasks(node, &id).is_none() {
-        node.read_barrier.wait().await;
+        node.store.read_barrier.wait().await;
     }
-    let record = lock(&node.watch_cache).open(&id).cloned();
+    let record = node.store.watch_cache().open(&id).cloned();
     if let Some(record) = record {
         return write_cancellation(node, follow_ups, record).await;
     }
@@ -41,12 +41,12 @@
 }
 
 /// Writes the end of a job that was seen open, and tells its user.
-async fn write_cancellation(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
+async fn write_cancellation(node: &Controller, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>) -> Reply {
     let id = record.spec.id.clone();
     let leader = node.cancels_under();
     let cancellation = moves::cancel(&record, leader, time_of_day_ms());
     let sent = follow_ups.begin(Write::Cancellation, &record);
-    match node.store.compare_and_swap(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
+    match node.store.client.compare_and_swap(&cancellation.conditions, &cancellation.changes, Urgent::First).await {
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             sent.applied();
             lock(&node.audit).note(Held::Ended(record, End::Cancelled));
@@ -62,7 +62,7 @@
                 return moved_on(node, &id, &keys).await;
             }
             // Another leads by now: the watch cache is about to hear it.
-            node.read_barrier.wanted.notify_one();
+            node.store.read_barrier.wanted.notify_one();
             Reply::later("who owns has just changed")
         }
         outcome => {
--- a/src/users/follow_ups.rs
+++ b/src/users/follow_ups.rs
@@ -14,10 +14,10 @@
 use tracing::info;
 
 use super::lookup::open_tasks;
+use crate::controller::Controller;
 use crate::history::query_queue::Verdict;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobId, JobSpec};
-use crate::node::Node;
 use crate::sync::lock;
 
 /// Writes followed at a time: with more, some are not logged.
@@ -71,12 +71,12 @@
 
 /// The writes of one controller that are under way or were not answered.
 pub(super) struct FollowUps {
-    node: Arc<Node>,
+    node: Arc<Controller>,
     followed: Mutex<HashSet<(Write, JobId)>>,
 }
 
 impl FollowUps {
-    pub(super) fn new(node: Arc<Node>) -> Arc<Self> {
+    pub(super) fn new(node: Arc<Controller>) -> Arc<Self> {
         Arc::new(Self { node, followed: Mutex::default() })
     }
 
@@ -152,7 +152,7 @@
 }
 
 /// Whether it was carried out, once that is certain.
-async fn became(node: &Node, write: Write, id: &JobId) -> bool {
+async fn became(node: &Controller, write: Write, id: &JobId) -> bool {
     loop {
         match next(write, known(node, id)) {
             Next::Log => return true,
@@ -169,14 +169,14 @@
 }
 
 /// What this controller knows without asking.
-fn known(node: &Node, id: &JobId) -> Known {
+fn known(node: &Controller, id: &JobId) -> Known {
     if let Some(end) = node.history.ended(id) {
         return Known::Ended(end);
     }
     if open_tasks(node, id).is_some() {
         return Known::Open;
     }
-    if lock(&node.watch_cache).ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
+    if node.store.watch_cache().ended_record(id).is_some() { Known::EndedSomehow } else { Known::Nothing }
 }
 
 #[cfg(test)]
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -3,28 +3,27 @@
 use tracing::debug;
 
 use super::reply::{Refusal, Reply};
+use crate::controller::Controller;
 use crate::history::moves::end_among;
 use crate::history::query_queue::Verdict;
 use crate::history::visibility::Visible;
 use crate::jobs::{End, JobId, well_formed_id};
-use crate::node::Node;
 use crate::protocol::users::{JobAnswer, Status};
-use crate::sync::lock;
 
 /// Stored, and hidden until the leader is known to have it (`history::visibility`).
 const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
 
 /// An end as its users may hear it: a cancellation only once the leader has it. Every path that tells of an end
 /// goes through here.
-pub(super) async fn tell_end(node: &Node, id: &JobId, end: End) -> Reply {
+pub(super) async fn tell_end(node: &Controller, id: &JobId, end: End) -> Reply {
     node.watermark();
     let mut visible = node.history.visible(id, end);
     if visible == Visible::Unknown {
-        let version = lock(&node.watch_cache).ended_by(id);
+        let version = node.store.watch_cache().ended_by(id);
         match version {
             Some(version) => node.history.note_cancellation(id, version),
             None => {
-                if let Err(error) = node.history.learn_version(&node.store, id).await {
+                if let Err(error) = node.history.learn_version(&node.store.client, id).await {
                     debug!(%error, job = %id, "asking when it was withdrawn");
                 }
             }
@@ -47,21 +46,21 @@
 }
 
 /// An open job; its counts are for display and may run ahead of what is stored.
-fn open(node: &Node, id: &JobId, tasks: u64) -> Reply {
+fn open(node: &Controller, id: &JobId, tasks: u64) -> Reply {
     let counts = node.counts(id);
     let status = if counts.running > 0 { Status::Running } else { Status::Pending };
     Reply::Job(200, JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
 /// The number of tasks of a job that is open, as far as the watch cache has heard.
-pub(super) fn open_tasks(node: &Node, id: &str) -> Option<u64> {
-    lock(&node.watch_cache).open(id).map(|record| record.spec.tasks)
+pub(super) fn open_tasks(node: &Controller, id: &str) -> Option<u64> {
+    node.store.watch_cache().open(id).map(|record| record.spec.tasks)
 }
 
 /// The state of a job, no older than the moment of asking. Ends are final and told from memory;
 /// an open job is told from the watch cache once that is proven fresh; all else the store is asked for,
 /// which looks at every key that the job may have at one moment.
-pub(super) async fn look_up(node: &Node, id: &str) -> Reply {
+pub(super) async fn look_up(node: &Controller, id: &str) -> Reply {
     if !well_formed_id(id) {
         return Reply::Refused(Refusal::NoSuchJob);
     }
@@ -69,11 +68,11 @@
     if let Some(end) = node.history.ended(&id) {
         return tell_end(node, &id, end).await;
     }
-    if !lock(&node.watch_cache).ready {
+    if !node.store.watch_cache().ready {
         return Reply::later("the state service has not been read yet");
     }
     if open_tasks(node, &id).is_some() {
-        if !node.read_barrier.wait().await {
+        if !node.store.read_barrier.wait().await {
             return Reply::later("the state service cannot be asked");
         }
         if let Some(tasks) = open_tasks(node, &id) {
@@ -91,7 +90,7 @@
 }
 
 /// A transaction found the job further on; an end among the failed keys needs no question.
-pub(super) async fn moved_on(node: &Node, id: &JobId, keys: &[String]) -> Reply {
+pub(super) async fn moved_on(node: &Controller, id: &JobId, keys: &[String]) -> Reply {
     if let Some(end) = end_among(keys, id) {
         node.history.note_end(id, end);
     }
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -12,14 +12,14 @@
 use super::lookup::look_up;
 use super::reply::{COME_AGAIN_S, Refusal, Reply};
 use super::submission::submit;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::protocol::{self, BODY_LIMIT};
 use crate::traffic::Passage;
 use crate::workers::{self, Answer};
 
 /// The framework's side: one handler per path.
 struct Handle {
-    node: Arc<Node>,
+    node: Arc<Controller>,
     follow_ups: Arc<FollowUps>,
     path: Path,
 }
@@ -50,7 +50,7 @@
 }
 
 /// The answer to a user.
-fn render_reply(node: &Node, res: &mut Response, reply: Reply) {
+fn render_reply(node: &Controller, res: &mut Response, reply: Reply) {
     let later = matches!(reply, Reply::Later { .. });
     node.traffic.count(if later { Passage::Later } else { Passage::Answered });
     match reply {
@@ -67,7 +67,7 @@
 }
 
 /// The answer to a worker's heartbeat.
-fn render_answer(node: &Node, res: &mut Response, answer: Answer) {
+fn render_answer(node: &Controller, res: &mut Response, answer: Answer) {
     match answer {
         Answer::WorkerCommands(orders) => {
             node.traffic.count(Passage::Heartbeat);
@@ -114,7 +114,7 @@
 }
 
 /// All routes of one controller.
-pub fn router(node: &Arc<Node>) -> Router {
+pub fn router(node: &Arc<Controller>) -> Router {
     let follow_ups = FollowUps::new(node.clone());
     let handle = |path| Handle { node: node.clone(), follow_ups: follow_ups.clone(), path };
     Router::new()
@@ -130,12 +130,12 @@
 }
 
 /// Takes the address, which no other process has from then on.
-pub async fn bind(node: &Node) -> std::io::Result<TcpAcceptor> {
+pub async fn bind(node: &Controller) -> std::io::Result<TcpAcceptor> {
     TcpListener::new(node.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
 }
 
 /// Serves until the process is killed.
-pub async fn serve(node: Arc<Node>, acceptor: TcpAcceptor) -> std::io::Result<()> {
+pub async fn serve(node: Arc<Controller>, acceptor: TcpAcceptor) -> std::io::Result<()> {
     let router = router(&node);
     info!(addr = node.settings.listen, "serving");
     Server::new(acceptor).serve(router).await;
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -10,11 +10,11 @@
 use super::follow_ups::{FollowUps, Write};
 use super::lookup::{look_up, moved_on, open_tasks};
 use super::reply::{COME_AGAIN_LATER_S, Refusal, Reply};
+use crate::controller::Controller;
 use crate::history::moves;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::can_hold;
 use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
-use crate::node::Node;
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::audit::Held;
@@ -36,7 +36,7 @@
 
 /// A submission that is refused for good, unless its job was accepted: that stays so, whoever accepted it and
 /// whatever its repeat says.
-async fn unless_accepted(node: &Node, id: &str, refusal: Refusal) -> Reply {
+async fn unless_accepted(node: &Controller, id: &str, refusal: Refusal) -> Reply {
     match look_up(node, id).await {
         Reply::Refused(Refusal::NoSuchJob) => Reply::Refused(refusal),
         other => other,
@@ -51,7 +51,7 @@
 }
 
 /// A job as its user sends it, for the first time or again.
-pub(super) async fn submit(node: &Node, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
+pub(super) async fn submit(node: &Controller, follow_ups: &Arc<FollowUps>, body: &[u8]) -> Reply {
     let spec = match parse(body) {
         Ok(spec) => spec,
         Err(refusal) => {
@@ -59,14 +59,14 @@
             return unless_accepted(node, &named.id, refusal).await;
         }
     };
-    if !lock(&node.watch_cache).ready {
+    if !node.store.watch_cache().ready {
         return Reply::later("the state service has not been read yet");
     }
     let id = spec.id.clone();
     if open_tasks(node, &id).is_some() || node.history.ended(&id).is_some() {
         return look_up(node, &id).await;
     }
-    let Some(catalog) = node.catalog() else {
+    let Some(catalog) = node.catalog.get() else {
         return Reply::later("the machine types are not known yet");
     };
     if let Err(impossible) = can_ever_run(&spec, &node.settings, &catalog) {
@@ -76,10 +76,10 @@
 }
 
 /// A job that could run is accepted, if there is room for one more and its turn has come.
-async fn accept(node: &Node, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
+async fn accept(node: &Controller, follow_ups: &Arc<FollowUps>, spec: JobSpec) -> Reply {
     let id = spec.id.clone();
     let (open, old_kept) = {
-        let watch_cache = lock(&node.watch_cache);
+        let watch_cache = node.store.watch_cache();
         (watch_cache.held(), watch_cache.old_kept())
     };
     let record = JobRecord { spec, at_ms: time_of_day_ms() };
@@ -106,22 +106,22 @@
 }
 
 /// Whether the store takes a value of this size, for ever.
-fn can_be_kept(node: &Node, record: &JobRecord) -> bool {
+fn can_be_kept(node: &Controller, record: &JobRecord) -> bool {
     let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
     size as f64 <= node.settings.params.state.value_kb * 1024.0
 }
 
 /// Whether the job's turn has come, or after how many seconds its user is to come again.
-fn admit<'a>(node: &'a Node, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
+fn admit<'a>(node: &'a Controller, spec: &JobSpec) -> Result<Admitted<'a>, u64> {
     let mut admission = lock(&node.admission);
-    let (wait, per_second) = node.store.wait_for_writes(admission.waiting() as f64 + 1.0);
+    let (wait, per_second) = node.store.client.wait_for_writes(admission.waiting() as f64 + 1.0);
     admission.admit(spec, wait, per_second, rand::random(), Instant::now())?;
     Ok(Admitted { node, spec: spec.clone() })
 }
 
 /// Leaves admission control whatever becomes of the request.
 struct Admitted<'a> {
-    node: &'a Node,
+    node: &'a Controller,
     spec: JobSpec,
 }
 
@@ -132,12 +132,17 @@
 }
 
 /// Writes a job where there is none, and tells its user.
-async fn write_acceptance(node: &Node, follow_ups: &Arc<FollowUps>, record: Arc<JobRecord>, old_kept: bool) -> Reply {
+async fn write_acceptance(
+    node: &Controller,
+    follow_ups: &Arc<FollowUps>,
+    record: Arc<JobRecord>,
+    old_kept: bool,
+) -> Reply {
     let id = record.spec.id.clone();
     let accept = moves::accept(&record, old_kept);
     for _ in 0..RETRIES {
         let sent = follow_ups.begin(Write::Acceptance, &record);
-        match node.store.compare_and_swap(&accept.conditions, &accept.changes, Urgent::First).await {
+        match node.store.client.compare_and_swap(&accept.conditions, &accept.changes, Urgent::First).await {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
                 sent.applied();
                 lock(&node.audit).note(Held::Accepted(record));
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -7,10 +7,9 @@
 use tracing::debug;
 
 use super::{Heartbeat, WorkerCommands};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::protocol::{self, CallError};
 use crate::scheduling::cluster::{Direct, Via};
-use crate::sync::lock;
 use crate::traffic::Passage;
 
 /// Past this a command counts as one that may still arrive.
@@ -19,13 +18,13 @@
 const EVERY: Duration = Duration::from_millis(1000);
 
 /// Sends the commands that are due straight to their workers, for ever.
-pub async fn run(node: Arc<Node>) {
+pub async fn run(node: Arc<Controller>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, node.wake.dispatch.notified()).await;
+        let _ = tokio::time::timeout(EVERY, node.wakeups.dispatch.notified()).await;
         if node.unproven() {
             continue;
         }
-        let due = match lock(&node.cluster).as_mut() {
+        let due = match node.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
@@ -36,7 +35,7 @@
     }
 }
 
-async fn send(node: Arc<Node>, direct: Direct) {
+async fn send(node: Arc<Controller>, direct: Direct) {
     let body = protocol::encode(&WorkerCommands {
         fencing_token: direct.fencing_token,
         agent_epoch: Some(direct.agent_epoch),
@@ -45,9 +44,9 @@
     node.traffic.count(Passage::Command);
     let outcome = node.http.call(Method::POST, &direct.addr, "/do", Some(body), ANSWER_WITHIN).await;
     let now = Instant::now();
-    let catalog = node.catalog();
+    let catalog = node.catalog.get();
     {
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         let Some(cluster) = held.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
@@ -63,6 +62,6 @@
             cluster.take_heartbeat(heartbeat, Via::Command, catalog.as_deref(), now);
         }
     }
-    node.wake.commit.notify_one();
-    node.wake.plan.notify_one();
+    node.wakeups.commit.notify_one();
+    node.wakeups.plan.notify_one();
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -11,12 +11,11 @@
 use tracing::debug;
 
 use self::answer::Rights;
-use crate::node::Node;
+use crate::controller::Controller;
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, Cause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
 use crate::scheduling::cluster::Via;
-use crate::sync::lock;
 
 /// What a heartbeat is answered with.
 pub enum Answer {
@@ -32,7 +31,7 @@
 
 /// One heartbeat. Only the leader takes it in; a fencing token higher than its own tells it that it is no
 /// longer the leader, and a 200 would then only hold the worker while its lease runs out.
-pub fn take_heartbeat(node: &Arc<Node>, body: &[u8]) -> Answer {
+pub fn take_heartbeat(node: &Arc<Controller>, body: &[u8]) -> Answer {
     let heartbeat = match crate::protocol::decode::<Heartbeat>(body) {
         Ok(heartbeat) if heartbeat.check() => heartbeat,
         Ok(_) => return Answer::Malformed,
@@ -54,12 +53,12 @@
     // Of jobs that are over by the watch cache a leader stops what runs, whatever else it may do.
     let over = node.over_among(&heartbeat, rights.acts());
     {
-        let mut held = lock(&node.cluster);
+        let mut held = node.leader.cluster();
         if let Some(cluster) = held.as_mut() {
             if heartbeat.fencing_token > cluster.fencing_token {
                 deposed = true;
             } else {
-                let catalog = node.catalog();
+                let catalog = node.catalog.get();
                 let name = heartbeat.machine.clone();
                 cluster.take_heartbeat(heartbeat, Via::Heartbeat, catalog.as_deref(), now);
                 rights.loaded = cluster.loaded;
@@ -70,8 +69,8 @@
                 };
                 let fencing_token = cluster.fencing_token;
                 drop(held);
-                node.wake.plan.notify_one();
-                node.wake.commit.notify_one();
+                node.wakeups.plan.notify_one();
+                node.wakeups.commit.notify_one();
                 let (spare, kept) = (|| node.may_hold_blindly(now), || node.holds(&name, now));
                 if !rights.holds(over.since(fencing_token), spare, kept) {
                     return Answer::Nobody;
