--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -9,6 +9,7 @@
 use super::state::Membership;
 use crate::records::leadership::TakeoverRequest;
 use crate::scheduling::cluster::ClusterState;
+use crate::scheduling::messages::MessageSequence;
 use crate::store::budget::RequestPriority;
 use crate::sync::lock;
 
@@ -84,7 +85,7 @@
 
     /// A worker was sent to the leader. If workers keep coming back, the leader is told through the
     /// store, which it must still reach since it holds its lease.
-    pub fn record_redirect(&self, machine: &str, heartbeat: (u64, u64), now: Instant) {
+    pub fn record_redirect(&self, machine: &str, heartbeat: MessageSequence, now: Instant) {
         let Some(machines) = lock(&self.unreachable_leader).note(machine, heartbeat, now) else { return };
         let Some(fencing_token) = self.store.watch_cache().leader_record().map(|(_, version)| *version) else { return };
         warn!(count = machines, "leader unreachable for workers; requesting a takeover");
--- a/src/membership/unreachable_leader.rs
+++ b/src/membership/unreachable_leader.rs
@@ -3,6 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+use crate::scheduling::messages::MessageSequence;
+
 /// A worker that comes back within this time after it was sent to the leader did not get there.
 const BACK_WITHIN: Duration = Duration::from_secs(8);
 /// Redirects of one worker closer together than this are one.
@@ -18,8 +20,8 @@
 struct Redirected {
     /// When it was last redirected.
     at: Instant,
-    /// (agent epoch, seq) of the newest heartbeat: a late copy of an older one is no coming back.
-    newest: (u64, u64),
+    /// Its newest heartbeat: a late copy of an older one is no coming back.
+    newest: MessageSequence,
     /// It came back in vain.
     back: bool,
 }
@@ -37,9 +39,9 @@
         self.redirected.len()
     }
 
-    /// Notes a redirect of the heartbeat with this (agent epoch, seq). Gives the number of workers that cannot reach
+    /// Notes a redirect of this heartbeat. Gives the number of workers that cannot reach
     /// the leader when it is time for a takeover request.
-    pub fn note(&mut self, machine: &str, heartbeat: (u64, u64), now: Instant) -> Option<usize> {
+    pub fn note(&mut self, machine: &str, heartbeat: MessageSequence, now: Instant) -> Option<usize> {
         self.redirected.retain(|_, seen| now.saturating_duration_since(seen.at) < BACK_WITHIN);
         if let Some(seen) = self.redirected.get_mut(machine) {
             if heartbeat <= seen.newest {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -16,7 +16,7 @@
 pub use crate::protocol::workers::{
     AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand, WorkerCommands,
 };
-use crate::scheduling::messages::MessageKind;
+use crate::scheduling::messages::{MessageKind, MessageSequence};
 pub use service::WorkerService;
 
 /// The response to a heartbeat.
@@ -34,8 +34,7 @@
 /// Which heartbeat of which machine.
 struct HeartbeatId {
     machine: String,
-    agent_epoch: u64,
-    seq: u64,
+    sequence: MessageSequence,
 }
 
 /// What became of a valid heartbeat.
@@ -64,7 +63,8 @@
         return HeartbeatResponse::Unavailable;
     }
     let now = Instant::now();
-    let id = HeartbeatId { machine: heartbeat.machine.clone(), agent_epoch: heartbeat.agent_epoch, seq: heartbeat.seq };
+    let sequence = MessageSequence { agent_epoch: heartbeat.agent_epoch, number: heartbeat.seq };
+    let id = HeartbeatId { machine: heartbeat.machine.clone(), sequence };
     policy.leader_known = service.membership.knows_leader(now);
     // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
     let ended = service.membership.reported_ends(&heartbeat, policy.may_command());
@@ -141,7 +141,7 @@
     debug!(machine = id.machine, leader, "heartbeat redirected");
     match leader {
         Some(leader) if leader != service.settings.node && service.membership.knows_leader(now) => {
-            service.membership.record_redirect(&id.machine, (id.agent_epoch, id.seq), now);
+            service.membership.record_redirect(&id.machine, id.sequence, now);
             HeartbeatResponse::Redirect(leader)
         }
         _ => HeartbeatResponse::Unavailable,
