--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -1,10 +1,8 @@
 //! Placement and the cluster state by cases: what the cases share.
 
-mod absences;
-mod beyond_room;
 mod cancellations;
+mod completions_across_takeovers;
 mod confirmed_cancellations;
-mod ends_across_takeovers;
 mod hangs;
 mod intents;
 mod interleaved_simulation;
@@ -13,6 +11,8 @@
 mod new_machines;
 mod old_reports;
 mod one_way_partition;
+mod outages_past_lease;
+mod overload;
 mod placement;
 mod plan_work;
 mod preemption;
