--- a/src/calendar/window.rs
+++ b/src/calendar/window.rs
@@ -31,7 +31,7 @@
         (None, Some(job)) if job.ended.is_none() => JobProgress::Open {
             begun: job.untouched() < 1.0,
             at_ms: job.record.at_ms,
-            expected_s: expected_s(job.agreement.run.as_secs_f64(), job.spec().image_gb),
+            expected_s: expected_s(job.agreement.run_time.as_secs_f64(), job.spec().image_gb),
         },
         (None, _) => {
             view.query_job_end(id);
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -63,7 +63,7 @@
 fn keep_needed_capacity(cluster: &ClusterState, pool: &mut CapacityPool, now: Instant) {
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
-        let overdue = turn.ahead || turn.age > job.agreement.run;
+        let overdue = turn.ahead || turn.age > job.agreement.run_time;
         pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
     for (intent, _) in intents::reserved_capacity(cluster, &pool.ground) {
@@ -139,7 +139,7 @@
     }
     let running_since = binding.running_since.filter(|_| binding.status == Some(AttemptStatus::Running));
     let ran = running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    let remaining = sla::remaining(job.agreement.run, ran);
+    let remaining = sla::remaining_run_time(job.agreement.run_time, ran);
     let attempts = job.tasks.get(key.index as usize).map_or(0, |task| task.attempt);
     let can_move = spec.checkpoint_s > 0.0 && !(spec.is_gang() && spec.tasks > 1) && attempts < MOST_ATTEMPTS;
     let wastes_accelerators = accelerated && spec.gpus <= 0.0;
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -74,7 +74,7 @@
         Self {
             turn,
             spec,
-            starts_left_s: starts_left_s(&job.promises, job.agreement.run, turn.age),
+            starts_left_s: starts_left_s(&job.promises, job.agreement.run_time, turn.age),
             least_cost: cheapest.map_or(f64::INFINITY, |priced| priced.cost_per_task).max(LEAST_COST),
             impatient: (cluster.underserved.short.has(spec) && !spec.is_idle()) || turn.ahead,
             open,
@@ -85,7 +85,7 @@
     fn bearable_wait_s(&self, boot_s: f64, cost_per_task: f64) -> f64 {
         // An objective that not even this machine would meet is no reason to pay for it.
         let objective = self.starts_left_s.iter().copied().find(|left_s| *left_s >= boot_s);
-        let slack_s = objective.unwrap_or(self.turn.job.agreement.run.as_secs_f64());
+        let slack_s = objective.unwrap_or(self.turn.job.agreement.run_time.as_secs_f64());
         let patience = if self.impatient { 0.0 } else { (PATIENCE * cost_per_task / self.least_cost).min(1.0) };
         slack_s * patience
     }
@@ -205,7 +205,7 @@
         let (ground, spec, zones) = (self.ground, &intent.task_spec, Zones::none(&intent.task_spec));
         let mut job = self.cluster.hypothetical_job(spec, self.now);
         // All of it is needed at one time, so no place counts twice.
-        job.agreement.run = CAPACITY_HELD_FOR;
+        job.agreement.run_time = CAPACITY_HELD_FOR;
         let open = ground.open_to(spec, &zones);
         let mut slots = Slots::new(timelines, &job, &open);
         for placed in 0..intent.tasks {
@@ -244,7 +244,7 @@
         let start_s = start_in_s(existing);
         let boot_s = priced.offer.of.boot_s;
         let relative_cost = priced.cost_per_task / waiting.least_cost;
-        let overdue = waiting.turn.age > waiting.turn.job.agreement.run;
+        let overdue = waiting.turn.age > waiting.turn.job.agreement.run_time;
         let most_dear = self.cluster.properties.idle_dearer;
         self.fleet_may_grow()
             && start_s > waiting.bearable_wait_s(boot_s, priced.cost_per_task)
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -253,7 +253,7 @@
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
-            let rest = sla::remaining(self.estimate(job.spec()), binding.ran(now));
+            let rest = sla::remaining_run_time(self.estimate(job.spec()), binding.ran(now));
             let save_s = job.spec().save_s;
             let can_save = job.spec().checkpoint_s > 0.0 && save_s + 1.0 < left.as_secs_f64();
             if binding.running_since.is_none() || (can_save && rest > left) {
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -156,7 +156,7 @@
 
     /// Nothing that was promised of it can be kept by starting it now or later.
     pub fn too_late(&self, age: Duration) -> bool {
-        next_start_s(&self.promises, self.agreement.run, age).is_none()
+        next_start_s(&self.promises, self.agreement.run_time, age).is_none()
     }
 
     /// The part of its tasks that never had a place.
--- a/src/scheduling/cluster/model/load.rs
+++ b/src/scheduling/cluster/model/load.rs
@@ -8,8 +8,8 @@
 /// Share and return of one task, in the paper's terms.
 pub(in crate::scheduling::cluster) fn weigh(job: &JobState, binding: Option<&Binding>, now: Instant) -> (f64, f64) {
     let ran = binding.map_or(Duration::ZERO, |b| b.ran(now));
-    let rest = sla::remaining(job.agreement.run, ran);
+    let rest = sla::remaining_run_time(job.agreement.run_time, ran);
     let age = now.saturating_duration_since(job.since);
-    let share = sla::share(rest, job.agreement.deadline.saturating_sub(age), job.agreement.cores);
+    let share = sla::deadline_share(rest, job.agreement.deadline.saturating_sub(age), job.agreement.cores);
     (share, job.agreement.task_return(age + rest))
 }
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -42,7 +42,7 @@
     for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.complete()) {
         if let Some(within) = job.spec().due() {
             let age = now.saturating_duration_since(job.since);
-            due.note(id, within, job.agreement.run, age, job.untouched() < 1.0);
+            due.note(id, within, job.agreement.run_time, age, job.untouched() < 1.0);
         }
     }
     due
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -25,7 +25,7 @@
 use crate::scheduling::plan;
 use crate::scheduling::promises::{Promise, promises_of, starts_left_s};
 use crate::settings::tests::example;
-use crate::sla::priority_worth;
+use crate::sla::priority_weight;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -166,7 +166,7 @@
         let cluster = waiting(&jobs, now);
         let worth = |n: u32| {
             let (.., run, age) = jobs[n as usize - 1];
-            let (budget, deadline) = (priority_worth(spec().urgency) * run, run * 4.0);
+            let (budget, deadline) = (priority_weight(spec().urgency) * run, run * 4.0);
             let delay = (age + run - deadline).max(0.0);
             ((budget - delay * budget / deadline) / run / deadline).max(0.0)
         };
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -53,7 +53,7 @@
             let Some(job) = cluster.job(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
             let rest = match (job.ended, binding.halting) {
-                (None, None) => sla::remaining(job.agreement.run, binding.ran(now)),
+                (None, None) => sla::remaining_run_time(job.agreement.run_time, binding.ran(now)),
                 _ => Duration::ZERO,
             };
             let spec = job.spec();
@@ -178,7 +178,7 @@
         } else {
             spec.image_gb / timeline.capacity.of.fetch_gb_per_s.max(0.001)
         };
-        timeline.take(spec, slot.at_s, fetch + self.job.agreement.run.as_secs_f64());
+        timeline.take(spec, slot.at_s, fetch + self.job.agreement.run_time.as_secs_f64());
         self.push(timelines, slot.which);
     }
 }
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -75,8 +75,8 @@
         Self {
             id: queued.id,
             job,
-            over: now + agreement.run,
-            pressed: agreement.within_reach(age) && !agreement.within_reach(age + URGENT_WITHIN),
+            over: now + agreement.run_time,
+            pressed: agreement.can_meet_hard_deadline(age) && !agreement.can_meet_hard_deadline(age + URGENT_WITHIN),
             first: queued.rank == Rank::First || queued.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
@@ -84,9 +84,9 @@
             apt_only: false,
             waited: age,
             overdue,
-            share: sla::share(agreement.run, agreement.deadline.saturating_sub(age), agreement.cores),
-            task_return: agreement.task_return(age + agreement.run),
-            hard: agreement.within_reach(age),
+            share: sla::deadline_share(agreement.run_time, agreement.deadline.saturating_sub(age), agreement.cores),
+            task_return: agreement.task_return(age + agreement.run_time),
+            hard: agreement.can_meet_hard_deadline(age),
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
             wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
             failed_on: attribution.failed_on(queued.id),
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -71,7 +71,7 @@
         late,
         credited: false,
         quarantined: cluster.attribution.suspects(id),
-        task_return: job.agreement.task_return(age + job.agreement.run),
+        task_return: job.agreement.task_return(age + job.agreement.run_time),
         age,
         ahead: false,
         most: usize::MAX,
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -197,7 +197,7 @@
             return;
         }
         let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
-        self.unfit.push(UnfitRequest { spec, run: job.agreement.run, tasks, open });
+        self.unfit.push(UnfitRequest { spec, run: job.agreement.run_time, tasks, open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
--- a/src/scheduling/plan/unfit.rs
+++ b/src/scheduling/plan/unfit.rs
@@ -18,7 +18,7 @@
     pub(super) fn covers(&self, job: &JobState, tasks: usize, open: &[bool]) -> bool {
         let spec = job.spec();
         // Shorter work may yet end before what is held is wanted.
-        job.agreement.run >= self.run
+        job.agreement.run_time >= self.run
             && spec.cpus >= self.spec.cpus
             && spec.gpus >= self.spec.gpus
             && spec.memory_gb >= self.spec.memory_gb
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -26,7 +26,7 @@
         spec: job.spec(),
         promises: &job.promises,
         age: now.saturating_duration_since(job.since),
-        run: job.agreement.run,
+        run: job.agreement.run_time,
         waits: !job.waiting.is_empty(),
         untouched: job.untouched(),
         large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
--- a/src/sla/mod.rs
+++ b/src/sla/mod.rs
@@ -9,11 +9,11 @@
 use crate::jobs::{JobSpec, Urgency};
 
 /// Estimates of zero would divide by zero; a second is below anything worth scheduling.
-pub const LEAST_RUN: Duration = Duration::from_secs(1);
+pub const MIN_RUN_TIME: Duration = Duration::from_secs(1);
 
 /// What a second of a core is worth, by urgency: each step outweighs the one below it tenfold,
 /// so that a late urgent job still beats a punctual idle one of like size.
-pub fn priority_worth(urgency: Urgency) -> f64 {
+pub fn priority_weight(urgency: Urgency) -> f64 {
     match urgency {
         Urgency::Prod => 1000.0,
         Urgency::High => 100.0,
@@ -28,7 +28,7 @@
     /// Whether the deadline is the user's own.
     pub hard: bool,
     /// Expected run time.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Deadline from the submission.
     pub deadline: Duration,
     /// What its completion in time is worth.
@@ -43,15 +43,22 @@
     /// `estimate` is the leader's, corrected by what was observed of the class.
     /// `soft_deadline` is how many estimates a job without a deadline is given.
     pub fn of(spec: &JobSpec, estimate: Duration, soft_deadline: f64) -> Self {
-        let run = estimate.max(LEAST_RUN);
+        let run_time = estimate.max(MIN_RUN_TIME);
         let deadline = match spec.due() {
-            Some(due) => due.max(LEAST_RUN),
-            None => run.mul_f64(soft_deadline.max(1.0)),
+            Some(due) => due.max(MIN_RUN_TIME),
+            None => run_time.mul_f64(soft_deadline.max(1.0)),
         };
         // A task that takes no core still takes its place; it is weighed as a small one.
         let cores = spec.cpus.max(0.1);
-        let budget = priority_worth(spec.urgency) * run.as_secs_f64() * cores;
-        Self { hard: spec.due().is_some(), run, deadline, budget, penalty_rate: budget / deadline.as_secs_f64(), cores }
+        let budget = priority_weight(spec.urgency) * run_time.as_secs_f64() * cores;
+        Self {
+            hard: spec.due().is_some(),
+            run_time,
+            deadline,
+            budget,
+            penalty_rate: budget / deadline.as_secs_f64(),
+            cores,
+        }
     }
 
     /// Equation 2, with a finish before the deadline counting as no delay.
@@ -67,27 +74,27 @@
     /// Equation 5; zero or below counts as zero, so that hopeless work is neither sought nor shed.
     pub fn task_return(&self, finish_after: Duration) -> f64 {
         let utility = self.utility(finish_after);
-        (utility / self.run.as_secs_f64() / self.deadline.as_secs_f64()).max(0.0)
+        (utility / self.run_time.as_secs_f64() / self.deadline.as_secs_f64()).max(0.0)
     }
 
     /// Whether a hard job of this age can still make it when started now; one that cannot is soft.
-    pub fn within_reach(&self, age: Duration) -> bool {
-        self.hard && self.delay(age + self.run) == Duration::ZERO
+    pub fn can_meet_hard_deadline(&self, age: Duration) -> bool {
+        self.hard && self.delay(age + self.run_time) == Duration::ZERO
     }
 }
 
 /// Equation 3 in cores: remaining estimate times cores over the remaining deadline, the latter
 /// clamped to at least the former, so that a share never exceeds what the task holds.
-pub fn share(remaining: Duration, remaining_deadline: Duration, cores: f64) -> f64 {
-    let remaining = remaining.max(LEAST_RUN);
+pub fn deadline_share(remaining: Duration, remaining_deadline: Duration, cores: f64) -> f64 {
+    let remaining = remaining.max(MIN_RUN_TIME);
     remaining.as_secs_f64() * cores / remaining_deadline.max(remaining).as_secs_f64()
 }
 
 /// What is left of a task by its estimate. An overrun task would look finished and make its
 /// machine look free (the paper assumes exact estimates); it is given half of what it has run.
-pub fn remaining(estimate: Duration, ran: Duration) -> Duration {
+pub fn remaining_run_time(estimate: Duration, ran: Duration) -> Duration {
     let overrun_guess = ran.mul_f64(0.5);
-    if ran < estimate { (estimate - ran).max(LEAST_RUN) } else { overrun_guess.max(LEAST_RUN) }
+    if ran < estimate { (estimate - ran).max(MIN_RUN_TIME) } else { overrun_guess.max(MIN_RUN_TIME) }
 }
 
 /// A machine as admission sees it: what its tasks share and return.
--- a/src/sla/tests.rs
+++ b/src/sla/tests.rs
@@ -35,7 +35,7 @@
         ("past its deadline", 50.0, 0.0, 4.0, 4.0),
     ];
     for (name, rest, left, cores, want) in cases {
-        assert!((share(s(rest), s(left), cores) - want).abs() < 1e-9, "{name}");
+        assert!((deadline_share(s(rest), s(left), cores) - want).abs() < 1e-9, "{name}");
     }
     for (name, estimate, ran, want) in [
         ("fresh", 100.0, 0.0, 100.0),
@@ -43,7 +43,7 @@
         ("overrun", 100.0, 140.0, 70.0),
         ("nothing known", 0.0, 0.0, 1.0),
     ] {
-        assert_eq!(remaining(s(estimate), s(ran)), s(want), "{name}");
+        assert_eq!(remaining_run_time(s(estimate), s(ran)), s(want), "{name}");
     }
 }
 
@@ -61,6 +61,6 @@
     let mut job = spec();
     job.due_s = Some(100.0);
     let a = Agreement::of(&job, s(60.0), 4.0);
-    assert!(a.within_reach(s(40.0)));
-    assert!(!a.within_reach(s(41.0)), "a hard job past reach becomes soft");
+    assert!(a.can_meet_hard_deadline(s(40.0)));
+    assert!(!a.can_meet_hard_deadline(s(41.0)), "a hard job past reach becomes soft");
 }
