--- a/src/controller.rs
+++ b/src/controller.rs
@@ -147,7 +147,7 @@
             ("waiting", history.waiters),
             ("hidden", self.history.hidden_cancellations().remembered),
         ]);
-        held.push(("served", self.leader.accounting().entries()));
+        held.push(("served", self.leader.accounting().entry_count()));
         held.push(("in_admission", lock(&self.users.admission).waiting()));
         held.extend(self.membership.held());
         if let Some(cluster) = self.leader.cluster().as_ref() {
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -134,7 +134,9 @@
     now: Instant,
 ) -> TaskDrain {
     let spec = job.spec();
-    if cluster.intents.stays(&key.job) || cluster.intents.ahead.as_ref().is_some_and(|ahead| ahead.names.has(spec)) {
+    if cluster.intents.stays(&key.job)
+        || cluster.intents.ahead.as_ref().is_some_and(|ahead| ahead.names.contains_job(spec))
+    {
         return TaskDrain::Stays;
     }
     let running_since = binding.running_since.filter(|_| binding.status == Some(AttemptStatus::Running));
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -76,7 +76,7 @@
             spec,
             starts_left_s: starts_left_s(&job.promises, job.agreement.run_time, turn.age),
             least_cost: cheapest.map_or(f64::INFINITY, |priced| priced.cost_per_task).max(LEAST_COST),
-            impatient: (cluster.underserved.short.has(spec) && !spec.is_idle()) || turn.ahead,
+            impatient: (cluster.underserved.below_floor.contains_job(spec) && !spec.is_idle()) || turn.ahead,
             open,
         }
     }
--- a/src/heat/backlog.rs
+++ b/src/heat/backlog.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::JobId;
 use crate::scheduling::ClusterState;
-use crate::scheduling::fairness::floor::Names;
+use crate::scheduling::fairness::floor::ClassTeamSet;
 
 /// Waiting times of the oldest job, in seconds, at which the backlog is reported once each.
 pub const BACKLOG_STAGES_S: [u64; 3] = [60, 240, 900];
@@ -32,11 +32,12 @@
 impl Backlog {
     /// Counts the jobs that wait now. A job that was lost with its machine waits from then on; a job that fails
     /// everywhere is reported by failure attribution instead.
-    pub fn count(cluster: &ClusterState, names: &Names, now: Instant, now_ms: u64) -> Self {
+    pub fn count(cluster: &ClusterState, names: &ClassTeamSet, now: Instant, now_ms: u64) -> Self {
         let mut backlog = Self { as_of_ms: now_ms, ..Self::default() };
         let mut longest: Option<(Duration, &JobId)> = None;
         let waiting = cluster.jobs().filter(|(_, job)| job.ended.is_none() && job.bound.is_empty() && job.done == 0);
-        for (id, job) in waiting.filter(|(id, job)| names.has(job.spec()) && !cluster.attribution.suspects(id)) {
+        for (id, job) in waiting.filter(|(id, job)| names.contains_job(job.spec()) && !cluster.attribution.suspects(id))
+        {
             let since = job.last_end.map_or(job.since, |end| end.max(job.since));
             let waited = now.saturating_duration_since(since);
             backlog.jobs += 1;
--- a/src/heat/logic.rs
+++ b/src/heat/logic.rs
@@ -36,7 +36,7 @@
         let before = intents.ahead.take();
         let most_part = before.as_ref().map_or(0.0, |ahead| ahead.most_part).max(spec.most_part.min(MAX_PART));
         let mut names = before.map(|ahead| ahead.names).unwrap_or_default();
-        names.join(spec.named_work());
+        names.extend(spec.named_work());
         intents.ahead = Some(Ahead { names, most_part });
     }
 
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -168,9 +168,9 @@
     }
 
     /// The classes and teams whose jobs go ahead.
-    pub fn named_work(&self) -> floor::Names {
+    pub fn named_work(&self) -> floor::ClassTeamSet {
         let classes = self.classes.iter().map(|name| (Subject::Class, name.as_str()));
-        floor::Names::of(classes.chain(self.teams.iter().map(|name| (Subject::Team, name.as_str()))))
+        floor::ClassTeamSet::from_subjects(classes.chain(self.teams.iter().map(|name| (Subject::Team, name.as_str()))))
     }
 
     /// The hours in which a moment lies.
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -54,12 +54,12 @@
         let now_ms = time_of_day_ms();
         let mut accounting = self.leader.accounting();
         for record in changes.opened.iter().filter_map(|id| watch_cache.open_job(id)) {
-            accounting.offered(&record.spec, record.age(now_ms), now);
+            accounting.record_submission(&record.spec, record.age(now_ms), now);
         }
         for id in &changes.ended {
             self.history.note_end_seen(id, now);
             if let Some(record) = watch_cache.ended_record(id) {
-                accounting.ended(&record, self.history.ended(id), record.age(now_ms), now);
+                accounting.record_end(&record, self.history.ended(id), record.age(now_ms), now);
             }
         }
     }
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -40,7 +40,7 @@
         if self.leader.cluster().is_none() {
             return Vec::new();
         }
-        self.leader.accounting().rows().iter().take(mesh::MOST_ROWS).cloned().collect()
+        self.leader.accounting().service_levels().iter().take(mesh::MOST_ROWS).cloned().collect()
     }
 
     /// Drops the counts of jobs that are not open.
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -25,7 +25,7 @@
         }
         info!(fencing_token, "leadership acquired");
         if let Some((rows, told)) = lock(&self.peer_states).served.take() {
-            self.leader.accounting().take_over(&rows, told);
+            self.leader.accounting().inherit_starts(&rows, told);
         }
         *held = Some(ClusterState::new(
             fencing_token,
--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -34,7 +34,7 @@
             .filter(waits);
         let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
         let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.core_credit.bound(needs);
+        self.core_credit.cap(needs);
         let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
         let within = self.properties.large_begin;
         let may_go_first =
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -17,7 +17,7 @@
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.too_late(now.saturating_duration_since(job.since));
-                self.core_credit.note(job.spec().cpus, late, self.properties.served_late);
+                self.core_credit.record_placement(job.spec().cpus, late, self.properties.served_late);
                 self.large.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.touched += 1;
@@ -33,7 +33,7 @@
             self.bind(placement, now);
         }
         for (id, part) in first_places {
-            self.note(&id, AccountingEvent::Started(part), now);
+            self.note(&id, AccountingEvent::TasksStarted(part), now);
         }
     }
 
@@ -75,7 +75,7 @@
             job.ended.is_none() && job.binding(key.index).is_some_and(|b| b.status.is_some() && b.halting.is_none())
         };
         if self.jobs.get(&key.job).is_some_and(lost) {
-            self.note(&key.job, AccountingEvent::Lost, now);
+            self.note(&key.job, AccountingEvent::StartLost, now);
         }
     }
 
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -248,7 +248,7 @@
         // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
         if own && self.large.is_large_gang(job.spec()) {
-            self.note(id, AccountingEvent::Begun, now);
+            self.note(id, AccountingEvent::LargeGangStarted, now);
         }
     }
 
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -5,7 +5,7 @@
 
 use super::JobState;
 use crate::jobs::{JobId, JobSpec};
-use crate::scheduling::fairness::floor::Names;
+use crate::scheduling::fairness::floor::ClassTeamSet;
 
 /// A job's place in the order of its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ahead {
     /// The classes and teams that go ahead.
-    pub names: Names,
+    pub names: ClassTeamSet,
     /// The part of all cores given out that they may hold so; beyond it they go by return.
     pub most_part: f64,
 }
--- a/src/scheduling/fairness/floor.rs
+++ b/src/scheduling/fairness/floor.rs
@@ -14,14 +14,14 @@
 
 /// Some classes and teams.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Names {
+pub struct ClassTeamSet {
     classes: HashSet<String>,
     teams: HashSet<String>,
 }
 
-impl Names {
+impl ClassTeamSet {
     /// The classes and teams among these names.
-    pub fn of<'a>(names: impl Iterator<Item = (Subject, &'a str)>) -> Self {
+    pub fn from_subjects<'a>(names: impl Iterator<Item = (Subject, &'a str)>) -> Self {
         let mut of = Self::default();
         for (whose, name) in names {
             match whose {
@@ -34,13 +34,13 @@
     }
 
     /// All that either names.
-    pub fn join(&mut self, other: Self) {
+    pub fn extend(&mut self, other: Self) {
         self.classes.extend(other.classes);
         self.teams.extend(other.teams);
     }
 
     /// Whether the job's class or team is among them.
-    pub fn has(&self, spec: &JobSpec) -> bool {
+    pub fn contains_job(&self, spec: &JobSpec) -> bool {
         self.classes.contains(&spec.class) || self.teams.contains(&spec.team)
     }
 }
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Underserved {
     /// Those below the floor.
-    pub short: Names,
+    pub below_floor: ClassTeamSet,
     /// Those of them that go first.
-    pub first: Names,
+    pub prioritized: ClassTeamSet,
 }
 
 /// Where a waiting job stands, before its return is asked. The lesser one goes first.
@@ -59,7 +59,7 @@
 pub enum Rank {
     /// Below the floor, and something that was promised can still be kept. Within it by return: by
     /// the earliest promise, each would be started just too late (docs/fairness.md).
-    First,
+    BelowFloor,
     /// By return alone, as the paper has it.
     ByReturn,
     /// Idle work, by return: what would be stopped for others is not started before them.
@@ -71,7 +71,7 @@
     pub fn of(below: bool, too_late: bool, idle: bool) -> Self {
         match (idle, below && !too_late) {
             (true, _) => Self::Idle,
-            (false, true) => Self::First,
+            (false, true) => Self::BelowFloor,
             (false, false) => Self::ByReturn,
         }
     }
@@ -86,12 +86,12 @@
 
 impl CoreCredit {
     /// Cores that late work may take before others.
-    pub fn credit(&self) -> f64 {
+    pub fn cores(&self) -> f64 {
         self.credit
     }
 
     /// What placements of this many cores change: late ones spend, others earn.
-    pub fn note(&mut self, cores: f64, late: bool, part: f64) {
+    pub fn record_placement(&mut self, cores: f64, late: bool, part: f64) {
         if late {
             self.credit = (self.credit - cores).max(0.0);
         } else {
@@ -100,7 +100,7 @@
     }
 
     /// `needs`: the cores of the oldest late job; none where nothing is late, which earns nothing.
-    pub fn bound(&mut self, needs: Option<f64>) {
+    pub fn cap(&mut self, needs: Option<f64>) {
         self.credit = needs.map_or(0.0, |needs| self.credit.min(needs.max(LEAST_CAP)));
     }
 }
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -20,7 +20,7 @@
 use crate::scheduling::promises::{LARGEST, Promise, PromiseKind, accounted, promises_of};
 use crate::settings::{Objective, Properties, Settings};
 use crate::sla::Agreement;
-use floor::{Names, Underserved};
+use floor::{ClassTeamSet, Underserved};
 use tally::{MOST_NAMES, WindowSlice};
 pub use tally::{PromiseCounts, Subject, Tally};
 
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AccountingEvent {
     /// Tasks that were given their first place, as a part of their job's.
-    Started(f64),
+    TasksStarted(f64),
     /// A start that came to nothing: its machine or its gang was lost.
-    Lost,
+    StartLost,
     /// One of the largest gangs of its class runs.
-    Begun,
+    LargeGangStarted,
 }
 
 /// An open job as the account looks at it.
@@ -49,20 +49,21 @@
     /// Time since its submission.
     pub age: Duration,
     /// What a task of it still to be started would run.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Whether a task of it waits for a place.
-    pub waits: bool,
+    pub has_waiting_tasks: bool,
     /// The part of its tasks that never had a place.
-    pub untouched: f64,
+    pub unstarted_share: f64,
     /// One of the largest gangs of its class, and has not begun.
-    pub large_waits: bool,
+    pub is_waiting_large_gang: bool,
 }
 
 /// One line of the account, for operators and for the other controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLevel {
     /// What the name stands for.
-    pub whose: Subject,
+    #[serde(rename = "whose")]
+    pub subject: Subject,
     /// The class or team.
     pub name: String,
     /// Jobs that were submitted within the window.
@@ -70,25 +71,31 @@
     /// Jobs that were done within the window.
     pub done: u64,
     /// Jobs that their users cancelled.
-    pub given_up: u64,
+    #[serde(rename = "given_up")]
+    pub cancelled: u64,
     /// Open jobs that have missed a promise.
     pub overdue: u64,
     /// Starts that came to nothing.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub lost_starts: u64,
     /// Starts and ends within what was promised, and not; those that count the worst promise.
-    pub started: PromiseCounts,
+    #[serde(rename = "started")]
+    pub start_promises: PromiseCounts,
     /// The same of ends.
-    pub ended: PromiseCounts,
+    #[serde(rename = "ended")]
+    pub completion_promises: PromiseCounts,
     /// The served part: the worst promise's kept part against the part asked for; 1 at most, and
     /// 1 as well where too little was seen.
     pub served: f64,
     /// Less than the floor: machines are rented for it without patience.
-    pub below: bool,
+    #[serde(rename = "below")]
+    pub below_floor: bool,
     /// And less than that part of what it would get by what it offers: it goes first.
-    pub first: bool,
+    #[serde(rename = "first")]
+    pub prioritized: bool,
     /// Starts by promise: what a successor can't learn from the store.
-    #[serde(default)]
-    starts: Vec<(u16, PromiseCounts)>,
+    #[serde(rename = "starts", default)]
+    starts_by_objective: Vec<(u16, PromiseCounts)>,
 }
 
 /// The sliding account of all classes and teams.
@@ -127,26 +134,28 @@
     }
 
     /// The account's lines, as of the last look.
-    pub fn rows(&self) -> &[ServiceLevel] {
+    pub fn service_levels(&self) -> &[ServiceLevel] {
         &self.rows
     }
 
     /// A new leader goes on with the starts that the one before it told last, at `told`. They stand
     /// in place of whatever is known here: told by one that took them over in turn, they hold that
     /// too, and nobody is counted twice. Older ones than known here are passed over.
-    pub fn take_over(&mut self, rows: &[ServiceLevel], told: Instant) {
+    pub fn inherit_starts(&mut self, rows: &[ServiceLevel], told: Instant) {
         if self.starts_as_of.is_some_and(|at| at >= told) {
             return;
         }
         self.starts_as_of = Some(told);
         for ((whose, name), tally) in self.parts.iter_mut().flat_map(|p| p.tallies.iter_mut()) {
-            let told = rows.iter().find(|r| r.whose == *whose && r.name == *name);
-            tally.promises.retain(|at, _| told.is_none_or(|r| r.starts.iter().all(|(start, _)| start != at)));
+            let told = rows.iter().find(|r| r.subject == *whose && r.name == *name);
+            tally
+                .promises
+                .retain(|at, _| told.is_none_or(|r| r.starts_by_objective.iter().all(|(start, _)| start != at)));
         }
         let Some(part) = self.part(told) else { return };
         for row in rows.iter().take(MOST_NAMES * 2) {
-            if let Some(tally) = part.tally(row.whose, &row.name) {
-                tally.promises.extend(row.starts.iter().copied());
+            if let Some(tally) = part.tally(row.subject, &row.name) {
+                tally.promises.extend(row.starts_by_objective.iter().copied());
             }
         }
     }
@@ -187,7 +196,7 @@
     }
 
     /// A job was opened so long ago.
-    pub fn offered(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
+    pub fn record_submission(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
         let came = now.checked_sub(age).unwrap_or(self.began);
         if came >= self.began {
             self.both(spec, came, |tally| tally.offered += 1);
@@ -195,10 +204,10 @@
     }
 
     /// A job's end was seen. It is done where nobody has heard that it was cancelled.
-    pub fn ended(&mut self, record: &JobRecord, how: Option<End>, age: Duration, now: Instant) {
+    pub fn record_end(&mut self, record: &JobRecord, how: Option<End>, age: Duration, now: Instant) {
         let spec = &record.spec;
         if how == Some(End::Cancelled) {
-            return self.both(spec, now, |tally| tally.given_up += 1);
+            return self.both(spec, now, |tally| tally.cancelled += 1);
         }
         let agreement = Agreement::of(spec, spec.estimate(), self.soft_deadline);
         let promises = promises_of(&self.objectives, spec, &agreement);
@@ -211,19 +220,26 @@
     }
 
     /// What the leader noted of an open job.
-    pub fn note(&mut self, note: AccountingEvent, spec: &JobSpec, promises: &[Promise], age: Duration, now: Instant) {
+    pub fn record_event(
+        &mut self,
+        event: AccountingEvent,
+        spec: &JobSpec,
+        promises: &[Promise],
+        age: Duration,
+        now: Instant,
+    ) {
         self.starts_as_of = Some(now);
-        if note == AccountingEvent::Begun {
+        if event == AccountingEvent::LargeGangStarted {
             let kept = age <= self.large_begin;
             if let Some(tally) = self.part(now).and_then(|part| part.tally(Subject::Largest, &spec.class)) {
                 tally.promise(LARGEST).note(kept, 1.0);
             }
             return;
         }
-        self.both(spec, now, |tally| match note {
-            AccountingEvent::Lost => tally.lost += 1,
-            AccountingEvent::Begun => {}
-            AccountingEvent::Started(part) => {
+        self.both(spec, now, |tally| match event {
+            AccountingEvent::StartLost => tally.lost_starts += 1,
+            AccountingEvent::LargeGangStarted => {}
+            AccountingEvent::TasksStarted(part) => {
                 for promise in accounted(promises).filter(|p| p.what == PromiseKind::Started) {
                     tally.promise(promise.at).note(age.as_secs_f64() <= promise.within_s, part);
                 }
@@ -245,7 +261,7 @@
             sums.iter().map(|(key, tally)| (*key, self.starts(tally))).collect();
         for job in open {
             let age = job.age.as_secs_f64();
-            if job.large_waits && job.age > self.large_begin {
+            if job.is_waiting_large_gang && job.age > self.large_begin {
                 let tally = sums.entry((Subject::Largest, job.spec.class.as_str())).or_default();
                 tally.promise(LARGEST).missed += 1.0;
                 tally.overdue += 1;
@@ -254,9 +270,11 @@
                 let tally = sums.entry(key).or_default();
                 // What waits past the last moment to start is as good as missed: the floor acts on it before
                 // its time has passed.
-                let lost = |p: &Promise| age > p.within_s || (job.waits && p.start_left_s(job.run, job.age) <= 0.0);
+                let lost = |p: &Promise| {
+                    age > p.within_s || (job.has_waiting_tasks && p.start_left_s(job.run_time, job.age) <= 0.0)
+                };
                 for promise in accounted(job.promises).filter(lost) {
-                    let missed = if promise.what == PromiseKind::Started { job.untouched } else { 1.0 };
+                    let missed = if promise.what == PromiseKind::Started { job.unstarted_share } else { 1.0 };
                     tally.promise(promise.at).missed += missed;
                 }
                 tally.overdue += u64::from(job.promises.iter().all(|p| p.within_s < age));
@@ -267,7 +285,7 @@
         // By their offered work all classes would be served alike, and a team as the classes are that
         // it runs. A class that is short because it floods is not put first: that takes from the
         // others what it hardly gains by.
-        let all = served_of_all(rows.iter().filter(|r| r.whose == Subject::Class));
+        let all = served_of_all(rows.iter().filter(|r| r.subject == Subject::Class));
         let mut house = Tally::default();
         sums.iter().filter(|((whose, _), _)| *whose == Subject::Team).for_each(|(_, tally)| house.add(tally));
         for (row, ((whose, _), tally)) in rows.iter_mut().zip(&sums) {
@@ -276,8 +294,8 @@
                 Subject::Team => part_of_expected(tally, &house),
                 Subject::Largest => 1.0,
             };
-            row.first = row.below && part < self.floor;
-            row.starts = told.get(&(row.whose, row.name.as_str())).cloned().unwrap_or_default();
+            row.prioritized = row.below_floor && part < self.floor;
+            row.starts_by_objective = told.get(&(row.subject, row.name.as_str())).cloned().unwrap_or_default();
         }
         self.rows = rows;
         &self.rows
@@ -312,30 +330,34 @@
             }
         }
         ServiceLevel {
-            whose,
+            subject: whose,
             name: name.to_owned(),
             offered: tally.offered,
             done: tally.done,
-            given_up: tally.given_up,
+            cancelled: tally.cancelled,
             overdue: tally.overdue,
-            lost: tally.lost,
-            started,
-            ended,
+            lost_starts: tally.lost_starts,
+            start_promises: started,
+            completion_promises: ended,
             served,
-            below: served < self.floor,
-            first: false,
-            starts: Vec::new(),
+            below_floor: served < self.floor,
+            prioritized: false,
+            starts_by_objective: Vec::new(),
         }
     }
 
     /// Who goes first, by what a look has shown.
-    pub fn below(rows: &[ServiceLevel]) -> Underserved {
-        let names = |chosen: fn(&&ServiceLevel) -> bool| rows.iter().filter(chosen).map(|r| (r.whose, r.name.as_str()));
-        Underserved { short: Names::of(names(|r| r.below)), first: Names::of(names(|r| r.first)) }
+    pub fn underserved(rows: &[ServiceLevel]) -> Underserved {
+        let names =
+            |chosen: fn(&&ServiceLevel) -> bool| rows.iter().filter(chosen).map(|r| (r.subject, r.name.as_str()));
+        Underserved {
+            below_floor: ClassTeamSet::from_subjects(names(|r| r.below_floor)),
+            prioritized: ClassTeamSet::from_subjects(names(|r| r.prioritized)),
+        }
     }
 
     /// Entries of everything held, for `held`.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.parts.iter().map(|p| p.tallies.len()).sum()
     }
 }
--- a/src/scheduling/fairness/tally.rs
+++ b/src/scheduling/fairness/tally.rs
@@ -39,9 +39,9 @@
     /// Jobs that were done.
     pub done: u64,
     /// Cancelled by their users.
-    pub given_up: u64,
+    pub cancelled: u64,
     /// Starts whose task was lost before it was done.
-    pub lost: u64,
+    pub lost_starts: u64,
     /// Open, and past all that was promised of them.
     pub overdue: u64,
     /// By the number of the objective.
@@ -56,8 +56,8 @@
     pub(super) fn add(&mut self, other: &Tally) {
         self.offered += other.offered;
         self.done += other.done;
-        self.given_up += other.given_up;
-        self.lost += other.lost;
+        self.cancelled += other.cancelled;
+        self.lost_starts += other.lost_starts;
         self.overdue += other.overdue;
         for (at, kept) in &other.promises {
             self.promise(*at).add(*kept);
--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -8,7 +8,7 @@
 use crate::scheduling::preempt;
 
 fn ahead_intents(classes: &[&str], most_part: f64) -> Intents {
-    let names = Names::of(classes.iter().map(|name| (Subject::Class, *name)));
+    let names = ClassTeamSet::from_subjects(classes.iter().map(|name| (Subject::Class, *name)));
     Intents { ahead: Some(Ahead { names, most_part }), ..Intents::default() }
 }
 
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::floor::{CoreCredit, Names, Underserved};
+use super::floor::{ClassTeamSet, CoreCredit, Underserved};
 use super::*;
 use crate::jobs::record::time_of_day_ms;
 use crate::jobs::tests::spec;
@@ -78,8 +78,8 @@
 
 fn first(classes: &[&str], teams: &[&str]) -> Underserved {
     let classes = classes.iter().map(|n| (Subject::Class, *n));
-    let first = Names::of(classes.chain(teams.iter().map(|n| (Subject::Team, *n))));
-    Underserved { short: first.clone(), first }
+    let first = ClassTeamSet::from_subjects(classes.chain(teams.iter().map(|n| (Subject::Team, *n))));
+    Underserved { below_floor: first.clone(), prioritized: first }
 }
 
 #[test]
@@ -232,7 +232,7 @@
             (job.shape, job.tasks) = (Shape::Gang, gang);
         }
         let now = self.now();
-        self.account.offered(&job, Duration::ZERO, now);
+        self.account.record_submission(&job, Duration::ZERO, now);
         let came = self.came.entry(class.into()).or_default();
         self.numbers.insert(job.id.clone(), came.len());
         came.push((self.t, false));
@@ -275,7 +275,7 @@
         self.cluster.shards_stored(&shards, u64::from(t));
         for job in ends {
             let age = self.cluster.job(&job.spec.id).map_or(Duration::ZERO, |j| now.saturating_duration_since(j.since));
-            self.account.ended(&job, Some(End::Done), age, now);
+            self.account.record_end(&job, Some(End::Done), age, now);
             let within = if job.spec.class == "small" { 100.0 } else { 200.0 };
             if age.as_secs_f64() <= within {
                 let n = self.numbers[&job.spec.id];
@@ -428,9 +428,9 @@
     ];
     for (name, placed, needs, want) in cases {
         let mut core_credit = CoreCredit::default();
-        placed.iter().for_each(|(cores, late)| core_credit.note(*cores, *late, 0.1));
-        core_credit.bound(needs);
-        assert!((core_credit.credit() - want).abs() < 1e-9, "{name}: {}", core_credit.credit());
+        placed.iter().for_each(|(cores, late)| core_credit.record_placement(*cores, *late, 0.1));
+        core_credit.cap(needs);
+        assert!((core_credit.cores() - want).abs() < 1e-9, "{name}: {}", core_credit.cores());
     }
 }
 
@@ -457,7 +457,15 @@
 }
 
 fn open<'a>(spec: &'a JobSpec, promises: &'a [Promise], age: f64, untouched: f64) -> OpenJob<'a> {
-    OpenJob { spec, promises, age: s(age), run: s(10.0), waits: untouched > 0.0, untouched, large_waits: false }
+    OpenJob {
+        spec,
+        promises,
+        age: s(age),
+        run_time: s(10.0),
+        has_waiting_tasks: untouched > 0.0,
+        unstarted_share: untouched,
+        is_waiting_large_gang: false,
+    }
 }
 
 #[test]
@@ -469,25 +477,31 @@
     let one = job(1, "small", "red");
     let promises = promises_of(&settings().params.objectives, &one, &Agreement::of(&one, s(10.0), 4.0));
     for n in 0..10 {
-        account.offered(&one, Duration::ZERO, at(0.0));
+        account.record_submission(&one, Duration::ZERO, at(0.0));
         // Six are started in time and four late; eight are done in time, two late.
-        account.note(AccountingEvent::Started(1.0), &one, &promises, s(if n < 6 { 10.0 } else { 40.0 }), at(1.0));
-        account.ended(&record(one.clone()), Some(End::Done), s(if n < 8 { 50.0 } else { 150.0 }), at(2.0));
+        account.record_event(
+            AccountingEvent::TasksStarted(1.0),
+            &one,
+            &promises,
+            s(if n < 6 { 10.0 } else { 40.0 }),
+            at(1.0),
+        );
+        account.record_end(&record(one.clone()), Some(End::Done), s(if n < 8 { 50.0 } else { 150.0 }), at(2.0));
     }
-    account.ended(&record(one.clone()), Some(End::Cancelled), s(50.0), at(2.0));
-    account.note(AccountingEvent::Lost, &one, &promises, s(5.0), at(2.0));
+    account.record_end(&record(one.clone()), Some(End::Cancelled), s(50.0), at(2.0));
+    account.record_event(AccountingEvent::StartLost, &one, &promises, s(5.0), at(2.0));
     let row = tally(account.update([].into_iter(), at(3.0)), "small");
-    assert_eq!((row.offered, row.done, row.given_up, row.lost, row.overdue), (10, 10, 1, 1, 0));
+    assert_eq!((row.offered, row.done, row.cancelled, row.lost_starts, row.overdue), (10, 10, 1, 1, 0));
     let waits = open(&one, &promises, 120.0, 0.5);
     let row = tally(account.update([waits].into_iter(), at(3.0)), "small");
     assert_eq!(
-        (row.started, row.overdue),
+        (row.start_promises, row.overdue),
         (PromiseCounts { kept: 6.0, missed: 4.5 }, 1),
         "an open job has missed its start"
     );
     assert!((row.served - 6.0 / 10.5 / 0.8).abs() < 1e-9, "the worst promise against what is asked: {}", row.served);
-    assert!(row.below, "0.71 of 0.75");
-    assert_eq!(tally(account.rows(), "red").served, row.served, "the team as well");
+    assert!(row.below_floor, "0.71 of 0.75");
+    assert_eq!(tally(account.service_levels(), "red").served, row.served, "the team as well");
     assert!(account.update([].into_iter(), at(200.0)).is_empty(), "forgotten after the window");
 }
 
@@ -511,8 +525,13 @@
         for (class, team, in_time, late) in served {
             let one = job(1, class, team);
             for n in 0..in_time + late {
-                account.offered(&one, Duration::ZERO, now);
-                account.ended(&record(one.clone()), Some(End::Done), s(if n < *in_time { 50.0 } else { 300.0 }), now);
+                account.record_submission(&one, Duration::ZERO, now);
+                account.record_end(
+                    &record(one.clone()),
+                    Some(End::Done),
+                    s(if n < *in_time { 50.0 } else { 300.0 }),
+                    now,
+                );
             }
         }
         let rows = account.update([].into_iter(), now).to_vec();
@@ -521,8 +540,8 @@
             names.sort();
             names
         };
-        assert_eq!(names(|r| r.below), short, "{name}: short");
-        assert_eq!(names(|r| r.first), first, "{name}: first");
+        assert_eq!(names(|r| r.below_floor), short, "{name}: short");
+        assert_eq!(names(|r| r.prioritized), first, "{name}: first");
     }
 }
 
@@ -532,10 +551,10 @@
     let mut account = FairShareAccounting::new(&settings(), &Properties::default(), now);
     for n in 0..20_000 {
         let one = job(n, &format!("class-{n}"), "red");
-        account.offered(&one, Duration::ZERO, now + s(f64::from(n)));
-        account.offered(&job(n, &format!("other-{n}"), "red"), Duration::ZERO, now);
+        account.record_submission(&one, Duration::ZERO, now + s(f64::from(n)));
+        account.record_submission(&job(n, &format!("other-{n}"), "red"), Duration::ZERO, now);
     }
-    assert!(account.entries() <= MOST_NAMES * 2 * PARTS as usize, "{}", account.entries());
+    assert!(account.entry_count() <= MOST_NAMES * 2 * PARTS as usize, "{}", account.entry_count());
 }
 
 /// Two controllers see the same openings and ends; the starts are told by the leader. After a takeover,
@@ -552,28 +571,31 @@
     for round in 0..4 {
         let t = f64::from(round) * 40.0;
         for n in 0..10 {
-            accounts.iter_mut().for_each(|a| a.offered(&one, Duration::ZERO, at(t)));
-            accounts[leader].note(
-                AccountingEvent::Started(1.0),
+            accounts.iter_mut().for_each(|a| a.record_submission(&one, Duration::ZERO, at(t)));
+            accounts[leader].record_event(
+                AccountingEvent::TasksStarted(1.0),
                 &one,
                 &promises,
                 s(if n < 3 { 10.0 } else { 60.0 }),
                 at(t + 1.0),
             );
-            accounts.iter_mut().for_each(|a| a.ended(&record(one.clone()), Some(End::Done), s(50.0), at(t + 2.0)));
+            accounts.iter_mut().for_each(|a| a.record_end(&record(one.clone()), Some(End::Done), s(50.0), at(t + 2.0)));
         }
         // A job that has missed its start and is open still: both see it, and it counts once.
         let late = || [open(&one, &promises, 120.0, 1.0)].into_iter();
         let rows = accounts[leader].update(late(), at(t + 5.0)).to_vec();
         let successor = 1 - leader;
-        accounts[successor].take_over(&rows, at(t + 5.0));
+        accounts[successor].inherit_starts(&rows, at(t + 5.0));
         // What is told late, by one that was replaced since, is passed over.
-        accounts[successor].take_over(&rows, at(t));
+        accounts[successor].inherit_starts(&rows, at(t));
         let inherited = accounts[successor].update(late(), at(t + 5.0)).to_vec();
-        assert_eq!(tally(&inherited, "small").started, tally(&rows, "small").started, "round {round}");
+        assert_eq!(tally(&inherited, "small").start_promises, tally(&rows, "small").start_promises, "round {round}");
         assert_eq!(inherited, rows, "round {round}");
-        assert_eq!(tally(&rows, "small").started.kept, 3.0 * f64::from(round + 1), "round {round}");
-        assert!(tally(&inherited, "small").below && !tally(&inherited, "small").first, "alone it is all there is");
+        assert_eq!(tally(&rows, "small").start_promises.kept, 3.0 * f64::from(round + 1), "round {round}");
+        assert!(
+            tally(&inherited, "small").below_floor && !tally(&inherited, "small").prioritized,
+            "alone it is all there is"
+        );
         leader = successor;
     }
 }
--- a/src/scheduling/fairness/tests/weigh.rs
+++ b/src/scheduling/fairness/tests/weigh.rs
@@ -163,8 +163,8 @@
                 .filter(|(_, j)| next(j).is_none())
                 .min_by_key(|(_, j)| (j.came_s, Reverse(j.class)));
             let late = late.map(|(at, j)| (at, day.classes[j.class].cores));
-            core_credit.bound(late.map(|(_, cores)| cores));
-            if let Some((at, _)) = late.filter(|(_, cores)| *cores <= core_credit.credit()) {
+            core_credit.cap(late.map(|(_, cores)| cores));
+            if let Some((at, _)) = late.filter(|(_, cores)| *cores <= core_credit.cores()) {
                 let job = waiting.remove(at);
                 waiting.insert(0, job);
             }
@@ -182,7 +182,7 @@
             let mine = taken[job.class] + class.cores <= (POOLS[0] + POOLS[1]) / n as f64 + 1.0;
             match pool.filter(|_| way != Way::Reserved || mine) {
                 Some(pool) => {
-                    core_credit.note(class.cores, next(&job).is_none(), LATE);
+                    core_credit.record_placement(class.cores, next(&job).is_none(), LATE);
                     free[pool] -= class.cores;
                     taken[job.class] += class.cores;
                     owed[job.class] -= class.cores * f64::from(class.run_s);
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -31,18 +31,18 @@
 
 /// Beyond teams short of their guarantee and who is below the floor, who keep their place.
 fn by_return(queued: &plan::QueuedJob) -> bool {
-    !queued.quarantined && !queued.guaranteed && queued.rank != Rank::First
+    !queued.quarantined && !queued.guaranteed && queued.rank != Rank::BelowFloor
 }
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
 fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, queued_jobs: &mut [plan::QueuedJob]) {
     let given: f64 = cluster.usage.values().map(|usage| usage.cpus).sum();
-    let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
+    let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.contains_job(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
     let most = given * ahead.most_part;
     let mut asked: Vec<&mut plan::QueuedJob> =
-        queued_jobs.iter_mut().filter(|t| !t.quarantined && ahead.names.has(t.job.spec())).collect();
+        queued_jobs.iter_mut().filter(|t| !t.quarantined && ahead.names.contains_job(t.job.spec())).collect();
     asked.sort_by_key(|queued| Reverse(queued.age));
     for queued in asked {
         let (spec, waiting) = (queued.job.spec(), queued.job.waiting.len());
@@ -82,7 +82,7 @@
     let mut jobs: Vec<&JobId> = cluster.reservations.values().map(|reservation| &reservation.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
-    jobs.retain(|id| cluster.job(id).is_some_and(|job| of(job.spec().urgency, ahead.names.has(job.spec()))));
+    jobs.retain(|id| cluster.job(id).is_some_and(|job| of(job.spec().urgency, ahead.names.contains_job(job.spec()))));
     jobs.retain(|id| !cluster.preemption_reservations.values().any(|reservation| reservation.job == **id));
     jobs
 }
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -111,7 +111,7 @@
     pub fn record_placement(&mut self, spec: &JobSpec) {
         if !spec.is_idle() {
             let part = self.offered.large / self.offered.other.max(1e-9);
-            self.core_credit.note(spec.cpus, self.is_large_gang(spec), part);
+            self.core_credit.record_placement(spec.cpus, self.is_large_gang(spec), part);
         }
     }
 
@@ -124,11 +124,11 @@
 
     /// Credit is bounded by what the oldest waiting large gang needs, in cores; nothing is earned where none waits.
     pub fn bound_credit(&mut self, needs: Option<f64>) {
-        self.core_credit.bound(needs.map(|cores| cores * 2.0));
+        self.core_credit.cap(needs.map(|cores| cores * 2.0));
     }
 
     /// Cores that large gangs may take before others.
     pub fn credit(&self) -> f64 {
-        self.core_credit.credit()
+        self.core_credit.cores()
     }
 }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -76,7 +76,7 @@
 
 /// Late work goes first as far as it has earned, the oldest of it.
 fn advance_late_work<'a>(cluster: &ClusterState, queued_jobs: &mut Vec<QueuedJob<'a>>) -> Option<Earned<'a>> {
-    let credit = cluster.core_credit.credit();
+    let credit = cluster.core_credit.cores();
     let late = queued_jobs
         .iter()
         .enumerate()
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -77,7 +77,7 @@
             job,
             over: now + agreement.run_time,
             pressed: agreement.can_meet_hard_deadline(age) && !agreement.can_meet_hard_deadline(age + URGENT_WITHIN),
-            first: queued.rank == Rank::First || queued.credited,
+            first: queued.rank == Rank::BelowFloor || queued.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
             backfill,
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -62,7 +62,7 @@
 fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
     let age = now.saturating_duration_since(job.since);
     let late = job.too_late(age);
-    let first = cluster.underserved.first.has(job.spec()) || cluster.intents.short(id);
+    let first = cluster.underserved.prioritized.contains_job(job.spec()) || cluster.intents.short(id);
     QueuedJob {
         id,
         job,
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -83,7 +83,7 @@
     fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut FairShareAccounting, now: Instant) {
         service_report::update_accounting(accounting, cluster, now);
         if self.report.take_due(now) {
-            service_report::log_accounting(accounting.rows());
+            service_report::log_accounting(accounting.service_levels());
             service_report::log_due_times(cluster, now);
         }
     }
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -13,7 +13,7 @@
 pub(super) fn update_accounting(account: &mut FairShareAccounting, cluster: &mut ClusterState, now: Instant) {
     for (id, note, at) in cluster.take_accounting_events() {
         if let Some(job) = cluster.job(&id) {
-            account.note(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
+            account.record_event(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
         }
     }
     // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
@@ -26,12 +26,12 @@
         spec: job.spec(),
         promises: &job.promises,
         age: now.saturating_duration_since(job.since),
-        run: job.agreement.run_time,
-        waits: !job.waiting.is_empty(),
-        untouched: job.untouched(),
-        large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
+        run_time: job.agreement.run_time,
+        has_waiting_tasks: !job.waiting.is_empty(),
+        unstarted_share: job.untouched(),
+        is_waiting_large_gang: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
     });
-    let below = FairShareAccounting::below(account.update(open, now));
+    let below = FairShareAccounting::underserved(account.update(open, now));
     cluster.set_underserved(below);
     cluster.bound_core_credit(now);
 }
@@ -40,20 +40,20 @@
 pub(super) fn log_accounting(rows: &[ServiceLevel]) {
     for row in rows {
         info!(
-            subject = ?row.whose,
+            subject = ?row.subject,
             name = row.name,
             offered = row.offered,
-            started = row.started.kept.round(),
-            started_late = row.started.missed.round(),
+            started = row.start_promises.kept.round(),
+            started_late = row.start_promises.missed.round(),
             done = row.done,
-            in_time = row.ended.kept.round(),
-            late = row.ended.missed.round(),
+            in_time = row.completion_promises.kept.round(),
+            late = row.completion_promises.missed.round(),
             overdue = row.overdue,
-            cancelled = row.given_up,
-            lost = row.lost,
+            cancelled = row.cancelled,
+            lost = row.lost_starts,
             served = (row.served * 100.0).round() / 100.0,
-            short = row.below,
-            prioritized = row.first,
+            short = row.below_floor,
+            prioritized = row.prioritized,
             "service level reported"
         );
     }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -8,11 +8,11 @@
 use super::*;
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
-use crate::scheduling::fairness::floor::{Names, Rank, Underserved};
+use crate::scheduling::fairness::floor::{ClassTeamSet, Rank, Underserved};
 use crate::scheduling::intents::{Ahead, CapacityIntent, Intents, WindowPlace};
 
-fn class(name: &str) -> Names {
-    Names::of([(Subject::Class, name)].into_iter())
+fn class(name: &str) -> ClassTeamSet {
+    ClassTeamSet::from_subjects([(Subject::Class, name)].into_iter())
 }
 
 fn id(n: u32) -> crate::jobs::JobId {
@@ -55,7 +55,7 @@
         cluster.add_job(Arc::new(record), if n < 8 { start } else { now });
     }
     if rng.random() {
-        cluster.set_underserved(Underserved { short: class("d"), first: class("d") });
+        cluster.set_underserved(Underserved { below_floor: class("d"), prioritized: class("d") });
     }
     for (name, seq) in names.iter().zip(2..) {
         let (type_name, zone, spot) = {
@@ -153,7 +153,7 @@
             &|b| {
                 given(b);
                 b.intents.ahead = ahead(0.5);
-                b.set_underserved(Underserved { short: Names::default(), first: class("x") });
+                b.set_underserved(Underserved { below_floor: ClassTeamSet::default(), prioritized: class("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
         ),
@@ -208,7 +208,7 @@
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
             let given: f64 = cluster.usage.values().map(|u| u.cpus).sum();
-            let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
+            let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::BelowFloor && !t.quarantined;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
             let one = before == 0.0 && more.len() <= 1;
--- a/src/scheduling/tests/room_after_faults.rs
+++ b/src/scheduling/tests/room_after_faults.rs
@@ -153,7 +153,7 @@
     for step in 0..400 {
         let t = f64::from(step) * STEP;
         if t == 40.0 {
-            simulation.cluster.core_credit.note(1000.0, false, 1.0);
+            simulation.cluster.core_credit.record_placement(1000.0, false, 1.0);
             small = Some(simulation.world.accept(&mut simulation.cluster, 3, |j| j.estimate_s = 100.0));
             came = t;
         }
