--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -53,12 +53,12 @@
 use crate::settings::Properties;
 use crate::settings::tests::example;
 
-fn of(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
+fn two_zone_type(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType { zones: vec!["a".into(), "b".into()], ..machine_type(name, cpus, gpus, price) }
 }
 
 fn catalog() -> Catalog {
-    Catalog { types: vec![of("c8", 8.0, 0.0, 1.0), of("g2", 8.0, 2.0, 4.0)] }
+    Catalog { types: vec![two_zone_type("c8", 8.0, 0.0, 1.0), two_zone_type("g2", 8.0, 2.0, 4.0)] }
 }
 
 fn heartbeat(
@@ -84,7 +84,7 @@
 }
 
 /// A cluster state with these machines up, as (name, type, zone, spot).
-fn cluster(machines: &[(&str, &str, &str, bool)], now: Instant) -> ClusterState {
+fn cluster_with(machines: &[(&str, &str, &str, bool)], now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for (name, type_name, zone, spot) in machines {
@@ -93,21 +93,21 @@
     cluster
 }
 
-fn add(cluster: &mut ClusterState, n: u32, now: Instant, change: impl FnOnce(&mut JobSpec)) {
+fn add_job(cluster: &mut ClusterState, n: u32, now: Instant, change: impl FnOnce(&mut JobSpec)) {
     let mut job = spec();
     job.id = format!("run-{n:06}").into();
     change(&mut job);
     cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), now);
 }
 
-fn placed(cluster: &mut ClusterState, now: Instant) -> Vec<(u32, String)> {
+fn plan_placements(cluster: &mut ClusterState, now: Instant) -> Vec<(u32, String)> {
     let mut placed: Vec<(u32, String)> =
         plan::place(cluster, &catalog(), now).into_iter().map(|p| (p.task.index, p.machine.to_string())).collect();
     placed.sort();
     placed
 }
 
-fn many(n: usize, now: Instant) -> ClusterState {
+fn cluster_of_c8(n: usize, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for i in 0..n {
--- a/src/scheduling/tests/absences.rs
+++ b/src/scheduling/tests/absences.rs
@@ -24,36 +24,36 @@
         let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| {
             (j.shape, j.tasks, j.cpus, j.estimate_s) = (shape, 3, 8.0, 900.0);
         });
-        simulation.plans = true;
+        simulation.places_tasks = true;
         simulation.run(6.0);
-        assert_eq!(simulation.live(&JOB.into()).len(), 3, "{name}");
+        assert_eq!(simulation.live_tasks(&JOB.into()).len(), 3, "{name}");
         // Nobody answers, commands, or takes anything in.
         let lease = simulation.cluster.settings.params.workers.lease();
-        for _ in 0..(away_s / STEP) as usize {
-            simulation.world.now += s(STEP);
+        for _ in 0..(away_s / STEP_S) as usize {
+            simulation.world.now += secs(STEP_S);
             let now = simulation.world.now;
             for m in names {
-                if now - simulation.world.workers[m].renewed.unwrap() > lease {
-                    simulation.world.lease_ends(m);
+                if now - simulation.world.workers[m].lease_renewed_at.unwrap() > lease {
+                    simulation.world.expire_lease(m);
                 }
             }
         }
-        simulation.successor();
+        simulation.fail_over();
         if late {
             simulation.outbound_lost = vec!["m3"];
-            simulation.unreached = vec!["m3"];
+            simulation.commands_refused = vec!["m3"];
             simulation.run(9.0);
-            (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
+            (simulation.outbound_lost, simulation.commands_refused) = (vec![], vec![]);
         }
         simulation.run(15.0);
-        let live = simulation.live(&JOB.into());
+        let live = simulation.live_tasks(&JOB.into());
         assert_eq!(
-            (live.len(), simulation.returned.len()),
+            (live.len(), simulation.terminated.len()),
             (3, 0),
             "{name}: {live:?}, returned {:?}",
-            simulation.returned
+            simulation.terminated
         );
-        let attempts: Vec<u64> = (0..3).map(|i| on(&simulation.cluster, i).unwrap().0).collect();
+        let attempts: Vec<u64> = (0..3).map(|i| binding_of(&simulation.cluster, i).unwrap().0).collect();
         let want = if away_s < 24.0 { 1 } else { 2 };
         assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
     }
@@ -82,55 +82,59 @@
         let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
         // Of the seven one, within, runs what is cancelled.
         let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
-        let called_off = simulation.world.accept(&mut simulation.cluster, 2, first);
+        let called_off = simulation.world.accept_job(&mut simulation.cluster, 2, first);
         let key = TaskKey { job: called_off.clone(), index: 0 };
         simulation.cluster.bind_all(
             vec![crate::scheduling::cluster::Placement { task: key, attempt: 1, machine: "m1".into() }],
             simulation.world.now,
         );
-        simulation.plans = true;
+        simulation.places_tasks = true;
         simulation.run(6.0);
-        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&called_off).len()), (6, 1), "{name}");
+        assert_eq!(
+            (simulation.live_tasks(&JOB.into()).len(), simulation.live_tasks(&called_off).len()),
+            (6, 1),
+            "{name}"
+        );
         let mut old = None;
         if inside_s > 0.0 {
             // Within is the old leader, without the store: it acts for its zone until it lets go.
-            let successor = simulation.world.leader();
+            let successor = simulation.world.elect_leader();
             old = Some(std::mem::replace(&mut simulation.cluster, successor));
-            simulation.listed();
+            simulation.load_machine_list();
         }
-        (simulation.outbound_lost, simulation.unreached) = (within.into(), within.into());
-        for step in 0..(cut_s / STEP) as usize {
-            let t = step as f64 * STEP;
+        (simulation.outbound_lost, simulation.commands_refused) = (within.into(), within.into());
+        for step in 0..(cut_s / STEP_S) as usize {
+            let t = step as f64 * STEP_S;
             if t == 0.5 {
-                simulation.cancel(&called_off);
+                simulation.cancel_job(&called_off);
             }
             if changes && t > 0.0 && t % 12.0 == 0.0 {
-                simulation.successor();
+                simulation.fail_over();
             }
-            if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % REPORT_STEPS == 0) {
+            if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % HEARTBEAT_INTERVAL_STEPS == 0) {
                 for m in within {
-                    if simulation.world.workers[m].gone {
+                    if simulation.world.workers[m].terminated {
                         continue;
                     }
-                    let answer = simulation.world.asks(old, m);
-                    assert_eq!(launches(&answer.orders), 0, "{name}");
-                    simulation.world.hears(&answer);
+                    let answer = simulation.world.send_heartbeat(old, m);
+                    assert_eq!(count_launches(&answer.commands), 0, "{name}");
+                    simulation.world.receive_answer(&answer);
                 }
             }
             simulation.step();
         }
-        (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
-        let before = simulation.returned.len();
+        (simulation.outbound_lost, simulation.commands_refused) = (vec![], vec![]);
+        let before = simulation.terminated.len();
         simulation.run(30.0);
-        let live = simulation.live(&JOB.into());
-        let left = simulation.world.workers.values().filter(|w| !w.gone).count();
-        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", simulation.returned);
-        let back = &simulation.returned[before..];
+        let live = simulation.live_tasks(&JOB.into());
+        let left = simulation.world.workers.values().filter(|w| !w.terminated).count();
+        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", simulation.terminated);
+        let back = &simulation.terminated[before..];
         assert!(back.iter().all(|m| *m == "m1"), "{name}: none that is back, but for what was withdrawn: {back:?}");
         assert!(
             cut_s > 45.0 || left >= 6,
             "{name}: at most the one with what was withdrawn: {:?}",
-            simulation.returned
+            simulation.terminated
         );
     }
 }
--- a/src/scheduling/tests/beyond_room.rs
+++ b/src/scheduling/tests/beyond_room.rs
@@ -31,21 +31,21 @@
 impl Links {
     /// A heartbeat, whose answer arrives within 4 s or never.
     fn heartbeat(&mut self, simulation: &mut Simulation, machine: &'static str) {
-        let waits = self.answers.iter().any(|(_, answer)| answer.to == machine);
-        if waits || simulation.world.workers[machine].gone {
+        let waits = self.answers.iter().any(|(_, answer)| answer.machine == machine);
+        if waits || simulation.world.workers[machine].terminated {
             return;
         }
-        let answer = simulation.world.asks(&mut simulation.cluster, machine);
+        let answer = simulation.world.send_heartbeat(&mut simulation.cluster, machine);
         if self.rng.random_bool(0.8) {
-            self.answers.push((simulation.world.now + s(self.rng.random_range(0.0..4.0)), answer));
+            self.answers.push((simulation.world.now + secs(self.rng.random_range(0.0..4.0)), answer));
         }
     }
 
     /// A command is prompt, or is held up for 2 to 16 s and given up meanwhile.
     fn command(&mut self, simulation: &mut Simulation, direct: DirectCommand) {
         if self.rng.random_bool(0.5) {
-            match simulation.world.arrives(&direct) {
-                Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
+            match simulation.world.deliver_command(&direct) {
+                Some(reply) => simulation.world.deliver_reply(&mut simulation.cluster, &direct, reply),
                 None => {
                     simulation.cluster.command_over(&direct.machine, direct.fencing_token, true, simulation.world.now)
                 }
@@ -53,20 +53,20 @@
             return;
         }
         self.waited_for.push((simulation.world.now + COMMAND_WAITED, direct.machine.clone(), direct.fencing_token));
-        self.commands.push((simulation.world.now + s(self.rng.random_range(2.0..16.0)), direct));
+        self.commands.push((simulation.world.now + secs(self.rng.random_range(2.0..16.0)), direct));
     }
 
     /// What is due by now arrives, or is given up.
     fn deliver(&mut self, simulation: &mut Simulation) {
         let now = simulation.world.now;
         for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
-            simulation.world.hears(&answer);
+            simulation.world.receive_answer(&answer);
         }
         for (_, machine, fencing_token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
             simulation.cluster.command_over(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
-            drop(simulation.world.arrives(&direct));
+            drop(simulation.world.deliver_command(&direct));
         }
     }
 }
@@ -89,14 +89,14 @@
     for machine in MACHINES {
         for attempt_report in simulation.world.workers[machine].attempts.clone() {
             let spec = simulation.world.spec_of(&attempt_report.task.job);
-            let run = s(spec.estimate_s);
+            let run = secs(spec.estimate_s);
             // A gang's tasks wait for one another, and the first that is done ends it.
-            if spec.is_gang() && (simulation.live(&attempt_report.task.job).len() as u64) < spec.tasks {
+            if spec.is_gang() && (simulation.live_tasks(&attempt_report.task.job).len() as u64) < spec.tasks {
                 continue;
             }
             let at = *ends.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + run);
             if attempt_report.status == AttemptStatus::Running && at <= now {
-                simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
+                simulation.world.exit_attempt(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
             }
         }
     }
@@ -113,22 +113,22 @@
     let mut ends = BTreeMap::new();
     let (mut jobs, mut stopped) = (1, 0);
     for step in 0..2400 {
-        simulation.world.now += s(STEP);
+        simulation.world.now += secs(STEP_S);
         let now = simulation.world.now;
         let overloaded = step < 240;
         if overloaded && rng.random_bool(0.5) {
             jobs += 1;
-            simulation.world.accept(&mut simulation.cluster, jobs, |spec| draw(&mut rng, spec));
+            simulation.world.accept_job(&mut simulation.cluster, jobs, |spec| draw(&mut rng, spec));
         }
         if overloaded && rng.random_bool(0.01) {
             // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
             links.waited_for.clear();
-            simulation.successor();
+            simulation.fail_over();
         }
         links.deliver(&mut simulation);
         tasks_end(&mut simulation, &mut ends);
         for (n, machine) in MACHINES.into_iter().enumerate() {
-            if (step + n).is_multiple_of(REPORT_STEPS) {
+            if (step + n).is_multiple_of(HEARTBEAT_INTERVAL_STEPS) {
                 links.heartbeat(&mut simulation, machine);
             }
         }
@@ -142,14 +142,14 @@
             links.command(&mut simulation, direct);
         }
         simulation.cluster.tick(now);
-        simulation.world.raise(&mut simulation.cluster);
+        simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
         let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
         simulation.cluster.bind_all(decisions, now);
-        simulation.world.store(&mut simulation.cluster);
+        simulation.world.store_all(&mut simulation.cluster);
         simulation.check();
     }
     let unserved: Vec<&JobId> =
-        simulation.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+        simulation.world.other_jobs.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
     assert!(unserved.is_empty(), "seed {seed}: {unserved:?} of {jobs} were never served");
     stopped
 }
--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -11,29 +11,29 @@
 fn cancelled_tasks_on_machines_that_a_successor_never_hears_are_returned_in_time() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 6);
-    let mut old = world.leader();
+    let mut old = world.elect_leader();
     for (index, m) in (0..).zip(names) {
-        world.turn(&mut old, m);
-        world.place_these(&mut old, &[index], m);
-        world.turn(&mut old, m);
+        world.exchange_heartbeat(&mut old, m);
+        world.bind_tasks(&mut old, &[index], m);
+        world.exchange_heartbeat(&mut old, m);
     }
     drop(old);
-    let mut cluster = world.leader();
+    let mut cluster = world.elect_leader();
     let cancellation_deadline = cluster.settings.params.workers.cancellation_deadline();
     world.ended = Some(End::Cancelled);
     cluster.end_job(&JOB.into(), world.ended, world.now);
     let told = world.now;
     let mut returned_after = None;
     while world.now - told < cancellation_deadline {
-        world.turn(&mut cluster, "m0");
-        assert!(!world.workers["m0"].live(&task(0)), "told with its first answer");
+        world.exchange_heartbeat(&mut cluster, "m0");
+        assert!(!world.workers["m0"].has_live_attempt(&task_key(0)), "told with its first answer");
         cluster.tick(world.now);
-        if !terminating(&cluster).is_empty() {
+        if !terminating_machines(&cluster).is_empty() {
             returned_after.get_or_insert(world.now - told);
         }
     }
-    assert_eq!(terminating(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
-    assert!(returned_after.unwrap() < cancellation_deadline.mul_f64(0.45) + s(1.0), "{returned_after:?}");
+    assert_eq!(terminating_machines(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
+    assert!(returned_after.unwrap() < cancellation_deadline.mul_f64(0.45) + secs(1.0), "{returned_after:?}");
 }
 
 /// A machine is to be returned, and the cloud answers nobody. It speaks again: its answers keep its lease, so they
@@ -42,12 +42,12 @@
 fn a_machine_to_be_returned_is_still_told_to_stop_what_is_cancelled() {
     for (name, cancelled_first) in [("withdrawn after it was given up", false), ("given up for the withdrawal", true)] {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-        let mut cluster = world.leader();
-        world.turn(&mut cluster, "m1");
-        world.place_these(&mut cluster, &[0], "m1");
-        world.turn(&mut cluster, "m1");
+        let mut cluster = world.elect_leader();
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.bind_tasks(&mut cluster, &[0], "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
         // Another was placed there, and not told yet.
-        world.place_these(&mut cluster, &[1], "m1");
+        world.bind_tasks(&mut cluster, &[1], "m1");
         let cancel = |world: &mut World, cluster: &mut ClusterState| {
             world.ended = Some(End::Cancelled);
             cluster.end_job(&JOB.into(), world.ended, world.now);
@@ -57,17 +57,17 @@
         }
         // It hangs, within its lease, until it is given up.
         for _ in 0..23 {
-            world.now += s(1.0);
+            world.now += secs(1.0);
             cluster.tick(world.now);
         }
-        assert_eq!(terminating(&cluster), ["m1"], "{name}");
+        assert_eq!(terminating_machines(&cluster), ["m1"], "{name}");
         if !cancelled_first {
-            assert_eq!(world.asks(&mut cluster, "m1").orders, [], "nothing starts there");
+            assert_eq!(world.send_heartbeat(&mut cluster, "m1").commands, [], "nothing starts there");
             cancel(&mut world, &mut cluster);
         }
         // No return is answered.
-        world.turn(&mut cluster, "m1");
-        assert!(!world.workers["m1"].live(&task(0)), "{name}: stopped with its first answer");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert!(!world.workers["m1"].has_live_attempt(&task_key(0)), "{name}: stopped with its first answer");
     }
 }
 
@@ -86,13 +86,13 @@
         ("nearly all the time is gone", 37.0, 0.5, true),
     ] {
         let mut world = World::new(&["m1"], |j| j.tasks = 1);
-        let mut old = world.leader();
-        world.turn(&mut old, "m1");
-        world.place_these(&mut old, &[0], "m1");
-        world.turn(&mut old, "m1");
-        let mut cluster = world.leader();
-        let ended = world.now - s(ended_before);
+        let mut old = world.elect_leader();
+        world.exchange_heartbeat(&mut old, "m1");
+        world.bind_tasks(&mut old, &[0], "m1");
+        world.exchange_heartbeat(&mut old, "m1");
+        let mut cluster = world.elect_leader();
+        let ended = world.now - secs(ended_before);
         cluster.end_job(&JOB.into(), Some(End::Cancelled), ended);
-        assert_eq!(cluster.overdue(world.now + s(after)).len(), usize::from(due), "{name}");
+        assert_eq!(cluster.overdue(world.now + secs(after)).len(), usize::from(due), "{name}");
     }
 }
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -70,19 +70,19 @@
 fn no_answer_renews_a_lease_without_the_stop() {
     for under_way in [false, true] {
         let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
-        simulation.world.place(&mut simulation.cluster, "m1");
-        simulation.heartbeats("m1");
-        simulation.heartbeats("m1");
-        simulation.cancel(&JOB.into());
-        let held =
-            under_way.then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("the stop is news"));
-        let answer = simulation.world.asks(&mut simulation.cluster, "m1");
-        assert_eq!(launches(&answer.orders), 0);
-        simulation.world.hears(&answer);
-        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
+        simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+        simulation.exchange_heartbeat("m1");
+        simulation.exchange_heartbeat("m1");
+        simulation.cancel_job(&JOB.into());
+        let held = under_way
+            .then(|| simulation.world.next_command_to(&mut simulation.cluster, "m1").expect("the stop is news"));
+        let answer = simulation.world.send_heartbeat(&mut simulation.cluster, "m1");
+        assert_eq!(count_launches(&answer.commands), 0);
+        simulation.world.receive_answer(&answer);
+        assert_eq!(simulation.live_tasks(&JOB.into()), [], "a command is under way: {under_way}");
         // The command comes all the same, and changes nothing.
-        held.iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
+        held.iter().for_each(|direct| drop(simulation.world.deliver_command(direct)));
+        assert_eq!(simulation.live_tasks(&JOB.into()), [], "a command is under way: {under_way}");
     }
 }
 
@@ -112,23 +112,23 @@
         let id: JobId = JOB.into();
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
         simulation.cluster.holds_ends(Some(1000));
-        simulation.world.now += s(10.0);
+        simulation.world.now += secs(10.0);
         let mut held: Option<DirectCommand> = None;
         let mut answer = None;
-        simulation.world.place(&mut simulation.cluster, "m1");
+        simulation.world.bind_waiting(&mut simulation.cluster, "m1");
         match launch {
-            Launch::DirectCommand => held = simulation.world.command(&mut simulation.cluster, "m1"),
-            Launch::InAnswer => answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
+            Launch::DirectCommand => held = simulation.world.next_command_to(&mut simulation.cluster, "m1"),
+            Launch::InAnswer => answer = Some(simulation.world.send_heartbeat(&mut simulation.cluster, "m1")),
         }
-        let orders = held.as_ref().map(|d| &d.commands).or(answer.as_ref().map(|a| &a.orders));
-        assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
+        let orders = held.as_ref().map(|d| &d.commands).or(answer.as_ref().map(|a| &a.commands));
+        assert_eq!(orders.map(|orders| count_launches(orders)), Some(1), "{name}");
         let begun = simulation.world.now;
         // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
         simulation.cluster.end_job(&id, Some(End::Cancelled), simulation.world.now);
         simulation.cluster.holds_ends(Some(1001));
         let mut told = None;
         for _ in 0..120 {
-            simulation.world.now += s(0.5);
+            simulation.world.now += secs(0.5);
             let age = (simulation.world.now - begun).as_secs_f64();
             if age == 2.5
                 && let Some(direct) = &held
@@ -136,23 +136,23 @@
                 simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
             }
             if age >= late_s {
-                held.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-                answer.take().iter().for_each(|answer| simulation.world.hears(answer));
+                held.take().iter().for_each(|direct| drop(simulation.world.deliver_command(direct)));
+                answer.take().iter().for_each(|answer| simulation.world.receive_answer(answer));
             }
             if told.is_none() && simulation.cluster.obeyed_in(&id) {
                 assert!(simulation.cluster.watermark() >= 1001, "{name}: both say the same");
                 told = Some(age);
-                simulation.cancel(&id);
+                simulation.cancel_job(&id);
             }
             // One heartbeat at a time.
             if answer.is_none() && age % 1.5 == 0.0 {
-                simulation.heartbeats("m1");
+                simulation.exchange_heartbeat("m1");
             }
             simulation.cluster.tick(simulation.world.now);
-            simulation.world.raise(&mut simulation.cluster);
+            simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
         }
         let told = told.unwrap_or_else(|| panic!("{name}: never told"));
         assert!(told <= 12.0, "{name}: told only after {told} s");
-        assert_eq!(simulation.live(&id), [], "{name}");
+        assert_eq!(simulation.live_tasks(&id), [], "{name}");
     }
 }
--- a/src/scheduling/tests/ends_across_takeovers.rs
+++ b/src/scheduling/tests/ends_across_takeovers.rs
@@ -15,46 +15,46 @@
     {
         let names = ["m0", "m1", "m2"];
         let mut world = World::new(&names, |j| j.tasks = tasks);
-        let mut old = world.leader();
+        let mut old = world.elect_leader();
         for (index, m) in (0..tasks as u32).zip(names) {
-            world.turn(&mut old, m);
-            world.place_these(&mut old, &[index], m);
-            world.turn(&mut old, m);
+            world.exchange_heartbeat(&mut old, m);
+            world.bind_tasks(&mut old, &[index], m);
+            world.exchange_heartbeat(&mut old, m);
         }
-        let running = world.heartbeat("m0");
-        world.exits("m0", 0, 1, ExitCause::Done);
+        let running = world.next_heartbeat("m0");
+        world.exit_task("m0", 0, 1, ExitCause::Done);
         if known {
-            world.turn(&mut old, "m0");
+            world.exchange_heartbeat(&mut old, "m0");
         }
         if stored {
-            world.store(&mut old);
-            world.turn(&mut old, "m0");
-            assert!(world.workers["m0"].reaped.contains(&(task(0), 1)));
+            world.store_all(&mut old);
+            world.exchange_heartbeat(&mut old, "m0");
+            assert!(world.workers["m0"].reaped.contains(&(task_key(0), 1)));
         } else {
             assert!(world.workers["m0"].reaped.is_empty(), "what is not stored is not reaped");
         }
         drop(old);
         for takeover in 0..3 {
-            let mut cluster = world.leader();
+            let mut cluster = world.elect_leader();
             assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
             cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.commands_in_answer("m0", world.now));
             for _ in 0..3 {
-                world.turn(&mut cluster, "m0");
-                world.store(&mut cluster);
+                world.exchange_heartbeat(&mut cluster, "m0");
+                world.store_all(&mut cluster);
                 assert_eq!((cluster.counts(&JOB.into()).done, world.ended), (1, None), "{tasks} tasks, {takeover}");
-                assert_eq!(placed(&mut cluster, world.now), [], "none waits");
+                assert_eq!(plan_placements(&mut cluster, world.now), [], "none waits");
             }
-            world.now += s(100.0);
+            world.now += secs(100.0);
         }
         // The others end one after the other, each under another leader.
         for (index, m) in (1..tasks as u32).zip(&names[1..]) {
             assert_eq!(world.ended, None);
-            let mut cluster = world.leader();
-            world.exits(m, index, 1, ExitCause::Done);
-            world.turn(&mut cluster, m);
-            world.store(&mut cluster);
+            let mut cluster = world.elect_leader();
+            world.exit_task(m, index, 1, ExitCause::Done);
+            world.exchange_heartbeat(&mut cluster, m);
+            world.store_all(&mut cluster);
         }
         assert_eq!(world.ended, Some(End::Done), "{tasks} tasks");
     }
@@ -66,44 +66,44 @@
 fn a_gang_is_done_by_the_one_exit_that_the_successor_hears() {
     for heard in ["by the old leader", "by the successor alone", "as a late copy"] {
         let mut world = World::new(&["m0", "m1"], |j| (j.shape, j.tasks) = (Shape::Gang, 2));
-        let mut old = world.leader();
+        let mut old = world.elect_leader();
         for m in ["m0", "m1"] {
-            world.turn(&mut old, m);
+            world.exchange_heartbeat(&mut old, m);
         }
         let waiting: Vec<Placement> =
-            [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task(i), attempt: 1, machine: m.into() }).into();
+            [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task_key(i), attempt: 1, machine: m.into() }).into();
         old.bind_all(waiting, world.now);
-        world.store(&mut old);
+        world.store_all(&mut old);
         for m in ["m0", "m1"] {
-            world.turn(&mut old, m);
+            world.exchange_heartbeat(&mut old, m);
         }
-        world.exits("m0", 0, 1, ExitCause::Done);
-        world.exits("m1", 1, 1, ExitCause::Done);
+        world.exit_task("m0", 0, 1, ExitCause::Done);
+        world.exit_task("m1", 1, 1, ExitCause::Done);
         if heard == "by the old leader" {
-            world.turn(&mut old, "m0");
+            world.exchange_heartbeat(&mut old, "m0");
             // Its other machine is lost before the end is stored: the gang is not begun anew for that.
             old.machine_gone(&"m1".into(), world.now);
-            assert_eq!(placed(&mut old, world.now), []);
-            world.turn(&mut old, "m0");
+            assert_eq!(plan_placements(&mut old, world.now), []);
+            world.exchange_heartbeat(&mut old, "m0");
             assert!(world.workers["m0"].reaped.is_empty(), "its end is not stored");
         }
         drop(old);
-        let mut cluster = world.leader();
+        let mut cluster = world.elect_leader();
         assert_eq!(world.ended, None);
         if heard == "as a late copy" {
-            let copy = world.heartbeat("m0");
-            world.workers.get_mut("m0").unwrap().gone = true;
+            let copy = world.next_heartbeat("m0");
+            world.workers.get_mut("m0").unwrap().terminated = true;
             cluster.take_heartbeat(copy, MessageKind::Heartbeat, None, world.now);
         } else {
-            world.turn(&mut cluster, "m0");
+            world.exchange_heartbeat(&mut cluster, "m0");
         }
-        world.store(&mut cluster);
+        world.store_all(&mut cluster);
         assert_eq!(world.ended, Some(End::Done), "{heard}");
         // What is left is on a machine that nobody hears. It is none of a cancellation's, and starts nowhere.
-        world.now += s(40.0);
+        world.now += secs(40.0);
         assert!(cluster.overdue(world.now).is_empty());
-        assert_eq!(placed(&mut cluster, world.now), []);
-        let mut successor = world.leader();
-        assert_eq!(placed(&mut successor, world.now), []);
+        assert_eq!(plan_placements(&mut cluster, world.now), []);
+        let mut successor = world.elect_leader();
+        assert_eq!(plan_placements(&mut successor, world.now), []);
     }
 }
--- a/src/scheduling/tests/hangs.rs
+++ b/src/scheduling/tests/hangs.rs
@@ -17,30 +17,30 @@
                 "hangs at {hangs_at} for {hang_s} s, stop lies: {stop_lies}, cloud {cloud}, successor {successor}"
             );
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
-            simulation.world.place(&mut simulation.cluster, "m1");
-            simulation.heartbeats("m1");
-            simulation.heartbeats("m1");
-            (simulation.cloud, simulation.plans) = (cloud, true);
-            simulation.unreached = if stop_lies { vec![] } else { vec!["m1"] };
+            simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+            simulation.exchange_heartbeat("m1");
+            simulation.exchange_heartbeat("m1");
+            (simulation.cloud_available, simulation.places_tasks) = (cloud, true);
+            simulation.commands_refused = if stop_lies { vec![] } else { vec!["m1"] };
             for step in -24..140 {
-                let t = f64::from(step) * STEP;
+                let t = f64::from(step) * STEP_S;
                 if t == hangs_at {
-                    simulation.hang = vec!["m1"];
+                    simulation.paused = vec!["m1"];
                 }
                 if t == 0.0 {
-                    simulation.cancel(&JOB.into());
+                    simulation.cancel_job(&JOB.into());
                 }
                 if t == 6.0 && successor {
-                    simulation.successor();
+                    simulation.fail_over();
                 }
                 if t == hangs_at + hang_s {
-                    simulation.hang.clear();
+                    simulation.paused.clear();
                 }
                 simulation.step();
             }
-            assert_eq!(simulation.live(&JOB.into()), [], "{name}");
+            assert_eq!(simulation.live_tasks(&JOB.into()), [], "{name}");
             assert!(!simulation.cluster.has_job(&JOB.into()) || !cloud, "{name}: proven gone");
-            assert!(!simulation.world.workers["m2"].gone, "{name}");
+            assert!(!simulation.world.workers["m2"].terminated, "{name}");
         }
     }
 }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -27,7 +27,7 @@
 fn busy(seed: u64, start: Instant) -> (ClusterState, Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let names: Vec<String> = (0..rng.random_range(1..12)).map(|n| format!("m{n:02}")).collect();
-    let mut cluster = cluster(&[], start);
+    let mut cluster = cluster_with(&[], start);
     for name in &names {
         let (of, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
         cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), MessageKind::Heartbeat, None, start);
@@ -109,13 +109,13 @@
     let now = Instant::now();
     // By return: 1 (high) before 2 (short), 3, 4, 5; 6 is idle; 7 within its team's guarantee.
     let make = || {
-        let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
+        let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
         for (n, class, estimate_s) in [(1, "x", 5.0), (2, "x", 10.0), (3, "h", 20.0), (4, "x", 40.0), (5, "h", 80.0)] {
-            add(&mut cluster, n, now, |j| (j.class, j.estimate_s) = (class.into(), estimate_s));
+            add_job(&mut cluster, n, now, |j| (j.class, j.estimate_s) = (class.into(), estimate_s));
         }
-        add(&mut cluster, 6, now, |j| (j.class, j.urgency) = ("h".into(), Urgency::Idle));
-        add(&mut cluster, 7, now, |j| (j.class, j.team, j.estimate_s) = ("x".into(), "red".into(), 90.0));
-        add(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
+        add_job(&mut cluster, 6, now, |j| (j.class, j.urgency) = ("h".into(), Urgency::Idle));
+        add_job(&mut cluster, 7, now, |j| (j.class, j.team, j.estimate_s) = ("x".into(), "red".into(), 90.0));
+        add_job(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
     let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
@@ -178,9 +178,9 @@
 #[test]
 fn an_array_goes_ahead_as_far_as_the_bound() {
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
-    add(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
-    add(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
+    let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
+    add_job(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
+    add_job(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
     cluster.usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
     cluster.intents.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
@@ -249,7 +249,7 @@
         ("there already", 2, 4, 0.0, 0),
         ("half there", 1, 4, 20.0, 1),
     ] {
-        let mut cluster = many(machines, start);
+        let mut cluster = cluster_of_c8(machines, start);
         cluster.intents.capacity = capacity(tasks, in_s);
         let rent = |asked: &HashMap<MachineKind, u64>| {
             let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
@@ -261,7 +261,7 @@
     }
     let long = start + Duration::from_secs(500);
     for (name, tasks, in_s, kept) in [("not asked", 0, 0.0, 0), ("asked", 3, 20.0, 2), ("much later", 3, 300.0, 0)] {
-        let mut cluster = many(5, start);
+        let mut cluster = cluster_of_c8(5, start);
         for n in 0..5 {
             let heartbeat = heartbeat(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, long);
@@ -282,11 +282,11 @@
 fn who_goes_ahead_is_not_kept_waiting() {
     let now = Instant::now();
     let make = |ahead: bool| {
-        let mut cluster = many(12, now);
-        add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
+        let mut cluster = cluster_of_c8(12, now);
+        add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
         let first = plan::place(&mut cluster, &catalog(), now);
         cluster.bind_all(first, now);
-        add(&mut cluster, 2, now, |j| {
+        add_job(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -11,42 +11,49 @@
 fn a_launch_held_up_is_void_before_its_task_goes_elsewhere() {
     for late_at in 0..8 {
         let mut world = World::new(&["m1", "m2"], |_| ());
-        let mut cluster = world.leader();
-        world.turn(&mut cluster, "m1");
-        world.turn(&mut cluster, "m2");
-        world.now += s(10.0);
-        world.place(&mut cluster, "m1");
-        let held = world.command(&mut cluster, "m1").unwrap();
-        assert_eq!(launches(&held.commands), 1);
+        let mut cluster = world.elect_leader();
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m2");
+        world.now += secs(10.0);
+        world.bind_waiting(&mut cluster, "m1");
+        let held = world.next_command_to(&mut cluster, "m1").unwrap();
+        assert_eq!(count_launches(&held.commands), 1);
         let mut started = false;
         for step in 0..8 {
             if step == late_at {
                 started = held.fencing_token >= world.workers["m1"].fencing_token;
                 // Whoever sent it waits no longer after the first step.
-                let reply = world.arrives(&held).unwrap();
+                let reply = world.deliver_command(&held).unwrap();
                 if step == 0 {
-                    world.replied(&mut cluster, &held, reply);
+                    world.deliver_reply(&mut cluster, &held, reply);
                 }
             }
             if step == 0 {
                 if late_at != 0 {
-                    world.given_up(&mut cluster, &held);
+                    world.time_out_command(&mut cluster, &held);
                 }
-                cluster.halt(&task(0), 0, world.now);
+                cluster.halt(&task_key(0), 0, world.now);
             }
             if step == 3 {
-                assert_eq!(world.raise(&mut cluster), late_at != 0 && on(&cluster, 0).is_some(), "late at {late_at}");
+                assert_eq!(
+                    world.raise_fencing_token_if_wanted(&mut cluster),
+                    late_at != 0 && binding_of(&cluster, 0).is_some(),
+                    "late at {late_at}"
+                );
             }
-            world.turn(&mut cluster, "m1");
+            world.exchange_heartbeat(&mut cluster, "m1");
             if step < 4 && !started {
                 // Absent from every report so far, and yet it may start there.
-                bound(&cluster, 0, 1, "m1");
+                assert_bound(&cluster, 0, 1, "m1");
             }
-            world.place(&mut cluster, "m2");
-            world.turn(&mut cluster, "m2");
+            world.bind_waiting(&mut cluster, "m2");
+            world.exchange_heartbeat(&mut cluster, "m2");
         }
-        bound(&cluster, 0, 2, "m2");
-        assert!(world.workers["m2"].live(&task(0)) && !world.workers["m1"].live(&task(0)), "late at {late_at}");
+        assert_bound(&cluster, 0, 2, "m2");
+        assert!(
+            world.workers["m2"].has_live_attempt(&task_key(0)) && !world.workers["m1"].has_live_attempt(&task_key(0)),
+            "late at {late_at}"
+        );
     }
 }
 
@@ -58,41 +65,47 @@
         [ExitCause::Done, ExitCause::Stopped].into_iter().flat_map(|c| (0..7).map(move |at| (c, at)))
     {
         let mut world = World::new(&["m1"], |j| j.tasks = 2);
-        let mut cluster = world.leader();
-        world.turn(&mut cluster, "m1");
-        world.now += s(10.0);
+        let mut cluster = world.elect_leader();
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.now += secs(10.0);
         // Its answer launches; a moment later something else is stored, which is told directly.
-        world.place_these(&mut cluster, &[0], "m1");
-        let answer = world.asks(&mut cluster, "m1");
-        assert_eq!(launches(&answer.orders), 1);
-        world.place_these(&mut cluster, &[1], "m1");
-        let held = world.command(&mut cluster, "m1").unwrap();
-        assert_eq!(launches(&held.commands), 2, "nothing has shown the first");
-        world.hears(&answer);
-        world.exits("m1", 0, 1, cause);
+        world.bind_tasks(&mut cluster, &[0], "m1");
+        let answer = world.send_heartbeat(&mut cluster, "m1");
+        assert_eq!(count_launches(&answer.commands), 1);
+        world.bind_tasks(&mut cluster, &[1], "m1");
+        let held = world.next_command_to(&mut cluster, "m1").unwrap();
+        assert_eq!(count_launches(&held.commands), 2, "nothing has shown the first");
+        world.receive_answer(&answer);
+        world.exit_task("m1", 0, 1, cause);
         for step in 0..7 {
             if step == late_at {
-                let reply = world.arrives(&held).unwrap();
+                let reply = world.deliver_command(&held).unwrap();
                 if step < 2 {
-                    world.replied(&mut cluster, &held, reply);
+                    world.deliver_reply(&mut cluster, &held, reply);
                 }
             }
             match step {
-                1 => assert!(world.asks(&mut cluster, "m1").orders.is_empty() || late_at < 2, "one way at a time"),
+                1 => assert!(
+                    world.send_heartbeat(&mut cluster, "m1").commands.is_empty() || late_at < 2,
+                    "one way at a time"
+                ),
                 2 if late_at >= 2 => {
-                    world.given_up(&mut cluster, &held);
-                    world.store(&mut cluster);
-                    let orders = world.asks(&mut cluster, "m1").orders;
-                    assert_eq!(reaps(&orders), 0, "it may yet start again");
+                    world.time_out_command(&mut cluster, &held);
+                    world.store_all(&mut cluster);
+                    let orders = world.send_heartbeat(&mut cluster, "m1").commands;
+                    assert_eq!(count_reaps(&orders), 0, "it may yet start again");
                 }
-                4 => drop(world.raise(&mut cluster)),
+                4 => drop(world.raise_fencing_token_if_wanted(&mut cluster)),
                 _ => {}
             }
-            world.turn(&mut cluster, "m1");
-            world.store(&mut cluster);
+            world.exchange_heartbeat(&mut cluster, "m1");
+            world.store_all(&mut cluster);
         }
-        world.turn(&mut cluster, "m1");
-        assert!(world.workers["m1"].reaped.contains(&(task(0), 1)), "{cause:?}, late at {late_at}: reaped in the end");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert!(
+            world.workers["m1"].reaped.contains(&(task_key(0), 1)),
+            "{cause:?}, late at {late_at}: reaped in the end"
+        );
     }
 }
 
@@ -102,33 +115,35 @@
 fn the_reply_to_a_command_proves_nothing_of_an_answer_on_its_way() {
     for heard in [true, false] {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-        let mut cluster = world.leader();
-        world.turn(&mut cluster, "m1");
-        world.turn(&mut cluster, "m2");
-        world.turn(&mut cluster, "m1");
-        world.place_these(&mut cluster, &[0], "m1");
-        let answer = world.asks(&mut cluster, "m1");
-        assert_eq!(launches(&answer.orders), 1);
-        cluster.halt(&task(0), 0, world.now);
-        world.place_these(&mut cluster, &[1], "m1");
-        let direct = world.command(&mut cluster, "m1").unwrap();
+        let mut cluster = world.elect_leader();
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m2");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.bind_tasks(&mut cluster, &[0], "m1");
+        let answer = world.send_heartbeat(&mut cluster, "m1");
+        assert_eq!(count_launches(&answer.commands), 1);
+        cluster.halt(&task_key(0), 0, world.now);
+        world.bind_tasks(&mut cluster, &[1], "m1");
+        let direct = world.next_command_to(&mut cluster, "m1").unwrap();
         assert!(direct.commands.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
-        let reply = world.arrives(&direct).unwrap();
-        world.replied(&mut cluster, &direct, reply);
-        bound(&cluster, 0, 1, "m1");
-        world.place(&mut cluster, "m2");
-        world.turn(&mut cluster, "m2");
+        let reply = world.deliver_command(&direct).unwrap();
+        world.deliver_reply(&mut cluster, &direct, reply);
+        assert_bound(&cluster, 0, 1, "m1");
+        world.bind_waiting(&mut cluster, "m2");
+        world.exchange_heartbeat(&mut cluster, "m2");
         if heard {
-            world.hears(&answer);
-            assert!(world.workers["m1"].live(&task(0)));
+            world.receive_answer(&answer);
+            assert!(world.workers["m1"].has_live_attempt(&task_key(0)));
         }
         // The next heartbeat was made once that answer was heard or dropped.
         for _ in 0..3 {
-            world.turn(&mut cluster, "m1");
-            world.place_these(&mut cluster, &[0], "m2");
-            world.turn(&mut cluster, "m2");
+            world.exchange_heartbeat(&mut cluster, "m1");
+            world.bind_tasks(&mut cluster, &[0], "m2");
+            world.exchange_heartbeat(&mut cluster, "m2");
         }
-        assert!(world.workers["m2"].live(&task(0)) && world.workers["m1"].live(&task(1)));
+        assert!(
+            world.workers["m2"].has_live_attempt(&task_key(0)) && world.workers["m1"].has_live_attempt(&task_key(1))
+        );
     }
 }
 
@@ -137,34 +152,34 @@
 #[test]
 fn a_reply_older_than_the_newest_report_changes_nothing() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-    let mut cluster = world.leader();
-    world.turn(&mut cluster, "m1");
-    world.turn(&mut cluster, "m2");
-    world.place_these(&mut cluster, &[0], "m1");
-    let direct = world.command(&mut cluster, "m1").unwrap();
-    let reply = world.arrives(&direct).unwrap();
+    let mut cluster = world.elect_leader();
+    world.exchange_heartbeat(&mut cluster, "m1");
+    world.exchange_heartbeat(&mut cluster, "m2");
+    world.bind_tasks(&mut cluster, &[0], "m1");
+    let direct = world.next_command_to(&mut cluster, "m1").unwrap();
+    let reply = world.deliver_command(&direct).unwrap();
     assert_eq!(reply.attempts[0].status, AttemptStatus::Running);
-    world.exits("m1", 0, 1, ExitCause::Done);
-    let answer = world.asks(&mut cluster, "m1");
-    assert_eq!((answer.orders.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
-    world.store(&mut cluster);
-    world.replied(&mut cluster, &direct, reply);
+    world.exit_task("m1", 0, 1, ExitCause::Done);
+    let answer = world.send_heartbeat(&mut cluster, "m1");
+    assert_eq!((answer.commands.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
+    world.store_all(&mut cluster);
+    world.deliver_reply(&mut cluster, &direct, reply);
     assert_eq!(cluster.counts(&JOB.into()).done, 1);
-    let answer = world.asks(&mut cluster, "m1");
-    assert_eq!(reaps(&answer.orders), 1);
+    let answer = world.send_heartbeat(&mut cluster, "m1");
+    assert_eq!(count_reaps(&answer.commands), 1);
     // An older reply, which shows nothing, comes after a heartbeat that shows the second task running.
-    world.hears(&answer);
-    let old = world.heartbeat("m1");
-    world.place(&mut cluster, "m1");
-    let direct = world.command(&mut cluster, "m1").unwrap();
-    drop(world.arrives(&direct).unwrap());
-    world.turn(&mut cluster, "m1");
-    cluster.halt(&task(1), 0, world.now);
-    world.replied(&mut cluster, &direct, old);
-    bound(&cluster, 1, 1, "m1");
-    world.place(&mut cluster, "m2");
-    world.turn(&mut cluster, "m2");
-    assert!(world.workers["m1"].live(&task(1)));
+    world.receive_answer(&answer);
+    let old = world.next_heartbeat("m1");
+    world.bind_waiting(&mut cluster, "m1");
+    let direct = world.next_command_to(&mut cluster, "m1").unwrap();
+    drop(world.deliver_command(&direct).unwrap());
+    world.exchange_heartbeat(&mut cluster, "m1");
+    cluster.halt(&task_key(1), 0, world.now);
+    world.deliver_reply(&mut cluster, &direct, old);
+    assert_bound(&cluster, 1, 1, "m1");
+    world.bind_waiting(&mut cluster, "m2");
+    world.exchange_heartbeat(&mut cluster, "m2");
+    assert!(world.workers["m1"].has_live_attempt(&task_key(1)));
 }
 
 /// Tokens are raised at most every 5 s. Until then nothing is reaped or believed gone where a launch may still come,
@@ -172,19 +187,19 @@
 #[test]
 fn while_a_raise_of_the_token_is_put_off_only_the_others_are_reaped() {
     let mut world = World::new(&["m1", "m2", "m3"], |j| j.tasks = 3);
-    let mut cluster = world.leader();
+    let mut cluster = world.elect_leader();
     for m in ["m1", "m2", "m3"] {
-        world.turn(&mut cluster, m);
+        world.exchange_heartbeat(&mut cluster, m);
     }
-    world.now += s(1.2);
+    world.now += secs(1.2);
     let mut held = Vec::new();
     for (index, m) in [(0, "m1"), (1, "m2")] {
-        world.place_these(&mut cluster, &[index], m);
-        let direct = world.command(&mut cluster, m).unwrap();
-        world.given_up(&mut cluster, &direct);
+        world.bind_tasks(&mut cluster, &[index], m);
+        let direct = world.next_command_to(&mut cluster, m).unwrap();
+        world.time_out_command(&mut cluster, &direct);
         held.push(direct);
         if index == 0 {
-            assert!(world.raise(&mut cluster));
+            assert!(world.raise_fencing_token_if_wanted(&mut cluster));
         }
     }
     // The first is void once its worker knows; the second was given under the raised fencing token.
@@ -192,28 +207,28 @@
     assert!(second.fencing_token > first.fencing_token);
     let mut waited = 0;
     while !cluster.raise_wanted(world.now) {
-        cluster.halt(&task(1), 0, world.now);
-        world.turn(&mut cluster, "m2");
-        bound(&cluster, 1, 1, "m2");
-        world.place_these(&mut cluster, &[2], "m3");
-        world.turn(&mut cluster, "m3");
-        world.exits("m3", 2, 1, ExitCause::Done);
-        world.turn(&mut cluster, "m3");
-        world.store(&mut cluster);
-        world.turn(&mut cluster, "m3");
+        cluster.halt(&task_key(1), 0, world.now);
+        world.exchange_heartbeat(&mut cluster, "m2");
+        assert_bound(&cluster, 1, 1, "m2");
+        world.bind_tasks(&mut cluster, &[2], "m3");
+        world.exchange_heartbeat(&mut cluster, "m3");
+        world.exit_task("m3", 2, 1, ExitCause::Done);
+        world.exchange_heartbeat(&mut cluster, "m3");
+        world.store_all(&mut cluster);
+        world.exchange_heartbeat(&mut cluster, "m3");
         waited += 1;
         assert!(waited < 20, "raised in the end");
     }
-    assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task(2), 1)), "the others go on");
-    world.raise(&mut cluster);
-    world.turn(&mut cluster, "m2");
-    bound(&cluster, 1, 1, "m2");
+    assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task_key(2), 1)), "the others go on");
+    world.raise_fencing_token_if_wanted(&mut cluster);
+    world.exchange_heartbeat(&mut cluster, "m2");
+    assert_bound(&cluster, 1, 1, "m2");
     // It has heard the fencing token now: the launch that was held up is refused, and then its task goes elsewhere.
-    drop(world.arrives(&second));
-    assert!(!world.workers["m2"].live(&task(1)));
-    world.turn(&mut cluster, "m2");
-    assert_eq!(on(&cluster, 1), None);
-    world.place_these(&mut cluster, &[1], "m3");
-    world.turn(&mut cluster, "m3");
-    assert!(world.workers["m3"].live(&task(1)));
+    drop(world.deliver_command(&second));
+    assert!(!world.workers["m2"].has_live_attempt(&task_key(1)));
+    world.exchange_heartbeat(&mut cluster, "m2");
+    assert_eq!(binding_of(&cluster, 1), None);
+    world.bind_tasks(&mut cluster, &[1], "m3");
+    world.exchange_heartbeat(&mut cluster, "m3");
+    assert!(world.workers["m3"].has_live_attempt(&task_key(1)));
 }
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -15,32 +15,32 @@
         for goes_on_at in [8.0, 20.0, 1000.0] {
             let name = format!("every {gap_s} s, outage {outage}, the machine goes on at {goes_on_at} s");
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
-            simulation.world.place(&mut simulation.cluster, "m1");
-            simulation.heartbeats("m1");
-            simulation.heartbeats("m1");
+            simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+            simulation.exchange_heartbeat("m1");
+            simulation.exchange_heartbeat("m1");
             let long = simulation
                 .world
-                .accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
-            simulation.plans = true;
+                .accept_job(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 900.0));
+            simulation.places_tasks = true;
             simulation.run(5.0);
-            assert_eq!(simulation.live(&long).len(), 3, "{name}");
-            simulation.cancel(&JOB.into());
-            simulation.hang = vec!["m1"];
+            assert_eq!(simulation.live_tasks(&long).len(), 3, "{name}");
+            simulation.cancel_job(&JOB.into());
+            simulation.paused = vec!["m1"];
             for step in 0..240 {
-                let t = f64::from(step) * STEP;
+                let t = f64::from(step) * STEP_S;
                 if t == goes_on_at {
-                    simulation.hang.clear();
+                    simulation.paused.clear();
                 }
                 if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
-                    simulation.successor();
+                    simulation.fail_over();
                 }
-                simulation.store = !outage || !(10.0..30.0).contains(&t);
+                simulation.store_available = !outage || !(10.0..30.0).contains(&t);
                 simulation.step();
             }
             let attempts: Vec<u64> = simulation.cluster.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
-            assert_eq!((simulation.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
-            assert!(simulation.returned.iter().all(|m| *m == "m1"), "{name}: {:?}", simulation.returned);
-            assert_eq!(simulation.live(&JOB.into()), [], "{name}");
+            assert_eq!((simulation.live_tasks(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
+            assert!(simulation.terminated.iter().all(|m| *m == "m1"), "{name}: {:?}", simulation.terminated);
+            assert_eq!(simulation.live_tasks(&JOB.into()), [], "{name}");
         }
     }
 }
@@ -59,35 +59,35 @@
             let mut copies = Vec::new();
             let mut copy = |simulation: &mut Simulation, step: usize| {
                 if step == copied_at {
-                    copies.push(simulation.world.heartbeat("m1"));
+                    copies.push(simulation.world.next_heartbeat("m1"));
                 }
             };
             copy(&mut simulation, 0);
-            simulation.world.place_these(&mut simulation.cluster, &[0], "m1");
-            simulation.heartbeats("m1");
+            simulation.world.bind_tasks(&mut simulation.cluster, &[0], "m1");
+            simulation.exchange_heartbeat("m1");
             copy(&mut simulation, 1);
-            simulation.heartbeats("m1");
+            simulation.exchange_heartbeat("m1");
             // Its first attempt ends, by a stop or by the end of a lease, and it runs again, here or there.
             if copied_at == 3 {
-                simulation.world.lease_ends("m1");
+                simulation.world.expire_lease("m1");
             } else {
-                simulation.cluster.halt(&task(0), 0, simulation.world.now);
+                simulation.cluster.halt(&task_key(0), 0, simulation.world.now);
             }
             for _ in 0..3 {
-                simulation.heartbeats("m1");
+                simulation.exchange_heartbeat("m1");
                 copy(&mut simulation, 2);
             }
-            simulation.world.place_these(&mut simulation.cluster, &[0], again_on);
+            simulation.world.bind_tasks(&mut simulation.cluster, &[0], again_on);
             for m in ["m1", "m2", "m1", "m2"] {
-                simulation.heartbeats(m);
+                simulation.exchange_heartbeat(m);
             }
             copy(&mut simulation, 3);
-            bound(&simulation.cluster, 0, 2, again_on);
-            assert_eq!(simulation.live(&JOB.into()), [(0, again_on)], "{name}");
+            assert_bound(&simulation.cluster, 0, 2, again_on);
+            assert_eq!(simulation.live_tasks(&JOB.into()), [(0, again_on)], "{name}");
             if done {
-                simulation.world.exits(again_on, 0, 2, ExitCause::Done);
-                simulation.heartbeats(again_on);
-                simulation.world.store(&mut simulation.cluster);
+                simulation.world.exit_task(again_on, 0, 2, ExitCause::Done);
+                simulation.exchange_heartbeat(again_on);
+                simulation.world.store_all(&mut simulation.cluster);
             }
             copy(&mut simulation, 4);
             let arrive = |simulation: &mut Simulation| {
@@ -98,19 +98,19 @@
                 }
             };
             arrive(&mut simulation);
-            simulation.plans = true;
+            simulation.places_tasks = true;
             for successor in 0..2 {
-                simulation.cluster = simulation.world.assigned();
+                simulation.cluster = simulation.world.elect_unloaded_leader();
                 arrive(&mut simulation);
-                simulation.world.load(&mut simulation.cluster);
-                simulation.listed();
+                simulation.world.load_stored_jobs(&mut simulation.cluster);
+                simulation.load_machine_list();
                 arrive(&mut simulation);
                 simulation.step();
                 arrive(&mut simulation);
                 simulation.run(8.0);
                 arrive(&mut simulation);
                 simulation.run(8.0);
-                let live = simulation.live(&JOB.into());
+                let live = simulation.live_tasks(&JOB.into());
                 let runs: Vec<u32> = live.iter().map(|(index, _)| *index).collect();
                 assert_eq!(runs, if done { vec![1] } else { vec![0, 1] }, "{name}, successor {successor}");
                 assert_eq!(
@@ -120,7 +120,7 @@
                 );
                 let attempt = simulation.cluster.job(&JOB.into()).unwrap().tasks[0].attempt;
                 assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, successor {successor}: what is done has none");
-                assert_eq!(simulation.returned.len(), 0, "{name}, successor {successor}");
+                assert_eq!(simulation.terminated.len(), 0, "{name}, successor {successor}");
             }
         }
     }
@@ -134,33 +134,37 @@
     for gap_s in [12.0, 6.0, 5.0, 4.0, 2.0] {
         let name = format!("every {gap_s} s");
         let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
-        simulation.world.place(&mut simulation.cluster, "m1");
-        simulation.heartbeats("m1");
-        simulation.heartbeats("m1");
-        let long =
-            simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
-        simulation.plans = true;
+        simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+        simulation.exchange_heartbeat("m1");
+        simulation.exchange_heartbeat("m1");
+        let long = simulation
+            .world
+            .accept_job(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (3, 8.0, 9000.0));
+        simulation.places_tasks = true;
         simulation.run(6.0);
-        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&long).len()), (1, 3), "{name}");
-        let successor = simulation.world.leader();
+        assert_eq!((simulation.live_tasks(&JOB.into()).len(), simulation.live_tasks(&long).len()), (1, 3), "{name}");
+        let successor = simulation.world.elect_leader();
         let mut deposed = std::mem::replace(&mut simulation.cluster, successor);
-        simulation.listed();
-        (simulation.outbound_lost, simulation.unreached) = (vec!["m1"], vec!["m1"]);
-        simulation.cancel(&JOB.into());
+        simulation.load_machine_list();
+        (simulation.outbound_lost, simulation.commands_refused) = (vec!["m1"], vec!["m1"]);
+        simulation.cancel_job(&JOB.into());
         for step in 0..240 {
-            let t = f64::from(step) * STEP;
+            let t = f64::from(step) * STEP_S;
             if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
-                simulation.successor();
+                simulation.fail_over();
             }
-            if step % REPORT_STEPS as i32 == 0 {
-                simulation.answered_by(&mut deposed, &["m1"]);
+            if step % HEARTBEAT_INTERVAL_STEPS as i32 == 0 {
+                simulation.exchange_heartbeats_with_deposed(&mut deposed, &["m1"]);
             }
             simulation.step();
         }
         // Each successor returns it again until the cloud's list, which lags, does not name it any more.
-        assert!(simulation.returned.iter().all(|m| *m == "m1") && simulation.world.workers["m1"].gone, "{name}");
-        assert_eq!(simulation.lost, 0, "{name}: its lease never ended");
+        assert!(
+            simulation.terminated.iter().all(|m| *m == "m1") && simulation.world.workers["m1"].terminated,
+            "{name}"
+        );
+        assert_eq!(simulation.tasks_lost_with_leases, 0, "{name}: its lease never ended");
         let attempts: Vec<u64> = simulation.cluster.job(&long).unwrap().tasks.iter().map(|t| t.attempt).collect();
-        assert_eq!((simulation.live(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
+        assert_eq!((simulation.live_tasks(&long).len(), attempts), (3, vec![1, 1, 1]), "{name}");
     }
 }
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -12,11 +12,11 @@
     for (stands, answered_at) in [true, false].into_iter().flat_map(|s| (0..8).map(move |at| (s, at))) {
         let name = format!("stands {stands}, answered at {answered_at}");
         let mut world = World::new(&["m1", "m2"], |j| (j.tasks, j.cpus) = (2, 4.0));
-        let mut old = world.leader();
+        let mut old = world.elect_leader();
         // Rented, up, and work at once.
         let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-        old.expect("m1", &kind, None, s(2.0), world.now);
-        drop(world.asks(&mut old, "m1"));
+        old.expect("m1", &kind, None, secs(2.0), world.now);
+        drop(world.send_heartbeat(&mut old, "m1"));
         let decisions = plan::place(&mut old, &catalog(), world.now);
         assert_eq!(decisions.len(), 2, "{name}");
         old.bind_all(decisions, world.now);
@@ -29,26 +29,26 @@
         }
         let mut successor = None;
         for step in 0..16 {
-            world.now += s(0.5);
+            world.now += secs(0.5);
             if step == answered_at && stands {
                 let version = world.shard.as_ref().unwrap().0;
                 old.shards_stored(&writes, version);
             }
             if step == 4 {
-                successor = Some(world.leader());
+                successor = Some(world.elect_leader());
             }
             // The old one is not told that it was deposed, and goes on as long as the machine's fencing token is its
             // own.
             let known = step >= answered_at && stands;
             if world.workers["m1"].fencing_token <= old.fencing_token {
-                let answer = world.asks(&mut old, "m1");
-                assert!(known || launches(&answer.orders) == 0, "{name}, step {step}");
+                let answer = world.send_heartbeat(&mut old, "m1");
+                assert!(known || count_launches(&answer.commands) == 0, "{name}, step {step}");
                 if step % 2 == 0 {
-                    world.hears(&answer);
+                    world.receive_answer(&answer);
                 }
             }
             for direct in old.direct_commands(world.now) {
-                assert!(known || launches(&direct.commands) == 0, "{name}, step {step}");
+                assert!(known || count_launches(&direct.commands) == 0, "{name}, step {step}");
                 old.command_over(&direct.machine, direct.fencing_token, false, world.now);
                 held.push(direct);
             }
@@ -58,28 +58,28 @@
                     assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the successor knows what stands");
                 }
                 if step >= 6 {
-                    world.turn(successor, "m1");
-                    world.turn(successor, "m2");
+                    world.exchange_heartbeat(successor, "m1");
+                    world.exchange_heartbeat(successor, "m2");
                 }
                 let decisions = plan::place(successor, &catalog(), world.now);
                 successor.bind_all(decisions, world.now);
-                world.store(successor);
+                world.store_all(successor);
             }
             // What was held up comes at every step after; the world checks what it starts.
             if step >= 5 {
-                held.iter().for_each(|direct| drop(world.arrives(direct)));
+                held.iter().for_each(|direct| drop(world.deliver_command(direct)));
             }
         }
         let mut successor = successor.unwrap();
         for _ in 0..8 {
-            world.turn(&mut successor, "m1");
-            world.turn(&mut successor, "m2");
+            world.exchange_heartbeat(&mut successor, "m1");
+            world.exchange_heartbeat(&mut successor, "m2");
             let decisions = plan::place(&mut successor, &catalog(), world.now);
             successor.bind_all(decisions, world.now);
-            world.store(&mut successor);
+            world.store_all(&mut successor);
         }
         for index in 0..2 {
-            let live = world.workers.values().filter(|w| w.live(&task(index))).count();
+            let live = world.workers.values().filter(|w| w.has_live_attempt(&task_key(index))).count();
             assert_eq!(live, 1, "{name}: task {index} runs, once");
         }
     }
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -33,35 +33,35 @@
     ];
     for (name, made, reader, stands) in cases {
         let mut world = World::new(&["m1", "m2"], |_| ());
-        let mut cluster = world.leader();
+        let mut cluster = world.elect_leader();
         let mut copies = Vec::new();
-        world.turn(&mut cluster, "m1");
-        copies.push(world.heartbeat("m1"));
-        world.place(&mut cluster, "m1");
-        world.turn(&mut cluster, "m1");
-        copies.push(world.heartbeat("m1"));
-        world.exits("m1", 0, 1, ExitCause::Error);
-        copies.push(world.heartbeat("m1"));
-        world.turn(&mut cluster, "m1");
-        world.turn(&mut cluster, "m1");
-        copies.push(world.heartbeat("m1"));
+        world.exchange_heartbeat(&mut cluster, "m1");
+        copies.push(world.next_heartbeat("m1"));
+        world.bind_waiting(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        copies.push(world.next_heartbeat("m1"));
+        world.exit_task("m1", 0, 1, ExitCause::Error);
+        copies.push(world.next_heartbeat("m1"));
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        copies.push(world.next_heartbeat("m1"));
         // The second attempt is lost with the lease, and the third runs there in the next agent epoch.
-        world.place(&mut cluster, "m1");
-        world.turn(&mut cluster, "m1");
-        copies.push(world.heartbeat("m1"));
-        world.lease_ends("m1");
-        world.turn(&mut cluster, "m1");
-        world.place(&mut cluster, "m1");
-        world.turn(&mut cluster, "m1");
-        world.turn(&mut cluster, "m1");
-        bound(&cluster, 0, 3, "m1");
-        assert!(world.workers["m1"].live(&task(0)));
+        world.bind_waiting(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        copies.push(world.next_heartbeat("m1"));
+        world.expire_lease("m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.bind_waiting(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert_bound(&cluster, 0, 3, "m1");
+        assert!(world.workers["m1"].has_live_attempt(&task_key(0)));
         match reader {
             Leader => {}
-            Successor => cluster = world.leader(),
+            Successor => cluster = world.elect_leader(),
             LeaderAgain => {
-                drop(world.leader());
-                cluster = world.leader();
+                drop(world.elect_leader());
+                cluster = world.elect_leader();
             }
         }
         // The machine itself can't be reached for a while; copies come, one after the other.
@@ -69,21 +69,21 @@
             cluster.take_heartbeat(copies[made].clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.commands_in_answer("m1", world.now));
             if n == 1 {
-                cluster.halt(&task(0), 0, world.now);
+                cluster.halt(&task_key(0), 0, world.now);
             }
-            assert_eq!(on(&cluster, 0).is_some(), stands, "{name}, read by {reader:?}");
-            world.place(&mut cluster, "m2");
-            world.turn(&mut cluster, "m2");
-            world.now += s(2.0);
+            assert_eq!(binding_of(&cluster, 0).is_some(), stands, "{name}, read by {reader:?}");
+            world.bind_waiting(&mut cluster, "m2");
+            world.exchange_heartbeat(&mut cluster, "m2");
+            world.now += secs(2.0);
         }
-        assert!(!world.workers["m2"].live(&task(0)));
+        assert!(!world.workers["m2"].has_live_attempt(&task_key(0)));
         // It is reached again: stopped, and on its way elsewhere.
         for _ in 0..4 {
-            world.turn(&mut cluster, "m1");
-            world.place(&mut cluster, "m2");
-            world.turn(&mut cluster, "m2");
+            world.exchange_heartbeat(&mut cluster, "m1");
+            world.bind_waiting(&mut cluster, "m2");
+            world.exchange_heartbeat(&mut cluster, "m2");
         }
-        assert!(world.workers["m2"].live(&task(0)), "{name}, read by {reader:?}");
+        assert!(world.workers["m2"].has_live_attempt(&task_key(0)), "{name}, read by {reader:?}");
     }
 }
 
@@ -92,15 +92,15 @@
 #[test]
 fn what_was_returned_in_an_earlier_time_takes_no_work_by_a_copy() {
     let mut world = World::new(&["m1", "m2"], |_| ());
-    let mut first = world.leader();
-    world.turn(&mut first, "m1");
-    world.turn(&mut first, "m1");
-    let copy = world.heartbeat("m1");
+    let mut first = world.elect_leader();
+    world.exchange_heartbeat(&mut first, "m1");
+    world.exchange_heartbeat(&mut first, "m1");
+    let copy = world.next_heartbeat("m1");
     assert_eq!(copy.fencing_token, first.fencing_token);
-    world.returned(&mut first, "m1");
+    world.terminate_machine(&mut first, "m1");
     drop(first);
-    drop(world.leader());
-    let mut cluster = world.leader();
+    drop(world.elect_leader());
+    let mut cluster = world.elect_leader();
     for raised in [false, true] {
         if raised {
             // Under a fencing token that it raises the same leader goes on.
@@ -114,11 +114,11 @@
             world.now,
         );
         drop(cluster.commands_in_answer("m1", world.now));
-        assert_eq!(placed(&mut cluster, world.now), [], "raised: {raised}");
+        assert_eq!(plan_placements(&mut cluster, world.now), [], "raised: {raised}");
     }
     // A machine that is there learns the first fencing token of this cluster state and counts, whatever was raised
     // since.
-    let known = Heartbeat { fencing_token: cluster.first_fencing_token, ..world.heartbeat("m2") };
+    let known = Heartbeat { fencing_token: cluster.first_fencing_token, ..world.next_heartbeat("m2") };
     cluster.take_heartbeat(known, MessageKind::Heartbeat, None, world.now);
-    assert_eq!(placed(&mut cluster, world.now), [(0, "m2".to_owned())]);
+    assert_eq!(plan_placements(&mut cluster, world.now), [(0, "m2".to_owned())]);
 }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::jobs::record::StoredTask;
 
-fn s(seconds: u64) -> Duration {
+fn secs(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
@@ -13,7 +13,7 @@
 fn late_copies_of_reports_by_cases() {
     let now = Instant::now();
     let place = |cluster: &mut ClusterState| {
-        add(cluster, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
+        add_job(cluster, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
         plan::place(cluster, &catalog(), now).len()
     };
     let successor = || {
@@ -32,11 +32,11 @@
     let cases: [(&str, Known, u64, bool); 4] = [
         ("nobody else tells of it", &|_| {}, 3, false),
         ("the worker has heard the successor", &|_| {}, 9, true),
-        ("rented or listed", &|cluster| cluster.expect("m", &kind, None, s(60), now), 3, true),
+        ("rented or listed", &|cluster| cluster.expect("m", &kind, None, secs(60), now), 3, true),
         (
             "returned by this leader",
             &|cluster| {
-                cluster.expect("m", &kind, None, s(60), now);
+                cluster.expect("m", &kind, None, secs(60), now);
                 cluster.machine_gone(&"m".into(), now);
             },
             9,
@@ -54,11 +54,11 @@
     for seq in [9, 3, 9, 8] {
         for m in ["m", "x", "y", "z"] {
             let old = Heartbeat { machine: m.into(), ..copy(seq, 3) };
-            cluster.take_heartbeat(old, MessageKind::Heartbeat, None, now + s(if seq == 9 { 0 } else { 11 }));
+            cluster.take_heartbeat(old, MessageKind::Heartbeat, None, now + secs(if seq == 9 { 0 } else { 11 }));
         }
     }
-    assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
-    cluster.tick(now + s(13));
+    assert!(!cluster.lost_most(now + secs(12)), "nobody was lost");
+    cluster.tick(now + secs(13));
     assert!(
         cluster.machines.values().all(|m| m.state == MachineState::Terminating),
         "to be returned, should they exist"
@@ -87,7 +87,7 @@
         let zone = |m: u64| format!("z{}", m / (of / zones));
         let mut agent_epoch = 1;
         for t in 0..60u64 {
-            let now = start + s(t);
+            let now = start + secs(t);
             if t > 0 && t % 25 == 0 {
                 agent_epoch += 1;
             }
@@ -103,9 +103,9 @@
         }
         let out = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
         assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
-        assert_eq!(cluster.lost_most(start + s(60)), inbound_lost * 3 >= of, "{name}");
+        assert_eq!(cluster.lost_most(start + secs(60)), inbound_lost * 3 >= of, "{name}");
         // It hears again: it is well with the next heartbeat.
-        let now = start + s(61);
+        let now = start + secs(61);
         cluster.take_heartbeat(
             Heartbeat { agent_epoch, ..heartbeat("m00", "c8", &zone(0), false, 99, vec![]) },
             MessageKind::CommandReply,
@@ -129,9 +129,9 @@
     cluster.finish_load(start);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for t in 0..70u64 {
-        let now = start + s(t);
+        let now = start + secs(t);
         for m in (0..4).filter(|_| t % 5 == 0) {
-            cluster.expect(&format!("m{m}"), &kind, None, s(900), start);
+            cluster.expect(&format!("m{m}"), &kind, None, secs(900), start);
             let heartbeat = Heartbeat {
                 fencing_token: 3,
                 agent_epoch: 1 + t / 25,
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -31,16 +31,17 @@
     ];
     for (name, machines, change, want) in cases {
         let now = Instant::now();
-        let mut cluster = cluster(machines, now);
-        add(&mut cluster, 1, now, change);
-        let got: Vec<String> = placed(&mut cluster, now).into_iter().map(|(_, m)| m).collect();
+        let mut cluster = cluster_with(machines, now);
+        add_job(&mut cluster, 1, now, change);
+        let got: Vec<String> = plan_placements(&mut cluster, now).into_iter().map(|(_, m)| m).collect();
         assert_eq!(got, want, "{name}");
     }
     // The limit of 20 holds over several jobs and plans.
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false), ("m3", "c8", "a", false)], now);
-    add(&mut cluster, 1, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 8.0));
-    add(&mut cluster, 2, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 4.0));
+    let mut cluster =
+        cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false), ("m3", "c8", "a", false)], now);
+    add_job(&mut cluster, 1, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 8.0));
+    add_job(&mut cluster, 2, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 4.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_all(first, now);
     assert_eq!(cluster.usage["red"].cpus, 20.0);
@@ -50,12 +51,12 @@
 #[test]
 fn starts_follow_the_return_and_hopeless_work_its_age() {
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
-    add(&mut cluster, 1, now, |j| j.estimate_s = 100.0);
-    add(&mut cluster, 2, now, |j| j.estimate_s = 10.0);
-    add(&mut cluster, 3, now, |j| (j.estimate_s, j.urgency) = (100.0, Urgency::Prod));
+    let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
+    add_job(&mut cluster, 1, now, |j| j.estimate_s = 100.0);
+    add_job(&mut cluster, 2, now, |j| j.estimate_s = 10.0);
+    add_job(&mut cluster, 3, now, |j| (j.estimate_s, j.urgency) = (100.0, Urgency::Prod));
     // The team within its guarantee of 8 goes before any return.
-    add(&mut cluster, 4, now, |j| (j.estimate_s, j.team) = (1000.0, "red".into()));
+    add_job(&mut cluster, 4, now, |j| (j.estimate_s, j.team) = (1000.0, "red".into()));
     let order: Vec<String> = plan::queue(&cluster, now).into_iter().map(|t| t.id.to_string()).collect();
     assert_eq!(order, ["run-000004", "run-000003", "run-000002", "run-000001"]);
     let late = now + Duration::from_secs(1_000_000);
@@ -69,12 +70,12 @@
 #[test]
 fn the_work_of_a_plan_is_bounded() {
     let now = Instant::now();
-    let mut cluster = many(1000, now);
+    let mut cluster = cluster_of_c8(1000, now);
     for n in 0..100 {
-        add(&mut cluster, n, now, |j| (j.tasks, j.cpus) = (100, 1.0));
+        add_job(&mut cluster, n, now, |j| (j.tasks, j.cpus) = (100, 1.0));
     }
     for n in 100..300 {
-        add(&mut cluster, n, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 6, 8.0, true));
+        add_job(&mut cluster, n, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 6, 8.0, true));
     }
     let (first, looked) = plan::place_counted(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 1000, "a plan stops at what can be stored");
@@ -100,20 +101,20 @@
     let start = Instant::now();
     let now = start + Duration::from_secs(10);
     let full = |due_s: Option<f64>, estimate_s: f64| {
-        let mut cluster = many(6, start);
+        let mut cluster = cluster_of_c8(6, start);
         // Half of the machines are taken for some 20 s more.
         for n in 0..3 {
-            add(&mut cluster, n, start, |j| (j.cpus, j.estimate_s) = (8.0, 30.0));
+            add_job(&mut cluster, n, start, |j| (j.cpus, j.estimate_s) = (8.0, 30.0));
         }
         let first = plan::place(&mut cluster, &catalog(), start);
         cluster.bind_all(first, start);
-        add(&mut cluster, 9, start, |j| (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 6, 8.0, 300.0));
+        add_job(&mut cluster, 9, start, |j| (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 6, 8.0, 300.0));
         for i in 0..6 {
             let name = format!("m{i:04}");
             cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, now);
         }
         cluster.reservations = reservations::choose(&cluster, &catalog(), now);
-        add(&mut cluster, 20, now, |j| (j.cpus, j.estimate_s, j.due_s) = (2.0, estimate_s, due_s));
+        add_job(&mut cluster, 20, now, |j| (j.cpus, j.estimate_s, j.due_s) = (2.0, estimate_s, due_s));
         plan::place(&mut cluster, &catalog(), now).len()
     };
     for (name, due_s, estimate_s, want) in [
@@ -132,8 +133,8 @@
 fn a_job_that_fails_everywhere_costs_the_others_nothing() {
     let now = Instant::now();
     let machines: Vec<_> = ["m1", "m2", "m3", "m4"].iter().map(|n| (*n, "c8", "a", false)).collect();
-    let mut cluster = cluster(&machines, now);
-    add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s) = (12, 4.0, 100.0));
+    let mut cluster = cluster_with(&machines, now);
+    add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s) = (12, 4.0, 100.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 8);
     cluster.bind_all(first.clone(), now);
@@ -149,7 +150,7 @@
     assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.quarantined));
     let later = now + Duration::from_secs(6);
     // Beside work that ends, it comes last, a few tasks at a time.
-    add(&mut cluster, 2, now, |j| (j.cpus, j.estimate_s) = (1.0, 1000.0));
+    add_job(&mut cluster, 2, now, |j| (j.cpus, j.estimate_s) = (1.0, 1000.0));
     let order: Vec<String> = plan::queue(&cluster, later).into_iter().map(|t| t.id.to_string()).collect();
     assert_eq!(order, ["run-000002", "run-000001"]);
     for machine in ["m1", "m2", "m3", "m4"] {
@@ -159,7 +160,7 @@
     assert_eq!(again.iter().filter(|p| &*p.task.job == "run-000001").count(), 2);
     // With every machine full, none is rented for it.
     cluster.bind_all(again, later);
-    add(&mut cluster, 3, now, |j| (j.tasks, j.cpus, j.zone) = (7, 4.0, Some("a".into())));
+    add_job(&mut cluster, 3, now, |j| (j.tasks, j.cpus, j.zone) = (7, 4.0, Some("a".into())));
     let placements = plan::place(&mut cluster, &catalog(), later);
     cluster.bind_all(placements, later);
     let late = later + Duration::from_secs(3600);
--- a/src/scheduling/tests/plan_work.rs
+++ b/src/scheduling/tests/plan_work.rs
@@ -9,8 +9,8 @@
 
 /// Machines of which all have one core left, in zone a.
 fn nearly_full(now: Instant) -> ClusterState {
-    let mut cluster = many(MACHINES, now);
-    add(&mut cluster, 1, now, |j| (j.tasks, j.cpus) = (MACHINES as u64, 7.0));
+    let mut cluster = cluster_of_c8(MACHINES, now);
+    add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus) = (MACHINES as u64, 7.0));
     let placed = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), MACHINES);
     cluster.bind_all(placed, now);
@@ -19,12 +19,12 @@
 
 /// A small job for a zone without machines: for its sake no machine is left out of the plan for being full.
 fn add_small_job_elsewhere(cluster: &mut ClusterState, now: Instant) {
-    add(cluster, 2, now, |j| (j.tasks, j.cpus, j.zone) = (1, 0.5, Some("b".into())));
+    add_job(cluster, 2, now, |j| (j.tasks, j.cpus, j.zone) = (1, 0.5, Some("b".into())));
 }
 
 fn add_zoned_jobs(cluster: &mut ClusterState, spread: bool, now: Instant) {
     for n in 10..10 + ZONED_JOBS {
-        add(cluster, n, now, |j| (j.tasks, j.cpus, j.spread, j.same_zone) = (4, 2.0, spread, !spread));
+        add_job(cluster, n, now, |j| (j.tasks, j.cpus, j.spread, j.same_zone) = (4, 2.0, spread, !spread));
     }
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn spread_jobs_whose_zone_is_used_up_do_not_each_search_all_machines() {
     let now = Instant::now();
-    let mut cluster = many(MACHINES, now);
+    let mut cluster = cluster_of_c8(MACHINES, now);
     add_zoned_jobs(&mut cluster, true, now);
     let (placed, _) = plan::place_counted(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), 2 * ZONED_JOBS as usize);
@@ -60,9 +60,9 @@
 fn a_spread_job_that_used_up_its_zone_keeps_no_other_job_from_it() {
     let now = Instant::now();
     for spread in [false, true] {
-        let mut cluster = many(4, now);
-        add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.spread) = (4, 4.0, true));
-        add(&mut cluster, 2, now, |j| (j.tasks, j.cpus, j.spread) = (4, 4.0, spread));
+        let mut cluster = cluster_of_c8(4, now);
+        add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.spread) = (4, 4.0, true));
+        add_job(&mut cluster, 2, now, |j| (j.tasks, j.cpus, j.spread) = (4, 4.0, spread));
         let placed = plan::place(&mut cluster, &catalog(), now);
         let of = |id: &str| placed.iter().filter(|p| p.task.job.to_string() == id).count();
         assert_eq!(of("run-000001"), 2, "spread {spread}");
@@ -74,9 +74,9 @@
 #[test]
 fn an_array_that_filled_its_zone_keeps_no_other_job_from_the_other_zone() {
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "b", false)], now);
-    add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.same_zone) = (4, 4.0, true));
-    add(&mut cluster, 2, now, |j| (j.tasks, j.cpus, j.same_zone) = (2, 4.0, true));
+    let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "b", false)], now);
+    add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.same_zone) = (4, 4.0, true));
+    add_job(&mut cluster, 2, now, |j| (j.tasks, j.cpus, j.same_zone) = (2, 4.0, true));
     let placed = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), 4, "{placed:?}");
 }
--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -6,20 +6,20 @@
 #[test]
 fn higher_urgency_stops_lower() {
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
-    add(&mut cluster, 1, now, |j| (j.cpus, j.estimate_s) = (8.0, 100.0));
+    let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
+    add_job(&mut cluster, 1, now, |j| (j.cpus, j.estimate_s) = (8.0, 100.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_all(first, now);
     // Stored and told, so that it has to be stopped rather than forgotten.
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
     assert_eq!(cluster.commands_in_answer("m1", now).len(), 1);
-    add(&mut cluster, 2, now, |j| j.cpus = 8.0);
+    add_job(&mut cluster, 2, now, |j| j.cpus = 8.0);
     let later = now + Duration::from_secs(5);
     preempt::preempt(&mut cluster, &catalog(), later);
     let halting = |cluster: &ClusterState| cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting;
     assert_eq!(halting(&cluster), None, "equals do not preempt");
-    add(&mut cluster, 3, now, |j| (j.cpus, j.urgency) = (8.0, Urgency::High));
+    add_job(&mut cluster, 3, now, |j| (j.cpus, j.urgency) = (8.0, Urgency::High));
     cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, later);
     preempt::preempt(&mut cluster, &catalog(), later + Duration::from_secs(4));
     assert_eq!(halting(&cluster), Some(1));
@@ -31,8 +31,8 @@
 fn a_gang_gets_its_machines_together_and_stops_no_more_than_it_must() {
     let now = Instant::now();
     let machines: Vec<_> = ["m1", "m2", "m3"].iter().map(|n| (*n, "c8", "a", false)).collect();
-    let mut cluster = cluster(&machines, now);
-    add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.urgency, j.checkpoint_s) = (24, 1.0, Urgency::Idle, 5.0));
+    let mut cluster = cluster_with(&machines, now);
+    add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.urgency, j.checkpoint_s) = (24, 1.0, Urgency::Idle, 5.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 24, "what is over goes to idle work");
     cluster.bind_all(first, now);
@@ -41,7 +41,7 @@
     for machine in ["m1", "m2", "m3"] {
         cluster.commands_in_answer(machine, now);
     }
-    add(&mut cluster, 2, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 2, 5.0, true));
+    add_job(&mut cluster, 2, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 2, 5.0, true));
     preempt::preempt(&mut cluster, &catalog(), now);
     let stopped = |cluster: &ClusterState| {
         let job = cluster.job(&"run-000001".into()).unwrap();
@@ -55,6 +55,6 @@
     preempt::preempt(&mut cluster, &catalog(), now + Duration::from_secs(1));
     assert_eq!(stopped(&cluster), 10, "room is being made already");
     // More idle work takes none of what is held for the gang, nor what it waits for.
-    add(&mut cluster, 3, now, |j| (j.tasks, j.urgency) = (4, Urgency::Idle));
-    assert!(placed(&mut cluster, now + Duration::from_secs(1)).is_empty());
+    add_job(&mut cluster, 3, now, |j| (j.tasks, j.urgency) = (4, Urgency::Idle));
+    assert!(plan_placements(&mut cluster, now + Duration::from_secs(1)).is_empty());
 }
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -15,8 +15,8 @@
         let demand = plan_scale_out(cluster, &catalog(), refusals, &Default::default(), now);
         demand.into_iter().map(|demand| (demand.kind, demand.count)).collect::<Vec<_>>()
     };
-    let mut waiting = cluster(&[], now);
-    add(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
+    let mut waiting = cluster_with(&[], now);
+    add_job(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
     assert_eq!(plan(&waiting, &CapacityRefusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
     let mut refusals = CapacityRefusals::default();
     refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now);
@@ -33,11 +33,11 @@
         let later = now + Duration::from_secs(after_s);
         assert_eq!(refusals.is_backing_off(&kind("c8", true), held, later), refused, "{held} held after {after_s} s");
     }
-    let mut accelerated = cluster(&[], now);
-    add(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
+    let mut accelerated = cluster_with(&[], now);
+    add_job(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
     assert_eq!(plan(&accelerated, &CapacityRefusals::default()), [(kind("g2", false), 1)]);
-    let mut served = cluster(&[("m1", "c8", "a", false)], now);
-    add(&mut served, 1, now, |_| ());
+    let mut served = cluster_with(&[("m1", "c8", "a", false)], now);
+    add_job(&mut served, 1, now, |_| ());
     assert_eq!(plan(&served, &CapacityRefusals::default()), [], "what fits now needs no machine");
 }
 
@@ -51,9 +51,9 @@
         ("cannot save", 500.0, 0.0, None),
         ("nearly done", 110.0, 0.0, Some(0)),
     ] {
-        let mut cluster = cluster(&machines, start);
+        let mut cluster = cluster_with(&machines, start);
         for (n, machine) in [(1, "m1"), (2, "m2")] {
-            add(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
+            add_job(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
             let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
             cluster.bind_all(
                 vec![crate::scheduling::cluster::Placement { task: task.clone(), attempt: 1, machine: machine.into() }],
@@ -87,13 +87,13 @@
     let start = Instant::now();
     let now = start + Duration::from_secs(100);
     for (name, waiting, scale_in_candidate) in [("nothing waits", 0, 1), ("more waits than fits", 20, 0)] {
-        let mut cluster = many(10, start);
+        let mut cluster = cluster_of_c8(10, start);
         for i in 0..10 {
             let name = format!("m{i:04}");
             cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, now);
         }
         if waiting > 0 {
-            add(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
+            add_job(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
         }
         cluster.arrivals.clear();
         assert_eq!(choose_drains(&cluster, &catalog(), now).len(), scale_in_candidate, "{name}");
@@ -105,17 +105,17 @@
 fn renting_counts_with_what_is_yet_to_come() {
     let start = Instant::now();
     for (name, arriving, rents) in [("nothing else comes", 0u32, false), ("more keeps coming", 30, true)] {
-        let mut cluster = many(4, start);
+        let mut cluster = cluster_of_c8(4, start);
         for n in 0..4 {
-            add(&mut cluster, n, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
+            add_job(&mut cluster, n, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
         }
         let first = plan::place(&mut cluster, &catalog(), start);
         cluster.bind_all(first, start);
-        add(&mut cluster, 9, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 40.0, Some("a".into())));
+        add_job(&mut cluster, 9, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 40.0, Some("a".into())));
         cluster.arrivals.clear();
         let now = start + Duration::from_secs(25);
         for n in 0..arriving {
-            add(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
+            add_job(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
             cluster.end_job(&format!("run-{:06}", 100 + n).as_str().into(), None, now);
         }
         let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
@@ -127,9 +127,9 @@
 #[test]
 fn hundreds_of_machines_are_wanted_at_once() {
     let now = Instant::now();
-    let mut cluster = many(0, now);
+    let mut cluster = cluster_of_c8(0, now);
     for n in 0..50 {
-        add(&mut cluster, n, now, |j| {
+        add_job(&mut cluster, n, now, |j| {
             (j.shape, j.tasks, j.cpus, j.same_zone, j.estimate_s) = (Shape::Gang, 6, 8.0, true, 100.0);
         });
     }
@@ -142,16 +142,16 @@
 #[test]
 fn a_new_leader_knows_how_old_things_are() {
     let now = Instant::now();
-    let s = Duration::from_secs;
-    let mut cluster = many(2, now);
+    let secs = Duration::from_secs;
+    let mut cluster = cluster_of_c8(2, now);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-    cluster.expect("m0000", &kind, None, s(300), now);
-    cluster.expect("m0001", &kind, None, s(10), now);
+    cluster.expect("m0000", &kind, None, secs(300), now);
+    cluster.expect("m0001", &kind, None, secs(10), now);
     let drained: Vec<String> =
         choose_drains(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
     assert_eq!(drained, ["m0000"], "only what has been held for long enough");
     for (n, age_s, at_least) in [(1, 0, 0.9), (2, 60, 0.3), (3, 6000, 0.0)] {
-        let mut cluster = many(0, now);
+        let mut cluster = cluster_of_c8(0, now);
         let mut job = spec();
         (job.id, job.tasks) = (format!("run-{n:06}").into(), 60);
         let at_ms = time_of_day_ms() - age_s * 1000;
@@ -167,8 +167,8 @@
 fn what_cannot_save_runs_out_on_a_spared_machine() {
     for (checkpoint_s, stopped) in [(30.0, true), (0.0, false)] {
         let now = Instant::now();
-        let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
-        add(&mut cluster, 1, now, |j| (j.urgency, j.checkpoint_s) = (Urgency::Idle, checkpoint_s));
+        let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
+        add_job(&mut cluster, 1, now, |j| (j.urgency, j.checkpoint_s) = (Urgency::Idle, checkpoint_s));
         let first = plan::place(&mut cluster, &catalog(), now);
         cluster.bind_all(first, now);
         let (_, shards) = cluster.next_writes(10, now);
--- a/src/scheduling/tests/room_after_faults.rs
+++ b/src/scheduling/tests/room_after_faults.rs
@@ -21,20 +21,20 @@
     for m in &NAMES[7..] {
         simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
     }
-    simulation.plans = true;
+    simulation.places_tasks = true;
     let mut account =
         FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let mut ends: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
     let mut waits: BTreeMap<JobId, f64> = BTreeMap::new();
     let (mut longest, mut jobs) = ((0.0, String::new()), 1);
     for step in 0..560 {
-        let (t, now) = (f64::from(step) * STEP, simulation.world.now);
+        let (t, now) = (f64::from(step) * STEP_S, simulation.world.now);
         let trouble = t < 120.0;
         if (trouble || steady) && rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
             jobs += 1;
             let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
             let urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
-            let id = simulation.world.accept(&mut simulation.cluster, jobs, |j| {
+            let id = simulation.world.accept_job(&mut simulation.cluster, jobs, |j| {
                 (j.shape, j.urgency) = (shape, urgency);
                 j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
                 j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -50,41 +50,45 @@
                 (j.checkpoint_s, j.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
             });
             if rng.random_bool(0.15) {
-                simulation.cancel(&id);
+                simulation.cancel_job(&id);
             }
         }
         if trouble && rng.random_bool(0.15) {
             let m = NAMES[rng.random_range(0..10usize)];
             match rng.random_range(0..7) {
                 0 => simulation.outbound_lost.push(m),
-                1 => simulation.hang.push(m),
+                1 => simulation.paused.push(m),
                 2 => simulation.inbound_lost.push(m),
-                3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
+                3 => (simulation.outbound_lost.push(m), simulation.commands_refused.push(m)).0,
                 4 => {
-                    (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
-                        Default::default()
+                    (
+                        simulation.outbound_lost,
+                        simulation.paused,
+                        simulation.inbound_lost,
+                        simulation.commands_refused,
+                    ) = Default::default()
                 }
-                5 => simulation.successor(),
-                _ => simulation.store = !simulation.store,
+                5 => simulation.fail_over(),
+                _ => simulation.store_available = !simulation.store_available,
             }
             // Three machines stay, so that there is anything to wait for.
             for list in [
                 &mut simulation.outbound_lost,
-                &mut simulation.hang,
+                &mut simulation.paused,
                 &mut simulation.inbound_lost,
-                &mut simulation.unreached,
+                &mut simulation.commands_refused,
             ] {
                 list.retain(|m| !["m0", "m1", "m8"].contains(m));
             }
         }
         if !trouble {
-            (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+            (simulation.outbound_lost, simulation.paused, simulation.inbound_lost, simulation.commands_refused) =
                 Default::default();
-            simulation.store = true;
+            simulation.store_available = true;
         }
         // Tasks end, or fail while there are faults.
         for m in NAMES {
-            if simulation.hang.contains(&m) || simulation.world.workers[m].gone {
+            if simulation.paused.contains(&m) || simulation.world.workers[m].terminated {
                 continue;
             }
             for attempt_report in
@@ -93,11 +97,11 @@
                 let run = simulation.world.spec_of(&attempt_report.task.job).estimate_s;
                 let at = ends
                     .entry((attempt_report.task.clone(), attempt_report.attempt))
-                    .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
+                    .or_insert_with(|| now + secs(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { ExitCause::Error } else { ExitCause::Done };
-                    simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
+                    simulation.world.exit_attempt(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
         }
@@ -113,7 +117,7 @@
             waits.retain(|id, _| ids.contains(id));
             for id in ids {
                 let waited = waits.entry(id.clone()).or_default();
-                *waited = if simulation.could_start(&id, Draining::HasNoRoom) { *waited + STEP } else { 0.0 };
+                *waited = if simulation.could_start(&id, DrainingCapacity::Excluded) { *waited + STEP_S } else { 0.0 };
                 if *waited > longest.0 {
                     longest = (
                         *waited,
@@ -141,20 +145,20 @@
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Service, 1, 8.0, 0.0);
     });
-    simulation.world.place(&mut simulation.cluster, "m1");
-    simulation.heartbeats("m1");
-    simulation.plans = true;
-    let gang = simulation.world.accept(&mut simulation.cluster, 2, |j| {
+    simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+    simulation.exchange_heartbeat("m1");
+    simulation.places_tasks = true;
+    let gang = simulation.world.accept_job(&mut simulation.cluster, 2, |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 2, 8.0, 5.0);
     });
     let mut account =
         FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
     let (mut small, mut came) = (None, 0.0);
     for step in 0..400 {
-        let t = f64::from(step) * STEP;
+        let t = f64::from(step) * STEP_S;
         if t == 40.0 {
             simulation.cluster.core_credit.note(1000.0, false, 1.0);
-            small = Some(simulation.world.accept(&mut simulation.cluster, 3, |j| j.estimate_s = 100.0));
+            small = Some(simulation.world.accept_job(&mut simulation.cluster, 3, |j| j.estimate_s = 100.0));
             came = t;
         }
         if step % 4 == 0 {
@@ -165,9 +169,9 @@
             );
         }
         simulation.step();
-        assert_eq!(simulation.live(&gang), []);
+        assert_eq!(simulation.live_tasks(&gang), []);
         if let Some(small) = &small {
-            assert!(!simulation.live(small).is_empty() || t < came + 85.0, "it waits since {} s", t - came);
+            assert!(!simulation.live_tasks(small).is_empty() || t < came + 85.0, "it waits since {} s", t - came);
         }
     }
 }
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -9,7 +9,7 @@
 /// fleet for dead and returned it.
 #[test]
 fn a_fleet_that_falls_silent_together_is_not_given_up() {
-    let s = Duration::from_secs;
+    let secs = Duration::from_secs;
     let names = ["m1", "m2", "m3", "m4", "m5", "m6"];
     let machines: Vec<_> = names.iter().map(|n| (*n, "c8", "a", false)).collect();
     // (name, how many keep reporting, how it is ticked, who is given up after 13 s)
@@ -17,26 +17,26 @@
         [("one of six", 5, false, 1), ("all together", 0, false, 0), ("one, seen after a pause", 5, true, 0)]
     {
         let now = Instant::now();
-        let mut cluster = cluster(&machines, now);
+        let mut cluster = cluster_with(&machines, now);
         for t in 1..=13 {
             for machine in &names[..reporting] {
                 cluster.take_heartbeat(
                     heartbeat(machine, "c8", "a", false, t + 1, vec![]),
                     MessageKind::Heartbeat,
                     None,
-                    now + s(t),
+                    now + secs(t),
                 );
             }
             if paused && t == 13 {
-                cluster.after_pause(ProcessPause { began: now, ended: now + s(13) });
+                cluster.after_pause(ProcessPause { began: now, ended: now + secs(13) });
             }
             if !paused || t == 13 {
-                cluster.tick(now + s(t));
+                cluster.tick(now + secs(t));
             }
         }
         let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
         assert_eq!(terminating, given_up, "{name}");
-        assert_eq!(cluster.lost_most(now + s(13)), reporting == 0, "{name}");
+        assert_eq!(cluster.lost_most(now + secs(13)), reporting == 0, "{name}");
     }
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn inherited_machines_that_fall_silent_together_are_not_given_up() {
     use crate::jobs::record::StoredTask;
-    let s = Duration::from_secs;
+    let secs = Duration::from_secs;
     // (name, how many of six inherited machines report, who is given up after 13, 27 and 51 s)
     for (name, reporting, given_up) in [("one of six", 5, [1, 1, 1]), ("half", 3, [0, 0, 3]), ("all", 0, [0, 0, 6])] {
         let now = Instant::now();
@@ -57,20 +57,20 @@
         cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], now);
         cluster.finish_load(now);
         let lease = cluster.settings.params.workers.lease();
-        assert_eq!(lease, s(24));
+        assert_eq!(lease, secs(24));
         let mut t = 0;
         for (after, want) in [13, 27, 51].into_iter().zip(given_up) {
             while t < after {
                 t += 1;
                 for machine in 0..reporting {
                     let heartbeat = heartbeat(&format!("m{machine}"), "c8", "a", false, t + 1, vec![]);
-                    cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now + s(t));
+                    cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now + secs(t));
                 }
-                cluster.tick(now + s(t));
+                cluster.tick(now + secs(t));
             }
             let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
             assert_eq!(terminating, want, "{name}, after {after} s");
-            assert_eq!(cluster.lost_most(now + s(after)), reporting < 5, "{name}: would hand over");
+            assert_eq!(cluster.lost_most(now + secs(after)), reporting < 5, "{name}: would hand over");
         }
     }
 }
@@ -79,19 +79,21 @@
 /// up, though the cloud listed them as running.
 #[test]
 fn what_the_cloud_lists_as_running_has_come_up() {
-    let s = Duration::from_secs;
+    let secs = Duration::from_secs;
     let now = Instant::now();
     let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
     cluster.loaded = true;
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for name in ["starting", "running"] {
-        cluster.expect(name, &kind, None, s(900), now);
+        cluster.expect(name, &kind, None, secs(900), now);
     }
     cluster.listed_up("running", now);
-    let given_up: Vec<String> =
-        surplus_machines(&cluster, &catalog(), now + s(13)).into_iter().map(|machine| machine.id.to_string()).collect();
+    let given_up: Vec<String> = surplus_machines(&cluster, &catalog(), now + secs(13))
+        .into_iter()
+        .map(|machine| machine.id.to_string())
+        .collect();
     assert_eq!(given_up, ["starting"]);
-    (1..=13).for_each(|t| cluster.tick(now + s(t)));
+    (1..=13).for_each(|t| cluster.tick(now + secs(t)));
     assert_eq!(cluster.machines["running"].state, MachineState::Terminating, "but it is alone in its silence");
 }
 
@@ -99,21 +101,21 @@
 /// not proven gone for too long, since it had not been there to hear of anything.
 #[test]
 fn a_process_pause_returns_nothing() {
-    let s = Duration::from_secs;
+    let secs = Duration::from_secs;
     let now = Instant::now();
-    let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
-    add(&mut cluster, 1, now, |j| j.cpus = 8.0);
+    let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
+    add_job(&mut cluster, 1, now, |j| j.cpus = 8.0);
     let first = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_all(first, now);
     let (_, shards) = cluster.next_writes(10, now);
     cluster.shards_stored(&shards, 1);
     cluster.commands_in_answer("m1", now);
-    let begun = now + s(110);
+    let begun = now + secs(110);
     for machine in ["m1", "m2"] {
         cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, begun);
     }
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), begun);
-    let back = begun + s(30);
+    let back = begun + secs(30);
     // Without being told of the pause: idle for 120 s, and 30 of 49 s since the cancellation.
     assert_eq!(surplus_machines(&cluster, &catalog(), back).len(), 1);
     assert_eq!(cluster.overdue(back).len(), 1);
@@ -122,5 +124,5 @@
     assert!(surplus_machines(&cluster, &catalog(), back).is_empty());
     assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up));
     // Heard of nothing for a few seconds more, the cancelled task is proof enough.
-    assert_eq!(cluster.overdue(back + s(6)).len(), 1);
+    assert_eq!(cluster.overdue(back + secs(6)).len(), 1);
 }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -9,15 +9,15 @@
 use crate::scheduling::capacity::{SLACK, Zones, allowed};
 use crate::scheduling::cluster::DirectCommand;
 
-pub(super) const STEP: f64 = 0.5;
+pub(super) const STEP_S: f64 = 0.5;
 /// Steps from one heartbeat to the next.
-pub(super) const REPORT_STEPS: usize = 6;
+pub(super) const HEARTBEAT_INTERVAL_STEPS: usize = 6;
 
 /// Whether a machine that is drained as a scale-in candidate counts as room, which it is for as long as it is there.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Draining {
-    HasNoRoom,
-    HasRoomIfScaleInCandidate,
+pub(super) enum DrainingCapacity {
+    Excluded,
+    IncludedIfScaleInCandidate,
 }
 
 /// One leader at a time, and who reaches whom.
@@ -28,22 +28,22 @@
     /// Heartbeats of these reach nobody.
     pub(super) outbound_lost: Vec<&'static str>,
     /// No direct command reaches these.
-    pub(super) unreached: Vec<&'static str>,
+    pub(super) commands_refused: Vec<&'static str>,
     /// These are paused: they report nothing, and what is sent to them lies there until they go on.
-    pub(super) hang: Vec<&'static str>,
-    pub(super) lying: Vec<DirectCommand>,
+    pub(super) paused: Vec<&'static str>,
+    pub(super) undelivered_commands: Vec<DirectCommand>,
     /// Their heartbeats arrive; answers and commands to them are lost.
     pub(super) inbound_lost: Vec<&'static str>,
-    pub(super) cloud: bool,
+    pub(super) cloud_available: bool,
     /// The store takes what is to be written.
-    pub(super) store: bool,
+    pub(super) store_available: bool,
     /// The leader decides what is placed.
-    pub(super) plans: bool,
-    pub(super) cancelled: BTreeMap<JobId, Instant>,
+    pub(super) places_tasks: bool,
+    pub(super) cancelled_at: BTreeMap<JobId, Instant>,
     /// Live tasks that leases have ended.
-    pub(super) lost: usize,
+    pub(super) tasks_lost_with_leases: usize,
     /// Machines that were returned.
-    pub(super) returned: Vec<&'static str>,
+    pub(super) terminated: Vec<&'static str>,
 }
 
 impl Simulation {
@@ -53,141 +53,142 @@
         for (m, zone) in machines {
             world.workers.get_mut(m).unwrap().zone = zone;
         }
-        let cluster = world.leader();
+        let cluster = world.elect_leader();
         let mut simulation = Self {
             world,
             cluster,
             steps: 0,
             outbound_lost: Vec::new(),
-            unreached: Vec::new(),
-            hang: Vec::new(),
-            lying: Vec::new(),
+            commands_refused: Vec::new(),
+            paused: Vec::new(),
+            undelivered_commands: Vec::new(),
             inbound_lost: Vec::new(),
-            cloud: true,
-            store: true,
-            plans: false,
-            cancelled: BTreeMap::new(),
-            lost: 0,
-            returned: Vec::new(),
+            cloud_available: true,
+            store_available: true,
+            places_tasks: false,
+            cancelled_at: BTreeMap::new(),
+            tasks_lost_with_leases: 0,
+            terminated: Vec::new(),
         };
         // Everybody has reported, and has heard the leader.
         for _ in 0..2 {
             for m in &names {
-                simulation.heartbeats(m);
+                simulation.exchange_heartbeat(m);
             }
         }
         simulation
     }
 
-    pub(super) fn heartbeats(&mut self, m: &'static str) {
-        let answer = self.world.asks(&mut self.cluster, m);
+    pub(super) fn exchange_heartbeat(&mut self, m: &'static str) {
+        let answer = self.world.send_heartbeat(&mut self.cluster, m);
         if !self.inbound_lost.contains(&m) {
-            self.world.hears(&answer);
+            self.world.receive_answer(&answer);
         }
     }
 
     /// These heartbeat to a deposed leader, and hear its answers.
-    pub(super) fn answered_by(&mut self, deposed: &mut ClusterState, machines: &[&'static str]) {
+    pub(super) fn exchange_heartbeats_with_deposed(&mut self, deposed: &mut ClusterState, machines: &[&'static str]) {
         for m in machines {
-            if !self.world.workers[m].gone {
-                let answer = self.world.asks(deposed, m);
-                self.world.hears(&answer);
+            if !self.world.workers[m].terminated {
+                let answer = self.world.send_heartbeat(deposed, m);
+                self.world.receive_answer(&answer);
             }
         }
     }
 
     pub(super) fn run(&mut self, seconds: f64) {
-        for _ in 0..(seconds / STEP) as usize {
+        for _ in 0..(seconds / STEP_S) as usize {
             self.step();
         }
     }
 
     pub(super) fn step(&mut self) {
-        self.world.now += s(STEP);
+        self.world.now += secs(STEP_S);
         self.steps += 1;
         let (now, lease) = (self.world.now, self.cluster.settings.params.workers.lease());
         let names: Vec<&'static str> = self.world.workers.keys().copied().collect();
         for m in &names {
             let w = self.world.workers.get_mut(m).unwrap();
-            if !w.gone && now - *w.renewed.get_or_insert(now) > lease {
-                self.lost += w.attempts.iter().filter(|l| l.status != AttemptStatus::Exited).count();
-                self.world.lease_ends(m);
+            if !w.terminated && now - *w.lease_renewed_at.get_or_insert(now) > lease {
+                self.tasks_lost_with_leases += w.attempts.iter().filter(|l| l.status != AttemptStatus::Exited).count();
+                self.world.expire_lease(m);
             }
         }
-        let hang = self.hang.clone();
-        let (go_on, lying) = std::mem::take(&mut self.lying).into_iter().partition(|d| !hang.contains(&&*d.machine));
-        self.lying = lying;
+        let hang = self.paused.clone();
+        let (go_on, lying) =
+            std::mem::take(&mut self.undelivered_commands).into_iter().partition(|d| !hang.contains(&&*d.machine));
+        self.undelivered_commands = lying;
         let go_on: Vec<DirectCommand> = go_on;
         for direct in go_on {
             // Whoever sent it has given it up.
-            drop(self.world.arrives(&direct));
+            drop(self.world.deliver_command(&direct));
         }
         for (n, m) in names.iter().enumerate() {
-            let silent = self.world.workers[m].gone || self.outbound_lost.contains(m) || hang.contains(m);
-            if (self.steps + n).is_multiple_of(REPORT_STEPS) && !silent {
-                self.heartbeats(m);
+            let silent = self.world.workers[m].terminated || self.outbound_lost.contains(m) || hang.contains(m);
+            if (self.steps + n).is_multiple_of(HEARTBEAT_INTERVAL_STEPS) && !silent {
+                self.exchange_heartbeat(m);
             }
         }
         for direct in self.cluster.direct_commands(now) {
             let m = &*direct.machine;
-            if self.unreached.contains(&m) {
+            if self.commands_refused.contains(&m) {
                 self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
             } else if hang.contains(&m) || self.inbound_lost.contains(&m) {
                 self.cluster.command_over(&direct.machine, direct.fencing_token, false, now);
                 if hang.contains(&m) {
-                    self.lying.push(direct);
+                    self.undelivered_commands.push(direct);
                 }
-            } else if let Some(reply) = self.world.arrives(&direct) {
-                self.world.replied(&mut self.cluster, &direct, reply);
+            } else if let Some(reply) = self.world.deliver_command(&direct) {
+                self.world.deliver_reply(&mut self.cluster, &direct, reply);
             } else {
                 self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
             }
         }
         self.cluster.tick(now);
-        if self.cloud {
+        if self.cloud_available {
             let out: Vec<&'static str> =
-                names.iter().copied().filter(|m| terminating(&self.cluster).contains(m)).collect();
+                names.iter().copied().filter(|m| terminating_machines(&self.cluster).contains(m)).collect();
             for m in out {
-                self.world.returned(&mut self.cluster, m);
-                self.returned.push(m);
+                self.world.terminate_machine(&mut self.cluster, m);
+                self.terminated.push(m);
             }
         }
-        if self.store {
-            self.world.raise(&mut self.cluster);
+        if self.store_available {
+            self.world.raise_fencing_token_if_wanted(&mut self.cluster);
         }
-        if self.plans && self.cluster.loaded {
+        if self.places_tasks && self.cluster.loaded {
             let decisions = plan::place(&mut self.cluster, &catalog(), now);
             self.cluster.bind_all(decisions, now);
         }
-        if self.store {
-            self.world.store(&mut self.cluster);
+        if self.store_available {
+            self.world.store_all(&mut self.cluster);
         }
         self.check();
     }
 
     /// Another leads: it is told by the cloud's list what there is.
-    pub(super) fn successor(&mut self) {
-        self.cluster = self.world.leader();
-        self.listed();
+    pub(super) fn fail_over(&mut self) {
+        self.cluster = self.world.elect_leader();
+        self.load_machine_list();
     }
 
-    pub(super) fn listed(&mut self) {
-        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
+    pub(super) fn load_machine_list(&mut self) {
+        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.terminated) {
             let kind = MachineKind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
-            self.cluster.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
+            self.cluster.expect(m, &kind, Some("127.0.0.1:9"), secs(900.0), self.world.now);
             self.cluster.listed_up(m, self.world.now);
         }
     }
 
-    pub(super) fn cancel(&mut self, id: &JobId) {
-        self.world.cancel(&mut self.cluster, id);
-        self.cancelled.insert(id.clone(), self.world.now);
+    pub(super) fn cancel_job(&mut self, id: &JobId) {
+        self.world.cancel_job(&mut self.cluster, id);
+        self.cancelled_at.insert(id.clone(), self.world.now);
     }
 
     /// Live tasks of a job, with their machines, hanging ones and such that nobody hears included.
-    pub(super) fn live(&self, id: &JobId) -> Vec<(u32, &'static str)> {
+    pub(super) fn live_tasks(&self, id: &JobId) -> Vec<(u32, &'static str)> {
         let mut live = Vec::new();
-        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
+        for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.terminated) {
             let attempts = w.attempts.iter().filter(|l| l.task.job == *id && l.status != AttemptStatus::Exited);
             live.extend(attempts.map(|l| (l.task.index, *m)));
         }
@@ -195,8 +196,8 @@
         live
     }
 
-    pub(super) fn cores(&self, team: &str) -> f64 {
-        let attempts = self.world.workers.values().filter(|w| !w.gone).flat_map(|w| &w.attempts);
+    pub(super) fn cores_in_use(&self, team: &str) -> f64 {
+        let attempts = self.world.workers.values().filter(|w| !w.terminated).flat_map(|w| &w.attempts);
         let live = attempts.filter(|l| l.status != AttemptStatus::Exited).map(|l| self.world.spec_of(&l.task.job));
         live.filter(|spec| spec.team == team).map(|spec| spec.cpus).sum()
     }
@@ -204,22 +205,22 @@
     /// `quota`, `wrong_place` and `ran_cancelled`; the world checks the others at each start.
     pub(super) fn check(&self) {
         for team in self.world.settings.params.teams.iter().filter(|team| team.cpus_max > 0.0) {
-            let cores = self.cores(&team.name);
+            let cores = self.cores_in_use(&team.name);
             assert!(cores <= team.cpus_max, "{} is above its limit: {cores}", team.name);
         }
         let cancellation_deadline = self.cluster.settings.params.workers.cancellation_deadline();
-        for (id, at) in &self.cancelled {
-            let live = self.live(id);
+        for (id, at) in &self.cancelled_at {
+            let live = self.live_tasks(id);
             let age = self.world.now - *at;
             assert!(
                 live.is_empty() || age <= cancellation_deadline,
                 "{id} is withdrawn since {age:?} and runs: {live:?}"
             );
         }
-        for id in self.world.more.keys().cloned().chain([JOB.into()]) {
+        for id in self.world.other_jobs.keys().cloned().chain([JOB.into()]) {
             let spec = self.world.spec_of(&id);
             let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-            for (_, m) in self.live(&id) {
+            for (_, m) in self.live_tasks(&id) {
                 *zones.entry(self.world.workers[m].zone).or_default() += 1;
             }
             assert!(!spec.same_zone || zones.len() <= 1, "{id} is in several zones: {zones:?}");
@@ -232,18 +233,18 @@
 
 /// What is left of a machine.
 #[derive(Clone, Copy)]
-struct RoomLeft {
+struct FreeCapacity {
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
 }
 
-impl RoomLeft {
+impl FreeCapacity {
     fn fits(self, spec: &JobSpec) -> bool {
         spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
     }
 
-    fn take(&mut self, spec: &JobSpec) {
+    fn subtract(&mut self, spec: &JobSpec) {
         self.cpus -= spec.cpus;
         self.gpus -= spec.gpus;
         self.memory_gb -= spec.memory_gb;
@@ -252,32 +253,32 @@
 
 impl Simulation {
     /// What is left of a machine by what runs on it and what is bound to it. None on a machine that takes no work.
-    fn room_left(&self, m: &str, draining: Draining) -> Option<RoomLeft> {
+    fn free_capacity(&self, m: &str, draining: DrainingCapacity) -> Option<FreeCapacity> {
         let worker = &self.world.workers[m];
         let machine = self.cluster.machines.get(m)?;
         let stays = machine.state == MachineState::Up
-            || (draining == Draining::HasRoomIfScaleInCandidate
+            || (draining == DrainingCapacity::IncludedIfScaleInCandidate
                 && machine.state == MachineState::Draining
                 && machine.scale_in_candidate);
-        if worker.gone || !stays || machine.recall.is_some() {
+        if worker.terminated || !stays || machine.recall.is_some() {
             return None;
         }
         let machine_type = catalog().get(worker.type_name)?.clone();
         let taken = machine.taken();
-        let mut left = RoomLeft {
+        let mut left = FreeCapacity {
             cpus: machine_type.cpus - taken.cpus,
             gpus: machine_type.gpus - taken.gpus,
             memory_gb: machine_type.memory_gb - taken.memory_gb,
         };
         let live = worker.attempts.iter().filter(|report| report.status != AttemptStatus::Exited);
         for stray in live.filter(|report| !machine.bound.contains(&report.task)) {
-            left.take(self.world.spec_of(&stray.task.job));
+            left.subtract(self.world.spec_of(&stray.task.job));
         }
         Some(left)
     }
 
     /// Whether a job could start something now: one task of an array or a service, all of a gang.
-    pub(super) fn could_start(&self, id: &JobId, draining: Draining) -> bool {
+    pub(super) fn could_start(&self, id: &JobId, draining: DrainingCapacity) -> bool {
         let Some(job) = self.cluster.job(id) else { return false };
         let spec = job.spec();
         let gang = spec.is_gang();
@@ -294,9 +295,9 @@
             let mut found = 0;
             for (m, worker) in &self.world.workers {
                 let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
-                let Some(mut left) = self.room_left(m, draining).filter(|_| open) else { continue };
+                let Some(mut left) = self.free_capacity(m, draining).filter(|_| open) else { continue };
                 while found < need && at.allow(worker.zone) && left.fits(spec) {
-                    left.take(spec);
+                    left.subtract(spec);
                     at.take(worker.zone);
                     found += 1;
                 }
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -6,8 +6,8 @@
 #[test]
 fn ends_of_tasks_share_a_change() {
     let now = Instant::now();
-    let mut cluster = many(20, now);
-    add(&mut cluster, 1, now, |j| j.tasks = 150);
+    let mut cluster = cluster_of_c8(20, now);
+    add_job(&mut cluster, 1, now, |j| j.tasks = 150);
     let decisions = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_all(decisions.clone(), now);
     let (_, shards) = cluster.next_writes(10, now);
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -12,57 +12,57 @@
 fn a_successor_adopts_what_runs_and_places_again_only_what_is_proven_gone() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 5);
-    let mut old = world.leader();
+    let mut old = world.elect_leader();
     for m in names {
-        world.turn(&mut old, m);
+        world.exchange_heartbeat(&mut old, m);
     }
     for index in 0..5 {
-        world.place_these(&mut old, &[index], names[index as usize]);
+        world.bind_tasks(&mut old, &[index], names[index as usize]);
     }
     for m in ["m0", "m1", "m3", "m4"] {
-        world.turn(&mut old, m);
+        world.exchange_heartbeat(&mut old, m);
     }
-    let held = world.command(&mut old, "m2").unwrap();
-    assert_eq!(launches(&held.commands), 1);
+    let held = world.next_command_to(&mut old, "m2").unwrap();
+    assert_eq!(count_launches(&held.commands), 1);
     drop(old);
-    let mut cluster = world.leader();
+    let mut cluster = world.elect_leader();
     for t in 0..40 {
-        world.turn(&mut cluster, "m0");
-        world.turn(&mut cluster, "m5");
+        world.exchange_heartbeat(&mut cluster, "m0");
+        world.exchange_heartbeat(&mut cluster, "m5");
         // Heartbeats of the next two come; what they are told is lost.
-        drop(world.asks(&mut cluster, "m1"));
+        drop(world.send_heartbeat(&mut cluster, "m1"));
         if t < 20 {
-            drop(world.asks(&mut cluster, "m2"));
+            drop(world.send_heartbeat(&mut cluster, "m2"));
         }
         if t == 10 {
-            world.lease_ends("m3");
+            world.expire_lease("m3");
         }
         if t != 10 {
-            let answer = world.asks(&mut cluster, "m3");
-            assert_eq!(launches(&answer.orders), 0, "what is inherited is never launched again");
+            let answer = world.send_heartbeat(&mut cluster, "m3");
+            assert_eq!(count_launches(&answer.commands), 0, "what is inherited is never launched again");
         }
         for index in 0..3 {
-            bound(&cluster, index, 1, names[index as usize]);
+            assert_bound(&cluster, index, 1, names[index as usize]);
         }
         let lost_its_lease = [Some(1), None, Some(2)][usize::from(t > 10) + usize::from(t > 11)];
-        assert_eq!(on(&cluster, 3).map(|(attempt, _)| attempt), lost_its_lease, "at step {t}");
-        bound(&cluster, 4, 1, "m4");
-        world.place(&mut cluster, "m5");
-        world.turn(&mut cluster, "m5");
+        assert_eq!(binding_of(&cluster, 3).map(|(attempt, _)| attempt), lost_its_lease, "at step {t}");
+        assert_bound(&cluster, 4, 1, "m4");
+        world.bind_waiting(&mut cluster, "m5");
+        world.exchange_heartbeat(&mut cluster, "m5");
         assert_eq!(cluster.usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
         cluster.tick(world.now);
-        world.now += s(0.1);
+        world.now += secs(0.1);
         if t == 20 {
             // It goes on: the launch of the old leader is carried out, and that is what was stored.
-            drop(world.arrives(&held));
+            drop(world.deliver_command(&held));
         }
     }
     // Twelve seconds without a word: the last is returned, which proves its task gone.
-    assert!(terminating(&cluster).contains(&"m4"));
-    world.returned(&mut cluster, "m4");
-    world.place(&mut cluster, "m5");
-    world.turn(&mut cluster, "m5");
-    bound(&cluster, 4, 2, "m5");
+    assert!(terminating_machines(&cluster).contains(&"m4"));
+    world.terminate_machine(&mut cluster, "m4");
+    world.bind_waiting(&mut cluster, "m5");
+    world.exchange_heartbeat(&mut cluster, "m5");
+    assert_bound(&cluster, 4, 2, "m5");
     assert_eq!(names.map(|m| world.workers[m].attempts.len()), [1, 1, 1, 0, 1, 2]);
 }
 
@@ -74,32 +74,33 @@
         let names = ["m0", "m1", "m2", "m3"];
         let mut world =
             World::new(&names, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 2, 8.0, same_zone));
-        let mut old = world.leader();
+        let mut old = world.elect_leader();
         for m in names {
-            world.turn(&mut old, m);
+            world.exchange_heartbeat(&mut old, m);
         }
-        let places = [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task(i), attempt: 1, machine: m.into() });
+        let places =
+            [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task_key(i), attempt: 1, machine: m.into() });
         old.bind_all(places.into(), world.now);
-        world.store(&mut old);
-        world.turn(&mut old, "m0");
-        world.turn(&mut old, "m1");
+        world.store_all(&mut old);
+        world.exchange_heartbeat(&mut old, "m0");
+        world.exchange_heartbeat(&mut old, "m1");
         drop(old);
-        let mut cluster = world.leader();
-        world.lease_ends("m0");
+        let mut cluster = world.elect_leader();
+        world.expire_lease("m0");
         for step in 0..6 {
             for m in ["m0", "m2", "m3"] {
-                world.turn(&mut cluster, m);
+                world.exchange_heartbeat(&mut cluster, m);
             }
-            world.store(&mut cluster);
-            assert_eq!(on(&cluster, 0).is_none(), step > 0, "gone once its worker knows the successor");
-            bound(&cluster, 1, 1, "m1");
-            assert_eq!(placed(&mut cluster, world.now), [], "at step {step}, in one zone: {same_zone}");
+            world.store_all(&mut cluster);
+            assert_eq!(binding_of(&cluster, 0).is_none(), step > 0, "gone once its worker knows the successor");
+            assert_bound(&cluster, 1, 1, "m1");
+            assert_eq!(plan_placements(&mut cluster, world.now), [], "at step {step}, in one zone: {same_zone}");
         }
         // Reached again, it is stopped: part of an attempt is of no use.
-        world.turn(&mut cluster, "m1");
-        assert!(!world.workers["m1"].live(&task(1)));
-        world.turn(&mut cluster, "m1");
-        assert_eq!(placed(&mut cluster, world.now).len(), 2);
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert!(!world.workers["m1"].has_live_attempt(&task_key(1)));
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert_eq!(plan_placements(&mut cluster, world.now).len(), 2);
     }
 }
 
@@ -119,10 +120,10 @@
         cluster.finish_load(now);
         cluster.take_heartbeat(heartbeat("m2", "c8", "a", false, 1, vec![]), MessageKind::Heartbeat, None, now);
         cluster.take_heartbeat(heartbeat("m3", "c8", "b", false, 1, vec![]), MessageKind::Heartbeat, None, now);
-        assert_eq!(placed(&mut cluster, now), [], "m1 in {zone} is not heard of");
+        assert_eq!(plan_placements(&mut cluster, now), [], "m1 in {zone} is not heard of");
         let attempts = (0..2)
             .map(|i| AttemptReport {
-                task: task(i),
+                task: task_key(i),
                 attempt: 1,
                 status: AttemptStatus::Running,
                 cause: None,
@@ -130,6 +131,6 @@
             })
             .collect();
         cluster.take_heartbeat(heartbeat("m1", "c8", zone, false, 1, attempts), MessageKind::Heartbeat, None, now);
-        assert_eq!(placed(&mut cluster, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
+        assert_eq!(plan_placements(&mut cluster, now), [(2, other.into()), (3, other.into())], "m1 is in {zone}");
     }
 }
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -20,37 +20,39 @@
             let mut simulation =
                 Simulation::new(&machines, |j| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0));
             for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-                simulation.world.place_these(&mut simulation.cluster, indices, m);
-                simulation.heartbeats(m);
-                simulation.heartbeats(m);
+                simulation.world.bind_tasks(&mut simulation.cluster, indices, m);
+                simulation.exchange_heartbeat(m);
+                simulation.exchange_heartbeat(m);
             }
             let next = |j: &mut JobSpec| (j.tasks, j.cpus, j.team, j.estimate_s) = (5, 4.0, "red".into(), 600.0);
-            let next = simulation.world.accept(&mut simulation.cluster, 2, next);
-            (simulation.plans, simulation.cloud) = (true, cloud);
+            let next = simulation.world.accept_job(&mut simulation.cluster, 2, next);
+            (simulation.places_tasks, simulation.cloud_available) = (true, cloud);
             simulation.run(3.0);
-            assert_eq!((simulation.cores("red"), simulation.live(&next).len()), (20.0, 0), "{name}");
-            (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec!["m1"], vec!["m2"], vec!["m2"]);
+            assert_eq!((simulation.cores_in_use("red"), simulation.live_tasks(&next).len()), (20.0, 0), "{name}");
+            (simulation.paused, simulation.outbound_lost, simulation.commands_refused) =
+                (vec!["m1"], vec!["m2"], vec!["m2"]);
             let mut most = 0;
             for step in 0..160 {
-                let t = f64::from(step) * STEP;
+                let t = f64::from(step) * STEP_S;
                 if changes.contains(&t) {
-                    simulation.successor();
+                    simulation.fail_over();
                 }
                 if t == cancelled_at {
-                    simulation.cancel(&JOB.into());
+                    simulation.cancel_job(&JOB.into());
                 }
                 if t == back_at {
-                    (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec![], vec![], vec![]);
+                    (simulation.paused, simulation.outbound_lost, simulation.commands_refused) =
+                        (vec![], vec![], vec![]);
                 }
                 simulation.step();
                 assert!(simulation.cluster.usage["red"].cpus <= 20.0, "{name}: at {t}");
-                most = most.max(simulation.live(&next).len());
+                most = most.max(simulation.live_tasks(&next).len());
                 // Only the well one's task is proven gone while the others can't be asked.
                 if t < cancelled_at + 18.0 && t < back_at && t < 11.0 {
                     assert!(most <= 1, "{name}: at {t} s {most} of the next run");
                 }
             }
-            assert_eq!(simulation.live(&next).len(), 5, "{name}: the room is used");
+            assert_eq!(simulation.live_tasks(&next).len(), 5, "{name}: the room is used");
         }
     }
 }
@@ -63,31 +65,31 @@
         (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into());
     });
     for (indices, m) in [([0, 1].as_slice(), "m1"), (&[2, 3], "m2"), (&[4], "m3")] {
-        simulation.world.place_these(&mut simulation.cluster, indices, m);
-        simulation.heartbeats(m);
+        simulation.world.bind_tasks(&mut simulation.cluster, indices, m);
+        simulation.exchange_heartbeat(m);
     }
-    simulation.cancel(&JOB.into());
-    simulation.cluster = simulation.world.assigned();
+    simulation.cancel_job(&JOB.into());
+    simulation.cluster = simulation.world.elect_unloaded_leader();
     let next =
-        simulation.world.accept(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
-    simulation.plans = true;
-    (simulation.outbound_lost, simulation.unreached) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
-    simulation.listed();
+        simulation.world.accept_job(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.team) = (5, 4.0, "red".into()));
+    simulation.places_tasks = true;
+    (simulation.outbound_lost, simulation.commands_refused) = (vec!["m1", "m2", "m3"], vec!["m1", "m2", "m3"]);
+    simulation.load_machine_list();
     // Heartbeats come before everything is read, and are answered with nothing to start.
     for m in ["m1", "m2", "m3", "m4", "m5"] {
-        let answer = simulation.world.asks(&mut simulation.cluster, m);
-        assert!(answer.orders.is_empty());
+        let answer = simulation.world.send_heartbeat(&mut simulation.cluster, m);
+        assert!(answer.commands.is_empty());
     }
-    assert_eq!(placed(&mut simulation.cluster, simulation.world.now), [], "not read yet");
-    simulation.world.load(&mut simulation.cluster);
+    assert_eq!(plan_placements(&mut simulation.cluster, simulation.world.now), [], "not read yet");
+    simulation.world.load_stored_jobs(&mut simulation.cluster);
     assert_eq!(simulation.cluster.usage["red"].cpus, 20.0);
     for _ in 0..20 {
         simulation.step();
-        assert_eq!(simulation.live(&next), [], "all count that nobody has proven gone");
+        assert_eq!(simulation.live_tasks(&next), [], "all count that nobody has proven gone");
     }
-    (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
+    (simulation.outbound_lost, simulation.commands_refused) = (vec![], vec![]);
     simulation.run(20.0);
-    assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&next).len()), (0, 5));
+    assert_eq!((simulation.live_tasks(&JOB.into()).len(), simulation.live_tasks(&next).len()), (0, 5));
 }
 
 /// Both teams are at their limits on machines that are well, hang, are cut off, or are cut off with a deposed leader
@@ -115,46 +117,47 @@
             {
                 team.cpus_max = 20.0;
             }
-            let blue = simulation.world.accept(&mut simulation.cluster, 2, full("blue"));
-            simulation.plans = true;
+            let blue = simulation.world.accept_job(&mut simulation.cluster, 2, full("blue"));
+            simulation.places_tasks = true;
             simulation.run(6.0);
             let (red, mut cancelled) = (JobId::from(JOB), false);
             let next = [(3, "red"), (4, "blue")]
-                .map(|(n, team)| simulation.world.accept(&mut simulation.cluster, n, full(team)));
-            assert_eq!((simulation.cores("red"), simulation.cores("blue")), (20.0, 20.0), "{name}");
-            let mut used: Vec<&'static str> = simulation.live(&red).into_iter().map(|(_, m)| m).collect();
-            used.extend(simulation.live(&blue).into_iter().map(|(_, m)| m));
+                .map(|(n, team)| simulation.world.accept_job(&mut simulation.cluster, n, full(team)));
+            assert_eq!((simulation.cores_in_use("red"), simulation.cores_in_use("blue")), (20.0, 20.0), "{name}");
+            let mut used: Vec<&'static str> = simulation.live_tasks(&red).into_iter().map(|(_, m)| m).collect();
+            used.extend(simulation.live_tasks(&blue).into_iter().map(|(_, m)| m));
             used.sort_unstable();
             used.dedup();
             assert_eq!(used.len(), 5, "{name}: two tasks on each");
-            simulation.hang = vec![used[0]];
-            (simulation.outbound_lost, simulation.unreached) = (used[1..4].to_vec(), used[1..4].to_vec());
+            simulation.paused = vec![used[0]];
+            (simulation.outbound_lost, simulation.commands_refused) = (used[1..4].to_vec(), used[1..4].to_vec());
             let held_by_deposed = &used[2..4];
-            let successor = simulation.world.leader();
+            let successor = simulation.world.elect_leader();
             let mut deposed = std::mem::replace(&mut simulation.cluster, successor);
-            simulation.listed();
+            simulation.load_machine_list();
             for step in 0..200 {
-                let t = f64::from(step) * STEP;
+                let t = f64::from(step) * STEP_S;
                 if changes.contains(&t) {
-                    simulation.successor();
+                    simulation.fail_over();
                 }
                 if t == cancelled_at {
                     cancelled = true;
-                    simulation.cancel(&red);
-                    simulation.cancel(&blue);
+                    simulation.cancel_job(&red);
+                    simulation.cancel_job(&blue);
                 }
                 if t == back_at {
-                    (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec![], vec![], vec![]);
+                    (simulation.paused, simulation.outbound_lost, simulation.commands_refused) =
+                        (vec![], vec![], vec![]);
                 }
-                if t < back_at && step % REPORT_STEPS as i32 == 0 {
-                    simulation.answered_by(&mut deposed, held_by_deposed);
+                if t < back_at && step % HEARTBEAT_INTERVAL_STEPS as i32 == 0 {
+                    simulation.exchange_heartbeats_with_deposed(&mut deposed, held_by_deposed);
                 }
                 simulation.step();
                 let counted = |team: &str| simulation.cluster.usage.get(team).map_or(0.0, |used| used.cpus);
                 assert!(counted("red") <= 20.0 && counted("blue") <= 20.0, "{name}: at {t} s");
             }
             assert!(cancelled, "{name}");
-            assert_eq!(next.map(|id| simulation.live(&id).len()), [5, 5], "{name}: the room is used");
+            assert_eq!(next.map(|id| simulation.live_tasks(&id).len()), [5, 5], "{name}: the room is used");
         }
     }
 }
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -14,7 +14,7 @@
 
 /// A leader that comes now and cannot read the first job's shard.
 fn leader_with_unreadable(world: &mut World) -> ClusterState {
-    let mut cluster = world.assigned();
+    let mut cluster = world.elect_unloaded_leader();
     let (version, _) = world.shard.clone().unwrap();
     cluster.add_job(world.record.clone(), world.now);
     cluster.load_unreadable_shard(&JOB.into(), 0, version, world.now);
@@ -24,7 +24,7 @@
 fn successor_cannot_read(simulation: &mut Simulation) {
     simulation.cluster = leader_with_unreadable(&mut simulation.world);
     simulation.cluster.finish_load(simulation.world.now);
-    simulation.listed();
+    simulation.load_machine_list();
 }
 
 fn attempts(cluster: &ClusterState) -> Vec<u64> {
@@ -71,7 +71,7 @@
         world.shard = Some((5, vec![StoredTask::Untouched; 2]));
         let mut cluster = leader_with_unreadable(&mut world);
         let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-        cluster.expect("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
+        cluster.expect("m1", &kind, Some("127.0.0.1:9"), secs(900.0), world.now);
         cluster.finish_load(world.now);
         if let Some((below, attempts)) = heard {
             let fencing_token = cluster.first_fencing_token - below;
@@ -81,7 +81,7 @@
         if returned {
             cluster.machine_gone(&"m1".into(), world.now);
         }
-        let now = world.now + s(after_s);
+        let now = world.now + secs(after_s);
         cluster.tick(now);
         let job = cluster.job(&JOB.into()).unwrap();
         assert_eq!((cluster.is_suspended(&JOB.into()), now < job.not_before), (rests, rests), "{name}");
@@ -102,7 +102,7 @@
     type Trouble = fn(&mut Simulation);
     let faults: [(&str, Trouble); 4] = [
         ("none", |_| ()),
-        ("its machine is paused", |simulation| simulation.hang = vec!["m1"]),
+        ("its machine is paused", |simulation| simulation.paused = vec!["m1"]),
         ("its reports are lost", |simulation| simulation.outbound_lost = vec!["m1"]),
         ("it hears nothing", |simulation| simulation.inbound_lost = vec!["m1"]),
     ];
@@ -112,23 +112,23 @@
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| {
                 (j.shape, j.tasks, j.estimate_s) = (shape, tasks, 900.0);
             });
-            simulation.world.place(&mut simulation.cluster, "m1");
-            simulation.heartbeats("m1");
-            simulation.heartbeats("m1");
-            assert_eq!(simulation.live(&JOB.into()).len() as u64, tasks, "{name}");
+            simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+            simulation.exchange_heartbeat("m1");
+            simulation.exchange_heartbeat("m1");
+            assert_eq!(simulation.live_tasks(&JOB.into()).len() as u64, tasks, "{name}");
             trouble(&mut simulation);
-            simulation.plans = true;
+            simulation.places_tasks = true;
             successor_cannot_read(&mut simulation);
             simulation.run(15.0);
             // A second one reads the same, since nothing was stored over it.
             assert!(simulation.cluster.is_suspended(&JOB.into()), "{name}");
             successor_cannot_read(&mut simulation);
             simulation.run(PAST_THE_REST);
-            assert_eq!(simulation.live(&JOB.into()).len() as u64, tasks, "{name}: it runs again");
+            assert_eq!(simulation.live_tasks(&JOB.into()).len() as u64, tasks, "{name}: it runs again");
             let all = attempts(&simulation.cluster);
             assert!(all.iter().all(|attempt| *attempt > HIDDEN_ATTEMPTS), "{name}: {all:?}");
             // And once more: what may have been given out meanwhile is not given out again.
-            simulation.hang.clear();
+            simulation.paused.clear();
             simulation.outbound_lost.clear();
             simulation.inbound_lost.clear();
             successor_cannot_read(&mut simulation);
@@ -148,7 +148,7 @@
     cluster.finish_load(world.now);
     let team = world.record.spec.team.clone();
     assert_eq!(cluster.usage[&team], TeamUsage { cpus: 6.0, gpus: 0.0 });
-    cluster.tick(world.now + s(PAST_THE_REST));
+    cluster.tick(world.now + secs(PAST_THE_REST));
     assert_eq!(cluster.usage[&team], TeamUsage::default());
 }
 
@@ -156,14 +156,14 @@
 #[test]
 fn a_hidden_task_that_is_reported_done_is_done() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.estimate_s) = (2, 900.0));
-    simulation.world.place(&mut simulation.cluster, "m1");
-    simulation.heartbeats("m1");
-    simulation.heartbeats("m1");
-    simulation.world.exits("m1", 0, 1, ExitCause::Done);
-    simulation.plans = true;
+    simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+    simulation.exchange_heartbeat("m1");
+    simulation.exchange_heartbeat("m1");
+    simulation.world.exit_task("m1", 0, 1, ExitCause::Done);
+    simulation.places_tasks = true;
     successor_cannot_read(&mut simulation);
     simulation.run(PAST_THE_REST);
-    assert_eq!(simulation.live(&JOB.into()).iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
+    assert_eq!(simulation.live_tasks(&JOB.into()).iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
     assert_eq!(simulation.cluster.job(&JOB.into()).unwrap().done, 1);
 }
 
@@ -180,7 +180,7 @@
             let mut cluster = leader_with_unreadable(&mut world);
             world.version = world.shard.as_ref().unwrap().0;
             cluster.finish_load(world.now);
-            cluster.tick(world.now + s(PAST_THE_REST));
+            cluster.tick(world.now + secs(PAST_THE_REST));
             cluster.take_heartbeat(
                 heartbeat("m1", "c8", "a", false, 1, vec![]),
                 MessageKind::Heartbeat,
@@ -188,7 +188,7 @@
                 world.now,
             );
             // Every change of the store is a start of this task.
-            world.place(&mut cluster, "m1");
+            world.bind_waiting(&mut cluster, "m1");
             let attempt = attempts(&cluster)[0];
             assert!(attempt > last.max(HIDDEN_ATTEMPTS), "{name}, round {round}: {attempt} after {last}");
             last = attempt;
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{Draining, STEP, Simulation};
+use super::simulation::{DrainingCapacity, STEP_S, Simulation};
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
@@ -45,7 +45,7 @@
         for m in &NAMES[7..] {
             simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
         }
-        simulation.plans = true;
+        simulation.places_tasks = true;
         let account = FairShareAccounting::new(
             &simulation.cluster.settings,
             &simulation.cluster.properties,
@@ -71,7 +71,7 @@
         let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
         let urgencies = [Urgency::Prod, Urgency::High, Urgency::Normal, Urgency::Idle, Urgency::Idle];
         let urgency = urgencies[rng.random_range(0..urgencies.len())];
-        let id = self.simulation.world.accept(&mut self.simulation.cluster, self.jobs, |j| {
+        let id = self.simulation.world.accept_job(&mut self.simulation.cluster, self.jobs, |j| {
             (j.shape, j.urgency) = (shape, urgency);
             j.class = ["c", "d", "e"][rng.random_range(0..3usize)].into();
             j.team = if rng.random_bool(0.3) { "red".into() } else { "blue".into() };
@@ -86,7 +86,7 @@
             (j.checkpoint_s, j.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
         });
         if rng.random_bool(0.15) {
-            self.simulation.cancel(&id);
+            self.simulation.cancel_job(&id);
         }
     }
 
@@ -95,21 +95,21 @@
         let simulation = &mut self.simulation;
         match self.rng.random_range(0..7) {
             0 => simulation.outbound_lost.push(m),
-            1 => simulation.hang.push(m),
+            1 => simulation.paused.push(m),
             2 => simulation.inbound_lost.push(m),
-            3 => (simulation.outbound_lost.push(m), simulation.unreached.push(m)).0,
+            3 => (simulation.outbound_lost.push(m), simulation.commands_refused.push(m)).0,
             4 => {
-                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                (simulation.outbound_lost, simulation.paused, simulation.inbound_lost, simulation.commands_refused) =
                     Default::default()
             }
-            5 => simulation.successor(),
-            _ => simulation.store = !simulation.store,
+            5 => simulation.fail_over(),
+            _ => simulation.store_available = !simulation.store_available,
         }
         for list in [
             &mut simulation.outbound_lost,
-            &mut simulation.hang,
+            &mut simulation.paused,
             &mut simulation.inbound_lost,
-            &mut simulation.unreached,
+            &mut simulation.commands_refused,
         ] {
             list.retain(|m| !SOUND.contains(m));
         }
@@ -118,8 +118,8 @@
     /// Tasks end, or fail while there are faults.
     fn tasks_end(&mut self, trouble: bool) {
         let now = self.simulation.world.now;
-        for m in NAMES.into_iter().filter(|m| !self.simulation.hang.contains(m)) {
-            if self.simulation.world.workers[m].gone {
+        for m in NAMES.into_iter().filter(|m| !self.simulation.paused.contains(m)) {
+            if self.simulation.world.workers[m].terminated {
                 continue;
             }
             for attempt_report in
@@ -130,11 +130,11 @@
                 let at = self
                     .ends
                     .entry((attempt_report.task.clone(), attempt_report.attempt))
-                    .or_insert_with(|| now + s(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
+                    .or_insert_with(|| now + secs(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
                 let fails = trouble && rng.random_bool(0.01);
                 if *at <= now || fails {
                     let cause = if fails { ExitCause::Error } else { ExitCause::Done };
-                    self.simulation.world.exits_of(m, &attempt_report.task, attempt_report.attempt, cause);
+                    self.simulation.world.exit_attempt(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
             }
         }
@@ -172,9 +172,10 @@
         let ids: Vec<JobId> = self.simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
         self.waits.retain(|id, _| ids.contains(id));
         for id in ids {
-            let waits = self.counts(&id) && self.simulation.could_start(&id, Draining::HasRoomIfScaleInCandidate);
+            let waits =
+                self.counts(&id) && self.simulation.could_start(&id, DrainingCapacity::IncludedIfScaleInCandidate);
             let waited = self.waits.entry(id.clone()).or_default();
-            *waited = if waits { *waited + STEP } else { 0.0 };
+            *waited = if waits { *waited + STEP_S } else { 0.0 };
             if *waited > self.longest.0 {
                 let job = self.simulation.cluster.job(&id);
                 let (bound, spec) = (job.map(|j| j.bound.len()), job.map(|j| j.spec()));
@@ -185,8 +186,8 @@
 
     /// The longest wait beside room once the faults are over, in seconds, and whose it was.
     fn simulate(mut self) -> (f64, String) {
-        for step in 0..(END_S / STEP) as u32 {
-            let t = f64::from(step) * STEP;
+        for step in 0..(END_S / STEP_S) as u32 {
+            let t = f64::from(step) * STEP_S;
             let trouble = t < FAULTS_S;
             if (trouble || self.steady) && self.rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
                 self.submit();
@@ -196,9 +197,9 @@
             }
             if !trouble {
                 let simulation = &mut self.simulation;
-                (simulation.outbound_lost, simulation.hang, simulation.inbound_lost, simulation.unreached) =
+                (simulation.outbound_lost, simulation.paused, simulation.inbound_lost, simulation.commands_refused) =
                     Default::default();
-                simulation.store = true;
+                simulation.store_available = true;
             }
             self.tasks_end(trouble);
             self.decide(step);
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -102,7 +102,7 @@
 fn one_that_waits_keeps_back_only_what_was_stored_since() {
     let now = Instant::now();
     let mut cluster = successor(None, now);
-    add(&mut cluster, 2, now, |_| ());
+    add_job(&mut cluster, 2, now, |_| ());
     cluster.end_job(&"run-000002".into(), Some(End::Cancelled), now);
     cluster.holds_ends(Some(65));
     assert_eq!(cluster.watermark(), 65, "nothing of it was ever started");
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -28,43 +28,43 @@
                 change(j);
             });
             // Room for it in one zone alone, at first.
-            let full = simulation.world.accept(&mut simulation.cluster, 2, |j| {
+            let full = simulation.world.accept_job(&mut simulation.cluster, 2, |j| {
                 (j.tasks, j.cpus, j.zone, j.shape, j.estimate_s) = (4, 8.0, Some("b".into()), Shape::Service, 0.0);
             });
             let scattered = simulation.world.record.spec.spread;
-            simulation.plans = true;
+            simulation.places_tasks = true;
             if scattered {
-                simulation.cancel(&full);
+                simulation.cancel_job(&full);
             }
             simulation.run(6.0);
-            assert_eq!(simulation.live(&JOB.into()).len(), 4, "{name}");
+            assert_eq!(simulation.live_tasks(&JOB.into()).len(), 4, "{name}");
             if !scattered {
-                simulation.cancel(&full);
+                simulation.cancel_job(&full);
             }
             simulation.run(4.0);
             let lost = ["m1", "m2"];
             match trouble {
-                "hang" => simulation.hang = lost.into(),
-                "cut" => (simulation.outbound_lost, simulation.unreached) = (lost.into(), lost.into()),
+                "hang" => simulation.paused = lost.into(),
+                "cut" => (simulation.outbound_lost, simulation.commands_refused) = (lost.into(), lost.into()),
                 _ => lost.iter().for_each(|m| {
                     // Died, and nobody has told the leader.
                     simulation.world.workers.get_mut(m).unwrap().attempts.clear();
-                    simulation.hang = lost.into();
+                    simulation.paused = lost.into();
                 }),
             }
             if successor {
-                simulation.cluster = simulation.world.leader();
+                simulation.cluster = simulation.world.elect_leader();
                 if listed {
-                    simulation.listed();
+                    simulation.load_machine_list();
                 }
             }
             // One of its tasks that are well ends up stopped, and waits again: so something is to be placed meanwhile.
             simulation.run(4.0);
-            if let Some((index, _)) = simulation.live(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
-                simulation.cluster.halt(&task(index), 0, simulation.world.now);
+            if let Some((index, _)) = simulation.live_tasks(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
+                simulation.cluster.halt(&task_key(index), 0, simulation.world.now);
             }
             simulation.run(80.0);
-            let live = simulation.live(&JOB.into());
+            let live = simulation.live_tasks(&JOB.into());
             assert_eq!(live.len(), left, "{name}: {live:?}");
         }
     }
@@ -79,18 +79,22 @@
         let mut simulation = Simulation::new(&[("m1", zone), ("m2", "a")], |j| {
             (j.tasks, j.same_zone, j.spread, j.estimate_s) = (4, !scattered, scattered, 600.0);
         });
-        simulation.world.place_these(&mut simulation.cluster, &[0, 1], "m1");
-        simulation.heartbeats("m1");
-        assert_eq!(simulation.live(&JOB.into()).len(), 2);
-        (simulation.outbound_lost, simulation.unreached) = (vec!["m1"], vec!["m1"]);
-        simulation.cluster = simulation.world.leader();
-        simulation.heartbeats("m2");
-        simulation.heartbeats("m2");
-        simulation.plans = true;
+        simulation.world.bind_tasks(&mut simulation.cluster, &[0, 1], "m1");
+        simulation.exchange_heartbeat("m1");
+        assert_eq!(simulation.live_tasks(&JOB.into()).len(), 2);
+        (simulation.outbound_lost, simulation.commands_refused) = (vec!["m1"], vec!["m1"]);
+        simulation.cluster = simulation.world.elect_leader();
+        simulation.exchange_heartbeat("m2");
+        simulation.exchange_heartbeat("m2");
+        simulation.places_tasks = true;
         simulation.run(4.0);
-        assert_eq!(simulation.live(&JOB.into()).len(), 2, "zone {zone}, scattered {scattered}: nothing is known yet");
-        simulation.listed();
+        assert_eq!(
+            simulation.live_tasks(&JOB.into()).len(),
+            2,
+            "zone {zone}, scattered {scattered}: nothing is known yet"
+        );
+        simulation.load_machine_list();
         simulation.run(4.0);
-        assert_eq!(simulation.live(&JOB.into()).len(), 2 + want, "zone {zone}, scattered {scattered}");
+        assert_eq!(simulation.live_tasks(&JOB.into()).len(), 2 + want, "zone {zone}, scattered {scattered}");
     }
 }
