--- a/src/scheduling/fairness/floor.rs
+++ b/src/scheduling/fairness/floor.rs
@@ -1,18 +1,19 @@
-//! The floor: which classes and teams go first because they were served less than a stated part of what they were
-//! promised or have offered, and the credit by which late work gets a part of the cores all the same.
+//! The served floor: the classes and teams that are prioritized because less than a configured share of what they were
+//! promised, or are entitled to by their offered work, was served; and the credit by which late work still receives a
+//! share of the cores.
 //!
-//! If all are served enough, nobody is below the floor and nothing is late, and the order is that of the paper: by
-//! return.
+//! When no class or team is below the floor and no job is late, jobs are ordered by return alone, as in the LibraSLA
+//! paper.
 
 use std::collections::HashSet;
 
 use super::Subject;
 use crate::jobs::JobSpec;
 
-/// Credit for late work is kept up to this many cores, or to what the next of it needs.
-const LEAST_CAP: f64 = 64.0;
+/// Minimum of the limit on credit for late work; a late job that needs more cores raises the limit to its need.
+const MIN_CREDIT_LIMIT_CORES: f64 = 64.0;
 
-/// Some classes and teams.
+/// Set of classes and teams.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClassTeamSet {
     classes: HashSet<String>,
@@ -20,56 +21,57 @@
 }
 
 impl ClassTeamSet {
-    /// The classes and teams among these names.
+    /// Creates a set of the classes and teams among these names; the largest gangs of a class are left out.
     pub fn from_subjects<'a>(names: impl Iterator<Item = (Subject, &'a str)>) -> Self {
-        let mut of = Self::default();
-        for (whose, name) in names {
-            match whose {
-                Subject::Class => of.classes.insert(name.to_owned()),
-                Subject::Team => of.teams.insert(name.to_owned()),
+        let mut set = Self::default();
+        for (subject, name) in names {
+            match subject {
+                Subject::Class => set.classes.insert(name.to_owned()),
+                Subject::Team => set.teams.insert(name.to_owned()),
                 Subject::Largest => false,
             };
         }
-        of
+        set
     }
 
-    /// All that either names.
+    /// Adds all classes and teams of another set.
     pub fn extend(&mut self, other: Self) {
         self.classes.extend(other.classes);
         self.teams.extend(other.teams);
     }
 
-    /// Whether the job's class or team is among them.
+    /// Returns whether the job's class or team is in the set.
     pub fn contains_job(&self, spec: &JobSpec) -> bool {
         self.classes.contains(&spec.class) || self.teams.contains(&spec.team)
     }
 }
 
-/// Of whom less than the floor was served lately, and who of them goes first.
+/// Classes and teams whose recent service is below the floor.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Underserved {
-    /// Those below the floor.
+    /// All classes and teams below the floor.
     pub below_floor: ClassTeamSet,
-    /// Those of them that go first.
+    /// Those of them whose jobs are placed first.
     pub prioritized: ClassTeamSet,
 }
 
-/// Where a waiting job stands, before its return is asked. The lesser one goes first.
+/// Rank of a waiting job in the queue, compared before its return. The lowest rank is placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// Below the floor, and something that was promised can still be kept. Within it by return: by
-    /// the earliest promise, each would be started just too late (docs/fairness.md).
+    /// The job's class or team is below the floor and prioritized, and at least one promise can still be kept. Jobs of
+    /// this rank are ordered by return: ordered by their earliest promise, each would be started just too late
+    /// (docs/fairness.md).
     BelowFloor,
-    /// By return alone, as the paper has it.
+    /// Ordered by return alone, as in the LibraSLA paper.
     ByReturn,
-    /// Idle work, by return: what would be stopped for others is not started before them.
+    /// Work of urgency `idle`, ordered by return: it would be preempted for other work, so it isn't started before it.
     Idle,
 }
 
 impl Rank {
-    /// What is too late for all that was promised is not put before what can be in time.
-    pub fn of(below: bool, too_late: bool, idle: bool) -> Self {
-        match (idle, below && !too_late) {
+    /// Determines a job's rank. A job too late for all of its promises isn't placed before jobs that can be in time.
+    pub fn of(prioritized: bool, too_late: bool, idle: bool) -> Self {
+        match (idle, prioritized && !too_late) {
             (true, _) => Self::Idle,
             (false, true) => Self::BelowFloor,
             (false, false) => Self::ByReturn,
@@ -77,30 +79,30 @@
     }
 }
 
-/// Late work earns a part of what other work is given, in cores, and goes first as far as that
-/// reaches: behind what can be in time, but not for ever.
+/// Credit of late work, in cores. Late work earns a share of the cores that other work is given and is placed first as
+/// far as its credit reaches, so that it waits behind work that can be in time, but does not starve.
 #[derive(Debug, Clone, Default)]
 pub struct CoreCredit {
-    credit: f64,
+    cores: f64,
 }
 
 impl CoreCredit {
-    /// Cores that late work may take before others.
+    /// Cores that late work may take before other work.
     pub fn cores(&self) -> f64 {
-        self.credit
+        self.cores
     }
 
-    /// What placements of this many cores change: late ones spend, others earn.
-    pub fn record_placement(&mut self, cores: f64, late: bool, part: f64) {
+    /// Records a placement of `cores`: late work spends them, other work earns `earned_share` of them.
+    pub fn record_placement(&mut self, cores: f64, late: bool, earned_share: f64) {
         if late {
-            self.credit = (self.credit - cores).max(0.0);
+            self.cores = (self.cores - cores).max(0.0);
         } else {
-            self.credit += cores * part;
+            self.cores += cores * earned_share;
         }
     }
 
-    /// `needs`: the cores of the oldest late job; none where nothing is late, which earns nothing.
-    pub fn cap(&mut self, needs: Option<f64>) {
-        self.credit = needs.map_or(0.0, |needs| self.credit.min(needs.max(LEAST_CAP)));
+    /// Limits the credit by the cores that the oldest late job needs; without a late job the credit is dropped.
+    pub fn cap(&mut self, needed_cores: Option<f64>) {
+        self.cores = needed_cores.map_or(0.0, |needed| self.cores.min(needed.max(MIN_CREDIT_LIMIT_CORES)));
     }
 }
--- a/src/scheduling/fairness/tally.rs
+++ b/src/scheduling/fairness/tally.rs
@@ -1,13 +1,14 @@
-//! Counts of what was seen of each class and team, in slices of the window.
+//! Counts of submissions, ends and promises per class and team, in slices of the sliding window.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-/// Names of classes, and of teams, kept apart in one part; users name classes as they like.
-pub(super) const MOST_NAMES: usize = 256;
+/// Allowance of a slice for tallies of classes, and the same again for teams; bounded because users choose class names
+/// freely.
+pub(super) const MAX_NAMES_PER_SLICE: usize = 256;
 
-/// How often a promise was kept and missed.
+/// Weights of the kept and the missed promises of one objective.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PromiseCounts {
     /// Weight of the promises that were kept.
@@ -17,7 +18,8 @@
 }
 
 impl PromiseCounts {
-    pub(super) fn note(&mut self, kept: bool, weight: f64) {
+    /// Adds one promise of this weight.
+    pub(super) fn record(&mut self, kept: bool, weight: f64) {
         if kept {
             self.kept += weight;
         } else {
@@ -31,25 +33,26 @@
     }
 }
 
-/// What was seen of one class or team.
+/// Counts of one class or team.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tally {
-    /// Jobs that were submitted.
+    /// Jobs submitted.
     pub offered: u64,
-    /// Jobs that were done.
+    /// Jobs completed.
     pub done: u64,
-    /// Cancelled by their users.
+    /// Jobs cancelled by their users.
     pub cancelled: u64,
     /// Starts whose task was lost before it was done.
     pub lost_starts: u64,
-    /// Open, and past all that was promised of them.
+    /// Open jobs that have missed all their promises.
     pub overdue: u64,
-    /// By the number of the objective.
+    /// Promise counts by the number of the objective.
     pub(super) promises: BTreeMap<u16, PromiseCounts>,
 }
 
 impl Tally {
-    pub(super) fn promise(&mut self, at: u16) -> &mut PromiseCounts {
+    /// Returns the counts of the objective with the number `at`, created if missing.
+    pub(super) fn promise_counts_mut(&mut self, at: u16) -> &mut PromiseCounts {
         self.promises.entry(at).or_default()
     }
 
@@ -59,34 +62,36 @@
         self.cancelled += other.cancelled;
         self.lost_starts += other.lost_starts;
         self.overdue += other.overdue;
-        for (at, kept) in &other.promises {
-            self.promise(*at).add(*kept);
+        for (at, counts) in &other.promises {
+            self.promise_counts_mut(*at).add(*counts);
         }
     }
 }
 
-/// What a name stands for.
+/// Kind of subject that service is accounted for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Subject {
     /// A class of jobs.
     Class,
     /// A team.
     Team,
-    /// The largest gangs of a class: told, and given their floor by `scheduling::large`.
+    /// The largest gangs of a class. They are only reported here; `scheduling::large` guarantees their starts.
     Largest,
 }
 
+/// Tallies of one slice of the sliding window.
 #[derive(Debug, Clone, Default)]
 pub(super) struct WindowSlice {
+    /// Number of the slice, counted from the origin of the accounting.
     pub(super) number: u64,
     pub(super) tallies: HashMap<(Subject, String), Tally>,
 }
 
 impl WindowSlice {
-    /// One name too many is not kept apart.
-    pub(super) fn tally(&mut self, whose: Subject, name: &str) -> Option<&mut Tally> {
-        let key = (whose, name.to_owned());
-        if !self.tallies.contains_key(&key) && self.tallies.len() >= MOST_NAMES * 2 {
+    /// Returns the tally of the subject, created if missing; none if the slice already holds the most tallies allowed.
+    pub(super) fn tally_mut(&mut self, subject: Subject, name: &str) -> Option<&mut Tally> {
+        let key = (subject, name.to_owned());
+        if !self.tallies.contains_key(&key) && self.tallies.len() >= MAX_NAMES_PER_SLICE * 2 {
             return None;
         }
         Some(self.tallies.entry(key).or_default())
--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -1,4 +1,5 @@
-//! Who goes ahead when asked, on the cluster state itself in counted time: what it gives, and what it leaves to others.
+//! Tests of the intent that prioritizes classes and teams (`Ahead`), on the cluster state in simulated time: what the
+//! prioritized work gains, and what is left to other work.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +13,21 @@
     Intents { ahead: Some(Ahead { names, most_part }), ..Intents::default() }
 }
 
-/// How long the jobs of a class waited until all of a gang, or the first of an array, had places; and the
-/// largest gangs of them.
+/// Seconds that the jobs of a class waited until none of their tasks was waiting any more.
 struct Waits {
+    /// Waits of all jobs.
     all: Vec<u32>,
+    /// Waits of the gangs of five tasks.
     largest: Vec<u32>,
 }
 
-/// A class in ordinary numbers, a fifth of it gangs of five tasks, a quarter of all cores, in the flood of another one.
-fn hot_day(asked: Option<f64>, hot: &str, flood: &str, seed: u64) -> (World, Waits) {
+/// Simulates the class `hot` at its usual rate during a flood of another class. A fifth of its jobs are gangs of five
+/// tasks, which need a quarter of all cores. With `most_part` the class is prioritized up to this share of the cores.
+fn simulate_hot_class(most_part: Option<f64>, hot: &str, flood: &str, seed: u64) -> (World, Waits) {
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::new(10, Properties { served_window: s(120.0), ..Properties::default() });
-    if let Some(part) = asked {
+    if let Some(part) = most_part {
         world.cluster.set_intents(ahead_intents(&[hot], part));
     }
     let mut waiting: BTreeMap<JobId, (u32, bool)> = BTreeMap::new();
@@ -43,17 +46,17 @@
             if rng.random_ratio(1, 10) {
                 let largest = rng.random_ratio(1, 5);
                 world.submit(hot, 4.0, if largest { 5 } else { 1 });
-                waiting.insert(format!("run-{:06}", world.jobs).as_str().into(), (t, largest));
+                waiting.insert(format!("run-{:06}", world.job_count).as_str().into(), (t, largest));
             }
         }
         world.step(|_| true);
-        waiting.retain(|id, (came, largest)| {
-            let waits_still = world.cluster.job(id).is_some_and(|job| !job.waiting.is_empty());
-            if !waits_still {
-                waits.all.push(t - *came);
-                waits.largest.extend(largest.then_some(t - *came));
+        waiting.retain(|id, (submitted, largest)| {
+            let still_waiting = world.cluster.job(id).is_some_and(|job| !job.waiting.is_empty());
+            if !still_waiting {
+                waits.all.push(t - *submitted);
+                waits.largest.extend(largest.then_some(t - *submitted));
             }
-            waits_still
+            still_waiting
         });
     }
     (world, waits)
@@ -63,24 +66,26 @@
     waits.iter().sum::<u32>() as f64 / waits.len().max(1) as f64
 }
 
-/// What the intent is for: work that is asked to go ahead starts sooner in a flood, the largest of it too, and
-/// those who flood lose no more than that. Fails where the order, or what is held, does not know of it.
+/// Prioritized work starts sooner in a flood of another class, its largest gangs included, and the flooding class loses
+/// no more than that; no job is left open. Fails if either the order of the queue or the reservations ignore the intent.
 #[test]
-fn what_goes_ahead_starts_sooner_the_largest_too() {
+fn prioritized_class_and_its_largest_gangs_start_sooner_in_a_flood() {
     for (hot, flood) in [("big", "small"), ("small", "big")] {
         let (mut off, mut on) = (Waits { all: vec![], largest: vec![] }, Waits { all: vec![], largest: vec![] });
         let (mut served_off, mut served_on) = (0.0, 0.0);
         for seed in 0..6 {
-            for (asked, waits, served) in [(None, &mut off, &mut served_off), (Some(0.5), &mut on, &mut served_on)] {
-                let (world, more) = hot_day(asked, hot, flood, seed);
-                assert_eq!(world.cluster.job_count(), 0, "and nothing is left undone");
-                waits.all.extend(more.all);
-                waits.largest.extend(more.largest);
-                *served += world.part(flood) / 6.0;
+            for (most_part, waits, served) in [(None, &mut off, &mut served_off), (Some(0.5), &mut on, &mut served_on)]
+            {
+                let (world, seed_waits) = simulate_hot_class(most_part, hot, flood, seed);
+                assert_eq!(world.cluster.job_count(), 0, "no job may be left open");
+                waits.all.extend(seed_waits.all);
+                waits.largest.extend(seed_waits.largest);
+                *served += world.in_time_share(flood) / 6.0;
             }
         }
         let figures = format!(
-            "{hot}: mean {:.1} -> {:.1}, longest {} -> {}, largest {:.1} -> {:.1}; {flood} in time {served_off:.2} -> {served_on:.2}",
+            "{hot}: mean wait {:.1} -> {:.1} s, longest {} -> {} s, largest gangs {:.1} -> {:.1} s; \
+             {flood} in time {served_off:.2} -> {served_on:.2}",
             mean(&off.all),
             mean(&on.all),
             off.all.iter().max().unwrap(),
@@ -97,29 +102,29 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever goes ahead, and however much of it comes: the other class keeps its floor.
+    /// However much of the prioritized class arrives, the other class stays above its floor.
     #[test]
-    fn others_keep_their_floor_while_somebody_goes_ahead(
+    fn other_class_stays_above_its_floor_while_a_class_is_prioritized(
         seed in any::<u64>(), which in 0..2usize, times in 3..7u32, gang in 1..3u64, most_part in 0.1..0.9f64,
     ) {
         let classes = ["small", "big"];
         let hot = ahead_intents(&[classes[which]], most_part);
-        let world = flooded_with(classes[which], times, gang, 0.75, seed, hot);
+        let world = simulate_flood_with(classes[which], times, gang, 0.75, seed, hot);
         let served = |class| {
-            let (part, n) = world.part_of(class, 0, 300);
-            ((part / 0.9).min(1.0), n as f64)
+            let (share, n) = world.in_time_share_between(class, 0, 300);
+            ((share / 0.9).min(1.0), n as f64)
         };
         let ((flood, flooding), (other, n)) = (served(classes[which]), served(classes[1 - which]));
         let all = (other * n + flood * flooding) / (n + flooding).max(1.0);
         prop_assert!(n < 10.0 || other >= 0.75 * all, "{}: {other} of {n}, all {all}", classes[1 - which]);
-        prop_assert_eq!(world.cluster.job_count(), 0, "and nothing is left undone");
+        prop_assert_eq!(world.cluster.job_count(), 0, "no job may be left open");
     }
 }
 
-/// PROTOCOL, "Preemption": who may be stopped for whom is as it was. Nobody of the same urgency is.
+/// PROTOCOL, "Preemption": the intent changes nothing about which work may be preempted; work of the same urgency is not.
 #[test]
-fn nobody_of_the_same_urgency_is_stopped() {
-    for (running, asks, want) in [
+fn prioritized_work_preempts_only_idle_work() {
+    for (running, prioritized, want) in [
         (Urgency::Normal, true, 0),
         (Urgency::Normal, false, 0),
         (Urgency::High, true, 0),
@@ -138,11 +143,11 @@
         let mut hot = job(2, "hot", "blue");
         hot.cpus = 8.0;
         cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
-        if asks {
+        if prioritized {
             cluster.set_intents(ahead_intents(&["hot"], 0.9));
         }
         preempt::preempt(&mut cluster, &catalog(), now);
-        let stopped = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
-        assert_eq!(usize::from(stopped), want, "{running:?}, asked {asks}");
+        let preempted = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
+        assert_eq!(usize::from(preempted), want, "{running:?}, prioritized {prioritized}");
     }
 }
