--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -1,4 +1,4 @@
-//! Placement and the cluster state by cases: what the cases share.
+//! Tests of placement and of the cluster state. This module holds the helpers that they share.
 
 mod cancellations;
 mod completions_across_takeovers;
@@ -53,14 +53,17 @@
 use crate::settings::Properties;
 use crate::settings::tests::example;
 
+/// A machine type that is offered in zones `a` and `b`.
 fn two_zone_type(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType { zones: vec!["a".into(), "b".into()], ..machine_type(name, cpus, gpus, price) }
 }
 
+/// The catalog of all scheduling tests: `c8` with 8 CPUs, and `g2` with 8 CPUs and 2 GPUs at four times the price.
 fn catalog() -> Catalog {
     Catalog { types: vec![two_zone_type("c8", 8.0, 0.0, 1.0), two_zone_type("g2", 8.0, 2.0, 4.0)] }
 }
 
+/// A heartbeat of a worker in its first agent epoch that has seen fencing token 7.
 fn heartbeat(
     machine: &str,
     type_name: &str,
@@ -83,7 +86,7 @@
     }
 }
 
-/// A cluster state with these machines up, as (name, type, zone, spot).
+/// A loaded cluster state with these machines up, each given as (name, type, zone, spot).
 fn cluster_with(machines: &[(&str, &str, &str, bool)], now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
@@ -93,6 +96,7 @@
     cluster
 }
 
+/// Adds job `run-<n>`, which `change` adjusts.
 fn add_job(cluster: &mut ClusterState, n: u32, now: Instant, change: impl FnOnce(&mut JobSpec)) {
     let mut job = spec();
     job.id = format!("run-{n:06}").into();
@@ -100,6 +104,7 @@
     cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), now);
 }
 
+/// Plans placements without binding them, and returns them as (task index, machine), sorted.
 fn plan_placements(cluster: &mut ClusterState, now: Instant) -> Vec<(u32, String)> {
     let mut placed: Vec<(u32, String)> =
         plan::place(cluster, &catalog(), now).into_iter().map(|p| (p.task.index, p.machine.to_string())).collect();
@@ -107,6 +112,7 @@
     placed
 }
 
+/// A loaded cluster state with `n` on-demand `c8` machines in zone `a`, named `m0000` and so on.
 fn cluster_of_c8(n: usize, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -1,5 +1,5 @@
-//! What simulations of fixed steps with the cluster state share: a store that keeps what it was given, and workers that
-//! do as the protocol says and check the rules at every start.
+//! Shared model for the tests that drive the cluster state in fixed steps: an in-memory store, and workers that follow
+//! the worker protocol and assert the scheduling rules whenever a task starts.
 
 use super::*;
 use crate::jobs::record::StoredTask;
@@ -11,16 +11,20 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, HashSet};
 
+/// The id of the first job, which every `World` has.
 pub(super) const JOB: &str = "run-000001";
 
+/// Converts seconds to a `Duration`.
 pub(super) fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
+/// Returns the key of a task of the first job.
 pub(super) fn task_key(index: u32) -> TaskKey {
     TaskKey { job: JOB.into(), index }
 }
 
+/// A worker with the state that its agent would hold.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) type_name: &'static str,
@@ -29,28 +33,32 @@
     pub(super) seq: u64,
     pub(super) fencing_token: u64,
     pub(super) attempts: Vec<AttemptReport>,
+    /// Tasks and attempts that were reaped in this agent epoch.
     pub(super) reaped: HashSet<(TaskKey, u64)>,
     pub(super) terminated: bool,
-    /// When the heartbeat was sent that was answered last, or its agent epoch began.
+    /// When the last answered heartbeat was sent, or when the agent epoch began if that is later.
     pub(super) lease_renewed_at: Option<Instant>,
 }
 
 impl Worker {
+    /// Whether an attempt of the task has not exited on this worker.
     pub(super) fn has_live_attempt(&self, task: &TaskKey) -> bool {
-        !self.terminated && self.attempts.iter().any(|l| l.task == *task && l.status != AttemptStatus::Exited)
+        !self.terminated
+            && self.attempts.iter().any(|report| report.task == *task && report.status != AttemptStatus::Exited)
     }
 }
 
-/// An answer that is on its way.
+/// An answer to a heartbeat that is in transit.
 pub(super) struct Answer {
     pub(super) machine: &'static str,
     pub(super) agent_epoch: u64,
     pub(super) fencing_token: u64,
     pub(super) commands: Vec<WorkerCommand>,
-    sent: Instant,
+    /// When the answered heartbeat was sent.
+    heartbeat_sent_at: Instant,
 }
 
-/// What the store holds of a job beside the first.
+/// What the store holds of a job other than the first.
 pub(super) struct StoredJob {
     record: Arc<JobRecord>,
     shard: Option<(u64, Vec<StoredTask>)>,
@@ -58,27 +66,30 @@
     ended_at: Option<Instant>,
 }
 
+/// The store and the workers, under a simulated clock.
 pub(super) struct World {
     pub(super) now: Instant,
+    /// The store's revision.
     pub(super) version: u64,
     pub(super) record: Arc<JobRecord>,
-    /// What the store holds of the job: its one shard, and its end.
+    /// What the store holds of the first job besides its record: its one shard, and its end.
     pub(super) shard: Option<(u64, Vec<StoredTask>)>,
     pub(super) ended: Option<End>,
-    /// When, as successors are told; their own beginning where nobody says.
+    /// When the first job ended, as told to new leaders. `None` stands for the time at which the leader loads it.
     ended_at: Option<Instant>,
-    /// Tasks that were done on a worker.
+    /// Tasks that have exited as done on a worker.
     pub(super) completed: HashSet<TaskKey>,
-    /// Of these, whose exit went with a lease or a machine; started again they exit as done at once.
+    /// Completed tasks whose exit report was lost with a lease or a machine. Started again, they exit as done at once.
     done_reports_lost: HashSet<TaskKey>,
     pub(super) workers: BTreeMap<&'static str, Worker>,
-    /// Further jobs.
+    /// All jobs but the first.
     pub(super) other_jobs: BTreeMap<JobId, StoredJob>,
-    /// What every leader is given.
+    /// The settings of every new leader.
     pub(super) settings: Settings,
 }
 
 impl World {
+    /// A world with one `c8` worker in zone `a` for each name, and the first job, which `change` adjusts.
     pub(super) fn new(machines: &[&'static str], change: impl FnOnce(&mut JobSpec)) -> Self {
         let mut job = spec();
         job.id = JOB.into();
@@ -90,7 +101,7 @@
         Self {
             now: Instant::now() + secs(3600.0),
             version: 10,
-            // Never any age by the time of day.
+            // In the future, so that the job has no age by the time of day.
             record: Arc::new(JobRecord { spec: job, at_ms: u64::MAX }),
             shard: None,
             ended: None,
@@ -103,7 +114,7 @@
         }
     }
 
-    /// One more job, accepted: of one shard.
+    /// Accepts one more job, which has a single shard, and adds it to the cluster state.
     pub(super) fn accept_job(
         &mut self,
         cluster: &mut ClusterState,
@@ -119,44 +130,45 @@
         id
     }
 
-    /// Its user cancels it: stored, and told to the leader.
+    /// Cancels a job for its user: stores its end and reports it to the leader.
     pub(super) fn cancel_job(&mut self, cluster: &mut ClusterState, id: &JobId) {
         match self.other_jobs.get_mut(id) {
-            Some(kept) => (kept.ended, kept.ended_at) = (Some(End::Cancelled), Some(self.now)),
+            Some(job) => (job.ended, job.ended_at) = (Some(End::Cancelled), Some(self.now)),
             None => (self.ended, self.ended_at) = (Some(End::Cancelled), Some(self.now)),
         }
         cluster.end_job(id, Some(End::Cancelled), self.now);
     }
 
     fn has_ended(&self, id: &JobId) -> bool {
-        self.other_jobs.get(id).map_or(self.ended, |kept| kept.ended).is_some()
+        self.other_jobs.get(id).map_or(self.ended, |job| job.ended).is_some()
     }
 
     fn shard_mut(&mut self, id: &JobId) -> &mut Option<(u64, Vec<StoredTask>)> {
         match self.other_jobs.get_mut(id) {
-            Some(kept) => &mut kept.shard,
+            Some(job) => &mut job.shard,
             None => &mut self.shard,
         }
     }
 
-    /// A new leader, with a fencing token above all before, that has read what is stored. It may be a process that led
-    /// before: nothing but what is stored goes from one cluster state to the next.
+    /// Returns the cluster state of a new leader, which has a higher fencing token than all before it and has loaded
+    /// the store. It may be a controller that led before: nothing but the store connects two cluster states.
     pub(super) fn elect_leader(&mut self) -> ClusterState {
         let mut cluster = self.elect_unloaded_leader();
         self.load_stored_jobs(&mut cluster);
         cluster
     }
 
-    /// The same before it has read anything.
+    /// Returns the cluster state of a new leader that has not loaded the store yet.
     pub(super) fn elect_unloaded_leader(&mut self) -> ClusterState {
         self.version += 10;
         ClusterState::new(self.version, self.settings.clone(), Properties::default(), self.now)
     }
 
+    /// Loads all open jobs, and those ended jobs that still have a shard, into a new cluster state.
     pub(super) fn load_stored_jobs(&self, cluster: &mut ClusterState) {
         let first = (&self.record, &self.shard, self.ended, self.ended_at);
-        let more = self.other_jobs.values().map(|k| (&k.record, &k.shard, k.ended, k.ended_at));
-        for (record, shard, ended, ended_at) in std::iter::once(first).chain(more) {
+        let others = self.other_jobs.values().map(|job| (&job.record, &job.shard, job.ended, job.ended_at));
+        for (record, shard, ended, ended_at) in std::iter::once(first).chain(others) {
             let shards: Vec<_> = shard.iter().map(|(version, tasks)| (0, *version, tasks.clone())).collect();
             if ended.is_none() || !shards.is_empty() {
                 cluster.load_job(record.clone(), shards, self.now);
@@ -169,78 +181,84 @@
     }
 
     pub(super) fn spec_of(&self, id: &JobId) -> &JobSpec {
-        &self.other_jobs.get(id).map_or(&self.record, |kept| &kept.record).spec
+        &self.other_jobs.get(id).map_or(&self.record, |job| &job.record).spec
     }
 
-    pub(super) fn next_heartbeat(&mut self, m: &str) -> Heartbeat {
-        let w = self.workers.get_mut(m).unwrap();
-        w.seq += 1;
+    /// Returns the next heartbeat of a worker, with all of its attempts.
+    pub(super) fn next_heartbeat(&mut self, machine: &str) -> Heartbeat {
+        let worker = self.workers.get_mut(machine).unwrap();
+        worker.seq += 1;
         Heartbeat {
-            agent_epoch: w.agent_epoch,
-            fencing_token: w.fencing_token,
-            ..heartbeat(m, w.type_name, w.zone, false, w.seq, w.attempts.clone())
+            agent_epoch: worker.agent_epoch,
+            fencing_token: worker.fencing_token,
+            ..heartbeat(machine, worker.type_name, worker.zone, false, worker.seq, worker.attempts.clone())
         }
     }
 
-    /// A heartbeat reaches the leader, and its answer is on its way.
-    pub(super) fn send_heartbeat(&mut self, cluster: &mut ClusterState, m: &'static str) -> Answer {
-        let heartbeat = self.next_heartbeat(m);
+    /// Delivers a worker's heartbeat to the leader and returns the answer, which is in transit.
+    pub(super) fn send_heartbeat(&mut self, cluster: &mut ClusterState, machine: &'static str) -> Answer {
+        let heartbeat = self.next_heartbeat(machine);
         let agent_epoch = heartbeat.agent_epoch;
         cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, self.now);
         Answer {
-            machine: m,
+            machine,
             agent_epoch,
             fencing_token: cluster.fencing_token,
-            commands: cluster.commands_in_answer(m, self.now),
-            sent: self.now,
+            commands: cluster.commands_in_answer(machine, self.now),
+            heartbeat_sent_at: self.now,
         }
     }
 
-    /// The worker hears an answer; within 4 s, that is.
+    /// Delivers an answer to its worker. Callers do so within 4 s, after which a worker discards an answer.
     pub(super) fn receive_answer(&mut self, answer: &Answer) {
-        let w = self.workers.get_mut(answer.machine).unwrap();
-        if !w.terminated && w.agent_epoch == answer.agent_epoch && answer.fencing_token >= w.fencing_token {
-            w.fencing_token = answer.fencing_token;
-            w.lease_renewed_at = Some(answer.sent);
+        let worker = self.workers.get_mut(answer.machine).unwrap();
+        if !worker.terminated
+            && worker.agent_epoch == answer.agent_epoch
+            && answer.fencing_token >= worker.fencing_token
+        {
+            worker.fencing_token = answer.fencing_token;
+            worker.lease_renewed_at = Some(answer.heartbeat_sent_at);
             self.execute(answer.machine, &answer.commands);
         }
     }
 
-    /// A heartbeat with a prompt answer.
-    pub(super) fn exchange_heartbeat(&mut self, cluster: &mut ClusterState, m: &'static str) {
-        let answer = self.send_heartbeat(cluster, m);
+    /// Sends a heartbeat, delivers its answer at once, and advances the clock by half a second.
+    pub(super) fn exchange_heartbeat(&mut self, cluster: &mut ClusterState, machine: &'static str) {
+        let answer = self.send_heartbeat(cluster, machine);
         self.receive_answer(&answer);
         self.now += secs(0.5);
     }
 
-    /// A direct command arrives, be it minutes late; the reply.
+    /// Delivers a direct command, which may be minutes late, and returns the worker's reply.
     pub(super) fn deliver_command(&mut self, direct: &DirectCommand) -> Option<Heartbeat> {
-        let (&m, w) = self.workers.iter_mut().find(|(m, _)| ***m == *direct.machine).unwrap();
-        if w.terminated {
+        let (&machine, worker) = self.workers.iter_mut().find(|(id, _)| ***id == *direct.machine).unwrap();
+        if worker.terminated {
             return None;
         }
-        if direct.fencing_token >= w.fencing_token && direct.agent_epoch == w.agent_epoch {
-            w.fencing_token = direct.fencing_token;
-            self.execute(m, &direct.commands);
+        if direct.fencing_token >= worker.fencing_token && direct.agent_epoch == worker.agent_epoch {
+            worker.fencing_token = direct.fencing_token;
+            self.execute(machine, &direct.commands);
         }
-        Some(self.next_heartbeat(m))
+        Some(self.next_heartbeat(machine))
     }
 
+    /// Delivers the reply to a direct command to the leader.
     pub(super) fn deliver_reply(&mut self, cluster: &mut ClusterState, direct: &DirectCommand, reply: Heartbeat) {
         cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
         cluster.take_heartbeat(reply, MessageKind::CommandReply, None, self.now);
     }
 
+    /// Lets a direct command time out at the leader after 2.5 s. It may still arrive later.
     pub(super) fn time_out_command(&mut self, cluster: &mut ClusterState, direct: &DirectCommand) {
         self.now += secs(2.5);
         cluster.command_over(&direct.machine, direct.fencing_token, false, self.now);
     }
 
-    /// The command that is due to this machine. All others are refused a connection.
-    pub(super) fn next_command_to(&mut self, cluster: &mut ClusterState, m: &str) -> Option<DirectCommand> {
+    /// Returns the direct command that is due for this machine. The connections for all others are refused.
+    pub(super) fn next_command_to(&mut self, cluster: &mut ClusterState, machine: &str) -> Option<DirectCommand> {
         let mut found = None;
         for direct in cluster.direct_commands(self.now) {
-            if *direct.machine == *m {
+            if *direct.machine == *machine {
                 found = Some(direct);
             } else {
                 cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
@@ -249,19 +267,22 @@
         found
     }
 
-    pub(super) fn execute(&mut self, m: &'static str, orders: &[WorkerCommand]) {
-        for order in orders {
-            match order {
-                WorkerCommand::Launch { task, attempt } => self.launch(m, task, *attempt),
-                WorkerCommand::Halt { task, attempt, .. } => self.exit_attempt(m, task, *attempt, ExitCause::Stopped),
+    /// Executes commands on a worker. A task that is done may be reaped only after its end was stored.
+    pub(super) fn execute(&mut self, machine: &'static str, commands: &[WorkerCommand]) {
+        for command in commands {
+            match command {
+                WorkerCommand::Launch { task, attempt } => self.launch(machine, task, *attempt),
+                WorkerCommand::Halt { task, attempt, .. } => {
+                    self.exit_attempt(machine, task, *attempt, ExitCause::Stopped)
+                }
                 WorkerCommand::Reap { task, attempt } => {
-                    let w = self.workers.get_mut(m).unwrap();
-                    let exited = |l: &AttemptReport| {
-                        l.task == *task && l.attempt == *attempt && l.status == AttemptStatus::Exited
+                    let worker = self.workers.get_mut(machine).unwrap();
+                    let exited = |report: &AttemptReport| {
+                        report.task == *task && report.attempt == *attempt && report.status == AttemptStatus::Exited
                     };
-                    let Some(at) = w.attempts.iter().position(exited) else { continue };
-                    let attempt_report = w.attempts.remove(at);
-                    w.reaped.insert((task.clone(), *attempt));
+                    let Some(at) = worker.attempts.iter().position(exited) else { continue };
+                    let attempt_report = worker.attempts.remove(at);
+                    worker.reaped.insert((task.clone(), *attempt));
                     let shard = self.shard_mut(&task.job).as_ref();
                     let stored = shard.is_some_and(|(_, t)| t[task.index as usize] == StoredTask::Done);
                     let lost = attempt_report.cause == Some(ExitCause::Done) && !stored && !self.has_ended(&task.job);
@@ -271,33 +292,39 @@
         }
     }
 
-    /// The rules, at a start.
-    pub(super) fn launch(&mut self, m: &'static str, task: &TaskKey, attempt: u64) {
-        if self.workers[m].attempts.iter().any(|l| l.task == *task && l.attempt == attempt) {
+    /// Starts a task on a worker and asserts the rules for a start: no other attempt of it is live, this attempt was
+    /// not reaped, the task is not known to be done, and its job has not ended.
+    pub(super) fn launch(&mut self, machine: &'static str, task: &TaskKey, attempt: u64) {
+        if self.workers[machine].attempts.iter().any(|report| report.task == *task && report.attempt == attempt) {
             return;
         }
-        if let Some((other, _)) = self.workers.iter().find(|(_, w)| w.has_live_attempt(task)) {
-            panic!("ran twice: {task:?} starts on {m} and is on {other}");
+        if let Some((other, _)) = self.workers.iter().find(|(_, worker)| worker.has_live_attempt(task)) {
+            panic!("{task:?} runs twice: it starts on {machine} and is live on {other}");
         }
-        let again = self.workers[m].reaped.contains(&(task.clone(), attempt));
-        assert!(!again, "{task:?} starts again after its reap");
+        let reaped = self.workers[machine].reaped.contains(&(task.clone(), attempt));
+        assert!(!reaped, "{task:?} starts again after it was reaped");
         let stored = |(_, tasks): &(u64, Vec<StoredTask>)| tasks[task.index as usize] == StoredTask::Done;
-        let known = self.shard_mut(&task.job).as_ref().is_some_and(stored);
-        let again = self.completed.contains(task);
-        assert!(!again || (self.done_reports_lost.contains(task) && !known), "{task:?} runs again though it was done");
-        assert!(!self.has_ended(&task.job), "{task:?} starts though its job is over");
+        let stored_done = self.shard_mut(&task.job).as_ref().is_some_and(stored);
+        let completed = self.completed.contains(task);
+        assert!(
+            !completed || (self.done_reports_lost.contains(task) && !stored_done),
+            "{task:?} starts again after it was done"
+        );
+        assert!(!self.has_ended(&task.job), "{task:?} starts after its job has ended");
         let (status, cause) =
-            if again { (AttemptStatus::Exited, Some(ExitCause::Done)) } else { (AttemptStatus::Running, None) };
+            if completed { (AttemptStatus::Exited, Some(ExitCause::Done)) } else { (AttemptStatus::Running, None) };
         let attempt_report = AttemptReport { task: task.clone(), attempt, status, cause, saved: None };
-        self.workers.get_mut(m).unwrap().attempts.push(attempt_report);
+        self.workers.get_mut(machine).unwrap().attempts.push(attempt_report);
     }
 
-    pub(super) fn exit_task(&mut self, m: &str, index: u32, attempt: u64, cause: ExitCause) {
-        self.exit_attempt(m, &task_key(index), attempt, cause);
+    /// Ends an attempt of the first job on a worker.
+    pub(super) fn exit_task(&mut self, machine: &str, index: u32, attempt: u64, cause: ExitCause) {
+        self.exit_attempt(machine, &task_key(index), attempt, cause);
     }
 
-    pub(super) fn exit_attempt(&mut self, m: &str, key: &TaskKey, attempt: u64, cause: ExitCause) {
-        for attempt_report in &mut self.workers.get_mut(m).unwrap().attempts {
+    /// Ends an attempt on a worker unless it has exited already.
+    pub(super) fn exit_attempt(&mut self, machine: &str, key: &TaskKey, attempt: u64, cause: ExitCause) {
+        for attempt_report in &mut self.workers.get_mut(machine).unwrap().attempts {
             if attempt_report.task == *key
                 && attempt_report.attempt == attempt
                 && attempt_report.status != AttemptStatus::Exited
@@ -310,48 +337,54 @@
         }
     }
 
-    fn lose_done_reports(&mut self, m: &str) {
-        let done = self.workers[m].attempts.iter().filter(|l| l.cause == Some(ExitCause::Done));
-        self.done_reports_lost.extend(done.map(|l| l.task.clone()));
+    /// Notes the tasks that were done on a worker whose reports are about to be lost.
+    fn lose_done_reports(&mut self, machine: &str) {
+        let done = self.workers[machine].attempts.iter().filter(|report| report.cause == Some(ExitCause::Done));
+        self.done_reports_lost.extend(done.map(|report| report.task.clone()));
     }
 
-    pub(super) fn expire_lease(&mut self, m: &str) {
-        self.lose_done_reports(m);
-        let w = self.workers.get_mut(m).unwrap();
-        w.agent_epoch += 1;
-        w.attempts.clear();
-        w.reaped.clear();
-        w.lease_renewed_at = Some(self.now);
+    /// Expires a worker's lease: its tasks are killed and its next agent epoch begins.
+    pub(super) fn expire_lease(&mut self, machine: &str) {
+        self.lose_done_reports(machine);
+        let worker = self.workers.get_mut(machine).unwrap();
+        worker.agent_epoch += 1;
+        worker.attempts.clear();
+        worker.reaped.clear();
+        worker.lease_renewed_at = Some(self.now);
     }
 
-    /// What waits is bound to this machine, and all that is to be stored is.
-    pub(super) fn bind_waiting(&mut self, cluster: &mut ClusterState, m: &str) {
+    /// Binds all waiting tasks of the first job to this machine, and stores everything that is due.
+    pub(super) fn bind_waiting(&mut self, cluster: &mut ClusterState, machine: &str) {
         let job = cluster.job(&JOB.into());
         let waiting: Vec<u32> = job.map(|j| j.waiting.iter().copied().collect()).unwrap_or_default();
-        self.bind_tasks(cluster, &waiting, m);
+        self.bind_tasks(cluster, &waiting, machine);
     }
 
-    pub(super) fn bind_tasks(&mut self, cluster: &mut ClusterState, indices: &[u32], m: &str) {
+    /// Binds these tasks of the first job to this machine, and stores everything that is due.
+    pub(super) fn bind_tasks(&mut self, cluster: &mut ClusterState, indices: &[u32], machine: &str) {
         let Some(job) = cluster.job(&JOB.into()) else { return };
         let gang = job.spec().is_gang();
         let last = job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0);
         let attempt = |i: u32| if gang { last } else { job.tasks[i as usize].attempt } + 1;
-        let placements =
-            indices.iter().map(|i| Placement { task: task_key(*i), attempt: attempt(*i), machine: m.into() }).collect();
+        let placements = indices
+            .iter()
+            .map(|i| Placement { task: task_key(*i), attempt: attempt(*i), machine: machine.into() })
+            .collect();
         if !job.complete() {
             cluster.bind_all(placements, self.now);
         }
         self.store_all(cluster);
     }
 
-    /// Everything that is to be stored is, on the conditions that the leader's commits have. Not done too early.
+    /// Stores everything that is due, under the conditions of the leader's commits. Asserts that no job is stored as
+    /// done before its tasks are.
     pub(super) fn store_all(&mut self, cluster: &mut ClusterState) {
         self.store_at_most(cluster, 99, self.now + secs(2.0));
     }
 
-    /// The same in one transaction of at most so many changes; how many it had.
-    pub(super) fn store_at_most(&mut self, cluster: &mut ClusterState, most: usize, now: Instant) -> usize {
-        let (ends, shards) = cluster.next_writes(most, now);
+    /// Stores what is due in one transaction of at most `max_changes`, and returns its number of changes.
+    pub(super) fn store_at_most(&mut self, cluster: &mut ClusterState, max_changes: usize, now: Instant) -> usize {
+        let (ends, shards) = cluster.next_writes(max_changes, now);
         let batch = CommitBatch { ends, shards, at_ms: 0 };
         self.version += u64::from(!batch.shards.is_empty());
         for write in &batch.shards {
@@ -366,9 +399,9 @@
             let mut done = (0..end.spec.tasks as u32)
                 .map(|index| self.completed.contains(&TaskKey { job: end.spec.id.clone(), index }));
             let enough = if end.spec.is_gang() { done.any(|d| d) } else { done.all(|d| d) };
-            assert!(enough, "stored as done before its tasks are");
+            assert!(enough, "{} is stored as done before its tasks are", end.spec.id);
             match self.other_jobs.get_mut(&end.spec.id) {
-                Some(kept) => kept.ended = Some(End::Done),
+                Some(job) => job.ended = Some(End::Done),
                 None => self.ended = Some(End::Done),
             }
             cluster.end_job(&end.spec.id, Some(End::Done), self.now);
@@ -376,22 +409,23 @@
         changes
     }
 
-    /// Shards of jobs that are over go; how many of such are left.
+    /// Deletes shards of ended jobs, and returns how many such shards of jobs other than the first are left.
     pub(super) fn drop_ended_shards(&mut self, cluster: &mut ClusterState) -> usize {
         self.drop_shards_at_most(cluster, 1000);
-        self.other_jobs.values().filter(|kept| kept.ended.is_some() && kept.shard.is_some()).count()
+        self.other_jobs.values().filter(|job| job.ended.is_some() && job.shard.is_some()).count()
     }
 
-    /// At most so many of them go; how many did.
-    pub(super) fn drop_shards_at_most(&mut self, cluster: &mut ClusterState, most: usize) -> usize {
-        let drops = cluster.next_drops(most);
+    /// Deletes at most `max_shards` shards of ended jobs, and returns how many were deleted.
+    pub(super) fn drop_shards_at_most(&mut self, cluster: &mut ClusterState, max_shards: usize) -> usize {
+        let drops = cluster.next_drops(max_shards);
         for (id, shard) in &drops {
-            assert!(*shard == 0 && self.has_ended(id), "{id}: what is open is kept");
+            assert!(*shard == 0 && self.has_ended(id), "{id}: the shard of an open job would be deleted");
             *self.shard_mut(id) = None;
         }
         drops.len()
     }
 
+    /// Raises the leader's fencing token if it asks for that, and returns whether it did.
     pub(super) fn raise_fencing_token_if_wanted(&mut self, cluster: &mut ClusterState) -> bool {
         let wanted = cluster.raise_wanted(self.now);
         if wanted {
@@ -401,44 +435,47 @@
         wanted
     }
 
-    /// The machine is returned.
-    pub(super) fn terminate_machine(&mut self, cluster: &mut ClusterState, m: &'static str) {
-        self.lose_done_reports(m);
-        self.workers.get_mut(m).unwrap().terminated = true;
-        cluster.machine_gone(&m.into(), self.now);
+    /// Terminates a machine and reports that to the leader.
+    pub(super) fn terminate_machine(&mut self, cluster: &mut ClusterState, machine: &'static str) {
+        self.lose_done_reports(machine);
+        self.workers.get_mut(machine).unwrap().terminated = true;
+        cluster.machine_gone(&machine.into(), self.now);
     }
 }
 
+/// Returns the attempt and the machine that a task of the first job is bound to.
 pub(super) fn binding_of(cluster: &ClusterState, index: u32) -> Option<(u64, String)> {
     let job = cluster.job(&JOB.into())?;
     Some((job.tasks[index as usize].attempt, job.binding(index)?.machine.to_string()))
 }
 
-pub(super) fn assert_bound(cluster: &ClusterState, index: u32, attempt: u64, m: &str) {
-    assert_eq!(binding_of(cluster, index), Some((attempt, m.to_owned())), "task {index} is bound to {m}");
+/// Asserts that a task of the first job is bound to a machine with this attempt.
+pub(super) fn assert_bound(cluster: &ClusterState, index: u32, attempt: u64, machine: &str) {
+    assert_eq!(binding_of(cluster, index), Some((attempt, machine.to_owned())), "task {index} is bound to {machine}");
 }
 
-pub(super) fn count_launches(orders: &[WorkerCommand]) -> usize {
-    orders.iter().filter(|o| matches!(o, WorkerCommand::Launch { .. })).count()
+pub(super) fn count_launches(commands: &[WorkerCommand]) -> usize {
+    commands.iter().filter(|command| matches!(command, WorkerCommand::Launch { .. })).count()
 }
 
-pub(super) fn count_reaps(orders: &[WorkerCommand]) -> usize {
-    orders.iter().filter(|o| matches!(o, WorkerCommand::Reap { .. })).count()
+pub(super) fn count_reaps(commands: &[WorkerCommand]) -> usize {
+    commands.iter().filter(|command| matches!(command, WorkerCommand::Reap { .. })).count()
 }
 
+/// Returns the machines that the leader wants terminated.
 pub(super) fn terminating_machines(cluster: &ClusterState) -> Vec<&str> {
     cluster.machines.values().filter(|m| m.state == MachineState::Terminating).map(|m| &*m.id).collect()
 }
 
 impl World {
-    /// A greeting of this leader to a machine that has not seen its fencing token.
-    pub(super) fn announce_fencing_token(&mut self, cluster: &mut ClusterState, m: &str) -> DirectCommand {
-        self.workers.get_mut(m).unwrap().fencing_token = 0;
-        let mut before = None;
+    /// Returns the direct command by which the leader announces its fencing token to a machine that has not seen it.
+    pub(super) fn announce_fencing_token(&mut self, cluster: &mut ClusterState, machine: &str) -> DirectCommand {
+        self.workers.get_mut(machine).unwrap().fencing_token = 0;
+        let mut announcement = None;
         for _ in 0..3 {
             self.now += secs(1.1);
-            before = before.or_else(|| self.next_command_to(cluster, m));
+            announcement = announcement.or_else(|| self.next_command_to(cluster, machine));
         }
-        before.expect("a greeting is due")
+        announcement.expect("a command with the fencing token is due")
     }
 }
