--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -1,14 +1,15 @@
-//! Cancelled tasks on machines that are silent, given up or inherited: they are stopped or proven gone in the time
-//! that is allowed (issue 34, section 3, cases 2 and 7).
+//! Cancelled tasks on machines that are silent, terminating or inherited by a successor are stopped or proven gone within
+//! the cancellation deadline (issue 34, section 3, cases 2 and 7).
 
 use super::world::*;
 use super::*;
 use crate::jobs::End;
 
-/// Cancelled while many machines cannot be reached at once: for silence they would get two leases, but for a cancelled
-/// task that is not proven gone each is returned within 45% of the time allowed, and those that hear are told at once.
+/// A job is cancelled while many of its machines are silent at the same time. For silence alone they would be kept for
+/// two leases; because of cancelled tasks that are not proven gone, each is terminated within 45% of the cancellation
+/// deadline. A machine that sends heartbeats is told to stop with its first answer.
 #[test]
-fn cancelled_tasks_on_machines_that_a_successor_never_hears_are_returned_in_time() {
+fn machines_with_cancelled_tasks_that_a_successor_never_hears_are_terminated_in_time() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 6);
     let mut old = world.leader();
@@ -22,31 +23,37 @@
     let cancellation_deadline = cluster.settings.params.workers.cancellation_deadline();
     world.ended = Some(End::Cancelled);
     cluster.end_job(&JOB.into(), world.ended, world.now);
-    let told = world.now;
-    let mut returned_after = None;
-    while world.now - told < cancellation_deadline {
+    let cancelled_at = world.now;
+    let mut terminated_after = None;
+    while world.now - cancelled_at < cancellation_deadline {
         world.turn(&mut cluster, "m0");
-        assert!(!world.workers["m0"].live(&task(0)), "told with its first answer");
+        assert!(!world.workers["m0"].live(&task(0)), "stopped with its first answer");
         cluster.tick(world.now);
         if !terminating(&cluster).is_empty() {
-            returned_after.get_or_insert(world.now - told);
+            terminated_after.get_or_insert(world.now - cancelled_at);
         }
     }
-    assert_eq!(terminating(&cluster), ["m1", "m2", "m3", "m4", "m5"], "all, though silent together");
-    assert!(returned_after.unwrap() < cancellation_deadline.mul_f64(0.45) + s(1.0), "{returned_after:?}");
+    assert_eq!(
+        terminating(&cluster),
+        ["m1", "m2", "m3", "m4", "m5"],
+        "all silent machines, though they are silent together"
+    );
+    assert!(terminated_after.unwrap() < cancellation_deadline.mul_f64(0.45) + s(1.0), "{terminated_after:?}");
 }
 
-/// A machine is to be returned, and the cloud answers nobody. It speaks again: its answers keep its lease, so they
-/// stop what is cancelled there, and launch nothing.
+/// A machine is scheduled for termination, the cloud answers nobody, and the machine sends heartbeats again. Answers to
+/// them renew its lease, so they must stop its cancelled tasks, and they launch nothing.
 #[test]
-fn a_machine_to_be_returned_is_still_told_to_stop_what_is_cancelled() {
-    for (name, cancelled_first) in [("withdrawn after it was given up", false), ("given up for the withdrawal", true)] {
+fn terminating_machine_is_told_to_stop_its_cancelled_tasks() {
+    for (name, cancelled_first) in
+        [("cancelled after the machine is terminating", false), ("terminating because of the cancellation", true)]
+    {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
         let mut cluster = world.leader();
         world.turn(&mut cluster, "m1");
         world.place_these(&mut cluster, &[0], "m1");
         world.turn(&mut cluster, "m1");
-        // Another was placed there, and not told yet.
+        // Another task was placed there, but its launch is not sent yet.
         world.place_these(&mut cluster, &[1], "m1");
         let cancel = |world: &mut World, cluster: &mut ClusterState| {
             world.ended = Some(End::Cancelled);
@@ -55,35 +62,35 @@
         if cancelled_first {
             cancel(&mut world, &mut cluster);
         }
-        // It hangs, within its lease, until it is given up.
+        // The machine hangs, within its lease, until it is scheduled for termination.
         for _ in 0..23 {
             world.now += s(1.0);
             cluster.tick(world.now);
         }
         assert_eq!(terminating(&cluster), ["m1"], "{name}");
         if !cancelled_first {
-            assert_eq!(world.asks(&mut cluster, "m1").orders, [], "nothing starts there");
+            assert_eq!(world.asks(&mut cluster, "m1").orders, [], "no task starts on a terminating machine");
             cancel(&mut world, &mut cluster);
         }
-        // No return is answered.
+        // The cloud does not answer the termination request.
         world.turn(&mut cluster, "m1");
         assert!(!world.workers["m1"].live(&task(0)), "{name}: stopped with its first answer");
     }
 }
 
-/// Each takeover began the patience with a cancelled task anew: two within it, and a machine that hangs held the
-/// task past `cancel_s`. A successor counts from when the end was stored, as far as it knows, and gives machines two
-/// reports' time to prove to it what they have proven to the one before, unless hardly any time is left.
+/// If each takeover restarted the wait for a cancelled task, two takeovers within that wait would let a hanging machine
+/// hold the task past `cancel_s`. A successor counts from when the end was stored, as far as it knows. It leaves machines
+/// two heartbeat intervals to prove again what they have proven to its predecessor, unless hardly any time is left.
 #[test]
-fn a_successor_begins_no_new_patience_with_what_was_cancelled_before_it() {
-    for (name, ended_before, after, due) in [
-        ("withdrawn under it, within its patience", 0.0, 21.0, false),
-        ("withdrawn under it, past its patience", 0.0, 23.0, true),
-        ("within the patience", 15.0, 6.5, false),
-        ("past it, and the successor has hardly listened", 20.0, 3.0, false),
-        ("past it, and machines had time to tell", 20.0, 6.5, true),
-        ("just told, and just taken over", 0.0, 0.5, false),
-        ("nearly all the time is gone", 37.0, 0.5, true),
+fn takeover_does_not_restart_the_wait_for_a_cancelled_task() {
+    for (name, ended_before_s, checked_after_s, overdue) in [
+        ("cancelled under the successor, within the wait", 0.0, 21.0, false),
+        ("cancelled under the successor, past the wait", 0.0, 23.0, true),
+        ("cancelled before the takeover, within the wait", 15.0, 6.5, false),
+        ("past the wait, but machines had no time to report to the successor", 20.0, 3.0, false),
+        ("past the wait, and machines had time to report", 20.0, 6.5, true),
+        ("cancelled just before the takeover", 0.0, 0.5, false),
+        ("hardly any time is left", 37.0, 0.5, true),
     ] {
         let mut world = World::new(&["m1"], |j| j.tasks = 1);
         let mut old = world.leader();
@@ -91,8 +98,8 @@
         world.place_these(&mut old, &[0], "m1");
         world.turn(&mut old, "m1");
         let mut cluster = world.leader();
-        let ended = world.now - s(ended_before);
+        let ended = world.now - s(ended_before_s);
         cluster.end_job(&JOB.into(), Some(End::Cancelled), ended);
-        assert_eq!(cluster.overdue(world.now + s(after)).len(), usize::from(due), "{name}");
+        assert_eq!(cluster.overdue(world.now + s(checked_after_s)).len(), usize::from(overdue), "{name}");
     }
 }
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -1,5 +1,5 @@
-//! From the moment at which a cancellation is confirmed: no task of it starts by any path, and whatever the settings
-//! that `check` accepts, a stop or the end of the worker's lease ends what runs within `cancel_s`.
+//! Guarantees of a confirmed cancellation: no task of the job starts by any path, and under all settings that `check`
+//! accepts a stop command or the end of the worker's lease ends the running tasks within `cancel_s`.
 
 use super::simulation::*;
 use super::world::*;
@@ -9,150 +9,156 @@
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Settings, WorkerParams};
 
-/// How far the steady clocks of two machines drift apart, by the protocol.
-const DRIFT: f64 = 0.0005;
+/// Largest drift between the monotonic clocks of two machines that the protocol allows, as a part of the time.
+const MAX_CLOCK_DRIFT_RATIO: f64 = 0.0005;
 
-/// A worker takes no answer later than this after its heartbeat, by the protocol.
-const ANSWER_TAKEN_S: f64 = 4.0;
+/// Age of a heartbeat from which on the worker drops its answer, by the protocol.
+const ANSWER_TIMEOUT_S: f64 = 4.0;
 
-fn accepted(report_s: f64, lease_s: f64, cancel_s: f64) -> Option<WorkerParams> {
+/// Returns the example settings with these worker parameters, if `check` accepts them.
+fn accepted_params(report_s: f64, lease_s: f64, cancel_s: f64) -> Option<WorkerParams> {
     let text = EXAMPLE
         .replacen("\"report_s\":3", &format!("\"report_s\":{report_s}"), 1)
         .replacen("\"lease_s\":24", &format!("\"lease_s\":{lease_s}"), 1)
         .replacen("\"cancel_s\":49", &format!("\"cancel_s\":{cancel_s}"), 1);
     let workers = Settings::parse(&text).ok()?.params.workers;
-    let same = |read: f64, meant: f64| (read - meant).abs() <= meant * 1e-12;
+    let same = |parsed: f64, expected: f64| (parsed - expected).abs() <= expected * 1e-12;
     assert!(same(workers.report_s, report_s) && same(workers.lease_s, lease_s) && same(workers.cancel_s, cancel_s));
     Some(workers)
 }
 
-/// The least `cancel_s` that `check` accepts, to a millionth.
-fn least_cancellation_deadline(report_s: f64, lease_s: f64) -> Option<f64> {
-    let (mut refused, mut taken) = (0.0, 1e6);
-    accepted(report_s, lease_s, taken)?;
-    while taken - refused > 1e-6 * taken {
-        let middle = (refused + taken) / 2.0;
-        match accepted(report_s, lease_s, middle) {
-            Some(_) => taken = middle,
-            None => refused = middle,
+/// Finds the least `cancel_s` that `check` accepts, to a relative precision of 1e-6.
+fn least_accepted_cancel_s(report_s: f64, lease_s: f64) -> Option<f64> {
+    let (mut rejected, mut accepted) = (0.0, 1e6);
+    accepted_params(report_s, lease_s, accepted)?;
+    while accepted - rejected > 1e-6 * accepted {
+        let middle = (rejected + accepted) / 2.0;
+        match accepted_params(report_s, lease_s, middle) {
+            Some(_) => accepted = middle,
+            None => rejected = middle,
         }
     }
-    Some(taken)
+    Some(accepted)
 }
 
-/// No controller has a loaded cluster state. The last heartbeat that is answered without a stop was sent at the
-/// cancellation, or by a leader that has read nothing yet up to `spare` after it; the worker's clock is the slowest
-/// that the protocol allows, and the machine hangs from then on. Over all settings that are accepted, the tightest of
-/// each kind among them.
+/// No controller has a loaded cluster state. The last heartbeat that is answered without a stop command was sent at the
+/// cancellation, or up to `spare` after it if a leader that has read nothing yet answers. The worker's clock is the
+/// slowest that the protocol allows, and the machine hangs from then on. Covers many accepted settings, among them the
+/// least accepted `cancel_s` for each pair of heartbeat interval and lease.
 #[test]
-fn the_lease_ends_what_nobody_stops_in_time_whatever_the_settings() {
-    let mut tried = 0;
+fn lease_ends_unstopped_tasks_within_the_cancellation_deadline_under_all_accepted_settings() {
+    let mut checked_settings = 0;
     for report_s in [0.01, 0.5, 3.0, 6.0, 30.0, 1000.0, 1e5] {
         for lease_s in [0.1, 5.0, 24.0, 36.0, 300.0, 1990.0, 2010.0, 1e4, 1e5, 9e5] {
-            let Some(least) = least_cancellation_deadline(report_s, lease_s) else { continue };
+            let Some(least) = least_accepted_cancel_s(report_s, lease_s) else { continue };
             for cancel_s in [least, least + 1.0, least * 1.3, least * 20.0, 1e6] {
-                let Some(workers) = accepted(report_s, lease_s, cancel_s) else { continue };
-                let slow = |time: Duration| time.as_secs_f64() * (1.0 + DRIFT);
+                let Some(workers) = accepted_params(report_s, lease_s, cancel_s) else { continue };
+                let on_slowest_clock = |time: Duration| time.as_secs_f64() * (1.0 + MAX_CLOCK_DRIFT_RATIO);
                 let name = format!("report_s {report_s}, lease_s {lease_s}, cancel_s {cancel_s}");
-                let unstopped = slow(workers.lease());
-                assert!(unstopped + ANSWER_TAKEN_S <= cancel_s, "{name}: the lease ends after {unstopped} s");
-                let held = slow(workers.spare()) + if workers.spare().is_zero() { 0.0 } else { slow(workers.lease()) };
-                assert!(held + ANSWER_TAKEN_S <= cancel_s + 1e-6, "{name}: held for {held} s");
-                tried += 1;
+                let unstopped_s = on_slowest_clock(workers.lease());
+                assert!(unstopped_s + ANSWER_TIMEOUT_S <= cancel_s, "{name}: the lease ends after {unstopped_s} s");
+                let held_s = on_slowest_clock(workers.spare())
+                    + if workers.spare().is_zero() { 0.0 } else { on_slowest_clock(workers.lease()) };
+                assert!(
+                    held_s + ANSWER_TIMEOUT_S <= cancel_s + 1e-6,
+                    "{name}: a leader without cluster state keeps the lease for {held_s} s"
+                );
+                checked_settings += 1;
             }
         }
     }
-    assert!(tried > 150, "only {tried} settings were accepted");
+    assert!(checked_settings > 150, "only {checked_settings} settings were accepted");
 }
 
-/// Every answer renews the lease, so every answer has the stop, also while a direct command is under way.
+/// Each answer renews the lease, so each answer must contain the stop command, also while a direct command is in transit.
 #[test]
-fn no_answer_renews_a_lease_without_the_stop() {
-    for under_way in [false, true] {
+fn each_answer_that_renews_a_lease_contains_the_stop_command() {
+    for command_in_transit in [false, true] {
         let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
         simulation.world.place(&mut simulation.cluster, "m1");
         simulation.heartbeats("m1");
         simulation.heartbeats("m1");
         simulation.cancel(&JOB.into());
-        let held =
-            under_way.then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("the stop is news"));
+        let delayed_command = command_in_transit
+            .then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("a stop command is due"));
         let answer = simulation.world.asks(&mut simulation.cluster, "m1");
         assert_eq!(launches(&answer.orders), 0);
         simulation.world.hears(&answer);
-        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
-        // The command comes all the same, and changes nothing.
-        held.iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-        assert_eq!(simulation.live(&JOB.into()), [], "a command is under way: {under_way}");
+        assert_eq!(simulation.live(&JOB.into()), [], "command in transit: {command_in_transit}");
+        // The delayed command still arrives, and changes nothing.
+        delayed_command.iter().for_each(|direct| drop(simulation.world.arrives(direct)));
+        assert_eq!(simulation.live(&JOB.into()), [], "command in transit: {command_in_transit}");
     }
 }
 
-/// How a launch is on its way when its job is cancelled.
+/// How a launch is sent that is still in transit when its job is cancelled.
 #[derive(Debug, Clone, Copy)]
 enum Launch {
-    /// By a direct command, which is held up.
+    /// By a delayed direct command.
     DirectCommand,
-    /// In the answer to a heartbeat, which is held up.
-    InAnswer,
+    /// In a delayed answer to a heartbeat.
+    HeartbeatAnswer,
 }
 
-/// The cancellation is stored while a launch is held up: by a direct command for 2 to 16 s, or in an answer for less
-/// than 4 s. It may be told only once that launch can start nothing more; the launch is executed then, and starts
-/// nothing that was told.
+/// A cancellation is stored while a launch is in transit: a direct command that is delayed by 2 to 16 s, or an answer
+/// that is delayed by less than 4 s. The cancellation may be confirmed only once that launch can start no task any more,
+/// so a launch that arrives after the confirmation starts nothing.
 #[test]
-fn nothing_starts_once_its_cancellation_is_confirmed() {
-    for (launch, late_s) in [
+fn no_task_starts_after_its_cancellation_is_confirmed() {
+    for (launch, delay_s) in [
         (Launch::DirectCommand, 2.0),
         (Launch::DirectCommand, 4.0),
         (Launch::DirectCommand, 9.0),
         (Launch::DirectCommand, 16.0),
-        (Launch::InAnswer, 0.5),
-        (Launch::InAnswer, 3.5),
+        (Launch::HeartbeatAnswer, 0.5),
+        (Launch::HeartbeatAnswer, 3.5),
     ] {
-        let name = format!("{launch:?}, {late_s} s late");
+        let name = format!("{launch:?}, delayed by {delay_s} s");
         let id: JobId = JOB.into();
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
         simulation.cluster.holds_ends(Some(1000));
         simulation.world.now += s(10.0);
-        let mut held: Option<DirectCommand> = None;
-        let mut answer = None;
+        let mut delayed_command: Option<DirectCommand> = None;
+        let mut delayed_answer = None;
         simulation.world.place(&mut simulation.cluster, "m1");
         match launch {
-            Launch::DirectCommand => held = simulation.world.command(&mut simulation.cluster, "m1"),
-            Launch::InAnswer => answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
+            Launch::DirectCommand => delayed_command = simulation.world.command(&mut simulation.cluster, "m1"),
+            Launch::HeartbeatAnswer => delayed_answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
         }
-        let orders = held.as_ref().map(|d| &d.commands).or(answer.as_ref().map(|a| &a.orders));
+        let orders = delayed_command.as_ref().map(|d| &d.commands).or(delayed_answer.as_ref().map(|a| &a.orders));
         assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
-        let begun = simulation.world.now;
-        // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
+        let sent_at = simulation.world.now;
+        // Stored at revision 1001. The cluster state alone decides when the cancellation is confirmed, so the world, which
+        // checks that nothing starts after it, learns of it only then.
         simulation.cluster.end_job(&id, Some(End::Cancelled), simulation.world.now);
         simulation.cluster.holds_ends(Some(1001));
-        let mut told = None;
+        let mut confirmed_after_s = None;
         for _ in 0..120 {
             simulation.world.now += s(0.5);
-            let age = (simulation.world.now - begun).as_secs_f64();
-            if age == 2.5
-                && let Some(direct) = &held
+            let elapsed_s = (simulation.world.now - sent_at).as_secs_f64();
+            if elapsed_s == 2.5
+                && let Some(direct) = &delayed_command
             {
                 simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
             }
-            if age >= late_s {
-                held.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-                answer.take().iter().for_each(|answer| simulation.world.hears(answer));
+            if elapsed_s >= delay_s {
+                delayed_command.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
+                delayed_answer.take().iter().for_each(|answer| simulation.world.hears(answer));
             }
-            if told.is_none() && simulation.cluster.obeyed_in(&id) {
-                assert!(simulation.cluster.watermark() >= 1001, "{name}: both say the same");
-                told = Some(age);
+            if confirmed_after_s.is_none() && simulation.cluster.obeyed_in(&id) {
+                assert!(simulation.cluster.watermark() >= 1001, "{name}: the watermark confirms it too");
+                confirmed_after_s = Some(elapsed_s);
                 simulation.cancel(&id);
             }
-            // One heartbeat at a time.
-            if answer.is_none() && age % 1.5 == 0.0 {
+            // A worker sends no heartbeat while it waits for an answer.
+            if delayed_answer.is_none() && elapsed_s % 1.5 == 0.0 {
                 simulation.heartbeats("m1");
             }
             simulation.cluster.tick(simulation.world.now);
             simulation.world.raise(&mut simulation.cluster);
         }
-        let told = told.unwrap_or_else(|| panic!("{name}: never told"));
-        assert!(told <= 12.0, "{name}: told only after {told} s");
+        let confirmed_after_s = confirmed_after_s.unwrap_or_else(|| panic!("{name}: never confirmed"));
+        assert!(confirmed_after_s <= 12.0, "{name}: confirmed only after {confirmed_after_s} s");
         assert_eq!(simulation.live(&id), [], "{name}");
     }
 }
--- a/src/scheduling/tests/outages_past_lease.rs
+++ b/src/scheduling/tests/outages_past_lease.rs
@@ -1,17 +1,15 @@
-//! All controllers are away, or a zone is cut off, for longer than a lease.
+//! Outages that outlast worker leases: all controllers are down, or a zone is partitioned.
 
 use super::simulation::*;
 use super::world::*;
 use super::*;
 
-// All controllers are away for longer than a lease.
-
-/// The workers have killed their tasks and go on with the next agent epoch, all at once or one long after. What each
-/// had is placed again once it has heard the new leader, and none that heartbeats is returned. Away for less, all goes
-/// on.
+/// While no controller answers for longer than the lease, the workers kill their tasks and continue in the next agent
+/// epoch, all at the same time or one of them much later. Each worker's tasks are placed again once it has heard the new
+/// leader, and no machine that sends heartbeats is terminated. After a shorter outage the tasks still run.
 #[test]
-fn after_all_controllers_were_away_past_the_lease_nothing_is_lost_or_returned() {
-    for (shape, away_s, late) in [
+fn controller_outage_past_the_lease_loses_no_task_and_terminates_no_machine() {
+    for (shape, outage_s, one_late) in [
         (Shape::Array, 20.0, false),
         (Shape::Array, 30.0, false),
         (Shape::Array, 30.0, true),
@@ -19,7 +17,7 @@
         (Shape::Gang, 30.0, true),
         (Shape::Gang, 300.0, false),
     ] {
-        let name = format!("{shape:?}, away {away_s} s, one late: {late}");
+        let name = format!("{shape:?}, controllers down for {outage_s} s, one machine late: {one_late}");
         let names = ["m1", "m2", "m3"];
         let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| {
             (j.shape, j.tasks, j.cpus, j.estimate_s) = (shape, 3, 8.0, 900.0);
@@ -27,9 +25,9 @@
         simulation.plans = true;
         simulation.run(6.0);
         assert_eq!(simulation.live(&JOB.into()).len(), 3, "{name}");
-        // Nobody answers, commands, or takes anything in.
+        // No controller answers heartbeats, sends commands or processes anything.
         let lease = simulation.cluster.settings.params.workers.lease();
-        for _ in 0..(away_s / STEP) as usize {
+        for _ in 0..(outage_s / STEP) as usize {
             simulation.world.now += s(STEP);
             let now = simulation.world.now;
             for m in names {
@@ -39,7 +37,7 @@
             }
         }
         simulation.successor();
-        if late {
+        if one_late {
             simulation.outbound_lost = vec!["m3"];
             simulation.unreached = vec!["m3"];
             simulation.run(9.0);
@@ -50,22 +48,22 @@
         assert_eq!(
             (live.len(), simulation.returned.len()),
             (3, 0),
-            "{name}: {live:?}, returned {:?}",
+            "{name}: live {live:?}, terminated {:?}",
             simulation.returned
         );
         let attempts: Vec<u64> = (0..3).map(|i| on(&simulation.cluster, i).unwrap().0).collect();
-        let want = if away_s < 24.0 { 1 } else { 2 };
-        assert!(attempts.iter().all(|a| *a == want), "{name}: {attempts:?}");
+        let expected_attempt = if outage_s < 24.0 { 1 } else { 2 };
+        assert!(attempts.iter().all(|a| *a == expected_attempt), "{name}: {attempts:?}");
     }
 }
 
-// A zone with workers and a controller is cut off for longer than a lease.
-
-/// The leader outside goes on; within, workers find nobody who may act, or the deposed one goes on answering for a
-/// while. The zone comes back before or after its machines are given up; the cancelled task in it is gone in time.
+/// A zone with workers and a controller is partitioned for longer than the lease. The leader outside continues; inside,
+/// workers either find no controller that may act, or the deposed leader still answers them for a while. The partition
+/// heals before or after the machines are scheduled for termination. No task runs twice, and the cancelled task in the
+/// zone is stopped in time.
 #[test]
-fn a_zone_that_is_cut_off_past_the_lease_comes_back_and_runs_nothing_twice() {
-    for (cut_s, inside_s, changes) in [
+fn zone_partition_past_the_lease_heals_without_running_a_task_twice() {
+    for (partition_s, deposed_answers_s, leader_changes) in [
         (20.0, 0.0, false),
         (30.0, 0.0, false),
         (40.0, 0.0, false),
@@ -75,44 +73,46 @@
         (70.0, 70.0, false),
         (70.0, 70.0, true),
     ] {
-        let name = format!("cut for {cut_s} s, the old leader within answers for {inside_s} s, changes: {changes}");
-        let (within, outside) = (["m1", "m2", "m3", "m4"], ["m5", "m6", "m7"]);
+        let name = format!(
+            "partitioned for {partition_s} s, deposed leader inside answers for {deposed_answers_s} s, leader changes: {leader_changes}"
+        );
+        let (inside, outside) = (["m1", "m2", "m3", "m4"], ["m5", "m6", "m7"]);
         let machines: Vec<(&str, &str)> =
-            within.iter().map(|m| (*m, "a")).chain(outside.iter().map(|m| (*m, "b"))).collect();
+            inside.iter().map(|m| (*m, "a")).chain(outside.iter().map(|m| (*m, "b"))).collect();
         let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
-        // Of the seven one, within, runs what is cancelled.
-        let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
-        let called_off = simulation.world.accept(&mut simulation.cluster, 2, first);
-        let key = TaskKey { job: called_off.clone(), index: 0 };
+        // One of the seven machines, inside the zone, runs the job that is cancelled.
+        let cancelled_spec = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
+        let cancelled_job = simulation.world.accept(&mut simulation.cluster, 2, cancelled_spec);
+        let key = TaskKey { job: cancelled_job.clone(), index: 0 };
         simulation.cluster.bind_all(
             vec![crate::scheduling::cluster::Placement { task: key, attempt: 1, machine: "m1".into() }],
             simulation.world.now,
         );
         simulation.plans = true;
         simulation.run(6.0);
-        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&called_off).len()), (6, 1), "{name}");
-        let mut old = None;
-        if inside_s > 0.0 {
-            // Within is the old leader, without the store: it acts for its zone until it lets go.
+        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&cancelled_job).len()), (6, 1), "{name}");
+        let mut deposed = None;
+        if deposed_answers_s > 0.0 {
+            // The old leader is inside the zone and has no store: it acts for the zone until it steps down.
             let successor = simulation.world.leader();
-            old = Some(std::mem::replace(&mut simulation.cluster, successor));
+            deposed = Some(std::mem::replace(&mut simulation.cluster, successor));
             simulation.listed();
         }
-        (simulation.outbound_lost, simulation.unreached) = (within.into(), within.into());
-        for step in 0..(cut_s / STEP) as usize {
+        (simulation.outbound_lost, simulation.unreached) = (inside.into(), inside.into());
+        for step in 0..(partition_s / STEP) as usize {
             let t = step as f64 * STEP;
             if t == 0.5 {
-                simulation.cancel(&called_off);
+                simulation.cancel(&cancelled_job);
             }
-            if changes && t > 0.0 && t % 12.0 == 0.0 {
+            if leader_changes && t > 0.0 && t % 12.0 == 0.0 {
                 simulation.successor();
             }
-            if let Some(old) = old.as_mut().filter(|_| t < inside_s && step % REPORT_STEPS == 0) {
-                for m in within {
+            if let Some(deposed) = deposed.as_mut().filter(|_| t < deposed_answers_s && step % REPORT_STEPS == 0) {
+                for m in inside {
                     if simulation.world.workers[m].gone {
                         continue;
                     }
-                    let answer = simulation.world.asks(old, m);
+                    let answer = simulation.world.asks(deposed, m);
                     assert_eq!(launches(&answer.orders), 0, "{name}");
                     simulation.world.hears(&answer);
                 }
@@ -120,16 +120,19 @@
             simulation.step();
         }
         (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
-        let before = simulation.returned.len();
+        let terminated_before = simulation.returned.len();
         simulation.run(30.0);
         let live = simulation.live(&JOB.into());
-        let left = simulation.world.workers.values().filter(|w| !w.gone).count();
-        assert_eq!(live.len(), left.min(6), "{name}: {live:?}, returned {:?}", simulation.returned);
-        let back = &simulation.returned[before..];
-        assert!(back.iter().all(|m| *m == "m1"), "{name}: none that is back, but for what was withdrawn: {back:?}");
+        let remaining = simulation.world.workers.values().filter(|w| !w.gone).count();
+        assert_eq!(live.len(), remaining.min(6), "{name}: live {live:?}, terminated {:?}", simulation.returned);
+        let terminated_after_healing = &simulation.returned[terminated_before..];
+        assert!(
+            terminated_after_healing.iter().all(|m| *m == "m1"),
+            "{name}: after healing only the machine with the cancelled task may be terminated: {terminated_after_healing:?}"
+        );
         assert!(
-            cut_s > 45.0 || left >= 6,
-            "{name}: at most the one with what was withdrawn: {:?}",
+            partition_s > 45.0 || remaining >= 6,
+            "{name}: at most the machine with the cancelled task may be terminated: {:?}",
             simulation.returned
         );
     }
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -1,5 +1,5 @@
-//! More work than room, urgent and not, over slow links: answers are late or lost, commands are held up and carried
-//! out seconds later, work is stopped for other work, and the leader changes.
+//! Overload on slow links: jobs of all urgencies ask for more than the capacity, answers are late or lost, commands are
+//! delayed and executed seconds later, tasks are preempted, and the leader changes.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 use crate::protocol::workers::ExitCause;
 use crate::scheduling::cluster::{DirectCommand, MachineId};
 
-/// After this long nobody waits for the reply to a command.
-const COMMAND_WAITED: Duration = Duration::from_millis(2500);
+/// How long a leader waits for the reply to a direct command.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
 const MACHINES: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
 
-/// The links of a simulation on which nothing is prompt.
+/// The delayed messages between the leader and the workers of a simulation.
 struct Links {
     rng: StdRng,
-    /// Answers on their way, with the moment at which they arrive: late ones are dropped by the worker.
+    /// Heartbeat answers in transit with their times of arrival; the worker drops those that come too late.
     answers: Vec<(Instant, Answer)>,
-    /// Commands on their way, with the moment at which they are carried out.
+    /// Direct commands in transit with their times of execution.
     commands: Vec<(Instant, DirectCommand)>,
-    /// Commands that are given up at this moment if no reply has come.
-    waited_for: Vec<(Instant, MachineId, u64)>,
+    /// Timeouts of direct commands: the time, the machine and the fencing token of the command.
+    command_timeouts: Vec<(Instant, MachineId, u64)>,
 }
 
 impl Links {
-    /// A heartbeat, whose answer arrives within 4 s or never.
-    fn heartbeat(&mut self, simulation: &mut Simulation, machine: &'static str) {
-        let waits = self.answers.iter().any(|(_, answer)| answer.to == machine);
-        if waits || simulation.world.workers[machine].gone {
+    /// Sends a heartbeat, whose answer arrives within 4 s or is lost.
+    fn send_heartbeat(&mut self, simulation: &mut Simulation, machine: &'static str) {
+        let awaits_answer = self.answers.iter().any(|(_, answer)| answer.to == machine);
+        if awaits_answer || simulation.world.workers[machine].gone {
             return;
         }
         let answer = simulation.world.asks(&mut simulation.cluster, machine);
@@ -41,8 +41,8 @@
         }
     }
 
-    /// A command is prompt, or is held up for 2 to 16 s and given up meanwhile.
-    fn command(&mut self, simulation: &mut Simulation, direct: DirectCommand) {
+    /// Sends a direct command: executed at once, or delayed by 2 to 16 s, with a timeout in the meantime.
+    fn send_command(&mut self, simulation: &mut Simulation, direct: DirectCommand) {
         if self.rng.random_bool(0.5) {
             match simulation.world.arrives(&direct) {
                 Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
@@ -52,17 +52,21 @@
             }
             return;
         }
-        self.waited_for.push((simulation.world.now + COMMAND_WAITED, direct.machine.clone(), direct.fencing_token));
+        self.command_timeouts.push((
+            simulation.world.now + COMMAND_TIMEOUT,
+            direct.machine.clone(),
+            direct.fencing_token,
+        ));
         self.commands.push((simulation.world.now + s(self.rng.random_range(2.0..16.0)), direct));
     }
 
-    /// What is due by now arrives, or is given up.
-    fn deliver(&mut self, simulation: &mut Simulation) {
+    /// Delivers the messages and the timeouts that are due.
+    fn deliver_due(&mut self, simulation: &mut Simulation) {
         let now = simulation.world.now;
         for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
             simulation.world.hears(&answer);
         }
-        for (_, machine, fencing_token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, machine, fencing_token) in self.command_timeouts.extract_if(.., |(at, ..)| *at <= now) {
             simulation.cluster.command_over(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
@@ -71,8 +75,8 @@
     }
 }
 
-/// A job that leaves no room: urgent or not, of one task, several or a gang.
-fn draw(rng: &mut StdRng, spec: &mut JobSpec) {
+/// Draws a job of any urgency: an array of one or several tasks, or a gang.
+fn draw_job(rng: &mut StdRng, spec: &mut JobSpec) {
     spec.shape = [Shape::Array, Shape::Array, Shape::Gang][rng.random_range(0..3usize)];
     spec.urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
     spec.team = if rng.random_bool(0.4) { "red".into() } else { "blue".into() };
@@ -83,63 +87,64 @@
     (spec.checkpoint_s, spec.save_s) = if rng.random_bool(0.5) { (30.0, 2.0) } else { (0.0, 0.0) };
 }
 
-/// Tasks that have run for as long as was estimated are done.
-fn tasks_end(simulation: &mut Simulation, ends: &mut BTreeMap<(TaskKey, u64), Instant>) {
+/// Lets tasks exit as done once they have run for their job's estimate.
+fn finish_tasks(simulation: &mut Simulation, end_times: &mut BTreeMap<(TaskKey, u64), Instant>) {
     let now = simulation.world.now;
     for machine in MACHINES {
         for attempt_report in simulation.world.workers[machine].attempts.clone() {
             let spec = simulation.world.spec_of(&attempt_report.task.job);
-            let run = s(spec.estimate_s);
-            // A gang's tasks wait for one another, and the first that is done ends it.
+            let runtime = s(spec.estimate_s);
+            // A gang's tasks wait for one another, and the first task that is done ends the gang.
             if spec.is_gang() && (simulation.live(&attempt_report.task.job).len() as u64) < spec.tasks {
                 continue;
             }
-            let at = *ends.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + run);
-            if attempt_report.status == AttemptStatus::Running && at <= now {
+            let end_time =
+                *end_times.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + runtime);
+            if attempt_report.status == AttemptStatus::Running && end_time <= now {
                 simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
             }
         }
     }
 }
 
-/// Two minutes of it, and then as long as it takes to serve all; the rules are checked at every start, by the world,
-/// and at every step, by the simulation. Gives how often running work was stopped for other work.
-fn overload(seed: u64) -> usize {
+/// Simulates two minutes of overload and then time to finish all jobs, and returns how many halting tasks it counted over
+/// all steps. The world checks the rules at every task start, the simulation at every step.
+fn simulate_overload(seed: u64) -> usize {
     let mut simulation =
         Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
     let rng = StdRng::seed_from_u64(seed + 1000);
-    let mut links = Links { rng, answers: Vec::new(), commands: Vec::new(), waited_for: Vec::new() };
+    let mut links = Links { rng, answers: Vec::new(), commands: Vec::new(), command_timeouts: Vec::new() };
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut ends = BTreeMap::new();
-    let (mut jobs, mut stopped) = (1, 0);
+    let mut end_times = BTreeMap::new();
+    let (mut last_job, mut halting_count) = (1, 0);
     for step in 0..2400 {
         simulation.world.now += s(STEP);
         let now = simulation.world.now;
         let overloaded = step < 240;
         if overloaded && rng.random_bool(0.5) {
-            jobs += 1;
-            simulation.world.accept(&mut simulation.cluster, jobs, |spec| draw(&mut rng, spec));
+            last_job += 1;
+            simulation.world.accept(&mut simulation.cluster, last_job, |spec| draw_job(&mut rng, spec));
         }
         if overloaded && rng.random_bool(0.01) {
-            // Late copies of the deposed leader's commands are still on their way; nobody waits for their replies.
-            links.waited_for.clear();
+            // Commands of the deposed leader are still in transit, but nobody waits for their replies.
+            links.command_timeouts.clear();
             simulation.successor();
         }
-        links.deliver(&mut simulation);
-        tasks_end(&mut simulation, &mut ends);
+        links.deliver_due(&mut simulation);
+        finish_tasks(&mut simulation, &mut end_times);
         for (n, machine) in MACHINES.into_iter().enumerate() {
             if (step + n).is_multiple_of(REPORT_STEPS) {
-                links.heartbeat(&mut simulation, machine);
+                links.send_heartbeat(&mut simulation, machine);
             }
         }
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
-        let halting = |cluster: &ClusterState| -> usize {
+        let halting_tasks = |cluster: &ClusterState| -> usize {
             let bound = cluster.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
             bound.filter(|binding| binding.halting.is_some()).count()
         };
-        stopped += halting(&simulation.cluster);
+        halting_count += halting_tasks(&simulation.cluster);
         for direct in simulation.cluster.direct_commands(now) {
-            links.command(&mut simulation, direct);
+            links.send_command(&mut simulation, direct);
         }
         simulation.cluster.tick(now);
         simulation.world.raise(&mut simulation.cluster);
@@ -148,14 +153,14 @@
         simulation.world.store(&mut simulation.cluster);
         simulation.check();
     }
-    let unserved: Vec<&JobId> =
+    let unfinished: Vec<&JobId> =
         simulation.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
-    assert!(unserved.is_empty(), "seed {seed}: {unserved:?} of {jobs} were never served");
-    stopped
+    assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?} of {last_job} jobs never finished");
+    halting_count
 }
 
 #[test]
-fn more_work_than_room_over_slow_links_breaks_no_rule() {
-    let stopped: usize = (0..12).map(overload).sum();
-    assert!(stopped > 50, "hardly anything was stopped for other work: {stopped}");
+fn overload_on_slow_links_breaks_no_rule() {
+    let halting_count: usize = (0..12).map(simulate_overload).sum();
+    assert!(halting_count > 50, "too few tasks were preempted: {halting_count}");
 }
