--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -12,33 +12,33 @@
 fn machines_with_cancelled_tasks_that_a_successor_never_hears_are_terminated_in_time() {
     let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
     let mut world = World::new(&names, |j| j.tasks = 6);
-    let mut old = world.leader();
+    let mut old = world.elect_leader();
     for (index, m) in (0..).zip(names) {
-        world.turn(&mut old, m);
-        world.place_these(&mut old, &[index], m);
-        world.turn(&mut old, m);
+        world.exchange_heartbeat(&mut old, m);
+        world.bind_tasks(&mut old, &[index], m);
+        world.exchange_heartbeat(&mut old, m);
     }
     drop(old);
-    let mut cluster = world.leader();
+    let mut cluster = world.elect_leader();
     let cancellation_deadline = cluster.settings.params.workers.cancellation_deadline();
     world.ended = Some(End::Cancelled);
     cluster.end_job(&JOB.into(), world.ended, world.now);
     let cancelled_at = world.now;
     let mut terminated_after = None;
     while world.now - cancelled_at < cancellation_deadline {
-        world.turn(&mut cluster, "m0");
-        assert!(!world.workers["m0"].live(&task(0)), "stopped with its first answer");
+        world.exchange_heartbeat(&mut cluster, "m0");
+        assert!(!world.workers["m0"].has_live_attempt(&task_key(0)), "stopped with its first answer");
         cluster.tick(world.now);
-        if !terminating(&cluster).is_empty() {
+        if !terminating_machines(&cluster).is_empty() {
             terminated_after.get_or_insert(world.now - cancelled_at);
         }
     }
     assert_eq!(
-        terminating(&cluster),
+        terminating_machines(&cluster),
         ["m1", "m2", "m3", "m4", "m5"],
         "all silent machines, though they are silent together"
     );
-    assert!(terminated_after.unwrap() < cancellation_deadline.mul_f64(0.45) + s(1.0), "{terminated_after:?}");
+    assert!(terminated_after.unwrap() < cancellation_deadline.mul_f64(0.45) + secs(1.0), "{terminated_after:?}");
 }
 
 /// A machine is scheduled for termination, the cloud answers nobody, and the machine sends heartbeats again. Answers to
@@ -49,12 +49,12 @@
         [("cancelled after the machine is terminating", false), ("terminating because of the cancellation", true)]
     {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
-        let mut cluster = world.leader();
-        world.turn(&mut cluster, "m1");
-        world.place_these(&mut cluster, &[0], "m1");
-        world.turn(&mut cluster, "m1");
+        let mut cluster = world.elect_leader();
+        world.exchange_heartbeat(&mut cluster, "m1");
+        world.bind_tasks(&mut cluster, &[0], "m1");
+        world.exchange_heartbeat(&mut cluster, "m1");
         // Another task was placed there, but its launch is not sent yet.
-        world.place_these(&mut cluster, &[1], "m1");
+        world.bind_tasks(&mut cluster, &[1], "m1");
         let cancel = |world: &mut World, cluster: &mut ClusterState| {
             world.ended = Some(End::Cancelled);
             cluster.end_job(&JOB.into(), world.ended, world.now);
@@ -64,17 +64,21 @@
         }
         // The machine hangs, within its lease, until it is scheduled for termination.
         for _ in 0..23 {
-            world.now += s(1.0);
+            world.now += secs(1.0);
             cluster.tick(world.now);
         }
-        assert_eq!(terminating(&cluster), ["m1"], "{name}");
+        assert_eq!(terminating_machines(&cluster), ["m1"], "{name}");
         if !cancelled_first {
-            assert_eq!(world.asks(&mut cluster, "m1").orders, [], "no task starts on a terminating machine");
+            assert_eq!(
+                world.send_heartbeat(&mut cluster, "m1").commands,
+                [],
+                "no task starts on a terminating machine"
+            );
             cancel(&mut world, &mut cluster);
         }
         // The cloud does not answer the termination request.
-        world.turn(&mut cluster, "m1");
-        assert!(!world.workers["m1"].live(&task(0)), "{name}: stopped with its first answer");
+        world.exchange_heartbeat(&mut cluster, "m1");
+        assert!(!world.workers["m1"].has_live_attempt(&task_key(0)), "{name}: stopped with its first answer");
     }
 }
 
@@ -93,13 +97,13 @@
         ("hardly any time is left", 37.0, 0.5, true),
     ] {
         let mut world = World::new(&["m1"], |j| j.tasks = 1);
-        let mut old = world.leader();
-        world.turn(&mut old, "m1");
-        world.place_these(&mut old, &[0], "m1");
-        world.turn(&mut old, "m1");
-        let mut cluster = world.leader();
-        let ended = world.now - s(ended_before_s);
+        let mut old = world.elect_leader();
+        world.exchange_heartbeat(&mut old, "m1");
+        world.bind_tasks(&mut old, &[0], "m1");
+        world.exchange_heartbeat(&mut old, "m1");
+        let mut cluster = world.elect_leader();
+        let ended = world.now - secs(ended_before_s);
         cluster.end_job(&JOB.into(), Some(End::Cancelled), ended);
-        assert_eq!(cluster.overdue(world.now + s(checked_after_s)).len(), usize::from(overdue), "{name}");
+        assert_eq!(cluster.overdue(world.now + secs(checked_after_s)).len(), usize::from(overdue), "{name}");
     }
 }
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -75,19 +75,19 @@
 fn each_answer_that_renews_a_lease_contains_the_stop_command() {
     for command_in_transit in [false, true] {
         let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
-        simulation.world.place(&mut simulation.cluster, "m1");
-        simulation.heartbeats("m1");
-        simulation.heartbeats("m1");
-        simulation.cancel(&JOB.into());
+        simulation.world.bind_waiting(&mut simulation.cluster, "m1");
+        simulation.exchange_heartbeat("m1");
+        simulation.exchange_heartbeat("m1");
+        simulation.cancel_job(&JOB.into());
         let delayed_command = command_in_transit
-            .then(|| simulation.world.command(&mut simulation.cluster, "m1").expect("a stop command is due"));
-        let answer = simulation.world.asks(&mut simulation.cluster, "m1");
-        assert_eq!(launches(&answer.orders), 0);
-        simulation.world.hears(&answer);
-        assert_eq!(simulation.live(&JOB.into()), [], "command in transit: {command_in_transit}");
+            .then(|| simulation.world.next_command_to(&mut simulation.cluster, "m1").expect("a stop command is due"));
+        let answer = simulation.world.send_heartbeat(&mut simulation.cluster, "m1");
+        assert_eq!(count_launches(&answer.commands), 0);
+        simulation.world.receive_answer(&answer);
+        assert_eq!(simulation.live_tasks(&JOB.into()), [], "command in transit: {command_in_transit}");
         // The delayed command still arrives, and changes nothing.
-        delayed_command.iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-        assert_eq!(simulation.live(&JOB.into()), [], "command in transit: {command_in_transit}");
+        delayed_command.iter().for_each(|direct| drop(simulation.world.deliver_command(direct)));
+        assert_eq!(simulation.live_tasks(&JOB.into()), [], "command in transit: {command_in_transit}");
     }
 }
 
@@ -117,16 +117,18 @@
         let id: JobId = JOB.into();
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
         simulation.cluster.holds_ends(Some(1000));
-        simulation.world.now += s(10.0);
+        simulation.world.now += secs(10.0);
         let mut delayed_command: Option<DirectCommand> = None;
         let mut delayed_answer = None;
-        simulation.world.place(&mut simulation.cluster, "m1");
+        simulation.world.bind_waiting(&mut simulation.cluster, "m1");
         match launch {
-            Launch::DirectCommand => delayed_command = simulation.world.command(&mut simulation.cluster, "m1"),
-            Launch::HeartbeatAnswer => delayed_answer = Some(simulation.world.asks(&mut simulation.cluster, "m1")),
+            Launch::DirectCommand => delayed_command = simulation.world.next_command_to(&mut simulation.cluster, "m1"),
+            Launch::HeartbeatAnswer => {
+                delayed_answer = Some(simulation.world.send_heartbeat(&mut simulation.cluster, "m1"))
+            }
         }
-        let orders = delayed_command.as_ref().map(|d| &d.commands).or(delayed_answer.as_ref().map(|a| &a.orders));
-        assert_eq!(orders.map(|orders| launches(orders)), Some(1), "{name}");
+        let orders = delayed_command.as_ref().map(|d| &d.commands).or(delayed_answer.as_ref().map(|a| &a.commands));
+        assert_eq!(orders.map(|orders| count_launches(orders)), Some(1), "{name}");
         let sent_at = simulation.world.now;
         // Stored at revision 1001. The cluster state alone decides when the cancellation is confirmed, so the world, which
         // checks that nothing starts after it, learns of it only then.
@@ -134,7 +136,7 @@
         simulation.cluster.holds_ends(Some(1001));
         let mut confirmed_after_s = None;
         for _ in 0..120 {
-            simulation.world.now += s(0.5);
+            simulation.world.now += secs(0.5);
             let elapsed_s = (simulation.world.now - sent_at).as_secs_f64();
             if elapsed_s == 2.5
                 && let Some(direct) = &delayed_command
@@ -142,23 +144,23 @@
                 simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
             }
             if elapsed_s >= delay_s {
-                delayed_command.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
-                delayed_answer.take().iter().for_each(|answer| simulation.world.hears(answer));
+                delayed_command.take().iter().for_each(|direct| drop(simulation.world.deliver_command(direct)));
+                delayed_answer.take().iter().for_each(|answer| simulation.world.receive_answer(answer));
             }
             if confirmed_after_s.is_none() && simulation.cluster.obeyed_in(&id) {
                 assert!(simulation.cluster.watermark() >= 1001, "{name}: the watermark confirms it too");
                 confirmed_after_s = Some(elapsed_s);
-                simulation.cancel(&id);
+                simulation.cancel_job(&id);
             }
             // A worker sends no heartbeat while it waits for an answer.
             if delayed_answer.is_none() && elapsed_s % 1.5 == 0.0 {
-                simulation.heartbeats("m1");
+                simulation.exchange_heartbeat("m1");
             }
             simulation.cluster.tick(simulation.world.now);
-            simulation.world.raise(&mut simulation.cluster);
+            simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
         }
         let confirmed_after_s = confirmed_after_s.unwrap_or_else(|| panic!("{name}: never confirmed"));
         assert!(confirmed_after_s <= 12.0, "{name}: confirmed only after {confirmed_after_s} s");
-        assert_eq!(simulation.live(&id), [], "{name}");
+        assert_eq!(simulation.live_tasks(&id), [], "{name}");
     }
 }
--- a/src/scheduling/tests/outages_past_lease.rs
+++ b/src/scheduling/tests/outages_past_lease.rs
@@ -22,36 +22,36 @@
         let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| {
             (j.shape, j.tasks, j.cpus, j.estimate_s) = (shape, 3, 8.0, 900.0);
         });
-        simulation.plans = true;
+        simulation.places_tasks = true;
         simulation.run(6.0);
-        assert_eq!(simulation.live(&JOB.into()).len(), 3, "{name}");
+        assert_eq!(simulation.live_tasks(&JOB.into()).len(), 3, "{name}");
         // No controller answers heartbeats, sends commands or processes anything.
         let lease = simulation.cluster.settings.params.workers.lease();
-        for _ in 0..(outage_s / STEP) as usize {
-            simulation.world.now += s(STEP);
+        for _ in 0..(outage_s / STEP_S) as usize {
+            simulation.world.now += secs(STEP_S);
             let now = simulation.world.now;
             for m in names {
-                if now - simulation.world.workers[m].renewed.unwrap() > lease {
-                    simulation.world.lease_ends(m);
+                if now - simulation.world.workers[m].lease_renewed_at.unwrap() > lease {
+                    simulation.world.expire_lease(m);
                 }
             }
         }
-        simulation.successor();
+        simulation.fail_over();
         if one_late {
             simulation.outbound_lost = vec!["m3"];
-            simulation.unreached = vec!["m3"];
+            simulation.commands_refused = vec!["m3"];
             simulation.run(9.0);
-            (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
+            (simulation.outbound_lost, simulation.commands_refused) = (vec![], vec![]);
         }
         simulation.run(15.0);
-        let live = simulation.live(&JOB.into());
+        let live = simulation.live_tasks(&JOB.into());
         assert_eq!(
-            (live.len(), simulation.returned.len()),
+            (live.len(), simulation.terminated.len()),
             (3, 0),
             "{name}: live {live:?}, terminated {:?}",
-            simulation.returned
+            simulation.terminated
         );
-        let attempts: Vec<u64> = (0..3).map(|i| on(&simulation.cluster, i).unwrap().0).collect();
+        let attempts: Vec<u64> = (0..3).map(|i| binding_of(&simulation.cluster, i).unwrap().0).collect();
         let expected_attempt = if outage_s < 24.0 { 1 } else { 2 };
         assert!(attempts.iter().all(|a| *a == expected_attempt), "{name}: {attempts:?}");
     }
@@ -82,50 +82,56 @@
         let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.cpus, j.estimate_s) = (6, 8.0, 900.0));
         // One of the seven machines, inside the zone, runs the job that is cancelled.
         let cancelled_spec = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
-        let cancelled_job = simulation.world.accept(&mut simulation.cluster, 2, cancelled_spec);
+        let cancelled_job = simulation.world.accept_job(&mut simulation.cluster, 2, cancelled_spec);
         let key = TaskKey { job: cancelled_job.clone(), index: 0 };
         simulation.cluster.bind_all(
             vec![crate::scheduling::cluster::Placement { task: key, attempt: 1, machine: "m1".into() }],
             simulation.world.now,
         );
-        simulation.plans = true;
+        simulation.places_tasks = true;
         simulation.run(6.0);
-        assert_eq!((simulation.live(&JOB.into()).len(), simulation.live(&cancelled_job).len()), (6, 1), "{name}");
+        assert_eq!(
+            (simulation.live_tasks(&JOB.into()).len(), simulation.live_tasks(&cancelled_job).len()),
+            (6, 1),
+            "{name}"
+        );
         let mut deposed = None;
         if deposed_answers_s > 0.0 {
             // The old leader is inside the zone and has no store: it acts for the zone until it steps down.
-            let successor = simulation.world.leader();
+            let successor = simulation.world.elect_leader();
             deposed = Some(std::mem::replace(&mut simulation.cluster, successor));
-            simulation.listed();
+            simulation.load_machine_list();
         }
-        (simulation.outbound_lost, simulation.unreached) = (inside.into(), inside.into());
-        for step in 0..(partition_s / STEP) as usize {
-            let t = step as f64 * STEP;
+        (simulation.outbound_lost, simulation.commands_refused) = (inside.into(), inside.into());
+        for step in 0..(partition_s / STEP_S) as usize {
+            let t = step as f64 * STEP_S;
             if t == 0.5 {
-                simulation.cancel(&cancelled_job);
+                simulation.cancel_job(&cancelled_job);
             }
             if leader_changes && t > 0.0 && t % 12.0 == 0.0 {
-                simulation.successor();
+                simulation.fail_over();
             }
-            if let Some(deposed) = deposed.as_mut().filter(|_| t < deposed_answers_s && step % REPORT_STEPS == 0) {
+            if let Some(deposed) =
+                deposed.as_mut().filter(|_| t < deposed_answers_s && step % HEARTBEAT_INTERVAL_STEPS == 0)
+            {
                 for m in inside {
-                    if simulation.world.workers[m].gone {
+                    if simulation.world.workers[m].terminated {
                         continue;
                     }
-                    let answer = simulation.world.asks(deposed, m);
-                    assert_eq!(launches(&answer.orders), 0, "{name}");
-                    simulation.world.hears(&answer);
+                    let answer = simulation.world.send_heartbeat(deposed, m);
+                    assert_eq!(count_launches(&answer.commands), 0, "{name}");
+                    simulation.world.receive_answer(&answer);
                 }
             }
             simulation.step();
         }
-        (simulation.outbound_lost, simulation.unreached) = (vec![], vec![]);
-        let terminated_before = simulation.returned.len();
+        (simulation.outbound_lost, simulation.commands_refused) = (vec![], vec![]);
+        let terminated_before = simulation.terminated.len();
         simulation.run(30.0);
-        let live = simulation.live(&JOB.into());
-        let remaining = simulation.world.workers.values().filter(|w| !w.gone).count();
-        assert_eq!(live.len(), remaining.min(6), "{name}: live {live:?}, terminated {:?}", simulation.returned);
-        let terminated_after_healing = &simulation.returned[terminated_before..];
+        let live = simulation.live_tasks(&JOB.into());
+        let remaining = simulation.world.workers.values().filter(|w| !w.terminated).count();
+        assert_eq!(live.len(), remaining.min(6), "{name}: live {live:?}, terminated {:?}", simulation.terminated);
+        let terminated_after_healing = &simulation.terminated[terminated_before..];
         assert!(
             terminated_after_healing.iter().all(|m| *m == "m1"),
             "{name}: after healing only the machine with the cancelled task may be terminated: {terminated_after_healing:?}"
@@ -133,7 +139,7 @@
         assert!(
             partition_s > 45.0 || remaining >= 6,
             "{name}: at most the machine with the cancelled task may be terminated: {:?}",
-            simulation.returned
+            simulation.terminated
         );
     }
 }
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -31,21 +31,21 @@
 impl Links {
     /// Sends a heartbeat, whose answer arrives within 4 s or is lost.
     fn send_heartbeat(&mut self, simulation: &mut Simulation, machine: &'static str) {
-        let awaits_answer = self.answers.iter().any(|(_, answer)| answer.to == machine);
-        if awaits_answer || simulation.world.workers[machine].gone {
+        let awaits_answer = self.answers.iter().any(|(_, answer)| answer.machine == machine);
+        if awaits_answer || simulation.world.workers[machine].terminated {
             return;
         }
-        let answer = simulation.world.asks(&mut simulation.cluster, machine);
+        let answer = simulation.world.send_heartbeat(&mut simulation.cluster, machine);
         if self.rng.random_bool(0.8) {
-            self.answers.push((simulation.world.now + s(self.rng.random_range(0.0..4.0)), answer));
+            self.answers.push((simulation.world.now + secs(self.rng.random_range(0.0..4.0)), answer));
         }
     }
 
     /// Sends a direct command: executed at once, or delayed by 2 to 16 s, with a timeout in the meantime.
     fn send_command(&mut self, simulation: &mut Simulation, direct: DirectCommand) {
         if self.rng.random_bool(0.5) {
-            match simulation.world.arrives(&direct) {
-                Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
+            match simulation.world.deliver_command(&direct) {
+                Some(reply) => simulation.world.deliver_reply(&mut simulation.cluster, &direct, reply),
                 None => {
                     simulation.cluster.command_over(&direct.machine, direct.fencing_token, true, simulation.world.now)
                 }
@@ -57,20 +57,20 @@
             direct.machine.clone(),
             direct.fencing_token,
         ));
-        self.commands.push((simulation.world.now + s(self.rng.random_range(2.0..16.0)), direct));
+        self.commands.push((simulation.world.now + secs(self.rng.random_range(2.0..16.0)), direct));
     }
 
     /// Delivers the messages and the timeouts that are due.
     fn deliver_due(&mut self, simulation: &mut Simulation) {
         let now = simulation.world.now;
         for (_, answer) in self.answers.extract_if(.., |(at, _)| *at <= now) {
-            simulation.world.hears(&answer);
+            simulation.world.receive_answer(&answer);
         }
         for (_, machine, fencing_token) in self.command_timeouts.extract_if(.., |(at, ..)| *at <= now) {
             simulation.cluster.command_over(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
-            drop(simulation.world.arrives(&direct));
+            drop(simulation.world.deliver_command(&direct));
         }
     }
 }
@@ -93,15 +93,15 @@
     for machine in MACHINES {
         for attempt_report in simulation.world.workers[machine].attempts.clone() {
             let spec = simulation.world.spec_of(&attempt_report.task.job);
-            let runtime = s(spec.estimate_s);
+            let runtime = secs(spec.estimate_s);
             // A gang's tasks wait for one another, and the first task that is done ends the gang.
-            if spec.is_gang() && (simulation.live(&attempt_report.task.job).len() as u64) < spec.tasks {
+            if spec.is_gang() && (simulation.live_tasks(&attempt_report.task.job).len() as u64) < spec.tasks {
                 continue;
             }
             let end_time =
                 *end_times.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert(now + runtime);
             if attempt_report.status == AttemptStatus::Running && end_time <= now {
-                simulation.world.exits_of(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
+                simulation.world.exit_attempt(machine, &attempt_report.task, attempt_report.attempt, ExitCause::Done);
             }
         }
     }
@@ -118,22 +118,22 @@
     let mut end_times = BTreeMap::new();
     let (mut last_job, mut halting_count) = (1, 0);
     for step in 0..2400 {
-        simulation.world.now += s(STEP);
+        simulation.world.now += secs(STEP_S);
         let now = simulation.world.now;
         let overloaded = step < 240;
         if overloaded && rng.random_bool(0.5) {
             last_job += 1;
-            simulation.world.accept(&mut simulation.cluster, last_job, |spec| draw_job(&mut rng, spec));
+            simulation.world.accept_job(&mut simulation.cluster, last_job, |spec| draw_job(&mut rng, spec));
         }
         if overloaded && rng.random_bool(0.01) {
             // Commands of the deposed leader are still in transit, but nobody waits for their replies.
             links.command_timeouts.clear();
-            simulation.successor();
+            simulation.fail_over();
         }
         links.deliver_due(&mut simulation);
         finish_tasks(&mut simulation, &mut end_times);
         for (n, machine) in MACHINES.into_iter().enumerate() {
-            if (step + n).is_multiple_of(REPORT_STEPS) {
+            if (step + n).is_multiple_of(HEARTBEAT_INTERVAL_STEPS) {
                 links.send_heartbeat(&mut simulation, machine);
             }
         }
@@ -147,14 +147,14 @@
             links.send_command(&mut simulation, direct);
         }
         simulation.cluster.tick(now);
-        simulation.world.raise(&mut simulation.cluster);
+        simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
         let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
         simulation.cluster.bind_all(decisions, now);
-        simulation.world.store(&mut simulation.cluster);
+        simulation.world.store_all(&mut simulation.cluster);
         simulation.check();
     }
     let unfinished: Vec<&JobId> =
-        simulation.world.more.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+        simulation.world.other_jobs.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
     assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?} of {last_job} jobs never finished");
     halting_count
 }
