--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -1,4 +1,5 @@
-//! What operators ask for, and that nothing differs where nobody does.
+//! Intents of operators: their effect on the queue, on reservations, scale-out and scale-in, and that decisions about all
+//! other jobs stay the same.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -11,35 +12,40 @@
 use crate::scheduling::fairness::floor::{ClassTeamSet, Rank, Underserved};
 use crate::scheduling::intents::{Ahead, CapacityIntent, Intents, WindowPlace};
 
-fn class(name: &str) -> ClassTeamSet {
+fn class_set(name: &str) -> ClassTeamSet {
     ClassTeamSet::from_subjects([(Subject::Class, name)].into_iter())
 }
 
-fn id(n: u32) -> crate::jobs::JobId {
+fn job_id(n: u32) -> crate::jobs::JobId {
     format!("run-{n:06}").as_str().into()
 }
 
-fn order(cluster: &ClusterState, now: Instant) -> Vec<u32> {
+fn queue_order(cluster: &ClusterState, now: Instant) -> Vec<u32> {
     plan::queue(cluster, now).iter().map(|t| t.id[4..].parse().unwrap()).collect()
 }
 
-/// Jobs of all sorts, some of them placed, some waiting for long, on machines of all sorts.
-fn busy(seed: u64, start: Instant) -> (ClusterState, Instant) {
+/// Builds a random cluster: jobs of all shapes, some of them placed and some waiting for long, on machines of all kinds.
+fn random_cluster(seed: u64, start: Instant) -> (ClusterState, Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let names: Vec<String> = (0..rng.random_range(1..12)).map(|n| format!("m{n:02}")).collect();
     let mut cluster = cluster_with(&[], start);
     for name in &names {
-        let (of, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
-        cluster.take_heartbeat(heartbeat(name, of, zone, rng.random(), 1, vec![]), MessageKind::Heartbeat, None, start);
+        let (type_name, zone) = (["c8", "g2"][rng.random_range(0..2)], ["a", "b"][rng.random_range(0..2)]);
+        cluster.take_heartbeat(
+            heartbeat(name, type_name, zone, rng.random(), 1, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            start,
+        );
     }
     let now = start + Duration::from_secs(100);
     for n in 1..rng.random_range(4..30) {
         if n == 8 {
-            let first = plan::place(&mut cluster, &catalog(), start);
-            cluster.bind_all(first, start);
+            let placements = plan::place(&mut cluster, &catalog(), start);
+            cluster.bind_all(placements, start);
         }
         let mut j = spec();
-        j.id = id(n);
+        j.id = job_id(n);
         j.class = ["c", "d", "e"][rng.random_range(0..3)].into();
         j.team = ["blue", "red"][rng.random_range(0..2)].into();
         j.shape = [Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..3)];
@@ -50,12 +56,12 @@
         j.estimate_s = f64::from(rng.random_range(1..400));
         j.due_s = rng.random_ratio(1, 3).then(|| f64::from(rng.random_range(10..900)));
         j.checkpoint_s = f64::from(rng.random_range(0..3)) * 10.0;
-        // Of no age by any time of day, so that a seed is always the same.
+        // A submission time in the future gives the job no age, so a seed always gives the same cluster.
         let record = JobRecord { spec: j, at_ms: u64::MAX };
         cluster.add_job(Arc::new(record), if n < 8 { start } else { now });
     }
     if rng.random() {
-        cluster.set_underserved(Underserved { below_floor: class("d"), prioritized: class("d") });
+        cluster.set_underserved(Underserved { below_floor: class_set("d"), prioritized: class_set("d") });
     }
     for (name, seq) in names.iter().zip(2..) {
         let (type_name, zone, spot) = {
@@ -72,43 +78,46 @@
     (cluster, now)
 }
 
-/// Every decision that intents may touch.
-fn decided(cluster: &mut ClusterState, now: Instant) -> String {
+/// Formats all decisions that intents may affect.
+fn format_decisions(cluster: &mut ClusterState, now: Instant) -> String {
     let catalog = catalog();
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
     let mut reservations: Vec<_> = super::super::reservations::choose(cluster, &catalog, now).into_iter().collect();
     reservations.sort_by(|a, b| a.0.cmp(&b.0));
-    let rented = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
-    let given_up = surplus_machines(cluster, &catalog, now);
+    let scale_out = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
+    let surplus = surplus_machines(cluster, &catalog, now);
     let drained = choose_drains(cluster, &catalog, now);
     let placed = plan::place(cluster, &catalog, now);
     let reservations: Vec<_> = reservations.into_iter().map(|(m, h)| (m, h.job)).collect();
-    format!("{queue:?} {reservations:?} {rented:?} {given_up:?} {drained:?} {placed:?}")
+    format!("{queue:?} {reservations:?} {scale_out:?} {surplus:?} {drained:?} {placed:?}")
 }
 
-/// Intents that name nobody change nothing, as none do: no decision looks at them but for those named.
+/// Intents that name no present job change no decision.
 #[test]
-fn nothing_differs_for_whom_nothing_is_asked() {
+fn intents_for_absent_jobs_change_no_decision() {
     let start = Instant::now();
     for seed in 0..300 {
-        let (mut plain, now) = busy(seed, start);
-        let (mut cluster, _) = busy(seed, start);
+        let (mut without_intents, now) = random_cluster(seed, start);
+        let (mut cluster, _) = random_cluster(seed, start);
         cluster.set_intents(Intents {
-            turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
-            not_yet: [id(901)].into(),
-            ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
+            turns: [(job_id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
+            not_yet: [job_id(901)].into(),
+            ahead: Some(Ahead { names: class_set("nobody"), most_part: 0.5 }),
             capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
             ..Intents::default()
         });
-        assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
+        assert_eq!(format_decisions(&mut cluster, now), format_decisions(&mut without_intents, now), "seed {seed}");
     }
 }
 
+/// Intents hold jobs back, put jobs ahead of others or into the order of their windows, and keep guarantees, urgencies
+/// and the service floor.
 #[test]
-fn the_queue_with_intents_by_cases() {
+fn queue_order_follows_intents() {
     let now = Instant::now();
-    // By return: 1 (high) before 2 (short), 3, 4, 5; 6 is idle; 7 within its team's guarantee.
-    let make = || {
+    // Without intents: 7 is first, within its team's guarantee, then 8, which is more urgent, then 1 to 5 by return, which
+    // is highest for the shortest estimate, and 6, which is idle.
+    let new_cluster = || {
         let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
         for (n, class, estimate_s) in [(1, "x", 5.0), (2, "x", 10.0), (3, "h", 20.0), (4, "x", 40.0), (5, "h", 80.0)] {
             add_job(&mut cluster, n, now, |j| (j.class, j.estimate_s) = (class.into(), estimate_s));
@@ -118,186 +127,200 @@
         add_job(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
-    let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
-    let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
+    let turn = |n: u32, window: &str, number| (job_id(n), WindowPlace { window: window.into(), number });
+    let ahead = |most_part| Some(Ahead { names: class_set("h"), most_part });
+    let add_usage =
+        |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
-        ("none", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
-        ("not yet", &|b| b.intents.not_yet = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
+        ("no intent", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
+        ("jobs held back", &|b| b.intents.not_yet = [job_id(2), job_id(7)].into(), &[8, 1, 3, 4, 5, 6]),
         (
-            "in turn, in the places they have",
+            "jobs of a window take their own places in the order of their turns",
             &|b| b.intents.turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
             &[7, 8, 5, 2, 3, 4, 1, 6],
         ),
         (
-            "two windows, beside each other",
+            "two windows do not affect each other",
             &|b| b.intents.turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
             &[7, 8, 3, 4, 1, 2, 5, 6],
         ),
         (
-            "the later turn waits where the earlier has no guarantee",
+            "a later turn within a guarantee waits for an earlier one without",
             &|b| b.intents.turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
             &[8, 1, 2, 3, 4, 7, 5, 6],
         ),
         (
-            "ahead, behind the guaranteed and the more urgent",
+            "jobs ahead stay behind guaranteed and more urgent jobs",
             &|b| {
-                given(b);
+                add_usage(b);
                 b.intents.ahead = ahead(0.5);
             },
             &[7, 8, 3, 5, 1, 2, 4, 6],
         ),
         (
-            "behind who is below the floor",
+            "jobs ahead stay behind jobs below the floor",
             &|b| {
-                given(b);
+                add_usage(b);
                 b.intents.ahead = ahead(0.5);
-                b.set_underserved(Underserved { below_floor: ClassTeamSet::default(), prioritized: class("x") });
+                b.set_underserved(Underserved { below_floor: ClassTeamSet::default(), prioritized: class_set("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
         ),
         (
-            "up to their part",
+            "jobs go ahead up to their share",
             &|b| {
-                given(b);
+                add_usage(b);
                 b.intents.ahead = ahead(0.011);
             },
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
-        ("one job in any case", &|b| b.intents.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
+        ("one job goes ahead whatever the share", &|b| b.intents.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
     ];
     for (name, change, want) in cases {
-        let mut cluster = make();
+        let mut cluster = new_cluster();
         change(&mut cluster);
-        assert_eq!(order(&cluster, now), want, "{name}");
+        assert_eq!(queue_order(&cluster, now), want, "{name}");
     }
 }
 
-/// Who goes ahead finds the rule's bound, an array by single tasks.
+/// The share of jobs that go ahead bounds an array by single tasks.
 #[test]
-fn an_array_goes_ahead_as_far_as_the_bound() {
+fn array_goes_ahead_only_up_to_the_share() {
     let now = Instant::now();
     let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add_job(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
     add_job(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
     cluster.usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
-    cluster.intents.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
+    cluster.intents.ahead = Some(Ahead { names: class_set("h"), most_part: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
-    let of = |n: u32| placed.iter().filter(|p| p.task.job == id(n)).count();
-    assert_eq!((of(1), of(2)), (4, 12));
+    let placed_tasks = |n: u32| placed.iter().filter(|p| p.task.job == job_id(n)).count();
+    assert_eq!((placed_tasks(1), placed_tasks(2)), (4, 12));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whoever goes ahead never holds more than the rule's part of what is given out, or one job;
-    /// nobody of another urgency, within a guarantee or below the floor loses its place; and in no
-    /// window a later turn stands before an earlier one.
+    /// Jobs that go ahead never hold more than their share of the cores in use, or one job. No job of another urgency,
+    /// within a guarantee or below the floor loses its place. In no window a later turn is queued before an earlier one.
     #[test]
-    fn bounds_of_intents(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
-        let (mut cluster, now) = busy(seed, Instant::now());
-        let plain: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
-        let ids: Vec<_> = plain.iter().cloned().enumerate().collect();
-        cluster.intents.ahead = Some(Ahead { names: class("c"), most_part });
+    fn intents_keep_share_places_and_turns(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
+        let (mut cluster, now) = random_cluster(seed, Instant::now());
+        let order_without_intents: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
+        let ids: Vec<_> = order_without_intents.iter().cloned().enumerate().collect();
+        cluster.intents.ahead = Some(Ahead { names: class_set("c"), most_part });
         {
-            let turns = plan::queue(&cluster, now);
-            let held = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
-            let theirs = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
-            let before: f64 = theirs.map(|(_, j)| held(j.bound.len(), j)).sum();
-            let ahead = turns.iter().filter(|t| t.ahead);
-            let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
-            let given: f64 = cluster.usage.values().map(|u| u.cpus).sum();
+            let queued_jobs = plan::queue(&cluster, now);
+            let cores = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
+            let ahead_class = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
+            let bound_cores: f64 = ahead_class.map(|(_, j)| cores(j.bound.len(), j)).sum();
+            let ahead = queued_jobs.iter().filter(|t| t.ahead);
+            let added_cores: Vec<f64> = ahead.map(|t| cores(t.most.min(t.job.waiting.len()), t.job)).collect();
+            let cores_in_use: f64 = cluster.usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::BelowFloor && !t.quarantined;
-            let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
-            let sum: f64 = before + more.iter().sum::<f64>();
-            let one = before == 0.0 && more.len() <= 1;
-            prop_assert!(!bounded || more.is_empty() || one || sum <= given * most_part + 0.01, "{sum} of {given}");
-            for (at, turn) in turns.iter().enumerate() {
-                let was = plain.iter().position(|id| id == turn.id).unwrap();
-                let other = &turns[was];
-                let alike = by_return(&turn) && turn.job.spec().urgency == other.job.spec().urgency;
-                prop_assert!(at == was || alike, "{} from {was} to {at}", turn.id);
+            let all_by_return = queued_jobs.iter().filter(|t| t.ahead).all(|t| by_return(&t));
+            let sum: f64 = bound_cores + added_cores.iter().sum::<f64>();
+            let single_job = bound_cores == 0.0 && added_cores.len() <= 1;
+            let within_share = sum <= cores_in_use * most_part + 0.01;
+            prop_assert!(
+                !all_by_return || added_cores.is_empty() || single_job || within_share,
+                "{sum} of {cores_in_use} cores"
+            );
+            for (position, queued) in queued_jobs.iter().enumerate() {
+                let previous_position = order_without_intents.iter().position(|id| id == queued.id).unwrap();
+                let displaced = &queued_jobs[previous_position];
+                let may_move = by_return(&queued) && queued.job.spec().urgency == displaced.job.spec().urgency;
+                prop_assert!(
+                    position == previous_position || may_move,
+                    "{} moved from {previous_position} to {position}",
+                    queued.id
+                );
             }
         }
         let mut rng = StdRng::seed_from_u64(seed);
         cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
             (id.clone(), WindowPlace { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
         }).collect();
-        let turns = plan::queue(&cluster, now);
-        prop_assert_eq!(turns.len(), plain.len());
+        let queued_jobs = plan::queue(&cluster, now);
+        prop_assert_eq!(queued_jobs.len(), order_without_intents.len());
         for window in ["w1", "w2"] {
-            let of = turns.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.turns.get(t.id));
-            let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.number).collect();
+            let places = queued_jobs.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.turns.get(t.id));
+            let numbers: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.number).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
     }
 }
 
-/// Room is rented a boot and a fetch ahead, where it is missing, once; it is kept as long as it is asked
-/// for, and given back when it is not.
+/// Missing capacity that an intent asks for is scaled out once, a boot and a fetch ahead. Its machines are kept while the
+/// intent lasts and scaled in without one.
 #[test]
-fn room_that_is_asked_for_by_cases() {
+fn capacity_intents_scale_out_once_and_keep_machines() {
     let start = Instant::now();
     let capacity = |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
-    // The type boots for 30 s, and a fetch takes one.
+    // The machine type takes 30 s to boot and 1 s to fetch the image.
     for (name, machines, tasks, in_s, want) in [
-        ("nothing asked", 0, 0, 0.0, 0),
-        ("time enough", 0, 4, 40.0, 0),
+        ("no task", 0, 0, 0.0, 0),
+        ("more than a boot and a fetch ahead", 0, 4, 40.0, 0),
         ("a boot and a fetch ahead", 0, 4, 31.0, 2),
         ("at once", 0, 4, 0.0, 2),
-        ("there already", 2, 4, 0.0, 0),
-        ("half there", 1, 4, 20.0, 1),
+        ("all capacity present", 2, 4, 0.0, 0),
+        ("half of the capacity present", 1, 4, 20.0, 1),
     ] {
         let mut cluster = cluster_of_c8(machines, start);
         cluster.intents.capacity = capacity(tasks, in_s);
-        let rent = |asked: &HashMap<MachineKind, u64>| {
-            let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), asked, start);
+        let demanded = |pending: &HashMap<MachineKind, u64>| {
+            let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), pending, start);
             wanted.into_iter().map(|demand| (demand.kind, demand.count)).collect::<HashMap<MachineKind, u64>>()
         };
-        let wanted = rent(&HashMap::new());
+        let wanted = demanded(&HashMap::new());
         assert_eq!(wanted.values().sum::<u64>(), want, "{name}");
-        assert!(rent(&wanted).is_empty(), "{name}: asked for once");
+        assert!(demanded(&wanted).is_empty(), "{name}: demanded only once");
     }
-    let long = start + Duration::from_secs(500);
-    for (name, tasks, in_s, kept) in [("not asked", 0, 0.0, 0), ("asked", 3, 20.0, 2), ("much later", 3, 300.0, 0)] {
+    let later = start + Duration::from_secs(500);
+    for (name, tasks, in_s, kept_machines) in
+        [("no task", 0, 0.0, 0), ("soon", 3, 20.0, 2), ("much later", 3, 300.0, 0)]
+    {
         let mut cluster = cluster_of_c8(5, start);
         for n in 0..5 {
             let heartbeat = heartbeat(&format!("m{n:04}"), "c8", "a", false, 2, vec![]);
-            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, long);
+            cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, later);
         }
         cluster.intents.capacity = capacity(tasks, in_s);
-        assert_eq!(surplus_machines(&cluster, &catalog(), long).len(), 5 - kept, "{name}: given up");
-        // One at a time is drained of so few.
-        let drained = choose_drains(&cluster, &catalog(), long);
+        assert_eq!(surplus_machines(&cluster, &catalog(), later).len(), 5 - kept_machines, "{name}: surplus");
+        // In a cluster of this size one machine is drained at a time.
+        let drained = choose_drains(&cluster, &catalog(), later);
         assert_eq!(drained.len(), 1, "{name}");
         cluster.intents.capacity = capacity(10, in_s);
-        let scale_in_candidate = choose_drains(&cluster, &catalog(), long).len();
-        assert_eq!(scale_in_candidate, usize::from(in_s > 100.0), "{name}: all of it needed");
+        let drained = choose_drains(&cluster, &catalog(), later).len();
+        assert_eq!(drained, usize::from(in_s > 100.0), "{name}: all machines needed");
     }
 }
 
-/// A gang that goes ahead is held for at once, and rented for without patience; its tasks are not moved.
+/// A gang that goes ahead gets reservations and scale-out at once.
 #[test]
-fn who_goes_ahead_is_not_kept_waiting() {
+fn gang_that_goes_ahead_gets_reservations_and_scale_out_at_once() {
     let now = Instant::now();
-    let make = |ahead: bool| {
+    let new_cluster = |ahead: bool| {
         let mut cluster = cluster_of_c8(12, now);
         add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
-        let first = plan::place(&mut cluster, &catalog(), now);
-        cluster.bind_all(first, now);
+        let placements = plan::place(&mut cluster, &catalog(), now);
+        cluster.bind_all(placements, now);
         add_job(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
-        cluster.intents.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
+        cluster.intents.ahead = ahead.then(|| Ahead { names: class_set("h"), most_part });
         cluster.arrivals.clear();
         cluster
     };
     for ahead in [false, true] {
-        let cluster = make(ahead);
-        assert_eq!(!super::super::reservations::choose(&cluster, &catalog(), now).is_empty(), ahead, "held at once");
-        let rented = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
-        assert_eq!(!rented.is_empty(), ahead, "rented at once");
+        let cluster = new_cluster(ahead);
+        assert_eq!(
+            !super::super::reservations::choose(&cluster, &catalog(), now).is_empty(),
+            ahead,
+            "reserved at once"
+        );
+        let demands = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
+        assert_eq!(!demands.is_empty(), ahead, "scaled out at once");
     }
 }
