--- a/src/audit.rs
+++ b/src/audit.rs
@@ -181,7 +181,7 @@
     let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
     let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
-        let shards = job.settled_shards().map(|(shard, version)| AcknowledgedWrite::Shard(id.clone(), shard, version));
+        let shards = job.stored_shards().map(|(shard, version)| AcknowledgedWrite::Shard(id.clone(), shard, version));
         std::iter::once(AcknowledgedWrite::Open(id.clone())).chain(shards)
     })
     .collect()
@@ -198,7 +198,7 @@
         AcknowledgedWrite::Shard(id, shard, version) => {
             let held = auditor.leader.cluster();
             let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
-            job.is_some_and(|j| j.settled_shards().any(|settled| settled == (*shard, *version)))
+            job.is_some_and(|j| j.stored_shards().any(|settled| settled == (*shard, *version)))
         }
     }
 }
@@ -275,7 +275,7 @@
             let item = auditor.store.client.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
             let found = item.map_or(0, |i| i.version);
             if let Some(cluster) = auditor.leader.cluster().as_mut() {
-                cluster.store_shard_again(id, *shard, *version, found);
+                cluster.rewrite_lost_shard(id, *shard, *version, found);
             }
             auditor.wakeups.commit.notify_one();
             Ok(())
--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -84,7 +84,7 @@
     // Without a core, as many tasks as last time.
     let tasks = if like.cpus > 0.0 { (cores / like.cpus - 1e-9).ceil().max(0.0) as u64 } else { like.tasks };
     let tasks = quota.reserve(&like, tasks, f64::INFINITY);
-    (tasks > 0).then(|| CapacityIntent { task_spec: like, tasks, in_s: seconds_to_opening(instance, now_ms) })
+    (tasks > 0).then(|| CapacityIntent { task_spec: like, tasks, needed_in_s: seconds_to_opening(instance, now_ms) })
 }
 
 /// Adds the intents of a window. `quota` bounds the capacity that is asked for, `job_spec` describes an open job.
@@ -108,9 +108,11 @@
         let JobProgress::Open { begun, .. } = (context.progress)(&claim.job) else { continue };
         let has_started = claim.turn <= instance.turn;
         if has_started {
-            intents.turns.insert(claim.job.clone(), WindowPlace { window: name.to_owned(), number: claim.turn });
+            intents
+                .window_turns
+                .insert(claim.job.clone(), WindowPlace { window: name.to_owned(), position: claim.turn });
         } else {
-            intents.not_yet.insert(claim.job.clone());
+            intents.deferred_jobs.insert(claim.job.clone());
         }
         let Some(like) = job_spec(&claim.job).filter(|_| !begun && soon) else { continue };
         if has_started {
@@ -121,7 +123,7 @@
             intents.capacity.push(CapacityIntent {
                 task_spec: like,
                 tasks,
-                in_s: seconds_to_opening(&instance, now_ms),
+                needed_in_s: seconds_to_opening(&instance, now_ms),
             });
         }
     }
@@ -136,14 +138,14 @@
     };
     for claim in new_claims(spec, instance, context.window_jobs) {
         if can_wait(instance.closes_ms, &claim.job) {
-            intents.not_yet.insert(claim.job);
+            intents.deferred_jobs.insert(claim.job);
         }
     }
     // The instance before theirs is about to end.
     for window_job in context.window_jobs.iter().filter(|window_job| window_job.day > instance.day) {
         let closes_ms = spec.instance_on(window_job.day).map_or(0, |span| span.closes_ms);
         if can_wait(closes_ms, &window_job.record.spec.id) {
-            intents.not_yet.insert(window_job.record.spec.id.clone());
+            intents.deferred_jobs.insert(window_job.record.spec.id.clone());
         }
     }
 }
--- a/src/calendar/tests/interleaved_simulation.rs
+++ b/src/calendar/tests/interleaved_simulation.rs
@@ -169,7 +169,7 @@
     fn begin(&mut self) {
         let Controller { watch_cache, leader, own, skew_ms, .. } = &mut self.stage.controllers[self.leader];
         let Some((cluster, _)) = leader.as_mut() else { return };
-        if cluster.intents_due {
+        if cluster.intents_outdated {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
             refresh_intents(
                 &KINDS,
@@ -180,8 +180,8 @@
                 now_ms,
             );
         }
-        let may = |id: &&JobId| self.without == Without::Turns || !cluster.intents.not_yet.contains(*id);
-        let number = |id: &JobId| cluster.intents.turns.get(id).map(|t| t.number);
+        let may = |id: &&JobId| self.without == Without::Turns || !cluster.intents.deferred_jobs.contains(*id);
+        let number = |id: &JobId| cluster.intents.window_turns.get(id).map(|t| t.position);
         let open = cluster.jobs().filter(|(id, j)| j.ended.is_none() && !self.begun.contains(*id)).map(|(id, _)| id);
         let Some(id) = open.filter(may).min_by_key(|id| (number(id), (*id).clone())).cloned() else { return };
         cluster.load_shard(&id, 0, 1, vec![StoredTask::Bound(1, "host-1".into())], Instant::now());
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -308,7 +308,7 @@
     let turn = |status: &WindowStatus| status.current.as_ref().map_or(0, |i| i.turn);
     world.submit(2, "plan");
     let mut status = world.step(&spec, &WindowStatus::default());
-    assert_eq!((turn(&status), world.intents(&spec, &status, PLENTY).not_yet.len()), (0, 1), "not open yet");
+    assert_eq!((turn(&status), world.intents(&spec, &status, PLENTY).deferred_jobs.len()), (0, 1), "not open yet");
     world.now_ms += 60_000;
     status = world.step(&spec, &status);
     assert_eq!(turn(&status), 1, "turn 1 is awaited");
@@ -324,20 +324,24 @@
     world.submit(1, "roster");
     status = world.step(&spec, &status);
     let intents = world.intents(&spec, &status, PLENTY);
-    assert_eq!((turn(&status), intents.turns.len(), intents.not_yet.len()), (1, 1, 1));
+    assert_eq!((turn(&status), intents.window_turns.len(), intents.deferred_jobs.len()), (1, 1, 1));
     // It waits for room: the other goes once it would be too late itself.
     let mut waits = status.clone();
     world.now_ms = MIDNIGHT + 8 * HOUR - (EXPECTED_S * 1000.0) as u64;
     waits = world.step(&spec, &waits);
     assert_eq!((turn(&waits), waits.current.as_ref().unwrap().late), (2, true));
-    assert_eq!(world.intents(&spec, &waits, PLENTY).turns[&JobId::from("run-1")].number, 1, "it stays the first");
+    assert_eq!(
+        world.intents(&spec, &waits, PLENTY).window_turns[&JobId::from("run-1")].position,
+        1,
+        "it stays the first"
+    );
 
     world.now_ms = MIDNIGHT + 6 * HOUR + 61_000;
     world.begin(1);
     let after = world.step(&spec, &status);
     assert_eq!(turn(&after), 2);
-    assert_eq!(world.intents(&spec, &status, PLENTY).not_yet.len(), 1, "not before it is stored");
-    assert_eq!(world.intents(&spec, &after, PLENTY).not_yet.len(), 0);
+    assert_eq!(world.intents(&spec, &status, PLENTY).deferred_jobs.len(), 1, "not before it is stored");
+    assert_eq!(world.intents(&spec, &after, PLENTY).deferred_jobs.len(), 0);
     world.now_ms = MIDNIGHT;
     assert_eq!(turn(&world.step(&spec, &after)), 2, "a clock that steps back takes no turn back");
 }
@@ -349,7 +353,7 @@
     let tasks = |fields: Value, hours: f64, left: RemainingQuota| {
         let world = World::at(MIDNIGHT + (hours * HOUR as f64) as u64);
         let intents = world.intents(&window(fields), &WindowStatus::default(), left);
-        intents.capacity.iter().map(|capacity| (capacity.tasks, capacity.in_s)).collect::<Vec<_>>()
+        intents.capacity.iter().map(|capacity| (capacity.tasks, capacity.needed_in_s)).collect::<Vec<_>>()
     };
     let some = |cpus| RemainingQuota { cpus, gpus: 0.0 };
     for (name, fields, hours, left, want) in [
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -73,7 +73,7 @@
 
 /// Whether a job may begin is asked of what is stored, as placing does.
 fn may_begin(world: &World, spec: &WindowSpec, stored: &WindowStatus, n: usize) -> bool {
-    !world.intents(spec, stored, PLENTY).not_yet.contains(format!("run-{n}").as_str())
+    !world.intents(spec, stored, PLENTY).deferred_jobs.contains(format!("run-{n}").as_str())
 }
 
 /// Claims and turns are never taken back or given twice, and a turn comes only when those before it
@@ -136,7 +136,7 @@
                 Event::Begin { n } if n < jobs && may_begin(&world, &spec, &stored, n) => {
                     // In the order of their turns, as placing has them.
                     let intents = world.intents(&spec, &stored, PLENTY);
-                    let number = |n: usize| intents.turns.get(format!("run-{n}").as_str()).map(|t| t.number);
+                    let number = |n: usize| intents.window_turns.get(format!("run-{n}").as_str()).map(|t| t.position);
                     let first = |m: &usize| {
                         matches!(world.progress_by_job.get(format!("run-{m}").as_str()), Some(JobProgress::Open { begun: false, .. }))
                             && number(*m) < number(n) && number(*m).is_some()
--- a/src/calendar/window.rs
+++ b/src/calendar/window.rs
@@ -29,7 +29,7 @@
         },
         (Some(End::Cancelled), _) => JobProgress::Cancelled,
         (None, Some(job)) if job.ended.is_none() => JobProgress::Open {
-            begun: job.untouched() < 1.0,
+            begun: job.never_placed_fraction() < 1.0,
             at_ms: job.record.at_ms,
             expected_s: expected_s(job.agreement.run.as_secs_f64(), job.spec().image_gb),
         },
@@ -54,7 +54,7 @@
 
 /// What the team's limits leave, in cores and in accelerators.
 fn remaining_quota(spec: &WindowSpec, view: &DeclarationView) -> RemainingQuota {
-    let TeamUsage { cpus, gpus } = view.cluster.usage.get(&spec.team).copied().unwrap_or_default();
+    let TeamUsage { cpus, gpus } = view.cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
     let below = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
     view.settings.team(&spec.team).map_or(RemainingQuota { cpus: 0.0, gpus: 0.0 }, |team| RemainingQuota {
         cpus: below(team.cpus_max, cpus),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -151,7 +151,7 @@
         held.push(("in_admission", lock(&self.users.admission).waiting()));
         held.extend(self.membership.held());
         if let Some(cluster) = self.leader.cluster().as_ref() {
-            held.extend(cluster.held());
+            held.extend(cluster.entry_counts());
         }
         held
     }
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -249,7 +249,7 @@
     now: Instant,
     now_ms: u64,
 ) {
-    cluster.intents_due = false;
+    cluster.intents_outdated = false;
     if registry.is_empty() && cluster.intents.is_empty() {
         return;
     }
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -72,7 +72,7 @@
         (status.at < spec.goal).then_some(Counted { at: status.at + 1, by: view.fencing_token })
     }
     fn add_intents(name: &str, _: &Goal, status: &Counted, _: &DeclarationView, intents: &mut Intents) {
-        intents.not_yet.insert(format!("{name}-{}", status.at).as_str().into());
+        intents.deferred_jobs.insert(format!("{name}-{}", status.at).as_str().into());
     }
     fn describe(_: &str, spec: &Goal, status: &Counted, _: u64) -> Vec<String> {
         vec![format!("{} of {}", status.at, spec.goal)]
@@ -158,7 +158,10 @@
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
         for NamedSpec { name, .. } in registry.specs::<Heat>().filter(|_| controller.watch_cache.is_ready()) {
             let at = registry.status::<Heat>(name).map_or(0, |status| status.value.at);
-            assert!(cluster.intents.not_yet.contains(format!("{name}-{at}").as_str()), "asks for what is not stored");
+            assert!(
+                cluster.intents.deferred_jobs.contains(format!("{name}-{at}").as_str()),
+                "asks for what is not stored"
+            );
         }
     }
 
@@ -386,7 +389,7 @@
     assert_eq!(registry.entry_count(), 5, "the larger one and the unknown kind are not taken in");
     assert!(registry.raw_spec(DeclarationKind::Heat, "bad").is_some(), "what is unreadable is kept");
     let (cluster, _) = stage.controllers[0].leader.as_ref().unwrap();
-    assert_eq!(cluster.intents.not_yet.len(), 1, "nothing is asked for by what cannot be read");
+    assert_eq!(cluster.intents.deferred_jobs.len(), 1, "nothing is asked for by what cannot be read");
 }
 
 /// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -62,7 +62,7 @@
 /// running or not, into what is left.
 fn keep_needed_capacity(cluster: &ClusterState, pool: &mut CapacityPool, now: Instant) {
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
-        let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
+        let (job, waiting) = (turn.job, cluster.intents.placeable_tasks(turn.id, turn.job) as u64);
         let overdue = turn.ahead || turn.age > job.agreement.run;
         pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
     }
@@ -71,7 +71,7 @@
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
-        let tasks = (cluster.intents.waiting(id, job) + job.bound.len()) as u64;
+        let tasks = (cluster.intents.placeable_tasks(id, job) + job.bound.len()) as u64;
         if tasks > 0 && !cluster.attribution.suspects(id) {
             pool.keep_capacity(job.spec(), &Zones::none(job.spec()), tasks, false);
         }
@@ -101,7 +101,7 @@
     for key in &candidate.machine.bound {
         let Some(job) = cluster.job(&key.job) else { continue };
         let Some(binding) = job.binding(key.index) else { continue };
-        if job.ended.is_some() || binding.halting.is_some() {
+        if job.ended.is_some() || binding.halt_grace_s.is_some() {
             continue;
         }
         match judge_task(cluster, job, key, binding, candidate.accelerated, now) {
@@ -134,7 +134,9 @@
     now: Instant,
 ) -> TaskDrain {
     let spec = job.spec();
-    if cluster.intents.stays(&key.job) || cluster.intents.ahead.as_ref().is_some_and(|ahead| ahead.names.has(spec)) {
+    if cluster.intents.keeps_in_place(&key.job)
+        || cluster.intents.priority_boost.as_ref().is_some_and(|ahead| ahead.names.has(spec))
+    {
         return TaskDrain::Stays;
     }
     let running_since = binding.running_since.filter(|_| binding.status == Some(AttemptStatus::Running));
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -92,7 +92,7 @@
             let mut objectives = cluster.settings.params.objectives.iter();
             let prompt = objectives.any(|o| o.kind == "wait" && o.class == *class && o.within_s < boot_s);
             let boots = if prompt { SPARE_BOOTS_PROMPT } else { SPARE_BOOTS };
-            let tasks = (arrivals.per_second(now) * boot_s * boots).round() as u64;
+            let tasks = (arrivals.tasks_per_second(now) * boot_s * boots).round() as u64;
             self.keep_capacity(spec, &Zones::none(spec), tasks, false);
         }
     }
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -19,10 +19,10 @@
     for machine in machines {
         let age = Duration::try_from_secs_f64(machine.held_s).unwrap_or_default();
         let kind = MachineKind { type_name: machine.type_name, zone: machine.zone, spot: machine.spot };
-        cluster.expect(&machine.id, &kind, machine.addr.as_deref(), age, now);
+        cluster.expect_machine(&machine.id, &kind, machine.addr.as_deref(), age, now);
         match machine.state.as_str() {
-            "failed" => cluster.terminate(&machine.id, "failed by the cloud's word"),
-            "running" => cluster.listed_up(&machine.id, now),
+            "failed" => cluster.schedule_termination(&machine.id, "failed by the cloud's word"),
+            "running" => cluster.record_listed_up(&machine.id, now),
             _ => {}
         }
     }
@@ -52,7 +52,7 @@
             MachineState::Draining | MachineState::Terminating => self.terminating += 1,
         }
         if machine.state != MachineState::Booting {
-            let taken = machine.taken();
+            let taken = machine.allocated();
             self.idle += u32::from(machine.bound.is_empty());
             self.cpus_used += taken.cpus / capacity.of.cpus;
             self.gpus_used += if capacity.of.gpus > 0.0 { taken.gpus / capacity.of.gpus } else { 0.0 };
--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -34,7 +34,7 @@
     pub(super) fn take_inherited_orders(&self) -> InheritedOrders {
         let orders = {
             let mut held = self.fleet.leader.cluster();
-            held.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited)).unwrap_or_default()
+            held.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited_orders)).unwrap_or_default()
         };
         let inherited = InheritedOrders::group(orders, MOST_PER_TERMINATION);
         let mut operations = self.operations();
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -140,7 +140,7 @@
     fn expect_machines(&self, machines: &[String], kind: &MachineKind, now: Instant) {
         if let Some(cluster) = self.fleet.leader.cluster().as_mut() {
             for machine in machines {
-                cluster.expect(machine, kind, None, Duration::ZERO, now);
+                cluster.expect_machine(machine, kind, None, Duration::ZERO, now);
             }
         }
     }
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -27,7 +27,7 @@
     for machine in cluster.machines.values() {
         let reason = match machine.state {
             // A machine that was up before has a patience of its own (`ClusterState::tick`).
-            MachineState::Booting if machine.awaited() => None,
+            MachineState::Booting if machine.report_expected() => None,
             MachineState::Booting => never_came_up(cluster, catalog, machine, now).then_some("never came up"),
             MachineState::Up => {
                 (is_idle_for_too_long(cluster, machine, now) && !kept.contains(&machine.id)).then_some("idle")
--- a/src/fleet/scale_out.rs
+++ b/src/fleet/scale_out.rs
@@ -30,7 +30,7 @@
 /// How many machines of each kind there are, in whatever state.
 pub fn machines_by_kind(cluster: &ClusterState) -> HashMap<MachineKind, u64> {
     let mut counts = vec![0u64; cluster.kinds().len()];
-    for kind in cluster.machines.values().filter_map(|machine| machine.kind) {
+    for kind in cluster.machines.values().filter_map(|machine| machine.kind_index) {
         if let Some(count) = counts.get_mut(kind) {
             *count += 1;
         }
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -162,7 +162,7 @@
         let mut zones = Zones::new(self.cluster, turn.job);
         let waiting = WaitingJob::new(self.cluster, ground, turn, &zones);
         let mut slots = Slots::new(timelines, turn.job, &waiting.open);
-        let mut missing = self.cluster.intents.waiting(turn.id, turn.job) as u64;
+        let mut missing = self.cluster.intents.placeable_tasks(turn.id, turn.job) as u64;
         // Searched again once a machine is provisioned or the allowed zones change.
         let mut cheapest: Option<Option<PricedOffer>> = None;
         while missing > 0 && self.may_place_task(spec) {
@@ -195,7 +195,7 @@
     /// a machine takes to boot and to fetch its image, and counts as taken for everything planned afterwards.
     pub(super) fn plan_declared_capacity(&mut self, timelines: &mut Vec<Timeline<'a>>) {
         let mut declared: Vec<&CapacityIntent> = self.cluster.intents.capacity.iter().collect();
-        declared.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
+        declared.sort_by(|a, b| a.needed_in_s.total_cmp(&b.needed_in_s));
         for intent in declared {
             self.plan_capacity_intent(intent, timelines);
         }
@@ -220,7 +220,7 @@
                 self.provision(&priced, timelines, &mut slots);
             }
             let Some(mut slot) = slots.next(timelines, ground, &zones) else { break };
-            slot.at_s = slot.at_s.max(intent.in_s);
+            slot.at_s = slot.at_s.max(intent.needed_in_s);
             slots.take(timelines, slot);
             self.quotas.take(spec, 1.0);
         }
@@ -257,9 +257,9 @@
         let start_s = start_in_s(existing);
         let machine_type = priced.offer.of;
         let fetch_s = intent.task_spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
-        start_s > intent.in_s
+        start_s > intent.needed_in_s
             && machine_type.boot_s + LEAST_GAIN_S < start_s
-            && intent.in_s <= machine_type.boot_s + fetch_s
+            && intent.needed_in_s <= machine_type.boot_s + fetch_s
             && self.fleet_may_grow()
     }
 
@@ -280,8 +280,8 @@
 /// old heartbeats tell of. Where most machines do not hear, new ones would not either, so that they count.
 fn takes_work(machine: &Machine, most_inbound_lost: bool) -> bool {
     !matches!(machine.state, MachineState::Terminating | MachineState::Draining)
-        && machine.recall.is_none()
-        && machine.known
+        && machine.recall_at.is_none()
+        && machine.confirmed
         && (!machine.inbound_lost || most_inbound_lost)
 }
 
@@ -301,7 +301,7 @@
         let zones = Zones::none(like.spec());
         let open = ground.open_to(like.spec(), &zones);
         let within_s = ground.longest_boot_s(&open);
-        let per_second = arrivals.per_second(now) * EXPECTED_PART;
+        let per_second = arrivals.tasks_per_second(now) * EXPECTED_PART;
         let expected = (per_second * within_s).min(MOST_TASKS as f64 / 4.0) as u64;
         let mut slots = Slots::new(timelines, like, &open);
         for n in 0..expected {
--- a/src/fleet/schedule.rs
+++ b/src/fleet/schedule.rs
@@ -121,14 +121,14 @@
     let mut held = fleet.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
     for machine in surplus_machines(cluster, &catalog, now) {
-        cluster.terminate(&machine.id, machine.reason);
+        cluster.schedule_termination(&machine.id, machine.reason);
     }
     let decisions = choose_drains(cluster, &catalog, now);
     if decisions.is_empty() {
         return;
     }
     for decision in decisions {
-        cluster.drain(&decision.machine, &decision.moves, now);
+        cluster.drain_machine(&decision.machine, &decision.moves, now);
     }
     cluster.tick(now);
     fleet.wakeups.dispatch.notify_one();
--- a/src/fleet/terminations.rs
+++ b/src/fleet/terminations.rs
@@ -26,7 +26,7 @@
             .collect();
         operations.terminating.extend(machines.iter().cloned());
         // Overdue ones get calls of their own, so that the others still wait for their order to be stored.
-        let overdue = cluster.overdue(Instant::now());
+        let overdue = cluster.overdue_machines(Instant::now());
         let (overdue, others): (Vec<String>, Vec<String>) =
             machines.into_iter().partition(|machine| overdue.contains(machine.as_str()));
         overdue
@@ -44,7 +44,7 @@
         let is_overdue = || {
             let overdue = {
                 let held = self.fleet.leader.cluster();
-                held.as_ref().map(|cluster| cluster.overdue(Instant::now())).unwrap_or_default()
+                held.as_ref().map(|cluster| cluster.overdue_machines(Instant::now())).unwrap_or_default()
             };
             machines.iter().any(|machine| overdue.contains(machine.as_str()))
         };
@@ -69,7 +69,7 @@
         let now = Instant::now();
         if let Some(cluster) = fleet.leader.cluster().as_mut() {
             for machine in &call.machines {
-                cluster.machine_gone(&machine.as_str().into(), now);
+                cluster.remove_machine(&machine.as_str().into(), now);
             }
         }
         let mut operations = self.operations();
--- a/src/heat/backlog.rs
+++ b/src/heat/backlog.rs
@@ -37,7 +37,7 @@
         let mut longest: Option<(Duration, &JobId)> = None;
         let waiting = cluster.jobs().filter(|(_, job)| job.ended.is_none() && job.bound.is_empty() && job.done == 0);
         for (id, job) in waiting.filter(|(id, job)| names.has(job.spec()) && !cluster.attribution.suspects(id)) {
-            let since = job.last_end.map_or(job.since, |end| end.max(job.since));
+            let since = job.last_task_end.map_or(job.since, |end| end.max(job.since));
             let waited = now.saturating_duration_since(since);
             backlog.jobs += 1;
             if longest.is_none_or(|(most, other)| (waited, other) > (most, id)) {
--- a/src/heat/logic.rs
+++ b/src/heat/logic.rs
@@ -7,7 +7,7 @@
 use super::readings::Reading;
 use super::rule::{HeatRule, MAX_PART};
 use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NoEvent, SpecError};
-use crate::scheduling::intents::{Ahead, Intents};
+use crate::scheduling::intents::{Intents, PriorityBoost};
 
 impl DeclarationLogic for HeatRule {
     const KIND: DeclarationKind = DeclarationKind::Heat;
@@ -33,11 +33,11 @@
         if !status.applies_at(view.now_ms) {
             return;
         }
-        let before = intents.ahead.take();
-        let most_part = before.as_ref().map_or(0.0, |ahead| ahead.most_part).max(spec.most_part.min(MAX_PART));
+        let before = intents.priority_boost.take();
+        let most_part = before.as_ref().map_or(0.0, |ahead| ahead.max_core_share).max(spec.most_part.min(MAX_PART));
         let mut names = before.map(|ahead| ahead.names).unwrap_or_default();
         names.join(spec.named_work());
-        intents.ahead = Some(Ahead { names, most_part });
+        intents.priority_boost = Some(PriorityBoost { names, max_core_share: most_part });
     }
 
     fn describe(_: &str, spec: &HeatRule, status: &HeatStatus, now_ms: u64) -> Vec<String> {
--- a/src/heat/tests/interleaved_simulation.rs
+++ b/src/heat/tests/interleaved_simulation.rs
@@ -48,7 +48,7 @@
             .map(|status| status.value)
             .unwrap_or_default();
         let (cluster, _) = controller.leader.as_ref().unwrap();
-        assert_eq!(cluster.intents.ahead.is_some(), known.applies_at(now_ms), "acts on what is not stored");
+        assert_eq!(cluster.intents.priority_boost.is_some(), known.applies_at(now_ms), "acts on what is not stored");
     }
 
     fn send(&mut self, at: usize) {
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -45,7 +45,7 @@
     fn advance_cluster_revision(&self) {
         let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         if let Some(cluster) = held.as_mut() {
-            cluster.holds_ends(watch_cache.watch_revision());
+            cluster.record_known_ends(watch_cache.watch_revision());
         }
     }
 
@@ -84,7 +84,7 @@
                 self.wakeups.mesh.send_replace(());
             }
         }
-        cluster.holds_ends(watch_cache.watch_revision());
+        cluster.record_known_ends(watch_cache.watch_revision());
     }
 }
 
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -21,7 +21,7 @@
     /// (`cluster::watermark`). None while it is not sure to be the one that is the leader, by all that it has heard.
     pub fn watermark(&self) -> Option<Watermark> {
         let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.watermark()));
+        let cluster = held.as_mut().filter(|b| b.loaded).map(|b| (b.fencing_token, b.advance_watermark()));
         let watermark = watermark::own_watermark(&self.incarnation, cluster, watch_cache.leader_record())?;
         drop((watch_cache, held));
         self.history.advance_watermark(watermark.revision);
@@ -56,7 +56,7 @@
             return false;
         };
         cluster.end_job(id, Some(End::Cancelled), Instant::now());
-        let obeyed = cluster.obeyed_in(id);
+        let obeyed = cluster.cancellation_effective(id);
         drop(held);
         self.wakeups.dispatch.notify_one();
         if obeyed {
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -12,7 +12,7 @@
     /// How many tasks of a job run and are done, as far as is known here.
     pub fn counts(&self, id: &JobId) -> Counts {
         if let Some(cluster) = self.leader.cluster().as_ref() {
-            return cluster.counts(id);
+            return cluster.task_counts(id);
         }
         lock(&self.peer_states).counts.get(id).copied().unwrap_or_default()
     }
@@ -22,7 +22,7 @@
         let held = self.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut changed = Vec::new();
-        for (id, counts) in cluster.all_counts() {
+        for (id, counts) in cluster.all_task_counts() {
             if changed.len() >= most {
                 break;
             }
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -74,7 +74,7 @@
     /// dropped.
     pub fn new_fencing_token_wanted(&self) -> bool {
         let marks = self.orders_want_new_fencing_token.load(Ordering::Relaxed);
-        self.leader.cluster().as_ref().is_some_and(|b| b.raise_wanted(Instant::now()) || (marks && b.loaded))
+        self.leader.cluster().as_ref().is_some_and(|b| b.token_raise_needed(Instant::now()) || (marks && b.loaded))
     }
 
     /// Whether so many orders are marked as done that a higher fencing token is wanted, under which they can be
@@ -104,7 +104,7 @@
             .leader
             .cluster()
             .as_ref()
-            .is_some_and(|b| b.fencing_token == takeover_request.fencing_token && b.lost_most(now));
+            .is_some_and(|b| b.fencing_token == takeover_request.fencing_token && b.most_machines_lost(now));
         lost.then_some(version)
     }
 
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -30,7 +30,7 @@
             self.store.read_barrier.after_pause();
         }
         if let Some(cluster) = self.leader.cluster().as_mut() {
-            cluster.after_pause(pause);
+            cluster.adjust_for_pause(pause);
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
         self.store.client.after_pause(pause);
--- a/src/rollouts/feasibility.rs
+++ b/src/rollouts/feasibility.rs
@@ -63,7 +63,7 @@
         let amount_of = |job: &JobSpec, count: u32, amount: Amount| {
             if job.team == name { amount(job) * f64::from(count) } else { 0.0 }
         };
-        let used = view.cluster.usage.get(name).copied().unwrap_or_default();
+        let used = view.cluster.team_usage.get(name).copied().unwrap_or_default();
         let (cpus, gpus): (Amount, Amount) = (|job| job.cpus, |job| job.gpus);
         let amounts = [("cpus", team.cpus_max, used.cpus, cpus), ("gpus", team.gpus_max, used.gpus, gpus)];
         for (what, limit, used, amount) in amounts {
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -69,7 +69,7 @@
     let mut replica = ObservedReplica {
         machine: binding.machine.to_string(),
         running,
-        stopping: binding.halting.is_some(),
+        stopping: binding.halt_grace_s.is_some(),
         ran_s: binding.running_since.filter(|_| running).map_or(Duration::ZERO, since).as_secs_f64(),
         bound_s: since(binding.since).as_secs_f64(),
         ..ObservedReplica::default()
@@ -79,7 +79,7 @@
         replica.zone = machine.zone.clone();
         replica.heard = machine.reported() && since(machine.last_seen) < suspect_after(cluster);
         // A scale-in candidate keeps running tasks that cannot move.
-        let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
+        let stays = machine.state != MachineState::Terminating && machine.recall_at.is_none();
         replica.leaving = !stays;
         replica.sure = running && replica.heard && stays && machine.fencing_token >= cluster.first_fencing_token;
     }
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -19,7 +19,7 @@
 use crate::rollouts::Rollout;
 use crate::rollouts::status::{RolloutPhase, RolloutStatus};
 use crate::scheduling::cluster::ClusterState;
-use crate::scheduling::intents::{Intents, Replicas};
+use crate::scheduling::intents::{Intents, ReplicaIntent};
 use crate::scheduling::messages::MessageKind;
 use crate::scheduling::plan;
 use crate::settings::Properties;
@@ -81,7 +81,7 @@
             let runs = |key: &TaskKey| {
                 let job = self.cluster.job(&key.job).unwrap();
                 let attempt = job.tasks[key.index as usize].attempt;
-                let stops = job.binding(key.index).unwrap().halting.is_some();
+                let stops = job.binding(key.index).unwrap().halt_grace_s.is_some();
                 let attempt_report = AttemptReport {
                     task: key.clone(),
                     attempt,
@@ -144,7 +144,7 @@
         }
         let placed = plan::place(&mut self.cluster, &self.catalog, self.now);
         let names = placed.iter().map(|p| format!("{}/{}", p.task.job, p.task.index)).collect();
-        self.cluster.bind_all(placed, self.now);
+        self.cluster.bind_placements(placed, self.now);
         names
     }
 
@@ -153,7 +153,7 @@
     }
 
     fn running(&self, n: u32) -> u64 {
-        self.cluster.counts(&format!("run-{n}").as_str().into()).running
+        self.cluster.task_counts(&format!("run-{n}").as_str().into()).running
     }
 
     fn pass(&mut self, seconds: u64) {
@@ -271,11 +271,16 @@
     // Two fill the first machine.
     assert_eq!(bench.turn().len(), 3);
     for gone in ["m2", "m3"] {
-        bench.cluster.machine_gone(&gone.into(), bench.now);
+        bench.cluster.remove_machine(&gone.into(), bench.now);
     }
     bench.pass(1);
     let ask = |stop: &[u32], stay| {
-        let of = Replicas { most: 3, stop: stop.iter().copied().collect(), stay, ahead: false };
+        let of = ReplicaIntent {
+            max_bound: 3,
+            stop: stop.iter().copied().collect(),
+            keep_in_place: stay,
+            prioritized: false,
+        };
         Intents { replicas: [("run-1".into(), of)].into(), ..Intents::default() }
     };
     bench.cluster.set_intents(ask(&[0], false));
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -399,7 +399,7 @@
 #[test]
 fn replica_intents_by_cases() {
     let stop = |status: &RolloutStatus, seen: &RolloutObservation| {
-        replica_intents(&spec(), status, seen).map(|a| a.map(|a| (a.most, a.stop)))
+        replica_intents(&spec(), status, seen).map(|a| a.map(|a| (a.max_bound, a.stop)))
     };
     let set = |of: &[u32]| of.iter().copied().collect::<BTreeSet<u32>>();
     let new = [(0, "a", 50.0)];
@@ -414,5 +414,8 @@
     assert_eq!(stop(&status(RolloutPhase::Refused, 0, &[], &[]), &seen(&OLD, &[])), [None, None]);
     let done = status(RolloutPhase::Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]);
     let asked = replica_intents(&spec(), &done, &seen(&[], &OLD));
-    assert!(asked.into_iter().flatten().all(|a| !a.stay && !a.ahead), "over: its machines can be spared as any");
+    assert!(
+        asked.into_iter().flatten().all(|a| !a.keep_in_place && !a.prioritized),
+        "over: its machines can be spared as any"
+    );
 }
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -491,7 +491,7 @@
             let tasks = if which == 0 { self.game.old } else { self.game.replicas };
             let kept = leader.heard.keys().filter(mine).filter(|k| !ask.stop.contains(&k.1)).count() as u64;
             let waiting = (0..tasks).filter(|n| !ask.stop.contains(n) && !leader.heard.contains_key(&(which, *n)));
-            let waiting: Vec<u32> = waiting.take(ask.most.saturating_sub(kept) as usize).collect();
+            let waiting: Vec<u32> = waiting.take(ask.max_bound.saturating_sub(kept) as usize).collect();
             for index in waiting.into_iter().filter(|_| current) {
                 self.place((which, index));
             }
--- a/src/scheduling/capacity.rs
+++ b/src/scheduling/capacity.rs
@@ -82,9 +82,9 @@
 
     /// What is left of a machine; none if its type is unknown.
     pub fn capacity(&self, machine: &'a Machine) -> Option<FreeCapacity<'a>> {
-        let kind = machine.kind?;
+        let kind = machine.kind_index?;
         let of = self.offers.get(kind).copied().flatten()?.of;
-        let taken = machine.taken();
+        let taken = machine.allocated();
         Some(FreeCapacity {
             machine: Some(machine),
             of,
@@ -93,7 +93,11 @@
             gpus: of.gpus - taken.gpus,
             memory_gb: of.memory_gb - taken.memory_gb,
             load: machine.load(),
-            idle: (machine.idle().cpus, machine.idle().gpus, machine.idle().memory_gb),
+            idle: (
+                machine.idle_work_allocated().cpus,
+                machine.idle_work_allocated().gpus,
+                machine.idle_work_allocated().memory_gb,
+            ),
             leaving: machine.state == MachineState::Draining,
             kept: false,
             reservation: None,
@@ -208,12 +212,12 @@
     /// How likely the machine is to be lost with what it runs: the cloud takes cheap ones back, and
     /// what has failed fails again.
     pub fn risk(&self) -> u8 {
-        self.machine.map_or(0, |m| 2 * u8::from(m.spot) + u8::from(m.failed))
+        self.machine.map_or(0, |m| 2 * u8::from(m.spot) + u8::from(m.failed_since_success))
     }
 
     /// Whether a task of the job needs no fetch here: it has no image, or the machine holds it.
     pub fn holds_image(&self, job: &JobState) -> bool {
-        job.spec().image_gb <= 0.0 || self.machine.is_some_and(|m| m.holds_image(job.image))
+        job.spec().image_gb <= 0.0 || self.machine.is_some_and(|m| m.expects_image(job.image_digest))
     }
 
     /// Adds to what is free; negative amounts take from it.
@@ -267,12 +271,12 @@
 
 fn sane(machine: &Machine, suspect: Duration, now: Instant) -> bool {
     machine.reported()
-        && machine.recall.is_none()
-        && machine.known
+        && machine.recall_at.is_none()
+        && machine.confirmed
         && !machine.quarantined
         && !machine.inbound_lost
         && now.saturating_duration_since(machine.last_heartbeat) < suspect
-        && !machine.has_strays()
+        && !machine.has_unbound_tasks()
 }
 
 /// After this long without a heartbeat a machine gets no new work.
--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -24,23 +24,24 @@
 
     /// What late work has earned is bounded by what the oldest of it needs.
     pub fn bound_core_credit(&mut self, now: Instant) {
-        let waits = |job: &&JobState| !job.waiting.is_empty() && job.ended.is_none() && !job.complete();
+        let waits = |job: &&JobState| !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete();
         let late = self
             .jobs
             .iter()
-            .filter(|(id, _)| !self.attribution.suspects(id) && !self.intents.not_yet.contains(*id))
-            .filter(|(id, job)| self.intents.waiting(id, job) > 0)
+            .filter(|(id, _)| !self.attribution.suspects(id) && !self.intents.deferred_jobs.contains(*id))
+            .filter(|(id, job)| self.intents.placeable_tasks(id, job) > 0)
             .map(|(_, job)| job)
             .filter(waits);
-        let late = late.filter(|job| job.too_late(now.saturating_duration_since(job.since)));
-        let needs = late.min_by_key(|job| job.since).map(JobState::cores_at_once);
+        let late = late.filter(|job| job.is_too_late(now.saturating_duration_since(job.since)));
+        let needs = late.min_by_key(|job| job.since).map(JobState::min_start_cores);
         self.core_credit.bound(needs);
         let waits = self.jobs.iter().filter(|(id, _)| !self.attribution.suspects(id)).map(|(_, job)| job).filter(waits);
         let within = self.properties.large_begin;
-        let may_go_first =
-            |job: &&JobState| self.large.may_go_first(job.spec(), now.saturating_duration_since(job.since), within);
-        let needs = waits.filter(may_go_first).min_by_key(|job| job.since).map(JobState::cores_at_once);
-        self.large.bound_credit(needs);
+        let may_go_first = |job: &&JobState| {
+            self.large_gangs.may_go_first(job.spec(), now.saturating_duration_since(job.since), within)
+        };
+        let needs = waits.filter(may_go_first).min_by_key(|job| job.since).map(JobState::min_start_cores);
+        self.large_gangs.bound_credit(needs);
     }
 
     pub(super) fn note(&mut self, id: &JobId, note: AccountingEvent, now: Instant) {
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -10,15 +10,15 @@
 
 impl ClusterState {
     /// Binds each placed task to its machine; its launch waits until that is stored.
-    pub fn bind_all(&mut self, placements: Vec<Placement>, now: Instant) {
+    pub fn bind_placements(&mut self, placements: Vec<Placement>, now: Instant) {
         let mut first_places: HashMap<JobId, f64> = HashMap::new();
         // What may go ahead is bounded by what is given out: it may be more after this.
-        self.replan_needed |= self.intents.ahead.is_some() && !placements.is_empty();
+        self.replan_needed |= self.intents.priority_boost.is_some() && !placements.is_empty();
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
-                let late = job.too_late(now.saturating_duration_since(job.since));
+                let late = job.is_too_late(now.saturating_duration_since(job.since));
                 self.core_credit.note(job.spec().cpus, late, self.properties.served_late);
-                self.large.record_placement(job.spec());
+                self.large_gangs.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.touched += 1;
                     *first_places.entry(placement.task.job.clone()).or_default() += 1.0 / job.tasks.len() as f64;
@@ -50,9 +50,9 @@
         task.phase = Phase::Bound(Box::new(Binding::new(p.machine, false, now)));
         job.waiting.remove(&p.task.index);
         job.bound.insert(p.task.index);
-        machine.remember_image(job.image, job.record.spec.image_gb);
+        machine.remember_image(job.image_digest, job.record.spec.image_gb);
         machine.bind(p.task.clone(), job, now);
-        let used = self.usage.entry(job.record.spec.team.clone()).or_default();
+        let used = self.team_usage.entry(job.record.spec.team.clone()).or_default();
         used.add(job.record.spec.cpus, job.record.spec.gpus);
         self.unstored.start(&p.task);
     }
@@ -63,7 +63,7 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.ended.is_some() {
             self.forget_if_gone(&key.job);
-        } else if job.spec().is_gang() && !job.complete() {
+        } else if job.spec().is_gang() && !job.is_complete() {
             // An attempt that lost a task is over; the rest must be gone before the next one.
             self.halt_job(&key.job, 0, now);
         }
@@ -72,7 +72,8 @@
     /// A task that is gone without having been stopped was lost.
     pub(super) fn record_loss(&mut self, key: &TaskKey, now: Instant) {
         let lost = |job: &JobState| {
-            job.ended.is_none() && job.binding(key.index).is_some_and(|b| b.status.is_some() && b.halting.is_none())
+            job.ended.is_none()
+                && job.binding(key.index).is_some_and(|b| b.status.is_some() && b.halt_grace_s.is_none())
         };
         if self.jobs.get(&key.job).is_some_and(lost) {
             self.note(&key.job, AccountingEvent::Lost, now);
@@ -103,7 +104,7 @@
         }
         self.replan_needed = true;
         job.bound.remove(&key.index);
-        if let Some(used) = self.usage.get_mut(&job.record.spec.team) {
+        if let Some(used) = self.team_usage.get_mut(&job.record.spec.team) {
             used.release(job.record.spec.cpus, job.record.spec.gpus);
         }
     }
@@ -117,8 +118,8 @@
             let Some(binding) = self.jobs.get_mut(id).and_then(|j| j.binding_mut(index)) else { continue };
             if binding.announced_in.is_none() && !binding.inherited {
                 self.release(&TaskKey { job: id.clone(), index }, now);
-            } else if binding.halting.is_none() {
-                binding.halting = Some(grace_s);
+            } else if binding.halt_grace_s.is_none() {
+                binding.halt_grace_s = Some(grace_s);
                 if let Some(machine) = self.machines.get_mut(&binding.machine) {
                     machine.command_due = true;
                 }
@@ -127,20 +128,20 @@
     }
 
     /// Stops one task, or all of its gang.
-    pub fn halt(&mut self, key: &TaskKey, grace_s: u64, now: Instant) {
+    pub fn halt_task_or_gang(&mut self, key: &TaskKey, grace_s: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         if job.spec().is_gang() {
             return self.halt_job(&key.job, grace_s, now);
         }
-        self.halt_one(key, grace_s);
+        self.halt_single_task(key, grace_s);
     }
 
     /// Stops one task of what is no gang.
-    pub(in crate::scheduling) fn halt_one(&mut self, key: &TaskKey, grace_s: u64) {
+    pub(in crate::scheduling) fn halt_single_task(&mut self, key: &TaskKey, grace_s: u64) {
         if let Some(binding) = self.jobs.get_mut(&key.job).and_then(|job| job.binding_mut(key.index))
-            && binding.halting.is_none()
+            && binding.halt_grace_s.is_none()
         {
-            binding.halting = Some(grace_s);
+            binding.halt_grace_s = Some(grace_s);
             if let Some(machine) = self.machines.get_mut(&binding.machine) {
                 machine.command_due = true;
             }
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -36,11 +36,12 @@
 
 impl ClusterState {
     /// What the answer to this machine's heartbeat is to tell it.
-    pub fn commands_in_answer(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
+    pub fn heartbeat_response_commands(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
         // never wrong, and this answer renews the lease, which is what else would end the task.
-        let commands = if m.command_under_way { self.stops_only(machine, &HashSet::new()) } else { self.commands(m) };
+        let commands =
+            if m.command_under_way { self.halts_of_ended_jobs(machine, &HashSet::new()) } else { self.commands(m) };
         self.record_launches(&commands, machine);
         let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
@@ -59,7 +60,7 @@
     /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
     /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
     /// fencing token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
-    pub fn stops_only(&self, machine: &str, over: &HashSet<JobId>) -> Vec<WorkerCommand> {
+    pub fn halts_of_ended_jobs(&self, machine: &str, over: &HashSet<JobId>) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
             over.contains(id) || self.ended_at.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
@@ -94,7 +95,7 @@
             return commands;
         }
         commands.extend(m.attempts.iter().filter_map(|report| self.command_for_attempt(m, report)));
-        if m.recall.is_none() {
+        if m.recall_at.is_none() {
             commands.extend(m.bound.iter().filter_map(|key| self.launch_of(m, key)));
         }
         if m.state == MachineState::Terminating {
@@ -125,7 +126,7 @@
         }
         let ended = job.is_none_or(|j| j.ended.is_some());
         let grace_s = match binding {
-            Some(binding) if !ended => binding.halting?,
+            Some(binding) if !ended => binding.halt_grace_s?,
             _ => return Some(WorkerCommand::Halt { task, attempt, grace_s: 0 }),
         };
         let must_halt = report.status != AttemptStatus::Saving || grace_s == 0;
@@ -141,7 +142,7 @@
             && m.reported_attempt(key, task.attempt).is_none()
             && !binding.inherited
             && job.ended.is_none()
-            && binding.halting.is_none()
+            && binding.halt_grace_s.is_none()
             && job.launchable();
         may_launch.then(|| WorkerCommand::Launch { task: key.clone(), attempt: task.attempt })
     }
@@ -203,7 +204,7 @@
     }
 
     /// A direct command is no longer waited for. Unless settled, it may still be executed.
-    pub fn command_over(&mut self, machine: &MachineId, fencing_token: u64, settled: bool, now: Instant) {
+    pub fn finish_direct_command(&mut self, machine: &MachineId, fencing_token: u64, settled: bool, now: Instant) {
         // Of an earlier cluster state of this process, which lost leadership and has it again: the command that is
         // under way now is another one.
         if fencing_token < self.first_fencing_token {
@@ -220,7 +221,7 @@
     }
 
     /// Whether commands that may still arrive are to be made void by a higher fencing token.
-    pub fn raise_wanted(&self, now: Instant) -> bool {
+    pub fn token_raise_needed(&self, now: Instant) -> bool {
         self.higher_token_wanted
             && self.loaded
             && now.saturating_duration_since(self.token_raised_at) >= RAISE_GAP
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -20,7 +20,7 @@
             .iter()
             .take(MOST_LOOKED)
             .filter_map(|index| job.binding(*index))
-            .any(|b| b.status == Some(AttemptStatus::Running) && b.machine != *except && b.ran(now) >= WELL_AFTER)
+            .any(|b| b.status == Some(AttemptStatus::Running) && b.machine != *except && b.run_time(now) >= WELL_AFTER)
 }
 
 impl ClusterState {
@@ -49,7 +49,7 @@
             }
         }
         if let Some(machine) = self.machines.get_mut(on) {
-            machine.failed = true;
+            machine.failed_since_success = true;
             if response.machine && machine.state == MachineState::Up {
                 info!(machine = %on, "machine quarantined");
                 machine.quarantined = true;
@@ -73,7 +73,7 @@
 
     fn clear_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.failed = false;
+            machine.failed_since_success = false;
             if std::mem::take(&mut machine.quarantined) {
                 info!(machine = %id, "machine quarantine lifted");
                 self.replan_needed = true;
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -60,22 +60,22 @@
         self.type_name = heartbeat.type_name;
         self.zone = heartbeat.zone;
         self.spot = heartbeat.spot;
-        self.kind = kind;
+        self.kind_index = kind;
         self.fencing_token = self.fencing_token.max(heartbeat.fencing_token);
         if self.unsettled.is_some_and(|fencing_token| self.fencing_token > fencing_token) {
             self.unsettled = None;
         }
         self.attempts = heartbeat.attempts;
-        let had_strays = self.has_strays();
+        let had_strays = self.has_unbound_tasks();
         self.look_for_strays();
-        had_strays && !self.has_strays()
+        had_strays && !self.has_unbound_tasks()
     }
 
     /// Records an interruption notice, if there is one. Returns whether it is the first.
     fn record_notice(&mut self, notice_s: Option<f64>, now: Instant) -> bool {
         let notice = notice_s.map(|s| now + Duration::from_secs_f64(s.max(0.0)));
-        let first = notice.is_some() && self.recall.is_none();
-        self.recall = notice.or(self.recall);
+        let first = notice.is_some() && self.recall_at.is_none();
+        self.recall_at = notice.or(self.recall_at);
         first
     }
 
@@ -119,7 +119,7 @@
         machine.partition.record_message(&heartbeat, message, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
         if heartbeat.fencing_token >= self.first_fencing_token {
-            self.replan_needed |= !std::mem::replace(&mut machine.known, true);
+            self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true);
         }
         let notice_s = heartbeat.notice_s;
         self.replan_needed |= machine.record_report(heartbeat, kind);
@@ -230,7 +230,7 @@
         job.done += 1;
         self.record_first_run(&key.job, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
-        if job.complete() {
+        if job.is_complete() {
             if !self.completed.contains(&key.job) {
                 self.completed.push_back(key.job.clone());
             }
@@ -242,7 +242,7 @@
     /// The cloud takes the machine away: what can save and would not finish in time is stopped.
     fn recalled(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(recall) = machine.recall else { return };
+        let Some(recall) = machine.recall_at else { return };
         let left = recall.saturating_duration_since(now);
         info!(machine = %id, notice_s = left.as_secs_f64(), "machine recall announced");
         machine.state = match machine.state {
@@ -253,11 +253,11 @@
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
-            let rest = sla::remaining(self.estimate(job.spec()), binding.ran(now));
+            let rest = sla::remaining(self.estimated_run_time(job.spec()), binding.run_time(now));
             let save_s = job.spec().save_s;
             let can_save = job.spec().checkpoint_s > 0.0 && save_s + 1.0 < left.as_secs_f64();
             if binding.running_since.is_none() || (can_save && rest > left) {
-                self.halt(&key, save_s.ceil() as u64 + 1, now);
+                self.halt_task_or_gang(&key, save_s.ceil() as u64 + 1, now);
             }
         }
     }
--- a/src/scheduling/cluster/intents.rs
+++ b/src/scheduling/cluster/intents.rs
@@ -13,7 +13,7 @@
             let grace_s = job.spec().save_s.ceil() as u64 + 1;
             let stop: Vec<u32> = job.bound.intersection(&of.stop).copied().collect();
             for index in stop {
-                self.halt_one(&TaskKey { job: id.clone(), index }, grace_s);
+                self.halt_single_task(&TaskKey { job: id.clone(), index }, grace_s);
             }
         }
         self.intents = intents;
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -6,14 +6,14 @@
 
 use tracing::{debug, info};
 
-use super::model::image_id;
+use super::model::image_digest;
 use super::{Arrivals, Binding, ClusterState, JobState, Machine, MachineId, Phase, Task};
 use crate::jobs::Counts;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::fairness::AccountingEvent;
-use crate::scheduling::ids::MOST_CLASSES;
+use crate::scheduling::ids::MAX_CLASSES;
 use crate::scheduling::promises::promises_of;
 use crate::sla::Agreement;
 
@@ -41,23 +41,23 @@
     }
 
     /// Running and done tasks of a job, for display.
-    pub fn counts(&self, id: &JobId) -> Counts {
+    pub fn task_counts(&self, id: &JobId) -> Counts {
         self.jobs.get(id).map_or_else(Counts::default, count)
     }
 
     /// The same of every job.
-    pub fn all_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
+    pub fn all_task_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
         self.jobs.iter().map(|(id, job)| (id, count(job)))
     }
 
     /// Begins to load afresh, after a reading that was broken off. Machines that have reported
     /// meanwhile stay known.
-    pub fn forget_all(&mut self) {
+    pub fn reset_for_load(&mut self) {
         self.jobs.clear();
         self.ending.clear();
         self.suspended.clear();
         self.shards_to_drop.clear();
-        self.usage.clear();
+        self.team_usage.clear();
         self.arrivals.clear();
         for machine in self.machines.values_mut() {
             machine.hold_nothing();
@@ -72,10 +72,10 @@
         }
         let age = record.age(time_of_day_ms());
         self.note_arrival(&record, age, now);
-        self.large.record_offer(&record.spec, age, now);
+        self.large_gangs.record_offer(&record.spec, age, now);
         let job = self.begin(record, now.checked_sub(age).unwrap_or(now), now);
         self.replan_needed = true;
-        self.intents_due = true;
+        self.intents_outdated = true;
         self.jobs.insert(id, job);
     }
 
@@ -102,8 +102,8 @@
             ended_after: 0,
             finished: false,
             not_before: now,
-            image: image_id(&record.spec.image),
-            last_end: None,
+            image_digest: image_digest(&record.spec.image),
+            last_task_end: None,
             promises: promises.into(),
             touched: 0,
             most_starts: 0,
@@ -148,8 +148,8 @@
         for (machine, index) in inherited {
             let machine = self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, now));
             machine.bind(TaskKey { job: id.clone(), index }, job, now);
-            machine.remember_image(job.image, job.record.spec.image_gb);
-            let used = self.usage.entry(job.record.spec.team.clone()).or_default();
+            machine.remember_image(job.image_digest, job.record.spec.image_gb);
+            let used = self.team_usage.entry(job.record.spec.team.clone()).or_default();
             used.add(job.record.spec.cpus, job.record.spec.gpus);
         }
     }
@@ -165,7 +165,7 @@
 
     /// Everything stored was loaded: from here on the cluster state decides.
     pub fn finish_load(&mut self, now: Instant) {
-        let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.complete());
+        let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.is_complete());
         self.completed.extend(complete.map(|(id, _)| id.clone()));
         (self.loaded, self.loaded_at) = (true, now);
         self.halt_suspended_gangs(now);
@@ -177,7 +177,7 @@
     fn note_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
         let class = &record.spec.class;
         if !self.arrivals.contains_key(class)
-            && self.arrivals.len() >= MOST_CLASSES.get()
+            && self.arrivals.len() >= MAX_CLASSES.get()
             && let Some(oldest) = self.arrivals.iter().min_by_key(|(_, a)| a.at).map(|(class, _)| class.clone())
         {
             self.arrivals.remove(&oldest);
@@ -196,12 +196,12 @@
     }
 
     fn agreement(&self, spec: &JobSpec) -> Agreement {
-        Agreement::of(spec, self.estimate(spec), self.properties.soft_deadline)
+        Agreement::of(spec, self.estimated_run_time(spec), self.properties.soft_deadline)
     }
 
     /// The owner's estimate, corrected by how its class has been off so far. A handful of
     /// finished tasks weigh as much as the leaders' word.
-    pub fn estimate(&self, spec: &JobSpec) -> Duration {
+    pub fn estimated_run_time(&self, spec: &JobSpec) -> Duration {
         let (logs, n) = self.observed.peek(&spec.class).copied().unwrap_or_default();
         let factor = (logs / (n + 5.0)).exp().clamp(0.25, 4.0);
         spec.estimate().mul_f64(factor)
@@ -216,7 +216,7 @@
             return;
         }
         job.ended = Some(now);
-        job.ended_after = self.known;
+        job.ended_after = self.known_ends_revision;
         self.ended_at.put(id.clone(), now);
         job.waiting.clear();
         self.attribution.job_over(id);
@@ -247,7 +247,7 @@
         debug!(job = %id, wait_ms = waited.as_millis() as u64, "job wait measured");
         // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
-        if own && self.large.is_large_gang(job.spec()) {
+        if own && self.large_gangs.is_large_gang(job.spec()) {
             self.note(id, AccountingEvent::Begun, now);
         }
     }
--- a/src/scheduling/cluster/loads.rs
+++ b/src/scheduling/cluster/loads.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 use super::Machine;
 #[cfg(test)]
-use super::model::Amounts;
+use super::model::AllocatedResources;
 use super::model::weigh;
 use crate::sla::Load;
 
@@ -33,8 +33,8 @@
 
     /// What the tasks bound to a machine take, counted afresh.
     #[cfg(test)]
-    pub fn taken_afresh(&self, machine: &Machine) -> Amounts {
-        let mut taken = Amounts::default();
+    pub fn recomputed_allocation(&self, machine: &Machine) -> AllocatedResources {
+        let mut taken = AllocatedResources::default();
         for key in &machine.bound {
             if let Some(job) = self.jobs.get(&key.job) {
                 taken.add(job.spec(), 1.0);
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -23,21 +23,21 @@
 
 impl ClusterState {
     /// A machine that was rented or listed, before it reports.
-    pub fn expect(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
+    pub fn expect_machine(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
         let id: MachineId = id.into();
         if self.gone_set.contains(&id) {
             return;
         }
         let at = self.kind(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
-        self.replan_needed |= !std::mem::replace(&mut machine.known, true) && machine.reported();
+        self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
         // A new leader hears of machines before it is told how long they have been held.
         machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
             machine.zone = kind.zone.clone();
             machine.spot = kind.spot;
-            machine.kind = at;
+            machine.kind_index = at;
             if let Some(addr) = addr.filter(|a| a.parse::<std::net::SocketAddr>().is_ok()) {
                 machine.addr = Some(addr.to_owned());
             }
@@ -45,7 +45,7 @@
     }
 
     /// The cloud says that a machine is up.
-    pub fn listed_up(&mut self, id: &str, now: Instant) {
+    pub fn record_listed_up(&mut self, id: &str, now: Instant) {
         // From now on it should be heard of: until now it was booting, for all that is known here.
         if let Some(machine) = self.machines.get_mut(id).filter(|m| !m.reported() && !m.listed_up) {
             (machine.listed_up, machine.last_seen) = (true, now);
@@ -53,7 +53,7 @@
     }
 
     /// Marks a machine to be returned with whatever is on it; `reason` goes to the log.
-    pub fn terminate(&mut self, id: &str, reason: &str) {
+    pub fn schedule_termination(&mut self, id: &str, reason: &str) {
         if let Some(machine) = self.machines.get_mut(id)
             && machine.state != MachineState::Terminating
         {
@@ -71,15 +71,15 @@
                 let id: MachineId = name.as_str().into();
                 if !self.gone_set.contains(&id) {
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
-                    self.terminate(name, "ordered by an earlier leader");
+                    self.schedule_termination(name, "ordered by an earlier leader");
                 }
             }
         }
-        self.inherited = orders;
+        self.inherited_orders = orders;
     }
 
     /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
-    pub fn take_back(&mut self, id: &MachineId) {
+    pub fn cancel_drain(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         if machine.state == MachineState::Draining && machine.scale_in_candidate {
             (machine.state, machine.scale_in_candidate) = (MachineState::Up, false);
@@ -88,18 +88,18 @@
     }
 
     /// No new work for a machine that can be spared; these tasks of it save and move.
-    pub fn drain(&mut self, id: &MachineId, moves: &[TaskMove], now: Instant) {
+    pub fn drain_machine(&mut self, id: &MachineId, moves: &[TaskMove], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         (machine.state, machine.scale_in_candidate) = (MachineState::Draining, true);
         let (bound_tasks, moved_tasks) = (machine.bound.len(), moves.len());
         info!(machine = %id, bound_tasks, moved_tasks, "machine drain started");
         for task_move in moves {
-            self.halt(&task_move.task, task_move.grace_s, now);
+            self.halt_task_or_gang(&task_move.task, task_move.grace_s, now);
         }
     }
 
     /// The cloud has confirmed the return: everything on it is gone.
-    pub fn machine_gone(&mut self, id: &MachineId, now: Instant) {
+    pub fn remove_machine(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
         for key in keys {
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -30,8 +30,8 @@
 pub use commands::DirectCommand;
 pub use machines::TaskMove;
 pub use model::{
-    Ahead, Arrivals, Binding, CapacityIntent, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement,
-    Replicas, Reservation, Task, TeamUsage, WindowPlace,
+    Arrivals, Binding, CapacityIntent, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement,
+    PriorityBoost, ReplicaIntent, Reservation, Task, TeamUsage, WindowPlace,
 };
 pub use storing::ShardWrite;
 use storing::UnstoredShards;
@@ -40,7 +40,7 @@
 use super::failure_attribution::FailureAttribution;
 use super::fairness::AccountingEvent;
 use super::fairness::floor::{CoreCredit, Underserved};
-use super::ids::MOST_CLASSES;
+use super::ids::MAX_CLASSES;
 use super::large::LargeGangs;
 use super::passed_over::PassedOverJobs;
 use crate::cloud_orders::CloudOrder;
@@ -73,7 +73,7 @@
     /// Everything stored has been read; nothing is decided before.
     pub loaded: bool,
     /// Every end that stood in the store at this revision is in this cluster state, once it is loaded.
-    pub known: u64,
+    pub known_ends_revision: u64,
     /// The cancellation watermark, a revision of the store; it never goes back.
     watermark: u64,
     /// What the platform has handed over.
@@ -102,7 +102,7 @@
     /// Shards of jobs that are over, to be dropped.
     shards_to_drop: VecDeque<(JobId, u64)>,
     /// Cores and accelerators that each team's bound tasks take.
-    pub usage: HashMap<String, TeamUsage>,
+    pub team_usage: HashMap<String, TeamUsage>,
     /// When the fencing token was last raised.
     token_raised_at: Instant,
     /// A launch that may still arrive is to be voided by a higher fencing token.
@@ -118,13 +118,13 @@
     /// How fast tasks of each class have lately come.
     pub arrivals: BTreeMap<String, Arrivals>,
     /// Offered work and credit of the largest gangs.
-    pub large: LargeGangs,
+    pub large_gangs: LargeGangs,
     /// Machines kept for gangs that will soon fit.
     pub reservations: HashMap<MachineId, Reservation>,
     /// Machines on which others were stopped for a job, until it has come there.
     pub preemption_reservations: HashMap<MachineId, Reservation>,
     /// Since when plans have kept room for a gang.
-    pub(super) room_kept_since: Option<Instant>,
+    pub(super) gang_room_held_since: Option<Instant>,
     /// Jobs that wait although machines have room for them.
     pub(super) passed_over: PassedOverJobs,
     /// Classes and teams that were served less than the floor, by fair-share accounting.
@@ -134,13 +134,13 @@
     /// Cores that work which is late for all its objectives may take before others.
     pub core_credit: CoreCredit,
     /// Orders to the cloud that an earlier leader has left, for whoever carries them out.
-    pub inherited: Vec<CloudOrder>,
+    pub inherited_orders: Vec<CloudOrder>,
     /// When jobs ended, of the last ones that this leader heard of.
     ended_at: LruCache<JobId, Instant>,
     /// What the operators' declarations ask of scheduling.
     pub intents: Intents,
     /// Jobs have come since that was worked out.
-    pub intents_due: bool,
+    pub intents_outdated: bool,
     /// Events that fair-share accounting has not been told of yet.
     notes: Vec<(JobId, AccountingEvent, Instant)>,
 }
@@ -152,7 +152,7 @@
             fencing_token,
             first_fencing_token: fencing_token,
             loaded: false,
-            known: 0,
+            known_ends_revision: 0,
             watermark: 0,
             settings,
             jobs: HashMap::default(),
@@ -166,26 +166,26 @@
             unstored: UnstoredShards::default(),
             completed: VecDeque::new(),
             shards_to_drop: VecDeque::new(),
-            usage: HashMap::new(),
+            team_usage: HashMap::new(),
             token_raised_at: now,
             higher_token_wanted: false,
             many_silent_seen_at: None,
             last_pause: None,
             loaded_at: now,
-            observed: LruCache::new(MOST_CLASSES),
+            observed: LruCache::new(MAX_CLASSES),
             arrivals: BTreeMap::new(),
-            large: LargeGangs::new(&properties, now),
+            large_gangs: LargeGangs::new(&properties, now),
             reservations: HashMap::new(),
             preemption_reservations: HashMap::new(),
-            room_kept_since: None,
+            gang_room_held_since: None,
             passed_over: PassedOverJobs::default(),
             underserved: Underserved::default(),
             attribution: FailureAttribution::default(),
             core_credit: CoreCredit::default(),
-            inherited: Vec::new(),
+            inherited_orders: Vec::new(),
             ended_at: LruCache::new(ENDED_KEPT),
             intents: Intents::default(),
-            intents_due: true,
+            intents_outdated: true,
             notes: Vec::new(),
             properties,
         }
@@ -204,7 +204,7 @@
     }
 
     /// Entries of everything that could grow, by name.
-    pub fn held(&self) -> [(&'static str, usize); 12] {
+    pub fn entry_counts(&self) -> [(&'static str, usize); 12] {
         let [machines_quarantined, jobs_quarantined, jobs_failing] = self.attribution.held();
         [
             ("machines_suspected", machines_quarantined),
--- a/src/scheduling/cluster/model/arrivals.rs
+++ b/src/scheduling/cluster/model/arrivals.rs
@@ -31,7 +31,7 @@
     }
 
     /// Tasks a second, as of now.
-    pub fn per_second(&self, now: Instant) -> f64 {
+    pub fn tasks_per_second(&self, now: Instant) -> f64 {
         self.fade(now) / ARRIVALS_FADE.as_secs_f64()
     }
 }
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -25,14 +25,22 @@
     /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// Being stopped, with this much time to save.
-    pub halting: Option<u64>,
+    pub halt_grace_s: Option<u64>,
     /// When the binding was made or read from the store.
     pub since: Instant,
 }
 
 impl Binding {
     pub(in crate::scheduling::cluster) fn new(machine: MachineId, inherited: bool, now: Instant) -> Self {
-        Self { machine, announced_in: None, inherited, status: None, running_since: None, halting: None, since: now }
+        Self {
+            machine,
+            announced_in: None,
+            inherited,
+            status: None,
+            running_since: None,
+            halt_grace_s: None,
+            since: now,
+        }
     }
 
     /// The worker reports the attempt in this state.
@@ -53,12 +61,12 @@
     /// any more. A task that this leader wants to start and that was never seen may still come.
     pub(in crate::scheduling::cluster) fn is_absent(&self, agent_epoch: u64, settled: bool, job_ended: bool) -> bool {
         let epoch_over = self.announced_in.is_some_and(|announced_in| announced_in < agent_epoch);
-        let unneeded = job_ended || self.halting.is_some() || self.inherited || self.status.is_some();
+        let unneeded = job_ended || self.halt_grace_s.is_some() || self.inherited || self.status.is_some();
         epoch_over || (settled && unneeded)
     }
 
     /// For how long it has been running, as far as was reported.
-    pub fn ran(&self, now: Instant) -> Duration {
+    pub fn run_time(&self, now: Instant) -> Duration {
         self.running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
@@ -122,9 +130,9 @@
     /// Not to be placed before, after failures.
     pub not_before: Instant,
     /// The image's name, digested: what machines hold is compared by this.
-    pub image: u64,
+    pub image_digest: u64,
     /// When a task of it last ended.
-    pub last_end: Option<Instant>,
+    pub last_task_end: Option<Instant>,
     /// All that its user was promised.
     pub promises: Box<[Promise]>,
     /// Tasks that had a place at least once.
@@ -143,7 +151,7 @@
 
     /// Shards with their versions in the store, of those that the store is not behind on: nothing of
     /// them is on its way there.
-    pub fn settled_shards(&self) -> impl Iterator<Item = (u64, u64)> {
+    pub fn stored_shards(&self) -> impl Iterator<Item = (u64, u64)> {
         let settled = |shard: u64| self.shard(shard).iter().all(|t| t.stored);
         (0u64..).zip(self.versions.iter().copied()).filter(move |(shard, version)| *version > 0 && settled(*shard))
     }
@@ -155,17 +163,17 @@
     }
 
     /// Nothing that was promised of it can be kept by starting it now or later.
-    pub fn too_late(&self, age: Duration) -> bool {
+    pub fn is_too_late(&self, age: Duration) -> bool {
         next_start_s(&self.promises, self.agreement.run, age).is_none()
     }
 
     /// The part of its tasks that never had a place.
-    pub fn untouched(&self) -> f64 {
+    pub fn never_placed_fraction(&self) -> f64 {
         1.0 - self.touched as f64 / self.tasks.len().max(1) as f64
     }
 
     /// This leader knows that it runs, or has.
-    pub fn begun(&self) -> bool {
+    pub fn has_run(&self) -> bool {
         self.begun
     }
 
@@ -185,20 +193,20 @@
     }
 
     /// What must be free together for anything of it to start, in cores.
-    pub fn cores_at_once(&self) -> f64 {
+    pub fn min_start_cores(&self) -> f64 {
         let spec = self.spec();
         if spec.is_gang() { spec.cpus * spec.tasks as f64 } else { spec.cpus }
     }
 
     /// A waiting task of it has lost so many starts. Looked for only where any task was started so
     /// often: jobs may have a hundred thousand.
-    pub fn lost_starts(&self, least: u64) -> bool {
+    pub fn has_waiting_task_with_attempts(&self, least: u64) -> bool {
         self.most_starts >= least
             && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= least))
     }
 
     /// Whether nothing of it is left to run: all tasks are done, or one of a gang.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.done == self.tasks.len() as u64 || (self.spec().is_gang() && self.done > 0)
     }
 
@@ -221,6 +229,9 @@
     pub(in crate::scheduling::cluster) fn launchable(&self) -> bool {
         !self.spec().is_gang()
             || (self.waiting.is_empty()
-                && self.tasks.iter().all(|t| t.stored && matches!(&t.phase, Phase::Bound(b) if b.halting.is_none())))
+                && self
+                    .tasks
+                    .iter()
+                    .all(|t| t.stored && matches!(&t.phase, Phase::Bound(b) if b.halt_grace_s.is_none())))
     }
 }
--- a/src/scheduling/cluster/model/load.rs
+++ b/src/scheduling/cluster/model/load.rs
@@ -7,7 +7,7 @@
 
 /// Share and return of one task, in the paper's terms.
 pub(in crate::scheduling::cluster) fn weigh(job: &JobState, binding: Option<&Binding>, now: Instant) -> (f64, f64) {
-    let ran = binding.map_or(Duration::ZERO, |b| b.ran(now));
+    let ran = binding.map_or(Duration::ZERO, |b| b.run_time(now));
     let rest = sla::remaining(job.agreement.run, ran);
     let age = now.saturating_duration_since(job.since);
     let share = sla::share(rest, job.agreement.deadline.saturating_sub(age), job.agreement.cores);
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -18,7 +18,7 @@
 
 /// What an image is compared by: a digest, since names are compared at every placement. Two
 /// names alike would only mislead a preference.
-pub fn image_id(name: &str) -> u64 {
+pub fn image_digest(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
@@ -26,13 +26,13 @@
 
 /// What tasks take of their machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amounts {
+pub struct AllocatedResources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Amounts {
+impl AllocatedResources {
     pub(in crate::scheduling::cluster) fn add(&mut self, spec: &JobSpec, sign: f64) {
         self.cpus += sign * spec.cpus;
         self.gpus += sign * spec.gpus;
@@ -81,7 +81,7 @@
     /// When it was rented, as far as is known.
     pub since: Instant,
     /// When the cloud takes it back, if it has given notice.
-    pub recall: Option<Instant>,
+    pub recall_at: Option<Instant>,
     /// The tasks that are bound to it.
     pub bound: BTreeSet<TaskKey>,
     pub(in crate::scheduling::cluster) attempts: Vec<AttemptReport>,
@@ -98,7 +98,7 @@
     /// Since when nothing has been bound to it.
     pub idle_since: Option<Instant>,
     /// Something has failed on it since anything was done there.
-    pub failed: bool,
+    pub failed_since_success: bool,
     /// Drained because it can be spared: what is over of it is idle work's until the rest has run out.
     pub scale_in_candidate: bool,
     /// Quarantined: no new work until it is decided whose fault its failures are.
@@ -108,17 +108,17 @@
     pub(in crate::scheduling::cluster) partition: PartitionDetector,
     /// This leader has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
     /// that is known of it may be copies of heartbeats of a machine that is gone: no work for it yet.
-    pub known: bool,
+    pub confirmed: bool,
     /// Images it is thought to hold, the most recently used last, with their sizes.
     pub(in crate::scheduling::cluster) images: VecDeque<(u64, f64)>,
     /// What it keeps of them, if the cloud says.
     pub(in crate::scheduling::cluster) cache_gb: Option<f64>,
     /// Type, zone and kind, by their place in the cluster state's list.
-    pub kind: Option<usize>,
+    pub kind_index: Option<usize>,
     /// What the bound tasks take together, kept with every binding.
-    taken: Amounts,
+    taken: AllocatedResources,
     /// What of it idle work takes: others may have it.
-    idle: Amounts,
+    idle: AllocatedResources,
     /// Their shares and returns, and when these were counted; none once a task has left.
     pub(in crate::scheduling::cluster) load: Load,
     pub(in crate::scheduling::cluster) load_at: Option<Instant>,
@@ -144,7 +144,7 @@
             last_seen: now,
             last_heartbeat: now,
             since: now,
-            recall: None,
+            recall_at: None,
             bound: BTreeSet::new(),
             attempts: Vec::new(),
             command_under_way: false,
@@ -154,17 +154,17 @@
             next_command: now,
             command_due: false,
             idle_since: None,
-            failed: false,
+            failed_since_success: false,
             scale_in_candidate: false,
             quarantined: false,
             inbound_lost: false,
             partition: PartitionDetector::new(now),
-            known: false,
+            confirmed: false,
             images: VecDeque::new(),
             cache_gb: None,
-            kind: None,
-            taken: Amounts::default(),
-            idle: Amounts::default(),
+            kind_index: None,
+            taken: AllocatedResources::default(),
+            idle: AllocatedResources::default(),
             load: Load::default(),
             load_at: Some(now),
             strays: false,
@@ -191,7 +191,7 @@
     }
 
     /// Live tasks that are not bound here: their room is not free, whoever they belong to.
-    pub fn has_strays(&self) -> bool {
+    pub fn has_unbound_tasks(&self) -> bool {
         self.strays
     }
 
@@ -201,17 +201,17 @@
     }
 
     /// What its bound tasks take of it.
-    pub fn taken(&self) -> Amounts {
+    pub fn allocated(&self) -> AllocatedResources {
         self.taken
     }
 
     /// What idle work takes of it.
-    pub fn idle(&self) -> Amounts {
+    pub fn idle_work_allocated(&self) -> AllocatedResources {
         self.idle
     }
 
     /// Nothing but idle work is on it, if anything.
-    pub fn only_idle(&self) -> bool {
+    pub fn has_only_idle_work(&self) -> bool {
         self.taken.cpus <= self.idle.cpus + 1e-6 && self.taken.memory_gb <= self.idle.memory_gb + 1e-6
     }
 
@@ -222,7 +222,7 @@
 
     /// A task comes onto this machine.
     pub(in crate::scheduling::cluster) fn bind(&mut self, key: TaskKey, job: &JobState, now: Instant) {
-        self.known = true;
+        self.confirmed = true;
         if self.bound.insert(key) {
             self.taken.add(job.spec(), 1.0);
             if job.spec().is_idle() {
@@ -244,7 +244,7 @@
             }
             self.load_at = None;
             if self.bound.is_empty() {
-                (self.taken, self.idle) = (Amounts::default(), Amounts::default());
+                (self.taken, self.idle) = (AllocatedResources::default(), AllocatedResources::default());
                 self.idle_since = Some(now);
             }
             if !self.strays {
@@ -256,12 +256,12 @@
     /// What it holds is about to be read again.
     pub(in crate::scheduling::cluster) fn hold_nothing(&mut self) {
         self.bound.clear();
-        (self.taken, self.idle) = (Amounts::default(), Amounts::default());
+        (self.taken, self.idle) = (AllocatedResources::default(), AllocatedResources::default());
         self.load_at = None;
     }
 
     /// Whether the image is expected to be in its cache or on its way there.
-    pub fn holds_image(&self, image: u64) -> bool {
+    pub fn expects_image(&self, image: u64) -> bool {
         self.images.iter().any(|(i, _)| *i == image)
     }
 
@@ -272,8 +272,8 @@
 
     /// Its worker should be heard of: it was, or an earlier leader has given it tasks, or the cloud
     /// says that it is up.
-    pub fn awaited(&self) -> bool {
-        (self.reported() && self.known) || !self.bound.is_empty() || self.listed_up
+    pub fn report_expected(&self) -> bool {
+        (self.reported() && self.confirmed) || !self.bound.is_empty() || self.listed_up
     }
 
     /// A task with this image comes: the least recently used make room for it, as the worker
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -9,12 +9,12 @@
 mod team_usage;
 
 pub use arrivals::Arrivals;
-pub use intents::{Ahead, CapacityIntent, Intents, Replicas, WindowPlace};
+pub use intents::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPlace};
 pub use job::{Binding, JobState, Phase, Task};
 pub(super) use load::weigh;
 #[cfg(test)]
-pub use machine::Amounts;
-pub use machine::{Machine, MachineState, image_id};
+pub use machine::AllocatedResources;
+pub use machine::{Machine, MachineState, image_digest};
 pub use placement::{Placement, Reservation};
 pub use team_usage::TeamUsage;
 
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -15,7 +15,8 @@
     /// named, hear nothing.
     pub(super) fn many_inbound_lost(&self, part: usize, zone: Option<&str>) -> bool {
         let (mut all, mut inbound_lost) = (0, 0);
-        for machine in self.machines.values().filter(|m| m.awaited() && zone.is_none_or(|zone| m.zone == zone)) {
+        for machine in self.machines.values().filter(|m| m.report_expected() && zone.is_none_or(|zone| m.zone == zone))
+        {
             all += 1;
             inbound_lost += usize::from(machine.inbound_lost);
         }
@@ -63,7 +64,7 @@
         let zones: BTreeSet<&str> = zones.into_iter().filter(|zone| self.many_inbound_lost(MOST, Some(zone))).collect();
         // What nobody else knows of speaks for nothing but itself; and what is still bound after so long only
         // a return proves gone, as where an earlier leader may yet launch it.
-        let many = |m: &Machine| m.known && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
+        let many = |m: &Machine| m.confirmed && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
         let out = inbound_lost
             .into_iter()
             .filter(|m| judge(m.partition.evidence(many(m), now), lease) == InboundVerdict::GivenUp);
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -97,7 +97,7 @@
 
 impl ClusterState {
     /// Whether something is to be stored now.
-    pub fn anything_to_store(&self, now: Instant) -> bool {
+    pub fn has_due_writes(&self, now: Instant) -> bool {
         let late = |since: &Instant| now.saturating_duration_since(*since) >= CHANGES_DELAY;
         !self.unstored.starts.is_empty()
             || !self.completed.is_empty()
@@ -127,7 +127,7 @@
     /// None when there is nothing to say: the job is over, or about to be stored as done.
     fn shard_write(&self, id: &JobId, shard: u64) -> Option<ShardWrite> {
         let job = self.jobs.get(id)?;
-        if job.ended.is_some() || job.complete() {
+        if job.ended.is_some() || job.is_complete() {
             return None;
         }
         let tasks = job.shard(shard);
@@ -143,7 +143,7 @@
     }
 
     /// These stand in the store under this version. What has changed since stays to be stored.
-    pub fn shards_stored(&mut self, writes: &[ShardWrite], version: u64) {
+    pub fn record_stored_shards(&mut self, writes: &[ShardWrite], version: u64) {
         for write in writes {
             let Some(job) = self.jobs.get_mut(&write.job) else { continue };
             if let Some(slot) = job.versions.get_mut(write.shard as usize) {
@@ -178,7 +178,7 @@
     }
 
     /// What was refused or is unknown is taken up again.
-    pub fn to_store_again(&mut self, ends: &[JobId], writes: &[ShardWrite]) {
+    pub fn requeue_writes(&mut self, ends: &[JobId], writes: &[ShardWrite]) {
         for id in ends.iter().rev() {
             if !self.completed.contains(id) {
                 self.completed.push_front(id.clone());
@@ -190,7 +190,7 @@
     }
 
     /// Notes the version that a shard has in the store.
-    pub fn set_version(&mut self, id: &JobId, shard: u64, version: u64) {
+    pub fn set_shard_version(&mut self, id: &JobId, shard: u64, version: u64) {
         if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.versions.get_mut(shard as usize)) {
             *slot = version;
         }
@@ -198,16 +198,16 @@
 
     /// The store has lost this version of a shard, and has the one that was found: all that is known
     /// of it is to be stored again, unless it has moved on since.
-    pub fn store_shard_again(&mut self, id: &JobId, shard: u64, lost: u64, found: u64) {
+    pub fn rewrite_lost_shard(&mut self, id: &JobId, shard: u64, lost: u64, found: u64) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.ended.is_none()) else { return };
-        if !job.settled_shards().any(|settled| settled == (shard, lost)) {
+        if !job.stored_shards().any(|settled| settled == (shard, lost)) {
             return;
         }
         let from = (shard * TASKS_PER_SHARD) as usize;
         for task in job.tasks.iter_mut().skip(from).take(TASKS_PER_SHARD as usize) {
             task.stored = false;
         }
-        self.set_version(id, shard, found);
+        self.set_shard_version(id, shard, found);
         self.unstored.put_start((id.clone(), shard), false);
     }
 
@@ -217,18 +217,18 @@
     }
 
     /// Takes up to `most` shards of ended jobs that are to be dropped from the store.
-    pub fn next_drops(&mut self, most: usize) -> Vec<(JobId, u64)> {
+    pub fn take_shard_drops(&mut self, most: usize) -> Vec<(JobId, u64)> {
         let n = self.shards_to_drop.len().min(most);
         self.shards_to_drop.drain(..n).collect()
     }
 
     /// How many shards wait to be dropped.
-    pub fn drops_waiting(&self) -> usize {
+    pub fn pending_shard_drops(&self) -> usize {
         self.shards_to_drop.len()
     }
 
     /// Puts back shards whose drop failed.
-    pub fn drop_again(&mut self, shards_to_drop: Vec<(JobId, u64)>) {
+    pub fn requeue_shard_drops(&mut self, shards_to_drop: Vec<(JobId, u64)>) {
         self.shards_to_drop.extend(shards_to_drop);
     }
 }
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -23,7 +23,7 @@
 impl ClusterState {
     /// This controller was paused and has not listened: machines were not silent or idle for that long,
     /// and what it missed may still be on its way.
-    pub fn after_pause(&mut self, pause: ProcessPause) {
+    pub fn adjust_for_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
             machine.last_seen = pause.forgive(machine.last_seen);
             machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
@@ -38,7 +38,7 @@
     /// inherits count: it may be the one that cannot hear them.
     fn many_silent(&self, silence: Duration, part: usize, now: Instant) -> bool {
         let (mut all, mut silent) = (0, 0);
-        for machine in self.machines.values().filter(|m| m.awaited()) {
+        for machine in self.machines.values().filter(|m| m.report_expected()) {
             all += 1;
             silent += usize::from(now.saturating_duration_since(machine.last_seen) > silence.mul_f64(0.8));
         }
@@ -46,14 +46,14 @@
     }
 
     /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
-    pub fn lost_most(&self, now: Instant) -> bool {
+    pub fn most_machines_lost(&self, now: Instant) -> bool {
         let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
         self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
     }
 
     /// Machines that hold a task of a job that was cancelled, and have not proven it gone for too
     /// long. What is left of a job that is done has exited.
-    pub fn overdue(&self, now: Instant) -> BTreeSet<MachineId> {
+    pub fn overdue_machines(&self, now: Instant) -> BTreeSet<MachineId> {
         let allowed = self.settings.params.workers.cancellation_deadline();
         let patience = allowed.mul_f64(CANCEL_PATIENCE);
         // A leader that has come since begins no new patience, or several would add up; but machines get two
@@ -77,7 +77,7 @@
             return;
         }
         for (id, reason) in self.machines_to_terminate(now) {
-            self.terminate(&id, reason);
+            self.schedule_termination(&id, reason);
         }
         self.stop_idle_on_scale_in_candidates(now);
         self.end_due_quarantines(now);
@@ -107,7 +107,7 @@
     /// Machines to be returned, and why.
     fn machines_to_terminate(&mut self, now: Instant) -> Vec<(MachineId, &'static str)> {
         let tolerated = self.tolerated_silence(now);
-        let overdue = self.overdue(now).into_iter().map(|id| (id, "cancelled task not proven gone"));
+        let overdue = self.overdue_machines(now).into_iter().map(|id| (id, "cancelled task not proven gone"));
         let spent = self.machines.values().filter_map(|machine| {
             self.reason_to_terminate(machine, tolerated, now).map(|reason| (machine.id.clone(), reason))
         });
@@ -118,7 +118,7 @@
     fn reason_to_terminate(&self, machine: &Machine, tolerated: Duration, now: Instant) -> Option<&'static str> {
         let quiet = now.saturating_duration_since(machine.last_seen);
         let without_heartbeat = now.saturating_duration_since(machine.last_heartbeat);
-        if (machine.awaited() || machine.reported()) && quiet > tolerated {
+        if (machine.report_expected() || machine.reported()) && quiet > tolerated {
             Some(if machine.reported() { "no heartbeat" } else { "never joined" })
         } else if machine.reported() && without_heartbeat > self.common_silence() {
             Some("no heartbeat although commands are answered")
@@ -133,14 +133,17 @@
     /// well; the rest of it runs out.
     fn stop_idle_on_scale_in_candidates(&mut self, now: Instant) {
         let left = |m: &&Machine| {
-            m.state == MachineState::Draining && m.scale_in_candidate && m.idle().cpus > 0.0 && m.only_idle()
+            m.state == MachineState::Draining
+                && m.scale_in_candidate
+                && m.idle_work_allocated().cpus > 0.0
+                && m.has_only_idle_work()
         };
         let keys: Vec<TaskKey> = self.machines.values().filter(left).flat_map(|m| m.bound.iter().cloned()).collect();
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let grace_s = job.spec().save_s.ceil() as u64 + 1;
-            if job.spec().checkpoint_s > 0.0 && job.binding(key.index).is_some_and(|b| b.halting.is_none()) {
-                self.halt(&key, grace_s, now);
+            if job.spec().checkpoint_s > 0.0 && job.binding(key.index).is_some_and(|b| b.halt_grace_s.is_none()) {
+                self.halt_task_or_gang(&key, grace_s, now);
             }
         }
     }
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -64,7 +64,7 @@
 /// An earlier leader may have given it tasks, and this leader has not heard what became of them.
 fn unheard(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
     machine.fencing_token < first_fencing_token
-        && (machine.reported() || machine.awaited() || machine.since <= loaded_at)
+        && (machine.reported() || machine.report_expected() || machine.since <= loaded_at)
 }
 
 impl ClusterState {
@@ -91,14 +91,14 @@
         suspended.shards.insert(shard);
         let (cpus, gpus) = (spec.cpus * hidden_tasks as f64, spec.gpus * hidden_tasks as f64);
         suspended.hidden.add(cpus, gpus);
-        let used = self.usage.entry(spec.team).or_default();
+        let used = self.team_usage.entry(spec.team).or_default();
         used.add(cpus, gpus);
         error!(job = %id, shard, "task shard not decoded; suspending the job until no hidden task can run");
     }
 
     /// What can be read of a gang that is suspended is stopped: its attempt has lost the tasks that are hidden.
     pub(super) fn halt_suspended_gangs(&mut self, now: Instant) {
-        let gang = |id: &&JobId| self.jobs.get(*id).is_some_and(|job| job.spec().is_gang() && !job.complete());
+        let gang = |id: &&JobId| self.jobs.get(*id).is_some_and(|job| job.spec().is_gang() && !job.is_complete());
         let gangs: Vec<JobId> = self.suspended.keys().filter(gang).cloned().collect();
         for id in gangs {
             self.halt_job(&id, 0, now);
@@ -135,7 +135,7 @@
     fn resume_job(&mut self, id: &JobId, now: Instant) {
         let Some(suspended) = self.suspended.remove(id) else { return };
         let done = self.reported_done(id, &suspended);
-        if let Some(used) = self.usage.get_mut(&suspended.team) {
+        if let Some(used) = self.team_usage.get_mut(&suspended.team) {
             used.release(suspended.hidden.cpus, suspended.hidden.gpus);
         }
         self.replan_needed = true;
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -17,14 +17,14 @@
 
 impl ClusterState {
     /// Everything that stood in the store at this revision has been heard here.
-    pub fn holds_ends(&mut self, revision: Option<u64>) {
+    pub fn record_known_ends(&mut self, revision: Option<u64>) {
         if let Some(revision) = revision.filter(|_| self.loaded) {
-            self.known = self.known.max(revision);
+            self.known_ends_revision = self.known_ends_revision.max(revision);
         }
     }
 
     /// A takeover has read this end, which was not stored at this revision yet.
-    pub fn ended_after(&mut self, id: &JobId, revision: u64) {
+    pub fn set_ended_after(&mut self, id: &JobId, revision: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ended_after = revision;
         }
@@ -32,17 +32,18 @@
 
     /// Every cancellation that stood in the store at this revision is in this cluster state, every machine that may run
     /// a task of it obeys this leader or a later one, and no launch of it is in flight. Never goes back.
-    pub fn watermark(&mut self) -> u64 {
+    pub fn advance_watermark(&mut self) -> u64 {
         // Nothing that this leader starts is inherited, and it starts nothing that is cancelled: once all is heard, it
         // stays so.
         let cancelled = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
         let least = cancelled.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
-        self.watermark = self.watermark.max(least.map_or(self.known, |after| after.min(self.known)));
+        self.watermark =
+            self.watermark.max(least.map_or(self.known_ends_revision, |after| after.min(self.known_ends_revision)));
         self.watermark
     }
 
     /// Whether this cancellation may be told of now, whatever the watermark.
-    pub fn obeyed_in(&self, id: &JobId) -> bool {
+    pub fn cancellation_effective(&self, id: &JobId) -> bool {
         !self.jobs.get(id).is_some_and(|job| self.may_start_yet(job))
     }
 
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -116,7 +116,7 @@
             if !store(&group_commit, batch).await {
                 return;
             }
-            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.drops_waiting() >= URGENT_DROPS) {
+            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.pending_shard_drops() >= URGENT_DROPS) {
                 drop_some(&group_commit, RequestPriority::Placement).await;
             }
         }
@@ -131,7 +131,7 @@
     let mut held = group_commit.leader.cluster();
     let cluster = held.as_mut().filter(|b| b.loaded)?;
     let now = Instant::now();
-    if !cluster.anything_to_store(now) {
+    if !cluster.has_due_writes(now) {
         return None;
     }
     let (mut ends, mut shards) = cluster.next_writes(most, now);
@@ -140,7 +140,7 @@
     let late_ends = ends.split_off(fitting(&mut bytes, ends.iter().map(size)));
     let rest = shards.split_off(fitting(&mut bytes, shards.iter().map(|c| shard_size(&c.tasks) + FRAME)));
     let late_ends: Vec<JobId> = late_ends.iter().map(|job| job.spec.id.clone()).collect();
-    cluster.to_store_again(&late_ends, &rest);
+    cluster.requeue_writes(&late_ends, &rest);
     let batch = CommitBatch { ends, shards, at_ms: time_of_day_ms() };
     (!batch.is_empty()).then_some(batch)
 }
@@ -184,7 +184,7 @@
 
 fn stored(group_commit: &GroupCommit, batch: &CommitBatch, version: u64) {
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
-        cluster.shards_stored(&batch.shards, version);
+        cluster.record_stored_shards(&batch.shards, version);
     }
     for job in &batch.ends {
         note_end(group_commit, &job.spec.id, End::Done);
@@ -233,14 +233,14 @@
         let same = item.and_then(|i| decode_shard(&i.value)).is_some_and(|t| t == write.tasks);
         if same {
             // An earlier copy of this transaction did apply.
-            cluster.shards_stored(std::slice::from_ref(write), version);
+            cluster.record_stored_shards(std::slice::from_ref(write), version);
         } else {
             warn!(key, "stored task shard conflicts with the cluster state; overwriting it");
-            cluster.set_version(&write.job, write.shard, version);
+            cluster.set_shard_version(&write.job, write.shard, version);
         }
     }
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
-        cluster.to_store_again(&batch.ended_ids(), &batch.shards);
+        cluster.requeue_writes(&batch.ended_ids(), &batch.shards);
     }
     group_commit.wakeups.dispatch.notify_one();
     true
@@ -256,7 +256,7 @@
 }
 
 /// What is still to be dropped after these were refused: nothing of jobs that are open.
-pub(crate) fn still_to_drop(mut drops: Vec<(JobId, u64)>, failed: &[String]) -> Vec<(JobId, u64)> {
+pub(crate) fn remaining_drops(mut drops: Vec<(JobId, u64)>, failed: &[String]) -> Vec<(JobId, u64)> {
     drops.retain(|(id, _)| !failed.contains(&open_key(id)));
     drops
 }
@@ -266,7 +266,7 @@
     let most =
         group_commit.store.client.writes_ready(priority).min(group_commit.settings.params.state.txn_ops as usize);
     let (drops, fencing_token) = match group_commit.leader.cluster().as_mut() {
-        Some(cluster) => (cluster.next_drops(most), cluster.fencing_token),
+        Some(cluster) => (cluster.take_shard_drops(most), cluster.fencing_token),
         None => return,
     };
     if drops.is_empty() {
@@ -282,6 +282,6 @@
         _ => Vec::new(),
     };
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
-        cluster.drop_again(still_to_drop(drops, &failed));
+        cluster.requeue_shard_drops(remaining_drops(drops, &failed));
     }
 }
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -39,10 +39,10 @@
 /// Counts the open jobs that are late, or likely to be.
 pub fn due(cluster: &ClusterState, now: Instant) -> Due {
     let mut due = Due::default();
-    for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.complete()) {
+    for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.is_complete()) {
         if let Some(within) = job.spec().due() {
             let age = now.saturating_duration_since(job.since);
-            due.note(id, within, job.agreement.run, age, job.untouched() < 1.0);
+            due.note(id, within, job.agreement.run, age, job.never_placed_fraction() < 1.0);
         }
     }
     due
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -11,7 +11,7 @@
 
 use lru::LruCache;
 
-use super::ids::{MOST_CLASSES, MachineId};
+use super::ids::{MAX_CLASSES, MachineId};
 use crate::jobs::JobId;
 use crate::protocol::workers::TaskKey;
 
@@ -160,7 +160,7 @@
 
 impl Default for FailureAttribution {
     fn default() -> Self {
-        Self { jobs: HashMap::new(), machines: BTreeMap::new(), classes: LruCache::new(MOST_CLASSES) }
+        Self { jobs: HashMap::new(), machines: BTreeMap::new(), classes: LruCache::new(MAX_CLASSES) }
     }
 }
 
--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -4,12 +4,12 @@
 
 use super::*;
 use crate::jobs::Urgency;
-use crate::scheduling::intents::{Ahead, Intents};
+use crate::scheduling::intents::{Intents, PriorityBoost};
 use crate::scheduling::preempt;
 
 fn ahead_intents(classes: &[&str], most_part: f64) -> Intents {
     let names = Names::of(classes.iter().map(|name| (Subject::Class, *name)));
-    Intents { ahead: Some(Ahead { names, most_part }), ..Intents::default() }
+    Intents { priority_boost: Some(PriorityBoost { names, max_core_share: most_part }), ..Intents::default() }
 }
 
 /// How long the jobs of a class waited until all of a gang, or the first of an array, had places; and the
@@ -134,7 +134,7 @@
         (runs.cpus, runs.urgency) = (8.0, running);
         cluster.add_job(record(runs), now);
         let placed = plan::place(&mut cluster, &catalog(), now);
-        cluster.bind_all(placed, now);
+        cluster.bind_placements(placed, now);
         let mut hot = job(2, "hot", "blue");
         hot.cpus = 8.0;
         cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
@@ -142,7 +142,7 @@
             cluster.set_intents(ahead_intents(&["hot"], 0.9));
         }
         preempt::preempt(&mut cluster, &catalog(), now);
-        let stopped = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting.is_some();
+        let stopped = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halt_grace_s.is_some();
         assert_eq!(usize::from(stopped), want, "{running:?}, asked {asks}");
     }
 }
--- a/src/scheduling/fairness/tests/large.rs
+++ b/src/scheduling/fairness/tests/large.rs
@@ -22,7 +22,7 @@
             }
         }
         world.step(|_| true);
-        for (id, job) in world.cluster.jobs().filter(|(_, job)| job.begun()) {
+        for (id, job) in world.cluster.jobs().filter(|(_, job)| job.has_run()) {
             if job.ended.is_none() {
                 begun.entry(id.clone()).or_insert(t);
             }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -270,9 +270,9 @@
             self.cluster.reservations = crate::scheduling::reservations::choose(&self.cluster, &catalog(), now);
         }
         let placed = plan::place(&mut self.cluster, &catalog(), now);
-        self.cluster.bind_all(placed, now);
+        self.cluster.bind_placements(placed, now);
         let (ends, shards) = self.cluster.next_writes(10_000, now);
-        self.cluster.shards_stored(&shards, u64::from(t));
+        self.cluster.record_stored_shards(&shards, u64::from(t));
         for job in ends {
             let age = self.cluster.job(&job.spec.id).map_or(Duration::ZERO, |j| now.saturating_duration_since(j.since));
             self.account.ended(&job, Some(End::Done), age, now);
@@ -284,7 +284,7 @@
             self.cluster.end_job(&job.spec.id, Some(End::Done), now);
         }
         for (machine, _) in self.machines.clone().iter().filter(|(m, _)| up(m)) {
-            for order in self.cluster.commands_in_answer(machine, now) {
+            for order in self.cluster.heartbeat_response_commands(machine, now) {
                 if let WorkerCommand::Launch { task, attempt } = order {
                     let run_s = self.cluster.job(&task.job).map_or(1, |j| self.runs_s[&j.record.spec.class]);
                     if !self.running.iter().any(|(.., key, a, _)| *key == task && *a == attempt) {
@@ -315,7 +315,7 @@
     fn assert_work_conserving(&self) {
         for (_, job) in self.cluster.jobs().filter(|(_, j)| !j.waiting.is_empty() && !j.spec().is_gang()) {
             for machine in self.cluster.machines.values() {
-                let free = 8.0 - machine.taken().cpus;
+                let free = 8.0 - machine.allocated().cpus;
                 assert!(free + 1e-6 < job.spec().cpus, "{} has room at {}", machine.id, self.t);
             }
         }
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -52,8 +52,8 @@
         for key in &machine.bound {
             let Some(job) = cluster.job(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
-            let rest = match (job.ended, binding.halting) {
-                (None, None) => sla::remaining(job.agreement.run, binding.ran(now)),
+            let rest = match (job.ended, binding.halt_grace_s) {
+                (None, None) => sla::remaining(job.agreement.run, binding.run_time(now)),
                 _ => Duration::ZERO,
             };
             let spec = job.spec();
--- a/src/scheduling/ids.rs
+++ b/src/scheduling/ids.rs
@@ -7,4 +7,4 @@
 pub type MachineId = Arc<str>;
 
 /// Classes of jobs of which anything is remembered: users name them as they like.
-pub const MOST_CLASSES: NonZeroUsize = NonZeroUsize::new(256).unwrap();
+pub const MAX_CLASSES: NonZeroUsize = NonZeroUsize::new(256).unwrap();
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use super::capacity::{CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable};
-pub use super::cluster::{Ahead, CapacityIntent, Intents, Replicas, WindowPlace};
+pub use super::cluster::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPlace};
 use super::cluster::{ClusterState, MachineId, MachineState};
 use super::fairness::floor::Rank;
 use super::plan;
@@ -20,12 +20,12 @@
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
 pub fn order(cluster: &ClusterState, queued_jobs: &mut [plan::QueuedJob]) {
-    if let Some(ahead) = &cluster.intents.ahead {
+    if let Some(ahead) = &cluster.intents.priority_boost {
         mark_ahead(cluster, ahead, queued_jobs);
         ahead_first(queued_jobs);
     }
-    if !cluster.intents.turns.is_empty() {
-        in_turn(&cluster.intents.turns, queued_jobs);
+    if !cluster.intents.window_turns.is_empty() {
+        in_turn(&cluster.intents.window_turns, queued_jobs);
     }
 }
 
@@ -36,17 +36,17 @@
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
-fn mark_ahead(cluster: &ClusterState, ahead: &Ahead, queued_jobs: &mut [plan::QueuedJob]) {
-    let given: f64 = cluster.usage.values().map(|usage| usage.cpus).sum();
+fn mark_ahead(cluster: &ClusterState, ahead: &PriorityBoost, queued_jobs: &mut [plan::QueuedJob]) {
+    let given: f64 = cluster.team_usage.values().map(|usage| usage.cpus).sum();
     let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.has(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
-    let most = given * ahead.most_part;
+    let most = given * ahead.max_core_share;
     let mut asked: Vec<&mut plan::QueuedJob> =
         queued_jobs.iter_mut().filter(|t| !t.quarantined && ahead.names.has(t.job.spec())).collect();
     asked.sort_by_key(|queued| Reverse(queued.age));
     for queued in asked {
         let (spec, waiting) = (queued.job.spec(), queued.job.waiting.len());
-        let left = if taken > 0.0 { most - taken } else { most.max(queued.job.cores_at_once()) };
+        let left = if taken > 0.0 { most - taken } else { most.max(queued.job.min_start_cores()) };
         let tasks = if spec.cpus > 0.0 { ((left + SLACK) / spec.cpus).max(0.0) as usize } else { waiting };
         if tasks == 0 || (spec.is_gang() && tasks < waiting) {
             continue;
@@ -78,7 +78,7 @@
 /// Jobs for which machines are held, of these urgencies and going ahead or not. None for which others were
 /// stopped, and none while nobody is asked to go ahead.
 pub fn reserved_for(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
-    let Some(ahead) = &cluster.intents.ahead else { return Vec::new() };
+    let Some(ahead) = &cluster.intents.priority_boost else { return Vec::new() };
     let mut jobs: Vec<&JobId> = cluster.reservations.values().map(|reservation| &reservation.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
@@ -93,7 +93,7 @@
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
     for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| !t.quarantined) {
         if let Some(intent) = intended.get(queued.id) {
-            windows.entry(&intent.window).or_default().push((at, intent.number));
+            windows.entry(&intent.window).or_default().push((at, intent.position));
         }
     }
     // Where each is to stand: at its place, or right behind another's.
@@ -133,7 +133,7 @@
     let open =
         |intent: &'b CapacityIntent| (intent, ground.open_to(&intent.task_spec, &Zones::none(&intent.task_spec)));
     let near = |(intent, open): &(&CapacityIntent, Vec<bool>)| {
-        intent.in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S
+        intent.needed_in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S
     };
     cluster.intents.capacity.iter().map(open).filter(near).collect()
 }
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -14,7 +14,7 @@
 use lru::LruCache;
 
 use super::fairness::floor::CoreCredit;
-use super::ids::MOST_CLASSES;
+use super::ids::MAX_CLASSES;
 use crate::jobs::JobSpec;
 use crate::settings::Properties;
 
@@ -69,7 +69,7 @@
 impl LargeGangs {
     /// Nothing offered or earned yet; what is offered fades over the property `served.window.seconds`.
     pub fn new(properties: &Properties, now: Instant) -> Self {
-        let (sizes, fade) = (LruCache::new(MOST_CLASSES), properties.served_window);
+        let (sizes, fade) = (LruCache::new(MAX_CLASSES), properties.served_window);
         Self { sizes, fade, offered: OfferedCores::default(), at: now, core_credit: CoreCredit::default() }
     }
 
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -60,7 +60,7 @@
     let watch_cache = scheduler.store.watch_cache();
     let mut held = scheduler.leader.cluster();
     let cluster = held.as_mut()?;
-    cluster.forget_all();
+    cluster.reset_for_load();
     for (_, record) in watch_cache.open_jobs() {
         cluster.add_job(record.clone(), now);
     }
@@ -112,13 +112,13 @@
         let at = scheduler.history.end_seen_at(id).or(stored.map(|end| end.at));
         let earlier_revision = watch_cache.revision_before_end(id).or(stored.map(|end| end.earlier_revision));
         cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
-        cluster.ended_after(id, earlier_revision.unwrap_or(0));
+        cluster.set_ended_after(id, earlier_revision.unwrap_or(0));
     }
     let inherited = orders.len();
     cluster.inherit_orders(orders, now);
     cluster.finish_load(now);
-    cluster.holds_ends(watch_cache.watch_revision());
-    scheduler.membership.cluster_state_loaded(cluster.known, now);
+    cluster.record_known_ends(watch_cache.watch_revision());
+    scheduler.membership.cluster_state_loaded(cluster.known_ends_revision, now);
     // Before anything else is decided.
     scheduler.intents.refresh_intents(cluster, &watch_cache, now);
     let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
@@ -154,7 +154,7 @@
             let (job, shard) = (&shard.job, shard.number);
             error!(%job, shard, "task shard without a stored job found; stopping its tasks when workers report them");
         } else {
-            cluster.drop_again(vec![(shard.job, shard.number)]);
+            cluster.requeue_shard_drops(vec![(shard.job, shard.number)]);
         }
     }
     Ok(())
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -44,22 +44,22 @@
     }
     cluster.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
-    if cluster.room_kept_since.is_some() && cluster.passed_over.longest(now) >= KEPT_FOR {
-        cluster.room_kept_since = now.checked_sub(KEPT_FOR).or(cluster.room_kept_since);
+    if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest(now) >= KEPT_FOR {
+        cluster.gang_room_held_since = now.checked_sub(KEPT_FOR).or(cluster.gang_room_held_since);
     }
-    let spell = cluster.room_kept_since.map(|since| now.saturating_duration_since(since));
+    let spell = cluster.gang_room_held_since.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
     let PlanOutcome { placements, rooms_examined, kept, passed_over } = decide(cluster, catalog, may_keep, now);
     for placement in &placements {
         if cluster.passed_over.overdue(&placement.task.job, now) {
-            cluster.take_back(&placement.machine);
+            cluster.cancel_drain(&placement.machine);
         }
     }
     cluster.passed_over.note(passed_over, now);
     if kept {
-        cluster.room_kept_since.get_or_insert(now);
+        cluster.gang_room_held_since.get_or_insert(now);
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
-        cluster.room_kept_since = None;
+        cluster.gang_room_held_since = None;
     }
     (placements, rooms_examined)
 }
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -35,7 +35,7 @@
     suspect: Duration,
     now: Instant,
 ) -> Vec<FreeCapacity<'a>> {
-    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
+    let held = cluster.machines.values().filter(|m| m.idle_work_allocated().cpus > 0.0 && usable(m, suspect, now));
     let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
     free.filter_map(|m| ground.capacity(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -82,7 +82,7 @@
         .enumerate()
         .filter(|(_, t)| t.late && !t.guaranteed && !t.quarantined && t.rank != Rank::Idle);
     let (at, oldest) = late.max_by(|(_, a), (_, b)| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
-    let needs = oldest.job.cores_at_once();
+    let needs = oldest.job.min_start_cores();
     if needs > credit {
         return None;
     }
@@ -106,7 +106,7 @@
     if spec.is_gang() {
         return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
     }
-    let mut most = within_quota(quotas, spec, most.min(cluster.intents.waiting(queued.id, job)));
+    let mut most = within_quota(quotas, spec, most.min(cluster.intents.placeable_tasks(queued.id, job)));
     let overdue = cluster.passed_over.overdue(queued.id, now);
     if let Some(earned) = earned.filter(|_| !overdue) {
         most = most.min(earned.tasks);
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -88,7 +88,8 @@
             task_return: agreement.task_return(age + agreement.run),
             hard: agreement.within_reach(age),
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
-            wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
+            wary: job.has_waiting_task_with_attempts(LOST_STARTS)
+                || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
             failed_on: attribution.failed_on(queued.id),
             held_back: attribution.held_back(queued.id, now),
             open,
@@ -115,7 +116,7 @@
             && match &self.backfill {
                 Some(backfill) => {
                     backfill.may_use(self.job.spec(), capacity, self.waited)
-                        && (!capacity.leaving || !self.job.lost_starts(MOST_LEFT))
+                        && (!capacity.leaving || !self.job.has_waiting_task_with_attempts(MOST_LEFT))
                 }
                 None => !capacity.leaving,
             }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -53,7 +53,7 @@
             let open = self.ground.open_to(spec, &Zones::none(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
-            let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
+            let mut left = backfill::kept_for(spec, arrivals.tasks_per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
         for (intent, open) in intents::reserved_capacity(cluster, &self.ground) {
--- a/src/scheduling/plan/large_first.rs
+++ b/src/scheduling/plan/large_first.rs
@@ -11,7 +11,7 @@
 pub(super) fn to_begin<'a>(large: &LargeGangs, queued_jobs: &[QueuedJob<'a>], within: Duration) -> Option<&'a JobId> {
     let may = |t: &&QueuedJob<'a>| {
         let spec = t.job.spec();
-        let waits = t.age >= within.mul_f64(PATIENCE) && !t.job.begun() && t.job.bound.is_empty();
+        let waits = t.age >= within.mul_f64(PATIENCE) && !t.job.has_run() && t.job.bound.is_empty();
         waits && !t.quarantined && !spec.is_gang() && large.is_largest(spec)
     };
     queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
@@ -21,5 +21,5 @@
 pub(super) fn credited<'a>(large: &LargeGangs, queued_jobs: &[QueuedJob<'a>], within: Duration) -> Option<&'a JobId> {
     let may = |t: &&QueuedJob<'a>| !t.quarantined && large.may_go_first(t.job.spec(), t.age, within);
     let oldest = queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
-    (oldest.job.cores_at_once() <= large.credit()).then_some(oldest.id)
+    (oldest.job.min_start_cores() <= large.credit()).then_some(oldest.id)
 }
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -15,7 +15,7 @@
     /// own words and its team's limit alone.
     pub fn passes_over(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
         let (job, spec) = (queued.job, queued.job.spec());
-        let waiting = self.cluster.intents.waiting(queued.id, job);
+        let waiting = self.cluster.intents.placeable_tasks(queued.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
             return false;
         }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -52,17 +52,17 @@
 
 /// Whether tasks of the job wait that may be placed now.
 fn may_be_placed(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
-    let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.complete() && now >= job.not_before;
+    let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete() && now >= job.not_before;
     waits
-        && cluster.intents.waiting(id, job) > 0
+        && cluster.intents.placeable_tasks(id, job) > 0
         && (!job.spec().is_gang() || job.bound.is_empty())
-        && !cluster.intents.not_yet.contains(id)
+        && !cluster.intents.deferred_jobs.contains(id)
 }
 
 fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
     let age = now.saturating_duration_since(job.since);
-    let late = job.too_late(age);
-    let first = cluster.underserved.first.has(job.spec()) || cluster.intents.short(id);
+    let late = job.is_too_late(age);
+    let first = cluster.underserved.first.has(job.spec()) || cluster.intents.prioritizes_replicas(id);
     QueuedJob {
         id,
         job,
@@ -80,8 +80,8 @@
 
 /// Marks the large job for which room is kept, and the one of which a first task is to begin.
 fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
-    let credited = credited(&cluster.large, queued_jobs, cluster.properties.large_begin);
-    let to_begin = to_begin(&cluster.large, queued_jobs, cluster.properties.large_begin);
+    let credited = credited(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let to_begin = to_begin(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
     for queued in queued_jobs {
         queued.credited = credited == Some(queued.id);
         if to_begin == Some(queued.id) {
@@ -108,6 +108,6 @@
         return false;
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
-    let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
+    let used = cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
     used.cpus + n * spec.cpus <= team.cpus + SLACK && used.gpus + n * spec.gpus <= team.gpus + SLACK
 }
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -15,7 +15,7 @@
 impl<'a> Quotas<'a> {
     /// The limits, with what the teams use now.
     pub fn new(cluster: &'a ClusterState) -> Self {
-        Self { cluster, used: cluster.usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
+        Self { cluster, used: cluster.team_usage.iter().map(|(t, u)| (t.as_str(), *u)).collect() }
     }
 
     /// Whether the team may use so many tasks of the job more.
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -155,7 +155,7 @@
     ) -> Vec<PlacedTask> {
         let (job, spec) = (queued.job, queued.job.spec());
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
-        let waiting = self.intents.waiting(queued.id, job);
+        let waiting = self.intents.placeable_tasks(queued.id, job);
         let keep = keep && spec.is_gang();
         let demand = self.demand(queued, zones, waiting);
         if !keep && self.known_unfit(&demand, tasks) {
@@ -208,7 +208,7 @@
         let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
         let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped(queued.id));
+        demand.held_back.extend(self.intents.stopped_replicas(queued.id));
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if queued.ahead {
             demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -57,7 +57,7 @@
         let until = now + Duration::from_secs(longest) + HELD_PAST_SAVING;
         cluster.preemption_reservations.insert(machine, Reservation { job: job.clone(), until });
         for (key, grace) in victims {
-            cluster.halt(&key, grace, now);
+            cluster.halt_task_or_gang(&key, grace, now);
         }
     }
 }
@@ -77,7 +77,7 @@
     for queued in may.take(MOST_JOBS) {
         let (job, spec) = (queued.job, queued.job.spec());
         let need = if spec.is_gang() { job.waiting.len() as u64 } else { 1 };
-        let waited = job.last_end.map_or(queued.age, |t| now.saturating_duration_since(t));
+        let waited = job.last_task_end.map_or(queued.age, |t| now.saturating_duration_since(t));
         let after = if lowest == Urgency::Idle && !spec.is_idle() { Duration::ZERO } else { AFTER };
         if waited < after || !quotas.allows(spec, need as f64) {
             continue;
@@ -88,7 +88,7 @@
         let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *queued.id));
         let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, queued, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
-        let waiting = cluster.intents.waiting(queued.id, job) as u64;
+        let waiting = cluster.intents.placeable_tasks(queued.id, job) as u64;
         let wanted = if spec.is_gang() { need } else { waiting.min(MOST_MACHINES as u64) };
         let Some(chosen) = choose(places, spec, &zones, need, wanted) else { continue };
         let stops: Vec<(MachineId, Victims)> = chosen.into_iter().map(|p| (p.machine.id.clone(), p.victims)).collect();
@@ -163,17 +163,17 @@
         let Some(other) = cluster.job(&key.job) else { continue };
         let Some(task) = other.tasks.get(key.index as usize) else { continue };
         let Phase::Bound(binding) = &task.phase else { continue };
-        if binding.halting.is_some() {
+        if binding.halt_grace_s.is_some() {
             // Room is being made here already.
             capacity.give_back(other.spec());
         } else if may_stop(other.spec()) && task.attempt < most_starts(other.spec()) && !begins(other) {
-            stoppable.push((loss(other, binding.ran(now)), key.clone(), other.spec()));
+            stoppable.push((loss(other, binding.run_time(now)), key.clone(), other.spec()));
         }
     }
     stoppable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let (mut victims, mut lost) = (Vec::new(), 0.0);
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
-    let most = if spec.is_gang() { need } else { cluster.intents.waiting(queued.id, queued.job) as u64 };
+    let most = if spec.is_gang() { need } else { cluster.intents.placeable_tasks(queued.id, queued.job) as u64 };
     let mut emptied = capacity;
     stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
     let most_here = emptied.units(spec, most).max(1);
@@ -194,7 +194,7 @@
 /// The first task of an idle job is on its way: it would not have begun in time otherwise (`scheduling::large`).
 fn begins(job: &JobState) -> bool {
     let spec = job.spec();
-    spec.is_idle() && spec.tasks > 1 && job.bound.len() == 1 && !job.begun()
+    spec.is_idle() && spec.tasks > 1 && job.bound.len() == 1 && !job.has_run()
 }
 
 fn most_starts(spec: &JobSpec) -> u64 {
@@ -212,6 +212,6 @@
 
 fn beyond_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return true };
-    let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
+    let used = cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
     used.cpus - spec.cpus >= team.cpus - SLACK && used.gpus - spec.gpus >= team.gpus - SLACK
 }
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -73,7 +73,7 @@
         self.plan.restart(now);
         let placements = plan::place(cluster, catalog, now);
         let placed = placements.len();
-        cluster.bind_all(placements, now);
+        cluster.bind_placements(placements, now);
         if self.preempt.take_due(now) {
             preempt::preempt(cluster, catalog, now);
         }
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -44,7 +44,7 @@
     /// The declarations may ask something of jobs that have just come, before they are placed.
     pub(super) fn refresh_intents(&self, now: Instant) {
         let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        if let Some(cluster) = held.as_mut().filter(|cluster| cluster.intents_due) {
+        if let Some(cluster) = held.as_mut().filter(|cluster| cluster.intents_outdated) {
             self.intents.refresh_intents(cluster, &watch_cache, now);
         }
     }
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -17,10 +17,10 @@
         }
     }
     // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
-    let (attribution, large, intents) = (&cluster.attribution, &cluster.large, &cluster.intents);
-    let left_out = |id| attribution.suspects(id) || intents.not_yet.contains(id);
-    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.complete() && !left_out(id));
-    let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.waiting(id, job) == 0;
+    let (attribution, large, intents) = (&cluster.attribution, &cluster.large_gangs, &cluster.intents);
+    let left_out = |id| attribution.suspects(id) || intents.deferred_jobs.contains(id);
+    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.is_complete() && !left_out(id));
+    let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.placeable_tasks(id, job) == 0;
     let open = open.filter(|(id, job)| !held(id, job));
     let open = open.map(|(_, job)| OpenJob {
         spec: job.spec(),
@@ -28,8 +28,8 @@
         age: now.saturating_duration_since(job.since),
         run: job.agreement.run,
         waits: !job.waiting.is_empty(),
-        untouched: job.untouched(),
-        large_waits: !job.waiting.is_empty() && !job.begun() && large.is_large_gang(job.spec()),
+        untouched: job.never_placed_fraction(),
+        large_waits: !job.waiting.is_empty() && !job.has_run() && large.is_large_gang(job.spec()),
     });
     let below = FairShareAccounting::below(account.update(open, now));
     cluster.set_underserved(below);
--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -93,6 +93,6 @@
         let mut cluster = world.leader();
         let ended = world.now - s(ended_before);
         cluster.end_job(&JOB.into(), Some(End::Cancelled), ended);
-        assert_eq!(cluster.overdue(world.now + s(after)).len(), usize::from(due), "{name}");
+        assert_eq!(cluster.overdue_machines(world.now + s(after)).len(), usize::from(due), "{name}");
     }
 }
--- a/src/scheduling/tests/completions_across_takeovers.rs
+++ b/src/scheduling/tests/completions_across_takeovers.rs
@@ -36,14 +36,18 @@
         drop(old);
         for takeover in 0..3 {
             let mut cluster = world.leader();
-            assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
+            assert_eq!(cluster.task_counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // An old copy shows it running; it makes nothing of it go back.
             cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
-            drop(cluster.commands_in_answer("m0", world.now));
+            drop(cluster.heartbeat_response_commands("m0", world.now));
             for _ in 0..3 {
                 world.turn(&mut cluster, "m0");
                 world.store(&mut cluster);
-                assert_eq!((cluster.counts(&JOB.into()).done, world.ended), (1, None), "{tasks} tasks, {takeover}");
+                assert_eq!(
+                    (cluster.task_counts(&JOB.into()).done, world.ended),
+                    (1, None),
+                    "{tasks} tasks, {takeover}"
+                );
                 assert_eq!(placed(&mut cluster, world.now), [], "none waits");
             }
             world.now += s(100.0);
@@ -72,7 +76,7 @@
         }
         let waiting: Vec<Placement> =
             [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task(i), attempt: 1, machine: m.into() }).into();
-        old.bind_all(waiting, world.now);
+        old.bind_placements(waiting, world.now);
         world.store(&mut old);
         for m in ["m0", "m1"] {
             world.turn(&mut old, m);
@@ -82,7 +86,7 @@
         if heard == "by the old leader" {
             world.turn(&mut old, "m0");
             // Its other machine is lost before the end is stored: the gang is not begun anew for that.
-            old.machine_gone(&"m1".into(), world.now);
+            old.remove_machine(&"m1".into(), world.now);
             assert_eq!(placed(&mut old, world.now), []);
             world.turn(&mut old, "m0");
             assert!(world.workers["m0"].reaped.is_empty(), "its end is not stored");
@@ -101,7 +105,7 @@
         assert_eq!(world.ended, Some(End::Done), "{heard}");
         // What is left is on a machine that nobody hears. It is none of a cancellation's, and starts nowhere.
         world.now += s(40.0);
-        assert!(cluster.overdue(world.now).is_empty());
+        assert!(cluster.overdue_machines(world.now).is_empty());
         assert_eq!(placed(&mut cluster, world.now), []);
         let mut successor = world.leader();
         assert_eq!(placed(&mut successor, world.now), []);
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -111,7 +111,7 @@
         let name = format!("{launch:?}, {late_s} s late");
         let id: JobId = JOB.into();
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
-        simulation.cluster.holds_ends(Some(1000));
+        simulation.cluster.record_known_ends(Some(1000));
         simulation.world.now += s(10.0);
         let mut held: Option<DirectCommand> = None;
         let mut answer = None;
@@ -125,7 +125,7 @@
         let begun = simulation.world.now;
         // Stored at revision 1001; whether it is told is the cluster state's word alone, so the world is not told yet.
         simulation.cluster.end_job(&id, Some(End::Cancelled), simulation.world.now);
-        simulation.cluster.holds_ends(Some(1001));
+        simulation.cluster.record_known_ends(Some(1001));
         let mut told = None;
         for _ in 0..120 {
             simulation.world.now += s(0.5);
@@ -133,14 +133,19 @@
             if age == 2.5
                 && let Some(direct) = &held
             {
-                simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
+                simulation.cluster.finish_direct_command(
+                    &direct.machine,
+                    direct.fencing_token,
+                    false,
+                    simulation.world.now,
+                );
             }
             if age >= late_s {
                 held.take().iter().for_each(|direct| drop(simulation.world.arrives(direct)));
                 answer.take().iter().for_each(|answer| simulation.world.hears(answer));
             }
-            if told.is_none() && simulation.cluster.obeyed_in(&id) {
-                assert!(simulation.cluster.watermark() >= 1001, "{name}: both say the same");
+            if told.is_none() && simulation.cluster.cancellation_effective(&id) {
+                assert!(simulation.cluster.advance_watermark() >= 1001, "{name}: both say the same");
                 told = Some(age);
                 simulation.cancel(&id);
             }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -9,7 +9,7 @@
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor::{Names, Rank, Underserved};
-use crate::scheduling::intents::{Ahead, CapacityIntent, Intents, WindowPlace};
+use crate::scheduling::intents::{CapacityIntent, Intents, PriorityBoost, WindowPlace};
 
 fn class(name: &str) -> Names {
     Names::of([(Subject::Class, name)].into_iter())
@@ -36,7 +36,7 @@
     for n in 1..rng.random_range(4..30) {
         if n == 8 {
             let first = plan::place(&mut cluster, &catalog(), start);
-            cluster.bind_all(first, start);
+            cluster.bind_placements(first, start);
         }
         let mut j = spec();
         j.id = id(n);
@@ -94,10 +94,10 @@
         let (mut plain, now) = busy(seed, start);
         let (mut cluster, _) = busy(seed, start);
         cluster.set_intents(Intents {
-            turns: [(id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
-            not_yet: [id(901)].into(),
-            ahead: Some(Ahead { names: class("nobody"), most_part: 0.5 }),
-            capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
+            window_turns: [(id(900), WindowPlace { window: "w".into(), position: 1 })].into(),
+            deferred_jobs: [id(901)].into(),
+            priority_boost: Some(PriorityBoost { names: class("nobody"), max_core_share: 0.5 }),
+            capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, needed_in_s: 0.0 }],
             ..Intents::default()
         });
         assert_eq!(decided(&mut cluster, now), decided(&mut plain, now), "seed {seed}");
@@ -118,33 +118,34 @@
         add(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), number });
-    let ahead = |most_part| Some(Ahead { names: class("h"), most_part });
-    let given = |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
+    let turn = |n: u32, window: &str, number| (id(n), WindowPlace { window: window.into(), position: number });
+    let ahead = |most_part| Some(PriorityBoost { names: class("h"), max_core_share: most_part });
+    let given =
+        |cluster: &mut ClusterState| cluster.team_usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("none", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
-        ("not yet", &|b| b.intents.not_yet = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
+        ("not yet", &|b| b.intents.deferred_jobs = [id(2), id(7)].into(), &[8, 1, 3, 4, 5, 6]),
         (
             "in turn, in the places they have",
-            &|b| b.intents.turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
+            &|b| b.intents.window_turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
             &[7, 8, 5, 2, 3, 4, 1, 6],
         ),
         (
             "two windows, beside each other",
-            &|b| b.intents.turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
+            &|b| b.intents.window_turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
             &[7, 8, 3, 4, 1, 2, 5, 6],
         ),
         (
             "the later turn waits where the earlier has no guarantee",
-            &|b| b.intents.turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
+            &|b| b.intents.window_turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
             &[8, 1, 2, 3, 4, 7, 5, 6],
         ),
         (
             "ahead, behind the guaranteed and the more urgent",
             &|b| {
                 given(b);
-                b.intents.ahead = ahead(0.5);
+                b.intents.priority_boost = ahead(0.5);
             },
             &[7, 8, 3, 5, 1, 2, 4, 6],
         ),
@@ -152,7 +153,7 @@
             "behind who is below the floor",
             &|b| {
                 given(b);
-                b.intents.ahead = ahead(0.5);
+                b.intents.priority_boost = ahead(0.5);
                 b.set_underserved(Underserved { short: Names::default(), first: class("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
@@ -161,11 +162,11 @@
             "up to their part",
             &|b| {
                 given(b);
-                b.intents.ahead = ahead(0.011);
+                b.intents.priority_boost = ahead(0.011);
             },
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
-        ("one job in any case", &|b| b.intents.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
+        ("one job in any case", &|b| b.intents.priority_boost = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
     ];
     for (name, change, want) in cases {
         let mut cluster = make();
@@ -181,8 +182,8 @@
     let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
     add(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
-    cluster.usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
-    cluster.intents.ahead = Some(Ahead { names: class("h"), most_part: 0.2 });
+    cluster.team_usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
+    cluster.intents.priority_boost = Some(PriorityBoost { names: class("h"), max_core_share: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
     let of = |n: u32| placed.iter().filter(|p| p.task.job == id(n)).count();
     assert_eq!((of(1), of(2)), (4, 12));
@@ -199,7 +200,7 @@
         let (mut cluster, now) = busy(seed, Instant::now());
         let plain: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
         let ids: Vec<_> = plain.iter().cloned().enumerate().collect();
-        cluster.intents.ahead = Some(Ahead { names: class("c"), most_part });
+        cluster.intents.priority_boost = Some(PriorityBoost { names: class("c"), max_core_share: most_part });
         {
             let turns = plan::queue(&cluster, now);
             let held = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
@@ -207,7 +208,7 @@
             let before: f64 = theirs.map(|(_, j)| held(j.bound.len(), j)).sum();
             let ahead = turns.iter().filter(|t| t.ahead);
             let more: Vec<f64> = ahead.map(|t| held(t.most.min(t.job.waiting.len()), t.job)).collect();
-            let given: f64 = cluster.usage.values().map(|u| u.cpus).sum();
+            let given: f64 = cluster.team_usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::First && !t.quarantined;
             let bounded = turns.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = before + more.iter().sum::<f64>();
@@ -221,14 +222,14 @@
             }
         }
         let mut rng = StdRng::seed_from_u64(seed);
-        cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
-            (id.clone(), WindowPlace { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
+        cluster.intents.window_turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
+            (id.clone(), WindowPlace { window: format!("w{}", n % 3), position: rng.random_range(1..20) })
         }).collect();
         let turns = plan::queue(&cluster, now);
         prop_assert_eq!(turns.len(), plain.len());
         for window in ["w1", "w2"] {
-            let of = turns.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.turns.get(t.id));
-            let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.number).collect();
+            let of = turns.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.window_turns.get(t.id));
+            let numbers: Vec<u32> = of.filter(|t| t.window == window).map(|t| t.position).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
     }
@@ -239,7 +240,8 @@
 #[test]
 fn room_that_is_asked_for_by_cases() {
     let start = Instant::now();
-    let capacity = |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
+    let capacity =
+        |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, needed_in_s: in_s }];
     // The type boots for 30 s, and a fetch takes one.
     for (name, machines, tasks, in_s, want) in [
         ("nothing asked", 0, 0, 0.0, 0),
@@ -285,12 +287,12 @@
         let mut cluster = many(12, now);
         add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
         let first = plan::place(&mut cluster, &catalog(), now);
-        cluster.bind_all(first, now);
+        cluster.bind_placements(first, now);
         add(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
-        cluster.intents.ahead = ahead.then(|| Ahead { names: class("h"), most_part });
+        cluster.intents.priority_boost = ahead.then(|| PriorityBoost { names: class("h"), max_core_share: most_part });
         cluster.arrivals.clear();
         cluster
     };
--- a/src/scheduling/tests/interleaved_simulation/deliveries.rs
+++ b/src/scheduling/tests/interleaved_simulation/deliveries.rs
@@ -33,9 +33,9 @@
             let over = self.reported_ends(&leader, &heartbeat);
             leader.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), now);
             orders = if policy.sends_all_commands() {
-                leader.cluster.commands_in_answer(&id, now)
+                leader.cluster.heartbeat_response_commands(&id, now)
             } else {
-                leader.cluster.stops_only(&id, &over)
+                leader.cluster.halts_of_ended_jobs(&id, &over)
             };
             held = self.holds(&mut leader, policy, &id);
             self.users.tally.stops += usize::from(!policy.sends_all_commands() && !orders.is_empty());
@@ -115,7 +115,7 @@
         let now = self.now;
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            leader.cluster.command_over(&machine, fencing_token, true, now);
+            leader.cluster.finish_direct_command(&machine, fencing_token, true, now);
             leader.cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, Some(&self.catalog), now);
         }
     }
@@ -126,7 +126,7 @@
         let now = self.now;
         let first = self.over.insert(id);
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut).filter(|_| first) {
-            leader.cluster.command_over(&machine, fencing_token, false, now);
+            leader.cluster.finish_direct_command(&machine, fencing_token, false, now);
         }
     }
 
@@ -153,7 +153,7 @@
     pub(super) fn deliver_returned(&mut self, to: usize, machine: &MachineId) {
         let now = self.now;
         if let Some(leader) = self.leaders.get_mut(to).and_then(Option::as_mut) {
-            leader.cluster.machine_gone(machine, now);
+            leader.cluster.remove_machine(machine, now);
         }
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/leaders.rs
+++ b/src/scheduling/tests/interleaved_simulation/leaders.rs
@@ -99,7 +99,7 @@
             let mut stored = shards.remove(id).unwrap_or_default();
             if self.store.has(&ended_key(id, End::Done)) {
                 // What is done has exited: its shards are only dropped.
-                cluster.drop_again(stored.drain(..).map(|(shard, ..)| (id.clone(), shard)).collect());
+                cluster.requeue_shard_drops(stored.drain(..).map(|(shard, ..)| (id.clone(), shard)).collect());
             }
             if self.store.has(&open_key(id)) || !stored.is_empty() {
                 cluster.load_job(record.clone(), stored, self.now);
@@ -108,7 +108,7 @@
                 // When it was heard of, by the successor's watch cache or the end's record (`scheduling::load`).
                 let at = self.ended_since.get(id).copied().unwrap_or(self.now);
                 cluster.end_job(id, None, at);
-                cluster.ended_after(id, self.users.ended_after(id));
+                cluster.set_ended_after(id, self.users.ended_after(id));
             }
         }
         cluster.finish_load(self.now);
@@ -151,7 +151,7 @@
             return false;
         }
         leader.frozen = None;
-        leader.cluster.after_pause(ProcessPause { began, ended });
+        leader.cluster.adjust_for_pause(ProcessPause { began, ended });
         leader.seat.unproven = self.users.on;
         true
     }
@@ -181,10 +181,10 @@
         leader.cluster.tick(now);
         let decisions = plan::place(&mut leader.cluster, &self.catalog, now);
         self.check_places(i, leader, &decisions);
-        leader.cluster.bind_all(decisions, now);
+        leader.cluster.bind_placements(decisions, now);
         // What is kept with every binding is what a count afresh gives.
         for machine in leader.cluster.machines.values() {
-            let (kept, afresh) = (machine.taken(), leader.cluster.taken_afresh(machine));
+            let (kept, afresh) = (machine.allocated(), leader.cluster.recomputed_allocation(machine));
             assert!((kept.cpus - afresh.cpus).abs() < 1e-6 && (kept.memory_gb - afresh.memory_gb).abs() < 1e-6);
         }
     }
@@ -232,7 +232,7 @@
     /// Asks the cloud to end terminating machines, each once or, as where an answer is lost, twice.
     fn return_machines(&mut self, i: usize, leader: &mut Leader, cut: bool) {
         // Without the store no order stands, and only what a cancellation makes urgent goes without.
-        let overdue = if cut { leader.cluster.overdue(self.now) } else { Default::default() };
+        let overdue = if cut { leader.cluster.overdue_machines(self.now) } else { Default::default() };
         let terminating = leader.cluster.machines.values().filter(|m| m.state == MachineState::Terminating);
         let terminating: Vec<MachineId> =
             terminating.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
@@ -279,7 +279,7 @@
         }
         match outcome {
             Ok(version) => {
-                leader.cluster.shards_stored(&batch.shards, version);
+                leader.cluster.record_stored_shards(&batch.shards, version);
                 for job in &batch.ends {
                     leader.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
@@ -301,11 +301,11 @@
             let key = shard_key(&write.job, write.shard);
             let version = self.store.version(&key);
             if self.store.value(&key).and_then(decode_shard).is_some_and(|t| t == write.tasks) {
-                leader.cluster.shards_stored(std::slice::from_ref(write), version);
+                leader.cluster.record_stored_shards(std::slice::from_ref(write), version);
             } else {
-                leader.cluster.set_version(&write.job, write.shard, version);
+                leader.cluster.set_shard_version(&write.job, write.shard, version);
             }
         }
-        leader.cluster.to_store_again(&batch.ended_ids(), &batch.shards);
+        leader.cluster.requeue_writes(&batch.ended_ids(), &batch.shards);
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/steps.rs
+++ b/src/scheduling/tests/interleaved_simulation/steps.rs
@@ -74,7 +74,7 @@
             o.frozen.is_none()
                 && o.cut.is_none()
                 && self.users.out.is_none()
-                && o.cluster.raise_wanted(self.now)
+                && o.cluster.token_raise_needed(self.now)
                 && o.batch.is_none()
         })
     }
@@ -147,7 +147,7 @@
         if let Some(leader) = self.leaders[self.leader].as_mut() {
             let bound: Vec<TaskKey> = leader.cluster.machines.values().flat_map(|m| m.bound.iter().cloned()).collect();
             if !bound.is_empty() {
-                leader.cluster.halt(&bound[pick % bound.len()], 3, now);
+                leader.cluster.halt_task_or_gang(&bound[pick % bound.len()], 3, now);
             }
         }
     }
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -251,7 +251,7 @@
                 return None;
             }
             if !leader.cluster.loaded && leader.seat.load_at <= now && !other {
-                leader.cluster.forget_all();
+                leader.cluster.reset_for_load();
                 self.load(&mut leader.cluster);
                 self.trace(&format!("leader {i} loads at {revision}"));
                 leader.news.clear();
@@ -261,7 +261,7 @@
                 leader.inherited = leader.cluster.machines.keys().cloned().collect();
                 self.users.moment = true;
             }
-            leader.cluster.holds_ends(Some(leader.seat.heard));
+            leader.cluster.record_known_ends(Some(leader.seat.heard));
             leader.seat.watermark = leader.seat.watermark.max(self.users.stored_mark(leader.seat.heard));
         }
         if let Some(watermark) = self.watermark(i, leader) {
@@ -282,8 +282,10 @@
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
         let (of, version) = self.users.leader_record(leader.seat.heard)?;
         let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
-        (leader.cluster.loaded && mine)
-            .then_some(Watermark { fencing_token: leader.cluster.fencing_token, revision: leader.cluster.watermark() })
+        (leader.cluster.loaded && mine).then_some(Watermark {
+            fencing_token: leader.cluster.fencing_token,
+            revision: leader.cluster.advance_watermark(),
+        })
     }
 
     fn tell_others(&mut self, i: usize, leader: &mut Leader, watermark: Watermark, cut: bool) {
@@ -425,7 +427,7 @@
             self.leaders[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_fencing_token <= fencing_token);
         let Some(leader) = leader else { return };
         leader.cluster.end_job(id, Some(End::Cancelled), now);
-        if leader.cluster.obeyed_in(id) {
+        if leader.cluster.cancellation_effective(id) {
             self.users.tally.told_by_leader += 1;
             self.tell_user(id);
         }
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -32,7 +32,7 @@
                 if late_at != 0 {
                     world.given_up(&mut cluster, &held);
                 }
-                cluster.halt(&task(0), 0, world.now);
+                cluster.halt_task_or_gang(&task(0), 0, world.now);
             }
             if step == 3 {
                 assert_eq!(world.raise(&mut cluster), late_at != 0 && on(&cluster, 0).is_some(), "late at {late_at}");
@@ -109,7 +109,7 @@
         world.place_these(&mut cluster, &[0], "m1");
         let answer = world.asks(&mut cluster, "m1");
         assert_eq!(launches(&answer.orders), 1);
-        cluster.halt(&task(0), 0, world.now);
+        cluster.halt_task_or_gang(&task(0), 0, world.now);
         world.place_these(&mut cluster, &[1], "m1");
         let direct = world.command(&mut cluster, "m1").unwrap();
         assert!(direct.commands.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
@@ -146,10 +146,14 @@
     assert_eq!(reply.attempts[0].status, AttemptStatus::Running);
     world.exits("m1", 0, 1, ExitCause::Done);
     let answer = world.asks(&mut cluster, "m1");
-    assert_eq!((answer.orders.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
+    assert_eq!(
+        (answer.orders.len(), cluster.task_counts(&JOB.into()).done),
+        (0, 1),
+        "known, and reaped by no answer yet"
+    );
     world.store(&mut cluster);
     world.replied(&mut cluster, &direct, reply);
-    assert_eq!(cluster.counts(&JOB.into()).done, 1);
+    assert_eq!(cluster.task_counts(&JOB.into()).done, 1);
     let answer = world.asks(&mut cluster, "m1");
     assert_eq!(reaps(&answer.orders), 1);
     // An older reply, which shows nothing, comes after a heartbeat that shows the second task running.
@@ -159,7 +163,7 @@
     let direct = world.command(&mut cluster, "m1").unwrap();
     drop(world.arrives(&direct).unwrap());
     world.turn(&mut cluster, "m1");
-    cluster.halt(&task(1), 0, world.now);
+    cluster.halt_task_or_gang(&task(1), 0, world.now);
     world.replied(&mut cluster, &direct, old);
     bound(&cluster, 1, 1, "m1");
     world.place(&mut cluster, "m2");
@@ -191,8 +195,8 @@
     let (first, second) = (held.remove(0), held.remove(0));
     assert!(second.fencing_token > first.fencing_token);
     let mut waited = 0;
-    while !cluster.raise_wanted(world.now) {
-        cluster.halt(&task(1), 0, world.now);
+    while !cluster.token_raise_needed(world.now) {
+        cluster.halt_task_or_gang(&task(1), 0, world.now);
         world.turn(&mut cluster, "m2");
         bound(&cluster, 1, 1, "m2");
         world.place_these(&mut cluster, &[2], "m3");
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -71,7 +71,7 @@
             if copied_at == 3 {
                 simulation.world.lease_ends("m1");
             } else {
-                simulation.cluster.halt(&task(0), 0, simulation.world.now);
+                simulation.cluster.halt_task_or_gang(&task(0), 0, simulation.world.now);
             }
             for _ in 0..3 {
                 simulation.heartbeats("m1");
@@ -94,7 +94,7 @@
                 for copy in &copies {
                     simulation.cluster.take_heartbeat(copy.clone(), MessageKind::Heartbeat, None, simulation.world.now);
                     // Whoever sent it waits for no answer.
-                    drop(simulation.cluster.commands_in_answer("m1", simulation.world.now));
+                    drop(simulation.cluster.heartbeat_response_commands("m1", simulation.world.now));
                 }
             };
             arrive(&mut simulation);
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -15,11 +15,11 @@
         let mut old = world.leader();
         // Rented, up, and work at once.
         let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-        old.expect("m1", &kind, None, s(2.0), world.now);
+        old.expect_machine("m1", &kind, None, s(2.0), world.now);
         drop(world.asks(&mut old, "m1"));
         let decisions = plan::place(&mut old, &catalog(), world.now);
         assert_eq!(decisions.len(), 2, "{name}");
-        old.bind_all(decisions, world.now);
+        old.bind_placements(decisions, world.now);
         let (_, writes) = old.next_writes(99, world.now);
         assert_eq!(writes.len(), 1, "{name}");
         let mut held: Vec<DirectCommand> = Vec::new();
@@ -32,7 +32,7 @@
             world.now += s(0.5);
             if step == answered_at && stands {
                 let version = world.shard.as_ref().unwrap().0;
-                old.shards_stored(&writes, version);
+                old.record_stored_shards(&writes, version);
             }
             if step == 4 {
                 successor = Some(world.leader());
@@ -49,12 +49,12 @@
             }
             for direct in old.direct_commands(world.now) {
                 assert!(known || launches(&direct.commands) == 0, "{name}, step {step}");
-                old.command_over(&direct.machine, direct.fencing_token, false, world.now);
+                old.finish_direct_command(&direct.machine, direct.fencing_token, false, world.now);
                 held.push(direct);
             }
             if let Some(successor) = &mut successor {
                 if step == 4 {
-                    let usage = successor.usage.get("blue").copied().unwrap_or_default().cpus;
+                    let usage = successor.team_usage.get("blue").copied().unwrap_or_default().cpus;
                     assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the successor knows what stands");
                 }
                 if step >= 6 {
@@ -62,7 +62,7 @@
                     world.turn(successor, "m2");
                 }
                 let decisions = plan::place(successor, &catalog(), world.now);
-                successor.bind_all(decisions, world.now);
+                successor.bind_placements(decisions, world.now);
                 world.store(successor);
             }
             // What was held up comes at every step after; the world checks what it starts.
@@ -75,7 +75,7 @@
             world.turn(&mut successor, "m1");
             world.turn(&mut successor, "m2");
             let decisions = plan::place(&mut successor, &catalog(), world.now);
-            successor.bind_all(decisions, world.now);
+            successor.bind_placements(decisions, world.now);
             world.store(&mut successor);
         }
         for index in 0..2 {
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -67,9 +67,9 @@
         // The machine itself can't be reached for a while; copies come, one after the other.
         for n in 0..3 {
             cluster.take_heartbeat(copies[made].clone(), MessageKind::Heartbeat, None, world.now);
-            drop(cluster.commands_in_answer("m1", world.now));
+            drop(cluster.heartbeat_response_commands("m1", world.now));
             if n == 1 {
-                cluster.halt(&task(0), 0, world.now);
+                cluster.halt_task_or_gang(&task(0), 0, world.now);
             }
             assert_eq!(on(&cluster, 0).is_some(), stands, "{name}, read by {reader:?}");
             world.place(&mut cluster, "m2");
@@ -113,7 +113,7 @@
             None,
             world.now,
         );
-        drop(cluster.commands_in_answer("m1", world.now));
+        drop(cluster.heartbeat_response_commands("m1", world.now));
         assert_eq!(placed(&mut cluster, world.now), [], "raised: {raised}");
     }
     // A machine that is there learns the first fencing token of this cluster state and counts, whatever was raised
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -25,19 +25,19 @@
         |seq: u64, fencing_token: u64| Heartbeat { fencing_token, ..heartbeat("m", "c8", "a", false, seq, vec![]) };
     let take = |cluster: &mut ClusterState, heartbeat: Heartbeat, at: Instant| {
         cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, at);
-        cluster.commands_in_answer("m", at);
+        cluster.heartbeat_response_commands("m", at);
     };
     type Known<'a> = &'a dyn Fn(&mut ClusterState);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     let cases: [(&str, Known, u64, bool); 4] = [
         ("nobody else tells of it", &|_| {}, 3, false),
         ("the worker has heard the successor", &|_| {}, 9, true),
-        ("rented or listed", &|cluster| cluster.expect("m", &kind, None, s(60), now), 3, true),
+        ("rented or listed", &|cluster| cluster.expect_machine("m", &kind, None, s(60), now), 3, true),
         (
             "returned by this leader",
             &|cluster| {
-                cluster.expect("m", &kind, None, s(60), now);
-                cluster.machine_gone(&"m".into(), now);
+                cluster.expect_machine("m", &kind, None, s(60), now);
+                cluster.remove_machine(&"m".into(), now);
             },
             9,
             false,
@@ -57,7 +57,7 @@
             cluster.take_heartbeat(old, MessageKind::Heartbeat, None, now + s(if seq == 9 { 0 } else { 11 }));
         }
     }
-    assert!(!cluster.lost_most(now + s(12)), "nobody was lost");
+    assert!(!cluster.most_machines_lost(now + s(12)), "nobody was lost");
     cluster.tick(now + s(13));
     assert!(
         cluster.machines.values().all(|m| m.state == MachineState::Terminating),
@@ -68,7 +68,7 @@
     let done = Heartbeat { agent_epoch: 2, ..copy(1, 9) };
     take(&mut cluster, done, now);
     take(&mut cluster, Heartbeat { agent_epoch: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
-    assert!(cluster.machines["m"].recall.is_none(), "a notice of an earlier session");
+    assert!(cluster.machines["m"].recall_at.is_none(), "a notice of an earlier session");
 }
 
 /// A machine whose reports arrive and that hears nothing was given its tasks again every lease.
@@ -95,7 +95,7 @@
                 let agent_epoch = if m < inbound_lost { agent_epoch } else { 1 };
                 let heartbeat = heartbeat(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
                 cluster.take_heartbeat(Heartbeat { agent_epoch, ..heartbeat }, MessageKind::Heartbeat, None, now);
-                cluster.commands_in_answer(&format!("m{m:02}"), now);
+                cluster.heartbeat_response_commands(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
             let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
@@ -103,7 +103,7 @@
         }
         let out = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
         assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
-        assert_eq!(cluster.lost_most(start + s(60)), inbound_lost * 3 >= of, "{name}");
+        assert_eq!(cluster.most_machines_lost(start + s(60)), inbound_lost * 3 >= of, "{name}");
         // It hears again: it is well with the next heartbeat.
         let now = start + s(61);
         cluster.take_heartbeat(
@@ -131,14 +131,14 @@
     for t in 0..70u64 {
         let now = start + s(t);
         for m in (0..4).filter(|_| t % 5 == 0) {
-            cluster.expect(&format!("m{m}"), &kind, None, s(900), start);
+            cluster.expect_machine(&format!("m{m}"), &kind, None, s(900), start);
             let heartbeat = Heartbeat {
                 fencing_token: 3,
                 agent_epoch: 1 + t / 25,
                 ..heartbeat(&format!("m{m}"), "c8", "a", false, t + 1, vec![])
             };
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now);
-            cluster.commands_in_answer(&format!("m{m}"), now);
+            cluster.heartbeat_response_commands(&format!("m{m}"), now);
         }
         cluster.tick(now);
     }
--- a/src/scheduling/tests/outages_past_lease.rs
+++ b/src/scheduling/tests/outages_past_lease.rs
@@ -84,7 +84,7 @@
         let first = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
         let called_off = simulation.world.accept(&mut simulation.cluster, 2, first);
         let key = TaskKey { job: called_off.clone(), index: 0 };
-        simulation.cluster.bind_all(
+        simulation.cluster.bind_placements(
             vec![crate::scheduling::cluster::Placement { task: key, attempt: 1, machine: "m1".into() }],
             simulation.world.now,
         );
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -46,9 +46,12 @@
         if self.rng.random_bool(0.5) {
             match simulation.world.arrives(&direct) {
                 Some(reply) => simulation.world.replied(&mut simulation.cluster, &direct, reply),
-                None => {
-                    simulation.cluster.command_over(&direct.machine, direct.fencing_token, true, simulation.world.now)
-                }
+                None => simulation.cluster.finish_direct_command(
+                    &direct.machine,
+                    direct.fencing_token,
+                    true,
+                    simulation.world.now,
+                ),
             }
             return;
         }
@@ -63,7 +66,7 @@
             simulation.world.hears(&answer);
         }
         for (_, machine, fencing_token) in self.waited_for.extract_if(.., |(at, ..)| *at <= now) {
-            simulation.cluster.command_over(&machine, fencing_token, false, now);
+            simulation.cluster.finish_direct_command(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
             drop(simulation.world.arrives(&direct));
@@ -135,7 +138,7 @@
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
         let halting = |cluster: &ClusterState| -> usize {
             let bound = cluster.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
-            bound.filter(|binding| binding.halting.is_some()).count()
+            bound.filter(|binding| binding.halt_grace_s.is_some()).count()
         };
         stopped += halting(&simulation.cluster);
         for direct in simulation.cluster.direct_commands(now) {
@@ -144,7 +147,7 @@
         simulation.cluster.tick(now);
         simulation.world.raise(&mut simulation.cluster);
         let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
-        simulation.cluster.bind_all(decisions, now);
+        simulation.cluster.bind_placements(decisions, now);
         simulation.world.store(&mut simulation.cluster);
         simulation.check();
     }
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -42,8 +42,8 @@
     add(&mut cluster, 1, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 8.0));
     add(&mut cluster, 2, now, |j| (j.team, j.tasks, j.cpus) = ("red".into(), 2, 4.0));
     let first = plan::place(&mut cluster, &catalog(), now);
-    cluster.bind_all(first, now);
-    assert_eq!(cluster.usage["red"].cpus, 20.0);
+    cluster.bind_placements(first, now);
+    assert_eq!(cluster.team_usage["red"].cpus, 20.0);
     assert!(plan::place(&mut cluster, &catalog(), now).is_empty());
 }
 
@@ -79,7 +79,7 @@
     let (first, looked) = plan::place_counted(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 1000, "a plan stops at what can be stored");
     assert!(looked < 500_000, "{looked}");
-    cluster.bind_all(first, now);
+    cluster.bind_placements(first, now);
     let mut looks = Vec::new();
     loop {
         let (more, looked) = plan::place_counted(&mut cluster, &catalog(), now);
@@ -87,7 +87,7 @@
         if more.is_empty() {
             break;
         }
-        cluster.bind_all(more, now);
+        cluster.bind_placements(more, now);
     }
     assert!(looks.iter().all(|l| *l < 500_000), "{looks:?}");
     let full = looks.last().copied().unwrap_or(0);
@@ -106,7 +106,7 @@
             add(&mut cluster, n, start, |j| (j.cpus, j.estimate_s) = (8.0, 30.0));
         }
         let first = plan::place(&mut cluster, &catalog(), start);
-        cluster.bind_all(first, start);
+        cluster.bind_placements(first, start);
         add(&mut cluster, 9, start, |j| (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Gang, 6, 8.0, 300.0));
         for i in 0..6 {
             let name = format!("m{i:04}");
@@ -136,11 +136,11 @@
     add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s) = (12, 4.0, 100.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 8);
-    cluster.bind_all(first.clone(), now);
+    cluster.bind_placements(first.clone(), now);
     let (_, shards) = cluster.next_writes(10, now);
-    cluster.shards_stored(&shards, 1);
+    cluster.record_stored_shards(&shards, 1);
     for machine in ["m1", "m2", "m3", "m4"] {
-        cluster.commands_in_answer(machine, now);
+        cluster.heartbeat_response_commands(machine, now);
     }
     for (seq, placement) in (2..).zip(&first) {
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
@@ -158,10 +158,10 @@
     let again = plan::place(&mut cluster, &catalog(), later);
     assert_eq!(again.iter().filter(|p| &*p.task.job == "run-000001").count(), 2);
     // With every machine full, none is rented for it.
-    cluster.bind_all(again, later);
+    cluster.bind_placements(again, later);
     add(&mut cluster, 3, now, |j| (j.tasks, j.cpus, j.zone) = (7, 4.0, Some("a".into())));
     let placements = plan::place(&mut cluster, &catalog(), later);
-    cluster.bind_all(placements, later);
+    cluster.bind_placements(placements, later);
     let late = later + Duration::from_secs(3600);
     let rented = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), late);
     assert!(rented.iter().map(|demand| demand.count).sum::<u64>() <= 1, "{rented:?}");
--- a/src/scheduling/tests/plan_work.rs
+++ b/src/scheduling/tests/plan_work.rs
@@ -13,7 +13,7 @@
     add(&mut cluster, 1, now, |j| (j.tasks, j.cpus) = (MACHINES as u64, 7.0));
     let placed = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), MACHINES);
-    cluster.bind_all(placed, now);
+    cluster.bind_placements(placed, now);
     cluster
 }
 
@@ -49,7 +49,7 @@
     add_zoned_jobs(&mut cluster, true, now);
     let (placed, _) = plan::place_counted(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), 2 * ZONED_JOBS as usize);
-    cluster.bind_all(placed, now);
+    cluster.bind_placements(placed, now);
     let (placed, looked) = plan::place_counted(&mut cluster, &catalog(), now);
     assert!(placed.is_empty(), "{placed:?}");
     assert!(looked < FEW_LOOKS, "{looked}");
--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -9,15 +9,15 @@
     let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
     add(&mut cluster, 1, now, |j| (j.cpus, j.estimate_s) = (8.0, 100.0));
     let first = plan::place(&mut cluster, &catalog(), now);
-    cluster.bind_all(first, now);
+    cluster.bind_placements(first, now);
     // Stored and told, so that it has to be stopped rather than forgotten.
     let (_, shards) = cluster.next_writes(10, now);
-    cluster.shards_stored(&shards, 1);
-    assert_eq!(cluster.commands_in_answer("m1", now).len(), 1);
+    cluster.record_stored_shards(&shards, 1);
+    assert_eq!(cluster.heartbeat_response_commands("m1", now).len(), 1);
     add(&mut cluster, 2, now, |j| j.cpus = 8.0);
     let later = now + Duration::from_secs(5);
     preempt::preempt(&mut cluster, &catalog(), later);
-    let halting = |cluster: &ClusterState| cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halting;
+    let halting = |cluster: &ClusterState| cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halt_grace_s;
     assert_eq!(halting(&cluster), None, "equals do not preempt");
     add(&mut cluster, 3, now, |j| (j.cpus, j.urgency) = (8.0, Urgency::High));
     cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, later);
@@ -35,17 +35,17 @@
     add(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.urgency, j.checkpoint_s) = (24, 1.0, Urgency::Idle, 5.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 24, "what is over goes to idle work");
-    cluster.bind_all(first, now);
+    cluster.bind_placements(first, now);
     let (_, shards) = cluster.next_writes(10, now);
-    cluster.shards_stored(&shards, 1);
+    cluster.record_stored_shards(&shards, 1);
     for machine in ["m1", "m2", "m3"] {
-        cluster.commands_in_answer(machine, now);
+        cluster.heartbeat_response_commands(machine, now);
     }
     add(&mut cluster, 2, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 2, 5.0, true));
     preempt::preempt(&mut cluster, &catalog(), now);
     let stopped = |cluster: &ClusterState| {
         let job = cluster.job(&"run-000001".into()).unwrap();
-        (0..24).filter(|i| job.binding(*i).is_some_and(|b| b.halting.is_some())).count()
+        (0..24).filter(|i| job.binding(*i).is_some_and(|b| b.halt_grace_s.is_some())).count()
     };
     assert_eq!(
         (stopped(&cluster), cluster.preemption_reservations.len()),
--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -55,7 +55,7 @@
         for (n, machine) in [(1, "m1"), (2, "m2")] {
             add(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
             let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
-            cluster.bind_all(
+            cluster.bind_placements(
                 vec![crate::scheduling::cluster::Placement { task: task.clone(), attempt: 1, machine: machine.into() }],
                 start,
             );
@@ -110,7 +110,7 @@
             add(&mut cluster, n, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
         }
         let first = plan::place(&mut cluster, &catalog(), start);
-        cluster.bind_all(first, start);
+        cluster.bind_placements(first, start);
         add(&mut cluster, 9, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 40.0, Some("a".into())));
         cluster.arrivals.clear();
         let now = start + Duration::from_secs(25);
@@ -145,8 +145,8 @@
     let s = Duration::from_secs;
     let mut cluster = many(2, now);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-    cluster.expect("m0000", &kind, None, s(300), now);
-    cluster.expect("m0001", &kind, None, s(10), now);
+    cluster.expect_machine("m0000", &kind, None, s(300), now);
+    cluster.expect_machine("m0001", &kind, None, s(10), now);
     let drained: Vec<String> =
         choose_drains(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
     assert_eq!(drained, ["m0000"], "only what has been held for long enough");
@@ -156,7 +156,7 @@
         (job.id, job.tasks) = (format!("run-{n:06}").into(), 60);
         let at_ms = time_of_day_ms() - age_s * 1000;
         cluster.load_job(Arc::new(JobRecord { spec: job, at_ms }), Vec::new(), now);
-        let seen = cluster.arrivals["c"].per_second(now);
+        let seen = cluster.arrivals["c"].tasks_per_second(now);
         assert!((at_least..=at_least + 0.1).contains(&seen), "{age_s} s ago: {seen}");
     }
 }
@@ -170,14 +170,14 @@
         let mut cluster = cluster(&[("m1", "c8", "a", false)], now);
         add(&mut cluster, 1, now, |j| (j.urgency, j.checkpoint_s) = (Urgency::Idle, checkpoint_s));
         let first = plan::place(&mut cluster, &catalog(), now);
-        cluster.bind_all(first, now);
+        cluster.bind_placements(first, now);
         let (_, shards) = cluster.next_writes(10, now);
-        cluster.shards_stored(&shards, 1);
-        cluster.commands_in_answer("m1", now);
-        cluster.drain(&"m1".into(), &[], now);
+        cluster.record_stored_shards(&shards, 1);
+        cluster.heartbeat_response_commands("m1", now);
+        cluster.drain_machine(&"m1".into(), &[], now);
         cluster.tick(now);
         let job = cluster.job(&"run-000001".into()).unwrap();
-        assert_eq!(job.binding(0).unwrap().halting.is_some(), stopped, "saves every {checkpoint_s} s");
+        assert_eq!(job.binding(0).unwrap().halt_grace_s.is_some(), stopped, "saves every {checkpoint_s} s");
         assert_eq!(cluster.machines["m1"].state, MachineState::Draining, "not returned with it");
     }
 }
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -23,13 +23,13 @@
             let held = world.command(&mut cluster, "m1").unwrap();
             assert_eq!(launches(&held.commands), 1);
             if given_up {
-                cluster.command_over(&before.machine, before.fencing_token, false, world.now);
+                cluster.finish_direct_command(&before.machine, before.fencing_token, false, world.now);
             } else {
                 let reply = world.arrives(&before).unwrap();
                 world.replied(&mut cluster, &before, reply);
             }
             assert!(world.asks(&mut cluster, "m1").orders.is_empty(), "{name}: a command is on its way");
-            cluster.halt(&task(0), 0, world.now);
+            cluster.halt_task_or_gang(&task(0), 0, world.now);
             let mut started = false;
             for step in 0..8 {
                 if step == late_at {
@@ -105,7 +105,7 @@
                 world.turn(&mut cluster, "m1");
             }
             // Inherited and shown, it is adopted; stopped here, so that it goes elsewhere.
-            cluster.halt(&task(0), 0, world.now);
+            cluster.halt_task_or_gang(&task(0), 0, world.now);
             world.place(&mut cluster, "m2");
             world.turn(&mut cluster, "m2");
         }
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -28,7 +28,7 @@
                 );
             }
             if paused && t == 13 {
-                cluster.after_pause(ProcessPause { began: now, ended: now + s(13) });
+                cluster.adjust_for_pause(ProcessPause { began: now, ended: now + s(13) });
             }
             if !paused || t == 13 {
                 cluster.tick(now + s(t));
@@ -36,7 +36,7 @@
         }
         let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
         assert_eq!(terminating, given_up, "{name}");
-        assert_eq!(cluster.lost_most(now + s(13)), reporting == 0, "{name}");
+        assert_eq!(cluster.most_machines_lost(now + s(13)), reporting == 0, "{name}");
     }
 }
 
@@ -70,7 +70,7 @@
             }
             let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
             assert_eq!(terminating, want, "{name}, after {after} s");
-            assert_eq!(cluster.lost_most(now + s(after)), reporting < 5, "{name}: would hand over");
+            assert_eq!(cluster.most_machines_lost(now + s(after)), reporting < 5, "{name}: would hand over");
         }
     }
 }
@@ -85,9 +85,9 @@
     cluster.loaded = true;
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for name in ["starting", "running"] {
-        cluster.expect(name, &kind, None, s(900), now);
+        cluster.expect_machine(name, &kind, None, s(900), now);
     }
-    cluster.listed_up("running", now);
+    cluster.record_listed_up("running", now);
     let given_up: Vec<String> =
         surplus_machines(&cluster, &catalog(), now + s(13)).into_iter().map(|machine| machine.id.to_string()).collect();
     assert_eq!(given_up, ["starting"]);
@@ -104,10 +104,10 @@
     let mut cluster = cluster(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add(&mut cluster, 1, now, |j| j.cpus = 8.0);
     let first = plan::place(&mut cluster, &catalog(), now);
-    cluster.bind_all(first, now);
+    cluster.bind_placements(first, now);
     let (_, shards) = cluster.next_writes(10, now);
-    cluster.shards_stored(&shards, 1);
-    cluster.commands_in_answer("m1", now);
+    cluster.record_stored_shards(&shards, 1);
+    cluster.heartbeat_response_commands("m1", now);
     let begun = now + s(110);
     for machine in ["m1", "m2"] {
         cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, begun);
@@ -116,11 +116,13 @@
     let back = begun + s(30);
     // Without being told of the pause: idle for 120 s, and 30 of 49 s since the cancellation.
     assert_eq!(surplus_machines(&cluster, &catalog(), back).len(), 1);
-    assert_eq!(cluster.overdue(back).len(), 1);
-    cluster.after_pause(ProcessPause { began: begun, ended: back });
+    assert_eq!(cluster.overdue_machines(back).len(), 1);
+    cluster.adjust_for_pause(ProcessPause { began: begun, ended: back });
     cluster.tick(back);
     assert!(surplus_machines(&cluster, &catalog(), back).is_empty());
-    assert!(cluster.overdue(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up));
+    assert!(
+        cluster.overdue_machines(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up)
+    );
     // Heard of nothing for a few seconds more, the cancelled task is proof enough.
-    assert_eq!(cluster.overdue(back + s(6)).len(), 1);
+    assert_eq!(cluster.overdue_machines(back + s(6)).len(), 1);
 }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -131,16 +131,16 @@
         for direct in self.cluster.direct_commands(now) {
             let m = &*direct.machine;
             if self.unreached.contains(&m) {
-                self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
+                self.cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, now);
             } else if hang.contains(&m) || self.inbound_lost.contains(&m) {
-                self.cluster.command_over(&direct.machine, direct.fencing_token, false, now);
+                self.cluster.finish_direct_command(&direct.machine, direct.fencing_token, false, now);
                 if hang.contains(&m) {
                     self.lying.push(direct);
                 }
             } else if let Some(reply) = self.world.arrives(&direct) {
                 self.world.replied(&mut self.cluster, &direct, reply);
             } else {
-                self.cluster.command_over(&direct.machine, direct.fencing_token, true, now);
+                self.cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, now);
             }
         }
         self.cluster.tick(now);
@@ -157,7 +157,7 @@
         }
         if self.plans && self.cluster.loaded {
             let decisions = plan::place(&mut self.cluster, &catalog(), now);
-            self.cluster.bind_all(decisions, now);
+            self.cluster.bind_placements(decisions, now);
         }
         if self.store {
             self.world.store(&mut self.cluster);
@@ -174,8 +174,8 @@
     pub(super) fn listed(&mut self) {
         for (m, w) in self.world.workers.iter().filter(|(_, w)| !w.gone) {
             let kind = MachineKind { type_name: w.type_name.into(), zone: w.zone.into(), spot: false };
-            self.cluster.expect(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
-            self.cluster.listed_up(m, self.world.now);
+            self.cluster.expect_machine(m, &kind, Some("127.0.0.1:9"), s(900.0), self.world.now);
+            self.cluster.record_listed_up(m, self.world.now);
         }
     }
 
@@ -259,11 +259,11 @@
             || (draining == Draining::HasRoomIfScaleInCandidate
                 && machine.state == MachineState::Draining
                 && machine.scale_in_candidate);
-        if worker.gone || !stays || machine.recall.is_some() {
+        if worker.gone || !stays || machine.recall_at.is_some() {
             return None;
         }
         let machine_type = catalog().get(worker.type_name)?.clone();
-        let taken = machine.taken();
+        let taken = machine.allocated();
         let mut left = RoomLeft {
             cpus: machine_type.cpus - taken.cpus,
             gpus: machine_type.gpus - taken.gpus,
@@ -281,7 +281,7 @@
         let Some(job) = self.cluster.job(id) else { return false };
         let spec = job.spec();
         let gang = spec.is_gang();
-        if job.waiting.is_empty() || job.ended.is_some() || job.complete() || (gang && !job.bound.is_empty()) {
+        if job.waiting.is_empty() || job.ended.is_some() || job.is_complete() || (gang && !job.bound.is_empty()) {
             return false;
         }
         let need = if gang { job.waiting.len() } else { 1 };
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -48,7 +48,7 @@
         simulation.step();
         let kept = simulation.world.drop_shards(&mut simulation.cluster);
         assert!(kept <= 20, "chunks of jobs that are over: {kept}");
-        for (what, n) in simulation.cluster.held() {
+        for (what, n) in simulation.cluster.entry_counts() {
             assert!(n <= 60, "{what} at step {step}: {n}");
         }
         assert!(simulation.world.workers.values().all(|w| w.attempts.len() <= 40), "exits are reaped");
@@ -63,13 +63,13 @@
     assert!(jobs == 801 && (150..250).contains(&cancelled), "{cancelled} of {jobs} were withdrawn");
     let left: usize = simulation
         .cluster
-        .held()
+        .entry_counts()
         .into_iter()
         .filter(|(what, _)| ["ending", "to_store", "to_drop"].contains(what))
         .map(|(_, n)| n)
         .sum();
     let kept = simulation.world.drop_shards(&mut simulation.cluster);
-    assert_eq!((simulation.cluster.job_count(), left, kept), (0, 0, 0), "{:?}", simulation.cluster.held());
+    assert_eq!((simulation.cluster.job_count(), left, kept), (0, 0, 0), "{:?}", simulation.cluster.entry_counts());
 }
 
 /// What one part of the day took of the state service, and how long its users waited.
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -9,10 +9,10 @@
     let mut cluster = many(20, now);
     add(&mut cluster, 1, now, |j| j.tasks = 150);
     let decisions = plan::place(&mut cluster, &catalog(), now);
-    cluster.bind_all(decisions.clone(), now);
+    cluster.bind_placements(decisions.clone(), now);
     let (_, shards) = cluster.next_writes(10, now);
     assert_eq!(shards.len(), 1, "one chunk for all starts, at once");
-    cluster.shards_stored(&shards, 1);
+    cluster.record_stored_shards(&shards, 1);
     let mut writes = 0;
     for (n, p) in decisions.iter().enumerate().take(100) {
         let at = now + Duration::from_millis(50 * n as u64);
@@ -29,10 +29,10 @@
             None,
             at,
         );
-        if cluster.anything_to_store(at) {
+        if cluster.has_due_writes(at) {
             let (_, shards) = cluster.next_writes(10, at);
             writes += shards.len();
-            cluster.shards_stored(&shards, 2 + n as u64);
+            cluster.record_stored_shards(&shards, 2 + n as u64);
         }
     }
     assert!((1..=4).contains(&writes), "5 s of ends in {writes} changes");
@@ -56,8 +56,8 @@
         cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), shards, now);
     }
     cluster.loaded = true;
-    assert_eq!((cluster.machines.len(), cluster.usage["blue"].cpus), (1000, 6000.0));
-    assert!(cluster.machines.values().all(|m| m.taken() == cluster.taken_afresh(m) && m.bound.len() == 6));
+    assert_eq!((cluster.machines.len(), cluster.team_usage["blue"].cpus), (1000, 6000.0));
+    assert!(cluster.machines.values().all(|m| m.allocated() == cluster.recomputed_allocation(m) && m.bound.len() == 6));
     assert!(plan::place(&mut cluster, &catalog(), now).is_empty(), "all are bound, and nobody has reported");
     let commands = cluster.direct_commands(now).len();
     assert!(commands <= 700 / 8, "{commands} commands at once");
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -49,7 +49,7 @@
         bound(&cluster, 4, 1, "m4");
         world.place(&mut cluster, "m5");
         world.turn(&mut cluster, "m5");
-        assert_eq!(cluster.usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
+        assert_eq!(cluster.team_usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
         cluster.tick(world.now);
         world.now += s(0.1);
         if t == 20 {
@@ -79,7 +79,7 @@
             world.turn(&mut old, m);
         }
         let places = [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task(i), attempt: 1, machine: m.into() });
-        old.bind_all(places.into(), world.now);
+        old.bind_placements(places.into(), world.now);
         world.store(&mut old);
         world.turn(&mut old, "m0");
         world.turn(&mut old, "m1");
--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -43,7 +43,7 @@
                     (simulation.hang, simulation.outbound_lost, simulation.unreached) = (vec![], vec![], vec![]);
                 }
                 simulation.step();
-                assert!(simulation.cluster.usage["red"].cpus <= 20.0, "{name}: at {t}");
+                assert!(simulation.cluster.team_usage["red"].cpus <= 20.0, "{name}: at {t}");
                 most = most.max(simulation.live(&next).len());
                 // Only the well one's task is proven gone while the others can't be asked.
                 if t < cancelled_at + 18.0 && t < back_at && t < 11.0 {
@@ -80,7 +80,7 @@
     }
     assert_eq!(placed(&mut simulation.cluster, simulation.world.now), [], "not read yet");
     simulation.world.load(&mut simulation.cluster);
-    assert_eq!(simulation.cluster.usage["red"].cpus, 20.0);
+    assert_eq!(simulation.cluster.team_usage["red"].cpus, 20.0);
     for _ in 0..20 {
         simulation.step();
         assert_eq!(simulation.live(&next), [], "all count that nobody has proven gone");
@@ -150,7 +150,7 @@
                     simulation.answered_by(&mut deposed, held_by_deposed);
                 }
                 simulation.step();
-                let counted = |team: &str| simulation.cluster.usage.get(team).map_or(0.0, |used| used.cpus);
+                let counted = |team: &str| simulation.cluster.team_usage.get(team).map_or(0.0, |used| used.cpus);
                 assert!(counted("red") <= 20.0 && counted("blue") <= 20.0, "{name}: at {t} s");
             }
             assert!(cancelled, "{name}");
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -71,7 +71,7 @@
         world.shard = Some((5, vec![StoredTask::Untouched; 2]));
         let mut cluster = leader_with_unreadable(&mut world);
         let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
-        cluster.expect("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
+        cluster.expect_machine("m1", &kind, Some("127.0.0.1:9"), s(900.0), world.now);
         cluster.finish_load(world.now);
         if let Some((below, attempts)) = heard {
             let fencing_token = cluster.first_fencing_token - below;
@@ -79,7 +79,7 @@
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, world.now);
         }
         if returned {
-            cluster.machine_gone(&"m1".into(), world.now);
+            cluster.remove_machine(&"m1".into(), world.now);
         }
         let now = world.now + s(after_s);
         cluster.tick(now);
@@ -147,9 +147,9 @@
     let mut cluster = leader_with_unreadable(&mut world);
     cluster.finish_load(world.now);
     let team = world.record.spec.team.clone();
-    assert_eq!(cluster.usage[&team], TeamUsage { cpus: 6.0, gpus: 0.0 });
+    assert_eq!(cluster.team_usage[&team], TeamUsage { cpus: 6.0, gpus: 0.0 });
     cluster.tick(world.now + s(PAST_THE_REST));
-    assert_eq!(cluster.usage[&team], TeamUsage::default());
+    assert_eq!(cluster.team_usage[&team], TeamUsage::default());
 }
 
 /// A task that a worker reports as done is not reaped before that is stored, and does not start again.
@@ -218,7 +218,7 @@
         cluster.finish_load(now);
         let job = cluster.job(&JOB.into()).unwrap();
         assert_eq!(job.bound.len(), 192, "{shape:?}: nothing is proven gone yet");
-        assert!(job.bound.iter().all(|i| job.binding(*i).unwrap().halting == halting), "{shape:?}");
+        assert!(job.bound.iter().all(|i| job.binding(*i).unwrap().halt_grace_s == halting), "{shape:?}");
         assert_eq!(attempts(&cluster)[192], HIDDEN_ATTEMPTS + 5, "{shape:?}");
     }
 }
