--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -156,7 +156,7 @@
         if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
             let chosen = choose_drains(cluster, &catalog(), now);
             if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
-                cluster.drain(&drain.machine, &drain.moves, now);
+                cluster.drain_machine(&drain.machine, &drain.moves, now);
             }
         }
         preempt::preempt(cluster, &catalog(), now);
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -16,10 +16,10 @@
     cluster.load_job(record, vec![(0, 30, vec![StoredTask::Bound(1, "m1".into())])], now);
     if ended.is_some() {
         cluster.end_job(&"run-000001".into(), ended, now);
-        cluster.ended_after(&"run-000001".into(), 40);
+        cluster.set_ended_after(&"run-000001".into(), 40);
     }
     cluster.finish_load(now);
-    cluster.holds_ends(Some(60));
+    cluster.record_known_ends(Some(60));
     cluster
 }
 
@@ -60,7 +60,7 @@
             60,
             true,
         ),
-        ("its machine was returned", Some(End::Cancelled), |b, now| b.machine_gone(&"m1".into(), now), 60, true),
+        ("its machine was returned", Some(End::Cancelled), |b, now| b.remove_machine(&"m1".into(), now), 60, true),
         ("done: nothing of it runs", Some(End::Done), |_, _| (), 60, false),
         ("open", None, |_, _| (), 60, false),
         (
@@ -68,7 +68,7 @@
             None,
             |b, now| {
                 b.end_job(&"run-000001".into(), Some(End::Cancelled), now);
-                b.holds_ends(Some(70));
+                b.record_known_ends(Some(70));
             },
             60,
             false,
@@ -79,7 +79,7 @@
             |b, now| {
                 says(b, FENCING_TOKEN, 1, now);
                 b.end_job(&"run-000001".into(), Some(End::Cancelled), now);
-                b.holds_ends(Some(70));
+                b.record_known_ends(Some(70));
             },
             70,
             true,
@@ -88,11 +88,11 @@
     for (name, ended, then, want, obeyed) in cases {
         let now = Instant::now();
         let mut cluster = successor(ended, now);
-        let before = cluster.watermark();
+        let before = cluster.advance_watermark();
         then(&mut cluster, now);
-        assert_eq!(cluster.watermark(), want, "{name}");
-        assert_eq!(cluster.obeyed_in(&"run-000001".into()), obeyed, "{name}");
-        assert!(cluster.watermark() >= before, "{name}: it went back");
+        assert_eq!(cluster.advance_watermark(), want, "{name}");
+        assert_eq!(cluster.cancellation_effective(&"run-000001".into()), obeyed, "{name}");
+        assert!(cluster.advance_watermark() >= before, "{name}: it went back");
     }
 }
 
@@ -104,11 +104,11 @@
     let mut cluster = successor(None, now);
     add(&mut cluster, 2, now, |_| ());
     cluster.end_job(&"run-000002".into(), Some(End::Cancelled), now);
-    cluster.holds_ends(Some(65));
-    assert_eq!(cluster.watermark(), 65, "nothing of it was ever started");
+    cluster.record_known_ends(Some(65));
+    assert_eq!(cluster.advance_watermark(), 65, "nothing of it was ever started");
     cluster.end_job(&"run-000001".into(), Some(End::Cancelled), now);
-    cluster.holds_ends(Some(90));
-    assert_eq!(cluster.watermark(), 65, "the one on the machine that was not heard of");
+    cluster.record_known_ends(Some(90));
+    assert_eq!(cluster.advance_watermark(), 65, "the one on the machine that was not heard of");
     says(&mut cluster, FENCING_TOKEN, 1, now);
-    assert_eq!(cluster.watermark(), 90);
+    assert_eq!(cluster.advance_watermark(), 90);
 }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -186,7 +186,7 @@
             to: m,
             agent_epoch,
             fencing_token: cluster.fencing_token,
-            orders: cluster.commands_in_answer(m, self.now),
+            orders: cluster.heartbeat_response_commands(m, self.now),
             sent: self.now,
         }
     }
@@ -222,13 +222,13 @@
     }
 
     pub(super) fn replied(&mut self, cluster: &mut ClusterState, direct: &DirectCommand, reply: Heartbeat) {
-        cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
+        cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, self.now);
         cluster.take_heartbeat(reply, MessageKind::CommandReply, None, self.now);
     }
 
     pub(super) fn given_up(&mut self, cluster: &mut ClusterState, direct: &DirectCommand) {
         self.now += s(2.5);
-        cluster.command_over(&direct.machine, direct.fencing_token, false, self.now);
+        cluster.finish_direct_command(&direct.machine, direct.fencing_token, false, self.now);
     }
 
     /// The command that is due to this machine. All others are refused a connection.
@@ -238,7 +238,7 @@
             if *direct.machine == *m {
                 found = Some(direct);
             } else {
-                cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
+                cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, self.now);
             }
         }
         found
@@ -333,8 +333,8 @@
         let attempt = |i: u32| if gang { last } else { job.tasks[i as usize].attempt } + 1;
         let placements =
             indices.iter().map(|i| Placement { task: task(*i), attempt: attempt(*i), machine: m.into() }).collect();
-        if !job.complete() {
-            cluster.bind_all(placements, self.now);
+        if !job.is_complete() {
+            cluster.bind_placements(placements, self.now);
         }
         self.store(cluster);
     }
@@ -355,7 +355,7 @@
             assert_eq!(write.version, shard.as_ref().map_or(0, |(version, _)| *version));
             *shard = Some(next);
         }
-        cluster.shards_stored(&batch.shards, self.version);
+        cluster.record_stored_shards(&batch.shards, self.version);
         let changes = batch.changes().len();
         for end in batch.ends {
             let mut done = (0..end.spec.tasks as u32)
@@ -379,7 +379,7 @@
 
     /// At most so many of them go; how many did.
     pub(super) fn drop_some(&mut self, cluster: &mut ClusterState, most: usize) -> usize {
-        let drops = cluster.next_drops(most);
+        let drops = cluster.take_shard_drops(most);
         for (id, shard) in &drops {
             assert!(*shard == 0 && self.over(id), "{id}: what is open is kept");
             *self.shard_of(id) = None;
@@ -388,7 +388,7 @@
     }
 
     pub(super) fn raise(&mut self, cluster: &mut ClusterState) -> bool {
-        let wanted = cluster.raise_wanted(self.now);
+        let wanted = cluster.token_raise_needed(self.now);
         if wanted {
             self.version += 1;
             cluster.raise_fencing_token(self.version);
@@ -400,7 +400,7 @@
     pub(super) fn returned(&mut self, cluster: &mut ClusterState, m: &'static str) {
         self.forget(m);
         self.workers.get_mut(m).unwrap().gone = true;
-        cluster.machine_gone(&m.into(), self.now);
+        cluster.remove_machine(&m.into(), self.now);
     }
 }
 
--- a/src/scheduling/tests/zones.rs
+++ b/src/scheduling/tests/zones.rs
@@ -61,7 +61,7 @@
             // One of its tasks that are well ends up stopped, and waits again: so something is to be placed meanwhile.
             simulation.run(4.0);
             if let Some((index, _)) = simulation.live(&JOB.into()).into_iter().find(|(_, m)| !lost.contains(m)) {
-                simulation.cluster.halt(&task(index), 0, simulation.world.now);
+                simulation.cluster.halt_task_or_gang(&task(index), 0, simulation.world.now);
             }
             simulation.run(80.0);
             let live = simulation.live(&JOB.into());
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -20,7 +20,7 @@
 use crate::membership::{leader_record_write, lease_acquisition, lease_removal};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest};
 use crate::scheduling::cluster::ShardWrite;
-use crate::scheduling::commit::{CommitBatch, shard_drops, still_to_drop};
+use crate::scheduling::commit::{CommitBatch, remaining_drops, shard_drops};
 use crate::store::{Change, Condition};
 
 /// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
@@ -218,5 +218,5 @@
     assert!(store.has(&shard_key(&job.spec.id, 0)), "what is bound stands");
     // And it is not tried for ever: the rest of what was refused together goes without it.
     let rest = ("run-000002".into(), 3);
-    assert_eq!(still_to_drop(vec![drops[0].clone(), rest], &refused.failed), [("run-000002".into(), 3)]);
+    assert_eq!(remaining_drops(vec![drops[0].clone(), rest], &refused.failed), [("run-000002".into(), 3)]);
 }
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -66,7 +66,7 @@
         if let Err(error) = &outcome {
             debug!(%machine, %error, "worker command failed");
         }
-        cluster.command_over(machine, fencing_token, settled, now);
+        cluster.finish_direct_command(machine, fencing_token, settled, now);
         if let Some(heartbeat) = heartbeat {
             cluster.take_heartbeat(heartbeat, MessageKind::CommandReply, catalog.as_deref(), now);
         }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -107,9 +107,9 @@
     cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, catalog.as_deref(), now);
     policy.cluster_state_loaded = cluster.loaded;
     let orders = if policy.sends_all_commands() {
-        cluster.commands_in_answer(&machine, now)
+        cluster.heartbeat_response_commands(&machine, now)
     } else {
-        cluster.stops_only(&machine, &ended.jobs)
+        cluster.halts_of_ended_jobs(&machine, &ended.jobs)
     };
     Recorded::ByLeader(WorkerCommands { fencing_token: cluster.fencing_token, agent_epoch: None, orders })
 }
