--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -135,7 +135,7 @@
 ) -> TaskDrain {
     let spec = job.spec();
     if cluster.intents.keeps_in_place(&key.job)
-        || cluster.intents.priority_boost.as_ref().is_some_and(|ahead| ahead.names.has(spec))
+        || cluster.intents.priority_boost.as_ref().is_some_and(|ahead| ahead.names.contains_job(spec))
     {
         return TaskDrain::Stays;
     }
