--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -104,6 +104,6 @@
         let mut cluster = world.elect_leader();
         let ended = world.now - secs(ended_before_s);
         cluster.end_job(&JOB.into(), Some(End::Cancelled), ended);
-        assert_eq!(cluster.overdue(world.now + secs(checked_after_s)).len(), usize::from(overdue), "{name}");
+        assert_eq!(cluster.overdue_machines(world.now + secs(checked_after_s)).len(), usize::from(overdue), "{name}");
     }
 }
--- a/src/scheduling/tests/completions_across_takeovers.rs
+++ b/src/scheduling/tests/completions_across_takeovers.rs
@@ -36,15 +36,15 @@
         drop(old);
         for takeover in 0..3 {
             let mut cluster = world.elect_leader();
-            assert_eq!(cluster.counts(&JOB.into()).done, u64::from(stored || takeover > 0));
+            assert_eq!(cluster.task_counts(&JOB.into()).done, u64::from(stored || takeover > 0));
             // A late copy of an old heartbeat shows the task running and must not undo its completion.
             cluster.take_heartbeat(running.clone(), MessageKind::Heartbeat, None, world.now);
-            drop(cluster.commands_in_answer("m0", world.now));
+            drop(cluster.heartbeat_response_commands("m0", world.now));
             for _ in 0..3 {
                 world.exchange_heartbeat(&mut cluster, "m0");
                 world.store_all(&mut cluster);
                 assert_eq!(
-                    (cluster.counts(&JOB.into()).done, world.ended),
+                    (cluster.task_counts(&JOB.into()).done, world.ended),
                     (1, None),
                     "{tasks} tasks, takeover {takeover}"
                 );
@@ -76,7 +76,7 @@
         }
         let placements: Vec<Placement> =
             [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task_key(i), attempt: 1, machine: m.into() }).into();
-        old.bind_all(placements, world.now);
+        old.bind_placements(placements, world.now);
         world.store_all(&mut old);
         for m in ["m0", "m1"] {
             world.exchange_heartbeat(&mut old, m);
@@ -86,7 +86,7 @@
         if reported == "by the old leader" {
             world.exchange_heartbeat(&mut old, "m0");
             // Losing the other machine before the end is stored must not restart the gang.
-            old.machine_gone(&"m1".into(), world.now);
+            old.remove_machine(&"m1".into(), world.now);
             assert_eq!(plan_placements(&mut old, world.now), []);
             world.exchange_heartbeat(&mut old, "m0");
             assert!(world.workers["m0"].reaped.is_empty(), "an exit that is not stored is not reaped");
@@ -106,7 +106,7 @@
         // The other task remains on a machine that no leader hears. It belongs to no cancellation, so its machine is not
         // overdue, and the task is not started elsewhere.
         world.now += secs(40.0);
-        assert!(cluster.overdue(world.now).is_empty());
+        assert!(cluster.overdue_machines(world.now).is_empty());
         assert_eq!(plan_placements(&mut cluster, world.now), []);
         let mut successor = world.elect_leader();
         assert_eq!(plan_placements(&mut successor, world.now), []);
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -116,7 +116,7 @@
         let name = format!("{launch:?}, delayed by {delay_s} s");
         let id: JobId = JOB.into();
         let mut simulation = Simulation::new(&[("m1", "a")], |_| ());
-        simulation.cluster.holds_ends(Some(1000));
+        simulation.cluster.record_known_ends(Some(1000));
         simulation.world.now += secs(10.0);
         let mut delayed_command: Option<DirectCommand> = None;
         let mut delayed_answer = None;
@@ -133,7 +133,7 @@
         // Stored at revision 1001. The cluster state alone decides when the cancellation is confirmed, so the world, which
         // checks that nothing starts after it, learns of it only then.
         simulation.cluster.end_job(&id, Some(End::Cancelled), simulation.world.now);
-        simulation.cluster.holds_ends(Some(1001));
+        simulation.cluster.record_known_ends(Some(1001));
         let mut confirmed_after_s = None;
         for _ in 0..120 {
             simulation.world.now += secs(0.5);
@@ -141,14 +141,19 @@
             if elapsed_s == 2.5
                 && let Some(direct) = &delayed_command
             {
-                simulation.cluster.command_over(&direct.machine, direct.fencing_token, false, simulation.world.now);
+                simulation.cluster.finish_direct_command(
+                    &direct.machine,
+                    direct.fencing_token,
+                    false,
+                    simulation.world.now,
+                );
             }
             if elapsed_s >= delay_s {
                 delayed_command.take().iter().for_each(|direct| drop(simulation.world.deliver_command(direct)));
                 delayed_answer.take().iter().for_each(|answer| simulation.world.receive_answer(answer));
             }
-            if confirmed_after_s.is_none() && simulation.cluster.obeyed_in(&id) {
-                assert!(simulation.cluster.watermark() >= 1001, "{name}: the watermark confirms it too");
+            if confirmed_after_s.is_none() && simulation.cluster.cancellation_effective(&id) {
+                assert!(simulation.cluster.advance_watermark() >= 1001, "{name}: the watermark confirms it too");
                 confirmed_after_s = Some(elapsed_s);
                 simulation.cancel_job(&id);
             }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor::{ClassTeamSet, Rank, Underserved};
-use crate::scheduling::intents::{Ahead, CapacityIntent, Intents, WindowPlace};
+use crate::scheduling::intents::{CapacityIntent, Intents, PriorityBoost, WindowPlace};
 
 fn class_set(name: &str) -> ClassTeamSet {
     ClassTeamSet::from_subjects([(Subject::Class, name)].into_iter())
@@ -42,7 +42,7 @@
     for n in 1..rng.random_range(4..30) {
         if n == 8 {
             let placements = plan::place(&mut cluster, &catalog(), start);
-            cluster.bind_all(placements, start);
+            cluster.bind_placements(placements, start);
         }
         let mut j = spec();
         j.id = job_id(n);
@@ -100,10 +100,10 @@
         let (mut without_intents, now) = random_cluster(seed, start);
         let (mut cluster, _) = random_cluster(seed, start);
         cluster.set_intents(Intents {
-            turns: [(job_id(900), WindowPlace { window: "w".into(), number: 1 })].into(),
-            not_yet: [job_id(901)].into(),
-            ahead: Some(Ahead { names: class_set("nobody"), most_part: 0.5 }),
-            capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, in_s: 0.0 }],
+            window_turns: [(job_id(900), WindowPlace { window: "w".into(), position: 1 })].into(),
+            deferred_jobs: [job_id(901)].into(),
+            priority_boost: Some(PriorityBoost { names: class_set("nobody"), max_core_share: 0.5 }),
+            capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, needed_in_s: 0.0 }],
             ..Intents::default()
         });
         assert_eq!(format_decisions(&mut cluster, now), format_decisions(&mut without_intents, now), "seed {seed}");
@@ -127,34 +127,34 @@
         add_job(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (job_id(n), WindowPlace { window: window.into(), number });
-    let ahead = |most_part| Some(Ahead { names: class_set("h"), most_part });
+    let turn = |n: u32, window: &str, number| (job_id(n), WindowPlace { window: window.into(), position: number });
+    let ahead = |most_part| Some(PriorityBoost { names: class_set("h"), max_core_share: most_part });
     let add_usage =
-        |cluster: &mut ClusterState| cluster.usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
+        |cluster: &mut ClusterState| cluster.team_usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("no intent", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
-        ("jobs held back", &|b| b.intents.not_yet = [job_id(2), job_id(7)].into(), &[8, 1, 3, 4, 5, 6]),
+        ("jobs held back", &|b| b.intents.deferred_jobs = [job_id(2), job_id(7)].into(), &[8, 1, 3, 4, 5, 6]),
         (
             "jobs of a window take their own places in the order of their turns",
-            &|b| b.intents.turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
+            &|b| b.intents.window_turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
             &[7, 8, 5, 2, 3, 4, 1, 6],
         ),
         (
             "two windows do not affect each other",
-            &|b| b.intents.turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
+            &|b| b.intents.window_turns = [turn(3, "v", 1), turn(1, "v", 2), turn(4, "w", 1), turn(2, "w", 2)].into(),
             &[7, 8, 3, 4, 1, 2, 5, 6],
         ),
         (
             "a later turn within a guarantee waits for an earlier one without",
-            &|b| b.intents.turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
+            &|b| b.intents.window_turns = [turn(4, "w", 1), turn(7, "w", 2)].into(),
             &[8, 1, 2, 3, 4, 7, 5, 6],
         ),
         (
             "jobs ahead stay behind guaranteed and more urgent jobs",
             &|b| {
                 add_usage(b);
-                b.intents.ahead = ahead(0.5);
+                b.intents.priority_boost = ahead(0.5);
             },
             &[7, 8, 3, 5, 1, 2, 4, 6],
         ),
@@ -162,7 +162,7 @@
             "jobs ahead stay behind jobs below the floor",
             &|b| {
                 add_usage(b);
-                b.intents.ahead = ahead(0.5);
+                b.intents.priority_boost = ahead(0.5);
                 b.set_underserved(Underserved { below_floor: ClassTeamSet::default(), prioritized: class_set("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
@@ -171,11 +171,15 @@
             "jobs go ahead up to their share",
             &|b| {
                 add_usage(b);
-                b.intents.ahead = ahead(0.011);
+                b.intents.priority_boost = ahead(0.011);
             },
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
-        ("one job goes ahead whatever the share", &|b| b.intents.ahead = ahead(0.0), &[7, 8, 3, 1, 2, 4, 5, 6]),
+        (
+            "one job goes ahead whatever the share",
+            &|b| b.intents.priority_boost = ahead(0.0),
+            &[7, 8, 3, 1, 2, 4, 5, 6],
+        ),
     ];
     for (name, change, want) in cases {
         let mut cluster = new_cluster();
@@ -191,8 +195,8 @@
     let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add_job(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
     add_job(&mut cluster, 2, now, |j| (j.class, j.tasks, j.estimate_s) = ("x".into(), 16, 10.0));
-    cluster.usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
-    cluster.intents.ahead = Some(Ahead { names: class_set("h"), most_part: 0.2 });
+    cluster.team_usage.insert("red".into(), TeamUsage { cpus: 20.0, gpus: 0.0 });
+    cluster.intents.priority_boost = Some(PriorityBoost { names: class_set("h"), max_core_share: 0.2 });
     let placed = plan::place(&mut cluster, &catalog(), now);
     let placed_tasks = |n: u32| placed.iter().filter(|p| p.task.job == job_id(n)).count();
     assert_eq!((placed_tasks(1), placed_tasks(2)), (4, 12));
@@ -208,7 +212,7 @@
         let (mut cluster, now) = random_cluster(seed, Instant::now());
         let order_without_intents: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
         let ids: Vec<_> = order_without_intents.iter().cloned().enumerate().collect();
-        cluster.intents.ahead = Some(Ahead { names: class_set("c"), most_part });
+        cluster.intents.priority_boost = Some(PriorityBoost { names: class_set("c"), max_core_share: most_part });
         {
             let queued_jobs = plan::queue(&cluster, now);
             let cores = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
@@ -216,7 +220,7 @@
             let bound_cores: f64 = ahead_class.map(|(_, j)| cores(j.bound.len(), j)).sum();
             let ahead = queued_jobs.iter().filter(|t| t.ahead);
             let added_cores: Vec<f64> = ahead.map(|t| cores(t.most.min(t.job.waiting.len()), t.job)).collect();
-            let cores_in_use: f64 = cluster.usage.values().map(|u| u.cpus).sum();
+            let cores_in_use: f64 = cluster.team_usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::BelowFloor && !t.quarantined;
             let all_by_return = queued_jobs.iter().filter(|t| t.ahead).all(|t| by_return(&t));
             let sum: f64 = bound_cores + added_cores.iter().sum::<f64>();
@@ -238,14 +242,14 @@
             }
         }
         let mut rng = StdRng::seed_from_u64(seed);
-        cluster.intents.turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
-            (id.clone(), WindowPlace { window: format!("w{}", n % 3), number: rng.random_range(1..20) })
+        cluster.intents.window_turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
+            (id.clone(), WindowPlace { window: format!("w{}", n % 3), position: rng.random_range(1..20) })
         }).collect();
         let queued_jobs = plan::queue(&cluster, now);
         prop_assert_eq!(queued_jobs.len(), order_without_intents.len());
         for window in ["w1", "w2"] {
-            let places = queued_jobs.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.turns.get(t.id));
-            let numbers: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.number).collect();
+            let places = queued_jobs.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.window_turns.get(t.id));
+            let numbers: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.position).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
     }
@@ -256,7 +260,8 @@
 #[test]
 fn capacity_intents_scale_out_once_and_keep_machines() {
     let start = Instant::now();
-    let capacity = |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, in_s }];
+    let capacity =
+        |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, needed_in_s: in_s }];
     // The machine type takes 30 s to boot and 1 s to fetch the image.
     for (name, machines, tasks, in_s, want) in [
         ("no task", 0, 0, 0.0, 0),
@@ -304,12 +309,13 @@
         let mut cluster = cluster_of_c8(12, now);
         add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
         let placements = plan::place(&mut cluster, &catalog(), now);
-        cluster.bind_all(placements, now);
+        cluster.bind_placements(placements, now);
         add_job(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
         let most_part = if ahead { 0.5 } else { 0.0 };
-        cluster.intents.ahead = ahead.then(|| Ahead { names: class_set("h"), most_part });
+        cluster.intents.priority_boost =
+            ahead.then(|| PriorityBoost { names: class_set("h"), max_core_share: most_part });
         cluster.arrivals.clear();
         cluster
     };
--- a/src/scheduling/tests/outages_past_lease.rs
+++ b/src/scheduling/tests/outages_past_lease.rs
@@ -84,7 +84,7 @@
         let cancelled_spec = |j: &mut JobSpec| (j.zone, j.cpus, j.estimate_s) = (Some("a".into()), 8.0, 900.0);
         let cancelled_job = simulation.world.accept_job(&mut simulation.cluster, 2, cancelled_spec);
         let key = TaskKey { job: cancelled_job.clone(), index: 0 };
-        simulation.cluster.bind_all(
+        simulation.cluster.bind_placements(
             vec![crate::scheduling::cluster::Placement { task: key, attempt: 1, machine: "m1".into() }],
             simulation.world.now,
         );
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -46,9 +46,12 @@
         if self.rng.random_bool(0.5) {
             match simulation.world.deliver_command(&direct) {
                 Some(reply) => simulation.world.deliver_reply(&mut simulation.cluster, &direct, reply),
-                None => {
-                    simulation.cluster.command_over(&direct.machine, direct.fencing_token, true, simulation.world.now)
-                }
+                None => simulation.cluster.finish_direct_command(
+                    &direct.machine,
+                    direct.fencing_token,
+                    true,
+                    simulation.world.now,
+                ),
             }
             return;
         }
@@ -67,7 +70,7 @@
             simulation.world.receive_answer(&answer);
         }
         for (_, machine, fencing_token) in self.command_timeouts.extract_if(.., |(at, ..)| *at <= now) {
-            simulation.cluster.command_over(&machine, fencing_token, false, now);
+            simulation.cluster.finish_direct_command(&machine, fencing_token, false, now);
         }
         for (_, direct) in self.commands.extract_if(.., |(at, _)| *at <= now) {
             drop(simulation.world.deliver_command(&direct));
@@ -140,7 +143,7 @@
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
         let halting_tasks = |cluster: &ClusterState| -> usize {
             let bound = cluster.jobs().flat_map(|(_, job)| job.bound.iter().filter_map(|index| job.binding(*index)));
-            bound.filter(|binding| binding.halting.is_some()).count()
+            bound.filter(|binding| binding.halt_grace_s.is_some()).count()
         };
         halting_count += halting_tasks(&simulation.cluster);
         for direct in simulation.cluster.direct_commands(now) {
@@ -149,7 +152,7 @@
         simulation.cluster.tick(now);
         simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
         let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
-        simulation.cluster.bind_all(decisions, now);
+        simulation.cluster.bind_placements(decisions, now);
         simulation.world.store_all(&mut simulation.cluster);
         simulation.check();
     }
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -23,13 +23,13 @@
             let held = world.next_command_to(&mut cluster, "m1").unwrap();
             assert_eq!(count_launches(&held.commands), 1);
             if given_up {
-                cluster.command_over(&before.machine, before.fencing_token, false, world.now);
+                cluster.finish_direct_command(&before.machine, before.fencing_token, false, world.now);
             } else {
                 let reply = world.deliver_command(&before).unwrap();
                 world.deliver_reply(&mut cluster, &before, reply);
             }
             assert!(world.send_heartbeat(&mut cluster, "m1").commands.is_empty(), "{name}: a command is on its way");
-            cluster.halt(&task_key(0), 0, world.now);
+            cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             let mut started = false;
             for step in 0..8 {
                 if step == late_at {
@@ -109,7 +109,7 @@
                 world.exchange_heartbeat(&mut cluster, "m1");
             }
             // Inherited and shown, it is adopted; stopped here, so that it goes elsewhere.
-            cluster.halt(&task_key(0), 0, world.now);
+            cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             world.bind_waiting(&mut cluster, "m2");
             world.exchange_heartbeat(&mut cluster, "m2");
         }
