--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -8,12 +8,12 @@
 use crate::scheduling::fairness::floor::Underserved;
 
 /// Notes between two updates of the accounting; more are not counted.
-const MOST_ACCOUNTING_EVENTS: usize = 20_000;
+const MAX_ACCOUNTING_EVENTS: usize = 20_000;
 
 impl ClusterState {
     /// What happened since the last call that the account counts, as (job, note, when).
     pub fn take_accounting_events(&mut self) -> Vec<(JobId, AccountingEvent, Instant)> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.accounting_events)
     }
 
     /// Who goes first from now on.
@@ -44,9 +44,9 @@
         self.large_gangs.bound_credit(needs);
     }
 
-    pub(super) fn note(&mut self, id: &JobId, note: AccountingEvent, now: Instant) {
-        if self.notes.len() < MOST_ACCOUNTING_EVENTS {
-            self.notes.push((id.clone(), note, now));
+    pub(super) fn record_accounting_event(&mut self, id: &JobId, note: AccountingEvent, now: Instant) {
+        if self.accounting_events.len() < MAX_ACCOUNTING_EVENTS {
+            self.accounting_events.push((id.clone(), note, now));
         }
     }
 }
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -20,7 +20,7 @@
                 self.core_credit.record_placement(job.spec().cpus, late, self.properties.served_late);
                 self.large_gangs.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
-                    job.touched += 1;
+                    job.placed_tasks += 1;
                     *first_places.entry(placement.task.job.clone()).or_default() += 1.0 / job.tasks.len() as f64;
                 }
             }
@@ -30,14 +30,14 @@
             }
             self.preemption_reservations
                 .retain(|_, reservation| reservation.job != placement.task.job && reservation.until > now);
-            self.bind(placement, now);
+            self.bind_task(placement, now);
         }
         for (id, part) in first_places {
-            self.note(&id, AccountingEvent::TasksStarted(part), now);
+            self.record_accounting_event(&id, AccountingEvent::TasksStarted(part), now);
         }
     }
 
-    fn bind(&mut self, p: Placement, now: Instant) {
+    fn bind_task(&mut self, p: Placement, now: Instant) {
         let Some(job) = self.jobs.get_mut(&p.task.job) else { return };
         let Some(task) = job.tasks.get_mut(p.task.index as usize) else { return };
         if !matches!(task.phase, Phase::Waiting) {
@@ -45,24 +45,24 @@
         }
         let Some(machine) = self.machines.get_mut(&p.machine) else { return };
         task.attempt = p.attempt;
-        job.most_starts = job.most_starts.max(p.attempt);
+        job.max_attempt = job.max_attempt.max(p.attempt);
         task.stored = false;
         task.phase = Phase::Bound(Box::new(Binding::new(p.machine, false, now)));
         job.waiting.remove(&p.task.index);
         job.bound.insert(p.task.index);
-        machine.remember_image(job.image_digest, job.record.spec.image_gb);
+        machine.expect_image(job.image_digest, job.record.spec.image_gb);
         machine.bind(p.task.clone(), job, now);
         let used = self.team_usage.entry(job.record.spec.team.clone()).or_default();
         used.add(job.record.spec.cpus, job.record.spec.gpus);
-        self.unstored.start(&p.task);
+        self.unstored_shards.queue_start(&p.task);
     }
 
     /// Takes a proven-gone task off its machine; it waits again unless its job is over.
-    pub(super) fn unbind(&mut self, key: &TaskKey, now: Instant) {
-        self.release(key, now);
+    pub(super) fn unbind_task(&mut self, key: &TaskKey, now: Instant) {
+        self.return_to_waiting(key, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.ended.is_some() {
-            self.forget_if_gone(&key.job);
+            self.remove_job_if_unbound(&key.job);
         } else if job.spec().is_gang() && !job.is_complete() {
             // An attempt that lost a task is over; the rest must be gone before the next one.
             self.halt_job(&key.job, 0, now);
@@ -70,19 +70,19 @@
     }
 
     /// A task that is gone without having been stopped was lost.
-    pub(super) fn record_loss(&mut self, key: &TaskKey, now: Instant) {
+    pub(super) fn record_task_loss(&mut self, key: &TaskKey, now: Instant) {
         let lost = |job: &JobState| {
             job.ended.is_none()
                 && job.binding(key.index).is_some_and(|b| b.status.is_some() && b.halt_grace_s.is_none())
         };
         if self.jobs.get(&key.job).is_some_and(lost) {
-            self.note(&key.job, AccountingEvent::StartLost, now);
+            self.record_accounting_event(&key.job, AccountingEvent::StartLost, now);
         }
     }
 
     /// The bare act: place, quota and machine are free again, and the task waits.
-    pub(super) fn release(&mut self, key: &TaskKey, now: Instant) {
-        self.leave(key, now);
+    pub(super) fn return_to_waiting(&mut self, key: &TaskKey, now: Instant) {
+        self.free_resources(key, now);
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.tasks.get_mut(key.index as usize) else { return };
         if !matches!(task.phase, Phase::Bound(_)) {
@@ -92,11 +92,11 @@
         task.stored = false;
         if job.ended.is_none() {
             job.waiting.insert(key.index);
-            self.unstored.changes(key, now);
+            self.unstored_shards.queue_change(key, now);
         }
     }
 
-    pub(super) fn leave(&mut self, key: &TaskKey, now: Instant) {
+    pub(super) fn free_resources(&mut self, key: &TaskKey, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(binding) = job.binding(key.index) else { return };
         if let Some(machine) = self.machines.get_mut(&binding.machine) {
@@ -116,8 +116,8 @@
         let bound: Vec<u32> = job.bound.iter().copied().collect();
         for index in bound {
             let Some(binding) = self.jobs.get_mut(id).and_then(|j| j.binding_mut(index)) else { continue };
-            if binding.announced_in.is_none() && !binding.inherited {
-                self.release(&TaskKey { job: id.clone(), index }, now);
+            if binding.announced_epoch.is_none() && !binding.inherited {
+                self.return_to_waiting(&TaskKey { job: id.clone(), index }, now);
             } else if binding.halt_grace_s.is_none() {
                 binding.halt_grace_s = Some(grace_s);
                 if let Some(machine) = self.machines.get_mut(&binding.machine) {
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -8,16 +8,16 @@
 use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey, WorkerCommand};
 
 /// Orders of one answer or command: about 60 bytes each, well below the body limit.
-const MOST_COMMANDS: usize = 400;
+const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 /// Direct commands to one machine are at least this far apart unless something new came up.
-const COMMAND_GAP: Duration = Duration::from_millis(1000);
+const MIN_COMMAND_INTERVAL: Duration = Duration::from_millis(1000);
 /// The same to machines that do not hear, and how many of these are tried at once.
-const PROBE_GAP: Duration = Duration::from_secs(5);
-const PROBES: usize = 8;
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(5);
+const MAX_PROBES: usize = 8;
 /// Direct commands under way may take one in so many of the sockets.
-const COMMANDS_PART: u64 = 8;
+const SOCKETS_PER_COMMAND: u64 = 8;
 /// Tokens are raised at most this often.
-const RAISE_GAP: Duration = Duration::from_secs(5);
+const MIN_TOKEN_RAISE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A command to be sent straight to a worker.
 #[derive(Debug)]
@@ -40,18 +40,21 @@
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
         // never wrong, and this answer renews the lease, which is what else would end the task.
-        let commands =
-            if m.command_under_way { self.halts_of_ended_jobs(machine, &HashSet::new()) } else { self.commands(m) };
+        let commands = if m.command_under_way {
+            self.halts_of_ended_jobs(machine, &HashSet::new())
+        } else {
+            self.commands_for_machine(m)
+        };
         self.record_launches(&commands, machine);
         let fencing_token = self.fencing_token;
         if let Some(m) = self.machines.get_mut(machine) {
             m.partition.record_answer(fencing_token, m.fencing_token, &commands, now);
             if commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. })) {
-                m.launched_in = Some(m.newest_heartbeat);
+                m.launch_heartbeat = Some(m.newest_heartbeat);
             }
             if !commands.is_empty() {
                 m.command_due = false;
-                m.next_command = now + COMMAND_GAP;
+                m.next_command_at = now + MIN_COMMAND_INTERVAL;
             }
         }
         commands
@@ -63,7 +66,7 @@
     pub fn halts_of_ended_jobs(&self, machine: &str, over: &HashSet<JobId>) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
-            over.contains(id) || self.ended_at.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
+            over.contains(id) || self.job_end_times.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
         };
         let live = m
             .attempts
@@ -74,7 +77,7 @@
             attempt: attempt_report.attempt,
             grace_s: 0,
         };
-        live.map(stop).take(MOST_COMMANDS).collect()
+        live.map(stop).take(MAX_COMMANDS_PER_MESSAGE).collect()
     }
 
     fn record_launches(&mut self, commands: &[WorkerCommand], machine: &str) {
@@ -83,26 +86,26 @@
             if let WorkerCommand::Launch { task, .. } = command
                 && let Some(binding) = self.jobs.get_mut(&task.job).and_then(|j| j.binding_mut(task.index))
             {
-                binding.announced_in.get_or_insert(agent_epoch);
+                binding.announced_epoch.get_or_insert(agent_epoch);
             }
         }
     }
 
     /// All that a machine should be told now, as a function of the cluster state alone.
-    fn commands(&self, m: &Machine) -> Vec<WorkerCommand> {
+    fn commands_for_machine(&self, m: &Machine) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         if !self.loaded {
             return commands;
         }
         commands.extend(m.attempts.iter().filter_map(|report| self.command_for_attempt(m, report)));
         if m.recall_at.is_none() {
-            commands.extend(m.bound.iter().filter_map(|key| self.launch_of(m, key)));
+            commands.extend(m.bound.iter().filter_map(|key| self.launch_command(m, key)));
         }
         if m.state == MachineState::Terminating {
             // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
             commands.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
         }
-        commands.truncate(MOST_COMMANDS);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
@@ -121,7 +124,7 @@
             let unstored =
                 matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
             // What has ended of a job that is suspended is looked at once it is released.
-            let may_reap = binding.is_none() && !unstored && m.settled() && !self.is_suspended(&task.job);
+            let may_reap = binding.is_none() && !unstored && m.is_settled() && !self.is_suspended(&task.job);
             return may_reap.then_some(WorkerCommand::Reap { task, attempt });
         }
         let ended = job.is_none_or(|j| j.ended.is_some());
@@ -134,7 +137,7 @@
     }
 
     /// The launch of a bound task that is stored and not shown by its machine, if it may start.
-    fn launch_of(&self, m: &Machine, key: &TaskKey) -> Option<WorkerCommand> {
+    fn launch_command(&self, m: &Machine, key: &TaskKey) -> Option<WorkerCommand> {
         let job = self.jobs.get(&key.job)?;
         let task = job.tasks.get(key.index as usize)?;
         let Phase::Bound(binding) = &task.phase else { return None };
@@ -143,7 +146,7 @@
             && !binding.inherited
             && job.ended.is_none()
             && binding.halt_grace_s.is_none()
-            && job.launchable();
+            && job.is_launchable();
         may_launch.then(|| WorkerCommand::Launch { task: key.clone(), attempt: task.attempt })
     }
 
@@ -163,7 +166,7 @@
                 under_way += 1;
             } else if m.state != MachineState::Terminating && m.command_due {
                 with_news.push(m.id.clone());
-            } else if m.state != MachineState::Terminating && now >= m.next_command {
+            } else if m.state != MachineState::Terminating && now >= m.next_command_at {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
                 } else if m.fencing_token < self.fencing_token {
@@ -172,10 +175,10 @@
             }
         }
         // Each takes a socket, and heartbeats need as many; what is left over goes with the next.
-        let most = (self.settings.params.limits.max_sockets / COMMANDS_PART).max(4) as usize;
+        let most = (self.settings.params.limits.max_sockets / SOCKETS_PER_COMMAND).max(4) as usize;
         let most = most.saturating_sub(under_way);
         let due_now = with_news.len() + unaware.len();
-        probes.truncate(most.saturating_sub(due_now).min(PROBES));
+        probes.truncate(most.saturating_sub(due_now).min(MAX_PROBES));
         with_news.into_iter().chain(unaware).chain(probes).take(most).collect()
     }
 
@@ -183,7 +186,7 @@
     fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<DirectCommand> {
         let m = self.machines.get(&id)?;
         let addr = m.addr.clone()?;
-        let mut commands = self.commands(m);
+        let mut commands = self.commands_for_machine(m);
         if m.inbound_lost {
             // Launches would only keep what they are for from being proven gone; they go with answers.
             commands.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
@@ -199,7 +202,7 @@
         m.command_under_way = true;
         m.launch_under_way = commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
         m.command_due = false;
-        m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
+        m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
         Some(DirectCommand { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), commands })
     }
 
@@ -212,10 +215,10 @@
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.command_under_way = false;
-        m.next_command = now + if m.inbound_lost { PROBE_GAP } else { COMMAND_GAP };
+        m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
         // A late stop or reap does nothing that was not meant for ever; a late launch does.
         if !settled && std::mem::take(&mut m.launch_under_way) {
-            m.unsettled = Some(m.unsettled.map_or(fencing_token, |t| t.max(fencing_token)));
+            m.unsettled_token = Some(m.unsettled_token.map_or(fencing_token, |t| t.max(fencing_token)));
             self.higher_token_wanted = true;
         }
     }
@@ -224,14 +227,14 @@
     pub fn token_raise_needed(&self, now: Instant) -> bool {
         self.higher_token_wanted
             && self.loaded
-            && now.saturating_duration_since(self.token_raised_at) >= RAISE_GAP
-            && self.machines.values().any(|m| m.unsettled.is_some_and(|t| t >= self.fencing_token))
+            && now.saturating_duration_since(self.token_raised_at) >= MIN_TOKEN_RAISE_INTERVAL
+            && self.machines.values().any(|m| m.unsettled_token.is_some_and(|t| t >= self.fencing_token))
     }
 
     /// Goes on under a higher fencing token of the same leader, which voids all earlier commands.
     pub fn raise_fencing_token(&mut self, fencing_token: u64) {
         self.fencing_token = self.fencing_token.max(fencing_token);
         self.higher_token_wanted = false;
-        self.token_raised_at += RAISE_GAP;
+        self.token_raised_at += MIN_TOKEN_RAISE_INTERVAL;
     }
 }
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -9,33 +9,30 @@
 use crate::scheduling::failure_attribution::{Failure, PROBES};
 
 /// What has run for so long does well, as far as failures at the start are concerned.
-const WELL_AFTER: Duration = Duration::from_secs(15);
+const HEALTHY_RUN_TIME: Duration = Duration::from_secs(15);
 /// Bound tasks of a job that are looked at for one that does well.
-const MOST_LOOKED: usize = 200;
+const MAX_TASKS_EXAMINED: usize = 200;
 
-fn does_well(job: &JobState, except: &MachineId, now: Instant) -> bool {
+fn has_healthy_task(job: &JobState, except: &MachineId, now: Instant) -> bool {
     job.done > 0
-        || job
-            .bound
-            .iter()
-            .take(MOST_LOOKED)
-            .filter_map(|index| job.binding(*index))
-            .any(|b| b.status == Some(AttemptStatus::Running) && b.machine != *except && b.run_time(now) >= WELL_AFTER)
+        || job.bound.iter().take(MAX_TASKS_EXAMINED).filter_map(|index| job.binding(*index)).any(|b| {
+            b.status == Some(AttemptStatus::Running) && b.machine != *except && b.run_time(now) >= HEALTHY_RUN_TIME
+        })
 }
 
 impl ClusterState {
-    fn enough_failures(&self) -> usize {
+    fn machine_failure_threshold(&self) -> usize {
         self.properties.machine_failures.ceil() as usize
     }
 
-    pub(super) fn failed(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
-        let enough = self.enough_failures();
+    pub(super) fn record_failure(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
+        let enough = self.machine_failure_threshold();
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.ended.is_none()) else { return };
         let failure = Failure {
             task: key,
             class: &job.record.spec.class,
             machine: on,
-            job_does_well: does_well(job, on, now),
+            job_does_well: has_healthy_task(job, on, now),
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
         let quarantined = self.attribution.suspects(&key.job);
@@ -56,7 +53,7 @@
             }
         }
         for id in response.cleared {
-            self.clear_machine(&id);
+            self.lift_machine_quarantine(&id);
         }
     }
 
@@ -68,10 +65,10 @@
         if quarantined {
             info!(job = %key.job, "job quarantine lifted");
         }
-        self.clear_machine(on);
+        self.lift_machine_quarantine(on);
     }
 
-    fn clear_machine(&mut self, id: &MachineId) {
+    fn lift_machine_quarantine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.failed_since_success = false;
             if std::mem::take(&mut machine.quarantined) {
@@ -83,9 +80,9 @@
 
     /// Machines that have been quarantined for long enough: out, or back.
     pub(super) fn end_due_quarantines(&mut self, now: Instant) {
-        for (id, out) in self.attribution.decided(self.enough_failures(), now) {
+        for (id, out) in self.attribution.decided(self.machine_failure_threshold(), now) {
             if !out {
-                self.clear_machine(&id);
+                self.lift_machine_quarantine(&id);
             } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.state == MachineState::Up) {
                 warn!(machine = %id, "faulty machine detected; draining it for termination");
                 machine.state = MachineState::Draining;
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -13,18 +13,18 @@
 
 /// What a machine's latest report says of the tasks that are bound to it.
 #[derive(Default)]
-struct Findings {
+struct ReportFindings {
     /// Jobs of which a task runs, and of which none was known to.
-    begun: Vec<JobId>,
+    started_jobs: Vec<JobId>,
     /// Attempts that have exited, and why.
-    exited: Vec<(TaskKey, ExitCause)>,
+    exited_tasks: Vec<(TaskKey, ExitCause)>,
     /// Tasks that are proven not to be there.
-    missing: Vec<TaskKey>,
+    missing_tasks: Vec<TaskKey>,
 }
 
 impl Machine {
     /// Its first message: it takes work from now on. Returns whether it was.
-    fn join(&mut self, now: Instant) -> bool {
+    fn mark_joined(&mut self, now: Instant) -> bool {
         if self.state != MachineState::Booting {
             return false;
         }
@@ -39,14 +39,14 @@
     fn enter_agent_epoch(&mut self, agent_epoch: u64) {
         if agent_epoch > self.agent_epoch {
             self.agent_epoch = agent_epoch;
-            self.unsettled = None;
-            self.launched_in = None;
-            self.images.clear();
+            self.unsettled_token = None;
+            self.launch_heartbeat = None;
+            self.expected_images.clear();
         }
     }
 
-    fn record_arrival(&mut self, sequence: MessageSequence, message: MessageKind, now: Instant) {
-        self.newest = sequence;
+    fn record_message(&mut self, sequence: MessageSequence, message: MessageKind, now: Instant) {
+        self.newest_message = sequence;
         if message == MessageKind::Heartbeat {
             self.newest_heartbeat = sequence;
             self.last_heartbeat = now;
@@ -62,12 +62,12 @@
         self.spot = heartbeat.spot;
         self.kind_index = kind;
         self.fencing_token = self.fencing_token.max(heartbeat.fencing_token);
-        if self.unsettled.is_some_and(|fencing_token| self.fencing_token > fencing_token) {
-            self.unsettled = None;
+        if self.unsettled_token.is_some_and(|fencing_token| self.fencing_token > fencing_token) {
+            self.unsettled_token = None;
         }
         self.attempts = heartbeat.attempts;
         let had_strays = self.has_unbound_tasks();
-        self.look_for_strays();
+        self.update_unbound_tasks();
         had_strays && !self.has_unbound_tasks()
     }
 
@@ -100,22 +100,22 @@
         now: Instant,
     ) {
         let id: MachineId = heartbeat.machine.as_str().into();
-        if self.gone_set.contains(&id) {
+        if self.returned_machine_ids.contains(&id) {
             return;
         }
-        let kind = self.kind(&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
+        let kind = self.kind_index(&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| {
             info!(machine = %id, "machine adopted");
             Machine::new(id.clone(), now)
         });
         let sequence = MessageSequence { agent_epoch: heartbeat.agent_epoch, number: heartbeat.seq };
-        if sequence <= machine.newest {
+        if sequence <= machine.newest_message {
             debug!(machine = %id, "stale heartbeat rejected");
             return;
         }
         machine.enter_agent_epoch(heartbeat.agent_epoch);
-        self.replan_needed |= machine.join(now);
-        machine.record_arrival(sequence, message, now);
+        self.replan_needed |= machine.mark_joined(now);
+        machine.record_message(sequence, message, now);
         machine.partition.record_message(&heartbeat, message, self.settings.params.workers.lease(), now);
         // It was made after the worker had heard this leader, so it is no copy of before.
         if heartbeat.fencing_token >= self.first_fencing_token {
@@ -126,45 +126,45 @@
         let first_notice = machine.record_notice(notice_s, now);
         machine.record_machine_type(catalog);
         self.judge_partition(&id, now);
-        self.reconcile(&id, now);
+        self.reconcile_machine(&id, now);
         if first_notice {
-            self.recalled(&id, now);
+            self.handle_recall(&id, now);
         }
     }
 
     /// Compares what every machine last reported with what is bound to it.
-    pub fn reconcile_all(&mut self, now: Instant) {
+    pub fn reconcile_all_machines(&mut self, now: Instant) {
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
-            self.reconcile(&id, now);
+            self.reconcile_machine(&id, now);
         }
     }
 
     /// Compares what a machine reported with what is bound to it, and records what follows.
-    fn reconcile(&mut self, id: &MachineId, now: Instant) {
+    fn reconcile_machine(&mut self, id: &MachineId, now: Instant) {
         if !self.loaded {
             return;
         }
         let findings = self.compare_attempts(id, now);
-        for job in findings.begun {
+        for job in findings.started_jobs {
             self.record_first_run(&job, now);
         }
-        for (key, cause) in findings.exited {
-            self.exited(&key, cause, id, now);
+        for (key, cause) in findings.exited_tasks {
+            self.handle_exit(&key, cause, id, now);
         }
-        for key in findings.missing {
+        for key in findings.missing_tasks {
             debug!(job = %key.job, task_index = key.index, machine = %id, "task loss confirmed");
-            self.record_loss(&key, now);
-            self.unbind(&key, now);
+            self.record_task_loss(&key, now);
+            self.unbind_task(&key, now);
         }
     }
 
     /// Finds the attempt of each bound task among those that its machine reported, and takes over its status.
-    fn compare_attempts(&mut self, id: &MachineId, now: Instant) -> Findings {
-        let mut findings = Findings::default();
+    fn compare_attempts(&mut self, id: &MachineId, now: Instant) -> ReportFindings {
+        let mut findings = ReportFindings::default();
         let Some(machine) = self.machines.get(id).filter(|machine| machine.reported()) else { return findings };
         // Below this leader's fencing token, commands of an earlier one may still arrive.
-        let settled = machine.settled() && machine.fencing_token >= self.fencing_token;
+        let settled = machine.is_settled() && machine.fencing_token >= self.fencing_token;
         for key in &machine.bound {
             let Some(job) = self.jobs.get_mut(&key.job) else { continue };
             let ended = job.ended.is_some();
@@ -172,23 +172,25 @@
             let Phase::Bound(binding) = &mut task.phase else { continue };
             match machine.reported_attempt(key, task.attempt) {
                 Some(report) if report.status == AttemptStatus::Exited => {
-                    findings.exited.push((key.clone(), report.cause.unwrap_or(ExitCause::Error)));
+                    findings.exited_tasks.push((key.clone(), report.cause.unwrap_or(ExitCause::Error)));
                 }
                 Some(report) => {
                     binding.record_status(report.status, machine.agent_epoch, now);
-                    let begins = report.status == AttemptStatus::Running && !job.begun;
-                    if begins && findings.begun.last() != Some(&key.job) {
-                        findings.begun.push(key.job.clone());
+                    let begins = report.status == AttemptStatus::Running && !job.has_run;
+                    if begins && findings.started_jobs.last() != Some(&key.job) {
+                        findings.started_jobs.push(key.job.clone());
                     }
                 }
-                None if binding.is_absent(machine.agent_epoch, settled, ended) => findings.missing.push(key.clone()),
+                None if binding.is_absent(machine.agent_epoch, settled, ended) => {
+                    findings.missing_tasks.push(key.clone())
+                }
                 None => {}
             }
         }
         findings
     }
 
-    fn exited(&mut self, key: &TaskKey, cause: ExitCause, on: &MachineId, now: Instant) {
+    fn handle_exit(&mut self, key: &TaskKey, cause: ExitCause, on: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let spec_shape = job.spec().shape;
         if cause == ExitCause::Done && spec_shape != Shape::Service && job.ended.is_none() {
@@ -201,11 +203,11 @@
                 let (logs, n) = self.observed.get(class).copied().unwrap_or_default();
                 self.observed.put(class.clone(), (logs + off, n + 1.0));
             }
-            self.completed_task(key, on, now);
+            self.complete_task(key, on, now);
             return;
         }
         if cause == ExitCause::Error {
-            self.failed(key, on, now);
+            self.record_failure(key, on, now);
         } else if matches!(cause, ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) {
             warn!(
                 job = %key.job,
@@ -216,11 +218,11 @@
             );
             job.not_before = job.not_before.max(now + Duration::from_secs(1));
         }
-        self.unbind(key, now);
+        self.unbind_task(key, now);
     }
 
-    pub(super) fn completed_task(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
-        self.leave(key, now);
+    pub(super) fn complete_task(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
+        self.free_resources(key, now);
         self.record_success(key, on);
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(task) = job.tasks.get_mut(key.index as usize) else { return };
@@ -231,16 +233,16 @@
         self.record_first_run(&key.job, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_complete() {
-            if !self.completed.contains(&key.job) {
-                self.completed.push_back(key.job.clone());
+            if !self.completed_jobs.contains(&key.job) {
+                self.completed_jobs.push_back(key.job.clone());
             }
         } else {
-            self.unstored.changes(key, now);
+            self.unstored_shards.queue_change(key, now);
         }
     }
 
     /// The cloud takes the machine away: what can save and would not finish in time is stopped.
-    fn recalled(&mut self, id: &MachineId, now: Instant) {
+    fn handle_recall(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(recall) = machine.recall_at else { return };
         let left = recall.saturating_duration_since(now);
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -37,30 +37,30 @@
 
     /// When this leader heard that a job ended, if it was lately.
     pub fn ended_at(&self, id: &JobId) -> Option<Instant> {
-        self.ended_at.peek(id).copied()
+        self.job_end_times.peek(id).copied()
     }
 
     /// Running and done tasks of a job, for display.
     pub fn task_counts(&self, id: &JobId) -> Counts {
-        self.jobs.get(id).map_or_else(Counts::default, count)
+        self.jobs.get(id).map_or_else(Counts::default, count_tasks)
     }
 
     /// The same of every job.
     pub fn all_task_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
-        self.jobs.iter().map(|(id, job)| (id, count(job)))
+        self.jobs.iter().map(|(id, job)| (id, count_tasks(job)))
     }
 
     /// Begins to load afresh, after a reading that was broken off. Machines that have reported
     /// meanwhile stay known.
     pub fn reset_for_load(&mut self) {
         self.jobs.clear();
-        self.ending.clear();
-        self.suspended.clear();
+        self.ending_jobs.clear();
+        self.suspended_jobs.clear();
         self.shards_to_drop.clear();
         self.team_usage.clear();
         self.arrivals.clear();
         for machine in self.machines.values_mut() {
-            machine.hold_nothing();
+            machine.clear_bindings();
         }
     }
 
@@ -71,9 +71,9 @@
             return;
         }
         let age = record.age(time_of_day_ms());
-        self.note_arrival(&record, age, now);
+        self.record_arrival(&record, age, now);
         self.large_gangs.record_offer(&record.spec, age, now);
-        let job = self.begin(record, now.checked_sub(age).unwrap_or(now), now);
+        let job = self.new_job_state(record, now.checked_sub(age).unwrap_or(now), now);
         self.replan_needed = true;
         self.intents_outdated = true;
         self.jobs.insert(id, job);
@@ -82,11 +82,11 @@
     /// One task of a job that is not in the cluster state.
     pub fn hypothetical_job(&self, spec: &JobSpec, now: Instant) -> JobState {
         let spec = JobSpec { tasks: 1, ..spec.clone() };
-        self.begin(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
+        self.new_job_state(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
     }
 
     /// A job of which nothing has happened yet.
-    fn begin(&self, record: Arc<JobRecord>, since: Instant, now: Instant) -> JobState {
+    fn new_job_state(&self, record: Arc<JobRecord>, since: Instant, now: Instant) -> JobState {
         let n = record.spec.tasks as usize;
         let agreement = self.agreement(&record.spec);
         let promises = promises_of(&self.settings.params.objectives, &record.spec, &agreement);
@@ -97,17 +97,17 @@
             waiting: (0..n as u32).collect(),
             bound: BTreeSet::new(),
             done: 0,
-            versions: vec![0; n.div_ceil(TASKS_PER_SHARD as usize)],
+            shard_versions: vec![0; n.div_ceil(TASKS_PER_SHARD as usize)],
             ended: None,
             ended_after: 0,
-            finished: false,
+            ended_done: false,
             not_before: now,
             image_digest: image_digest(&record.spec.image),
             last_task_end: None,
             promises: promises.into(),
-            touched: 0,
-            most_starts: 0,
-            begun: false,
+            placed_tasks: 0,
+            max_attempt: 0,
+            has_run: false,
             record,
         }
     }
@@ -116,18 +116,18 @@
     /// is decided.
     pub fn load_shard(&mut self, id: &JobId, shard: u64, version: u64, stored: Vec<StoredTask>, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(slot) = job.versions.get_mut(shard as usize) else { return };
+        let Some(slot) = job.shard_versions.get_mut(shard as usize) else { return };
         *slot = version;
         let first = shard as usize * TASKS_PER_SHARD as usize;
         let mut inherited = Vec::new();
         for (index, item) in (first as u32..).zip(stored) {
             let Some(task) = job.tasks.get_mut(index as usize) else { break };
-            job.touched += usize::from(item != StoredTask::Untouched);
+            job.placed_tasks += usize::from(item != StoredTask::Untouched);
             match item {
                 StoredTask::Untouched => {}
                 StoredTask::Waiting(attempt) => {
                     task.attempt = attempt;
-                    job.most_starts = job.most_starts.max(attempt);
+                    job.max_attempt = job.max_attempt.max(attempt);
                 }
                 StoredTask::Done => {
                     task.phase = Phase::Done;
@@ -136,7 +136,7 @@
                 }
                 StoredTask::Bound(attempt, machine) => {
                     task.attempt = attempt;
-                    job.most_starts = job.most_starts.max(attempt);
+                    job.max_attempt = job.max_attempt.max(attempt);
                     let machine: MachineId = machine.into();
                     task.phase = Phase::Bound(Box::new(Binding::new(machine.clone(), true, now)));
                     job.waiting.remove(&index);
@@ -148,7 +148,7 @@
         for (machine, index) in inherited {
             let machine = self.machines.entry(machine.clone()).or_insert_with(|| Machine::new(machine, now));
             machine.bind(TaskKey { job: id.clone(), index }, job, now);
-            machine.remember_image(job.image_digest, job.record.spec.image_gb);
+            machine.expect_image(job.image_digest, job.record.spec.image_gb);
             let used = self.team_usage.entry(job.record.spec.team.clone()).or_default();
             used.add(job.record.spec.cpus, job.record.spec.gpus);
         }
@@ -166,25 +166,26 @@
     /// Everything stored was loaded: from here on the cluster state decides.
     pub fn finish_load(&mut self, now: Instant) {
         let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.is_complete());
-        self.completed.extend(complete.map(|(id, _)| id.clone()));
+        self.completed_jobs.extend(complete.map(|(id, _)| id.clone()));
         (self.loaded, self.loaded_at) = (true, now);
         self.halt_suspended_gangs(now);
-        self.reconcile_all(now);
+        self.reconcile_all_machines(now);
     }
 
     /// What a new leader reads has come as well, some time ago. Classes that have not come for
     /// longest make room for new ones.
-    fn note_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
+    fn record_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
         let class = &record.spec.class;
         if !self.arrivals.contains_key(class)
             && self.arrivals.len() >= MAX_CLASSES.get()
-            && let Some(oldest) = self.arrivals.iter().min_by_key(|(_, a)| a.at).map(|(class, _)| class.clone())
+            && let Some(oldest) = self.arrivals.iter().min_by_key(|(_, a)| a.updated_at).map(|(class, _)| class.clone())
         {
             self.arrivals.remove(&oldest);
         }
         let arrivals = self.arrivals.entry(class.clone());
-        let arrivals = arrivals.or_insert_with(|| Arrivals { faded: 0.0, at: now, latest: record.clone() });
-        arrivals.come(record.clone(), age, now);
+        let arrivals =
+            arrivals.or_insert_with(|| Arrivals { decayed_tasks: 0.0, updated_at: now, latest: record.clone() });
+        arrivals.record_job(record.clone(), age, now);
     }
 
     /// A job to stand for what is expected of a class, if one is still open.
@@ -211,61 +212,61 @@
     /// is stopped. `now`: at a takeover when it ended, as far as is known.
     pub fn end_job(&mut self, id: &JobId, how: Option<End>, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.finished |= how == Some(End::Done);
+        job.ended_done |= how == Some(End::Done);
         if job.ended.is_some() {
             return;
         }
         job.ended = Some(now);
         job.ended_after = self.known_ends_revision;
-        self.ended_at.put(id.clone(), now);
+        self.job_end_times.put(id.clone(), now);
         job.waiting.clear();
         self.attribution.job_over(id);
-        self.ending.insert(id.clone());
+        self.ending_jobs.insert(id.clone());
         let bound: Vec<u32> = job.bound.iter().copied().collect();
         for index in bound {
             let key = TaskKey { job: id.clone(), index };
             let Some(binding) = self.jobs.get(id).and_then(|j| j.binding(index)) else { continue };
             // Never told by anybody: nothing can arrive.
-            if binding.announced_in.is_none() && !binding.inherited {
-                self.unbind(&key, now);
+            if binding.announced_epoch.is_none() && !binding.inherited {
+                self.unbind_task(&key, now);
             } else if let Some(machine) = self.machines.get_mut(&binding.machine) {
                 machine.command_due = true;
             }
         }
-        self.forget_if_gone(id);
+        self.remove_job_if_unbound(id);
     }
 
     /// Tells once that a job runs; again after a takeover, since no change is written for it.
     pub(super) fn record_first_run(&mut self, id: &JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.begun || job.ended.is_some() || !job.runs() {
+        if job.has_run || job.ended.is_some() || !job.is_running() {
             return;
         }
-        job.begun = true;
+        job.has_run = true;
         info!(job = %id, "job started");
         let waited = now.saturating_duration_since(job.since);
         debug!(job = %id, wait_ms = waited.as_millis() as u64, "job wait measured");
         // What an earlier leader has started it has counted; here it is only seen late.
         let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
         if own && self.large_gangs.is_large_gang(job.spec()) {
-            self.note(id, AccountingEvent::LargeGangStarted, now);
+            self.record_accounting_event(id, AccountingEvent::LargeGangStarted, now);
         }
     }
 
-    pub(super) fn forget_if_gone(&mut self, id: &JobId) {
+    pub(super) fn remove_job_if_unbound(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id)
             && job.ended.is_some()
             && job.bound.is_empty()
         {
-            let stored: Vec<u64> = (0u64..).zip(&job.versions).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
+            let stored: Vec<u64> = (0u64..).zip(&job.shard_versions).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
             self.shards_to_drop.extend(stored.into_iter().map(|c| (id.clone(), c)));
             self.jobs.remove(id);
-            self.ending.remove(id);
+            self.ending_jobs.remove(id);
         }
     }
 }
 
-fn count(job: &JobState) -> Counts {
+fn count_tasks(job: &JobState) -> Counts {
     let running = job
         .bound
         .iter()
--- a/src/scheduling/cluster/loads.rs
+++ b/src/scheduling/cluster/loads.rs
@@ -7,27 +7,27 @@
 use super::Machine;
 #[cfg(test)]
 use super::model::AllocatedResources;
-use super::model::weigh;
+use super::model::task_load;
 use crate::sla::Load;
 
 /// Shares and returns move with time; counted again after this long (the design's retest).
-const LOAD_KEPT: Duration = Duration::from_secs(5);
+const LOAD_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
 impl ClusterState {
     /// Counts shares and returns again where a task has left or where they have grown old.
     pub fn refresh_loads(&mut self, now: Instant) {
         for machine in self.machines.values_mut() {
-            if machine.load_at.is_some_and(|at| now.saturating_duration_since(at) < LOAD_KEPT) {
+            if machine.load_computed_at.is_some_and(|at| now.saturating_duration_since(at) < LOAD_REFRESH_INTERVAL) {
                 continue;
             }
             let mut load = Load::default();
             for key in &machine.bound {
                 let Some(job) = self.jobs.get(&key.job) else { continue };
-                let (share, task_return) = weigh(job, job.binding(key.index), now);
+                let (share, task_return) = task_load(job, job.binding(key.index), now);
                 load.share += share;
                 load.total_return += task_return;
             }
-            (machine.load, machine.load_at) = (load, Some(now));
+            (machine.load, machine.load_computed_at) = (load, Some(now));
         }
     }
 
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -10,7 +10,7 @@
 use crate::protocol::workers::TaskKey;
 
 /// Names of returned machines kept, so that their late heartbeats are not taken for news.
-const GONE_KEPT: usize = 20_000;
+const MAX_RETURNED_MACHINES: usize = 20_000;
 
 /// A task that is stopped on its machine so that it continues elsewhere.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,10 +25,10 @@
     /// A machine that was rented or listed, before it reports.
     pub fn expect_machine(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
         let id: MachineId = id.into();
-        if self.gone_set.contains(&id) {
+        if self.returned_machine_ids.contains(&id) {
             return;
         }
-        let at = self.kind(&kind.type_name, &kind.zone, kind.spot);
+        let at = self.kind_index(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
         // A new leader hears of machines before it is told how long they have been held.
@@ -69,7 +69,7 @@
             let CloudAction::Terminate(names) = &order.action else { continue };
             for name in names {
                 let id: MachineId = name.as_str().into();
-                if !self.gone_set.contains(&id) {
+                if !self.returned_machine_ids.contains(&id) {
                     self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
                     self.schedule_termination(name, "ordered by an earlier leader");
                 }
@@ -103,18 +103,18 @@
         let Some(machine) = self.machines.get(id) else { return };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
         for key in keys {
-            self.record_loss(&key, now);
-            self.unbind(&key, now);
+            self.record_task_loss(&key, now);
+            self.unbind_task(&key, now);
         }
         self.machines.remove(id);
         self.attribution.machine_gone(id);
-        if self.gone_set.insert(id.clone()) {
-            self.gone.push_back(id.clone());
+        if self.returned_machine_ids.insert(id.clone()) {
+            self.returned_machines.push_back(id.clone());
         }
-        if self.gone.len() > GONE_KEPT
-            && let Some(oldest) = self.gone.pop_front()
+        if self.returned_machines.len() > MAX_RETURNED_MACHINES
+            && let Some(oldest) = self.returned_machines.pop_front()
         {
-            self.gone_set.remove(&oldest);
+            self.returned_machine_ids.remove(&oldest);
         }
     }
 }
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -50,17 +50,17 @@
 use crate::settings::{Properties, Settings};
 
 /// Types, zones and kinds kept apart.
-const MOST_KINDS: usize = 1000;
+const MAX_MACHINE_KINDS: usize = 1000;
 
 /// Jobs of which it is kept when they ended.
-const ENDED_KEPT: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+const MAX_JOB_END_TIMES: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
 
 /// Users choose the ids, so they are digested as nobody can foresee; in tests alike in every run, so that a
 /// seed runs the same interleaving again.
 #[cfg(not(test))]
-type Hashing = std::hash::RandomState;
+type JobIdHasher = std::hash::RandomState;
 #[cfg(test)]
-type Hashing = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
+type JobIdHasher = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
 /// What the leader knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
 /// no clock. One lock, held by `scheduling::leader_state`, guards all of it.
@@ -80,25 +80,25 @@
     pub settings: Settings,
     /// The operators' own settings.
     pub properties: Properties,
-    jobs: HashMap<JobId, JobState, Hashing>,
+    jobs: HashMap<JobId, JobState, JobIdHasher>,
     /// Jobs whose end is known and of which something is still bound.
-    ending: BTreeSet<JobId>,
+    ending_jobs: BTreeSet<JobId>,
     /// Jobs with shards that could not be read.
-    suspended: SuspendedJobs,
+    suspended_jobs: SuspendedJobs,
     /// Every type, zone and kind that a machine was ever of; machines name theirs by its place.
-    kinds: Vec<MachineKind>,
+    machine_kinds: Vec<MachineKind>,
     /// Something that placement depends on has changed since the last plan.
     pub(super) replan_needed: bool,
     /// Every machine that is held or was heard of, by name.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines that were returned, the latest last, so that their late heartbeats are not taken for new ones.
-    gone: VecDeque<MachineId>,
+    returned_machines: VecDeque<MachineId>,
     /// The same, for lookup.
-    gone_set: HashSet<MachineId>,
+    returned_machine_ids: HashSet<MachineId>,
     /// Task shards that the store is behind on.
-    unstored: UnstoredShards,
+    unstored_shards: UnstoredShards,
     /// Jobs complete but not yet stored as done.
-    completed: VecDeque<JobId>,
+    completed_jobs: VecDeque<JobId>,
     /// Shards of jobs that are over, to be dropped.
     shards_to_drop: VecDeque<(JobId, u64)>,
     /// Cores and accelerators that each team's bound tasks take.
@@ -136,13 +136,13 @@
     /// Orders to the cloud that an earlier leader has left, for whoever carries them out.
     pub inherited_orders: Vec<CloudOrder>,
     /// When jobs ended, of the last ones that this leader heard of.
-    ended_at: LruCache<JobId, Instant>,
+    job_end_times: LruCache<JobId, Instant>,
     /// What the operators' declarations ask of scheduling.
     pub intents: Intents,
     /// Jobs have come since that was worked out.
     pub intents_outdated: bool,
     /// Events that fair-share accounting has not been told of yet.
-    notes: Vec<(JobId, AccountingEvent, Instant)>,
+    accounting_events: Vec<(JobId, AccountingEvent, Instant)>,
 }
 
 impl ClusterState {
@@ -156,15 +156,15 @@
             watermark: 0,
             settings,
             jobs: HashMap::default(),
-            ending: BTreeSet::new(),
-            suspended: SuspendedJobs::new(),
-            kinds: Vec::new(),
+            ending_jobs: BTreeSet::new(),
+            suspended_jobs: SuspendedJobs::new(),
+            machine_kinds: Vec::new(),
             replan_needed: true,
             machines: BTreeMap::new(),
-            gone: VecDeque::new(),
-            gone_set: HashSet::new(),
-            unstored: UnstoredShards::default(),
-            completed: VecDeque::new(),
+            returned_machines: VecDeque::new(),
+            returned_machine_ids: HashSet::new(),
+            unstored_shards: UnstoredShards::default(),
+            completed_jobs: VecDeque::new(),
             shards_to_drop: VecDeque::new(),
             team_usage: HashMap::new(),
             token_raised_at: now,
@@ -183,22 +183,22 @@
             attribution: FailureAttribution::default(),
             core_credit: CoreCredit::default(),
             inherited_orders: Vec::new(),
-            ended_at: LruCache::new(ENDED_KEPT),
+            job_end_times: LruCache::new(MAX_JOB_END_TIMES),
             intents: Intents::default(),
             intents_outdated: true,
-            notes: Vec::new(),
+            accounting_events: Vec::new(),
             properties,
         }
     }
 
     /// The place of a type, zone and kind in the list of kinds; none past what is sane, since
     /// reports may name anything.
-    fn kind(&mut self, type_name: &str, zone: &str, spot: bool) -> Option<usize> {
+    fn kind_index(&mut self, type_name: &str, zone: &str, spot: bool) -> Option<usize> {
         let same = |k: &MachineKind| k.type_name == type_name && k.zone == zone && k.spot == spot;
-        let known = self.kinds.iter().position(same);
-        if known.is_none() && self.kinds.len() < MOST_KINDS {
-            self.kinds.push(MachineKind { type_name: type_name.to_owned(), zone: zone.to_owned(), spot });
-            return Some(self.kinds.len() - 1);
+        let known = self.machine_kinds.iter().position(same);
+        if known.is_none() && self.machine_kinds.len() < MAX_MACHINE_KINDS {
+            self.machine_kinds.push(MachineKind { type_name: type_name.to_owned(), zone: zone.to_owned(), spot });
+            return Some(self.machine_kinds.len() - 1);
         }
         known
     }
@@ -211,13 +211,13 @@
             ("jobs_suspected", jobs_quarantined),
             ("jobs_failing", jobs_failing),
             ("book_jobs", self.jobs.len()),
-            ("ending", self.ending.len()),
+            ("ending", self.ending_jobs.len()),
             ("machines", self.machines.len()),
             ("deaf", self.machines.values().filter(|m| m.inbound_lost).count()),
-            ("returned", self.gone.len()),
-            ("kinds", self.kinds.len()),
+            ("returned", self.returned_machines.len()),
+            ("kinds", self.machine_kinds.len()),
             ("classes", self.observed.len().max(self.arrivals.len())),
-            ("to_store", self.unstored.len() + self.completed.len()),
+            ("to_store", self.unstored_shards.len() + self.completed_jobs.len()),
             ("to_drop", self.shards_to_drop.len()),
         ]
     }
@@ -229,7 +229,7 @@
 
     /// Every type, zone and kind that a machine was ever of; a machine's `kind` is a place in it.
     pub fn kinds(&self) -> &[MachineKind] {
-        &self.kinds
+        &self.machine_kinds
     }
 
     /// Whether a plan may find something that the last one did not.
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -17,7 +17,7 @@
     /// The machine that the task is bound to.
     pub machine: MachineId,
     /// The agent epoch in which this leader first told the worker, if it did.
-    pub(in crate::scheduling::cluster) announced_in: Option<u64>,
+    pub(in crate::scheduling::cluster) announced_epoch: Option<u64>,
     /// Stored by an earlier leader, which may have told the worker under an older fencing token.
     pub(in crate::scheduling::cluster) inherited: bool,
     /// What the worker last reported of the task; none before the first heartbeat that shows it.
@@ -34,7 +34,7 @@
     pub(in crate::scheduling::cluster) fn new(machine: MachineId, inherited: bool, now: Instant) -> Self {
         Self {
             machine,
-            announced_in: None,
+            announced_epoch: None,
             inherited,
             status: None,
             running_since: None,
@@ -51,7 +51,7 @@
         now: Instant,
     ) {
         self.status = Some(status);
-        self.announced_in.get_or_insert(agent_epoch);
+        self.announced_epoch.get_or_insert(agent_epoch);
         if status == AttemptStatus::Running {
             self.running_since.get_or_insert(now);
         }
@@ -60,7 +60,7 @@
     /// Whether a report that does not show the attempt proves that it is not there. `settled`: no launch can arrive
     /// any more. A task that this leader wants to start and that was never seen may still come.
     pub(in crate::scheduling::cluster) fn is_absent(&self, agent_epoch: u64, settled: bool, job_ended: bool) -> bool {
-        let epoch_over = self.announced_in.is_some_and(|announced_in| announced_in < agent_epoch);
+        let epoch_over = self.announced_epoch.is_some_and(|announced_in| announced_in < agent_epoch);
         let unneeded = job_ended || self.halt_grace_s.is_some() || self.inherited || self.status.is_some();
         epoch_over || (settled && unneeded)
     }
@@ -120,13 +120,13 @@
     pub bound: BTreeSet<u32>,
     /// How many tasks are done.
     pub done: u64,
-    pub(in crate::scheduling::cluster) versions: Vec<u64>,
+    pub(in crate::scheduling::cluster) shard_versions: Vec<u64>,
     /// When this process heard that the job ended, done or cancelled.
     pub ended: Option<Instant>,
     /// Its end was not stored yet at this revision.
     pub(in crate::scheduling::cluster) ended_after: u64,
     /// It ended as done: whatever is left of it needs no proof in time.
-    pub(in crate::scheduling::cluster) finished: bool,
+    pub(in crate::scheduling::cluster) ended_done: bool,
     /// Not to be placed before, after failures.
     pub not_before: Instant,
     /// The image's name, digested: what machines hold is compared by this.
@@ -136,11 +136,11 @@
     /// All that its user was promised.
     pub promises: Box<[Promise]>,
     /// Tasks that had a place at least once.
-    pub(in crate::scheduling::cluster) touched: usize,
+    pub(in crate::scheduling::cluster) placed_tasks: usize,
     /// Starts of the task that had most of them.
-    pub(in crate::scheduling::cluster) most_starts: u64,
+    pub(in crate::scheduling::cluster) max_attempt: u64,
     /// This leader knows that it runs, or has.
-    pub(in crate::scheduling::cluster) begun: bool,
+    pub(in crate::scheduling::cluster) has_run: bool,
 }
 
 impl JobState {
@@ -153,7 +153,9 @@
     /// them is on its way there.
     pub fn stored_shards(&self) -> impl Iterator<Item = (u64, u64)> {
         let settled = |shard: u64| self.shard(shard).iter().all(|t| t.stored);
-        (0u64..).zip(self.versions.iter().copied()).filter(move |(shard, version)| *version > 0 && settled(*shard))
+        (0u64..)
+            .zip(self.shard_versions.iter().copied())
+            .filter(move |(shard, version)| *version > 0 && settled(*shard))
     }
 
     pub(in crate::scheduling::cluster) fn shard(&self, shard: u64) -> &[Task] {
@@ -169,16 +171,16 @@
 
     /// The part of its tasks that never had a place.
     pub fn never_placed_fraction(&self) -> f64 {
-        1.0 - self.touched as f64 / self.tasks.len().max(1) as f64
+        1.0 - self.placed_tasks as f64 / self.tasks.len().max(1) as f64
     }
 
     /// This leader knows that it runs, or has.
     pub fn has_run(&self) -> bool {
-        self.begun
+        self.has_run
     }
 
     /// A gang runs once all its tasks do; of anything else one is enough. A task that is done has run.
-    pub(in crate::scheduling::cluster) fn runs(&self) -> bool {
+    pub(in crate::scheduling::cluster) fn is_running(&self) -> bool {
         let runs = |index: &u32| {
             self.binding(*index)
                 .is_some_and(|b| matches!(b.status, Some(AttemptStatus::Running | AttemptStatus::Saving)))
@@ -201,7 +203,7 @@
     /// A waiting task of it has lost so many starts. Looked for only where any task was started so
     /// often: jobs may have a hundred thousand.
     pub fn has_waiting_task_with_attempts(&self, least: u64) -> bool {
-        self.most_starts >= least
+        self.max_attempt >= least
             && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= least))
     }
 
@@ -226,7 +228,7 @@
     }
 
     /// All tasks of a gang's attempt are stored: only then is any of them told to start.
-    pub(in crate::scheduling::cluster) fn launchable(&self) -> bool {
+    pub(in crate::scheduling::cluster) fn is_launchable(&self) -> bool {
         !self.spec().is_gang()
             || (self.waiting.is_empty()
                 && self
--- a/src/scheduling/cluster/model/load.rs
+++ b/src/scheduling/cluster/model/load.rs
@@ -6,7 +6,7 @@
 use crate::sla;
 
 /// Share and return of one task, in the paper's terms.
-pub(in crate::scheduling::cluster) fn weigh(job: &JobState, binding: Option<&Binding>, now: Instant) -> (f64, f64) {
+pub(in crate::scheduling::cluster) fn task_load(job: &JobState, binding: Option<&Binding>, now: Instant) -> (f64, f64) {
     let ran = binding.map_or(Duration::ZERO, |b| b.run_time(now));
     let rest = sla::remaining_run_time(job.agreement.run_time, ran);
     let age = now.saturating_duration_since(job.since);
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Instant;
 
-use super::{JobState, MachineId, weigh};
+use super::{JobState, MachineId, task_load};
 use crate::jobs::JobSpec;
 use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey};
 use crate::scheduling::messages::MessageSequence;
@@ -12,9 +12,9 @@
 use crate::sla::Load;
 
 /// Images a machine is thought to hold where the cloud does not say how much it keeps.
-const IMAGES_KEPT: usize = 6;
+const DEFAULT_CACHED_IMAGES: usize = 6;
 /// Images remembered of a machine, whatever it keeps.
-const MOST_IMAGES: usize = 64;
+const MAX_TRACKED_IMAGES: usize = 64;
 
 /// What an image is compared by: a digest, since names are compared at every placement. Two
 /// names alike would only mislead a preference.
@@ -70,7 +70,7 @@
     pub state: MachineState,
     pub(in crate::scheduling::cluster) agent_epoch: u64,
     /// The newest message of any kind, and the newest true heartbeat.
-    pub(in crate::scheduling::cluster) newest: MessageSequence,
+    pub(in crate::scheduling::cluster) newest_message: MessageSequence,
     pub(in crate::scheduling::cluster) newest_heartbeat: MessageSequence,
     /// The highest fencing token that its worker has reported.
     pub fencing_token: u64,
@@ -89,10 +89,10 @@
     /// The command under way carries a launch.
     pub(in crate::scheduling::cluster) launch_under_way: bool,
     /// A command given under this fencing token may still arrive.
-    pub(in crate::scheduling::cluster) unsettled: Option<u64>,
+    pub(in crate::scheduling::cluster) unsettled_token: Option<u64>,
     /// The heartbeat whose answer carried a launch.
-    pub(in crate::scheduling::cluster) launched_in: Option<MessageSequence>,
-    pub(in crate::scheduling::cluster) next_command: Instant,
+    pub(in crate::scheduling::cluster) launch_heartbeat: Option<MessageSequence>,
+    pub(in crate::scheduling::cluster) next_command_at: Instant,
     /// Something new is to be told without waiting for a heartbeat.
     pub(in crate::scheduling::cluster) command_due: bool,
     /// Since when nothing has been bound to it.
@@ -110,20 +110,20 @@
     /// that is known of it may be copies of heartbeats of a machine that is gone: no work for it yet.
     pub confirmed: bool,
     /// Images it is thought to hold, the most recently used last, with their sizes.
-    pub(in crate::scheduling::cluster) images: VecDeque<(u64, f64)>,
+    pub(in crate::scheduling::cluster) expected_images: VecDeque<(u64, f64)>,
     /// What it keeps of them, if the cloud says.
     pub(in crate::scheduling::cluster) cache_gb: Option<f64>,
     /// Type, zone and kind, by their place in the cluster state's list.
     pub kind_index: Option<usize>,
     /// What the bound tasks take together, kept with every binding.
-    taken: AllocatedResources,
+    allocated: AllocatedResources,
     /// What of it idle work takes: others may have it.
-    idle: AllocatedResources,
+    idle_work_allocated: AllocatedResources,
     /// Their shares and returns, and when these were counted; none once a task has left.
     pub(in crate::scheduling::cluster) load: Load,
-    pub(in crate::scheduling::cluster) load_at: Option<Instant>,
+    pub(in crate::scheduling::cluster) load_computed_at: Option<Instant>,
     /// Live tasks were reported that are not bound here.
-    strays: bool,
+    unbound_tasks: bool,
     /// The cloud says that it is up, whether or not it was heard of here.
     pub(in crate::scheduling::cluster) listed_up: bool,
 }
@@ -138,7 +138,7 @@
             spot: false,
             state: MachineState::Booting,
             agent_epoch: 0,
-            newest: MessageSequence::default(),
+            newest_message: MessageSequence::default(),
             newest_heartbeat: MessageSequence::default(),
             fencing_token: 0,
             last_seen: now,
@@ -149,9 +149,9 @@
             attempts: Vec::new(),
             command_under_way: false,
             launch_under_way: false,
-            unsettled: None,
-            launched_in: None,
-            next_command: now,
+            unsettled_token: None,
+            launch_heartbeat: None,
+            next_command_at: now,
             command_due: false,
             idle_since: None,
             failed_since_success: false,
@@ -160,24 +160,24 @@
             inbound_lost: false,
             partition: PartitionDetector::new(now),
             confirmed: false,
-            images: VecDeque::new(),
+            expected_images: VecDeque::new(),
             cache_gb: None,
             kind_index: None,
-            taken: AllocatedResources::default(),
-            idle: AllocatedResources::default(),
+            allocated: AllocatedResources::default(),
+            idle_work_allocated: AllocatedResources::default(),
             load: Load::default(),
-            load_at: Some(now),
-            strays: false,
+            load_computed_at: Some(now),
+            unbound_tasks: false,
             listed_up: false,
         }
     }
 
     /// No launch is under way towards it, so that what it does not report is not there and a
     /// reaped task cannot be started again.
-    pub(in crate::scheduling::cluster) fn settled(&self) -> bool {
+    pub(in crate::scheduling::cluster) fn is_settled(&self) -> bool {
         !self.command_under_way
-            && self.unsettled.is_none()
-            && self.launched_in.is_none_or(|l| self.newest_heartbeat > l)
+            && self.unsettled_token.is_none()
+            && self.launch_heartbeat.is_none_or(|l| self.newest_heartbeat > l)
     }
 
     /// What it last reported of an attempt, if it did.
@@ -192,27 +192,29 @@
 
     /// Live tasks that are not bound here: their room is not free, whoever they belong to.
     pub fn has_unbound_tasks(&self) -> bool {
-        self.strays
+        self.unbound_tasks
     }
 
     /// To be called when what was reported or what is bound has changed.
-    pub(in crate::scheduling::cluster) fn look_for_strays(&mut self) {
-        self.strays = self.attempts.iter().any(|l| l.status != AttemptStatus::Exited && !self.bound.contains(&l.task));
+    pub(in crate::scheduling::cluster) fn update_unbound_tasks(&mut self) {
+        self.unbound_tasks =
+            self.attempts.iter().any(|l| l.status != AttemptStatus::Exited && !self.bound.contains(&l.task));
     }
 
     /// What its bound tasks take of it.
     pub fn allocated(&self) -> AllocatedResources {
-        self.taken
+        self.allocated
     }
 
     /// What idle work takes of it.
     pub fn idle_work_allocated(&self) -> AllocatedResources {
-        self.idle
+        self.idle_work_allocated
     }
 
     /// Nothing but idle work is on it, if anything.
     pub fn has_only_idle_work(&self) -> bool {
-        self.taken.cpus <= self.idle.cpus + 1e-6 && self.taken.memory_gb <= self.idle.memory_gb + 1e-6
+        self.allocated.cpus <= self.idle_work_allocated.cpus + 1e-6
+            && self.allocated.memory_gb <= self.idle_work_allocated.memory_gb + 1e-6
     }
 
     /// The summed shares and returns of its tasks.
@@ -224,11 +226,11 @@
     pub(in crate::scheduling::cluster) fn bind(&mut self, key: TaskKey, job: &JobState, now: Instant) {
         self.confirmed = true;
         if self.bound.insert(key) {
-            self.taken.add(job.spec(), 1.0);
+            self.allocated.add(job.spec(), 1.0);
             if job.spec().is_idle() {
-                self.idle.add(job.spec(), 1.0);
+                self.idle_work_allocated.add(job.spec(), 1.0);
             }
-            let (share, task_return) = weigh(job, None, now);
+            let (share, task_return) = task_load(job, None, now);
             self.load.share += share;
             self.load.total_return += task_return;
             self.idle_since = None;
@@ -238,36 +240,37 @@
     /// A task leaves it. What is left of an empty machine is exact, whatever was summed before.
     pub(in crate::scheduling::cluster) fn unbind(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
         if self.bound.remove(key) {
-            self.taken.add(spec, -1.0);
+            self.allocated.add(spec, -1.0);
             if spec.is_idle() {
-                self.idle.add(spec, -1.0);
+                self.idle_work_allocated.add(spec, -1.0);
             }
-            self.load_at = None;
+            self.load_computed_at = None;
             if self.bound.is_empty() {
-                (self.taken, self.idle) = (AllocatedResources::default(), AllocatedResources::default());
+                (self.allocated, self.idle_work_allocated) =
+                    (AllocatedResources::default(), AllocatedResources::default());
                 self.idle_since = Some(now);
             }
-            if !self.strays {
-                self.look_for_strays();
+            if !self.unbound_tasks {
+                self.update_unbound_tasks();
             }
         }
     }
 
     /// What it holds is about to be read again.
-    pub(in crate::scheduling::cluster) fn hold_nothing(&mut self) {
+    pub(in crate::scheduling::cluster) fn clear_bindings(&mut self) {
         self.bound.clear();
-        (self.taken, self.idle) = (AllocatedResources::default(), AllocatedResources::default());
-        self.load_at = None;
+        (self.allocated, self.idle_work_allocated) = (AllocatedResources::default(), AllocatedResources::default());
+        self.load_computed_at = None;
     }
 
     /// Whether the image is expected to be in its cache or on its way there.
     pub fn expects_image(&self, image: u64) -> bool {
-        self.images.iter().any(|(i, _)| *i == image)
+        self.expected_images.iter().any(|(i, _)| *i == image)
     }
 
     /// Whether its worker has ever been heard of.
     pub fn reported(&self) -> bool {
-        self.newest.agent_epoch > 0
+        self.newest_message.agent_epoch > 0
     }
 
     /// Its worker should be heard of: it was, or an earlier leader has given it tasks, or the cloud
@@ -278,14 +281,16 @@
 
     /// A task with this image comes: the least recently used make room for it, as the worker
     /// does. What is on its way counts, so that tasks wait for one fetch together.
-    pub(in crate::scheduling::cluster) fn remember_image(&mut self, image: u64, gb: f64) {
+    pub(in crate::scheduling::cluster) fn expect_image(&mut self, image: u64, gb: f64) {
         let cache_gb = self.cache_gb;
-        self.images.retain(|(i, _)| *i != image);
-        self.images.push_back((image, gb));
-        let mut held: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        let too_much = |held: f64, n: usize| cache_gb.map_or(n > IMAGES_KEPT, |most| held > most) || n > MOST_IMAGES;
-        while self.images.len() > 1 && too_much(held, self.images.len()) {
-            held -= self.images.pop_front().map_or(0.0, |(_, gb)| gb);
+        self.expected_images.retain(|(i, _)| *i != image);
+        self.expected_images.push_back((image, gb));
+        let mut held: f64 = self.expected_images.iter().map(|(_, gb)| gb).sum();
+        let too_much = |held: f64, n: usize| {
+            cache_gb.map_or(n > DEFAULT_CACHED_IMAGES, |most| held > most) || n > MAX_TRACKED_IMAGES
+        };
+        while self.expected_images.len() > 1 && too_much(held, self.expected_images.len()) {
+            held -= self.expected_images.pop_front().map_or(0.0, |(_, gb)| gb);
         }
     }
 }
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -11,7 +11,7 @@
 pub use arrivals::Arrivals;
 pub use intents::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPlace};
 pub use job::{Binding, JobState, Phase, Task};
-pub(super) use load::weigh;
+pub(super) use load::task_load;
 #[cfg(test)]
 pub use machine::AllocatedResources;
 pub use machine::{Machine, MachineState, image_digest};
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -6,7 +6,7 @@
 
 use tracing::{info, warn};
 
-use super::tick::{MOST, TOGETHER};
+use super::tick::{CORRELATED_FRACTION_DIVISOR, MOST_FRACTION_DIVISOR};
 use super::{ClusterState, Machine, MachineId};
 use crate::scheduling::one_way_partition::{InboundVerdict, judge};
 
@@ -53,15 +53,16 @@
 
     /// Machines that have heard nothing for too long. Many at once, of all or of a zone, point at the way out
     /// to them: they are kept, without new work.
-    pub(super) fn given_up(&self, now: Instant) -> Vec<MachineId> {
+    pub(super) fn machines_given_up(&self, now: Instant) -> Vec<MachineId> {
         let inbound_lost: Vec<&Machine> = self.machines.values().filter(|m| m.inbound_lost).collect();
         if inbound_lost.is_empty() {
             return Vec::new();
         }
         let lease = self.settings.params.workers.lease();
-        let all = self.many_inbound_lost(TOGETHER, None);
+        let all = self.many_inbound_lost(CORRELATED_FRACTION_DIVISOR, None);
         let zones: BTreeSet<&str> = inbound_lost.iter().map(|m| m.zone.as_str()).collect();
-        let zones: BTreeSet<&str> = zones.into_iter().filter(|zone| self.many_inbound_lost(MOST, Some(zone))).collect();
+        let zones: BTreeSet<&str> =
+            zones.into_iter().filter(|zone| self.many_inbound_lost(MOST_FRACTION_DIVISOR, Some(zone))).collect();
         // What nobody else knows of speaks for nothing but itself; and what is still bound after so long only
         // a return proves gone, as where an earlier leader may yet launch it.
         let many = |m: &Machine| m.confirmed && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -12,10 +12,10 @@
 /// A shard in which tasks have only ended or been released is stored this much later: more of
 /// them then go in one change. Nothing waits for it but the reaping of what has exited, and a
 /// new leader hears the same from the workers.
-const CHANGES_DELAY: Duration = Duration::from_millis(1500);
+const CHANGE_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
 /// Changes that an end takes: its final key, and the open one gone.
-const END_CHANGES: usize = 2;
+const CHANGES_PER_END: usize = 2;
 
 /// One shard as it is about to be stored.
 #[derive(Debug, Clone)]
@@ -33,62 +33,62 @@
 /// Shards the store is behind on. Starts wait for theirs to be stored; news can bear to be late.
 #[derive(Debug, Default)]
 pub(super) struct UnstoredShards {
-    starts: VecDeque<(JobId, u64)>,
-    changes: VecDeque<((JobId, u64), Instant)>,
+    start_queue: VecDeque<(JobId, u64)>,
+    change_queue: VecDeque<((JobId, u64), Instant)>,
     /// Whether each listed shard holds a start.
-    listed: HashMap<(JobId, u64), bool>,
+    queued: HashMap<(JobId, u64), bool>,
 }
 
 impl UnstoredShards {
     pub(super) fn len(&self) -> usize {
-        self.listed.len()
+        self.queued.len()
     }
 
-    fn shard(key: &TaskKey) -> (JobId, u64) {
+    fn shard_of(key: &TaskKey) -> (JobId, u64) {
         (key.job.clone(), u64::from(key.index) / TASKS_PER_SHARD)
     }
 
-    pub(super) fn start(&mut self, key: &TaskKey) {
-        self.put_start(Self::shard(key), false);
+    pub(super) fn queue_start(&mut self, key: &TaskKey) {
+        self.queue_start_shard(Self::shard_of(key), false);
     }
 
-    fn put_start(&mut self, shard: (JobId, u64), first: bool) {
-        if self.listed.insert(shard.clone(), true) != Some(true) {
+    fn queue_start_shard(&mut self, shard: (JobId, u64), first: bool) {
+        if self.queued.insert(shard.clone(), true) != Some(true) {
             if first {
-                self.starts.push_front(shard);
+                self.start_queue.push_front(shard);
             } else {
-                self.starts.push_back(shard);
+                self.start_queue.push_back(shard);
             }
         }
     }
 
-    pub(super) fn changes(&mut self, key: &TaskKey, now: Instant) {
-        let shard = Self::shard(key);
-        if !self.listed.contains_key(&shard) {
-            self.listed.insert(shard.clone(), false);
-            self.changes.push_back((shard, now));
+    pub(super) fn queue_change(&mut self, key: &TaskKey, now: Instant) {
+        let shard = Self::shard_of(key);
+        if !self.queued.contains_key(&shard) {
+            self.queued.insert(shard.clone(), false);
+            self.change_queue.push_back((shard, now));
         }
     }
 
     /// The next shard that is due.
-    fn next(&mut self, now: Instant) -> Option<(JobId, u64)> {
-        while let Some(shard) = self.starts.pop_front() {
-            if self.listed.remove(&shard).is_some() {
+    fn pop_due(&mut self, now: Instant) -> Option<(JobId, u64)> {
+        while let Some(shard) = self.start_queue.pop_front() {
+            if self.queued.remove(&shard).is_some() {
                 return Some(shard);
             }
         }
-        while let Some((shard, since)) = self.changes.front() {
+        while let Some((shard, since)) = self.change_queue.front() {
             // One that was listed as a start meanwhile has gone with it.
-            if self.listed.get(shard) != Some(&false) {
-                self.changes.pop_front();
+            if self.queued.get(shard) != Some(&false) {
+                self.change_queue.pop_front();
                 continue;
             }
-            if now.saturating_duration_since(*since) < CHANGES_DELAY {
+            if now.saturating_duration_since(*since) < CHANGE_WRITE_DELAY {
                 return None;
             }
             let shard = shard.clone();
-            self.changes.pop_front();
-            self.listed.remove(&shard);
+            self.change_queue.pop_front();
+            self.queued.remove(&shard);
             return Some(shard);
         }
         None
@@ -98,25 +98,25 @@
 impl ClusterState {
     /// Whether something is to be stored now.
     pub fn has_due_writes(&self, now: Instant) -> bool {
-        let late = |since: &Instant| now.saturating_duration_since(*since) >= CHANGES_DELAY;
-        !self.unstored.starts.is_empty()
-            || !self.completed.is_empty()
-            || self.unstored.changes.front().is_some_and(|(_, since)| late(since))
+        let late = |since: &Instant| now.saturating_duration_since(*since) >= CHANGE_WRITE_DELAY;
+        !self.unstored_shards.start_queue.is_empty()
+            || !self.completed_jobs.is_empty()
+            || self.unstored_shards.change_queue.front().is_some_and(|(_, since)| late(since))
     }
 
     /// The next changes to store: ends first, then starts, then what else has changed, at most
     /// `most` together, or one end.
     pub fn next_writes(&mut self, most: usize, now: Instant) -> (Vec<Arc<JobRecord>>, Vec<ShardWrite>) {
         let mut ends = Vec::new();
-        while (ends.len() + 1) * END_CHANGES <= most.max(END_CHANGES) {
-            let Some(id) = self.completed.pop_front() else { break };
+        while (ends.len() + 1) * CHANGES_PER_END <= most.max(CHANGES_PER_END) {
+            let Some(id) = self.completed_jobs.pop_front() else { break };
             if let Some(job) = self.jobs.get(&id).filter(|j| j.ended.is_none()) {
                 ends.push(job.record.clone());
             }
         }
         let mut shards = Vec::new();
-        while ends.len() * END_CHANGES + shards.len() < most {
-            let Some((id, shard)) = self.unstored.next(now) else { break };
+        while ends.len() * CHANGES_PER_END + shards.len() < most {
+            let Some((id, shard)) = self.unstored_shards.pop_due(now) else { break };
             if let Some(write) = self.shard_write(&id, shard) {
                 shards.push(write);
             }
@@ -137,7 +137,7 @@
         Some(ShardWrite {
             job: id.clone(),
             shard,
-            version: job.versions.get(shard as usize).copied()?,
+            version: job.shard_versions.get(shard as usize).copied()?,
             tasks: tasks.iter().map(Task::as_stored).collect(),
         })
     }
@@ -146,7 +146,7 @@
     pub fn record_stored_shards(&mut self, writes: &[ShardWrite], version: u64) {
         for write in writes {
             let Some(job) = self.jobs.get_mut(&write.job) else { continue };
-            if let Some(slot) = job.versions.get_mut(write.shard as usize) {
+            if let Some(slot) = job.shard_versions.get_mut(write.shard as usize) {
                 *slot = version;
             }
             let from = (write.shard * TASKS_PER_SHARD) as usize;
@@ -155,14 +155,14 @@
                 task.stored = task.as_stored() == *stored;
                 changed |= !task.stored;
                 if let (true, Phase::Bound(binding)) = (task.stored, &task.phase)
-                    && binding.announced_in.is_none()
+                    && binding.announced_epoch.is_none()
                     && let Some(machine) = self.machines.get_mut(&binding.machine)
                 {
                     machine.command_due = true;
                 }
             }
             // A gang in several shards is told to start by the last of them.
-            if job.spec().is_gang() && job.versions.len() > 1 && job.launchable() {
+            if job.spec().is_gang() && job.shard_versions.len() > 1 && job.is_launchable() {
                 for index in &job.bound {
                     if let Some(machine) = job.binding(*index).and_then(|b| self.machines.get_mut(&b.machine)) {
                         machine.command_due = true;
@@ -171,8 +171,8 @@
             }
             // What changed since has been listed by whatever changed it; this is for safety's sake.
             let entry = (write.job.clone(), write.shard);
-            if changed && !self.unstored.listed.contains_key(&entry) {
-                self.unstored.put_start(entry, false);
+            if changed && !self.unstored_shards.queued.contains_key(&entry) {
+                self.unstored_shards.queue_start_shard(entry, false);
             }
         }
     }
@@ -180,18 +180,18 @@
     /// What was refused or is unknown is taken up again.
     pub fn requeue_writes(&mut self, ends: &[JobId], writes: &[ShardWrite]) {
         for id in ends.iter().rev() {
-            if !self.completed.contains(id) {
-                self.completed.push_front(id.clone());
+            if !self.completed_jobs.contains(id) {
+                self.completed_jobs.push_front(id.clone());
             }
         }
         for write in writes.iter().rev() {
-            self.unstored.put_start((write.job.clone(), write.shard), true);
+            self.unstored_shards.queue_start_shard((write.job.clone(), write.shard), true);
         }
     }
 
     /// Notes the version that a shard has in the store.
     pub fn set_shard_version(&mut self, id: &JobId, shard: u64, version: u64) {
-        if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.versions.get_mut(shard as usize)) {
+        if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.shard_versions.get_mut(shard as usize)) {
             *slot = version;
         }
     }
@@ -208,12 +208,12 @@
             task.stored = false;
         }
         self.set_shard_version(id, shard, found);
-        self.unstored.put_start((id.clone(), shard), false);
+        self.unstored_shards.queue_start_shard((id.clone(), shard), false);
     }
 
     /// A shard that could not be read is replaced, at the version that it was read under.
-    pub(super) fn store_unreadable_shard_anew(&mut self, id: &JobId, shard: u64) {
-        self.unstored.put_start((id.clone(), shard), false);
+    pub(super) fn rewrite_unreadable_shard(&mut self, id: &JobId, shard: u64) {
+        self.unstored_shards.queue_start_shard((id.clone(), shard), false);
     }
 
     /// Takes up to `most` shards of ended jobs that are to be dropped from the store.
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -8,17 +8,17 @@
 use crate::protocol::workers::TaskKey;
 
 /// How far into the time allowed for a cancellation a machine that proves nothing is returned.
-const CANCEL_PATIENCE: f64 = 0.45;
+const CANCELLATION_PROOF_FRACTION: f64 = 0.45;
 /// One in so many machines silent at once is no chance of single machines.
-pub(super) const TOGETHER: usize = 12;
+pub(super) const CORRELATED_FRACTION_DIVISOR: usize = 12;
 /// One in so many lost is most of them, as far as handing over is concerned.
-pub(super) const MOST: usize = 3;
+pub(super) const MOST_FRACTION_DIVISOR: usize = 3;
 /// How many leases many machines that are silent together get.
-const SILENT_LEASES: u32 = 2;
+const CORRELATED_SILENCE_LEASES: u32 = 2;
 /// Past the end of these; covers a machine's clock's drift and the way of a heartbeat.
 const LEASE_MARGIN: Duration = Duration::from_secs(2);
 /// Many that were silent together are all back within so many reports' time.
-const BACK_REPORTS: u32 = 3;
+const RECOVERY_HEARTBEATS: u32 = 3;
 
 impl ClusterState {
     /// This controller was paused and has not listened: machines were not silent or idle for that long,
@@ -48,14 +48,14 @@
     /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
     pub fn most_machines_lost(&self, now: Instant) -> bool {
         let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
-        self.many_silent(missed, MOST, now) || self.many_inbound_lost(MOST, None)
+        self.many_silent(missed, MOST_FRACTION_DIVISOR, now) || self.many_inbound_lost(MOST_FRACTION_DIVISOR, None)
     }
 
     /// Machines that hold a task of a job that was cancelled, and have not proven it gone for too
     /// long. What is left of a job that is done has exited.
     pub fn overdue_machines(&self, now: Instant) -> BTreeSet<MachineId> {
         let allowed = self.settings.params.workers.cancellation_deadline();
-        let patience = allowed.mul_f64(CANCEL_PATIENCE);
+        let patience = allowed.mul_f64(CANCELLATION_PROOF_FRACTION);
         // A leader that has come since begins no new patience, or several would add up; but machines get two
         // reports to prove to it what they have proven to the one before.
         let told_within = self.settings.params.workers.heartbeat_interval() * 2;
@@ -66,8 +66,8 @@
                 && self.last_pause.is_none_or(|pause| pause.proof_due(at, allowed, now))
                 && (at >= self.loaded_at || !new_here || age >= allowed.mul_f64(PROOF_PART))
         };
-        let late = self.ending.iter().filter_map(|id| self.jobs.get(id));
-        let late = late.filter(|job| !job.finished && job.ended.is_some_and(due));
+        let late = self.ending_jobs.iter().filter_map(|id| self.jobs.get(id));
+        let late = late.filter(|job| !job.ended_done && job.ended.is_some_and(due));
         late.flat_map(|job| job.bound.iter().filter_map(|i| job.binding(*i))).map(|b| b.machine.clone()).collect()
     }
 
@@ -85,8 +85,8 @@
     }
 
     /// How long many machines may be silent together: longer than one alone.
-    fn common_silence(&self) -> Duration {
-        (self.settings.params.workers.lease() * SILENT_LEASES + LEASE_MARGIN).max(self.properties.silence)
+    fn max_correlated_silence(&self) -> Duration {
+        (self.settings.params.workers.lease() * CORRELATED_SILENCE_LEASES + LEASE_MARGIN).max(self.properties.silence)
     }
 
     /// How long a machine may be silent now.
@@ -95,13 +95,13 @@
     /// returning them all would lose what they run, and past their leases still the machines, for
     /// which others would have to boot. Those that have died the cloud's list tells of.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
-        if self.many_silent(self.properties.silence, TOGETHER, now) {
+        if self.many_silent(self.properties.silence, CORRELATED_FRACTION_DIVISOR, now) {
             self.many_silent_seen_at = Some(now);
         }
         // Those that are back do not report at the same moment: the last of them are not alone at once.
-        let back_within = self.settings.params.workers.heartbeat_interval() * BACK_REPORTS;
+        let back_within = self.settings.params.workers.heartbeat_interval() * RECOVERY_HEARTBEATS;
         let many = self.many_silent_seen_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
-        if many { self.common_silence() } else { self.properties.silence }
+        if many { self.max_correlated_silence() } else { self.properties.silence }
     }
 
     /// Machines to be returned, and why.
@@ -109,18 +109,18 @@
         let tolerated = self.tolerated_silence(now);
         let overdue = self.overdue_machines(now).into_iter().map(|id| (id, "cancelled task not proven gone"));
         let spent = self.machines.values().filter_map(|machine| {
-            self.reason_to_terminate(machine, tolerated, now).map(|reason| (machine.id.clone(), reason))
+            self.termination_reason(machine, tolerated, now).map(|reason| (machine.id.clone(), reason))
         });
-        let partitioned = self.given_up(now).into_iter().map(|id| (id, "one-way partition"));
+        let partitioned = self.machines_given_up(now).into_iter().map(|id| (id, "one-way partition"));
         overdue.chain(spent).chain(partitioned).collect()
     }
 
-    fn reason_to_terminate(&self, machine: &Machine, tolerated: Duration, now: Instant) -> Option<&'static str> {
+    fn termination_reason(&self, machine: &Machine, tolerated: Duration, now: Instant) -> Option<&'static str> {
         let quiet = now.saturating_duration_since(machine.last_seen);
         let without_heartbeat = now.saturating_duration_since(machine.last_heartbeat);
         if (machine.report_expected() || machine.reported()) && quiet > tolerated {
             Some(if machine.reported() { "no heartbeat" } else { "never joined" })
-        } else if machine.reported() && without_heartbeat > self.common_silence() {
+        } else if machine.reported() && without_heartbeat > self.max_correlated_silence() {
             Some("no heartbeat although commands are answered")
         } else if machine.state == MachineState::Draining && machine.bound.is_empty() {
             Some("drained")
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -27,29 +27,29 @@
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, TaskKey};
 
 /// Attempts of tasks that an unreadable shard hides are numbered after this and the shard's revision.
-pub(super) const HIDDEN_ATTEMPTS: u64 = 1 << 32;
+pub(super) const HIDDEN_ATTEMPT_BASE: u64 = 1 << 32;
 /// A leader proves that it still leads at least this often, however short its lease.
-const PROOF_EVERY: Duration = Duration::from_secs(2);
+const LEADERSHIP_PROOF_INTERVAL: Duration = Duration::from_secs(2);
 /// A leader without proof answers reports for its lease and this long (`membership::serving_state`).
-const ANSWERS_AFTER_LEASE: Duration = Duration::from_secs(3);
+const RESPONSE_TIME_AFTER_LEASE: Duration = Duration::from_secs(3);
 /// Covers the drift of a machine's clock and the way of a heartbeat.
-const MARGIN: Duration = Duration::from_secs(5);
+const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 /// A job that is suspended is not placed before it is released; this is far beyond any suspension.
-const UNTIL_RELEASED: Duration = Duration::from_secs(365 * 24 * 3600);
+const SUSPENDED_JOB_HOLD: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// A job of which shards could not be read.
 #[derive(Debug)]
 pub(super) struct SuspendedJob {
-    shards: BTreeSet<u64>,
+    unreadable_shards: BTreeSet<u64>,
     team: String,
     /// Cores and accelerators that its hidden tasks may take; its team's usage includes them.
-    hidden: TeamUsage,
+    hidden_usage: TeamUsage,
 }
 
 impl SuspendedJob {
-    fn hides(&self, id: &JobId, attempt_report: &AttemptReport) -> bool {
+    fn hides_attempt(&self, id: &JobId, attempt_report: &AttemptReport) -> bool {
         attempt_report.task.job == *id
-            && self.shards.contains(&(u64::from(attempt_report.task.index) / TASKS_PER_SHARD))
+            && self.unreadable_shards.contains(&(u64::from(attempt_report.task.index) / TASKS_PER_SHARD))
     }
 }
 
@@ -57,12 +57,12 @@
 pub(super) type SuspendedJobs = BTreeMap<JobId, SuspendedJob>;
 
 /// The last attempt that may have been made of a task whose shard was last changed at this revision.
-fn hidden_attempt(version: u64) -> u64 {
-    HIDDEN_ATTEMPTS.saturating_add(version).min(MOST_ATTEMPTS)
+fn last_hidden_attempt(version: u64) -> u64 {
+    HIDDEN_ATTEMPT_BASE.saturating_add(version).min(MOST_ATTEMPTS)
 }
 
 /// An earlier leader may have given it tasks, and this leader has not heard what became of them.
-fn unheard(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
+fn may_run_unknown_tasks(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
     machine.fencing_token < first_fencing_token
         && (machine.reported() || machine.report_expected() || machine.since <= loaded_at)
 }
@@ -72,25 +72,27 @@
     /// its team's limit.
     pub fn load_unreadable_shard(&mut self, id: &JobId, shard: u64, version: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(slot) = usize::try_from(shard).ok().and_then(|shard| job.versions.get_mut(shard)) else { return };
+        let Some(slot) = usize::try_from(shard).ok().and_then(|shard| job.shard_versions.get_mut(shard)) else {
+            return;
+        };
         *slot = version;
         let from = (shard * TASKS_PER_SHARD) as usize;
         let hidden_tasks = job.shard(shard).len();
         for task in job.tasks.iter_mut().skip(from).take(hidden_tasks) {
-            task.attempt = hidden_attempt(version);
+            task.attempt = last_hidden_attempt(version);
             task.stored = false;
         }
-        job.touched += hidden_tasks;
-        job.not_before = now + UNTIL_RELEASED;
+        job.placed_tasks += hidden_tasks;
+        job.not_before = now + SUSPENDED_JOB_HOLD;
         let spec = job.record.spec.clone();
-        let suspended = self.suspended.entry(id.clone()).or_insert_with(|| SuspendedJob {
-            shards: BTreeSet::new(),
+        let suspended = self.suspended_jobs.entry(id.clone()).or_insert_with(|| SuspendedJob {
+            unreadable_shards: BTreeSet::new(),
             team: spec.team.clone(),
-            hidden: TeamUsage::default(),
+            hidden_usage: TeamUsage::default(),
         });
-        suspended.shards.insert(shard);
+        suspended.unreadable_shards.insert(shard);
         let (cpus, gpus) = (spec.cpus * hidden_tasks as f64, spec.gpus * hidden_tasks as f64);
-        suspended.hidden.add(cpus, gpus);
+        suspended.hidden_usage.add(cpus, gpus);
         let used = self.team_usage.entry(spec.team).or_default();
         used.add(cpus, gpus);
         error!(job = %id, shard, "task shard not decoded; suspending the job until no hidden task can run");
@@ -99,59 +101,63 @@
     /// What can be read of a gang that is suspended is stopped: its attempt has lost the tasks that are hidden.
     pub(super) fn halt_suspended_gangs(&mut self, now: Instant) {
         let gang = |id: &&JobId| self.jobs.get(*id).is_some_and(|job| job.spec().is_gang() && !job.is_complete());
-        let gangs: Vec<JobId> = self.suspended.keys().filter(gang).cloned().collect();
+        let gangs: Vec<JobId> = self.suspended_jobs.keys().filter(gang).cloned().collect();
         for id in gangs {
             self.halt_job(&id, 0, now);
         }
     }
 
     /// How long after the load an earlier leader's tasks may run on a machine that is not known here.
-    pub(super) fn suspension(&self) -> Duration {
-        let answers = self.properties.election_lease.max(PROOF_EVERY) + ANSWERS_AFTER_LEASE;
-        answers + self.settings.params.workers.lease() + MARGIN
+    pub(super) fn suspension_time(&self) -> Duration {
+        let answers = self.properties.election_lease.max(LEADERSHIP_PROOF_INTERVAL) + RESPONSE_TIME_AFTER_LEASE;
+        answers + self.settings.params.workers.lease() + CLOCK_MARGIN
     }
 
     /// Resumes jobs of which nothing hidden can run any more.
     pub(super) fn resume_suspended_jobs(&mut self, now: Instant) {
-        if self.suspended.is_empty() || now.saturating_duration_since(self.loaded_at) < self.suspension() {
+        if self.suspended_jobs.is_empty() || now.saturating_duration_since(self.loaded_at) < self.suspension_time() {
             return;
         }
-        if self.machines.values().any(|m| unheard(m, self.first_fencing_token, self.loaded_at)) {
+        if self.machines.values().any(|m| may_run_unknown_tasks(m, self.first_fencing_token, self.loaded_at)) {
             return;
         }
         let runs = |id: &JobId, suspended: &SuspendedJob| {
             let live = |attempt_report: &AttemptReport| {
-                attempt_report.status != AttemptStatus::Exited && suspended.hides(id, attempt_report)
+                attempt_report.status != AttemptStatus::Exited && suspended.hides_attempt(id, attempt_report)
             };
             self.machines.values().any(|m| m.attempts.iter().any(live))
         };
-        let over: Vec<JobId> =
-            self.suspended.iter().filter(|(id, suspended)| !runs(id, suspended)).map(|(id, _)| id.clone()).collect();
+        let over: Vec<JobId> = self
+            .suspended_jobs
+            .iter()
+            .filter(|(id, suspended)| !runs(id, suspended))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in over {
             self.resume_job(&id, now);
         }
     }
 
     fn resume_job(&mut self, id: &JobId, now: Instant) {
-        let Some(suspended) = self.suspended.remove(id) else { return };
-        let done = self.reported_done(id, &suspended);
+        let Some(suspended) = self.suspended_jobs.remove(id) else { return };
+        let done = self.hidden_tasks_reported_done(id, &suspended);
         if let Some(used) = self.team_usage.get_mut(&suspended.team) {
-            used.release(suspended.hidden.cpus, suspended.hidden.gpus);
+            used.release(suspended.hidden_usage.cpus, suspended.hidden_usage.gpus);
         }
         self.replan_needed = true;
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.ended.is_none()) else { return };
         job.not_before = now;
         info!(job = %id, "job resumed");
-        for shard in suspended.shards {
-            self.store_unreadable_shard_anew(id, shard);
+        for shard in suspended.unreadable_shards {
+            self.rewrite_unreadable_shard(id, shard);
         }
         for (key, machine) in done {
-            self.completed_task(&key, &machine, now);
+            self.complete_task(&key, &machine, now);
         }
     }
 
     /// Hidden tasks that workers report as done, each once, with its machine. A service is never done.
-    fn reported_done(&self, id: &JobId, suspended: &SuspendedJob) -> BTreeMap<TaskKey, MachineId> {
+    fn hidden_tasks_reported_done(&self, id: &JobId, suspended: &SuspendedJob) -> BTreeMap<TaskKey, MachineId> {
         let Some(job) = self.jobs.get(id).filter(|job| job.spec().shape != Shape::Service) else {
             return BTreeMap::new();
         };
@@ -163,7 +169,7 @@
             let attempts = machine
                 .attempts
                 .iter()
-                .filter(|attempt_report| suspended.hides(id, attempt_report) && waits(attempt_report));
+                .filter(|attempt_report| suspended.hides_attempt(id, attempt_report) && waits(attempt_report));
             let attempts = attempts.filter(|attempt_report| {
                 attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(ExitCause::Done)
             });
@@ -174,6 +180,6 @@
 
     /// Whether a job waits until nothing of its unreadable shards can run.
     pub fn is_suspended(&self, id: &JobId) -> bool {
-        self.suspended.contains_key(id)
+        self.suspended_jobs.contains_key(id)
     }
 }
--- a/src/scheduling/cluster/watermark.rs
+++ b/src/scheduling/cluster/watermark.rs
@@ -35,8 +35,8 @@
     pub fn advance_watermark(&mut self) -> u64 {
         // Nothing that this leader starts is inherited, and it starts nothing that is cancelled: once all is heard, it
         // stays so.
-        let cancelled = self.ending.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.finished);
-        let least = cancelled.filter(|job| self.may_start_yet(job)).map(|job| job.ended_after).min();
+        let cancelled = self.ending_jobs.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.ended_done);
+        let least = cancelled.filter(|job| self.may_still_start(job)).map(|job| job.ended_after).min();
         self.watermark =
             self.watermark.max(least.map_or(self.known_ends_revision, |after| after.min(self.known_ends_revision)));
         self.watermark
@@ -44,18 +44,18 @@
 
     /// Whether this cancellation may be told of now, whatever the watermark.
     pub fn cancellation_effective(&self, id: &JobId) -> bool {
-        !self.jobs.get(id).is_some_and(|job| self.may_start_yet(job))
+        !self.jobs.get(id).is_some_and(|job| self.may_still_start(job))
     }
 
     /// Whether some machine may still start a task of this job: for an earlier leader, or by a launch in flight.
-    fn may_start_yet(&self, job: &JobState) -> bool {
-        self.may_obey_another(job) || self.launch_in_flight(job)
+    fn may_still_start(&self, job: &JobState) -> bool {
+        self.may_obey_earlier_leader(job) || self.launch_in_flight(job)
     }
 
     /// Whether a launch of this job was given by this leader and its machine has neither shown nor disproven the task.
     fn launch_in_flight(&self, job: &JobState) -> bool {
         job.bound.iter().any(|index| {
-            let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.announced_in.is_some()) else {
+            let Some(binding) = job.binding(*index).filter(|b| !b.inherited && b.announced_epoch.is_some()) else {
                 return false;
             };
             let Some(machine) = self.machines.get(&binding.machine) else { return false };
@@ -70,7 +70,7 @@
     }
 
     /// Whether some machine with a task of this job may still obey an earlier leader.
-    fn may_obey_another(&self, job: &JobState) -> bool {
+    fn may_obey_earlier_leader(&self, job: &JobState) -> bool {
         let inherited = job.bound.iter().filter_map(|index| job.binding(*index)).filter(|b| b.inherited);
         inherited.filter_map(|b| self.machines.get(&b.machine)).any(|m| m.fencing_token < self.first_fencing_token)
     }
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -29,17 +29,17 @@
 use crate::wakeups::Wakeups;
 
 /// Lets a moment's changes go together; a tenth of what a person would notice.
-const GAP: Duration = Duration::from_millis(40);
-const EVERY: Duration = Duration::from_millis(1000);
+const BATCH_DELAY: Duration = Duration::from_millis(40);
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1000);
 /// Clean-up gives way: placements must not wait behind it.
-const DROP_WITHIN: Duration = Duration::from_millis(400);
-const RETRY: Duration = Duration::from_millis(150);
+const DROP_TIMEOUT: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Room left in a transaction's 64 KiB for conditions and framing.
-const BYTES: usize = 40 * 1024;
+const MAX_CHANGE_BYTES: usize = 40 * 1024;
 /// Keys and conditions of one change, in bytes.
-const FRAME: usize = 200;
+const CHANGE_OVERHEAD_BYTES: usize = 200;
 /// This many shards of ended jobs are too many for clean-up to wait: a new leader reads them all.
-const URGENT_DROPS: usize = 48;
+const URGENT_DROP_COUNT: usize = 48;
 
 /// What the group commit works with.
 pub struct GroupCommit {
@@ -95,10 +95,10 @@
 
 /// How many of these fit into a transaction that has taken `bytes` so far; at least one if it is
 /// empty.
-fn fitting(bytes: &mut usize, sizes: impl Iterator<Item = usize>) -> usize {
+fn count_fitting(bytes: &mut usize, sizes: impl Iterator<Item = usize>) -> usize {
     let mut n = 0;
     for size in sizes {
-        if *bytes > 0 && *bytes + size > BYTES {
+        if *bytes > 0 && *bytes + size > MAX_CHANGE_BYTES {
             break;
         }
         *bytes += size;
@@ -110,21 +110,21 @@
 /// Stores the leader's changes for as long as this controller leads: in batches, one transaction at a time.
 pub async fn run(group_commit: Arc<GroupCommit>) {
     loop {
-        let _ = tokio::time::timeout(EVERY, group_commit.wakeups.commit.notified()).await;
-        tokio::time::sleep(GAP).await;
-        while let Some(batch) = next(&group_commit) {
-            if !store(&group_commit, batch).await {
+        let _ = tokio::time::timeout(MAX_IDLE_TIME, group_commit.wakeups.commit.notified()).await;
+        tokio::time::sleep(BATCH_DELAY).await;
+        while let Some(batch) = next_batch(&group_commit) {
+            if !store_batch(&group_commit, batch).await {
                 return;
             }
-            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.pending_shard_drops() >= URGENT_DROPS) {
-                drop_some(&group_commit, RequestPriority::Placement).await;
+            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.pending_shard_drops() >= URGENT_DROP_COUNT) {
+                drop_ended_shards(&group_commit, RequestPriority::Placement).await;
             }
         }
-        drop_some(&group_commit, RequestPriority::Background).await;
+        drop_ended_shards(&group_commit, RequestPriority::Background).await;
     }
 }
 
-fn next(group_commit: &GroupCommit) -> Option<CommitBatch> {
+fn next_batch(group_commit: &GroupCommit) -> Option<CommitBatch> {
     // What the budget holds goes at once: a full batch would wait for a whole burst.
     let most = (group_commit.settings.params.state.txn_ops as usize)
         .min(group_commit.store.client.writes_ready(RequestPriority::Placement).max(1));
@@ -136,9 +136,11 @@
     }
     let (mut ends, mut shards) = cluster.next_writes(most, now);
     let mut bytes = 0;
-    let size = |job: &Arc<JobRecord>| serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_EXTRA + FRAME;
-    let late_ends = ends.split_off(fitting(&mut bytes, ends.iter().map(size)));
-    let rest = shards.split_off(fitting(&mut bytes, shards.iter().map(|c| shard_size(&c.tasks) + FRAME)));
+    let size =
+        |job: &Arc<JobRecord>| serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_EXTRA + CHANGE_OVERHEAD_BYTES;
+    let late_ends = ends.split_off(count_fitting(&mut bytes, ends.iter().map(size)));
+    let rest = shards
+        .split_off(count_fitting(&mut bytes, shards.iter().map(|c| shard_size(&c.tasks) + CHANGE_OVERHEAD_BYTES)));
     let late_ends: Vec<JobId> = late_ends.iter().map(|job| job.spec.id.clone()).collect();
     cluster.requeue_writes(&late_ends, &rest);
     let batch = CommitBatch { ends, shards, at_ms: time_of_day_ms() };
@@ -146,7 +148,7 @@
 }
 
 /// False once this controller no longer leads.
-async fn store(group_commit: &Arc<GroupCommit>, batch: CommitBatch) -> bool {
+async fn store_batch(group_commit: &Arc<GroupCommit>, batch: CommitBatch) -> bool {
     let changes = batch.changes();
     let priority = if batch.ends.is_empty() { RequestPriority::Placement } else { RequestPriority::Critical };
     let mut unanswered = false;
@@ -154,7 +156,7 @@
         let Some(fencing_token) = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token) else { return false };
         match group_commit.store.client.compare_and_swap(&batch.conditions(fencing_token), &changes, priority).await {
             Ok(CompareAndSwapOutcome::Applied(version)) => {
-                stored(group_commit, &batch, version);
+                record_stored_batch(group_commit, &batch, version);
                 return true;
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
@@ -169,32 +171,32 @@
                     group_commit.store.read_barrier.wait().await;
                     group_commit.membership.check_deposed();
                     group_commit.wakeups.membership.notify_one();
-                    tokio::time::sleep(jitter(RETRY)).await;
+                    tokio::time::sleep(jitter(RETRY_DELAY)).await;
                     continue;
                 }
-                return settle(group_commit, batch, keys).await;
+                return resolve_conflicts(group_commit, batch, keys).await;
             }
             Ok(CompareAndSwapOutcome::LeaseExpired) => {}
             Err(StoreError::Unanswered) => unanswered = true,
             Err(error) => debug!(%error, "transaction failed"),
         }
-        tokio::time::sleep(jitter(RETRY)).await;
+        tokio::time::sleep(jitter(RETRY_DELAY)).await;
     }
 }
 
-fn stored(group_commit: &GroupCommit, batch: &CommitBatch, version: u64) {
+fn record_stored_batch(group_commit: &GroupCommit, batch: &CommitBatch, version: u64) {
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
         cluster.record_stored_shards(&batch.shards, version);
     }
     for job in &batch.ends {
-        note_end(group_commit, &job.spec.id, End::Done);
+        record_end(group_commit, &job.spec.id, End::Done);
         group_commit.audit.remember(AcknowledgedWrite::Ended(job.clone(), End::Done));
     }
     group_commit.wakeups.dispatch.notify_one();
 }
 
 /// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
-fn note_end(group_commit: &GroupCommit, id: &JobId, end: End) {
+fn record_end(group_commit: &GroupCommit, id: &JobId, end: End) {
     info!(job = %id, ?end, "job finished");
     group_commit.history.note_end(id, end);
     if let Some(cluster) = group_commit.leader.cluster().as_mut() {
@@ -204,10 +206,10 @@
 }
 
 /// Some keys had other versions: each is read, and what it holds decides.
-async fn settle(group_commit: &Arc<GroupCommit>, batch: CommitBatch, keys: Vec<String>) -> bool {
+async fn resolve_conflicts(group_commit: &Arc<GroupCommit>, batch: CommitBatch, keys: Vec<String>) -> bool {
     for id in batch.jobs() {
         if let Some(end) = find_end(&keys, id) {
-            note_end(group_commit, id, end);
+            record_end(group_commit, id, end);
         }
     }
     for write in &batch.shards {
@@ -223,7 +225,7 @@
                 Ok(item) => break item,
                 Err(error) => {
                     debug!(%error, key, "task shard read failed while resolving a rejected transaction");
-                    tokio::time::sleep(jitter(RETRY)).await;
+                    tokio::time::sleep(jitter(RETRY_DELAY)).await;
                 }
             }
         };
@@ -262,7 +264,7 @@
 }
 
 /// Shards of jobs that are over, whenever the budget has room.
-async fn drop_some(group_commit: &Arc<GroupCommit>, priority: RequestPriority) {
+async fn drop_ended_shards(group_commit: &Arc<GroupCommit>, priority: RequestPriority) {
     let most =
         group_commit.store.client.writes_ready(priority).min(group_commit.settings.params.state.txn_ops as usize);
     let (drops, fencing_token) = match group_commit.leader.cluster().as_mut() {
@@ -274,7 +276,7 @@
     }
     let (conditions, changes) = shard_drops(&drops, fencing_token);
     let outcome =
-        tokio::time::timeout(DROP_WITHIN, group_commit.store.client.compare_and_swap(&conditions, &changes, priority))
+        tokio::time::timeout(DROP_TIMEOUT, group_commit.store.client.compare_and_swap(&conditions, &changes, priority))
             .await;
     let failed = match outcome {
         Ok(Ok(CompareAndSwapOutcome::Applied(_))) => return,
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -16,7 +16,7 @@
 use crate::jobs::record::{JobRecord, TASKS};
 use crate::scheduling::scheduler::Scheduler;
 use crate::store::StoreError;
-use ended_jobs::{EndedJobs, done_among};
+use ended_jobs::{EndedJobs, find_done_jobs};
 use shard::Shard;
 
 /// How much a load has read.
@@ -72,7 +72,7 @@
     let mut pages = scheduler.store.client.pages(TASKS, None);
     while let Some(page) = pages.next().await? {
         counts.pages += 1;
-        let shards: Vec<Shard> = page.items.into_iter().filter_map(Shard::read).collect();
+        let shards: Vec<Shard> = page.items.into_iter().filter_map(Shard::from_item).collect();
         counts.shards += shards.len();
         load_page(scheduler, shards, ended).await?;
     }
@@ -133,7 +133,7 @@
 /// was reported to have exited, though the last heartbeats were never written to its shard.
 async fn load_page(scheduler: &Arc<Scheduler>, page: Vec<Shard>, ended: &mut EndedJobs) -> Result<(), StoreError> {
     let Some(closed) = closed_jobs(scheduler, &page) else { return Ok(()) };
-    let done = done_among(scheduler, closed).await?;
+    let done = find_done_jobs(scheduler, closed).await?;
     let Some(cached) = cached_records(scheduler, &page, &done) else { return Ok(()) };
     let mut records = cached.found;
     records.extend(ended.read_records(scheduler, cached.missing.into_iter().collect()).await?);
@@ -150,7 +150,7 @@
         } else if shard.tasks.is_none() {
             let (job, shard) = (&shard.job, shard.number);
             error!(%job, shard, "task shard of a closed job not decoded; stopping its tasks when workers report them");
-        } else if shard.anything_bound() && !done.contains(&shard.job) {
+        } else if shard.has_bound_task() && !done.contains(&shard.job) {
             let (job, shard) = (&shard.job, shard.number);
             error!(%job, shard, "task shard without a stored job found; stopping its tasks when workers report them");
         } else {
@@ -164,7 +164,7 @@
 fn closed_jobs(scheduler: &Scheduler, page: &[Shard]) -> Option<BTreeSet<JobId>> {
     let held = scheduler.leader.cluster();
     let cluster = held.as_ref()?;
-    let closed = page.iter().filter(|shard| !cluster.has_job(&shard.job) && shard.anything_bound());
+    let closed = page.iter().filter(|shard| !cluster.has_job(&shard.job) && shard.has_bound_task());
     Some(closed.map(|shard| shard.job.clone()).collect())
 }
 
@@ -174,7 +174,7 @@
     let cluster = held.as_ref()?;
     let mut records = CachedRecords::default();
     let cancelled =
-        |shard: &&Shard| !cluster.has_job(&shard.job) && shard.anything_bound() && !done.contains(&shard.job);
+        |shard: &&Shard| !cluster.has_job(&shard.job) && shard.has_bound_task() && !done.contains(&shard.job);
     for shard in page.iter().filter(cancelled) {
         match watch_cache.ended_record(&shard.job) {
             Some(record) => drop(records.found.insert(shard.job.clone(), record)),
--- a/src/scheduling/load/ended_jobs.rs
+++ b/src/scheduling/load/ended_jobs.rs
@@ -16,7 +16,7 @@
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 
 /// Descriptions of ended jobs asked for at once.
-const ASKED_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_READS: usize = 8;
 
 /// When a job ended, as far as its stored record says.
 #[derive(Debug, Clone, Copy)]
@@ -54,7 +54,7 @@
         ids: Vec<JobId>,
     ) -> Result<HashMap<JobId, Arc<JobRecord>>, StoreError> {
         let mut records = HashMap::new();
-        for ids in ids.chunks(ASKED_AT_ONCE) {
+        for ids in ids.chunks(MAX_CONCURRENT_READS) {
             let mut asked = JoinSet::new();
             for id in ids {
                 let (scheduler, id) = (scheduler.clone(), id.clone());
@@ -75,7 +75,7 @@
 }
 
 /// Which of these jobs, none of them open, are done.
-pub(super) async fn done_among(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
+pub(super) async fn find_done_jobs(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
     let at_once = scheduler.settings.params.state.conditions().max(1);
     let mut done = HashSet::new();
--- a/src/scheduling/load/shard.rs
+++ b/src/scheduling/load/shard.rs
@@ -21,7 +21,7 @@
 
 impl Shard {
     /// None if the key names no shard.
-    pub(super) fn read(item: KeyValue) -> Option<Self> {
+    pub(super) fn from_item(item: KeyValue) -> Option<Self> {
         let Some((job, number)) = parse_shard_key(&item.path) else {
             error!(key = item.path, "stored key not recognized; ignoring it");
             return None;
@@ -34,7 +34,7 @@
     }
 
     /// Whether a machine is known to have held a task of it.
-    pub(super) fn anything_bound(&self) -> bool {
+    pub(super) fn has_bound_task(&self) -> bool {
         self.tasks.iter().flatten().any(|t| matches!(t, StoredTask::Bound(..)))
     }
 
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -32,7 +32,7 @@
         ("another form of number", "t/run-000001/0", good, None),
     ];
     for (name, path, value, readable) in cases {
-        let shard = Shard::read(item(path, value));
+        let shard = Shard::from_item(item(path, value));
         assert_eq!(shard.map(|shard| shard.tasks.is_some()), readable, "{name}");
     }
 }
--- a/src/scheduling/scheduling_loop.rs
+++ b/src/scheduling/scheduling_loop.rs
@@ -10,7 +10,7 @@
 use super::scheduler::Scheduler;
 
 /// Placement follows events; this bounds how often, so that a burst is planned as one.
-const LEAST_PAUSE: Duration = Duration::from_millis(60);
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(60);
 /// Pause before what is stored is read again, after a failure.
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -36,7 +36,7 @@
             }
             scheduler.wakeups.fleet.notify_one();
         }
-        tokio::time::sleep(LEAST_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
+        tokio::time::sleep(MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
     }
 }
 
