--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -204,7 +204,7 @@
             machine,
             agent_epoch,
             fencing_token: cluster.fencing_token,
-            commands: cluster.commands_in_answer(machine, self.now),
+            commands: cluster.heartbeat_response_commands(machine, self.now),
             heartbeat_sent_at: self.now,
         }
     }
@@ -244,14 +244,14 @@
 
     /// Delivers the reply to a direct command to the leader.
     pub(super) fn deliver_reply(&mut self, cluster: &mut ClusterState, direct: &DirectCommand, reply: Heartbeat) {
-        cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
+        cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, self.now);
         cluster.take_heartbeat(reply, MessageKind::CommandReply, None, self.now);
     }
 
     /// Lets a direct command time out at the leader after 2.5 s. It may still arrive later.
     pub(super) fn time_out_command(&mut self, cluster: &mut ClusterState, direct: &DirectCommand) {
         self.now += secs(2.5);
-        cluster.command_over(&direct.machine, direct.fencing_token, false, self.now);
+        cluster.finish_direct_command(&direct.machine, direct.fencing_token, false, self.now);
     }
 
     /// Returns the direct command that is due for this machine. The connections for all others are refused.
@@ -261,7 +261,7 @@
             if *direct.machine == *machine {
                 found = Some(direct);
             } else {
-                cluster.command_over(&direct.machine, direct.fencing_token, true, self.now);
+                cluster.finish_direct_command(&direct.machine, direct.fencing_token, true, self.now);
             }
         }
         found
@@ -370,8 +370,8 @@
             .iter()
             .map(|i| Placement { task: task_key(*i), attempt: attempt(*i), machine: machine.into() })
             .collect();
-        if !job.complete() {
-            cluster.bind_all(placements, self.now);
+        if !job.is_complete() {
+            cluster.bind_placements(placements, self.now);
         }
         self.store_all(cluster);
     }
@@ -393,7 +393,7 @@
             assert_eq!(write.version, shard.as_ref().map_or(0, |(version, _)| *version));
             *shard = Some(next);
         }
-        cluster.shards_stored(&batch.shards, self.version);
+        cluster.record_stored_shards(&batch.shards, self.version);
         let changes = batch.changes().len();
         for end in batch.ends {
             let mut done = (0..end.spec.tasks as u32)
@@ -417,7 +417,7 @@
 
     /// Deletes at most `max_shards` shards of ended jobs, and returns how many were deleted.
     pub(super) fn drop_shards_at_most(&mut self, cluster: &mut ClusterState, max_shards: usize) -> usize {
-        let drops = cluster.next_drops(max_shards);
+        let drops = cluster.take_shard_drops(max_shards);
         for (id, shard) in &drops {
             assert!(*shard == 0 && self.has_ended(id), "{id}: the shard of an open job would be deleted");
             *self.shard_mut(id) = None;
@@ -426,8 +426,8 @@
     }
 
     /// Raises the leader's fencing token if it asks for that, and returns whether it did.
-    pub(super) fn raise_fencing_token_if_wanted(&mut self, cluster: &mut ClusterState) -> bool {
-        let wanted = cluster.raise_wanted(self.now);
+    pub(super) fn raise_fencing_token_if_needed(&mut self, cluster: &mut ClusterState) -> bool {
+        let wanted = cluster.token_raise_needed(self.now);
         if wanted {
             self.version += 1;
             cluster.raise_fencing_token(self.version);
@@ -439,7 +439,7 @@
     pub(super) fn terminate_machine(&mut self, cluster: &mut ClusterState, machine: &'static str) {
         self.lose_done_reports(machine);
         self.workers.get_mut(machine).unwrap().terminated = true;
-        cluster.machine_gone(&machine.into(), self.now);
+        cluster.remove_machine(&machine.into(), self.now);
     }
 }
 
