--- a/src/scheduling/fairness/tests/large.rs
+++ b/src/scheduling/fairness/tests/large.rs
@@ -28,7 +28,7 @@
             }
         }
         world.step(|_| true);
-        for (id, job) in world.cluster.jobs().filter(|(_, job)| job.begun()) {
+        for (id, job) in world.cluster.jobs().filter(|(_, job)| job.has_run()) {
             if job.ended.is_none() {
                 started.entry(id.clone()).or_insert(t);
             }
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -32,11 +32,11 @@
                 if late_at != 0 {
                     world.time_out_command(&mut cluster, &held);
                 }
-                cluster.halt(&task_key(0), 0, world.now);
+                cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             }
             if step == 3 {
                 assert_eq!(
-                    world.raise_fencing_token_if_wanted(&mut cluster),
+                    world.raise_fencing_token_if_needed(&mut cluster),
                     late_at != 0 && binding_of(&cluster, 0).is_some(),
                     "late at {late_at}"
                 );
@@ -95,7 +95,7 @@
                     let orders = world.send_heartbeat(&mut cluster, "m1").commands;
                     assert_eq!(count_reaps(&orders), 0, "it may yet start again");
                 }
-                4 => drop(world.raise_fencing_token_if_wanted(&mut cluster)),
+                4 => drop(world.raise_fencing_token_if_needed(&mut cluster)),
                 _ => {}
             }
             world.exchange_heartbeat(&mut cluster, "m1");
@@ -122,7 +122,7 @@
         world.bind_tasks(&mut cluster, &[0], "m1");
         let answer = world.send_heartbeat(&mut cluster, "m1");
         assert_eq!(count_launches(&answer.commands), 1);
-        cluster.halt(&task_key(0), 0, world.now);
+        cluster.halt_task_or_gang(&task_key(0), 0, world.now);
         world.bind_tasks(&mut cluster, &[1], "m1");
         let direct = world.next_command_to(&mut cluster, "m1").unwrap();
         assert!(direct.commands.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
@@ -161,10 +161,14 @@
     assert_eq!(reply.attempts[0].status, AttemptStatus::Running);
     world.exit_task("m1", 0, 1, ExitCause::Done);
     let answer = world.send_heartbeat(&mut cluster, "m1");
-    assert_eq!((answer.commands.len(), cluster.counts(&JOB.into()).done), (0, 1), "known, and reaped by no answer yet");
+    assert_eq!(
+        (answer.commands.len(), cluster.task_counts(&JOB.into()).done),
+        (0, 1),
+        "known, and reaped by no answer yet"
+    );
     world.store_all(&mut cluster);
     world.deliver_reply(&mut cluster, &direct, reply);
-    assert_eq!(cluster.counts(&JOB.into()).done, 1);
+    assert_eq!(cluster.task_counts(&JOB.into()).done, 1);
     let answer = world.send_heartbeat(&mut cluster, "m1");
     assert_eq!(count_reaps(&answer.commands), 1);
     // An older reply, which shows nothing, comes after a heartbeat that shows the second task running.
@@ -174,7 +178,7 @@
     let direct = world.next_command_to(&mut cluster, "m1").unwrap();
     drop(world.deliver_command(&direct).unwrap());
     world.exchange_heartbeat(&mut cluster, "m1");
-    cluster.halt(&task_key(1), 0, world.now);
+    cluster.halt_task_or_gang(&task_key(1), 0, world.now);
     world.deliver_reply(&mut cluster, &direct, old);
     assert_bound(&cluster, 1, 1, "m1");
     world.bind_waiting(&mut cluster, "m2");
@@ -199,15 +203,15 @@
         world.time_out_command(&mut cluster, &direct);
         held.push(direct);
         if index == 0 {
-            assert!(world.raise_fencing_token_if_wanted(&mut cluster));
+            assert!(world.raise_fencing_token_if_needed(&mut cluster));
         }
     }
     // The first is void once its worker knows; the second was given under the raised fencing token.
     let (first, second) = (held.remove(0), held.remove(0));
     assert!(second.fencing_token > first.fencing_token);
     let mut waited = 0;
-    while !cluster.raise_wanted(world.now) {
-        cluster.halt(&task_key(1), 0, world.now);
+    while !cluster.token_raise_needed(world.now) {
+        cluster.halt_task_or_gang(&task_key(1), 0, world.now);
         world.exchange_heartbeat(&mut cluster, "m2");
         assert_bound(&cluster, 1, 1, "m2");
         world.bind_tasks(&mut cluster, &[2], "m3");
@@ -220,7 +224,7 @@
         assert!(waited < 20, "raised in the end");
     }
     assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task_key(2), 1)), "the others go on");
-    world.raise_fencing_token_if_wanted(&mut cluster);
+    world.raise_fencing_token_if_needed(&mut cluster);
     world.exchange_heartbeat(&mut cluster, "m2");
     assert_bound(&cluster, 1, 1, "m2");
     // It has heard the fencing token now: the launch that was held up is refused, and then its task goes elsewhere.
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -49,7 +49,7 @@
         assert_bound(&cluster, 4, 1, "m4");
         world.bind_waiting(&mut cluster, "m5");
         world.exchange_heartbeat(&mut cluster, "m5");
-        assert_eq!(cluster.usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
+        assert_eq!(cluster.team_usage["blue"].cpus, 5.0, "all of it counts for the team, heard of or not");
         cluster.tick(world.now);
         world.now += secs(0.1);
         if t == 20 {
@@ -80,7 +80,7 @@
         }
         let places =
             [(0, "m0"), (1, "m1")].map(|(i, m)| Placement { task: task_key(i), attempt: 1, machine: m.into() });
-        old.bind_all(places.into(), world.now);
+        old.bind_placements(places.into(), world.now);
         world.store_all(&mut old);
         world.exchange_heartbeat(&mut old, "m0");
         world.exchange_heartbeat(&mut old, "m1");
