--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -1,4 +1,4 @@
-//! Bindings: a task comes onto a machine, is stopped, and is proven gone.
+//! Bindings of tasks to machines: how they are made, stopped and removed.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -9,10 +9,10 @@
 use crate::scheduling::fairness::AccountingEvent;
 
 impl ClusterState {
-    /// Binds each placed task to its machine; its launch waits until that is stored.
+    /// Binds each placed task to its machine; its launch waits until the binding is stored.
     pub fn bind_placements(&mut self, placements: Vec<Placement>, now: Instant) {
-        let mut first_places: HashMap<JobId, f64> = HashMap::new();
-        // What may go ahead is bounded by what is given out: it may be more after this.
+        let mut first_placed_fractions: HashMap<JobId, f64> = HashMap::new();
+        // Prioritized jobs may hold a share of all allocated cores, which has grown now.
         self.replan_needed |= self.intents.priority_boost.is_some() && !placements.is_empty();
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
@@ -21,19 +21,20 @@
                 self.large_gangs.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.placed_tasks += 1;
-                    *first_places.entry(placement.task.job.clone()).or_default() += 1.0 / job.tasks.len() as f64;
+                    *first_placed_fractions.entry(placement.task.job.clone()).or_default() +=
+                        1.0 / job.tasks.len() as f64;
                 }
             }
-            // A gang that starts needs nothing held any more.
-            if self.reservations.get(&placement.machine).is_some_and(|h| h.job == placement.task.job) {
+            // A gang that starts needs no reservation any more.
+            if self.reservations.get(&placement.machine).is_some_and(|r| r.job == placement.task.job) {
                 self.reservations.retain(|_, reservation| reservation.job != placement.task.job);
             }
             self.preemption_reservations
                 .retain(|_, reservation| reservation.job != placement.task.job && reservation.until > now);
             self.bind_task(placement, now);
         }
-        for (id, part) in first_places {
-            self.record_accounting_event(&id, AccountingEvent::TasksStarted(part), now);
+        for (id, fraction) in first_placed_fractions {
+            self.record_accounting_event(&id, AccountingEvent::TasksStarted(fraction), now);
         }
     }
 
@@ -57,19 +58,19 @@
         self.unstored_shards.queue_start(&p.task);
     }
 
-    /// Takes a proven-gone task off its machine; it waits again unless its job is over.
+    /// Removes the binding of a task that is proven gone; the task waits again unless its job has ended.
     pub(super) fn unbind_task(&mut self, key: &TaskKey, now: Instant) {
         self.return_to_waiting(key, now);
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.ended.is_some() {
             self.remove_job_if_unbound(&key.job);
         } else if job.spec().is_gang() && !job.is_complete() {
-            // An attempt that lost a task is over; the rest must be gone before the next one.
+            // A gang's attempt that lost a task is over; its other tasks must be gone before the next attempt.
             self.halt_job(&key.job, 0, now);
         }
     }
 
-    /// A task that is gone without having been stopped was lost.
+    /// Records a task that is gone without having been stopped as lost.
     pub(super) fn record_task_loss(&mut self, key: &TaskKey, now: Instant) {
         let lost = |job: &JobState| {
             job.ended.is_none()
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The bare act: place, quota and machine are free again, and the task waits.
+    /// Frees what a bound task holds of its machine and its team's quota, and returns the task to the waiting ones.
     pub(super) fn return_to_waiting(&mut self, key: &TaskKey, now: Instant) {
         self.free_resources(key, now);
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Frees what a bound task holds of its machine and its team's quota.
     pub(super) fn free_resources(&mut self, key: &TaskKey, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(binding) = job.binding(key.index) else { return };
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Stops all that is left of a job's attempt, with this much time to save. What no worker
-    /// was ever told of is simply released.
+    /// Stops all bound tasks of a job, with `grace_s` seconds to save a checkpoint. Bindings that no worker was told of
+    /// are removed at once.
     pub fn halt_job(&mut self, id: &JobId, grace_s: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let bound: Vec<u32> = job.bound.iter().copied().collect();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Stops one task, or all of its gang.
+    /// Stops a task, or all tasks of its gang, with `grace_s` seconds to save a checkpoint.
     pub fn halt_task_or_gang(&mut self, key: &TaskKey, grace_s: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         if job.spec().is_gang() {
@@ -136,7 +138,7 @@
         self.halt_single_task(key, grace_s);
     }
 
-    /// Stops one task of what is no gang.
+    /// Stops one task of a job that is not a gang.
     pub(in crate::scheduling) fn halt_single_task(&mut self, key: &TaskKey, grace_s: u64) {
         if let Some(binding) = self.jobs.get_mut(&key.job).and_then(|job| job.binding_mut(key.index))
             && binding.halt_grace_s.is_none()
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: what each machine is to be told, in answers and directly.
+//! Commands to workers: in responses to their heartbeats, and sent directly.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -7,39 +7,40 @@
 use crate::jobs::JobId;
 use crate::protocol::workers::{AttemptReport, AttemptStatus, TaskKey, WorkerCommand};
 
-/// Orders of one answer or command: about 60 bytes each, well below the body limit.
+/// Commands in one response or direct message: about 60 bytes each, well below the body limit.
 const MAX_COMMANDS_PER_MESSAGE: usize = 400;
-/// Direct commands to one machine are at least this far apart unless something new came up.
+/// Minimum time between direct commands to one machine, unless there is something new to send.
 const MIN_COMMAND_INTERVAL: Duration = Duration::from_millis(1000);
-/// The same to machines that do not hear, and how many of these are tried at once.
+/// Minimum time between direct commands to a machine with a one-way partition.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(5);
+/// Machines with a one-way partition that are probed at once.
 const MAX_PROBES: usize = 8;
-/// Direct commands under way may take one in so many of the sockets.
+/// Sockets of this controller for each direct command that may be under way.
 const SOCKETS_PER_COMMAND: u64 = 8;
-/// Tokens are raised at most this often.
+/// Minimum time between two raises of the fencing token.
 const MIN_TOKEN_RAISE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A command to be sent straight to a worker.
+/// Commands to be sent directly to a worker.
 #[derive(Debug)]
 pub struct DirectCommand {
-    /// The machine that is to carry it out.
+    /// The machine whose worker carries them out.
     pub machine: MachineId,
-    /// Its worker's address.
+    /// The worker's address.
     pub addr: String,
-    /// The fencing token under which it is given.
+    /// The fencing token under which they are given.
     pub fencing_token: u64,
-    /// The agent's epoch that it is meant for.
+    /// The agent epoch that they are valid in.
     pub agent_epoch: u64,
-    /// Launches, stops and reaps, in this order.
+    /// Halts and reaps of reported attempts, then launches.
     pub commands: Vec<WorkerCommand>,
 }
 
 impl ClusterState {
-    /// What the answer to this machine's heartbeat is to tell it.
+    /// The commands in the response to a machine's heartbeat.
     pub fn heartbeat_response_commands(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
-        // One way at a time: with a direct command under way, what it did is not known yet. Stops of what is over are
-        // never wrong, and this answer renews the lease, which is what else would end the task.
+        // While a direct command is under way, its effect is not known yet. Halting tasks of ended jobs is always safe,
+        // and needed: this response renews the lease, whose expiry would otherwise end them.
         let commands = if m.command_under_way {
             self.halts_of_ended_jobs(machine, &HashSet::new())
         } else {
@@ -60,24 +61,26 @@
         commands
     }
 
-    /// What a machine is to be told by a leader that cannot prove that it is one, or has not read everything
-    /// yet: stops of tasks whose job is over, and nothing else. An end is final and its stop fenced by the
-    /// fencing token, so neither can be wrong. `over`: jobs known to be so beside those in this cluster state.
-    pub fn halts_of_ended_jobs(&self, machine: &str, over: &HashSet<JobId>) -> Vec<WorkerCommand> {
+    /// The commands of a leader whose leadership is unproven, or which has not loaded everything yet: halts of tasks
+    /// whose job has ended, and nothing else. The end of a job is final and its halts are fenced by the fencing token,
+    /// so neither can be wrong. `also_ended`: ended jobs beside those known to this cluster state.
+    pub fn halts_of_ended_jobs(&self, machine: &str, also_ended: &HashSet<JobId>) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
         let ended = |id: &JobId| {
-            over.contains(id) || self.job_end_times.contains(id) || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
+            also_ended.contains(id)
+                || self.job_end_times.contains(id)
+                || self.jobs.get(id).is_some_and(|j| j.ended.is_some())
         };
         let live = m
             .attempts
             .iter()
             .filter(|attempt_report| attempt_report.status != AttemptStatus::Exited && ended(&attempt_report.task.job));
-        let stop = |attempt_report: &AttemptReport| WorkerCommand::Halt {
+        let halt = |attempt_report: &AttemptReport| WorkerCommand::Halt {
             task: attempt_report.task.clone(),
             attempt: attempt_report.attempt,
             grace_s: 0,
         };
-        live.map(stop).take(MAX_COMMANDS_PER_MESSAGE).collect()
+        live.map(halt).take(MAX_COMMANDS_PER_MESSAGE).collect()
     }
 
     fn record_launches(&mut self, commands: &[WorkerCommand], machine: &str) {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// All that a machine should be told now, as a function of the cluster state alone.
+    /// All commands that a machine should receive now, as a function of the cluster state alone.
     fn commands_for_machine(&self, m: &Machine) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         if !self.loaded {
@@ -102,14 +105,14 @@
             commands.extend(m.bound.iter().filter_map(|key| self.launch_command(m, key)));
         }
         if m.state == MachineState::Terminating {
-            // Its return lasts as long as the cloud answers nobody, and answers keep its lease until then.
+            // Termination takes until the cloud answers, and until then heartbeat responses renew the machine's lease.
             commands.retain(|o| matches!(o, WorkerCommand::Halt { .. }));
         }
         commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
-    /// What a machine is to do with an attempt that it has reported: forget it, stop it, or nothing.
+    /// The command for an attempt that a machine has reported: reap, halt, or none.
     fn command_for_attempt(&self, m: &Machine, report: &AttemptReport) -> Option<WorkerCommand> {
         let (task, attempt) = (report.task.clone(), report.attempt);
         let job = self.jobs.get(&task.job);
@@ -119,11 +122,11 @@
             _ => None,
         });
         if report.status == AttemptStatus::Exited {
-            // A completion is stored before it may be forgotten, and nothing is forgotten
-            // that a command still under way could start again.
+            // A completion is stored before its attempt may be reaped, and no attempt is reaped that a command still
+            // under way could start again.
             let unstored =
                 matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
-            // What has ended of a job that is suspended is looked at once it is released.
+            // Exited attempts of a suspended job are evaluated when the job is resumed.
             let may_reap = binding.is_none() && !unstored && m.is_settled() && !self.is_suspended(&task.job);
             return may_reap.then_some(WorkerCommand::Reap { task, attempt });
         }
@@ -136,7 +139,7 @@
         must_halt.then_some(WorkerCommand::Halt { task, attempt, grace_s })
     }
 
-    /// The launch of a bound task that is stored and not shown by its machine, if it may start.
+    /// The launch of a bound task, if its binding is stored, its machine does not report it and it may start.
     fn launch_command(&self, m: &Machine, key: &TaskKey) -> Option<WorkerCommand> {
         let job = self.jobs.get(&key.job)?;
         let task = job.tasks.get(key.index as usize)?;
@@ -150,22 +153,23 @@
         may_launch.then(|| WorkerCommand::Launch { task: key.clone(), attempt: task.attempt })
     }
 
-    /// Commands for machines that have something new to be told, or have not yet seen this leader's fencing token.
+    /// Direct commands for machines that have new commands or have not yet seen this leader's fencing token.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<DirectCommand> {
         let due = self.machines_to_command(now);
         due.into_iter().filter_map(|id| self.direct_command(id, now)).collect()
     }
 
-    /// Machines that may be sent a command now: with news first, then those that are to see the fencing token.
+    /// Machines that may be sent a direct command now: those with new commands first, then those that have not seen the
+    /// fencing token, then those with a one-way partition.
     fn machines_to_command(&self, now: Instant) -> Vec<MachineId> {
-        let (mut with_news, mut unaware, mut under_way) = (Vec::new(), Vec::new(), 0);
-        // Whether those that do not hear do now: the answer to a command tells at once.
+        let (mut with_new_commands, mut unaware, mut under_way) = (Vec::new(), Vec::new(), 0);
+        // Machines with a one-way partition: a reply to a command shows at once that it has healed.
         let mut probes = Vec::new();
         for m in self.machines.values() {
             if m.command_under_way {
                 under_way += 1;
             } else if m.state != MachineState::Terminating && m.command_due {
-                with_news.push(m.id.clone());
+                with_new_commands.push(m.id.clone());
             } else if m.state != MachineState::Terminating && now >= m.next_command_at {
                 if m.inbound_lost {
                     probes.push(m.id.clone());
@@ -174,21 +178,21 @@
                 }
             }
         }
-        // Each takes a socket, and heartbeats need as many; what is left over goes with the next.
-        let most = (self.settings.params.limits.max_sockets / SOCKETS_PER_COMMAND).max(4) as usize;
-        let most = most.saturating_sub(under_way);
-        let due_now = with_news.len() + unaware.len();
-        probes.truncate(most.saturating_sub(due_now).min(MAX_PROBES));
-        with_news.into_iter().chain(unaware).chain(probes).take(most).collect()
+        // Each command takes a socket, and heartbeats need sockets as well; the rest waits for the next round.
+        let limit = (self.settings.params.limits.max_sockets / SOCKETS_PER_COMMAND).max(4) as usize;
+        let limit = limit.saturating_sub(under_way);
+        let due_now = with_new_commands.len() + unaware.len();
+        probes.truncate(limit.saturating_sub(due_now).min(MAX_PROBES));
+        with_new_commands.into_iter().chain(unaware).chain(probes).take(limit).collect()
     }
 
-    /// The command for one machine, which is under way from now on; none if it has nothing to be told.
+    /// The direct command for one machine, which counts as under way from now on; None if there is nothing to send.
     fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<DirectCommand> {
         let m = self.machines.get(&id)?;
         let addr = m.addr.clone()?;
         let mut commands = self.commands_for_machine(m);
         if m.inbound_lost {
-            // Launches would only keep what they are for from being proven gone; they go with answers.
+            // A launch that may arrive would keep its task from being proven gone; launches go with responses instead.
             commands.retain(|o| !matches!(o, WorkerCommand::Launch { .. }));
         } else if commands.is_empty() && m.fencing_token >= self.fencing_token {
             if let Some(m) = self.machines.get_mut(&id) {
@@ -206,24 +210,24 @@
         Some(DirectCommand { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), commands })
     }
 
-    /// A direct command is no longer waited for. Unless settled, it may still be executed.
+    /// Records that the reply to a direct command is no longer awaited. Unless `settled`, it may still be executed.
     pub fn finish_direct_command(&mut self, machine: &MachineId, fencing_token: u64, settled: bool, now: Instant) {
-        // Of an earlier cluster state of this process, which lost leadership and has it again: the command that is
-        // under way now is another one.
+        // The command was sent from an earlier cluster state, before this process lost leadership and regained it; the
+        // command that is under way now is another one.
         if fencing_token < self.first_fencing_token {
             return;
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.command_under_way = false;
         m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
-        // A late stop or reap does nothing that was not meant for ever; a late launch does.
+        // Late halts and reaps are harmless since they are meant to last; a late launch is not.
         if !settled && std::mem::take(&mut m.launch_under_way) {
             m.unsettled_token = Some(m.unsettled_token.map_or(fencing_token, |t| t.max(fencing_token)));
             self.higher_token_wanted = true;
         }
     }
 
-    /// Whether commands that may still arrive are to be made void by a higher fencing token.
+    /// Whether the fencing token is to be raised to void commands that may still arrive.
     pub fn token_raise_needed(&self, now: Instant) -> bool {
         self.higher_token_wanted
             && self.loaded
@@ -231,7 +235,7 @@
             && self.machines.values().any(|m| m.unsettled_token.is_some_and(|t| t >= self.fencing_token))
     }
 
-    /// Goes on under a higher fencing token of the same leader, which voids all earlier commands.
+    /// Continues under a higher fencing token of the same leader, which voids all earlier commands.
     pub fn raise_fencing_token(&mut self, fencing_token: u64) {
         self.fencing_token = self.fencing_token.max(fencing_token);
         self.higher_token_wanted = false;
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -1,4 +1,4 @@
-//! Failures: what is noted of them, and what follows for jobs and machines.
+//! Task failures: how they are recorded, and the quarantines of jobs and machines that follow.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,12 @@
 use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::scheduling::failure_attribution::{Failure, PROBES};
 
-/// What has run for so long does well, as far as failures at the start are concerned.
+/// A task that has run for this long has not failed at its start.
 const HEALTHY_RUN_TIME: Duration = Duration::from_secs(15);
-/// Bound tasks of a job that are looked at for one that does well.
+/// Bound tasks of a job that are examined in the search for a healthy one.
 const MAX_TASKS_EXAMINED: usize = 200;
 
+/// Whether a task of the job is done, or has run on another machine than `except` for `HEALTHY_RUN_TIME`.
 fn has_healthy_task(job: &JobState, except: &MachineId, now: Instant) -> bool {
     job.done > 0
         || job.bound.iter().take(MAX_TASKS_EXAMINED).filter_map(|index| job.binding(*index)).any(|b| {
@@ -21,12 +22,14 @@
 }
 
 impl ClusterState {
+    /// Failures after which a machine is considered faulty.
     fn machine_failure_threshold(&self) -> usize {
         self.properties.machine_failures.ceil() as usize
     }
 
+    /// Attributes a task's failure, and quarantines its job or its machine accordingly.
     pub(super) fn record_failure(&mut self, key: &TaskKey, on: &MachineId, now: Instant) {
-        let enough = self.machine_failure_threshold();
+        let threshold = self.machine_failure_threshold();
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.ended.is_none()) else { return };
         let failure = Failure {
             task: key,
@@ -36,7 +39,7 @@
             at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
         };
         let quarantined = self.attribution.suspects(&key.job);
-        let response = self.attribution.failed(&failure, enough, now);
+        let response = self.attribution.failed(&failure, threshold, now);
         info!(job = %key.job, task_index = key.index, machine = %on, "task failed");
         if let Some(at) = response.job_not_before {
             job.not_before = job.not_before.max(at);
@@ -57,7 +60,7 @@
         }
     }
 
-    /// A task was done: its machine and its job are well.
+    /// Records that a task was done, which ends the quarantines of its machine and its job.
     pub(super) fn record_success(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let quarantined = self.attribution.suspects(&key.job);
@@ -78,10 +81,10 @@
         }
     }
 
-    /// Machines that have been quarantined for long enough: out, or back.
+    /// Ends quarantines that have lasted long enough: faulty machines are drained, the others take work again.
     pub(super) fn end_due_quarantines(&mut self, now: Instant) {
-        for (id, out) in self.attribution.decided(self.machine_failure_threshold(), now) {
-            if !out {
+        for (id, faulty) in self.attribution.decided(self.machine_failure_threshold(), now) {
+            if !faulty {
                 self.lift_machine_quarantine(&id);
             } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.state == MachineState::Up) {
                 warn!(machine = %id, "faulty machine detected; draining it for termination");
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -1,29 +1,29 @@
-//! Heartbeats: what workers say, compared with what is bound to them.
+//! Heartbeats: workers' reports, compared with the tasks that are bound to their machines.
 
 use std::time::{Duration, Instant};
 
 use tracing::{debug, info, warn};
 
-use super::{ClusterState, Machine, MachineId, MachineState, Phase};
+use super::{ClusterState, EstimateErrors, Machine, MachineId, MachineState, Phase};
 use crate::jobs::{JobId, Shape};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::{AttemptStatus, ExitCause, Heartbeat, TaskKey};
 use crate::scheduling::messages::{MessageKind, MessageSequence};
 use crate::sla;
 
-/// What a machine's latest report says of the tasks that are bound to it.
+/// What a machine's latest report shows of the tasks bound to it.
 #[derive(Default)]
 struct ReportFindings {
-    /// Jobs of which a task runs, and of which none was known to.
+    /// Jobs with a running task that were not known to have run.
     started_jobs: Vec<JobId>,
-    /// Attempts that have exited, and why.
+    /// Tasks whose attempt has exited, with the cause.
     exited_tasks: Vec<(TaskKey, ExitCause)>,
-    /// Tasks that are proven not to be there.
+    /// Tasks that are proven not to be on the machine.
     missing_tasks: Vec<TaskKey>,
 }
 
 impl Machine {
-    /// Its first message: it takes work from now on. Returns whether it was.
+    /// Lets a booting machine take work, on its first message. Returns whether it was booting.
     fn mark_joined(&mut self, now: Instant) -> bool {
         if self.state != MachineState::Booting {
             return false;
@@ -35,7 +35,7 @@
         true
     }
 
-    /// Fences commands of earlier agent epochs: the worker refuses them from now on.
+    /// Records a new agent epoch: the worker refuses commands of earlier epochs from now on.
     fn enter_agent_epoch(&mut self, agent_epoch: u64) {
         if agent_epoch > self.agent_epoch {
             self.agent_epoch = agent_epoch;
@@ -54,7 +54,7 @@
         self.last_seen = now;
     }
 
-    /// Records what the message says. Returns whether room has come free that unknown tasks had taken.
+    /// Records the report in a message. Returns whether it frees the machine of unbound tasks that blocked it before.
     fn record_report(&mut self, heartbeat: Heartbeat, kind: Option<usize>) -> bool {
         self.addr = Some(heartbeat.addr);
         self.type_name = heartbeat.type_name;
@@ -66,9 +66,9 @@
             self.unsettled_token = None;
         }
         self.attempts = heartbeat.attempts;
-        let had_strays = self.has_unbound_tasks();
+        let had_unbound_tasks = self.has_unbound_tasks();
         self.update_unbound_tasks();
-        had_strays && !self.has_unbound_tasks()
+        had_unbound_tasks && !self.has_unbound_tasks()
     }
 
     /// Records an interruption notice, if there is one. Returns whether it is the first.
@@ -90,8 +90,8 @@
 }
 
 impl ClusterState {
-    /// Takes in a worker's heartbeat, or its reply to a command: rejects what is stale, records what it says, and
-    /// reconciles the bindings with it. The answer is made by `commands_in_answer`.
+    /// Applies a worker's heartbeat, or its reply to a command: rejects a stale one, records the report, and reconciles
+    /// the bindings with it. The commands of the response come from `heartbeat_response_commands`.
     pub fn take_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -117,7 +117,7 @@
         self.replan_needed |= machine.mark_joined(now);
         machine.record_message(sequence, message, now);
         machine.partition.record_message(&heartbeat, message, self.settings.params.workers.lease(), now);
-        // It was made after the worker had heard this leader, so it is no copy of before.
+        // The worker sent it after it had received this leader's fencing token, so it is not a delayed older message.
         if heartbeat.fencing_token >= self.first_fencing_token {
             self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true);
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Compares what every machine last reported with what is bound to it.
+    /// Reconciles every machine's last report with the tasks bound to it.
     pub fn reconcile_all_machines(&mut self, now: Instant) {
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Compares what a machine reported with what is bound to it, and records what follows.
+    /// Compares a machine's last report with the tasks bound to it, and records starts, exits and losses.
     fn reconcile_machine(&mut self, id: &MachineId, now: Instant) {
         if !self.loaded {
             return;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Finds the attempt of each bound task among those that its machine reported, and takes over its status.
+    /// Looks up the attempt of each bound task in its machine's report, and records its status in the binding.
     fn compare_attempts(&mut self, id: &MachineId, now: Instant) -> ReportFindings {
         let mut findings = ReportFindings::default();
         let Some(machine) = self.machines.get(id).filter(|machine| machine.reported()) else { return findings };
@@ -194,14 +194,17 @@
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let spec_shape = job.spec().shape;
         if cause == ExitCause::Done && spec_shape != Shape::Service && job.ended.is_none() {
-            let ran =
+            let run_time =
                 job.binding(key.index).and_then(|b| b.running_since).map(|since| now.saturating_duration_since(since));
             let estimate = job.spec().estimate();
-            if let Some(ran) = ran.filter(|_| !estimate.is_zero() && job.tasks[key.index as usize].attempt == 1) {
-                let off = (ran.as_secs_f64().max(1.0) / estimate.as_secs_f64()).ln().clamp(-2.0, 2.0);
+            let first_attempt = job.tasks[key.index as usize].attempt == 1;
+            if let Some(run_time) = run_time.filter(|_| !estimate.is_zero() && first_attempt) {
+                let log_ratio = (run_time.as_secs_f64().max(1.0) / estimate.as_secs_f64()).ln().clamp(-2.0, 2.0);
                 let class = &job.record.spec.class;
-                let (logs, n) = self.observed.get(class).copied().unwrap_or_default();
-                self.observed.put(class.clone(), (logs + off, n + 1.0));
+                let EstimateErrors { log_ratio_sum, samples } =
+                    self.estimate_errors.get(class).copied().unwrap_or_default();
+                let errors = EstimateErrors { log_ratio_sum: log_ratio_sum + log_ratio, samples: samples + 1.0 };
+                self.estimate_errors.put(class.clone(), errors);
             }
             self.complete_task(key, on, now);
             return;
@@ -241,7 +244,8 @@
         }
     }
 
-    /// The cloud takes the machine away: what can save and would not finish in time is stopped.
+    /// Drains a machine that the cloud recalls, and stops its tasks that don't run yet, or can save a checkpoint and
+    /// would not finish in time.
     fn handle_recall(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(recall) = machine.recall_at else { return };
@@ -255,10 +259,10 @@
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(binding) = job.binding(key.index) else { continue };
-            let rest = sla::remaining_run_time(self.estimated_run_time(job.spec()), binding.run_time(now));
+            let remaining = sla::remaining_run_time(self.estimated_run_time(job.spec()), binding.run_time(now));
             let save_s = job.spec().save_s;
             let can_save = job.spec().checkpoint_s > 0.0 && save_s + 1.0 < left.as_secs_f64();
-            if binding.running_since.is_none() || (can_save && rest > left) {
+            if binding.running_since.is_none() || (can_save && remaining > left) {
                 self.halt_task_or_gang(&key, save_s.ceil() as u64 + 1, now);
             }
         }
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: their arrival, what is read of them at a takeover, their end.
+//! Jobs in the cluster state: their arrival, their load from the store, and their end.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,40 +18,40 @@
 use crate::sla::Agreement;
 
 impl ClusterState {
-    /// Every job that is held, open or ending.
+    /// Every job in the cluster state, open or ending.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, &JobState)> {
         self.jobs.iter()
     }
-    /// One job, if it is held.
+    /// A job, if it is in the cluster state.
     pub fn job(&self, id: &JobId) -> Option<&JobState> {
         self.jobs.get(id)
     }
-    /// Whether the job is held.
+    /// Whether the job is in the cluster state.
     pub fn has_job(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
-    /// How many jobs are held.
+    /// The number of jobs in the cluster state.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// When this leader heard that a job ended, if it was lately.
+    /// When this leader learned that a job ended, if it is among the most recently ended ones.
     pub fn ended_at(&self, id: &JobId) -> Option<Instant> {
         self.job_end_times.peek(id).copied()
     }
 
-    /// Running and done tasks of a job, for display.
+    /// Counts of running and done tasks of a job, for display.
     pub fn task_counts(&self, id: &JobId) -> Counts {
         self.jobs.get(id).map_or_else(Counts::default, count_tasks)
     }
 
-    /// The same of every job.
+    /// Counts of running and done tasks of every job.
     pub fn all_task_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
         self.jobs.iter().map(|(id, job)| (id, count_tasks(job)))
     }
 
-    /// Begins to load afresh, after a reading that was broken off. Machines that have reported
-    /// meanwhile stay known.
+    /// Removes all jobs and bindings before a load, which may follow an incomplete one. Machines that have reported
+    /// meanwhile stay.
     pub fn reset_for_load(&mut self) {
         self.jobs.clear();
         self.ending_jobs.clear();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A job of which nothing is stored yet, or whose shards are loaded next.
+    /// Adds a job without stored tasks, or whose shards are loaded next.
     pub fn add_job(&mut self, record: Arc<JobRecord>, now: Instant) {
         let id = record.spec.id.clone();
         if self.jobs.contains_key(&id) {
@@ -79,13 +79,13 @@
         self.jobs.insert(id, job);
     }
 
-    /// One task of a job that is not in the cluster state.
+    /// A job of one task with this specification, without adding it to the cluster state.
     pub fn hypothetical_job(&self, spec: &JobSpec, now: Instant) -> JobState {
         let spec = JobSpec { tasks: 1, ..spec.clone() };
         self.new_job_state(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
     }
 
-    /// A job of which nothing has happened yet.
+    /// The state of a job none of whose tasks was placed yet.
     fn new_job_state(&self, record: Arc<JobRecord>, since: Instant, now: Instant) -> JobState {
         let n = record.spec.tasks as usize;
         let agreement = self.agreement(&record.spec);
@@ -112,8 +112,7 @@
         }
     }
 
-    /// What is stored of one shard of a job that was just added: at a takeover, before anything
-    /// is decided.
+    /// Loads one stored task shard of a job that was just added: at a failover, before anything is decided.
     pub fn load_shard(&mut self, id: &JobId, shard: u64, version: u64, stored: Vec<StoredTask>, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(slot) = job.shard_versions.get_mut(shard as usize) else { return };
@@ -154,7 +153,7 @@
         }
     }
 
-    /// A job with what is stored of its tasks, as (shard, version, tasks).
+    /// Adds a job with its stored task shards, as (shard, version, tasks).
     pub fn load_job(&mut self, record: Arc<JobRecord>, shards: Vec<(u64, u64, Vec<StoredTask>)>, now: Instant) {
         let id = record.spec.id.clone();
         self.add_job(record, now);
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Everything stored was loaded: from here on the cluster state decides.
+    /// Completes the load: from here on the cluster state is used for decisions.
     pub fn finish_load(&mut self, now: Instant) {
         let complete = self.jobs.iter().filter(|(_, job)| job.ended.is_none() && job.is_complete());
         self.completed_jobs.extend(complete.map(|(id, _)| id.clone()));
@@ -172,8 +171,8 @@
         self.reconcile_all_machines(now);
     }
 
-    /// What a new leader reads has come as well, some time ago. Classes that have not come for
-    /// longest make room for new ones.
+    /// Counts a job towards the arrival rate of its class; one that a new leader loads counts as of its age. The class
+    /// without arrivals for longest makes room for a new one.
     fn record_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
         let class = &record.spec.class;
         if !self.arrivals.contains_key(class)
@@ -188,7 +187,7 @@
         arrivals.record_job(record.clone(), age, now);
     }
 
-    /// A job to stand for what is expected of a class, if one is still open.
+    /// An open job that represents the expected arrivals of a class: its latest one, if any is still open.
     pub fn representative_job(&self, arrivals: &Arrivals) -> Option<&JobState> {
         self.jobs.get(&arrivals.latest.spec.id).or_else(|| {
             let same = |j: &&JobState| j.record.spec.class == arrivals.latest.spec.class;
@@ -200,16 +199,16 @@
         Agreement::of(spec, self.estimated_run_time(spec), self.properties.soft_deadline)
     }
 
-    /// The owner's estimate, corrected by how its class has been off so far. A handful of
-    /// finished tasks weigh as much as the leaders' word.
+    /// The user's run-time estimate, corrected by the mean error of its class so far. The uncorrected estimate weighs
+    /// as much as five finished tasks.
     pub fn estimated_run_time(&self, spec: &JobSpec) -> Duration {
-        let (logs, n) = self.observed.peek(&spec.class).copied().unwrap_or_default();
-        let factor = (logs / (n + 5.0)).exp().clamp(0.25, 4.0);
+        let errors = self.estimate_errors.peek(&spec.class).copied().unwrap_or_default();
+        let factor = (errors.log_ratio_sum / (errors.samples + 5.0)).exp().clamp(0.25, 4.0);
         spec.estimate().mul_f64(factor)
     }
 
-    /// The job's end is stored, if it is known which: nothing of it starts any more, and what runs
-    /// is stopped. `now`: at a takeover when it ended, as far as is known.
+    /// Records that a job has ended: none of its tasks is started any more, and the running ones are stopped. `how`:
+    /// None if it is not known how the job ended. `now`: at a failover, when it ended as far as is known.
     pub fn end_job(&mut self, id: &JobId, how: Option<End>, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.ended_done |= how == Some(End::Done);
@@ -226,7 +225,7 @@
         for index in bound {
             let key = TaskKey { job: id.clone(), index };
             let Some(binding) = self.jobs.get(id).and_then(|j| j.binding(index)) else { continue };
-            // Never told by anybody: nothing can arrive.
+            // No worker was ever told of it, so no launch can arrive.
             if binding.announced_epoch.is_none() && !binding.inherited {
                 self.unbind_task(&key, now);
             } else if let Some(machine) = self.machines.get_mut(&binding.machine) {
@@ -236,7 +235,7 @@
         self.remove_job_if_unbound(id);
     }
 
-    /// Tells once that a job runs; again after a takeover, since no change is written for it.
+    /// Logs once that a job runs; once more after a failover, since nothing is stored for it.
     pub(super) fn record_first_run(&mut self, id: &JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.has_run || job.ended.is_some() || !job.is_running() {
@@ -246,20 +245,22 @@
         info!(job = %id, "job started");
         let waited = now.saturating_duration_since(job.since);
         debug!(job = %id, wait_ms = waited.as_millis() as u64, "job wait measured");
-        // What an earlier leader has started it has counted; here it is only seen late.
-        let own = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
-        if own && self.large_gangs.is_large_gang(job.spec()) {
+        // A start by an earlier leader was counted by that leader; this one only learns of it late.
+        let started_here = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
+        if started_here && self.large_gangs.is_large_gang(job.spec()) {
             self.record_accounting_event(id, AccountingEvent::LargeGangStarted, now);
         }
     }
 
+    /// Removes an ended job that has no bound tasks, and queues its shards for deletion.
     pub(super) fn remove_job_if_unbound(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id)
             && job.ended.is_some()
             && job.bound.is_empty()
         {
-            let stored: Vec<u64> = (0u64..).zip(&job.shard_versions).filter(|(_, s)| **s > 0).map(|(c, _)| c).collect();
-            self.shards_to_drop.extend(stored.into_iter().map(|c| (id.clone(), c)));
+            let versions = (0u64..).zip(&job.shard_versions);
+            let stored: Vec<u64> = versions.filter(|(_, version)| **version > 0).map(|(shard, _)| shard).collect();
+            self.shards_to_drop.extend(stored.into_iter().map(|shard| (id.clone(), shard)));
             self.jobs.remove(id);
             self.ending_jobs.remove(id);
         }
--- a/src/scheduling/cluster/loads.rs
+++ b/src/scheduling/cluster/loads.rs
@@ -1,4 +1,4 @@
-//! Summed shares and returns of each machine's tasks, kept up to date.
+//! The load of each machine: the summed deadline shares and returns of its tasks.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,12 @@
 use super::model::task_load;
 use crate::sla::Load;
 
-/// Shares and returns move with time; counted again after this long (the design's retest).
+/// Deadline shares and returns change with time, so a machine's load is recomputed after this long (the retest of the
+/// design).
 const LOAD_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
 impl ClusterState {
-    /// Counts shares and returns again where a task has left or where they have grown old.
+    /// Recomputes the loads of machines that a task has left or whose load is older than `LOAD_REFRESH_INTERVAL`.
     pub fn refresh_loads(&mut self, now: Instant) {
         for machine in self.machines.values_mut() {
             if machine.load_computed_at.is_some_and(|at| now.saturating_duration_since(at) < LOAD_REFRESH_INTERVAL) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// What the tasks bound to a machine take, counted afresh.
+    /// What the tasks bound to a machine take, recomputed from the bindings.
     #[cfg(test)]
     pub fn recomputed_allocation(&self, machine: &Machine) -> AllocatedResources {
         let mut taken = AllocatedResources::default();
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! Machines from their rental to their return, as the cluster state is told of it.
+//! Machines in the cluster state, from their rental to their return.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::machine_kinds::MachineKind;
 use crate::protocol::workers::TaskKey;
 
-/// Names of returned machines kept, so that their late heartbeats are not taken for news.
+/// Returned machines whose ids are kept, so that their late heartbeats don't add them again.
 const MAX_RETURNED_MACHINES: usize = 20_000;
 
 /// A task that is stopped on its machine so that it continues elsewhere.
@@ -17,12 +17,12 @@
 pub struct TaskMove {
     /// The task.
     pub task: TaskKey,
-    /// Grace period in seconds: the time in which it saves a checkpoint.
+    /// Grace period in seconds: the time in which the task saves a checkpoint.
     pub grace_s: u64,
 }
 
 impl ClusterState {
-    /// A machine that was rented or listed, before it reports.
+    /// Adds a machine that was rented or that the cloud lists, before it reports. `held`: the time since its rental.
     pub fn expect_machine(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
         let id: MachineId = id.into();
         if self.returned_machine_ids.contains(&id) {
@@ -31,7 +31,7 @@
         let at = self.kind_index(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
-        // A new leader hears of machines before it is told how long they have been held.
+        // A new leader may learn of a machine before it is told when the machine was rented.
         machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
@@ -44,15 +44,15 @@
         }
     }
 
-    /// The cloud says that a machine is up.
+    /// Records that the cloud lists a machine as up.
     pub fn record_listed_up(&mut self, id: &str, now: Instant) {
-        // From now on it should be heard of: until now it was booting, for all that is known here.
+        // From now on it is expected to report; until now it was booting, as far as this leader knows.
         if let Some(machine) = self.machines.get_mut(id).filter(|m| !m.reported() && !m.listed_up) {
             (machine.listed_up, machine.last_seen) = (true, now);
         }
     }
 
-    /// Marks a machine to be returned with whatever is on it; `reason` goes to the log.
+    /// Schedules a machine to be returned with whatever runs on it; `reason` goes to the log.
     pub fn schedule_termination(&mut self, id: &str, reason: &str) {
         if let Some(machine) = self.machines.get_mut(id)
             && machine.state != MachineState::Terminating
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Orders that an earlier leader has stored and may yet carry out. What is to be returned takes no
-    /// work from here on, whether or not it was heard of before.
+    /// Records the orders that an earlier leader has stored and may still carry out. Machines that they return take no
+    /// more work, whether or not they were known before.
     pub fn inherit_orders(&mut self, orders: Vec<CloudOrder>, now: Instant) {
         for order in &orders {
             let CloudAction::Terminate(names) = &order.action else { continue };
@@ -78,7 +78,7 @@
         self.inherited_orders = orders;
     }
 
-    /// Work that would otherwise go on waiting goes to this machine: one that was to be spared stays.
+    /// Cancels the drain of a scale-in candidate, because work that would otherwise wait is placed on it.
     pub fn cancel_drain(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         if machine.state == MachineState::Draining && machine.scale_in_candidate {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// No new work for a machine that can be spared; these tasks of it save and move.
+    /// Drains a machine that is not needed; the tasks in `moves` save a checkpoint and continue elsewhere.
     pub fn drain_machine(&mut self, id: &MachineId, moves: &[TaskMove], now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         (machine.state, machine.scale_in_candidate) = (MachineState::Draining, true);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The cloud has confirmed the return: everything on it is gone.
+    /// Removes a machine whose return the cloud has confirmed: everything on it is gone.
     pub fn remove_machine(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get(id) else { return };
         let keys: Vec<TaskKey> = machine.bound.iter().cloned().collect();
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -1,9 +1,9 @@
 //! The leader's cluster state: tasks, machines and the bindings between them.
 //!
-//! A task is bound to its machine from the moment it is chosen until something proves it gone:
-//! its exit, a heartbeat newer than every command that may still arrive, a new agent epoch, or
-//! a completed return of the machine. The cluster state is changed by heartbeats, by what was stored and by
-//! decisions; it does no I/O and reads no clock.
+//! A task is bound to its machine from the moment the machine is chosen until the task is proven gone: by its exit,
+//! by a heartbeat newer than every command that may still arrive, by a new agent epoch, or by the completed
+//! termination of the machine. Heartbeats, stored values and scheduling decisions change the cluster state; it does
+//! no I/O and reads no clock.
 
 mod accounting;
 mod bindings;
@@ -49,104 +49,113 @@
 use crate::process_pause::ProcessPause;
 use crate::settings::{Properties, Settings};
 
-/// Types, zones and kinds kept apart.
+/// Distinct combinations of machine type, zone and spot flag that the cluster state tells apart.
 const MAX_MACHINE_KINDS: usize = 1000;
 
-/// Jobs of which it is kept when they ended.
+/// Ended jobs whose end time is kept.
 const MAX_JOB_END_TIMES: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
 
-/// Users choose the ids, so they are digested as nobody can foresee; in tests alike in every run, so that a
-/// seed runs the same interleaving again.
+/// Hashes job ids. Users choose the ids, so the hash is randomly keyed; in tests it is the same in every run, so that a
+/// seed reproduces its interleaving.
 #[cfg(not(test))]
 type JobIdHasher = std::hash::RandomState;
 #[cfg(test)]
 type JobIdHasher = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
-/// What the leader knows and decides by: jobs, machines, bindings, and what follows from them. It does no I/O and reads
-/// no clock. One lock, held by `scheduling::leader_state`, guards all of it.
+/// The state from which the leader schedules: jobs, machines, bindings and what is derived from them. It does no I/O
+/// and reads no clock. One lock, held by `scheduling::leader_state`, guards all of it.
 pub struct ClusterState {
     /// The fencing token of this leader, raised when commands have to be voided.
     pub fencing_token: u64,
-    /// The fencing token under which it began. Under later ones the same leader goes on, which knows what it has
-    /// told under this one.
+    /// The first fencing token of this leader. Under higher ones it is still the same leader, which knows every command
+    /// that it has sent since this one.
     pub first_fencing_token: u64,
-    /// Everything stored has been read; nothing is decided before.
+    /// Whether everything stored has been read; nothing is decided before.
     pub loaded: bool,
-    /// Every end that stood in the store at this revision is in this cluster state, once it is loaded.
+    /// The revision of the store up to which every job end is in this cluster state, once it is loaded.
     pub known_ends_revision: u64,
-    /// The cancellation watermark, a revision of the store; it never goes back.
+    /// The cancellation watermark, a revision of the store; it never decreases.
     watermark: u64,
-    /// What the platform has handed over.
+    /// The platform's settings.
     pub settings: Settings,
-    /// The operators' own settings.
+    /// The operators' settings.
     pub properties: Properties,
     jobs: HashMap<JobId, JobState, JobIdHasher>,
-    /// Jobs whose end is known and of which something is still bound.
+    /// Jobs that have ended and still have bound tasks.
     ending_jobs: BTreeSet<JobId>,
     /// Jobs with shards that could not be read.
     suspended_jobs: SuspendedJobs,
-    /// Every type, zone and kind that a machine was ever of; machines name theirs by its place.
+    /// Every machine type, zone and spot flag that any machine has had; machines refer to theirs by its index.
     machine_kinds: Vec<MachineKind>,
-    /// Something that placement depends on has changed since the last plan.
+    /// Whether anything that placement depends on has changed since the last plan.
     pub(super) replan_needed: bool,
-    /// Every machine that is held or was heard of, by name.
+    /// Every machine that is rented or has reported, by id.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines that were returned, the latest last, so that their late heartbeats are not taken for new ones.
+    /// Returned machines, the latest last, so that their late heartbeats don't add them again.
     returned_machines: VecDeque<MachineId>,
-    /// The same, for lookup.
+    /// The ids in `returned_machines`, for lookup.
     returned_machine_ids: HashSet<MachineId>,
-    /// Task shards that the store is behind on.
+    /// Task shards whose stored value is out of date.
     unstored_shards: UnstoredShards,
-    /// Jobs complete but not yet stored as done.
+    /// Jobs that are complete and not yet stored as done.
     completed_jobs: VecDeque<JobId>,
-    /// Shards of jobs that are over, to be dropped.
+    /// Task shards of ended jobs, to be deleted from the store.
     shards_to_drop: VecDeque<(JobId, u64)>,
     /// Cores and accelerators that each team's bound tasks take.
     pub team_usage: HashMap<String, TeamUsage>,
     /// When the fencing token was last raised.
     token_raised_at: Instant,
-    /// A launch that may still arrive is to be voided by a higher fencing token.
+    /// Whether a launch that may still arrive is to be voided by a higher fencing token.
     higher_token_wanted: bool,
-    /// When many machines were last silent together.
+    /// When many machines were last silent at the same time.
     many_silent_seen_at: Option<Instant>,
-    /// When this controller last was paused.
+    /// The last pause of this controller's process.
     last_pause: Option<ProcessPause>,
-    /// When everything stored was read.
+    /// When everything stored had been read.
     loaded_at: Instant,
-    /// By class: how observed run times compare with the leaders' estimates (sum of logs, count).
-    observed: LruCache<String, (f64, f64)>,
-    /// How fast tasks of each class have lately come.
+    /// By class, how observed run times compare with the users' estimates.
+    estimate_errors: LruCache<String, EstimateErrors>,
+    /// The recent arrival rate of tasks, by class.
     pub arrivals: BTreeMap<String, Arrivals>,
     /// Offered work and credit of the largest gangs.
     pub large_gangs: LargeGangs,
-    /// Machines kept for gangs that will soon fit.
+    /// Machines reserved for gangs that will soon fit.
     pub reservations: HashMap<MachineId, Reservation>,
-    /// Machines on which others were stopped for a job, until it has come there.
+    /// Machines on which tasks were preempted for a job, reserved until the job is placed there.
     pub preemption_reservations: HashMap<MachineId, Reservation>,
-    /// Since when plans have kept room for a gang.
+    /// Since when plans have held room for a gang.
     pub(super) gang_room_held_since: Option<Instant>,
     /// Jobs that wait although machines have room for them.
     pub(super) passed_over: PassedOverJobs,
     /// Classes and teams that were served less than the floor, by fair-share accounting.
     pub underserved: Underserved,
-    /// What is known of failures, by which they are attributed to a job, a task or a machine.
+    /// Recent failures, and whether a job, a task or a machine is at fault.
     pub attribution: FailureAttribution,
-    /// Cores that work which is late for all its objectives may take before others.
+    /// Cores that jobs too late for all their objectives may take ahead of other work.
     pub core_credit: CoreCredit,
-    /// Orders to the cloud that an earlier leader has left, for whoever carries them out.
+    /// Cloud orders left by an earlier leader, for the fleet to resume.
     pub inherited_orders: Vec<CloudOrder>,
-    /// When jobs ended, of the last ones that this leader heard of.
+    /// When the most recently ended jobs ended.
     job_end_times: LruCache<JobId, Instant>,
     /// What the operators' declarations ask of scheduling.
     pub intents: Intents,
-    /// Jobs have come since that was worked out.
+    /// Whether jobs have arrived since the intents were computed.
     pub intents_outdated: bool,
-    /// Events that fair-share accounting has not been told of yet.
+    /// Events not yet passed to fair-share accounting.
     accounting_events: Vec<(JobId, AccountingEvent, Instant)>,
 }
 
+/// How far the run times of a class were from their estimates.
+#[derive(Debug, Clone, Copy, Default)]
+struct EstimateErrors {
+    /// Sum of the logarithms of observed over estimated run time.
+    log_ratio_sum: f64,
+    /// How many tasks were observed.
+    samples: f64,
+}
+
 impl ClusterState {
-    /// An empty state for a leader that has just been assigned; `load` fills it.
+    /// An empty state for a new leader; `scheduling::load` fills it.
     pub fn new(fencing_token: u64, settings: Settings, properties: Properties, now: Instant) -> Self {
         Self {
             fencing_token,
@@ -172,7 +181,7 @@
             many_silent_seen_at: None,
             last_pause: None,
             loaded_at: now,
-            observed: LruCache::new(MAX_CLASSES),
+            estimate_errors: LruCache::new(MAX_CLASSES),
             arrivals: BTreeMap::new(),
             large_gangs: LargeGangs::new(&properties, now),
             reservations: HashMap::new(),
@@ -191,7 +200,7 @@
         }
     }
 
-    /// The place of a type, zone and kind in the list of kinds; none past what is sane, since
+    /// The index of a machine type, zone and spot flag in `machine_kinds`. None beyond `MAX_MACHINE_KINDS`, since
     /// reports may name anything.
     fn kind_index(&mut self, type_name: &str, zone: &str, spot: bool) -> Option<usize> {
         let same = |k: &MachineKind| k.type_name == type_name && k.zone == zone && k.spot == spot;
@@ -203,7 +212,7 @@
         known
     }
 
-    /// Entries of everything that could grow, by name.
+    /// Entry counts of all collections that could grow, by name.
     pub fn entry_counts(&self) -> [(&'static str, usize); 12] {
         let [machines_quarantined, jobs_quarantined, jobs_failing] = self.attribution.held();
         [
@@ -216,23 +225,23 @@
             ("deaf", self.machines.values().filter(|m| m.inbound_lost).count()),
             ("returned", self.returned_machines.len()),
             ("kinds", self.machine_kinds.len()),
-            ("classes", self.observed.len().max(self.arrivals.len())),
+            ("classes", self.estimate_errors.len().max(self.arrivals.len())),
             ("to_store", self.unstored_shards.len() + self.completed_jobs.len()),
             ("to_drop", self.shards_to_drop.len()),
         ]
     }
 
-    /// For whom a machine is held: first for whom others were stopped there.
+    /// The reservation of a machine; one made by preemption comes first.
     pub fn reservation(&self, id: &MachineId, now: Instant) -> Option<&Reservation> {
-        self.preemption_reservations.get(id).filter(|h| h.until > now).or_else(|| self.reservations.get(id))
+        self.preemption_reservations.get(id).filter(|r| r.until > now).or_else(|| self.reservations.get(id))
     }
 
-    /// Every type, zone and kind that a machine was ever of; a machine's `kind` is a place in it.
+    /// Every machine type, zone and spot flag that any machine has had, in the order of `Machine::kind_index`.
     pub fn kinds(&self) -> &[MachineKind] {
         &self.machine_kinds
     }
 
-    /// Whether a plan may find something that the last one did not.
+    /// Returns whether placement may differ from the last plan, and resets the flag.
     pub fn take_replan_needed(&mut self) -> bool {
         std::mem::take(&mut self.replan_needed)
     }
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -1,5 +1,5 @@
-//! What operators have declared asks of scheduling, as plain data. `declarations` works it out from what is stored;
-//! `scheduling::intents` applies it.
+//! Intents: what the operators' declarations ask of scheduling, as plain data. `declarations` computes them from the
+//! stored declarations; `scheduling::intents` applies them.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -7,88 +7,88 @@
 use crate::jobs::{JobId, JobSpec};
 use crate::scheduling::fairness::floor::ClassTeamSet;
 
-/// A job's place in the order of its window.
+/// A job's position in the order of its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowPlace {
     /// The name of the window.
     pub window: String,
-    /// Its number in the window's order.
+    /// The job's position in the window's order; lower ones go first.
     pub position: u32,
 }
 
-/// Who goes ahead of others of the same urgency.
+/// Classes and teams whose jobs go ahead of others of the same urgency.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PriorityBoost {
     /// The classes and teams that go ahead.
     pub names: ClassTeamSet,
-    /// The part of all cores given out that they may hold so; beyond it they go by return.
+    /// The share of all allocated cores that they may hold this way; beyond it their jobs are ordered by return.
     pub max_core_share: f64,
 }
 
-/// Room that is to be there for tasks yet to come.
+/// Capacity that is to be available for expected tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CapacityIntent {
-    /// The shape of each task.
+    /// The specification of each task.
     pub task_spec: JobSpec,
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u64,
-    /// Seconds from now; 0: now.
+    /// Seconds until the capacity is needed; 0 means now.
     pub needed_in_s: f64,
 }
 
-/// A service whose replicas somebody decides.
+/// Limits on the replicas of a service, set by a declaration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReplicaIntent {
-    /// Bound at the most, beside those that stop.
+    /// Maximum number of bound replicas, not counting those in `stop`.
     pub max_bound: u64,
-    /// Replicas to be stopped, and not to be placed again.
+    /// Replicas to be stopped and not placed again.
     pub stop: BTreeSet<u32>,
-    /// Sparing machines leaves them where they are.
+    /// Whether scale-in leaves the replicas on their machines.
     pub keep_in_place: bool,
-    /// They go ahead of others of the same urgency.
+    /// Whether the replicas go ahead of others of the same urgency.
     pub prioritized: bool,
 }
 
-/// All that scheduling follows of what operators have declared.
+/// All intents that scheduling follows.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Intents {
-    /// Jobs whose turn in their window has come: of one window the lesser number first.
+    /// Jobs whose turn in their window has come; within a window, lower positions go first.
     pub window_turns: HashMap<JobId, WindowPlace>,
-    /// Jobs whose turn has not come: not placed yet, and nothing is held or rented for them.
+    /// Jobs whose turn has not come: they are not placed, and no capacity is reserved or rented for them.
     pub deferred_jobs: HashSet<JobId>,
-    /// Classes and teams that go ahead at the moment.
+    /// Classes and teams that go ahead at present.
     pub priority_boost: Option<PriorityBoost>,
-    /// Room that is to be there in time.
+    /// Capacity that is to be available in time.
     pub capacity: Vec<CapacityIntent>,
-    /// Services whose replicas are decided elsewhere.
+    /// Limits on the replicas of services, by job.
     pub replicas: HashMap<JobId, ReplicaIntent>,
 }
 
 impl Intents {
-    /// Whether nothing is asked for.
+    /// Whether there are no intents.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// How many waiting tasks of a job may be placed now: all, unless somebody decides its replicas.
+    /// How many waiting tasks of a job may be placed now: all, unless its replicas are limited.
     pub fn placeable_tasks(&self, id: &JobId, job: &JobState) -> usize {
-        let Some(of) = self.replicas.get(id) else { return job.waiting.len() };
-        let beside = |tasks: &BTreeSet<u32>| tasks.difference(&of.stop).count();
-        beside(&job.waiting).min((of.max_bound as usize).saturating_sub(beside(&job.bound)))
+        let Some(replicas) = self.replicas.get(id) else { return job.waiting.len() };
+        let count_unstopped = |tasks: &BTreeSet<u32>| tasks.difference(&replicas.stop).count();
+        count_unstopped(&job.waiting).min((replicas.max_bound as usize).saturating_sub(count_unstopped(&job.bound)))
     }
 
     /// Replicas of a job that are not to be placed.
     pub fn stopped_replicas(&self, id: &JobId) -> impl Iterator<Item = u32> {
-        self.replicas.get(id).into_iter().flat_map(|of| of.stop.iter().copied())
+        self.replicas.get(id).into_iter().flat_map(|replicas| replicas.stop.iter().copied())
     }
 
-    /// Sparing a machine moves nothing of this job.
+    /// Whether scale-in leaves the tasks of this job on their machines.
     pub fn keeps_in_place(&self, id: &JobId) -> bool {
-        self.replicas.get(id).is_some_and(|of| of.keep_in_place)
+        self.replicas.get(id).is_some_and(|replicas| replicas.keep_in_place)
     }
 
-    /// A job short of the replicas that it has to have goes first.
+    /// Whether a job goes first because it has fewer replicas than it has to have.
     pub fn prioritizes_replicas(&self, id: &JobId) -> bool {
-        self.replicas.get(id).is_some_and(|of| of.prioritized)
+        self.replicas.get(id).is_some_and(|replicas| replicas.prioritized)
     }
 }
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -11,20 +11,20 @@
 use crate::scheduling::promises::{Promise, next_start_s};
 use crate::sla::Agreement;
 
-/// Where a task is placed, and what is known of it there.
+/// The binding of a task to a machine, and what the machine's worker has reported of the task.
 #[derive(Debug, Clone)]
 pub struct Binding {
     /// The machine that the task is bound to.
     pub machine: MachineId,
-    /// The agent epoch in which this leader first told the worker, if it did.
+    /// The agent epoch in which this leader first sent the worker a launch, or the worker first reported the task.
     pub(in crate::scheduling::cluster) announced_epoch: Option<u64>,
-    /// Stored by an earlier leader, which may have told the worker under an older fencing token.
+    /// Whether an earlier leader stored the binding; it may have sent the launch under an older fencing token.
     pub(in crate::scheduling::cluster) inherited: bool,
-    /// What the worker last reported of the task; none before the first heartbeat that shows it.
+    /// The last reported status of the task; None before the first heartbeat that shows it.
     pub status: Option<AttemptStatus>,
-    /// When it was first seen running.
+    /// When the task was first seen running.
     pub running_since: Option<Instant>,
-    /// Being stopped, with this much time to save.
+    /// The grace period in seconds for saving a checkpoint, if the task is being stopped.
     pub halt_grace_s: Option<u64>,
     /// When the binding was made or read from the store.
     pub since: Instant,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The worker reports the attempt in this state.
+    /// Records the status of the attempt that the worker reports.
     pub(in crate::scheduling::cluster) fn record_status(
         &mut self,
         status: AttemptStatus,
@@ -57,43 +57,44 @@
         }
     }
 
-    /// Whether a report that does not show the attempt proves that it is not there. `settled`: no launch can arrive
-    /// any more. A task that this leader wants to start and that was never seen may still come.
+    /// Whether a report that does not show the attempt proves that it is not on the machine. `settled`: no launch can
+    /// arrive any more. A task that this leader wants to start and that was never reported may still start.
     pub(in crate::scheduling::cluster) fn is_absent(&self, agent_epoch: u64, settled: bool, job_ended: bool) -> bool {
         let epoch_over = self.announced_epoch.is_some_and(|announced_in| announced_in < agent_epoch);
         let unneeded = job_ended || self.halt_grace_s.is_some() || self.inherited || self.status.is_some();
         epoch_over || (settled && unneeded)
     }
 
-    /// For how long it has been running, as far as was reported.
+    /// How long the task has been running, as far as was reported.
     pub fn run_time(&self, now: Instant) -> Duration {
         self.running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
 
-/// Where a task stands.
+/// The phase of a task.
 #[derive(Debug, Clone)]
 pub enum Phase {
-    /// Not placed.
+    /// The task has no machine.
     Waiting,
-    /// Boxed, so that the many that wait take little.
+    /// The task is bound to a machine. Boxed, so that the many waiting tasks take little memory.
     Bound(Box<Binding>),
-    /// Completed; it never runs again.
+    /// The task has completed and never runs again.
     Done,
 }
 
 /// One task of an open job.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// The number of its last start; 0 if it never had one.
+    /// The number of the last attempt; 0 if there was none.
     pub attempt: u64,
-    /// Where it stands.
+    /// The task's phase.
     pub phase: Phase,
-    /// Whether the store says the same.
+    /// Whether the store holds this state of the task.
     pub stored: bool,
 }
 
 impl Task {
+    /// The form in which the task is stored.
     pub(in crate::scheduling::cluster) fn as_stored(&self) -> StoredTask {
         match &self.phase {
             Phase::Done => StoredTask::Done,
@@ -106,80 +107,82 @@
 
 /// A job as the leader schedules it: its record, its tasks and what is derived from them.
 pub struct JobState {
-    /// The job as it is stored.
+    /// The stored record of the job.
     pub record: Arc<JobRecord>,
-    /// Run time, deadline, budget and penalty rate by which its tasks are admitted and ordered.
+    /// Run time, deadline, budget and penalty rate, by which the job's tasks are admitted and ordered.
     pub agreement: Agreement,
-    /// When its user first asked, by this process's steady clock.
+    /// When its user first submitted the job, by this process's monotonic clock.
     pub since: Instant,
     /// All tasks, by number.
     pub tasks: Vec<Task>,
-    /// Numbers of the tasks that wait for a place.
+    /// Numbers of the tasks that wait for placement.
     pub waiting: BTreeSet<u32>,
     /// Numbers of the tasks that are bound to a machine.
     pub bound: BTreeSet<u32>,
     /// How many tasks are done.
     pub done: u64,
+    /// The stored version of each task shard; 0 if it was never stored.
     pub(in crate::scheduling::cluster) shard_versions: Vec<u64>,
-    /// When this process heard that the job ended, done or cancelled.
+    /// When this process learned that the job ended, done or cancelled.
     pub ended: Option<Instant>,
-    /// Its end was not stored yet at this revision.
+    /// A revision of the store at which the job's end was not stored yet.
     pub(in crate::scheduling::cluster) ended_after: u64,
-    /// It ended as done: whatever is left of it needs no proof in time.
+    /// Whether the job ended as done: its remaining tasks need not be proven gone in time.
     pub(in crate::scheduling::cluster) ended_done: bool,
-    /// Not to be placed before, after failures.
+    /// The earliest time of the next placement, after failures.
     pub not_before: Instant,
-    /// The image's name, digested: what machines hold is compared by this.
+    /// The digest of the image's name, by which images are compared.
     pub image_digest: u64,
-    /// When a task of it last ended.
+    /// When a task of the job last ended.
     pub last_task_end: Option<Instant>,
-    /// All that its user was promised.
+    /// All promises to the job's user, from the objectives and its own deadline.
     pub promises: Box<[Promise]>,
-    /// Tasks that had a place at least once.
+    /// How many tasks were placed at least once.
     pub(in crate::scheduling::cluster) placed_tasks: usize,
-    /// Starts of the task that had most of them.
+    /// The highest attempt number of any task.
     pub(in crate::scheduling::cluster) max_attempt: u64,
-    /// This leader knows that it runs, or has.
+    /// Whether this leader has seen the job run.
     pub(in crate::scheduling::cluster) has_run: bool,
 }
 
 impl JobState {
-    /// What was submitted.
+    /// The specification that was submitted.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
 
-    /// Shards with their versions in the store, of those that the store is not behind on: nothing of
-    /// them is on its way there.
+    /// Shards whose stored value is up to date, so that no write of them is pending, as (shard, version).
     pub fn stored_shards(&self) -> impl Iterator<Item = (u64, u64)> {
-        let settled = |shard: u64| self.shard(shard).iter().all(|t| t.stored);
+        let is_stored = |shard: u64| self.shard(shard).iter().all(|t| t.stored);
         (0u64..)
             .zip(self.shard_versions.iter().copied())
-            .filter(move |(shard, version)| *version > 0 && settled(*shard))
+            .filter(move |(shard, version)| *version > 0 && is_stored(*shard))
     }
 
+    /// The tasks of a shard.
     pub(in crate::scheduling::cluster) fn shard(&self, shard: u64) -> &[Task] {
         let from = (shard * TASKS_PER_SHARD) as usize;
         let to = (from + TASKS_PER_SHARD as usize).min(self.tasks.len());
         self.tasks.get(from..to).unwrap_or_default()
     }
 
-    /// Nothing that was promised of it can be kept by starting it now or later.
+    /// Whether no promise to the job's user can be kept any more by starting the job now or later.
     pub fn is_too_late(&self, age: Duration) -> bool {
         next_start_s(&self.promises, self.agreement.run_time, age).is_none()
     }
 
-    /// The part of its tasks that never had a place.
+    /// The fraction of the tasks that were never placed.
     pub fn never_placed_fraction(&self) -> f64 {
         1.0 - self.placed_tasks as f64 / self.tasks.len().max(1) as f64
     }
 
-    /// This leader knows that it runs, or has.
+    /// Whether this leader has seen the job run.
     pub fn has_run(&self) -> bool {
         self.has_run
     }
 
-    /// A gang runs once all its tasks do; of anything else one is enough. A task that is done has run.
+    /// Whether the job runs: a gang once all its tasks do, any other job once one task does. A job with a task that is
+    /// done counts as running.
     pub(in crate::scheduling::cluster) fn is_running(&self) -> bool {
         let runs = |index: &u32| {
             self.binding(*index)
@@ -194,25 +197,25 @@
         self.bound.iter().any(runs)
     }
 
-    /// What must be free together for anything of it to start, in cores.
+    /// The cores that must be free at once for the job to start: those of all tasks of a gang, otherwise of one task.
     pub fn min_start_cores(&self) -> f64 {
         let spec = self.spec();
         if spec.is_gang() { spec.cpus * spec.tasks as f64 } else { spec.cpus }
     }
 
-    /// A waiting task of it has lost so many starts. Looked for only where any task was started so
-    /// often: jobs may have a hundred thousand.
-    pub fn has_waiting_task_with_attempts(&self, least: u64) -> bool {
-        self.max_attempt >= least
-            && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= least))
+    /// Whether a waiting task has had at least `min_attempts` attempts. The tasks, up to a hundred thousand in a job,
+    /// are searched only if any of them was started that often.
+    pub fn has_waiting_task_with_attempts(&self, min_attempts: u64) -> bool {
+        self.max_attempt >= min_attempts
+            && self.waiting.iter().any(|i| self.tasks.get(*i as usize).is_some_and(|t| t.attempt >= min_attempts))
     }
 
-    /// Whether nothing of it is left to run: all tasks are done, or one of a gang.
+    /// Whether no task is left to run: all are done, or one of a gang is.
     pub fn is_complete(&self) -> bool {
         self.done == self.tasks.len() as u64 || (self.spec().is_gang() && self.done > 0)
     }
 
-    /// Where a task is bound, if it is.
+    /// The binding of a task, if it is bound.
     pub fn binding(&self, index: u32) -> Option<&Binding> {
         match &self.tasks.get(index as usize)?.phase {
             Phase::Bound(binding) => Some(binding),
@@ -227,7 +230,8 @@
         }
     }
 
-    /// All tasks of a gang's attempt are stored: only then is any of them told to start.
+    /// Whether tasks of the job may be launched: those of a gang only once all its tasks are bound and stored, and none
+    /// is being stopped.
     pub(in crate::scheduling::cluster) fn is_launchable(&self) -> bool {
         !self.spec().is_gang()
             || (self.waiting.is_empty()
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -1,4 +1,4 @@
-//! Machines: what is known of each, and what is left of it.
+//! Machines: their reported state, their bindings and their allocated resources.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,28 +11,32 @@
 use crate::scheduling::one_way_partition::PartitionDetector;
 use crate::sla::Load;
 
-/// Images a machine is thought to hold where the cloud does not say how much it keeps.
+/// Images that a machine is expected to cache if its cache size is not known.
 const DEFAULT_CACHED_IMAGES: usize = 6;
-/// Images remembered of a machine, whatever it keeps.
+/// Images tracked for a machine, whatever its cache size.
 const MAX_TRACKED_IMAGES: usize = 64;
 
-/// What an image is compared by: a digest, since names are compared at every placement. Two
-/// names alike would only mislead a preference.
+/// The digest of an image's name, which is cheaper to compare at every placement. A collision would only mislead a
+/// preference.
 pub fn image_digest(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// What tasks take of their machine.
+/// Resources of a machine that are allocated to tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AllocatedResources {
+    /// Cores.
     pub cpus: f64,
+    /// Accelerators.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl AllocatedResources {
+    /// Adds the resources of one task, or subtracts them with a `sign` of -1.
     pub(in crate::scheduling::cluster) fn add(&mut self, spec: &JobSpec, sign: f64) {
         self.cpus += sign * spec.cpus;
         self.gpus += sign * spec.gpus;
@@ -40,91 +44,98 @@
     }
 }
 
-/// Where a machine is between its rental and its return.
+/// The state of a machine between its rental and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, not heard of yet.
+    /// The machine is rented and its worker has not reported yet.
     Booting,
-    /// Its worker has reported, and it takes work.
+    /// The worker has reported, and the machine takes work.
     Up,
-    /// No new work; returned when empty.
+    /// The machine takes no new work and is returned when empty.
     Draining,
-    /// To be returned now, with whatever is on it.
+    /// The machine is to be returned now, with whatever runs on it.
     Terminating,
 }
 
-/// One machine: what it is, what it was heard to run, and what has been told to it.
+/// A machine: its properties, its worker's last report, and the state of the commands sent to it.
 #[derive(Debug)]
 pub struct Machine {
-    /// The cloud's name of it.
+    /// The cloud's name of the machine.
     pub id: MachineId,
-    /// Its worker's address, once known.
+    /// The worker's address, once known.
     pub addr: Option<String>,
-    /// Its machine type; empty while only its name is known.
+    /// The machine type; empty while only the machine's name is known.
     pub type_name: String,
-    /// Its zone; empty while only its name is known.
+    /// The zone; empty while only the machine's name is known.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may take the machine back.
     pub spot: bool,
-    /// Where it is between its rental and its return.
+    /// The machine's state between its rental and its return.
     pub state: MachineState,
+    /// The highest agent epoch that the worker has reported.
     pub(in crate::scheduling::cluster) agent_epoch: u64,
-    /// The newest message of any kind, and the newest true heartbeat.
+    /// The newest message of any kind.
     pub(in crate::scheduling::cluster) newest_message: MessageSequence,
+    /// The newest message that the worker sent as a heartbeat.
     pub(in crate::scheduling::cluster) newest_heartbeat: MessageSequence,
-    /// The highest fencing token that its worker has reported.
+    /// The highest fencing token that the worker has reported.
     pub fencing_token: u64,
-    /// When anything was last heard of it, by heartbeat or by reply.
+    /// When the last heartbeat or reply arrived.
     pub last_seen: Instant,
-    /// Its last true heartbeat, or when it was first heard of: replies to commands renew no lease.
+    /// When the last heartbeat arrived, or else the machine became known: replies to commands don't renew the lease.
     pub last_heartbeat: Instant,
-    /// When it was rented, as far as is known.
+    /// When the machine was rented, as far as is known.
     pub since: Instant,
-    /// When the cloud takes it back, if it has given notice.
+    /// When the cloud takes the machine back, if it has given notice.
     pub recall_at: Option<Instant>,
-    /// The tasks that are bound to it.
+    /// The tasks that are bound to the machine.
     pub bound: BTreeSet<TaskKey>,
+    /// The attempts in the worker's last report.
     pub(in crate::scheduling::cluster) attempts: Vec<AttemptReport>,
+    /// Whether a direct command is under way.
     pub(in crate::scheduling::cluster) command_under_way: bool,
-    /// The command under way carries a launch.
+    /// Whether the direct command under way carries a launch.
     pub(in crate::scheduling::cluster) launch_under_way: bool,
-    /// A command given under this fencing token may still arrive.
+    /// The fencing token of a launch that may still arrive.
     pub(in crate::scheduling::cluster) unsettled_token: Option<u64>,
-    /// The heartbeat whose answer carried a launch.
+    /// The heartbeat whose response carried a launch.
     pub(in crate::scheduling::cluster) launch_heartbeat: Option<MessageSequence>,
+    /// The earliest time of the next direct command, unless one is due.
     pub(in crate::scheduling::cluster) next_command_at: Instant,
-    /// Something new is to be told without waiting for a heartbeat.
+    /// Whether there are new commands to send without waiting for a heartbeat.
     pub(in crate::scheduling::cluster) command_due: bool,
-    /// Since when nothing has been bound to it.
+    /// Since when no task has been bound to the machine.
     pub idle_since: Option<Instant>,
-    /// Something has failed on it since anything was done there.
+    /// Whether a task has failed on the machine since the last one was done there.
     pub failed_since_success: bool,
-    /// Drained because it can be spared: what is over of it is idle work's until the rest has run out.
+    /// Drained by scale-in: its free capacity goes to idle work until its other tasks have ended.
     pub scale_in_candidate: bool,
-    /// Quarantined: no new work until it is decided whose fault its failures are.
+    /// Quarantined: the machine takes no new work until its failures are attributed.
     pub quarantined: bool,
-    /// Its heartbeats arrive and nothing reaches it: no new work until it hears again.
+    /// Whether heartbeats arrive from the machine but nothing reaches it: it takes no new work until this has healed.
     pub inbound_lost: bool,
+    /// Evidence of a one-way partition.
     pub(in crate::scheduling::cluster) partition: PartitionDetector,
-    /// This leader has rented it, was told of it by the cloud or the store, or was heard by it. Otherwise all
-    /// that is known of it may be copies of heartbeats of a machine that is gone: no work for it yet.
+    /// Whether this leader has rented the machine, learned of it from the cloud or the store, or was heard by its
+    /// worker. Otherwise all its messages may be delayed copies from a machine that is gone, so it takes no work yet.
     pub confirmed: bool,
-    /// Images it is thought to hold, the most recently used last, with their sizes.
+    /// Images that the machine is expected to hold, the most recently used last, as (digest, size in GB).
     pub(in crate::scheduling::cluster) expected_images: VecDeque<(u64, f64)>,
-    /// What it keeps of them, if the cloud says.
+    /// The size of the image cache, if the catalog states it.
     pub(in crate::scheduling::cluster) cache_gb: Option<f64>,
-    /// Type, zone and kind, by their place in the cluster state's list.
+    /// Index of the machine type, zone and spot flag in the cluster state's list.
     pub kind_index: Option<usize>,
-    /// What the bound tasks take together, kept with every binding.
+    /// The resources of all bound tasks, updated with every binding.
     allocated: AllocatedResources,
-    /// What of it idle work takes: others may have it.
+    /// The part of `allocated` that idle work holds; other work may take it.
     idle_work_allocated: AllocatedResources,
-    /// Their shares and returns, and when these were counted; none once a task has left.
+    /// The summed deadline shares and returns of the bound tasks.
     pub(in crate::scheduling::cluster) load: Load,
+    /// When the load was computed; None once a task has left.
     pub(in crate::scheduling::cluster) load_computed_at: Option<Instant>,
-    /// Live tasks were reported that are not bound here.
+    /// Whether the last report shows live tasks that are not bound to the machine.
     unbound_tasks: bool,
-    /// The cloud says that it is up, whether or not it was heard of here.
+    /// Whether the cloud lists the machine as up, even if it has not reported.
     pub(in crate::scheduling::cluster) listed_up: bool,
 }
 
@@ -172,57 +183,57 @@
         }
     }
 
-    /// No launch is under way towards it, so that what it does not report is not there and a
-    /// reaped task cannot be started again.
+    /// Whether no launch to the machine is under way, so that tasks missing from its report are not there and a reaped
+    /// task cannot be started again.
     pub(in crate::scheduling::cluster) fn is_settled(&self) -> bool {
         !self.command_under_way
             && self.unsettled_token.is_none()
             && self.launch_heartbeat.is_none_or(|l| self.newest_heartbeat > l)
     }
 
-    /// What it last reported of an attempt, if it did.
+    /// The last report of an attempt, if the machine reported it.
     pub(in crate::scheduling::cluster) fn reported_attempt(
         &self,
         key: &TaskKey,
         attempt: u64,
     ) -> Option<&AttemptReport> {
-        let is_it = |l: &&AttemptReport| l.task.index == key.index && l.attempt == attempt && l.task.job == key.job;
-        self.attempts.iter().find(is_it)
+        let matches = |r: &&AttemptReport| r.task.index == key.index && r.attempt == attempt && r.task.job == key.job;
+        self.attempts.iter().find(matches)
     }
 
-    /// Live tasks that are not bound here: their room is not free, whoever they belong to.
+    /// Whether live tasks that are not bound to the machine take room on it.
     pub fn has_unbound_tasks(&self) -> bool {
         self.unbound_tasks
     }
 
-    /// To be called when what was reported or what is bound has changed.
+    /// Updates whether the report shows unbound tasks; to be called when the report or the bindings have changed.
     pub(in crate::scheduling::cluster) fn update_unbound_tasks(&mut self) {
         self.unbound_tasks =
             self.attempts.iter().any(|l| l.status != AttemptStatus::Exited && !self.bound.contains(&l.task));
     }
 
-    /// What its bound tasks take of it.
+    /// The resources of the bound tasks.
     pub fn allocated(&self) -> AllocatedResources {
         self.allocated
     }
 
-    /// What idle work takes of it.
+    /// The resources of bound tasks that are idle work.
     pub fn idle_work_allocated(&self) -> AllocatedResources {
         self.idle_work_allocated
     }
 
-    /// Nothing but idle work is on it, if anything.
+    /// Whether all bound tasks, if any, are idle work.
     pub fn has_only_idle_work(&self) -> bool {
         self.allocated.cpus <= self.idle_work_allocated.cpus + 1e-6
             && self.allocated.memory_gb <= self.idle_work_allocated.memory_gb + 1e-6
     }
 
-    /// The summed shares and returns of its tasks.
+    /// The summed deadline shares and returns of the bound tasks.
     pub fn load(&self) -> Load {
         self.load
     }
 
-    /// A task comes onto this machine.
+    /// Adds a task to the machine.
     pub(in crate::scheduling::cluster) fn bind(&mut self, key: TaskKey, job: &JobState, now: Instant) {
         self.confirmed = true;
         if self.bound.insert(key) {
@@ -237,7 +248,7 @@
         }
     }
 
-    /// A task leaves it. What is left of an empty machine is exact, whatever was summed before.
+    /// Removes a task from the machine. Without bound tasks the sums are reset, which clears rounding errors.
     pub(in crate::scheduling::cluster) fn unbind(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
         if self.bound.remove(key) {
             self.allocated.add(spec, -1.0);
@@ -256,41 +267,41 @@
         }
     }
 
-    /// What it holds is about to be read again.
+    /// Removes all bindings, before they are loaded again.
     pub(in crate::scheduling::cluster) fn clear_bindings(&mut self) {
         self.bound.clear();
         (self.allocated, self.idle_work_allocated) = (AllocatedResources::default(), AllocatedResources::default());
         self.load_computed_at = None;
     }
 
-    /// Whether the image is expected to be in its cache or on its way there.
+    /// Whether the image is expected to be in the machine's cache or on its way there.
     pub fn expects_image(&self, image: u64) -> bool {
         self.expected_images.iter().any(|(i, _)| *i == image)
     }
 
-    /// Whether its worker has ever been heard of.
+    /// Whether the worker has ever reported.
     pub fn reported(&self) -> bool {
         self.newest_message.agent_epoch > 0
     }
 
-    /// Its worker should be heard of: it was, or an earlier leader has given it tasks, or the cloud
-    /// says that it is up.
+    /// Whether the worker is expected to report: it has done so, tasks are bound to the machine, or the cloud lists the
+    /// machine as up.
     pub fn report_expected(&self) -> bool {
         (self.reported() && self.confirmed) || !self.bound.is_empty() || self.listed_up
     }
 
-    /// A task with this image comes: the least recently used make room for it, as the worker
-    /// does. What is on its way counts, so that tasks wait for one fetch together.
+    /// Records the image of a task that is bound to the machine, and evicts the least recently used images as the
+    /// worker does. An image on its way counts as held, so that several tasks wait for one fetch.
     pub(in crate::scheduling::cluster) fn expect_image(&mut self, image: u64, gb: f64) {
         let cache_gb = self.cache_gb;
         self.expected_images.retain(|(i, _)| *i != image);
         self.expected_images.push_back((image, gb));
-        let mut held: f64 = self.expected_images.iter().map(|(_, gb)| gb).sum();
-        let too_much = |held: f64, n: usize| {
-            cache_gb.map_or(n > DEFAULT_CACHED_IMAGES, |most| held > most) || n > MAX_TRACKED_IMAGES
+        let mut held_gb: f64 = self.expected_images.iter().map(|(_, gb)| gb).sum();
+        let exceeds_cache = |held_gb: f64, n: usize| {
+            cache_gb.map_or(n > DEFAULT_CACHED_IMAGES, |cache_gb| held_gb > cache_gb) || n > MAX_TRACKED_IMAGES
         };
-        while self.expected_images.len() > 1 && too_much(held, self.expected_images.len()) {
-            held -= self.expected_images.pop_front().map_or(0.0, |(_, gb)| gb);
+        while self.expected_images.len() > 1 && exceeds_cache(held_gb, self.expected_images.len()) {
+            held_gb -= self.expected_images.pop_front().map_or(0.0, |(_, gb)| gb);
         }
     }
 }
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -1,4 +1,4 @@
-//! The model of the cluster: jobs, tasks, machines and the bindings between them. It imports no decision.
+//! The model of the cluster: jobs, tasks, machines and the bindings between them. It depends on no scheduling decision.
 
 mod arrivals;
 mod intents;
--- a/src/scheduling/cluster/model/placement.rs
+++ b/src/scheduling/cluster/model/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks are to run, and for whom machines are reserved.
+//! Placements of tasks, and reservations of machines.
 
 use std::time::Instant;
 
@@ -11,17 +11,17 @@
 pub struct Placement {
     /// The task.
     pub task: TaskKey,
-    /// The number of this start of it; tasks of a gang start with the same one.
+    /// The number of this attempt; all tasks of a gang start with the same one.
     pub attempt: u64,
     /// The machine.
     pub machine: MachineId,
 }
 
-/// A machine that is held for a job that does not fit yet.
+/// The reservation of a machine for a job that does not fit yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
-    /// The job that it is held for.
+    /// The job that the machine is reserved for.
     pub job: JobId,
-    /// When the job is expected to start. Other work that ends by then may use the machine meanwhile.
+    /// When the job is expected to start. Work that ends by then may use the machine as backfill.
     pub until: Instant,
 }
--- a/src/scheduling/cluster/model/team_usage.rs
+++ b/src/scheduling/cluster/model/team_usage.rs
@@ -1,6 +1,6 @@
-//! What a team's bound tasks take together.
+//! The usage of a team, summed over its bound tasks.
 
-/// Cores and accelerators, as they count for a team's quota.
+/// Cores and accelerators that count towards a team's quota.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamUsage {
     /// Cores.
@@ -10,13 +10,13 @@
 }
 
 impl TeamUsage {
-    /// So much more is taken.
+    /// Adds the resources of bound tasks.
     pub fn add(&mut self, cpus: f64, gpus: f64) {
         self.cpus += cpus;
         self.gpus += gpus;
     }
 
-    /// So much is given back; what is left is never below zero, whatever was rounded.
+    /// Subtracts the resources of released tasks; rounding errors never make the usage negative.
     pub fn release(&mut self, cpus: f64, gpus: f64) {
         self.cpus = (self.cpus - cpus).max(0.0);
         self.gpus = (self.gpus - gpus).max(0.0);
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -1,5 +1,5 @@
-//! Machines with a one-way partition, in the cluster state: which they are, how many, and which are given up. The
-//! verdicts are those of `scheduling::one_way_partition`.
+//! Machines with a one-way partition in the cluster state: detecting, counting and giving them up. The verdicts are
+//! those of `scheduling::one_way_partition`.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -11,24 +11,25 @@
 use crate::scheduling::one_way_partition::{InboundVerdict, judge};
 
 impl ClusterState {
-    /// At least three machines, and one in `part` of those that should be heard of, of the zone if one is
-    /// named, hear nothing.
-    pub(super) fn many_inbound_lost(&self, part: usize, zone: Option<&str>) -> bool {
+    /// Whether at least three machines, and one in `divisor` of those expected to report, have lost their inbound
+    /// connection; only machines in `zone` count, if one is given.
+    pub(super) fn many_inbound_lost(&self, divisor: usize, zone: Option<&str>) -> bool {
         let (mut all, mut inbound_lost) = (0, 0);
         for machine in self.machines.values().filter(|m| m.report_expected() && zone.is_none_or(|zone| m.zone == zone))
         {
             all += 1;
             inbound_lost += usize::from(machine.inbound_lost);
         }
-        inbound_lost >= 3 && inbound_lost * part >= all
+        inbound_lost >= 3 && inbound_lost * divisor >= all
     }
 
-    /// Half of all machines hear nothing: it is the way out, and others would not hear either.
+    /// Whether half of all machines have lost their inbound connection. Then the outbound network of this controller or
+    /// of the site is at fault, and new machines could not be reached either.
     pub fn most_inbound_lost(&self) -> bool {
         self.many_inbound_lost(2, None)
     }
 
-    /// Whether a machine hears, by what it has just reported.
+    /// Judges by a machine's latest report whether its inbound connection is lost or has healed.
     pub(super) fn judge_partition(&mut self, id: &MachineId, now: Instant) {
         let lease = self.settings.params.workers.lease();
         let Some(machine) = self.machines.get_mut(id) else { return };
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Machines that have heard nothing for too long. Many at once, of all or of a zone, point at the way out
-    /// to them: they are kept, without new work.
+    /// Machines whose one-way partition has lasted too long. Many at once, among all or in a zone, point to a fault of
+    /// the network towards them: such machines are kept, without new work.
     pub(super) fn machines_given_up(&self, now: Instant) -> Vec<MachineId> {
         let inbound_lost: Vec<&Machine> = self.machines.values().filter(|m| m.inbound_lost).collect();
         if inbound_lost.is_empty() {
@@ -63,12 +64,13 @@
         let zones: BTreeSet<&str> = inbound_lost.iter().map(|m| m.zone.as_str()).collect();
         let zones: BTreeSet<&str> =
             zones.into_iter().filter(|zone| self.many_inbound_lost(MOST_FRACTION_DIVISOR, Some(zone))).collect();
-        // What nobody else knows of speaks for nothing but itself; and what is still bound after so long only
-        // a return proves gone, as where an earlier leader may yet launch it.
+        // An unconfirmed machine is no evidence of a fault of the network. A machine that still has bound tasks after
+        // this long is judged alone as well: only its return proves them gone, for instance where an earlier leader may
+        // still launch them.
         let many = |m: &Machine| m.confirmed && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
-        let out = inbound_lost
+        let given_up = inbound_lost
             .into_iter()
             .filter(|m| judge(m.partition.evidence(many(m), now), lease) == InboundVerdict::GivenUp);
-        out.map(|m| m.id.clone()).collect()
+        given_up.map(|m| m.id.clone()).collect()
     }
 }
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -1,4 +1,4 @@
-//! Storing: which shards the store is behind on, and what it is known to hold.
+//! Writes of task shards and job ends: which are due, and which versions the store holds.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
 use crate::protocol::workers::TaskKey;
 
-/// A shard in which tasks have only ended or been released is stored this much later: more of
-/// them then go in one change. Nothing waits for it but the reaping of what has exited, and a
-/// new leader hears the same from the workers.
+/// How long the write of a shard without new starts is delayed, so that one write covers more changes. Only the reaping
+/// of exited attempts waits for it, and a new leader learns the same from the workers' reports.
 const CHANGE_WRITE_DELAY: Duration = Duration::from_millis(1500);
 
-/// Changes that an end takes: its final key, and the open one gone.
+/// Changes in the store for the end of a job: the ended key is written, the open key deleted.
 const CHANGES_PER_END: usize = 2;
 
-/// One shard as it is about to be stored.
+/// A task shard that is about to be stored.
 #[derive(Debug, Clone)]
 pub struct ShardWrite {
     /// The job whose tasks these are.
     pub job: JobId,
-    /// Which shard of the job's tasks.
+    /// The shard's number within its job.
     pub shard: u64,
-    /// The version of the shard that the write replaces; 0 for a first one.
+    /// The version of the shard that the write replaces; 0 if it was never stored.
     pub version: u64,
     /// The tasks' states as they are to be stored.
     pub tasks: Vec<StoredTask>,
 }
 
-/// Shards the store is behind on. Starts wait for theirs to be stored; news can bear to be late.
+/// Task shards whose stored value is out of date. Launches wait for the write of their shard; other changes may be
+/// written later.
 #[derive(Debug, Default)]
 pub(super) struct UnstoredShards {
     start_queue: VecDeque<(JobId, u64)>,
     change_queue: VecDeque<((JobId, u64), Instant)>,
-    /// Whether each listed shard holds a start.
+    /// The queued shards; true if a start waits for the write.
     queued: HashMap<(JobId, u64), bool>,
 }
 
@@ -48,6 +48,7 @@
         (key.job.clone(), u64::from(key.index) / TASKS_PER_SHARD)
     }
 
+    /// Queues the shard of a task that waits for its start to be stored.
     pub(super) fn queue_start(&mut self, key: &TaskKey) {
         self.queue_start_shard(Self::shard_of(key), false);
     }
@@ -62,6 +63,7 @@
         }
     }
 
+    /// Queues the shard of a task that has ended or was released, for a delayed write.
     pub(super) fn queue_change(&mut self, key: &TaskKey, now: Instant) {
         let shard = Self::shard_of(key);
         if !self.queued.contains_key(&shard) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The next shard that is due.
+    /// Removes and returns the next shard that is due to be stored.
     fn pop_due(&mut self, now: Instant) -> Option<(JobId, u64)> {
         while let Some(shard) = self.start_queue.pop_front() {
             if self.queued.remove(&shard).is_some() {
@@ -78,7 +80,7 @@
             }
         }
         while let Some((shard, since)) = self.change_queue.front() {
-            // One that was listed as a start meanwhile has gone with it.
+            // A shard that was queued for a start meanwhile was stored with it.
             if self.queued.get(shard) != Some(&false) {
                 self.change_queue.pop_front();
                 continue;
@@ -96,26 +98,26 @@
 }
 
 impl ClusterState {
-    /// Whether something is to be stored now.
+    /// Whether any write is due.
     pub fn has_due_writes(&self, now: Instant) -> bool {
-        let late = |since: &Instant| now.saturating_duration_since(*since) >= CHANGE_WRITE_DELAY;
+        let due = |since: &Instant| now.saturating_duration_since(*since) >= CHANGE_WRITE_DELAY;
         !self.unstored_shards.start_queue.is_empty()
             || !self.completed_jobs.is_empty()
-            || self.unstored_shards.change_queue.front().is_some_and(|(_, since)| late(since))
+            || self.unstored_shards.change_queue.front().is_some_and(|(_, since)| due(since))
     }
 
-    /// The next changes to store: ends first, then starts, then what else has changed, at most
-    /// `most` together, or one end.
-    pub fn next_writes(&mut self, most: usize, now: Instant) -> (Vec<Arc<JobRecord>>, Vec<ShardWrite>) {
+    /// The next job ends and task shards to store: ends first, then shards with starts, then other shards. They make at
+    /// most `max_changes` changes, but always room for one end.
+    pub fn next_writes(&mut self, max_changes: usize, now: Instant) -> (Vec<Arc<JobRecord>>, Vec<ShardWrite>) {
         let mut ends = Vec::new();
-        while (ends.len() + 1) * CHANGES_PER_END <= most.max(CHANGES_PER_END) {
+        while (ends.len() + 1) * CHANGES_PER_END <= max_changes.max(CHANGES_PER_END) {
             let Some(id) = self.completed_jobs.pop_front() else { break };
             if let Some(job) = self.jobs.get(&id).filter(|j| j.ended.is_none()) {
                 ends.push(job.record.clone());
             }
         }
         let mut shards = Vec::new();
-        while ends.len() * CHANGES_PER_END + shards.len() < most {
+        while ends.len() * CHANGES_PER_END + shards.len() < max_changes {
             let Some((id, shard)) = self.unstored_shards.pop_due(now) else { break };
             if let Some(write) = self.shard_write(&id, shard) {
                 shards.push(write);
@@ -124,7 +126,8 @@
         (ends, shards)
     }
 
-    /// None when there is nothing to say: the job is over, or about to be stored as done.
+    /// The write of a shard. None if there is nothing to store: the job has ended, is about to be stored as done, or
+    /// the store already has the shard's tasks.
     fn shard_write(&self, id: &JobId, shard: u64) -> Option<ShardWrite> {
         let job = self.jobs.get(id)?;
         if job.ended.is_some() || job.is_complete() {
@@ -142,7 +145,7 @@
         })
     }
 
-    /// These stand in the store under this version. What has changed since stays to be stored.
+    /// Records that these writes are stored under `version`. Tasks that have changed since remain to be stored.
     pub fn record_stored_shards(&mut self, writes: &[ShardWrite], version: u64) {
         for write in writes {
             let Some(job) = self.jobs.get_mut(&write.job) else { continue };
@@ -161,7 +164,7 @@
                     machine.command_due = true;
                 }
             }
-            // A gang in several shards is told to start by the last of them.
+            // A gang in several shards is launched once the last of them is stored.
             if job.spec().is_gang() && job.shard_versions.len() > 1 && job.is_launchable() {
                 for index in &job.bound {
                     if let Some(machine) = job.binding(*index).and_then(|b| self.machines.get_mut(&b.machine)) {
@@ -169,15 +172,15 @@
                     }
                 }
             }
-            // What changed since has been listed by whatever changed it; this is for safety's sake.
-            let entry = (write.job.clone(), write.shard);
-            if changed && !self.unstored_shards.queued.contains_key(&entry) {
-                self.unstored_shards.queue_start_shard(entry, false);
+            // Whatever changed a task since has queued its shard; this is a safeguard.
+            let shard = (write.job.clone(), write.shard);
+            if changed && !self.unstored_shards.queued.contains_key(&shard) {
+                self.unstored_shards.queue_start_shard(shard, false);
             }
         }
     }
 
-    /// What was refused or is unknown is taken up again.
+    /// Queues ends and shards again, ahead of others, after their transaction was rejected or its outcome is unknown.
     pub fn requeue_writes(&mut self, ends: &[JobId], writes: &[ShardWrite]) {
         for id in ends.iter().rev() {
             if !self.completed_jobs.contains(id) {
@@ -189,18 +192,18 @@
         }
     }
 
-    /// Notes the version that a shard has in the store.
+    /// Records the version that a shard has in the store.
     pub fn set_shard_version(&mut self, id: &JobId, shard: u64, version: u64) {
         if let Some(slot) = self.jobs.get_mut(id).and_then(|j| j.shard_versions.get_mut(shard as usize)) {
             *slot = version;
         }
     }
 
-    /// The store has lost this version of a shard, and has the one that was found: all that is known
-    /// of it is to be stored again, unless it has moved on since.
+    /// Queues a shard whose version `lost` the store has lost, and which it now has at version `found`, to be stored
+    /// again in full; does nothing if the shard has changed since.
     pub fn rewrite_lost_shard(&mut self, id: &JobId, shard: u64, lost: u64, found: u64) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.ended.is_none()) else { return };
-        if !job.stored_shards().any(|settled| settled == (shard, lost)) {
+        if !job.stored_shards().any(|stored| stored == (shard, lost)) {
             return;
         }
         let from = (shard * TASKS_PER_SHARD) as usize;
@@ -211,23 +214,23 @@
         self.unstored_shards.queue_start_shard((id.clone(), shard), false);
     }
 
-    /// A shard that could not be read is replaced, at the version that it was read under.
+    /// Queues the replacement of a shard that could not be read, at the version under which it was read.
     pub(super) fn rewrite_unreadable_shard(&mut self, id: &JobId, shard: u64) {
         self.unstored_shards.queue_start_shard((id.clone(), shard), false);
     }
 
-    /// Takes up to `most` shards of ended jobs that are to be dropped from the store.
-    pub fn take_shard_drops(&mut self, most: usize) -> Vec<(JobId, u64)> {
-        let n = self.shards_to_drop.len().min(most);
+    /// Takes up to `limit` shards of ended jobs that are to be deleted from the store.
+    pub fn take_shard_drops(&mut self, limit: usize) -> Vec<(JobId, u64)> {
+        let n = self.shards_to_drop.len().min(limit);
         self.shards_to_drop.drain(..n).collect()
     }
 
-    /// How many shards wait to be dropped.
+    /// How many shards of ended jobs wait to be deleted from the store.
     pub fn pending_shard_drops(&self) -> usize {
         self.shards_to_drop.len()
     }
 
-    /// Puts back shards whose drop failed.
+    /// Queues shards of ended jobs to be deleted, or again after their deletion failed.
     pub fn requeue_shard_drops(&mut self, shards_to_drop: Vec<(JobId, u64)>) {
         self.shards_to_drop.extend(shards_to_drop);
     }
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -1,4 +1,5 @@
-//! What time alone brings about: silence, overdue proofs, empty machines that drain.
+//! Periodic checks of what follows from the passage of time alone: silent machines, overdue cancellations, drained
+//! machines that are empty.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -7,22 +8,22 @@
 use crate::process_pause::{PROOF_PART, ProcessPause};
 use crate::protocol::workers::TaskKey;
 
-/// How far into the time allowed for a cancellation a machine that proves nothing is returned.
+/// A machine that has not proven a cancelled task gone is returned after this fraction of the cancellation deadline.
 const CANCELLATION_PROOF_FRACTION: f64 = 0.45;
-/// One in so many machines silent at once is no chance of single machines.
+/// If one in this many machines is silent or partitioned at once, the machines did not fail independently.
 pub(super) const CORRELATED_FRACTION_DIVISOR: usize = 12;
-/// One in so many lost is most of them, as far as handing over is concerned.
+/// One in this many machines lost counts as most of them: the leader hands over, or the network of a zone is at fault.
 pub(super) const MOST_FRACTION_DIVISOR: usize = 3;
-/// How many leases many machines that are silent together get.
+/// How many leases a machine may be silent while many are silent at once.
 const CORRELATED_SILENCE_LEASES: u32 = 2;
-/// Past the end of these; covers a machine's clock's drift and the way of a heartbeat.
+/// Time added to these leases for the drift of a machine's clock and the delay of a heartbeat.
 const LEASE_MARGIN: Duration = Duration::from_secs(2);
-/// Many that were silent together are all back within so many reports' time.
+/// Heartbeat intervals within which all machines that were silent at once report again.
 const RECOVERY_HEARTBEATS: u32 = 3;
 
 impl ClusterState {
-    /// This controller was paused and has not listened: machines were not silent or idle for that long,
-    /// and what it missed may still be on its way.
+    /// Adjusts the machines' timestamps after a pause of this process, which does not count as their silence or idle
+    /// time: messages from that time may still be on their way.
     pub fn adjust_for_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
             machine.last_seen = pause.forgive(machine.last_seen);
@@ -33,31 +34,31 @@
         self.last_pause = Some(pause);
     }
 
-    /// At least three machines, and one in `part` of those that should be heard of, have been
-    /// silent for about as long as the silence that is still tolerated. Those that a new leader
-    /// inherits count: it may be the one that cannot hear them.
-    fn many_silent(&self, silence: Duration, part: usize, now: Instant) -> bool {
+    /// Whether at least three machines, and one in `divisor` of those expected to report, have been silent for about
+    /// `silence` (80 % of it). Machines that a new leader inherits count: it may be the one that cannot be reached.
+    fn many_silent(&self, silence: Duration, divisor: usize, now: Instant) -> bool {
         let (mut all, mut silent) = (0, 0);
         for machine in self.machines.values().filter(|m| m.report_expected()) {
             all += 1;
             silent += usize::from(now.saturating_duration_since(machine.last_seen) > silence.mul_f64(0.8));
         }
-        silent >= 3 && silent * part >= all
+        silent >= 3 && silent * divisor >= all
     }
 
-    /// Most machines have missed two heartbeats, or hear nothing: whoever they talk to, it is not this controller.
+    /// Whether many machines (see `MOST_FRACTION_DIVISOR`) have missed two heartbeats or have a one-way partition, so
+    /// that this controller has lost contact with them.
     pub fn most_machines_lost(&self, now: Instant) -> bool {
         let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
         self.many_silent(missed, MOST_FRACTION_DIVISOR, now) || self.many_inbound_lost(MOST_FRACTION_DIVISOR, None)
     }
 
-    /// Machines that hold a task of a job that was cancelled, and have not proven it gone for too
-    /// long. What is left of a job that is done has exited.
+    /// Machines that have not proven a bound task of a cancelled job gone in time. The remaining tasks of a job that is
+    /// done have exited, so it needs no such proof.
     pub fn overdue_machines(&self, now: Instant) -> BTreeSet<MachineId> {
         let allowed = self.settings.params.workers.cancellation_deadline();
         let patience = allowed.mul_f64(CANCELLATION_PROOF_FRACTION);
-        // A leader that has come since begins no new patience, or several would add up; but machines get two
-        // reports to prove to it what they have proven to the one before.
+        // The deadline counts on across changes of the leader, or the times of several leaders would add up. But
+        // machines get two heartbeats to prove to a new leader what they have proven to its predecessor.
         let told_within = self.settings.params.workers.heartbeat_interval() * 2;
         let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
         let due = |at: Instant| {
@@ -71,7 +72,8 @@
         late.flat_map(|job| job.bound.iter().filter_map(|i| job.binding(*i))).map(|b| b.machine.clone()).collect()
     }
 
-    /// What time alone brings about: silence, overdue proofs, empty machines that drain.
+    /// Runs the periodic checks: returns silent, overdue and drained machines, stops idle work on scale-in candidates,
+    /// ends quarantines and resumes suspended jobs.
     pub fn tick(&mut self, now: Instant) {
         if !self.loaded {
             return;
@@ -84,27 +86,27 @@
         self.resume_suspended_jobs(now);
     }
 
-    /// How long many machines may be silent together: longer than one alone.
+    /// How long a machine may be silent while many are silent at once: at least as long as a single one.
     fn max_correlated_silence(&self) -> Duration {
         (self.settings.params.workers.lease() * CORRELATED_SILENCE_LEASES + LEASE_MARGIN).max(self.properties.silence)
     }
 
     /// How long a machine may be silent now.
     ///
-    /// Many machines that fall silent together point at the network or at this controller:
-    /// returning them all would lose what they run, and past their leases still the machines, for
-    /// which others would have to boot. Those that have died the cloud's list tells of.
+    /// Many machines that fall silent at once point to the network or to this controller. Returning them all would lose
+    /// the tasks that they run and, after their leases, still the machines, in whose place others would have to boot.
+    /// Machines that have died are missing from the cloud's list.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
         if self.many_silent(self.properties.silence, CORRELATED_FRACTION_DIVISOR, now) {
             self.many_silent_seen_at = Some(now);
         }
-        // Those that are back do not report at the same moment: the last of them are not alone at once.
-        let back_within = self.settings.params.workers.heartbeat_interval() * RECOVERY_HEARTBEATS;
-        let many = self.many_silent_seen_at.is_some_and(|at| now.saturating_duration_since(at) < back_within);
+        // Machines that are back do not all report at the same moment, so the last ones to do so get more time as well.
+        let recovery_time = self.settings.params.workers.heartbeat_interval() * RECOVERY_HEARTBEATS;
+        let many = self.many_silent_seen_at.is_some_and(|at| now.saturating_duration_since(at) < recovery_time);
         if many { self.max_correlated_silence() } else { self.properties.silence }
     }
 
-    /// Machines to be returned, and why.
+    /// Machines to be returned, each with the reason.
     fn machines_to_terminate(&mut self, now: Instant) -> Vec<(MachineId, &'static str)> {
         let tolerated = self.tolerated_silence(now);
         let overdue = self.overdue_machines(now).into_iter().map(|id| (id, "cancelled task not proven gone"));
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Where the last of other work has left a machine that can be spared, idle work that can save goes as
-    /// well; the rest of it runs out.
+    /// On scale-in candidates where only idle work remains, stops the idle tasks that can save a checkpoint; the others
+    /// run to their end.
     fn stop_idle_on_scale_in_candidates(&mut self, now: Instant) {
         let left = |m: &&Machine| {
             m.state == MachineState::Draining
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -1,20 +1,20 @@
-//! Shards that a new leader cannot read: their jobs are suspended until nothing that such a shard hides can run.
+//! Task shards that a new leader cannot read: their jobs are suspended until no task hidden by such a shard can run.
 //!
 //! An unreadable shard may hide bindings. Its job is placed again only when all of this holds:
 //!
-//! - Every machine that is known has reported under this leader's fencing token, or is gone. Such a heartbeat shows all that runs
-//!   there, and commands of earlier leaders, which have lower fencing tokens, are refused from then on.
-//! - None of these heartbeats shows a hidden task alive. What they show is stopped, as anything without a binding.
-//! - `suspension()` has passed since the load: a leader that was replaced no longer answers reports, and the lease of a worker
-//!   that it answered last has ended, so nothing runs on a machine that nobody here knows.
+//! - Every known machine has reported under this leader's fencing token, or is gone. Such a heartbeat shows all tasks
+//!   that run there, and commands of earlier leaders, which have lower fencing tokens, are refused from then on.
+//! - None of these heartbeats shows a hidden task alive. Tasks that they show are stopped, like all without a binding.
+//! - `suspension_time()` has passed since the load: a replaced leader no longer answers heartbeats, and the last lease
+//!   that it renewed has ended, so no task runs on a machine that this leader does not know.
 //!
-//! Until then the shard is not stored anew, so a successor finds it unreadable as well and waits in its turn. A task
-//! that a worker reports as done is done, whichever attempt of it was. What was hidden as done and is not reported any
-//! more is started again, and exits as done at once, since that result is kept.
+//! Until then the shard is not stored again, so a successor finds it unreadable as well and waits as long. A task that
+//! a worker reports as done is done, whichever attempt it was. A hidden task that was done and is not reported any more
+//! is started again, and exits as done at once, since its result is kept.
 //!
 //! Attempt numbers: an attempt is stored before it starts, and each change of the store has a higher revision, so a
-//! shard last changed at revision r has seen at most r attempts of a task, or `HIDDEN_ATTEMPTS` and r if it was
-//! unreadable before. Tasks of an unreadable shard go on after `HIDDEN_ATTEMPTS` and r.
+//! shard last changed at revision r has seen at most r attempts of a task, or `HIDDEN_ATTEMPT_BASE` + r if it was
+//! unreadable before. The attempts of tasks in an unreadable shard continue after `HIDDEN_ATTEMPT_BASE` + r.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -26,23 +26,23 @@
 use crate::jobs::{JobId, Shape};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, TaskKey};
 
-/// Attempts of tasks that an unreadable shard hides are numbered after this and the shard's revision.
+/// Attempts of tasks hidden by an unreadable shard are numbered after the sum of this and the shard's revision.
 pub(super) const HIDDEN_ATTEMPT_BASE: u64 = 1 << 32;
-/// A leader proves that it still leads at least this often, however short its lease.
+/// Maximum time between two proofs of leadership, however short the leader's lease.
 const LEADERSHIP_PROOF_INTERVAL: Duration = Duration::from_secs(2);
-/// A leader without proof answers reports for its lease and this long (`membership::serving_state`).
+/// A leader whose leadership is unproven answers heartbeats for its lease and this long (`membership::serving_state`).
 const RESPONSE_TIME_AFTER_LEASE: Duration = Duration::from_secs(3);
-/// Covers the drift of a machine's clock and the way of a heartbeat.
+/// Margin for the drift of a machine's clock and the delay of a heartbeat.
 const CLOCK_MARGIN: Duration = Duration::from_secs(5);
-/// A job that is suspended is not placed before it is released; this is far beyond any suspension.
+/// How long a suspended job is kept from placement unless it is resumed; far beyond any suspension.
 const SUSPENDED_JOB_HOLD: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// A job of which shards could not be read.
+/// A job with shards that could not be read.
 #[derive(Debug)]
 pub(super) struct SuspendedJob {
     unreadable_shards: BTreeSet<u64>,
     team: String,
-    /// Cores and accelerators that its hidden tasks may take; its team's usage includes them.
+    /// Cores and accelerators that the hidden tasks may take; the team's usage includes them.
     hidden_usage: TeamUsage,
 }
 
@@ -56,20 +56,20 @@
 /// Suspended jobs, by id.
 pub(super) type SuspendedJobs = BTreeMap<JobId, SuspendedJob>;
 
-/// The last attempt that may have been made of a task whose shard was last changed at this revision.
+/// The highest attempt number of a task whose shard was last changed at this revision.
 fn last_hidden_attempt(version: u64) -> u64 {
     HIDDEN_ATTEMPT_BASE.saturating_add(version).min(MOST_ATTEMPTS)
 }
 
-/// An earlier leader may have given it tasks, and this leader has not heard what became of them.
+/// Whether a machine may run tasks of an earlier leader that it has not reported to this leader yet.
 fn may_run_unknown_tasks(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
     machine.fencing_token < first_fencing_token
         && (machine.reported() || machine.report_expected() || machine.since <= loaded_at)
 }
 
 impl ClusterState {
-    /// A shard of a job that was just added, which nobody can read: the job is suspended, and the shard counts as bound for
-    /// its team's limit.
+    /// Loads an unreadable shard of a job that was just added: the job is suspended, and the shard's tasks count as
+    /// bound for the quota of its team.
     pub fn load_unreadable_shard(&mut self, id: &JobId, shard: u64, version: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(slot) = usize::try_from(shard).ok().and_then(|shard| job.shard_versions.get_mut(shard)) else {
@@ -98,7 +98,7 @@
         error!(job = %id, shard, "task shard not decoded; suspending the job until no hidden task can run");
     }
 
-    /// What can be read of a gang that is suspended is stopped: its attempt has lost the tasks that are hidden.
+    /// Stops the readable tasks of suspended gangs: their attempts have lost the hidden tasks.
     pub(super) fn halt_suspended_gangs(&mut self, now: Instant) {
         let gang = |id: &&JobId| self.jobs.get(*id).is_some_and(|job| job.spec().is_gang() && !job.is_complete());
         let gangs: Vec<JobId> = self.suspended_jobs.keys().filter(gang).cloned().collect();
@@ -107,13 +107,13 @@
         }
     }
 
-    /// How long after the load an earlier leader's tasks may run on a machine that is not known here.
+    /// How long after the load tasks of an earlier leader may run on a machine that this leader does not know.
     pub(super) fn suspension_time(&self) -> Duration {
         let answers = self.properties.election_lease.max(LEADERSHIP_PROOF_INTERVAL) + RESPONSE_TIME_AFTER_LEASE;
         answers + self.settings.params.workers.lease() + CLOCK_MARGIN
     }
 
-    /// Resumes jobs of which nothing hidden can run any more.
+    /// Resumes suspended jobs none of whose hidden tasks can run any more.
     pub(super) fn resume_suspended_jobs(&mut self, now: Instant) {
         if self.suspended_jobs.is_empty() || now.saturating_duration_since(self.loaded_at) < self.suspension_time() {
             return;
@@ -121,19 +121,19 @@
         if self.machines.values().any(|m| may_run_unknown_tasks(m, self.first_fencing_token, self.loaded_at)) {
             return;
         }
-        let runs = |id: &JobId, suspended: &SuspendedJob| {
+        let may_run = |id: &JobId, suspended: &SuspendedJob| {
             let live = |attempt_report: &AttemptReport| {
                 attempt_report.status != AttemptStatus::Exited && suspended.hides_attempt(id, attempt_report)
             };
             self.machines.values().any(|m| m.attempts.iter().any(live))
         };
-        let over: Vec<JobId> = self
+        let resumable: Vec<JobId> = self
             .suspended_jobs
             .iter()
-            .filter(|(id, suspended)| !runs(id, suspended))
+            .filter(|(id, suspended)| !may_run(id, suspended))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in over {
+        for id in resumable {
             self.resume_job(&id, now);
         }
     }
@@ -156,12 +156,12 @@
         }
     }
 
-    /// Hidden tasks that workers report as done, each once, with its machine. A service is never done.
+    /// Hidden tasks that workers report as done, with their machines. A service is never done.
     fn hidden_tasks_reported_done(&self, id: &JobId, suspended: &SuspendedJob) -> BTreeMap<TaskKey, MachineId> {
         let Some(job) = self.jobs.get(id).filter(|job| job.spec().shape != Shape::Service) else {
             return BTreeMap::new();
         };
-        let waits = |attempt_report: &AttemptReport| {
+        let is_waiting = |attempt_report: &AttemptReport| {
             job.tasks.get(attempt_report.task.index as usize).is_some_and(|t| matches!(t.phase, Phase::Waiting))
         };
         let mut done = BTreeMap::new();
@@ -169,7 +169,7 @@
             let attempts = machine
                 .attempts
                 .iter()
-                .filter(|attempt_report| suspended.hides_attempt(id, attempt_report) && waits(attempt_report));
+                .filter(|attempt_report| suspended.hides_attempt(id, attempt_report) && is_waiting(attempt_report));
             let attempts = attempts.filter(|attempt_report| {
                 attempt_report.status == AttemptStatus::Exited && attempt_report.cause == Some(ExitCause::Done)
             });
@@ -178,7 +178,7 @@
         done
     }
 
-    /// Whether a job waits until nothing of its unreadable shards can run.
+    /// Whether a job is suspended because some of its shards could not be read.
     pub fn is_suspended(&self, id: &JobId) -> bool {
         self.suspended_jobs.contains_key(id)
     }
