--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -162,7 +162,7 @@
                 simulation.exchange_heartbeat("m1");
             }
             simulation.cluster.tick(simulation.world.now);
-            simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
+            simulation.world.raise_fencing_token_if_needed(&mut simulation.cluster);
         }
         let confirmed_after_s = confirmed_after_s.unwrap_or_else(|| panic!("{name}: never confirmed"));
         assert!(confirmed_after_s <= 12.0, "{name}: confirmed only after {confirmed_after_s} s");
--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -36,7 +36,7 @@
             }
             if step == 3 {
                 assert_eq!(
-                    world.raise_fencing_token_if_wanted(&mut cluster),
+                    world.raise_fencing_token_if_needed(&mut cluster),
                     late_at != 0 && binding_of(&cluster, 0).is_some(),
                     "late at {late_at}"
                 );
@@ -95,7 +95,7 @@
                     let orders = world.send_heartbeat(&mut cluster, "m1").commands;
                     assert_eq!(count_reaps(&orders), 0, "it may yet start again");
                 }
-                4 => drop(world.raise_fencing_token_if_wanted(&mut cluster)),
+                4 => drop(world.raise_fencing_token_if_needed(&mut cluster)),
                 _ => {}
             }
             world.exchange_heartbeat(&mut cluster, "m1");
@@ -203,7 +203,7 @@
         world.time_out_command(&mut cluster, &direct);
         held.push(direct);
         if index == 0 {
-            assert!(world.raise_fencing_token_if_wanted(&mut cluster));
+            assert!(world.raise_fencing_token_if_needed(&mut cluster));
         }
     }
     // The first is void once its worker knows; the second was given under the raised fencing token.
@@ -224,7 +224,7 @@
         assert!(waited < 20, "raised in the end");
     }
     assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task_key(2), 1)), "the others go on");
-    world.raise_fencing_token_if_wanted(&mut cluster);
+    world.raise_fencing_token_if_needed(&mut cluster);
     world.exchange_heartbeat(&mut cluster, "m2");
     assert_bound(&cluster, 1, 1, "m2");
     // It has heard the fencing token now: the launch that was held up is refused, and then its task goes elsewhere.
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -150,7 +150,7 @@
             links.send_command(&mut simulation, direct);
         }
         simulation.cluster.tick(now);
-        simulation.world.raise_fencing_token_if_wanted(&mut simulation.cluster);
+        simulation.world.raise_fencing_token_if_needed(&mut simulation.cluster);
         let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
         simulation.cluster.bind_placements(decisions, now);
         simulation.world.store_all(&mut simulation.cluster);
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -43,7 +43,7 @@
                 if step == 3 {
                     world.time_out_command(&mut cluster, &held);
                     world.now += secs(5.0);
-                    world.raise_fencing_token_if_wanted(&mut cluster);
+                    world.raise_fencing_token_if_needed(&mut cluster);
                 }
                 world.bind_waiting(&mut cluster, "m2");
                 world.exchange_heartbeat(&mut cluster, "m2");
