--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -1,14 +1,15 @@
-//! Commands, answers and replies that are held up for seconds and come after something newer (issue 34, section 3,
-//! case 6). What may come late is tried at every step of its simulation.
+//! Commands, answers and replies that are delayed by seconds and arrive after newer messages (issue 34, section 3,
+//! case 6). Each test delivers its delayed message at every step of its simulation in turn.
 
 use super::world::*;
 use super::*;
 use crate::protocol::workers::{ExitCause, WorkerCommand};
 
-/// A launch that was given up is carried out minutes later, at each step of what follows: its task is stopped, the
-/// fencing token is raised, the worker learns it, and the task goes elsewhere.
+/// A launch that timed out at the leader is executed late, at each step of what follows: its task is stopped, the
+/// fencing token is raised, the worker learns the new token, and the task is placed on another machine. It must not
+/// start its task once that is placed again.
 #[test]
-fn a_launch_held_up_is_void_before_its_task_goes_elsewhere() {
+fn delayed_launch_is_void_before_its_task_is_placed_elsewhere() {
     for late_at in 0..8 {
         let mut world = World::new(&["m1", "m2"], |_| ());
         let mut cluster = world.elect_leader();
@@ -16,21 +17,21 @@
         world.exchange_heartbeat(&mut cluster, "m2");
         world.now += secs(10.0);
         world.bind_waiting(&mut cluster, "m1");
-        let held = world.next_command_to(&mut cluster, "m1").unwrap();
-        assert_eq!(count_launches(&held.commands), 1);
+        let delayed = world.next_command_to(&mut cluster, "m1").unwrap();
+        assert_eq!(count_launches(&delayed.commands), 1);
         let mut started = false;
         for step in 0..8 {
             if step == late_at {
-                started = held.fencing_token >= world.workers["m1"].fencing_token;
-                // Whoever sent it waits no longer after the first step.
-                let reply = world.deliver_command(&held).unwrap();
+                started = delayed.fencing_token >= world.workers["m1"].fencing_token;
+                // The leader waits for the reply in the first step only.
+                let reply = world.deliver_command(&delayed).unwrap();
                 if step == 0 {
-                    world.deliver_reply(&mut cluster, &held, reply);
+                    world.deliver_reply(&mut cluster, &delayed, reply);
                 }
             }
             if step == 0 {
                 if late_at != 0 {
-                    world.time_out_command(&mut cluster, &held);
+                    world.time_out_command(&mut cluster, &delayed);
                 }
                 cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             }
@@ -43,7 +44,7 @@
             }
             world.exchange_heartbeat(&mut cluster, "m1");
             if step < 4 && !started {
-                // Absent from every report so far, and yet it may start there.
+                // No report has shown the task so far, but the launch may still start it there.
                 assert_bound(&cluster, 0, 1, "m1");
             }
             world.bind_waiting(&mut cluster, "m2");
@@ -57,10 +58,10 @@
     }
 }
 
-/// Two ways at once: the answer starts the task, and the same launch is held up on its way as a command. The task
-/// ends, and is not reaped while that launch could start it once more.
+/// The same launch is sent by an answer, which starts the task, and by a direct command, which is delayed. The task
+/// exits, and must not be reaped while the delayed launch could start it again.
 #[test]
-fn a_reap_waits_until_no_launch_can_come_by_the_other_way() {
+fn exited_task_is_not_reaped_while_a_delayed_launch_could_restart_it() {
     for (cause, late_at) in
         [ExitCause::Done, ExitCause::Stopped].into_iter().flat_map(|c| (0..7).map(move |at| (c, at)))
     {
@@ -68,32 +69,32 @@
         let mut cluster = world.elect_leader();
         world.exchange_heartbeat(&mut cluster, "m1");
         world.now += secs(10.0);
-        // Its answer launches; a moment later something else is stored, which is told directly.
+        // The answer launches the first task. Then the second is stored, and a direct command launches both.
         world.bind_tasks(&mut cluster, &[0], "m1");
         let answer = world.send_heartbeat(&mut cluster, "m1");
         assert_eq!(count_launches(&answer.commands), 1);
         world.bind_tasks(&mut cluster, &[1], "m1");
-        let held = world.next_command_to(&mut cluster, "m1").unwrap();
-        assert_eq!(count_launches(&held.commands), 2, "nothing has shown the first");
+        let delayed = world.next_command_to(&mut cluster, "m1").unwrap();
+        assert_eq!(count_launches(&delayed.commands), 2, "no report has shown the first task");
         world.receive_answer(&answer);
         world.exit_task("m1", 0, 1, cause);
         for step in 0..7 {
             if step == late_at {
-                let reply = world.deliver_command(&held).unwrap();
+                let reply = world.deliver_command(&delayed).unwrap();
                 if step < 2 {
-                    world.deliver_reply(&mut cluster, &held, reply);
+                    world.deliver_reply(&mut cluster, &delayed, reply);
                 }
             }
             match step {
                 1 => assert!(
                     world.send_heartbeat(&mut cluster, "m1").commands.is_empty() || late_at < 2,
-                    "one way at a time"
+                    "no answer carries commands while a direct command is in flight"
                 ),
                 2 if late_at >= 2 => {
-                    world.time_out_command(&mut cluster, &held);
+                    world.time_out_command(&mut cluster, &delayed);
                     world.store_all(&mut cluster);
-                    let orders = world.send_heartbeat(&mut cluster, "m1").commands;
-                    assert_eq!(count_reaps(&orders), 0, "it may yet start again");
+                    let commands = world.send_heartbeat(&mut cluster, "m1").commands;
+                    assert_eq!(count_reaps(&commands), 0, "the delayed launch may start the task again");
                 }
                 4 => drop(world.raise_fencing_token_if_needed(&mut cluster)),
                 _ => {}
@@ -104,16 +105,17 @@
         world.exchange_heartbeat(&mut cluster, "m1");
         assert!(
             world.workers["m1"].reaped.contains(&(task_key(0), 1)),
-            "{cause:?}, late at {late_at}: reaped in the end"
+            "{cause:?}, late at {late_at}: the task is reaped at last"
         );
     }
 }
 
-/// The answer with a launch is on its way, for less than 4 s; a command overtakes it, and its reply is newer than the
-/// report that is being answered. It proves nothing of what that answer brings.
+/// An answer with a launch is in transit for less than 4 s. A direct command overtakes it, and the reply to that
+/// command is newer than the heartbeat being answered. The reply must not count as proof that the answer started
+/// nothing.
 #[test]
-fn the_reply_to_a_command_proves_nothing_of_an_answer_on_its_way() {
-    for heard in [true, false] {
+fn reply_to_a_command_does_not_prove_that_an_answer_in_transit_starts_nothing() {
+    for answer_arrives in [true, false] {
         let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
         let mut cluster = world.elect_leader();
         world.exchange_heartbeat(&mut cluster, "m1");
@@ -125,17 +127,22 @@
         cluster.halt_task_or_gang(&task_key(0), 0, world.now);
         world.bind_tasks(&mut cluster, &[1], "m1");
         let direct = world.next_command_to(&mut cluster, "m1").unwrap();
-        assert!(direct.commands.iter().all(|o| matches!(o, WorkerCommand::Launch { task, .. } if task.index == 1)));
+        assert!(
+            direct
+                .commands
+                .iter()
+                .all(|command| matches!(command, WorkerCommand::Launch { task, .. } if task.index == 1))
+        );
         let reply = world.deliver_command(&direct).unwrap();
         world.deliver_reply(&mut cluster, &direct, reply);
         assert_bound(&cluster, 0, 1, "m1");
         world.bind_waiting(&mut cluster, "m2");
         world.exchange_heartbeat(&mut cluster, "m2");
-        if heard {
+        if answer_arrives {
             world.receive_answer(&answer);
             assert!(world.workers["m1"].has_live_attempt(&task_key(0)));
         }
-        // The next heartbeat was made once that answer was heard or dropped.
+        // The worker makes its next heartbeat only after that answer was received or discarded.
         for _ in 0..3 {
             world.exchange_heartbeat(&mut cluster, "m1");
             world.bind_tasks(&mut cluster, &[0], "m2");
@@ -147,10 +154,10 @@
     }
 }
 
-/// The reply to a command comes after a newer heartbeat: what it shows running has ended, and what it does not show
-/// runs. Neither goes back.
+/// The reply to a command arrives after a newer heartbeat. A task that the reply shows running has ended since, and a
+/// task that it does not show runs by now. The old reply must undo neither.
 #[test]
-fn a_reply_older_than_the_newest_report_changes_nothing() {
+fn reply_older_than_the_newest_report_changes_nothing() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
     let mut cluster = world.elect_leader();
     world.exchange_heartbeat(&mut cluster, "m1");
@@ -164,50 +171,50 @@
     assert_eq!(
         (answer.commands.len(), cluster.task_counts(&JOB.into()).done),
         (0, 1),
-        "known, and reaped by no answer yet"
+        "the exit is known, and no answer reaps the task yet"
     );
     world.store_all(&mut cluster);
     world.deliver_reply(&mut cluster, &direct, reply);
     assert_eq!(cluster.task_counts(&JOB.into()).done, 1);
     let answer = world.send_heartbeat(&mut cluster, "m1");
     assert_eq!(count_reaps(&answer.commands), 1);
-    // An older reply, which shows nothing, comes after a heartbeat that shows the second task running.
+    // An older reply, which shows no task, arrives after a heartbeat that shows the second task running.
     world.receive_answer(&answer);
-    let old = world.next_heartbeat("m1");
+    let old_reply = world.next_heartbeat("m1");
     world.bind_waiting(&mut cluster, "m1");
     let direct = world.next_command_to(&mut cluster, "m1").unwrap();
     drop(world.deliver_command(&direct).unwrap());
     world.exchange_heartbeat(&mut cluster, "m1");
     cluster.halt_task_or_gang(&task_key(1), 0, world.now);
-    world.deliver_reply(&mut cluster, &direct, old);
+    world.deliver_reply(&mut cluster, &direct, old_reply);
     assert_bound(&cluster, 1, 1, "m1");
     world.bind_waiting(&mut cluster, "m2");
     world.exchange_heartbeat(&mut cluster, "m2");
     assert!(world.workers["m1"].has_live_attempt(&task_key(1)));
 }
 
-/// Tokens are raised at most every 5 s. Until then nothing is reaped or believed gone where a launch may still come,
-/// and the others go on.
+/// The fencing token is raised at most every 5 s. Until the raise, no task is reaped or treated as gone on a machine
+/// where a delayed launch may still arrive, while tasks on other machines are reaped as usual.
 #[test]
-fn while_a_raise_of_the_token_is_put_off_only_the_others_are_reaped() {
+fn while_a_token_raise_is_delayed_only_machines_without_delayed_launches_reap() {
     let mut world = World::new(&["m1", "m2", "m3"], |j| j.tasks = 3);
     let mut cluster = world.elect_leader();
     for m in ["m1", "m2", "m3"] {
         world.exchange_heartbeat(&mut cluster, m);
     }
     world.now += secs(1.2);
-    let mut held = Vec::new();
+    let mut delayed = Vec::new();
     for (index, m) in [(0, "m1"), (1, "m2")] {
         world.bind_tasks(&mut cluster, &[index], m);
         let direct = world.next_command_to(&mut cluster, m).unwrap();
         world.time_out_command(&mut cluster, &direct);
-        held.push(direct);
+        delayed.push(direct);
         if index == 0 {
             assert!(world.raise_fencing_token_if_needed(&mut cluster));
         }
     }
-    // The first is void once its worker knows; the second was given under the raised fencing token.
-    let (first, second) = (held.remove(0), held.remove(0));
+    // The first launch is void once its worker knows the raised fencing token, under which the second was sent.
+    let (first, second) = (delayed.remove(0), delayed.remove(0));
     assert!(second.fencing_token > first.fencing_token);
     let mut waited = 0;
     while !cluster.token_raise_needed(world.now) {
@@ -221,13 +228,13 @@
         world.store_all(&mut cluster);
         world.exchange_heartbeat(&mut cluster, "m3");
         waited += 1;
-        assert!(waited < 20, "raised in the end");
+        assert!(waited < 20, "the token is never raised");
     }
-    assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task_key(2), 1)), "the others go on");
+    assert!(waited > 0 && world.workers["m3"].reaped.contains(&(task_key(2), 1)), "m3 is not held up");
     world.raise_fencing_token_if_needed(&mut cluster);
     world.exchange_heartbeat(&mut cluster, "m2");
     assert_bound(&cluster, 1, 1, "m2");
-    // It has heard the fencing token now: the launch that was held up is refused, and then its task goes elsewhere.
+    // The worker knows the new fencing token by now: it refuses the delayed launch, and the task is placed elsewhere.
     drop(world.deliver_command(&second));
     assert!(!world.workers["m2"].has_live_attempt(&task_key(1)));
     world.exchange_heartbeat(&mut cluster, "m2");
--- a/src/scheduling/tests/leader_changes.rs
+++ b/src/scheduling/tests/leader_changes.rs
@@ -1,4 +1,4 @@
-//! Leaders change again and again, and old heartbeats meet a new leader.
+//! Repeated changes of the leader, and old heartbeats that reach a new leader.
 
 use super::simulation::*;
 use super::world::*;
@@ -7,13 +7,14 @@
 
 // Leaders change ten times in two minutes, also inside an outage.
 
-/// The machine of a cancelled task hangs while leaders come and go, with or without the store between: it is gone in
-/// time by the first cancellation, and what runs on the others goes on.
+/// The machine of a cancelled task is paused while leaders change, with or without a store outage. The task must be
+/// gone by the deadline that began with the cancellation, not one that begins again with each leader, and tasks on
+/// other machines go on.
 #[test]
-fn ten_leaders_in_two_minutes_begin_no_patience_anew_and_lose_nothing() {
+fn ten_leaders_in_two_minutes_restart_no_cancellation_deadline_and_lose_no_task() {
     for (gap_s, outage) in [(12.0, false), (12.0, true), (5.0, false), (2.0, true)] {
-        for goes_on_at in [8.0, 20.0, 1000.0] {
-            let name = format!("every {gap_s} s, outage {outage}, the machine goes on at {goes_on_at} s");
+        for resumes_at in [8.0, 20.0, 1000.0] {
+            let name = format!("every {gap_s} s, outage {outage}, the machine resumes at {resumes_at} s");
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
             simulation.world.bind_waiting(&mut simulation.cluster, "m1");
             simulation.exchange_heartbeat("m1");
@@ -28,7 +29,7 @@
             simulation.paused = vec!["m1"];
             for step in 0..240 {
                 let t = f64::from(step) * STEP_S;
-                if t == goes_on_at {
+                if t == resumes_at {
                     simulation.paused.clear();
                 }
                 if step > 0 && t % gap_s == 0.0 && t <= gap_s * 10.0 {
@@ -47,14 +48,14 @@
 
 // An old heartbeat reaches every controller just as a new leader begins.
 
-/// A copy of a heartbeat of each moment of a task's life comes to the leader, to its successor before it has read the
-/// store, after that, and once the worker has reported to it, and to the successor of that one: the task runs once,
-/// wherever, and what was done stays done.
+/// A copy of a heartbeat from each phase of a task's life reaches the leader, its successor before and after loading
+/// the store and after the worker has reported to it, and the successor of that one. The task runs exactly once, and a
+/// task that is done stays done.
 #[test]
-fn an_old_report_to_every_controller_as_a_new_leader_begins_changes_nothing() {
-    for (copied_at, again_on) in (0..5).flat_map(|at| ["m1", "m2"].map(|m| (at, m))) {
+fn old_report_to_every_controller_as_a_new_leader_begins_changes_nothing() {
+    for (copied_at, restarted_on) in (0..5).flat_map(|at| ["m1", "m2"].map(|m| (at, m))) {
         for done in [false, true] {
-            let name = format!("copied at {copied_at}, again on {again_on}, done: {done}");
+            let name = format!("copied at {copied_at}, restarted on {restarted_on}, done: {done}");
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| j.tasks = 2);
             let mut copies = Vec::new();
             let mut copy = |simulation: &mut Simulation, step: usize| {
@@ -67,7 +68,7 @@
             simulation.exchange_heartbeat("m1");
             copy(&mut simulation, 1);
             simulation.exchange_heartbeat("m1");
-            // Its first attempt ends, by a stop or by the end of a lease, and it runs again, here or there.
+            // The first attempt ends, stopped or with its lease, and the task runs again on either machine.
             if copied_at == 3 {
                 simulation.world.expire_lease("m1");
             } else {
@@ -77,38 +78,38 @@
                 simulation.exchange_heartbeat("m1");
                 copy(&mut simulation, 2);
             }
-            simulation.world.bind_tasks(&mut simulation.cluster, &[0], again_on);
+            simulation.world.bind_tasks(&mut simulation.cluster, &[0], restarted_on);
             for m in ["m1", "m2", "m1", "m2"] {
                 simulation.exchange_heartbeat(m);
             }
             copy(&mut simulation, 3);
-            assert_bound(&simulation.cluster, 0, 2, again_on);
-            assert_eq!(simulation.live_tasks(&JOB.into()), [(0, again_on)], "{name}");
+            assert_bound(&simulation.cluster, 0, 2, restarted_on);
+            assert_eq!(simulation.live_tasks(&JOB.into()), [(0, restarted_on)], "{name}");
             if done {
-                simulation.world.exit_task(again_on, 0, 2, ExitCause::Done);
-                simulation.exchange_heartbeat(again_on);
+                simulation.world.exit_task(restarted_on, 0, 2, ExitCause::Done);
+                simulation.exchange_heartbeat(restarted_on);
                 simulation.world.store_all(&mut simulation.cluster);
             }
             copy(&mut simulation, 4);
-            let arrive = |simulation: &mut Simulation| {
+            let deliver_copies = |simulation: &mut Simulation| {
                 for copy in &copies {
                     simulation.cluster.take_heartbeat(copy.clone(), MessageKind::Heartbeat, None, simulation.world.now);
-                    // Whoever sent it waits for no answer.
+                    // No worker waits for the answer to a copy.
                     drop(simulation.cluster.heartbeat_response_commands("m1", simulation.world.now));
                 }
             };
-            arrive(&mut simulation);
+            deliver_copies(&mut simulation);
             simulation.places_tasks = true;
             for successor in 0..2 {
                 simulation.cluster = simulation.world.elect_unloaded_leader();
-                arrive(&mut simulation);
+                deliver_copies(&mut simulation);
                 simulation.world.load_stored_jobs(&mut simulation.cluster);
                 simulation.load_machine_list();
-                arrive(&mut simulation);
+                deliver_copies(&mut simulation);
                 simulation.step();
-                arrive(&mut simulation);
+                deliver_copies(&mut simulation);
                 simulation.run(8.0);
-                arrive(&mut simulation);
+                deliver_copies(&mut simulation);
                 simulation.run(8.0);
                 let live = simulation.live_tasks(&JOB.into());
                 let runs: Vec<u32> = live.iter().map(|(index, _)| *index).collect();
@@ -119,18 +120,22 @@
                     "{name}, successor {successor}"
                 );
                 let attempt = simulation.cluster.job(&JOB.into()).unwrap().tasks[0].attempt;
-                assert_eq!(attempt, if done { 0 } else { 2 }, "{name}, successor {successor}: what is done has none");
+                assert_eq!(
+                    attempt,
+                    if done { 0 } else { 2 },
+                    "{name}, successor {successor}: a done task has no attempt"
+                );
                 assert_eq!(simulation.terminated.len(), 0, "{name}, successor {successor}");
             }
         }
     }
 }
 
-/// The machine of a cancelled task hears a deposed leader alone, which renews its lease and knows of no cancellation,
-/// while ten others lead one after the other and nobody reaches it: it is returned in time by the first cancellation,
-/// which the simulation checks at every step.
+/// The machine of a cancelled task is reached only by a deposed leader, which renews its lease and does not know of the
+/// cancellation, while ten leaders follow each other and none reaches the machine. It must be terminated by the deadline
+/// that began with the cancellation, which the simulation checks at every step.
 #[test]
-fn ten_leaders_while_a_deposed_one_renews_a_lease_stop_the_cancelled_in_time() {
+fn cancelled_task_is_gone_in_time_across_ten_leaders_while_a_deposed_one_renews_its_lease() {
     for gap_s in [12.0, 6.0, 5.0, 4.0, 2.0] {
         let name = format!("every {gap_s} s");
         let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a")], |_| ());
@@ -158,7 +163,7 @@
             }
             simulation.step();
         }
-        // Each successor returns it again until the cloud's list, which lags, does not name it any more.
+        // Each new leader terminates the machine again until the cloud's list, which lags, no longer names it.
         assert!(
             simulation.terminated.iter().all(|m| *m == "m1") && simulation.world.workers["m1"].terminated,
             "{name}"
--- a/src/scheduling/tests/new_machines.rs
+++ b/src/scheduling/tests/new_machines.rs
@@ -1,19 +1,19 @@
-//! New machines are up within two seconds and get work at once while writes lag, and the leader ends.
+//! New machines come up within two seconds and get work at once, while store writes lag and the leader fails.
 
 use super::world::*;
 use super::*;
 use crate::scheduling::cluster::DirectCommand;
 
-/// The write that binds has no answer; it is carried out at once, late (and then refused, since another is the leader),
-/// or never. Until it is known to stand nothing is launched, by the leader or by the deposed one; the successor knows
-/// all that stands and starts nothing that the deposed one may yet start.
+/// The write of a binding is unacknowledged: it is applied at once, or never (a late one is refused, since another
+/// leads by then). Until its success is known, neither the leader nor the same one deposed launches the tasks. The
+/// successor knows every stored binding and starts nothing that the deposed leader may still start.
 #[test]
-fn no_launch_before_its_binding_stands_whatever_the_successor_reads() {
-    for (stands, answered_at) in [true, false].into_iter().flat_map(|s| (0..8).map(move |at| (s, at))) {
-        let name = format!("stands {stands}, answered at {answered_at}");
+fn no_launch_before_its_binding_is_known_to_be_stored() {
+    for (stored, answered_at) in [true, false].into_iter().flat_map(|stored| (0..8).map(move |at| (stored, at))) {
+        let name = format!("stored {stored}, answered at {answered_at}");
         let mut world = World::new(&["m1", "m2"], |j| (j.tasks, j.cpus) = (2, 4.0));
         let mut old = world.elect_leader();
-        // Rented, up, and work at once.
+        // A machine that was just rented comes up and gets work at once.
         let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
         old.expect_machine("m1", &kind, None, secs(2.0), world.now);
         drop(world.send_heartbeat(&mut old, "m1"));
@@ -22,24 +22,24 @@
         old.bind_placements(decisions, world.now);
         let (_, writes) = old.next_writes(99, world.now);
         assert_eq!(writes.len(), 1, "{name}");
-        let mut held: Vec<DirectCommand> = Vec::new();
-        if stands {
+        let mut delayed: Vec<DirectCommand> = Vec::new();
+        if stored {
             world.version += 1;
             world.shard = Some((world.version, writes[0].tasks.clone()));
         }
         let mut successor = None;
         for step in 0..16 {
             world.now += secs(0.5);
-            if step == answered_at && stands {
+            if step == answered_at && stored {
                 let version = world.shard.as_ref().unwrap().0;
                 old.record_stored_shards(&writes, version);
             }
             if step == 4 {
                 successor = Some(world.elect_leader());
             }
-            // The old one is not told that it was deposed, and goes on as long as the machine's fencing token is its
-            // own.
-            let known = step >= answered_at && stands;
+            // The deposed leader does not learn that it was deposed. It goes on until the machine has seen a higher
+            // fencing token than its own.
+            let known = step >= answered_at && stored;
             if world.workers["m1"].fencing_token <= old.fencing_token {
                 let answer = world.send_heartbeat(&mut old, "m1");
                 assert!(known || count_launches(&answer.commands) == 0, "{name}, step {step}");
@@ -50,12 +50,12 @@
             for direct in old.direct_commands(world.now) {
                 assert!(known || count_launches(&direct.commands) == 0, "{name}, step {step}");
                 old.finish_direct_command(&direct.machine, direct.fencing_token, false, world.now);
-                held.push(direct);
+                delayed.push(direct);
             }
             if let Some(successor) = &mut successor {
                 if step == 4 {
                     let usage = successor.team_usage.get("blue").copied().unwrap_or_default().cpus;
-                    assert_eq!(usage, if stands { 8.0 } else { 0.0 }, "{name}: the successor knows what stands");
+                    assert_eq!(usage, if stored { 8.0 } else { 0.0 }, "{name}: the successor counts what is stored");
                 }
                 if step >= 6 {
                     world.exchange_heartbeat(successor, "m1");
@@ -65,9 +65,9 @@
                 successor.bind_placements(decisions, world.now);
                 world.store_all(successor);
             }
-            // What was held up comes at every step after; the world checks what it starts.
+            // Delayed commands arrive again at every later step. The world checks what they start.
             if step >= 5 {
-                held.iter().for_each(|direct| drop(world.deliver_command(direct)));
+                delayed.iter().for_each(|direct| drop(world.deliver_command(direct)));
             }
         }
         let mut successor = successor.unwrap();
@@ -80,7 +80,7 @@
         }
         for index in 0..2 {
             let live = world.workers.values().filter(|w| w.has_live_attempt(&task_key(index))).count();
-            assert_eq!(live, 1, "{name}: task {index} runs, once");
+            assert_eq!(live, 1, "{name}: task {index} runs exactly once");
         }
     }
 }
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -1,13 +1,13 @@
-//! Copies of old heartbeats that come after newer ones (issue 34, section 3, case 7).
+//! Copies of old heartbeats that arrive after newer ones (issue 34, section 3, case 7).
 
 use super::world::*;
 use super::*;
 use crate::protocol::workers::ExitCause;
 
-/// What a heartbeat of an earlier time says to the leader, to a successor, and to one that led before, by cases: the
-/// task's attempt on the machine that the store names stays bound to it, or is gone because the copy proves just that.
+/// An old heartbeat reaches the leader, a successor, or a leader that has led before. The attempt that the store names
+/// stays bound to its machine, unless the copy proves that it is gone.
 #[test]
-fn old_reports_by_cases() {
+fn copy_of_an_old_report_removes_no_binding_that_it_does_not_disprove() {
     #[derive(Clone, Copy, Debug, PartialEq)]
     enum Reader {
         Leader,
@@ -15,7 +15,7 @@
         LeaderAgain,
     }
     use Reader::*;
-    // (what the copy is, when it was made, who reads it, whether the binding stands after it)
+    // (what the copy shows, its index in `copies`, who reads it, whether the task stays bound)
     let cases = [
         ("before the launch", 0, Leader, true),
         ("before the launch", 0, Successor, true),
@@ -27,11 +27,11 @@
         ("an earlier attempt failed", 2, Successor, true),
         ("an earlier attempt failed", 2, LeaderAgain, true),
         ("an earlier attempt was reaped", 3, Successor, true),
-        ("an earlier session", 4, Leader, true),
-        ("an earlier session", 4, Successor, true),
-        ("an earlier session", 4, LeaderAgain, true),
+        ("an earlier agent epoch", 4, Leader, true),
+        ("an earlier agent epoch", 4, Successor, true),
+        ("an earlier agent epoch", 4, LeaderAgain, true),
     ];
-    for (name, made, reader, stands) in cases {
+    for (name, copy, reader, stays_bound) in cases {
         let mut world = World::new(&["m1", "m2"], |_| ());
         let mut cluster = world.elect_leader();
         let mut copies = Vec::new();
@@ -64,20 +64,20 @@
                 cluster = world.elect_leader();
             }
         }
-        // The machine itself can't be reached for a while; copies come, one after the other.
+        // The machine is unreachable for a while, and copies arrive one after the other.
         for n in 0..3 {
-            cluster.take_heartbeat(copies[made].clone(), MessageKind::Heartbeat, None, world.now);
+            cluster.take_heartbeat(copies[copy].clone(), MessageKind::Heartbeat, None, world.now);
             drop(cluster.heartbeat_response_commands("m1", world.now));
             if n == 1 {
                 cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             }
-            assert_eq!(binding_of(&cluster, 0).is_some(), stands, "{name}, read by {reader:?}");
+            assert_eq!(binding_of(&cluster, 0).is_some(), stays_bound, "{name}, read by {reader:?}");
             world.bind_waiting(&mut cluster, "m2");
             world.exchange_heartbeat(&mut cluster, "m2");
             world.now += secs(2.0);
         }
         assert!(!world.workers["m2"].has_live_attempt(&task_key(0)));
-        // It is reached again: stopped, and on its way elsewhere.
+        // Once the machine is reachable again, the task is stopped there and placed elsewhere.
         for _ in 0..4 {
             world.exchange_heartbeat(&mut cluster, "m1");
             world.bind_waiting(&mut cluster, "m2");
@@ -87,10 +87,10 @@
     }
 }
 
-/// A machine that was returned in its first time as leader: a cluster state of its second time knows nothing of that. A
-/// copy of a heartbeat made under the first fencing token makes it no machine to place on; one under the newest could.
+/// A controller terminates a machine while it leads, and leads again later with a cluster state that knows nothing of
+/// it. A copy of a heartbeat that was made under the first fencing token must not make the machine available for work.
 #[test]
-fn what_was_returned_in_an_earlier_time_takes_no_work_by_a_copy() {
+fn machine_terminated_in_an_earlier_term_gets_no_work_by_a_copied_heartbeat() {
     let mut world = World::new(&["m1", "m2"], |_| ());
     let mut first = world.elect_leader();
     world.exchange_heartbeat(&mut first, "m1");
@@ -103,7 +103,7 @@
     let mut cluster = world.elect_leader();
     for raised in [false, true] {
         if raised {
-            // Under a fencing token that it raises the same leader goes on.
+            // The same leader goes on under a raised fencing token.
             world.version += 1;
             cluster.raise_fencing_token(world.version);
         }
@@ -116,8 +116,7 @@
         drop(cluster.heartbeat_response_commands("m1", world.now));
         assert_eq!(plan_placements(&mut cluster, world.now), [], "raised: {raised}");
     }
-    // A machine that is there learns the first fencing token of this cluster state and counts, whatever was raised
-    // since.
+    // A machine that has seen the first fencing token of this cluster state is available, also after later raises.
     let known = Heartbeat { fencing_token: cluster.first_fencing_token, ..world.next_heartbeat("m2") };
     cluster.take_heartbeat(known, MessageKind::Heartbeat, None, world.now);
     assert_eq!(plan_placements(&mut cluster, world.now), [(0, "m2".to_owned())]);
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -1,4 +1,5 @@
-//! Machines that hear nothing, and copies of heartbeats that come late.
+//! Machines behind a one-way partition, whose heartbeats arrive but which receive nothing, and heartbeat copies that
+//! arrive late.
 
 use super::*;
 use crate::jobs::record::StoredTask;
@@ -7,10 +8,10 @@
     Duration::from_secs(seconds)
 }
 
-/// Copies of heartbeats that come late: only what is newer by (agent epoch, seq) counts, and a successor gives no work
-/// to a machine that it knows from an old heartbeat alone, though it answers it.
+/// Only a heartbeat that is newer by (agent epoch, seq) counts, and a successor gives no work to a machine that it knows
+/// only from an old heartbeat, although it answers it.
 #[test]
-fn late_copies_of_reports_by_cases() {
+fn late_heartbeat_copies_are_ignored_and_bring_a_machine_no_work() {
     let now = Instant::now();
     let place = |cluster: &mut ClusterState| {
         add_job(cluster, 1, now, |j| (j.tasks, j.team) = (2, "blue".into()));
@@ -30,11 +31,11 @@
     type Known<'a> = &'a dyn Fn(&mut ClusterState);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     let cases: [(&str, Known, u64, bool); 4] = [
-        ("nobody else tells of it", &|_| {}, 3, false),
-        ("the worker has heard the successor", &|_| {}, 9, true),
+        ("known from the copy alone", &|_| {}, 3, false),
+        ("the worker has seen the successor's token", &|_| {}, 9, true),
         ("rented or listed", &|cluster| cluster.expect_machine("m", &kind, None, secs(60), now), 3, true),
         (
-            "returned by this leader",
+            "terminated by this leader",
             &|cluster| {
                 cluster.expect_machine("m", &kind, None, secs(60), now);
                 cluster.remove_machine(&"m".into(), now);
@@ -43,13 +44,14 @@
             false,
         ),
     ];
-    for (name, known, fencing_token, want) in cases {
+    for (name, known, fencing_token, gets_work) in cases {
         let mut cluster = successor();
         known(&mut cluster);
         take(&mut cluster, copy(5, fencing_token), now);
-        assert_eq!(place(&mut cluster) > 0, want, "{name}");
+        assert_eq!(place(&mut cluster) > 0, gets_work, "{name}");
     }
-    // Copies of older heartbeats keep no machine from being silent, and many of such machines excuse nobody.
+    // Copies of older heartbeats do not keep a machine from counting as silent, and many such machines do not count as
+    // a mass loss that would put off terminations.
     let mut cluster = successor();
     for seq in [9, 3, 9, 8] {
         for m in ["m", "x", "y", "z"] {
@@ -57,24 +59,25 @@
             cluster.take_heartbeat(old, MessageKind::Heartbeat, None, now + secs(if seq == 9 { 0 } else { 11 }));
         }
     }
-    assert!(!cluster.most_machines_lost(now + secs(12)), "nobody was lost");
+    assert!(!cluster.most_machines_lost(now + secs(12)), "no machine was lost");
     cluster.tick(now + secs(13));
     assert!(
         cluster.machines.values().all(|m| m.state == MachineState::Terminating),
-        "to be returned, should they exist"
+        "all are terminated, in case they exist"
     );
-    // Nor does a agent epoch that is over come back.
+    // An agent epoch that has ended does not come back either.
     let mut cluster = successor();
     let done = Heartbeat { agent_epoch: 2, ..copy(1, 9) };
     take(&mut cluster, done, now);
     take(&mut cluster, Heartbeat { agent_epoch: 1, notice_s: Some(1.0), ..copy(99, 9) }, now);
-    assert!(cluster.machines["m"].recall_at.is_none(), "a notice of an earlier session");
+    assert!(cluster.machines["m"].recall_at.is_none(), "a notice of an earlier agent epoch");
 }
 
-/// A machine whose reports arrive and that hears nothing was given its tasks again every lease.
+/// Regression test: a machine behind a one-way partition, whose heartbeats arrive but which receives nothing, was given
+/// its tasks again after every lease. It must get no work, and is terminated unless many machines are affected.
 #[test]
-fn a_machine_that_hears_nothing_gets_no_work_and_is_returned_alone() {
-    for (name, inbound_lost, of, zones, returned) in [
+fn machine_behind_a_one_way_partition_gets_no_work_and_is_terminated_alone() {
+    for (name, inbound_lost, total, zones, terminated) in [
         ("one of twenty", 1, 20, 1, true),
         ("two of twenty", 2, 20, 1, true),
         ("three of twenty", 3, 20, 1, false),
@@ -84,27 +87,27 @@
         let start = Instant::now();
         let mut cluster = ClusterState::new(7, example(), Properties::default(), start);
         cluster.loaded = true;
-        let zone = |m: u64| format!("z{}", m / (of / zones));
+        let zone = |m: u64| format!("z{}", m / (total / zones));
         let mut agent_epoch = 1;
         for t in 0..60u64 {
             let now = start + secs(t);
             if t > 0 && t % 25 == 0 {
                 agent_epoch += 1;
             }
-            for m in (0..of).filter(|m| t % if *m < inbound_lost { 5 } else { 3 } == 0) {
+            for m in (0..total).filter(|m| t % if *m < inbound_lost { 5 } else { 3 } == 0) {
                 let agent_epoch = if m < inbound_lost { agent_epoch } else { 1 };
                 let heartbeat = heartbeat(&format!("m{m:02}"), "c8", &zone(m), false, t + 1, vec![]);
                 cluster.take_heartbeat(Heartbeat { agent_epoch, ..heartbeat }, MessageKind::Heartbeat, None, now);
                 cluster.heartbeat_response_commands(&format!("m{m:02}"), now);
             }
             cluster.tick(now);
-            let hears = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
-            assert_eq!(hears, if t < 25 { of } else { of - inbound_lost }, "{name}: at {t} s");
+            let reachable = cluster.machines.values().filter(|m| !m.inbound_lost).count() as u64;
+            assert_eq!(reachable, if t < 25 { total } else { total - inbound_lost }, "{name}: at {t} s");
         }
-        let out = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
-        assert_eq!(out, if returned { inbound_lost } else { 0 }, "{name}");
-        assert_eq!(cluster.most_machines_lost(start + secs(60)), inbound_lost * 3 >= of, "{name}");
-        // It hears again: it is well with the next heartbeat.
+        let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
+        assert_eq!(terminating, if terminated { inbound_lost } else { 0 }, "{name}");
+        assert_eq!(cluster.most_machines_lost(start + secs(60)), inbound_lost * 3 >= total, "{name}");
+        // The partition heals: the machine counts as reachable with the next reply to a command.
         let now = start + secs(61);
         cluster.take_heartbeat(
             Heartbeat { agent_epoch, ..heartbeat("m00", "c8", &zone(0), false, 99, vec![]) },
@@ -116,10 +119,11 @@
     }
 }
 
-/// What an earlier leader has stored and may yet launch is proven gone by nothing but a return where the worker
-/// never learns the fencing token: the work goes on elsewhere, however many are partitioned one way.
+/// Where a worker never learns the fencing token, only the machine's termination proves that a task which an earlier
+/// leader has stored and may still launch is gone. Such machines must be terminated, however many are behind a one-way
+/// partition, so that the work can go on elsewhere.
 #[test]
-fn what_only_a_return_proves_gone_is_not_kept_for_ever() {
+fn machines_are_terminated_where_only_that_proves_a_stored_task_gone() {
     let start = Instant::now();
     let mut cluster = ClusterState::new(9, example(), Properties::default(), start);
     let mut job = spec();
@@ -142,7 +146,7 @@
         }
         cluster.tick(now);
     }
-    let out: Vec<&str> =
+    let terminating: Vec<&str> =
         cluster.machines.values().filter(|m| m.state == MachineState::Terminating).map(|m| &*m.id).collect();
-    assert_eq!(out, ["m0", "m1"], "those that hold something, and no others");
+    assert_eq!(terminating, ["m0", "m1"], "only the machines with bound tasks");
 }
