--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -1,4 +1,4 @@
-//! Tests of the intent that prioritizes classes and teams (`Ahead`), on the cluster state in simulated time: what the
+//! Tests of the intent that prioritizes classes and teams (`PriorityBoost`), on the cluster state in simulated time: what the
 //! prioritized work gains, and what is left to other work.
 
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 use crate::scheduling::intents::{Intents, PriorityBoost};
 use crate::scheduling::preempt;
 
-fn ahead_intents(classes: &[&str], most_part: f64) -> Intents {
+fn priority_boost_intents(classes: &[&str], max_core_share: f64) -> Intents {
     let names = ClassTeamSet::from_subjects(classes.iter().map(|name| (Subject::Class, *name)));
-    Intents { priority_boost: Some(PriorityBoost { names, max_core_share: most_part }), ..Intents::default() }
+    Intents { priority_boost: Some(PriorityBoost { names, max_core_share }), ..Intents::default() }
 }
 
 /// Seconds that the jobs of a class waited until none of their tasks was waiting any more.
@@ -22,13 +22,13 @@
 }
 
 /// Simulates the class `hot` at its usual rate during a flood of another class. A fifth of its jobs are gangs of five
-/// tasks, which need a quarter of all cores. With `most_part` the class is prioritized up to this share of the cores.
-fn simulate_hot_class(most_part: Option<f64>, hot: &str, flood: &str, seed: u64) -> (World, Waits) {
+/// tasks, which need a quarter of all cores. With `max_core_share` the class is prioritized up to this share of the cores.
+fn simulate_hot_class(max_core_share: Option<f64>, hot: &str, flood: &str, seed: u64) -> (World, Waits) {
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::new(10, Properties { served_window: s(120.0), ..Properties::default() });
-    if let Some(part) = most_part {
-        world.cluster.set_intents(ahead_intents(&[hot], part));
+    if let Some(part) = max_core_share {
+        world.cluster.set_intents(priority_boost_intents(&[hot], part));
     }
     let mut waiting: BTreeMap<JobId, (u32, bool)> = BTreeMap::new();
     let mut waits = Waits { all: Vec::new(), largest: Vec::new() };
@@ -74,9 +74,10 @@
         let (mut off, mut on) = (Waits { all: vec![], largest: vec![] }, Waits { all: vec![], largest: vec![] });
         let (mut served_off, mut served_on) = (0.0, 0.0);
         for seed in 0..6 {
-            for (most_part, waits, served) in [(None, &mut off, &mut served_off), (Some(0.5), &mut on, &mut served_on)]
+            for (max_core_share, waits, served) in
+                [(None, &mut off, &mut served_off), (Some(0.5), &mut on, &mut served_on)]
             {
-                let (world, seed_waits) = simulate_hot_class(most_part, hot, flood, seed);
+                let (world, seed_waits) = simulate_hot_class(max_core_share, hot, flood, seed);
                 assert_eq!(world.cluster.job_count(), 0, "no job may be left open");
                 waits.all.extend(seed_waits.all);
                 waits.largest.extend(seed_waits.largest);
@@ -105,10 +106,10 @@
     /// However much of the prioritized class arrives, the other class stays above its floor.
     #[test]
     fn other_class_stays_above_its_floor_while_a_class_is_prioritized(
-        seed in any::<u64>(), which in 0..2usize, times in 3..7u32, gang in 1..3u64, most_part in 0.1..0.9f64,
+        seed in any::<u64>(), which in 0..2usize, times in 3..7u32, gang in 1..3u64, max_core_share in 0.1..0.9f64,
     ) {
         let classes = ["small", "big"];
-        let hot = ahead_intents(&[classes[which]], most_part);
+        let hot = priority_boost_intents(&[classes[which]], max_core_share);
         let world = simulate_flood_with(classes[which], times, gang, 0.75, seed, hot);
         let served = |class| {
             let (share, n) = world.in_time_share_between(class, 0, 300);
@@ -144,7 +145,7 @@
         hot.cpus = 8.0;
         cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
         if prioritized {
-            cluster.set_intents(ahead_intents(&["hot"], 0.9));
+            cluster.set_intents(priority_boost_intents(&["hot"], 0.9));
         }
         preempt::preempt(&mut cluster, &catalog(), now);
         let preempted = cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halt_grace_s.is_some();
--- a/src/sla/mod.rs
+++ b/src/sla/mod.rs
@@ -1,18 +1,19 @@
-//! The arithmetic of LibraSLA (paper, sections 3 and 4), pure and in seconds.
+//! Arithmetic of LibraSLA (paper, sections 3 and 4): pure functions on times in seconds.
 //!
-//! Terms are the paper's: budget, penalty rate, delay, utility (eq. 1 and 2), share (eq. 3 and
-//! 4), the return of a task and of a machine (eq. 5 and 6). Tasks here hold full requests, so a
-//! share is weighed in cores.
+//! The terms are those of the paper: budget, penalty rate, delay, utility (eq. 1 and 2), deadline share (eq. 3 and 4),
+//! return of a task and of a machine (eq. 5 and 6). Tasks hold the resources that they request in full, so a share is
+//! measured in cores.
 
 use std::time::Duration;
 
 use crate::jobs::{JobSpec, Urgency};
 
-/// Estimates of zero would divide by zero; a second is below anything worth scheduling.
+/// Lower bound on run times and deadlines; an estimate of zero would divide by zero, and a second is shorter than any
+/// task worth scheduling.
 pub const MIN_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// What a second of a core is worth, by urgency: each step outweighs the one below it tenfold,
-/// so that a late urgent job still beats a punctual idle one of like size.
+/// Value of a core for one second by urgency. Each step is ten times the one below it, so that a late urgent job still
+/// precedes an idle job of similar size that is on time.
 pub fn priority_weight(urgency: Urgency) -> f64 {
     match urgency {
         Urgency::Prod => 1000.0,
@@ -22,33 +23,34 @@
     }
 }
 
-/// The four parameters of the paper's agreement, derived for one task.
+/// Service level agreement of one task: the four parameters of the paper's agreement (run time, deadline, budget and
+/// penalty rate), and the cores of the task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Agreement {
-    /// Whether the deadline is the user's own.
+    /// Whether the deadline was set by the user.
     pub hard: bool,
-    /// Expected run time.
+    /// Estimated run time.
     pub run_time: Duration,
-    /// Deadline from the submission.
+    /// Deadline, counted from the submission.
     pub deadline: Duration,
-    /// What its completion in time is worth.
+    /// Value of completing the task in time.
     pub budget: f64,
-    /// What each second of delay takes from that.
+    /// Reduction of the budget per second of delay.
     pub penalty_rate: f64,
-    /// Cores that it holds.
+    /// Cores that the task holds.
     pub cores: f64,
 }
 
 impl Agreement {
-    /// `estimate` is the leader's, corrected by what was observed of the class.
-    /// `soft_deadline` is how many estimates a job without a deadline is given.
-    pub fn of(spec: &JobSpec, estimate: Duration, soft_deadline: f64) -> Self {
+    /// Derives the agreement of a job's tasks. `estimate` is the leader's estimate of the run time, corrected by the
+    /// observed run times of the class; `soft_deadline_factor` times the estimate is the deadline of a job without one.
+    pub fn of(spec: &JobSpec, estimate: Duration, soft_deadline_factor: f64) -> Self {
         let run_time = estimate.max(MIN_RUN_TIME);
         let deadline = match spec.due() {
             Some(due) => due.max(MIN_RUN_TIME),
-            None => run_time.mul_f64(soft_deadline.max(1.0)),
+            None => run_time.mul_f64(soft_deadline_factor.max(1.0)),
         };
-        // A task that takes no core still takes its place; it is weighed as a small one.
+        // A task that requests no cores still occupies a machine; it counts as a small task.
         let cores = spec.cpus.max(0.1);
         let budget = priority_weight(spec.urgency) * run_time.as_secs_f64() * cores;
         Self {
@@ -61,56 +63,59 @@
         }
     }
 
-    /// Equation 2, with a finish before the deadline counting as no delay.
+    /// Delay of a task that finishes this long after its submission (equation 2); zero before the deadline.
     pub fn delay(&self, finish_after: Duration) -> Duration {
         finish_after.saturating_sub(self.deadline)
     }
 
-    /// Equation 1.
+    /// Utility of a task that finishes this long after its submission (equation 1).
     pub fn utility(&self, finish_after: Duration) -> f64 {
         self.budget - self.delay(finish_after).as_secs_f64() * self.penalty_rate
     }
 
-    /// Equation 5; zero or below counts as zero, so that hopeless work is neither sought nor shed.
+    /// Return of a task that finishes this long after its submission (equation 5). A negative return counts as zero, so
+    /// that work that is too late is neither preferred nor rejected.
     pub fn task_return(&self, finish_after: Duration) -> f64 {
         let utility = self.utility(finish_after);
         (utility / self.run_time.as_secs_f64() / self.deadline.as_secs_f64()).max(0.0)
     }
 
-    /// Whether a hard job of this age can still make it when started now; one that cannot is soft.
+    /// Whether a job with a hard deadline can still meet it when started at this age; a job that can't is treated as
+    /// soft.
     pub fn can_meet_hard_deadline(&self, age: Duration) -> bool {
         self.hard && self.delay(age + self.run_time) == Duration::ZERO
     }
 }
 
-/// Equation 3 in cores: remaining estimate times cores over the remaining deadline, the latter
-/// clamped to at least the former, so that a share never exceeds what the task holds.
-pub fn deadline_share(remaining: Duration, remaining_deadline: Duration, cores: f64) -> f64 {
-    let remaining = remaining.max(MIN_RUN_TIME);
-    remaining.as_secs_f64() * cores / remaining_deadline.max(remaining).as_secs_f64()
+/// Deadline share of a task in cores (equation 3): the remaining run time times the cores, divided by the remaining
+/// deadline. The deadline is clamped to at least the run time, so that the share never exceeds the cores of the task.
+pub fn deadline_share(remaining_run_time: Duration, remaining_deadline: Duration, cores: f64) -> f64 {
+    let remaining_run_time = remaining_run_time.max(MIN_RUN_TIME);
+    remaining_run_time.as_secs_f64() * cores / remaining_deadline.max(remaining_run_time).as_secs_f64()
 }
 
-/// What is left of a task by its estimate. An overrun task would look finished and make its
-/// machine look free (the paper assumes exact estimates); it is given half of what it has run.
-pub fn remaining_run_time(estimate: Duration, ran: Duration) -> Duration {
-    let overrun_guess = ran.mul_f64(0.5);
-    if ran < estimate { (estimate - ran).max(MIN_RUN_TIME) } else { overrun_guess.max(MIN_RUN_TIME) }
+/// Remaining run time of a task by its estimate. The paper assumes exact estimates; without a correction, a task that
+/// overruns its estimate would look finished and its machine free. Such a task is assumed to run half as long again as
+/// it has run so far.
+pub fn remaining_run_time(estimate: Duration, elapsed: Duration) -> Duration {
+    let overrun_guess = elapsed.mul_f64(0.5);
+    if elapsed < estimate { (estimate - elapsed).max(MIN_RUN_TIME) } else { overrun_guess.max(MIN_RUN_TIME) }
 }
 
-/// A machine as admission sees it: what its tasks share and return.
+/// Load of a machine as considered by admission: the summed deadline shares and returns of its tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Summed deadline shares, in cores.
+    /// Sum of the deadline shares, in cores.
     pub share: f64,
-    /// Summed returns.
+    /// Sum of the returns.
     pub total_return: f64,
 }
 
-/// Soft admission: the summed shares stay within the cores and the return does not fall.
-/// Gives the machine's new return, by which the best machine is chosen.
+/// Soft admission of a task on a machine: the sum of the shares must stay within the machine's cores, and its return must
+/// not fall. Returns the machine's new return, by which the best machine is chosen, or none if the task isn't admitted.
 pub fn admit(load: Load, cores: f64, task_share: f64, task_return: f64) -> Option<f64> {
     let new_return = load.total_return + task_return;
-    // Work of no return cannot lower the sum and may go wherever it fits.
+    // A task without return cannot lower the sum and is admitted on any machine that it fits.
     let qualifies = task_return == 0.0 || (load.share + task_share <= cores + 1e-9 && new_return >= load.total_return);
     qualifies.then_some(new_return)
 }
--- a/src/sla/tests.rs
+++ b/src/sla/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::jobs::tests::spec;
 
-fn s(x: f64) -> Duration {
-    Duration::from_secs_f64(x)
+fn s(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds)
 }
 
 #[test]
-fn utility_and_return_by_worked_cases() {
+fn utility_and_return_fall_with_the_delay() {
     // (name, estimate, due, cpus, finish, utility, return)
     let cases = [
         ("on time", 100.0, Some(200.0), 2.0, 150.0, 2000.0, 0.1),
@@ -15,52 +15,54 @@
         ("utility at zero", 100.0, Some(200.0), 2.0, 400.0, 0.0, 0.0),
         ("utility below zero", 100.0, Some(200.0), 2.0, 600.0, -2000.0, 0.0),
         ("no deadline", 100.0, None, 2.0, 400.0, 2000.0, 0.05),
-        ("zero estimate", 0.0, Some(10.0), 1.0, 5.0, 10.0, 1.0),
+        ("estimate of zero", 0.0, Some(10.0), 1.0, 5.0, 10.0, 1.0),
     ];
-    for (name, estimate, due, cpus, finish, utility, ret) in cases {
+    for (name, estimate, due, cpus, finish, utility, task_return) in cases {
         let mut job = spec();
         (job.cpus, job.due_s) = (cpus, due);
-        let a = Agreement::of(&job, s(estimate), 4.0);
-        assert!((a.utility(s(finish)) - utility).abs() < 1e-6, "{name}: {a:?}");
-        assert!((a.task_return(s(finish)) - ret).abs() < 1e-9, "{name}");
+        let agreement = Agreement::of(&job, s(estimate), 4.0);
+        assert!((agreement.utility(s(finish)) - utility).abs() < 1e-6, "{name}: {agreement:?}");
+        assert!((agreement.task_return(s(finish)) - task_return).abs() < 1e-9, "{name}");
     }
 }
 
 #[test]
-fn shares_and_remaining_by_worked_cases() {
-    // (name, remaining, remaining deadline, cores, share)
+fn shares_are_clamped_and_overrun_tasks_keep_remaining_time() {
+    // (name, remaining run time, remaining deadline, cores, share)
     let cases = [
-        ("half way", 50.0, 100.0, 4.0, 2.0),
-        ("clamped", 50.0, 10.0, 4.0, 4.0),
-        ("past its deadline", 50.0, 0.0, 4.0, 4.0),
+        ("deadline twice the run time", 50.0, 100.0, 4.0, 2.0),
+        ("deadline before the run time ends", 50.0, 10.0, 4.0, 4.0),
+        ("deadline has passed", 50.0, 0.0, 4.0, 4.0),
     ];
-    for (name, rest, left, cores, want) in cases {
-        assert!((deadline_share(s(rest), s(left), cores) - want).abs() < 1e-9, "{name}");
+    for (name, run_time, deadline, cores, want) in cases {
+        assert!((deadline_share(s(run_time), s(deadline), cores) - want).abs() < 1e-9, "{name}");
     }
-    for (name, estimate, ran, want) in [
-        ("fresh", 100.0, 0.0, 100.0),
-        ("under way", 100.0, 60.0, 40.0),
-        ("overrun", 100.0, 140.0, 70.0),
-        ("nothing known", 0.0, 0.0, 1.0),
+    // (name, estimate, elapsed, remaining run time)
+    for (name, estimate, elapsed, want) in [
+        ("not started", 100.0, 0.0, 100.0),
+        ("running", 100.0, 60.0, 40.0),
+        ("estimate overrun", 100.0, 140.0, 70.0),
+        ("no estimate", 0.0, 0.0, 1.0),
     ] {
-        assert_eq!(remaining_run_time(s(estimate), s(ran)), s(want), "{name}");
+        assert_eq!(remaining_run_time(s(estimate), s(elapsed)), s(want), "{name}");
     }
 }
 
 #[test]
-fn admission_and_reach() {
+fn admission_keeps_shares_and_return_and_hard_jobs_become_soft_when_late() {
     let load = Load { share: 6.0, total_return: 1.0 };
-    for (name, share, ret, want) in [
+    // (name, share, return of the task, new return of the machine)
+    for (name, share, task_return, want) in [
         ("fits", 2.0, 0.5, Some(1.5)),
-        ("share sum exceeded", 2.5, 0.5, None),
-        ("zero return goes anywhere", 9.0, 0.0, Some(1.0)),
+        ("sum of shares above the cores", 2.5, 0.5, None),
+        ("zero return is admitted anywhere", 9.0, 0.0, Some(1.0)),
         ("return would fall", 1.0, -0.5, None),
     ] {
-        assert_eq!(admit(load, 8.0, share, ret), want, "{name}");
+        assert_eq!(admit(load, 8.0, share, task_return), want, "{name}");
     }
     let mut job = spec();
     job.due_s = Some(100.0);
-    let a = Agreement::of(&job, s(60.0), 4.0);
-    assert!(a.can_meet_hard_deadline(s(40.0)));
-    assert!(!a.can_meet_hard_deadline(s(41.0)), "a hard job past reach becomes soft");
+    let agreement = Agreement::of(&job, s(60.0), 4.0);
+    assert!(agreement.can_meet_hard_deadline(s(40.0)));
+    assert!(!agreement.can_meet_hard_deadline(s(41.0)), "a hard job that cannot meet its deadline becomes soft");
 }
