--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -1,16 +1,16 @@
-//! Preemption: which tasks are stopped for others.
+//! Tests of preemption: which tasks are stopped for other jobs.
 
 use super::*;
 use crate::scheduling::preempt;
 
 #[test]
-fn higher_urgency_stops_lower() {
+fn job_of_higher_urgency_preempts_lower_and_not_equal_urgency() {
     let now = Instant::now();
     let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
     add_job(&mut cluster, 1, now, |j| (j.cpus, j.estimate_s) = (8.0, 100.0));
     let first = plan::place(&mut cluster, &catalog(), now);
     cluster.bind_placements(first, now);
-    // Stored and told, so that it has to be stopped rather than forgotten.
+    // The task is stored and its launch is sent, so that it has to be stopped and cannot just be unbound.
     let (_, shards) = cluster.next_writes(10, now);
     cluster.record_stored_shards(&shards, 1);
     assert_eq!(cluster.heartbeat_response_commands("m1", now).len(), 1);
@@ -18,23 +18,24 @@
     let later = now + Duration::from_secs(5);
     preempt::preempt(&mut cluster, &catalog(), later);
     let halting = |cluster: &ClusterState| cluster.job(&"run-000001".into()).unwrap().binding(0).unwrap().halt_grace_s;
-    assert_eq!(halting(&cluster), None, "equals do not preempt");
+    assert_eq!(halting(&cluster), None, "a job of equal urgency does not preempt");
     add_job(&mut cluster, 3, now, |j| (j.cpus, j.urgency) = (8.0, Urgency::High));
     cluster.take_heartbeat(heartbeat("m1", "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, later);
     preempt::preempt(&mut cluster, &catalog(), later + Duration::from_secs(4));
     assert_eq!(halting(&cluster), Some(1));
 }
 
-/// Found on deti-klima-ops with a guest: for a gang all idle tasks of its machines were stopped, though
-/// one task of it fits a machine beside most of them; and one machine at a time was not enough for it.
+/// Regression test (seen on deti-klima-ops with a guest): for a gang, all idle tasks on its machines were stopped,
+/// although one task of the gang fits on a machine beside most of them. Preempting for one machine at a time was not
+/// enough for the gang either.
 #[test]
-fn a_gang_gets_its_machines_together_and_stops_no_more_than_it_must() {
+fn gang_preempts_on_all_its_machines_at_once_and_no_more_tasks_than_needed() {
     let now = Instant::now();
     let machines: Vec<_> = ["m1", "m2", "m3"].iter().map(|n| (*n, "c8", "a", false)).collect();
     let mut cluster = cluster_with(&machines, now);
     add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.urgency, j.checkpoint_s) = (24, 1.0, Urgency::Idle, 5.0));
     let first = plan::place(&mut cluster, &catalog(), now);
-    assert_eq!(first.len(), 24, "what is over goes to idle work");
+    assert_eq!(first.len(), 24, "idle work uses the spare capacity");
     cluster.bind_placements(first, now);
     let (_, shards) = cluster.next_writes(10, now);
     cluster.record_stored_shards(&shards, 1);
@@ -53,8 +54,8 @@
         "five tasks on each of two machines"
     );
     preempt::preempt(&mut cluster, &catalog(), now + Duration::from_secs(1));
-    assert_eq!(stopped(&cluster), 10, "room is being made already");
-    // More idle work takes none of what is held for the gang, nor what it waits for.
+    assert_eq!(stopped(&cluster), 10, "preemption for the gang is under way already");
+    // More idle work gets nothing of what is reserved for the gang or being freed for it.
     add_job(&mut cluster, 3, now, |j| (j.tasks, j.urgency) = (4, Urgency::Idle));
     assert!(plan_placements(&mut cluster, now + Duration::from_secs(1)).is_empty());
 }
