--- a/src/scheduling/tests/renting.rs
+++ b/src/scheduling/tests/renting.rs
@@ -1,4 +1,4 @@
-//! Renting and draining: which machines are wanted and which can be spared.
+//! Tests of scale-out and scale-in: which machines are rented and which are drained.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::machine_kinds::MachineKind;
 
 #[test]
-fn renting_by_cases() {
+fn scale_out_rents_the_cheapest_kind_and_backs_off_from_refused_kinds() {
     let now = Instant::now();
     let kind = |t: &str, spot| MachineKind { type_name: t.into(), zone: "a".into(), spot };
     let plan = |cluster: &ClusterState, refusals: &CapacityRefusals| {
@@ -17,13 +17,17 @@
     };
     let mut waiting = cluster_with(&[], now);
     add_job(&mut waiting, 1, now, |j| (j.tasks, j.cpus, j.zone) = (3, 4.0, Some("a".into())));
-    assert_eq!(plan(&waiting, &CapacityRefusals::default()), [(kind("c8", true), 2)], "the cheapest that packs");
+    assert_eq!(
+        plan(&waiting, &CapacityRefusals::default()),
+        [(kind("c8", true), 2)],
+        "the cheapest kind that the tasks pack into"
+    );
     let mut refusals = CapacityRefusals::default();
     refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now);
-    assert_eq!(plan(&waiting, &refusals), [(kind("c8", false), 2)], "what was refused is left alone");
+    assert_eq!(plan(&waiting, &refusals), [(kind("c8", false), 2)], "a refused kind is not requested again");
     assert!(!refusals.is_backing_off(&kind("c8", true), 0, now + Duration::from_secs(16)));
-    // Found on days of floods: machines were lost, and their kind was not asked for again for two minutes
-    // since it had been full before.
+    // Regression case (seen on days of floods): machines were lost, and their kind was not requested again for two
+    // minutes, since requests for it had been refused before the loss.
     let mut refusals = CapacityRefusals::default();
     refusals.record_held(&HashMap::from([(kind("c8", true), 100)]));
     (0..4).for_each(|_| refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now));
@@ -36,24 +40,27 @@
     let mut accelerated = cluster_with(&[], now);
     add_job(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
     assert_eq!(plan(&accelerated, &CapacityRefusals::default()), [(kind("g2", false), 1)]);
-    let mut served = cluster_with(&[("m1", "c8", "a", false)], now);
-    add_job(&mut served, 1, now, |_| ());
-    assert_eq!(plan(&served, &CapacityRefusals::default()), [], "what fits now needs no machine");
+    let mut with_capacity = cluster_with(&[("m1", "c8", "a", false)], now);
+    add_job(&mut with_capacity, 1, now, |_| ());
+    assert_eq!(plan(&with_capacity, &CapacityRefusals::default()), [], "a job that fits now needs no machine");
 }
 
+/// A surplus machine is drained if its tasks can save and be moved, or end soon.
 #[test]
-fn a_spared_machine_is_drained_and_its_work_moved() {
+fn surplus_machine_is_drained_if_its_tasks_can_save_or_end_soon() {
     let start = Instant::now();
     let now = start + Duration::from_secs(100);
     let machines = [("m1", "g2", "a", false), ("m2", "g2", "a", false)];
-    for (name, rest_s, checkpoint_s, want) in [
-        ("saves and has far to go", 500.0, 10.0, Some(1)),
-        ("cannot save", 500.0, 0.0, None),
-        ("nearly done", 110.0, 0.0, Some(0)),
+    for (name, estimate_s, checkpoint_s, expected_moves) in [
+        ("saves checkpoints and has long to run", 500.0, 10.0, Some(1)),
+        ("cannot save and has long to run", 500.0, 0.0, None),
+        ("cannot save and ends soon", 110.0, 0.0, Some(0)),
     ] {
         let mut cluster = cluster_with(&machines, start);
         for (n, machine) in [(1, "m1"), (2, "m2")] {
-            add_job(&mut cluster, n, start, |j| (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, rest_s, checkpoint_s));
+            add_job(&mut cluster, n, start, |j| {
+                (j.gpus, j.estimate_s, j.checkpoint_s) = (1.0, estimate_s, checkpoint_s)
+            });
             let task = TaskKey { job: format!("run-{n:06}").into(), index: 0 };
             cluster.bind_placements(
                 vec![crate::scheduling::cluster::Placement { task: task.clone(), attempt: 1, machine: machine.into() }],
@@ -76,17 +83,17 @@
         }
         cluster.arrivals.clear();
         let drained = choose_drains(&cluster, &catalog(), now);
-        assert_eq!(drained.first().map(|d| d.moves.len()), want, "{name}");
+        assert_eq!(drained.first().map(|d| d.moves.len()), expected_moves, "{name}");
     }
 }
 
-/// Found on the grown sites: machines were drained while work that could use them waited, and
+/// Regression test (seen on the grown sites): machines were drained while work that could use them waited, and were
 /// rented again a minute later.
 #[test]
-fn nothing_is_spared_while_work_for_it_waits() {
+fn no_machine_is_drained_while_work_that_fits_on_it_waits() {
     let start = Instant::now();
     let now = start + Duration::from_secs(100);
-    for (name, waiting, scale_in_candidate) in [("nothing waits", 0, 1), ("more waits than fits", 20, 0)] {
+    for (name, waiting, expected_drains) in [("no task waits", 0, 1), ("more tasks wait than fit", 20, 0)] {
         let mut cluster = cluster_of_c8(10, start);
         for i in 0..10 {
             let name = format!("m{i:04}");
@@ -96,15 +103,16 @@
             add_job(&mut cluster, 1, now, |j| (j.shape, j.tasks, j.cpus) = (Shape::Gang, waiting, 8.0));
         }
         cluster.arrivals.clear();
-        assert_eq!(choose_drains(&cluster, &catalog(), now).len(), scale_in_candidate, "{name}");
+        assert_eq!(choose_drains(&cluster, &catalog(), now).len(), expected_drains, "{name}");
     }
 }
 
-/// What ends on the machines goes to fresh work; work that has waited is rented for all the same.
+/// Capacity that comes free as tasks end is expected to be used by newly arriving jobs, so machines are rented for a job
+/// that has waited.
 #[test]
-fn renting_counts_with_what_is_yet_to_come() {
+fn scale_out_accounts_for_expected_arrivals() {
     let start = Instant::now();
-    for (name, arriving, rents) in [("nothing else comes", 0u32, false), ("more keeps coming", 30, true)] {
+    for (name, arriving, rents) in [("no other jobs arrive", 0u32, false), ("jobs keep arriving", 30, true)] {
         let mut cluster = cluster_of_c8(4, start);
         for n in 0..4 {
             add_job(&mut cluster, n, start, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
@@ -123,9 +131,9 @@
     }
 }
 
-/// The opening of a grown day wants hundreds of machines in one look.
+/// At the start of a busy day on a large deployment, one scale-out plan has to ask for hundreds of machines.
 #[test]
-fn hundreds_of_machines_are_wanted_at_once() {
+fn one_scale_out_plan_requests_hundreds_of_machines() {
     let now = Instant::now();
     let mut cluster = cluster_of_c8(0, now);
     for n in 0..50 {
@@ -137,10 +145,10 @@
     assert_eq!(wanted.iter().map(|demand| demand.count).sum::<u64>(), 300, "{wanted:?}");
 }
 
-/// Found on fa-lima-grown: for a minute after a takeover nothing was drained, since every machine
-/// counted as new, and renting knew of no arrivals.
+/// Regression test (seen on fa-lima-grown): for a minute after a takeover no machine was drained, since all counted as
+/// new, and scale-out knew of no arrivals.
 #[test]
-fn a_new_leader_knows_how_old_things_are() {
+fn new_leader_knows_the_age_of_machines_and_jobs() {
     let now = Instant::now();
     let secs = Duration::from_secs;
     let mut cluster = cluster_of_c8(2, now);
@@ -149,7 +157,7 @@
     cluster.expect_machine("m0001", &kind, None, secs(10), now);
     let drained: Vec<String> =
         choose_drains(&cluster, &catalog(), now).into_iter().map(|d| d.machine.to_string()).collect();
-    assert_eq!(drained, ["m0000"], "only what has been held for long enough");
+    assert_eq!(drained, ["m0000"], "only the machine that has been rented for long enough");
     for (n, age_s, at_least) in [(1, 0, 0.9), (2, 60, 0.3), (3, 6000, 0.0)] {
         let mut cluster = cluster_of_c8(0, now);
         let mut job = spec();
@@ -161,10 +169,10 @@
     }
 }
 
-/// Found on deti-klima-ops with a guest: tiny tasks that cannot save were stopped when the machine they had
-/// filled could be spared, again and again, and 17 were still open at the end of the day.
+/// Regression test (seen on deti-klima-ops with a guest): tiny tasks that cannot save were stopped again and again when
+/// the machine that they had filled was drained as surplus, and 17 were still open at the end of the day.
 #[test]
-fn what_cannot_save_runs_out_on_a_spared_machine() {
+fn tasks_that_cannot_save_run_to_their_end_on_a_draining_machine() {
     for (checkpoint_s, stopped) in [(30.0, true), (0.0, false)] {
         let now = Instant::now();
         let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
@@ -178,6 +186,10 @@
         cluster.tick(now);
         let job = cluster.job(&"run-000001".into()).unwrap();
         assert_eq!(job.binding(0).unwrap().halt_grace_s.is_some(), stopped, "saves every {checkpoint_s} s");
-        assert_eq!(cluster.machines["m1"].state, MachineState::Draining, "not returned with it");
+        assert_eq!(
+            cluster.machines["m1"].state,
+            MachineState::Draining,
+            "the machine is not terminated with its task running"
+        );
     }
 }
--- a/src/scheduling/tests/repeated_leadership.rs
+++ b/src/scheduling/tests/repeated_leadership.rs
@@ -1,47 +1,48 @@
-//! Controllers that hand over and lead again, within a second too (issue 34, section 3, case 8): nothing is kept from
-//! one cluster state of a leader to its next.
+//! Controllers that hand over leadership and lead again, also within a second (issue 34, section 3, case 8). Nothing is
+//! kept from one cluster state of a controller to its next.
 
 use super::world::*;
 use crate::jobs::End;
 
-/// A controller that leads again within the time of a command: what became of a command of its first time comes to the
-/// second cluster state while that has a launch of its own on its way, and settles nothing of it.
+/// A controller leads again before a direct command of its first term has finished. The outcome of that command reaches
+/// the second cluster state while a launch of the second term is in transit, and must not count as the outcome of that
+/// launch.
 #[test]
-fn what_became_of_an_earlier_command_settles_none_of_a_later_cluster_state() {
-    for (name, given_up) in [("given up", true), ("answered", false)] {
+fn outcome_of_an_earlier_terms_command_does_not_settle_a_later_terms_launch() {
+    for (name, timed_out) in [("timed out", true), ("answered", false)] {
         for late_at in 0..8 {
             let mut world = World::new(&["m1", "m2"], |_| ());
             let mut first = world.elect_leader();
             world.exchange_heartbeat(&mut first, "m1");
-            let before = world.announce_fencing_token(&mut first, "m1");
-            // Deposed, and leader again within a second.
+            let earlier = world.announce_fencing_token(&mut first, "m1");
+            // The controller is deposed and leads again within a second.
             drop(first);
             let mut cluster = world.elect_leader();
             world.exchange_heartbeat(&mut cluster, "m1");
             world.exchange_heartbeat(&mut cluster, "m2");
             world.bind_waiting(&mut cluster, "m1");
-            let held = world.next_command_to(&mut cluster, "m1").unwrap();
-            assert_eq!(count_launches(&held.commands), 1);
-            if given_up {
-                cluster.finish_direct_command(&before.machine, before.fencing_token, false, world.now);
+            let delayed = world.next_command_to(&mut cluster, "m1").unwrap();
+            assert_eq!(count_launches(&delayed.commands), 1);
+            if timed_out {
+                cluster.finish_direct_command(&earlier.machine, earlier.fencing_token, false, world.now);
             } else {
-                let reply = world.deliver_command(&before).unwrap();
-                world.deliver_reply(&mut cluster, &before, reply);
+                let reply = world.deliver_command(&earlier).unwrap();
+                world.deliver_reply(&mut cluster, &earlier, reply);
             }
-            assert!(world.send_heartbeat(&mut cluster, "m1").commands.is_empty(), "{name}: a command is on its way");
+            assert!(world.send_heartbeat(&mut cluster, "m1").commands.is_empty(), "{name}: a command is in transit");
             cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             let mut started = false;
             for step in 0..8 {
                 if step == late_at {
-                    started = held.fencing_token >= world.workers["m1"].fencing_token;
-                    drop(world.deliver_command(&held).unwrap());
+                    started = delayed.fencing_token >= world.workers["m1"].fencing_token;
+                    drop(world.deliver_command(&delayed).unwrap());
                 }
                 world.exchange_heartbeat(&mut cluster, "m1");
                 if !started && step < 4 {
                     assert_bound(&cluster, 0, 1, "m1");
                 }
                 if step == 3 {
-                    world.time_out_command(&mut cluster, &held);
+                    world.time_out_command(&mut cluster, &delayed);
                     world.now += secs(5.0);
                     world.raise_fencing_token_if_needed(&mut cluster);
                 }
@@ -53,20 +54,20 @@
     }
 }
 
-/// It led, lost and leads again. A launch of its first time is still on its way; the one between never heard of the
-/// machine. Nothing is kept from one cluster state to the next, so the task stays bound until the worker has heard the
-/// newest fencing token, or its agent epoch is over, or the machine was returned.
+/// A controller leads, loses leadership and leads again. A launch of its first term is still in transit, and the leader
+/// in between never heard from the machine. Nothing is kept from one cluster state to the next, so the task must stay
+/// bound until the worker has seen the newest fencing token, its agent epoch has ended, or its machine was terminated.
 #[test]
-fn who_owns_again_believes_nothing_gone_that_its_first_time_may_yet_start() {
+fn leader_of_a_second_term_keeps_a_task_bound_that_its_first_term_may_still_start() {
     for (proof, late_at) in
-        ["token", "session", "return"].into_iter().flat_map(|proof| (0..6).map(move |at| (proof, at)))
+        ["token", "agent epoch", "termination"].into_iter().flat_map(|proof| (0..6).map(move |at| (proof, at)))
     {
         let mut world = World::new(&["m1", "m2"], |_| ());
         let mut first = world.elect_leader();
         world.exchange_heartbeat(&mut first, "m1");
         world.bind_waiting(&mut first, "m1");
-        let held = world.next_command_to(&mut first, "m1").unwrap();
-        assert_eq!(count_launches(&held.commands), 1);
+        let delayed = world.next_command_to(&mut first, "m1").unwrap();
+        assert_eq!(count_launches(&delayed.commands), 1);
         drop(first);
         let mut between = world.elect_leader();
         assert_bound(&between, 0, 1, "m1");
@@ -78,15 +79,15 @@
         );
         drop(between);
         let mut cluster = world.elect_leader();
-        assert!(cluster.first_fencing_token > held.fencing_token + 10);
-        let late = |world: &mut World, step: usize| {
+        assert!(cluster.first_fencing_token > delayed.fencing_token + 10);
+        let deliver_if_due = |world: &mut World, step: usize| {
             if step == late_at {
-                drop(world.deliver_command(&held));
+                drop(world.deliver_command(&delayed));
             }
         };
-        // Its heartbeats come, answers to it are lost: its fencing token is the first.
+        // Heartbeats of the worker arrive, but answers to it are lost: it still has the first fencing token.
         for step in 0..3 {
-            late(&mut world, step);
+            deliver_if_due(&mut world, step);
             drop(world.send_heartbeat(&mut cluster, "m1"));
             assert_bound(&cluster, 0, 1, "m1");
             world.bind_waiting(&mut cluster, "m2");
@@ -94,9 +95,10 @@
         }
         match proof {
             "token" => world.exchange_heartbeat(&mut cluster, "m1"),
-            "session" => {
+            "agent epoch" => {
                 world.expire_lease("m1");
-                // What was shown in the last agent epoch is over with it; what never was needs the fencing token still.
+                // A task that was reported in the last agent epoch ended with it. A task that was never reported still
+                // needs the fencing token as proof.
                 drop(world.send_heartbeat(&mut cluster, "m1"));
                 assert_eq!(binding_of(&cluster, 0).is_none(), late_at < 3);
                 world.exchange_heartbeat(&mut cluster, "m1");
@@ -104,17 +106,17 @@
             _ => world.terminate_machine(&mut cluster, "m1"),
         }
         for step in 3..6 {
-            late(&mut world, step);
-            if proof != "return" {
+            deliver_if_due(&mut world, step);
+            if proof != "termination" {
                 world.exchange_heartbeat(&mut cluster, "m1");
             }
-            // Inherited and shown, it is adopted; stopped here, so that it goes elsewhere.
+            // An inherited task that is reported is adopted. It is stopped here, so that it is placed elsewhere.
             cluster.halt_task_or_gang(&task_key(0), 0, world.now);
             world.bind_waiting(&mut cluster, "m2");
             world.exchange_heartbeat(&mut cluster, "m2");
         }
         for _ in 0..3 {
-            if proof != "return" {
+            if proof != "termination" {
                 world.exchange_heartbeat(&mut cluster, "m1");
             }
             world.bind_waiting(&mut cluster, "m2");
@@ -124,11 +126,11 @@
     }
 }
 
-/// The timers of the one that leads again begin anew: a machine is as old as its last cluster state, so that nothing is
-/// returned for a silence in which nobody listened, and what is cancelled is stopped with the first answer whoever
-/// leads.
+/// The timers of a controller that leads again begin anew: silence counts from the start of its cluster state, so that
+/// no machine is terminated for a time in which nobody listened. Cancelled tasks are stopped with the first answer,
+/// whoever leads.
 #[test]
-fn who_owns_again_counts_no_silence_of_before() {
+fn leader_of_a_second_term_counts_no_silence_from_before() {
     let mut world = World::new(&["m1", "m2"], |j| j.tasks = 2);
     let mut cluster = world.elect_leader();
     world.exchange_heartbeat(&mut cluster, "m1");
@@ -143,12 +145,12 @@
         assert_eq!(terminating_machines(&cluster), Vec::<&str>::new(), "hand-over {hand_over}");
         cluster = world.elect_leader();
     }
-    // Cancelled under this one, and handed over once more before it was told.
+    // The job is cancelled, and leadership is handed over once more before the worker is told.
     world.ended = Some(End::Cancelled);
     cluster = world.elect_leader();
     world.exchange_heartbeat(&mut cluster, "m1");
-    assert!(!world.workers["m1"].has_live_attempt(&task_key(0)), "stopped with the first answer");
-    // The other one says nothing: alone it is returned after 12 s of this cluster state, however old its silence is.
+    assert!(!world.workers["m1"].has_live_attempt(&task_key(0)), "the task is stopped with the first answer");
+    // The other worker is silent. It alone is terminated after 12 s of this cluster state, however long its silence.
     world.now += secs(10.8);
     world.exchange_heartbeat(&mut cluster, "m1");
     cluster.tick(world.now);
