--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -1,9 +1,9 @@
-//! Group commit: the leader's changes, many per transaction, one transaction at a time.
+//! Group commit: stores the leader's changes, many per transaction, one transaction at a time.
 //!
-//! Every transaction is conditional on the leader record, on the versions of its shards and on the
-//! absence of an end for each job it speaks of. One that was not answered is sent again as it
-//! was until an answer is definite: a late copy then fails on the shard versions, or on the end.
-//! An end takes its job from the open ones in the same transaction.
+//! Every transaction is conditional on the leader record, on the versions of its shards and on the absence of an end of
+//! each job that it concerns. A transaction without an answer is retried unchanged until the answer is definite: a
+//! delayed copy then fails on the shard versions, or on the end. The end of a job deletes its open key in the same
+//! transaction.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,73 +28,84 @@
 use crate::sync::jitter;
 use crate::wakeups::Wakeups;
 
-/// Lets a moment's changes go together; a tenth of what a person would notice.
+/// Time in which changes are collected into one batch; a tenth of what a user would notice.
 const BATCH_DELAY: Duration = Duration::from_millis(40);
+/// Maximum time until the next commit if nothing wakes the loop.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(1000);
-/// Clean-up gives way: placements must not wait behind it.
+/// Timeout for the deletion of shards, so that placements don't wait behind the cleanup.
 const DROP_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause before a request to the store is retried, before jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Room left in a transaction's 64 KiB for conditions and framing.
+/// Maximum size of the changes in a transaction, whose limit of 64 KiB also covers conditions and framing.
 const MAX_CHANGE_BYTES: usize = 40 * 1024;
-/// Keys and conditions of one change, in bytes.
+/// Size of the keys and conditions of one change.
 const CHANGE_OVERHEAD_BYTES: usize = 200;
-/// This many shards of ended jobs are too many for clean-up to wait: a new leader reads them all.
+/// With this many shards of ended jobs their deletion becomes urgent, since a new leader has to read them all.
 const URGENT_DROP_COUNT: usize = 48;
 
-/// What the group commit works with.
+/// The group commit and the services that it uses.
 pub struct GroupCommit {
     /// The platform's settings.
     pub settings: Arc<Settings>,
     /// The state service.
     pub store: Arc<StateStore>,
-    /// Told of each end that was stored.
+    /// Learns of each stored job end.
     pub history: Arc<JobHistory>,
-    /// Told where a transaction shows that another leads.
+    /// Learns that a transaction shows another leader.
     pub membership: Arc<Membership>,
     /// The cluster state, whose changes are stored.
     pub leader: Arc<LeaderState>,
-    /// Told of each end that the state service has acknowledged.
+    /// Learns of each job end that the state service has acknowledged.
     pub audit: Arc<Auditor>,
-    /// Wakes this loop, and those that act on what was stored.
+    /// Wakes this loop, and the loops that act on stored changes.
     pub wakeups: Arc<Wakeups>,
 }
 
+/// The job ends and task shards of one transaction.
 pub(crate) struct CommitBatch {
+    /// The jobs that are stored as done.
     pub ends: Vec<Arc<JobRecord>>,
+    /// The task shards to write.
     pub shards: Vec<ShardWrite>,
+    /// When the jobs ended, as Unix time in milliseconds.
     pub at_ms: u64,
 }
 
 impl CommitBatch {
+    /// The changes of the transaction.
     pub fn changes(&self) -> Vec<Change> {
         let ends = self.ends.iter().flat_map(|job| end_changes(job, End::Done, self.at_ms));
-        let shards = self.shards.iter().map(|c| Change::write(shard_key(&c.job, c.shard), encode_shard(&c.tasks)));
+        let shards = self.shards.iter().map(|s| Change::write(shard_key(&s.job, s.shard), encode_shard(&s.tasks)));
         ends.chain(shards).collect()
     }
 
+    /// The conditions of the transaction: this leader still leads, the shards have their expected versions, and none of
+    /// the jobs has ended.
     pub fn conditions(&self, fencing_token: u64) -> Vec<Condition> {
-        let shards = self.shards.iter().map(|c| Condition::at(shard_key(&c.job, c.shard), c.version));
+        let shards = self.shards.iter().map(|s| Condition::at(shard_key(&s.job, s.shard), s.version));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
         let ends = jobs.into_iter().flat_map(|id| not_ended(id));
         std::iter::once(Condition::at(LEADER, fencing_token)).chain(shards).chain(ends).collect()
     }
 
-    /// Every job it speaks of.
+    /// Every job with an end or a shard in this batch.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
-        self.ends.iter().map(|job| &job.spec.id).chain(self.shards.iter().map(|c| &c.job))
+        self.ends.iter().map(|job| &job.spec.id).chain(self.shards.iter().map(|s| &s.job))
     }
 
+    /// The jobs whose end is in this batch.
     pub fn ended_ids(&self) -> Vec<JobId> {
         self.ends.iter().map(|job| job.spec.id.clone()).collect()
     }
 
+    /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.shards.is_empty()
     }
 }
 
-/// How many of these fit into a transaction that has taken `bytes` so far; at least one if it is
-/// empty.
+/// Counts how many changes of these sizes fit into a transaction of `bytes` so far, to which their sizes are added; at
+/// least one if it is empty.
 fn count_fitting(bytes: &mut usize, sizes: impl Iterator<Item = usize>) -> usize {
     let mut n = 0;
     for size in sizes {
@@ -107,7 +118,7 @@
     n
 }
 
-/// Stores the leader's changes for as long as this controller leads: in batches, one transaction at a time.
+/// Stores the leader's changes while this controller leads: in batches, one transaction at a time.
 pub async fn run(group_commit: Arc<GroupCommit>) {
     loop {
         let _ = tokio::time::timeout(MAX_IDLE_TIME, group_commit.wakeups.commit.notified()).await;
@@ -116,7 +127,12 @@
             if !store_batch(&group_commit, batch).await {
                 return;
             }
-            if group_commit.leader.cluster().as_ref().is_some_and(|b| b.pending_shard_drops() >= URGENT_DROP_COUNT) {
+            if group_commit
+                .leader
+                .cluster()
+                .as_ref()
+                .is_some_and(|cluster| cluster.pending_shard_drops() >= URGENT_DROP_COUNT)
+            {
                 drop_ended_shards(&group_commit, RequestPriority::Placement).await;
             }
         }
@@ -124,36 +140,39 @@
     }
 }
 
+/// The next batch of due writes. None if nothing is due or this controller doesn't lead.
 fn next_batch(group_commit: &GroupCommit) -> Option<CommitBatch> {
-    // What the budget holds goes at once: a full batch would wait for a whole burst.
-    let most = (group_commit.settings.params.state.txn_ops as usize)
+    // Limited to the writes that the budget has ready: a full batch would wait until the budget allows a whole burst.
+    let max_changes = (group_commit.settings.params.state.txn_ops as usize)
         .min(group_commit.store.client.writes_ready(RequestPriority::Placement).max(1));
-    let mut held = group_commit.leader.cluster();
-    let cluster = held.as_mut().filter(|b| b.loaded)?;
+    let mut guard = group_commit.leader.cluster();
+    let cluster = guard.as_mut().filter(|cluster| cluster.loaded)?;
     let now = Instant::now();
     if !cluster.has_due_writes(now) {
         return None;
     }
-    let (mut ends, mut shards) = cluster.next_writes(most, now);
+    let (mut ends, mut shards) = cluster.next_writes(max_changes, now);
     let mut bytes = 0;
     let size =
         |job: &Arc<JobRecord>| serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_EXTRA + CHANGE_OVERHEAD_BYTES;
-    let late_ends = ends.split_off(count_fitting(&mut bytes, ends.iter().map(size)));
-    let rest = shards
-        .split_off(count_fitting(&mut bytes, shards.iter().map(|c| shard_size(&c.tasks) + CHANGE_OVERHEAD_BYTES)));
-    let late_ends: Vec<JobId> = late_ends.iter().map(|job| job.spec.id.clone()).collect();
-    cluster.requeue_writes(&late_ends, &rest);
+    let excess_ends = ends.split_off(count_fitting(&mut bytes, ends.iter().map(size)));
+    let excess_shards = shards
+        .split_off(count_fitting(&mut bytes, shards.iter().map(|s| shard_size(&s.tasks) + CHANGE_OVERHEAD_BYTES)));
+    let excess_ends: Vec<JobId> = excess_ends.iter().map(|job| job.spec.id.clone()).collect();
+    cluster.requeue_writes(&excess_ends, &excess_shards);
     let batch = CommitBatch { ends, shards, at_ms: time_of_day_ms() };
     (!batch.is_empty()).then_some(batch)
 }
 
-/// False once this controller no longer leads.
+/// Stores a batch, retrying until the outcome is definite. Returns false once this controller no longer leads.
 async fn store_batch(group_commit: &Arc<GroupCommit>, batch: CommitBatch) -> bool {
     let changes = batch.changes();
     let priority = if batch.ends.is_empty() { RequestPriority::Placement } else { RequestPriority::Critical };
     let mut unanswered = false;
     loop {
-        let Some(fencing_token) = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token) else { return false };
+        let Some(fencing_token) = group_commit.leader.cluster().as_ref().map(|cluster| cluster.fencing_token) else {
+            return false;
+        };
         match group_commit.store.client.compare_and_swap(&batch.conditions(fencing_token), &changes, priority).await {
             Ok(CompareAndSwapOutcome::Applied(version)) => {
                 record_stored_batch(group_commit, &batch, version);
@@ -161,13 +180,13 @@
             }
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "transaction rejected");
-                let now_token = group_commit.leader.cluster().as_ref().map(|b| b.fencing_token);
+                let now_token = group_commit.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
                 if keys.iter().any(|k| k == LEADER) {
                     if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
-                    // Wait for the watch cache to say who leads; it may be this controller itself,
-                    // under a fencing token it has not heard the answer about.
+                    // Wait until the watch cache shows the leader. It may be this controller itself, under a fencing
+                    // token whose acquisition has not been answered yet.
                     group_commit.store.read_barrier.wait().await;
                     group_commit.membership.check_deposed();
                     group_commit.wakeups.membership.notify_one();
@@ -195,7 +214,7 @@
     group_commit.wakeups.dispatch.notify_one();
 }
 
-/// An end stands in the store: the cluster state acts on it at once, ahead of the watch.
+/// Records the stored end of a job; the cluster state acts on it at once, ahead of the watch.
 fn record_end(group_commit: &GroupCommit, id: &JobId, end: End) {
     info!(job = %id, ?end, "job finished");
     group_commit.history.note_end(id, end);
@@ -205,7 +224,8 @@
     group_commit.wakeups.plan.notify_one();
 }
 
-/// Some keys had other versions: each is read, and what it holds decides.
+/// Resolves a rejected transaction: reads each key with an unexpected version, and decides by its value. Returns false
+/// once this controller no longer leads.
 async fn resolve_conflicts(group_commit: &Arc<GroupCommit>, batch: CommitBatch, keys: Vec<String>) -> bool {
     for id in batch.jobs() {
         if let Some(end) = find_end(&keys, id) {
@@ -229,12 +249,12 @@
                 }
             }
         };
-        let mut held = group_commit.leader.cluster();
-        let Some(cluster) = held.as_mut() else { return false };
+        let mut guard = group_commit.leader.cluster();
+        let Some(cluster) = guard.as_mut() else { return false };
         let version = item.as_ref().map_or(0, |i| i.version);
         let same = item.and_then(|i| decode_shard(&i.value)).is_some_and(|t| t == write.tasks);
         if same {
-            // An earlier copy of this transaction did apply.
+            // An earlier copy of this transaction was applied.
             cluster.record_stored_shards(std::slice::from_ref(write), version);
         } else {
             warn!(key, "stored task shard conflicts with the cluster state; overwriting it");
@@ -248,27 +268,28 @@
     true
 }
 
-/// Drops of shards whose jobs are over. A job that was lost and put back (`audit`) is open once more, and
-/// a copy that comes late must not take what is bound of it since.
+/// The conditions and changes that delete shards of ended jobs. They require that the jobs are not open: a job whose
+/// end was lost and that was restored (`audit`) is open again, and a delayed copy of the deletion must not remove its
+/// new bindings.
 pub(crate) fn shard_drops(drops: &[(JobId, u64)], fencing_token: u64) -> (Vec<Condition>, Vec<Change>) {
     let jobs: BTreeSet<&JobId> = drops.iter().map(|(id, _)| id).collect();
     let closed = jobs.into_iter().map(|id| Condition::absent(open_key(id)));
-    let changes = drops.iter().map(|(id, c)| Change::Drop { drop: shard_key(id, *c) }).collect();
+    let changes = drops.iter().map(|(id, shard)| Change::Drop { drop: shard_key(id, *shard) }).collect();
     (std::iter::once(Condition::at(LEADER, fencing_token)).chain(closed).collect(), changes)
 }
 
-/// What is still to be dropped after these were refused: nothing of jobs that are open.
+/// The shards that are still to be deleted after a rejected deletion: those whose job is not open.
 pub(crate) fn remaining_drops(mut drops: Vec<(JobId, u64)>, failed: &[String]) -> Vec<(JobId, u64)> {
     drops.retain(|(id, _)| !failed.contains(&open_key(id)));
     drops
 }
 
-/// Shards of jobs that are over, whenever the budget has room.
+/// Deletes shards of ended jobs, as many as the write budget allows.
 async fn drop_ended_shards(group_commit: &Arc<GroupCommit>, priority: RequestPriority) {
-    let most =
+    let max_drops =
         group_commit.store.client.writes_ready(priority).min(group_commit.settings.params.state.txn_ops as usize);
     let (drops, fencing_token) = match group_commit.leader.cluster().as_mut() {
-        Some(cluster) => (cluster.take_shard_drops(most), cluster.fencing_token),
+        Some(cluster) => (cluster.take_shard_drops(max_drops), cluster.fencing_token),
         None => return,
     };
     if drops.is_empty() {
--- a/src/scheduling/ids.rs
+++ b/src/scheduling/ids.rs
@@ -1,10 +1,10 @@
-//! Names of machines, and bounds on names that users choose.
+//! Machine ids, and the limit on classes that users choose.
 
 use std::num::NonZeroUsize;
 use std::sync::Arc;
 
-/// The cloud's name of a machine, shared by all that refer to it.
+/// The cloud's name of a machine, shared by reference count.
 pub type MachineId = Arc<str>;
 
-/// Classes of jobs of which anything is remembered: users name them as they like.
+/// Maximum number of job classes for which state is kept, since users choose class names freely.
 pub const MAX_CLASSES: NonZeroUsize = NonZeroUsize::new(256).unwrap();
--- a/src/scheduling/leader_state.rs
+++ b/src/scheduling/leader_state.rs
@@ -1,5 +1,5 @@
-//! What the leader decides by: its cluster state, which exists only while this controller leads, and the fair-share
-//! accounting, which every controller keeps since any may become the leader.
+//! The leader's state: the cluster state, which exists only while this controller leads, and the fair-share accounting,
+//! which every controller keeps since any may become the leader.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
@@ -21,17 +21,17 @@
         Self { cluster: Mutex::default(), accounting: Mutex::new(FairShareAccounting::new(settings, properties, now)) }
     }
 
-    /// The cluster state; none while this controller does not lead. Never held across an await.
+    /// The cluster state; None while this controller does not lead. The lock must not be held across an await.
     pub fn cluster(&self) -> MutexGuard<'_, Option<ClusterState>> {
         lock(&self.cluster)
     }
 
-    /// Who was served lately. May be locked while the cluster state is held, never the other way round.
+    /// The fair-share accounting. It may be locked while the cluster state is locked, never the other way round.
     pub fn accounting(&self) -> MutexGuard<'_, FairShareAccounting> {
         lock(&self.accounting)
     }
 
-    /// Whether this controller acts as the leader, as far as it knows.
+    /// Whether this controller acts as the leader.
     pub fn leads(&self) -> bool {
         self.cluster().is_some()
     }
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -1,4 +1,4 @@
-//! Failover: from what is stored to a cluster state, a page at a time.
+//! Failover: a new leader loads the cluster state from the store, a page at a time.
 
 mod ended_jobs;
 mod shard;
@@ -19,35 +19,35 @@
 use ended_jobs::{EndedJobs, find_done_jobs};
 use shard::Shard;
 
-/// How much a load has read.
+/// Counts of what a load has read.
 #[derive(Debug, Default)]
 struct LoadCounts {
     shards: usize,
     pages: usize,
 }
 
-/// Records of ended jobs that the watch cache holds, and the jobs of which it has none.
+/// Records of ended jobs that the watch cache holds, and the jobs that it lacks.
 #[derive(Debug, Default)]
 struct CachedRecords {
     found: HashMap<JobId, Arc<JobRecord>>,
     missing: HashSet<JobId>,
 }
 
-/// Reads every page of tasks into the cluster state, which decides nothing until the last one is in. Does nothing if
-/// this controller no longer leads.
+/// Loads every page of task shards into the cluster state, which is not used for decisions before the last one is
+/// loaded. Does nothing if this controller no longer leads.
 ///
 /// # Errors
 ///
-/// If the store cannot be read; the load is then to be begun anew.
+/// If the store cannot be read; the load is then to be started again.
 pub async fn load_cluster_state(scheduler: &Arc<Scheduler>) -> Result<(), StoreError> {
-    let begun = Instant::now();
-    if begin_load(scheduler, begun).is_none() {
+    let started = Instant::now();
+    if begin_load(scheduler, started).is_none() {
         return Ok(());
     }
     let mut ended = EndedJobs::default();
     let counts = load_tasks(scheduler, &mut ended).await?;
     let orders = read_cloud_orders(scheduler).await?;
-    if finish_load(scheduler, &ended, orders, &counts, begun).is_some() {
+    if finish_load(scheduler, &ended, orders, &counts, started).is_some() {
         scheduler.wakeups.plan.notify_one();
         scheduler.wakeups.dispatch.notify_one();
         scheduler.wakeups.fleet.notify_one();
@@ -55,11 +55,12 @@
     Ok(())
 }
 
-/// Open jobs first: the watch cache was proven fresh after this controller's leader record stood.
+/// Resets the cluster state and adds the open jobs. The watch cache is up to date: its freshness was proven after this
+/// controller's leader record was stored.
 fn begin_load(scheduler: &Scheduler, now: Instant) -> Option<()> {
     let watch_cache = scheduler.store.watch_cache();
-    let mut held = scheduler.leader.cluster();
-    let cluster = held.as_mut()?;
+    let mut guard = scheduler.leader.cluster();
+    let cluster = guard.as_mut()?;
     cluster.reset_for_load();
     for (_, record) in watch_cache.open_jobs() {
         cluster.add_job(record.clone(), now);
@@ -79,8 +80,8 @@
     Ok(counts)
 }
 
-/// What an earlier leader may still be doing, before anything is placed: nothing can be added to it any more, since
-/// orders are conditional on the leader record.
+/// Reads the cloud orders of earlier leaders, which may still be carried out, before anything is placed. Earlier
+/// leaders cannot add orders any more, since orders are conditional on the leader record.
 async fn read_cloud_orders(scheduler: &Scheduler) -> Result<Vec<CloudOrder>, StoreError> {
     let mut orders = Vec::new();
     let mut pages = scheduler.store.client.pages(ORDERS, None);
@@ -90,18 +91,19 @@
     Ok(orders)
 }
 
-/// Takes in what came and what ended while the tasks were being read; from here on the cluster state decides.
+/// Completes the load with the jobs that arrived or ended meanwhile; from here on the cluster state is used for
+/// decisions.
 fn finish_load(
     scheduler: &Arc<Scheduler>,
     ended: &EndedJobs,
     orders: Vec<CloudOrder>,
     counts: &LoadCounts,
-    begun: Instant,
+    started: Instant,
 ) -> Option<()> {
     let now = Instant::now();
     let watch_cache = scheduler.store.watch_cache();
-    let mut held = scheduler.leader.cluster();
-    let cluster = held.as_mut()?;
+    let mut guard = scheduler.leader.cluster();
+    let cluster = guard.as_mut()?;
     for (_, record) in watch_cache.open_jobs() {
         cluster.add_job(record.clone(), now);
     }
@@ -119,18 +121,18 @@
     cluster.finish_load(now);
     cluster.record_known_ends(watch_cache.watch_revision());
     scheduler.membership.cluster_state_loaded(cluster.known_ends_revision, now);
-    // Before anything else is decided.
+    // Intents are needed before anything is placed.
     scheduler.intents.refresh_intents(cluster, &watch_cache, now);
     let (jobs, machines) = (cluster.job_count(), cluster.machines.len());
     let (shards, pages) = (counts.shards, counts.pages);
-    let took_ms = (now - begun).as_millis() as u64;
+    let took_ms = (now - started).as_millis() as u64;
     info!(jobs, machines, shards, orders = inherited, pages, took_ms, "failover completed");
     Some(())
 }
 
-/// Tasks of cancelled jobs may still be on machines: those count until proven gone. What has
-/// nothing bound is only dropped, and so is what is left of jobs that are done: each of their tasks
-/// was reported to have exited, though the last heartbeats were never written to its shard.
+/// Loads a page of shards. Tasks of cancelled jobs may still be on machines and count until they are proven gone.
+/// Shards of ended jobs without bound tasks are only deleted, and so are those of jobs that are done: all their tasks
+/// were reported to have exited, even where the last reports were never written to the shard.
 async fn load_page(scheduler: &Arc<Scheduler>, page: Vec<Shard>, ended: &mut EndedJobs) -> Result<(), StoreError> {
     let Some(closed) = closed_jobs(scheduler, &page) else { return Ok(()) };
     let done = find_done_jobs(scheduler, closed).await?;
@@ -138,8 +140,8 @@
     let mut records = cached.found;
     records.extend(ended.read_records(scheduler, cached.missing.into_iter().collect()).await?);
     let now = Instant::now();
-    let mut held = scheduler.leader.cluster();
-    let Some(cluster) = held.as_mut() else { return Ok(()) };
+    let mut guard = scheduler.leader.cluster();
+    let Some(cluster) = guard.as_mut() else { return Ok(()) };
     for (id, record) in records {
         cluster.add_job(record, now);
         ended.ids.insert(id);
@@ -160,18 +162,18 @@
     Ok(())
 }
 
-/// Jobs of the page that are not open and may have something on machines. None if this controller no longer leads.
+/// Jobs of the page that are not open and may have tasks on machines. None if this controller no longer leads.
 fn closed_jobs(scheduler: &Scheduler, page: &[Shard]) -> Option<BTreeSet<JobId>> {
-    let held = scheduler.leader.cluster();
-    let cluster = held.as_ref()?;
+    let guard = scheduler.leader.cluster();
+    let cluster = guard.as_ref()?;
     let closed = page.iter().filter(|shard| !cluster.has_job(&shard.job) && shard.has_bound_task());
     Some(closed.map(|shard| shard.job.clone()).collect())
 }
 
-/// Looks up the cancelled jobs of the page. None if this controller no longer leads.
+/// Looks up the cancelled jobs of the page in the watch cache. None if this controller no longer leads.
 fn cached_records(scheduler: &Scheduler, page: &[Shard], done: &HashSet<JobId>) -> Option<CachedRecords> {
-    let (watch_cache, held) = (scheduler.store.watch_cache(), scheduler.leader.cluster());
-    let cluster = held.as_ref()?;
+    let (watch_cache, guard) = (scheduler.store.watch_cache(), scheduler.leader.cluster());
+    let cluster = guard.as_ref()?;
     let mut records = CachedRecords::default();
     let cancelled =
         |shard: &&Shard| !cluster.has_job(&shard.job) && shard.has_bound_task() && !done.contains(&shard.job);
--- a/src/scheduling/load/ended_jobs.rs
+++ b/src/scheduling/load/ended_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that have ended and of which tasks are still stored: which are done, and when the cancelled ones ended.
+//! Ended jobs whose task shards are still stored: which of them are done, and when the cancelled ones ended.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -15,24 +15,24 @@
 use crate::store::client::KeyValue;
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 
-/// Descriptions of ended jobs asked for at once.
+/// Maximum number of concurrent reads of ended jobs.
 const MAX_CONCURRENT_READS: usize = 8;
 
-/// When a job ended, as far as its stored record says.
+/// When a job ended, by its stored record.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StoredEnd {
-    /// By the time of day of whoever wrote it: it says how soon a machine is returned, and no more.
+    /// The time of the end, by the wall clock of its writer; only used to decide how soon a machine is returned.
     pub(super) at: Instant,
     /// A revision of the store at which the end was not stored yet.
     pub(super) earlier_revision: u64,
 }
 
-/// The ended jobs that a load has found tasks of.
+/// The ended jobs for which a load has found task shards.
 #[derive(Debug, Default)]
 pub(super) struct EndedJobs {
-    /// Their ids.
+    /// The ids of the jobs.
     pub(super) ids: HashSet<JobId>,
-    /// When those ended whose records were read from the store.
+    /// The ends of those jobs whose records were read from the store.
     pub(super) stored_ends: HashMap<JobId, StoredEnd>,
 }
 
@@ -40,14 +40,14 @@
 #[derive(Debug)]
 pub(super) struct EndedJob {
     record: JobRecord,
-    /// How long ago it ended.
+    /// How long ago the job ended.
     age: Duration,
-    /// A revision of the store at which its end was not stored yet.
+    /// A revision of the store at which the job's end was not stored yet.
     earlier_revision: u64,
 }
 
 impl EndedJobs {
-    /// Reads the records of these jobs from the store; those that it does not have are left out.
+    /// Reads the records of these jobs from the store; missing ones are left out.
     pub(super) async fn read_records(
         &mut self,
         scheduler: &Arc<Scheduler>,
@@ -55,14 +55,14 @@
     ) -> Result<HashMap<JobId, Arc<JobRecord>>, StoreError> {
         let mut records = HashMap::new();
         for ids in ids.chunks(MAX_CONCURRENT_READS) {
-            let mut asked = JoinSet::new();
+            let mut reads = JoinSet::new();
             for id in ids {
                 let (scheduler, id) = (scheduler.clone(), id.clone());
-                asked.spawn(async move { (id.clone(), read_ended_job(&scheduler, &id).await) });
+                reads.spawn(async move { (id.clone(), read_ended_job(&scheduler, &id).await) });
             }
-            while let Some(answer) = asked.join_next().await {
-                let Ok((id, read)) = answer else { continue };
-                if let Some(EndedJob { record, age, earlier_revision }) = read? {
+            while let Some(joined) = reads.join_next().await {
+                let Ok((id, ended_job)) = joined else { continue };
+                if let Some(EndedJob { record, age, earlier_revision }) = ended_job? {
                     let now = Instant::now();
                     let at = now.checked_sub(age).unwrap_or(now);
                     self.stored_ends.insert(id.clone(), StoredEnd { at, earlier_revision });
@@ -74,12 +74,12 @@
     }
 }
 
-/// Which of these jobs, none of them open, are done.
+/// Finds which of these jobs, none of them open, are done: the condition that their done key is absent fails.
 pub(super) async fn find_done_jobs(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
-    let at_once = scheduler.settings.params.state.conditions().max(1);
+    let max_conditions = scheduler.settings.params.state.conditions().max(1);
     let mut done = HashSet::new();
-    for ids in ids.chunks(at_once) {
+    for ids in ids.chunks(max_conditions) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
         if let CompareAndSwapOutcome::Failed(keys) =
             scheduler.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
@@ -90,7 +90,7 @@
     Ok(done)
 }
 
-/// Reads a job that has ended, wherever it is kept.
+/// Reads an ended job, under any of its possible keys.
 async fn read_ended_job(scheduler: &Scheduler, id: &str) -> Result<Option<EndedJob>, StoreError> {
     for key in ended_keys(id).into_iter().chain([old_job_key(id)]) {
         if let Some(item) = scheduler.store.client.get(&key, RequestPriority::Critical).await? {
@@ -100,7 +100,7 @@
     Ok(None)
 }
 
-/// Decodes one value; none if no acceptance would have let it through.
+/// Decodes a stored ended job. None if the value is invalid: no submission would have been accepted with it.
 pub(super) fn decode_ended_job(id: &str, key: &str, item: &KeyValue) -> Option<EndedJob> {
     let record = match JobRecord::deserialize(&item.value) {
         Ok(record) => record,
--- a/src/scheduling/load/shard.rs
+++ b/src/scheduling/load/shard.rs
@@ -1,4 +1,4 @@
-//! A task shard as it was read from the store.
+//! Task shards read from the store.
 
 use std::time::Instant;
 
@@ -9,18 +9,20 @@
 use crate::scheduling::cluster::ClusterState;
 use crate::store::client::KeyValue;
 
-/// One shard as it was read.
+/// A task shard as it was read from the store.
 pub(super) struct Shard {
+    /// The job whose tasks these are.
     pub(super) job: JobId,
+    /// The shard's number within its job.
     pub(super) number: u64,
-    /// The version of its key.
+    /// The version of the shard's key.
     pub(super) version: u64,
-    /// None if they cannot be read.
+    /// The stored tasks; None if they cannot be decoded.
     pub(super) tasks: Option<Vec<StoredTask>>,
 }
 
 impl Shard {
-    /// None if the key names no shard.
+    /// Decodes a stored key and value. None if the key does not name a shard.
     pub(super) fn from_item(item: KeyValue) -> Option<Self> {
         let Some((job, number)) = parse_shard_key(&item.path) else {
             error!(key = item.path, "stored key not recognized; ignoring it");
@@ -33,12 +35,12 @@
         Some(Self { job: job.into(), number, version: item.version, tasks })
     }
 
-    /// Whether a machine is known to have held a task of it.
+    /// Whether the shard shows a task bound to a machine; false if it cannot be decoded.
     pub(super) fn has_bound_task(&self) -> bool {
         self.tasks.iter().flatten().any(|t| matches!(t, StoredTask::Bound(..)))
     }
 
-    /// Takes it into the cluster state, which holds its job.
+    /// Loads the shard into the cluster state, which holds its job.
     pub(super) fn load_into(self, cluster: &mut ClusterState, now: Instant) {
         match self.tasks {
             Some(tasks) => cluster.load_shard(&self.job, self.number, self.version, tasks, now),
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -1,4 +1,4 @@
-//! What a takeover takes in of values that no build has written, by cases.
+//! Load of malformed stored values, which no build has written: which are accepted and which rejected.
 
 use serde_json::{Value, json};
 
@@ -14,22 +14,22 @@
 }
 
 #[test]
-fn shards_by_cases() {
+fn shards_with_malformed_keys_or_tasks_are_rejected() {
     let good = json!([0, 3, -1, [1, "m1"]]);
     let cases = [
-        ("good", "t/run-000001/00000", good.clone(), Some(true)),
-        ("a later chunk", "t/run-000001/00012", good.clone(), Some(true)),
-        ("no list", "t/run-000001/00000", json!({"what": 7}), Some(false)),
-        ("one task of it", "t/run-000001/00000", json!([0, ["m1", 1]]), Some(false)),
-        ("the last attempt there is", "t/run-000001/00000", json!([[u64::MAX, "m1"]]), Some(false)),
-        ("attempts that cannot be stored", "t/run-000001/00000", json!([i64::MAX]), Some(false)),
-        ("the first attempt not believed", "t/run-000001/00000", json!([MOST_ATTEMPTS]), Some(false)),
-        ("the last attempt believed", "t/run-000001/00000", json!([MOST_ATTEMPTS - 1]), Some(true)),
-        ("another form of id", "t/a.b/00000", good.clone(), None),
-        ("no id", "t//00000", good.clone(), None),
-        ("no number", "t/run-000001/later", good.clone(), None),
-        ("a sign", "t/run-000001/+0000", good.clone(), None),
-        ("another form of number", "t/run-000001/0", good, None),
+        ("valid", "t/run-000001/00000", good.clone(), Some(true)),
+        ("a later shard", "t/run-000001/00012", good.clone(), Some(true)),
+        ("not a list", "t/run-000001/00000", json!({"what": 7}), Some(false)),
+        ("one malformed task", "t/run-000001/00000", json!([0, ["m1", 1]]), Some(false)),
+        ("the largest u64 as attempt number", "t/run-000001/00000", json!([[u64::MAX, "m1"]]), Some(false)),
+        ("an attempt number too large to store", "t/run-000001/00000", json!([i64::MAX]), Some(false)),
+        ("the lowest rejected attempt number", "t/run-000001/00000", json!([MOST_ATTEMPTS]), Some(false)),
+        ("the highest accepted attempt number", "t/run-000001/00000", json!([MOST_ATTEMPTS - 1]), Some(true)),
+        ("malformed job id", "t/a.b/00000", good.clone(), None),
+        ("empty job id", "t//00000", good.clone(), None),
+        ("shard number not a number", "t/run-000001/later", good.clone(), None),
+        ("signed shard number", "t/run-000001/+0000", good.clone(), None),
+        ("shard number without leading zeros", "t/run-000001/0", good, None),
     ];
     for (name, path, value, readable) in cases {
         let shard = Shard::from_item(item(path, value));
@@ -37,9 +37,9 @@
     }
 }
 
-/// A task of the last attempt that is believed can be started again, and what is stored of it is believed as well.
+/// A task with the highest accepted attempt number can be started again, and its next attempt is accepted as well.
 #[test]
-fn no_attempt_that_is_believed_overflows_the_next() {
+fn next_attempt_after_highest_accepted_one_is_accepted() {
     for value in [json!([[u64::MAX, "m1"]]), json!([[MOST_ATTEMPTS - 2, "m1"]]), json!([MOST_ATTEMPTS - 2])] {
         for task in decode_shard(&value).into_iter().flatten() {
             let (StoredTask::Waiting(attempt) | StoredTask::Bound(attempt, _)) = task else { panic!("{value}") };
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn ended_jobs_by_cases() {
+fn invalid_ended_jobs_are_rejected() {
     type Change = fn(&mut JobRecord);
     let cases: [(&str, Change, bool); 6] = [
-        ("good", |_| (), true),
-        ("another form of id", |r| r.spec.id = "a.b".into(), false),
+        ("valid", |_| (), true),
+        ("malformed id", |r| r.spec.id = "a.b".into(), false),
         ("another job's id", |r| r.spec.id = "run-000002".into(), false),
-        ("no task", |r| r.spec.tasks = 0, false),
-        ("more tasks than memory", |r| r.spec.tasks = u64::MAX, false),
-        ("a time past all clocks", |r| r.spec.estimate_s = f64::MAX, false),
+        ("no tasks", |r| r.spec.tasks = 0, false),
+        ("too many tasks", |r| r.spec.tasks = u64::MAX, false),
+        ("estimate out of range", |r| r.spec.estimate_s = f64::MAX, false),
     ];
     for (name, change, good) in cases {
         let mut job = JobRecord { spec: spec(), at_ms: 5 };
--- a/src/scheduling/messages.rs
+++ b/src/scheduling/messages.rs
@@ -1,6 +1,7 @@
-//! Messages of workers: how they reached this controller, and in which order they were made.
+//! Messages of workers: their kind, and their order.
 
-/// How a message reached us: only true heartbeats prove that an earlier answer is dead.
+/// How a worker's message reached this controller. Only a heartbeat proves that the response to an earlier heartbeat
+/// can no longer take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// A heartbeat that the worker sent by itself.
@@ -9,8 +10,8 @@
     CommandReply,
 }
 
-/// The place of a message among all that one machine's worker sends. Later messages are greater: an agent epoch
-/// begins with each start of the worker, and within it messages are numbered.
+/// The position of a message in the sequence that one machine's worker sends. Later messages compare greater: each
+/// start of the worker begins a new agent epoch, in which its messages are numbered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageSequence {
     /// The agent epoch; 0 before the first message.
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,4 +1,4 @@
-//! Which task runs where: the leader's cluster state, the decisions taken on it, and their loop.
+//! Scheduling: the leader's cluster state, the decisions based on it, and the loop that makes them.
 
 pub mod backfill;
 pub mod capacity;
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -9,19 +9,20 @@
 use crate::machine_kinds::Catalog;
 use crate::periodic::Periodic;
 
-/// A plan is followed by a pause of this many times as long as it took, so that heartbeats and users are not kept
-/// waiting however much there is to plan.
+/// A plan is followed by a pause of this many times its duration, so that heartbeats and users' requests are not
+/// delayed however much there is to plan.
 pub(super) const PAUSE_FACTOR: u32 = 4;
-/// What time alone brings about, such as the silence of a machine, is looked for this often.
+/// Interval of the checks for what follows from the passage of time, such as the silence of a machine.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// A plan is made this often even if nothing has changed.
+/// Maximum time between two plans, even if nothing has changed.
 const PLAN_INTERVAL: Duration = Duration::from_millis(1000);
-/// What is reserved for gangs is chosen anew this often.
+/// Interval of the choice of reservations for gangs.
 const RESERVE_INTERVAL: Duration = Duration::from_millis(2000);
-/// Others are stopped for one job at a time, this often.
+/// Interval of preemptions, each for one job.
 const PREEMPT_INTERVAL: Duration = Duration::from_millis(300);
-/// The fair-share accounting is updated this often, and written to the log this often.
+/// Interval of updates of the fair-share accounting.
 const ACCOUNTING_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the fair-share accounting and due times are written to the log.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// When each step of the scheduling loop is due next.
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Takes the steps that are due, in their fixed order. Returns how many tasks were placed, if a plan was made.
+    /// Runs the steps that are due, in their fixed order. Returns how many tasks were placed, if a plan was made.
     pub(super) fn run_due_steps(
         &mut self,
         cluster: &mut ClusterState,
@@ -66,7 +67,7 @@
             cluster.reservations = reservations::choose(cluster, catalog, now);
             self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
         }
-        // Nothing that placement depends on has changed: the same would be decided.
+        // Nothing that placement depends on has changed, so a plan would give the same result.
         if !cluster.take_replan_needed() && !self.plan.is_due(now) {
             return None;
         }
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -1,4 +1,4 @@
-//! What the scheduling loop works with.
+//! The scheduler and the services that its loop uses.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,10 +13,9 @@
 use crate::store::watch_cache::WatchCache;
 use crate::wakeups::Wakeups;
 
-/// Gives what the declarations ask of the cluster state.
+/// Computes the intents that the operators' declarations imply for the cluster state.
 pub trait IntentSource: Send + Sync {
-    /// Works out the intents of this cluster state anew, by what is stored; to be called before anything is placed
-    /// by it.
+    /// Recomputes the intents of this cluster state from the stored declarations; to be called before tasks are placed.
     fn refresh_intents(&self, cluster: &mut ClusterState, watch_cache: &WatchCache, now: Instant);
 }
 
@@ -26,25 +25,26 @@
     pub settings: Arc<Settings>,
     /// The state service and its watch cache.
     pub store: Arc<StateStore>,
-    /// Ends of jobs.
+    /// The ends of jobs.
     pub history: Arc<JobHistory>,
-    /// Whether this controller may act as the leader.
+    /// The membership, which tells whether this controller may act as the leader.
     pub membership: Arc<Membership>,
     /// The cluster state and the fair-share accounting.
     pub leader: Arc<LeaderState>,
-    /// The machine types.
+    /// The catalog of machine types.
     pub catalog: Arc<SharedCatalog>,
-    /// What the declarations ask for.
+    /// The source of the intents of operators' declarations.
     pub intents: Arc<dyn IntentSource>,
-    /// Wakes this loop and those that act on its decisions.
+    /// Wakes this loop, and the loops that act on its decisions.
     pub wakeups: Arc<Wakeups>,
 }
 
 impl Scheduler {
-    /// The declarations may ask something of jobs that have just come, before they are placed.
+    /// Recomputes the intents if jobs have arrived since, so that intents that concern these jobs apply before they are
+    /// placed.
     pub(super) fn refresh_intents(&self, now: Instant) {
-        let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        if let Some(cluster) = held.as_mut().filter(|cluster| cluster.intents_outdated) {
+        let (watch_cache, mut guard) = (self.store.watch_cache(), self.leader.cluster());
+        if let Some(cluster) = guard.as_mut().filter(|cluster| cluster.intents_outdated) {
             self.intents.refresh_intents(cluster, &watch_cache, now);
         }
     }
--- a/src/scheduling/scheduling_loop.rs
+++ b/src/scheduling/scheduling_loop.rs
@@ -1,4 +1,4 @@
-//! The scheduling loop: loads the cluster state once this controller leads, then plans on every event.
+//! The scheduling loop: loads the cluster state when this controller becomes the leader, then plans on every event.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use super::schedule::{PAUSE_FACTOR, Schedule, TICK_INTERVAL};
 use super::scheduler::Scheduler;
 
-/// Placement follows events; this bounds how often, so that a burst is planned as one.
+/// Minimum pause between two plans, so that a burst of events leads to a single plan.
 const MIN_PLAN_PAUSE: Duration = Duration::from_millis(60);
-/// Pause before what is stored is read again, after a failure.
+/// Pause before a failed load is retried.
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads what is stored, then plans on every event until this controller no longer leads.
+/// Loads the cluster state, then plans on every event until this controller no longer leads.
 pub async fn run(scheduler: Arc<Scheduler>) {
     load_until_done(&scheduler).await;
     let mut schedule = Schedule::new(Instant::now());
@@ -40,8 +40,8 @@
     }
 }
 
-/// Everything stored before this controller's leader record is read; nothing older can come after,
-/// since every placement is conditional on the leader record it was made under.
+/// Loads everything that was stored before this controller's leader record. Earlier leaders cannot store placements
+/// after it, since every placement is conditional on the leader record under which it was made.
 async fn load_until_done(scheduler: &Arc<Scheduler>) {
     loop {
         if scheduler.store.read_barrier.wait().await {
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -1,4 +1,4 @@
-//! Fair-share accounting and due times: updated from the cluster state, and written to the log for operators.
+//! Update of the fair-share accounting from the cluster state, and the log of service levels and due times.
 
 use std::time::Instant;
 
@@ -9,19 +9,21 @@
 use super::fairness::{FairShareAccounting, OpenJob, ServiceLevel};
 use crate::jobs::JobId;
 
-/// Updates the accounting with what the cluster state has to tell it, and the cluster state with what follows.
+/// Updates the accounting with the events and open jobs of the cluster state, and the cluster state with the
+/// underserved names and credits that follow.
 pub(super) fn update_accounting(account: &mut FairShareAccounting, cluster: &mut ClusterState, now: Instant) {
-    for (id, note, at) in cluster.take_accounting_events() {
+    for (id, event, at) in cluster.take_accounting_events() {
         if let Some(job) = cluster.job(&id) {
-            account.record_event(note, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
+            account.record_event(event, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
         }
     }
-    // What fails everywhere is nobody's to serve, nor are replicas that a rollout holds back.
+    // Not counted as unserved: quarantined jobs, jobs whose window has not come, and replicas that a rollout holds
+    // back.
     let (attribution, large, intents) = (&cluster.attribution, &cluster.large_gangs, &cluster.intents);
-    let left_out = |id| attribution.suspects(id) || intents.deferred_jobs.contains(id);
-    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.is_complete() && !left_out(id));
-    let held = |id: &JobId, job| intents.replicas.contains_key(id) && intents.placeable_tasks(id, job) == 0;
-    let open = open.filter(|(id, job)| !held(id, job));
+    let excluded = |id| attribution.suspects(id) || intents.deferred_jobs.contains(id);
+    let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.is_complete() && !excluded(id));
+    let held_back = |id: &JobId, job| intents.replicas.contains_key(id) && intents.placeable_tasks(id, job) == 0;
+    let open = open.filter(|(id, job)| !held_back(id, job));
     let open = open.map(|(_, job)| OpenJob {
         spec: job.spec(),
         promises: &job.promises,
@@ -31,12 +33,12 @@
         unstarted_share: job.never_placed_fraction(),
         is_waiting_large_gang: !job.waiting.is_empty() && !job.has_run() && large.is_large_gang(job.spec()),
     });
-    let below = FairShareAccounting::underserved(account.update(open, now));
-    cluster.set_underserved(below);
+    let underserved = FairShareAccounting::underserved(account.update(open, now));
+    cluster.set_underserved(underserved);
     cluster.bound_core_credit(now);
 }
 
-/// One line for each class and team.
+/// Logs the service level of each class and team.
 pub(super) fn log_accounting(rows: &[ServiceLevel]) {
     for row in rows {
         info!(
@@ -59,16 +61,16 @@
     }
 }
 
-/// Jobs with a due time that may miss it, or have; nothing where there are none.
+/// Logs how many jobs are late for their due time or have missed it; nothing if there are none.
 pub(super) fn log_due_times(cluster: &ClusterState, now: Instant) {
     let due = due(cluster, now);
-    if let Some((job, by)) = &due.worst {
+    if let Some((job, late_by)) = &due.worst {
         info!(
             open = due.open,
             late = due.late,
             missed = due.missed,
             %job,
-            late_s = by.as_secs(),
+            late_s = late_by.as_secs(),
             "due times reported"
         );
     }
