--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -10,7 +10,7 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::{AttemptStatus, TaskKey};
-use crate::scheduling::capacity::Zones;
+use crate::scheduling::capacity::JobZones;
 use crate::scheduling::cluster::{Binding, ClusterState, JobState, MachineId, TaskMove};
 use crate::scheduling::intents;
 use crate::scheduling::plan::queue;
@@ -64,16 +64,16 @@
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.waiting(turn.id, turn.job) as u64);
         let overdue = turn.ahead || turn.age > job.agreement.run;
-        pool.keep_capacity(job.spec(), &Zones::new(cluster, job), waiting, overdue);
+        pool.keep_capacity(job.spec(), &JobZones::new(cluster, job), waiting, overdue);
     }
     for (intent, _) in intents::reserved_capacity(cluster, &pool.ground) {
-        pool.keep_capacity(&intent.task_spec, &Zones::none(&intent.task_spec), intent.tasks, false);
+        pool.keep_capacity(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
         let tasks = (cluster.intents.waiting(id, job) + job.bound.len()) as u64;
         if tasks > 0 && !cluster.attribution.suspects(id) {
-            pool.keep_capacity(job.spec(), &Zones::none(job.spec()), tasks, false);
+            pool.keep_capacity(job.spec(), &JobZones::without_tasks(job.spec()), tasks, false);
         }
     }
 }
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -5,7 +5,7 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill;
-use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones, suspect_after, usable};
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, JobZones, is_schedulable, suspect_timeout};
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
 
 /// A machine costs this long in any case.
@@ -41,16 +41,16 @@
     /// The machines that are up or boot. Idle work counts as absent: it gives way, and is packed last.
     pub(super) fn new(cluster: &'a ClusterState, catalog: &'a Catalog, now: Instant) -> Self {
         let ground = CapacityContext::new(cluster, catalog);
-        let suspect = suspect_after(cluster);
+        let suspect = suspect_timeout(cluster);
         let mut capacities: Vec<FreeCapacity> = cluster
             .machines
             .values()
-            .filter(|machine| usable(machine, suspect, now) || machine.state == MachineState::Booting)
+            .filter(|machine| is_schedulable(machine, suspect, now) || machine.state == MachineState::Booting)
             .filter_map(|machine| ground.capacity(machine))
             .map(|capacity| capacity.without_idle())
             .collect();
         capacities.sort_by(|a, b| {
-            let accelerated = |capacity: &FreeCapacity| capacity.of.gpus > 0.0;
+            let accelerated = |capacity: &FreeCapacity| capacity.machine_type.gpus > 0.0;
             accelerated(a).cmp(&accelerated(b)).then(a.price().total_cmp(&b.price())).then(a.cpus.total_cmp(&b.cpus))
         });
         let reserved =
@@ -67,8 +67,8 @@
 
     /// Keeps capacity for `count` tasks like this. Where there is not enough, no machine that they could use is a
     /// candidate; machines with accelerators that they have no use for only if the work is `overdue`.
-    pub(super) fn keep_capacity(&mut self, spec: &JobSpec, zones: &Zones, count: u64, overdue: bool) {
-        let mut open = self.ground.open_to(spec, zones);
+    pub(super) fn keep_capacity(&mut self, spec: &JobSpec, zones: &JobZones, count: u64, overdue: bool) {
+        let mut open = self.ground.allowed_kinds(spec, zones);
         // Idle work keeps no machine with accelerators that it has no use for.
         for (open, offer) in open.iter_mut().zip(&self.ground.offers) {
             *open &=
@@ -77,7 +77,7 @@
         let overdue = overdue && !spec.is_idle();
         if !self.pack_tasks(spec, &open, count, None) {
             for (index, offer) in self.ground.offers.iter().enumerate() {
-                let suitable = offer.is_some_and(|offer| overdue || offer.apt(spec));
+                let suitable = offer.is_some_and(|offer| overdue || offer.wastes_no_gpus(spec));
                 self.short[index] |= open[index] && suitable;
             }
         }
@@ -87,13 +87,13 @@
     pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState, now: Instant) {
         for (class, arrivals) in cluster.arrivals.iter().filter(|(_, arrivals)| !arrivals.latest.spec.is_idle()) {
             let spec = &arrivals.latest.spec;
-            let open = self.ground.open_to(spec, &Zones::none(spec));
+            let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let mut objectives = cluster.settings.params.objectives.iter();
             let prompt = objectives.any(|o| o.kind == "wait" && o.class == *class && o.within_s < boot_s);
             let boots = if prompt { SPARE_BOOTS_PROMPT } else { SPARE_BOOTS };
             let tasks = (arrivals.per_second(now) * boot_s * boots).round() as u64;
-            self.keep_capacity(spec, &Zones::none(spec), tasks, false);
+            self.keep_capacity(spec, &JobZones::without_tasks(spec), tasks, false);
         }
     }
 
@@ -107,7 +107,7 @@
             if Some(index) == except || !open.get(capacity.kind).copied().unwrap_or(false) {
                 continue;
             }
-            let tasks = capacity.units(spec, count);
+            let tasks = capacity.fitting_tasks(spec, count);
             if tasks > 0 {
                 let n = tasks as f64;
                 capacity.add(-n * spec.cpus, -n * spec.gpus, -n * spec.memory_gb);
@@ -126,7 +126,7 @@
         }
         let before = self.capacities.clone();
         for spec in specs {
-            let open = self.ground.open_to(spec, &Zones::none(spec));
+            let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
             if !self.pack_tasks(spec, &open, 1, Some(except)) {
                 self.capacities = before;
                 return false;
@@ -151,7 +151,7 @@
         let charged = now.saturating_duration_since(machine.since) >= LEAST_CHARGED;
         let needed = self.packed[index] || self.short[capacity.kind];
         let is_candidate = !needed && machine.state == MachineState::Up && charged;
-        is_candidate.then_some(Candidate { index, machine, accelerated: capacity.of.gpus > 0.0 })
+        is_candidate.then_some(Candidate { index, machine, accelerated: capacity.machine_type.gpus > 0.0 })
     }
 
     /// Takes the machine out, so that nothing is packed into one that is about to be drained.
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -54,8 +54,9 @@
         if machine.state != MachineState::Booting {
             let taken = machine.taken();
             self.idle += u32::from(machine.bound.is_empty());
-            self.cpus_used += taken.cpus / capacity.of.cpus;
-            self.gpus_used += if capacity.of.gpus > 0.0 { taken.gpus / capacity.of.gpus } else { 0.0 };
+            self.cpus_used += taken.cpus / capacity.machine_type.cpus;
+            self.gpus_used +=
+                if capacity.machine_type.gpus > 0.0 { taken.gpus / capacity.machine_type.gpus } else { 0.0 };
         }
     }
 
--- a/src/fleet/scale_out/cheapest_offer.rs
+++ b/src/fleet/scale_out/cheapest_offer.rs
@@ -20,7 +20,8 @@
     /// Whether this one is preferred. Equal costs are decided by name and zone, so that the choice does not depend on
     /// the order of the offers.
     fn is_better_than(&self, other: &Self) -> bool {
-        let by_name = (&self.offer.of.name, self.offer.zone) < (&other.offer.of.name, other.offer.zone);
+        let by_name =
+            (&self.offer.machine_type.name, self.offer.zone) < (&other.offer.machine_type.name, other.offer.zone);
         (self.cost_per_task < other.cost_per_task - COST_TOLERANCE)
             || (self.cost_per_task < other.cost_per_task + COST_TOLERANCE && by_name)
     }
@@ -36,7 +37,7 @@
     let mut cheapest: Option<PricedOffer> = None;
     for (index, offer) in ground.offers.iter().enumerate() {
         let Some(offer) = offer.filter(|offer| is_open(index, offer)) else { continue };
-        let tasks = FreeCapacity::empty(offer.of, index).units(spec, count);
+        let tasks = FreeCapacity::empty(offer.machine_type, index).fitting_tasks(spec, count);
         if tasks == 0 {
             continue;
         }
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -8,7 +8,7 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::scheduling::backfill;
-use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity, Zones};
+use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity, JobZones};
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
 use crate::scheduling::intents::CapacityIntent;
@@ -66,10 +66,10 @@
 }
 
 impl<'t, 'a> WaitingJob<'t, 'a> {
-    fn new(cluster: &ClusterState, ground: &CapacityContext<'a>, turn: &'t QueuedJob<'a>, zones: &Zones) -> Self {
+    fn new(cluster: &ClusterState, ground: &CapacityContext<'a>, turn: &'t QueuedJob<'a>, zones: &JobZones) -> Self {
         let job = turn.job;
         let spec = job.spec();
-        let open = ground.open_to(spec, zones);
+        let open = ground.allowed_kinds(spec, zones);
         let cheapest = cheapest_offer(ground, spec, spec.tasks, |index, _| open[index]);
         Self {
             turn,
@@ -159,7 +159,7 @@
         if spec.is_gang() && !self.quotas.allows(spec, spec.tasks as f64) {
             return;
         }
-        let mut zones = Zones::new(self.cluster, turn.job);
+        let mut zones = JobZones::new(self.cluster, turn.job);
         let waiting = WaitingJob::new(self.cluster, ground, turn, &zones);
         let mut slots = Slots::new(timelines, turn.job, &waiting.open);
         let mut missing = self.cluster.intents.waiting(turn.id, turn.job) as u64;
@@ -169,7 +169,7 @@
             self.tasks_placed += 1;
             let existing = slots.next(timelines, ground, &zones);
             let is_open = |index: usize, offer: &CapacityOffer| {
-                self.is_requestable(&waiting.open, index) && zones.allow(offer.zone)
+                self.is_requestable(&waiting.open, index) && zones.allows(offer.zone)
             };
             let priced = *cheapest.get_or_insert_with(|| cheapest_offer(ground, spec, missing, is_open));
             let slot = match priced.filter(|priced| self.is_worth_provisioning(&waiting, priced, existing)) {
@@ -181,8 +181,8 @@
                 None => existing,
             };
             let Some(slot) = slot else { break };
-            if zones.matter() {
-                zones.take(ground.zone(timelines[slot.which].capacity.kind));
+            if zones.restricts_zones() {
+                zones.add_task(ground.zone(timelines[slot.which].capacity.kind));
                 cheapest = None;
             }
             slots.take(timelines, slot);
@@ -202,11 +202,11 @@
     }
 
     fn plan_capacity_intent(&mut self, intent: &'a CapacityIntent, timelines: &mut Vec<Timeline<'a>>) {
-        let (ground, spec, zones) = (self.ground, &intent.task_spec, Zones::none(&intent.task_spec));
+        let (ground, spec, zones) = (self.ground, &intent.task_spec, JobZones::without_tasks(&intent.task_spec));
         let mut job = self.cluster.hypothetical_job(spec, self.now);
         // All of it is needed at one time, so no place counts twice.
         job.agreement.run = CAPACITY_HELD_FOR;
-        let open = ground.open_to(spec, &zones);
+        let open = ground.allowed_kinds(spec, &zones);
         let mut slots = Slots::new(timelines, &job, &open);
         for placed in 0..intent.tasks {
             if !self.may_place_task(spec) {
@@ -242,7 +242,7 @@
     /// Whether a new machine starts the job's next task so much earlier than the existing ones that it pays.
     fn is_worth_provisioning(&self, waiting: &WaitingJob, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
-        let boot_s = priced.offer.of.boot_s;
+        let boot_s = priced.offer.machine_type.boot_s;
         let relative_cost = priced.cost_per_task / waiting.least_cost;
         let overdue = waiting.turn.age > waiting.turn.job.agreement.run;
         let most_dear = self.cluster.properties.idle_dearer;
@@ -255,7 +255,7 @@
     /// Whether a machine has to be requested now to be ready when the declared capacity is needed.
     fn is_due_for_intent(&self, intent: &CapacityIntent, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
-        let machine_type = priced.offer.of;
+        let machine_type = priced.offer.machine_type;
         let fetch_s = intent.task_spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
         start_s > intent.in_s
             && machine_type.boot_s + LEAST_GAIN_S < start_s
@@ -286,7 +286,7 @@
 }
 
 fn new_machine<'a>(index: usize, offer: &CapacityOffer<'a>) -> Timeline<'a> {
-    Timeline::new(FreeCapacity::empty(offer.of, index), offer.of.boot_s)
+    Timeline::new(FreeCapacity::empty(offer.machine_type, index), offer.machine_type.boot_s)
 }
 
 /// Places the arrivals that are expected while a machine would boot, each task at the time when it comes.
@@ -298,8 +298,8 @@
 ) {
     for arrivals in cluster.arrivals.values() {
         let Some(like) = cluster.representative_job(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
-        let zones = Zones::none(like.spec());
-        let open = ground.open_to(like.spec(), &zones);
+        let zones = JobZones::without_tasks(like.spec());
+        let open = ground.allowed_kinds(like.spec(), &zones);
         let within_s = ground.longest_boot_s(&open);
         let per_second = arrivals.per_second(now) * EXPECTED_PART;
         let expected = (per_second * within_s).min(MOST_TASKS as f64 / 4.0) as u64;
--- a/src/rollouts/feasibility.rs
+++ b/src/rollouts/feasibility.rs
@@ -8,7 +8,7 @@
 use super::status::{RolloutPhase, RolloutStatus};
 use crate::declarations::{DeclarationView, NamedSpec};
 use crate::jobs::{JobSpec, Shape};
-use crate::scheduling::capacity::SLACK;
+use crate::scheduling::capacity::AMOUNT_TOLERANCE;
 
 /// Why these jobs can have no rollout as declared.
 pub fn find_conflict(name: &str, spec: &RolloutSpec, status: &RolloutStatus, view: &DeclarationView) -> Option<String> {
@@ -71,7 +71,7 @@
             let both = |olds: u32, news: u32| amount_of(old.spec(), olds, amount) + amount_of(new.spec(), news, amount);
             let need = both(spec.replicas, spec.surge).max(both(spec.surge, spec.replicas));
             let others = (used - own).max(0.0);
-            if limit > 0.0 && others + need > limit + SLACK {
+            if limit > 0.0 && others + need > limit + AMOUNT_TOLERANCE {
                 let (surge, replicas) = (spec.surge, spec.replicas);
                 return Some(format!(
                     "surge: {surge} more than {replicas} asked need {need} {what} of team {name}, \
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -9,7 +9,7 @@
 use crate::declarations::DeclarationView;
 use crate::jobs::JobId;
 use crate::protocol::workers::AttemptStatus;
-use crate::scheduling::capacity::suspect_after;
+use crate::scheduling::capacity::suspect_timeout;
 use crate::scheduling::cluster::{JobState, MachineId, MachineState};
 
 /// Observes both jobs of a rollout.
@@ -77,7 +77,7 @@
     if let Some(machine) = cluster.machines.get(&binding.machine) {
         replica.type_name = machine.type_name.clone();
         replica.zone = machine.zone.clone();
-        replica.heard = machine.reported() && since(machine.last_seen) < suspect_after(cluster);
+        replica.heard = machine.reported() && since(machine.last_seen) < suspect_timeout(cluster);
         // A scale-in candidate keeps running tasks that cannot move.
         let stays = machine.state != MachineState::Terminating && machine.recall.is_none();
         replica.leaving = !stays;
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::capacity::{CapacityOffer, FreeCapacity, SLACK};
+use super::capacity::{AMOUNT_TOLERANCE, CapacityOffer, FreeCapacity};
 use crate::jobs::JobSpec;
 use crate::settings::Objective;
 
@@ -50,7 +50,7 @@
     if !spec.is_idle() {
         return IdlePermissions { rent: true, keep: true };
     }
-    let apt = offer.apt(spec);
+    let apt = offer.wastes_no_gpus(spec);
     IdlePermissions { rent: apt && (dearer <= most_dear || overdue), keep: apt }
 }
 
@@ -65,9 +65,9 @@
 
 impl Wanted {
     fn fits(&self, capacity: &FreeCapacity) -> bool {
-        self.cpus <= capacity.cpus + SLACK
-            && self.gpus <= capacity.gpus + SLACK
-            && self.memory_gb <= capacity.memory_gb + SLACK
+        self.cpus <= capacity.cpus + AMOUNT_TOLERANCE
+            && self.gpus <= capacity.gpus + AMOUNT_TOLERANCE
+            && self.memory_gb <= capacity.memory_gb + AMOUNT_TOLERANCE
     }
 }
 
@@ -100,30 +100,31 @@
     /// there is stopped.
     /// `waited`: how long it has waited for that.
     pub fn may_use(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
-        let apt = capacity.apt(spec);
+        let apt = capacity.wastes_no_gpus(spec);
         let free = capacity.without_idle();
-        let alone = free.cpus >= capacity.of.cpus - SLACK;
-        if capacity.kept {
+        let alone = free.cpus >= capacity.machine_type.cpus - AMOUNT_TOLERANCE;
+        if capacity.kept_for_arrivals {
             return false;
         }
         // Of a machine that is being left it has what the rest leaves over, and saves when that is gone.
-        if capacity.leaving && spec.checkpoint_s <= 0.0 {
+        if capacity.draining && spec.checkpoint_s <= 0.0 {
             return false;
         }
         // Machines that it uses as they are it has whole, so that whole ones come free when it gives way; of
         // others it fills what is over. Of any it may have so little that hardly anything is kept out by it.
-        let little = |idle: f64, more: f64, all: f64| idle + more <= all * LITTLE + SLACK;
-        let little = little(capacity.idle.0, spec.cpus, capacity.of.cpus)
-            && little(capacity.idle.2, spec.memory_gb, capacity.of.memory_gb);
+        let little = |idle: f64, more: f64, all: f64| idle + more <= all * LITTLE + AMOUNT_TOLERANCE;
+        let little = little(capacity.idle_usage.0, spec.cpus, capacity.machine_type.cpus)
+            && little(capacity.idle_usage.2, spec.memory_gb, capacity.machine_type.memory_gb);
         // What is tiny and has waited takes any hole that nobody waits for.
-        let tiny = spec.cpus <= capacity.of.cpus * TINY && spec.memory_gb <= capacity.of.memory_gb * TINY;
-        let whole = apt && !capacity.leaving;
+        let tiny =
+            spec.cpus <= capacity.machine_type.cpus * TINY && spec.memory_gb <= capacity.machine_type.memory_gb * TINY;
+        let whole = apt && !capacity.draining;
         if whole != alone && !(whole && (little || (tiny && waited >= TINY_WAITS))) {
             return false;
         }
         // What is free here but for idle work would be taken from who waits for it.
         let mut after = *capacity;
-        after.take(spec);
+        after.allocate(spec);
         !self.wanted.iter().any(|w| w.open.get(capacity.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
     }
 }
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -21,7 +21,7 @@
         ("idle work that uses accelerators", Urgency::Idle, 1.0, &dear, 2.0, false, (true, true)),
     ] {
         let job = JobSpec { urgency, gpus, ..spec() };
-        let offer = CapacityOffer { of, zone: "a", spot: false };
+        let offer = CapacityOffer { machine_type: of, zone: "a", spot: false };
         let got = idle_permissions(&job, &offer, dearer, 3.0, overdue);
         assert_eq!((got.rent, got.keep), want, "{name}");
     }
@@ -64,7 +64,7 @@
         ("one that the others have left", &plain, 0.0, 4.0, true, None, false),
     ] {
         let mut capacity = FreeCapacity::empty(of, 0);
-        (capacity.idle, capacity.leaving) = ((idle, 0.0, 0.0), leaving);
+        (capacity.idle_usage, capacity.draining) = ((idle, 0.0, 0.0), leaving);
         capacity.add(-others - idle, 0.0, 0.0);
         let mut backfill = Backfill::default();
         if let Some(spec) = waits {
@@ -79,11 +79,11 @@
     shared.add(-4.0, 0.0, -4.0);
     let tiny = JobSpec { urgency: Urgency::Idle, cpus: 0.25, ..spec() };
     assert!(Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
-    shared.idle.0 = 1.0;
+    shared.idle_usage.0 = 1.0;
     assert!(!Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "and no more than that");
     assert!(Backfill::default().may_use(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
     let mut kept = FreeCapacity::empty(&plain, 0);
-    kept.kept = true;
+    kept.kept_for_arrivals = true;
     assert!(!Backfill::default().may_use(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
     let mut backfill = Backfill::default();
     backfill.waits(&gang, &[true], true);
--- a/src/scheduling/capacity.rs
+++ b/src/scheduling/capacity.rs
@@ -10,11 +10,11 @@
 use crate::sla::Load;
 
 /// Amounts are decimal; sums of them are compared with this much slack.
-pub const SLACK: f64 = 1e-6;
+pub const AMOUNT_TOLERANCE: f64 = 1e-6;
 /// Machines silent for this many reports get no new work before they are given up.
-const SUSPECT_REPORTS: f64 = 2.5;
+const SUSPECT_HEARTBEATS: f64 = 2.5;
 
-fn apt(of: &MachineType, spec: &JobSpec) -> bool {
+fn wastes_no_gpus(of: &MachineType, spec: &JobSpec) -> bool {
     spec.gpus > 0.0 || of.gpus <= 0.0
 }
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CapacityOffer<'a> {
     /// The machine type: its size, prices and usual boot time.
-    pub of: &'a MachineType,
+    pub machine_type: &'a MachineType,
     /// The zone in which it is offered.
     pub zone: &'a str,
     /// Whether it is a spot machine, which is cheaper and may be taken back by the cloud.
@@ -32,17 +32,17 @@
 impl CapacityOffer<'_> {
     /// Price per hour of a machine of this kind, spot or on demand.
     pub fn price(&self) -> f64 {
-        self.of.price(self.spot)
+        self.machine_type.price(self.spot)
     }
 
     /// Has nothing dear that such a task has no use for.
-    pub fn apt(&self, spec: &JobSpec) -> bool {
-        apt(self.of, spec)
+    pub fn wastes_no_gpus(&self, spec: &JobSpec) -> bool {
+        wastes_no_gpus(self.machine_type, spec)
     }
 
     /// The same as a key that leads its names.
     pub fn kind(&self) -> MachineKind {
-        MachineKind { type_name: self.of.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
+        MachineKind { type_name: self.machine_type.name.clone(), zone: self.zone.to_owned(), spot: self.spot }
     }
 }
 
@@ -57,8 +57,9 @@
 impl<'a> CapacityContext<'a> {
     /// The kinds that machines of the cluster state are of, and no others.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog) -> Self {
-        let offer =
-            |k: &'a MachineKind| Some(CapacityOffer { of: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot });
+        let offer = |k: &'a MachineKind| {
+            Some(CapacityOffer { machine_type: catalog.get(&k.type_name)?, zone: &k.zone, spot: k.spot })
+        };
         Self { offers: cluster.kinds().iter().map(offer).collect() }
     }
 
@@ -69,10 +70,10 @@
             for zone in &of.zones {
                 for spot in [true, false] {
                     let known = |o: &Option<CapacityOffer>| {
-                        o.is_some_and(|o| o.of.name == of.name && o.zone == *zone && o.spot == spot)
+                        o.is_some_and(|o| o.machine_type.name == of.name && o.zone == *zone && o.spot == spot)
                     };
                     if !ground.offers.iter().any(known) {
-                        ground.offers.push(Some(CapacityOffer { of, zone, spot }));
+                        ground.offers.push(Some(CapacityOffer { machine_type: of, zone, spot }));
                     }
                 }
             }
@@ -83,21 +84,21 @@
     /// What is left of a machine; none if its type is unknown.
     pub fn capacity(&self, machine: &'a Machine) -> Option<FreeCapacity<'a>> {
         let kind = machine.kind?;
-        let of = self.offers.get(kind).copied().flatten()?.of;
+        let of = self.offers.get(kind).copied().flatten()?.machine_type;
         let taken = machine.taken();
         Some(FreeCapacity {
             machine: Some(machine),
-            of,
+            machine_type: of,
             kind,
             cpus: of.cpus - taken.cpus,
             gpus: of.gpus - taken.gpus,
             memory_gb: of.memory_gb - taken.memory_gb,
             load: machine.load(),
-            idle: (machine.idle().cpus, machine.idle().gpus, machine.idle().memory_gb),
-            leaving: machine.state == MachineState::Draining,
-            kept: false,
+            idle_usage: (machine.idle().cpus, machine.idle().gpus, machine.idle().memory_gb),
+            draining: machine.state == MachineState::Draining,
+            kept_for_arrivals: false,
             reservation: None,
-            reserved: false,
+            preempted: false,
         })
     }
 
@@ -109,13 +110,13 @@
     /// The longest usual boot among the kinds that are open.
     pub fn longest_boot_s(&self, open: &[bool]) -> f64 {
         let boots = self.offers.iter().zip(open).filter(|(_, open)| **open).filter_map(|(o, _)| o.as_ref());
-        boots.map(|o| o.of.boot_s).fold(0.0, f64::max)
+        boots.map(|o| o.machine_type.boot_s).fold(0.0, f64::max)
     }
 
     /// Which of the kinds a job's own words and where its other tasks are allow.
-    pub fn open_to(&self, spec: &JobSpec, zones: &Zones) -> Vec<bool> {
+    pub fn allowed_kinds(&self, spec: &JobSpec, zones: &JobZones) -> Vec<bool> {
         let open = |o: &Option<CapacityOffer>| {
-            o.is_some_and(|o| allowed(spec, &o.of.name, o.zone, o.spot) && zones.allow(o.zone))
+            o.is_some_and(|o| allows_kind(spec, &o.machine_type.name, o.zone, o.spot) && zones.allows(o.zone))
         };
         self.offers.iter().map(open).collect()
     }
@@ -127,7 +128,7 @@
     /// None: one that could be rented.
     pub machine: Option<&'a Machine>,
     /// The machine's type.
-    pub of: &'a MachineType,
+    pub machine_type: &'a MachineType,
     /// Place of the machine's kind among [`CapacityContext::offers`].
     pub kind: usize,
     /// Free cores. Below zero where more is bound than the type has.
@@ -139,15 +140,15 @@
     /// Deadline shares and returns of the tasks bound to it, by which soft work is admitted.
     pub load: Load,
     /// What idle work takes of it, as (cpus, gpus, GB): others may have it.
-    pub idle: (f64, f64, f64),
+    pub idle_usage: (f64, f64, f64),
     /// It can be spared and is being left: only idle work that can save goes there.
-    pub leaving: bool,
+    pub draining: bool,
     /// Kept free of idle work for what will soon arrive.
-    pub kept: bool,
+    pub kept_for_arrivals: bool,
     /// For whom it is held, if it is.
     pub reservation: Option<&'a Reservation>,
     /// Others were stopped there for whom it is held for.
-    pub reserved: bool,
+    pub preempted: bool,
 }
 
 impl<'a> FreeCapacity<'a> {
@@ -155,40 +156,42 @@
     pub fn empty(of: &'a MachineType, kind: usize) -> Self {
         Self {
             machine: None,
-            of,
+            machine_type: of,
             kind,
             cpus: of.cpus,
             gpus: of.gpus,
             memory_gb: of.memory_gb,
             load: Load::default(),
-            idle: (0.0, 0.0, 0.0),
-            leaving: false,
-            kept: false,
+            idle_usage: (0.0, 0.0, 0.0),
+            draining: false,
+            kept_for_arrivals: false,
             reservation: None,
-            reserved: false,
+            preempted: false,
         }
     }
 
-    /// Whether one task of the job fits into what is free, with [`SLACK`].
+    /// Whether one task of the job fits into what is free, with [`AMOUNT_TOLERANCE`].
     pub fn fits(&self, spec: &JobSpec) -> bool {
-        spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
+        spec.cpus <= self.cpus + AMOUNT_TOLERANCE
+            && spec.gpus <= self.gpus + AMOUNT_TOLERANCE
+            && spec.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
     }
 
     /// Has nothing dear that such a task has no use for.
-    pub fn apt(&self, spec: &JobSpec) -> bool {
-        apt(self.of, spec)
+    pub fn wastes_no_gpus(&self, spec: &JobSpec) -> bool {
+        wastes_no_gpus(self.machine_type, spec)
     }
 
     /// The room there would be without its idle work.
     pub fn without_idle(&self) -> Self {
         let mut capacity = *self;
-        capacity.add(self.idle.0, self.idle.1, self.idle.2);
+        capacity.add(self.idle_usage.0, self.idle_usage.1, self.idle_usage.2);
         capacity
     }
 
     /// How many tasks like this fit, up to `most`.
-    pub fn units(&self, spec: &JobSpec, most: u64) -> u64 {
-        let by = |left: f64, each: f64| if each > 0.0 { (left + SLACK) / each } else { f64::INFINITY };
+    pub fn fitting_tasks(&self, spec: &JobSpec, most: u64) -> u64 {
+        let by = |left: f64, each: f64| if each > 0.0 { (left + AMOUNT_TOLERANCE) / each } else { f64::INFINITY };
         let least = by(self.cpus, spec.cpus).min(by(self.gpus, spec.gpus)).min(by(self.memory_gb, spec.memory_gb));
         // Casting saturates: nothing fits below zero, and infinity is above any `most`.
         (least.floor() as u64).min(most)
@@ -197,17 +200,17 @@
     /// How badly a task uses what this machine is paid for: 0 for what its accelerators, each
     /// with its fair part of the cores, leave over; 1 for a machine as the task needs it; 2 for
     /// cores that an accelerator will lack.
-    pub fn waste(&self, spec: &JobSpec) -> u8 {
-        if self.of.gpus <= 0.0 || spec.gpus > 0.0 {
+    pub fn gpu_waste(&self, spec: &JobSpec) -> u8 {
+        if self.machine_type.gpus <= 0.0 || spec.gpus > 0.0 {
             return 1;
         }
-        let kept = self.gpus * self.of.cpus / self.of.gpus;
-        if spec.cpus <= self.cpus - kept + SLACK { 0 } else { 2 }
+        let kept = self.gpus * self.machine_type.cpus / self.machine_type.gpus;
+        if spec.cpus <= self.cpus - kept + AMOUNT_TOLERANCE { 0 } else { 2 }
     }
 
     /// How likely the machine is to be lost with what it runs: the cloud takes cheap ones back, and
     /// what has failed fails again.
-    pub fn risk(&self) -> u8 {
+    pub fn loss_risk(&self) -> u8 {
         self.machine.map_or(0, |m| 2 * u8::from(m.spot) + u8::from(m.failed))
     }
 
@@ -224,31 +227,31 @@
     }
 
     /// Takes one task's request from what is free. Idle work is also counted in `idle`. `load` is not changed.
-    pub fn take(&mut self, spec: &JobSpec) {
-        self.change(spec, -1.0);
+    pub fn allocate(&mut self, spec: &JobSpec) {
+        self.apply_request(spec, -1.0);
     }
 
     /// What `take` has taken.
-    pub fn give_back(&mut self, spec: &JobSpec) {
-        self.change(spec, 1.0);
+    pub fn release(&mut self, spec: &JobSpec) {
+        self.apply_request(spec, 1.0);
     }
 
-    fn change(&mut self, spec: &JobSpec, sign: f64) {
+    fn apply_request(&mut self, spec: &JobSpec, sign: f64) {
         let (cpus, gpus, memory_gb) = (sign * spec.cpus, sign * spec.gpus, sign * spec.memory_gb);
         self.add(cpus, gpus, memory_gb);
         if spec.is_idle() {
-            self.idle = (self.idle.0 - cpus, self.idle.1 - gpus, self.idle.2 - memory_gb);
+            self.idle_usage = (self.idle_usage.0 - cpus, self.idle_usage.1 - gpus, self.idle_usage.2 - memory_gb);
         }
     }
 
     /// Price per hour of the machine; one that could be rented counts as on demand.
     pub fn price(&self) -> f64 {
-        self.of.price(self.machine.is_some_and(|m| m.spot))
+        self.machine_type.price(self.machine.is_some_and(|m| m.spot))
     }
 }
 
 /// Whether a job's own words allow the type, zone and kind.
-pub fn allowed(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
+pub fn allows_kind(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
     (!spot || spec.spot)
         && spec.zone.as_deref().is_none_or(|z| z == zone)
         && spec.types.as_ref().is_none_or(|t| t.iter().any(|t| t == type_name))
@@ -256,16 +259,16 @@
 
 /// Up, sane, lately reporting, not known from what may be late copies alone, hearing, and free of tasks that should not
 /// be there.
-pub fn usable(machine: &Machine, suspect: Duration, now: Instant) -> bool {
-    machine.state == MachineState::Up && sane(machine, suspect, now)
+pub fn is_schedulable(machine: &Machine, suspect: Duration, now: Instant) -> bool {
+    machine.state == MachineState::Up && is_healthy(machine, suspect, now)
 }
 
 /// The same of one that can be spared and has not been left yet.
-pub fn usable_until_left(machine: &Machine, suspect: Duration, now: Instant) -> bool {
-    machine.state == MachineState::Draining && machine.scale_in_candidate && sane(machine, suspect, now)
+pub fn is_schedulable_while_draining(machine: &Machine, suspect: Duration, now: Instant) -> bool {
+    machine.state == MachineState::Draining && machine.scale_in_candidate && is_healthy(machine, suspect, now)
 }
 
-fn sane(machine: &Machine, suspect: Duration, now: Instant) -> bool {
+fn is_healthy(machine: &Machine, suspect: Duration, now: Instant) -> bool {
     machine.reported()
         && machine.recall.is_none()
         && machine.known
@@ -276,20 +279,20 @@
 }
 
 /// After this long without a heartbeat a machine gets no new work.
-pub fn suspect_after(cluster: &ClusterState) -> Duration {
-    cluster.settings.params.workers.heartbeat_interval().mul_f64(SUSPECT_REPORTS)
+pub fn suspect_timeout(cluster: &ClusterState) -> Duration {
+    cluster.settings.params.workers.heartbeat_interval().mul_f64(SUSPECT_HEARTBEATS)
 }
 
 /// The zone of a machine of which only the name is known.
-const UNKNOWN: &str = "";
+const UNKNOWN_ZONE: &str = "";
 
 /// Where the tasks of one job are, for `samePlace` and `scatter`.
-pub struct Zones<'a> {
+pub struct JobZones<'a> {
     spec: &'a JobSpec,
     counts: HashMap<&'a str, u64>,
 }
 
-impl<'a> Zones<'a> {
+impl<'a> JobZones<'a> {
     /// Counts the job's bound tasks by zone, if its description restricts zones at all. Machines of which only the
     /// name is known count as an unknown zone.
     pub fn new(cluster: &'a ClusterState, job: &'a JobState) -> Self {
@@ -297,35 +300,35 @@
         if job.spec().same_zone || job.spec().spread {
             for index in &job.bound {
                 let machine = job.binding(*index).and_then(|b| cluster.machines.get(&b.machine));
-                *counts.entry(machine.map_or(UNKNOWN, |m| m.zone.as_str())).or_default() += 1;
+                *counts.entry(machine.map_or(UNKNOWN_ZONE, |m| m.zone.as_str())).or_default() += 1;
             }
         }
         Self { spec: job.spec(), counts }
     }
 
     /// Where a job of this kind would begin.
-    pub fn none(spec: &'a JobSpec) -> Self {
+    pub fn without_tasks(spec: &'a JobSpec) -> Self {
         Self { spec, counts: HashMap::new() }
     }
 
     /// Whether the job restricts zones (`same_zone` or `spread`); else every zone is allowed.
-    pub fn matter(&self) -> bool {
+    pub fn restricts_zones(&self) -> bool {
         self.spec.same_zone || self.spec.spread
     }
 
     /// Whether one more task may be placed in the zone: with `same_zone` only where all others are, with `spread` at
     /// most half of the job's tasks, rounded up, in one zone.
-    pub fn allow(&self, zone: &str) -> bool {
+    pub fn allows(&self, zone: &str) -> bool {
         // What a successor has inherited on machines of which nobody has told it more than their names may be anywhere.
-        let unknown = if zone == UNKNOWN { 0 } else { self.counts.get(UNKNOWN).copied().unwrap_or(0) };
+        let unknown = if zone == UNKNOWN_ZONE { 0 } else { self.counts.get(UNKNOWN_ZONE).copied().unwrap_or(0) };
         let here = self.counts.get(zone).copied().unwrap_or(0) + unknown;
         (!self.spec.same_zone || self.counts.iter().all(|(z, n)| *n == 0 || *z == zone))
             && (!self.spec.spread || here < self.spec.tasks.div_ceil(2))
     }
 
     /// Counts one more task in the zone.
-    pub fn take(&mut self, zone: &'a str) {
-        if self.matter() {
+    pub fn add_task(&mut self, zone: &'a str) {
+        if self.restricts_zones() {
             *self.counts.entry(zone).or_default() += 1;
         }
     }
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobSpec;
-use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones};
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, JobZones};
 use crate::scheduling::cluster::{ClusterState, JobState, Machine, MachineState};
 use crate::sla;
 
@@ -43,9 +43,8 @@
     ) -> Option<Self> {
         let capacity = ground.capacity(machine)?;
         let from = match machine.state {
-            MachineState::Booting => {
-                Duration::from_secs_f64(capacity.of.boot_s).saturating_sub(now.saturating_duration_since(machine.since))
-            }
+            MachineState::Booting => Duration::from_secs_f64(capacity.machine_type.boot_s)
+                .saturating_sub(now.saturating_duration_since(machine.since)),
             _ => Duration::ZERO,
         };
         let mut timeline = Self::new(capacity, from.as_secs_f64());
@@ -91,7 +90,7 @@
             self.capacity.add(cpus, gpus, memory_gb);
         }
         self.from_s = self.from_s.max(at);
-        self.capacity.take(spec);
+        self.capacity.allocate(spec);
         let end = at + run_s;
         let place = self.releases.partition_point(|r| r.0 <= end);
         self.releases.insert(place, (end, spec.cpus, spec.gpus, spec.memory_gb));
@@ -143,14 +142,14 @@
 
     fn slot(&self, timeline: &Timeline, which: usize) -> Option<Slot> {
         let spec = self.job.spec();
-        let wasteful = timeline.capacity.of.gpus > 0.0 && spec.gpus <= 0.0;
+        let wasteful = timeline.capacity.machine_type.gpus > 0.0 && spec.gpus <= 0.0;
         timeline.earliest(spec).map(|at_s| Slot { at_s, wasteful, which })
     }
 
     /// The next place, left where it is. Places that the job's other tasks have closed are dropped.
-    pub fn next(&mut self, timelines: &[Timeline], ground: &CapacityContext, zones: &Zones) -> Option<Slot> {
+    pub fn next(&mut self, timelines: &[Timeline], ground: &CapacityContext, zones: &JobZones) -> Option<Slot> {
         while let Some(Reverse(slot)) = self.heap.peek() {
-            if !zones.matter() || zones.allow(ground.zone(timelines[slot.which].capacity.kind)) {
+            if !zones.restricts_zones() || zones.allows(ground.zone(timelines[slot.which].capacity.kind)) {
                 return Some(*slot);
             }
             self.heap.pop();
@@ -176,7 +175,7 @@
         let fetch = if timeline.capacity.holds_image(self.job) {
             0.0
         } else {
-            spec.image_gb / timeline.capacity.of.fetch_gb_per_s.max(0.001)
+            spec.image_gb / timeline.capacity.machine_type.fetch_gb_per_s.max(0.001)
         };
         timeline.take(spec, slot.at_s, fetch + self.job.agreement.run.as_secs_f64());
         self.push(timelines, slot.which);
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Instant;
 
-use super::capacity::{CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable};
+use super::capacity::{AMOUNT_TOLERANCE, CapacityContext, FreeCapacity, JobZones, is_schedulable, suspect_timeout};
 pub use super::cluster::{Ahead, CapacityIntent, Intents, Replicas, WindowPlace};
 use super::cluster::{ClusterState, MachineId, MachineState};
 use super::fairness::floor::Rank;
@@ -47,7 +47,7 @@
     for queued in asked {
         let (spec, waiting) = (queued.job.spec(), queued.job.waiting.len());
         let left = if taken > 0.0 { most - taken } else { most.max(queued.job.cores_at_once()) };
-        let tasks = if spec.cpus > 0.0 { ((left + SLACK) / spec.cpus).max(0.0) as usize } else { waiting };
+        let tasks = if spec.cpus > 0.0 { ((left + AMOUNT_TOLERANCE) / spec.cpus).max(0.0) as usize } else { waiting };
         if tasks == 0 || (spec.is_gang() && tasks < waiting) {
             continue;
         }
@@ -121,7 +121,7 @@
 /// When a machine of some kind that was asked for now would have run such a task's fetch.
 pub fn ready_s(spec: &JobSpec, ground: &CapacityContext, open: &[bool]) -> f64 {
     let offers = ground.offers.iter().zip(open).filter(|(_, open)| **open).filter_map(|(offer, _)| offer.as_ref());
-    let ready = offers.map(|o| o.of.boot_s + spec.image_gb / o.of.fetch_gb_per_s.max(0.001));
+    let ready = offers.map(|o| o.machine_type.boot_s + spec.image_gb / o.machine_type.fetch_gb_per_s.max(0.001));
     ready.fold(0.0, f64::max)
 }
 
@@ -130,8 +130,9 @@
     cluster: &'b ClusterState,
     ground: &CapacityContext,
 ) -> Vec<(&'b CapacityIntent, Vec<bool>)> {
-    let open =
-        |intent: &'b CapacityIntent| (intent, ground.open_to(&intent.task_spec, &Zones::none(&intent.task_spec)));
+    let open = |intent: &'b CapacityIntent| {
+        (intent, ground.allowed_kinds(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec)))
+    };
     let near = |(intent, open): &(&CapacityIntent, Vec<bool>)| {
         intent.in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S
     };
@@ -145,14 +146,14 @@
         return kept;
     }
     let ground = CapacityContext::new(cluster, catalog);
-    let suspect = suspect_after(cluster);
-    let there = cluster.machines.values().filter(|m| m.state == MachineState::Up && usable(m, suspect, now));
+    let suspect = suspect_timeout(cluster);
+    let there = cluster.machines.values().filter(|m| m.state == MachineState::Up && is_schedulable(m, suspect, now));
     let mut capacities: Vec<FreeCapacity> = there.filter_map(|m| ground.capacity(m)).collect();
     capacities.sort_by_key(|capacity| capacity.machine.is_some_and(|m| m.bound.is_empty()));
     for (intent, open) in reserved_capacity(cluster, &ground) {
         let mut left = intent.tasks;
         for capacity in capacities.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
-            let units = capacity.units(&intent.task_spec, left);
+            let units = capacity.fitting_tasks(&intent.task_spec, left);
             let n = units as f64;
             capacity.add(-n * intent.task_spec.cpus, -n * intent.task_spec.gpus, -n * intent.task_spec.memory_gb);
             left -= units;
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -22,7 +22,7 @@
 use crate::machine_kinds::Catalog;
 use decide::{PlanOutcome, decide};
 
-pub use super::capacity::SLACK;
+pub use super::capacity::AMOUNT_TOLERANCE;
 pub use queue::{QueuedJob, queue};
 pub use quotas::Quotas;
 
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::queue::QueuedJob;
-use crate::scheduling::capacity::{CapacityContext, FreeCapacity, Zones, usable};
+use crate::scheduling::capacity::{CapacityContext, FreeCapacity, JobZones, is_schedulable};
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::fairness::floor::Rank;
 
@@ -13,14 +13,15 @@
     let reservation = capacity.machine.and_then(|m| cluster.reservation(&m.id, now));
     let reserved =
         capacity.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
-    FreeCapacity { reservation, reserved, ..capacity }
+    FreeCapacity { reservation, preempted: reserved, ..capacity }
 }
 
 /// Ordinary kinds open to work that waits and may use no cheap ones.
 pub(super) fn sought(ground: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
     for queued in queued_jobs.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
-        for (sought, open) in sought.iter_mut().zip(ground.open_to(queued.job.spec(), &Zones::none(queued.job.spec())))
+        for (sought, open) in
+            sought.iter_mut().zip(ground.allowed_kinds(queued.job.spec(), &JobZones::without_tasks(queued.job.spec())))
         {
             *sought |= open;
         }
@@ -35,7 +36,7 @@
     suspect: Duration,
     now: Instant,
 ) -> Vec<FreeCapacity<'a>> {
-    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && usable(m, suspect, now));
+    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && is_schedulable(m, suspect, now));
     let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
-    free.filter_map(|m| ground.capacity(m)).filter(|r| r.of.gpus <= 0.0).map(|r| r.without_idle()).collect()
+    free.filter_map(|m| ground.capacity(m)).filter(|r| r.machine_type.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{JobId, JobSpec};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::TaskKey;
-use crate::scheduling::capacity::{SLACK, Zones};
+use crate::scheduling::capacity::{AMOUNT_TOLERANCE, JobZones};
 use crate::scheduling::cluster::{ClusterState, Placement};
 use crate::scheduling::failure_attribution::PROBES;
 use crate::scheduling::fairness::floor::Rank;
@@ -61,7 +61,7 @@
             continue;
         }
         let keep = may_keep && (queued.credited || earned.is_some());
-        let mut zones = Zones::new(cluster, queued.job);
+        let mut zones = JobZones::new(cluster, queued.job);
         let placed = plan.place_job(&queued, &mut zones, most, keep);
         quotas.take(queued.job.spec(), placed.len() as f64);
         if plan.passes_over(&queued, &zones, placed.len(), &quotas) {
@@ -89,7 +89,7 @@
     let queued = queued_jobs.remove(at);
     let behind_guaranteed = queued_jobs.iter().take_while(|t| t.guaranteed).count();
     queued_jobs.insert(behind_guaranteed, queued);
-    Some(Earned { job: queued.id, tasks: (credit / needs.max(SLACK)) as usize })
+    Some(Earned { job: queued.id, tasks: (credit / needs.max(AMOUNT_TOLERANCE)) as usize })
 }
 
 /// How many tasks of a job may be placed in its turn, of `left` that the plan may still place.
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -115,9 +115,9 @@
             && match &self.backfill {
                 Some(backfill) => {
                     backfill.may_use(self.job.spec(), capacity, self.waited)
-                        && (!capacity.leaving || !self.job.lost_starts(MOST_LEFT))
+                        && (!capacity.draining || !self.job.lost_starts(MOST_LEFT))
                 }
-                None => !capacity.leaving,
+                None => !capacity.draining,
             }
             && self.passes_hold(capacity)
     }
@@ -125,8 +125,8 @@
     /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
     /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
     pub(super) fn may_use_overdue(&self, capacity: &FreeCapacity) -> bool {
-        let for_arrivals = capacity.kept && self.backfill.is_some() && !self.job.bound.is_empty();
-        !for_arrivals && (!capacity.reserved || self.passes_hold(capacity))
+        let for_arrivals = capacity.kept_for_arrivals && self.backfill.is_some() && !self.job.bound.is_empty();
+        !for_arrivals && (!capacity.preempted || self.passes_hold(capacity))
     }
 
     /// Whether what the room is held for, if it is, leaves it to this work.
@@ -146,11 +146,11 @@
         if !capacity.fits(spec) || !self.may_use(capacity) {
             return None;
         }
-        if self.apt_only && capacity.waste(spec) > 1 {
+        if self.apt_only && capacity.gpu_waste(spec) > 1 {
             return None;
         }
         // Fit-now is the whole test for hard work; soft work must also be admitted.
-        let new_return = match sla::admit(capacity.load, capacity.of.cpus, self.share, self.task_return) {
+        let new_return = match sla::admit(capacity.load, capacity.machine_type.cpus, self.share, self.task_return) {
             Some(new_return) => new_return,
             None if self.hard || self.overdue => capacity.load.total_return + self.task_return,
             None => return None,
@@ -158,9 +158,9 @@
         Some(Candidate {
             failed: capacity.machine.is_some_and(|m| self.failed_on.contains(&m.id)),
             held: capacity.reservation.is_some_and(|reservation| reservation.job != *self.id),
-            risk: if self.wary { capacity.risk() } else { 0 },
+            risk: if self.wary { capacity.loss_risk() } else { 0 },
             sought: spec.spot && self.sought.get(capacity.kind) == Some(&true),
-            waste: capacity.waste(spec),
+            waste: capacity.gpu_waste(spec),
             has_image: capacity.holds_image(self.job),
             new_return,
             left: capacity.cpus,
@@ -170,14 +170,14 @@
 
     /// Counts a task as placed in the room.
     pub(super) fn occupy(&self, capacity: &mut FreeCapacity) {
-        capacity.take(self.job.spec());
+        capacity.allocate(self.job.spec());
         capacity.load.share += self.share;
         capacity.load.total_return += self.task_return;
     }
 
     /// Takes back what `occupy` did.
     pub(super) fn vacate(&self, capacity: &mut FreeCapacity) {
-        capacity.give_back(self.job.spec());
+        capacity.release(self.job.spec());
         capacity.load.share -= self.share;
         capacity.load.total_return -= self.task_return;
     }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -7,7 +7,7 @@
 use super::search::{Plan, SetAside};
 use crate::jobs::JobSpec;
 use crate::scheduling::backfill;
-use crate::scheduling::capacity::Zones;
+use crate::scheduling::capacity::JobZones;
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::intents;
 
@@ -23,16 +23,16 @@
         self.kept.push(zone);
         let mut left = need;
         let mut order: Vec<usize> = (0..self.capacities.len()).collect();
-        order.sort_by_key(|at| self.capacities[*at].waste(spec));
+        order.sort_by_key(|at| self.capacities[*at].gpu_waste(spec));
         for at in order {
             let capacity = &self.capacities[at];
             let here = zone.is_empty() || self.ground.zone(capacity.kind) == zone;
             if left == 0 || !here || !demand.may_use(capacity) {
                 continue;
             }
-            let units = capacity.units(spec, left);
+            let units = capacity.fitting_tasks(spec, left);
             for _ in 0..units {
-                self.capacities[at].take(spec);
+                self.capacities[at].allocate(spec);
             }
             self.set_aside.push(SetAside { at, tasks: units, spec });
             left -= units;
@@ -50,7 +50,7 @@
     pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState) {
         for arrivals in cluster.arrivals.values() {
             let spec = &arrivals.latest.spec;
-            let open = self.ground.open_to(spec, &Zones::none(spec));
+            let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
             let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
@@ -62,12 +62,14 @@
     }
 
     pub(super) fn keep(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
-        for capacity in self.capacities.iter_mut().filter(|r| !r.leaving && !r.kept && r.apt(spec)) {
+        for capacity in
+            self.capacities.iter_mut().filter(|r| !r.draining && !r.kept_for_arrivals && r.wastes_no_gpus(spec))
+        {
             if *left == 0 {
                 break;
             }
-            let units = if open.get(capacity.kind) == Some(&true) { capacity.units(spec, *left) } else { 0 };
-            capacity.kept = units > 0;
+            let units = if open.get(capacity.kind) == Some(&true) { capacity.fitting_tasks(spec, *left) } else { 0 };
+            capacity.kept_for_arrivals = units > 0;
             *left -= units;
         }
     }
@@ -81,7 +83,7 @@
         let mut units: BTreeMap<&str, u64> = BTreeMap::new();
         for capacity in self.giving.iter().filter(|r| open.get(r.kind) == Some(&true)) {
             let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
-            *units.entry(zone).or_default() += capacity.units(spec, need);
+            *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
         let Some(zone) = units.into_iter().find(|(_, n)| *n >= need).map(|(zone, _)| zone) else { return false };
         let mut left = need;
@@ -90,7 +92,7 @@
             if left == 0 || !here || open.get(capacity.kind) != Some(&true) {
                 continue;
             }
-            let n = capacity.units(spec, left);
+            let n = capacity.fitting_tasks(spec, left);
             capacity.add(-(n as f64) * spec.cpus, 0.0, -(n as f64) * spec.memory_gb);
             left -= n;
         }
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -7,13 +7,19 @@
 use super::quotas::Quotas;
 use super::search::Plan;
 use super::unfit::UnfitRequest;
-use crate::scheduling::capacity::{FreeCapacity, Zones};
+use crate::scheduling::capacity::{FreeCapacity, JobZones};
 use crate::scheduling::cluster::JobState;
 
 impl<'a> Plan<'a> {
     /// Whether a job of which so many tasks were placed in this plan has more that some room fits, by the machines, its
     /// own words and its team's limit alone.
-    pub fn passes_over(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, placed: usize, quotas: &Quotas) -> bool {
+    pub fn passes_over(
+        &mut self,
+        queued: &QueuedJob<'a>,
+        zones: &JobZones<'a>,
+        placed: usize,
+        quotas: &Quotas,
+    ) -> bool {
         let (job, spec) = (queued.job, queued.job.spec());
         let waiting = self.cluster.intents.waiting(queued.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
@@ -25,9 +31,9 @@
         quotas.allows(spec, need as f64) && self.fits_somewhere(job, zones, need, kept_from)
     }
 
-    fn fits_somewhere(&mut self, job: &'a JobState, zones: &Zones<'a>, need: usize, kept_from: bool) -> bool {
+    fn fits_somewhere(&mut self, job: &'a JobState, zones: &JobZones<'a>, need: usize, kept_from: bool) -> bool {
         let spec = job.spec();
-        let open = self.ground.open_to(spec, zones);
+        let open = self.ground.allowed_kinds(spec, zones);
         if self.unfit_anywhere.iter().any(|unfit_anywhere| unfit_anywhere.covers(job, need, &open)) {
             return false;
         }
@@ -36,10 +42,10 @@
         for at in 0..self.capacities.len() {
             self.rooms_examined += 1;
             let kind = self.capacities[at].kind;
-            if open.get(kind) != Some(&true) || (kept_from && self.capacities[at].kept) {
+            if open.get(kind) != Some(&true) || (kept_from && self.capacities[at].kept_for_arrivals) {
                 continue;
             }
-            let units = self.with_set_aside(at).units(spec, need as u64);
+            let units = self.with_set_aside(at).fitting_tasks(spec, need as u64);
             let in_zone = by_zone.entry(self.ground.zone(kind)).or_default();
             *in_zone = (*in_zone + units).min(most_in_zone);
             let found = if spec.same_zone { *in_zone } else { by_zone.values().sum() };
@@ -59,7 +65,7 @@
     fn with_set_aside(&self, at: usize) -> FreeCapacity<'a> {
         let mut capacity = self.capacities[at];
         for piece in self.set_aside.iter().filter(|piece| piece.at == at) {
-            (0..piece.tasks).for_each(|_| capacity.give_back(piece.spec));
+            (0..piece.tasks).for_each(|_| capacity.release(piece.spec));
         }
         capacity
     }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -5,7 +5,7 @@
 
 use super::large_first::{credited, to_begin};
 use crate::jobs::{JobId, JobSpec};
-use crate::scheduling::capacity::SLACK;
+use crate::scheduling::capacity::AMOUNT_TOLERANCE;
 use crate::scheduling::cluster::{ClusterState, JobState};
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::intents;
@@ -109,5 +109,6 @@
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
     let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
-    used.cpus + n * spec.cpus <= team.cpus + SLACK && used.gpus + n * spec.gpus <= team.gpus + SLACK
+    used.cpus + n * spec.cpus <= team.cpus + AMOUNT_TOLERANCE
+        && used.gpus + n * spec.gpus <= team.gpus + AMOUNT_TOLERANCE
 }
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::jobs::JobSpec;
-use crate::scheduling::capacity::SLACK;
+use crate::scheduling::capacity::AMOUNT_TOLERANCE;
 use crate::scheduling::cluster::{ClusterState, TeamUsage};
 
 /// What a team may still use, as (cpus, gpus).
@@ -22,7 +22,7 @@
     pub fn allows(&self, spec: &JobSpec, n: f64) -> bool {
         let Some(team) = self.cluster.settings.team(&spec.team) else { return false };
         let used = self.used.get(spec.team.as_str()).copied().unwrap_or_default();
-        let within = |limit: f64, used: f64, more: f64| limit <= 0.0 || used + more <= limit + SLACK;
+        let within = |limit: f64, used: f64, more: f64| limit <= 0.0 || used + more <= limit + AMOUNT_TOLERANCE;
         within(team.cpus_max, used.cpus, n * spec.cpus) && within(team.gpus_max, used.gpus, n * spec.gpus)
     }
 
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -13,7 +13,8 @@
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill::Backfill;
 use crate::scheduling::capacity::{
-    CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable, usable_until_left,
+    AMOUNT_TOLERANCE, CapacityContext, FreeCapacity, JobZones, is_schedulable, is_schedulable_while_draining,
+    suspect_timeout,
 };
 use crate::scheduling::cluster::{ClusterState, MachineId};
 use crate::scheduling::failure_attribution::FailureAttribution;
@@ -72,14 +73,14 @@
     /// A plan for these jobs, before anything is placed.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, queued_jobs: &[QueuedJob], now: Instant) -> Self {
         let ground = CapacityContext::new(cluster, catalog);
-        let suspect = suspect_after(cluster);
+        let suspect = suspect_timeout(cluster);
         let least = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
         let capacities = cluster
             .machines
             .values()
-            .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
+            .filter(|m| is_schedulable(m, suspect, now) || is_schedulable_while_draining(m, suspect, now))
             .filter_map(|m| ground.capacity(m))
-            .filter(|r| r.cpus + SLACK >= least)
+            .filter(|r| r.cpus + AMOUNT_TOLERANCE >= least)
             .map(|r| held(cluster, r, now))
             .collect();
         let giving = giving(cluster, &ground, suspect, now);
@@ -106,7 +107,7 @@
     pub(super) fn place_greedily(
         &mut self,
         demand: &Demand<'a>,
-        zones: &mut Zones<'a>,
+        zones: &mut JobZones<'a>,
         most: usize,
         only: Option<&str>,
     ) -> Vec<Pick> {
@@ -125,7 +126,7 @@
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
             self.rooms_examined += 1;
             demand.occupy(&mut self.capacities[best]);
-            zones.take(self.ground.zone(self.capacities[best].kind));
+            zones.add_task(self.ground.zone(self.capacities[best].kind));
             picks.push(Pick { index, at: best });
             heap.extend(demand.candidate(best, &self.capacities[best]));
         }
@@ -134,12 +135,17 @@
 
     /// The room of the best candidate in a zone that is still open to the job. Where the best is in a zone that the
     /// job has used up, all candidates in such zones are dropped in one pass.
-    fn pop_allowed(&self, heap: &mut BinaryHeap<Candidate>, demand: &Demand<'a>, zones: &Zones<'a>) -> Option<usize> {
+    fn pop_allowed(
+        &self,
+        heap: &mut BinaryHeap<Candidate>,
+        demand: &Demand<'a>,
+        zones: &JobZones<'a>,
+    ) -> Option<usize> {
         let best = heap.pop()?.at;
-        if zones.allow(self.ground.zone(self.capacities[best].kind)) {
+        if zones.allows(self.ground.zone(self.capacities[best].kind)) {
             return Some(best);
         }
-        let open = self.ground.open_to(demand.job.spec(), zones);
+        let open = self.ground.allowed_kinds(demand.job.spec(), zones);
         heap.retain(|candidate| open.get(self.capacities[candidate.at].kind) == Some(&true));
         heap.pop().map(|candidate| candidate.at)
     }
@@ -149,7 +155,7 @@
     pub fn place_job(
         &mut self,
         queued: &QueuedJob<'a>,
-        zones: &mut Zones<'a>,
+        zones: &mut JobZones<'a>,
         most: usize,
         keep: bool,
     ) -> Vec<PlacedTask> {
@@ -184,7 +190,7 @@
     }
 
     /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
-    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
+    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &JobZones<'a>, tasks: usize, out_of_room: bool) {
         let (job, spec) = (demand.job, demand.job.spec());
         // A spread gang was refused rooms that others may use.
         if spec.is_gang() && spec.spread {
@@ -192,18 +198,18 @@
         }
         // Rooms in zones that a job's own tasks have closed to it may be free for others: only of the kinds that are
         // still open to it is it known that no room is left.
-        let closes_zones = zones.matter() && !spec.is_gang();
+        let closes_zones = zones.restricts_zones() && !spec.is_gang();
         if closes_zones && !out_of_room {
             return;
         }
-        let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
+        let open = if closes_zones { self.ground.allowed_kinds(spec, zones) } else { demand.open.clone() };
         self.unfit.push(UnfitRequest { spec, run: job.agreement.run, tasks, open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
-    fn demand(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
+    fn demand(&mut self, queued: &QueuedJob<'a>, zones: &JobZones<'a>, waiting: usize) -> Demand<'a> {
         let spec = queued.job.spec();
-        let open = self.ground.open_to(spec, zones);
+        let open = self.ground.allowed_kinds(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
@@ -234,16 +240,16 @@
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut units: HashMap<&str, u64> = HashMap::new();
-        let apt = |r: &FreeCapacity| !demand.apt_only || r.waste(spec) <= 1;
-        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
+        let wastes_no_gpus = |r: &FreeCapacity| !demand.apt_only || r.gpu_waste(spec) <= 1;
+        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && wastes_no_gpus(r)) {
             let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
-            *units.entry(zone).or_default() += capacity.units(spec, need);
+            *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
         units.into_iter().collect()
     }
 
     /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
-    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut JobZones<'a>) -> Vec<Pick> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
         self.rooms_examined += self.capacities.len() as u64;
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -9,9 +9,9 @@
 
 use tracing::info;
 
-use super::capacity::{CapacityContext, Zones, suspect_after, usable};
+use super::capacity::{CapacityContext, JobZones, is_schedulable, suspect_timeout};
 use super::cluster::{ClusterState, JobState, Machine, MachineId, Phase, Reservation};
-use super::plan::{QueuedJob, Quotas, SLACK, queue};
+use super::plan::{AMOUNT_TOLERANCE, QueuedJob, Quotas, queue};
 use crate::jobs::{JobSpec, Urgency};
 use crate::machine_kinds::Catalog;
 use crate::protocol::workers::TaskKey;
@@ -68,7 +68,7 @@
     now: Instant,
 ) -> Option<(crate::jobs::JobId, Vec<(MachineId, Victims)>)> {
     let quotas = Quotas::new(cluster);
-    let suspect = suspect_after(cluster);
+    let suspect = suspect_timeout(cluster);
     let ground = CapacityContext::new(cluster, catalog);
     // Whoever may stop nothing need not look.
     let lowest = cluster.jobs().filter(|(_, j)| !j.bound.is_empty()).map(|(_, j)| j.spec().urgency).min()?;
@@ -82,9 +82,9 @@
         if waited < after || !quotas.allows(spec, need as f64) {
             continue;
         }
-        let zones = Zones::new(cluster, job);
-        let open = ground.open_to(spec, &zones);
-        let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
+        let zones = JobZones::new(cluster, job);
+        let open = ground.allowed_kinds(spec, &zones);
+        let usable = cluster.machines.values().filter(|m| is_schedulable(m, suspect, now));
         let free = usable.filter(|m| cluster.reservation(&m.id, now).is_none_or(|h| h.job == *queued.id));
         let places: Vec<Place> = free.filter_map(|m| place(cluster, &ground, m, queued, &open, need, now)).collect();
         // An array takes more than one place at a time, as far as it waits.
@@ -105,11 +105,11 @@
 fn choose<'a>(
     mut places: Vec<Place<'a>>,
     spec: &JobSpec,
-    zones: &Zones,
+    zones: &JobZones,
     need: u64,
     wanted: u64,
 ) -> Option<Vec<Place<'a>>> {
-    places.retain(|p| zones.allow(p.zone));
+    places.retain(|p| zones.allows(p.zone));
     let each = |p: &Place| p.loss / p.units.max(1) as f64;
     places.sort_by(|a, b| {
         (a.dear.cmp(&b.dear))
@@ -165,7 +165,7 @@
         let Phase::Bound(binding) = &task.phase else { continue };
         if binding.halting.is_some() {
             // Room is being made here already.
-            capacity.give_back(other.spec());
+            capacity.release(other.spec());
         } else if may_stop(other.spec()) && task.attempt < most_starts(other.spec()) && !begins(other) {
             stoppable.push((loss(other, binding.ran(now)), key.clone(), other.spec()));
         }
@@ -175,19 +175,19 @@
     // All that the job can use of it: what it leaves of idle work would keep a whole machine from others.
     let most = if spec.is_gang() { need } else { cluster.intents.waiting(queued.id, queued.job) as u64 };
     let mut emptied = capacity;
-    stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.give_back(other));
-    let most_here = emptied.units(spec, most).max(1);
+    stoppable.iter().filter(|(.., other)| other.is_idle()).for_each(|(.., other)| emptied.release(other));
+    let most_here = emptied.fitting_tasks(spec, most).max(1);
     for (loss, key, other) in stoppable {
-        if capacity.units(spec, most) >= if other.is_idle() { most_here } else { 1 } {
+        if capacity.fitting_tasks(spec, most) >= if other.is_idle() { most_here } else { 1 } {
             break;
         }
-        capacity.give_back(other);
+        capacity.release(other);
         lost += loss;
         victims.push((key, other.save_s.ceil() as u64 + 1));
     }
-    let units = capacity.units(spec, most);
+    let units = capacity.fitting_tasks(spec, most);
     let zone = ground.zone(capacity.kind);
-    let dear = !capacity.apt(spec);
+    let dear = !capacity.wastes_no_gpus(spec);
     (units > 0).then_some(Place { machine, zone, units, victims, dear, loss: lost })
 }
 
@@ -213,5 +213,5 @@
 fn beyond_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return true };
     let used = cluster.usage.get(&spec.team).copied().unwrap_or_default();
-    used.cpus - spec.cpus >= team.cpus - SLACK && used.gpus - spec.gpus >= team.gpus - SLACK
+    used.cpus - spec.cpus >= team.cpus - AMOUNT_TOLERANCE && used.gpus - spec.gpus >= team.gpus - AMOUNT_TOLERANCE
 }
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::capacity::{CapacityContext, FreeCapacity, Zones, suspect_after, usable};
+use super::capacity::{CapacityContext, FreeCapacity, JobZones, is_schedulable, suspect_timeout};
 use super::cluster::{ClusterState, MachineId, Reservation};
 use super::intents;
 use super::plan::{QueuedJob, Quotas, queue};
@@ -37,8 +37,8 @@
     intents::ahead_first(&mut queued_jobs);
     queued_jobs.truncate(MOST_RESERVING);
     let ground = CapacityContext::new(cluster, catalog);
-    let suspect = suspect_after(cluster);
-    let usable = cluster.machines.values().filter(|m| usable(m, suspect, now));
+    let suspect = suspect_timeout(cluster);
+    let usable = cluster.machines.values().filter(|m| is_schedulable(m, suspect, now));
     let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(cluster, &ground, m, false, now)).collect();
     let most = timelines.len() / PART;
     let quotas = Quotas::new(cluster);
@@ -92,13 +92,13 @@
     queued: &QueuedJob<'a>,
 ) -> Option<Vec<bool>> {
     let (job, spec) = (queued.job, queued.job.spec());
-    let open = ground.open_to(spec, &Zones::new(cluster, job));
-    let apt = |kind: usize| ground.offers[kind].is_some_and(|o| o.apt(spec));
+    let open = ground.allowed_kinds(spec, &JobZones::new(cluster, job));
+    let wastes_no_gpus = |kind: usize| ground.offers[kind].is_some_and(|o| o.wastes_no_gpus(spec));
     let mut best: Option<(f64, Vec<bool>)> = None;
     for zone in zones_to_try(ground, spec) {
         for with_all in [false, true] {
             let kinds: Vec<bool> = (0..open.len())
-                .map(|k| open[k] && (with_all || apt(k)) && (zone.is_empty() || ground.zone(k) == zone))
+                .map(|k| open[k] && (with_all || wastes_no_gpus(k)) && (zone.is_empty() || ground.zone(k) == zone))
                 .collect();
             let Some(start_s) = common_start_s(timelines, spec, job.waiting.len(), &kinds) else { continue };
             if best.as_ref().is_none_or(|(best_s, _)| start_s < *best_s) {
@@ -125,7 +125,8 @@
 /// empty.
 fn common_start_s(timelines: &[Timeline], spec: &JobSpec, need: usize, kinds: &[bool]) -> Option<f64> {
     let of_kinds = || timelines.iter().filter(|t| kinds.get(t.capacity.kind) == Some(&true));
-    let units: u64 = of_kinds().map(|t| FreeCapacity::empty(t.capacity.of, t.capacity.kind).units(spec, 64)).sum();
+    let units: u64 =
+        of_kinds().map(|t| FreeCapacity::empty(t.capacity.machine_type, t.capacity.kind).fitting_tasks(spec, 64)).sum();
     if units < need as u64 {
         return None;
     }
@@ -143,7 +144,7 @@
 ) -> Option<Gathering> {
     let job = queued.job;
     let mut slots = Slots::new(timelines, job, kinds);
-    let none = Zones::none(job.spec());
+    let none = JobZones::without_tasks(job.spec());
     let mut undo = Vec::new();
     let mut gathering = Gathering { within_s: 0.0, taken: Vec::new() };
     for _ in 0..job.waiting.len() {
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -6,7 +6,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::capacity::{SLACK, Zones, allowed};
+use crate::scheduling::capacity::{AMOUNT_TOLERANCE, JobZones, allows_kind};
 use crate::scheduling::cluster::DirectCommand;
 
 pub(super) const STEP: f64 = 0.5;
@@ -240,7 +240,9 @@
 
 impl RoomLeft {
     fn fits(self, spec: &JobSpec) -> bool {
-        spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
+        spec.cpus <= self.cpus + AMOUNT_TOLERANCE
+            && spec.gpus <= self.gpus + AMOUNT_TOLERANCE
+            && spec.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
     }
 
     fn take(&mut self, spec: &JobSpec) {
@@ -290,14 +292,14 @@
         }
         let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
         zones.iter().any(|zones| {
-            let mut at = Zones::new(&self.cluster, job);
+            let mut at = JobZones::new(&self.cluster, job);
             let mut found = 0;
             for (m, worker) in &self.world.workers {
-                let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
+                let open = allows_kind(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
                 let Some(mut left) = self.room_left(m, draining).filter(|_| open) else { continue };
-                while found < need && at.allow(worker.zone) && left.fits(spec) {
+                while found < need && at.allows(worker.zone) && left.fits(spec) {
                     left.take(spec);
-                    at.take(worker.zone);
+                    at.add_task(worker.zone);
                     found += 1;
                 }
             }
