--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -36,7 +36,8 @@
     suspect: Duration,
     now: Instant,
 ) -> Vec<FreeCapacity<'a>> {
-    let held = cluster.machines.values().filter(|m| m.idle().cpus > 0.0 && is_schedulable(m, suspect, now));
+    let held =
+        cluster.machines.values().filter(|m| m.idle_work_allocated().cpus > 0.0 && is_schedulable(m, suspect, now));
     let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
     free.filter_map(|m| ground.capacity(m)).filter(|r| r.machine_type.gpus <= 0.0).map(|r| r.without_idle()).collect()
 }
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -75,20 +75,21 @@
         Self {
             id: queued.id,
             job,
-            over: now + agreement.run,
-            pressed: agreement.within_reach(age) && !agreement.within_reach(age + URGENT_WITHIN),
-            first: queued.rank == Rank::First || queued.credited,
+            over: now + agreement.run_time,
+            pressed: agreement.can_meet_hard_deadline(age) && !agreement.can_meet_hard_deadline(age + URGENT_WITHIN),
+            first: queued.rank == Rank::BelowFloor || queued.credited,
             passes: Vec::new(),
             ahead: Vec::new(),
             backfill,
             apt_only: false,
             waited: age,
             overdue,
-            share: sla::share(agreement.run, agreement.deadline.saturating_sub(age), agreement.cores),
-            task_return: agreement.task_return(age + agreement.run),
-            hard: agreement.within_reach(age),
+            share: sla::deadline_share(agreement.run_time, agreement.deadline.saturating_sub(age), agreement.cores),
+            task_return: agreement.task_return(age + agreement.run_time),
+            hard: agreement.can_meet_hard_deadline(age),
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
-            wary: job.lost_starts(LOST_STARTS) || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
+            wary: job.has_waiting_task_with_attempts(LOST_STARTS)
+                || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
             failed_on: attribution.failed_on(queued.id),
             held_back: attribution.held_back(queued.id, now),
             open,
@@ -115,7 +116,7 @@
             && match &self.backfill {
                 Some(backfill) => {
                     backfill.may_use(self.job.spec(), capacity, self.waited)
-                        && (!capacity.draining || !self.job.lost_starts(MOST_LEFT))
+                        && (!capacity.draining || !self.job.has_waiting_task_with_attempts(MOST_LEFT))
                 }
                 None => !capacity.draining,
             }
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -53,7 +53,7 @@
             let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
-            let mut left = backfill::kept_for(spec, arrivals.per_second(self.now), objectives, boot_s);
+            let mut left = backfill::kept_for(spec, arrivals.tasks_per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
         for (intent, open) in intents::reserved_capacity(cluster, &self.ground) {
@@ -62,9 +62,7 @@
     }
 
     pub(super) fn keep(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
-        for capacity in
-            self.capacities.iter_mut().filter(|r| !r.draining && !r.kept_for_arrivals && r.wastes_no_gpus(spec))
-        {
+        for capacity in self.capacities.iter_mut().filter(|r| !r.draining && !r.kept_for_arrivals && r.apt(spec)) {
             if *left == 0 {
                 break;
             }
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -21,7 +21,7 @@
         quotas: &Quotas,
     ) -> bool {
         let (job, spec) = (queued.job, queued.job.spec());
-        let waiting = self.cluster.intents.waiting(queued.id, job);
+        let waiting = self.cluster.intents.placeable_tasks(queued.id, job);
         if placed >= waiting || (spec.is_gang() && placed > 0) {
             return false;
         }
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -161,7 +161,7 @@
     ) -> Vec<PlacedTask> {
         let (job, spec) = (queued.job, queued.job.spec());
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
-        let waiting = self.intents.waiting(queued.id, job);
+        let waiting = self.intents.placeable_tasks(queued.id, job);
         let keep = keep && spec.is_gang();
         let demand = self.demand(queued, zones, waiting);
         if !keep && self.known_unfit(&demand, tasks) {
@@ -203,7 +203,7 @@
             return;
         }
         let open = if closes_zones { self.ground.allowed_kinds(spec, zones) } else { demand.open.clone() };
-        self.unfit.push(UnfitRequest { spec, run: job.agreement.run, tasks, open });
+        self.unfit.push(UnfitRequest { spec, run: job.agreement.run_time, tasks, open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
@@ -214,7 +214,7 @@
         let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
         let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
         let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped(queued.id));
+        demand.held_back.extend(self.intents.stopped_replicas(queued.id));
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
         if queued.ahead {
             demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
@@ -240,8 +240,8 @@
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut units: HashMap<&str, u64> = HashMap::new();
-        let wastes_no_gpus = |r: &FreeCapacity| !demand.apt_only || r.gpu_waste(spec) <= 1;
-        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && wastes_no_gpus(r)) {
+        let apt = |r: &FreeCapacity| !demand.apt_only || r.gpu_waste(spec) <= 1;
+        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
             let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
             *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -93,12 +93,12 @@
 ) -> Option<Vec<bool>> {
     let (job, spec) = (queued.job, queued.job.spec());
     let open = ground.allowed_kinds(spec, &JobZones::new(cluster, job));
-    let wastes_no_gpus = |kind: usize| ground.offers[kind].is_some_and(|o| o.wastes_no_gpus(spec));
+    let apt = |kind: usize| ground.offers[kind].is_some_and(|o| o.wastes_no_gpus(spec));
     let mut best: Option<(f64, Vec<bool>)> = None;
     for zone in zones_to_try(ground, spec) {
         for with_all in [false, true] {
             let kinds: Vec<bool> = (0..open.len())
-                .map(|k| open[k] && (with_all || wastes_no_gpus(k)) && (zone.is_empty() || ground.zone(k) == zone))
+                .map(|k| open[k] && (with_all || apt(k)) && (zone.is_empty() || ground.zone(k) == zone))
                 .collect();
             let Some(start_s) = common_start_s(timelines, spec, job.waiting.len(), &kinds) else { continue };
             if best.as_ref().is_none_or(|(best_s, _)| start_s < *best_s) {
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -73,7 +73,7 @@
         self.plan.restart(now);
         let placements = plan::place(cluster, catalog, now);
         let placed = placements.len();
-        cluster.bind_all(placements, now);
+        cluster.bind_placements(placements, now);
         if self.preempt.take_due(now) {
             preempt::preempt(cluster, catalog, now);
         }
@@ -83,7 +83,7 @@
     fn update_accounting(&mut self, cluster: &mut ClusterState, accounting: &mut FairShareAccounting, now: Instant) {
         service_report::update_accounting(accounting, cluster, now);
         if self.report.take_due(now) {
-            service_report::log_accounting(accounting.rows());
+            service_report::log_accounting(accounting.service_levels());
             service_report::log_due_times(cluster, now);
         }
     }
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -1,10 +1,8 @@
-//! Placement and the cluster state by cases: what the cases share.
+//! Tests of placement and of the cluster state. This module holds the helpers that they share.
 
-mod absences;
-mod beyond_room;
 mod cancellations;
+mod completions_across_takeovers;
 mod confirmed_cancellations;
-mod ends_across_takeovers;
 mod hangs;
 mod intents;
 mod interleaved_simulation;
@@ -13,6 +11,8 @@
 mod new_machines;
 mod old_reports;
 mod one_way_partition;
+mod outages_past_lease;
+mod overload;
 mod placement;
 mod plan_work;
 mod preemption;
@@ -53,14 +53,17 @@
 use crate::settings::Properties;
 use crate::settings::tests::example;
 
-fn of(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
+/// A machine type that is offered in zones `a` and `b`.
+fn two_zone_type(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType { zones: vec!["a".into(), "b".into()], ..machine_type(name, cpus, gpus, price) }
 }
 
+/// The catalog of all scheduling tests: `c8` with 8 CPUs, and `g2` with 8 CPUs and 2 GPUs at four times the price.
 fn catalog() -> Catalog {
-    Catalog { types: vec![of("c8", 8.0, 0.0, 1.0), of("g2", 8.0, 2.0, 4.0)] }
+    Catalog { types: vec![two_zone_type("c8", 8.0, 0.0, 1.0), two_zone_type("g2", 8.0, 2.0, 4.0)] }
 }
 
+/// A heartbeat of a worker in its first agent epoch that has seen fencing token 7.
 fn heartbeat(
     machine: &str,
     type_name: &str,
@@ -83,8 +86,8 @@
     }
 }
 
-/// A cluster state with these machines up, as (name, type, zone, spot).
-fn cluster(machines: &[(&str, &str, &str, bool)], now: Instant) -> ClusterState {
+/// A loaded cluster state with these machines up, each given as (name, type, zone, spot).
+fn cluster_with(machines: &[(&str, &str, &str, bool)], now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for (name, type_name, zone, spot) in machines {
@@ -93,21 +96,24 @@
     cluster
 }
 
-fn add(cluster: &mut ClusterState, n: u32, now: Instant, change: impl FnOnce(&mut JobSpec)) {
+/// Adds job `run-<n>`, which `change` adjusts.
+fn add_job(cluster: &mut ClusterState, n: u32, now: Instant, change: impl FnOnce(&mut JobSpec)) {
     let mut job = spec();
     job.id = format!("run-{n:06}").into();
     change(&mut job);
     cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), now);
 }
 
-fn placed(cluster: &mut ClusterState, now: Instant) -> Vec<(u32, String)> {
+/// Plans placements without binding them, and returns them as (task index, machine), sorted.
+fn plan_placements(cluster: &mut ClusterState, now: Instant) -> Vec<(u32, String)> {
     let mut placed: Vec<(u32, String)> =
         plan::place(cluster, &catalog(), now).into_iter().map(|p| (p.task.index, p.machine.to_string())).collect();
     placed.sort();
     placed
 }
 
-fn many(n: usize, now: Instant) -> ClusterState {
+/// A loaded cluster state with `n` on-demand `c8` machines in zone `a`, named `m0000` and so on.
+fn cluster_of_c8(n: usize, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
     cluster.loaded = true;
     for i in 0..n {
