--- a/src/sla/mod.rs
+++ b/src/sla/mod.rs
@@ -111,8 +111,8 @@
     pub total_return: f64,
 }
 
-/// Soft admission of a task on a machine: the sum of the shares must stay within the machine's cores, and its return must
-/// not fall. Returns the machine's new return, by which the best machine is chosen, or none if the task isn't admitted.
+/// Soft admission of a task on a machine: the sum of the shares must stay within the machine's cores, and its return
+/// must not fall. Returns the machine's new return, by which the best machine is chosen; none if the task is refused.
 pub fn admit(load: Load, cores: f64, task_share: f64, task_return: f64) -> Option<f64> {
     let new_return = load.total_return + task_return;
     // A task without return cannot lower the sum and is admitted on any machine that it fits.
