--- a/src/scheduling/tests/interleaved_simulation/combined_faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/combined_faults.rs
@@ -1,4 +1,4 @@
-//! Simulations in which two and three faults meet, mostly where something was just stored, acted on or answered.
+//! Simulations in which two or three faults coincide, mostly just after something was stored, acted on or answered.
 
 use std::time::{Duration, Instant};
 
@@ -6,275 +6,288 @@
 
 use super::users::{Tally, Users};
 use super::world::World;
-use super::{LEADER_LEASE, LEASE};
+use super::{LEADER_LEASE, WORKER_LEASE};
 use crate::jobs::JobId;
 use crate::jobs::record::open_key;
 
-/// How many kinds of fault are drawn: those below it.
-const KINDS: usize = 17;
-const OUTAGE: usize = 0;
-const OUTAGE_AGAIN: usize = 1;
-const REFUSED_ALONE: usize = 2;
+/// Number of fault kinds that are drawn at random: all kinds below it. The other kinds only occur within sequences.
+const DRAWN_FAULT_KINDS: usize = 17;
+const STORE_OUTAGE: usize = 0;
+const STORE_OUTAGE_AGAIN: usize = 1;
+const LEADER_REFUSED: usize = 2;
 const FOLLOWER_REFUSED: usize = 3;
 const SLOW_STORE: usize = 4;
-const FOLLOWER_UNHEARD: usize = 5;
-const HAND_OVER: usize = 6;
-const ALL_END: usize = 7;
-const SHORTEST_PAUSE: usize = 8;
-const HANG: usize = 9;
-const REFUSED_THEN_OUTAGE: usize = 10;
-const HANG_THEN_PAUSE: usize = 11;
-const HANG_THEN_HAND_OVER: usize = 12;
-const HAND_OVER_THEN_REFUSED: usize = 13;
-const APART: usize = 14;
-const OUTBOUND_LOST: usize = 15;
-const TEN_LEADERS: usize = 16;
-const LONG_OUTAGE: usize = 20;
+const FOLLOWER_UNREACHABLE: usize = 5;
+const TAKEOVER: usize = 6;
+const RESTART_OF_ALL: usize = 7;
+const LEADER_PAUSE: usize = 8;
+const WORKERS_HANG: usize = 9;
+const LEADER_REFUSED_THEN_OUTAGE: usize = 10;
+const HANG_THEN_LEADER_PAUSE: usize = 11;
+const HANG_THEN_TAKEOVER: usize = 12;
+const TAKEOVER_THEN_LEADER_REFUSED: usize = 13;
+const ZONE_PARTITION: usize = 14;
+const OUTBOUND_PARTITION: usize = 15;
+const TEN_TAKEOVERS: usize = 16;
+const LONG_STORE_OUTAGE: usize = 20;
 const CANCELLATION: usize = 21;
-const LEADER_ENDS: usize = 22;
+const LEADER_FAILURE: usize = 22;
 
 impl World {
-    /// A world with users.
+    /// Creates a world with users, with this number of machines and a first leader.
     pub(super) fn with_users(seed: u64, machines: usize) -> Self {
         let mut world = Self::new(seed, machines);
-        let assigned = std::mem::take(&mut world.users.assigned);
+        let leader_records = std::mem::take(&mut world.users.leader_records);
         world.users = Users::new(true, world.now);
-        world.users.assigned = assigned;
-        world.jobs = machines * 5;
+        world.users.leader_records = leader_records;
+        world.max_jobs = machines * 5;
         world
     }
 
-    pub(super) fn meet(&mut self) {
+    /// Draws combined faults and begins those that are due.
+    pub(super) fn draw_combined_faults(&mut self) {
         if self.rng.random_bool(0.01) {
-            self.cancel();
+            self.cancel_random_job();
         }
-        if std::mem::take(&mut self.users.moment) && self.rng.random_bool(0.15) || self.rng.random_bool(0.003) {
+        if std::mem::take(&mut self.users.fault_trigger) && self.rng.random_bool(0.15) || self.rng.random_bool(0.003) {
             for _ in 0..self.rng.random_range(2..4) {
                 let at = self.now + Duration::from_millis(self.rng.random_range(0..5000));
-                let kind = self.rng.random_range(0..KINDS);
-                self.users.plan.push((at, kind));
+                let kind = self.rng.random_range(0..DRAWN_FAULT_KINDS);
+                self.users.planned_faults.push((at, kind));
             }
         }
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.users.plan).into_iter().partition(|(at, _)| *at <= now);
-        self.users.plan = later;
+        let (due, later) = std::mem::take(&mut self.users.planned_faults).into_iter().partition(|(at, _)| *at <= now);
+        self.users.planned_faults = later;
         let due: Vec<_> = due;
         for (_, kind) in due {
-            self.trace(&format!("trouble {kind}"));
-            self.begin(kind);
+            self.trace(&format!("fault {kind}"));
+            self.begin_fault(kind);
         }
     }
 
-    /// Each a moment after the one before it.
-    fn in_turn(&mut self, kinds: &[usize]) {
+    /// Plans faults of these kinds, each up to 1.5 s after the one before it.
+    fn plan_sequence(&mut self, kinds: &[usize]) {
         let mut at = self.now;
         for kind in kinds {
-            at += self.ms(50..1500);
-            self.users.plan.push((at, *kind));
+            at += self.random_ms(50..1500);
+            self.users.planned_faults.push((at, *kind));
         }
     }
 
-    pub(super) fn out_for(&mut self, time: Duration) {
-        self.users.out = Some((self.now, self.now + time));
+    /// Starts an outage of the store for all controllers. It ends a refusal of a single follower no later than itself.
+    pub(super) fn start_store_outage(&mut self, duration: Duration) {
+        self.users.store_outage = Some((self.now, self.now + duration));
         self.users.tally.outages += 1;
         for follower in &mut self.users.followers {
-            follower.refused_until = follower.refused_until.min(self.now + time);
+            follower.store_refused_until = follower.store_refused_until.min(self.now + duration);
         }
     }
 
-    /// The store refuses the leader alone; it still hears the others.
-    pub(super) fn refuse_leader(&mut self, time: Duration) {
-        let (now, at) = (self.now, self.leader);
-        if let Some(leader) = self.leaders[at].as_mut().filter(|o| o.cut.is_none()) {
-            leader.cut = Some((now, now + time));
-            leader.seat.hears_others = true;
-            self.users.tally.lone_refusals += 1;
+    /// Lets the store refuse the leader alone, which still reaches the other controllers.
+    pub(super) fn refuse_leader_at_store(&mut self, duration: Duration) {
+        let (now, current) = (self.now, self.leader);
+        if let Some(leader) = self.leaders[current].as_mut().filter(|o| o.store_partition.is_none()) {
+            leader.store_partition = Some((now, now + duration));
+            leader.membership.reaches_peers = true;
+            self.users.tally.leader_refusals += 1;
         }
     }
 
-    pub(super) fn trace(&self, what: &str) {
+    /// Prints a line of the trace, if a single seed is simulated.
+    pub(super) fn trace(&self, event: &str) {
         if std::env::var("MEETINGS_SEED").is_ok() {
-            println!("{:7.1} {what}", (self.now - self.start).as_secs_f64());
+            println!("{:7.1} {event}", (self.now - self.start).as_secs_f64());
         }
     }
 
-    /// Where faults meet, a machine that hangs goes on within its lease, as the protocol has it, or with a new agent
-    /// epoch: a successor that cannot load its cluster state in an outage knows no machine to return. Worlds without
-    /// users have machines that hang on and on, and so have the simulations of fixed steps below.
-    pub(super) fn hang(&mut self, w: usize, until: Instant) {
+    /// Lets a machine hang. In a world with users it continues within its lease, or with a new agent epoch, as the
+    /// protocol allows: a successor that cannot load its cluster state in an outage knows no machine to terminate.
+    /// Machines hang for longer in worlds without users and in the tests with fixed steps below.
+    pub(super) fn hang_worker(&mut self, w: usize, until: Instant) {
         let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
-        if !self.users.on || rested {
-            let lease = self.workers[w].renewed + LEASE;
-            self.workers[w].hangs_until = if self.users.on { until.min(lease) } else { until };
+        if !self.users.enabled || rested {
+            let lease = self.workers[w].lease_renewed_at + WORKER_LEASE;
+            self.workers[w].hangs_until = if self.users.enabled { until.min(lease) } else { until };
         }
     }
 
-    /// Machines on which a task of the job is live.
-    fn machines_with(&self, id: &JobId) -> usize {
-        self.workers.iter().filter(|w| w.attempts.iter().any(|l| l.task.job == *id && w.live(&l.task))).count()
+    /// Counts the machines on which a task of the job is live.
+    fn count_machines_running(&self, id: &JobId) -> usize {
+        self.workers
+            .iter()
+            .filter(|w| w.attempts.iter().any(|l| l.task.job == *id && w.has_live_attempt(&l.task)))
+            .count()
     }
 
-    /// Steps until the job runs on so many machines, and so that nothing ends by itself before the time given back.
-    fn runs_endlessly(&mut self, id: &JobId, machines: usize) -> Instant {
+    /// Steps until the job runs on this number of machines, then lets no running task exit by itself before the returned
+    /// time.
+    fn run_without_end(&mut self, id: &JobId, machines: usize) -> Instant {
         let mut steps = 0;
-        while self.machines_with(id) < machines {
+        while self.count_machines_running(id) < machines {
             self.step();
             steps += 1;
-            assert!(steps < 600, "never ran");
+            assert!(steps < 600, "the job never ran on {machines} machines");
         }
-        let endless = self.now + Duration::from_secs(100_000);
-        self.workers.iter_mut().for_each(|w| w.ends_at.values_mut().for_each(|at| *at = endless));
+        let far_future = self.now + Duration::from_secs(100_000);
+        self.workers.iter_mut().for_each(|w| w.task_ends_at.values_mut().for_each(|at| *at = far_future));
         (0..20).for_each(|_| self.step());
-        endless
+        far_future
     }
 
-    fn ms(&mut self, range: std::ops::Range<u64>) -> Duration {
+    /// Draws a duration from a range of milliseconds.
+    fn random_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.rng.random_range(range))
     }
 
     /// Begins a fault of this kind.
-    fn begin(&mut self, kind: usize) {
+    fn begin_fault(&mut self, kind: usize) {
         match kind {
-            OUTAGE | OUTAGE_AGAIN => self.begin_outage(),
-            REFUSED_ALONE => {
-                let time = self.ms(1000..20_000);
-                self.refuse_leader(time);
+            STORE_OUTAGE | STORE_OUTAGE_AGAIN => self.begin_random_outage(),
+            LEADER_REFUSED => {
+                let duration = self.random_ms(1000..20_000);
+                self.refuse_leader_at_store(duration);
             }
-            FOLLOWER_REFUSED => self.refuse_a_follower(),
-            SLOW_STORE => self.users.slow_until = self.now + self.ms(1000..20_000),
-            FOLLOWER_UNHEARD => self.silence_a_follower(),
-            HAND_OVER => self.hand_over(),
-            ALL_END => self.end_all(),
-            SHORTEST_PAUSE => self.pause_the_leader(),
-            // Some of them one after the other, with a cancellation in between.
-            REFUSED_THEN_OUTAGE => self.in_turn(&[REFUSED_ALONE, CANCELLATION, LONG_OUTAGE]),
-            HANG_THEN_PAUSE => self.in_turn(&[CANCELLATION, HANG, SHORTEST_PAUSE, LONG_OUTAGE]),
-            HANG_THEN_HAND_OVER => self.in_turn(&[CANCELLATION, HANG, HAND_OVER, LONG_OUTAGE]),
-            HAND_OVER_THEN_REFUSED => self.in_turn(&[HAND_OVER, CANCELLATION, REFUSED_ALONE, LONG_OUTAGE]),
-            APART => self.cut_off_a_zone(),
-            OUTBOUND_LOST => self.lose_outbound(),
-            TEN_LEADERS => self.plan_ten_leaders(),
-            LEADER_ENDS => self.end_the_leader(),
-            LONG_OUTAGE => self.begin_long_outage(),
-            CANCELLATION => self.cancel(),
-            _ => self.hang_what_ended(),
+            FOLLOWER_REFUSED => self.refuse_follower_at_store(),
+            SLOW_STORE => self.users.store_slow_until = self.now + self.random_ms(1000..20_000),
+            FOLLOWER_UNREACHABLE => self.isolate_follower(),
+            TAKEOVER => self.begin_takeover(),
+            RESTART_OF_ALL => self.restart_all_controllers(),
+            LEADER_PAUSE => self.pause_leader(),
+            // Sequences of faults with a cancellation.
+            LEADER_REFUSED_THEN_OUTAGE => self.plan_sequence(&[LEADER_REFUSED, CANCELLATION, LONG_STORE_OUTAGE]),
+            HANG_THEN_LEADER_PAUSE => {
+                self.plan_sequence(&[CANCELLATION, WORKERS_HANG, LEADER_PAUSE, LONG_STORE_OUTAGE])
+            }
+            HANG_THEN_TAKEOVER => self.plan_sequence(&[CANCELLATION, WORKERS_HANG, TAKEOVER, LONG_STORE_OUTAGE]),
+            TAKEOVER_THEN_LEADER_REFUSED => {
+                self.plan_sequence(&[TAKEOVER, CANCELLATION, LEADER_REFUSED, LONG_STORE_OUTAGE])
+            }
+            ZONE_PARTITION => self.partition_zone(),
+            OUTBOUND_PARTITION => self.partition_outbound(),
+            TEN_TAKEOVERS => self.plan_ten_takeovers(),
+            LEADER_FAILURE => self.fail_leader(),
+            LONG_STORE_OUTAGE => self.begin_long_outage(),
+            CANCELLATION => self.cancel_random_job(),
+            _ => self.hang_workers_with_ended_tasks(),
         }
     }
 
-    /// An outage of the store, short or long.
-    fn begin_outage(&mut self) {
+    /// Begins a short or a long outage of the store.
+    fn begin_random_outage(&mut self) {
         let now = self.now;
         let long = self.rng.random_bool(0.4);
-        let time = if long { self.ms(50_000..75_000) } else { self.ms(1000..20_000) };
-        // The store has to be there at times for anything to be stored.
-        if !self.store_out() && now - self.users.back > Duration::from_secs(15) {
-            self.out_for(time);
+        let duration = if long { self.random_ms(50_000..75_000) } else { self.random_ms(1000..20_000) };
+        // Between outages the store has to be available for long enough to store anything.
+        if !self.store_is_out() && now - self.users.store_back_at > Duration::from_secs(15) {
+            self.start_store_outage(duration);
         }
     }
 
-    /// The store refuses one follower.
-    fn refuse_a_follower(&mut self) {
+    /// Lets the store refuse one follower.
+    fn refuse_follower_at_store(&mut self) {
         let now = self.now;
         let f = self.rng.random_range(0..self.users.followers.len());
-        self.users.followers[f].refused_until = now + self.ms(1000..20_000);
+        self.users.followers[f].store_refused_until = now + self.random_ms(1000..20_000);
     }
 
-    /// Lines between one follower and the leaders are refused.
-    fn silence_a_follower(&mut self) {
+    /// Breaks the peer connections between one follower and the leaders.
+    fn isolate_follower(&mut self) {
         let now = self.now;
         let f = self.rng.random_range(0..self.users.followers.len());
-        self.users.followers[f].unheard_until = now + self.ms(1000..40_000);
+        self.users.followers[f].unreachable_until = now + self.random_ms(1000..40_000);
     }
 
-    /// Another leads; at times one more within a second and a half.
-    fn hand_over(&mut self) {
+    /// Lets another controller lead, and at times one more within 1.5 s.
+    fn begin_takeover(&mut self) {
         let now = self.now;
         self.take_over();
-        self.users.tally.hand_overs += 1;
+        self.users.tally.takeovers += 1;
         if self.rng.random_bool(0.3) {
-            let at = now + self.ms(100..1500);
-            self.users.plan.push((at, HAND_OVER));
+            let at = now + self.random_ms(100..1500);
+            self.users.planned_faults.push((at, TAKEOVER));
         }
     }
 
-    /// All controllers end, and one is back.
-    fn end_all(&mut self) {
+    /// Ends all controllers. The next election is possible within the election lease of the last leader or later.
+    fn restart_all_controllers(&mut self) {
         let now = self.now;
         let lease = LEADER_LEASE.as_millis() as u64;
         self.leaders.iter_mut().for_each(|leader| *leader = None);
-        (0..self.users.followers.len()).for_each(|f| self.begin_follower(f));
-        let back = if self.rng.random_bool(0.5) { self.ms(50..1000) } else { self.ms(lease..20_000) };
-        self.leads_from = now + back;
-        self.users.tally.all_ended += 1;
+        (0..self.users.followers.len()).for_each(|f| self.restart_follower(f));
+        let restart_delay =
+            if self.rng.random_bool(0.5) { self.random_ms(50..1000) } else { self.random_ms(lease..20_000) };
+        self.next_leader_from = now + restart_delay;
+        self.users.tally.full_restarts += 1;
     }
 
-    /// The leader is paused, and has proven nothing when it goes on.
-    fn pause_the_leader(&mut self) {
+    /// Pauses the leader's process; its knowledge is unproven when it continues.
+    fn pause_leader(&mut self) {
         let now = self.now;
-        let until = now + self.ms(500..12_000);
-        if let Some(leader) = self.leaders[self.leader].as_mut().filter(|o| o.frozen.is_none()) {
-            leader.frozen = Some((now, until));
-            let at = self.leader;
-            self.workers.iter_mut().for_each(|w| w.unheard = (at, 0));
+        let until = now + self.random_ms(500..12_000);
+        if let Some(leader) = self.leaders[self.leader].as_mut().filter(|o| o.pause.is_none()) {
+            leader.pause = Some((now, until));
+            let current = self.leader;
+            self.workers.iter_mut().for_each(|w| w.unheard_answers = (current, 0));
         }
     }
 
-    /// A zone with the leader and half of the machines is cut off; at times its successor tells and is gone.
-    fn cut_off_a_zone(&mut self) {
+    /// Partitions a zone with the leader and half of the machines. Its successor may confirm cancellations and then fails.
+    fn partition_zone(&mut self) {
         let now = self.now;
-        let (at, until) = (self.leader, now + self.ms(20_000..90_000));
-        if let Some(leader) = self.leaders[at].as_mut().filter(|o| o.cut.is_none()) {
-            leader.cut = Some((now, until));
-            leader.seat.hears_others = false;
+        let (current, until) = (self.leader, now + self.random_ms(20_000..90_000));
+        if let Some(leader) = self.leaders[current].as_mut().filter(|o| o.store_partition.is_none()) {
+            leader.store_partition = Some((now, until));
+            leader.membership.reaches_peers = false;
             for worker in self.workers.iter_mut().step_by(2) {
-                (worker.home, worker.apart_until) = (Some(at), until);
+                (worker.preferred_leader, worker.partitioned_until) = (Some(current), until);
             }
-            self.users.tally.apart += 1;
-            self.in_turn(&[HAND_OVER, CANCELLATION, CANCELLATION, LEADER_ENDS, LONG_OUTAGE]);
+            self.users.tally.zone_partitions += 1;
+            self.plan_sequence(&[TAKEOVER, CANCELLATION, CANCELLATION, LEADER_FAILURE, LONG_STORE_OUTAGE]);
         }
     }
 
-    /// Half of the machines reach no controller.
-    fn lose_outbound(&mut self) {
+    /// Partitions half of the machines one way: their heartbeats reach no controller.
+    fn partition_outbound(&mut self) {
         let now = self.now;
-        let until = now + self.ms(5000..60_000);
-        let from = self.rng.random_range(0..2);
-        self.workers.iter_mut().skip(from).step_by(2).for_each(|w| w.outbound_lost_until = until);
-        self.users.tally.outbound_lost += 1;
+        let until = now + self.random_ms(5000..60_000);
+        let first = self.rng.random_range(0..2);
+        self.workers.iter_mut().skip(first).step_by(2).for_each(|w| w.outbound_lost_until = until);
+        self.users.tally.outbound_partitions += 1;
     }
 
-    /// Ten leaders in two minutes, each for long enough to load, or not.
-    fn plan_ten_leaders(&mut self) {
+    /// Plans ten takeovers within two minutes; not all leaders have the time to load their cluster state.
+    fn plan_ten_takeovers(&mut self) {
         let now = self.now;
         let mut at = now;
         for _ in 0..10 {
-            at += self.ms(1000..22_000);
-            self.users.plan.push((at, HAND_OVER));
+            at += self.random_ms(1000..22_000);
+            self.users.planned_faults.push((at, TAKEOVER));
         }
     }
 
-    /// The leader ends, and its lease runs out.
-    fn end_the_leader(&mut self) {
+    /// Ends the leader; the next election follows once its lease has expired.
+    fn fail_leader(&mut self) {
         let now = self.now;
         self.leaders[self.leader] = None;
-        self.leads_from = now + LEADER_LEASE;
+        self.next_leader_from = now + LEADER_LEASE;
     }
 
-    /// An outage for longer than a cancelled task may run on.
+    /// Begins an outage of the store that outlasts the cancellation deadline.
     fn begin_long_outage(&mut self) {
         let now = self.now;
-        let time = self.ms(50_000..75_000);
-        if !self.store_out() && now - self.users.back > Duration::from_secs(5) {
-            self.out_for(time);
+        let duration = self.random_ms(50_000..75_000);
+        if !self.store_is_out() && now - self.users.store_back_at > Duration::from_secs(5) {
+            self.start_store_outage(duration);
         }
     }
 
-    /// Those that hold what was just cancelled hang.
-    fn hang_what_ended(&mut self) {
+    /// Lets the machines with live tasks of ended jobs hang.
+    fn hang_workers_with_ended_tasks(&mut self) {
         let now = self.now;
-        let until = now + self.ms(1000..40_000);
-        for w in self.busy_with_ended() {
-            self.hang(w, until);
+        let until = now + self.random_ms(1000..40_000);
+        for w in self.workers_with_ended_tasks() {
+            self.hang_worker(w, until);
         }
     }
 }
@@ -289,14 +302,17 @@
         tally += world.users.tally;
     }
     println!("{tally:?}");
-    assert!(tally.told > 100 && tally.not_told > 500 && tally.told_by_leader > 30, "{tally:?}");
-    assert!(tally.outages > 80 && tally.beyond_cancel > 30 && tally.stored_marks > 30, "{tally:?}");
-    assert!(tally.unloaded > 100 && tally.stops > 20 && tally.nobody > 100, "{tally:?}");
-    assert!(tally.apart > 20 && tally.outbound_lost > 20, "{tally:?}");
-    assert!(tally.lone_refusals > 40 && tally.all_ended > 40 && tally.hand_overs > 40, "{tally:?}");
+    assert!(tally.confirmed > 100 && tally.not_confirmed > 500 && tally.confirmed_by_leader > 30, "{tally:?}");
+    assert!(tally.outages > 80 && tally.outages_past_deadline > 30 && tally.stored_watermarks > 30, "{tally:?}");
+    assert!(
+        tally.heartbeats_before_load > 100 && tally.stop_only_answers > 20 && tally.unanswered_heartbeats > 100,
+        "{tally:?}"
+    );
+    assert!(tally.zone_partitions > 20 && tally.outbound_partitions > 20, "{tally:?}");
+    assert!(tally.leader_refusals > 40 && tally.full_restarts > 40 && tally.takeovers > 40, "{tally:?}");
 }
 
-/// One by its number, as where a seed is to be seen again.
+/// Returns the seeds to simulate: all, or the one in `MEETINGS_SEED`, which is also traced.
 fn seeds() -> std::ops::Range<u64> {
     match std::env::var("MEETINGS_SEED").ok().and_then(|seed| seed.parse().ok()) {
         Some(seed) => seed..seed + 1,
@@ -304,104 +320,104 @@
     }
 }
 
-/// The operators' first meeting, with fixed steps: the store refuses the leader alone, a follower stores a
-/// cancellation, and two seconds later the store is out for all, for longer than the time in which a cancelled
-/// task has to be gone, while workers report to the leader.
+/// Fixed steps of the first case of combined faults from the operators: the store refuses the leader alone, a follower
+/// stores a cancellation, and two seconds later the store is out for all controllers, past the cancellation deadline,
+/// while workers send heartbeats to the leader. The cancellation must not be confirmed before the leader can know it.
 #[test]
-fn the_leader_alone_refused_then_all() {
+fn cancellation_is_not_confirmed_while_the_store_refuses_the_leader_and_then_all() {
     let mut world = World::with_users(1, 3);
-    world.quiet = true;
-    world.submit();
+    world.fault_free = true;
+    world.submit_job();
     let id = world.records.keys().next().expect("submitted").clone();
-    let live = |world: &World| world.machines_with(&id);
-    world.runs_endlessly(&id, 1);
-    world.refuse_leader(Duration::from_secs(14));
+    let live = |world: &World| world.count_machines_running(&id);
+    world.run_without_end(&id, 1);
+    world.refuse_leader_at_store(Duration::from_secs(14));
     (0..5).for_each(|_| world.step());
     let sent = crate::history::job_transactions::cancel_job(&world.records[&id], None, 0);
-    world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
+    world.apply_transaction(&sent.conditions, &sent.changes).expect("the store serves the follower");
     (0..15).for_each(|_| world.step());
-    world.out_for(Duration::from_secs(68));
+    world.start_store_outage(Duration::from_secs(68));
     for _ in 0..670 {
         world.step();
-        assert!(!world.cancelled.contains_key(&id), "told while the leader cannot know");
+        assert!(!world.cancelled_since.contains_key(&id), "confirmed while the leader cannot know of it");
     }
-    assert!(live(&world) > 0, "the leader holds what it runs, and cannot know");
+    assert!(live(&world) > 0, "the leader cannot know of the cancellation and lets the job run");
     assert!(!world.store.has(&open_key(&id)));
-    let mut told = 0;
-    while live(&world) > 0 || !world.cancelled.contains_key(&id) {
+    let mut steps = 0;
+    while live(&world) > 0 || !world.cancelled_since.contains_key(&id) {
         world.step();
-        told += 1;
-        assert!(told < 600, "neither told nor gone a minute after the outage");
+        steps += 1;
+        assert!(steps < 600, "not confirmed or still running a minute after the outage");
     }
 }
 
-/// Told by the leader while machines hang on, as many as may hang by the network. Leaders end, at these times after the
-/// telling, before they have waited for long enough, and the last successor returns them in time all the same; the rule
-/// is checked at every step.
-fn hangs_on_across_takeovers(ends_at_s: &[u64]) {
+/// The leader confirms a cancellation while all machines hang, as they may through a network fault. Leaders end at these
+/// times after the confirmation, before each has waited for long enough, and the last successor still terminates the
+/// machines in time. The rule is checked at every step.
+fn terminate_hanging_machines_across_takeovers(leader_ends_after_s: &[u64]) {
     let mut world = World::with_users(3, 6);
-    world.quiet = true;
-    (0..3).for_each(|_| world.submit());
+    world.fault_free = true;
+    (0..3).for_each(|_| world.submit_job());
     let id = world.records.keys().last().expect("submitted").clone();
-    let live = |world: &World| world.machines_with(&id);
-    let endless = world.runs_endlessly(&id, 4);
-    world.workers.iter_mut().for_each(|w| w.hangs_until = endless);
-    let (leader, told) = (world.leader, world.now);
+    let live = |world: &World| world.count_machines_running(&id);
+    let far_future = world.run_without_end(&id, 4);
+    world.workers.iter_mut().for_each(|w| w.hangs_until = far_future);
+    let (leader, confirmed_at) = (world.leader, world.now);
     let fencing_token = world.leaders[leader].as_ref().expect("it leads").cluster.fencing_token;
     let sent = crate::history::job_transactions::cancel_job(&world.records[&id], Some(fencing_token), 0);
-    world.apply(&sent.conditions, &sent.changes).expect("the store serves the leader");
+    world.apply_transaction(&sent.conditions, &sent.changes).expect("the store serves the leader");
     world.cancelled_by_leader(leader, &id, fencing_token);
-    for at in ends_at_s {
-        while world.now < told + Duration::from_secs(*at) {
+    for after_s in leader_ends_after_s {
+        while world.now < confirmed_at + Duration::from_secs(*after_s) {
             world.step();
         }
-        assert!(live(&world) > 0, "returned before the leader ends");
+        assert!(live(&world) > 0, "machines terminated before the leader ends");
         let leader = world.leader;
         world.leaders[leader] = None;
-        world.leads_from = world.now + LEADER_LEASE;
+        world.next_leader_from = world.now + LEADER_LEASE;
     }
     (0..600).for_each(|_| world.step());
     assert_eq!(live(&world), 0);
 }
 
 #[test]
-fn hanging_machines_are_returned_across_a_takeover() {
-    hangs_on_across_takeovers(&[21]);
+fn hanging_machines_with_cancelled_tasks_are_terminated_across_a_takeover() {
+    terminate_hanging_machines_across_takeovers(&[21]);
 }
 
 #[test]
-fn hanging_machines_are_returned_across_two_takeovers() {
-    hangs_on_across_takeovers(&[15, 33]);
+fn hanging_machines_with_cancelled_tasks_are_terminated_across_two_takeovers() {
+    terminate_hanging_machines_across_takeovers(&[15, 33]);
 }
 
-/// A successor tells of a cancellation and ends, having reached a machine neither by an answer nor by a command; then
-/// the store is out for all, for longer than a cancelled task may run on, while the machine reports to the leader of
-/// before, which goes on answering it and knows of no end.
+/// A successor that may confirm a cancellation ends before it has reached the job's machine by an answer or a command.
+/// Then the store is out for all controllers, past the cancellation deadline, while the machine sends heartbeats to the
+/// deposed leader, which still answers it and does not know of the cancellation.
 #[test]
-fn told_by_a_successor_that_ends_before_a_machine_has_heard_it() {
+fn cancellation_is_confirmed_safely_when_the_successor_ends_before_the_machine_hears_it() {
     let mut world = World::with_users(1, 3);
-    world.quiet = true;
-    world.submit();
+    world.fault_free = true;
+    world.submit_job();
     let id = world.records.keys().next().expect("submitted").clone();
-    world.runs_endlessly(&id, 1);
-    let (before, apart) = (world.leader, world.now + Duration::from_secs(120));
+    world.run_without_end(&id, 1);
+    let (deposed, partitioned_until) = (world.leader, world.now + Duration::from_secs(120));
     for worker in &mut world.workers {
-        (worker.home, worker.apart_until) = (Some(before), apart);
+        (worker.preferred_leader, worker.partitioned_until) = (Some(deposed), partitioned_until);
     }
-    world.refuse_leader(Duration::from_secs(120));
+    world.refuse_leader_at_store(Duration::from_secs(120));
     world.take_over();
     let sent = crate::history::job_transactions::cancel_job(&world.records[&id], None, 0);
-    world.apply(&sent.conditions, &sent.changes).expect("the store serves the follower");
+    world.apply_transaction(&sent.conditions, &sent.changes).expect("the store serves the follower");
     let successor = world.leader;
     while world.leaders[successor].as_ref().is_some_and(|leader| !leader.cluster.loaded) {
         world.step();
     }
     (0..20).for_each(|_| world.step());
-    // Ended for good, and nobody can come to lead until the store is back; the rule is checked at every step.
+    // The successor never returns, and nobody can be elected until the store is back. The rule is checked at every step.
     world.leaders[successor] = None;
-    world.leads_from = world.now + LEADER_LEASE;
-    world.out_for(Duration::from_secs(68));
+    world.next_leader_from = world.now + LEADER_LEASE;
+    world.start_store_outage(Duration::from_secs(68));
     (0..1200).for_each(|_| world.step());
-    assert!(world.cancelled.contains_key(&id), "told once nothing of it can run on");
-    assert_eq!(world.machines_with(&id), 0);
+    assert!(world.cancelled_since.contains_key(&id), "confirmed once no task of the job can run on");
+    assert_eq!(world.count_machines_running(&id), 0);
 }
--- a/src/scheduling/tests/interleaved_simulation/jobs.rs
+++ b/src/scheduling/tests/interleaved_simulation/jobs.rs
@@ -10,13 +10,14 @@
 use crate::jobs::tests::spec;
 use crate::jobs::{JobId, Shape};
 
-/// Submitted with a mistake: fails wherever it runs, until its user cancels it.
-pub(super) fn bad(id: &str) -> bool {
+/// Whether a job fails on all machines until its user cancels it, as one submitted with a mistake does.
+pub(super) fn always_fails(id: &str) -> bool {
     id.ends_with(['3', '8'])
 }
 
 impl World {
-    pub(super) fn submit(&mut self) {
+    /// Submits the next job.
+    pub(super) fn submit_job(&mut self) {
         let n = self.records.len() as u64;
         let mut job = spec();
         job.id = format!("run-{n:06}").into();
@@ -24,15 +25,16 @@
         job.shape = if n.is_multiple_of(3) { Shape::Gang } else { Shape::Array };
         job.tasks = if job.is_gang() { 2 } else { [1, 3, TASKS_PER_SHARD + 2][n as usize % 3] };
         job.estimate_s = 5.0;
-        // Never any age by the time of day: a run takes as long as it takes, and runs the same again.
+        // A submission time in the future gives the job no age, so each run of a seed is the same.
         let record = Arc::new(JobRecord { spec: job, at_ms: u64::MAX });
         self.records.insert(record.spec.id.clone(), record.clone());
-        self.send_move(job_transactions::accept_job(&record, false));
+        self.send_transaction(job_transactions::accept_job(&record, false));
     }
 
-    pub(super) fn cancel(&mut self) {
-        if self.users.on {
-            return self.cancel_somewhere();
+    /// Cancels a random open job: in worlds with users through any controller, else in the store.
+    pub(super) fn cancel_random_job(&mut self) {
+        if self.users.enabled {
+            return self.cancel_through_any_controller();
         }
         let open: Vec<JobId> = self.records.keys().filter(|id| self.store.has(&open_key(id))).cloned().collect();
         if open.is_empty() {
@@ -40,6 +42,6 @@
         }
         let id = open[self.rng.random_range(0..open.len())].clone();
         let cancellation = job_transactions::cancel_job(&self.records[&id], None, 0);
-        self.send_move(cancellation);
+        self.send_transaction(cancellation);
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/leaders.rs
+++ b/src/scheduling/tests/interleaved_simulation/leaders.rs
@@ -1,4 +1,4 @@
-//! Leaders: a takeover with the load of what is stored, and the turn of a leader in each step.
+//! Leaders: takeover, load of the stored state, and the work of a leader in each step.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use rand::Rng;
 use serde_json::Value;
 
-use super::COMMAND_WAITED;
-use super::messages::{Command, GivenUp, Message};
-use super::store::ended;
-use super::users::Seat;
+use super::COMMAND_TIMEOUT;
+use super::messages::{Command, CommandTimeout, Message};
+use super::store::has_ended;
+use super::users::{LeaderMembership, MembershipOutcome};
 use super::world::World;
 use crate::history::job_transactions::find_end;
 use crate::jobs::record::{LEADER, TASKS, decode_shard, ended_key, open_key, parse_shard_key, shard_key};
@@ -22,147 +22,159 @@
 use crate::settings::tests::example;
 use crate::store::{Change, Condition};
 
-/// Writes that a batch takes at most.
-const WRITES_PER_BATCH: usize = 12;
-/// After this long without an answer of the store a batch is sent again.
-const BATCH_WAITED: Duration = Duration::from_millis(1500);
+/// Most writes in a commit batch.
+const MAX_WRITES_PER_BATCH: usize = 12;
+/// Time without an answer of the store after which a batch is sent again.
+const BATCH_RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// A job that was opened or ended, as a watch tells it.
-pub(super) struct DeliveredChange {
-    /// When the watch tells it.
+/// An opened or ended job in a leader's watch of the store.
+pub(super) struct WatchEvent {
+    /// When the watch delivers the event.
     pub(super) due: Instant,
     pub(super) job: JobId,
-    /// Opened, or else ended.
+    /// The job was opened; otherwise it ended.
     pub(super) opened: bool,
     pub(super) revision: u64,
 }
 
-/// A controller that leads, or that did and has not learned that it leads no longer.
+/// A controller that leads, or that is deposed and has not learned of it yet.
 pub(super) struct Leader {
     pub(super) cluster: ClusterState,
+    /// The commit batch that is to be sent, with the time of the next try.
     pub(super) batch: Option<(CommitBatch, Instant)>,
-    /// What its watch will tell, in order.
-    pub(super) news: Vec<DeliveredChange>,
-    pub(super) returning: HashSet<MachineId>,
-    /// Is paused from and until then, while its clock runs on: what reaches it lies in its sockets.
-    pub(super) frozen: Option<(Instant, Instant)>,
-    /// Without the store and the other controllers from and until then, while workers and cloud reach it.
-    pub(super) cut: Option<(Instant, Instant)>,
-    pub(super) since: Instant,
-    /// Machines that the store named at its takeover.
-    pub(super) inherited: HashSet<MachineId>,
-    pub(super) seat: Seat,
+    /// Events that the watch of this leader has yet to deliver, in order.
+    pub(super) watch_events: Vec<WatchEvent>,
+    /// Machines whose termination this leader has requested from the cloud.
+    pub(super) requested_terminations: HashSet<MachineId>,
+    /// Start and end of a process pause, in which the clock runs on and messages wait in the sockets.
+    pub(super) pause: Option<(Instant, Instant)>,
+    /// Start and end of a partition from the store, while workers and cloud reach the leader. The other controllers are
+    /// lost too, unless the membership says otherwise.
+    pub(super) store_partition: Option<(Instant, Instant)>,
+    /// When this leader took over.
+    pub(super) leads_since: Instant,
+    /// Machines that were known from the store when this leader loaded its cluster state.
+    pub(super) inherited_machines: HashSet<MachineId>,
+    pub(super) membership: LeaderMembership,
 }
 
 impl World {
+    /// Elects a new leader, which loads the stored state at once, or later in worlds with users. Does nothing while the
+    /// store is out.
     pub(super) fn take_over(&mut self) {
-        if self.store_out() {
+        if self.store_is_out() {
             return;
         }
         let version = self.store.version(LEADER);
         let fencing_token = self
             .store
             .apply_if(&[Condition::at(LEADER, version)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
-            .expect("the model's leader knows the stamp");
+            .expect("the version of the leader record was just read");
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), self.now);
         self.trace(&format!("leader {} under {fencing_token}", self.leaders.len()));
-        self.users.assigned.push((fencing_token, self.leaders.len()));
-        let seat =
-            if self.users.on { self.new_seat(fencing_token) } else { Seat::new(fencing_token, self.now, self.now) };
-        if !self.users.on {
-            self.load(&mut cluster);
+        self.users.leader_records.push((fencing_token, self.leaders.len()));
+        let membership = if self.users.enabled {
+            self.new_membership(fencing_token)
+        } else {
+            LeaderMembership::new(fencing_token, self.now, self.now)
+        };
+        if !self.users.enabled {
+            self.load_stored_state(&mut cluster);
         }
         self.leader = self.leaders.len();
-        let inherited = cluster.machines.keys().cloned().collect();
+        let inherited_machines = cluster.machines.keys().cloned().collect();
         self.leaders.push(Some(Leader {
             cluster,
             batch: None,
-            news: Vec::new(),
-            returning: HashSet::new(),
-            frozen: None,
-            cut: None,
-            since: self.now,
-            inherited,
-            seat,
+            watch_events: Vec::new(),
+            requested_terminations: HashSet::new(),
+            pause: None,
+            store_partition: None,
+            leads_since: self.now,
+            inherited_machines,
+            membership,
         }));
     }
 
-    /// What is stored, into a successor's cluster state.
-    pub(super) fn load(&self, cluster: &mut ClusterState) {
+    /// Loads the stored state into the cluster state of a successor.
+    pub(super) fn load_stored_state(&self, cluster: &mut ClusterState) {
         let mut shards: HashMap<JobId, Vec<_>> = HashMap::new();
         for (key, value, version) in self.store.under(TASKS) {
             let (id, shard) = parse_shard_key(key).expect("own keys");
             shards.entry(id.into()).or_default().push((shard, version, decode_shard(value).expect("own values")));
         }
         for (id, record) in &self.records {
-            let over = ended(&self.store, id);
+            let job_ended = has_ended(&self.store, id);
             let mut stored = shards.remove(id).unwrap_or_default();
             if self.store.has(&ended_key(id, End::Done)) {
-                // What is done has exited: its shards are only dropped.
+                // The tasks of a job that is done have exited, so its shards are only dropped.
                 cluster.requeue_shard_drops(stored.drain(..).map(|(shard, ..)| (id.clone(), shard)).collect());
             }
             if self.store.has(&open_key(id)) || !stored.is_empty() {
                 cluster.load_job(record.clone(), stored, self.now);
             }
-            if over {
-                // When it was heard of, by the successor's watch cache or the end's record (`scheduling::load`).
-                let at = self.ended_since.get(id).copied().unwrap_or(self.now);
-                cluster.end_job(id, None, at);
+            if job_ended {
+                // The time at which the end was observed, from the successor's watch cache or the record of the end
+                // (`scheduling::load`).
+                let ended_at = self.ended_since.get(id).copied().unwrap_or(self.now);
+                cluster.end_job(id, None, ended_at);
                 cluster.set_ended_after(id, self.users.ended_after(id));
             }
         }
         cluster.finish_load(self.now);
     }
 
-    /// The turn of a leader in a step: it hears what is new, places, stores, commands and returns machines.
+    /// Runs a leader's work of a step: it applies watch events, places tasks, stores changes, sends commands and requests
+    /// terminations.
     pub(super) fn run_leader(&mut self, i: usize) {
         let Some(mut leader) = self.leaders[i].take() else { return };
-        if !self.resume(&mut leader) {
+        if !self.resume_after_pause(&mut leader) {
             self.leaders[i] = Some(leader);
             return;
         }
         let now = self.now;
-        leader.cut = leader.cut.filter(|(_, until)| *until > now);
-        let cut = leader.cut.is_some() || self.store_out();
-        self.hear_news(&mut leader, cut);
-        if self.users.on {
-            match self.hears(i, &mut leader, cut) {
-                None => return,
-                Some(true) => {}
-                Some(false) => {
+        leader.store_partition = leader.store_partition.filter(|(_, until)| *until > now);
+        let store_unreachable = leader.store_partition.is_some() || self.store_is_out();
+        self.apply_watch_events(&mut leader, store_unreachable);
+        if self.users.enabled {
+            match self.run_membership(i, &mut leader, store_unreachable) {
+                MembershipOutcome::StepsDown => return,
+                MembershipOutcome::Acts => {}
+                MembershipOutcome::Waits => {
                     self.leaders[i] = Some(leader);
                     return;
                 }
             }
         }
         self.place_tasks(i, &mut leader);
-        let deposed = self.store_what_changed(&mut leader);
+        let deposed = self.store_changes(&mut leader);
         self.send_direct_commands(i, &mut leader);
-        self.return_machines(i, &mut leader, cut);
+        self.request_terminations(i, &mut leader, store_unreachable);
         if !deposed {
             self.leaders[i] = Some(leader);
         }
     }
 
-    /// False while the leader is paused; at the end of a pause its cluster state learns of it.
-    fn resume(&self, leader: &mut Leader) -> bool {
-        let Some((began, ended)) = leader.frozen else { return true };
+    /// Ends a process pause that is over and tells the cluster state of it. Returns false while the leader is paused.
+    fn resume_after_pause(&self, leader: &mut Leader) -> bool {
+        let Some((began, ended)) = leader.pause else { return true };
         if self.now < ended {
             return false;
         }
-        leader.frozen = None;
+        leader.pause = None;
         leader.cluster.adjust_for_pause(ProcessPause { began, ended });
-        leader.seat.unproven = self.users.on;
+        leader.membership.unproven_since_pause = self.users.enabled;
         true
     }
 
-    /// Takes in what the leader's watch tells by now.
-    fn hear_news(&mut self, leader: &mut Leader, cut: bool) {
+    /// Applies the events that the leader's watch delivers by now.
+    fn apply_watch_events(&mut self, leader: &mut Leader, store_unreachable: bool) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = leader.news.drain(..).partition(|news| news.due <= now && !cut);
-        leader.news = later;
-        for DeliveredChange { job, opened, revision, .. } in due {
-            // What one hears before it has loaded, it loads.
+        let (due, later): (Vec<_>, Vec<_>) =
+            leader.watch_events.drain(..).partition(|event| event.due <= now && !store_unreachable);
+        leader.watch_events = later;
+        for WatchEvent { job, opened, revision, .. } in due {
+            // Events before the load are dropped, since the load reads their result.
             if !leader.cluster.loaded {
                 continue;
             }
@@ -170,111 +182,115 @@
                 leader.cluster.add_job(self.records[&job].clone(), now);
             } else {
                 leader.cluster.end_job(&job, None, now);
-                self.heard_end(leader, &job, revision);
+                self.observe_end_of(leader, &job, revision);
             }
         }
     }
 
-    /// Places what waits, and checks the machines and their sums.
+    /// Places waiting tasks, and checks the placements and the allocated resources of the machines.
     fn place_tasks(&self, i: usize, leader: &mut Leader) {
         let now = self.now;
         leader.cluster.tick(now);
-        let decisions = plan::place(&mut leader.cluster, &self.catalog, now);
-        self.check_places(i, leader, &decisions);
-        leader.cluster.bind_placements(decisions, now);
-        // What is kept with every binding is what a count afresh gives.
+        let placements = plan::place(&mut leader.cluster, &self.catalog, now);
+        self.check_placements(i, leader, &placements);
+        leader.cluster.bind_placements(placements, now);
+        // The resources that are tracked with every binding must equal a recomputation.
         for machine in leader.cluster.machines.values() {
-            let (kept, afresh) = (machine.allocated(), leader.cluster.recomputed_allocation(machine));
-            assert!((kept.cpus - afresh.cpus).abs() < 1e-6 && (kept.memory_gb - afresh.memory_gb).abs() < 1e-6);
+            let (tracked, recomputed) = (machine.allocated(), leader.cluster.recomputed_allocation(machine));
+            assert!(
+                (tracked.cpus - recomputed.cpus).abs() < 1e-6
+                    && (tracked.memory_gb - recomputed.memory_gb).abs() < 1e-6
+            );
         }
     }
 
-    /// Stores the batch that is due, the next one if there is none. True if the leader learned that it is one no
-    /// longer.
-    fn store_what_changed(&mut self, leader: &mut Leader) -> bool {
+    /// Stores the pending batch if it is due, or else the next one. Returns whether the leader learned that it is deposed.
+    fn store_changes(&mut self, leader: &mut Leader) -> bool {
         let now = self.now;
         if leader.batch.is_none() {
-            let (ends, shards) = leader.cluster.next_writes(WRITES_PER_BATCH, now);
+            let (ends, shards) = leader.cluster.next_writes(MAX_WRITES_PER_BATCH, now);
             let batch = CommitBatch { ends, shards, at_ms: 0 };
             if !batch.is_empty() {
                 leader.batch = Some((batch, now));
             }
         }
-        let Some((batch, at)) = leader.batch.take() else { return false };
-        if at > now {
-            leader.batch = Some((batch, at));
+        let Some((batch, due)) = leader.batch.take() else { return false };
+        if due > now {
+            leader.batch = Some((batch, due));
             return false;
         }
         self.store_batch(leader, batch)
     }
 
-    /// Sends direct commands, each given up after a time.
+    /// Sends the direct commands that are due, each with a timeout.
     fn send_direct_commands(&mut self, i: usize, leader: &mut Leader) {
         for direct in leader.cluster.direct_commands(self.now) {
             let worker = self.workers.iter().position(|w| *w.id == *direct.machine).expect("known");
             let (fencing_token, agent_epoch, machine) = (direct.fencing_token, direct.agent_epoch, direct.machine);
-            self.commands += 1;
-            let id = self.commands;
+            self.last_command_id += 1;
+            let id = self.last_command_id;
             self.trace(&format!("leader {i} commands {machine} {:?}", direct.commands));
-            let given_up = GivenUp { id, to: i, machine, fencing_token };
-            self.messages.push((self.now + COMMAND_WAITED, Message::GivenUp(given_up)));
+            let timeout = CommandTimeout { id, to: i, machine, fencing_token };
+            self.messages.push((self.now + COMMAND_TIMEOUT, Message::CommandTimeout(timeout)));
             self.send(Message::Command(Command {
                 id,
                 worker,
                 from: i,
                 fencing_token,
                 agent_epoch,
-                orders: direct.commands,
+                commands: direct.commands,
             }));
         }
     }
 
-    /// Asks the cloud to end terminating machines, each once or, as where an answer is lost, twice.
-    fn return_machines(&mut self, i: usize, leader: &mut Leader, cut: bool) {
-        // Without the store no order stands, and only what a cancellation makes urgent goes without.
-        let overdue = if cut { leader.cluster.overdue_machines(self.now) } else { Default::default() };
+    /// Requests the termination of terminating machines from the cloud, at times twice, as after a lost answer.
+    fn request_terminations(&mut self, i: usize, leader: &mut Leader, store_unreachable: bool) {
+        // Without the store no termination order can be stored, and only machines with overdue cancelled tasks are
+        // terminated without one.
+        let overdue = if store_unreachable { leader.cluster.overdue_machines(self.now) } else { Default::default() };
         let terminating = leader.cluster.machines.values().filter(|m| m.state == MachineState::Terminating);
         let terminating: Vec<MachineId> =
-            terminating.map(|m| m.id.clone()).filter(|id| !cut || overdue.contains(id)).collect();
+            terminating.map(|m| m.id.clone()).filter(|id| !store_unreachable || overdue.contains(id)).collect();
         for machine in terminating {
-            if leader.returning.insert(machine.clone()) {
-                if !self.quiet && self.rng.random_bool(0.2) {
-                    self.send(Message::Return { from: i, machine: machine.clone() });
+            if leader.requested_terminations.insert(machine.clone()) {
+                if !self.fault_free && self.rng.random_bool(0.2) {
+                    self.send(Message::TerminateMachine { from: i, machine: machine.clone() });
                 }
-                self.send(Message::Return { from: i, machine });
+                self.send(Message::TerminateMachine { from: i, machine });
             }
         }
     }
 
-    /// True if the leader learned that it is one no longer.
+    /// Sends a batch to the store, whose answer or application may be lost, delayed or repeated. Returns whether the
+    /// leader learned that it is deposed.
     pub(super) fn store_batch(&mut self, leader: &mut Leader, batch: CommitBatch) -> bool {
         let (conditions, changes) = (batch.conditions(leader.cluster.fencing_token), batch.changes());
-        let fate = if self.quiet { 1.0 } else { self.rng.random::<f64>() };
-        let unanswered = if self.slow() { 0.4 } else { 0.05 };
-        if leader.cut.is_some() || self.store_out() {
-            if fate < 0.2 && !self.store_out() {
-                let due = self.now + self.delay() * 3;
+        let draw = if self.fault_free { 1.0 } else { self.rng.random::<f64>() };
+        let unanswered = if self.store_is_slow() { 0.4 } else { 0.05 };
+        if leader.store_partition.is_some() || self.store_is_out() {
+            if draw < 0.2 && !self.store_is_out() {
+                let due = self.now + self.random_delay() * 3;
                 self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
             }
-            leader.batch = Some((batch, self.now + BATCH_WAITED));
+            leader.batch = Some((batch, self.now + BATCH_RETRY_INTERVAL));
             return false;
         }
-        if fate < unanswered {
-            // Not answered, and applied some time later; asked again as it was.
-            let due = self.now + self.delay() * 3;
+        if draw < unanswered {
+            // Not answered, applied later, and sent again unchanged.
+            let due = self.now + self.random_delay() * 3;
             self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
-            leader.batch = Some((batch, self.now + BATCH_WAITED));
+            leader.batch = Some((batch, self.now + BATCH_RETRY_INTERVAL));
             return false;
         }
-        let outcome = self.apply(&conditions, &changes);
-        if fate > 0.95 && !self.quiet {
-            // Carried out, and repeated all the same.
-            let due = self.now + self.delay() * 3;
+        let outcome = self.apply_transaction(&conditions, &changes);
+        if draw > 0.95 && !self.fault_free {
+            // Applied, and repeated later nevertheless.
+            let due = self.now + self.random_delay() * 3;
             self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
         }
-        if fate < unanswered + 0.05 {
-            // Applied, and the answer lost.
-            leader.batch = Some((batch, self.now + BATCH_WAITED));
+        if draw < unanswered + 0.05 {
+            // Applied, but the answer is lost.
+            leader.batch = Some((batch, self.now + BATCH_RETRY_INTERVAL));
             return false;
         }
         match outcome {
@@ -285,13 +301,14 @@
                 }
             }
             Err(keys) if keys.iter().any(|k| k == LEADER) => return true,
-            Err(keys) => self.take_refusal(leader, &batch, &keys),
+            Err(keys) => self.handle_rejected_batch(leader, &batch, &keys),
         }
         false
     }
 
-    /// A batch was refused for these keys: what they say is taken over, and the rest is stored again.
-    fn take_refusal(&self, leader: &mut Leader, batch: &CommitBatch, keys: &[String]) {
+    /// Handles a batch that was rejected for these keys: adopts the ends and versions that they have in the store, and
+    /// queues the rest of the batch again.
+    fn handle_rejected_batch(&self, leader: &mut Leader, batch: &CommitBatch, keys: &[String]) {
         for id in batch.jobs() {
             if let Some(end) = find_end(keys, id) {
                 leader.cluster.end_job(id, Some(end), self.now);
--- a/src/scheduling/tests/interleaved_simulation/messages.rs
+++ b/src/scheduling/tests/interleaved_simulation/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between leaders, workers, the store and the cloud, and how long they are on their way.
+//! Messages between controllers, workers, the store and the cloud, and their delays.
 
 use std::time::{Duration, Instant};
 
@@ -12,12 +12,12 @@
 use crate::scheduling::cluster::MachineId;
 use crate::store::{Change, Condition};
 
-/// A heartbeat of a worker on its way to a leader.
+/// A heartbeat from a worker to a leader.
 pub(super) struct SentHeartbeat {
     pub(super) to: usize,
     pub(super) heartbeat: Heartbeat,
     pub(super) sent: Instant,
-    /// Held back until nobody waits for its answer.
+    /// A late copy, whose answer nobody waits for.
     pub(super) copy: bool,
 }
 
@@ -28,23 +28,23 @@
     pub(super) agent_epoch: u64,
     pub(super) sent: Instant,
     pub(super) fencing_token: u64,
-    pub(super) orders: Vec<WorkerCommand>,
-    /// All orders, not stops alone.
-    pub(super) whole: bool,
+    pub(super) commands: Vec<WorkerCommand>,
+    /// Contains all commands, not only those that stop tasks of ended jobs.
+    pub(super) all_commands: bool,
 }
 
-/// Orders that a leader sends to a worker directly.
+/// A direct command of a leader to a worker.
 pub(super) struct Command {
     pub(super) id: u64,
     pub(super) worker: usize,
     pub(super) from: usize,
     pub(super) fencing_token: u64,
     pub(super) agent_epoch: u64,
-    pub(super) orders: Vec<WorkerCommand>,
+    pub(super) commands: Vec<WorkerCommand>,
 }
 
 /// The reply to a direct command.
-pub(super) struct Reply {
+pub(super) struct CommandReply {
     pub(super) id: u64,
     pub(super) to: usize,
     pub(super) machine: MachineId,
@@ -52,41 +52,44 @@
     pub(super) heartbeat: Heartbeat,
 }
 
-/// The end of the time for which a leader waits for a reply.
-pub(super) struct GivenUp {
+/// The end of a leader's wait for the reply to a direct command.
+pub(super) struct CommandTimeout {
     pub(super) id: u64,
     pub(super) to: usize,
     pub(super) machine: MachineId,
     pub(super) fencing_token: u64,
 }
 
-/// What is on its way between leaders, workers, the store and the cloud.
+/// A message in transit between controllers, workers, the store and the cloud.
 pub(super) enum Message {
     Heartbeat(SentHeartbeat),
     Answer(Answer),
     Command(Command),
-    Reply(Reply),
-    GivenUp(GivenUp),
+    CommandReply(CommandReply),
+    CommandTimeout(CommandTimeout),
+    /// A transaction of the store.
     CompareAndSwap {
         conditions: Vec<Condition>,
         changes: Vec<Change>,
     },
-    Return {
+    /// A leader's request to the cloud to terminate a machine.
+    TerminateMachine {
         from: usize,
         machine: MachineId,
     },
-    Returned {
+    /// The cloud's notice that a machine is terminated.
+    MachineTerminated {
         to: usize,
         machine: MachineId,
     },
-    /// A line of a leader to another controller.
-    Line {
+    /// A peer message of a leader to a follower.
+    PeerMessage {
         from: usize,
         to: usize,
         watermark: Watermark,
     },
-    /// The store's answer to the leader's own user.
-    Cancelled {
+    /// The store's answer to a leader that has stored a cancellation for its own user.
+    CancellationStored {
         to: usize,
         id: JobId,
         fencing_token: u64,
@@ -94,62 +97,63 @@
 }
 
 impl World {
-    /// Mostly prompt; now and then held back for up to a minute.
-    pub(super) fn delay(&mut self) -> Duration {
-        let held = !self.quiet && self.rng.random_bool(0.12);
-        Duration::from_millis(if held { self.rng.random_range(500..60_000) } else { self.rng.random_range(1..150) })
+    /// Draws the delay of a message: mostly short, at times up to a minute.
+    pub(super) fn random_delay(&mut self) -> Duration {
+        let delayed = !self.fault_free && self.rng.random_bool(0.12);
+        Duration::from_millis(if delayed { self.rng.random_range(500..60_000) } else { self.rng.random_range(1..150) })
     }
 
+    /// Sends a message with a random delay.
     pub(super) fn send(&mut self, message: Message) {
-        let mut due = self.now + self.delay();
-        // Direct commands are what may come late and still be carried out: more of them do.
-        if !self.quiet && matches!(message, Message::Command(_)) && self.rng.random_bool(0.3) {
+        let mut due = self.now + self.random_delay();
+        // Direct commands are delayed more often, since they are executed however late they arrive.
+        if !self.fault_free && matches!(message, Message::Command(_)) && self.rng.random_bool(0.3) {
             due += Duration::from_millis(self.rng.random_range(1000..15_000));
         }
         self.messages.push((due, message));
     }
 
-    /// A user's transaction: applied, and at times again much later, as a copy that was held back.
-    pub(super) fn send_move(&mut self, sent: JobTransaction) {
-        let copies = if !self.quiet && self.rng.random_bool(0.2) { 2 } else { 1 };
-        for _ in 0..copies {
-            let due = self.now + self.delay();
+    /// Sends a user's transaction, at times with a copy that arrives later.
+    pub(super) fn send_transaction(&mut self, sent: JobTransaction) {
+        let transmissions = if !self.fault_free && self.rng.random_bool(0.2) { 2 } else { 1 };
+        for _ in 0..transmissions {
+            let due = self.now + self.random_delay();
             let (conditions, changes) = (sent.conditions.clone(), sent.changes.clone());
             self.messages.push((due, Message::CompareAndSwap { conditions, changes }));
         }
     }
 
-    /// When a leader that is paused reads what was sent to it.
-    pub(super) fn read_at(&self, message: &Message) -> Option<Instant> {
+    /// Returns when the recipient of a message reads it, if that is a leader that is paused.
+    pub(super) fn read_after_pause_at(&self, message: &Message) -> Option<Instant> {
         let to = match message {
             Message::Heartbeat(SentHeartbeat { to, .. })
-            | Message::Reply(Reply { to, .. })
-            | Message::GivenUp(GivenUp { to, .. })
-            | Message::Returned { to, .. }
-            | Message::Cancelled { to, .. } => *to,
+            | Message::CommandReply(CommandReply { to, .. })
+            | Message::CommandTimeout(CommandTimeout { to, .. })
+            | Message::MachineTerminated { to, .. }
+            | Message::CancellationStored { to, .. } => *to,
             _ => return None,
         };
-        let frozen = self.leaders.get(to)?.as_ref()?.frozen?;
-        Some(frozen.1).filter(|until| *until > self.now)
+        let (_, until) = self.leaders.get(to)?.as_ref()?.pause?;
+        Some(until).filter(|until| *until > self.now)
     }
 
-    /// Whoever it is for does what it says; a leader that is paused reads it afterwards.
+    /// Delivers a message to its recipient; a leader that is paused reads it afterwards.
     pub(super) fn deliver(&mut self, message: Message) {
-        if let Some(at) = self.read_at(&message) {
+        if let Some(at) = self.read_after_pause_at(&message) {
             self.messages.push((at, message));
             return;
         }
         match message {
-            Message::Heartbeat(message) => self.deliver_report(message),
+            Message::Heartbeat(message) => self.deliver_heartbeat(message),
             Message::Answer(message) => self.deliver_answer(message),
             Message::Command(message) => self.deliver_command(message),
-            Message::Reply(message) => self.deliver_reply(message),
-            Message::GivenUp(message) => self.deliver_given_up(message),
+            Message::CommandReply(message) => self.deliver_command_reply(message),
+            Message::CommandTimeout(message) => self.deliver_command_timeout(message),
             Message::CompareAndSwap { conditions, changes } => self.deliver_transaction(conditions, changes),
-            Message::Line { from, to, watermark } => self.hear_line(from, to, watermark),
-            Message::Cancelled { to, id, fencing_token } => self.cancelled_by_leader(to, &id, fencing_token),
-            Message::Return { from, machine } => self.deliver_return(from, machine),
-            Message::Returned { to, machine } => self.deliver_returned(to, &machine),
+            Message::PeerMessage { from, to, watermark } => self.deliver_peer_message(from, to, watermark),
+            Message::CancellationStored { to, id, fencing_token } => self.cancelled_by_leader(to, &id, fencing_token),
+            Message::TerminateMachine { from, machine } => self.deliver_termination_request(from, machine),
+            Message::MachineTerminated { to, machine } => self.deliver_termination_notice(to, &machine),
         }
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/mod.rs
+++ b/src/scheduling/tests/interleaved_simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Seeded interleavings: the real cluster state, placement and transactions in a small model of store,
-//! workers and cloud where messages and transactions come late, twice or are lost, leaders go on after
-//! being deposed, lose the store alone or are back at once, machines hang or hear nothing, and jobs are cancelled. The
-//! model checks the rules itself.
+//! Seeded simulation of interleavings: the real cluster state, placement and transactions run against a small model of
+//! the store, the workers and the cloud. Messages and transactions are delayed, duplicated or lost; leaders continue after
+//! being deposed, lose only the store, or restart at once; machines hang or are partitioned one way; jobs are cancelled.
+//! The model checks the rules itself.
 
 mod combined_faults;
 mod deliveries;
@@ -19,35 +19,47 @@
 
 use world::World;
 
+/// Simulated time of a step.
 const STEP: Duration = Duration::from_millis(100);
-const LEASE: Duration = Duration::from_secs(24);
-const CANCEL: Duration = Duration::from_secs(49);
-const ANSWER_TAKEN: Duration = Duration::from_secs(4);
-/// After this long without a sign of life another leads.
+/// How long a worker runs its tasks after the heartbeat that was answered last.
+const WORKER_LEASE: Duration = Duration::from_secs(24);
+/// How long a task may run after its cancellation.
+const CANCELLATION_DEADLINE: Duration = Duration::from_secs(49);
+/// Age of a heartbeat from which on its worker drops the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time without a sign of life from the leader after which another controller leads.
 const LEADER_LEASE: Duration = Duration::from_secs(3);
-const COMMAND_WAITED: Duration = Duration::from_millis(2500);
+/// How long a leader waits for the reply to a direct command.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
 
 #[test]
-fn rules_hold_in_any_interleaving() {
-    let (mut starts, mut process_pauses, mut failures, mut faults) = (0, 0, 0, [0; 4]);
+fn rules_hold_in_seeded_interleavings() {
+    let (mut started_attempts, mut process_pauses, mut failed_attempts, mut faults) = (0, 0, 0, [0; 4]);
     for seed in 0..40 {
         let mut world = World::new(seed, 6);
         world.simulate(1200);
-        starts += world.starts;
+        started_attempts += world.started_attempts;
         process_pauses += world.process_pauses;
-        failures += world.failures;
-        let of_world = [world.copies, world.inbound_lost, world.cuts, world.restarts];
-        faults.iter_mut().zip(of_world).for_each(|(all, n)| *all += n);
+        failed_attempts += world.failed_attempts;
+        let world_faults =
+            [world.late_copies, world.inbound_partitions, world.leader_partitions, world.leader_restarts];
+        faults.iter_mut().zip(world_faults).for_each(|(all, n)| *all += n);
     }
-    assert!(starts > 5000, "the model has hardly worked: {starts} starts");
-    assert!(process_pauses > 50 && failures > 100, "{process_pauses} process pauses, {failures} failures");
-    assert!(faults.iter().all(|n| *n > 20), "copies, partitioned one way, cut off, restarted: {faults:?}");
+    assert!(started_attempts > 5000, "too few task attempts started: {started_attempts}");
+    assert!(
+        process_pauses > 50 && failed_attempts > 100,
+        "{process_pauses} process pauses, {failed_attempts} failed attempts"
+    );
+    assert!(
+        faults.iter().all(|n| *n > 20),
+        "late copies, inbound partitions, leader partitions, leader restarts: {faults:?}"
+    );
 }
 
-/// The same at a size where plans, shards and commands no longer fit one turn.
+/// Runs the simulation at a size at which plans, shards and commands no longer fit into one step of the leader.
 #[test]
 fn rules_hold_with_hundreds_of_machines() {
     let mut world = World::new(7, 200);
     world.simulate(300);
-    assert!(world.starts > 5000, "the model has hardly worked: {} starts", world.starts);
+    assert!(world.started_attempts > 5000, "too few task attempts started: {}", world.started_attempts);
 }
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -1,5 +1,6 @@
-//! Users and the controllers that answer them: cancellations through anybody, told by the production rule, and
-//! what a leader may tell workers by what it can prove. The store may be out for all, slow, or refuse one.
+//! Users and the controllers that answer them. Users cancel through any controller, and cancellations are confirmed by the
+//! production rule; leaders answer workers by what they can prove. The store may be out for all controllers, slow, or
+//! refuse a single one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -10,7 +11,7 @@
 use super::messages::Message;
 use super::workers::Worker;
 use super::world::World;
-use super::{CANCEL, LEADER_LEASE, LEASE};
+use super::{CANCELLATION_DEADLINE, LEADER_LEASE, WORKER_LEASE};
 use crate::history::job_transactions;
 use crate::history::visibility::{EndVisibility, end_visibility};
 use crate::jobs::record::{LEADER, WATERMARK, open_key};
@@ -24,322 +25,383 @@
 use crate::store::{Change, Condition};
 use crate::workers::response_policy::ResponsePolicy;
 
-const FOLLOWERS: usize = 2;
-/// How often a leader's line goes to the others.
-const LINES: Duration = Duration::from_millis(500);
+/// Number of controllers beside the leader.
+const FOLLOWER_COUNT: usize = 2;
+/// Interval between the peer messages of a leader.
+const PEER_MESSAGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A controller that answers users and does not lead.
 pub(super) struct Follower {
-    /// Up to which revision its watch has told.
-    heard: u64,
+    /// Store revision up to which the follower's watch has delivered changes.
+    observed_revision: u64,
     watermark: u64,
-    pub(super) refused_until: Instant,
-    /// Lines between it and the leaders are refused.
-    pub(super) unheard_until: Instant,
-    /// Since when the store has served it.
-    served: Option<Instant>,
+    /// The store refuses this follower until then.
+    pub(super) store_refused_until: Instant,
+    /// Peer messages from leaders are dropped until then.
+    pub(super) unreachable_until: Instant,
+    /// Since when the store has served the follower without a break.
+    served_since: Option<Instant>,
 }
 
-/// What a leader knows beside its cluster state.
-pub(super) struct Seat {
-    heard: u64,
+/// A leader's knowledge of the store and of the other controllers, beside its cluster state.
+pub(super) struct LeaderMembership {
+    observed_revision: u64,
     watermark: u64,
-    /// When it last knew all that was stored.
-    proof: Option<Instant>,
-    pub(super) unproven: bool,
+    /// When the leader last knew all that was stored.
+    proven_at: Option<Instant>,
+    /// Nothing has been proven since the last process pause.
+    pub(super) unproven_since_pause: bool,
     load_at: Instant,
-    unconfirmed: UnconfirmedCancellations,
-    acknowledged: [u64; FOLLOWERS],
+    unconfirmed_ends: UnconfirmedCancellations,
+    /// Revision that each follower has acknowledged.
+    acknowledged_revisions: [u64; FOLLOWER_COUNT],
     leader_searches: LeaderSearches,
-    next_line: Instant,
-    /// Cut from the store, it still has the other controllers.
-    pub(super) hears_others: bool,
-    /// Ended, as soon as it is told that another leads.
-    deposed: bool,
+    next_peer_message_at: Instant,
+    /// During a partition from the store the leader still reaches the other controllers.
+    pub(super) reaches_peers: bool,
+    /// The leader has observed that another one leads.
+    successor_seen: bool,
 }
 
-impl Seat {
-    pub(super) fn new(heard: u64, proof: Instant, now: Instant) -> Self {
+impl LeaderMembership {
+    pub(super) fn new(observed_revision: u64, proven_at: Instant, now: Instant) -> Self {
         Self {
-            heard,
+            observed_revision,
             watermark: 0,
-            proof: Some(proof),
-            unproven: false,
+            proven_at: Some(proven_at),
+            unproven_since_pause: false,
             load_at: now,
-            unconfirmed: UnconfirmedCancellations::default(),
-            acknowledged: [0; FOLLOWERS],
+            unconfirmed_ends: UnconfirmedCancellations::default(),
+            acknowledged_revisions: [0; FOLLOWER_COUNT],
             leader_searches: LeaderSearches::default(),
-            next_line: now,
-            hears_others: false,
-            deposed: false,
+            next_peer_message_at: now,
+            reaches_peers: false,
+            successor_seen: false,
         }
     }
 }
 
-/// What has to come about often enough for the simulations to say anything.
+/// What a leader does in the rest of a step, by its membership.
+pub(super) enum MembershipOutcome {
+    /// Places tasks, stores and commands.
+    Acts,
+    /// Does nothing, since its cluster state is not loaded or unproven.
+    Waits,
+    /// Ends, since another controller leads.
+    StepsDown,
+}
+
+/// Counts of the events that must occur often enough for the simulations to be conclusive.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Tally {
-    pub(super) told: usize,
-    pub(super) not_told: usize,
-    pub(super) told_by_leader: usize,
-    pub(super) stored_marks: usize,
+    /// Cancellations that were confirmed to their users.
+    pub(super) confirmed: usize,
+    /// Queries of users that were answered without a confirmation.
+    pub(super) not_confirmed: usize,
+    pub(super) confirmed_by_leader: usize,
+    pub(super) stored_watermarks: usize,
     pub(super) outages: usize,
-    pub(super) beyond_cancel: usize,
-    /// Heartbeats to successors that had not loaded their cluster state.
-    pub(super) unloaded: usize,
-    pub(super) stops: usize,
-    pub(super) nobody: usize,
-    pub(super) lone_refusals: usize,
-    pub(super) all_ended: usize,
-    pub(super) hand_overs: usize,
-    /// Zones cut off with the leader, and spells in which machines reach nobody.
-    pub(super) apart: usize,
-    pub(super) outbound_lost: usize,
+    /// Outages of the store that outlasted the cancellation deadline.
+    pub(super) outages_past_deadline: usize,
+    /// Heartbeats to successors that had not yet loaded their cluster state.
+    pub(super) heartbeats_before_load: usize,
+    /// Answers with commands for tasks of ended jobs alone.
+    pub(super) stop_only_answers: usize,
+    pub(super) unanswered_heartbeats: usize,
+    /// Spells in which the store refused the leader alone.
+    pub(super) leader_refusals: usize,
+    pub(super) full_restarts: usize,
+    pub(super) takeovers: usize,
+    /// Partitions of a zone with the leader in it.
+    pub(super) zone_partitions: usize,
+    /// Spells in which half of the machines reached no controller.
+    pub(super) outbound_partitions: usize,
 }
 
 impl std::ops::AddAssign for Tally {
     fn add_assign(&mut self, o: Self) {
-        self.told += o.told;
-        self.not_told += o.not_told;
-        self.told_by_leader += o.told_by_leader;
-        self.stored_marks += o.stored_marks;
+        self.confirmed += o.confirmed;
+        self.not_confirmed += o.not_confirmed;
+        self.confirmed_by_leader += o.confirmed_by_leader;
+        self.stored_watermarks += o.stored_watermarks;
         self.outages += o.outages;
-        self.beyond_cancel += o.beyond_cancel;
-        self.unloaded += o.unloaded;
-        self.stops += o.stops;
-        self.nobody += o.nobody;
-        self.lone_refusals += o.lone_refusals;
-        self.all_ended += o.all_ended;
-        self.hand_overs += o.hand_overs;
-        self.apart += o.apart;
-        self.outbound_lost += o.outbound_lost;
+        self.outages_past_deadline += o.outages_past_deadline;
+        self.heartbeats_before_load += o.heartbeats_before_load;
+        self.stop_only_answers += o.stop_only_answers;
+        self.unanswered_heartbeats += o.unanswered_heartbeats;
+        self.leader_refusals += o.leader_refusals;
+        self.full_restarts += o.full_restarts;
+        self.takeovers += o.takeovers;
+        self.zone_partitions += o.zone_partitions;
+        self.outbound_partitions += o.outbound_partitions;
     }
 }
 
+/// Users, followers, store outages and planned faults of a world.
 pub(super) struct Users {
-    /// Whether this world has any; without, a cancellation counts from when it is stored, which is stricter.
-    pub(super) on: bool,
+    /// Whether the world has users. Without users a cancellation counts from when it is stored, which is stricter.
+    pub(super) enabled: bool,
     pub(super) followers: Vec<Follower>,
-    pub(super) out: Option<(Instant, Instant)>,
-    /// When the last outage ended.
-    pub(super) back: Instant,
-    pub(super) slow_until: Instant,
-    pub(super) assigned: Vec<(u64, usize)>,
-    ended: HashMap<JobId, u64>,
-    marks: Vec<(u64, u64)>,
-    /// Cancellations that are stored and not told, with their versions.
-    pub(super) hidden: BTreeMap<JobId, u64>,
-    /// Something was just stored, acted on or answered: a moment for fault.
-    pub(super) moment: bool,
-    pub(super) plan: Vec<(Instant, usize)>,
+    /// Start and end of a current outage of the store.
+    pub(super) store_outage: Option<(Instant, Instant)>,
+    /// When the last outage of the store ended.
+    pub(super) store_back_at: Instant,
+    pub(super) store_slow_until: Instant,
+    /// Versions of the leader record with the leader that each names.
+    pub(super) leader_records: Vec<(u64, usize)>,
+    /// Store revision at which each job ended.
+    end_revisions: HashMap<JobId, u64>,
+    /// Store versions of the watermark with the revision that each holds.
+    stored_watermarks: Vec<(u64, u64)>,
+    /// Cancellations that are stored and not confirmed, with their versions.
+    pub(super) unconfirmed_cancellations: BTreeMap<JobId, u64>,
+    /// Something was just stored, acted on or answered, so combined faults are likely in this step.
+    pub(super) fault_trigger: bool,
+    /// Times and kinds of the faults to come.
+    pub(super) planned_faults: Vec<(Instant, usize)>,
     pub(super) tally: Tally,
 }
 
 impl Users {
-    pub(super) fn new(on: bool, now: Instant) -> Self {
-        let follower =
-            || Follower { heard: 0, watermark: 0, refused_until: now, unheard_until: now, served: Some(now) };
+    pub(super) fn new(enabled: bool, now: Instant) -> Self {
+        let follower = || Follower {
+            observed_revision: 0,
+            watermark: 0,
+            store_refused_until: now,
+            unreachable_until: now,
+            served_since: Some(now),
+        };
         Self {
-            on,
-            followers: (0..FOLLOWERS).map(|_| follower()).collect(),
-            out: None,
-            back: now,
-            slow_until: now,
-            assigned: Vec::new(),
-            ended: HashMap::new(),
-            marks: Vec::new(),
-            hidden: BTreeMap::new(),
-            moment: false,
-            plan: Vec::new(),
+            enabled,
+            followers: (0..FOLLOWER_COUNT).map(|_| follower()).collect(),
+            store_outage: None,
+            store_back_at: now,
+            store_slow_until: now,
+            leader_records: Vec::new(),
+            end_revisions: HashMap::new(),
+            stored_watermarks: Vec::new(),
+            unconfirmed_cancellations: BTreeMap::new(),
+            fault_trigger: false,
+            planned_faults: Vec::new(),
             tally: Tally::default(),
         }
     }
 
-    /// The leader record as it is known at this revision.
-    fn leader_record(&self, heard: u64) -> Option<(LeaderRecord, u64)> {
-        let (version, leader) = self.assigned.iter().rev().find(|(version, _)| *version <= heard)?;
-        let of = LeaderRecord { node: leader.to_string(), incarnation: leader.to_string(), teams: Vec::new() };
-        Some((of, *version))
+    /// Returns the leader record, and its version, as known at this revision.
+    fn leader_record(&self, observed_revision: u64) -> Option<(LeaderRecord, u64)> {
+        let (version, leader) = self.leader_records.iter().rev().find(|(version, _)| *version <= observed_revision)?;
+        let record = LeaderRecord { node: leader.to_string(), incarnation: leader.to_string(), teams: Vec::new() };
+        Some((record, *version))
     }
 
-    fn stored_mark(&self, heard: u64) -> u64 {
-        self.marks.iter().filter(|(version, _)| *version <= heard).map(|(_, mark)| *mark).max().unwrap_or(0)
+    /// Returns the highest watermark that is known at this revision.
+    fn stored_watermark(&self, observed_revision: u64) -> u64 {
+        self.stored_watermarks
+            .iter()
+            .filter(|(version, _)| *version <= observed_revision)
+            .map(|(_, watermark)| *watermark)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// A revision at which this end did not stand yet.
+    /// Returns a revision at which the end of this job was not stored yet.
     pub(super) fn ended_after(&self, id: &JobId) -> u64 {
-        self.ended.get(id).map_or(0, |version| version - 1)
+        self.end_revisions.get(id).map_or(0, |version| version - 1)
     }
 
-    fn over(&self, id: &JobId, heard: u64) -> bool {
-        self.ended.get(id).is_some_and(|version| *version <= heard)
+    /// Whether the end of this job is known at this revision.
+    fn has_ended(&self, id: &JobId, observed_revision: u64) -> bool {
+        self.end_revisions.get(id).is_some_and(|version| *version <= observed_revision)
     }
 
-    /// Followers as a leader hears them: how many, and how long one of them has been able to answer.
-    fn others(&self, now: Instant) -> (usize, Option<Duration>) {
-        let heard: Vec<&Follower> = self.followers.iter().filter(|f| f.unheard_until <= now).collect();
-        (heard.len(), heard.iter().filter_map(|f| f.served).map(|at| now - at).max())
+    /// Returns how many followers a leader hears, and the longest time for which the store has served one of them.
+    fn reachable_followers(&self, now: Instant) -> (usize, Option<Duration>) {
+        let reachable: Vec<&Follower> = self.followers.iter().filter(|f| f.unreachable_until <= now).collect();
+        (reachable.len(), reachable.iter().filter_map(|f| f.served_since).map(|at| now - at).max())
     }
 }
 
 impl World {
-    pub(super) fn store_out(&self) -> bool {
-        self.users.out.is_some()
+    /// Whether the store is out for all controllers.
+    pub(super) fn store_is_out(&self) -> bool {
+        self.users.store_outage.is_some()
     }
 
-    pub(super) fn slow(&self) -> bool {
-        self.users.slow_until > self.now
+    /// Whether the store leaves many requests unanswered.
+    pub(super) fn store_is_slow(&self) -> bool {
+        self.users.store_slow_until > self.now
     }
 
-    /// How long the store has not answered this leader, nor anybody of late.
-    pub(super) fn lost_for(&self, began: Instant) -> Duration {
-        if self.store_out() { Duration::ZERO } else { self.now - began.max(self.users.back) }
+    /// Returns for how long a leader that is paused or partitioned since then has been without the store, not counting
+    /// outages for all controllers: within one it is zero, and after one the time starts anew.
+    pub(super) fn unreachable_for(&self, began: Instant) -> Duration {
+        if self.store_is_out() { Duration::ZERO } else { self.now - began.max(self.users.store_back_at) }
     }
 
-    pub(super) fn note_ended(&mut self, id: &JobId, end: End, version: u64) {
-        self.trace(&format!("stored {id} {end:?} at {version}"));
-        self.users.ended.insert(id.clone(), version);
+    /// Records the end of a job that was just stored.
+    pub(super) fn record_end(&mut self, id: &JobId, end: End, version: u64) {
+        self.trace(&format!("end of {id} stored at {version}: {end:?}"));
+        self.users.end_revisions.insert(id.clone(), version);
         self.ended_since.insert(id.clone(), self.now);
         if end == End::Cancelled {
-            if self.users.on {
-                self.users.hidden.insert(id.clone(), version);
-                self.users.moment = true;
+            if self.users.enabled {
+                self.users.unconfirmed_cancellations.insert(id.clone(), version);
+                self.users.fault_trigger = true;
             } else {
-                self.cancelled.insert(id.clone(), self.now);
+                self.cancelled_since.insert(id.clone(), self.now);
             }
         }
     }
 
-    fn tell_user(&mut self, id: &JobId) {
-        self.trace(&format!("told {id}"));
-        self.cancelled.entry(id.clone()).or_insert(self.now);
-        self.users.hidden.remove(id);
-        self.users.tally.told += 1;
-        self.users.moment = true;
+    /// Confirms a cancellation to its user.
+    fn confirm_cancellation(&mut self, id: &JobId) {
+        self.trace(&format!("cancellation of {id} confirmed"));
+        self.cancelled_since.entry(id.clone()).or_insert(self.now);
+        self.users.unconfirmed_cancellations.remove(id);
+        self.users.tally.confirmed += 1;
+        self.users.fault_trigger = true;
     }
 
-    /// A successor's seat: it may load at once or only some steps later, and its watch cache lags.
-    pub(super) fn new_seat(&mut self, fencing_token: u64) -> Seat {
-        let heard = if self.rng.random_bool(0.5) {
+    /// Creates the membership of a successor, which loads its cluster state at once or later and whose watch cache may
+    /// lag.
+    pub(super) fn new_membership(&mut self, fencing_token: u64) -> LeaderMembership {
+        let observed_revision = if self.rng.random_bool(0.5) {
             fencing_token
         } else {
             fencing_token.saturating_sub(self.rng.random_range(1..9))
         };
-        let mut seat = Seat::new(heard, self.now, self.now);
+        let mut membership = LeaderMembership::new(observed_revision, self.now, self.now);
         if self.rng.random_bool(0.6) {
-            seat.load_at += Duration::from_millis(self.rng.random_range(200..12_000));
+            membership.load_at += Duration::from_millis(self.rng.random_range(200..12_000));
         }
-        seat
+        membership
     }
 
-    /// What a leader hears in this step. False if it does nothing else; none if it is one no more.
-    pub(super) fn hears(&mut self, i: usize, leader: &mut Leader, cut: bool) -> Option<bool> {
+    /// Updates a leader's knowledge of the store and the other controllers, and decides what it does in this step.
+    pub(super) fn run_membership(
+        &mut self,
+        i: usize,
+        leader: &mut Leader,
+        store_unreachable: bool,
+    ) -> MembershipOutcome {
         let (now, revision) = (self.now, self.store.revision());
-        if !cut {
-            let all = leader.news.first().map_or(revision, |news| news.revision.saturating_sub(1));
-            if all > leader.seat.heard && self.rng.random_bool(0.5) {
-                leader.seat.heard = all;
+        if !store_unreachable {
+            let delivered_revision =
+                leader.watch_events.first().map_or(revision, |event| event.revision.saturating_sub(1));
+            if delivered_revision > leader.membership.observed_revision && self.rng.random_bool(0.5) {
+                leader.membership.observed_revision = delivered_revision;
             }
-            if leader.seat.heard >= revision {
-                leader.seat.proof = Some(now);
-                leader.seat.unproven = false;
+            if leader.membership.observed_revision >= revision {
+                leader.membership.proven_at = Some(now);
+                leader.membership.unproven_since_pause = false;
             }
-            let assigned = self.users.leader_record(leader.seat.heard);
-            let other = assigned.is_some_and(|(_, version)| version > leader.cluster.fencing_token);
-            if other && std::mem::replace(&mut leader.seat.deposed, true) && self.rng.random_bool(0.3) {
+            let known = self.users.leader_record(leader.membership.observed_revision);
+            let other_leads = known.is_some_and(|(_, version)| version > leader.cluster.fencing_token);
+            if other_leads
+                && std::mem::replace(&mut leader.membership.successor_seen, true)
+                && self.rng.random_bool(0.3)
+            {
                 self.trace(&format!("leader {i} steps down"));
-                return None;
+                return MembershipOutcome::StepsDown;
             }
-            if !leader.cluster.loaded && leader.seat.load_at <= now && !other {
+            if !leader.cluster.loaded && leader.membership.load_at <= now && !other_leads {
                 leader.cluster.reset_for_load();
-                self.load(&mut leader.cluster);
-                self.trace(&format!("leader {i} loads at {revision}"));
-                leader.news.clear();
-                leader.seat.heard = revision;
-                leader.seat.unconfirmed = UnconfirmedCancellations::default();
-                leader.seat.unconfirmed.observe_end(revision, now);
-                leader.inherited = leader.cluster.machines.keys().cloned().collect();
-                self.users.moment = true;
+                self.load_stored_state(&mut leader.cluster);
+                self.trace(&format!("leader {i} loads its cluster state at {revision}"));
+                leader.watch_events.clear();
+                leader.membership.observed_revision = revision;
+                leader.membership.unconfirmed_ends = UnconfirmedCancellations::default();
+                leader.membership.unconfirmed_ends.observe_end(revision, now);
+                leader.inherited_machines = leader.cluster.machines.keys().cloned().collect();
+                self.users.fault_trigger = true;
             }
-            leader.cluster.record_known_ends(Some(leader.seat.heard));
-            leader.seat.watermark = leader.seat.watermark.max(self.users.stored_mark(leader.seat.heard));
+            leader.cluster.record_known_ends(Some(leader.membership.observed_revision));
+            leader.membership.watermark =
+                leader.membership.watermark.max(self.users.stored_watermark(leader.membership.observed_revision));
         }
         if let Some(watermark) = self.watermark(i, leader) {
-            leader.seat.watermark = leader.seat.watermark.max(watermark.revision);
-            self.tell_others(i, leader, watermark, cut);
+            leader.membership.watermark = leader.membership.watermark.max(watermark.revision);
+            self.announce_watermark(i, leader, watermark, store_unreachable);
+        }
+        if leader.cluster.loaded && !leader.membership.unproven_since_pause {
+            MembershipOutcome::Acts
+        } else {
+            MembershipOutcome::Waits
         }
-        Some(leader.cluster.loaded && !leader.seat.unproven)
     }
 
-    /// A leader heard of an end.
-    pub(super) fn heard_end(&self, leader: &mut Leader, id: &JobId, version: u64) {
-        if self.users.on && self.users.ended.contains_key(id) {
-            leader.seat.unconfirmed.observe_end(version, self.now);
+    /// Notes that a leader has observed the end of a job.
+    pub(super) fn observe_end_of(&self, leader: &mut Leader, id: &JobId, version: u64) {
+        if self.users.enabled && self.users.end_revisions.contains_key(id) {
+            leader.membership.unconfirmed_ends.observe_end(version, self.now);
         }
     }
 
-    /// As `Membership::watermark` has it.
+    /// Returns the watermark that the leader may announce, by the rule of `Membership::watermark`.
     fn watermark(&self, i: usize, leader: &mut Leader) -> Option<Watermark> {
-        let (of, version) = self.users.leader_record(leader.seat.heard)?;
-        let mine = of.incarnation == i.to_string() && version == leader.cluster.fencing_token;
-        (leader.cluster.loaded && mine).then_some(Watermark {
+        let (record, version) = self.users.leader_record(leader.membership.observed_revision)?;
+        let is_own = record.incarnation == i.to_string() && version == leader.cluster.fencing_token;
+        (leader.cluster.loaded && is_own).then_some(Watermark {
             fencing_token: leader.cluster.fencing_token,
             revision: leader.cluster.advance_watermark(),
         })
     }
 
-    fn tell_others(&mut self, i: usize, leader: &mut Leader, watermark: Watermark, cut: bool) {
+    /// Sends the watermark to the followers, and stores it if they have not acknowledged it in time.
+    fn announce_watermark(&mut self, i: usize, leader: &mut Leader, watermark: Watermark, store_unreachable: bool) {
         let now = self.now;
-        let alone = leader.cut.is_some() && !leader.seat.hears_others;
-        if leader.seat.next_line <= now && !alone {
-            leader.seat.next_line = now + LINES;
-            for f in 0..FOLLOWERS {
-                if self.users.followers[f].unheard_until <= now && !self.rng.random_bool(0.1) {
-                    self.send(Message::Line { from: i, to: f, watermark });
+        let isolated = leader.store_partition.is_some() && !leader.membership.reaches_peers;
+        if leader.membership.next_peer_message_at <= now && !isolated {
+            leader.membership.next_peer_message_at = now + PEER_MESSAGE_INTERVAL;
+            for f in 0..FOLLOWER_COUNT {
+                if self.users.followers[f].unreachable_until <= now && !self.rng.random_bool(0.1) {
+                    self.send(Message::PeerMessage { from: i, to: f, watermark });
                 }
             }
         }
-        let least = leader.seat.acknowledged.iter().copied().min().unwrap_or(0);
-        leader.seat.unconfirmed.confirmed(least, now);
-        if !cut && leader.seat.unconfirmed.due(now) {
-            // As `membership::storing` has it.
+        let acknowledged = leader.membership.acknowledged_revisions.iter().copied().min().unwrap_or(0);
+        leader.membership.unconfirmed_ends.confirmed(acknowledged, now);
+        if !store_unreachable && leader.membership.unconfirmed_ends.due(now) {
+            // As in `membership::storing`.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
             let conditions = [Condition::at(LEADER, watermark.fencing_token)];
-            let unanswered = self.slow() && self.rng.random_bool(0.4);
+            let unanswered = self.store_is_slow() && self.rng.random_bool(0.4);
             if unanswered {
                 let due = now + Duration::from_millis(self.rng.random_range(2000..12_000));
                 let changes = vec![Change::write(WATERMARK, value)];
                 self.messages.push((due, Message::CompareAndSwap { conditions: conditions.into(), changes }));
             } else if let Ok(version) = self.store.apply_if(&conditions, &[Change::write(WATERMARK, value)]) {
-                self.note_mark(version, watermark.revision);
-                leader.seat.unconfirmed.confirmed(watermark.revision, now);
+                self.record_stored_watermark(version, watermark.revision);
+                leader.membership.unconfirmed_ends.confirmed(watermark.revision, now);
             }
         }
     }
 
-    pub(super) fn note_mark(&mut self, version: u64, revision: u64) {
-        self.users.marks.push((version, revision));
-        self.users.tally.stored_marks += 1;
+    /// Records a watermark that was just stored.
+    pub(super) fn record_stored_watermark(&mut self, version: u64, revision: u64) {
+        self.users.stored_watermarks.push((version, revision));
+        self.users.tally.stored_watermarks += 1;
     }
 
-    /// A line of a leader arrives, and is acknowledged in the next one of the other.
-    pub(super) fn hear_line(&mut self, from: usize, to: usize, watermark: Watermark) {
-        let known = self.users.leader_record(self.users.followers[to].heard);
+    /// Delivers a peer message to a follower, whose next message acknowledges the watermark.
+    pub(super) fn deliver_peer_message(&mut self, from: usize, to: usize, watermark: Watermark) {
+        let known = self.users.leader_record(self.users.followers[to].observed_revision);
         let follower = &mut self.users.followers[to];
-        if follower.unheard_until > self.now {
+        if follower.unreachable_until > self.now {
             return;
         }
         let revision = accepted_watermark(&from.to_string(), Some(watermark), known.as_ref()).unwrap_or(0);
         follower.watermark = follower.watermark.max(revision);
         let acknowledged = follower.watermark;
         if let Some(leader) = self.leaders[from].as_mut().filter(|_| self.rng.random_bool(0.8)) {
-            leader.seat.acknowledged[to] = leader.seat.acknowledged[to].max(acknowledged);
+            leader.membership.acknowledged_revisions[to] =
+                leader.membership.acknowledged_revisions[to].max(acknowledged);
         }
     }
 
-    /// What this leader may answer with, by what it knows now.
+    /// Returns what this leader may answer heartbeats with, by what it knows now.
     pub(super) fn response_policy(&self, leader: &Leader) -> ResponsePolicy {
-        if !self.users.on {
+        if !self.users.enabled {
             return ResponsePolicy {
                 cluster_state_loaded: true,
                 leader_known: true,
@@ -347,58 +409,60 @@
                 store_answers: true,
             };
         }
-        let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| self.now - at);
-        let refused = since(leader.cut.map(|(at, _)| at)).max(since(self.users.out.map(|(at, _)| at)));
-        let alone = leader.cut.is_some() && !leader.seat.hears_others;
-        let (heard, answering) = if alone { (0, None) } else { self.users.others(self.now) };
-        let proof = leader.seat.proof.map(|at| self.now - at);
-        let seen = Observations { proof, refused, peers: FOLLOWERS, heard, answering };
-        let knows = seen.serving_state(Patience::of_leadership(LEADER_LEASE)).speaks();
-        let serves = refused < Duration::from_secs(2);
+        let time_since = |start: Option<Instant>| start.map_or(Duration::ZERO, |start| self.now - start);
+        let refused = time_since(leader.store_partition.map(|(start, _)| start))
+            .max(time_since(self.users.store_outage.map(|(start, _)| start)));
+        let isolated = leader.store_partition.is_some() && !leader.membership.reaches_peers;
+        let (heard, answering) = if isolated { (0, None) } else { self.users.reachable_followers(self.now) };
+        let proof = leader.membership.proven_at.map(|at| self.now - at);
+        let observations = Observations { proof, refused, peers: FOLLOWER_COUNT, heard, answering };
+        let leader_known = observations.serving_state(Patience::of_leadership(LEADER_LEASE)).speaks();
+        let store_answers = refused < Duration::from_secs(2);
         ResponsePolicy {
             cluster_state_loaded: leader.cluster.loaded,
-            leader_known: knows,
-            unproven_since_pause: leader.seat.unproven,
-            store_answers: serves,
+            leader_known,
+            unproven_since_pause: leader.membership.unproven_since_pause,
+            store_answers,
         }
     }
 
-    /// Jobs of a heartbeat that are over by this leader's watch cache (as `Membership::reported_ends` has it).
+    /// Returns the jobs of a heartbeat that have ended by this leader's watch cache, as `Membership::reported_ends` does.
     pub(super) fn reported_ends(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
         let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
-        attempts.filter(|id| self.users.over(id, leader.seat.heard)).cloned().collect()
+        attempts.filter(|id| self.users.has_ended(id, leader.membership.observed_revision)).cloned().collect()
     }
 
-    /// Whether this machine is answered at all.
-    pub(super) fn holds(&self, leader: &mut Leader, policy: ResponsePolicy, machine: &str) -> bool {
+    /// Whether this leader answers the machine and so renews its lease.
+    pub(super) fn renews_lease(&self, leader: &mut Leader, policy: ResponsePolicy, machine: &str) -> bool {
         let now = self.now;
         let spare = example().params.workers.spare();
-        let fresh = leader.seat.proof.is_some_and(|at| now - at < spare);
+        let fresh = leader.membership.proven_at.is_some_and(|at| now - at < spare);
         if policy.leader_known {
-            leader.seat.leader_searches.clear();
+            leader.membership.leader_searches.clear();
         }
-        let leader_searches = &mut leader.seat.leader_searches;
+        let leader_searches = &mut leader.membership.leader_searches;
         policy.renews_lease(
-            leader.seat.heard >= leader.cluster.fencing_token,
+            leader.membership.observed_revision >= leader.cluster.fencing_token,
             || fresh,
-            || leader_searches.holds(machine, FOLLOWERS, LEASE, now),
+            || leader_searches.holds(machine, FOLLOWER_COUNT, WORKER_LEASE, now),
         )
     }
 
-    /// A user of some controller: of a follower that the store serves, or of whoever thinks that it leads.
-    pub(super) fn cancel_somewhere(&mut self) {
+    /// Cancels a job through a follower that the store serves, or through a controller that considers itself the leader.
+    pub(super) fn cancel_through_any_controller(&mut self) {
         let open: Vec<JobId> = self.records.keys().filter(|id| self.store.has(&open_key(id))).cloned().collect();
-        if open.is_empty() || self.store_out() {
+        if open.is_empty() || self.store_is_out() {
             return;
         }
-        // Mostly one that runs.
-        let runs =
-            |id: &&JobId| self.workers.iter().any(|w| w.attempts.iter().any(|l| l.task.job == **id && w.live(&l.task)));
-        let running: Vec<JobId> = open.iter().filter(runs).cloned().collect();
-        let of = if running.is_empty() || self.rng.random_bool(0.2) { open } else { running };
-        let id = of[self.rng.random_range(0..of.len())].clone();
+        // Mostly a job that runs.
+        let is_running = |id: &&JobId| {
+            self.workers.iter().any(|w| w.attempts.iter().any(|l| l.task.job == **id && w.has_live_attempt(&l.task)))
+        };
+        let running: Vec<JobId> = open.iter().filter(is_running).cloned().collect();
+        let candidates = if running.is_empty() || self.rng.random_bool(0.2) { open } else { running };
+        let id = candidates[self.rng.random_range(0..candidates.len())].clone();
         if self.rng.random_bool(0.5) {
-            if self.users.followers.iter().any(|f| f.refused_until <= self.now) {
+            if self.users.followers.iter().any(|f| f.store_refused_until <= self.now) {
                 let due = self.now + Duration::from_millis(self.rng.random_range(1..150));
                 let sent = job_transactions::cancel_job(&self.records[&id], None, 0);
                 let (conditions, changes) = (sent.conditions, sent.changes);
@@ -406,88 +470,94 @@
             }
             return;
         }
-        let leads = |o: &Leader| o.cluster.loaded && o.cut.is_none() && o.frozen.is_none();
+        let may_lead = |o: &Leader| o.cluster.loaded && o.store_partition.is_none() && o.pause.is_none();
         let leaders: Vec<usize> =
-            (0..self.leaders.len()).filter(|i| self.leaders[*i].as_ref().is_some_and(leads)).collect();
+            (0..self.leaders.len()).filter(|i| self.leaders[*i].as_ref().is_some_and(may_lead)).collect();
         if leaders.is_empty() {
             return;
         }
-        let at = leaders[self.rng.random_range(0..leaders.len())];
-        let fencing_token = self.leaders[at].as_ref().expect("it leads").cluster.fencing_token;
+        let leader = leaders[self.rng.random_range(0..leaders.len())];
+        let fencing_token = self.leaders[leader].as_ref().expect("it leads").cluster.fencing_token;
         let sent = job_transactions::cancel_job(&self.records[&id], Some(fencing_token), 0);
-        if self.apply(&sent.conditions, &sent.changes).is_ok() && !(self.slow() && self.rng.random_bool(0.4)) {
-            self.send(Message::Cancelled { to: at, id, fencing_token });
+        if self.apply_transaction(&sent.conditions, &sent.changes).is_ok()
+            && !(self.store_is_slow() && self.rng.random_bool(0.4))
+        {
+            self.send(Message::CancellationStored { to: leader, id, fencing_token });
         }
     }
 
-    /// As `Membership::cancelled_by_leader` has it: told at once if the cluster state has it.
-    pub(super) fn cancelled_by_leader(&mut self, at: usize, id: &JobId, fencing_token: u64) {
+    /// Ends a job that a leader has cancelled for its own user, as `Membership::cancelled_by_leader` does. The cancellation
+    /// is confirmed at once if it is effective in the cluster state.
+    pub(super) fn cancelled_by_leader(&mut self, leader: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
-        let leader =
-            self.leaders[at].as_mut().filter(|o| o.cluster.loaded && o.cluster.first_fencing_token <= fencing_token);
+        let leader = self.leaders[leader]
+            .as_mut()
+            .filter(|o| o.cluster.loaded && o.cluster.first_fencing_token <= fencing_token);
         let Some(leader) = leader else { return };
         leader.cluster.end_job(id, Some(End::Cancelled), now);
         if leader.cluster.cancellation_effective(id) {
-            self.users.tally.told_by_leader += 1;
-            self.tell_user(id);
+            self.users.tally.confirmed_by_leader += 1;
+            self.confirm_cancellation(id);
         }
     }
 
-    /// Users ask again and again; followers hear of what is stored.
+    /// Ends a store outage that is over, updates the followers, and lets users query their unconfirmed cancellations.
     pub(super) fn run_users(&mut self) {
-        if !self.users.on {
+        if !self.users.enabled {
             return;
         }
         let (now, revision) = (self.now, self.store.revision());
-        if let Some((began, until)) = self.users.out
+        if let Some((began, until)) = self.users.store_outage
             && until <= now
         {
-            self.users.out = None;
-            self.users.back = now;
+            self.users.store_outage = None;
+            self.users.store_back_at = now;
             self.trace("the store is back");
-            self.users.tally.beyond_cancel += usize::from(now - began > CANCEL);
-            // Every lease has its full time again.
-            self.leads_from = self.leads_from.max(now + LEADER_LEASE);
+            self.users.tally.outages_past_deadline += usize::from(now - began > CANCELLATION_DEADLINE);
+            // After an outage every election lease has its full time again.
+            self.next_leader_from = self.next_leader_from.max(now + LEADER_LEASE);
         }
-        let out = self.store_out();
-        for f in 0..FOLLOWERS {
+        let out = self.store_is_out();
+        for f in 0..FOLLOWER_COUNT {
             let lags = self.rng.random_bool(0.6);
-            let refused = out || self.users.followers[f].refused_until > now;
+            let refused = out || self.users.followers[f].store_refused_until > now;
             let follower = &mut self.users.followers[f];
-            follower.served = if refused { None } else { Some(follower.served.unwrap_or(now)) };
+            follower.served_since = if refused { None } else { Some(follower.served_since.unwrap_or(now)) };
             if !refused && !lags {
-                follower.heard = revision;
+                follower.observed_revision = revision;
             }
-            let mark = self.users.stored_mark(self.users.followers[f].heard);
+            let stored_watermark = self.users.stored_watermark(self.users.followers[f].observed_revision);
             let follower = &mut self.users.followers[f];
-            follower.watermark = follower.watermark.max(mark);
+            follower.watermark = follower.watermark.max(stored_watermark);
         }
-        let hidden: Vec<(JobId, u64)> = self.users.hidden.iter().map(|(id, version)| (id.clone(), *version)).collect();
-        for (id, version) in hidden {
+        let unconfirmed: Vec<(JobId, u64)> =
+            self.users.unconfirmed_cancellations.iter().map(|(id, version)| (id.clone(), *version)).collect();
+        for (id, version) in unconfirmed {
             if !self.rng.random_bool(0.3) {
                 continue;
             }
-            // Anybody is asked, also the leaders; the version is known to who stored it, and told by the store.
-            let leaders = self.leaders.iter().flatten().filter(|o| o.frozen.is_none()).map(|o| o.seat.watermark);
-            let answers: Vec<u64> = self.users.followers.iter().map(|f| f.watermark).chain(leaders).collect();
-            let watermark = answers[self.rng.random_range(0..answers.len())];
+            // Any controller is queried, also the leaders. The version of the end is known from the store.
+            let leaders = self.leaders.iter().flatten().filter(|o| o.pause.is_none()).map(|o| o.membership.watermark);
+            let watermarks: Vec<u64> = self.users.followers.iter().map(|f| f.watermark).chain(leaders).collect();
+            let watermark = watermarks[self.rng.random_range(0..watermarks.len())];
             match end_visibility(End::Cancelled, false, Some(version), watermark) {
-                EndVisibility::Visible => self.tell_user(&id),
-                EndVisibility::NotYet | EndVisibility::Unknown => self.users.tally.not_told += 1,
+                EndVisibility::Visible => self.confirm_cancellation(&id),
+                EndVisibility::NotYet | EndVisibility::Unknown => self.users.tally.not_confirmed += 1,
             }
         }
     }
 
-    /// A process that has just begun knows nothing.
-    pub(super) fn begin_follower(&mut self, f: usize) {
+    /// Restarts a follower, which then knows nothing.
+    pub(super) fn restart_follower(&mut self, f: usize) {
         let follower = &mut self.users.followers[f];
-        (follower.heard, follower.watermark, follower.served) = (0, 0, None);
+        (follower.observed_revision, follower.watermark, follower.served_since) = (0, 0, None);
     }
 
-    /// Machines that hold a live task of what has ended.
-    pub(super) fn busy_with_ended(&self) -> BTreeSet<usize> {
-        let over = |id: &JobId| self.users.ended.contains_key(id);
-        let holds = |w: &&Worker| w.attempts.iter().any(|l| over(&l.task.job) && w.live(&l.task));
-        (0..self.workers.len()).filter(|w| holds(&&self.workers[*w])).collect()
+    /// Returns the workers with a live task of an ended job.
+    pub(super) fn workers_with_ended_tasks(&self) -> BTreeSet<usize> {
+        let job_ended = |id: &JobId| self.users.end_revisions.contains_key(id);
+        let has_ended_task =
+            |w: &&Worker| w.attempts.iter().any(|l| job_ended(&l.task.job) && w.has_live_attempt(&l.task));
+        (0..self.workers.len()).filter(|w| has_ended_task(&&self.workers[*w])).collect()
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/workers.rs
+++ b/src/scheduling/tests/interleaved_simulation/workers.rs
@@ -1,43 +1,47 @@
-//! The model's workers, which check the rules at every start.
+//! The model's workers, which check the rules whenever a task starts.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use rand::Rng;
 
-use super::jobs::bad;
+use super::jobs::always_fails;
 use super::messages::{Message, SentHeartbeat};
-use super::store::ended;
+use super::store::has_ended;
 use super::world::World;
-use super::{ANSWER_TAKEN, CANCEL, LEASE};
+use super::{ANSWER_TIMEOUT, CANCELLATION_DEADLINE, WORKER_LEASE};
 use crate::jobs::record::{StoredTask, TASKS_PER_SHARD, decode_shard, shard_key};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand};
 
+/// A worker and the faults that affect it.
 pub(super) struct Worker {
     pub(super) id: String,
     pub(super) agent_epoch: u64,
     pub(super) seq: u64,
     pub(super) fencing_token: u64,
     pub(super) attempts: Vec<AttemptReport>,
-    pub(super) ends_at: HashMap<TaskKey, Instant>,
-    /// Forgotten in this agent epoch: a launch of these would start them again.
+    pub(super) task_ends_at: HashMap<TaskKey, Instant>,
+    /// Attempts that were reaped in this agent epoch; a launch of one would start it again.
     pub(super) reaped: HashSet<(TaskKey, u64)>,
-    pub(super) renewed: Instant,
-    pub(super) next_report: Instant,
-    pub(super) waits_until: Option<Instant>,
+    /// When the heartbeat was sent that was answered last.
+    pub(super) lease_renewed_at: Instant,
+    pub(super) next_heartbeat_at: Instant,
+    /// While the worker awaits an answer it sends no heartbeat.
+    pub(super) awaits_answer_until: Option<Instant>,
     pub(super) hangs_until: Instant,
-    /// Answers and commands do not reach it, while its heartbeats arrive.
+    /// One-way partition: until then heartbeats arrive, but answers and commands are lost.
     pub(super) inbound_lost_until: Instant,
-    /// Answers in a row that it did not hear, and the leader that gave them.
-    pub(super) unheard: (usize, u32),
-    /// Heartbeats to this leader, which answers it, whoever leads by now.
-    pub(super) home: Option<usize>,
-    /// Cut off until then with its home: others' commands are held back, and it finds nobody else.
-    pub(super) apart_until: Instant,
-    /// Reaches no controller until then, while direct commands and their replies go through.
+    /// The leader that answered last, and the number of its consecutive answers that the worker did not hear.
+    pub(super) unheard_answers: (usize, u32),
+    /// The leader that the worker sends heartbeats to as long as it answers, whichever controller leads.
+    pub(super) preferred_leader: Option<usize>,
+    /// Until then the worker is partitioned together with its preferred leader: it reaches no other controller, and
+    /// commands of others are delayed.
+    pub(super) partitioned_until: Instant,
+    /// Until then heartbeats reach no controller, while direct commands and their replies are delivered.
     pub(super) outbound_lost_until: Instant,
-    pub(super) gone: bool,
-    pub(super) gone_at: Option<Instant>,
+    pub(super) terminated: bool,
+    pub(super) terminated_at: Option<Instant>,
 }
 
 impl Worker {
@@ -48,22 +52,23 @@
             seq: 0,
             fencing_token: 0,
             attempts: Vec::new(),
-            ends_at: HashMap::new(),
+            task_ends_at: HashMap::new(),
             reaped: HashSet::new(),
-            renewed: now,
-            next_report: now,
-            waits_until: None,
+            lease_renewed_at: now,
+            next_heartbeat_at: now,
+            awaits_answer_until: None,
             hangs_until: now,
             inbound_lost_until: now,
-            unheard: (0, 0),
-            home: None,
-            apart_until: now,
+            unheard_answers: (0, 0),
+            preferred_leader: None,
+            partitioned_until: now,
             outbound_lost_until: now,
-            gone: false,
-            gone_at: None,
+            terminated: false,
+            terminated_at: None,
         }
     }
 
+    /// Returns the worker's next heartbeat.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
@@ -80,25 +85,27 @@
         }
     }
 
-    /// When its lease is over it kills and forgets what it runs, and goes on with the next agent epoch.
-    pub(super) fn end_lease(&mut self, now: Instant) {
-        if now - self.renewed > LEASE {
+    /// Kills and forgets all tasks if the lease has expired, and continues in the next agent epoch.
+    pub(super) fn expire_overdue_lease(&mut self, now: Instant) {
+        if now - self.lease_renewed_at > WORKER_LEASE {
             self.agent_epoch += 1;
             self.attempts.clear();
             self.reaped.clear();
-            (self.renewed, self.waits_until) = (now, None);
+            (self.lease_renewed_at, self.awaits_answer_until) = (now, None);
         }
     }
 
-    pub(super) fn live(&self, task: &TaskKey) -> bool {
-        !self.gone && self.attempts.iter().any(|l| l.task == *task && l.status != AttemptStatus::Exited)
+    /// Whether an attempt of this task is live on the worker.
+    pub(super) fn has_live_attempt(&self, task: &TaskKey) -> bool {
+        !self.terminated && self.attempts.iter().any(|l| l.task == *task && l.status != AttemptStatus::Exited)
     }
 }
 
 impl World {
-    pub(super) fn execute(&mut self, w: usize, orders: Vec<WorkerCommand>) {
-        for order in orders {
-            match order {
+    /// Executes commands on a worker.
+    pub(super) fn execute(&mut self, w: usize, commands: Vec<WorkerCommand>) {
+        for command in commands {
+            match command {
                 WorkerCommand::Launch { task, attempt } => self.launch(w, task, attempt),
                 WorkerCommand::Halt { task, attempt, .. } => {
                     for attempt_report in &mut self.workers[w].attempts {
@@ -114,8 +121,8 @@
                 WorkerCommand::Reap { task, attempt } => {
                     let exited =
                         |l: &AttemptReport| l.task == task && l.attempt == attempt && l.status == AttemptStatus::Exited;
-                    let Some(at) = self.workers[w].attempts.iter().position(exited) else { continue };
-                    let attempt_report = self.workers[w].attempts.remove(at);
+                    let Some(index) = self.workers[w].attempts.iter().position(exited) else { continue };
+                    let attempt_report = self.workers[w].attempts.remove(index);
                     if attempt_report.cause == Some(ExitCause::Done) {
                         self.check_reap(&task);
                     }
@@ -125,79 +132,89 @@
         }
     }
 
+    /// Starts an attempt on a worker and checks the rules for a start.
     fn launch(&mut self, w: usize, task: TaskKey, attempt: u64) {
         if self.workers[w].attempts.iter().any(|l| l.task == task && l.attempt == attempt) {
             return;
         }
         let mut attempt_report =
             AttemptReport { task: task.clone(), attempt, status: AttemptStatus::Running, cause: None, saved: None };
-        if self.workers[w].live(&task) {
+        if self.workers[w].has_live_attempt(&task) {
             (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Busy));
             self.workers[w].attempts.push(attempt_report);
             return;
         }
-        // The rules, at the moment of a start.
-        let elsewhere = self.workers.iter().find(|o| o.live(&task));
-        assert!(elsewhere.is_none(), "ran twice: {task:?} on {} and {}", self.workers[w].id, elsewhere.unwrap().id);
-        if let Some(at) = self.cancelled.get(&task.job) {
-            assert!(!self.users.on, "started {task:?} though its user was told that it is withdrawn");
-            assert!(self.now - *at < CANCEL, "started {task:?} long after its withdrawal");
+        // Rules at a start: the task runs nowhere else, its job is not cancelled, and the attempt was not reaped.
+        let other = self.workers.iter().find(|o| o.has_live_attempt(&task));
+        assert!(other.is_none(), "{task:?} runs twice: on {} and {}", self.workers[w].id, other.unwrap().id);
+        if let Some(since) = self.cancelled_since.get(&task.job) {
+            assert!(!self.users.enabled, "{task:?} started after its cancellation was confirmed");
+            assert!(self.now - *since < CANCELLATION_DEADLINE, "{task:?} started past the cancellation deadline");
         }
-        let again = self.workers[w].reaped.contains(&(task.clone(), attempt));
-        assert!(!again, "started again after its reap: {task:?} attempt {attempt}");
-        self.starts += 1;
-        let mut run = Duration::from_millis(self.rng.random_range(100..6000));
-        if self.users.on && !self.quiet && self.rng.random_bool(0.3) {
-            // Only a stop ends these in time.
-            run = Duration::from_secs(self.rng.random_range(40..120));
+        let already_reaped = self.workers[w].reaped.contains(&(task.clone(), attempt));
+        assert!(!already_reaped, "{task:?} attempt {attempt} started again after it was reaped");
+        self.started_attempts += 1;
+        let mut runtime = Duration::from_millis(self.rng.random_range(100..6000));
+        if self.users.enabled && !self.fault_free && self.rng.random_bool(0.3) {
+            // Some tasks run so long that only a stop command ends them before the cancellation deadline.
+            runtime = Duration::from_secs(self.rng.random_range(40..120));
         }
-        self.workers[w].ends_at.insert(task, self.now + run);
+        self.workers[w].task_ends_at.insert(task, self.now + runtime);
         self.workers[w].attempts.push(attempt_report);
     }
 
-    /// A completion is stored, or its job over, before a worker may forget it.
+    /// Checks that a completion that is reaped is stored, or that its job has ended.
     fn check_reap(&self, task: &TaskKey) {
         let shard = shard_key(&task.job, u64::from(task.index) / TASKS_PER_SHARD);
         let stored = self.store.value(&shard).and_then(decode_shard);
         let done = stored.is_some_and(|t| t[task.index as usize % TASKS_PER_SHARD as usize] == StoredTask::Done);
-        assert!(done || ended(&self.store, &task.job), "reaped before it was stored: {task:?}");
+        assert!(
+            done || has_ended(&self.store, &task.job),
+            "the completion of {task:?} was reaped before it was stored"
+        );
     }
 
+    /// Runs the workers for a step: expired leases, exits of tasks and heartbeats.
     pub(super) fn run_workers(&mut self) {
         for w in 0..self.workers.len() {
-            if self.workers[w].gone || self.workers[w].hangs_until > self.now {
+            if self.workers[w].terminated || self.workers[w].hangs_until > self.now {
                 continue;
             }
             let now = self.now;
             let worker = &mut self.workers[w];
-            worker.end_lease(now);
+            worker.expire_overdue_lease(now);
             for attempt_report in worker.attempts.iter_mut().filter(|l| l.status == AttemptStatus::Running) {
-                if worker.ends_at.get(&attempt_report.task).is_some_and(|t| *t <= now) {
-                    if bad(&attempt_report.task.job) {
+                if worker.task_ends_at.get(&attempt_report.task).is_some_and(|t| *t <= now) {
+                    if always_fails(&attempt_report.task.job) {
                         (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Error));
-                        self.failures += 1;
+                        self.failed_attempts += 1;
                         continue;
                     }
                     (attempt_report.status, attempt_report.cause) = (AttemptStatus::Exited, Some(ExitCause::Done));
                     self.completed.insert(attempt_report.task.clone());
                 }
             }
-            if worker.waits_until.is_some_and(|t| t <= now) {
-                worker.waits_until = None;
+            if worker.awaits_answer_until.is_some_and(|t| t <= now) {
+                worker.awaits_answer_until = None;
             }
-            if worker.waits_until.is_none() && worker.next_report <= now && worker.outbound_lost_until > now {
-                // Connects to nobody; the next a second later.
-                worker.next_report = now + Duration::from_secs(1);
-            } else if worker.waits_until.is_none() && worker.next_report <= now {
-                worker.waits_until = Some(now + ANSWER_TAKEN);
-                worker.next_report = now + Duration::from_secs(3);
+            if worker.awaits_answer_until.is_none()
+                && worker.next_heartbeat_at <= now
+                && worker.outbound_lost_until > now
+            {
+                // The worker reaches no controller and tries again a second later.
+                worker.next_heartbeat_at = now + Duration::from_secs(1);
+            } else if worker.awaits_answer_until.is_none() && worker.next_heartbeat_at <= now {
+                worker.awaits_answer_until = Some(now + ANSWER_TIMEOUT);
+                worker.next_heartbeat_at = now + Duration::from_secs(3);
                 let heartbeat = worker.heartbeat();
-                // Some workers still know only the deposed leader.
-                let back = if self.quiet { 0 } else { usize::from(self.rng.random_bool(0.2)) };
-                let apart = self.workers[w].apart_until > now;
-                let home = self.workers[w].home.filter(|home| apart || self.leaders[*home].is_some());
-                let to = home.unwrap_or(self.leader.saturating_sub(back));
-                self.copy_late(&heartbeat);
+                // Some workers know only the deposed leader yet.
+                let leaders_behind = if self.fault_free { 0 } else { usize::from(self.rng.random_bool(0.2)) };
+                let partitioned = self.workers[w].partitioned_until > now;
+                let preferred_leader = self.workers[w]
+                    .preferred_leader
+                    .filter(|preferred| partitioned || self.leaders[*preferred].is_some());
+                let to = preferred_leader.unwrap_or(self.leader.saturating_sub(leaders_behind));
+                self.send_late_copies(&heartbeat);
                 self.send(Message::Heartbeat(SentHeartbeat { to, heartbeat, sent: now, copy: false }));
             }
         }
--- a/src/scheduling/tests/interleaved_simulation/world.rs
+++ b/src/scheduling/tests/interleaved_simulation/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: store, workers, leaders, messages on their way, and what the checks remember.
+//! The state of the model: the store, the workers, the leaders, the messages in transit, and the records for the checks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -18,45 +18,54 @@
 use crate::machine_kinds::{Catalog, MachineType};
 use crate::protocol::workers::TaskKey;
 
+/// A simulated cluster with its controllers, store, cloud and users.
 pub(super) struct World {
     pub(super) rng: StdRng,
     pub(super) start: Instant,
     pub(super) now: Instant,
     pub(super) store: Store,
     pub(super) workers: Vec<Worker>,
+    /// All controllers that have led, by the order of their elections; none once one has ended or steps down.
     pub(super) leaders: Vec<Option<Leader>>,
+    /// Index of the leader that was elected last.
     pub(super) leader: usize,
-    /// Who came back at the address of a process that was ended.
-    pub(super) reborn: HashMap<usize, usize>,
-    /// The lease of an ended lease holder runs until then.
-    pub(super) leads_from: Instant,
+    /// Leaders that have ended, and the leader that is reached at the same address now.
+    pub(super) restarted_as: HashMap<usize, usize>,
+    /// Earliest time of the next election: until then the election lease of a leader that has ended is valid.
+    pub(super) next_leader_from: Instant,
+    /// Messages in transit with their delivery times.
     pub(super) messages: Vec<(Instant, Message)>,
-    /// Direct commands that were answered or given up, whichever came first.
-    pub(super) over: HashSet<u64>,
-    pub(super) commands: u64,
+    /// Ids of direct commands that were answered or timed out, whichever came first.
+    pub(super) settled_commands: HashSet<u64>,
+    pub(super) last_command_id: u64,
     pub(super) records: BTreeMap<JobId, Arc<JobRecord>>,
-    pub(super) cancelled: HashMap<JobId, Instant>,
-    /// When each end was stored.
+    /// When each cancellation was confirmed to its user, or stored where the model has no users.
+    pub(super) cancelled_since: HashMap<JobId, Instant>,
+    /// When the end of each job was stored.
     pub(super) ended_since: HashMap<JobId, Instant>,
     pub(super) completed: HashSet<TaskKey>,
     pub(super) catalog: Catalog,
-    pub(super) starts: usize,
+    pub(super) started_attempts: usize,
     pub(super) process_pauses: usize,
-    pub(super) copies: usize,
-    pub(super) inbound_lost: usize,
-    pub(super) cuts: usize,
-    pub(super) restarts: usize,
-    pub(super) failures: usize,
-    pub(super) machines: usize,
-    pub(super) jobs: usize,
-    pub(super) quiet: bool,
+    pub(super) late_copies: usize,
+    pub(super) inbound_partitions: usize,
+    pub(super) leader_partitions: usize,
+    pub(super) leader_restarts: usize,
+    pub(super) failed_attempts: usize,
+    /// Number of machines; each terminated one is replaced.
+    pub(super) machine_count: usize,
+    /// Jobs that are submitted at most.
+    pub(super) max_jobs: usize,
+    /// No more faults are drawn, and messages are neither delayed for long nor duplicated.
+    pub(super) fault_free: bool,
     pub(super) users: Users,
 }
 
 impl World {
+    /// Creates a world without users, with this number of machines and a first leader.
     pub(super) fn new(seed: u64, machines: usize) -> Self {
         let start = Instant::now() + Duration::from_secs(3600);
-        let of = MachineType { boot_s: 10.0, ..machine_type("t", 4.0, 0.0, 1.0) };
+        let machine_type = MachineType { boot_s: 10.0, ..machine_type("t", 4.0, 0.0, 1.0) };
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
             start,
@@ -65,26 +74,26 @@
             workers: (0..machines).map(|n| Worker::new(n, start)).collect(),
             leaders: Vec::new(),
             leader: 0,
-            reborn: HashMap::new(),
-            leads_from: start,
+            restarted_as: HashMap::new(),
+            next_leader_from: start,
             messages: Vec::new(),
-            over: HashSet::new(),
-            commands: 0,
+            settled_commands: HashSet::new(),
+            last_command_id: 0,
             records: BTreeMap::new(),
-            cancelled: HashMap::new(),
+            cancelled_since: HashMap::new(),
             ended_since: HashMap::new(),
             completed: HashSet::new(),
-            catalog: Catalog { types: vec![of] },
-            starts: 0,
+            catalog: Catalog { types: vec![machine_type] },
+            started_attempts: 0,
             process_pauses: 0,
-            copies: 0,
-            inbound_lost: 0,
-            cuts: 0,
-            restarts: 0,
-            failures: 0,
-            machines,
-            jobs: machines * 2 + 2,
-            quiet: false,
+            late_copies: 0,
+            inbound_partitions: 0,
+            leader_partitions: 0,
+            leader_restarts: 0,
+            failed_attempts: 0,
+            machine_count: machines,
+            max_jobs: machines * 2 + 2,
+            fault_free: false,
             users: Users::new(false, start),
         };
         world.take_over();
