--- a/src/controller.rs
+++ b/src/controller.rs
@@ -17,7 +17,7 @@
 use crate::history::job_history::JobHistory;
 use crate::history::reader::{self, HistoryReader};
 use crate::machine_kinds::SharedCatalog;
-use crate::membership::{self, Membership, SHARE_EVERY, mesh};
+use crate::membership::{self, Membership, SHARE_INTERVAL, mesh};
 use crate::process_pause::BEAT;
 use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
@@ -80,7 +80,7 @@
         // Weak, since the controller owns the membership that keeps this.
         let weak = Arc::downgrade(&controller);
         let start = move || Weak::upgrade(&weak).map(|this| this.start_leader_loops()).unwrap_or_default();
-        controller.membership.start_leader_loops_with(start);
+        controller.membership.set_leader_loops(start);
         controller
     }
 
@@ -104,8 +104,8 @@
         let membership = self.membership.clone();
         tokio::spawn(async move {
             loop {
-                tokio::time::sleep(SHARE_EVERY).await;
-                membership.share();
+                tokio::time::sleep(SHARE_INTERVAL).await;
+                membership.update_store_shares();
             }
         });
         let membership = self.membership.clone();
@@ -149,7 +149,7 @@
         ]);
         held.push(("served", self.leader.accounting().entry_count()));
         held.push(("in_admission", lock(&self.users.admission).waiting()));
-        held.extend(self.membership.held());
+        held.extend(self.membership.entry_counts());
         if let Some(cluster) = self.leader.cluster().as_ref() {
             held.extend(cluster.entry_counts());
         }
--- a/src/controller/state_owners.rs
+++ b/src/controller/state_owners.rs
@@ -10,7 +10,7 @@
 use crate::history::job_history::JobHistory;
 use crate::jobs::admission::Admission;
 use crate::machine_kinds::SharedCatalog;
-use crate::membership::{Membership, REQUESTS, WRITES, first_budget};
+use crate::membership::{Membership, REQUEST_SHARES, WRITE_SHARES, initial_budget};
 use crate::protocol::Http;
 use crate::scheduling::commit::GroupCommit;
 use crate::scheduling::leader_state::LeaderState;
@@ -147,8 +147,8 @@
 /// The state service, with what a controller begins with of its limits.
 fn state_store(settings: &Settings, http: Http, traffic: Arc<Traffic>, now: Instant) -> StateStore {
     let (limits, others) = (&settings.params.state, settings.peers.len());
-    let requests = first_budget(REQUESTS, limits.rps, others, now);
-    let writes = first_budget(WRITES, limits.write_rps, others, now);
+    let requests = initial_budget(REQUEST_SHARES, limits.rps, others, now);
+    let writes = initial_budget(WRITE_SHARES, limits.write_rps, others, now);
     let client = StateClient::new(http, settings.endpoints.state.clone(), requests, writes, traffic);
     StateStore::new(Arc::new(client))
 }
--- a/src/membership/confirmation.rs
+++ b/src/membership/confirmation.rs
@@ -33,24 +33,25 @@
         let watermark = self.watermark()?;
         let acknowledged = lock(&self.peer_states).acknowledged(&self.settings.peers, now);
         let mut unconfirmed = lock(&self.unconfirmed);
-        unconfirmed.confirmed(acknowledged, now);
-        (unconfirmed.due(now) || unconfirmed.peer_lags(acknowledged, watermark.revision, now)).then_some(watermark)
+        unconfirmed.record_confirmed(acknowledged, now);
+        (unconfirmed.take_store_due(now) || unconfirmed.peer_lags(acknowledged, watermark.revision, now))
+            .then_some(watermark)
     }
 
     /// Every controller can read a watermark this high.
-    pub fn confirmed(&self, watermark: u64, now: Instant) {
-        lock(&self.unconfirmed).confirmed(watermark, now);
+    pub fn record_confirmed(&self, watermark: u64, now: Instant) {
+        lock(&self.unconfirmed).record_confirmed(watermark, now);
     }
 
     /// The fencing token under which a cancellation that is stored by this leader may be told at once.
-    pub fn cancels_under(&self) -> Option<u64> {
+    pub fn cancellation_fencing_token(&self) -> Option<u64> {
         self.leader.cluster().as_ref().filter(|b| b.loaded).map(|b| b.fencing_token)
     }
 
     /// A cancellation was stored while this controller led under this fencing token. True if its cluster state has it
     /// now, no machine may run it for an earlier leader, and no launch of it is in flight: a leader that came since has
     /// read it.
-    pub fn cancelled_by_leader(&self, id: &JobId, fencing_token: u64) -> bool {
+    pub fn apply_cancellation(&self, id: &JobId, fencing_token: u64) -> bool {
         let mut held = self.leader.cluster();
         let Some(cluster) = held.as_mut().filter(|b| b.loaded && b.first_fencing_token <= fencing_token) else {
             return false;
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -304,7 +304,7 @@
 async fn store_watermark(membership: &Membership, watermark: Watermark) {
     let (condition, change) = watermark_write(watermark);
     match membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await {
-        Ok(CompareAndSwapOutcome::Applied(_)) => membership.confirmed(watermark.revision, Instant::now()),
+        Ok(CompareAndSwapOutcome::Applied(_)) => membership.record_confirmed(watermark.revision, Instant::now()),
         outcome => debug!(?outcome, "watermark write failed"),
     }
 }
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -50,7 +50,7 @@
     }
 
     /// Entries that are remembered of peers and workers, for display.
-    pub fn held(&self) -> [(&'static str, usize); 3] {
+    pub fn entry_counts(&self) -> [(&'static str, usize); 3] {
         [
             ("counts_heard", lock(&self.peer_states).counts.len()),
             ("stranded", lock(&self.unreachable_leader).remembered()),
--- a/src/membership/judgement.rs
+++ b/src/membership/judgement.rs
@@ -4,7 +4,7 @@
 
 use tracing::warn;
 
-use super::serving_state::{Observations, Patience, ServingState};
+use super::serving_state::{FreshnessLimits, Observations, ServingState};
 use super::state::Membership;
 use crate::sync::lock;
 
@@ -26,7 +26,7 @@
     pub fn can_answer(&self) -> bool {
         let now = Instant::now();
         self.store.watch_cache().is_ready()
-            && self.observations(now).serving_state(Patience::of_health(0)) == ServingState::Fresh
+            && self.observations(now).serving_state(FreshnessLimits::for_health_check(0)) == ServingState::Fresh
     }
 
     /// Healthy: has read the store once, and is not one that cannot answer where others may.
@@ -43,17 +43,19 @@
 
     /// Whether what is known here of who leads may be acted on towards workers.
     pub fn knows_leader(&self, now: Instant) -> bool {
-        self.observations(now).serving_state(Patience::of_leadership(self.properties.election_lease)).speaks()
+        self.observations(now)
+            .serving_state(FreshnessLimits::for_leadership(self.properties.election_lease))
+            .may_answer()
     }
 
     /// Whether this machine is held by a leader that may be one no more (`membership::serving_state`).
-    pub fn holds(&self, machine: &str, now: Instant) -> bool {
+    pub fn must_hold_worker(&self, machine: &str, now: Instant) -> bool {
         let (others, lease) = (self.settings.peers.len(), self.settings.params.workers.lease());
         let mut leader_searches = lock(&self.leader_searches);
         if leader_searches.begins() {
             warn!("leadership unproven; releasing workers that report and holding those that return");
         }
-        leader_searches.holds(machine, others, lease, now)
+        leader_searches.must_hold(machine, others, lease, now)
     }
 
     /// A leader that knows no end that was stored since its last proof may hold machines for so long that
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -34,7 +34,7 @@
             Instant::now(),
         ));
         drop(held);
-        self.share();
+        self.update_store_shares();
         let Some(start) = self.start_leader_loops.get() else { return };
         lock(&self.leader_tasks).extend(start());
     }
@@ -50,7 +50,7 @@
             for task in lock(&self.leader_tasks).drain(..) {
                 task.abort();
             }
-            self.share();
+            self.update_store_shares();
         }
     }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -41,4 +41,4 @@
 pub(crate) use election::{leader_record_write, lease_acquisition, lease_removal};
 pub use reported_ends::ReportedEnds;
 pub use state::Membership;
-pub(crate) use store_shares::{REQUESTS, SHARE_EVERY, WRITES, first_budget};
+pub(crate) use store_shares::{REQUEST_SHARES, SHARE_INTERVAL, WRITE_SHARES, initial_budget};
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether a question read now was most likely given up by who asked it, while this process was paused.
-    pub fn stale_question(&self) -> bool {
+    pub fn is_stale_request(&self) -> bool {
         let now = Instant::now();
         self.detect_pause(now);
         lock(&self.pause_detector).last().is_some_and(|pause| pause.stale_question(now))
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -39,7 +39,7 @@
 
 /// How long it may take until something counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct FreshnessLimits {
     /// From this age on the last proof of freshness does not count any more.
     pub proof: Duration,
     /// After this long without any answer of the state service a recent proof does not count either.
@@ -49,17 +49,17 @@
     pub answering: Duration,
 }
 
-impl Patience {
+impl FreshnessLimits {
     /// Until the load balancer is told to send users elsewhere: longer after each time of late, since it waits
     /// twice as long after each before it comes back (up to 60 s).
-    pub fn of_health(removals: u32) -> Self {
+    pub fn for_health_check(removals: u32) -> Self {
         let longer = |s: u64| Duration::from_secs((s << removals.min(4)).min(20));
         Self { proof: longer(5), refused: longer(2), answering: Duration::from_secs(2) }
     }
 
     /// Until workers are let go: another may lead once the election lease is over, and a proof may be late by
     /// its own pause and one answer that never came.
-    pub fn of_leadership(election_lease: Duration) -> Self {
+    pub fn for_leadership(election_lease: Duration) -> Self {
         let proof = election_lease.max(Duration::from_secs(2)) + Duration::from_secs(3);
         Self { proof, refused: proof, answering: election_lease }
     }
@@ -67,7 +67,7 @@
 
 impl Observations {
     /// The state that follows from the observations and from how long each may take to count.
-    pub fn serving_state(&self, patience: Patience) -> ServingState {
+    pub fn serving_state(&self, patience: FreshnessLimits) -> ServingState {
         let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
         match self {
             _ if knows => ServingState::Fresh,
@@ -81,7 +81,7 @@
 impl ServingState {
     /// Whether users are sent here, and workers held or sent on as the watch cache has it. In an outage the load
     /// balancer must have someone, and leadership cannot change.
-    pub fn speaks(self) -> bool {
+    pub fn may_answer(self) -> bool {
         matches!(self, Self::Fresh | Self::Outage)
     }
 }
@@ -100,10 +100,10 @@
     /// Whether users are to be sent here now; to be asked about once a second.
     pub fn judge(&mut self, begun: bool, seen: Observations, now: Instant) -> bool {
         self.removed.retain(|at| now.saturating_duration_since(*at) < REMEMBERED);
-        let patience = Patience::of_health(self.removed.len() as u32);
+        let patience = FreshnessLimits::for_health_check(self.removed.len() as u32);
         // Whoever is out comes back by what it can do now, not by a longer patience.
-        let patience = if self.out { Patience::of_health(0) } else { patience };
-        let well = begun && seen.serving_state(patience).speaks();
+        let patience = if self.out { FreshnessLimits::for_health_check(0) } else { patience };
+        let well = begun && seen.serving_state(patience).may_answer();
         if begun && !well && !self.out {
             self.removed.push(now);
         }
@@ -135,7 +135,7 @@
 
 impl LeaderSearches {
     /// Whether this machine is to be held. `lease` is its own; `others` how many controllers it may ask.
-    pub fn holds(&mut self, machine: &str, others: usize, lease: Duration, now: Instant) -> bool {
+    pub fn must_hold(&mut self, machine: &str, others: usize, lease: Duration, now: Instant) -> bool {
         // Its lease must outlast a round, or it would lose its work by looking.
         let round = ROUND * others as u32 + Duration::from_secs(1);
         if others == 0 || round > lease.mul_f64(0.75) {
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn what_each_may_say_by_cases() {
     use ServingState::*;
-    let (health, leader) = (Patience::of_health(0), Patience::of_leadership(s(3)));
+    let (health, leader) = (FreshnessLimits::for_health_check(0), FreshnessLimits::for_leadership(s(3)));
     // (name, proof, refused for, heard of two others, one answering for, towards users, towards workers)
     for (name, proof, refused, heard, answering, users, workers) in [
         ("all well", Some(1), 0, 2, Some(99), Fresh, Fresh),
@@ -79,7 +79,7 @@
         let mut found = None;
         while at < 200 && found.is_none() {
             match node {
-                0 if leader_searches.holds("m", 2, lease, start + s(at)) => {
+                0 if leader_searches.must_hold("m", 2, lease, start + s(at)) => {
                     answered = at;
                     at += 1;
                     continue;
@@ -96,5 +96,5 @@
         assert!(found <= found_by, "{name}: {found:?}");
         assert_eq!(leader_searches.remembered(), 1);
     }
-    assert!(LeaderSearches::default().holds("m", 4, lease, Instant::now()), "a round would outlast its lease");
+    assert!(LeaderSearches::default().must_hold("m", 4, lease, Instant::now()), "a round would outlast its lease");
 }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -87,7 +87,7 @@
 
     /// What is started whenever this controller becomes the leader; only the first call counts. The loops are aborted
     /// when it steps down.
-    pub fn start_leader_loops_with(&self, start: impl Fn() -> Vec<AbortHandle> + Send + Sync + 'static) {
+    pub fn set_leader_loops(&self, start: impl Fn() -> Vec<AbortHandle> + Send + Sync + 'static) {
         let _ = self.start_leader_loops.set(Box::new(start));
     }
 }
--- a/src/membership/store_shares.rs
+++ b/src/membership/store_shares.rs
@@ -9,15 +9,15 @@
 use crate::sync::lock;
 
 /// A leader writes most; the others keep enough for users and for a campaign.
-pub(crate) const WRITES: FixedShares = FixedShares { leader: 0.7, others: 0.25 };
+pub(crate) const WRITE_SHARES: FixedShares = FixedShares { leader: 0.7, others: 0.25 };
 /// Users ask every controller alike; a leader needs few requests more than the others, since its
 /// writes go many at a time.
-pub(crate) const REQUESTS: FixedShares = FixedShares { leader: 0.5, others: 0.45 };
+pub(crate) const REQUEST_SHARES: FixedShares = FixedShares { leader: 0.5, others: 0.45 };
 /// Shares are worked out again this often, as the others tell what they want.
-pub(crate) const SHARE_EVERY: Duration = Duration::from_secs(1);
+pub(crate) const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a controller begins with, as one that does not lead and hears nobody.
-pub(crate) fn first_budget(parts: FixedShares, limit: f64, others: usize, now: Instant) -> Budget {
+pub(crate) fn initial_budget(parts: FixedShares, limit: f64, others: usize, now: Instant) -> Budget {
     let share = parts.fixed(limit, others, false);
     Budget::new(share, share, now)
 }
@@ -31,7 +31,7 @@
     }
 
     /// Works out this controller's shares of the state service's limits.
-    pub(crate) fn share(&self) {
+    pub(crate) fn update_store_shares(&self) {
         let (limits, others) = (&self.settings.params.state, self.settings.peers.len());
         let mine = self.wants();
         let heard = lock(&self.peer_states).wants(Instant::now());
@@ -43,8 +43,8 @@
             share_by_demand(limit, parts, &all)
         };
         self.store.client.set_shares(RequestRates {
-            requests: share(0, REQUESTS, limits.rps),
-            writes: share(1, WRITES, limits.write_rps),
+            requests: share(0, REQUEST_SHARES, limits.rps),
+            writes: share(1, WRITE_SHARES, limits.write_rps),
         });
     }
 }
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -72,7 +72,7 @@
     }
 
     /// Every controller holds a watermark this high, told or stored.
-    pub fn confirmed(&mut self, watermark: u64, now: Instant) {
+    pub fn record_confirmed(&mut self, watermark: u64, now: Instant) {
         let left = self.range.filter(|range| range.newest > watermark);
         self.range = left.map(|range| match range.oldest > watermark {
             true => range,
@@ -94,7 +94,7 @@
     }
 
     /// Whether the watermark is to be stored now; counts as tried.
-    pub fn due(&mut self, now: Instant) -> bool {
+    pub fn take_store_due(&mut self, now: Instant) -> bool {
         let waits = self.range.is_some_and(|range| now.saturating_duration_since(range.since) >= ACKNOWLEDGE_WITHIN);
         let rested = self.tried.is_none_or(|at| now.saturating_duration_since(at) >= STORE_INTERVAL);
         if waits && rested {
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -72,9 +72,9 @@
                 unconfirmed.observe_end(100 + ms / 100, now);
             }
             if acknowledges_after.is_some_and(|after| ms >= after) {
-                unconfirmed.confirmed(200, now);
+                unconfirmed.record_confirmed(200, now);
             }
-            stored += u64::from(unconfirmed.due(now));
+            stored += u64::from(unconfirmed.take_store_due(now));
         }
         assert_eq!(stored, stores, "{name}");
     }
@@ -82,9 +82,9 @@
     let start = Instant::now();
     let mut unconfirmed = UnconfirmedCancellations::default();
     unconfirmed.observe_end(5, start);
-    assert!(unconfirmed.due(start + Duration::from_secs(3)));
-    unconfirmed.confirmed(5, start + Duration::from_secs(3));
-    assert!(!unconfirmed.due(start + Duration::from_secs(60)));
+    assert!(unconfirmed.take_store_due(start + Duration::from_secs(3)));
+    unconfirmed.record_confirmed(5, start + Duration::from_secs(3));
+    assert!(!unconfirmed.take_store_due(start + Duration::from_secs(60)));
 }
 
 /// A controller that was replaced cannot store what its cluster state holds: it may lack what its successor has
--- a/src/scheduling/tests/interleaved_simulation/combined_faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/combined_faults.rs
@@ -366,7 +366,7 @@
     let fencing_token = world.leaders[leader].as_ref().expect("it leads").cluster.fencing_token;
     let sent = crate::history::job_transactions::cancel_job(&world.records[&id], Some(fencing_token), 0);
     world.apply_transaction(&sent.conditions, &sent.changes).expect("the store serves the leader");
-    world.cancelled_by_leader(leader, &id, fencing_token);
+    world.apply_cancellation(leader, &id, fencing_token);
     for after_s in leader_ends_after_s {
         while world.now < confirmed_at + Duration::from_secs(*after_s) {
             world.step();
--- a/src/scheduling/tests/interleaved_simulation/messages.rs
+++ b/src/scheduling/tests/interleaved_simulation/messages.rs
@@ -151,7 +151,7 @@
             Message::CommandTimeout(message) => self.deliver_command_timeout(message),
             Message::CompareAndSwap { conditions, changes } => self.deliver_transaction(conditions, changes),
             Message::PeerMessage { from, to, watermark } => self.deliver_peer_message(from, to, watermark),
-            Message::CancellationStored { to, id, fencing_token } => self.cancelled_by_leader(to, &id, fencing_token),
+            Message::CancellationStored { to, id, fencing_token } => self.apply_cancellation(to, &id, fencing_token),
             Message::TerminateMachine { from, machine } => self.deliver_termination_request(from, machine),
             Message::MachineTerminated { to, machine } => self.deliver_termination_notice(to, &machine),
         }
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -17,7 +17,7 @@
 use crate::jobs::record::{LEADER, WATERMARK, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::accepted_watermark;
-use crate::membership::serving_state::{LeaderSearches, Observations, Patience};
+use crate::membership::serving_state::{FreshnessLimits, LeaderSearches, Observations};
 use crate::membership::watermark::UnconfirmedCancellations;
 use crate::protocol::workers::Heartbeat;
 use crate::records::leadership::{LeaderRecord, Watermark};
@@ -360,8 +360,8 @@
             }
         }
         let acknowledged = leader.membership.acknowledged_revisions.iter().copied().min().unwrap_or(0);
-        leader.membership.unconfirmed_ends.confirmed(acknowledged, now);
-        if !store_unreachable && leader.membership.unconfirmed_ends.due(now) {
+        leader.membership.unconfirmed_ends.record_confirmed(acknowledged, now);
+        if !store_unreachable && leader.membership.unconfirmed_ends.take_store_due(now) {
             // As in `membership::storing`.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
             let conditions = [Condition::at(LEADER, watermark.fencing_token)];
@@ -372,7 +372,7 @@
                 self.messages.push((due, Message::CompareAndSwap { conditions: conditions.into(), changes }));
             } else if let Ok(version) = self.store.apply_if(&conditions, &[Change::write(WATERMARK, value)]) {
                 self.record_stored_watermark(version, watermark.revision);
-                leader.membership.unconfirmed_ends.confirmed(watermark.revision, now);
+                leader.membership.unconfirmed_ends.record_confirmed(watermark.revision, now);
             }
         }
     }
@@ -416,7 +416,7 @@
         let (heard, answering) = if isolated { (0, None) } else { self.users.reachable_followers(self.now) };
         let proof = leader.membership.proven_at.map(|at| self.now - at);
         let observations = Observations { proof, refused, peers: FOLLOWER_COUNT, heard, answering };
-        let leader_known = observations.serving_state(Patience::of_leadership(LEADER_LEASE)).speaks();
+        let leader_known = observations.serving_state(FreshnessLimits::for_leadership(LEADER_LEASE)).may_answer();
         let store_answers = refused < Duration::from_secs(2);
         ResponsePolicy {
             cluster_state_loaded: leader.cluster.loaded,
@@ -444,7 +444,7 @@
         policy.renews_lease(
             leader.membership.observed_revision >= leader.cluster.fencing_token,
             || fresh,
-            || leader_searches.holds(machine, FOLLOWER_COUNT, WORKER_LEASE, now),
+            || leader_searches.must_hold(machine, FOLLOWER_COUNT, WORKER_LEASE, now),
         )
     }
 
@@ -486,9 +486,9 @@
         }
     }
 
-    /// Ends a job that a leader has cancelled for its own user, as `Membership::cancelled_by_leader` does. The cancellation
+    /// Ends a job that a leader has cancelled for its own user, as `Membership::apply_cancellation` does. The cancellation
     /// is confirmed at once if it is effective in the cluster state.
-    pub(super) fn cancelled_by_leader(&mut self, leader: usize, id: &JobId, fencing_token: u64) {
+    pub(super) fn apply_cancellation(&mut self, leader: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader = self.leaders[leader]
             .as_mut()
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::history::job_transactions;
 use crate::jobs::{End, JobId};
-use crate::membership::WRITES;
+use crate::membership::WRITE_SHARES;
 use crate::protocol::workers::ExitCause;
 use crate::store::budget::{Budget, RequestPriority};
 
@@ -95,8 +95,8 @@
     let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
     (simulation.places_tasks, simulation.store_available) = (true, false);
     let limits = simulation.cluster.settings.params.state.clone();
-    let of_leader = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
-    let of_others = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
+    let of_leader = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
+    let of_others = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
     let mut budget = Budget::new(of_leader, of_leader, simulation.world.now);
     let mut parts: Vec<Part> = (0..PARTS).map(|_| Part::default()).collect();
     let mut accepted: BTreeMap<JobId, Instant> = BTreeMap::new();
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -46,7 +46,7 @@
     record: Arc<JobRecord>,
 ) -> UserResponse {
     let id = record.spec.id.clone();
-    let leader = service.membership.cancels_under();
+    let leader = service.membership.cancellation_fencing_token();
     let cancellation = job_transactions::cancel_job(&record, leader, time_of_day_ms());
     let tracked = write_tracker.track(JobWrite::Cancellation, &record);
     let outcome = service
@@ -58,7 +58,7 @@
         Ok(CompareAndSwapOutcome::Applied(version)) => {
             tracked.applied();
             service.audit.remember(AcknowledgedWrite::Ended(record, End::Cancelled));
-            if leader.is_some_and(|fencing_token| service.membership.cancelled_by_leader(&id, fencing_token)) {
+            if leader.is_some_and(|fencing_token| service.membership.apply_cancellation(&id, fencing_token)) {
                 return end_response(&id, End::Cancelled);
             }
             service.history.note_cancellation(&id, version);
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -109,7 +109,7 @@
                 write_user_response(service, res, submit_job(service, &self.write_tracker, &body).await)
             }
             // The user has given up waiting and asks again, so that this request is not looked up.
-            Endpoint::LookUp if service.membership.stale_question() => {
+            Endpoint::LookUp if service.membership.is_stale_request() => {
                 write_user_response(service, res, UserResponse::retry_soon("this controller was paused"))
             }
             Endpoint::LookUp => write_user_response(service, res, look_up_job(service, &id).await),
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -126,7 +126,7 @@
     service.wakeups.plan.notify_one();
     service.wakeups.commit.notify_one();
     let leases_expire_in_time = || service.membership.leases_end_in_time(now);
-    let holds_machine = || service.membership.holds(machine, now);
+    let holds_machine = || service.membership.must_hold_worker(machine, now);
     if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
         HeartbeatResponse::Commands(commands)
     } else {
