--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -63,16 +63,16 @@
 fn keep_needed_capacity(cluster: &ClusterState, pool: &mut CapacityPool, now: Instant) {
     for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
         let (job, waiting) = (turn.job, cluster.intents.placeable_tasks(turn.id, turn.job) as u64);
-        let overdue = turn.ahead || turn.age > job.agreement.run_time;
+        let overdue = turn.prioritized || turn.age > job.agreement.run_time;
         pool.keep_capacity(job.spec(), &JobZones::new(cluster, job), waiting, overdue);
     }
-    for (intent, _) in intents::reserved_capacity(cluster, &pool.ground) {
+    for (intent, _) in intents::due_capacity_intents(cluster, &pool.ground) {
         pool.keep_capacity(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
     for (id, job) in cluster.jobs().filter(|(_, job)| job.spec().is_idle() && job.ended.is_none()) {
         let tasks = (cluster.intents.placeable_tasks(id, job) + job.bound.len()) as u64;
-        if tasks > 0 && !cluster.attribution.suspects(id) {
+        if tasks > 0 && !cluster.attribution.is_job_quarantined(id) {
             pool.keep_capacity(job.spec(), &JobZones::without_tasks(job.spec()), tasks, false);
         }
     }
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -13,7 +13,7 @@
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
 use crate::scheduling::intents::CapacityIntent;
 use crate::scheduling::plan::{QueuedJob, Quotas};
-use crate::scheduling::promises::starts_left_s;
+use crate::scheduling::promises::feasible_start_slacks_s;
 
 /// The earliest objective that a new machine can still meet sets the slack of waiting work; work past all of them has
 /// its own run time as slack. It waits for this part of its slack before the cheapest kind of machine is provisioned
@@ -74,9 +74,9 @@
         Self {
             turn,
             spec,
-            starts_left_s: starts_left_s(&job.promises, job.agreement.run_time, turn.age),
+            starts_left_s: feasible_start_slacks_s(&job.promises, job.agreement.run_time, turn.age),
             least_cost: cheapest.map_or(f64::INFINITY, |priced| priced.cost_per_task).max(LEAST_COST),
-            impatient: (cluster.underserved.below_floor.contains_job(spec) && !spec.is_idle()) || turn.ahead,
+            impatient: (cluster.underserved.below_floor.contains_job(spec) && !spec.is_idle()) || turn.prioritized,
             open,
         }
     }
@@ -131,7 +131,7 @@
         let most_inbound_lost = self.cluster.most_inbound_lost();
         let machines = self.cluster.machines.values().filter(|machine| takes_work(machine, most_inbound_lost));
         let mut timelines: Vec<Timeline> = machines
-            .filter_map(|machine| Timeline::of(self.cluster, self.ground, machine, for_urgent, self.now))
+            .filter_map(|machine| Timeline::from_machine(self.cluster, self.ground, machine, for_urgent, self.now))
             .collect();
         for (index, offer) in self.ground.offers.iter().enumerate() {
             let requested = self.kinds[index].as_ref().and_then(|kind| self.requested.get(kind));
@@ -167,7 +167,7 @@
         let mut cheapest: Option<Option<PricedOffer>> = None;
         while missing > 0 && self.may_place_task(spec) {
             self.tasks_placed += 1;
-            let existing = slots.next(timelines, ground, &zones);
+            let existing = slots.peek_earliest(timelines, ground, &zones);
             let is_open = |index: usize, offer: &CapacityOffer| {
                 self.is_requestable(&waiting.open, index) && zones.allows(offer.zone)
             };
@@ -176,17 +176,17 @@
                 Some(priced) => {
                     self.provision(&priced, timelines, &mut slots);
                     cheapest = None;
-                    slots.next(timelines, ground, &zones)
+                    slots.peek_earliest(timelines, ground, &zones)
                 }
                 None => existing,
             };
             let Some(slot) = slot else { break };
             if zones.restricts_zones() {
-                zones.add_task(ground.zone(timelines[slot.which].capacity.kind));
+                zones.add_task(ground.zone(timelines[slot.timeline].capacity.kind));
                 cheapest = None;
             }
-            slots.take(timelines, slot);
-            self.quotas.take(spec, 1.0);
+            slots.occupy(timelines, slot);
+            self.quotas.add_usage(spec, 1.0);
             missing -= 1;
         }
     }
@@ -213,16 +213,16 @@
                 break;
             }
             self.tasks_placed += 1;
-            let existing = slots.next(timelines, ground, &zones);
+            let existing = slots.peek_earliest(timelines, ground, &zones);
             let is_open = |index: usize, _: &CapacityOffer| self.is_requestable(&open, index);
             let priced = cheapest_offer(ground, spec, intent.tasks - placed, is_open);
             if let Some(priced) = priced.filter(|priced| self.is_due_for_intent(intent, priced, existing)) {
                 self.provision(&priced, timelines, &mut slots);
             }
-            let Some(mut slot) = slots.next(timelines, ground, &zones) else { break };
-            slot.at_s = slot.at_s.max(intent.needed_in_s);
-            slots.take(timelines, slot);
-            self.quotas.take(spec, 1.0);
+            let Some(mut slot) = slots.peek_earliest(timelines, ground, &zones) else { break };
+            slot.start_s = slot.start_s.max(intent.needed_in_s);
+            slots.occupy(timelines, slot);
+            self.quotas.add_usage(spec, 1.0);
         }
     }
 
@@ -265,7 +265,7 @@
 
     fn provision(&mut self, priced: &PricedOffer<'a>, timelines: &mut Vec<Timeline<'a>>, slots: &mut Slots) {
         timelines.push(new_machine(priced.index, &priced.offer));
-        slots.push(timelines, timelines.len() - 1);
+        slots.add_timeline(timelines, timelines.len() - 1);
         *self.planned.entry(priced.offer.kind()).or_default() += 1;
         self.total += 1;
     }
@@ -273,7 +273,7 @@
 
 /// Seconds until a task could start on the machines there are.
 fn start_in_s(existing: Option<Slot>) -> f64 {
-    existing.map_or(f64::INFINITY, |slot| slot.at_s)
+    existing.map_or(f64::INFINITY, |slot| slot.start_s)
 }
 
 /// Whether the machine will take work. One that does not hear this controller takes none, nor may one exist that only
@@ -305,12 +305,12 @@
         let expected = (per_second * within_s).min(MOST_TASKS as f64 / 4.0) as u64;
         let mut slots = Slots::new(timelines, like, &open);
         for n in 0..expected {
-            let Some(mut slot) = slots.next(timelines, ground, &zones) else { break };
-            slot.at_s = slot.at_s.max(n as f64 / per_second);
-            if slot.at_s > within_s {
+            let Some(mut slot) = slots.peek_earliest(timelines, ground, &zones) else { break };
+            slot.start_s = slot.start_s.max(n as f64 / per_second);
+            if slot.start_s > within_s {
                 break;
             }
-            slots.take(timelines, slot);
+            slots.occupy(timelines, slot);
         }
     }
 }
--- a/src/heat/backlog.rs
+++ b/src/heat/backlog.rs
@@ -36,7 +36,8 @@
         let mut backlog = Self { as_of_ms: now_ms, ..Self::default() };
         let mut longest: Option<(Duration, &JobId)> = None;
         let waiting = cluster.jobs().filter(|(_, job)| job.ended.is_none() && job.bound.is_empty() && job.done == 0);
-        for (id, job) in waiting.filter(|(id, job)| names.contains_job(job.spec()) && !cluster.attribution.suspects(id))
+        for (id, job) in
+            waiting.filter(|(id, job)| names.contains_job(job.spec()) && !cluster.attribution.is_job_quarantined(id))
         {
             let since = job.last_task_end.map_or(job.since, |end| end.max(job.since));
             let waited = now.saturating_duration_since(since);
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -57,7 +57,7 @@
         replicas: job.bound.iter().filter_map(|index| Some((*index, observe_replica(job, *index, view)?))).collect(),
         failures,
         failed_lately: lately.map(failed_on).collect(),
-        quarantined: cluster.attribution.suspects(id),
+        quarantined: cluster.attribution.is_job_quarantined(id),
     }
 }
 
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -23,7 +23,7 @@
 const GIVES_WAY: Duration = Duration::from_secs(10);
 
 /// Tasks like the last of a class for which idle work leaves room, by how many come a second.
-pub fn kept_for(spec: &JobSpec, per_second: f64, objectives: &[Objective], boot_s: f64) -> u64 {
+pub fn tasks_kept_free_for(spec: &JobSpec, per_second: f64, objectives: &[Objective], boot_s: f64) -> u64 {
     let prompt = objectives.iter().any(|o| o.kind == "wait" && o.class == spec.class && o.within_s < boot_s);
     if spec.is_idle() || !prompt { 0 } else { (per_second * GIVES_WAY.as_secs_f64()).ceil() as u64 }
 }
@@ -79,7 +79,7 @@
 
 impl Backfill {
     /// Work like this found no room. What fails everywhere keeps nobody out.
-    pub fn waits(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+    pub fn record_waiting(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
         if spec.is_idle() || quarantined || self.wanted.len() >= MOST_WAITING {
             return;
         }
@@ -99,7 +99,7 @@
     /// accelerators that it has no use for, and not where waiting work would fit once the idle work
     /// there is stopped.
     /// `waited`: how long it has waited for that.
-    pub fn may_use(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
+    pub fn allows_start(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
         let apt = capacity.apt(spec);
         let free = capacity.without_idle();
         let alone = free.cpus >= capacity.machine_type.cpus - AMOUNT_TOLERANCE;
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -43,7 +43,7 @@
         ("idle itself", Urgency::Idle, 15.0, "c", 0),
     ] {
         let job = JobSpec { urgency, class: "c".into(), ..spec() };
-        assert_eq!(kept_for(&job, 2.5, &[asks(class, within_s)], 30.0), want, "{name}");
+        assert_eq!(tasks_kept_free_for(&job, 2.5, &[asks(class, within_s)], 30.0), want, "{name}");
     }
 }
 
@@ -68,24 +68,24 @@
         capacity.add(-others - idle, 0.0, 0.0);
         let mut backfill = Backfill::default();
         if let Some(spec) = waits {
-            backfill.waits(spec, &[true], false);
-            backfill.waits(spec, &[true], false);
+            backfill.record_waiting(spec, &[true], false);
+            backfill.record_waiting(spec, &[true], false);
             assert_eq!(backfill.wanted.len(), 1, "like asks are one");
         }
         let job = JobSpec { urgency: Urgency::Idle, checkpoint_s: 30.0, ..spec() };
-        assert_eq!(backfill.may_use(&job, &capacity, Duration::ZERO), want, "{name}");
+        assert_eq!(backfill.allows_start(&job, &capacity, Duration::ZERO), want, "{name}");
     }
     let mut shared = FreeCapacity::empty(&plain, 0);
     shared.add(-4.0, 0.0, -4.0);
     let tiny = JobSpec { urgency: Urgency::Idle, cpus: 0.25, ..spec() };
-    assert!(Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
+    assert!(Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
     shared.idle_usage.0 = 1.0;
-    assert!(!Backfill::default().may_use(&tiny, &shared, Duration::ZERO), "and no more than that");
-    assert!(Backfill::default().may_use(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
+    assert!(!Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "and no more than that");
+    assert!(Backfill::default().allows_start(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
     let mut kept = FreeCapacity::empty(&plain, 0);
     kept.kept_for_arrivals = true;
-    assert!(!Backfill::default().may_use(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
+    assert!(!Backfill::default().allows_start(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
     let mut backfill = Backfill::default();
-    backfill.waits(&gang, &[true], true);
+    backfill.record_waiting(&gang, &[true], true);
     assert!(backfill.wanted.is_empty(), "what fails everywhere keeps nobody out");
 }
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -6,7 +6,7 @@
 
 use super::{ClusterState, JobState, MachineId, MachineState};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
-use crate::scheduling::failure_attribution::{Failure, PROBES};
+use crate::scheduling::failure_attribution::{Failure, MAX_PROBE_TASKS};
 
 /// A task that has run for this long has not failed at its start.
 const HEALTHY_RUN_TIME: Duration = Duration::from_secs(15);
@@ -35,11 +35,11 @@
             task: key,
             class: &job.record.spec.class,
             machine: on,
-            job_does_well: has_healthy_task(job, on, now),
-            at_once: if job.spec().is_gang() { job.tasks.len() } else { PROBES },
+            job_succeeds: has_healthy_task(job, on, now),
+            tasks_per_try: if job.spec().is_gang() { job.tasks.len() } else { MAX_PROBE_TASKS },
         };
-        let quarantined = self.attribution.suspects(&key.job);
-        let response = self.attribution.failed(&failure, threshold, now);
+        let quarantined = self.attribution.is_job_quarantined(&key.job);
+        let response = self.attribution.record_failure(&failure, threshold, now);
         info!(job = %key.job, task_index = key.index, machine = %on, "task failed");
         if let Some(at) = response.job_not_before {
             job.not_before = job.not_before.max(at);
@@ -50,7 +50,7 @@
         }
         if let Some(machine) = self.machines.get_mut(on) {
             machine.failed_since_success = true;
-            if response.machine && machine.state == MachineState::Up {
+            if response.machine_quarantined && machine.state == MachineState::Up {
                 info!(machine = %on, "machine quarantined");
                 machine.quarantined = true;
             }
@@ -63,8 +63,8 @@
     /// Records that a task was done, which ends the quarantines of its machine and its job.
     pub(super) fn record_success(&mut self, key: &TaskKey, on: &MachineId) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let quarantined = self.attribution.suspects(&key.job);
-        self.attribution.done(key, &job.record.spec.class, on);
+        let quarantined = self.attribution.is_job_quarantined(&key.job);
+        self.attribution.record_success(key, &job.record.spec.class, on);
         if quarantined {
             info!(job = %key.job, "job quarantine lifted");
         }
@@ -83,7 +83,7 @@
 
     /// Ends quarantines that have lasted long enough: faulty machines are drained, the others take work again.
     pub(super) fn end_due_quarantines(&mut self, now: Instant) {
-        for (id, faulty) in self.attribution.decided(self.machine_failure_threshold(), now) {
+        for (id, faulty) in self.attribution.end_quarantines(self.machine_failure_threshold(), now) {
             if !faulty {
                 self.lift_machine_quarantine(&id);
             } else if let Some(machine) = self.machines.get_mut(&id).filter(|m| m.state == MachineState::Up) {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -219,7 +219,7 @@
         job.ended_after = self.known_ends_revision;
         self.job_end_times.put(id.clone(), now);
         job.waiting.clear();
-        self.attribution.job_over(id);
+        self.attribution.forget_job(id);
         self.ending_jobs.insert(id.clone());
         let bound: Vec<u32> = job.bound.iter().copied().collect();
         for index in bound {
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -107,7 +107,7 @@
             self.unbind_task(&key, now);
         }
         self.machines.remove(id);
-        self.attribution.machine_gone(id);
+        self.attribution.forget_machine(id);
         if self.returned_machine_ids.insert(id.clone()) {
             self.returned_machines.push_back(id.clone());
         }
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -214,7 +214,7 @@
 
     /// Entry counts of all collections that could grow, by name.
     pub fn entry_counts(&self) -> [(&'static str, usize); 12] {
-        let [machines_quarantined, jobs_quarantined, jobs_failing] = self.attribution.held();
+        let [machines_quarantined, jobs_quarantined, jobs_failing] = self.attribution.counts();
         [
             ("machines_suspected", machines_quarantined),
             ("jobs_suspected", jobs_quarantined),
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -8,7 +8,7 @@
 use crate::jobs::JobSpec;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD};
 use crate::protocol::workers::AttemptStatus;
-use crate::scheduling::promises::{Promise, next_start_s};
+use crate::scheduling::promises::{Promise, min_start_slack_s};
 use crate::sla::Agreement;
 
 /// The binding of a task to a machine, and what the machine's worker has reported of the task.
@@ -168,7 +168,7 @@
 
     /// Whether no promise to the job's user can be kept any more by starting the job now or later.
     pub fn is_too_late(&self, age: Duration) -> bool {
-        next_start_s(&self.promises, self.agreement.run_time, age).is_none()
+        min_start_slack_s(&self.promises, self.agreement.run_time, age).is_none()
     }
 
     /// The fraction of the tasks that were never placed.
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -8,7 +8,7 @@
 
 use super::tick::{CORRELATED_FRACTION_DIVISOR, MOST_FRACTION_DIVISOR};
 use super::{ClusterState, Machine, MachineId};
-use crate::scheduling::one_way_partition::{InboundVerdict, judge};
+use crate::scheduling::one_way_partition::{InboundVerdict, inbound_verdict};
 
 impl ClusterState {
     /// Whether at least three machines, and one in `divisor` of those expected to report, have lost their inbound
@@ -34,7 +34,8 @@
         let lease = self.settings.params.workers.lease();
         let Some(machine) = self.machines.get_mut(id) else { return };
         let evidence = machine.partition.evidence(false, now);
-        let inbound_lost = matches!(judge(evidence, lease), InboundVerdict::InboundLost | InboundVerdict::GivenUp);
+        let inbound_lost =
+            matches!(inbound_verdict(evidence, lease), InboundVerdict::InboundLost | InboundVerdict::GivenUp);
         if inbound_lost == std::mem::replace(&mut machine.inbound_lost, inbound_lost) {
             return;
         }
@@ -70,7 +71,7 @@
         let many = |m: &Machine| m.confirmed && m.bound.is_empty() && (all || zones.contains(m.zone.as_str()));
         let given_up = inbound_lost
             .into_iter()
-            .filter(|m| judge(m.partition.evidence(many(m), now), lease) == InboundVerdict::GivenUp);
+            .filter(|m| inbound_verdict(m.partition.evidence(many(m), now), lease) == InboundVerdict::GivenUp);
         given_up.map(|m| m.id.clone()).collect()
     }
 }
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -29,7 +29,7 @@
             machine.last_seen = pause.forgive(machine.last_seen);
             machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
             machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
-            machine.partition.after_pause(pause);
+            machine.partition.forgive_pause(pause);
         }
         self.last_pause = Some(pause);
     }
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -8,7 +8,7 @@
 
 /// The open ones of them, bounded however many there are.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Due {
+pub struct DueJobCounts {
     /// Open jobs with a due time.
     pub open: usize,
     /// Not begun at the latest possible start, and not past their time yet.
@@ -19,9 +19,9 @@
     pub worst: Option<(JobId, Duration)>,
 }
 
-impl Due {
+impl DueJobCounts {
     /// A job of this age that has a due time, its run time, and whether it has begun.
-    pub fn note(&mut self, id: &JobId, due: Duration, run: Duration, age: Duration, begun: bool) {
+    pub fn record(&mut self, id: &JobId, due: Duration, run: Duration, age: Duration, begun: bool) {
         self.open += 1;
         let latest = if begun { due } else { due.saturating_sub(run) };
         let by = age.saturating_sub(latest);
@@ -37,12 +37,12 @@
 }
 
 /// Counts the open jobs that are late, or likely to be.
-pub fn due(cluster: &ClusterState, now: Instant) -> Due {
-    let mut due = Due::default();
+pub fn count_due_jobs(cluster: &ClusterState, now: Instant) -> DueJobCounts {
+    let mut due = DueJobCounts::default();
     for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.is_complete()) {
         if let Some(within) = job.spec().due() {
             let age = now.saturating_duration_since(job.since);
-            due.note(id, within, job.agreement.run_time, age, job.never_placed_fraction() < 1.0);
+            due.record(id, within, job.agreement.run_time, age, job.never_placed_fraction() < 1.0);
         }
     }
     due
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -28,7 +28,7 @@
 const FIRST_PAUSE: Duration = Duration::from_secs(5);
 const LONGEST_PAUSE: Duration = Duration::from_secs(60);
 /// Tasks of a suspected job that are tried at once.
-pub const PROBES: usize = 2;
+pub const MAX_PROBE_TASKS: usize = 2;
 
 /// Tasks of one job remembered for having failed; more are judged by their job alone.
 const MOST_TASKS: usize = 256;
@@ -41,15 +41,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observations {
     /// Machines not themselves quarantined on which the job has failed, this one included.
-    pub job_failed_on: usize,
+    pub job_failed_machines: usize,
     /// Some task of the job was done, or runs on another machine for longer than failures take.
-    pub job_does_well: bool,
+    pub job_succeeds: bool,
     /// Machines on which this very task has failed, this one included.
-    pub task_failed_on: usize,
+    pub task_failed_machines: usize,
     /// Its class fails by itself.
-    pub class_fails: bool,
+    pub class_faulty: bool,
     /// Failures on this machine since anything was done on it that nothing else explains.
-    pub machine_row: usize,
+    pub machine_failures: usize,
 }
 
 /// Who is to blame for failures.
@@ -66,17 +66,19 @@
 }
 
 /// The whole judgement. `enough`: unexplained failures in a row after which a machine is suspected.
-pub fn judge(seen: Observations, enough: usize) -> Attribution {
-    if seen.job_does_well {
+pub fn attribute_failure(seen: Observations, enough: usize) -> Attribution {
+    if seen.job_succeeds {
         return match seen {
-            Observations { task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => Attribution::Task,
-            Observations { machine_row, .. } if machine_row >= enough => Attribution::Machine,
+            Observations { task_failed_machines: task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => {
+                Attribution::Task
+            }
+            Observations { machine_failures: machine_row, .. } if machine_row >= enough => Attribution::Machine,
             _ => Attribution::Unclear,
         };
     }
-    if seen.class_fails || seen.job_failed_on >= EVERYWHERE {
+    if seen.class_faulty || seen.job_failed_machines >= EVERYWHERE {
         Attribution::Job
-    } else if seen.machine_row >= enough {
+    } else if seen.machine_failures >= enough {
         Attribution::Machine
     } else {
         Attribution::Unclear
@@ -86,7 +88,7 @@
 /// The pause after the `round`th time in a row that something has failed by itself, from 0: the
 /// longer, the more tasks a try takes.
 fn pause(round: u32, tasks: usize) -> Duration {
-    let tries = tasks.div_ceil(PROBES).clamp(1, 1000) as u32;
+    let tries = tasks.div_ceil(MAX_PROBE_TASKS).clamp(1, 1000) as u32;
     (FIRST_PAUSE * tries * 2u32.saturating_pow(round.min(8))).min(LONGEST_PAUSE)
 }
 
@@ -133,9 +135,9 @@
     /// Where it failed.
     pub machine: &'a MachineId,
     /// As in `Observations`.
-    pub job_does_well: bool,
+    pub job_succeeds: bool,
     /// Tasks that one try of the job takes: all of a gang.
-    pub at_once: usize,
+    pub tasks_per_try: usize,
 }
 
 /// What the cluster state is to do after a failure.
@@ -144,7 +146,7 @@
     /// The job is quarantined from now on, or still: not to be tried before this.
     pub job_not_before: Option<Instant>,
     /// The machine has just come quarantined.
-    pub machine: bool,
+    pub machine_quarantined: bool,
     /// Machines that are cleared by it: what failed there fails everywhere.
     pub cleared: Vec<MachineId>,
 }
@@ -172,8 +174,8 @@
 
 impl FailureAttribution {
     /// Takes in one failure and judges it. `enough`: unexplained failures in a row after which a machine is suspected.
-    pub fn failed(&mut self, failure: &Failure, enough: usize, now: Instant) -> FailureResponse {
-        let Failure { task, class, machine, job_does_well, at_once } = *failure;
+    pub fn record_failure(&mut self, failure: &Failure, enough: usize, now: Instant) -> FailureResponse {
+        let Failure { task, class, machine, job_succeeds: job_does_well, tasks_per_try: at_once } = *failure;
         let trial = self.jobs.entry(task.job.clone()).or_default();
         trial.class.clear();
         trial.class.push_str(class);
@@ -196,7 +198,7 @@
         }
         let seen = self.seen(task, machine);
         let mut response = FailureResponse::default();
-        match judge(seen, enough) {
+        match attribute_failure(seen, enough) {
             Attribution::Unclear => {}
             Attribution::Job => {
                 response.job_not_before = self.suspect(&task.job, at_once, now);
@@ -212,7 +214,7 @@
             Attribution::Machine => {
                 if let Some(of_machine) = self.machines.get_mut(machine).filter(|m| m.quarantined.is_none()) {
                     of_machine.quarantined = Some(now);
-                    response.machine = true;
+                    response.machine_quarantined = true;
                 }
             }
         }
@@ -223,11 +225,11 @@
         let Some(trial) = self.jobs.get(&task.job) else { return Observations::default() };
         let sound = |m: &&MachineId| self.machines.get(*m).is_none_or(|t| t.quarantined.is_none());
         Observations {
-            job_failed_on: trial.failed_on.iter().filter(sound).count(),
-            job_does_well: trial.does_well,
-            task_failed_on: trial.tasks.get(&task.index).map_or(0, |t| t.failed_on.len()),
-            class_fails: self.class_fails(&trial.class),
-            machine_row: self.row(machine),
+            job_failed_machines: trial.failed_on.iter().filter(sound).count(),
+            job_succeeds: trial.does_well,
+            task_failed_machines: trial.tasks.get(&task.index).map_or(0, |t| t.failed_on.len()),
+            class_faulty: self.class_fails(&trial.class),
+            machine_failures: self.row(machine),
         }
     }
 
@@ -283,7 +285,7 @@
     }
 
     /// A task was done: its job does well, and so does its machine. True if either was quarantined.
-    pub fn done(&mut self, task: &TaskKey, class: &str, machine: &MachineId) -> bool {
+    pub fn record_success(&mut self, task: &TaskKey, class: &str, machine: &MachineId) -> bool {
         let mut cleared = self.machines.remove(machine).is_some_and(|t| t.quarantined.is_some());
         if let Some(trial) = self.jobs.get_mut(&task.job) {
             cleared |= trial.quarantined;
@@ -298,7 +300,7 @@
     }
 
     /// The job is over: nothing is kept of it, and what it failed on speaks against no machine any more.
-    pub fn job_over(&mut self, id: &JobId) {
+    pub fn forget_job(&mut self, id: &JobId) {
         if self.jobs.remove(id).is_some() {
             self.machines.retain(|_, t| {
                 t.failures.retain(|task| task.job != *id);
@@ -308,12 +310,12 @@
     }
 
     /// Forgets a machine that was returned.
-    pub fn machine_gone(&mut self, id: &MachineId) {
+    pub fn forget_machine(&mut self, id: &MachineId) {
         self.machines.remove(id);
     }
 
     /// Machines whose time quarantined is over, and whether they are to be given up.
-    pub fn decided(&mut self, enough: usize, now: Instant) -> Vec<(MachineId, bool)> {
+    pub fn end_quarantines(&mut self, enough: usize, now: Instant) -> Vec<(MachineId, bool)> {
         let due =
             |t: &MachineFailures| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
         let due: Vec<MachineId> = self.machines.iter().filter(|(_, t)| due(t)).map(|(id, _)| id.clone()).collect();
@@ -326,12 +328,12 @@
 
     /// The job has failed everywhere so far: it is tried again behind everything else, and nothing is
     /// paid, stopped or held for it.
-    pub fn suspects(&self, id: &JobId) -> bool {
+    pub fn is_job_quarantined(&self, id: &JobId) -> bool {
         !self.jobs.is_empty() && self.jobs.get(id).is_some_and(|t| t.quarantined)
     }
 
     /// Machines on which a job has failed, to be avoided by it.
-    pub fn failed_on(&self, id: &JobId) -> &[MachineId] {
+    pub fn failed_machines(&self, id: &JobId) -> &[MachineId] {
         if self.jobs.is_empty() {
             return &[];
         }
@@ -345,13 +347,13 @@
     }
 
     /// Tasks of a job that fail by themselves and are not to be tried yet.
-    pub fn held_back(&self, id: &JobId, now: Instant) -> Vec<u32> {
+    pub fn held_back_tasks(&self, id: &JobId, now: Instant) -> Vec<u32> {
         let Some(trial) = self.jobs.get(id).filter(|t| t.does_well) else { return Vec::new() };
         trial.tasks.iter().filter(|(_, t)| t.not_before > now).map(|(index, _)| *index).collect()
     }
 
     /// Machines quarantined, suspected jobs, and jobs with any failure.
-    pub fn held(&self) -> [usize; 3] {
+    pub fn counts(&self) -> [usize; 3] {
         let machines = self.machines.values().filter(|t| t.quarantined.is_some()).count();
         [machines, self.jobs.values().filter(|t| t.quarantined).count(), self.jobs.len()]
     }
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn whose_fault_by_cases() {
     let seen = |job_failed_on, job_does_well, task_failed_on, class_fails, machine_row| Observations {
-        job_failed_on,
-        job_does_well,
-        task_failed_on,
-        class_fails,
-        machine_row,
+        job_failed_machines: job_failed_on,
+        job_succeeds: job_does_well,
+        task_failed_machines: task_failed_on,
+        class_faulty: class_fails,
+        machine_failures: machine_row,
     };
     for (name, seen, want) in [
         ("a first failure", seen(1, false, 1, false, 1), Attribution::Unclear),
@@ -24,9 +24,9 @@
         ("the first failure of a job of a bad class", seen(1, false, 1, true, 1), Attribution::Job),
         ("a good job of a bad class", seen(1, true, 1, true, 2), Attribution::Machine),
     ] {
-        assert_eq!(judge(seen, 2), want, "{name}");
+        assert_eq!(attribute_failure(seen, 2), want, "{name}");
     }
-    let pauses: Vec<u64> = (0..6).map(|round| pause(round, PROBES).as_secs()).collect();
+    let pauses: Vec<u64> = (0..6).map(|round| pause(round, MAX_PROBE_TASKS).as_secs()).collect();
     assert_eq!(pauses, [5, 10, 20, 40, 60, 60]);
     assert_eq!(pause(0, 16).as_secs(), 40, "a gang of sixteen costs eight times as much to try");
 }
@@ -46,17 +46,22 @@
         let machine: MachineId = machine.into();
         jobs.insert(job.to_owned());
         if mark == Some('+') {
-            attribution.done(&task, job, &machine);
+            attribution.record_success(&task, job, &machine);
         } else {
-            let failure =
-                Failure { task: &task, class: job, machine: &machine, job_does_well: mark == Some('?'), at_once: 1 };
-            attribution.failed(&failure, 2, start);
+            let failure = Failure {
+                task: &task,
+                class: job,
+                machine: &machine,
+                job_succeeds: mark == Some('?'),
+                tasks_per_try: 1,
+            };
+            attribution.record_failure(&failure, 2, start);
         }
     }
-    let decided = attribution.decided(2, start + DECIDED_AFTER);
+    let decided = attribution.end_quarantines(2, start + DECIDED_AFTER);
     out.extend(decided.into_iter().filter(|(_, out)| *out).map(|(id, _)| id.to_string()));
     out.sort();
-    (out, jobs.into_iter().filter(|j| attribution.suspects(&j.as_str().into())).collect())
+    (out, jobs.into_iter().filter(|j| attribution.is_job_quarantined(&j.as_str().into())).collect())
 }
 
 #[test]
@@ -97,18 +102,18 @@
     let mut fail = |job: usize, machine: usize| {
         let task = TaskKey { job: format!("run-{job}").into(), index: 0 };
         let machine: MachineId = format!("m{machine}").into();
-        let failure = Failure { task: &task, class: "tiny", machine: &machine, job_does_well: false, at_once: 1 };
-        attribution.failed(&failure, 2, now)
+        let failure = Failure { task: &task, class: "tiny", machine: &machine, job_succeeds: false, tasks_per_try: 1 };
+        attribution.record_failure(&failure, 2, now)
     };
     (0..3).for_each(|job| (0..3).for_each(|m| drop(fail(job, job * 3 + m))));
     for job in 10..60 {
         let response = fail(job, 50 + job / 10);
-        assert!(response.job_not_before.is_some() && !response.machine, "job {job}");
+        assert!(response.job_not_before.is_some() && !response.machine_quarantined, "job {job}");
     }
     for job in 0..60 {
-        attribution.job_over(&format!("run-{job}").into());
+        attribution.forget_job(&format!("run-{job}").into());
     }
-    assert_eq!(attribution.held(), [0, 0, 0], "nothing is kept of what is over");
+    assert_eq!(attribution.counts(), [0, 0, 0], "nothing is kept of what is over");
     assert!(attribution.machines.is_empty());
 }
 
@@ -120,8 +125,8 @@
     let mut fail = |index: u32, at: Instant| {
         let task = TaskKey { job: "run-1".into(), index };
         let machine: MachineId = format!("m{index}").into();
-        let failure = Failure { task: &task, class: "c", machine: &machine, job_does_well: false, at_once: 1 };
-        attribution.failed(&failure, 2, at).job_not_before
+        let failure = Failure { task: &task, class: "c", machine: &machine, job_succeeds: false, tasks_per_try: 1 };
+        attribution.record_failure(&failure, 2, at).job_not_before
     };
     let pauses: Vec<_> = (0..100).map(|index| fail(index, now)).collect();
     assert_eq!((pauses[1], pauses[2], pauses[99]), (None, Some(now + FIRST_PAUSE), Some(now + FIRST_PAUSE)));
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::jobs::record::JobRecord;
 use crate::jobs::{End, JobSpec};
-use crate::scheduling::promises::{LARGEST, Promise, PromiseKind, accounted, promises_of};
+use crate::scheduling::promises::{LARGEST_GANGS, Promise, PromiseKind, accounted_promises, promises_of};
 use crate::settings::{Objective, Properties, Settings};
 use crate::sla::Agreement;
 use floor::{ClassTeamSet, Underserved};
@@ -220,8 +220,8 @@
         let promises = promises_of(&self.objectives, spec, &agreement);
         self.update_tallies(spec, now, |tally| {
             tally.done += 1;
-            for promise in accounted(&promises).filter(|p| p.what == PromiseKind::Done) {
-                tally.promise_counts_mut(promise.at).record(age.as_secs_f64() <= promise.within_s, 1.0);
+            for promise in accounted_promises(&promises).filter(|p| p.kind == PromiseKind::Done) {
+                tally.promise_counts_mut(promise.objective).record(age.as_secs_f64() <= promise.within_s, 1.0);
             }
         });
     }
@@ -239,7 +239,7 @@
         if event == AccountingEvent::LargeGangStarted {
             let kept = age <= self.large_gang_start_limit;
             if let Some(tally) = self.slice_at(now).and_then(|slice| slice.tally_mut(Subject::Largest, &spec.class)) {
-                tally.promise_counts_mut(LARGEST).record(kept, 1.0);
+                tally.promise_counts_mut(LARGEST_GANGS).record(kept, 1.0);
             }
             return;
         }
@@ -247,8 +247,8 @@
             AccountingEvent::StartLost => tally.lost_starts += 1,
             AccountingEvent::LargeGangStarted => {}
             AccountingEvent::TasksStarted(share) => {
-                for promise in accounted(promises).filter(|p| p.what == PromiseKind::Started) {
-                    tally.promise_counts_mut(promise.at).record(age.as_secs_f64() <= promise.within_s, share);
+                for promise in accounted_promises(promises).filter(|p| p.kind == PromiseKind::Started) {
+                    tally.promise_counts_mut(promise.objective).record(age.as_secs_f64() <= promise.within_s, share);
                 }
             }
         });
@@ -272,7 +272,7 @@
             let age = job.age.as_secs_f64();
             if job.is_waiting_large_gang && job.age > self.large_gang_start_limit {
                 let tally = totals.entry((Subject::Largest, job.spec.class.as_str())).or_default();
-                tally.promise_counts_mut(LARGEST).missed += 1.0;
+                tally.promise_counts_mut(LARGEST_GANGS).missed += 1.0;
                 tally.overdue += 1;
             }
             for key in [(Subject::Class, job.spec.class.as_str()), (Subject::Team, job.spec.team.as_str())] {
@@ -280,11 +280,11 @@
                 // A promise counts as missed once a waiting task is past its latest start: the floor acts on it before
                 // the promised time has passed.
                 let is_missed = |p: &Promise| {
-                    age > p.within_s || (job.has_waiting_tasks && p.start_left_s(job.run_time, job.age) <= 0.0)
+                    age > p.within_s || (job.has_waiting_tasks && p.start_slack_s(job.run_time, job.age) <= 0.0)
                 };
-                for promise in accounted(job.promises).filter(is_missed) {
-                    let missed = if promise.what == PromiseKind::Started { job.unstarted_share } else { 1.0 };
-                    tally.promise_counts_mut(promise.at).missed += missed;
+                for promise in accounted_promises(job.promises).filter(is_missed) {
+                    let missed = if promise.kind == PromiseKind::Started { job.unstarted_share } else { 1.0 };
+                    tally.promise_counts_mut(promise.objective).missed += missed;
                 }
                 tally.overdue += u64::from(job.promises.iter().all(|p| p.within_s < age));
             }
@@ -313,7 +313,7 @@
 
     /// Returns what the objective with the number `at` asks for.
     fn objective_target(&self, at: u16) -> ObjectiveTarget {
-        if at == LARGEST {
+        if at == LARGEST_GANGS {
             return ObjectiveTarget { concerns_starts: true, share: 1.0 };
         }
         let objective = self.objectives.get(usize::from(at));
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -24,7 +24,7 @@
 use crate::scheduling::intents::Intents;
 use crate::scheduling::messages::MessageKind;
 use crate::scheduling::plan;
-use crate::scheduling::promises::{Promise, promises_of, starts_left_s};
+use crate::scheduling::promises::{Promise, feasible_start_slacks_s, promises_of};
 use crate::settings::tests::example;
 use crate::sla::priority_weight;
 
@@ -104,7 +104,7 @@
         let mut job = job(1, class, "red");
         job.due_s = due_s;
         let promises = promises_of(objectives, &job, &agreement(&job));
-        assert_eq!(starts_left_s(&promises, s(10.0), s(age)), want, "{name}");
+        assert_eq!(feasible_start_slacks_s(&promises, s(10.0), s(age)), want, "{name}");
     }
 }
 
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -21,7 +21,7 @@
 pub struct Timeline<'a> {
     /// The room that is left on the machine, as of the times below.
     pub capacity: FreeCapacity<'a>,
-    from_s: f64,
+    available_from_s: f64,
     /// Earliest first.
     releases: Vec<Release>,
 }
@@ -29,12 +29,12 @@
 impl<'a> Timeline<'a> {
     /// A machine whose room is free from `from_s` seconds from now on.
     pub fn new(capacity: FreeCapacity<'a>, from_s: f64) -> Self {
-        Self { capacity, from_s, releases: Vec::new() }
+        Self { capacity, available_from_s: from_s, releases: Vec::new() }
     }
 
     /// A machine of the cluster state with what its tasks still have to run. `for_urgent`: for work that may have
     /// the room of idle tasks as soon as these have saved.
-    pub fn of(
+    pub fn from_machine(
         cluster: &'a ClusterState,
         ground: &CapacityContext<'a>,
         machine: &'a Machine,
@@ -68,15 +68,15 @@
     }
 
     /// Seconds from now until a task of this job could start there; none if never.
-    pub fn earliest(&self, spec: &JobSpec) -> Option<f64> {
+    pub fn earliest_start_s(&self, spec: &JobSpec) -> Option<f64> {
         if self.capacity.fits(spec) {
-            return Some(self.from_s);
+            return Some(self.available_from_s);
         }
         let mut capacity = self.capacity;
         for (at, cpus, gpus, memory_gb) in &self.releases {
             capacity.add(*cpus, *gpus, *memory_gb);
             if capacity.fits(spec) {
-                return Some(at.max(self.from_s));
+                return Some(at.max(self.available_from_s));
             }
         }
         None
@@ -84,12 +84,12 @@
 
     /// Gives a task its place. What comes after it on this machine starts no earlier, which is
     /// near enough for work taken in the order of its turn.
-    fn take(&mut self, spec: &JobSpec, at: f64, run_s: f64) {
+    fn occupy(&mut self, spec: &JobSpec, at: f64, run_s: f64) {
         let due = self.releases.partition_point(|r| r.0 <= at);
         for (_, cpus, gpus, memory_gb) in self.releases.drain(..due) {
             self.capacity.add(cpus, gpus, memory_gb);
         }
-        self.from_s = self.from_s.max(at);
+        self.available_from_s = self.available_from_s.max(at);
         self.capacity.allocate(spec);
         let end = at + run_s;
         let place = self.releases.partition_point(|r| r.0 <= end);
@@ -101,15 +101,17 @@
 #[derive(Clone, Copy)]
 pub struct Slot {
     /// Seconds from now until the task could start.
-    pub at_s: f64,
+    pub start_s: f64,
     wasteful: bool,
     /// The place of its machine among the timelines.
-    pub which: usize,
+    pub timeline: usize,
 }
 
 impl Ord for Slot {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at_s.total_cmp(&other.at_s)).then(self.wasteful.cmp(&other.wasteful)).then(self.which.cmp(&other.which))
+        (self.start_s.total_cmp(&other.start_s))
+            .then(self.wasteful.cmp(&other.wasteful))
+            .then(self.timeline.cmp(&other.timeline))
     }
 }
 impl PartialOrd for Slot {
@@ -143,13 +145,18 @@
     fn slot(&self, timeline: &Timeline, which: usize) -> Option<Slot> {
         let spec = self.job.spec();
         let wasteful = timeline.capacity.machine_type.gpus > 0.0 && spec.gpus <= 0.0;
-        timeline.earliest(spec).map(|at_s| Slot { at_s, wasteful, which })
+        timeline.earliest_start_s(spec).map(|at_s| Slot { start_s: at_s, wasteful, timeline: which })
     }
 
     /// The next place, left where it is. Places that the job's other tasks have closed are dropped.
-    pub fn next(&mut self, timelines: &[Timeline], ground: &CapacityContext, zones: &JobZones) -> Option<Slot> {
+    pub fn peek_earliest(
+        &mut self,
+        timelines: &[Timeline],
+        ground: &CapacityContext,
+        zones: &JobZones,
+    ) -> Option<Slot> {
         while let Some(Reverse(slot)) = self.heap.peek() {
-            if !zones.restricts_zones() || zones.allows(ground.zone(timelines[slot.which].capacity.kind)) {
+            if !zones.restricts_zones() || zones.allows(ground.zone(timelines[slot.timeline].capacity.kind)) {
                 return Some(*slot);
             }
             self.heap.pop();
@@ -158,26 +165,26 @@
     }
 
     /// A machine that was added.
-    pub fn push(&mut self, timelines: &[Timeline], which: usize) {
+    pub fn add_timeline(&mut self, timelines: &[Timeline], which: usize) {
         self.heap.extend(self.slot(&timelines[which], which).map(Reverse));
     }
 
     /// The next task takes the next place.
-    pub fn take(&mut self, timelines: &mut [Timeline], slot: Slot) {
+    pub fn occupy(&mut self, timelines: &mut [Timeline], slot: Slot) {
         // A place just added need not be the first.
-        if self.heap.peek().is_some_and(|Reverse(s)| s.which == slot.which) {
+        if self.heap.peek().is_some_and(|Reverse(s)| s.timeline == slot.timeline) {
             self.heap.pop();
         } else {
-            self.heap.retain(|Reverse(s)| s.which != slot.which);
+            self.heap.retain(|Reverse(s)| s.timeline != slot.timeline);
         }
-        let timeline = &mut timelines[slot.which];
+        let timeline = &mut timelines[slot.timeline];
         let spec = self.job.spec();
         let fetch = if timeline.capacity.holds_image(self.job) {
             0.0
         } else {
             spec.image_gb / timeline.capacity.machine_type.fetch_gb_per_s.max(0.001)
         };
-        timeline.take(spec, slot.at_s, fetch + self.job.agreement.run_time.as_secs_f64());
-        self.push(timelines, slot.which);
+        timeline.occupy(spec, slot.start_s, fetch + self.job.agreement.run_time.as_secs_f64());
+        self.add_timeline(timelines, slot.timeline);
     }
 }
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -19,10 +19,10 @@
 const KEPT_S: f64 = 60.0;
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
-pub fn order(cluster: &ClusterState, queued_jobs: &mut [plan::QueuedJob]) {
+pub fn reorder_queue(cluster: &ClusterState, queued_jobs: &mut [plan::QueuedJob]) {
     if let Some(ahead) = &cluster.intents.priority_boost {
         mark_ahead(cluster, ahead, queued_jobs);
-        ahead_first(queued_jobs);
+        move_prioritized_first(queued_jobs);
     }
     if !cluster.intents.window_turns.is_empty() {
         in_turn(&cluster.intents.window_turns, queued_jobs);
@@ -51,24 +51,24 @@
         if tasks == 0 || (spec.is_gang() && tasks < waiting) {
             continue;
         }
-        queued.ahead = true;
+        queued.prioritized = true;
         taken += tasks.min(waiting) as f64 * spec.cpus;
         if by_return(queued) {
-            queued.most = tasks;
+            queued.max_tasks = tasks;
         }
     }
 }
 
 /// Among those of one urgency who go ahead take the first places that any of them has; nobody else's
 /// place changes.
-pub fn ahead_first(queued_jobs: &mut [plan::QueuedJob]) {
+pub fn move_prioritized_first(queued_jobs: &mut [plan::QueuedJob]) {
     let mut places: BTreeMap<Urgency, Vec<usize>> = BTreeMap::new();
     for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| by_return(t)) {
         places.entry(queued.job.spec().urgency).or_default().push(at);
     }
     for places in places.values() {
         let mut of: Vec<plan::QueuedJob> = places.iter().map(|at| queued_jobs[*at]).collect();
-        of.sort_by_key(|queued| !queued.ahead);
+        of.sort_by_key(|queued| !queued.prioritized);
         for (at, queued) in places.iter().zip(of) {
             queued_jobs[*at] = queued;
         }
@@ -77,7 +77,7 @@
 
 /// Jobs for which machines are held, of these urgencies and going ahead or not. None for which others were
 /// stopped, and none while nobody is asked to go ahead.
-pub fn reserved_for(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
+pub fn jobs_with_reservations(cluster: &ClusterState, of: impl Fn(Urgency, bool) -> bool) -> Vec<&JobId> {
     let Some(ahead) = &cluster.intents.priority_boost else { return Vec::new() };
     let mut jobs: Vec<&JobId> = cluster.reservations.values().map(|reservation| &reservation.job).collect();
     jobs.sort_unstable();
@@ -119,14 +119,14 @@
 }
 
 /// When a machine of some kind that was asked for now would have run such a task's fetch.
-pub fn ready_s(spec: &JobSpec, ground: &CapacityContext, open: &[bool]) -> f64 {
+pub fn longest_ready_s(spec: &JobSpec, ground: &CapacityContext, open: &[bool]) -> f64 {
     let offers = ground.offers.iter().zip(open).filter(|(_, open)| **open).filter_map(|(offer, _)| offer.as_ref());
     let ready = offers.map(|o| o.machine_type.boot_s + spec.image_gb / o.machine_type.fetch_gb_per_s.max(0.001));
     ready.fold(0.0, f64::max)
 }
 
 /// Room for which what there is is kept by now, with the kinds that may give it.
-pub fn reserved_capacity<'b>(
+pub fn due_capacity_intents<'b>(
     cluster: &'b ClusterState,
     ground: &CapacityContext,
 ) -> Vec<(&'b CapacityIntent, Vec<bool>)> {
@@ -134,13 +134,13 @@
         (intent, ground.allowed_kinds(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec)))
     };
     let near = |(intent, open): &(&CapacityIntent, Vec<bool>)| {
-        intent.needed_in_s <= ready_s(&intent.task_spec, ground, open) + KEPT_S
+        intent.needed_in_s <= longest_ready_s(&intent.task_spec, ground, open) + KEPT_S
     };
     cluster.intents.capacity.iter().map(open).filter(near).collect()
 }
 
 /// Idle machines that are needed for room that is asked for, beside those that run something.
-pub fn idle_kept(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
+pub fn idle_machines_to_keep(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
     let mut kept = HashSet::new();
     if cluster.intents.capacity.is_empty() {
         return kept;
@@ -150,7 +150,7 @@
     let there = cluster.machines.values().filter(|m| m.state == MachineState::Up && is_schedulable(m, suspect, now));
     let mut capacities: Vec<FreeCapacity> = there.filter_map(|m| ground.capacity(m)).collect();
     capacities.sort_by_key(|capacity| capacity.machine.is_some_and(|m| m.bound.is_empty()));
-    for (intent, open) in reserved_capacity(cluster, &ground) {
+    for (intent, open) in due_capacity_intents(cluster, &ground) {
         let mut left = intent.tasks;
         for capacity in capacities.iter_mut().filter(|r| open.get(r.kind) == Some(&true)) {
             let units = capacity.fitting_tasks(&intent.task_spec, left);
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -19,7 +19,7 @@
 use crate::settings::Properties;
 
 /// From this part of the time within which it is to begin, a large gang may go first.
-pub const PATIENCE: f64 = 0.5;
+pub const PRECEDENCE_AGE_FRACTION: f64 = 0.5;
 /// Heartbeats, a start told and a fetch lie between a place and a beginning.
 const START_MARGIN: Duration = Duration::from_secs(15);
 /// The largest are one in so many of a class, and whoever is as large.
@@ -35,7 +35,7 @@
 }
 
 impl Sizes {
-    fn note(&mut self, tasks: u64) {
+    fn record(&mut self, tasks: u64) {
         if self.latest.len() >= REMEMBERED {
             self.latest.pop_front();
         }
@@ -89,7 +89,7 @@
             self.sizes.put(spec.class.clone(), Sizes::default());
         }
         if let Some(sizes) = self.sizes.get_mut(&spec.class) {
-            sizes.note(spec.tasks);
+            sizes.record(spec.tasks);
         }
         if spec.is_idle() {
             return;
@@ -117,8 +117,8 @@
 
     /// Whether a waiting gang of this age may go first. Not once it is too late for it: then those are served
     /// that can still be in time, and it has its part of what is given to late work.
-    pub fn may_go_first(&self, spec: &JobSpec, age: Duration, within: Duration) -> bool {
-        let patience = within.mul_f64(PATIENCE);
+    pub fn may_take_precedence(&self, spec: &JobSpec, age: Duration, within: Duration) -> bool {
+        let patience = within.mul_f64(PRECEDENCE_AGE_FRACTION);
         self.is_large_gang(spec) && age >= patience && age + START_MARGIN.min(patience) <= within
     }
 
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -33,9 +33,9 @@
     /// Leases that ended although reports were answered, since one has lasted.
     pub expired_leases: u32,
     /// Since the first of the row.
-    pub for_: Duration,
+    pub unacknowledged_for: Duration,
     /// Many machines hear nothing, which points at the way out and at none of them.
-    pub many: bool,
+    pub many_affected: bool,
 }
 
 /// Whether a machine receives what is sent to it.
@@ -52,12 +52,12 @@
 }
 
 /// The whole judgement.
-pub fn judge(evidence: PartitionEvidence, lease: Duration) -> InboundVerdict {
-    let long = evidence.expired_leases >= LOST_LEASES || evidence.for_ > lease * LOST_LEASES + MARGIN;
+pub fn inbound_verdict(evidence: PartitionEvidence, lease: Duration) -> InboundVerdict {
+    let long = evidence.expired_leases >= LOST_LEASES || evidence.unacknowledged_for > lease * LOST_LEASES + MARGIN;
     match evidence.unacknowledged {
         0 => InboundVerdict::Reached,
         n if n < ENOUGH => InboundVerdict::Unclear,
-        _ if long && !evidence.many => InboundVerdict::GivenUp,
+        _ if long && !evidence.many_affected => InboundVerdict::GivenUp,
         _ => InboundVerdict::InboundLost,
     }
 }
@@ -173,7 +173,7 @@
     }
 
     /// This controller was paused: what it reads and answers next was mostly given up meanwhile.
-    pub fn after_pause(&mut self, pause: ProcessPause) {
+    pub fn forgive_pause(&mut self, pause: ProcessPause) {
         self.since = self.since.map(|at| pause.forgive(at));
         self.session_since = pause.forgive(self.session_since);
         self.expected_effect = None;
@@ -193,7 +193,12 @@
     /// What was seen so far, as the judgement takes it. `many`: many machines show the same.
     pub fn evidence(&self, many: bool, now: Instant) -> PartitionEvidence {
         let for_ = self.since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        PartitionEvidence { unacknowledged: self.unacknowledged, expired_leases: self.expired_leases, for_, many }
+        PartitionEvidence {
+            unacknowledged: self.unacknowledged,
+            expired_leases: self.expired_leases,
+            unacknowledged_for: for_,
+            many_affected: many,
+        }
     }
 }
 
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -17,7 +17,14 @@
         ("too long, though its lease was not seen to end", 5, 0, s(51), false, InboundVerdict::GivenUp),
         ("many, however long", 40, 9, s(600), true, InboundVerdict::InboundLost),
     ] {
-        assert_eq!(judge(PartitionEvidence { unacknowledged, expired_leases, for_, many }, LEASE), want, "{name}");
+        assert_eq!(
+            inbound_verdict(
+                PartitionEvidence { unacknowledged, expired_leases, unacknowledged_for: for_, many_affected: many },
+                LEASE
+            ),
+            want,
+            "{name}"
+        );
     }
 }
 
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -34,28 +34,28 @@
 
 /// All placements that can be made now.
 pub fn place(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> Vec<Placement> {
-    place_counted(cluster, catalog, now).0
+    place_counting_examined(cluster, catalog, now).0
 }
 
 /// The same, with how many rooms were looked at.
-pub fn place_counted(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> (Vec<Placement>, u64) {
+pub fn place_counting_examined(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> (Vec<Placement>, u64) {
     if !cluster.loaded {
         return (Vec::new(), 0);
     }
     cluster.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
-    if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest(now) >= KEPT_FOR {
+    if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest_wait(now) >= KEPT_FOR {
         cluster.gang_room_held_since = now.checked_sub(KEPT_FOR).or(cluster.gang_room_held_since);
     }
     let spell = cluster.gang_room_held_since.map(|since| now.saturating_duration_since(since));
     let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
     let PlanOutcome { placements, rooms_examined, kept, passed_over } = decide(cluster, catalog, may_keep, now);
     for placement in &placements {
-        if cluster.passed_over.overdue(&placement.task.job, now) {
+        if cluster.passed_over.is_overdue(&placement.task.job, now) {
             cluster.cancel_drain(&placement.machine);
         }
     }
-    cluster.passed_over.note(passed_over, now);
+    cluster.passed_over.update(passed_over, now);
     if kept {
         cluster.gang_room_held_since.get_or_insert(now);
     } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -11,7 +11,7 @@
 use crate::protocol::workers::TaskKey;
 use crate::scheduling::capacity::{AMOUNT_TOLERANCE, JobZones};
 use crate::scheduling::cluster::{ClusterState, Placement};
-use crate::scheduling::failure_attribution::PROBES;
+use crate::scheduling::failure_attribution::MAX_PROBE_TASKS;
 use crate::scheduling::fairness::floor::Rank;
 
 /// Placements of one plan: what can be stored in about a second.
@@ -63,7 +63,7 @@
         let keep = may_keep && (queued.credited || earned.is_some());
         let mut zones = JobZones::new(cluster, queued.job);
         let placed = plan.place_job(&queued, &mut zones, most, keep);
-        quotas.take(queued.job.spec(), placed.len() as f64);
+        quotas.add_usage(queued.job.spec(), placed.len() as f64);
         if plan.passes_over(&queued, &zones, placed.len(), &quotas) {
             decided.passed_over.insert(queued.id.clone());
         }
@@ -102,12 +102,12 @@
     now: Instant,
 ) -> usize {
     let (job, spec) = (queued.job, queued.job.spec());
-    let most = queued.most.min(left);
+    let most = queued.max_tasks.min(left);
     if spec.is_gang() {
         return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
     }
     let mut most = within_quota(quotas, spec, most.min(cluster.intents.placeable_tasks(queued.id, job)));
-    let overdue = cluster.passed_over.overdue(queued.id, now);
+    let overdue = cluster.passed_over.is_overdue(queued.id, now);
     if let Some(earned) = earned.filter(|_| !overdue) {
         most = most.min(earned.tasks);
     }
@@ -115,7 +115,7 @@
         most = most.min(1);
     }
     if queued.quarantined && !overdue {
-        most = most.min(PROBES.saturating_sub(job.bound.len()));
+        most = most.min(MAX_PROBE_TASKS.saturating_sub(job.bound.len()));
     }
     most
 }
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -90,8 +90,8 @@
             // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
             wary: job.has_waiting_task_with_attempts(LOST_STARTS)
                 || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
-            failed_on: attribution.failed_on(queued.id),
-            held_back: attribution.held_back(queued.id, now),
+            failed_on: attribution.failed_machines(queued.id),
+            held_back: attribution.held_back_tasks(queued.id, now),
             open,
             sought,
         }
@@ -115,7 +115,7 @@
         self.is_open(capacity.kind)
             && match &self.backfill {
                 Some(backfill) => {
-                    backfill.may_use(self.job.spec(), capacity, self.waited)
+                    backfill.allows_start(self.job.spec(), capacity, self.waited)
                         && (!capacity.draining || !self.job.has_waiting_task_with_attempts(MOST_LEFT))
                 }
                 None => !capacity.draining,
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -42,7 +42,7 @@
     /// Work like this found no room. Shared with the idle jobs that are placed after it, not copied for each.
     pub(super) fn record_waiting(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
         if !spec.is_idle() {
-            Rc::make_mut(&mut self.wanted).waits(spec, open, quarantined);
+            Rc::make_mut(&mut self.wanted).record_waiting(spec, open, quarantined);
         }
     }
 
@@ -53,10 +53,10 @@
             let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
             let boot_s = self.ground.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
-            let mut left = backfill::kept_for(spec, arrivals.tasks_per_second(self.now), objectives, boot_s);
+            let mut left = backfill::tasks_kept_free_for(spec, arrivals.tasks_per_second(self.now), objectives, boot_s);
             self.keep(spec, &open, &mut left);
         }
-        for (intent, open) in intents::reserved_capacity(cluster, &self.ground) {
+        for (intent, open) in intents::due_capacity_intents(cluster, &self.ground) {
             self.keep(&intent.task_spec, &open, &mut intent.tasks.clone());
         }
     }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -31,9 +31,9 @@
     /// For how long it has waited.
     pub age: Duration,
     /// Goes before others of its urgency, by what operators have declared.
-    pub ahead: bool,
+    pub prioritized: bool,
     /// Tasks that may be placed in its turn.
-    pub most: usize,
+    pub max_tasks: usize,
 }
 
 /// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
@@ -46,7 +46,7 @@
         .collect();
     mark_large(cluster, &mut queued_jobs);
     queued_jobs.sort_by(by_precedence);
-    intents::order(cluster, &mut queued_jobs);
+    intents::reorder_queue(cluster, &mut queued_jobs);
     queued_jobs
 }
 
@@ -70,11 +70,11 @@
         rank: Rank::of(first, late, job.spec().is_idle()),
         late,
         credited: false,
-        quarantined: cluster.attribution.suspects(id),
+        quarantined: cluster.attribution.is_job_quarantined(id),
         task_return: job.agreement.task_return(age + job.agreement.run_time),
         age,
-        ahead: false,
-        most: usize::MAX,
+        prioritized: false,
+        max_tasks: usize::MAX,
     }
 }
 
@@ -86,7 +86,7 @@
         queued.credited = credited == Some(queued.id);
         if to_begin == Some(queued.id) {
             queued.credited = true;
-            queued.most = 1;
+            queued.max_tasks = 1;
             queued.rank = queued.rank.min(Rank::ByReturn);
         }
     }
--- a/src/scheduling/plan/quotas.rs
+++ b/src/scheduling/plan/quotas.rs
@@ -27,7 +27,7 @@
     }
 
     /// Counts so many tasks of the job as used.
-    pub fn take(&mut self, spec: &'a JobSpec, n: f64) {
+    pub fn add_usage(&mut self, spec: &'a JobSpec, n: f64) {
         let used = self.used.entry(spec.team.as_str()).or_default();
         used.cpus += n * spec.cpus;
         used.gpus += n * spec.gpus;
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -212,14 +212,15 @@
         let open = self.ground.allowed_kinds(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
         let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
+        let overdue = self.cluster.passed_over.is_overdue(queued.id, self.now);
         let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
         demand.held_back.extend(self.intents.stopped_replicas(queued.id));
         demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
-        if queued.ahead {
-            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+        if queued.prioritized {
+            demand.passes =
+                intents::jobs_with_reservations(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
         } else if demand.pressed {
-            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+            demand.ahead = intents::jobs_with_reservations(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
         demand
     }
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -28,18 +28,19 @@
     let mut reservations = HashMap::new();
     let mut queued_jobs: Vec<QueuedJob> = queue(cluster, now)
         .into_iter()
-        .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= RESERVE_AFTER || t.ahead))
+        .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= RESERVE_AFTER || t.prioritized))
         .collect();
     if queued_jobs.is_empty() {
         return reservations;
     }
     queued_jobs.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
-    intents::ahead_first(&mut queued_jobs);
+    intents::move_prioritized_first(&mut queued_jobs);
     queued_jobs.truncate(MOST_RESERVING);
     let ground = CapacityContext::new(cluster, catalog);
     let suspect = suspect_timeout(cluster);
     let usable = cluster.machines.values().filter(|m| is_schedulable(m, suspect, now));
-    let mut timelines: Vec<Timeline> = usable.filter_map(|m| Timeline::of(cluster, &ground, m, false, now)).collect();
+    let mut timelines: Vec<Timeline> =
+        usable.filter_map(|m| Timeline::from_machine(cluster, &ground, m, false, now)).collect();
     let most = timelines.len() / PART;
     let quotas = Quotas::new(cluster);
     for queued in queued_jobs {
@@ -130,7 +131,7 @@
     if units < need as u64 {
         return None;
     }
-    let mut starts: Vec<f64> = of_kinds().filter_map(|t| t.earliest(spec)).collect();
+    let mut starts: Vec<f64> = of_kinds().filter_map(|t| t.earliest_start_s(spec)).collect();
     starts.sort_by(f64::total_cmp);
     Some(starts.get(need - 1).or(starts.last()).copied().unwrap_or(f64::INFINITY))
 }
@@ -148,12 +149,12 @@
     let mut undo = Vec::new();
     let mut gathering = Gathering { within_s: 0.0, taken: Vec::new() };
     for _ in 0..job.waiting.len() {
-        match slots.next(timelines, ground, &none) {
-            Some(slot) if slot.at_s <= RESERVE_WITHIN_S => {
-                undo.push((slot.which, timelines[slot.which].clone()));
-                gathering.within_s = slot.at_s.max(gathering.within_s);
-                gathering.taken.push(slot.which);
-                slots.take(timelines, slot);
+        match slots.peek_earliest(timelines, ground, &none) {
+            Some(slot) if slot.start_s <= RESERVE_WITHIN_S => {
+                undo.push((slot.timeline, timelines[slot.timeline].clone()));
+                gathering.within_s = slot.start_s.max(gathering.within_s);
+                gathering.taken.push(slot.timeline);
+                slots.occupy(timelines, slot);
             }
             _ => {
                 for (which, before) in undo.into_iter().rev() {
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -5,7 +5,7 @@
 use tracing::info;
 
 use super::cluster::ClusterState;
-use super::due::due;
+use super::due::count_due_jobs;
 use super::fairness::{FairShareAccounting, OpenJob, ServiceLevel};
 use crate::jobs::JobId;
 
@@ -20,7 +20,7 @@
     // Not counted as unserved: quarantined jobs, jobs whose window has not come, and replicas that a rollout holds
     // back.
     let (attribution, large, intents) = (&cluster.attribution, &cluster.large_gangs, &cluster.intents);
-    let excluded = |id| attribution.suspects(id) || intents.deferred_jobs.contains(id);
+    let excluded = |id| attribution.is_job_quarantined(id) || intents.deferred_jobs.contains(id);
     let open = cluster.jobs().filter(|(id, job)| job.ended.is_none() && !job.is_complete() && !excluded(id));
     let held_back = |id: &JobId, job| intents.replicas.contains_key(id) && intents.placeable_tasks(id, job) == 0;
     let open = open.filter(|(id, job)| !held_back(id, job));
@@ -63,7 +63,7 @@
 
 /// Logs how many jobs are late for their due time or have missed it; nothing if there are none.
 pub(super) fn log_due_times(cluster: &ClusterState, now: Instant) {
-    let due = due(cluster, now);
+    let due = count_due_jobs(cluster, now);
     if let Some((job, late_by)) = &due.worst {
         info!(
             open = due.open,
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -218,11 +218,11 @@
             let cores = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
             let ahead_class = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
             let bound_cores: f64 = ahead_class.map(|(_, j)| cores(j.bound.len(), j)).sum();
-            let ahead = queued_jobs.iter().filter(|t| t.ahead);
-            let added_cores: Vec<f64> = ahead.map(|t| cores(t.most.min(t.job.waiting.len()), t.job)).collect();
+            let ahead = queued_jobs.iter().filter(|t| t.prioritized);
+            let added_cores: Vec<f64> = ahead.map(|t| cores(t.max_tasks.min(t.job.waiting.len()), t.job)).collect();
             let cores_in_use: f64 = cluster.team_usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::BelowFloor && !t.quarantined;
-            let all_by_return = queued_jobs.iter().filter(|t| t.ahead).all(|t| by_return(&t));
+            let all_by_return = queued_jobs.iter().filter(|t| t.prioritized).all(|t| by_return(&t));
             let sum: f64 = bound_cores + added_cores.iter().sum::<f64>();
             let single_job = bound_cores == 0.0 && added_cores.len() <= 1;
             let within_share = sum <= cores_in_use * most_part + 0.01;
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -77,13 +77,13 @@
     for n in 100..300 {
         add_job(&mut cluster, n, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 6, 8.0, true));
     }
-    let (first, looked) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (first, looked) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 1000, "a plan stops at what can be stored");
     assert!(looked < 500_000, "{looked}");
     cluster.bind_placements(first, now);
     let mut looks = Vec::new();
     loop {
-        let (more, looked) = plan::place_counted(&mut cluster, &catalog(), now);
+        let (more, looked) = plan::place_counting_examined(&mut cluster, &catalog(), now);
         looks.push(looked);
         if more.is_empty() {
             break;
@@ -146,7 +146,7 @@
     for (seq, placement) in (2..).zip(&first) {
         fail(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
-    assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is suspected, no machine is");
+    assert_eq!(cluster.attribution.counts(), [0, 1, 1], "the job is suspected, no machine is");
     assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.quarantined));
     let later = now + Duration::from_secs(6);
     // Beside work that ends, it comes last, a few tasks at a time.
--- a/src/scheduling/tests/plan_work.rs
+++ b/src/scheduling/tests/plan_work.rs
@@ -35,7 +35,7 @@
         let mut cluster = nearly_full(now);
         add_small_job_elsewhere(&mut cluster, now);
         add_zoned_jobs(&mut cluster, spread, now);
-        let (placed, looked) = plan::place_counted(&mut cluster, &catalog(), now);
+        let (placed, looked) = plan::place_counting_examined(&mut cluster, &catalog(), now);
         assert!(placed.is_empty(), "spread {spread}: {placed:?}");
         assert!(looked < FEW_LOOKS, "spread {spread}: {looked}");
     }
@@ -47,10 +47,10 @@
     let now = Instant::now();
     let mut cluster = cluster_of_c8(MACHINES, now);
     add_zoned_jobs(&mut cluster, true, now);
-    let (placed, _) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (placed, _) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), 2 * ZONED_JOBS as usize);
     cluster.bind_placements(placed, now);
-    let (placed, looked) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (placed, looked) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert!(placed.is_empty(), "{placed:?}");
     assert!(looked < FEW_LOOKS, "{looked}");
 }
