--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -164,7 +164,7 @@
     for (seq, placement) in (2..).zip(&first) {
         report_failure(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
-    assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is quarantined, and no machine is");
+    assert_eq!(cluster.attribution.counts(), [0, 1, 1], "the job is quarantined, and no machine is");
     assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.quarantined));
     let later = now + Duration::from_secs(6);
     // It comes behind other jobs, with a few tasks at a time.
