--- a/src/scheduling/tests/room_after_faults.rs
+++ b/src/scheduling/tests/room_after_faults.rs
@@ -1,4 +1,4 @@
-//! Once all faults are over no job waits for 90 s while a machine that fits has room.
+//! Once all faults are over, no job waits for 90 s while a machine has enough free capacity for it.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,26 @@
 use crate::protocol::workers::ExitCause;
 use crate::scheduling::fairness::FairShareAccounting;
 
-/// How long jobs of which something could start have waited, once the faults are over; a seed's longest.
+/// Runs one seeded simulation and returns the longest time in seconds that a job which could start has waited after the
+/// faults, with a description of that job. If `steady`, jobs also arrive after the faults.
 fn longest_wait_after_faults(seed: u64, steady: bool) -> (f64, String) {
-    const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
+    const MACHINES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
     let mut rng = StdRng::seed_from_u64(seed);
-    let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
+    let machines: Vec<(&str, &str)> = (0..10).map(|n| (MACHINES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
     let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
-    for m in &NAMES[7..] {
+    for m in &MACHINES[7..] {
         simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
     }
     simulation.places_tasks = true;
     let mut account =
         FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
-    let mut ends: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
+    let mut ends_at: BTreeMap<(TaskKey, u64), Instant> = BTreeMap::new();
     let mut waits: BTreeMap<JobId, f64> = BTreeMap::new();
-    let (mut longest, mut jobs) = ((0.0, String::new()), 1);
+    let (mut longest_wait, mut jobs) = ((0.0, String::new()), 1);
     for step in 0..560 {
         let (t, now) = (f64::from(step) * STEP_S, simulation.world.now);
-        let trouble = t < 120.0;
-        if (trouble || steady) && rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
+        let in_fault_phase = t < 120.0;
+        if (in_fault_phase || steady) && rng.random_bool(if in_fault_phase { 0.5 } else { 0.1 }) {
             jobs += 1;
             let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
             let urgency = [Urgency::Prod, Urgency::High, Urgency::Normal][rng.random_range(0..3usize)];
@@ -53,8 +54,8 @@
                 simulation.cancel_job(&id);
             }
         }
-        if trouble && rng.random_bool(0.15) {
-            let m = NAMES[rng.random_range(0..10usize)];
+        if in_fault_phase && rng.random_bool(0.15) {
+            let m = MACHINES[rng.random_range(0..10usize)];
             match rng.random_range(0..7) {
                 0 => simulation.outbound_lost.push(m),
                 1 => simulation.paused.push(m),
@@ -71,7 +72,7 @@
                 5 => simulation.fail_over(),
                 _ => simulation.store_available = !simulation.store_available,
             }
-            // Three machines stay, so that there is anything to wait for.
+            // Three machines have no faults, so that there is always capacity to wait for.
             for list in [
                 &mut simulation.outbound_lost,
                 &mut simulation.paused,
@@ -81,25 +82,25 @@
                 list.retain(|m| !["m0", "m1", "m8"].contains(m));
             }
         }
-        if !trouble {
+        if !in_fault_phase {
             (simulation.outbound_lost, simulation.paused, simulation.inbound_lost, simulation.commands_refused) =
                 Default::default();
             simulation.store_available = true;
         }
-        // Tasks end, or fail while there are faults.
-        for m in NAMES {
+        // Tasks end, or fail during the fault phase.
+        for m in MACHINES {
             if simulation.paused.contains(&m) || simulation.world.workers[m].terminated {
                 continue;
             }
             for attempt_report in
-                simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+                simulation.world.workers[m].attempts.clone().iter().filter(|a| a.status == AttemptStatus::Running)
             {
-                let run = simulation.world.spec_of(&attempt_report.task.job).estimate_s;
-                let at = ends
-                    .entry((attempt_report.task.clone(), attempt_report.attempt))
-                    .or_insert_with(|| now + secs(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
-                let fails = trouble && rng.random_bool(0.01);
-                if *at <= now || fails {
+                let estimate_s = simulation.world.spec_of(&attempt_report.task.job).estimate_s;
+                let end = ends_at.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert_with(|| {
+                    now + secs(if estimate_s == 0.0 { 1e6 } else { estimate_s * rng.random_range(0.5..2.0) })
+                });
+                let fails = in_fault_phase && rng.random_bool(0.01);
+                if *end <= now || fails {
                     let cause = if fails { ExitCause::Error } else { ExitCause::Done };
                     simulation.world.exit_attempt(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
@@ -112,14 +113,14 @@
         }
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
         simulation.step();
-        if !trouble {
+        if !in_fault_phase {
             let ids: Vec<JobId> = simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
             waits.retain(|id, _| ids.contains(id));
             for id in ids {
                 let waited = waits.entry(id.clone()).or_default();
                 *waited = if simulation.could_start(&id, DrainingCapacity::Excluded) { *waited + STEP_S } else { 0.0 };
-                if *waited > longest.0 {
-                    longest = (
+                if *waited > longest_wait.0 {
+                    longest_wait = (
                         *waited,
                         format!("seed {seed}, at {t} s: {:?}", simulation.cluster.job(&id).map(|j| j.spec())),
                     );
@@ -127,21 +128,22 @@
             }
         }
     }
-    longest
+    longest_wait
 }
 
 #[test]
-fn no_job_waits_beside_room_once_faults_are_over() {
+fn no_job_waits_90_s_with_free_capacity_once_faults_are_over() {
     for seed in 0..16 {
-        let (waited, who) = longest_wait_after_faults(seed, seed % 2 == 0);
-        assert!(waited < 90.0, "{waited} s: {who}");
+        let (waited, job) = longest_wait_after_faults(seed, seed % 2 == 0);
+        assert!(waited < 90.0, "waited for {waited} s: {job}");
     }
 }
 
-/// A late gang that has earned its turn keeps the pieces that there are. Where the rest of its room never comes free,
-/// as with a service there and no machine to be had, others waited for ever on what was kept.
+/// Regression test: capacity that is free is reserved for a late gang that has waited for long. Where the rest of the
+/// capacity that it needs never comes free, as with a service running there and no machine to rent, other jobs waited
+/// forever for the reserved capacity.
 #[test]
-fn what_is_kept_for_a_gang_that_never_fits_keeps_nobody_out_for_ever() {
+fn reservation_for_a_gang_that_never_fits_does_not_block_other_jobs_forever() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| {
         (j.shape, j.tasks, j.cpus, j.estimate_s) = (Shape::Service, 1, 8.0, 0.0);
     });
@@ -153,13 +155,13 @@
     });
     let mut account =
         FairShareAccounting::new(&simulation.cluster.settings, &simulation.cluster.properties, simulation.world.now);
-    let (mut small, mut came) = (None, 0.0);
+    let (mut small, mut accepted_at_s) = (None, 0.0);
     for step in 0..400 {
         let t = f64::from(step) * STEP_S;
         if t == 40.0 {
             simulation.cluster.core_credit.record_placement(1000.0, false, 1.0);
             small = Some(simulation.world.accept_job(&mut simulation.cluster, 3, |j| j.estimate_s = 100.0));
-            came = t;
+            accepted_at_s = t;
         }
         if step % 4 == 0 {
             crate::scheduling::service_report::update_accounting(
@@ -171,7 +173,11 @@
         simulation.step();
         assert_eq!(simulation.live_tasks(&gang), []);
         if let Some(small) = &small {
-            assert!(!simulation.live_tasks(small).is_empty() || t < came + 85.0, "it waits since {} s", t - came);
+            assert!(
+                !simulation.live_tasks(small).is_empty() || t < accepted_at_s + 85.0,
+                "the small job has waited for {} s",
+                t - accepted_at_s
+            );
         }
     }
 }
--- a/src/scheduling/tests/silence.rs
+++ b/src/scheduling/tests/silence.rs
@@ -1,19 +1,19 @@
-//! Machines that say nothing, and leaders that could not hear them: which are given up, and which are not.
+//! Which silent machines are terminated, and which are kept because the leader itself may have been cut off or paused.
 
 use super::*;
 use crate::fleet::scale_in::surplus_machines;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
 
-/// Incident ab99: a leader cut off from its workers, or one that had been paused, took the whole
-/// fleet for dead and returned it.
+/// Regression test for incident ab99: a leader that was cut off from its workers, or had been paused, took the whole
+/// fleet for dead and terminated it.
 #[test]
-fn a_fleet_that_falls_silent_together_is_not_given_up() {
+fn fleet_that_falls_silent_together_is_not_terminated() {
     let secs = Duration::from_secs;
     let names = ["m1", "m2", "m3", "m4", "m5", "m6"];
     let machines: Vec<_> = names.iter().map(|n| (*n, "c8", "a", false)).collect();
-    // (name, how many keep reporting, how it is ticked, who is given up after 13 s)
-    for (name, reporting, paused, given_up) in
+    // (name, machines that keep reporting, whether the leader was paused, machines terminating after 13 s)
+    for (name, reporting, paused, expected) in
         [("one of six", 5, false, 1), ("all together", 0, false, 0), ("one, seen after a pause", 5, true, 0)]
     {
         let now = Instant::now();
@@ -35,20 +35,20 @@
             }
         }
         let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
-        assert_eq!(terminating, given_up, "{name}");
+        assert_eq!(terminating, expected, "{name}");
         assert_eq!(cluster.most_machines_lost(now + secs(13)), reporting == 0, "{name}");
     }
 }
 
-/// Found on fa-lima-fleet: a zone was cut off when its owner was replaced, and after 12 s the new one
-/// returned all 767 machines there, since only machines that it had heard itself counted as silent
-/// together. Nor did such a leader ever hand over when it was the one cut off.
+/// Regression test (seen on fa-lima-fleet): a zone was cut off when the leader was replaced, and after 12 s the new
+/// leader terminated all 767 machines there, since only machines that it had heard from itself counted as a mass loss.
+/// Such a leader also never handed over when it was the one cut off.
 #[test]
-fn inherited_machines_that_fall_silent_together_are_not_given_up() {
+fn inherited_machines_that_fall_silent_together_are_not_terminated() {
     use crate::jobs::record::StoredTask;
     let secs = Duration::from_secs;
-    // (name, how many of six inherited machines report, who is given up after 13, 27 and 51 s)
-    for (name, reporting, given_up) in [("one of six", 5, [1, 1, 1]), ("half", 3, [0, 0, 3]), ("all", 0, [0, 0, 6])] {
+    // (name, how many of six inherited machines report, machines terminating after 13, 27 and 51 s)
+    for (name, reporting, expected) in [("one of six", 5, [1, 1, 1]), ("half", 3, [0, 0, 3]), ("all", 0, [0, 0, 6])] {
         let now = Instant::now();
         let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
         let mut job = spec();
@@ -59,8 +59,8 @@
         let lease = cluster.settings.params.workers.lease();
         assert_eq!(lease, secs(24));
         let mut t = 0;
-        for (after, want) in [13, 27, 51].into_iter().zip(given_up) {
-            while t < after {
+        for (after_s, expected_terminating) in [13, 27, 51].into_iter().zip(expected) {
+            while t < after_s {
                 t += 1;
                 for machine in 0..reporting {
                     let heartbeat = heartbeat(&format!("m{machine}"), "c8", "a", false, t + 1, vec![]);
@@ -69,16 +69,16 @@
                 cluster.tick(now + secs(t));
             }
             let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count();
-            assert_eq!(terminating, want, "{name}, after {after} s");
-            assert_eq!(cluster.most_machines_lost(now + secs(after)), reporting < 5, "{name}: would hand over");
+            assert_eq!(terminating, expected_terminating, "{name}, after {after_s} s");
+            assert_eq!(cluster.most_machines_lost(now + secs(after_s)), reporting < 5, "{name}: would hand over");
         }
     }
 }
 
-/// Found on fa-lima-fleet: a leader that nobody could reach returned 682 idle machines as never come
-/// up, though the cloud listed them as running.
+/// Regression test (seen on fa-lima-fleet): a leader that no worker could reach terminated 682 idle machines as never
+/// having come up, although the cloud listed them as running.
 #[test]
-fn what_the_cloud_lists_as_running_has_come_up() {
+fn machine_that_the_cloud_lists_as_running_is_not_surplus_as_never_up() {
     let secs = Duration::from_secs;
     let now = Instant::now();
     let mut cluster = ClusterState::new(9, example(), Properties::default(), now);
@@ -88,19 +88,23 @@
         cluster.expect_machine(name, &kind, None, secs(900), now);
     }
     cluster.record_listed_up("running", now);
-    let given_up: Vec<String> = surplus_machines(&cluster, &catalog(), now + secs(13))
+    let surplus: Vec<String> = surplus_machines(&cluster, &catalog(), now + secs(13))
         .into_iter()
         .map(|machine| machine.id.to_string())
         .collect();
-    assert_eq!(given_up, ["starting"]);
+    assert_eq!(surplus, ["starting"]);
     (1..=13).for_each(|t| cluster.tick(now + secs(t)));
-    assert_eq!(cluster.machines["running"].state, MachineState::Terminating, "but it is alone in its silence");
+    assert_eq!(
+        cluster.machines["running"].state,
+        MachineState::Terminating,
+        "it is terminated as a single silent machine"
+    );
 }
 
-/// A leader that was paused for half a minute found idle machines idle for too long, and cancelled tasks
-/// not proven gone for too long, since it had not been there to hear of anything.
+/// A leader that was paused for half a minute received nothing in that time. It must not count the pause towards the
+/// idle time of machines, nor towards the time for which cancelled tasks are not proven gone.
 #[test]
-fn a_process_pause_returns_nothing() {
+fn process_pause_of_the_leader_makes_no_machine_surplus_or_overdue() {
     let secs = Duration::from_secs;
     let now = Instant::now();
     let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
@@ -116,7 +120,7 @@
     }
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), begun);
     let back = begun + secs(30);
-    // Without being told of the pause: idle for 120 s, and 30 of 49 s since the cancellation.
+    // Before the adjustment for the pause: idle for 120 s, and 30 of 49 s since the cancellation.
     assert_eq!(surplus_machines(&cluster, &catalog(), back).len(), 1);
     assert_eq!(cluster.overdue_machines(back).len(), 1);
     cluster.adjust_for_pause(ProcessPause { began: begun, ended: back });
@@ -125,6 +129,6 @@
     assert!(
         cluster.overdue_machines(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up)
     );
-    // Heard of nothing for a few seconds more, the cancelled task is proof enough.
+    // After a few more seconds without a report, the machine is overdue for its cancelled task.
     assert_eq!(cluster.overdue_machines(back + secs(6)).len(), 1);
 }
