--- a/src/scheduling/tests/unreachable_workers.rs
+++ b/src/scheduling/tests/unreachable_workers.rs
@@ -1,24 +1,26 @@
-//! Workers that cannot open connections to any controller, while direct commands still reach them.
+//! Workers whose heartbeats reach no controller, while direct commands still reach them.
 
 use super::simulation::*;
 use super::world::*;
 
-/// A task of a machine whose reports have just begun to be lost is cancelled at once or later, with and without a
-/// takeover, whether or not commands reach it and the cloud answers. By command, by return or by the end of its lease
-/// it is gone in time, which the simulation checks at every step.
+/// A machine's heartbeats begin to be lost, and its task is cancelled at once or later, with or without a takeover,
+/// whether or not commands reach it and the cloud is available. By a command, by the machine's termination or by the end
+/// of its lease, the task must be gone by its deadline, which the simulation checks at every step.
 #[test]
-fn what_is_cancelled_on_a_machine_whose_reports_are_lost_is_gone_in_time() {
+fn cancelled_task_on_a_machine_whose_heartbeats_are_lost_is_gone_in_time() {
     for (commands, cloud) in [(true, true), (true, false), (false, true), (false, false)] {
         for (after_s, successor) in
             [0.0, 4.0, 11.0, 20.0].into_iter().flat_map(|t| (0..3).map(move |successor| (t, successor)))
         {
-            let name = format!("commands {commands}, cloud {cloud}, after {after_s} s, successor {successor}");
+            let name = format!(
+                "commands arrive {commands}, cloud available {cloud}, after {after_s} s, successor {successor}"
+            );
             let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |_| ());
             simulation.world.bind_waiting(&mut simulation.cluster, "m1");
             simulation.exchange_heartbeat("m1");
-            // Or it has never shown the task, which then no command can name.
-            let shown = after_s > 0.0;
-            if shown {
+            // In the other case no heartbeat has shown the task, so that no command can stop it.
+            let reported = after_s > 0.0;
+            if reported {
                 simulation.exchange_heartbeat("m1");
             }
             assert_eq!(simulation.live_tasks(&JOB.into()), [(0, "m1")], "{name}");
@@ -33,16 +35,16 @@
             let runs = !simulation.live_tasks(&JOB.into()).is_empty();
             simulation.cancel_job(&JOB.into());
             simulation.run(1.5);
-            // One that is to be returned is told by answers alone.
-            if commands && shown && successor == 0 && (cloud || after_s < 12.0) {
-                assert_eq!(simulation.live_tasks(&JOB.into()), [], "{name}: by command, at once");
+            // A machine that is to be terminated is sent no direct commands, only answers.
+            if commands && reported && successor == 0 && (cloud || after_s < 12.0) {
+                assert_eq!(simulation.live_tasks(&JOB.into()), [], "{name}: stopped by a command at once");
             }
             if successor == 2 {
                 simulation.fail_over();
             }
             simulation.run(60.0);
             assert_eq!(simulation.live_tasks(&JOB.into()), [], "{name}");
-            // All that is to be gone was cancelled: the machine goes alone, if the cloud answers.
+            // Otherwise the machine is terminated for its cancelled task if the cloud is available, and it alone.
             assert!(
                 !runs || !cloud || (commands && successor == 0) || simulation.world.workers["m1"].terminated,
                 "{name}"
@@ -52,16 +54,16 @@
     }
 }
 
-/// Commands start work on a machine that cannot report, and their replies look like signs of life. They renew no
-/// lease: what was started there is lost once, and then it gets no more.
+/// Commands start tasks on a machine whose heartbeats are lost, and their replies look like signs of life although they
+/// renew no lease. The tasks started there are lost with the lease once, and then the machine gets no more.
 #[test]
-fn a_machine_whose_reports_are_lost_gets_no_work_that_it_loses_without_end() {
+fn machine_whose_heartbeats_are_lost_does_not_lose_tasks_again_and_again() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
     simulation.world.bind_waiting(&mut simulation.cluster, "m2");
     simulation.exchange_heartbeat("m2");
     simulation.places_tasks = true;
     simulation.outbound_lost = vec!["m1"];
-    // One small job after the other, soon cancelled: each a command, and each reply a heartbeat. And long ones.
+    // One small job after the other, each cancelled soon, so that commands and their replies go on. And long tasks.
     simulation.world.accept_job(&mut simulation.cluster, 2, |j| (j.tasks, j.cpus, j.estimate_s) = (4, 1.0, 600.0));
     let mut small = None;
     for n in 0..300 {
@@ -78,13 +80,16 @@
         "{} tasks were lost with leases that nothing renewed",
         simulation.tasks_lost_with_leases
     );
-    assert!(simulation.world.workers["m1"].terminated, "silent, once it has no more to be told");
+    assert!(
+        simulation.world.workers["m1"].terminated,
+        "the machine is terminated as silent once no commands are due to it"
+    );
 }
 
-/// Higher fencing tokens are told by commands again and again, and so a machine whose reports are lost is never silent:
-/// it is returned after two leases all the same, and has no new work from the time at which its heartbeats are missed.
+/// Raised fencing tokens are announced by commands again and again, so that a machine whose heartbeats are lost is never
+/// silent. It must still be terminated after two leases, and get no new work once its heartbeats are missed.
 #[test]
-fn a_machine_whose_reports_are_lost_that_answers_commands_is_returned_after_two_leases() {
+fn machine_whose_heartbeats_are_lost_but_answers_commands_is_terminated_after_two_leases() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a")], |j| (j.tasks, j.cpus) = (1, 8.0));
     simulation.world.bind_waiting(&mut simulation.cluster, "m2");
     simulation.exchange_heartbeat("m2");
