--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -1,9 +1,9 @@
-//! Election and leadership: which controller holds the election lease, and which leads.
+//! Leader election: holding the election lease and writing the leader record.
 //!
 //! The lease holder's key is attached to a lease of the state service. The lease holder writes the leader record; the
 //! version of that key is the leader's fencing token, which workers compare and on which every write of a placement is
-//! conditional. Clocks only decide how soon a new lease holder follows: a deposed leader is stopped by the version, not
-//! by the time.
+//! conditional. Clocks only decide how soon a new lease holder succeeds: a deposed leader is stopped by the version,
+//! not by time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use tracing::{debug, info, warn};
 
 use super::leadership_transfer::LeadershipTransfer;
-use super::lease_timing::{LeaseTiming, renewal_first};
+use super::lease_timing::{LeaseTiming, prefer_due_renewal};
 use super::state::Membership;
 use super::step::{ElectionObservations, Step, next_step};
 use super::unreadable::UnreadableLeaseHolder;
@@ -21,32 +21,33 @@
 use crate::store::budget::RequestPriority;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
-/// A process ends the election lease of those before it on its address this often at the most: two controllers
-/// that were given one name by mistake must not do so to each other for ever.
-const MOST_EXPIRED: u32 = 2;
+/// Leases of predecessors with the same name that a process revokes at most. Two controllers that were given one name
+/// by mistake would otherwise revoke each other's leases for ever.
+const MAX_REVOKED_LEASES: u32 = 2;
 
-/// Stands for a lease holder whose key cannot be read; no incarnation is empty.
-const UNREADABLE: &str = "";
+/// Incarnation that stands for a lease holder whose key can't be decoded; no real incarnation is empty.
+const UNDECODABLE_INCARNATION: &str = "";
 
-/// This controller's own leader record stands, and it does not act on it: the write was carried out and not
-/// answered. It is written again, which answers under which fencing token to begin, or to go on.
+/// Whether the leader record names this process under a fencing token that it doesn't lead with yet: the write was
+/// applied, but its answer was lost. The record is written again to obtain the fencing token with which to lead.
 fn own_record_unanswered(me: &str, leader_record: Option<(&str, u64)>, fencing_token: Option<u64>) -> bool {
     leader_record.is_some_and(|(leader, version)| {
         leader == me && fencing_token.is_none_or(|fencing_token| fencing_token < version)
     })
 }
 
-/// What this controller knows of who holds the lease and leads at the moment it looks.
+/// Snapshot of the watch cache's lease holder and leader record.
 struct ElectionView {
     lease_holder: Option<LeaseHolder>,
     lease_holder_version: u64,
+    /// Version of a lease holder's key that can't be decoded.
     unreadable_lease_holder: Option<u64>,
     leader_record: Option<(LeaderRecord, u64)>,
     leader_record_version: u64,
 }
 
 impl ElectionView {
-    /// None while the store is not read.
+    /// Takes the snapshot; none while the watch cache is not loaded.
     fn of(membership: &Membership) -> Option<Self> {
         let watch_cache = membership.store.watch_cache();
         watch_cache.is_ready().then(|| Self {
@@ -58,22 +59,23 @@
         })
     }
 
-    /// Who holds the lease; a name that no process has where that cannot be read.
+    /// Returns the incarnation of the lease holder, `UNDECODABLE_INCARNATION` if its key can't be decoded.
     fn lease_holder(&self) -> Option<&str> {
-        let unreadable = self.unreadable_lease_holder.map(|_| UNREADABLE);
+        let unreadable = self.unreadable_lease_holder.map(|_| UNDECODABLE_INCARNATION);
         self.lease_holder.as_ref().map(|lease_holder| lease_holder.incarnation.as_str()).or(unreadable)
     }
 }
 
-/// What this controller keeps of its own part in who holds the lease.
+/// State of this controller as a participant in the election.
 struct ElectionParticipant {
     timing: LeaseTiming,
-    /// The lease on which it leads, or led last.
+    /// Lease that this process holds, or last tried to hold.
     lease: Option<u64>,
-    renewed: Instant,
+    /// When the lease was last renewed.
+    renewed_at: Instant,
     wrote_leader_record_last: bool,
-    /// Predecessors whose election lease it has ended.
-    expired: u32,
+    /// Leases of predecessors that this process has revoked.
+    revoked_leases: u32,
     leadership_transfer: LeadershipTransfer,
     unreadable: UnreadableLeaseHolder,
 }
@@ -83,54 +85,56 @@
         Self {
             timing: LeaseTiming { life },
             lease: None,
-            renewed: Instant::now(),
+            renewed_at: Instant::now(),
             wrote_leader_record_last: false,
-            expired: 0,
+            revoked_leases: 0,
             leadership_transfer: LeadershipTransfer::default(),
             unreadable: UnreadableLeaseHolder::default(),
         }
     }
 
-    /// Gives the election lease up where workers reach another controller. False if there is nothing to give up.
+    /// Releases the election lease if workers reach another controller and not this one. Returns false if there is no
+    /// lease to release.
     async fn transfer_leadership(&mut self, membership: &Membership) -> bool {
         if let (Some(lease), Some(takeover_request)) =
             (self.lease, membership.takeover_request_to_answer(Instant::now()))
-            && self.leadership_transfer.begins(takeover_request, lease, Instant::now())
+            && self.leadership_transfer.start_if_due(takeover_request, lease, Instant::now())
         {
             warn!("leader unreachable for workers; releasing the election lease to another controller");
         }
-        let Some(lease) = self.leadership_transfer.to_release() else { return false };
+        let Some(lease) = self.leadership_transfer.lease_to_release() else { return false };
         match membership.store.client.release(lease).await {
             Ok(()) => {
                 self.lease = None;
-                self.leadership_transfer.released(Instant::now());
+                self.leadership_transfer.record_release(Instant::now());
             }
             Err(error) => {
                 debug!(%error, "election lease release failed");
-                tokio::time::sleep(crate::sync::jitter(self.timing.retry())).await;
+                tokio::time::sleep(crate::sync::jitter(self.timing.retry_pause())).await;
             }
         }
         true
     }
 
-    /// What is to be done next.
+    /// Determines the next step.
     fn decide_step(&mut self, membership: &Membership, view: &ElectionView) -> Step {
         let fencing_token = membership.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
-        let assigned = view.leader_record.as_ref().map(|(a, version)| (a.incarnation.as_str(), *version));
-        let own_name =
+        let leader_record =
+            view.leader_record.as_ref().map(|(leader, version)| (leader.incarnation.as_str(), *version));
+        let has_own_name =
             view.lease_holder.as_ref().is_some_and(|lease_holder| lease_holder.node == membership.settings.node);
-        let nobody = self.unreadable.expires(view.unreadable_lease_holder, self.timing.life, Instant::now());
-        let renew_due = self.renewed.elapsed() >= self.timing.renew_every();
+        let is_undecodable = self.unreadable.is_expired(view.unreadable_lease_holder, self.timing.life, Instant::now());
+        let renewal_due = self.renewed_at.elapsed() >= self.timing.renewal_interval();
         let step = next_step(ElectionObservations {
             me: &membership.incarnation,
             lease_holder: view.lease_holder(),
-            lease_holder_gone: nobody || (own_name && self.expired < MOST_EXPIRED),
-            leader: assigned.map(|(leader, _)| leader),
+            lease_holder_gone: is_undecodable || (has_own_name && self.revoked_leases < MAX_REVOKED_LEASES),
+            leader: leader_record.map(|(leader, _)| leader),
             new_fencing_token_wanted: membership.new_fencing_token_wanted()
-                || own_record_unanswered(&membership.incarnation, assigned, fencing_token),
-            renewal_due: renew_due,
+                || own_record_unanswered(&membership.incarnation, leader_record, fencing_token),
+            renewal_due,
         });
-        renewal_first(step, self.wrote_leader_record_last, renew_due)
+        prefer_due_renewal(step, self.wrote_leader_record_last, renewal_due)
     }
 
     async fn take_step(
@@ -144,12 +148,12 @@
             Step::Wait => Ok(()),
             Step::Expire => {
                 expire(membership, view.lease_holder_version).await?;
-                self.expired += u32::from(view.unreadable_lease_holder.is_none());
+                self.revoked_leases += u32::from(view.unreadable_lease_holder.is_none());
                 Ok(())
             }
             Step::Campaign => {
                 campaign(membership, &mut self.lease, self.timing.life).await?;
-                self.renewed = Instant::now();
+                self.renewed_at = Instant::now();
                 Ok(())
             }
             Step::Renew => self.renew(membership).await,
@@ -164,7 +168,7 @@
     async fn renew(&mut self, membership: &Membership) -> Result<(), StoreError> {
         let Some(lease) = self.lease else { return Ok(()) };
         let alive = membership.store.client.renew(lease).await?;
-        self.renewed = Instant::now();
+        self.renewed_at = Instant::now();
         if !alive {
             info!("election lease expired");
             self.lease = None;
@@ -173,36 +177,37 @@
     }
 }
 
-/// Leads, or waits until it can, for ever.
+/// Takes part in the election for ever: campaigns, and leads while this process holds the lease.
 pub async fn run(membership: Arc<Membership>) {
     let mut participant = ElectionParticipant::new(membership.properties.election_lease);
     let mut stall = WatermarkStall::default();
     loop {
-        let _ = tokio::time::timeout(participant.timing.look_every(), membership.wakeups.membership.notified()).await;
+        let _ =
+            tokio::time::timeout(participant.timing.check_interval(), membership.wakeups.membership.notified()).await;
         let Some(view) = ElectionView::of(&membership) else { continue };
         membership.check_deposed();
         if participant.transfer_leadership(&membership).await {
             continue;
         }
-        if view.lease_holder().is_none() && participant.leadership_transfer.stands_back(Instant::now()) {
+        if view.lease_holder().is_none() && participant.leadership_transfer.backs_off(Instant::now()) {
             continue;
         }
         let step = participant.decide_step(&membership, &view);
         if let Err(error) = participant.take_step(&membership, &view, &step).await {
             debug!(%error, ?step, "membership step failed");
-            tokio::time::sleep(crate::sync::jitter(participant.timing.retry())).await;
+            tokio::time::sleep(crate::sync::jitter(participant.timing.retry_pause())).await;
         }
         maintain_watermark(&membership, &mut stall).await;
     }
 }
 
-/// Tells of a watermark that does not advance, and stores it for those who do not hear it.
+/// Logs a watermark that doesn't advance, and stores this leader's watermark for controllers that don't receive it.
 async fn maintain_watermark(membership: &Membership, stall: &mut WatermarkStall) {
     let waiting = membership.history.hidden_cancellations().above_watermark;
-    if let Some(long) = stall.due_for_log(waiting, membership.history.watermark(), Instant::now()) {
+    if let Some(stalled_for) = stall.due_for_log(waiting, membership.history.watermark(), Instant::now()) {
         warn!(
             waiting,
-            for_s = long.as_secs(),
+            for_s = stalled_for.as_secs(),
             leader = membership.leader_node(),
             "cancellations unconfirmed by the leader; answering their users with 503"
         );
@@ -212,8 +217,9 @@
     }
 }
 
-/// Who holds the lease decides how soon there is a leader and nothing else: the leader record stands until a new lease
-/// holder writes the next one, and whatever its leader has sent is judged by that.
+/// Condition and change that remove the lease holder's key. The lease holder only decides how soon there is a leader:
+/// the leader record stands until a new lease holder writes the next one, and the commands of its leader are judged by
+/// it.
 pub(crate) fn lease_removal(version: u64) -> (Condition, Change) {
     (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
 }
@@ -226,18 +232,18 @@
     Ok(())
 }
 
-/// The election lease for whoever finds none.
+/// Condition and change that take the election lease if nobody holds it.
 pub(crate) fn lease_acquisition(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
     let value = serde_json::to_value(me).unwrap_or_default();
     (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
 }
 
-async fn campaign(membership: &Membership, permit: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
-    let lease = match *permit {
+async fn campaign(membership: &Membership, held_lease: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
+    let lease = match *held_lease {
         Some(lease) if membership.store.client.renew(lease).await? => lease,
         _ => membership.store.client.grant(life).await?,
     };
-    *permit = Some(lease);
+    *held_lease = Some(lease);
     let me = LeaseHolder { node: membership.settings.node.clone(), incarnation: membership.incarnation.clone() };
     let (condition, change) = lease_acquisition(&me, lease);
     match membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await? {
@@ -249,12 +255,13 @@
         CompareAndSwapOutcome::Failed(_) => {
             membership.store.read_barrier.wait().await;
         }
-        CompareAndSwapOutcome::LeaseExpired => *permit = None,
+        CompareAndSwapOutcome::LeaseExpired => *held_lease = None,
     }
     Ok(())
 }
 
-/// A leader, named by whoever holds the lease and on what it has read: nobody else may have been named since.
+/// Conditions and change that write the leader record. They are refused if the lease holder or the leader record has
+/// changed since they were read.
 pub(crate) fn leader_record_write(
     leader: &LeaderRecord,
     lease_holder_version: u64,
@@ -264,8 +271,8 @@
     ([Condition::at(LEASE_HOLDER, lease_holder_version), Condition::at(LEADER, version)], change)
 }
 
-/// Writes this controller as leader. Done again, it raises the fencing token: every command given under
-/// the older one is dead wherever the new one has been seen.
+/// Writes the leader record for this process. Writing it again raises the fencing token: commands under an older token
+/// are void wherever the new one has been seen.
 async fn write_leader_record(
     membership: &Arc<Membership>,
     lease_holder_version: u64,
@@ -293,14 +300,15 @@
     Ok(())
 }
 
-/// That it is stored under the leader record that its fencing token names makes it true. A late copy of an older one
-/// only makes a controller that has just started wait for the next.
+/// Condition and change that store a watermark. The condition on the leader record of its fencing token makes a stored
+/// watermark valid. A late copy of an older watermark only makes a controller that has just started wait for the next
+/// one.
 pub(super) fn watermark_write(watermark: Watermark) -> (Condition, Change) {
     let value = serde_json::to_value(watermark).unwrap_or_default();
     (Condition::at(LEADER, watermark.fencing_token), Change::write(WATERMARK, value))
 }
 
-/// Controllers that do not hear this leader read it there.
+/// Stores the watermark for controllers that don't receive this leader's lines.
 async fn store_watermark(membership: &Membership, watermark: Watermark) {
     let (condition, change) = watermark_write(watermark);
     match membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await {
--- a/src/membership/election/tests/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -1,5 +1,5 @@
-//! Transactions of the election and leadership that are carried out after newer ones, or whose answer never
-//! comes, against the emulator's store: fixed steps.
+//! Tests of election transactions that are applied after newer ones, or whose answers are lost, against the emulator's
+//! store with fixed steps.
 
 use std::time::Duration;
 
@@ -21,11 +21,12 @@
     LeaderRecord { node: "a".into(), incarnation: incarnation.into(), teams: Vec::new() }
 }
 
-/// As the service takes it: none where the lease is over or a condition fails.
+/// Applies a transaction as the state service does; none if the lease has ended or a condition fails.
 fn send(store: &mut Store, conditions: &[Condition], changes: &[Change]) -> Option<u64> {
     store.compare_and_swap(&CompareAndSwap::new(conditions, changes), NOW).ok()?.ok()
 }
 
+/// Takes the election lease, and returns the lease and the version of the lease holder's key.
 fn take_lease(store: &mut Store, me: &str) -> (u64, u64) {
     let lease = store.grant(3000, NOW).unwrap();
     let (condition, change) = lease_acquisition(&lease_holder(me), lease);
@@ -44,78 +45,79 @@
     watch_cache
 }
 
-fn hear(watch_cache: &mut WatchCache, store: &Store) {
+fn apply_watch(watch_cache: &mut WatchCache, store: &Store) {
     watch_cache.apply_watch(&store.watch(CACHED, watch_cache.revision()).unwrap());
 }
 
-/// What `run` does next, by the watch cache and by the fencing token of the cluster state, if there is one.
-fn next(me: &str, watch_cache: &WatchCache, held: Option<u64>) -> Step {
-    let assigned = watch_cache.leader_record().map(|(a, fencing_token)| (a.incarnation.as_str(), *fencing_token));
-    let leads = watch_cache.lease_holder().map(|(l, _)| l.incarnation.as_str());
+/// Next step of `run` by the watch cache and by the fencing token of the cluster state, if there is one.
+fn next(me: &str, watch_cache: &WatchCache, fencing_token: Option<u64>) -> Step {
+    let leader_record = watch_cache.leader_record().map(|(leader, version)| (leader.incarnation.as_str(), *version));
+    let lease_holder = watch_cache.lease_holder().map(|(holder, _)| holder.incarnation.as_str());
     next_step(ElectionObservations {
         me,
-        lease_holder: leads,
+        lease_holder,
         lease_holder_gone: false,
-        leader: assigned.map(|(o, _)| o),
-        new_fencing_token_wanted: own_record_unanswered(me, assigned, held),
+        leader: leader_record.map(|(leader, _)| leader),
+        new_fencing_token_wanted: own_record_unanswered(me, leader_record, fencing_token),
         renewal_due: false,
     })
 }
 
-/// Nobody led any more, for as long as the assigned controller lived: it found itself assigned, and took
-/// that for done. The same of a fencing token that was raised and not heard: nothing it stored was taken.
+/// A lost answer to the write of the leader record left the cluster without a leader for as long as the named
+/// controller lived: the record named it, so it considered the write done. Likewise, after a raise of the fencing token
+/// with a lost answer, every write of the leader was refused.
 #[test]
-fn an_assignment_without_an_answer_is_written_anew_and_heard() {
+fn leader_record_with_lost_answer_is_written_again_once() {
     for held in [None, Some(())] {
         let mut store = Store::default();
         let mut watch_cache = watch_cache();
         take_lease(&mut store, "a1");
         // A cluster state that leads already raises its fencing token.
         let held = held.map(|()| become_leader(&mut store, "a1").unwrap());
-        hear(&mut watch_cache, &store);
-        // Carried out, and nobody hears of it but by the watch.
+        apply_watch(&mut watch_cache, &store);
+        // The write is applied, and is observed through the watch only.
         let (conditions, change) =
             leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
-        let own_record_unanswered = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
-        hear(&mut watch_cache, &store);
-        assert_eq!(next("a1", &watch_cache, held), Step::WriteLeaderRecord, "held {held:?}");
+        let unanswered_token = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
+        apply_watch(&mut watch_cache, &store);
+        assert_eq!(next("a1", &watch_cache, held), Step::WriteLeaderRecord, "token held {held:?}");
         let fencing_token = become_leader(&mut store, "a1").unwrap();
-        hear(&mut watch_cache, &store);
-        assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "and once only");
+        apply_watch(&mut watch_cache, &store);
+        assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "the record is written again only once");
         assert!(
-            fencing_token > own_record_unanswered,
-            "no process leads twice under one token: names of rentals rest on it"
+            fencing_token > unanswered_token,
+            "no process leads twice under one token: names of rentals depend on it"
         );
-        assert_eq!(send(&mut store, &conditions, &[change]), None, "a later copy is refused");
+        assert_eq!(send(&mut store, &conditions, &[change]), None, "a late copy is refused");
     }
     assert!(
         !own_record_unanswered("a1", Some(("a1", 5)), Some(5))
             && !own_record_unanswered("a1", Some(("a1", 5)), Some(7)),
-        "heard ahead"
+        "answered, or the answer came before the watch"
     );
     assert!(
         !own_record_unanswered("a1", Some(("b1", 5)), None) && !own_record_unanswered("a1", None, None),
-        "another's, or none"
+        "the leader record of another process, or none"
     );
 }
 
-/// What a late copy does, one line a case: what is sent late, what has come since, whether it is refused.
+/// Cases of late copies: the transaction that is applied late, what has happened since, and whether it is refused.
 #[test]
-fn late_copies_by_cases() {
+fn late_copies_are_refused_except_takeover_requests_for_the_same_leader() {
     type Sent = (Vec<Condition>, Vec<Change>);
     type Make = fn(&mut Store) -> Sent;
     type Newer = fn(&mut Store);
-    fn naming_now(store: &mut Store) -> Sent {
+    fn leader_record_now(store: &mut Store) -> Sent {
         let (conditions, change) =
             leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
         (conditions.into(), vec![change])
     }
-    fn candidacy_now(store: &mut Store) -> Sent {
+    fn campaign_now(store: &mut Store) -> Sent {
         let lease = store.grant(3000, NOW).unwrap();
         let (condition, change) = lease_acquisition(&lease_holder("a1"), lease);
         (vec![condition], vec![change])
     }
-    fn expiry_now(store: &mut Store) -> Sent {
+    fn revocation_now(store: &mut Store) -> Sent {
         let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
         (vec![condition], vec![change])
     }
@@ -124,7 +126,7 @@
         let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
-    fn again(store: &mut Store) {
+    fn a_takes_the_lease_again(store: &mut Store) {
         store.drop_leases();
         take_lease(store, "a1");
     }
@@ -144,17 +146,22 @@
         send(store, &conditions, &changes).unwrap();
     }
     let cases: [(&str, Make, Newer, bool); 11] = [
-        ("assignment, raised since", naming_now, a_raises, true),
-        ("assignment, another leads since", naming_now, b_leads, true),
-        ("assignment, another holds the lease and does not lead yet", naming_now, b_holds_the_lease, true),
-        ("assignment, nobody holds the lease", naming_now, Store::drop_leases, true),
-        ("assignment, takes the lease again and nobody has led between", naming_now, again, true),
-        ("candidacy, another holds the lease", candidacy_now, b_holds_the_lease, true),
-        ("candidacy, nobody holds the lease and its lease is over", candidacy_now, Store::drop_leases, true),
-        ("expiry, its successor holds the lease", expiry_now, b_holds_the_lease, true),
-        ("expiry, nobody holds the lease", expiry_now, Store::drop_leases, true),
+        ("leader record, token raised since", leader_record_now, a_raises, true),
+        ("leader record, another leads since", leader_record_now, b_leads, true),
+        ("leader record, another holds the lease and does not lead yet", leader_record_now, b_holds_the_lease, true),
+        ("leader record, nobody holds the lease", leader_record_now, Store::drop_leases, true),
+        (
+            "leader record, the same process holds the lease again and nobody led in between",
+            leader_record_now,
+            a_takes_the_lease_again,
+            true,
+        ),
+        ("campaign, another holds the lease", campaign_now, b_holds_the_lease, true),
+        ("campaign, nobody holds the lease and its lease has ended", campaign_now, Store::drop_leases, true),
+        ("revocation, the successor holds the lease", revocation_now, b_holds_the_lease, true),
+        ("revocation, nobody holds the lease", revocation_now, Store::drop_leases, true),
         ("takeover request, another leads", takeover_request_now, b_leads, true),
-        ("takeover request, after another's for the same leader", takeover_request_now, b_requests_takeover, false),
+        ("takeover request, another for the same leader since", takeover_request_now, b_requests_takeover, false),
     ];
     for (name, make, newer, refused) in cases {
         let mut store = Store::default();
@@ -166,21 +173,21 @@
     }
 }
 
-/// An expiry leaves the lease that its lease holder hung on: a candidacy from before it can make that one hold the
-/// lease once more, on a lease that nobody renews, and its successor expires it again.
+/// A revocation removes the lease holder's key but not the lease of the state service. A late copy of the former
+/// holder's campaign can therefore restore the key, on a lease that nobody renews; the successor revokes it again.
 #[test]
-fn a_candidacy_after_an_expiry_leads_until_its_lease_ends_and_owns_nothing() {
+fn late_campaign_after_a_revocation_holds_the_lease_until_it_ends_without_leading() {
     let mut store = Store::default();
     let lease = store.grant(3000, NOW).unwrap();
     let (condition, change) = lease_acquisition(&lease_holder("a1"), lease);
-    let late = ([condition], [change]);
-    send(&mut store, &late.0, &late.1).unwrap();
+    let late_campaign = ([condition], [change]);
+    send(&mut store, &late_campaign.0, &late_campaign.1).unwrap();
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
     send(&mut store, &[condition], &[change]).unwrap();
-    assert!(send(&mut store, &late.0, &late.1).is_some());
+    assert!(send(&mut store, &late_campaign.0, &late_campaign.1).is_some());
     let mut watch_cache = watch_cache();
-    hear(&mut watch_cache, &store);
+    apply_watch(&mut watch_cache, &store);
     assert_eq!(
         next_step(ElectionObservations {
             me: "a2",
@@ -193,20 +200,20 @@
         Step::Expire
     );
     store.end_leases(Duration::from_millis(3100));
-    hear(&mut watch_cache, &store);
+    apply_watch(&mut watch_cache, &store);
     assert_eq!((next("a2", &watch_cache, None), store.version(LEADER)), (Step::Campaign, fencing_token));
 }
 
-/// A lease that is renewed late lives at most once its time longer; one that has ended stays ended, and a
-/// late release or grant touches no key of whoever holds the lease since.
+/// A late renewal lengthens a lease by at most its life. A lease that has ended stays ended, and a late release or
+/// grant doesn't affect the key of the present lease holder.
 #[test]
-fn late_calls_about_leases_move_nobody_who_leads_since() {
+fn late_lease_calls_do_not_affect_the_present_lease_holder() {
     let s = Duration::from_secs;
     let mut store = Store::default();
     let (old, _) = take_lease(&mut store, "a1");
     store.renew(old, s(2)).unwrap();
     store.end_leases(s(4));
-    assert!(store.has(LEASE_HOLDER), "renewed late, once its time longer");
+    assert!(store.has(LEASE_HOLDER), "a late renewal lengthens the lease by its life");
     store.end_leases(s(5));
     assert!(!store.has(LEASE_HOLDER));
     let lease = store.grant(3000, s(5)).unwrap();
@@ -217,38 +224,45 @@
     assert_eq!(store.version(LEASE_HOLDER), version);
 }
 
-/// The answer to a transaction may come after the watch has told of newer ones: the watch cache would never be
-/// told of those again, and this controller would lead or hold the lease for itself alone.
+/// The answer to a transaction may arrive after the watch has reported newer ones. If the answer replaced those in the
+/// watch cache, they would never be reported again, and this controller alone would believe that it leads or holds the
+/// lease.
 #[test]
-fn an_answer_that_the_watch_has_overtaken_makes_nobody_own_or_lead() {
+fn answer_older_than_the_watch_changes_neither_lease_holder_nor_leader() {
     let mut store = Store::default();
     let mut watch_cache = watch_cache();
     let (_, version) = take_lease(&mut store, "a1");
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     store.drop_leases();
-    hear(&mut watch_cache, &store);
+    apply_watch(&mut watch_cache, &store);
     watch_cache.note_lease_holder(lease_holder("a1"), version);
-    assert!(watch_cache.lease_holder().is_none(), "its lease has ended since");
+    assert!(watch_cache.lease_holder().is_none(), "the lease has ended since");
     take_lease(&mut store, "b1");
     let newer = become_leader(&mut store, "b1").unwrap();
-    hear(&mut watch_cache, &store);
-    assert!(!watch_cache.note_leader_record(leader("a1"), fencing_token), "nothing to lead by");
-    assert_eq!(watch_cache.leader_record().map(|(a, version)| (a.incarnation.as_str(), *version)), Some(("b1", newer)));
-    // Ahead of the watch it counts as ever, and a watch from before does not take it back.
+    apply_watch(&mut watch_cache, &store);
+    assert!(!watch_cache.note_leader_record(leader("a1"), fencing_token), "an older leader record is ignored");
+    assert_eq!(
+        watch_cache.leader_record().map(|(leader, version)| (leader.incarnation.as_str(), *version)),
+        Some(("b1", newer))
+    );
+    // An answer ahead of the watch counts, and an older watch response does not revert it.
     let before = store.watch(CACHED, watch_cache.revision()).unwrap();
     let fencing_token = become_leader(&mut store, "b1").unwrap();
     assert!(watch_cache.note_leader_record(leader("b1"), fencing_token));
     watch_cache.apply_watch(&before);
     assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
-    hear(&mut watch_cache, &store);
-    assert!(watch_cache.note_leader_record(leader("b1"), fencing_token), "and heard of by the watch first");
+    apply_watch(&mut watch_cache, &store);
+    assert!(
+        watch_cache.note_leader_record(leader("b1"), fencing_token),
+        "an answer that the watch has already reported counts as well"
+    );
 }
 
-/// A page that was read before this controller's leader record stood brings back, for a moment, who led before.
-/// It is deposed by newer fencing tokens only, what it tries meanwhile is refused, and the first page's revision is
-/// where the watch goes on, which tells of the leader record again.
+/// A page read before this controller's leader record was written restores the previous leader in the watch cache for a
+/// moment. The controller is deposed only by newer fencing tokens, its writes meanwhile are refused, and the watch
+/// continues from the revision of the first page, so that it reports the leader record again.
 #[test]
-fn a_page_older_than_an_assignment_deposes_nobody_and_is_put_right() {
+fn page_older_than_the_leader_record_deposes_nobody_and_is_corrected_by_the_watch() {
     let mut store = Store::default();
     take_lease(&mut store, "b1");
     let before = become_leader(&mut store, "b1").unwrap();
@@ -256,20 +270,21 @@
     store.drop_leases();
     take_lease(&mut store, "a1");
     let mut watch_cache = watch_cache();
-    hear(&mut watch_cache, &store);
+    apply_watch(&mut watch_cache, &store);
     let mut loading = watch_cache.begin_reload();
     watch_cache.apply_page(&mut loading, &old);
     let fencing_token = become_leader(&mut store, "a1").unwrap();
     assert!(watch_cache.note_leader_record(leader("a1"), fencing_token));
     watch_cache.finish_reload(loading);
-    let accepted_watermark = watch_cache.leader_record().map(|(a, version)| (a.incarnation.clone(), *version)).unwrap();
-    assert_eq!(accepted_watermark, ("b1".to_owned(), before), "for a moment");
-    assert!(before < fencing_token, "which is no newer than the token that is held");
-    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "the other seems to hold the lease");
-    let leads = watch_cache.lease_holder().map_or(0, |(_, version)| *version);
-    let (conditions, change) = leader_record_write(&leader("a1"), leads, before);
+    let cached_leader =
+        watch_cache.leader_record().map(|(leader, version)| (leader.incarnation.clone(), *version)).unwrap();
+    assert_eq!(cached_leader, ("b1".to_owned(), before), "the page restores the previous leader");
+    assert!(before < fencing_token, "the previous fencing token is older than the one held");
+    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "the other process seems to hold the lease");
+    let lease_holder_version = watch_cache.lease_holder().map_or(0, |(_, version)| *version);
+    let (conditions, change) = leader_record_write(&leader("a1"), lease_holder_version, before);
     assert_eq!(send(&mut store, &conditions, &[change]), None);
-    hear(&mut watch_cache, &store);
+    apply_watch(&mut watch_cache, &store);
     assert_eq!(watch_cache.leader_record().map(|(_, version)| *version), Some(fencing_token));
-    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "holds the lease and leads");
+    assert_eq!(next("a1", &watch_cache, Some(fencing_token)), Step::Wait, "this process holds the lease and leads");
 }
--- a/src/membership/leadership_transfer.rs
+++ b/src/membership/leadership_transfer.rs
@@ -1,54 +1,60 @@
-//! When a lease holder steps down because workers reach another controller and not this one.
+//! Transfer of leadership: when a lease holder releases its lease because workers reach another controller and not this
+//! one.
 //!
-//! A takeover request is answered once: it stays in the store, and names the leader until another one is the leader. A
-//! release that gets no answer is asked for again until it does, or the lease has ended; meanwhile this controller
-//! neither renews it nor campaigns. Pure.
+//! Each takeover request is answered once, because it stays in the store and names this leader until another controller
+//! leads. A release that isn't answered is retried until it is answered or the lease has ended; meanwhile this
+//! controller neither renews the lease nor campaigns. The functions are pure.
 
 use std::time::{Duration, Instant};
 
-/// After yielding, the others get this long to take over before this controller tries again.
+/// Time after a release in which only the other controllers campaign.
 const BACK_OFF: Duration = Duration::from_secs(10);
-/// Whoever holds the lease again since nobody else did does not yield again before this: it would only cost time.
-const YIELD_GAP: Duration = Duration::from_secs(60);
+/// Minimum time between two transfers. A controller that holds the lease again because no other took it would only lose
+/// time by releasing it again at once.
+const MIN_TRANSFER_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What a controller remembers of its yields.
+/// State of the transfers of leadership by one controller.
 #[derive(Debug, Default)]
 pub struct LeadershipTransfer {
-    /// The version of the last takeover request that was answered.
-    answered: u64,
-    begun: Option<Instant>,
-    /// The lease that is to be released.
-    lease: Option<u64>,
+    /// Version of the last answered takeover request.
+    answered_version: u64,
+    /// Start of the last transfer.
+    started_at: Option<Instant>,
+    /// Lease whose release has not been answered yet.
+    releasing: Option<u64>,
+    /// End of the time in which only the other controllers campaign.
     back_off_until: Option<Instant>,
 }
 
 impl LeadershipTransfer {
-    /// Whether to step down now for the takeover request with this version, giving up this lease. Counts as answered.
-    pub fn begins(&mut self, takeover_request: u64, lease: u64, now: Instant) -> bool {
-        let rested = self.begun.is_none_or(|at| now.saturating_duration_since(at) >= YIELD_GAP);
-        if takeover_request <= self.answered || !rested {
+    /// Starts a transfer for the takeover request with this version if one is due, and returns whether it did. The
+    /// request then counts as answered, and `lease` is to be released.
+    pub fn start_if_due(&mut self, request_version: u64, lease: u64, now: Instant) -> bool {
+        let interval_passed =
+            self.started_at.is_none_or(|at| now.saturating_duration_since(at) >= MIN_TRANSFER_INTERVAL);
+        if request_version <= self.answered_version || !interval_passed {
             return false;
         }
-        self.answered = takeover_request;
-        self.begun = Some(now);
-        self.lease = Some(lease);
+        self.answered_version = request_version;
+        self.started_at = Some(now);
+        self.releasing = Some(lease);
         true
     }
 
-    /// The lease whose release has got no answer yet.
-    pub fn to_release(&self) -> Option<u64> {
-        self.lease
+    /// Returns the lease whose release has not been answered yet.
+    pub fn lease_to_release(&self) -> Option<u64> {
+        self.releasing
     }
 
-    /// The release was answered: from here on the others have their time.
-    pub fn released(&mut self, now: Instant) {
-        self.lease = None;
+    /// Records that the release was answered, which starts the back-off.
+    pub fn record_release(&mut self, now: Instant) {
+        self.releasing = None;
         self.back_off_until = Some(now + BACK_OFF);
     }
 
-    /// Whether the election lease is left to the others.
-    pub fn stands_back(&self, now: Instant) -> bool {
-        self.lease.is_some() || self.back_off_until.is_some_and(|until| now < until)
+    /// Returns whether this controller leaves the election lease to the others.
+    pub fn backs_off(&self, now: Instant) -> bool {
+        self.releasing.is_some() || self.back_off_until.is_some_and(|until| now < until)
     }
 }
 
--- a/src/membership/leadership_transfer/tests.rs
+++ b/src/membership/leadership_transfer/tests.rs
@@ -6,56 +6,56 @@
     start + Duration::from_secs(second)
 }
 
-/// Nobody else holds the lease after a yield, and the takeover request stays: it was yielded to again every few
-/// seconds, for ever.
+/// The takeover request stays in the store, and no other controller takes the lease after its release: the leader used
+/// to release it for the same request every few seconds.
 #[test]
-fn a_takeover_request_that_stays_is_answered_once() {
+fn remaining_takeover_request_is_answered_once() {
     let start = Instant::now();
     let mut leadership_transfer = LeadershipTransfer::default();
-    let mut yields = 0;
+    let mut transfers = 0;
     for second in 0..600 {
-        if !leadership_transfer.stands_back(at(start, second))
-            && leadership_transfer.begins(40, LEASE, at(start, second))
+        if !leadership_transfer.backs_off(at(start, second))
+            && leadership_transfer.start_if_due(40, LEASE, at(start, second))
         {
-            yields += 1;
-            leadership_transfer.released(at(start, second));
+            transfers += 1;
+            leadership_transfer.record_release(at(start, second));
         }
     }
-    assert_eq!(yields, 1);
+    assert_eq!(transfers, 1);
 }
 
-/// Takeover requests go on every 3 s while nobody else holds the lease: a yield a minute at the most, and the election
-/// lease is held between.
+/// New takeover requests arrive every 3 s while no other controller takes the lease: the leader releases it at most
+/// once a minute and holds it in between.
 #[test]
-fn takeover_requests_that_go_on_cost_a_yield_a_minute() {
+fn lasting_takeover_requests_cause_one_transfer_a_minute() {
     let start = Instant::now();
     let mut leadership_transfer = LeadershipTransfer::default();
-    let (mut yields, mut away) = (Vec::new(), 0);
+    let (mut transfers, mut backed_off_s) = (Vec::new(), 0);
     for second in 0..180 {
-        away += usize::from(leadership_transfer.stands_back(at(start, second)));
-        if leadership_transfer.begins(40 + second / 3, LEASE, at(start, second)) {
-            yields.push(second);
-            leadership_transfer.released(at(start, second));
+        backed_off_s += usize::from(leadership_transfer.backs_off(at(start, second)));
+        if leadership_transfer.start_if_due(40 + second / 3, LEASE, at(start, second)) {
+            transfers.push(second);
+            leadership_transfer.record_release(at(start, second));
         }
     }
-    assert_eq!(yields, [0, 60, 120]);
-    assert!(away <= 30, "{away} s of 180 without it");
+    assert_eq!(transfers, [0, 60, 120]);
+    assert!(backed_off_s <= 30, "{backed_off_s} s of 180 without the lease");
 }
 
-/// A release without an answer may have been carried out: the election lease is not taken up again before an answer
-/// and the time of the others after it.
+/// A release that isn't answered may have been applied: the controller doesn't campaign before the release is answered
+/// and the back-off has passed.
 #[test]
-fn a_release_without_an_answer_is_asked_for_again_and_nothing_else() {
+fn unanswered_release_is_retried_before_any_other_step() {
     let start = Instant::now();
     let mut leadership_transfer = LeadershipTransfer::default();
-    assert!(!leadership_transfer.stands_back(start) && leadership_transfer.to_release().is_none());
-    assert!(leadership_transfer.begins(40, LEASE, start));
+    assert!(!leadership_transfer.backs_off(start) && leadership_transfer.lease_to_release().is_none());
+    assert!(leadership_transfer.start_if_due(40, LEASE, start));
     for second in 0..30 {
-        assert_eq!(leadership_transfer.to_release(), Some(LEASE));
-        assert!(leadership_transfer.stands_back(at(start, second)), "{second}");
-        assert!(!leadership_transfer.begins(40, LEASE, at(start, second)), "{second}");
+        assert_eq!(leadership_transfer.lease_to_release(), Some(LEASE));
+        assert!(leadership_transfer.backs_off(at(start, second)), "at second {second}");
+        assert!(!leadership_transfer.start_if_due(40, LEASE, at(start, second)), "at second {second}");
     }
-    leadership_transfer.released(at(start, 30));
-    assert!(leadership_transfer.to_release().is_none());
-    assert!(leadership_transfer.stands_back(at(start, 39)) && !leadership_transfer.stands_back(at(start, 40)));
+    leadership_transfer.record_release(at(start, 30));
+    assert!(leadership_transfer.lease_to_release().is_none());
+    assert!(leadership_transfer.backs_off(at(start, 39)) && !leadership_transfer.backs_off(at(start, 40)));
 }
--- a/src/membership/lease_timing.rs
+++ b/src/membership/lease_timing.rs
@@ -1,53 +1,54 @@
-//! How the lease holder's steps share the time of its lease, so that writing an leader record never keeps it from
-//! renewing.
+//! Timing of the lease holder's steps within the life of its lease, so that writing the leader record never prevents
+//! the renewal of the lease.
 //!
-//! An leader record that gets no answer in time is written again; repeated without a pause, this would let the lease
-//! end. So each try may take a part of the lease only, and a renewal that is due goes next: the lease ends only if
-//! renewals themselves are not answered. Pure.
+//! A write of the leader record that isn't answered in time is retried; retries without a pause would let the lease
+//! expire. So each try may take only a share of the lease's life, and a due renewal goes before the next try: the lease
+//! expires only if the renewals themselves aren't answered. The functions are pure.
 
 use std::time::Duration;
 
 use super::step::Step;
 
-/// The lease is renewed so many times in its life.
-const RENEWALS: u32 = 4;
-/// Of a lease's life the part that one leader record may take.
-const ASSIGN_PART: u32 = 3;
-/// Between two tries, with the part of a short lease that it may take.
-const RETRY: Duration = Duration::from_millis(150);
-const RETRY_PART: u32 = 20;
+/// Renewals of a lease within its life.
+const RENEWALS_PER_LIFE: u32 = 4;
+/// Divisor of the lease's life that gives the timeout of a write of the leader record.
+const WRITE_TIMEOUT_DIVISOR: u32 = 3;
+/// Upper bound on the pause after a failed step.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Divisor of the lease's life that bounds the same pause for short leases.
+const RETRY_PAUSE_DIVISOR: u32 = 20;
 
-/// How long this lease holder's steps may take, by the life of its lease.
+/// Intervals and timeouts of the lease holder, derived from the life of its lease.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LeaseTiming {
     pub life: Duration,
 }
 
 impl LeaseTiming {
-    /// Between two renewals.
-    pub fn renew_every(self) -> Duration {
-        self.life / RENEWALS
+    /// Interval between two renewals.
+    pub fn renewal_interval(self) -> Duration {
+        self.life / RENEWALS_PER_LIFE
     }
 
-    /// The longest wait for something to do.
-    pub fn look_every(self) -> Duration {
-        self.renew_every() / 2
+    /// Longest time between two checks for a step to take.
+    pub fn check_interval(self) -> Duration {
+        self.renewal_interval() / 2
     }
 
-    /// An leader record that has got no answer by then is written again.
+    /// Time after which a write of the leader record that isn't answered is retried.
     pub fn write_timeout(self) -> Duration {
-        self.life / ASSIGN_PART
+        self.life / WRITE_TIMEOUT_DIVISOR
     }
 
-    /// After a step that failed, to be spread by `sync::jitter`.
-    pub fn retry(self) -> Duration {
-        RETRY.min(self.life / RETRY_PART)
+    /// Pause after a failed step, to which the caller applies `sync::jitter`.
+    pub fn retry_pause(self) -> Duration {
+        MAX_RETRY_PAUSE.min(self.life / RETRY_PAUSE_DIVISOR)
     }
 }
 
-/// The step that goes next: a renewal that is due before a second leader record.
-pub(super) fn renewal_first(step: Step, wrote_leader_record_last: bool, renew_due: bool) -> Step {
-    if step == Step::WriteLeaderRecord && wrote_leader_record_last && renew_due { Step::Renew } else { step }
+/// Replaces a second write of the leader record in a row by a renewal if one is due.
+pub(super) fn prefer_due_renewal(step: Step, wrote_leader_record_last: bool, renewal_due: bool) -> Step {
+    if step == Step::WriteLeaderRecord && wrote_leader_record_last && renewal_due { Step::Renew } else { step }
 }
 
 #[cfg(test)]
--- a/src/membership/lease_timing/tests.rs
+++ b/src/membership/lease_timing/tests.rs
@@ -1,20 +1,20 @@
 use super::super::step::{ElectionObservations, next_step};
 use super::*;
 
-/// The most that `sync::jitter` makes of a pause.
-const MOST_JITTER: f64 = 1.5;
-/// An answer of the store that is slow and comes.
+/// Largest factor by which `sync::jitter` lengthens a pause.
+const MAX_JITTER_FACTOR: f64 = 1.5;
+/// Time of a slow answer of the store.
 const SLOW_ANSWER: Duration = Duration::from_millis(30);
 
-/// The longest time between two renewals of a lease holder that is to write the leader record and never gets an answer,
-/// each step and pause taking as long as it may.
-fn longest_without_renewal(pace: LeaseTiming) -> Duration {
+/// Longest time between two renewals of a lease holder whose writes of the leader record are never answered, with each
+/// step and pause taking as long as allowed.
+fn longest_renewal_gap(timing: LeaseTiming) -> Duration {
     let (mut now, mut renewed, mut longest) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
     let mut wrote_leader_record_last = false;
-    while now < pace.life * 20 {
-        now += pace.look_every();
-        let due = now - renewed >= pace.renew_every();
-        let step = renewal_first(
+    while now < timing.life * 20 {
+        now += timing.check_interval();
+        let due = now - renewed >= timing.renewal_interval();
+        let step = prefer_due_renewal(
             next_step(ElectionObservations {
                 me: "a",
                 lease_holder: Some("a"),
@@ -28,38 +28,38 @@
         );
         wrote_leader_record_last = step == Step::WriteLeaderRecord;
         match step {
-            Step::WriteLeaderRecord => now += pace.write_timeout() + pace.retry().mul_f64(MOST_JITTER),
+            Step::WriteLeaderRecord => now += timing.write_timeout() + timing.retry_pause().mul_f64(MAX_JITTER_FACTOR),
             Step::Renew => {
                 now += SLOW_ANSWER;
                 longest = longest.max(now - renewed);
                 renewed = now;
             }
-            other => panic!("{other:?} of a lease holder that is to assign"),
+            other => panic!("unexpected step {other:?} of a lease holder that has to write the leader record"),
         }
     }
     longest.max(now - renewed)
 }
 
-/// A run of leader records without an answer cost the lease holder its lease, and the work a change of leader.
+/// Retries of the leader record without a pause used to let the lease expire, which forced a change of the leader.
 #[test]
-fn assignments_without_an_answer_cost_no_lease() {
+fn unanswered_leader_record_writes_never_let_the_lease_expire() {
     for life_ms in [500, 1000, 3000, 10_000, 600_000] {
-        let pace = LeaseTiming { life: Duration::from_millis(life_ms) };
-        let longest = longest_without_renewal(pace);
-        assert!(longest < pace.life, "a lease of {life_ms} ms is renewed after {longest:?}");
+        let timing = LeaseTiming { life: Duration::from_millis(life_ms) };
+        let longest = longest_renewal_gap(timing);
+        assert!(longest < timing.life, "a lease of {life_ms} ms is renewed after {longest:?}");
     }
 }
 
 #[test]
-fn whose_turn_it_is_by_cases() {
-    for (name, step, wrote_leader_record_last, due, want) in [
-        ("a first assignment goes at once", Step::WriteLeaderRecord, false, true, Step::WriteLeaderRecord),
-        ("a second one waits for a renewal", Step::WriteLeaderRecord, true, true, Step::Renew),
-        ("a second one, and none is due", Step::WriteLeaderRecord, true, false, Step::WriteLeaderRecord),
+fn due_renewal_precedes_only_a_repeated_leader_record_write() {
+    for (name, step, wrote_leader_record_last, renewal_due, want) in [
+        ("a first write goes at once", Step::WriteLeaderRecord, false, true, Step::WriteLeaderRecord),
+        ("a second write waits for a due renewal", Step::WriteLeaderRecord, true, true, Step::Renew),
+        ("a second write without a due renewal", Step::WriteLeaderRecord, true, false, Step::WriteLeaderRecord),
         ("nobody holds the lease", Step::Campaign, true, true, Step::Campaign),
         ("another holds the lease", Step::Wait, true, true, Step::Wait),
         ("its predecessor holds the lease", Step::Expire, true, true, Step::Expire),
     ] {
-        assert_eq!(renewal_first(step, wrote_leader_record_last, due), want, "{name}");
+        assert_eq!(prefer_due_renewal(step, wrote_leader_record_last, renewal_due), want, "{name}");
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,21 +1,23 @@
-//! Which controller leads, what this one can prove of it, and what it may say to users, workers and its peers.
+//! Membership of this controller in the group of controllers: which of them leads, how fresh this one's knowledge of
+//! the store is, and what it may therefore answer to users, workers and its peers.
 //!
-//! `election` takes the election lease and writes the leader record; `leadership` starts and ends leading; `mesh`
-//! exchanges lines with the other controllers; `pauses` handles pauses of this process; `judgement` says what may be
-//! answered by what is proven; `confirmation` and `watermark` confirm cancellations.
+//! `election` takes the election lease and writes the leader record; `leadership` starts and ends leadership; `mesh`
+//! exchanges lines with the other controllers; `pauses` handles pauses of this process; `judgement` decides what may be
+//! answered; `confirmation` and `watermark` confirm cancellations.
 //!
 //! # Lock order
 //!
-//! Locks are short and never held across an await. Where two are held at once, they are taken in this order:
+//! Locks are held for a short time and never across an await. Locks held at the same time are taken in this order:
 //!
 //! 1. the audit (`audit::Auditor`),
 //! 2. the watch cache (`store::handle::StateStore::watch_cache`),
 //! 3. the cluster state (`scheduling::leader_state::LeaderState::cluster`),
-//! 4. the fleet's cloud operations, and each of the locks of `Membership`, of which no two are held at once,
+//! 4. the fleet's cloud operations, and each lock of `Membership`, of which no two are held at the same time,
 //! 5. the fair-share accounting (`LeaderState::accounting`),
-//! 6. the history's questions.
+//! 6. the history's queue of queries.
 //!
-//! The admission and the read barrier are locked while none of these is held, and take only the store client's budgets.
+//! The admission and the read barrier are locked only while none of these is held, and their holders take no lock but
+//! those of the store client's budgets.
 
 mod cache_changes;
 mod confirmation;
--- a/src/membership/step.rs
+++ b/src/membership/step.rs
@@ -1,41 +1,41 @@
-//! What a controller does next in the election, as a function of what it observes.
+//! Next step of a controller in the election, as a pure function of its observations.
 
 /// The next step of a controller in the election.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Nothing is to be done.
+    /// Do nothing.
     Wait,
-    /// The process that holds the lease was this one's predecessor on its address, so it is gone: its lease is
-    /// ended before it expires. The same of a lease holder whose key cannot be read.
+    /// Revoke the lease of another holder before it expires: the holder was an earlier process of this controller,
+    /// which has ended, or its key cannot be decoded.
     Expire,
-    /// The election lease is free: try to take it.
+    /// Try to take the election lease, which nobody holds.
     Campaign,
-    /// The lease is this controller's and is to be renewed.
+    /// Renew the lease, which this process holds.
     Renew,
-    /// The lease is this controller's, and the leader record is to name it, under a new fencing token.
+    /// Write the leader record for this process, which holds the lease, and so obtain a new fencing token.
     WriteLeaderRecord,
 }
 
-/// What a controller observes of the election. Processes are named by their incarnation.
+/// Observations of the election by one controller. Processes are identified by their incarnations.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ElectionObservations<'a> {
-    /// The incarnation of this process.
+    /// Incarnation of this process.
     pub me: &'a str,
-    /// Who holds the election lease, if anybody does.
+    /// Incarnation of the holder of the election lease, if there is one.
     pub lease_holder: Option<&'a str>,
-    /// The lease holder, if it is another, is known to be gone: it was an earlier process of this controller, or nobody
-    /// whose key can be read.
+    /// Whether a lease holder other than this process is known to be gone: it was an earlier process of this
+    /// controller, or its key can't be decoded.
     pub lease_holder_gone: bool,
-    /// Whom the leader record names.
+    /// Incarnation in the leader record.
     pub leader: Option<&'a str>,
-    /// The leader record is to be written again even if it names this process: to raise the fencing token, or since
-    /// the answer to its last write was lost.
+    /// Whether the leader record is to be written even if it already names this process: to raise the fencing token, or
+    /// because the answer to the last write was lost.
     pub new_fencing_token_wanted: bool,
-    /// The lease was last renewed long enough ago.
+    /// Whether the renewal interval of the lease has passed.
     pub renewal_due: bool,
 }
 
-/// Pure, so that every combination can be tried.
+/// Determines the next step. A pure function, so that tests can cover every combination of observations.
 pub(super) fn next_step(observed: ElectionObservations) -> Step {
     let ElectionObservations { me, lease_holder, lease_holder_gone, leader, .. } = observed;
     match lease_holder {
