--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -38,24 +38,24 @@
         }
     }
 
-    fn bind_task(&mut self, p: Placement, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&p.task.job) else { return };
-        let Some(task) = job.tasks.get_mut(p.task.index as usize) else { return };
+    fn bind_task(&mut self, placement: Placement, now: Instant) {
+        let Some(job) = self.jobs.get_mut(&placement.task.job) else { return };
+        let Some(task) = job.tasks.get_mut(placement.task.index as usize) else { return };
         if !matches!(task.phase, Phase::Waiting) {
             return;
         }
-        let Some(machine) = self.machines.get_mut(&p.machine) else { return };
-        task.attempt = p.attempt;
-        job.max_attempt = job.max_attempt.max(p.attempt);
+        let Some(machine) = self.machines.get_mut(&placement.machine) else { return };
+        task.attempt = placement.attempt;
+        job.max_attempt = job.max_attempt.max(placement.attempt);
         task.stored = false;
-        task.phase = Phase::Bound(Box::new(Binding::new(p.machine, false, now)));
-        job.waiting.remove(&p.task.index);
-        job.bound.insert(p.task.index);
+        task.phase = Phase::Bound(Box::new(Binding::new(placement.machine, false, now)));
+        job.waiting.remove(&placement.task.index);
+        job.bound.insert(placement.task.index);
         machine.expect_image(job.image_digest, job.record.spec.image_gb);
-        machine.bind(p.task.clone(), job, now);
+        machine.bind(placement.task.clone(), job, now);
         let used = self.team_usage.entry(job.record.spec.team.clone()).or_default();
         used.add(job.record.spec.cpus, job.record.spec.gpus);
-        self.unstored_shards.queue_start(&p.task);
+        self.unstored_shards.queue_start(&placement.task);
     }
 
     /// Removes the binding of a task that is proven gone; the task waits again unless its job has ended.
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -220,7 +220,7 @@
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.command_under_way = false;
         m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
-        // Late halts and reaps are harmless since they are meant to last; a late launch is not.
+        // A late halt or reap only does what was meant to last; a late launch would start a task again.
         if !settled && std::mem::take(&mut m.launch_under_way) {
             m.unsettled_token = Some(m.unsettled_token.map_or(fencing_token, |t| t.max(fencing_token)));
             self.higher_token_wanted = true;
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -248,9 +248,9 @@
     /// would not finish in time.
     fn handle_recall(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(recall) = machine.recall_at else { return };
-        let left = recall.saturating_duration_since(now);
-        info!(machine = %id, notice_s = left.as_secs_f64(), "machine recall announced");
+        let Some(recall_at) = machine.recall_at else { return };
+        let time_left = recall_at.saturating_duration_since(now);
+        info!(machine = %id, notice_s = time_left.as_secs_f64(), "machine recall announced");
         machine.state = match machine.state {
             MachineState::Terminating => MachineState::Terminating,
             _ => MachineState::Draining,
@@ -261,8 +261,8 @@
             let Some(binding) = job.binding(key.index) else { continue };
             let remaining = sla::remaining_run_time(self.estimated_run_time(job.spec()), binding.run_time(now));
             let save_s = job.spec().save_s;
-            let can_save = job.spec().checkpoint_s > 0.0 && save_s + 1.0 < left.as_secs_f64();
-            if binding.running_since.is_none() || (can_save && remaining > left) {
+            let can_save = job.spec().checkpoint_s > 0.0 && save_s + 1.0 < time_left.as_secs_f64();
+            if binding.running_since.is_none() || (can_save && remaining > time_left) {
                 self.halt_task_or_gang(&key, save_s.ceil() as u64 + 1, now);
             }
         }
--- a/src/scheduling/cluster/loads.rs
+++ b/src/scheduling/cluster/loads.rs
@@ -35,12 +35,12 @@
     /// What the tasks bound to a machine take, recomputed from the bindings.
     #[cfg(test)]
     pub fn recomputed_allocation(&self, machine: &Machine) -> AllocatedResources {
-        let mut taken = AllocatedResources::default();
+        let mut allocated = AllocatedResources::default();
         for key in &machine.bound {
             if let Some(job) = self.jobs.get(&key.job) {
-                taken.add(job.spec(), 1.0);
+                allocated.add(job.spec(), 1.0);
             }
         }
-        taken
+        allocated
     }
 }
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -28,7 +28,7 @@
         if self.returned_machine_ids.contains(&id) {
             return;
         }
-        let at = self.kind_index(&kind.type_name, &kind.zone, kind.spot);
+        let kind_index = self.kind_index(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
         // A new leader may learn of a machine before it is told when the machine was rented.
@@ -37,7 +37,7 @@
             machine.type_name = kind.type_name.clone();
             machine.zone = kind.zone.clone();
             machine.spot = kind.spot;
-            machine.kind_index = at;
+            machine.kind_index = kind_index;
             if let Some(addr) = addr.filter(|a| a.parse::<std::net::SocketAddr>().is_ok()) {
                 machine.addr = Some(addr.to_owned());
             }
--- a/src/scheduling/cluster/model/arrivals.rs
+++ b/src/scheduling/cluster/model/arrivals.rs
@@ -8,7 +8,9 @@
 /// Recent arrivals of a class: an exponentially decaying count of tasks, and the latest job as their representative.
 #[derive(Debug)]
 pub struct Arrivals {
+    /// The decayed count of tasks at `updated_at`.
     pub(in crate::scheduling::cluster) decayed_tasks: f64,
+    /// When a job was last counted.
     pub(in crate::scheduling::cluster) updated_at: Instant,
     /// The latest job of the class.
     pub latest: Arc<JobRecord>,
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -60,7 +60,7 @@
     /// Whether a report that does not show the attempt proves that it is not on the machine. `settled`: no launch can
     /// arrive any more. A task that this leader wants to start and that was never reported may still start.
     pub(in crate::scheduling::cluster) fn is_absent(&self, agent_epoch: u64, settled: bool, job_ended: bool) -> bool {
-        let epoch_over = self.announced_epoch.is_some_and(|announced_in| announced_in < agent_epoch);
+        let epoch_over = self.announced_epoch.is_some_and(|announced_epoch| announced_epoch < agent_epoch);
         let unneeded = job_ended || self.halt_grace_s.is_some() || self.inherited || self.status.is_some();
         epoch_over || (settled && unneeded)
     }
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -56,16 +56,16 @@
     /// done have exited, so it needs no such proof.
     pub fn overdue_machines(&self, now: Instant) -> BTreeSet<MachineId> {
         let allowed = self.settings.params.workers.cancellation_deadline();
-        let patience = allowed.mul_f64(CANCELLATION_PROOF_FRACTION);
+        let proof_time = allowed.mul_f64(CANCELLATION_PROOF_FRACTION);
         // The deadline counts on across changes of the leader, or the times of several leaders would add up. But
         // machines get two heartbeats to prove to a new leader what they have proven to its predecessor.
-        let told_within = self.settings.params.workers.heartbeat_interval() * 2;
-        let new_here = now.saturating_duration_since(self.loaded_at) < told_within;
+        let report_time = self.settings.params.workers.heartbeat_interval() * 2;
+        let just_loaded = now.saturating_duration_since(self.loaded_at) < report_time;
         let due = |at: Instant| {
             let age = now.saturating_duration_since(at);
-            age > patience
+            age > proof_time
                 && self.last_pause.is_none_or(|pause| pause.proof_due(at, allowed, now))
-                && (at >= self.loaded_at || !new_here || age >= allowed.mul_f64(PROOF_PART))
+                && (at >= self.loaded_at || !just_loaded || age >= allowed.mul_f64(PROOF_PART))
         };
         let late = self.ending_jobs.iter().filter_map(|id| self.jobs.get(id));
         let late = late.filter(|job| !job.ended_done && job.ended.is_some_and(due));
@@ -95,7 +95,7 @@
     ///
     /// Many machines that fall silent at once point to the network or to this controller. Returning them all would lose
     /// the tasks that they run and, after their leases, still the machines, in whose place others would have to boot.
-    /// Machines that have died are missing from the cloud's list.
+    /// Dead machines are known from the list of the cloud.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
         if self.many_silent(self.properties.silence, CORRELATED_FRACTION_DIVISOR, now) {
             self.many_silent_seen_at = Some(now);
@@ -134,13 +134,14 @@
     /// On scale-in candidates where only idle work remains, stops the idle tasks that can save a checkpoint; the others
     /// run to their end.
     fn stop_idle_on_scale_in_candidates(&mut self, now: Instant) {
-        let left = |m: &&Machine| {
+        let runs_only_idle_work = |m: &&Machine| {
             m.state == MachineState::Draining
                 && m.scale_in_candidate
                 && m.idle_work_allocated().cpus > 0.0
                 && m.has_only_idle_work()
         };
-        let keys: Vec<TaskKey> = self.machines.values().filter(left).flat_map(|m| m.bound.iter().cloned()).collect();
+        let keys: Vec<TaskKey> =
+            self.machines.values().filter(runs_only_idle_work).flat_map(|m| m.bound.iter().cloned()).collect();
         for key in keys {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let grace_s = job.spec().save_s.ceil() as u64 + 1;
