--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -11,21 +11,21 @@
 use crate::settings::Objective;
 
 /// Kinds of waiting work remembered in one plan: more say nothing new.
-const MOST_WAITING: usize = 12;
+const MAX_UNPLACED_REQUESTS: usize = 12;
 
 /// A task that takes no more than this part of a machine is tiny, and waits this long for a better place.
-const TINY: f64 = 1.0 / 32.0;
-const TINY_WAITS: Duration = Duration::from_secs(15);
+const TINY_TASK_FRACTION: f64 = 1.0 / 32.0;
+const TINY_TASK_WAIT: Duration = Duration::from_secs(15);
 /// The part of a machine that idle work may take beside anything else.
-const LITTLE: f64 = 1.0 / 16.0;
+const SMALL_IDLE_FRACTION: f64 = 1.0 / 16.0;
 /// Idle tasks need about this long to be gone, saving and reports included: so much of the arrivals of
 /// classes whose users are promised a start sooner than machines boot finds room that is kept free.
-const GIVES_WAY: Duration = Duration::from_secs(10);
+const IDLE_EVICTION_TIME: Duration = Duration::from_secs(10);
 
 /// Tasks like the last of a class for which idle work leaves room, by how many come a second.
 pub fn tasks_kept_free_for(spec: &JobSpec, per_second: f64, objectives: &[Objective], boot_s: f64) -> u64 {
     let prompt = objectives.iter().any(|o| o.kind == "wait" && o.class == spec.class && o.within_s < boot_s);
-    if spec.is_idle() || !prompt { 0 } else { (per_second * GIVES_WAY.as_secs_f64()).ceil() as u64 }
+    if spec.is_idle() || !prompt { 0 } else { (per_second * IDLE_EVICTION_TIME.as_secs_f64()).ceil() as u64 }
 }
 
 /// What idle work may cause at the cloud and to machines.
@@ -56,14 +56,14 @@
 
 /// A waiting task of other than idle work: what it asks of a machine, and where it may go.
 #[derive(Debug, Clone)]
-struct Wanted {
+struct UnplacedRequest {
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
-    open: Vec<bool>,
+    allowed_kinds: Vec<bool>,
 }
 
-impl Wanted {
+impl UnplacedRequest {
     fn fits(&self, capacity: &FreeCapacity) -> bool {
         self.cpus <= capacity.cpus + AMOUNT_TOLERANCE
             && self.gpus <= capacity.gpus + AMOUNT_TOLERANCE
@@ -74,24 +74,24 @@
 /// What more urgent work found no room for in a plan.
 #[derive(Debug, Clone, Default)]
 pub struct Backfill {
-    wanted: Vec<Wanted>,
+    unplaced: Vec<UnplacedRequest>,
 }
 
 impl Backfill {
     /// Work like this found no room. What fails everywhere keeps nobody out.
-    pub fn record_waiting(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
-        if spec.is_idle() || quarantined || self.wanted.len() >= MOST_WAITING {
+    pub fn record_unplaced(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+        if spec.is_idle() || quarantined || self.unplaced.len() >= MAX_UNPLACED_REQUESTS {
             return;
         }
-        let covered = |w: &Wanted| {
+        let covered = |w: &UnplacedRequest| {
             w.cpus <= spec.cpus
                 && w.gpus <= spec.gpus
                 && w.memory_gb <= spec.memory_gb
-                && open.iter().zip(&w.open).all(|(mine, theirs)| *theirs || !mine)
+                && open.iter().zip(&w.allowed_kinds).all(|(mine, theirs)| *theirs || !mine)
         };
-        if !self.wanted.iter().any(covered) {
+        if !self.unplaced.iter().any(covered) {
             let (cpus, gpus, memory_gb) = (spec.cpus, spec.gpus, spec.memory_gb);
-            self.wanted.push(Wanted { cpus, gpus, memory_gb, open: open.to_vec() });
+            self.unplaced.push(UnplacedRequest { cpus, gpus, memory_gb, allowed_kinds: open.to_vec() });
         }
     }
 
@@ -112,20 +112,23 @@
         }
         // Machines that it uses as they are it has whole, so that whole ones come free when it gives way; of
         // others it fills what is over. Of any it may have so little that hardly anything is kept out by it.
-        let little = |idle: f64, more: f64, all: f64| idle + more <= all * LITTLE + AMOUNT_TOLERANCE;
+        let little = |idle: f64, more: f64, all: f64| idle + more <= all * SMALL_IDLE_FRACTION + AMOUNT_TOLERANCE;
         let little = little(capacity.idle_usage.0, spec.cpus, capacity.machine_type.cpus)
             && little(capacity.idle_usage.2, spec.memory_gb, capacity.machine_type.memory_gb);
         // What is tiny and has waited takes any hole that nobody waits for.
-        let tiny =
-            spec.cpus <= capacity.machine_type.cpus * TINY && spec.memory_gb <= capacity.machine_type.memory_gb * TINY;
+        let tiny = spec.cpus <= capacity.machine_type.cpus * TINY_TASK_FRACTION
+            && spec.memory_gb <= capacity.machine_type.memory_gb * TINY_TASK_FRACTION;
         let whole = apt && !capacity.draining;
-        if whole != alone && !(whole && (little || (tiny && waited >= TINY_WAITS))) {
+        if whole != alone && !(whole && (little || (tiny && waited >= TINY_TASK_WAIT))) {
             return false;
         }
         // What is free here but for idle work would be taken from who waits for it.
         let mut after = *capacity;
         after.allocate(spec);
-        !self.wanted.iter().any(|w| w.open.get(capacity.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
+        !self
+            .unplaced
+            .iter()
+            .any(|w| w.allowed_kinds.get(capacity.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
     }
 }
 
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -68,9 +68,9 @@
         capacity.add(-others - idle, 0.0, 0.0);
         let mut backfill = Backfill::default();
         if let Some(spec) = waits {
-            backfill.record_waiting(spec, &[true], false);
-            backfill.record_waiting(spec, &[true], false);
-            assert_eq!(backfill.wanted.len(), 1, "like asks are one");
+            backfill.record_unplaced(spec, &[true], false);
+            backfill.record_unplaced(spec, &[true], false);
+            assert_eq!(backfill.unplaced.len(), 1, "like asks are one");
         }
         let job = JobSpec { urgency: Urgency::Idle, checkpoint_s: 30.0, ..spec() };
         assert_eq!(backfill.allows_start(&job, &capacity, Duration::ZERO), want, "{name}");
@@ -81,11 +81,11 @@
     assert!(Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
     shared.idle_usage.0 = 1.0;
     assert!(!Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "and no more than that");
-    assert!(Backfill::default().allows_start(&tiny, &shared, TINY_WAITS), "before it would wait for ever");
+    assert!(Backfill::default().allows_start(&tiny, &shared, TINY_TASK_WAIT), "before it would wait for ever");
     let mut kept = FreeCapacity::empty(&plain, 0);
     kept.kept_for_arrivals = true;
-    assert!(!Backfill::default().allows_start(&spec(), &kept, TINY_WAITS), "kept for prompt arrivals");
+    assert!(!Backfill::default().allows_start(&spec(), &kept, TINY_TASK_WAIT), "kept for prompt arrivals");
     let mut backfill = Backfill::default();
-    backfill.record_waiting(&gang, &[true], true);
-    assert!(backfill.wanted.is_empty(), "what fails everywhere keeps nobody out");
+    backfill.record_unplaced(&gang, &[true], true);
+    assert!(backfill.unplaced.is_empty(), "what fails everywhere keeps nobody out");
 }
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -16,26 +16,26 @@
 use crate::protocol::workers::TaskKey;
 
 /// A job that has failed on so many machines, and done well on none, fails by itself.
-const EVERYWHERE: usize = 3;
+const JOB_FAULT_MACHINES: usize = 3;
 /// A task of a job that does well fails by itself once it has failed on so many machines.
-const TASK_EVERYWHERE: usize = 3;
+const TASK_FAULT_MACHINES: usize = 3;
 /// So many jobs of a class that fail by themselves, and none of it done since, speak against the class.
-const CLASS_EVERYWHERE: usize = 3;
+const CLASS_FAULT_JOBS: usize = 3;
 /// A machine quarantined is left alone for this long before it is given up: whoever failed on it is
 /// mostly known by then.
-const DECIDED_AFTER: Duration = Duration::from_secs(15);
+const QUARANTINE_TIME: Duration = Duration::from_secs(15);
 /// Pause before what fails by itself is tried again: doubled each time, up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_secs(5);
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+const MIN_RETRY_PAUSE: Duration = Duration::from_secs(5);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60);
 /// Tasks of a suspected job that are tried at once.
 pub const MAX_PROBE_TASKS: usize = 2;
 
 /// Tasks of one job remembered for having failed; more are judged by their job alone.
-const MOST_TASKS: usize = 256;
+const MAX_FAILED_TASKS: usize = 256;
 /// Failures remembered of one machine since anything was done on it.
-const MOST_FAILURES: usize = 32;
+const MAX_MACHINE_FAILURES: usize = 32;
 /// Machines of a job's latest failures that are remembered.
-const MOST_LATELY: usize = 16;
+const MAX_RECENT_MACHINES: usize = 16;
 
 /// What speaks for and against whom at the moment of a failure.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -69,14 +69,14 @@
 pub fn attribute_failure(seen: Observations, enough: usize) -> Attribution {
     if seen.job_succeeds {
         return match seen {
-            Observations { task_failed_machines: task_failed_on, .. } if task_failed_on >= TASK_EVERYWHERE => {
+            Observations { task_failed_machines: task_failed_on, .. } if task_failed_on >= TASK_FAULT_MACHINES => {
                 Attribution::Task
             }
             Observations { machine_failures: machine_row, .. } if machine_row >= enough => Attribution::Machine,
             _ => Attribution::Unclear,
         };
     }
-    if seen.class_faulty || seen.job_failed_machines >= EVERYWHERE {
+    if seen.class_faulty || seen.job_failed_machines >= JOB_FAULT_MACHINES {
         Attribution::Job
     } else if seen.machine_failures >= enough {
         Attribution::Machine
@@ -87,9 +87,9 @@
 
 /// The pause after the `round`th time in a row that something has failed by itself, from 0: the
 /// longer, the more tasks a try takes.
-fn pause(round: u32, tasks: usize) -> Duration {
+fn retry_pause(round: u32, tasks: usize) -> Duration {
     let tries = tasks.div_ceil(MAX_PROBE_TASKS).clamp(1, 1000) as u32;
-    (FIRST_PAUSE * tries * 2u32.saturating_pow(round.min(8))).min(LONGEST_PAUSE)
+    (MIN_RETRY_PAUSE * tries * 2u32.saturating_pow(round.min(8))).min(MAX_RETRY_PAUSE)
 }
 
 #[derive(Debug)]
@@ -104,19 +104,19 @@
     class: String,
     /// Machines on which it failed, a few more than convict it.
     failed_on: Vec<MachineId>,
-    does_well: bool,
+    succeeds: bool,
     quarantined: bool,
     round: u32,
     not_before: Option<Instant>,
     tasks: BTreeMap<u32, TaskFailures>,
     /// All failures of its tasks, and where the latest were, the latest last.
     failures: u64,
-    lately: VecDeque<MachineId>,
+    recent_machines: VecDeque<MachineId>,
 }
 
 impl JobFailures {
-    fn task_fails(&self, index: u32) -> bool {
-        self.does_well && self.tasks.get(&index).is_some_and(|t| t.failed_on.len() >= TASK_EVERYWHERE)
+    fn is_task_faulty(&self, index: u32) -> bool {
+        self.succeeds && self.tasks.get(&index).is_some_and(|t| t.failed_on.len() >= TASK_FAULT_MACHINES)
     }
 }
 
@@ -166,7 +166,7 @@
     }
 }
 
-fn note(list: &mut Vec<MachineId>, machine: &MachineId, most: usize) {
+fn push_unique(list: &mut Vec<MachineId>, machine: &MachineId, most: usize) {
     if list.len() < most && !list.contains(machine) {
         list.push(machine.clone());
     }
@@ -179,37 +179,37 @@
         let trial = self.jobs.entry(task.job.clone()).or_default();
         trial.class.clear();
         trial.class.push_str(class);
-        trial.does_well |= job_does_well;
-        note(&mut trial.failed_on, machine, EVERYWHERE * 2);
+        trial.succeeds |= job_does_well;
+        push_unique(&mut trial.failed_on, machine, JOB_FAULT_MACHINES * 2);
         trial.failures += 1;
-        trial.lately.push_back(machine.clone());
-        if trial.lately.len() > MOST_LATELY {
-            trial.lately.pop_front();
+        trial.recent_machines.push_back(machine.clone());
+        if trial.recent_machines.len() > MAX_RECENT_MACHINES {
+            trial.recent_machines.pop_front();
         }
         let known = trial.tasks.len();
-        if known < MOST_TASKS || trial.tasks.contains_key(&task.index) {
+        if known < MAX_FAILED_TASKS || trial.tasks.contains_key(&task.index) {
             let of_task = trial.tasks.entry(task.index);
             let of_task = of_task.or_insert_with(|| TaskFailures { failed_on: Vec::new(), round: 0, not_before: now });
-            note(&mut of_task.failed_on, machine, TASK_EVERYWHERE);
+            push_unique(&mut of_task.failed_on, machine, TASK_FAULT_MACHINES);
         }
         let of_machine = self.machines.entry(machine.clone()).or_default();
-        if of_machine.failures.len() < MOST_FAILURES {
+        if of_machine.failures.len() < MAX_MACHINE_FAILURES {
             of_machine.failures.push(task.clone());
         }
-        let seen = self.seen(task, machine);
+        let seen = self.observe(task, machine);
         let mut response = FailureResponse::default();
         match attribute_failure(seen, enough) {
             Attribution::Unclear => {}
             Attribution::Job => {
-                response.job_not_before = self.suspect(&task.job, at_once, now);
-                response.cleared = self.clear_explained(enough);
+                response.job_not_before = self.quarantine_job(&task.job, at_once, now);
+                response.cleared = self.clear_explained_machines(enough);
             }
             Attribution::Task => {
                 if let Some(of_task) = self.jobs.get_mut(&task.job).and_then(|t| t.tasks.get_mut(&task.index)) {
-                    of_task.not_before = now + pause(of_task.round, 1);
+                    of_task.not_before = now + retry_pause(of_task.round, 1);
                     of_task.round += 1;
                 }
-                response.cleared = self.clear_explained(enough);
+                response.cleared = self.clear_explained_machines(enough);
             }
             Attribution::Machine => {
                 if let Some(of_machine) = self.machines.get_mut(machine).filter(|m| m.quarantined.is_none()) {
@@ -221,34 +221,35 @@
         response
     }
 
-    fn seen(&self, task: &TaskKey, machine: &MachineId) -> Observations {
+    fn observe(&self, task: &TaskKey, machine: &MachineId) -> Observations {
         let Some(trial) = self.jobs.get(&task.job) else { return Observations::default() };
         let sound = |m: &&MachineId| self.machines.get(*m).is_none_or(|t| t.quarantined.is_none());
         Observations {
             job_failed_machines: trial.failed_on.iter().filter(sound).count(),
-            job_succeeds: trial.does_well,
+            job_succeeds: trial.succeeds,
             task_failed_machines: trial.tasks.get(&task.index).map_or(0, |t| t.failed_on.len()),
-            class_faulty: self.class_fails(&trial.class),
-            machine_failures: self.row(machine),
+            class_faulty: self.is_class_faulty(&trial.class),
+            machine_failures: self.unexplained_failures(machine),
         }
     }
 
-    fn class_fails(&self, class: &str) -> bool {
-        self.classes.peek(class).is_some_and(|jobs| jobs.len() >= CLASS_EVERYWHERE)
+    fn is_class_faulty(&self, class: &str) -> bool {
+        self.classes.peek(class).is_some_and(|jobs| jobs.len() >= CLASS_FAULT_JOBS)
     }
 
     /// Failures on a machine that neither a job nor a task explains. Of a job that has done well nowhere
     /// yet they count once, however many of its tasks were there.
-    fn row(&self, machine: &MachineId) -> usize {
+    fn unexplained_failures(&self, machine: &MachineId) -> usize {
         let Some(trial) = self.machines.get(machine) else { return 0 };
         let mut row = 0;
         let mut unsure: Vec<&JobId> = Vec::new();
         for task in &trial.failures {
             let Some(job) = self.jobs.get(&task.job) else { continue };
-            if job.quarantined || job.task_fails(task.index) || (!job.does_well && self.class_fails(&job.class)) {
+            if job.quarantined || job.is_task_faulty(task.index) || (!job.succeeds && self.is_class_faulty(&job.class))
+            {
                 continue;
             }
-            if job.does_well {
+            if job.succeeds {
                 row += 1;
             } else if !unsure.contains(&&task.job) {
                 unsure.push(&task.job);
@@ -258,26 +259,27 @@
     }
 
     /// The job fails by itself. Failures of one round, however many, make one pause.
-    fn suspect(&mut self, id: &JobId, at_once: usize, now: Instant) -> Option<Instant> {
+    fn quarantine_job(&mut self, id: &JobId, at_once: usize, now: Instant) -> Option<Instant> {
         let trial = self.jobs.get_mut(id)?;
         if !trial.quarantined {
             trial.quarantined = true;
             let of_class = self.classes.get_or_insert_mut(trial.class.clone(), Vec::new);
-            if of_class.len() < CLASS_EVERYWHERE && !of_class.contains(id) {
+            if of_class.len() < CLASS_FAULT_JOBS && !of_class.contains(id) {
                 of_class.push(id.clone());
             }
         }
         if trial.not_before.is_none_or(|at| now >= at) {
-            trial.not_before = Some(now + pause(trial.round, at_once));
+            trial.not_before = Some(now + retry_pause(trial.round, at_once));
             trial.round += 1;
         }
         trial.not_before
     }
 
     /// Machines quarantined for what by now is explained otherwise.
-    fn clear_explained(&mut self, enough: usize) -> Vec<MachineId> {
+    fn clear_explained_machines(&mut self, enough: usize) -> Vec<MachineId> {
         let quarantined = self.machines.iter().filter(|(_, t)| t.quarantined.is_some()).map(|(id, _)| id);
-        let cleared: Vec<MachineId> = quarantined.filter(|id| self.row(id) < enough).cloned().collect();
+        let cleared: Vec<MachineId> =
+            quarantined.filter(|id| self.unexplained_failures(id) < enough).cloned().collect();
         for id in &cleared {
             self.machines.remove(id);
         }
@@ -289,7 +291,7 @@
         let mut cleared = self.machines.remove(machine).is_some_and(|t| t.quarantined.is_some());
         if let Some(trial) = self.jobs.get_mut(&task.job) {
             cleared |= trial.quarantined;
-            (trial.quarantined, trial.does_well, trial.round, trial.not_before) = (false, true, 0, None);
+            (trial.quarantined, trial.succeeds, trial.round, trial.not_before) = (false, true, 0, None);
             trial.failed_on.clear();
             trial.tasks.remove(&task.index);
         }
@@ -317,9 +319,10 @@
     /// Machines whose time quarantined is over, and whether they are to be given up.
     pub fn end_quarantines(&mut self, enough: usize, now: Instant) -> Vec<(MachineId, bool)> {
         let due =
-            |t: &MachineFailures| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= DECIDED_AFTER);
+            |t: &MachineFailures| t.quarantined.is_some_and(|at| now.saturating_duration_since(at) >= QUARANTINE_TIME);
         let due: Vec<MachineId> = self.machines.iter().filter(|(_, t)| due(t)).map(|(id, _)| id.clone()).collect();
-        let decided: Vec<(MachineId, bool)> = due.into_iter().map(|id| (id.clone(), self.row(&id) >= enough)).collect();
+        let decided: Vec<(MachineId, bool)> =
+            due.into_iter().map(|id| (id.clone(), self.unexplained_failures(&id) >= enough)).collect();
         for (id, _) in &decided {
             self.machines.remove(id);
         }
@@ -343,12 +346,12 @@
     /// How often tasks of a job have failed, and the machines of the latest failures, the latest last.
     pub fn failures(&self, id: &JobId) -> (u64, impl Iterator<Item = &MachineId>) {
         let trial = self.jobs.get(id);
-        (trial.map_or(0, |t| t.failures), trial.into_iter().flat_map(|t| &t.lately))
+        (trial.map_or(0, |t| t.failures), trial.into_iter().flat_map(|t| &t.recent_machines))
     }
 
     /// Tasks of a job that fail by themselves and are not to be tried yet.
     pub fn held_back_tasks(&self, id: &JobId, now: Instant) -> Vec<u32> {
-        let Some(trial) = self.jobs.get(id).filter(|t| t.does_well) else { return Vec::new() };
+        let Some(trial) = self.jobs.get(id).filter(|t| t.succeeds) else { return Vec::new() };
         trial.tasks.iter().filter(|(_, t)| t.not_before > now).map(|(index, _)| *index).collect()
     }
 
--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -26,9 +26,9 @@
     ] {
         assert_eq!(attribute_failure(seen, 2), want, "{name}");
     }
-    let pauses: Vec<u64> = (0..6).map(|round| pause(round, MAX_PROBE_TASKS).as_secs()).collect();
+    let pauses: Vec<u64> = (0..6).map(|round| retry_pause(round, MAX_PROBE_TASKS).as_secs()).collect();
     assert_eq!(pauses, [5, 10, 20, 40, 60, 60]);
-    assert_eq!(pause(0, 16).as_secs(), 40, "a gang of sixteen costs eight times as much to try");
+    assert_eq!(retry_pause(0, 16).as_secs(), 40, "a gang of sixteen costs eight times as much to try");
 }
 
 /// Feeds failures and ends on named machines: `x3@m1` fails, `+x3@m1` is done, `?x3@m1` fails while
@@ -58,7 +58,7 @@
             attribution.record_failure(&failure, 2, start);
         }
     }
-    let decided = attribution.end_quarantines(2, start + DECIDED_AFTER);
+    let decided = attribution.end_quarantines(2, start + QUARANTINE_TIME);
     out.extend(decided.into_iter().filter(|(_, out)| *out).map(|(id, _)| id.to_string()));
     out.sort();
     (out, jobs.into_iter().filter(|j| attribution.is_job_quarantined(&j.as_str().into())).collect())
@@ -129,8 +129,8 @@
         attribution.record_failure(&failure, 2, at).job_not_before
     };
     let pauses: Vec<_> = (0..100).map(|index| fail(index, now)).collect();
-    assert_eq!((pauses[1], pauses[2], pauses[99]), (None, Some(now + FIRST_PAUSE), Some(now + FIRST_PAUSE)));
-    let later = now + FIRST_PAUSE;
-    assert_eq!(fail(200, later), Some(later + FIRST_PAUSE * 2));
-    assert_eq!(fail(201, later), Some(later + FIRST_PAUSE * 2));
+    assert_eq!((pauses[1], pauses[2], pauses[99]), (None, Some(now + MIN_RETRY_PAUSE), Some(now + MIN_RETRY_PAUSE)));
+    let later = now + MIN_RETRY_PAUSE;
+    assert_eq!(fail(200, later), Some(later + MIN_RETRY_PAUSE * 2));
+    assert_eq!(fail(201, later), Some(later + MIN_RETRY_PAUSE * 2));
 }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -280,7 +280,8 @@
         }
         self.update_accounting();
         if t.is_multiple_of(2) {
-            self.cluster.reservations = crate::scheduling::reservations::choose(&self.cluster, &catalog(), now);
+            self.cluster.reservations =
+                crate::scheduling::reservations::choose_reservations(&self.cluster, &catalog(), now);
         }
         let placed = plan::place(&mut self.cluster, &catalog(), now);
         self.cluster.bind_placements(placed, now);
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -11,7 +11,7 @@
 use crate::sla;
 
 /// Past its saving, an idle task is gone and another in its place within this time.
-const STOPPED_WITHIN: Duration = Duration::from_secs(6);
+const IDLE_HANDOVER_TIME: Duration = Duration::from_secs(6);
 
 /// Room that comes free: when, and how much (cpus, gpus, GB).
 type Release = (f64, f64, f64, f64);
@@ -57,7 +57,7 @@
             };
             let spec = job.spec();
             let rest = if for_urgent && spec.is_idle() {
-                rest.min(Duration::try_from_secs_f64(spec.save_s).unwrap_or_default() + STOPPED_WITHIN)
+                rest.min(Duration::try_from_secs_f64(spec.save_s).unwrap_or_default() + IDLE_HANDOVER_TIME)
             } else {
                 rest
             };
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -16,27 +16,27 @@
 
 /// Machines that stand idle are kept for room that is asked for at most so much later than a new one
 /// would be there: a machine costs that long in any case.
-const KEPT_S: f64 = 60.0;
+const IDLE_LEAD_S: f64 = 60.0;
 
 /// Puts the queue, which is in the order of return, into the order that is asked for.
 pub fn reorder_queue(cluster: &ClusterState, queued_jobs: &mut [plan::QueuedJob]) {
     if let Some(ahead) = &cluster.intents.priority_boost {
-        mark_ahead(cluster, ahead, queued_jobs);
+        mark_prioritized(cluster, ahead, queued_jobs);
         move_prioritized_first(queued_jobs);
     }
     if !cluster.intents.window_turns.is_empty() {
-        in_turn(&cluster.intents.window_turns, queued_jobs);
+        order_by_window_turn(&cluster.intents.window_turns, queued_jobs);
     }
 }
 
 /// Beyond teams short of their guarantee and who is below the floor, who keep their place.
-fn by_return(queued: &plan::QueuedJob) -> bool {
+fn is_ordered_by_return(queued: &plan::QueuedJob) -> bool {
     !queued.quarantined && !queued.guaranteed && queued.rank != Rank::BelowFloor
 }
 
 /// Who goes ahead, the longest waiting first, until they hold their part of what is given out: the next one
 /// would take them beyond it, and goes by return. If nothing of theirs runs, one job may in any case.
-fn mark_ahead(cluster: &ClusterState, ahead: &PriorityBoost, queued_jobs: &mut [plan::QueuedJob]) {
+fn mark_prioritized(cluster: &ClusterState, ahead: &PriorityBoost, queued_jobs: &mut [plan::QueuedJob]) {
     let given: f64 = cluster.team_usage.values().map(|usage| usage.cpus).sum();
     let theirs = cluster.jobs().map(|(_, job)| job).filter(|job| ahead.names.contains_job(job.spec()));
     let mut taken: f64 = theirs.map(|job| job.bound.len() as f64 * job.spec().cpus).sum();
@@ -53,7 +53,7 @@
         }
         queued.prioritized = true;
         taken += tasks.min(waiting) as f64 * spec.cpus;
-        if by_return(queued) {
+        if is_ordered_by_return(queued) {
             queued.max_tasks = tasks;
         }
     }
@@ -63,7 +63,7 @@
 /// place changes.
 pub fn move_prioritized_first(queued_jobs: &mut [plan::QueuedJob]) {
     let mut places: BTreeMap<Urgency, Vec<usize>> = BTreeMap::new();
-    for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| by_return(t)) {
+    for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| is_ordered_by_return(t)) {
         places.entry(queued.job.spec().urgency).or_default().push(at);
     }
     for places in places.values() {
@@ -89,7 +89,7 @@
 
 /// Jobs of one window take the places that they have in the order of their turns. Where they stand
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
-fn in_turn(intended: &HashMap<JobId, WindowPlace>, queued_jobs: &mut [plan::QueuedJob]) {
+fn order_by_window_turn(intended: &HashMap<JobId, WindowPlace>, queued_jobs: &mut [plan::QueuedJob]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
     for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| !t.quarantined) {
         if let Some(intent) = intended.get(queued.id) {
@@ -134,7 +134,7 @@
         (intent, ground.allowed_kinds(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec)))
     };
     let near = |(intent, open): &(&CapacityIntent, Vec<bool>)| {
-        intent.needed_in_s <= longest_ready_s(&intent.task_spec, ground, open) + KEPT_S
+        intent.needed_in_s <= longest_ready_s(&intent.task_spec, ground, open) + IDLE_LEAD_S
     };
     cluster.intents.capacity.iter().map(open).filter(near).collect()
 }
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -23,26 +23,26 @@
 /// Heartbeats, a start told and a fetch lie between a place and a beginning.
 const START_MARGIN: Duration = Duration::from_secs(15);
 /// The largest are one in so many of a class, and whoever is as large.
-const PART: usize = 10;
+const LARGEST_DIVISOR: usize = 10;
 /// Sizes remembered of a class, the latest: by these it is told which are its largest.
-const REMEMBERED: usize = 200;
+const MAX_SIZES: usize = 200;
 
 /// How many tasks the latest jobs of a class had.
 #[derive(Debug, Clone, Default)]
-struct Sizes {
+struct ClassSizes {
     latest: VecDeque<u64>,
-    least: u64,
+    largest_threshold: u64,
 }
 
-impl Sizes {
+impl ClassSizes {
     fn record(&mut self, tasks: u64) {
-        if self.latest.len() >= REMEMBERED {
+        if self.latest.len() >= MAX_SIZES {
             self.latest.pop_front();
         }
         self.latest.push_back(tasks);
         let mut sorted: Vec<u64> = self.latest.iter().copied().collect();
         sorted.sort_unstable();
-        self.least = sorted[sorted.len() * (PART - 1) / PART];
+        self.largest_threshold = sorted[sorted.len() * (LARGEST_DIVISOR - 1) / LARGEST_DIVISOR];
     }
 }
 
@@ -58,11 +58,11 @@
 /// What the largest gangs offer and earn.
 #[derive(Debug)]
 pub struct LargeGangs {
-    sizes: LruCache<String, Sizes>,
+    sizes: LruCache<String, ClassSizes>,
     /// What is offered fades over this time.
     fade: Duration,
     offered: OfferedCores,
-    at: Instant,
+    faded_at: Instant,
     core_credit: CoreCredit,
 }
 
@@ -70,12 +70,12 @@
     /// Nothing offered or earned yet; what is offered fades over the property `served.window.seconds`.
     pub fn new(properties: &Properties, now: Instant) -> Self {
         let (sizes, fade) = (LruCache::new(MAX_CLASSES), properties.served_window);
-        Self { sizes, fade, offered: OfferedCores::default(), at: now, core_credit: CoreCredit::default() }
+        Self { sizes, fade, offered: OfferedCores::default(), faded_at: now, core_credit: CoreCredit::default() }
     }
 
     /// Among the largest of its class, and of several tasks.
     pub fn is_largest(&self, spec: &JobSpec) -> bool {
-        spec.tasks > 1 && self.sizes.peek(&spec.class).is_some_and(|sizes| spec.tasks >= sizes.least)
+        spec.tasks > 1 && self.sizes.peek(&spec.class).is_some_and(|sizes| spec.tasks >= sizes.largest_threshold)
     }
 
     /// Such a one whose tasks start together, and that is not idle work.
@@ -86,7 +86,7 @@
     /// A job came so long ago.
     pub fn record_offer(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
         if !self.sizes.contains(&spec.class) {
-            self.sizes.put(spec.class.clone(), Sizes::default());
+            self.sizes.put(spec.class.clone(), ClassSizes::default());
         }
         if let Some(sizes) = self.sizes.get_mut(&spec.class) {
             sizes.record(spec.tasks);
@@ -95,11 +95,11 @@
             return;
         }
         let kept = |past: Duration| (-past.as_secs_f64() / self.fade.as_secs_f64()).exp();
-        let faded = kept(now.saturating_duration_since(self.at));
+        let faded = kept(now.saturating_duration_since(self.faded_at));
         let cores = spec.cpus * spec.tasks as f64 * kept(age);
         self.offered.large *= faded;
         self.offered.other *= faded;
-        self.at = now;
+        self.faded_at = now;
         if self.is_large_gang(spec) {
             self.offered.large += cores;
         } else {
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -14,16 +14,16 @@
 use crate::protocol::workers::{Heartbeat, TaskKey, WorkerCommand};
 
 /// So many answers in a row without effect are no chance: a lost one is made good by the next.
-const ENOUGH: u32 = 3;
+const MIN_UNACKNOWLEDGED: u32 = 3;
 /// A machine that hears nothing is returned once so many leases have ended, or past the time of as many.
-const LOST_LEASES: u32 = 2;
+const MAX_EXPIRED_LEASES: u32 = 2;
 /// Past the end of a lease; covers a machine's clock's drift and the way of a heartbeat.
-const MARGIN: Duration = Duration::from_secs(2);
+const LEASE_END_MARGIN: Duration = Duration::from_secs(2);
 /// Answers closer together than this count once when a lease has ended: reports that were held up come in
 /// a burst, and a worker that got no answer asks again 5 s later.
-const APART: Duration = Duration::from_secs(4);
+const MIN_ANSWER_SPACING: Duration = Duration::from_secs(4);
 /// Answers remembered of the last lease.
-const MOST_ANSWERS: usize = 16;
+const MAX_ANSWERS: usize = 16;
 
 /// What speaks against a machine, and what for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,10 +53,11 @@
 
 /// The whole judgement.
 pub fn inbound_verdict(evidence: PartitionEvidence, lease: Duration) -> InboundVerdict {
-    let long = evidence.expired_leases >= LOST_LEASES || evidence.unacknowledged_for > lease * LOST_LEASES + MARGIN;
+    let long = evidence.expired_leases >= MAX_EXPIRED_LEASES
+        || evidence.unacknowledged_for > lease * MAX_EXPIRED_LEASES + LEASE_END_MARGIN;
     match evidence.unacknowledged {
         0 => InboundVerdict::Reached,
-        n if n < ENOUGH => InboundVerdict::Unclear,
+        n if n < MIN_UNACKNOWLEDGED => InboundVerdict::Unclear,
         _ if long && !evidence.many_affected => InboundVerdict::GivenUp,
         _ => InboundVerdict::InboundLost,
     }
@@ -70,7 +71,7 @@
 }
 
 impl ExpectedEffect {
-    fn shown(&self, heartbeat: &Heartbeat) -> bool {
+    fn is_shown_by(&self, heartbeat: &Heartbeat) -> bool {
         let fencing_token = self.fencing_token.is_some_and(|fencing_token| heartbeat.fencing_token >= fencing_token);
         let launch = |(task, attempt): &(TaskKey, u64)| {
             heartbeat
@@ -129,7 +130,7 @@
         let expected_effect = self.expected_effect.take();
         if grown {
             // An answer that was heard would have kept its lease for longer than this.
-            let kept = |at: &&Instant| now.saturating_duration_since(**at) + MARGIN < lease;
+            let kept = |at: &&Instant| now.saturating_duration_since(**at) + LEASE_END_MARGIN < lease;
             let unacknowledged = self.answers.iter().filter(kept).count() as u32;
             self.answers.clear();
             if unacknowledged > 0 {
@@ -137,7 +138,7 @@
                 self.record_unacknowledged(unacknowledged, now);
             }
         } else if let Some(expected_effect) = expected_effect {
-            if expected_effect.shown(heartbeat) {
+            if expected_effect.is_shown_by(heartbeat) {
                 self.record_acknowledged();
             } else {
                 self.record_unacknowledged(1, now);
@@ -145,7 +146,7 @@
         }
         // A agent epoch outlives a lease only by answers.
         let began = self.since.map_or(self.session_since, |at| at.max(self.session_since));
-        if now.saturating_duration_since(began) > lease + MARGIN {
+        if now.saturating_duration_since(began) > lease + LEASE_END_MARGIN {
             self.record_acknowledged();
             self.expired_leases = 0;
         }
@@ -156,9 +157,9 @@
         if !std::mem::take(&mut self.unanswered) {
             return;
         }
-        if self.answers.back().is_none_or(|at| now.saturating_duration_since(*at) >= APART) {
+        if self.answers.back().is_none_or(|at| now.saturating_duration_since(*at) >= MIN_ANSWER_SPACING) {
             self.answers.push_back(now);
-            if self.answers.len() > MOST_ANSWERS {
+            if self.answers.len() > MAX_ANSWERS {
                 self.answers.pop_front();
             }
         }
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -28,9 +28,9 @@
 
 /// Room is kept for gangs for so long in a row, and not once anybody has waited so long beside room; then whoever waits
 /// may have it, for this long.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+const MAX_GANG_RESERVATION: Duration = Duration::from_secs(60);
 /// For so long nothing is kept after that.
-const KEPT_PAUSE: Duration = Duration::from_secs(5);
+const GANG_RESERVATION_PAUSE: Duration = Duration::from_secs(5);
 
 /// All placements that can be made now.
 pub fn place(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> Vec<Placement> {
@@ -44,12 +44,13 @@
     }
     cluster.refresh_loads(now);
     // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
-    if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest_wait(now) >= KEPT_FOR {
-        cluster.gang_room_held_since = now.checked_sub(KEPT_FOR).or(cluster.gang_room_held_since);
+    if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest_wait(now) >= MAX_GANG_RESERVATION {
+        cluster.gang_room_held_since = now.checked_sub(MAX_GANG_RESERVATION).or(cluster.gang_room_held_since);
     }
     let spell = cluster.gang_room_held_since.map(|since| now.saturating_duration_since(since));
-    let may_keep = spell.is_none_or(|spell| spell < KEPT_FOR);
-    let PlanOutcome { placements, rooms_examined, kept, passed_over } = decide(cluster, catalog, may_keep, now);
+    let may_keep = spell.is_none_or(|spell| spell < MAX_GANG_RESERVATION);
+    let PlanOutcome { placements, machines_examined: rooms_examined, kept_for_gang: kept, passed_over } =
+        decide(cluster, catalog, may_keep, now);
     for placement in &placements {
         if cluster.passed_over.is_overdue(&placement.task.job, now) {
             cluster.cancel_drain(&placement.machine);
@@ -58,7 +59,7 @@
     cluster.passed_over.update(passed_over, now);
     if kept {
         cluster.gang_room_held_since.get_or_insert(now);
-    } else if may_keep || spell.is_some_and(|spell| spell >= KEPT_FOR + KEPT_PAUSE) {
+    } else if may_keep || spell.is_some_and(|spell| spell >= MAX_GANG_RESERVATION + GANG_RESERVATION_PAUSE) {
         cluster.gang_room_held_since = None;
     }
     (placements, rooms_examined)
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -9,7 +9,11 @@
 use crate::scheduling::fairness::floor::Rank;
 
 /// The room with what it is held for.
-pub(super) fn held<'a>(cluster: &'a ClusterState, capacity: FreeCapacity<'a>, now: Instant) -> FreeCapacity<'a> {
+pub(super) fn with_reservation<'a>(
+    cluster: &'a ClusterState,
+    capacity: FreeCapacity<'a>,
+    now: Instant,
+) -> FreeCapacity<'a> {
     let reservation = capacity.machine.and_then(|m| cluster.reservation(&m.id, now));
     let reserved =
         capacity.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
@@ -17,7 +21,7 @@
 }
 
 /// Ordinary kinds open to work that waits and may use no cheap ones.
-pub(super) fn sought(ground: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
+pub(super) fn contended_on_demand_kinds(ground: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
     let mut sought = vec![false; ground.offers.len()];
     for queued in queued_jobs.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
         for (sought, open) in
@@ -30,7 +34,7 @@
 }
 
 /// Machines without accelerators, and free of reservations, on which idle work would give way.
-pub(super) fn giving<'a>(
+pub(super) fn reclaimable_capacities<'a>(
     cluster: &'a ClusterState,
     ground: &CapacityContext<'a>,
     suspect: Duration,
--- a/src/scheduling/plan/candidate.rs
+++ b/src/scheduling/plan/candidate.rs
@@ -8,31 +8,31 @@
 /// a fetch; of those left the one with the highest new return, then the tightest.
 pub(super) struct Candidate {
     /// The job has failed there; taken only where nothing else fits.
-    pub(super) failed: bool,
+    pub(super) failed_before: bool,
     /// Held for another; taken last.
-    pub(super) held: bool,
+    pub(super) reserved_for_other: bool,
     /// How likely it is to be lost, where that counts.
     pub(super) risk: u8,
     /// Others wait for such a machine that may not use cheap ones, as this work may.
-    pub(super) sought: bool,
-    pub(super) waste: u8,
+    pub(super) on_demand_contended: bool,
+    pub(super) gpu_waste: u8,
     pub(super) has_image: bool,
     pub(super) new_return: f64,
-    pub(super) left: f64,
-    pub(super) at: usize,
+    pub(super) free_cpus: f64,
+    pub(super) index: usize,
 }
 
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.failed.cmp(&self.failed))
-            .then(other.held.cmp(&self.held))
+        (other.failed_before.cmp(&self.failed_before))
+            .then(other.reserved_for_other.cmp(&self.reserved_for_other))
             .then(other.risk.cmp(&self.risk))
-            .then(other.sought.cmp(&self.sought))
-            .then(other.waste.cmp(&self.waste))
+            .then(other.on_demand_contended.cmp(&self.on_demand_contended))
+            .then(other.gpu_waste.cmp(&self.gpu_waste))
             .then(self.has_image.cmp(&other.has_image))
             .then(self.new_return.total_cmp(&other.new_return))
-            .then(other.left.total_cmp(&self.left))
-            .then(other.at.cmp(&self.at))
+            .then(other.free_cpus.total_cmp(&self.free_cpus))
+            .then(other.index.cmp(&self.index))
     }
 }
 
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -15,22 +15,22 @@
 use crate::scheduling::fairness::floor::Rank;
 
 /// Placements of one plan: what can be stored in about a second.
-const MOST_PLACEMENTS: usize = 1000;
+const MAX_PLACEMENTS: usize = 1000;
 
 /// What one plan comes to.
 #[derive(Default)]
 pub(super) struct PlanOutcome {
     pub(super) placements: Vec<Placement>,
     /// How many rooms were looked at.
-    pub(super) rooms_examined: u64,
+    pub(super) machines_examined: u64,
     /// Whether any was kept for a gang.
-    pub(super) kept: bool,
+    pub(super) kept_for_gang: bool,
     /// Jobs that wait although a room fits.
     pub(super) passed_over: HashSet<JobId>,
 }
 
 /// Late work that is due a share of the machines by the credit that it has earned.
-struct Earned<'a> {
+struct CreditedJob<'a> {
     job: &'a JobId,
     /// How many of its tasks the credit covers.
     tasks: usize,
@@ -43,20 +43,20 @@
     if queued_jobs.is_empty() {
         return decided;
     }
-    let earned = advance_late_work(cluster, &mut queued_jobs);
+    let earned = advance_late_job(cluster, &mut queued_jobs);
     let mut plan = Plan::new(cluster, catalog, &queued_jobs, now);
     let mut quotas = Quotas::new(cluster);
     let mut idle_begun = false;
     for queued in queued_jobs {
         if queued.rank == Rank::Idle && !std::mem::replace(&mut idle_begun, true) {
-            plan.keep_for_arrivals(cluster);
+            plan.keep_capacity_for_arrivals(cluster);
         }
-        if decided.placements.len() >= MOST_PLACEMENTS {
+        if decided.placements.len() >= MAX_PLACEMENTS {
             break;
         }
         let earned = earned.as_ref().filter(|earned| earned.job == queued.id);
-        let left = MOST_PLACEMENTS - decided.placements.len();
-        let most = most_tasks(cluster, &queued, earned, &quotas, left, now);
+        let left = MAX_PLACEMENTS - decided.placements.len();
+        let most = max_placeable_tasks(cluster, &queued, earned, &quotas, left, now);
         if most == 0 {
             continue;
         }
@@ -67,15 +67,15 @@
         if plan.passes_over(&queued, &zones, placed.len(), &quotas) {
             decided.passed_over.insert(queued.id.clone());
         }
-        decided.placements.extend(placements(&queued, placed));
+        decided.placements.extend(number_attempts(&queued, placed));
     }
-    decided.rooms_examined = plan.rooms_examined;
-    decided.kept = !plan.kept.is_empty();
+    decided.machines_examined = plan.machines_examined;
+    decided.kept_for_gang = !plan.gang_reserved_zones.is_empty();
     decided
 }
 
 /// Late work goes first as far as it has earned, the oldest of it.
-fn advance_late_work<'a>(cluster: &ClusterState, queued_jobs: &mut Vec<QueuedJob<'a>>) -> Option<Earned<'a>> {
+fn advance_late_job<'a>(cluster: &ClusterState, queued_jobs: &mut Vec<QueuedJob<'a>>) -> Option<CreditedJob<'a>> {
     let credit = cluster.core_credit.cores();
     let late = queued_jobs
         .iter()
@@ -89,14 +89,14 @@
     let queued = queued_jobs.remove(at);
     let behind_guaranteed = queued_jobs.iter().take_while(|t| t.guaranteed).count();
     queued_jobs.insert(behind_guaranteed, queued);
-    Some(Earned { job: queued.id, tasks: (credit / needs.max(AMOUNT_TOLERANCE)) as usize })
+    Some(CreditedJob { job: queued.id, tasks: (credit / needs.max(AMOUNT_TOLERANCE)) as usize })
 }
 
 /// How many tasks of a job may be placed in its turn, of `left` that the plan may still place.
-fn most_tasks(
+fn max_placeable_tasks(
     cluster: &ClusterState,
     queued: &QueuedJob,
-    earned: Option<&Earned>,
+    earned: Option<&CreditedJob>,
     quotas: &Quotas,
     left: usize,
     now: Instant,
@@ -106,7 +106,7 @@
     if spec.is_gang() {
         return if quotas.allows(spec, spec.tasks as f64) { most } else { 0 };
     }
-    let mut most = within_quota(quotas, spec, most.min(cluster.intents.placeable_tasks(queued.id, job)));
+    let mut most = tasks_within_quota(quotas, spec, most.min(cluster.intents.placeable_tasks(queued.id, job)));
     let overdue = cluster.passed_over.is_overdue(queued.id, now);
     if let Some(earned) = earned.filter(|_| !overdue) {
         most = most.min(earned.tasks);
@@ -121,7 +121,7 @@
 }
 
 /// How many single tasks, up to `most`, the team's limits allow.
-fn within_quota(quotas: &Quotas, spec: &JobSpec, most: usize) -> usize {
+fn tasks_within_quota(quotas: &Quotas, spec: &JobSpec, most: usize) -> usize {
     // Few teams have limits; counting up to the limit is cheap next to placing.
     let mut tasks = 0;
     while tasks < most && quotas.allows(spec, (tasks + 1) as f64) {
@@ -131,7 +131,7 @@
 }
 
 /// The placements of one job, with the numbers of their attempts.
-fn placements<'a>(queued: &QueuedJob<'a>, placed: Vec<PlacedTask>) -> impl Iterator<Item = Placement> + use<'a> {
+fn number_attempts<'a>(queued: &QueuedJob<'a>, placed: Vec<PlacedTask>) -> impl Iterator<Item = Placement> + use<'a> {
     let (id, job) = (queued.id, queued.job);
     // The tasks of a gang find one another by a common attempt number.
     let gang_attempt = job.spec().is_gang().then(|| job.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1);
--- a/src/scheduling/plan/kept.rs
+++ b/src/scheduling/plan/kept.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::demand::Demand;
-use super::search::{Plan, SetAside};
+use super::search::{GangReservation, Plan};
 use crate::jobs::JobSpec;
 use crate::scheduling::backfill;
 use crate::scheduling::capacity::JobZones;
@@ -16,17 +16,17 @@
     pub(super) fn reserve_capacity_for_gang(&mut self, demand: &Demand<'a>) {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
-        let mut zones = self.units_by_zone(demand);
+        let mut zones = self.fitting_tasks_by_zone(demand);
         zones.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
-        let free = |zone: &&str| !self.kept.iter().any(|k| k.is_empty() || zone.is_empty() || k == zone);
+        let free = |zone: &&str| !self.gang_reserved_zones.iter().any(|k| k.is_empty() || zone.is_empty() || k == zone);
         let Some((zone, _)) = zones.iter().find(|(zone, _)| free(zone)).copied() else { return };
-        self.kept.push(zone);
+        self.gang_reserved_zones.push(zone);
         let mut left = need;
         let mut order: Vec<usize> = (0..self.capacities.len()).collect();
         order.sort_by_key(|at| self.capacities[*at].gpu_waste(spec));
         for at in order {
             let capacity = &self.capacities[at];
-            let here = zone.is_empty() || self.ground.zone(capacity.kind) == zone;
+            let here = zone.is_empty() || self.context.zone(capacity.kind) == zone;
             if left == 0 || !here || !demand.may_use(capacity) {
                 continue;
             }
@@ -34,34 +34,34 @@
             for _ in 0..units {
                 self.capacities[at].allocate(spec);
             }
-            self.set_aside.push(SetAside { at, tasks: units, spec });
+            self.gang_reservations.push(GangReservation { at, tasks: units, spec });
             left -= units;
         }
     }
 
     /// Work like this found no room. Shared with the idle jobs that are placed after it, not copied for each.
-    pub(super) fn record_waiting(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+    pub(super) fn record_unplaced(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
         if !spec.is_idle() {
-            Rc::make_mut(&mut self.wanted).record_waiting(spec, open, quarantined);
+            Rc::make_mut(&mut self.unplaced_requests).record_unplaced(spec, open, quarantined);
         }
     }
 
     /// Before idle work is placed: rooms for what arrives while it would give way.
-    pub(super) fn keep_for_arrivals(&mut self, cluster: &ClusterState) {
+    pub(super) fn keep_capacity_for_arrivals(&mut self, cluster: &ClusterState) {
         for arrivals in cluster.arrivals.values() {
             let spec = &arrivals.latest.spec;
-            let open = self.ground.allowed_kinds(spec, &JobZones::without_tasks(spec));
-            let boot_s = self.ground.longest_boot_s(&open);
+            let open = self.context.allowed_kinds(spec, &JobZones::without_tasks(spec));
+            let boot_s = self.context.longest_boot_s(&open);
             let objectives = &cluster.settings.params.objectives;
             let mut left = backfill::tasks_kept_free_for(spec, arrivals.tasks_per_second(self.now), objectives, boot_s);
-            self.keep(spec, &open, &mut left);
+            self.keep_capacity_for_tasks(spec, &open, &mut left);
         }
-        for (intent, open) in intents::due_capacity_intents(cluster, &self.ground) {
-            self.keep(&intent.task_spec, &open, &mut intent.tasks.clone());
+        for (intent, open) in intents::due_capacity_intents(cluster, &self.context) {
+            self.keep_capacity_for_tasks(&intent.task_spec, &open, &mut intent.tasks.clone());
         }
     }
 
-    pub(super) fn keep(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
+    pub(super) fn keep_capacity_for_tasks(&mut self, spec: &JobSpec, open: &[bool], left: &mut u64) {
         for capacity in self.capacities.iter_mut().filter(|r| !r.draining && !r.kept_for_arrivals && r.apt(spec)) {
             if *left == 0 {
                 break;
@@ -74,19 +74,19 @@
 
     /// Whether idle work would make room for all these tasks on machines as they need them; what it
     /// would give is then counted with.
-    pub(super) fn gives_way(&mut self, spec: &JobSpec, open: &[bool], need: u64) -> bool {
-        if self.giving.is_empty() || spec.gpus > 0.0 {
+    pub(super) fn reclaim_from_idle(&mut self, spec: &JobSpec, open: &[bool], need: u64) -> bool {
+        if self.reclaimable_capacities.is_empty() || spec.gpus > 0.0 {
             return false;
         }
         let mut units: BTreeMap<&str, u64> = BTreeMap::new();
-        for capacity in self.giving.iter().filter(|r| open.get(r.kind) == Some(&true)) {
-            let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
+        for capacity in self.reclaimable_capacities.iter().filter(|r| open.get(r.kind) == Some(&true)) {
+            let zone = if spec.same_zone { self.context.zone(capacity.kind) } else { "" };
             *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
         let Some(zone) = units.into_iter().find(|(_, n)| *n >= need).map(|(zone, _)| zone) else { return false };
         let mut left = need;
-        for capacity in &mut self.giving {
-            let here = zone.is_empty() || self.ground.zone(capacity.kind) == zone;
+        for capacity in &mut self.reclaimable_capacities {
+            let here = zone.is_empty() || self.context.zone(capacity.kind) == zone;
             if left == 0 || !here || open.get(capacity.kind) != Some(&true) {
                 continue;
             }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
-use super::large_first::{credited, to_begin};
+use super::large_first::{credited_gang, first_task_job};
 use crate::jobs::{JobId, JobSpec};
 use crate::scheduling::capacity::AMOUNT_TOLERANCE;
 use crate::scheduling::cluster::{ClusterState, JobState};
@@ -41,7 +41,7 @@
 pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<QueuedJob<'_>> {
     let mut queued_jobs: Vec<QueuedJob> = cluster
         .jobs()
-        .filter(|(id, job)| may_be_placed(cluster, id, job, now))
+        .filter(|(id, job)| is_placeable(cluster, id, job, now))
         .map(|(id, job)| queued(cluster, id, job, now))
         .collect();
     mark_large(cluster, &mut queued_jobs);
@@ -51,7 +51,7 @@
 }
 
 /// Whether tasks of the job wait that may be placed now.
-fn may_be_placed(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
+fn is_placeable(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
     let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete() && now >= job.not_before;
     waits
         && cluster.intents.placeable_tasks(id, job) > 0
@@ -66,7 +66,7 @@
     QueuedJob {
         id,
         job,
-        guaranteed: within_guarantee(cluster, job.spec()),
+        guaranteed: is_within_guarantee(cluster, job.spec()),
         rank: Rank::of(first, late, job.spec().is_idle()),
         late,
         credited: false,
@@ -80,8 +80,8 @@
 
 /// Marks the large job for which room is kept, and the one of which a first task is to begin.
 fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
-    let credited = credited(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
-    let to_begin = to_begin(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let credited = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let to_begin = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
     for queued in queued_jobs {
         queued.credited = credited == Some(queued.id);
         if to_begin == Some(queued.id) {
@@ -102,7 +102,7 @@
         .then(a.id.cmp(b.id))
 }
 
-fn within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
+fn is_within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return false };
     if team.cpus <= 0.0 && team.gpus <= 0.0 {
         return false;
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use super::available::{giving, held, sought};
+use super::available::{contended_on_demand_kinds, reclaimable_capacities, with_reservation};
 use super::candidate::Candidate;
 use super::demand::Demand;
 use super::queue::QueuedJob;
@@ -30,13 +30,13 @@
 }
 
 /// The same, with the place of the room among those of the plan.
-pub(super) struct Pick {
+pub(super) struct PickedTask {
     pub(super) index: u32,
-    pub(super) at: usize,
+    pub(super) capacity: usize,
 }
 
 /// A piece of a room that is kept for tasks of a gang.
-pub(super) struct SetAside<'a> {
+pub(super) struct GangReservation<'a> {
     /// The place of the room among those of the plan.
     pub(super) at: usize,
     /// How many tasks it is for.
@@ -50,23 +50,23 @@
     pub(super) cluster: &'a ClusterState,
     pub(super) attribution: &'a FailureAttribution,
     pub(super) intents: &'a Intents,
-    pub(super) ground: CapacityContext<'a>,
+    pub(super) context: CapacityContext<'a>,
     pub(super) capacities: Vec<FreeCapacity<'a>>,
     pub(super) unfit: Vec<UnfitRequest<'a>>,
     /// What fits nowhere even if nothing is kept from it.
     pub(super) unfit_anywhere: Vec<UnfitRequest<'a>>,
     /// Pieces of rooms that were kept for gangs.
-    pub(super) set_aside: Vec<SetAside<'a>>,
+    pub(super) gang_reservations: Vec<GangReservation<'a>>,
     /// What more urgent work than idle found no room for.
-    pub(super) wanted: Rc<Backfill>,
+    pub(super) unplaced_requests: Rc<Backfill>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
-    pub(super) giving: Vec<FreeCapacity<'a>>,
-    pub(super) sought: Rc<[bool]>,
+    pub(super) reclaimable_capacities: Vec<FreeCapacity<'a>>,
+    pub(super) on_demand_contention: Rc<[bool]>,
     pub(super) now: Instant,
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
-    pub(super) kept: Vec<&'a str>,
+    pub(super) gang_reserved_zones: Vec<&'a str>,
     /// How many rooms were looked at.
-    pub rooms_examined: u64,
+    pub machines_examined: u64,
 }
 
 impl<'a> Plan<'a> {
@@ -81,25 +81,25 @@
             .filter(|m| is_schedulable(m, suspect, now) || is_schedulable_while_draining(m, suspect, now))
             .filter_map(|m| ground.capacity(m))
             .filter(|r| r.cpus + AMOUNT_TOLERANCE >= least)
-            .map(|r| held(cluster, r, now))
+            .map(|r| with_reservation(cluster, r, now))
             .collect();
-        let giving = giving(cluster, &ground, suspect, now);
-        let sought = sought(&ground, queued_jobs);
+        let giving = reclaimable_capacities(cluster, &ground, suspect, now);
+        let sought = contended_on_demand_kinds(&ground, queued_jobs);
         Self {
             cluster,
             attribution: &cluster.attribution,
             intents: &cluster.intents,
-            giving,
-            sought,
-            ground,
+            reclaimable_capacities: giving,
+            on_demand_contention: sought,
+            context: ground,
             capacities,
             unfit: Vec::new(),
             unfit_anywhere: Vec::new(),
-            set_aside: Vec::new(),
-            wanted: Rc::default(),
+            gang_reservations: Vec::new(),
+            unplaced_requests: Rc::default(),
             now,
-            kept: Vec::new(),
-            rooms_examined: 0,
+            gang_reserved_zones: Vec::new(),
+            machines_examined: 0,
         }
     }
 
@@ -110,10 +110,10 @@
         zones: &mut JobZones<'a>,
         most: usize,
         only: Option<&str>,
-    ) -> Vec<Pick> {
-        let ground = &self.ground;
+    ) -> Vec<PickedTask> {
+        let ground = &self.context;
         let in_zone = |capacity: &FreeCapacity| only.is_none_or(|z| z == ground.zone(capacity.kind));
-        self.rooms_examined += self.capacities.len() as u64;
+        self.machines_examined += self.capacities.len() as u64;
         let mut heap: BinaryHeap<Candidate> = self
             .capacities
             .iter()
@@ -124,10 +124,10 @@
         let mut picks = Vec::new();
         for index in demand.startable().take(most) {
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
-            self.rooms_examined += 1;
+            self.machines_examined += 1;
             demand.occupy(&mut self.capacities[best]);
-            zones.add_task(self.ground.zone(self.capacities[best].kind));
-            picks.push(Pick { index, at: best });
+            zones.add_task(self.context.zone(self.capacities[best].kind));
+            picks.push(PickedTask { index, capacity: best });
             heap.extend(demand.candidate(best, &self.capacities[best]));
         }
         picks
@@ -141,13 +141,13 @@
         demand: &Demand<'a>,
         zones: &JobZones<'a>,
     ) -> Option<usize> {
-        let best = heap.pop()?.at;
-        if zones.allows(self.ground.zone(self.capacities[best].kind)) {
+        let best = heap.pop()?.index;
+        if zones.allows(self.context.zone(self.capacities[best].kind)) {
             return Some(best);
         }
-        let open = self.ground.allowed_kinds(demand.job.spec(), zones);
-        heap.retain(|candidate| open.get(self.capacities[candidate.at].kind) == Some(&true));
-        heap.pop().map(|candidate| candidate.at)
+        let open = self.context.allowed_kinds(demand.job.spec(), zones);
+        heap.retain(|candidate| open.get(self.capacities[candidate.index].kind) == Some(&true));
+        heap.pop().map(|candidate| candidate.index)
     }
 
     /// Places as many tasks of one job as there is room for; all or none of a gang.
@@ -163,9 +163,9 @@
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
         let waiting = self.intents.placeable_tasks(queued.id, job);
         let keep = keep && spec.is_gang();
-        let demand = self.demand(queued, zones, waiting);
-        if !keep && self.known_unfit(&demand, tasks) {
-            self.record_waiting(spec, &demand.open, queued.quarantined);
+        let demand = self.build_demand(queued, zones, waiting);
+        if !keep && self.is_known_unfit(&demand, tasks) {
+            self.record_unplaced(spec, &demand.allowed_kinds, queued.quarantined);
             return Vec::new();
         }
         let picks = if spec.is_gang() {
@@ -175,7 +175,7 @@
         };
         let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
         if short {
-            self.record_waiting(spec, &demand.open, queued.quarantined);
+            self.record_unplaced(spec, &demand.allowed_kinds, queued.quarantined);
         }
         if short && keep {
             self.reserve_capacity_for_gang(&demand);
@@ -184,8 +184,9 @@
             self.record_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
         }
         let capacities = &self.capacities;
-        let placed =
-            |pick: Pick| Some(PlacedTask { index: pick.index, machine: capacities[pick.at].machine?.id.clone() });
+        let placed = |pick: PickedTask| {
+            Some(PlacedTask { index: pick.index, machine: capacities[pick.capacity].machine?.id.clone() })
+        };
         picks.into_iter().filter_map(placed).collect()
     }
 
@@ -202,60 +203,65 @@
         if closes_zones && !out_of_room {
             return;
         }
-        let open = if closes_zones { self.ground.allowed_kinds(spec, zones) } else { demand.open.clone() };
-        self.unfit.push(UnfitRequest { spec, run: job.agreement.run_time, tasks, open });
+        let open = if closes_zones { self.context.allowed_kinds(spec, zones) } else { demand.allowed_kinds.clone() };
+        self.unfit.push(UnfitRequest { spec, run_time: job.agreement.run_time, tasks, allowed_kinds: open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
-    fn demand(&mut self, queued: &QueuedJob<'a>, zones: &JobZones<'a>, waiting: usize) -> Demand<'a> {
+    fn build_demand(&mut self, queued: &QueuedJob<'a>, zones: &JobZones<'a>, waiting: usize) -> Demand<'a> {
         let spec = queued.job.spec();
-        let open = self.ground.allowed_kinds(spec, zones);
+        let open = self.context.allowed_kinds(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
-        let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
+        let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.unplaced_requests.clone());
         let overdue = self.cluster.passed_over.is_overdue(queued.id, self.now);
-        let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped_replicas(queued.id));
-        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
+        let mut demand =
+            Demand::new(queued, self.attribution, backfill, open, self.on_demand_contention.clone(), overdue, self.now);
+        demand.held_back_tasks.extend(self.intents.stopped_replicas(queued.id));
+        demand.avoids_gpu_waste =
+            !spec.is_idle() && !overdue && self.reclaim_from_idle(spec, &demand.allowed_kinds, waiting as u64);
         if queued.prioritized {
-            demand.passes =
+            demand.overridden_reservations =
                 intents::jobs_with_reservations(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
-        } else if demand.pressed {
-            demand.ahead = intents::jobs_with_reservations(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+        } else if demand.urgent {
+            demand.prioritized_reservations =
+                intents::jobs_with_reservations(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
         demand
     }
 
     /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
-    fn known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
+    fn is_known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
         let is_held = |capacity: &FreeCapacity| {
-            capacity.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job))
+            capacity
+                .reservation
+                .is_some_and(|h| h.job == *demand.id || demand.overridden_reservations.contains(&&h.job))
         };
-        !demand.pressed
+        !demand.urgent
             && !demand.overdue
-            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.open))
+            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.allowed_kinds))
             && !self.capacities.iter().any(is_held)
     }
 
     /// How many tasks of a gang fit in each zone that it may use, or in all together.
-    pub(super) fn units_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
+    pub(super) fn fitting_tasks_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut units: HashMap<&str, u64> = HashMap::new();
-        let apt = |r: &FreeCapacity| !demand.apt_only || r.gpu_waste(spec) <= 1;
+        let apt = |r: &FreeCapacity| !demand.avoids_gpu_waste || r.gpu_waste(spec) <= 1;
         for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
-            let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
+            let zone = if spec.same_zone { self.context.zone(capacity.kind) } else { "" };
             *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
         units.into_iter().collect()
     }
 
     /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
-    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut JobZones<'a>) -> Vec<Pick> {
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut JobZones<'a>) -> Vec<PickedTask> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
-        self.rooms_examined += self.capacities.len() as u64;
+        self.machines_examined += self.capacities.len() as u64;
         let mut enough: Vec<&str> =
-            self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
+            self.fitting_tasks_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
         enough.sort_unstable();
         for zone in enough {
             let before = zones.counts();
@@ -264,7 +270,7 @@
                 return picks;
             }
             for pick in &picks {
-                demand.vacate(&mut self.capacities[pick.at]);
+                demand.vacate(&mut self.capacities[pick.capacity]);
             }
             zones.set_counts(before);
         }
--- a/src/scheduling/promises.rs
+++ b/src/scheduling/promises.rs
@@ -7,7 +7,7 @@
 use crate::sla::Agreement;
 
 /// Starting must leave the run time, with this margin for the estimate.
-const MARGIN: f64 = 1.2;
+const RUN_TIME_MARGIN: f64 = 1.2;
 
 /// Stands in place of an objective's number for what a job says of itself.
 pub const OWN_DEADLINE: u16 = u16::MAX;
@@ -53,7 +53,7 @@
         let left = self.within_s - age.as_secs_f64();
         match self.kind {
             PromiseKind::Started => left,
-            PromiseKind::Done => left - run.as_secs_f64() * MARGIN,
+            PromiseKind::Done => left - run.as_secs_f64() * RUN_TIME_MARGIN,
         }
     }
 }
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -15,33 +15,33 @@
 use crate::scheduling::forecast::{Slots, Timeline};
 
 /// A gang waits this long before anything is held for it.
-const RESERVE_AFTER: Duration = Duration::from_secs(5);
+const MIN_WAIT: Duration = Duration::from_secs(5);
 /// Nothing is held that is not expected to be enough within this time.
-const RESERVE_WITHIN_S: f64 = 60.0;
+const MAX_START_S: f64 = 60.0;
 /// At most one in so many machines is held.
-const PART: usize = 6;
+const RESERVED_FRACTION_DIVISOR: usize = 6;
 /// Gangs held for at once, the longest waiting first.
-const MOST_RESERVING: usize = 40;
+const MAX_RESERVING_GANGS: usize = 40;
 
 /// What to hold now, by machine.
-pub fn choose(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Reservation> {
+pub fn choose_reservations(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashMap<MachineId, Reservation> {
     let mut reservations = HashMap::new();
     let mut queued_jobs: Vec<QueuedJob> = queue(cluster, now)
         .into_iter()
-        .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= RESERVE_AFTER || t.prioritized))
+        .filter(|t| t.job.spec().is_gang() && !t.quarantined && (t.age >= MIN_WAIT || t.prioritized))
         .collect();
     if queued_jobs.is_empty() {
         return reservations;
     }
     queued_jobs.sort_by_key(|t| (Reverse(t.credited), t.rank, Reverse(t.age)));
     intents::move_prioritized_first(&mut queued_jobs);
-    queued_jobs.truncate(MOST_RESERVING);
+    queued_jobs.truncate(MAX_RESERVING_GANGS);
     let ground = CapacityContext::new(cluster, catalog);
     let suspect = suspect_timeout(cluster);
     let usable = cluster.machines.values().filter(|m| is_schedulable(m, suspect, now));
     let mut timelines: Vec<Timeline> =
         usable.filter_map(|m| Timeline::from_machine(cluster, &ground, m, false, now)).collect();
-    let most = timelines.len() / PART;
+    let most = timelines.len() / RESERVED_FRACTION_DIVISOR;
     let quotas = Quotas::new(cluster);
     for queued in queued_jobs {
         if reservations.len() >= most {
@@ -50,7 +50,9 @@
         if !quotas.allows(queued.job.spec(), queued.job.spec().tasks as f64) {
             continue;
         }
-        let Some(Gathering { within_s, taken }) = choose_machines(cluster, &ground, &mut timelines, &queued) else {
+        let Some(GangStart { start_s: within_s, timelines: taken }) =
+            choose_machines(cluster, &ground, &mut timelines, &queued)
+        else {
             continue;
         };
         let until = now + Duration::from_secs_f64(within_s);
@@ -64,11 +66,11 @@
 }
 
 /// Where and when a gang will fit together.
-struct Gathering {
+struct GangStart {
     /// Seconds from now until the last of its tasks could start.
-    within_s: f64,
+    start_s: f64,
     /// The places of its machines among the timelines, one for each task.
-    taken: Vec<usize>,
+    timelines: Vec<usize>,
 }
 
 /// The machines on which a gang would soonest fit together, and when. Machines with accelerators
@@ -79,9 +81,9 @@
     ground: &CapacityContext<'a>,
     timelines: &mut [Timeline<'a>],
     queued: &QueuedJob<'a>,
-) -> Option<Gathering> {
+) -> Option<GangStart> {
     let kinds = soonest_kinds(cluster, ground, timelines, queued)?;
-    take_places(ground, timelines, queued, &kinds)
+    occupy_slots(ground, timelines, queued, &kinds)
 }
 
 /// The kinds of machine, by their place in the list of kinds, on which a gang would soonest fit together: in one zone
@@ -137,23 +139,23 @@
 }
 
 /// Takes the earliest place for each waiting task of the gang, or none at all.
-fn take_places<'a>(
+fn occupy_slots<'a>(
     ground: &CapacityContext<'a>,
     timelines: &mut [Timeline<'a>],
     queued: &QueuedJob<'a>,
     kinds: &[bool],
-) -> Option<Gathering> {
+) -> Option<GangStart> {
     let job = queued.job;
     let mut slots = Slots::new(timelines, job, kinds);
     let none = JobZones::without_tasks(job.spec());
     let mut undo = Vec::new();
-    let mut gathering = Gathering { within_s: 0.0, taken: Vec::new() };
+    let mut gathering = GangStart { start_s: 0.0, timelines: Vec::new() };
     for _ in 0..job.waiting.len() {
         match slots.peek_earliest(timelines, ground, &none) {
-            Some(slot) if slot.start_s <= RESERVE_WITHIN_S => {
+            Some(slot) if slot.start_s <= MAX_START_S => {
                 undo.push((slot.timeline, timelines[slot.timeline].clone()));
-                gathering.within_s = slot.start_s.max(gathering.within_s);
-                gathering.taken.push(slot.timeline);
+                gathering.start_s = slot.start_s.max(gathering.start_s);
+                gathering.timelines.push(slot.timeline);
                 slots.occupy(timelines, slot);
             }
             _ => {
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -64,7 +64,7 @@
             self.update_accounting(cluster, &mut leader.accounting(), now);
         }
         if self.reserve.is_due(now) {
-            cluster.reservations = reservations::choose(cluster, catalog, now);
+            cluster.reservations = reservations::choose_reservations(cluster, catalog, now);
             self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
         }
         // Nothing that placement depends on has changed, so a plan would give the same result.
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -82,7 +82,8 @@
 fn format_decisions(cluster: &mut ClusterState, now: Instant) -> String {
     let catalog = catalog();
     let queue: Vec<_> = plan::queue(cluster, now).iter().map(|t| t.id.clone()).collect();
-    let mut reservations: Vec<_> = super::super::reservations::choose(cluster, &catalog, now).into_iter().collect();
+    let mut reservations: Vec<_> =
+        super::super::reservations::choose_reservations(cluster, &catalog, now).into_iter().collect();
     reservations.sort_by(|a, b| a.0.cmp(&b.0));
     let scale_out = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
     let surplus = surplus_machines(cluster, &catalog, now);
@@ -322,7 +323,7 @@
     for ahead in [false, true] {
         let cluster = new_cluster(ahead);
         assert_eq!(
-            !super::super::reservations::choose(&cluster, &catalog(), now).is_empty(),
+            !super::super::reservations::choose_reservations(&cluster, &catalog(), now).is_empty(),
             ahead,
             "reserved at once"
         );
--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -131,7 +131,7 @@
             let name = format!("m{i:04}");
             cluster.take_heartbeat(heartbeat(&name, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, now);
         }
-        cluster.reservations = reservations::choose(&cluster, &catalog(), now);
+        cluster.reservations = reservations::choose_reservations(&cluster, &catalog(), now);
         add_job(&mut cluster, 20, now, |j| (j.cpus, j.estimate_s, j.due_s) = (2.0, estimate_s, due_s));
         plan::place(&mut cluster, &catalog(), now).len()
     };
--- a/src/scheduling/tests/room_after_faults.rs
+++ b/src/scheduling/tests/room_after_faults.rs
@@ -109,7 +109,7 @@
         if step % 4 == 0 && simulation.cluster.loaded {
             crate::scheduling::service_report::update_accounting(&mut account, &mut simulation.cluster, now);
             simulation.cluster.reservations =
-                crate::scheduling::reservations::choose(&simulation.cluster, &catalog(), now);
+                crate::scheduling::reservations::choose_reservations(&simulation.cluster, &catalog(), now);
         }
         preempt::preempt(&mut simulation.cluster, &catalog(), now);
         simulation.step();
--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -149,7 +149,7 @@
         }
         if step.is_multiple_of(4) && cluster.loaded {
             crate::scheduling::service_report::update_accounting(&mut self.account, cluster, now);
-            cluster.reservations = crate::scheduling::reservations::choose(cluster, &catalog(), now);
+            cluster.reservations = crate::scheduling::reservations::choose_reservations(cluster, &catalog(), now);
         }
         let up = cluster.machines.values().filter(|m| m.state == MachineState::Up).count();
         let draining = cluster.machines.values().any(|m| m.state == MachineState::Draining);
