--- a/src/scheduling/tests/team_limits.rs
+++ b/src/scheduling/tests/team_limits.rs
@@ -62,8 +62,8 @@
 }
 
 /// A successor knows of an ended job only by its stored end. The job's shard names its bound tasks, and the job's record
-/// is read for them. Until it has been read, nothing is placed; from then on the tasks count for their team, and as long
-/// as they may run nothing of that team starts beyond its limit.
+/// is read for them. Until it has been read, nothing is placed, and without a record nothing of its team starts; then
+/// the bound tasks count for their team.
 #[test]
 fn bound_tasks_of_ended_jobs_count_before_a_successor_places_anything() {
     let mut simulation = Simulation::new(&[("m1", "a"), ("m2", "a"), ("m3", "a"), ("m4", "a"), ("m5", "a")], |j| {
