--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! No job, of whatever urgency, waits for 90 s beside room once the faults are over: drawn simulations of the cluster
-//! state, plans, holds, preemption and draining, with idle work among the rest.
+//! Once all faults are over, no job of any urgency waits for 90 s while there is free capacity for it. Seeded simulations
+//! of the cluster state, placement, reservations, preemption and draining, with idle work among the jobs.
 
 use std::collections::BTreeMap;
 
@@ -14,35 +14,39 @@
 use crate::scheduling::fairness::FairShareAccounting;
 use crate::settings::Objective;
 
-const NAMES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
-/// These have no faults, so that there is anything to wait for.
-const SOUND: [&str; 3] = ["m0", "m1", "m8"];
-const FAULTS_S: f64 = 100.0;
+const MACHINES: [&str; 10] = ["m0", "m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
+/// Machines without faults, so that there is always capacity to wait for.
+const FAULT_FREE_MACHINES: [&str; 3] = ["m0", "m1", "m8"];
+/// Length of the fault phase in seconds.
+const FAULT_PHASE_S: f64 = 100.0;
+/// Length of the simulation in seconds.
 const END_S: f64 = 270.0;
-/// No job waits so long beside room.
-const LIMIT_S: f64 = 90.0;
+/// Limit in seconds of a job's wait while there is free capacity for it.
+const MAX_WAIT_S: f64 = 90.0;
 
-/// One simulation: its draws, and how long jobs have waited beside room.
-struct Day {
+/// One seeded simulation, with the times for which jobs have waited while there was free capacity for them.
+struct WaitSimulation {
     seed: u64,
     rng: StdRng,
     simulation: Simulation,
     account: FairShareAccounting,
-    /// Users are promised a start sooner than machines boot, so that room is kept for arrivals.
-    prompt: bool,
-    /// Work comes after the faults as well.
+    /// Whether an objective promises a start sooner than machines boot, so that capacity is reserved for arrivals.
+    reserves_for_arrivals: bool,
+    /// Whether jobs also arrive after the fault phase.
     steady: bool,
     jobs: u32,
-    ends: BTreeMap<(TaskKey, u64), Instant>,
+    ends_at: BTreeMap<(TaskKey, u64), Instant>,
+    /// How long each job has waited without a break, in seconds.
     waits: BTreeMap<JobId, f64>,
-    longest: (f64, String),
+    /// The longest wait in seconds, with a description of the job.
+    longest_wait: (f64, String),
 }
 
-impl Day {
+impl WaitSimulation {
     fn new(seed: u64) -> Self {
-        let machines: Vec<(&str, &str)> = (0..10).map(|n| (NAMES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
+        let machines: Vec<(&str, &str)> = (0..10).map(|n| (MACHINES[n], if n % 2 == 0 { "a" } else { "b" })).collect();
         let mut simulation = Simulation::new(&machines, |j| (j.tasks, j.estimate_s) = (1, 1.0));
-        for m in &NAMES[7..] {
+        for m in &MACHINES[7..] {
             simulation.world.workers.get_mut(m).unwrap().type_name = "g2";
         }
         simulation.places_tasks = true;
@@ -56,16 +60,17 @@
             rng: StdRng::seed_from_u64(seed),
             simulation,
             account,
-            prompt: seed % 4 >= 2,
+            reserves_for_arrivals: seed % 4 >= 2,
             steady: seed.is_multiple_of(2),
             jobs: 1,
-            ends: BTreeMap::new(),
+            ends_at: BTreeMap::new(),
             waits: BTreeMap::new(),
-            longest: (0.0, String::new()),
+            longest_wait: (0.0, String::new()),
         }
     }
 
-    fn submit(&mut self) {
+    /// Submits a drawn job, and at times cancels it at once.
+    fn submit_job(&mut self) {
         self.jobs += 1;
         let rng = &mut self.rng;
         let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.random_range(0..4usize)];
@@ -90,8 +95,9 @@
         }
     }
 
-    fn trouble(&mut self) {
-        let m = NAMES[self.rng.random_range(0..10usize)];
+    /// Injects a drawn fault, or ends faults.
+    fn inject_fault(&mut self) {
+        let m = MACHINES[self.rng.random_range(0..10usize)];
         let simulation = &mut self.simulation;
         match self.rng.random_range(0..7) {
             0 => simulation.outbound_lost.push(m),
@@ -111,28 +117,28 @@
             &mut simulation.inbound_lost,
             &mut simulation.commands_refused,
         ] {
-            list.retain(|m| !SOUND.contains(m));
+            list.retain(|m| !FAULT_FREE_MACHINES.contains(m));
         }
     }
 
-    /// Tasks end, or fail while there are faults.
-    fn tasks_end(&mut self, trouble: bool) {
+    /// Ends tasks that have run for their drawn time. During the fault phase some fail.
+    fn end_tasks(&mut self, in_fault_phase: bool) {
         let now = self.simulation.world.now;
-        for m in NAMES.into_iter().filter(|m| !self.simulation.paused.contains(m)) {
+        for m in MACHINES.into_iter().filter(|m| !self.simulation.paused.contains(m)) {
             if self.simulation.world.workers[m].terminated {
                 continue;
             }
             for attempt_report in
-                self.simulation.world.workers[m].attempts.clone().iter().filter(|l| l.status == AttemptStatus::Running)
+                self.simulation.world.workers[m].attempts.clone().iter().filter(|a| a.status == AttemptStatus::Running)
             {
-                let run = self.simulation.world.spec_of(&attempt_report.task.job).estimate_s;
+                let estimate_s = self.simulation.world.spec_of(&attempt_report.task.job).estimate_s;
                 let rng = &mut self.rng;
-                let at = self
-                    .ends
-                    .entry((attempt_report.task.clone(), attempt_report.attempt))
-                    .or_insert_with(|| now + secs(if run == 0.0 { 1e6 } else { run * rng.random_range(0.5..2.0) }));
-                let fails = trouble && rng.random_bool(0.01);
-                if *at <= now || fails {
+                let end =
+                    self.ends_at.entry((attempt_report.task.clone(), attempt_report.attempt)).or_insert_with(|| {
+                        now + secs(if estimate_s == 0.0 { 1e6 } else { estimate_s * rng.random_range(0.5..2.0) })
+                    });
+                let fails = in_fault_phase && rng.random_bool(0.01);
+                if *end <= now || fails {
                     let cause = if fails { ExitCause::Error } else { ExitCause::Done };
                     self.simulation.world.exit_attempt(m, &attempt_report.task, attempt_report.attempt, cause);
                 }
@@ -140,8 +146,8 @@
         }
     }
 
-    /// The leader's decisions but for placement; of the machines that can be spared at most one is drained at a time.
-    fn decide(&mut self, step: u32) {
+    /// Makes the leader's decisions other than placement. At most one surplus machine is drained at a time.
+    fn make_other_decisions(&mut self, step: u32) {
         let (cluster, now) = (&mut self.simulation.cluster, self.simulation.world.now);
         if self.prompt && cluster.settings.params.objectives.is_empty() {
             let objective = Objective { kind: "wait".into(), class: "c".into(), within_s: 1.0, times: 0.0, share: 0.8 };
@@ -155,66 +161,67 @@
         let draining = cluster.machines.values().any(|m| m.state == MachineState::Draining);
         if step % 40 == 39 && cluster.loaded && up > 6 && !draining {
             let chosen = choose_drains(cluster, &catalog(), now);
-            if let Some(drain) = chosen.iter().find(|d| !SOUND.contains(&&*d.machine)) {
+            if let Some(drain) = chosen.iter().find(|d| !FAULT_FREE_MACHINES.contains(&&*d.machine)) {
                 cluster.drain_machine(&drain.machine, &drain.moves, now);
             }
         }
         preempt::preempt(cluster, &catalog(), now);
     }
 
-    /// What idle work that runs already has no claim to is the room kept for prompt arrivals.
-    fn counts(&self, id: &JobId) -> bool {
+    /// Whether the job's wait counts. Idle jobs that have begun have no claim to the capacity reserved for arrivals.
+    fn wait_counts(&self, id: &JobId) -> bool {
         let begun_idle = |j: &crate::scheduling::cluster::JobState| j.spec().is_idle() && !j.bound.is_empty();
-        !(self.prompt && self.simulation.cluster.job(id).is_some_and(begun_idle))
+        !(self.reserves_for_arrivals && self.simulation.cluster.job(id).is_some_and(begun_idle))
     }
 
-    fn note_waits(&mut self, t: f64) {
+    /// Updates how long each job has waited while it could start.
+    fn record_waits(&mut self, t: f64) {
         let ids: Vec<JobId> = self.simulation.cluster.jobs().map(|(id, _)| id.clone()).collect();
         self.waits.retain(|id, _| ids.contains(id));
         for id in ids {
             let waits =
-                self.counts(&id) && self.simulation.could_start(&id, DrainingCapacity::IncludedIfScaleInCandidate);
+                self.wait_counts(&id) && self.simulation.could_start(&id, DrainingCapacity::IncludedIfScaleInCandidate);
             let waited = self.waits.entry(id.clone()).or_default();
             *waited = if waits { *waited + STEP_S } else { 0.0 };
-            if *waited > self.longest.0 {
+            if *waited > self.longest_wait.0 {
                 let job = self.simulation.cluster.job(&id);
                 let (bound, spec) = (job.map(|j| j.bound.len()), job.map(|j| j.spec()));
-                self.longest = (*waited, format!("seed {}, at {t} s: bound {bound:?}, {spec:?}", self.seed));
+                self.longest_wait = (*waited, format!("seed {}, at {t} s: bound {bound:?}, {spec:?}", self.seed));
             }
         }
     }
 
-    /// The longest wait beside room once the faults are over, in seconds, and whose it was.
+    /// Runs the simulation and returns the longest wait after the fault phase in seconds, with a description of the job.
     fn simulate(mut self) -> (f64, String) {
         for step in 0..(END_S / STEP_S) as u32 {
             let t = f64::from(step) * STEP_S;
-            let trouble = t < FAULTS_S;
-            if (trouble || self.steady) && self.rng.random_bool(if trouble { 0.5 } else { 0.1 }) {
-                self.submit();
+            let in_fault_phase = t < FAULT_PHASE_S;
+            if (in_fault_phase || self.steady) && self.rng.random_bool(if in_fault_phase { 0.5 } else { 0.1 }) {
+                self.submit_job();
             }
-            if trouble && self.rng.random_bool(0.15) {
-                self.trouble();
+            if in_fault_phase && self.rng.random_bool(0.15) {
+                self.inject_fault();
             }
-            if !trouble {
+            if !in_fault_phase {
                 let simulation = &mut self.simulation;
                 (simulation.outbound_lost, simulation.paused, simulation.inbound_lost, simulation.commands_refused) =
                     Default::default();
                 simulation.store_available = true;
             }
-            self.tasks_end(trouble);
-            self.decide(step);
+            self.end_tasks(in_fault_phase);
+            self.make_other_decisions(step);
             self.simulation.step();
-            if !trouble {
-                self.note_waits(t);
+            if !in_fault_phase {
+                self.record_waits(t);
             }
         }
-        self.longest
+        self.longest_wait
     }
 }
 
 #[test]
-fn no_job_of_any_urgency_waits_beside_room_once_faults_are_over() {
-    let longest: Vec<(f64, String)> = (0..32).map(|seed| Day::new(seed).simulate()).collect();
-    let late: Vec<&(f64, String)> = longest.iter().filter(|(waited, _)| *waited >= LIMIT_S).collect();
-    assert!(late.is_empty(), "waited for {LIMIT_S} s or more: {late:#?}");
+fn no_job_of_any_urgency_waits_90_s_with_free_capacity_once_faults_are_over() {
+    let longest_waits: Vec<(f64, String)> = (0..32).map(|seed| WaitSimulation::new(seed).simulate()).collect();
+    let too_long: Vec<&(f64, String)> = longest_waits.iter().filter(|(waited, _)| *waited >= MAX_WAIT_S).collect();
+    assert!(too_long.is_empty(), "waited for {MAX_WAIT_S} s or more: {too_long:#?}");
 }
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -1,4 +1,5 @@
-//! Up to where a leader tells cancellations: never past one that an earlier leader's machines may still run.
+//! The watermark up to which a leader confirms cancellations. It never passes the cancellation of a task that an earlier
+//! leader's machines may still run.
 
 use super::*;
 use crate::jobs::End;
@@ -6,8 +7,8 @@
 
 const FENCING_TOKEN: u64 = 50;
 
-/// A successor whose store holds job 1 with a task on `m1`, bound by an earlier leader; ended, if it is, after revision
-/// 40.
+/// Returns a successor whose store holds job 1 with a task that an earlier leader has bound to `m1`. If the job has
+/// ended, it did so after revision 40.
 fn successor(ended: Option<End>, now: Instant) -> ClusterState {
     let mut cluster = ClusterState::new(FENCING_TOKEN, example(), Properties::default(), now);
     let mut job = spec();
@@ -23,7 +24,8 @@
     cluster
 }
 
-fn says(cluster: &mut ClusterState, fencing_token: u64, seq: u64, now: Instant) {
+/// Delivers a heartbeat of `m1` that shows the task running.
+fn report_running(cluster: &mut ClusterState, fencing_token: u64, seq: u64, now: Instant) {
     let attempt_report = AttemptReport {
         task: TaskKey { job: "run-000001".into(), index: 0 },
         attempt: 1,
@@ -35,80 +37,94 @@
     cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, now);
 }
 
-/// Found by reading: a successor told a cancellation as soon as it had loaded, and ended; machines that it had not
-/// reached yet went on obeying the leader of before, and an outage longer than the time allowed let their tasks run on.
+/// Regression test for a fault found in review: a successor confirmed a cancellation as soon as it had loaded the store,
+/// and failed. Machines that it had not reached went on obeying the earlier leader, and an outage longer than the
+/// cancellation deadline let their tasks run on.
 #[test]
-fn what_an_earlier_leaders_machines_may_run_is_not_told_by_cases() {
-    type Then = fn(&mut ClusterState, Instant);
-    let cases: [(&str, Option<End>, Then, u64, bool); 9] = [
-        ("withdrawn before, its machine not heard of", Some(End::Cancelled), |_, _| (), 40, false),
+fn cancellation_is_not_confirmed_while_an_earlier_leaders_machine_may_run_the_task() {
+    type Events = fn(&mut ClusterState, Instant);
+    // (name, end of the job before the takeover, events, watermark, whether the cancellation has taken effect)
+    let cases: [(&str, Option<End>, Events, u64, bool); 9] = [
+        ("cancelled before, its machine not heard from", Some(End::Cancelled), |_, _| (), 40, false),
         (
-            "only heard below this leader's token",
+            "reported only with a token below this leader's",
             Some(End::Cancelled),
-            |b, now| says(b, FENCING_TOKEN - 1, 1, now),
+            |cluster, now| report_running(cluster, FENCING_TOKEN - 1, 1, now),
             40,
             false,
         ),
-        ("its machine has seen the token", Some(End::Cancelled), |b, now| says(b, FENCING_TOKEN, 1, now), 60, true),
         (
-            "heard, and the token raised since",
+            "its machine has seen the token",
             Some(End::Cancelled),
-            |b, now| {
-                says(b, FENCING_TOKEN, 1, now);
-                b.raise_fencing_token(FENCING_TOKEN + 9);
+            |cluster, now| report_running(cluster, FENCING_TOKEN, 1, now),
+            60,
+            true,
+        ),
+        (
+            "reported, and the token raised since",
+            Some(End::Cancelled),
+            |cluster, now| {
+                report_running(cluster, FENCING_TOKEN, 1, now);
+                cluster.raise_fencing_token(FENCING_TOKEN + 9);
             },
             60,
             true,
         ),
-        ("its machine was returned", Some(End::Cancelled), |b, now| b.remove_machine(&"m1".into(), now), 60, true),
-        ("done: nothing of it runs", Some(End::Done), |_, _| (), 60, false),
+        (
+            "its machine was terminated",
+            Some(End::Cancelled),
+            |cluster, now| cluster.remove_machine(&"m1".into(), now),
+            60,
+            true,
+        ),
+        ("done, so that nothing of it runs", Some(End::Done), |_, _| (), 60, false),
         ("open", None, |_, _| (), 60, false),
         (
-            "withdrawn since, its machine not heard of",
+            "cancelled since, its machine not heard from",
             None,
-            |b, now| {
-                b.end_job(&"run-000001".into(), Some(End::Cancelled), now);
-                b.record_known_ends(Some(70));
+            |cluster, now| {
+                cluster.end_job(&"run-000001".into(), Some(End::Cancelled), now);
+                cluster.record_known_ends(Some(70));
             },
             60,
             false,
         ),
         (
-            "withdrawn since, its machine has seen the token",
+            "cancelled since, its machine has seen the token",
             None,
-            |b, now| {
-                says(b, FENCING_TOKEN, 1, now);
-                b.end_job(&"run-000001".into(), Some(End::Cancelled), now);
-                b.record_known_ends(Some(70));
+            |cluster, now| {
+                report_running(cluster, FENCING_TOKEN, 1, now);
+                cluster.end_job(&"run-000001".into(), Some(End::Cancelled), now);
+                cluster.record_known_ends(Some(70));
             },
             70,
             true,
         ),
     ];
-    for (name, ended, then, want, obeyed) in cases {
+    for (name, ended, apply_events, expected_watermark, effective) in cases {
         let now = Instant::now();
         let mut cluster = successor(ended, now);
         let before = cluster.advance_watermark();
-        then(&mut cluster, now);
-        assert_eq!(cluster.advance_watermark(), want, "{name}");
-        assert_eq!(cluster.cancellation_effective(&"run-000001".into()), obeyed, "{name}");
-        assert!(cluster.advance_watermark() >= before, "{name}: it went back");
+        apply_events(&mut cluster, now);
+        assert_eq!(cluster.advance_watermark(), expected_watermark, "{name}");
+        assert_eq!(cluster.cancellation_effective(&"run-000001".into()), effective, "{name}");
+        assert!(cluster.advance_watermark() >= before, "{name}: the watermark went back");
     }
 }
 
-/// What one job waits for keeps back nothing that was stored before: else a stream of cancellations on machines that
-/// cannot be reached would keep the first of them untold for as long as the stream lasts.
+/// A cancellation that cannot be confirmed yet holds back no cancellation that was stored before it. Otherwise a stream
+/// of cancellations on unreachable machines would leave the first of them unconfirmed for as long as the stream lasts.
 #[test]
-fn one_that_waits_keeps_back_only_what_was_stored_since() {
+fn unconfirmed_cancellation_holds_back_only_those_stored_after_it() {
     let now = Instant::now();
     let mut cluster = successor(None, now);
     add_job(&mut cluster, 2, now, |_| ());
     cluster.end_job(&"run-000002".into(), Some(End::Cancelled), now);
     cluster.record_known_ends(Some(65));
-    assert_eq!(cluster.advance_watermark(), 65, "nothing of it was ever started");
+    assert_eq!(cluster.advance_watermark(), 65, "no task of job 2 was ever started");
     cluster.end_job(&"run-000001".into(), Some(End::Cancelled), now);
     cluster.record_known_ends(Some(90));
-    assert_eq!(cluster.advance_watermark(), 65, "the one on the machine that was not heard of");
-    says(&mut cluster, FENCING_TOKEN, 1, now);
+    assert_eq!(cluster.advance_watermark(), 65, "job 1 is on a machine that was not heard from");
+    report_running(&mut cluster, FENCING_TOKEN, 1, now);
     assert_eq!(cluster.advance_watermark(), 90);
 }
