--- a/src/scheduling/tests/placement.rs
+++ b/src/scheduling/tests/placement.rs
@@ -94,13 +94,13 @@
     for n in 100..300 {
         add_job(&mut cluster, n, now, |j| (j.shape, j.tasks, j.cpus, j.same_zone) = (Shape::Gang, 6, 8.0, true));
     }
-    let (first, examined) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (first, examined) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert_eq!(first.len(), 1000, "a plan stops at what can be stored");
     assert!(examined < 500_000, "{examined}");
     cluster.bind_placements(first, now);
     let mut examined_by_plan = Vec::new();
     loop {
-        let (more, examined) = plan::place_counted(&mut cluster, &catalog(), now);
+        let (more, examined) = plan::place_counting_examined(&mut cluster, &catalog(), now);
         examined_by_plan.push(examined);
         if more.is_empty() {
             break;
@@ -164,7 +164,7 @@
     for (seq, placement) in (2..).zip(&first) {
         report_failure(&mut cluster, 1, placement.task.index, &placement.machine, seq, now);
     }
-    assert_eq!(cluster.attribution.held(), [0, 1, 1], "the job is quarantined, and no machine is");
+    assert_eq!(cluster.attribution.counts(), [0, 1, 1], "the job is quarantined, and no machine is");
     assert!(cluster.machines.values().all(|m| m.state == MachineState::Up && !m.quarantined));
     let later = now + Duration::from_secs(6);
     // It comes behind other jobs, with a few tasks at a time.
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::history::job_transactions;
 use crate::jobs::{End, JobId};
-use crate::membership::WRITES;
+use crate::membership::WRITE_SHARES;
 use crate::protocol::workers::ExitCause;
 use crate::store::budget::{Budget, RequestPriority};
 
@@ -104,8 +104,8 @@
     let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
     (simulation.places_tasks, simulation.store_available) = (true, false);
     let limits = simulation.cluster.settings.params.state.clone();
-    let leader_write_rate = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
-    let others_write_rate = WRITES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
+    let leader_write_rate = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
+    let others_write_rate = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
     let mut budget = Budget::new(leader_write_rate, leader_write_rate, simulation.world.now);
     let mut periods: Vec<PeriodUsage> = (0..PERIODS).map(|_| PeriodUsage::default()).collect();
     let mut accepted: BTreeMap<JobId, Instant> = BTreeMap::new();
