--- a/src/scheduling/tests/waiting.rs
+++ b/src/scheduling/tests/waiting.rs
@@ -149,7 +149,7 @@
     /// Makes the leader's decisions other than placement. At most one surplus machine is drained at a time.
     fn make_other_decisions(&mut self, step: u32) {
         let (cluster, now) = (&mut self.simulation.cluster, self.simulation.world.now);
-        if self.prompt && cluster.settings.params.objectives.is_empty() {
+        if self.reserves_for_arrivals && cluster.settings.params.objectives.is_empty() {
             let objective = Objective { kind: "wait".into(), class: "c".into(), within_s: 1.0, times: 0.0, share: 0.8 };
             cluster.settings.params.objectives.push(objective);
         }
