--- a/tests/outward_names.rs
+++ b/tests/outward_names.rs
@@ -46,7 +46,9 @@
     text.match_indices(name).any(|(start, _)| {
         let before = text[..start].chars().next_back();
         let after = text[start + name.len()..].chars().next();
-        !(is_word(first) && before.is_some_and(is_word)) && !(is_word(last) && after.is_some_and(is_word))
+        let longer_before = is_word(first) && before.is_some_and(is_word);
+        let longer_after = is_word(last) && after.is_some_and(is_word);
+        !longer_before && !longer_after
     })
 }
 
