--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -8,12 +8,12 @@
 use crate::jobs::JobSpec;
 use crate::machine_kinds::MachineKind;
 use crate::scheduling::backfill;
-use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity, Zones};
+use crate::scheduling::capacity::{CapacityContext, CapacityOffer, FreeCapacity, JobZones};
 use crate::scheduling::cluster::{ClusterState, Machine, MachineState};
 use crate::scheduling::forecast::{Slot, Slots, Timeline};
 use crate::scheduling::intents::CapacityIntent;
 use crate::scheduling::plan::{QueuedJob, Quotas};
-use crate::scheduling::promises::starts_left_s;
+use crate::scheduling::promises::feasible_start_slacks_s;
 
 /// The earliest objective that a new machine can still meet sets the slack of waiting work; work past all of them has
 /// its own run time as slack. It waits for this part of its slack before the cheapest kind of machine is provisioned
@@ -66,17 +66,17 @@
 }
 
 impl<'t, 'a> WaitingJob<'t, 'a> {
-    fn new(cluster: &ClusterState, ground: &CapacityContext<'a>, turn: &'t QueuedJob<'a>, zones: &Zones) -> Self {
+    fn new(cluster: &ClusterState, ground: &CapacityContext<'a>, turn: &'t QueuedJob<'a>, zones: &JobZones) -> Self {
         let job = turn.job;
         let spec = job.spec();
-        let open = ground.open_to(spec, zones);
+        let open = ground.allowed_kinds(spec, zones);
         let cheapest = cheapest_offer(ground, spec, spec.tasks, |index, _| open[index]);
         Self {
             turn,
             spec,
-            starts_left_s: starts_left_s(&job.promises, job.agreement.run_time, turn.age),
+            starts_left_s: feasible_start_slacks_s(&job.promises, job.agreement.run_time, turn.age),
             least_cost: cheapest.map_or(f64::INFINITY, |priced| priced.cost_per_task).max(LEAST_COST),
-            impatient: (cluster.underserved.below_floor.contains_job(spec) && !spec.is_idle()) || turn.ahead,
+            impatient: (cluster.underserved.below_floor.contains_job(spec) && !spec.is_idle()) || turn.prioritized,
             open,
         }
     }
@@ -131,7 +131,7 @@
         let most_inbound_lost = self.cluster.most_inbound_lost();
         let machines = self.cluster.machines.values().filter(|machine| takes_work(machine, most_inbound_lost));
         let mut timelines: Vec<Timeline> = machines
-            .filter_map(|machine| Timeline::of(self.cluster, self.ground, machine, for_urgent, self.now))
+            .filter_map(|machine| Timeline::from_machine(self.cluster, self.ground, machine, for_urgent, self.now))
             .collect();
         for (index, offer) in self.ground.offers.iter().enumerate() {
             let requested = self.kinds[index].as_ref().and_then(|kind| self.requested.get(kind));
@@ -159,7 +159,7 @@
         if spec.is_gang() && !self.quotas.allows(spec, spec.tasks as f64) {
             return;
         }
-        let mut zones = Zones::new(self.cluster, turn.job);
+        let mut zones = JobZones::new(self.cluster, turn.job);
         let waiting = WaitingJob::new(self.cluster, ground, turn, &zones);
         let mut slots = Slots::new(timelines, turn.job, &waiting.open);
         let mut missing = self.cluster.intents.placeable_tasks(turn.id, turn.job) as u64;
@@ -167,26 +167,26 @@
         let mut cheapest: Option<Option<PricedOffer>> = None;
         while missing > 0 && self.may_place_task(spec) {
             self.tasks_placed += 1;
-            let existing = slots.next(timelines, ground, &zones);
+            let existing = slots.peek_earliest(timelines, ground, &zones);
             let is_open = |index: usize, offer: &CapacityOffer| {
-                self.is_requestable(&waiting.open, index) && zones.allow(offer.zone)
+                self.is_requestable(&waiting.open, index) && zones.allows(offer.zone)
             };
             let priced = *cheapest.get_or_insert_with(|| cheapest_offer(ground, spec, missing, is_open));
             let slot = match priced.filter(|priced| self.is_worth_provisioning(&waiting, priced, existing)) {
                 Some(priced) => {
                     self.provision(&priced, timelines, &mut slots);
                     cheapest = None;
-                    slots.next(timelines, ground, &zones)
+                    slots.peek_earliest(timelines, ground, &zones)
                 }
                 None => existing,
             };
             let Some(slot) = slot else { break };
-            if zones.matter() {
-                zones.take(ground.zone(timelines[slot.which].capacity.kind));
+            if zones.restricts_zones() {
+                zones.add_task(ground.zone(timelines[slot.timeline].capacity.kind));
                 cheapest = None;
             }
-            slots.take(timelines, slot);
-            self.quotas.take(spec, 1.0);
+            slots.occupy(timelines, slot);
+            self.quotas.add_usage(spec, 1.0);
             missing -= 1;
         }
     }
@@ -202,27 +202,27 @@
     }
 
     fn plan_capacity_intent(&mut self, intent: &'a CapacityIntent, timelines: &mut Vec<Timeline<'a>>) {
-        let (ground, spec, zones) = (self.ground, &intent.task_spec, Zones::none(&intent.task_spec));
+        let (ground, spec, zones) = (self.ground, &intent.task_spec, JobZones::without_tasks(&intent.task_spec));
         let mut job = self.cluster.hypothetical_job(spec, self.now);
         // All of it is needed at one time, so no place counts twice.
         job.agreement.run_time = CAPACITY_HELD_FOR;
-        let open = ground.open_to(spec, &zones);
+        let open = ground.allowed_kinds(spec, &zones);
         let mut slots = Slots::new(timelines, &job, &open);
         for placed in 0..intent.tasks {
             if !self.may_place_task(spec) {
                 break;
             }
             self.tasks_placed += 1;
-            let existing = slots.next(timelines, ground, &zones);
+            let existing = slots.peek_earliest(timelines, ground, &zones);
             let is_open = |index: usize, _: &CapacityOffer| self.is_requestable(&open, index);
             let priced = cheapest_offer(ground, spec, intent.tasks - placed, is_open);
             if let Some(priced) = priced.filter(|priced| self.is_due_for_intent(intent, priced, existing)) {
                 self.provision(&priced, timelines, &mut slots);
             }
-            let Some(mut slot) = slots.next(timelines, ground, &zones) else { break };
-            slot.at_s = slot.at_s.max(intent.needed_in_s);
-            slots.take(timelines, slot);
-            self.quotas.take(spec, 1.0);
+            let Some(mut slot) = slots.peek_earliest(timelines, ground, &zones) else { break };
+            slot.start_s = slot.start_s.max(intent.needed_in_s);
+            slots.occupy(timelines, slot);
+            self.quotas.add_usage(spec, 1.0);
         }
     }
 
@@ -242,7 +242,7 @@
     /// Whether a new machine starts the job's next task so much earlier than the existing ones that it pays.
     fn is_worth_provisioning(&self, waiting: &WaitingJob, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
-        let boot_s = priced.offer.of.boot_s;
+        let boot_s = priced.offer.machine_type.boot_s;
         let relative_cost = priced.cost_per_task / waiting.least_cost;
         let overdue = waiting.turn.age > waiting.turn.job.agreement.run_time;
         let most_dear = self.cluster.properties.idle_dearer;
@@ -255,7 +255,7 @@
     /// Whether a machine has to be requested now to be ready when the declared capacity is needed.
     fn is_due_for_intent(&self, intent: &CapacityIntent, priced: &PricedOffer, existing: Option<Slot>) -> bool {
         let start_s = start_in_s(existing);
-        let machine_type = priced.offer.of;
+        let machine_type = priced.offer.machine_type;
         let fetch_s = intent.task_spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
         start_s > intent.needed_in_s
             && machine_type.boot_s + LEAST_GAIN_S < start_s
@@ -265,7 +265,7 @@
 
     fn provision(&mut self, priced: &PricedOffer<'a>, timelines: &mut Vec<Timeline<'a>>, slots: &mut Slots) {
         timelines.push(new_machine(priced.index, &priced.offer));
-        slots.push(timelines, timelines.len() - 1);
+        slots.add_timeline(timelines, timelines.len() - 1);
         *self.planned.entry(priced.offer.kind()).or_default() += 1;
         self.total += 1;
     }
@@ -273,7 +273,7 @@
 
 /// Seconds until a task could start on the machines there are.
 fn start_in_s(existing: Option<Slot>) -> f64 {
-    existing.map_or(f64::INFINITY, |slot| slot.at_s)
+    existing.map_or(f64::INFINITY, |slot| slot.start_s)
 }
 
 /// Whether the machine will take work. One that does not hear this controller takes none, nor may one exist that only
@@ -286,7 +286,7 @@
 }
 
 fn new_machine<'a>(index: usize, offer: &CapacityOffer<'a>) -> Timeline<'a> {
-    Timeline::new(FreeCapacity::empty(offer.of, index), offer.of.boot_s)
+    Timeline::new(FreeCapacity::empty(offer.machine_type, index), offer.machine_type.boot_s)
 }
 
 /// Places the arrivals that are expected while a machine would boot, each task at the time when it comes.
@@ -298,19 +298,19 @@
 ) {
     for arrivals in cluster.arrivals.values() {
         let Some(like) = cluster.representative_job(arrivals).filter(|job| !job.spec().is_idle()) else { continue };
-        let zones = Zones::none(like.spec());
-        let open = ground.open_to(like.spec(), &zones);
+        let zones = JobZones::without_tasks(like.spec());
+        let open = ground.allowed_kinds(like.spec(), &zones);
         let within_s = ground.longest_boot_s(&open);
         let per_second = arrivals.tasks_per_second(now) * EXPECTED_PART;
         let expected = (per_second * within_s).min(MOST_TASKS as f64 / 4.0) as u64;
         let mut slots = Slots::new(timelines, like, &open);
         for n in 0..expected {
-            let Some(mut slot) = slots.next(timelines, ground, &zones) else { break };
-            slot.at_s = slot.at_s.max(n as f64 / per_second);
-            if slot.at_s > within_s {
+            let Some(mut slot) = slots.peek_earliest(timelines, ground, &zones) else { break };
+            slot.start_s = slot.start_s.max(n as f64 / per_second);
+            if slot.start_s > within_s {
                 break;
             }
-            slots.take(timelines, slot);
+            slots.occupy(timelines, slot);
         }
     }
 }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -3,9 +3,9 @@
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
-use super::large_first::{credited, to_begin};
+use super::large_first::{credited_gang, first_task_job};
 use crate::jobs::{JobId, JobSpec};
-use crate::scheduling::capacity::SLACK;
+use crate::scheduling::capacity::AMOUNT_TOLERANCE;
 use crate::scheduling::cluster::{ClusterState, JobState};
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::intents;
@@ -31,9 +31,9 @@
     /// For how long it has waited.
     pub age: Duration,
     /// Goes before others of its urgency, by what operators have declared.
-    pub ahead: bool,
+    pub prioritized: bool,
     /// Tasks that may be placed in its turn.
-    pub most: usize,
+    pub max_tasks: usize,
 }
 
 /// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
@@ -41,17 +41,17 @@
 pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<QueuedJob<'_>> {
     let mut queued_jobs: Vec<QueuedJob> = cluster
         .jobs()
-        .filter(|(id, job)| may_be_placed(cluster, id, job, now))
+        .filter(|(id, job)| is_placeable(cluster, id, job, now))
         .map(|(id, job)| queued(cluster, id, job, now))
         .collect();
     mark_large(cluster, &mut queued_jobs);
     queued_jobs.sort_by(by_precedence);
-    intents::order(cluster, &mut queued_jobs);
+    intents::reorder_queue(cluster, &mut queued_jobs);
     queued_jobs
 }
 
 /// Whether tasks of the job wait that may be placed now.
-fn may_be_placed(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
+fn is_placeable(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
     let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete() && now >= job.not_before;
     waits
         && cluster.intents.placeable_tasks(id, job) > 0
@@ -66,27 +66,27 @@
     QueuedJob {
         id,
         job,
-        guaranteed: within_guarantee(cluster, job.spec()),
+        guaranteed: is_within_guarantee(cluster, job.spec()),
         rank: Rank::of(first, late, job.spec().is_idle()),
         late,
         credited: false,
-        quarantined: cluster.attribution.suspects(id),
+        quarantined: cluster.attribution.is_job_quarantined(id),
         task_return: job.agreement.task_return(age + job.agreement.run_time),
         age,
-        ahead: false,
-        most: usize::MAX,
+        prioritized: false,
+        max_tasks: usize::MAX,
     }
 }
 
 /// Marks the large job for which room is kept, and the one of which a first task is to begin.
 fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
-    let credited = credited(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
-    let to_begin = to_begin(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let credited = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let to_begin = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
     for queued in queued_jobs {
         queued.credited = credited == Some(queued.id);
         if to_begin == Some(queued.id) {
             queued.credited = true;
-            queued.most = 1;
+            queued.max_tasks = 1;
             queued.rank = queued.rank.min(Rank::ByReturn);
         }
     }
@@ -102,12 +102,13 @@
         .then(a.id.cmp(b.id))
 }
 
-fn within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
+fn is_within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return false };
     if team.cpus <= 0.0 && team.gpus <= 0.0 {
         return false;
     }
     let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
     let used = cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
-    used.cpus + n * spec.cpus <= team.cpus + SLACK && used.gpus + n * spec.gpus <= team.gpus + SLACK
+    used.cpus + n * spec.cpus <= team.cpus + AMOUNT_TOLERANCE
+        && used.gpus + n * spec.gpus <= team.gpus + AMOUNT_TOLERANCE
 }
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use super::available::{giving, held, sought};
+use super::available::{contended_on_demand_kinds, reclaimable_capacities, with_reservation};
 use super::candidate::Candidate;
 use super::demand::Demand;
 use super::queue::QueuedJob;
@@ -13,7 +13,8 @@
 use crate::machine_kinds::Catalog;
 use crate::scheduling::backfill::Backfill;
 use crate::scheduling::capacity::{
-    CapacityContext, FreeCapacity, SLACK, Zones, suspect_after, usable, usable_until_left,
+    AMOUNT_TOLERANCE, CapacityContext, FreeCapacity, JobZones, is_schedulable, is_schedulable_while_draining,
+    suspect_timeout,
 };
 use crate::scheduling::cluster::{ClusterState, MachineId};
 use crate::scheduling::failure_attribution::FailureAttribution;
@@ -29,13 +30,13 @@
 }
 
 /// The same, with the place of the room among those of the plan.
-pub(super) struct Pick {
+pub(super) struct PickedTask {
     pub(super) index: u32,
-    pub(super) at: usize,
+    pub(super) capacity: usize,
 }
 
 /// A piece of a room that is kept for tasks of a gang.
-pub(super) struct SetAside<'a> {
+pub(super) struct GangReservation<'a> {
     /// The place of the room among those of the plan.
     pub(super) at: usize,
     /// How many tasks it is for.
@@ -49,56 +50,56 @@
     pub(super) cluster: &'a ClusterState,
     pub(super) attribution: &'a FailureAttribution,
     pub(super) intents: &'a Intents,
-    pub(super) ground: CapacityContext<'a>,
+    pub(super) context: CapacityContext<'a>,
     pub(super) capacities: Vec<FreeCapacity<'a>>,
     pub(super) unfit: Vec<UnfitRequest<'a>>,
     /// What fits nowhere even if nothing is kept from it.
     pub(super) unfit_anywhere: Vec<UnfitRequest<'a>>,
     /// Pieces of rooms that were kept for gangs.
-    pub(super) set_aside: Vec<SetAside<'a>>,
+    pub(super) gang_reservations: Vec<GangReservation<'a>>,
     /// What more urgent work than idle found no room for.
-    pub(super) wanted: Rc<Backfill>,
+    pub(super) unplaced_requests: Rc<Backfill>,
     /// What idle work would give up of machines without accelerators, and is not yet counted with.
-    pub(super) giving: Vec<FreeCapacity<'a>>,
-    pub(super) sought: Rc<[bool]>,
+    pub(super) reclaimable_capacities: Vec<FreeCapacity<'a>>,
+    pub(super) on_demand_contention: Rc<[bool]>,
     pub(super) now: Instant,
     /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
-    pub(super) kept: Vec<&'a str>,
+    pub(super) gang_reserved_zones: Vec<&'a str>,
     /// How many rooms were looked at.
-    pub rooms_examined: u64,
+    pub machines_examined: u64,
 }
 
 impl<'a> Plan<'a> {
     /// A plan for these jobs, before anything is placed.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, queued_jobs: &[QueuedJob], now: Instant) -> Self {
         let ground = CapacityContext::new(cluster, catalog);
-        let suspect = suspect_after(cluster);
+        let suspect = suspect_timeout(cluster);
         let least = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
         let capacities = cluster
             .machines
             .values()
-            .filter(|m| usable(m, suspect, now) || usable_until_left(m, suspect, now))
+            .filter(|m| is_schedulable(m, suspect, now) || is_schedulable_while_draining(m, suspect, now))
             .filter_map(|m| ground.capacity(m))
-            .filter(|r| r.cpus + SLACK >= least)
-            .map(|r| held(cluster, r, now))
+            .filter(|r| r.cpus + AMOUNT_TOLERANCE >= least)
+            .map(|r| with_reservation(cluster, r, now))
             .collect();
-        let giving = giving(cluster, &ground, suspect, now);
-        let sought = sought(&ground, queued_jobs);
+        let giving = reclaimable_capacities(cluster, &ground, suspect, now);
+        let sought = contended_on_demand_kinds(&ground, queued_jobs);
         Self {
             cluster,
             attribution: &cluster.attribution,
             intents: &cluster.intents,
-            giving,
-            sought,
-            ground,
+            reclaimable_capacities: giving,
+            on_demand_contention: sought,
+            context: ground,
             capacities,
             unfit: Vec::new(),
             unfit_anywhere: Vec::new(),
-            set_aside: Vec::new(),
-            wanted: Rc::default(),
+            gang_reservations: Vec::new(),
+            unplaced_requests: Rc::default(),
             now,
-            kept: Vec::new(),
-            rooms_examined: 0,
+            gang_reserved_zones: Vec::new(),
+            machines_examined: 0,
         }
     }
 
@@ -106,13 +107,13 @@
     pub(super) fn place_greedily(
         &mut self,
         demand: &Demand<'a>,
-        zones: &mut Zones<'a>,
+        zones: &mut JobZones<'a>,
         most: usize,
         only: Option<&str>,
-    ) -> Vec<Pick> {
-        let ground = &self.ground;
+    ) -> Vec<PickedTask> {
+        let ground = &self.context;
         let in_zone = |capacity: &FreeCapacity| only.is_none_or(|z| z == ground.zone(capacity.kind));
-        self.rooms_examined += self.capacities.len() as u64;
+        self.machines_examined += self.capacities.len() as u64;
         let mut heap: BinaryHeap<Candidate> = self
             .capacities
             .iter()
@@ -123,10 +124,10 @@
         let mut picks = Vec::new();
         for index in demand.startable().take(most) {
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
-            self.rooms_examined += 1;
+            self.machines_examined += 1;
             demand.occupy(&mut self.capacities[best]);
-            zones.take(self.ground.zone(self.capacities[best].kind));
-            picks.push(Pick { index, at: best });
+            zones.add_task(self.context.zone(self.capacities[best].kind));
+            picks.push(PickedTask { index, capacity: best });
             heap.extend(demand.candidate(best, &self.capacities[best]));
         }
         picks
@@ -134,14 +135,19 @@
 
     /// The room of the best candidate in a zone that is still open to the job. Where the best is in a zone that the
     /// job has used up, all candidates in such zones are dropped in one pass.
-    fn pop_allowed(&self, heap: &mut BinaryHeap<Candidate>, demand: &Demand<'a>, zones: &Zones<'a>) -> Option<usize> {
-        let best = heap.pop()?.at;
-        if zones.allow(self.ground.zone(self.capacities[best].kind)) {
+    fn pop_allowed(
+        &self,
+        heap: &mut BinaryHeap<Candidate>,
+        demand: &Demand<'a>,
+        zones: &JobZones<'a>,
+    ) -> Option<usize> {
+        let best = heap.pop()?.index;
+        if zones.allows(self.context.zone(self.capacities[best].kind)) {
             return Some(best);
         }
-        let open = self.ground.open_to(demand.job.spec(), zones);
-        heap.retain(|candidate| open.get(self.capacities[candidate.at].kind) == Some(&true));
-        heap.pop().map(|candidate| candidate.at)
+        let open = self.context.allowed_kinds(demand.job.spec(), zones);
+        heap.retain(|candidate| open.get(self.capacities[candidate.index].kind) == Some(&true));
+        heap.pop().map(|candidate| candidate.index)
     }
 
     /// Places as many tasks of one job as there is room for; all or none of a gang.
@@ -149,7 +155,7 @@
     pub fn place_job(
         &mut self,
         queued: &QueuedJob<'a>,
-        zones: &mut Zones<'a>,
+        zones: &mut JobZones<'a>,
         most: usize,
         keep: bool,
     ) -> Vec<PlacedTask> {
@@ -157,9 +163,9 @@
         let tasks = if spec.is_gang() { job.waiting.len() } else { 1 };
         let waiting = self.intents.placeable_tasks(queued.id, job);
         let keep = keep && spec.is_gang();
-        let demand = self.demand(queued, zones, waiting);
-        if !keep && self.known_unfit(&demand, tasks) {
-            self.record_waiting(spec, &demand.open, queued.quarantined);
+        let demand = self.build_demand(queued, zones, waiting);
+        if !keep && self.is_known_unfit(&demand, tasks) {
+            self.record_unplaced(spec, &demand.allowed_kinds, queued.quarantined);
             return Vec::new();
         }
         let picks = if spec.is_gang() {
@@ -169,7 +175,7 @@
         };
         let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
         if short {
-            self.record_waiting(spec, &demand.open, queued.quarantined);
+            self.record_unplaced(spec, &demand.allowed_kinds, queued.quarantined);
         }
         if short && keep {
             self.reserve_capacity_for_gang(&demand);
@@ -178,13 +184,14 @@
             self.record_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
         }
         let capacities = &self.capacities;
-        let placed =
-            |pick: Pick| Some(PlacedTask { index: pick.index, machine: capacities[pick.at].machine?.id.clone() });
+        let placed = |pick: PickedTask| {
+            Some(PlacedTask { index: pick.index, machine: capacities[pick.capacity].machine?.id.clone() })
+        };
         picks.into_iter().filter_map(placed).collect()
     }
 
     /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
-    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &Zones<'a>, tasks: usize, out_of_room: bool) {
+    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &JobZones<'a>, tasks: usize, out_of_room: bool) {
         let (job, spec) = (demand.job, demand.job.spec());
         // A spread gang was refused rooms that others may use.
         if spec.is_gang() && spec.spread {
@@ -192,63 +199,69 @@
         }
         // Rooms in zones that a job's own tasks have closed to it may be free for others: only of the kinds that are
         // still open to it is it known that no room is left.
-        let closes_zones = zones.matter() && !spec.is_gang();
+        let closes_zones = zones.restricts_zones() && !spec.is_gang();
         if closes_zones && !out_of_room {
             return;
         }
-        let open = if closes_zones { self.ground.open_to(spec, zones) } else { demand.open.clone() };
-        self.unfit.push(UnfitRequest { spec, run: job.agreement.run_time, tasks, open });
+        let open = if closes_zones { self.context.allowed_kinds(spec, zones) } else { demand.allowed_kinds.clone() };
+        self.unfit.push(UnfitRequest { spec, run_time: job.agreement.run_time, tasks, allowed_kinds: open });
     }
 
     /// By what the machines are judged for a job of which so many tasks wait.
-    fn demand(&mut self, queued: &QueuedJob<'a>, zones: &Zones<'a>, waiting: usize) -> Demand<'a> {
+    fn build_demand(&mut self, queued: &QueuedJob<'a>, zones: &JobZones<'a>, waiting: usize) -> Demand<'a> {
         let spec = queued.job.spec();
-        let open = self.ground.open_to(spec, zones);
+        let open = self.context.allowed_kinds(spec, zones);
         // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
-        let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.wanted.clone());
-        let overdue = self.cluster.passed_over.overdue(queued.id, self.now);
-        let mut demand = Demand::new(queued, self.attribution, backfill, open, self.sought.clone(), overdue, self.now);
-        demand.held_back.extend(self.intents.stopped_replicas(queued.id));
-        demand.apt_only = !spec.is_idle() && !overdue && self.gives_way(spec, &demand.open, waiting as u64);
-        if queued.ahead {
-            demand.passes = intents::reserved_for(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
-        } else if demand.pressed {
-            demand.ahead = intents::reserved_for(self.cluster, |other, ahead| ahead && other >= spec.urgency);
+        let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.unplaced_requests.clone());
+        let overdue = self.cluster.passed_over.is_overdue(queued.id, self.now);
+        let mut demand =
+            Demand::new(queued, self.attribution, backfill, open, self.on_demand_contention.clone(), overdue, self.now);
+        demand.held_back_tasks.extend(self.intents.stopped_replicas(queued.id));
+        demand.avoids_gpu_waste =
+            !spec.is_idle() && !overdue && self.reclaim_from_idle(spec, &demand.allowed_kinds, waiting as u64);
+        if queued.prioritized {
+            demand.overridden_reservations =
+                intents::jobs_with_reservations(self.cluster, |other, ahead| !ahead && other <= spec.urgency);
+        } else if demand.urgent {
+            demand.prioritized_reservations =
+                intents::jobs_with_reservations(self.cluster, |other, ahead| ahead && other >= spec.urgency);
         }
         demand
     }
 
     /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
-    fn known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
+    fn is_known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
         let is_held = |capacity: &FreeCapacity| {
-            capacity.reservation.is_some_and(|h| h.job == *demand.id || demand.passes.contains(&&h.job))
+            capacity
+                .reservation
+                .is_some_and(|h| h.job == *demand.id || demand.overridden_reservations.contains(&&h.job))
         };
-        !demand.pressed
+        !demand.urgent
             && !demand.overdue
-            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.open))
+            && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.allowed_kinds))
             && !self.capacities.iter().any(is_held)
     }
 
     /// How many tasks of a gang fit in each zone that it may use, or in all together.
-    pub(super) fn units_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
+    pub(super) fn fitting_tasks_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len() as u64;
         let mut units: HashMap<&str, u64> = HashMap::new();
-        let apt = |r: &FreeCapacity| !demand.apt_only || r.waste(spec) <= 1;
+        let apt = |r: &FreeCapacity| !demand.avoids_gpu_waste || r.gpu_waste(spec) <= 1;
         for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
-            let zone = if spec.same_zone { self.ground.zone(capacity.kind) } else { "" };
-            *units.entry(zone).or_default() += capacity.units(spec, need);
+            let zone = if spec.same_zone { self.context.zone(capacity.kind) } else { "" };
+            *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
         }
         units.into_iter().collect()
     }
 
     /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
-    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut Zones<'a>) -> Vec<Pick> {
+    pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut JobZones<'a>) -> Vec<PickedTask> {
         let spec = demand.job.spec();
         let need = demand.job.waiting.len();
-        self.rooms_examined += self.capacities.len() as u64;
+        self.machines_examined += self.capacities.len() as u64;
         let mut enough: Vec<&str> =
-            self.units_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
+            self.fitting_tasks_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
         enough.sort_unstable();
         for zone in enough {
             let before = zones.counts();
@@ -257,7 +270,7 @@
                 return picks;
             }
             for pick in &picks {
-                demand.vacate(&mut self.capacities[pick.at]);
+                demand.vacate(&mut self.capacities[pick.capacity]);
             }
             zones.set_counts(before);
         }
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -7,7 +7,7 @@
 use super::world::*;
 use super::*;
 use crate::jobs::JobId;
-use crate::scheduling::capacity::{SLACK, Zones, allowed};
+use crate::scheduling::capacity::{AMOUNT_TOLERANCE, JobZones, allows_kind};
 use crate::scheduling::cluster::DirectCommand;
 
 /// Length of one step in seconds.
@@ -268,7 +268,9 @@
 
 impl FreeCapacity {
     fn fits(self, spec: &JobSpec) -> bool {
-        spec.cpus <= self.cpus + SLACK && spec.gpus <= self.gpus + SLACK && spec.memory_gb <= self.memory_gb + SLACK
+        spec.cpus <= self.cpus + AMOUNT_TOLERANCE
+            && spec.gpus <= self.gpus + AMOUNT_TOLERANCE
+            && spec.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
     }
 
     fn subtract(&mut self, spec: &JobSpec) {
@@ -319,14 +321,14 @@
         }
         let zones: &[&[&str]] = if spec.same_zone { &[&["a"], &["b"]] } else { &[&["a", "b"]] };
         zones.iter().any(|zones| {
-            let mut zone_limits = Zones::new(&self.cluster, job);
+            let mut zone_limits = JobZones::new(&self.cluster, job);
             let mut found = 0;
             for (m, worker) in &self.world.workers {
-                let open = allowed(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
+                let open = allows_kind(spec, worker.type_name, worker.zone, false) && zones.contains(&worker.zone);
                 let Some(mut left) = self.free_capacity(m, draining).filter(|_| open) else { continue };
-                while found < needed && zone_limits.allow(worker.zone) && left.fits(spec) {
+                while found < needed && zone_limits.allows(worker.zone) && left.fits(spec) {
                     left.subtract(spec);
-                    zone_limits.take(worker.zone);
+                    zone_limits.add_task(worker.zone);
                     found += 1;
                 }
             }
