--- a/src/scheduling/tests/cancellations.rs
+++ b/src/scheduling/tests/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancelled tasks on machines that are silent, terminating or inherited by a successor are stopped or proven gone within
-//! the cancellation deadline (issue 34, section 3, cases 2 and 7).
+//! Cancelled tasks on machines that are silent, terminating or inherited by a successor are stopped or proven gone
+//! within the cancellation deadline (issue 34, section 3, cases 2 and 7).
 
 use super::world::*;
 use super::*;
@@ -83,8 +83,9 @@
 }
 
 /// If each takeover restarted the wait for a cancelled task, two takeovers within that wait would let a hanging machine
-/// hold the task past `cancel_s`. A successor counts from when the end was stored, as far as it knows. It leaves machines
-/// two heartbeat intervals to prove again what they have proven to its predecessor, unless hardly any time is left.
+/// hold the task past `cancel_s`. A successor counts from when the end was stored, as far as it knows. It leaves
+/// machines two heartbeat intervals to prove again what they have proven to its predecessor, unless hardly any time is
+/// left.
 #[test]
 fn takeover_does_not_restart_the_wait_for_a_cancelled_task() {
     for (name, ended_before_s, checked_after_s, overdue) in [
--- a/src/scheduling/tests/completions_across_takeovers.rs
+++ b/src/scheduling/tests/completions_across_takeovers.rs
@@ -6,8 +6,8 @@
 use crate::protocol::workers::ExitCause;
 use crate::scheduling::cluster::Placement;
 
-/// The first exit of an array of two or three tasks is stored or not when the leader fails. Either way the successor learns
-/// of it, the task never runs again, and the job is done with the last exit and not before.
+/// The first exit of an array of two or three tasks is stored or not when the leader fails. Either way the successor
+/// learns of it, the task never runs again, and the job is done with the last exit and not before.
 #[test]
 fn first_completion_of_an_array_survives_takeovers() {
     for (tasks, stored, reported) in
@@ -64,8 +64,8 @@
     }
 }
 
-/// A gang is done once one of its tasks is reported done. Its end is not stored when the leader fails; the successor learns
-/// of it from the first machine, which has reaped nothing, and never hears the second machine.
+/// A gang is done once one of its tasks is reported done. Its end is not stored when the leader fails; the successor
+/// learns of it from the first machine, which has reaped nothing, and never hears the second machine.
 #[test]
 fn gang_is_done_once_the_successor_hears_of_one_completion() {
     for reported in ["by the old leader", "by the successor alone", "as a late copy"] {
@@ -103,8 +103,8 @@
         }
         world.store_all(&mut cluster);
         assert_eq!(world.ended, Some(End::Done), "{reported}");
-        // The other task remains on a machine that no leader hears. It belongs to no cancellation, so its machine is not
-        // overdue, and the task is not started elsewhere.
+        // The other task remains on a machine that no leader hears. It belongs to no cancellation, so its machine is
+        // not overdue, and the task is not started elsewhere.
         world.now += secs(40.0);
         assert!(cluster.overdue_machines(world.now).is_empty());
         assert_eq!(plan_placements(&mut cluster, world.now), []);
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -12,7 +12,7 @@
 /// Largest drift between the monotonic clocks of two machines that the protocol allows, as a part of the time.
 const MAX_CLOCK_DRIFT_RATIO: f64 = 0.0005;
 
-/// Age of a heartbeat from which on the worker drops its answer, by the protocol.
+/// Greatest age of a heartbeat at which the worker still accepts the answer, by the protocol.
 const ANSWER_TIMEOUT_S: f64 = 4.0;
 
 /// Returns the example settings with these worker parameters, if `check` accepts them.
@@ -70,7 +70,8 @@
     assert!(checked_settings > 150, "only {checked_settings} settings were accepted");
 }
 
-/// Each answer renews the lease, so each answer must contain the stop command, also while a direct command is in transit.
+/// Each answer renews the lease, so each answer must contain the stop command, also while a direct command is in
+/// transit.
 #[test]
 fn each_answer_that_renews_a_lease_contains_the_stop_command() {
     for command_in_transit in [false, true] {
@@ -101,8 +102,8 @@
 }
 
 /// A cancellation is stored while a launch is in transit: a direct command that is delayed by 2 to 16 s, or an answer
-/// that is delayed by less than 4 s. The cancellation may be confirmed only once that launch can start no task any more,
-/// so a launch that arrives after the confirmation starts nothing.
+/// that is delayed by less than 4 s. The cancellation may be confirmed only once that launch can start no task any
+/// more, so a launch that arrives after the confirmation starts nothing.
 #[test]
 fn no_task_starts_after_its_cancellation_is_confirmed() {
     for (launch, delay_s) in [
@@ -130,8 +131,8 @@
         let orders = delayed_command.as_ref().map(|d| &d.commands).or(delayed_answer.as_ref().map(|a| &a.commands));
         assert_eq!(orders.map(|orders| count_launches(orders)), Some(1), "{name}");
         let sent_at = simulation.world.now;
-        // Stored at revision 1001. The cluster state alone decides when the cancellation is confirmed, so the world, which
-        // checks that nothing starts after it, learns of it only then.
+        // Stored at revision 1001. The cluster state alone decides when the cancellation is confirmed, so the world,
+        // which checks that nothing starts after it, learns of it only then.
         simulation.cluster.end_job(&id, Some(End::Cancelled), simulation.world.now);
         simulation.cluster.record_known_ends(Some(1001));
         let mut confirmed_after_s = None;
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -1,5 +1,5 @@
-//! Intents of operators: their effect on the queue, on reservations, scale-out and scale-in, and that decisions about all
-//! other jobs stay the same.
+//! Intents of operators: their effect on the queue, on reservations, scale-out and scale-in, and that decisions about
+//! all other jobs stay the same.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,7 +24,8 @@
     plan::queue(cluster, now).iter().map(|t| t.id[4..].parse().unwrap()).collect()
 }
 
-/// Builds a random cluster: jobs of all shapes, some of them placed and some waiting for long, on machines of all kinds.
+/// Builds a random cluster: jobs of all shapes, some of them placed and some waiting for long, on machines of all
+/// kinds.
 fn random_cluster(seed: u64, start: Instant) -> (ClusterState, Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     let names: Vec<String> = (0..rng.random_range(1..12)).map(|n| format!("m{n:02}")).collect();
@@ -115,8 +116,8 @@
 #[test]
 fn queue_order_follows_intents() {
     let now = Instant::now();
-    // Without intents: 7 is first, within its team's guarantee, then 8, which is more urgent, then 1 to 5 by return, which
-    // is highest for the shortest estimate, and 6, which is idle.
+    // Without intents: 7 is first, within its team's guarantee, then 8, which is more urgent, then 1 to 5 by return,
+    // which is highest for the shortest estimate, and 6, which is idle.
     let new_cluster = || {
         let mut cluster = cluster_with(&[("m1", "c8", "a", false)], now);
         for (n, class, estimate_s) in [(1, "x", 5.0), (2, "x", 10.0), (3, "h", 20.0), (4, "x", 40.0), (5, "h", 80.0)] {
@@ -206,7 +207,8 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
 
     /// Jobs that go ahead never hold more than their share of the cores in use, or one job. No job of another urgency,
-    /// within a guarantee or below the floor loses its place. In no window a later turn is queued before an earlier one.
+    /// within a guarantee or below the floor loses its place. In no window a later turn is queued before an earlier
+    /// one.
     #[test]
     fn intents_keep_share_places_and_turns(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
         let (mut cluster, now) = random_cluster(seed, Instant::now());
@@ -248,15 +250,16 @@
         let queued_jobs = plan::queue(&cluster, now);
         prop_assert_eq!(queued_jobs.len(), order_without_intents.len());
         for window in ["w1", "w2"] {
-            let places = queued_jobs.iter().filter(|t| !t.quarantined).filter_map(|t| cluster.intents.window_turns.get(t.id));
+            let schedulable = queued_jobs.iter().filter(|t| !t.quarantined);
+            let places = schedulable.filter_map(|t| cluster.intents.window_turns.get(t.id));
             let numbers: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.position).collect();
             prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
         }
     }
 }
 
-/// Missing capacity that an intent asks for is scaled out once, a boot and a fetch ahead. Its machines are kept while the
-/// intent lasts and scaled in without one.
+/// Missing capacity that an intent asks for is scaled out once, a boot and a fetch ahead. Its machines are kept while
+/// the intent lasts and scaled in without one.
 #[test]
 fn capacity_intents_scale_out_once_and_keep_machines() {
     let start = Instant::now();
--- a/src/scheduling/tests/interleaved_simulation/combined_faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/combined_faults.rs
@@ -5,6 +5,7 @@
 use rand::Rng;
 
 use super::users::{Tally, Users};
+use super::workers::UnheardAnswers;
 use super::world::World;
 use super::{LEADER_LEASE, WORKER_LEASE};
 use crate::jobs::JobId;
@@ -105,8 +106,8 @@
     /// protocol allows: a successor that cannot load its cluster state in an outage knows no machine to terminate.
     /// Machines hang for longer in worlds without users and in the tests with fixed steps below.
     pub(super) fn hang_worker(&mut self, w: usize, until: Instant) {
-        let rested = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
-        if !self.users.enabled || rested {
+        let hang_allowed = self.workers[w].hangs_until + Duration::from_secs(20) <= self.now;
+        if !self.users.enabled || hang_allowed {
             let lease = self.workers[w].lease_renewed_at + WORKER_LEASE;
             self.workers[w].hangs_until = if self.users.enabled { until.min(lease) } else { until };
         }
@@ -120,8 +121,8 @@
             .count()
     }
 
-    /// Steps until the job runs on this number of machines, then lets no running task exit by itself before the returned
-    /// time.
+    /// Steps until the job runs on this number of machines, then lets no running task exit by itself before the
+    /// returned time.
     fn run_without_end(&mut self, id: &JobId, machines: usize) -> Instant {
         let mut steps = 0;
         while self.count_machines_running(id) < machines {
@@ -228,11 +229,12 @@
         if let Some(leader) = self.leaders[self.leader].as_mut().filter(|o| o.pause.is_none()) {
             leader.pause = Some((now, until));
             let current = self.leader;
-            self.workers.iter_mut().for_each(|w| w.unheard_answers = (current, 0));
+            self.workers.iter_mut().for_each(|w| w.unheard_answers = UnheardAnswers::none(current));
         }
     }
 
-    /// Partitions a zone with the leader and half of the machines. Its successor may confirm cancellations and then fails.
+    /// Partitions a zone with the leader and half of the machines. Its successor may confirm cancellations and then
+    /// fails.
     fn partition_zone(&mut self) {
         let now = self.now;
         let (current, until) = (self.leader, now + self.random_ms(20_000..90_000));
@@ -351,9 +353,9 @@
     }
 }
 
-/// The leader confirms a cancellation while all machines hang, as they may through a network fault. Leaders end at these
-/// times after the confirmation, before each has waited for long enough, and the last successor still terminates the
-/// machines in time. The rule is checked at every step.
+/// The leader confirms a cancellation while all machines hang, as they may through a network fault. Leaders end at
+/// these times after the confirmation, before each has waited for long enough, and the last successor still terminates
+/// the machines in time. The rule is checked at every step.
 fn terminate_hanging_machines_across_takeovers(leader_ends_after_s: &[u64]) {
     let mut world = World::with_users(3, 6);
     world.fault_free = true;
@@ -413,7 +415,8 @@
         world.step();
     }
     (0..20).for_each(|_| world.step());
-    // The successor never returns, and nobody can be elected until the store is back. The rule is checked at every step.
+    // The successor never returns, and nobody can be elected until the store is back. The rule is checked at every
+    // step.
     world.leaders[successor] = None;
     world.next_leader_from = world.now + LEADER_LEASE;
     world.start_store_outage(Duration::from_secs(68));
--- a/src/scheduling/tests/interleaved_simulation/deliveries.rs
+++ b/src/scheduling/tests/interleaved_simulation/deliveries.rs
@@ -6,6 +6,7 @@
 
 use super::ANSWER_TIMEOUT;
 use super::messages::{Answer, Command, CommandReply, CommandTimeout, Message, SentHeartbeat};
+use super::workers::UnheardAnswers;
 use super::world::World;
 use crate::protocol::workers::WorkerCommand;
 use crate::scheduling::cluster::MachineId;
@@ -73,11 +74,12 @@
         if w.inbound_lost_until > now {
             let has_news =
                 fencing_token > w.fencing_token || commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
-            let count = if w.unheard_answers.0 == from { w.unheard_answers.1 } else { 0 };
-            w.unheard_answers = (from, count + u32::from(has_news && !late && all_commands));
+            let count = if w.unheard_answers.leader == from { w.unheard_answers.count } else { 0 };
+            let count = count + u32::from(has_news && !late && all_commands);
+            w.unheard_answers = UnheardAnswers { leader: from, count };
             return;
         }
-        w.unheard_answers = (from, 0);
+        w.unheard_answers = UnheardAnswers::none(from);
         if w.terminated
             || w.hangs_until > now
             || late
--- a/src/scheduling/tests/interleaved_simulation/faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/faults.rs
@@ -59,7 +59,8 @@
             }
         }
         if self.rng.random_bool(0.004) {
-            // The leader loses the store and the other controllers but not the workers; about half of these stay with it.
+            // The leader loses the store and the other controllers but not the workers; about half of these stay with
+            // it.
             let until = now + Duration::from_millis(self.rng.random_range(500..60_000));
             let current = self.leader;
             if let Some(leader) = self.leaders[current].as_mut().filter(|o| o.store_partition.is_none()) {
@@ -108,8 +109,8 @@
                 "{task:?} is placed on {machine}, terminated before the takeover"
             );
             let inbound_lost = worker.inbound_lost_until > self.now
-                && worker.unheard_answers.0 == i
-                && worker.unheard_answers.1 >= DETECTION_ANSWERS;
+                && worker.unheard_answers.leader == i
+                && worker.unheard_answers.count >= DETECTION_ANSWERS;
             assert!(!inbound_lost, "{task:?} is placed on {machine}, which is partitioned one way");
         }
     }
--- a/src/scheduling/tests/interleaved_simulation/leaders.rs
+++ b/src/scheduling/tests/interleaved_simulation/leaders.rs
@@ -124,8 +124,8 @@
         cluster.finish_load(self.now);
     }
 
-    /// Runs a leader's work of a step: it applies watch events, places tasks, stores changes, sends commands and requests
-    /// terminations.
+    /// Runs a leader's work of a step: it applies watch events, places tasks, stores changes, sends commands and
+    /// requests terminations.
     pub(super) fn run_leader(&mut self, i: usize) {
         let Some(mut leader) = self.leaders[i].take() else { return };
         if !self.resume_after_pause(&mut leader) {
@@ -204,7 +204,8 @@
         }
     }
 
-    /// Stores the pending batch if it is due, or else the next one. Returns whether the leader learned that it is deposed.
+    /// Stores the pending batch if it is due, or else the next one. Returns whether the leader learned that it is
+    /// deposed.
     fn store_changes(&mut self, leader: &mut Leader) -> bool {
         let now = self.now;
         if leader.batch.is_none() {
--- a/src/scheduling/tests/interleaved_simulation/mod.rs
+++ b/src/scheduling/tests/interleaved_simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Seeded simulation of interleavings: the real cluster state, placement and transactions run against a small model of
-//! the store, the workers and the cloud. Messages and transactions are delayed, duplicated or lost; leaders continue after
-//! being deposed, lose only the store, or restart at once; machines hang or are partitioned one way; jobs are cancelled.
-//! The model checks the rules itself.
+//! the store, the workers and the cloud. Messages and transactions are delayed, duplicated or lost; leaders continue
+//! after being deposed, lose only the store, or restart at once; machines hang or are partitioned one way; jobs are
+//! cancelled. The model checks the rules itself.
 
 mod combined_faults;
 mod deliveries;
@@ -25,7 +25,7 @@
 const WORKER_LEASE: Duration = Duration::from_secs(24);
 /// How long a task may run after its cancellation.
 const CANCELLATION_DEADLINE: Duration = Duration::from_secs(49);
-/// Age of a heartbeat from which on its worker drops the answer.
+/// Greatest age of a heartbeat at which its worker still accepts the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time without a sign of life from the leader after which another controller leads.
 const LEADER_LEASE: Duration = Duration::from_secs(3);
--- a/src/scheduling/tests/interleaved_simulation/steps.rs
+++ b/src/scheduling/tests/interleaved_simulation/steps.rs
@@ -8,7 +8,7 @@
 use super::jobs::always_fails;
 use super::leaders::Leader;
 use super::store::has_ended;
-use super::workers::Worker;
+use super::workers::{UnheardAnswers, Worker};
 use super::world::World;
 use super::{CANCELLATION_DEADLINE, LEADER_LEASE, STEP};
 use crate::history::job_transactions;
@@ -130,15 +130,15 @@
         self.replace_terminated_machine();
     }
 
-    /// Pauses a leader, current or deposed, for a time below or above the worker lease.
+    /// Pauses a leader, current or deposed, at any point of its work, for a time below or above the worker lease.
     fn pause_random_leader(&mut self) {
         let alive: Vec<usize> = (0..self.leaders.len()).filter(|i| self.leaders[*i].is_some()).collect();
         let i = alive.get(self.rng.random_range(0..alive.len().max(1))).copied().unwrap_or(self.leader);
-        let (random_ms, now) = (self.rng.random_range(500..40_000), self.now);
+        let (pause_ms, now) = (self.rng.random_range(500..40_000), self.now);
         if let Some(leader) = self.leaders[i].as_mut().filter(|o| o.pause.is_none()) {
-            leader.pause = Some((now, now + Duration::from_millis(random_ms)));
+            leader.pause = Some((now, now + Duration::from_millis(pause_ms)));
             self.process_pauses += 1;
-            self.workers.iter_mut().for_each(|w| w.unheard_answers = (i, 0));
+            self.workers.iter_mut().for_each(|w| w.unheard_answers = UnheardAnswers::none(i));
         }
     }
 
--- a/src/scheduling/tests/interleaved_simulation/store.rs
+++ b/src/scheduling/tests/interleaved_simulation/store.rs
@@ -33,19 +33,20 @@
                 let stored: Watermark = serde_json::from_value(value.clone()).expect("own values");
                 self.record_stored_watermark(version, stored.revision);
             }
-            let Some((id, place)) = locate_job(write) else { continue };
+            let Some((id, location)) = locate_job(write) else { continue };
             let (id, record) = self.records.get_key_value(id).expect("the job was submitted");
             let (id, record) = (id.clone(), record.clone());
             let [done, cancelled] = ended_keys(&id).map(|key| self.store.has(&key));
             let keys = usize::from(self.store.has(&open_key(&id))) + usize::from(done) + usize::from(cancelled);
             assert_eq!(keys, 1, "{id} has {keys} keys: it was reopened or ended twice");
-            match place {
+            match location {
                 JobLocation::Open => self.notify_watches(&id, true, version),
                 JobLocation::Ended(End::Done) => {
                     let done = |index: u64| self.completed.contains(&TaskKey { job: id.clone(), index: index as u32 });
                     let gang = record.spec.is_gang();
-                    let enough = if gang { (0..record.spec.tasks).any(done) } else { (0..record.spec.tasks).all(done) };
-                    assert!(enough, "{id} is stored as done before its tasks are");
+                    let all_needed_done =
+                        if gang { (0..record.spec.tasks).any(done) } else { (0..record.spec.tasks).all(done) };
+                    assert!(all_needed_done, "{id} is stored as done before its tasks are");
                     self.record_end(&id, End::Done, version);
                     self.notify_watches(&id, false, version);
                 }
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -1,6 +1,6 @@
-//! Users and the controllers that answer them. Users cancel through any controller, and cancellations are confirmed by the
-//! production rule; leaders answer workers by what they can prove. The store may be out for all controllers, slow, or
-//! refuse a single one.
+//! Users and the controllers that answer them. Users cancel through any controller, and cancellations are confirmed by
+//! the production rule; leaders answer workers by what they can prove. The store may be out for all controllers, slow,
+//! or refuse a single one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -426,7 +426,8 @@
         }
     }
 
-    /// Returns the jobs of a heartbeat that have ended by this leader's watch cache, as `Membership::reported_ends` does.
+    /// Returns the jobs of a heartbeat that have ended by this leader's watch cache, as `Membership::reported_ends`
+    /// does.
     pub(super) fn reported_ends(&self, leader: &Leader, heartbeat: &Heartbeat) -> HashSet<JobId> {
         let attempts = heartbeat.attempts.iter().map(|attempt_report| &attempt_report.task.job);
         attempts.filter(|id| self.users.has_ended(id, leader.membership.observed_revision)).cloned().collect()
@@ -448,7 +449,8 @@
         )
     }
 
-    /// Cancels a job through a follower that the store serves, or through a controller that considers itself the leader.
+    /// Cancels a job through a follower that the store serves, or through a controller that considers itself the
+    /// leader.
     pub(super) fn cancel_through_any_controller(&mut self) {
         let open: Vec<JobId> = self.records.keys().filter(|id| self.store.has(&open_key(id))).cloned().collect();
         if open.is_empty() || self.store_is_out() {
@@ -486,8 +488,8 @@
         }
     }
 
-    /// Ends a job that a leader has cancelled for its own user, as `Membership::cancelled_by_leader` does. The cancellation
-    /// is confirmed at once if it is effective in the cluster state.
+    /// Ends a job that a leader has cancelled for its own user, as `Membership::cancelled_by_leader` does. The
+    /// cancellation is confirmed at once if it is effective in the cluster state.
     pub(super) fn cancelled_by_leader(&mut self, leader: usize, id: &JobId, fencing_token: u64) {
         let now = self.now;
         let leader = self.leaders[leader]
--- a/src/scheduling/tests/interleaved_simulation/workers.rs
+++ b/src/scheduling/tests/interleaved_simulation/workers.rs
@@ -13,6 +13,22 @@
 use crate::jobs::record::{StoredTask, TASKS_PER_SHARD, decode_shard, shard_key};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, Heartbeat, TaskKey, WorkerCommand};
 
+/// The consecutive answers of a leader that a worker did not hear.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct UnheardAnswers {
+    /// The leader that answered last.
+    pub(super) leader: usize,
+    /// The number of its answers with news.
+    pub(super) count: u32,
+}
+
+impl UnheardAnswers {
+    /// No unheard answer of this leader.
+    pub(super) fn none(leader: usize) -> Self {
+        Self { leader, count: 0 }
+    }
+}
+
 /// A worker and the faults that affect it.
 pub(super) struct Worker {
     pub(super) id: String,
@@ -31,8 +47,7 @@
     pub(super) hangs_until: Instant,
     /// One-way partition: until then heartbeats arrive, but answers and commands are lost.
     pub(super) inbound_lost_until: Instant,
-    /// The leader that answered last, and the number of its consecutive answers that the worker did not hear.
-    pub(super) unheard_answers: (usize, u32),
+    pub(super) unheard_answers: UnheardAnswers,
     /// The leader that the worker sends heartbeats to as long as it answers, whichever controller leads.
     pub(super) preferred_leader: Option<usize>,
     /// Until then the worker is partitioned together with its preferred leader: it reaches no other controller, and
@@ -59,7 +74,7 @@
             awaits_answer_until: None,
             hangs_until: now,
             inbound_lost_until: now,
-            unheard_answers: (0, 0),
+            unheard_answers: UnheardAnswers::none(0),
             preferred_leader: None,
             partitioned_until: now,
             outbound_lost_until: now,
--- a/src/scheduling/tests/interleaved_simulation/world.rs
+++ b/src/scheduling/tests/interleaved_simulation/world.rs
@@ -1,4 +1,5 @@
-//! The state of the model: the store, the workers, the leaders, the messages in transit, and the records for the checks.
+//! The state of the model: the store, the workers, the leaders, the messages in transit, and the records for the
+//! checks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
--- a/src/scheduling/tests/outages_past_lease.rs
+++ b/src/scheduling/tests/outages_past_lease.rs
@@ -5,8 +5,8 @@
 use super::*;
 
 /// While no controller answers for longer than the lease, the workers kill their tasks and continue in the next agent
-/// epoch, all at the same time or one of them much later. Each worker's tasks are placed again once it has heard the new
-/// leader, and no machine that sends heartbeats is terminated. After a shorter outage the tasks still run.
+/// epoch, all at the same time or one of them much later. Each worker's tasks are placed again once it has heard the
+/// new leader, and no machine that sends heartbeats is terminated. After a shorter outage the tasks still run.
 #[test]
 fn controller_outage_past_the_lease_loses_no_task_and_terminates_no_machine() {
     for (shape, outage_s, one_late) in [
@@ -74,7 +74,8 @@
         (70.0, 70.0, true),
     ] {
         let name = format!(
-            "partitioned for {partition_s} s, deposed leader inside answers for {deposed_answers_s} s, leader changes: {leader_changes}"
+            "partitioned for {partition_s} s, deposed leader inside answers for {deposed_answers_s} s, \
+             leader changes: {leader_changes}"
         );
         let (inside, outside) = (["m1", "m2", "m3", "m4"], ["m5", "m6", "m7"]);
         let machines: Vec<(&str, &str)> =
@@ -134,7 +135,8 @@
         let terminated_after_healing = &simulation.terminated[terminated_before..];
         assert!(
             terminated_after_healing.iter().all(|m| *m == "m1"),
-            "{name}: after healing only the machine with the cancelled task may be terminated: {terminated_after_healing:?}"
+            "{name}: after healing only the machine with the cancelled task may be terminated: \
+             {terminated_after_healing:?}"
         );
         assert!(
             partition_s > 45.0 || remaining >= 6,
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -110,8 +110,8 @@
     }
 }
 
-/// Simulates two minutes of overload and then time to finish all jobs, and returns how many halting tasks it counted over
-/// all steps. The world checks the rules at every task start, the simulation at every step.
+/// Simulates two minutes of overload and then time to finish all jobs, and returns how many halting tasks it counted
+/// over all steps. The world checks the rules at every task start, the simulation at every step.
 fn simulate_overload(seed: u64) -> usize {
     let mut simulation =
         Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
