--- a/src/scheduling/tests/plan_work.rs
+++ b/src/scheduling/tests/plan_work.rs
@@ -37,7 +37,7 @@
         let mut cluster = nearly_full_cluster(now);
         add_small_job_for_empty_zone(&mut cluster, now);
         add_zoned_jobs(&mut cluster, spread, now);
-        let (placed, examined) = plan::place_counted(&mut cluster, &catalog(), now);
+        let (placed, examined) = plan::place_counting_examined(&mut cluster, &catalog(), now);
         assert!(placed.is_empty(), "spread {spread}: {placed:?}");
         assert!(examined < MAX_EXAMINED, "spread {spread}: {examined}");
     }
@@ -49,10 +49,10 @@
     let now = Instant::now();
     let mut cluster = cluster_of_c8(MACHINES, now);
     add_zoned_jobs(&mut cluster, true, now);
-    let (placed, _) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (placed, _) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert_eq!(placed.len(), 2 * ZONED_JOBS as usize);
     cluster.bind_placements(placed, now);
-    let (placed, examined) = plan::place_counted(&mut cluster, &catalog(), now);
+    let (placed, examined) = plan::place_counting_examined(&mut cluster, &catalog(), now);
     assert!(placed.is_empty(), "{placed:?}");
     assert!(examined < MAX_EXAMINED, "{examined}");
 }
