--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -1,4 +1,4 @@
-//! Passes on changes of the watch cache to the cluster state, the history, the account of who is served, and the tasks
+//! Propagation of changes of the watch cache to the fair-share accounting, the history, the cluster state and the loops
 //! that wait for them.
 
 use std::time::Instant;
@@ -14,8 +14,8 @@
 use crate::sync::lock;
 
 impl Membership {
-    /// Passes on what the watch cache has learned, in the order accounting and history, cluster state, loops. The watch
-    /// cache stays locked from the accounting on, so that the cluster state hears of changes in their order.
+    /// Propagates changes of the watch cache, in the order accounting and history, cluster state, loops. The watch
+    /// cache stays locked from the accounting on, so that the cluster state receives changes in their order.
     fn apply_cache_changes(&self, changes: CacheChanges) {
         if changes.is_empty() {
             self.advance_cluster_revision();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Nothing has changed, up to a later revision.
+    /// Records in the cluster state that nothing has changed up to the watch cache's revision.
     fn advance_cluster_revision(&self) {
         let (watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         if let Some(cluster) = held.as_mut() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Jobs that were offered, and jobs that have ended.
+    /// Records submitted and ended jobs in the accounting and the history.
     fn account_for_changes(&self, changes: &CacheChanges, watch_cache: &WatchCache, now: Instant) {
         let now_ms = time_of_day_ms();
         let mut accounting = self.leader.accounting();
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Applies submitted and ended jobs to the cluster state.
     fn apply_to_cluster(
         &self,
         changes: &CacheChanges,
@@ -77,7 +78,7 @@
         for id in &changes.ended {
             let end = self.history.ended(id);
             cluster.end_job(id, end, now);
-            // What this leader has stored as done needs no confirmation; of the rest any may be cancelled.
+            // Ends that this leader has stored as done need no confirmation; any other end may be a cancellation.
             if end != Some(End::Done) {
                 let revision = watch_cache.revision_with_end(id).unwrap_or(watch_cache.revision());
                 lock(&self.unconfirmed).observe_end(revision, now);
--- a/src/membership/mesh/peers.rs
+++ b/src/membership/mesh/peers.rs
@@ -1,4 +1,4 @@
-//! What the other controllers have said last.
+//! Last reports of the other controllers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,83 +9,90 @@
 use crate::store::log_limit::LogLimit;
 use crate::store::share::LimitDemand;
 
-/// What was heard longer ago says nothing.
-pub(super) const STALE: Duration = Duration::from_secs(4);
+/// Age from which on a peer's report no longer counts.
+pub(super) const REPORT_LIFETIME: Duration = Duration::from_secs(4);
 
-/// What one other controller said last.
+/// Last report of one other controller.
 #[derive(Debug, Clone, Copy)]
 struct PeerState {
-    /// Since when it has said without a break that the store serves it.
+    /// Time since which the peer has reported without a break that the store serves it.
     serves_since: Option<Instant>,
-    wants: [LimitDemand; 2],
+    /// The peer's demand on the state service, in requests and in changes.
+    store_demand: [LimitDemand; 2],
+    /// Highest watermark known to the peer.
     acknowledged: u64,
-    at: Instant,
+    /// When the report arrived.
+    received_at: Instant,
 }
 
-/// What one line says of its sender.
+/// Contents of a line that concern its sender.
 pub(super) struct PeerReport {
+    /// Name of the sender.
     pub node: String,
-    /// Whether the state service answers the sender.
+    /// Whether the sender's knowledge of the store is fresh enough to answer users.
     pub store_serves: bool,
-    /// What the sender wants of the state service, in requests and in changes.
-    pub wants: [LimitDemand; 2],
-    /// The highest watermark that the sender has heard of.
+    /// The sender's demand on the state service, in requests and in changes.
+    pub store_demand: [LimitDemand; 2],
+    /// Highest watermark known to the sender.
     pub acknowledged: u64,
 }
 
-/// What the other controllers have said.
+/// Last reports of the other controllers.
 #[derive(Debug, Default)]
 pub struct PeerStates {
     peers: HashMap<String, PeerState>,
-    /// Lines that are dropped, and connections.
+    /// Limit on log messages about rejected lines.
     pub(super) rejected_lines: LogLimit,
+    /// Limit on log messages about refused connections.
     pub(super) refused_connections: LogLimit,
-    /// Running and done tasks of open jobs, as the leader told them last. For display only.
+    /// Counts of running and done tasks of open jobs as last sent by the leader. For display only.
     pub counts: HashMap<JobId, Counts>,
-    /// What the leader told last of who is served, and when that was heard.
-    pub served: Option<(Vec<ServiceLevel>, Instant)>,
+    /// Service levels as last sent by the leader, and when they arrived.
+    pub service_levels: Option<(Vec<ServiceLevel>, Instant)>,
 }
 
 impl PeerStates {
-    /// How many others were heard of lately, and for how long one of them has said that the store serves it.
-    pub fn others(&self, now: Instant) -> (usize, Option<Duration>) {
+    /// Returns the number of peers heard from recently, and the longest time for which one of them has reported that
+    /// the store serves it.
+    pub fn recent_peers(&self, now: Instant) -> (usize, Option<Duration>) {
         let since = self.recent(now).filter_map(|state| state.serves_since);
         let longest = since.map(|since| now.saturating_duration_since(since)).max();
         (self.recent(now).count(), longest)
     }
 
-    /// Records what a line of a peer says.
+    /// Records the report in a line of a peer.
     pub(super) fn record(&mut self, report: PeerReport, now: Instant) {
-        let PeerReport { node, store_serves, wants, acknowledged } = report;
+        let PeerReport { node, store_serves, store_demand, acknowledged } = report;
         let before = self.peers.get(&node).filter(|state| state.is_recent(now));
         let serves_since = store_serves.then(|| before.and_then(|state| state.serves_since).unwrap_or(now));
-        self.peers.insert(node, PeerState { serves_since, wants, acknowledged, at: now });
+        self.peers.insert(node, PeerState { serves_since, store_demand, acknowledged, received_at: now });
     }
 
     fn recent(&self, now: Instant) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |state| state.is_recent(now))
     }
 
-    /// Whether this controller was heard of lately.
-    pub fn hears(&self, node: &str, now: Instant) -> bool {
+    /// Returns whether this peer was heard from recently.
+    pub fn is_recent(&self, node: &str, now: Instant) -> bool {
         self.peers.get(node).is_some_and(|state| state.is_recent(now))
     }
 
-    /// What those want of the state service that were heard of lately.
-    pub fn wants(&self, now: Instant) -> Vec<[LimitDemand; 2]> {
-        self.recent(now).map(|state| state.wants).collect()
+    /// Returns the demands on the state service of the peers heard from recently.
+    pub fn store_demands(&self, now: Instant) -> Vec<[LimitDemand; 2]> {
+        self.recent(now).map(|state| state.store_demand).collect()
     }
 
-    /// The watermark that every one of these controllers has acknowledged lately.
+    /// Returns the highest watermark that each of these peers has acknowledged recently.
     pub fn acknowledged(&self, peers: &[Peer], now: Instant) -> u64 {
-        let of =
-            |peer: &Peer| self.peers.get(&peer.node).filter(|state| state.is_recent(now)).map_or(0, |t| t.acknowledged);
-        peers.iter().map(of).min().unwrap_or(u64::MAX)
+        let acknowledged_by = |peer: &Peer| {
+            self.peers.get(&peer.node).filter(|state| state.is_recent(now)).map_or(0, |state| state.acknowledged)
+        };
+        peers.iter().map(acknowledged_by).min().unwrap_or(u64::MAX)
     }
 }
 
 impl PeerState {
     fn is_recent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < STALE
+        now.saturating_duration_since(self.received_at) < REPORT_LIFETIME
     }
 }
--- a/src/membership/mesh/receive.rs
+++ b/src/membership/mesh/receive.rs
@@ -1,5 +1,5 @@
-//! Receiving lines of the other controllers: a bounded number of connections, and lines that are taken whole or not at
-//! all.
+//! Receiving lines of the other controllers, over a bounded number of connections. A line is applied as a whole or not
+//! at all.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,69 +9,71 @@
 use tokio::sync::Semaphore;
 use tracing::warn;
 
-use super::line::{LINE_LIMIT, Line, LineError};
-use super::peers::{PeerReport, STALE};
+use super::line::{Line, LineError, MAX_LINE_BYTES};
+use super::peers::{PeerReport, REPORT_LIFETIME};
 use crate::membership::state::Membership;
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::sync::lock;
 
-/// Between two tries to bind the address, and after a connection that cannot be accepted.
-const RETRY: Duration = Duration::from_secs(1);
-/// Connections that are read at once, of all peers and strangers.
-const MOST_CONNECTIONS: usize = 32;
-/// Counts kept before those of ended jobs are looked for; open jobs are what remains.
-const MOST_COUNTS_KEPT: usize = 10_000;
+/// Pause between two tries to bind the address, and after a connection that can't be accepted.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Limit on the connections read at the same time, including those of unknown senders.
+const MAX_CONNECTIONS: usize = 32;
+/// Number of counts from which on those of ended jobs are dropped; counts of open jobs remain.
+const MAX_COUNTS_KEPT: usize = 10_000;
 
-/// A watermark counts if its fencing token is that of the leader record as it is known here, and the sender its leader:
-/// one of a leader that is not known here yet, or no more, is told again by whoever leads.
+/// Returns the revision of a received watermark if it is accepted: its fencing token must be that of the leader record
+/// known here, and its sender the leader. A rejected watermark of a leader that isn't known here yet, or that has been
+/// replaced, is sent again by the leader at that time.
 pub fn accepted_watermark(
     from: &str,
-    told: Option<Watermark>,
+    received: Option<Watermark>,
     leader_record: Option<&(LeaderRecord, u64)>,
 ) -> Option<u64> {
-    let (told, (leader, version)) = (told?, leader_record?);
-    (leader.node == from && *version == told.fencing_token).then_some(told.revision)
+    let (received, (leader, version)) = (received?, leader_record?);
+    (leader.node == from && *version == received.fencing_token).then_some(received.revision)
 }
 
-/// Whether no leader can have told this watermark, by all that the store has told up to this revision: its fencing
-/// token is newer than the last leader record and not newer than that, or the last leader record is another's.
+/// Returns whether no leader can have sent this watermark. `known` is the last leader record that the watch has
+/// reported up to the revision `through`. The watermark is impossible if its fencing token is newer than that leader
+/// record but not newer than `through`, or if the token is that of another controller's leader record.
 pub(super) fn names_impossible_leader(
     from: &str,
-    told: Option<Watermark>,
+    received: Option<Watermark>,
     known: Option<&(LeaderRecord, u64)>,
     through: Option<u64>,
 ) -> bool {
-    let (Some(told), Some((leader, version)), Some(through)) = (told, known, through) else { return false };
-    let missed = told.fencing_token > *version && told.fencing_token <= through;
-    missed || (told.fencing_token == *version && leader.node != from)
+    let (Some(received), Some((leader, version)), Some(through)) = (received, known, through) else { return false };
+    let is_unknown = received.fencing_token > *version && received.fencing_token <= through;
+    is_unknown || (received.fencing_token == *version && leader.node != from)
 }
 
-/// Accepts connections from the other controllers and reads their lines, for ever. If the address cannot be bound,
-/// tries again every second.
+/// Accepts connections from the other controllers and reads their lines, for ever. Retries every second if the address
+/// can't be bound.
 pub async fn accept_connections(membership: Arc<Membership>) {
     let listener = loop {
         match TcpListener::bind(&membership.settings.mesh_listen).await {
             Ok(listener) => break listener,
             Err(error) => {
                 warn!(%error, address = membership.settings.mesh_listen, "peer listener bind failed; retrying every second");
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     };
-    let free = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => accept(&membership, &free, stream),
-            Err(_) => tokio::time::sleep(RETRY).await,
+            Ok((stream, _)) => accept(&membership, &connections, stream),
+            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-/// Reads from one more connection, if there are not too many: each may hold a line.
-pub(super) fn accept(membership: &Arc<Membership>, free: &Arc<Semaphore>, stream: TcpStream) {
-    let Ok(permit) = free.clone().try_acquire_owned() else {
+/// Starts reading from a connection if the limit allows it; each connection may buffer one line.
+pub(super) fn accept(membership: &Arc<Membership>, connections: &Arc<Semaphore>, stream: TcpStream) {
+    let Ok(permit) = connections.clone().try_acquire_owned() else {
         if lock(&membership.peer_states).refused_connections.due(Instant::now()) {
-            warn!(limit = MOST_CONNECTIONS, "peer connection limit reached; closing the new connection");
+            warn!(limit = MAX_CONNECTIONS, "peer connection limit reached; closing the new connection");
         }
         return;
     };
@@ -82,15 +84,16 @@
     });
 }
 
+/// Reads and applies lines until the connection ends or a line is rejected.
 async fn read_lines(membership: Arc<Membership>, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
     let mut text = Vec::new();
     loop {
         text.clear();
-        // A peer that has nothing to say for this long is gone or cut off.
-        let mut limited = (&mut reader).take(LINE_LIMIT);
+        // A peer that sends nothing for this long has ended or is cut off.
+        let mut limited = (&mut reader).take(MAX_LINE_BYTES);
         let read = limited.read_until(b'\n', &mut text);
-        if !matches!(tokio::time::timeout(STALE * 4, read).await, Ok(Ok(n)) if n > 0) {
+        if !matches!(tokio::time::timeout(REPORT_LIFETIME * 4, read).await, Ok(Ok(n)) if n > 0) {
             return;
         }
         if let Err(error) = apply_line(&membership, &text, Instant::now()) {
@@ -102,7 +105,7 @@
     }
 }
 
-/// Takes in what a peer has said, or nothing at all of it.
+/// Applies a line of a peer as a whole, or rejects it without any effect.
 pub(super) fn apply_line(membership: &Membership, text: &[u8], now: Instant) -> Result<(), LineError> {
     let line = Line::read(text, &membership.settings.peers)?;
     let (watermark, leads) = {
@@ -115,25 +118,25 @@
         (accepted_watermark(&line.node, line.watermark, leader_record), leads)
     };
     membership.history.advance_watermark(watermark.unwrap_or(0));
-    let many = {
-        let mut heard = lock(&membership.peer_states);
-        heard.record(
+    let exceeds_limit = {
+        let mut peer_states = lock(&membership.peer_states);
+        peer_states.record(
             PeerReport {
                 node: line.node,
                 store_serves: line.store_serves,
-                wants: line.wants,
+                store_demand: line.store_demand,
                 acknowledged: line.acknowledged,
             },
             now,
         );
-        heard.counts.extend(line.counts);
-        // Whoever does not lead has no account to tell.
-        if leads && !line.served.is_empty() {
-            heard.served = Some((line.served, now));
+        peer_states.counts.extend(line.counts);
+        // Service levels count only if they come from the leader.
+        if leads && !line.service_levels.is_empty() {
+            peer_states.service_levels = Some((line.service_levels, now));
         }
-        heard.counts.len() > MOST_COUNTS_KEPT
+        peer_states.counts.len() > MAX_COUNTS_KEPT
     };
-    if many {
+    if exceeds_limit {
         membership.drop_counts_of_ended_jobs();
     }
     Ok(())
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -1,5 +1,4 @@
-//! What follows from a pause of this process: everything known before it counts as unproven until the store confirms
-//! it.
+//! Handling of pauses of this process: knowledge from before a pause counts as unproven until the store confirms it.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -11,8 +10,9 @@
 use crate::sync::lock;
 
 impl Membership {
-    /// To be called before anything is judged by time. The one place where a pause of this process is
-    /// handed to all that do: their silences, idle times and proofs of before are void.
+    /// Detects a pause of this process; called before any decision that is based on time. This is the only place that
+    /// reports a pause to the components that measure silences, idle times and ages of proofs, which discard those from
+    /// before the pause.
     pub fn detect_pause(&self, now: Instant) {
         let pause = lock(&self.pause_detector).beat(now);
         if self.unproven.load(Ordering::Relaxed) {
@@ -38,13 +38,13 @@
         self.wakeups.membership.notify_one();
     }
 
-    /// Begins something that only counts if the process does not pause meanwhile.
+    /// Returns the number of pauses so far. Work that must not span a pause compares the numbers before and after it.
     pub fn pauses(&self) -> u64 {
         self.detect_pause(Instant::now());
         lock(&self.pause_detector).pauses()
     }
 
-    /// The watch cache was just proven fresh: who leads is known again.
+    /// Records that the watch cache was proven fresh, so that the leader is known again.
     pub fn cache_proven_fresh(&self) {
         self.check_deposed();
         lock(&self.leader_searches).clear();
@@ -53,13 +53,14 @@
         }
     }
 
-    /// Nothing may be decided or answered yet, after a process pause.
+    /// Returns whether the state is unproven since a process pause, so that nothing may be decided or answered yet.
     pub fn unproven(&self) -> bool {
         self.detect_pause(Instant::now());
         self.unproven.load(Ordering::Relaxed)
     }
 
-    /// Whether a question read now was most likely given up by who asked it, while this process was paused.
+    /// Returns whether a request that is read now was most likely abandoned by its sender while this process was
+    /// paused.
     pub fn is_stale_request(&self) -> bool {
         let now = Instant::now();
         self.detect_pause(now);
--- a/src/membership/serving_state.rs
+++ b/src/membership/serving_state.rs
@@ -1,64 +1,66 @@
-//! How far a controller's knowledge can be relied on, by its own proofs and by what the other controllers report.
+//! Reliability of a controller's knowledge of the store, by its own proofs of freshness and the other controllers'
+//! reports.
 //!
-//! A controller that gets no answer from the state service cannot tell whether the others get one. If none does,
-//! nobody else can become leader, and workers should stay where they are. If some do, another controller becomes leader
-//! after the election lease, and an answer 200 from this one only keeps workers from it. What the others report tells
-//! the two cases apart. A controller that hears from nobody answers less and less, and holds only workers that come
-//! back after it has sent them away.
+//! A controller that gets no answer from the state service can't tell whether the others get one. If none does, no
+//! other controller can become leader, and workers should stay where they are. If some do, another controller becomes
+//! leader after the election lease, and an answer 200 from this one only keeps workers from it. The reports of the
+//! others distinguish the two cases. A controller that hears from no other answers less and less, and holds only
+//! workers that come back after it has sent them away.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What a judgement rests on.
+/// Observations that determine the serving state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observations {
-    /// Age of the last proof of freshness; none if there is none that counts.
+    /// Age of the last valid proof of freshness, if there is one.
     pub proof: Option<Duration>,
-    /// The state service has answered nothing for this long.
+    /// Time for which the state service has not answered.
     pub refused: Duration,
-    /// Other controllers by the settings, and those heard of lately.
+    /// Number of other controllers by the settings.
     pub peers: usize,
-    /// Other controllers that were heard of lately, at most `peers`.
+    /// Number of other controllers heard from recently, at most `peers`.
     pub heard: usize,
-    /// How long one of those has said without a break that it can answer.
+    /// Longest time for which one of those has reported without a break that it can answer.
     pub answering: Option<Duration>,
 }
 
-/// How far a controller's knowledge of the store can be relied on, in relation to the other controllers.
+/// Reliability of a controller's knowledge of the store in relation to the other controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
-    /// Knows what is stored.
+    /// This controller's knowledge is fresh.
     Fresh,
-    /// Does not, and another does.
+    /// This controller's knowledge is stale, and another controller's is fresh.
     Superseded,
-    /// All others were heard of and none knows either, or only just: nobody can have come to lead.
+    /// The knowledge of all controllers is stale, or fresh too recently for another to have become leader; all others
+    /// were heard from.
     Outage,
-    /// Does not, and cannot tell what the others know.
+    /// This controller's knowledge is stale, and that of the others is unknown.
     Isolated,
 }
 
-/// How long it may take until something counts.
+/// Time limits from which on observations count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessLimits {
-    /// From this age on the last proof of freshness does not count any more.
+    /// Age from which on a proof of freshness is no longer valid.
     pub proof: Duration,
-    /// After this long without any answer of the state service a recent proof does not count either.
+    /// Time without an answer of the state service after which even a recent proof is not valid.
     pub refused: Duration,
-    /// After an outage some are answered sooner than others, and every lease has its full time again: what
-    /// another has been able to for less than this says nothing.
+    /// Minimum time for which another controller must have been able to answer to count. After an outage the state
+    /// service answers some controllers sooner than others, and every lease has its full life again.
     pub answering: Duration,
 }
 
 impl FreshnessLimits {
-    /// Until the load balancer is told to send users elsewhere: longer after each time of late, since it waits
-    /// twice as long after each before it comes back (up to 60 s).
+    /// Limits for the health check, after which the load balancer sends users elsewhere. They grow with each recent
+    /// removal because the load balancer doubles its pause (up to 60 s) before it returns to this controller.
     pub fn for_health_check(removals: u32) -> Self {
-        let longer = |s: u64| Duration::from_secs((s << removals.min(4)).min(20));
-        Self { proof: longer(5), refused: longer(2), answering: Duration::from_secs(2) }
+        let lengthened = |s: u64| Duration::from_secs((s << removals.min(4)).min(20));
+        Self { proof: lengthened(5), refused: lengthened(2), answering: Duration::from_secs(2) }
     }
 
-    /// Until workers are let go: another may lead once the election lease is over, and a proof may be late by
-    /// its own pause and one answer that never came.
+    /// Limits after which workers are released: another controller may lead once the election lease has ended, and a
+    /// proof may be late by its interval and one lost answer.
     pub fn for_leadership(election_lease: Duration) -> Self {
         let proof = election_lease.max(Duration::from_secs(2)) + Duration::from_secs(3);
         Self { proof, refused: proof, answering: election_lease }
@@ -66,12 +68,12 @@
 }
 
 impl Observations {
-    /// The state that follows from the observations and from how long each may take to count.
-    pub fn serving_state(&self, patience: FreshnessLimits) -> ServingState {
-        let knows = self.proof.is_some_and(|age| age < patience.proof) && self.refused < patience.refused;
+    /// Determines the serving state from the observations and the limits.
+    pub fn serving_state(&self, limits: FreshnessLimits) -> ServingState {
+        let is_fresh = self.proof.is_some_and(|age| age < limits.proof) && self.refused < limits.refused;
         match self {
-            _ if knows => ServingState::Fresh,
-            Observations { answering: Some(long), .. } if *long >= patience.answering => ServingState::Superseded,
+            _ if is_fresh => ServingState::Fresh,
+            Observations { answering: Some(long), .. } if *long >= limits.answering => ServingState::Superseded,
             Observations { peers, heard, .. } if heard >= peers => ServingState::Outage,
             _ => ServingState::Isolated,
         }
@@ -79,93 +81,102 @@
 }
 
 impl ServingState {
-    /// Whether users are sent here, and workers held or sent on as the watch cache has it. In an outage the load
-    /// balancer must have someone, and leadership cannot change.
+    /// Returns whether users may be sent here, and whether workers may be held or redirected by the watch cache. This
+    /// includes an outage, in which the load balancer needs a target and leadership cannot change.
     pub fn may_answer(self) -> bool {
         matches!(self, Self::Fresh | Self::Outage)
     }
 }
 
-/// Removals longer ago than this do not lengthen the load balancer's pause any more.
-const REMEMBERED: Duration = Duration::from_secs(120);
+/// Time after which a removal no longer lengthens the load balancer's pause.
+const REMOVAL_MEMORY: Duration = Duration::from_secs(120);
 
-/// How often users were sent elsewhere of late. Pure.
+/// Health of this controller as reported to the load balancer, with its recent removals. The functions are pure.
 #[derive(Debug, Default)]
 pub struct HealthCheck {
-    removed: Vec<Instant>,
-    out: bool,
+    /// Times of recent removals from the load balancer.
+    removals: Vec<Instant>,
+    /// Whether the load balancer currently sends users elsewhere.
+    removed: bool,
 }
 
 impl HealthCheck {
-    /// Whether users are to be sent here now; to be asked about once a second.
-    pub fn judge(&mut self, begun: bool, seen: Observations, now: Instant) -> bool {
-        self.removed.retain(|at| now.saturating_duration_since(*at) < REMEMBERED);
-        let patience = FreshnessLimits::for_health_check(self.removed.len() as u32);
-        // Whoever is out comes back by what it can do now, not by a longer patience.
-        let patience = if self.out { FreshnessLimits::for_health_check(0) } else { patience };
-        let well = begun && seen.serving_state(patience).may_answer();
-        if begun && !well && !self.out {
-            self.removed.push(now);
+    /// Returns whether users are to be sent here now; called about once a second. `started` is false until this
+    /// controller has loaded what it needs.
+    pub fn is_healthy(&mut self, started: bool, observations: Observations, now: Instant) -> bool {
+        self.removals.retain(|at| now.saturating_duration_since(*at) < REMOVAL_MEMORY);
+        let limits = FreshnessLimits::for_health_check(self.removals.len() as u32);
+        // A removed controller returns by its present abilities, not by lengthened limits.
+        let limits = if self.removed { FreshnessLimits::for_health_check(0) } else { limits };
+        let healthy = started && observations.serving_state(limits).may_answer();
+        if started && !healthy && !self.removed {
+            self.removals.push(now);
         }
-        self.out = begun && !well;
-        well
+        self.removed = started && !healthy;
+        healthy
     }
 }
 
-/// Longest round of a worker through one other controller: it waits 4 s for an answer, and 1 s between two.
-const ROUND: Duration = Duration::from_secs(5);
-/// A worker is back from a round no sooner.
-const BACK_AFTER: Duration = Duration::from_millis(800);
-/// Machines remembered at the most; more are held.
-const MOST: usize = 10_000;
+/// Longest time that a worker spends on one other controller: it waits 4 s for an answer, and 1 s before the next
+/// request.
+const MAX_SEARCH_TIME_PER_CONTROLLER: Duration = Duration::from_secs(5);
+/// Minimum time of a search; an earlier heartbeat is no return from it.
+const MIN_SEARCH_TIME: Duration = Duration::from_millis(800);
+/// Limit on the number of machines tracked; machines beyond it are held.
+const MAX_MACHINES: usize = 10_000;
 
+/// State of a machine while the leader may have been replaced.
 #[derive(Debug, Clone, Copy)]
 enum SearchState {
-    Away(Instant),
+    /// Sent to look for another leader at this time.
+    Searching(Instant),
+    /// Came back without having found another leader, and has been held since this time.
     Held(Instant),
 }
 
-/// Machines that heartbeat to a leader which may be one no more. Each is sent to look for another; one that
-/// comes back has found none and is held, so that its lease does not end, and sent again later. Pure.
+/// Machines that send heartbeats to a leader that may have been replaced. Each machine is sent to look for another
+/// leader; one that comes back has found none and is held, so that its lease doesn't end, and is sent again later. The
+/// functions are pure.
 #[derive(Debug, Default)]
 pub struct LeaderSearches {
-    errands: HashMap<String, SearchState>,
-    begun: bool,
+    machines: HashMap<String, SearchState>,
+    started: bool,
 }
 
 impl LeaderSearches {
-    /// Whether this machine is to be held. `lease` is its own; `others` how many controllers it may ask.
+    /// Returns whether this machine is to be held. `lease` is the life of the machine's lease, `others` the number of
+    /// controllers that it can ask.
     pub fn must_hold(&mut self, machine: &str, others: usize, lease: Duration, now: Instant) -> bool {
-        // Its lease must outlast a round, or it would lose its work by looking.
-        let round = ROUND * others as u32 + Duration::from_secs(1);
-        if others == 0 || round > lease.mul_f64(0.75) {
+        // The lease must outlast the search, or the machine would lose its work by searching.
+        let search_time = MAX_SEARCH_TIME_PER_CONTROLLER * others as u32 + Duration::from_secs(1);
+        if others == 0 || search_time > lease.mul_f64(0.75) {
             return true;
         }
-        if self.errands.len() >= MOST && !self.errands.contains_key(machine) {
+        if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(machine) {
             return true;
         }
         let since = |at: Instant| now.saturating_duration_since(at);
-        let errand = match self.errands.get(machine) {
-            Some(SearchState::Away(at)) if since(*at) < BACK_AFTER => return false,
-            Some(SearchState::Away(at)) if since(*at) < lease => SearchState::Held(now),
+        let state = match self.machines.get(machine) {
+            Some(SearchState::Searching(at)) if since(*at) < MIN_SEARCH_TIME => return false,
+            Some(SearchState::Searching(at)) if since(*at) < lease => SearchState::Held(now),
             Some(SearchState::Held(at)) if since(*at) < lease / 3 => return true,
-            _ => SearchState::Away(now),
+            _ => SearchState::Searching(now),
         };
-        self.errands.insert(machine.to_owned(), errand);
-        matches!(errand, SearchState::Held(_))
+        self.machines.insert(machine.to_owned(), state);
+        matches!(state, SearchState::Held(_))
     }
 
-    /// Number of machines remembered.
-    pub fn remembered(&self) -> usize {
-        self.errands.len()
+    /// Returns the number of machines tracked.
+    pub fn machine_count(&self) -> usize {
+        self.machines.len()
     }
 
-    /// True the first time since who leads was known.
-    pub fn begins(&mut self) -> bool {
-        !std::mem::replace(&mut self.begun, true)
+    /// Marks the searches as started, and returns whether this is the first call since the leader was known.
+    pub fn start_if_idle(&mut self) -> bool {
+        !std::mem::replace(&mut self.started, true)
     }
 
-    /// Who leads is known again.
+    /// Ends all searches because the leader is known again.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! What one controller keeps of the election, of its peers and of its own proofs, each behind a short lock.
+//! State of one controller's membership: the election, its peers and its own proofs, each behind a short lock.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -21,39 +21,44 @@
 /// Starts the loops that run only while this controller leads.
 type StartLeaderLoops = Box<dyn Fn() -> Vec<AbortHandle> + Send + Sync>;
 
-/// One controller's part in the election, and what it knows of the leader and of its peers.
+/// Membership of one controller: its part in the election, and its knowledge of the leader and of its peers.
 pub struct Membership {
     /// The platform's settings.
     pub settings: Arc<Settings>,
     /// The operators' properties.
     pub properties: Arc<Properties>,
-    /// Names this process among all that ever ran; orders to the cloud are named after it.
+    /// Random identifier of this process, unique among all that ever ran; the names of cloud orders contain it.
     pub incarnation: String,
     pub(super) store: Arc<StateStore>,
     pub(super) history: Arc<JobHistory>,
     pub(super) leader: Arc<LeaderState>,
     pub(super) catalog: Arc<SharedCatalog>,
     pub(super) wakeups: Arc<Wakeups>,
-    /// What the other controllers said last.
+    /// Last reports of the other controllers.
     pub(super) peer_states: Mutex<PeerStates>,
-    /// Notices that this process was paused.
+    /// Detects pauses of this process.
     pub(super) pause_detector: Mutex<PauseDetector>,
-    /// Was paused for so long that another may lead by now; nothing is done until the store says.
+    /// Whether this process was paused for so long that another may lead by now; nothing is decided until the store
+    /// proves the state.
     pub(super) unproven: AtomicBool,
+    /// Workers that come back after they were redirected to the leader.
     pub(super) unreachable_leader: Mutex<UnreachableLeader>,
-    /// What users and machines are told while little can be proven.
+    /// Health as reported to the load balancer.
     pub(super) health: Mutex<HealthCheck>,
+    /// Machines sent to look for another leader while leadership is unproven.
     pub(super) leader_searches: Mutex<LeaderSearches>,
-    /// Cancellations that other controllers may not have heard this leader confirm.
+    /// Cancellations that this leader may not have confirmed to every other controller.
     pub(super) unconfirmed: Mutex<UnconfirmedCancellations>,
+    /// Starts the loops of the leader.
     pub(super) start_leader_loops: OnceLock<StartLeaderLoops>,
+    /// Running loops of the leader, which are aborted when it steps down.
     pub(super) leader_tasks: Mutex<Vec<AbortHandle>>,
-    /// Orders that are marked as done wait for a higher fencing token (`fleet::order_storage`).
+    /// Whether orders marked as done wait for a higher fencing token (`fleet::order_storage`).
     pub(super) orders_want_new_fencing_token: AtomicBool,
 }
 
 impl Membership {
-    /// A controller that has heard of nobody and does not lead.
+    /// Creates the membership of a controller that knows no peer and doesn't lead.
     pub fn new(
         settings: Arc<Settings>,
         properties: Arc<Properties>,
@@ -85,8 +90,8 @@
         }
     }
 
-    /// What is started whenever this controller becomes the leader; only the first call counts. The loops are aborted
-    /// when it steps down.
+    /// Sets the function that starts the loops whenever this controller becomes the leader; only the first call counts.
+    /// The loops are aborted when it steps down.
     pub fn set_leader_loops(&self, start: impl Fn() -> Vec<AbortHandle> + Send + Sync + 'static) {
         let _ = self.start_leader_loops.set(Box::new(start));
     }
