--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Intents hold jobs back, put jobs ahead of others or into the order of their windows, and keep guarantees, urgencies
+/// Intents defer jobs, prioritize jobs or put them into the order of their windows, and keep guarantees, urgencies
 /// and the service floor.
 #[test]
 fn queue_order_follows_intents() {
@@ -130,13 +130,13 @@
         cluster
     };
     let turn = |n: u32, window: &str, number| (job_id(n), WindowPlace { window: window.into(), position: number });
-    let ahead = |most_part| Some(PriorityBoost { names: class_set("h"), max_core_share: most_part });
+    let boost = |max_core_share| Some(PriorityBoost { names: class_set("h"), max_core_share });
     let add_usage =
         |cluster: &mut ClusterState| cluster.team_usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
     type Change<'a> = &'a dyn Fn(&mut ClusterState);
     let cases: [(&str, Change, &[u32]); 9] = [
         ("no intent", &|_| (), &[7, 8, 1, 2, 3, 4, 5, 6]),
-        ("jobs held back", &|b| b.intents.deferred_jobs = [job_id(2), job_id(7)].into(), &[8, 1, 3, 4, 5, 6]),
+        ("deferred jobs", &|b| b.intents.deferred_jobs = [job_id(2), job_id(7)].into(), &[8, 1, 3, 4, 5, 6]),
         (
             "jobs of a window take their own places in the order of their turns",
             &|b| b.intents.window_turns = [turn(5, "w", 1), turn(2, "w", 2), turn(1, "w", 3)].into(),
@@ -153,46 +153,46 @@
             &[8, 1, 2, 3, 4, 7, 5, 6],
         ),
         (
-            "jobs ahead stay behind guaranteed and more urgent jobs",
+            "prioritized jobs stay behind guaranteed and more urgent jobs",
             &|b| {
                 add_usage(b);
-                b.intents.priority_boost = ahead(0.5);
+                b.intents.priority_boost = boost(0.5);
             },
             &[7, 8, 3, 5, 1, 2, 4, 6],
         ),
         (
-            "jobs ahead stay behind jobs below the floor",
+            "prioritized jobs stay behind jobs below the floor",
             &|b| {
                 add_usage(b);
-                b.intents.priority_boost = ahead(0.5);
+                b.intents.priority_boost = boost(0.5);
                 b.set_underserved(Underserved { below_floor: ClassTeamSet::default(), prioritized: class_set("x") });
             },
             &[7, 8, 1, 2, 4, 3, 5, 6],
         ),
         (
-            "jobs go ahead up to their share",
+            "jobs are prioritized up to their share of the cores",
             &|b| {
                 add_usage(b);
-                b.intents.priority_boost = ahead(0.011);
+                b.intents.priority_boost = boost(0.011);
             },
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
         (
-            "one job goes ahead whatever the share",
-            &|b| b.intents.priority_boost = ahead(0.0),
+            "one job is prioritized whatever the share",
+            &|b| b.intents.priority_boost = boost(0.0),
             &[7, 8, 3, 1, 2, 4, 5, 6],
         ),
     ];
-    for (name, change, want) in cases {
+    for (name, change, expected) in cases {
         let mut cluster = new_cluster();
         change(&mut cluster);
-        assert_eq!(queue_order(&cluster, now), want, "{name}");
+        assert_eq!(queue_order(&cluster, now), expected, "{name}");
     }
 }
 
-/// The share of jobs that go ahead bounds an array by single tasks.
+/// The core share of prioritized jobs limits an array by single tasks.
 #[test]
-fn array_goes_ahead_only_up_to_the_share() {
+fn array_is_prioritized_only_up_to_the_core_share() {
     let now = Instant::now();
     let mut cluster = cluster_with(&[("m1", "c8", "a", false), ("m2", "c8", "a", false)], now);
     add_job(&mut cluster, 1, now, |j| (j.class, j.tasks, j.estimate_s) = ("h".into(), 16, 100.0));
@@ -207,28 +207,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Jobs that go ahead never hold more than their share of the cores in use, or one job. No job of another urgency,
+    /// Prioritized jobs never hold more than their share of the cores in use, or one job. No job of another urgency,
     /// within a guarantee or below the floor loses its place. In no window a later turn is queued before an earlier
     /// one.
     #[test]
-    fn intents_keep_share_places_and_turns(seed in 0u64..10_000, most_part in 0.0..1.0f64) {
+    fn intents_keep_share_places_and_turns(seed in 0u64..10_000, max_core_share in 0.0..1.0f64) {
         let (mut cluster, now) = random_cluster(seed, Instant::now());
         let order_without_intents: Vec<_> = plan::queue(&cluster, now).iter().map(|t| t.id.clone()).collect();
         let ids: Vec<_> = order_without_intents.iter().cloned().enumerate().collect();
-        cluster.intents.priority_boost = Some(PriorityBoost { names: class_set("c"), max_core_share: most_part });
+        cluster.intents.priority_boost = Some(PriorityBoost { names: class_set("c"), max_core_share });
         {
             let queued_jobs = plan::queue(&cluster, now);
             let cores = |n: usize, job: &super::super::cluster::JobState| n as f64 * job.spec().cpus;
-            let ahead_class = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
-            let bound_cores: f64 = ahead_class.map(|(_, j)| cores(j.bound.len(), j)).sum();
-            let ahead = queued_jobs.iter().filter(|t| t.prioritized);
-            let added_cores: Vec<f64> = ahead.map(|t| cores(t.max_tasks.min(t.job.waiting.len()), t.job)).collect();
+            let prioritized_class = cluster.jobs().filter(|(_, j)| j.spec().class == "c");
+            let bound_cores: f64 = prioritized_class.map(|(_, j)| cores(j.bound.len(), j)).sum();
+            let prioritized = queued_jobs.iter().filter(|t| t.prioritized);
+            let added_cores: Vec<f64> = prioritized.map(|t| cores(t.max_tasks.min(t.job.waiting.len()), t.job)).collect();
             let cores_in_use: f64 = cluster.team_usage.values().map(|u| u.cpus).sum();
             let by_return = |t: &&plan::QueuedJob| !t.guaranteed && t.rank != Rank::BelowFloor && !t.quarantined;
             let all_by_return = queued_jobs.iter().filter(|t| t.prioritized).all(|t| by_return(&t));
             let sum: f64 = bound_cores + added_cores.iter().sum::<f64>();
             let single_job = bound_cores == 0.0 && added_cores.len() <= 1;
-            let within_share = sum <= cores_in_use * most_part + 0.01;
+            let within_share = sum <= cores_in_use * max_core_share + 0.01;
             prop_assert!(
                 !all_by_return || added_cores.is_empty() || single_job || within_share,
                 "{sum} of {cores_in_use} cores"
@@ -253,8 +253,8 @@
         for window in ["w1", "w2"] {
             let schedulable = queued_jobs.iter().filter(|t| !t.quarantined);
             let places = schedulable.filter_map(|t| cluster.intents.window_turns.get(t.id));
-            let numbers: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.position).collect();
-            prop_assert!(numbers.is_sorted(), "{window}: {numbers:?}");
+            let positions: Vec<u32> = places.filter(|t| t.window == window).map(|t| t.position).collect();
+            prop_assert!(positions.is_sorted(), "{window}: {positions:?}");
         }
     }
 }
@@ -267,7 +267,7 @@
     let capacity =
         |tasks, in_s| vec![CapacityIntent { task_spec: JobSpec { cpus: 4.0, ..spec() }, tasks, needed_in_s: in_s }];
     // The machine type takes 30 s to boot and 1 s to fetch the image.
-    for (name, machines, tasks, in_s, want) in [
+    for (name, machines, tasks, in_s, expected_machines) in [
         ("no task", 0, 0, 0.0, 0),
         ("more than a boot and a fetch ahead", 0, 4, 40.0, 0),
         ("a boot and a fetch ahead", 0, 4, 31.0, 2),
@@ -282,7 +282,7 @@
             wanted.into_iter().map(|demand| (demand.kind, demand.count)).collect::<HashMap<MachineKind, u64>>()
         };
         let wanted = demanded(&HashMap::new());
-        assert_eq!(wanted.values().sum::<u64>(), want, "{name}");
+        assert_eq!(wanted.values().sum::<u64>(), expected_machines, "{name}");
         assert!(demanded(&wanted).is_empty(), "{name}: demanded only once");
     }
     let later = start + Duration::from_secs(500);
@@ -305,11 +305,11 @@
     }
 }
 
-/// A gang that goes ahead gets reservations and scale-out at once.
+/// A prioritized gang gets reservations and scale-out without a wait.
 #[test]
-fn gang_that_goes_ahead_gets_reservations_and_scale_out_at_once() {
+fn prioritized_gang_gets_reservations_and_scale_out_at_once() {
     let now = Instant::now();
-    let new_cluster = |ahead: bool| {
+    let new_cluster = |prioritized: bool| {
         let mut cluster = cluster_of_c8(12, now);
         add_job(&mut cluster, 1, now, |j| (j.tasks, j.cpus, j.estimate_s, j.zone) = (24, 4.0, 50.0, Some("a".into())));
         let placements = plan::place(&mut cluster, &catalog(), now);
@@ -317,20 +317,19 @@
         add_job(&mut cluster, 2, now, |j| {
             (j.class, j.shape, j.tasks, j.cpus, j.estimate_s) = ("h".into(), Shape::Gang, 2, 8.0, 2000.0);
         });
-        let most_part = if ahead { 0.5 } else { 0.0 };
-        cluster.intents.priority_boost =
-            ahead.then(|| PriorityBoost { names: class_set("h"), max_core_share: most_part });
+        let max_core_share = if prioritized { 0.5 } else { 0.0 };
+        cluster.intents.priority_boost = prioritized.then(|| PriorityBoost { names: class_set("h"), max_core_share });
         cluster.arrivals.clear();
         cluster
     };
-    for ahead in [false, true] {
-        let cluster = new_cluster(ahead);
+    for prioritized in [false, true] {
+        let cluster = new_cluster(prioritized);
         assert_eq!(
             !super::super::reservations::choose_reservations(&cluster, &catalog(), now).is_empty(),
-            ahead,
+            prioritized,
             "reserved at once"
         );
         let demands = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &HashMap::new(), now);
-        assert_eq!(!demands.is_empty(), ahead, "scaled out at once");
+        assert_eq!(!demands.is_empty(), prioritized, "scaled out at once");
     }
 }
--- a/src/scheduling/tests/interleaved_simulation/messages.rs
+++ b/src/scheduling/tests/interleaved_simulation/messages.rs
@@ -82,8 +82,8 @@
         to: usize,
         machine: MachineId,
     },
-    /// A peer message of a leader to a follower.
-    PeerMessage {
+    /// A peer message in which a leader announces its watermark to a follower.
+    WatermarkAnnouncement {
         from: usize,
         to: usize,
         watermark: Watermark,
@@ -150,7 +150,9 @@
             Message::CommandReply(message) => self.deliver_command_reply(message),
             Message::CommandTimeout(message) => self.deliver_command_timeout(message),
             Message::CompareAndSwap { conditions, changes } => self.deliver_transaction(conditions, changes),
-            Message::PeerMessage { from, to, watermark } => self.deliver_peer_message(from, to, watermark),
+            Message::WatermarkAnnouncement { from, to, watermark } => {
+                self.deliver_watermark_announcement(from, to, watermark)
+            }
             Message::CancellationStored { to, id, fencing_token } => self.apply_cancellation(to, &id, fencing_token),
             Message::TerminateMachine { from, machine } => self.deliver_termination_request(from, machine),
             Message::MachineTerminated { to, machine } => self.deliver_termination_notice(to, &machine),
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -355,7 +355,7 @@
             leader.membership.next_peer_message_at = now + PEER_MESSAGE_INTERVAL;
             for f in 0..FOLLOWER_COUNT {
                 if self.users.followers[f].unreachable_until <= now && !self.rng.random_bool(0.1) {
-                    self.send(Message::PeerMessage { from: i, to: f, watermark });
+                    self.send(Message::WatermarkAnnouncement { from: i, to: f, watermark });
                 }
             }
         }
@@ -383,8 +383,8 @@
         self.users.tally.stored_watermarks += 1;
     }
 
-    /// Delivers a peer message to a follower, whose next message acknowledges the watermark.
-    pub(super) fn deliver_peer_message(&mut self, from: usize, to: usize, watermark: Watermark) {
+    /// Delivers a leader's watermark to a follower, whose next message acknowledges the watermark.
+    pub(super) fn deliver_watermark_announcement(&mut self, from: usize, to: usize, watermark: Watermark) {
         let known = self.users.leader_record(self.users.followers[to].observed_revision);
         let follower = &mut self.users.followers[to];
         if follower.unreachable_until > self.now {
--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -151,13 +151,13 @@
         }
         simulation.cluster.tick(now);
         simulation.world.raise_fencing_token_if_needed(&mut simulation.cluster);
-        let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
-        simulation.cluster.bind_placements(decisions, now);
+        let placements = plan::place(&mut simulation.cluster, &catalog(), now);
+        simulation.cluster.bind_placements(placements, now);
         simulation.world.store_all(&mut simulation.cluster);
         simulation.check();
     }
     let unfinished: Vec<&JobId> =
-        simulation.world.other_jobs.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+        simulation.world.other_jobs.iter().filter(|(_, job)| job.ended.is_none()).map(|(id, _)| id).collect();
     assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?} of {last_job} jobs never finished");
     halting_count
 }
