--- a/src/scheduling/tests/late_commands.rs
+++ b/src/scheduling/tests/late_commands.rs
@@ -1,13 +1,13 @@
 //! Commands, answers and replies that are delayed by seconds and arrive after newer messages (issue 34, section 3,
-//! case 6). Each test delivers its delayed message at every step of its simulation in turn.
+//! case 6). A message that may be delayed is delivered at each step of its simulation in turn.
 
 use super::world::*;
 use super::*;
 use crate::protocol::workers::{ExitCause, WorkerCommand};
 
-/// A launch that timed out at the leader is executed late, at each step of what follows: its task is stopped, the
-/// fencing token is raised, the worker learns the new token, and the task is placed on another machine. It must not
-/// start its task once that is placed again.
+/// A launch that timed out at the leader is executed minutes later, at each step of what follows: its task is stopped,
+/// the fencing token is raised, the worker learns the new token, and the task is placed on another machine. The launch
+/// must be void before its task is placed again.
 #[test]
 fn delayed_launch_is_void_before_its_task_is_placed_elsewhere() {
     for late_at in 0..8 {
--- a/src/scheduling/tests/old_reports.rs
+++ b/src/scheduling/tests/old_reports.rs
@@ -88,7 +88,8 @@
 }
 
 /// A controller terminates a machine while it leads, and leads again later with a cluster state that knows nothing of
-/// it. A copy of a heartbeat that was made under the first fencing token must not make the machine available for work.
+/// it. A copy of a heartbeat that was made under the first fencing token must not make the machine available for work;
+/// only one made under the newest token could.
 #[test]
 fn machine_terminated_in_an_earlier_term_gets_no_work_by_a_copied_heartbeat() {
     let mut world = World::new(&["m1", "m2"], |_| ());
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -107,7 +107,7 @@
         let terminating = cluster.machines.values().filter(|m| m.state == MachineState::Terminating).count() as u64;
         assert_eq!(terminating, if terminated { inbound_lost } else { 0 }, "{name}");
         assert_eq!(cluster.most_machines_lost(start + secs(60)), inbound_lost * 3 >= total, "{name}");
-        // The partition heals: the machine counts as reachable with the next reply to a command.
+        // The partition heals: the machine counts as reachable with its next heartbeat, here the reply to a command.
         let now = start + secs(61);
         cluster.take_heartbeat(
             Heartbeat { agent_epoch, ..heartbeat("m00", "c8", &zone(0), false, 99, vec![]) },
--- a/src/scheduling/tests/simulation.rs
+++ b/src/scheduling/tests/simulation.rs
@@ -15,8 +15,8 @@
 /// Steps from one heartbeat of a worker to its next.
 pub(super) const HEARTBEAT_INTERVAL_STEPS: usize = 6;
 
-/// Whether a machine that is draining as a scale-in candidate counts as capacity. Its capacity can still be used, since
-/// the drain can be cancelled.
+/// Whether a machine that is draining as a scale-in candidate counts as capacity. It is usable for as long as the machine
+/// exists, since the drain can be cancelled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DrainingCapacity {
     Excluded,
