--- a/src/scheduling/tests/scaling.rs
+++ b/src/scheduling/tests/scaling.rs
@@ -31,11 +31,15 @@
     let mut refusals = CapacityRefusals::default();
     refusals.record_held(&HashMap::from([(kind("c8", true), 100)]));
     (0..4).for_each(|_| refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now));
-    for (held, after_s, refused) in
+    for (rented, after_s, refused) in
         [(100, 16, true), (95, 16, true), (60, 14, true), (60, 16, false), (100, 121, false)]
     {
         let later = now + Duration::from_secs(after_s);
-        assert_eq!(refusals.is_backing_off(&kind("c8", true), held, later), refused, "{held} held after {after_s} s");
+        assert_eq!(
+            refusals.is_backing_off(&kind("c8", true), rented, later),
+            refused,
+            "{rented} rented after {after_s} s"
+        );
     }
     let mut accelerated = cluster_with(&[], now);
     add_job(&mut accelerated, 1, now, |j| (j.gpus, j.spot, j.zone) = (1.0, false, Some("a".into())));
@@ -126,8 +130,8 @@
             add_job(&mut cluster, 100 + n, now, |j| (j.cpus, j.estimate_s, j.zone) = (8.0, 30.0, Some("a".into())));
             cluster.end_job(&format!("run-{:06}", 100 + n).as_str().into(), None, now);
         }
-        let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
-        assert_eq!(!wanted.is_empty(), rents, "{name}: {wanted:?}");
+        let demand = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
+        assert_eq!(!demand.is_empty(), rents, "{name}: {demand:?}");
     }
 }
 
@@ -141,8 +145,8 @@
             (j.shape, j.tasks, j.cpus, j.same_zone, j.estimate_s) = (Shape::Gang, 6, 8.0, true, 100.0);
         });
     }
-    let wanted = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
-    assert_eq!(wanted.iter().map(|demand| demand.count).sum::<u64>(), 300, "{wanted:?}");
+    let demand = plan_scale_out(&cluster, &catalog(), &CapacityRefusals::default(), &Default::default(), now);
+    assert_eq!(demand.iter().map(|demand| demand.count).sum::<u64>(), 300, "{demand:?}");
 }
 
 /// Regression test (seen on fa-lima-grown): for a minute after a takeover no machine was drained, since all counted as
--- a/src/scheduling/tests/silent_machines.rs
+++ b/src/scheduling/tests/silent_machines.rs
@@ -114,21 +114,27 @@
     let (_, shards) = cluster.next_writes(10, now);
     cluster.record_stored_shards(&shards, 1);
     cluster.heartbeat_response_commands("m1", now);
-    let begun = now + secs(110);
+    let pause_start = now + secs(110);
     for machine in ["m1", "m2"] {
-        cluster.take_heartbeat(heartbeat(machine, "c8", "a", false, 2, vec![]), MessageKind::Heartbeat, None, begun);
+        cluster.take_heartbeat(
+            heartbeat(machine, "c8", "a", false, 2, vec![]),
+            MessageKind::Heartbeat,
+            None,
+            pause_start,
+        );
     }
-    cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), begun);
-    let back = begun + secs(30);
+    cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), pause_start);
+    let pause_end = pause_start + secs(30);
     // Before the adjustment for the pause: idle for 120 s, and 30 of 49 s since the cancellation.
-    assert_eq!(surplus_machines(&cluster, &catalog(), back).len(), 1);
-    assert_eq!(cluster.overdue_machines(back).len(), 1);
-    cluster.adjust_for_pause(ProcessPause { began: begun, ended: back });
-    cluster.tick(back);
-    assert!(surplus_machines(&cluster, &catalog(), back).is_empty());
+    assert_eq!(surplus_machines(&cluster, &catalog(), pause_end).len(), 1);
+    assert_eq!(cluster.overdue_machines(pause_end).len(), 1);
+    cluster.adjust_for_pause(ProcessPause { began: pause_start, ended: pause_end });
+    cluster.tick(pause_end);
+    assert!(surplus_machines(&cluster, &catalog(), pause_end).is_empty());
     assert!(
-        cluster.overdue_machines(back).is_empty() && cluster.machines.values().all(|m| m.state == MachineState::Up)
+        cluster.overdue_machines(pause_end).is_empty()
+            && cluster.machines.values().all(|m| m.state == MachineState::Up)
     );
     // After a few more seconds without a report, the machine is overdue for its cancelled task.
-    assert_eq!(cluster.overdue_machines(back + secs(6)).len(), 1);
+    assert_eq!(cluster.overdue_machines(pause_end + secs(6)).len(), 1);
 }
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -427,12 +427,12 @@
 
     /// Raises the leader's fencing token if it asks for that, and returns whether it did.
     pub(super) fn raise_fencing_token_if_needed(&mut self, cluster: &mut ClusterState) -> bool {
-        let wanted = cluster.token_raise_needed(self.now);
-        if wanted {
+        let needed = cluster.token_raise_needed(self.now);
+        if needed {
             self.version += 1;
             cluster.raise_fencing_token(self.version);
         }
-        wanted
+        needed
     }
 
     /// Terminates a machine and reports that to the leader.
