--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -2,7 +2,7 @@
 //! the store is, and what it may therefore answer to users, workers and its peers.
 //!
 //! `election` takes the election lease and writes the leader record; `leadership` starts and ends leadership; `mesh`
-//! exchanges lines with the other controllers; `pauses` handles pauses of this process; `judgement` decides what may be
+//! exchanges lines with the other controllers; `pauses` handles pauses of this process; `freshness` decides what may be
 //! answered; `confirmation` and `watermark` confirm cancellations.
 //!
 //! # Lock order
@@ -23,7 +23,7 @@
 mod confirmation;
 mod election;
 mod figures;
-mod judgement;
+mod freshness;
 mod leadership;
 mod leadership_transfer;
 mod lease_timing;
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,3 +1,3 @@
-//! Values in the store that several slices read: they stand below `store` and below the slices that write them.
+//! Stored values that several modules read. This module is below `store` and the modules that write the values.
 
 pub mod leadership;
