--- a/src/membership/reported_ends.rs
+++ b/src/membership/reported_ends.rs
@@ -18,7 +18,7 @@
 
 impl ReportedEnds {
     /// Returns whether the watch cache is complete up to this revision.
-    pub fn since(&self, revision: u64) -> bool {
+    pub fn is_complete_through(&self, revision: u64) -> bool {
         self.through >= revision
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -127,7 +127,7 @@
     service.wakeups.commit.notify_one();
     let leases_expire_in_time = || service.membership.leases_end_in_time(now);
     let holds_machine = || service.membership.must_hold_worker(machine, now);
-    if policy.renews_lease(ended.since(commands.fencing_token), leases_expire_in_time, holds_machine) {
+    if policy.renews_lease(ended.is_complete_through(commands.fencing_token), leases_expire_in_time, holds_machine) {
         HeartbeatResponse::Commands(commands)
     } else {
         HeartbeatResponse::Unavailable
