--- a/src/scheduling/tests/interleaved_simulation/combined_faults.rs
+++ b/src/scheduling/tests/interleaved_simulation/combined_faults.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Ends all controllers. The next election is possible within the election lease of the last leader or later.
+    /// Ends all controllers; one is back and can lead within the election lease of the last leader or after it.
     fn restart_all_controllers(&mut self) {
         let now = self.now;
         let lease = LEADER_LEASE.as_millis() as u64;
--- a/src/scheduling/tests/interleaved_simulation/steps.rs
+++ b/src/scheduling/tests/interleaved_simulation/steps.rs
@@ -51,7 +51,7 @@
             if self.now >= self.next_leader_from {
                 self.take_over();
             }
-        } else if self.raise_wanted() {
+        } else if self.can_raise_fencing_token() {
             self.raise_fencing_token();
         }
         self.run_users();
@@ -70,7 +70,7 @@
     }
 
     /// Whether the leader's cluster state needs a higher fencing token and the leader can store it.
-    fn raise_wanted(&self) -> bool {
+    fn can_raise_fencing_token(&self) -> bool {
         self.leaders[self.leader].as_ref().is_some_and(|o| {
             o.pause.is_none()
                 && o.store_partition.is_none()
