--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -15,7 +15,7 @@
 
 /// Size limit of a line; a longer line is dropped and its connection closed.
 pub(super) const MAX_LINE_BYTES: u64 = 256 * 1024;
-/// Limit on the counts in a line.
+/// Limit on the counts in a line; further changed counts follow with later lines.
 pub(super) const MAX_COUNTS: usize = 2000;
 /// Limit on the service levels in a line.
 pub const MAX_SERVICE_LEVELS: usize = 200;
