--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -362,7 +362,7 @@
         let acknowledged = leader.membership.acknowledged_revisions.iter().copied().min().unwrap_or(0);
         leader.membership.unconfirmed_ends.record_confirmed(acknowledged, now);
         if !store_unreachable && leader.membership.unconfirmed_ends.take_store_due(now) {
-            // As in `membership::storing`.
+            // As in `Membership::watermark_to_store` and `membership::election`.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
             let conditions = [Condition::at(LEADER, watermark.fencing_token)];
             let unanswered = self.store_is_slow() && self.rng.random_bool(0.4);
