--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -100,7 +100,7 @@
     /// there is stopped.
     /// `waited`: how long it has waited for that.
     pub fn allows_start(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
-        let apt = capacity.apt(spec);
+        let apt = capacity.wastes_no_gpus(spec);
         let free = capacity.without_idle();
         let alone = free.cpus >= capacity.machine_type.cpus - AMOUNT_TOLERANCE;
         if capacity.kept_for_arrivals {
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -1,8 +1,8 @@
-//! Placement: waiting work in order of return, each task on the fitting machine whose return is
-//! highest with it (paper, algorithms 1 and 2, adapted to tasks that hold full requests).
+//! Placement: considers waiting jobs in order of return and places each task on the fitting machine whose return is
+//! highest with that task (paper, algorithms 1 and 2, adapted to tasks that hold their full requests).
 //!
-//! Like tasks of one job are placed together: each machine is looked at once per job, and the
-//! best is taken from a heap until it is full or another is better.
+//! Identical tasks of one job are placed together: every machine is examined once per job, and the best candidate is
+//! taken from a heap until it is full or another one is better.
 
 mod available;
 mod candidate;
@@ -26,30 +26,30 @@
 pub use queue::{QueuedJob, queue};
 pub use quotas::Quotas;
 
-/// Room is kept for gangs for so long in a row, and not once anybody has waited so long beside room; then whoever waits
-/// may have it, for this long.
+/// Plans keep capacity free for gangs for at most this long in a row, and no longer once any job has been passed over
+/// for this long. After that, every waiting job may use the capacity for [`GANG_RESERVATION_PAUSE`].
 const MAX_GANG_RESERVATION: Duration = Duration::from_secs(60);
-/// For so long nothing is kept after that.
+/// After [`MAX_GANG_RESERVATION`], no capacity is kept for gangs for this long.
 const GANG_RESERVATION_PAUSE: Duration = Duration::from_secs(5);
 
-/// All placements that can be made now.
+/// Returns all placements that can be made now.
 pub fn place(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> Vec<Placement> {
     place_counting_examined(cluster, catalog, now).0
 }
 
-/// The same, with how many rooms were looked at.
+/// Returns all placements that can be made now, with the number of machines examined to find them.
 pub fn place_counting_examined(cluster: &mut ClusterState, catalog: &Catalog, now: Instant) -> (Vec<Placement>, u64) {
     if !cluster.loaded {
         return (Vec::new(), 0);
     }
     cluster.refresh_loads(now);
-    // Where the rest of its room does not come free, nobody waits for ever on what is kept for a gang.
+    // The capacity that a gang still lacks may never come free; capacity kept for it must not block other jobs forever.
     if cluster.gang_room_held_since.is_some() && cluster.passed_over.longest_wait(now) >= MAX_GANG_RESERVATION {
         cluster.gang_room_held_since = now.checked_sub(MAX_GANG_RESERVATION).or(cluster.gang_room_held_since);
     }
-    let spell = cluster.gang_room_held_since.map(|since| now.saturating_duration_since(since));
-    let may_keep = spell.is_none_or(|spell| spell < MAX_GANG_RESERVATION);
-    let PlanOutcome { placements, machines_examined: rooms_examined, kept_for_gang: kept, passed_over } =
+    let reserved_for = cluster.gang_room_held_since.map(|since| now.saturating_duration_since(since));
+    let may_keep = reserved_for.is_none_or(|reserved_for| reserved_for < MAX_GANG_RESERVATION);
+    let PlanOutcome { placements, machines_examined, kept_for_gang, passed_over } =
         decide(cluster, catalog, may_keep, now);
     for placement in &placements {
         if cluster.passed_over.is_overdue(&placement.task.job, now) {
@@ -57,10 +57,12 @@
         }
     }
     cluster.passed_over.update(passed_over, now);
-    if kept {
+    if kept_for_gang {
         cluster.gang_room_held_since.get_or_insert(now);
-    } else if may_keep || spell.is_some_and(|spell| spell >= MAX_GANG_RESERVATION + GANG_RESERVATION_PAUSE) {
+    } else if may_keep
+        || reserved_for.is_some_and(|reserved_for| reserved_for >= MAX_GANG_RESERVATION + GANG_RESERVATION_PAUSE)
+    {
         cluster.gang_room_held_since = None;
     }
-    (placements, rooms_examined)
+    (placements, machines_examined)
 }
--- a/src/scheduling/plan/available.rs
+++ b/src/scheduling/plan/available.rs
@@ -1,4 +1,5 @@
-//! What a plan finds when it begins: rooms with their reservations, room that idle work would give up, kinds in demand.
+//! The initial state of a plan: free capacity with its reservations, capacity that can be reclaimed from idle work, and
+//! the machine kinds that work limited to on-demand machines waits for.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,40 +9,49 @@
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::fairness::floor::Rank;
 
-/// The room with what it is held for.
+/// Returns the free capacity of a machine with its reservation, if there is one.
 pub(super) fn with_reservation<'a>(
     cluster: &'a ClusterState,
     capacity: FreeCapacity<'a>,
     now: Instant,
 ) -> FreeCapacity<'a> {
     let reservation = capacity.machine.and_then(|m| cluster.reservation(&m.id, now));
-    let reserved =
+    let preempted =
         capacity.machine.is_some_and(|m| cluster.preemption_reservations.get(&m.id).is_some_and(|h| h.until > now));
-    FreeCapacity { reservation, preempted: reserved, ..capacity }
+    FreeCapacity { reservation, preempted, ..capacity }
 }
 
-/// Ordinary kinds open to work that waits and may use no cheap ones.
-pub(super) fn contended_on_demand_kinds(ground: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
-    let mut sought = vec![false; ground.offers.len()];
+/// Returns, for each machine kind, whether work that may not run on spot machines waits for it. Idle and quarantined
+/// work is not counted.
+pub(super) fn contended_on_demand_kinds(context: &CapacityContext, queued_jobs: &[QueuedJob]) -> Rc<[bool]> {
+    let mut contended_kinds = vec![false; context.offers.len()];
     for queued in queued_jobs.iter().filter(|t| !t.job.spec().spot && !t.quarantined && t.rank != Rank::Idle) {
-        for (sought, open) in
-            sought.iter_mut().zip(ground.allowed_kinds(queued.job.spec(), &JobZones::without_tasks(queued.job.spec())))
+        for (contended, allowed) in contended_kinds
+            .iter_mut()
+            .zip(context.allowed_kinds(queued.job.spec(), &JobZones::without_tasks(queued.job.spec())))
         {
-            *sought |= open;
+            *contended |= allowed;
         }
     }
-    sought.into()
+    contended_kinds.into()
 }
 
-/// Machines without accelerators, and free of reservations, on which idle work would give way.
+/// Returns the capacity, counted without idle work, of machines that run idle work and have neither accelerators nor a
+/// reservation.
 pub(super) fn reclaimable_capacities<'a>(
     cluster: &'a ClusterState,
-    ground: &CapacityContext<'a>,
-    suspect: Duration,
+    context: &CapacityContext<'a>,
+    suspect_timeout: Duration,
     now: Instant,
 ) -> Vec<FreeCapacity<'a>> {
-    let held =
-        cluster.machines.values().filter(|m| m.idle_work_allocated().cpus > 0.0 && is_schedulable(m, suspect, now));
-    let free = held.filter(|m| cluster.reservation(&m.id, now).is_none());
-    free.filter_map(|m| ground.capacity(m)).filter(|r| r.machine_type.gpus <= 0.0).map(|r| r.without_idle()).collect()
+    let with_idle_work = cluster
+        .machines
+        .values()
+        .filter(|m| m.idle_work_allocated().cpus > 0.0 && is_schedulable(m, suspect_timeout, now));
+    let unreserved = with_idle_work.filter(|m| cluster.reservation(&m.id, now).is_none());
+    unreserved
+        .filter_map(|m| context.capacity(m))
+        .filter(|r| r.machine_type.gpus <= 0.0)
+        .map(|r| r.without_idle())
+        .collect()
 }
--- a/src/scheduling/plan/candidate.rs
+++ b/src/scheduling/plan/candidate.rs
@@ -1,24 +1,31 @@
-//! A machine as a place for the next task of a job, and which of two is the better one.
+//! Candidate machines for the next task of a job, and their order of preference.
 
 use std::cmp::Ordering;
 
-/// One machine as a place for the next task of a job. The better one is the greater one: first
-/// what accelerators leave over, then a machine without any, so that large work finds whole
-/// machines and accelerators their cores; not one where the task would first hold its place for
-/// a fetch; of those left the one with the highest new return, then the tightest.
+/// A machine as a candidate for the next task of a job. The greater of two candidates is the better one.
+///
+/// Cores of a machine with accelerators that the accelerators leave over are preferred, then machines without
+/// accelerators, so that large jobs find whole machines and accelerators find their cores. After that, a machine that
+/// has the image is preferred, because elsewhere the task would hold its capacity during the fetch; then the highest
+/// new return, then the tightest fit.
 pub(super) struct Candidate {
-    /// The job has failed there; taken only where nothing else fits.
+    /// Whether the job has failed on the machine; such a machine is used only if nothing else fits.
     pub(super) failed_before: bool,
-    /// Held for another; taken last.
+    /// Whether the machine is reserved for another job; such a machine is used last.
     pub(super) reserved_for_other: bool,
-    /// How likely it is to be lost, where that counts.
+    /// How likely the machine is to be lost; 0 if the job is not risk-averse.
     pub(super) risk: u8,
-    /// Others wait for such a machine that may not use cheap ones, as this work may.
+    /// Whether the job may use spot machines, but work that may not waits for a machine of this kind.
     pub(super) on_demand_contended: bool,
+    /// How badly the task would use the machine's accelerators (`FreeCapacity::gpu_waste`).
     pub(super) gpu_waste: u8,
+    /// Whether the task needs no image fetch on the machine.
     pub(super) has_image: bool,
+    /// The total return of the machine with the task.
     pub(super) new_return: f64,
+    /// Free cores of the machine without the task.
     pub(super) free_cpus: f64,
+    /// Index of the machine among the capacities of the plan.
     pub(super) index: usize,
 }
 
--- a/src/scheduling/plan/demand.rs
+++ b/src/scheduling/plan/demand.rs
@@ -1,4 +1,4 @@
-//! A task of one job, as machines are judged by it: which it may use, and how good each is.
+//! The demand of one job's tasks: which machines they may use, and how good each machine is for them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,60 +13,67 @@
 use crate::scheduling::fairness::floor::Rank;
 use crate::sla;
 
-/// Work that was started so often in vain gets the machines least likely to be lost.
+/// A job with a waiting task that was attempted this often without success gets the machines least likely to be lost.
 const ATTEMPTS_UNTIL_RISK_AVERSE: u64 = 2;
-/// Idle work that was started so often goes to no machine that is being left.
+/// An idle job with a waiting task that was attempted this often is not placed on draining machines.
 const MAX_ATTEMPTS_ON_DRAINING: u64 = 4;
-/// Hard work that must start within this time to be done in time is not kept waiting for reservations.
+/// A job that must start within this time to meet its hard deadline does not wait for reservations of others.
 const URGENT_START_WINDOW: Duration = Duration::from_secs(30);
 
-/// A task of one job, as machines are judged by it.
+/// What a task of one job demands, and the rules by which machines are chosen for it.
 pub(super) struct Demand<'a> {
+    /// The id of the job.
     pub(super) id: &'a JobId,
+    /// The state of the job.
     pub(super) job: &'a JobState,
-    /// When it would be over; what is held for others is open to what ends in time.
+    /// When the task would end if it started now. A machine reserved for another job is open to tasks that end before
+    /// the reservation does.
     pub(super) expected_end: Instant,
-    /// Hard work that would be late for waiting; nothing is held against it.
+    /// Whether the job would miss its hard deadline by waiting; reservations of others do not bind it, except those in
+    /// `prioritized_reservations`.
     pub(super) urgent: bool,
-    /// Who goes first is not kept out by what is held for others; who goes ahead not by what is held for these.
+    /// Whether no reservation of others binds the job, because it is below its floor or a credited large job.
     pub(super) ignores_reservations: bool,
-    /// Jobs whose reservations do not stand against it.
+    /// Jobs whose reservations do not bind this job, because it is prioritized over them.
     pub(super) overridden_reservations: Vec<&'a JobId>,
-    /// Holds for these stand against it even if it is pressed: they go ahead.
+    /// Prioritized jobs whose reservations bind this job even if it is urgent.
     pub(super) prioritized_reservations: Vec<&'a JobId>,
-    /// Idle work, and what others wait for by now.
+    /// For idle work, the requests that found no capacity in this plan so far, which it must not block.
     pub(super) backfill: Option<Rc<Backfill>>,
-    /// Idle work gives way for it on machines as it needs them: it takes no cores that an accelerator
-    /// will lack.
+    /// Whether the job takes no cores that accelerators will lack, since idle work can be preempted for it on machines
+    /// without accelerators.
     pub(super) avoids_gpu_waste: bool,
-    /// Since it came.
+    /// How long the job has waited since its submission.
     pub(super) waited: Duration,
-    /// It has waited beside room for so long that hardly anything is kept from it (`beside`).
+    /// Whether the job has been passed over for so long that hardly any capacity is denied to it
+    /// (`scheduling::passed_over`).
     pub(super) overdue: bool,
+    /// The deadline share of the task (`sla::deadline_share`).
     pub(super) share: f64,
+    /// The return of the task if it starts now.
     pub(super) task_return: f64,
-    /// It can be done in time if it starts now.
+    /// Whether the job meets its hard deadline if it starts now.
     pub(super) can_meet_hard_deadline: bool,
-    /// It has lost starts enough to want a machine that lasts.
+    /// Whether the job prefers machines that are unlikely to be lost.
     pub(super) risk_averse: bool,
-    /// Machines on which it has failed.
+    /// Machines on which the job has failed.
     pub(super) failed_machines: &'a [MachineId],
-    /// Tasks of it that fail by themselves, and are not to be tried yet.
+    /// Indices of the job's tasks that must not be started yet: faulty ones in their retry pause, and stopped replicas.
     pub(super) held_back_tasks: Vec<u32>,
-    /// Kinds of machines that the job allows, by their places in the cluster state.
+    /// For each machine kind, by its index in the cluster state, whether the job allows it.
     pub(super) allowed_kinds: Vec<bool>,
-    /// Kinds for which work waits that may use no cheap machine.
+    /// For each machine kind, whether work that may not use spot machines waits for it.
     pub(super) on_demand_contention: Rc<[bool]>,
 }
 
 impl<'a> Demand<'a> {
-    /// A task of the job whose turn it is.
+    /// Creates the demand of a task of the job whose turn it is.
     pub(super) fn new(
         queued: &QueuedJob<'a>,
         attribution: &'a FailureAttribution,
         backfill: Option<Rc<Backfill>>,
-        open: Vec<bool>,
-        sought: Rc<[bool]>,
+        allowed_kinds: Vec<bool>,
+        on_demand_contention: Rc<[bool]>,
         overdue: bool,
         now: Instant,
     ) -> Self {
@@ -88,17 +95,17 @@
             share: sla::deadline_share(agreement.run_time, agreement.deadline.saturating_sub(age), agreement.cores),
             task_return: agreement.task_return(age + agreement.run_time),
             can_meet_hard_deadline: agreement.can_meet_hard_deadline(age),
-            // Nor is what can't save and may wait put where it is likely to be lost, if there is another place.
+            // Idle work that writes no checkpoints avoids machines that are likely to be lost, if there are others.
             risk_averse: job.has_waiting_task_with_attempts(ATTEMPTS_UNTIL_RISK_AVERSE)
                 || (job.spec().is_idle() && job.spec().checkpoint_s <= 0.0),
             failed_machines: attribution.failed_machines(queued.id),
             held_back_tasks: attribution.held_back_tasks(queued.id, now),
-            allowed_kinds: open,
-            on_demand_contention: sought,
+            allowed_kinds,
+            on_demand_contention,
         }
     }
 
-    /// Indices of the tasks that may be started now.
+    /// Returns the indices of the tasks that may be started now.
     pub(super) fn startable(&self) -> impl Iterator<Item = u32> {
         self.job.waiting.iter().copied().filter(|index| !self.held_back_tasks.contains(index))
     }
@@ -108,7 +115,7 @@
         self.allowed_kinds.get(kind).copied().unwrap_or(false)
     }
 
-    /// Whether the rules leave the room to this work, whatever its size.
+    /// Whether the placement rules allow the job on the machine, regardless of its size.
     pub(super) fn may_use(&self, capacity: &FreeCapacity) -> bool {
         if self.overdue {
             return self.allows_kind(capacity.kind) && self.may_use_when_overdue(capacity);
@@ -124,14 +131,14 @@
             && self.passes_reservation(capacity)
     }
 
-    /// What is left of the rules for work that has waited beside room for too long: not where others are being stopped
-    /// for somebody, and idle work that runs elsewhere leaves free what is kept for arrivals.
+    /// Whether the rules that remain for an overdue job allow it on the machine: it gets no capacity for which tasks
+    /// are being preempted for another job, and idle work that runs elsewhere gets no capacity kept for arrivals.
     pub(super) fn may_use_when_overdue(&self, capacity: &FreeCapacity) -> bool {
-        let for_arrivals = capacity.kept_for_arrivals && self.backfill.is_some() && !self.job.bound.is_empty();
-        !for_arrivals && (!capacity.preempted || self.passes_reservation(capacity))
+        let kept_from_job = capacity.kept_for_arrivals && self.backfill.is_some() && !self.job.bound.is_empty();
+        !kept_from_job && (!capacity.preempted || self.passes_reservation(capacity))
     }
 
-    /// Whether what the room is held for, if it is, leaves it to this work.
+    /// Whether the machine's reservation, if there is one, does not bind the job.
     pub(super) fn passes_reservation(&self, capacity: &FreeCapacity) -> bool {
         capacity.reservation.is_none_or(|reservation| {
             ((self.urgent && !self.prioritized_reservations.contains(&&reservation.job))
@@ -142,8 +149,9 @@
         })
     }
 
-    /// The room as a place for a task; none if the task does not fit or may not go there.
-    pub(super) fn candidate(&self, at: usize, capacity: &FreeCapacity) -> Option<Candidate> {
+    /// Returns the machine as a candidate for a task; `None` if the task does not fit or may not use the machine.
+    /// `index`: its index among the capacities of the plan.
+    pub(super) fn candidate(&self, index: usize, capacity: &FreeCapacity) -> Option<Candidate> {
         let spec = self.job.spec();
         if !capacity.fits(spec) || !self.may_use(capacity) {
             return None;
@@ -151,7 +159,7 @@
         if self.avoids_gpu_waste && capacity.gpu_waste(spec) > 1 {
             return None;
         }
-        // Fit-now is the whole test for hard work; soft work must also be admitted.
+        // A job that can meet its hard deadline only has to fit; soft work must be admitted as well.
         let new_return = match sla::admit(capacity.load, capacity.machine_type.cpus, self.share, self.task_return) {
             Some(new_return) => new_return,
             None if self.can_meet_hard_deadline || self.overdue => capacity.load.total_return + self.task_return,
@@ -166,18 +174,18 @@
             has_image: capacity.holds_image(self.job),
             new_return,
             free_cpus: capacity.cpus,
-            index: at,
+            index,
         })
     }
 
-    /// Counts a task as placed in the room.
+    /// Counts a task as placed on the machine.
     pub(super) fn occupy(&self, capacity: &mut FreeCapacity) {
         capacity.allocate(self.job.spec());
         capacity.load.share += self.share;
         capacity.load.total_return += self.task_return;
     }
 
-    /// Takes back what `occupy` did.
+    /// Reverts [`Self::occupy`].
     pub(super) fn vacate(&self, capacity: &mut FreeCapacity) {
         capacity.release(self.job.spec());
         capacity.load.share -= self.share;
--- a/src/scheduling/plan/large_first.rs
+++ b/src/scheduling/plan/large_first.rs
@@ -1,4 +1,4 @@
-//! Which of the largest jobs of a queue goes first within its rank (`scheduling::large`).
+//! Selects the large jobs that take precedence within their rank (`scheduling::large`).
 
 use std::time::Duration;
 
@@ -6,28 +6,31 @@
 use crate::jobs::JobId;
 use crate::scheduling::large::{LargeGangs, PRECEDENCE_AGE_FRACTION};
 
-/// The one that has waited longest of the largest that begin with their first task, idle work too, that has
-/// not begun and of which nothing is on its way: one task of it is little, and goes first.
+/// Returns the longest-waiting large job, other than a gang, that has neither run nor been placed. Such a job, which
+/// may be idle work, begins with its first task, so placing that one task first takes little capacity.
 pub(super) fn first_task_job<'a>(
     large: &LargeGangs,
     queued_jobs: &[QueuedJob<'a>],
-    within: Duration,
+    begin_within: Duration,
 ) -> Option<&'a JobId> {
-    let may = |t: &&QueuedJob<'a>| {
+    let may_take_precedence = |t: &&QueuedJob<'a>| {
         let spec = t.job.spec();
-        let waits = t.age >= within.mul_f64(PRECEDENCE_AGE_FRACTION) && !t.job.has_run() && t.job.bound.is_empty();
-        waits && !t.quarantined && !spec.is_gang() && large.is_largest(spec)
+        let has_waited =
+            t.age >= begin_within.mul_f64(PRECEDENCE_AGE_FRACTION) && !t.job.has_run() && t.job.bound.is_empty();
+        has_waited && !t.quarantined && !spec.is_gang() && large.is_largest(spec)
     };
-    queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
+    queued_jobs.iter().filter(may_take_precedence).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id))).map(|t| t.id)
 }
 
-/// Who of those that wait goes first now: the one that has waited longest, once enough is earned for it.
+/// Returns the longest-waiting large gang that may take precedence, once the earned credit covers its cores.
 pub(super) fn credited_gang<'a>(
     large: &LargeGangs,
     queued_jobs: &[QueuedJob<'a>],
-    within: Duration,
+    begin_within: Duration,
 ) -> Option<&'a JobId> {
-    let may = |t: &&QueuedJob<'a>| !t.quarantined && large.may_take_precedence(t.job.spec(), t.age, within);
-    let oldest = queued_jobs.iter().filter(may).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
+    let may_take_precedence =
+        |t: &&QueuedJob<'a>| !t.quarantined && large.may_take_precedence(t.job.spec(), t.age, begin_within);
+    let oldest =
+        queued_jobs.iter().filter(may_take_precedence).max_by(|a, b| a.age.cmp(&b.age).then(b.id.cmp(a.id)))?;
     (oldest.job.min_start_cores() <= large.credit()).then_some(oldest.id)
 }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -10,34 +10,38 @@
 use crate::scheduling::fairness::floor::Rank;
 use crate::scheduling::intents;
 
-/// A job's place in the queue.
+/// A waiting job with what decides its position in the queue.
 #[derive(Clone, Copy)]
 pub struct QueuedJob<'a> {
     /// The id of the job.
     pub id: &'a JobId,
-    /// Its state.
+    /// The state of the job.
     pub job: &'a JobState,
-    /// Its team is short of its guarantee, and the job is within it.
+    /// Whether the job is within its team's unused guarantee.
     pub guaranteed: bool,
-    /// Its rank by the rules of fairness.
+    /// The job's rank by the rules of fairness.
     pub rank: Rank,
-    /// Too late for all that was promised of it.
+    /// Whether it is too late for everything that was promised for the job.
     pub late: bool,
-    /// Needs much at once and has waited for long: it goes first within its rank, and room is kept for it.
+    /// Whether the job needs much capacity at once and has waited long: it goes first within its rank, and capacity is
+    /// kept for it.
     pub credited: bool,
-    /// Has failed everywhere so far: behind all else, and nothing is paid, held or stopped for it.
+    /// Whether the job is quarantined because it has failed everywhere so far: it is placed after everything else, and
+    /// no machine is rented or reserved and no task preempted for it.
     pub quarantined: bool,
+    /// The return of a task that starts now.
     task_return: f64,
-    /// For how long it has waited.
+    /// The time since the job was submitted.
     pub age: Duration,
-    /// Goes before others of its urgency, by what operators have declared.
+    /// Whether the job goes before others of its urgency because operators declared so.
     pub prioritized: bool,
-    /// Tasks that may be placed in its turn.
+    /// Maximum number of tasks to place in the job's turn.
     pub max_tasks: usize,
 }
 
-/// What fails everywhere last of all; else teams short of their guarantee first, then who is below the floor and can
-/// still be in time, then by return; work of no return by age.
+/// Returns the waiting jobs in the order in which they are placed: jobs within their team's guarantee first, then jobs
+/// below the floor that can still meet their promises, then by return, and jobs without return by age. Quarantined jobs
+/// come last. Declared intents may change the order.
 pub fn queue(cluster: &ClusterState, now: Instant) -> Vec<QueuedJob<'_>> {
     let mut queued_jobs: Vec<QueuedJob> = cluster
         .jobs()
@@ -50,24 +54,27 @@
     queued_jobs
 }
 
-/// Whether tasks of the job wait that may be placed now.
+/// Whether the job has waiting tasks that may be placed now.
 fn is_placeable(cluster: &ClusterState, id: &JobId, job: &JobState, now: Instant) -> bool {
-    let waits = !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete() && now >= job.not_before;
-    waits
+    let has_waiting_tasks =
+        !job.waiting.is_empty() && job.ended.is_none() && !job.is_complete() && now >= job.not_before;
+    has_waiting_tasks
         && cluster.intents.placeable_tasks(id, job) > 0
         && (!job.spec().is_gang() || job.bound.is_empty())
         && !cluster.intents.deferred_jobs.contains(id)
 }
 
+/// Builds the queue entry of a job; large jobs are marked later.
 fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
     let age = now.saturating_duration_since(job.since);
     let late = job.is_too_late(age);
-    let first = cluster.underserved.prioritized.contains_job(job.spec()) || cluster.intents.prioritizes_replicas(id);
+    let below_floor =
+        cluster.underserved.prioritized.contains_job(job.spec()) || cluster.intents.prioritizes_replicas(id);
     QueuedJob {
         id,
         job,
         guaranteed: is_within_guarantee(cluster, job.spec()),
-        rank: Rank::of(first, late, job.spec().is_idle()),
+        rank: Rank::of(below_floor, late, job.spec().is_idle()),
         late,
         credited: false,
         quarantined: cluster.attribution.is_job_quarantined(id),
@@ -78,13 +85,13 @@
     }
 }
 
-/// Marks the large job for which room is kept, and the one of which a first task is to begin.
+/// Marks the large gang for which capacity is kept, and the large job that is to begin with its first task.
 fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
-    let credited = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
-    let to_begin = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let credited_gang = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let first_task_job = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
     for queued in queued_jobs {
-        queued.credited = credited == Some(queued.id);
-        if to_begin == Some(queued.id) {
+        queued.credited = credited_gang == Some(queued.id);
+        if first_task_job == Some(queued.id) {
             queued.credited = true;
             queued.max_tasks = 1;
             queued.rank = queued.rank.min(Rank::ByReturn);
@@ -92,6 +99,7 @@
     }
 }
 
+/// Compares two jobs by their position in the queue; the lesser one goes first.
 fn by_precedence(a: &QueuedJob, b: &QueuedJob) -> Ordering {
     (a.quarantined.cmp(&b.quarantined))
         .then(b.guaranteed.cmp(&a.guaranteed))
@@ -102,13 +110,14 @@
         .then(a.id.cmp(b.id))
 }
 
+/// Whether the job, all of it if it is a gang and else one task, fits in what its team has left of its guarantee.
 fn is_within_guarantee(cluster: &ClusterState, spec: &JobSpec) -> bool {
     let Some(team) = cluster.settings.team(&spec.team) else { return false };
     if team.cpus <= 0.0 && team.gpus <= 0.0 {
         return false;
     }
-    let n = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
+    let tasks = if spec.is_gang() { spec.tasks as f64 } else { 1.0 };
     let used = cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
-    used.cpus + n * spec.cpus <= team.cpus + AMOUNT_TOLERANCE
-        && used.gpus + n * spec.gpus <= team.gpus + AMOUNT_TOLERANCE
+    used.cpus + tasks * spec.cpus <= team.cpus + AMOUNT_TOLERANCE
+        && used.gpus + tasks * spec.gpus <= team.gpus + AMOUNT_TOLERANCE
 }
--- a/src/scheduling/plan/search.rs
+++ b/src/scheduling/plan/search.rs
@@ -1,4 +1,4 @@
-//! The search of one plan: the rooms that are left, and the machines for the tasks of one job after another.
+//! The search of one plan: finds machines for the tasks of one job after another in the free capacity that is left.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
@@ -25,73 +25,87 @@
 pub struct PlacedTask {
     /// The index of the task within its job.
     pub index: u32,
-    /// The machine.
+    /// The id of the machine.
     pub machine: MachineId,
 }
 
-/// The same, with the place of the room among those of the plan.
+/// A task of a job, and the index of the machine picked for it.
 pub(super) struct PickedTask {
+    /// The index of the task within its job.
     pub(super) index: u32,
+    /// Index of the machine among the capacities of the plan.
     pub(super) capacity: usize,
 }
 
-/// A piece of a room that is kept for tasks of a gang.
+/// Capacity of one machine that a plan reserves for tasks of a gang.
 pub(super) struct GangReservation<'a> {
-    /// The place of the room among those of the plan.
-    pub(super) at: usize,
-    /// How many tasks it is for.
+    /// Index of the machine among the capacities of the plan.
+    pub(super) index: usize,
+    /// How many tasks the capacity is for.
     pub(super) tasks: u64,
-    /// What each of them asks for.
+    /// The gang's description, with the request of each task.
     pub(super) spec: &'a JobSpec,
 }
 
-/// One plan: the rooms there are, and how many were looked at, by which its work is bounded.
+/// One plan: the free capacity that is left, and what jobs before have found or not found in it.
 pub struct Plan<'a> {
+    /// The cluster state that the plan is made for.
     pub(super) cluster: &'a ClusterState,
+    /// Which jobs and tasks are faulty, and on which machines they failed.
     pub(super) attribution: &'a FailureAttribution,
+    /// Constraints declared by operators.
     pub(super) intents: &'a Intents,
+    /// The machine kinds that machines of the cluster have.
     pub(super) context: CapacityContext<'a>,
+    /// The free capacity of each schedulable machine.
     pub(super) capacities: Vec<FreeCapacity<'a>>,
+    /// Requests that did not fit in this plan.
     pub(super) unfit: Vec<UnfitRequest<'a>>,
-    /// What fits nowhere even if nothing is kept from it.
+    /// Requests that fit nowhere even if no capacity is denied to them.
     pub(super) unfit_anywhere: Vec<UnfitRequest<'a>>,
-    /// Pieces of rooms that were kept for gangs.
+    /// Capacity that was taken out of the plan for gangs.
     pub(super) gang_reservations: Vec<GangReservation<'a>>,
-    /// What more urgent work than idle found no room for.
+    /// Requests of work more urgent than idle work that found no capacity.
     pub(super) unplaced_requests: Rc<Backfill>,
-    /// What idle work would give up of machines without accelerators, and is not yet counted with.
+    /// Capacity on machines without accelerators that can be reclaimed from idle work, less what was promised to jobs
+    /// of this plan.
     pub(super) reclaimable_capacities: Vec<FreeCapacity<'a>>,
+    /// For each machine kind, whether work that may not use spot machines waits for it.
     pub(super) on_demand_contention: Rc<[bool]>,
+    /// The time of the plan.
     pub(super) now: Instant,
-    /// Zones in which room was kept for a gang: for one at a time, since what is kept stands idle.
+    /// Zones in which capacity was kept for a gang: for one gang each, because that capacity stands idle. An empty name
+    /// stands for all zones.
     pub(super) gang_reserved_zones: Vec<&'a str>,
-    /// How many rooms were looked at.
+    /// How often a machine was examined, which measures the work of the plan.
     pub machines_examined: u64,
 }
 
 impl<'a> Plan<'a> {
-    /// A plan for these jobs, before anything is placed.
+    /// Creates a plan for the queued jobs, before anything is placed.
     pub fn new(cluster: &'a ClusterState, catalog: &'a Catalog, queued_jobs: &[QueuedJob], now: Instant) -> Self {
-        let ground = CapacityContext::new(cluster, catalog);
-        let suspect = suspect_timeout(cluster);
-        let least = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
+        let context = CapacityContext::new(cluster, catalog);
+        let suspect_timeout = suspect_timeout(cluster);
+        let min_cpus = queued_jobs.iter().map(|t| t.job.spec().cpus).fold(f64::INFINITY, f64::min);
         let capacities = cluster
             .machines
             .values()
-            .filter(|m| is_schedulable(m, suspect, now) || is_schedulable_while_draining(m, suspect, now))
-            .filter_map(|m| ground.capacity(m))
-            .filter(|r| r.cpus + AMOUNT_TOLERANCE >= least)
+            .filter(|m| {
+                is_schedulable(m, suspect_timeout, now) || is_schedulable_while_draining(m, suspect_timeout, now)
+            })
+            .filter_map(|m| context.capacity(m))
+            .filter(|r| r.cpus + AMOUNT_TOLERANCE >= min_cpus)
             .map(|r| with_reservation(cluster, r, now))
             .collect();
-        let giving = reclaimable_capacities(cluster, &ground, suspect, now);
-        let sought = contended_on_demand_kinds(&ground, queued_jobs);
+        let reclaimable_capacities = reclaimable_capacities(cluster, &context, suspect_timeout, now);
+        let on_demand_contention = contended_on_demand_kinds(&context, queued_jobs);
         Self {
             cluster,
             attribution: &cluster.attribution,
             intents: &cluster.intents,
-            reclaimable_capacities: giving,
-            on_demand_contention: sought,
-            context: ground,
+            reclaimable_capacities,
+            on_demand_contention,
+            context,
             capacities,
             unfit: Vec::new(),
             unfit_anywhere: Vec::new(),
@@ -103,26 +117,27 @@
         }
     }
 
-    /// Places up to `most` tasks, the best machine first, and gives them with their rooms.
+    /// Places up to `max_tasks` tasks, each on the best machine, and returns them. `only`: the zone to use, if
+    /// restricted.
     pub(super) fn place_greedily(
         &mut self,
         demand: &Demand<'a>,
         zones: &mut JobZones<'a>,
-        most: usize,
+        max_tasks: usize,
         only: Option<&str>,
     ) -> Vec<PickedTask> {
-        let ground = &self.context;
-        let in_zone = |capacity: &FreeCapacity| only.is_none_or(|z| z == ground.zone(capacity.kind));
+        let context = &self.context;
+        let in_zone = |capacity: &FreeCapacity| only.is_none_or(|z| z == context.zone(capacity.kind));
         self.machines_examined += self.capacities.len() as u64;
         let mut heap: BinaryHeap<Candidate> = self
             .capacities
             .iter()
             .enumerate()
             .filter(|(_, capacity)| in_zone(capacity))
-            .filter_map(|(at, capacity)| demand.candidate(at, capacity))
+            .filter_map(|(index, capacity)| demand.candidate(index, capacity))
             .collect();
         let mut picks = Vec::new();
-        for index in demand.startable().take(most) {
+        for index in demand.startable().take(max_tasks) {
             let Some(best) = self.pop_allowed(&mut heap, demand, zones) else { break };
             self.machines_examined += 1;
             demand.occupy(&mut self.capacities[best]);
@@ -133,8 +148,8 @@
         picks
     }
 
-    /// The room of the best candidate in a zone that is still open to the job. Where the best is in a zone that the
-    /// job has used up, all candidates in such zones are dropped in one pass.
+    /// Removes the best candidate in a zone that the job may still use and returns its index. If the best one is in a
+    /// zone that the job may no longer use, all candidates in such zones are dropped in one pass.
     fn pop_allowed(
         &self,
         heap: &mut BinaryHeap<Candidate>,
@@ -145,18 +160,18 @@
         if zones.allows(self.context.zone(self.capacities[best].kind)) {
             return Some(best);
         }
-        let open = self.context.allowed_kinds(demand.job.spec(), zones);
-        heap.retain(|candidate| open.get(self.capacities[candidate.index].kind) == Some(&true));
+        let allowed_kinds = self.context.allowed_kinds(demand.job.spec(), zones);
+        heap.retain(|candidate| allowed_kinds.get(self.capacities[candidate.index].kind) == Some(&true));
         heap.pop().map(|candidate| candidate.index)
     }
 
-    /// Places as many tasks of one job as there is room for; all or none of a gang.
-    /// `keep`: what there is of its room, where that is too little, is kept from what comes after it.
+    /// Places as many tasks of one job as fit, up to `max_tasks`; all or none of a gang. `keep`: if a gang does not
+    /// fit, what there is of the capacity it needs is kept from the jobs after it.
     pub fn place_job(
         &mut self,
         queued: &QueuedJob<'a>,
         zones: &mut JobZones<'a>,
-        most: usize,
+        max_tasks: usize,
         keep: bool,
     ) -> Vec<PlacedTask> {
         let (job, spec) = (queued.job, queued.job.spec());
@@ -171,17 +186,17 @@
         let picks = if spec.is_gang() {
             self.place_gang(&demand, zones)
         } else {
-            self.place_greedily(&demand, zones, most, None)
+            self.place_greedily(&demand, zones, max_tasks, None)
         };
-        let short = if spec.is_gang() { picks.is_empty() } else { picks.len() < most.min(waiting) };
-        if short {
+        let has_unplaced = if spec.is_gang() { picks.is_empty() } else { picks.len() < max_tasks.min(waiting) };
+        if has_unplaced {
             self.record_unplaced(spec, &demand.allowed_kinds, queued.quarantined);
         }
-        if short && keep {
+        if has_unplaced && keep {
             self.reserve_capacity_for_gang(&demand);
         }
-        if short {
-            self.record_unfit(&demand, zones, tasks, picks.len() < most.min(demand.startable().count()));
+        if has_unplaced {
+            self.record_unfit(&demand, zones, tasks, picks.len() < max_tasks.min(demand.startable().count()));
         }
         let capacities = &self.capacities;
         let placed = |pick: PickedTask| {
@@ -190,32 +205,41 @@
         picks.into_iter().filter_map(placed).collect()
     }
 
-    /// Notes that a job found no room. `out_of_room`: it has more tasks that could start than it found places for.
-    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &JobZones<'a>, tasks: usize, out_of_room: bool) {
+    /// Records that a job does not fit. `out_of_capacity`: more of its tasks could start than found a machine.
+    fn record_unfit(&mut self, demand: &Demand<'a>, zones: &JobZones<'a>, tasks: usize, out_of_capacity: bool) {
         let (job, spec) = (demand.job, demand.job.spec());
-        // A spread gang was refused rooms that others may use.
+        // A spread gang may have been refused capacity that other jobs may use.
         if spec.is_gang() && spec.spread {
             return;
         }
-        // Rooms in zones that a job's own tasks have closed to it may be free for others: only of the kinds that are
-        // still open to it is it known that no room is left.
+        // In zones that the job may not use because of its own tasks, capacity may be left for others. Only for the
+        // kinds that it may still use is it known that no capacity is left.
         let closes_zones = zones.restricts_zones() && !spec.is_gang();
-        if closes_zones && !out_of_room {
+        if closes_zones && !out_of_capacity {
             return;
         }
-        let open = if closes_zones { self.context.allowed_kinds(spec, zones) } else { demand.allowed_kinds.clone() };
-        self.unfit.push(UnfitRequest { spec, run_time: job.agreement.run_time, tasks, allowed_kinds: open });
+        let allowed_kinds =
+            if closes_zones { self.context.allowed_kinds(spec, zones) } else { demand.allowed_kinds.clone() };
+        self.unfit.push(UnfitRequest { spec, run_time: job.agreement.run_time, tasks, allowed_kinds });
     }
 
-    /// By what the machines are judged for a job of which so many tasks wait.
+    /// Builds the demand of a job of which `waiting` tasks wait.
     fn build_demand(&mut self, queued: &QueuedJob<'a>, zones: &JobZones<'a>, waiting: usize) -> Demand<'a> {
         let spec = queued.job.spec();
-        let open = self.context.allowed_kinds(spec, zones);
-        // What is to begin needs one place, wherever it is: it is not asked to keep out of the way.
+        let allowed_kinds = self.context.allowed_kinds(spec, zones);
+        // A large idle job that begins with its first task has a better rank: it needs one place only, wherever that
+        // is, so the rules of backfill do not apply to it.
         let backfill = (spec.is_idle() && queued.rank == Rank::Idle).then(|| self.unplaced_requests.clone());
         let overdue = self.cluster.passed_over.is_overdue(queued.id, self.now);
-        let mut demand =
-            Demand::new(queued, self.attribution, backfill, open, self.on_demand_contention.clone(), overdue, self.now);
+        let mut demand = Demand::new(
+            queued,
+            self.attribution,
+            backfill,
+            allowed_kinds,
+            self.on_demand_contention.clone(),
+            overdue,
+            self.now,
+        );
         demand.held_back_tasks.extend(self.intents.stopped_replicas(queued.id));
         demand.avoids_gpu_waste =
             !spec.is_idle() && !overdue && self.reclaim_from_idle(spec, &demand.allowed_kinds, waiting as u64);
@@ -229,50 +253,56 @@
         demand
     }
 
-    /// Whether work that asks for no more has found no room in this plan, and no room is held for this job.
+    /// Whether a job that asks for no more did not fit in this plan, and no machine is reserved for this job.
     fn is_known_unfit(&self, demand: &Demand<'a>, tasks: usize) -> bool {
-        let is_held = |capacity: &FreeCapacity| {
+        let is_reserved_for_job = |capacity: &FreeCapacity| {
             capacity
                 .reservation
-                .is_some_and(|h| h.job == *demand.id || demand.overridden_reservations.contains(&&h.job))
+                .is_some_and(|r| r.job == *demand.id || demand.overridden_reservations.contains(&&r.job))
         };
         !demand.urgent
             && !demand.overdue
             && self.unfit.iter().any(|unfit| unfit.covers(demand.job, tasks, &demand.allowed_kinds))
-            && !self.capacities.iter().any(is_held)
+            && !self.capacities.iter().any(is_reserved_for_job)
     }
 
-    /// How many tasks of a gang fit in each zone that it may use, or in all together.
+    /// Returns how many tasks of a gang fit in each zone that it may use, by zone. A gang that may span zones gets one
+    /// entry, with an empty name, for all zones together.
     pub(super) fn fitting_tasks_by_zone(&self, demand: &Demand<'a>) -> Vec<(&'a str, u64)> {
         let spec = demand.job.spec();
-        let need = demand.job.waiting.len() as u64;
-        let mut units: HashMap<&str, u64> = HashMap::new();
-        let apt = |r: &FreeCapacity| !demand.avoids_gpu_waste || r.gpu_waste(spec) <= 1;
-        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && apt(r)) {
+        let tasks_needed = demand.job.waiting.len() as u64;
+        let mut fitting_tasks: HashMap<&str, u64> = HashMap::new();
+        let avoids_waste = |r: &FreeCapacity| !demand.avoids_gpu_waste || r.gpu_waste(spec) <= 1;
+        for capacity in self.capacities.iter().filter(|r| demand.may_use(r) && avoids_waste(r)) {
             let zone = if spec.same_zone { self.context.zone(capacity.kind) } else { "" };
-            *units.entry(zone).or_default() += capacity.fitting_tasks(spec, need);
+            *fitting_tasks.entry(zone).or_default() += capacity.fitting_tasks(spec, tasks_needed);
         }
-        units.into_iter().collect()
+        fitting_tasks.into_iter().collect()
     }
 
-    /// A gang in one zone is tried zone by zone, since a greedy start may pick a zone too small.
+    /// Places all tasks of a gang or none. A gang that must run in one zone is tried zone by zone, because a greedy
+    /// start may pick a zone that is too small.
     pub(super) fn place_gang(&mut self, demand: &Demand<'a>, zones: &mut JobZones<'a>) -> Vec<PickedTask> {
         let spec = demand.job.spec();
-        let need = demand.job.waiting.len();
+        let tasks_needed = demand.job.waiting.len();
         self.machines_examined += self.capacities.len() as u64;
-        let mut enough: Vec<&str> =
-            self.fitting_tasks_by_zone(demand).into_iter().filter(|(_, n)| *n >= need as u64).map(|(z, _)| z).collect();
-        enough.sort_unstable();
-        for zone in enough {
-            let before = zones.counts();
-            let picks = self.place_greedily(demand, zones, need, Some(zone).filter(|_| spec.same_zone));
-            if picks.len() == need {
+        let mut sufficient_zones: Vec<&str> = self
+            .fitting_tasks_by_zone(demand)
+            .into_iter()
+            .filter(|(_, n)| *n >= tasks_needed as u64)
+            .map(|(z, _)| z)
+            .collect();
+        sufficient_zones.sort_unstable();
+        for zone in sufficient_zones {
+            let previous_counts = zones.counts();
+            let picks = self.place_greedily(demand, zones, tasks_needed, Some(zone).filter(|_| spec.same_zone));
+            if picks.len() == tasks_needed {
                 return picks;
             }
             for pick in &picks {
                 demand.vacate(&mut self.capacities[pick.capacity]);
             }
-            zones.set_counts(before);
+            zones.set_counts(previous_counts);
         }
         Vec::new()
     }
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -191,7 +191,7 @@
     }
     let units = capacity.fitting_tasks(spec, most);
     let zone = ground.zone(capacity.kind);
-    let dear = !capacity.apt(spec);
+    let dear = !capacity.wastes_no_gpus(spec);
     (units > 0).then_some(PreemptionCandidate {
         machine,
         zone,
