--- a/src/scheduling/tests/overload.rs
+++ b/src/scheduling/tests/overload.rs
@@ -110,8 +110,8 @@
     }
 }
 
-/// Simulates two minutes of overload and then time to finish all jobs, and returns how many halting tasks it counted over
-/// all steps. The world checks the rules at every task start, the simulation at every step.
+/// Simulates two minutes of overload and then time to finish all jobs, and returns how many halting tasks it counted
+/// over all steps. The world checks the rules at every task start, the simulation at every step.
 fn simulate_overload(seed: u64) -> usize {
     let mut simulation =
         Simulation::new(&MACHINES.map(|m| (m, if m < "m3" { "a" } else { "b" })), |j| j.estimate_s = 1.0);
@@ -151,13 +151,13 @@
         }
         simulation.cluster.tick(now);
         simulation.world.raise_fencing_token_if_needed(&mut simulation.cluster);
-        let decisions = plan::place(&mut simulation.cluster, &catalog(), now);
-        simulation.cluster.bind_placements(decisions, now);
+        let placements = plan::place(&mut simulation.cluster, &catalog(), now);
+        simulation.cluster.bind_placements(placements, now);
         simulation.world.store_all(&mut simulation.cluster);
         simulation.check();
     }
     let unfinished: Vec<&JobId> =
-        simulation.world.other_jobs.iter().filter(|(_, kept)| kept.ended.is_none()).map(|(id, _)| id).collect();
+        simulation.world.other_jobs.iter().filter(|(_, job)| job.ended.is_none()).map(|(id, _)| id).collect();
     assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?} of {last_job} jobs never finished");
     halting_count
 }
