--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -1,12 +1,12 @@
-//! A guarantee for gangs: the largest gangs of each class begin within a stated time (property `large.begin.seconds`),
-//! as far as their part of the offered work pays for it.
+//! A guarantee for large gangs: the largest gangs of each class begin within a stated time (property
+//! `large.begin.seconds`), as far as their part of the offered work pays for it.
 //!
-//! A gang starts only where all of its tasks fit. In order of return alone, smaller work would take each piece of room
-//! as it comes free, and a large gang would begin only once less work arrives than ends. So the largest gangs earn
+//! A gang starts only where all of its tasks fit. In order of return alone, smaller work would take all capacity as
+//! it comes free, and a large gang would begin only once less work arrives than ends. So the largest gangs earn
 //! credit from the cores that are given to others, in the proportion in which both have offered work. The credit goes
-//! to the gang that has waited longest and can still begin in time: it goes first within its rank, and the room found
-//! for it is reserved until the rest has come free (backfill with one reservation). Where no large gang has waited for
-//! long, nothing of this has an effect.
+//! to the gang that has waited longest and can still begin in time: it goes first within its rank, and the
+//! capacity found for it is reserved until the rest has come free (backfill with one reservation). If no large gang has
+//! waited long, none of this has an effect.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -18,19 +18,20 @@
 use crate::jobs::JobSpec;
 use crate::settings::Properties;
 
-/// From this part of the time within which it is to begin, a large gang may go first.
+/// A large gang may take precedence once it has waited this fraction of the time within which it is to begin.
 pub const PRECEDENCE_AGE_FRACTION: f64 = 0.5;
-/// Heartbeats, a start told and a fetch lie between a place and a beginning.
+/// Time between placement and start: heartbeats, the start command and the image fetch.
 const START_MARGIN: Duration = Duration::from_secs(15);
-/// The largest are one in so many of a class, and whoever is as large.
+/// The largest jobs are one in this many of their class, and all that are as large.
 const LARGEST_DIVISOR: usize = 10;
-/// Sizes remembered of a class, the latest: by these it is told which are its largest.
+/// Maximum latest job sizes kept per class, which determine its largest jobs.
 const MAX_SIZES: usize = 200;
 
-/// How many tasks the latest jobs of a class had.
+/// The task counts of the latest jobs of a class.
 #[derive(Debug, Clone, Default)]
 struct ClassSizes {
     latest: VecDeque<u64>,
+    /// From this many tasks on, a job is among the largest of its class.
     largest_threshold: u64,
 }
 
@@ -46,44 +47,47 @@
     }
 }
 
-/// Offered work in cores, faded with time.
+/// Cores of submitted work, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 struct OfferedCores {
-    /// By the largest gangs.
+    /// Cores of the largest gangs.
     large: f64,
-    /// By all others.
+    /// Cores of all other jobs except idle ones.
     other: f64,
 }
 
-/// What the largest gangs offer and earn.
+/// Tracks the job sizes of each class, the offered work, and the credit that large gangs earn.
 #[derive(Debug)]
 pub struct LargeGangs {
+    /// Latest job sizes by class.
     sizes: LruCache<String, ClassSizes>,
-    /// What is offered fades over this time.
+    /// Time constant of the decay of `offered`.
     fade: Duration,
     offered: OfferedCores,
+    /// The time as of which `offered` has decayed.
     faded_at: Instant,
     core_credit: CoreCredit,
 }
 
 impl LargeGangs {
-    /// Nothing offered or earned yet; what is offered fades over the property `served.window.seconds`.
+    /// Creates a tracker with no offered work and no credit. Offered work decays over the property
+    /// `served.window.seconds`.
     pub fn new(properties: &Properties, now: Instant) -> Self {
         let (sizes, fade) = (LruCache::new(MAX_CLASSES), properties.served_window);
         Self { sizes, fade, offered: OfferedCores::default(), faded_at: now, core_credit: CoreCredit::default() }
     }
 
-    /// Among the largest of its class, and of several tasks.
+    /// Whether the job has several tasks and is among the largest of its class.
     pub fn is_largest(&self, spec: &JobSpec) -> bool {
         spec.tasks > 1 && self.sizes.peek(&spec.class).is_some_and(|sizes| spec.tasks >= sizes.largest_threshold)
     }
 
-    /// Such a one whose tasks start together, and that is not idle work.
+    /// Whether the job is a gang, is not idle work, and is among the largest of its class.
     pub fn is_large_gang(&self, spec: &JobSpec) -> bool {
         spec.is_gang() && !spec.is_idle() && self.is_largest(spec)
     }
 
-    /// A job came so long ago.
+    /// Records a job that was submitted `age` ago.
     pub fn record_offer(&mut self, spec: &JobSpec, age: Duration, now: Instant) {
         if !self.sizes.contains(&spec.class) {
             self.sizes.put(spec.class.clone(), ClassSizes::default());
@@ -94,9 +98,9 @@
         if spec.is_idle() {
             return;
         }
-        let kept = |past: Duration| (-past.as_secs_f64() / self.fade.as_secs_f64()).exp();
-        let faded = kept(now.saturating_duration_since(self.faded_at));
-        let cores = spec.cpus * spec.tasks as f64 * kept(age);
+        let decay = |past: Duration| (-past.as_secs_f64() / self.fade.as_secs_f64()).exp();
+        let faded = decay(now.saturating_duration_since(self.faded_at));
+        let cores = spec.cpus * spec.tasks as f64 * decay(age);
         self.offered.large *= faded;
         self.offered.other *= faded;
         self.faded_at = now;
@@ -107,7 +111,7 @@
         }
     }
 
-    /// A task was given its place.
+    /// Records that a task was placed: large gangs earn credit from placements of others and pay for their own.
     pub fn record_placement(&mut self, spec: &JobSpec) {
         if !spec.is_idle() {
             let part = self.offered.large / self.offered.other.max(1e-9);
@@ -115,19 +119,19 @@
         }
     }
 
-    /// Whether a waiting gang of this age may go first. Not once it is too late for it: then those are served
-    /// that can still be in time, and it has its part of what is given to late work.
-    pub fn may_take_precedence(&self, spec: &JobSpec, age: Duration, within: Duration) -> bool {
-        let patience = within.mul_f64(PRECEDENCE_AGE_FRACTION);
-        self.is_large_gang(spec) && age >= patience && age + START_MARGIN.min(patience) <= within
+    /// Whether a waiting gang of this age may take precedence. It may not once it is too late to begin in time: gangs
+    /// that still can are served then, and this one has its part of what is given to late work.
+    pub fn may_take_precedence(&self, spec: &JobSpec, age: Duration, begin_within: Duration) -> bool {
+        let patience = begin_within.mul_f64(PRECEDENCE_AGE_FRACTION);
+        self.is_large_gang(spec) && age >= patience && age + START_MARGIN.min(patience) <= begin_within
     }
 
-    /// Credit is bounded by what the oldest waiting large gang needs, in cores; nothing is earned where none waits.
-    pub fn bound_credit(&mut self, needs: Option<f64>) {
-        self.core_credit.cap(needs.map(|cores| cores * 2.0));
+    /// Bounds the credit to twice the cores that the oldest waiting large gang needs; nothing is earned if none waits.
+    pub fn bound_credit(&mut self, cores_needed: Option<f64>) {
+        self.core_credit.cap(cores_needed.map(|cores| cores * 2.0));
     }
 
-    /// Cores that large gangs may take before others.
+    /// Returns how many cores large gangs may take before others.
     pub fn credit(&self) -> f64 {
         self.core_credit.cores()
     }
--- a/src/scheduling/passed_over.rs
+++ b/src/scheduling/passed_over.rs
@@ -1,25 +1,26 @@
-//! Jobs that wait although a machine has room for them. Reservations, room kept for gangs or arrivals, soft admission
-//! and the rules of idle work each keep work out for a good reason, and any of them may go on for ever, alone or in
-//! turns. One clock for each job bounds them together.
+//! Jobs that wait although a machine has room for them. Reservations, capacity kept for gangs or arrivals, soft
+//! admission and the rules for idle work each deny capacity to a job for a good reason, but any of them may do so
+//! forever, alone or in turns. One timer per job bounds them together.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use crate::jobs::JobId;
 
-/// After this long beside room, over all reasons together, a job takes any room that fits, but for two: what others
-/// were stopped for stays theirs until they have come or their hold ends, and what is kept for a gang is kept until
-/// somebody has waited for `KEPT_FOR`.
+/// A job that was passed over for this long, for all reasons together, may use any capacity that fits, with two
+/// exceptions: machines on which tasks were preempted stay reserved for the preempting job until it is placed or its
+/// reservation ends, and capacity kept for a gang is kept until some job has been passed over for
+/// `plan::MAX_GANG_RESERVATION`.
 pub const MAX_PASSED_OVER: Duration = Duration::from_secs(45);
 
-/// Since when jobs have waited beside room without a break.
+/// Since when each job has been passed over without a break.
 #[derive(Debug, Default)]
 pub struct PassedOverJobs {
     since: HashMap<JobId, Instant>,
 }
 
 impl PassedOverJobs {
-    /// The jobs that a plan has left waiting beside room; all others begin anew.
+    /// Takes the jobs that a plan has passed over; the timers of all others are reset.
     pub fn update(&mut self, passed_over: HashSet<JobId>, now: Instant) {
         self.since.retain(|id, _| passed_over.contains(id));
         for id in passed_over {
@@ -27,13 +28,13 @@
         }
     }
 
-    /// How long the one that has waited longest has.
+    /// Returns how long the job that has been passed over longest has been.
     pub fn longest_wait(&self, now: Instant) -> Duration {
         let oldest = self.since.values().min();
         oldest.map_or(Duration::ZERO, |since| now.saturating_duration_since(*since))
     }
 
-    /// It has waited beside room for `MAX_PASSED_OVER`.
+    /// Whether the job has been passed over for at least [`MAX_PASSED_OVER`].
     pub fn is_overdue(&self, id: &JobId, now: Instant) -> bool {
         self.since.get(id).is_some_and(|since| now.saturating_duration_since(*since) >= MAX_PASSED_OVER)
     }
