--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -7,7 +7,7 @@
 use super::status::{WindowInstance, WindowStatus};
 use super::step::{JobProgress, StepContext, latest_claim_ms, latest_start_ms, new_claims, record_claim_ends};
 use crate::jobs::{JobId, JobSpec, Shape, Urgency};
-use crate::scheduling::intents::{CapacityIntent, Intents, WindowPlace};
+use crate::scheduling::intents::{CapacityIntent, Intents, WindowPosition};
 
 /// Capacity for an opening is asked for so long ahead; provisioning knows how long boot and fetch take.
 const CAPACITY_AHEAD_MS: u64 = 900_000;
@@ -110,7 +110,7 @@
         if has_started {
             intents
                 .window_turns
-                .insert(claim.job.clone(), WindowPlace { window: name.to_owned(), position: claim.turn });
+                .insert(claim.job.clone(), WindowPosition { window: name.to_owned(), position: claim.turn });
         } else {
             intents.deferred_jobs.insert(claim.job.clone());
         }
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -148,7 +148,7 @@
     pub(super) fn candidate(&self, index: usize, now: Instant) -> Option<Candidate<'a>> {
         let capacity = &self.capacities[index];
         let machine = capacity.machine?;
-        let charged = now.saturating_duration_since(machine.since) >= LEAST_CHARGED;
+        let charged = now.saturating_duration_since(machine.rented_at) >= LEAST_CHARGED;
         let needed = self.packed[index] || self.short[capacity.kind];
         let is_candidate = !needed && machine.state == MachineState::Up && charged;
         is_candidate.then_some(Candidate { index, machine, accelerated: capacity.machine_type.gpus > 0.0 })
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -40,7 +40,7 @@
 }
 
 fn never_came_up(cluster: &ClusterState, catalog: &Catalog, machine: &Machine, now: Instant) -> bool {
-    let age = now.saturating_duration_since(machine.since);
+    let age = now.saturating_duration_since(machine.rented_at);
     let usual_s = catalog.get(&machine.type_name).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s);
     let patience = Duration::from_secs_f64(usual_s * cluster.properties.boot_patience) + BOOT_GRACE;
     // A new leader has not heard yet of machines that were up long before it.
--- a/src/heat/backlog.rs
+++ b/src/heat/backlog.rs
@@ -39,7 +39,7 @@
         for (id, job) in
             waiting.filter(|(id, job)| names.contains_job(job.spec()) && !cluster.attribution.is_job_quarantined(id))
         {
-            let since = job.last_task_end.map_or(job.since, |end| end.max(job.since));
+            let since = job.last_task_end.map_or(job.submitted_at, |end| end.max(job.submitted_at));
             let waited = now.saturating_duration_since(since);
             backlog.jobs += 1;
             if longest.is_none_or(|(most, other)| (waited, other) > (most, id)) {
--- a/src/rollouts/observe.rs
+++ b/src/rollouts/observe.rs
@@ -71,7 +71,7 @@
         running,
         stopping: binding.halt_grace_s.is_some(),
         ran_s: binding.running_since.filter(|_| running).map_or(Duration::ZERO, since).as_secs_f64(),
-        bound_s: since(binding.since).as_secs_f64(),
+        bound_s: since(binding.bound_at).as_secs_f64(),
         ..ObservedReplica::default()
     };
     if let Some(machine) = cluster.machines.get(&binding.machine) {
--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -32,16 +32,21 @@
             .filter(|(id, job)| self.intents.placeable_tasks(id, job) > 0)
             .map(|(_, job)| job)
             .filter(has_waiting_tasks);
-        let late = late.filter(|job| job.is_too_late(now.saturating_duration_since(job.since)));
-        let cores_needed = late.min_by_key(|job| job.since).map(JobState::min_start_cores);
+        let late = late.filter(|job| job.is_too_late(now.saturating_duration_since(job.submitted_at)));
+        let cores_needed = late.min_by_key(|job| job.submitted_at).map(JobState::min_start_cores);
         self.core_credit.cap(cores_needed);
         let waiting = self.jobs.iter().filter(|(id, _)| !self.attribution.is_job_quarantined(id)).map(|(_, job)| job);
         let waiting = waiting.filter(has_waiting_tasks);
         let start_target = self.properties.large_begin;
         let may_go_first = |job: &&JobState| {
-            self.large_gangs.may_take_precedence(job.spec(), now.saturating_duration_since(job.since), start_target)
+            self.large_gangs.may_take_precedence(
+                job.spec(),
+                now.saturating_duration_since(job.submitted_at),
+                start_target,
+            )
         };
-        let cores_needed = waiting.filter(may_go_first).min_by_key(|job| job.since).map(JobState::min_start_cores);
+        let cores_needed =
+            waiting.filter(may_go_first).min_by_key(|job| job.submitted_at).map(JobState::min_start_cores);
         self.large_gangs.bound_credit(cores_needed);
     }
 
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -16,7 +16,7 @@
         self.replan_needed |= self.intents.priority_boost.is_some() && !placements.is_empty();
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
-                let late = job.is_too_late(now.saturating_duration_since(job.since));
+                let late = job.is_too_late(now.saturating_duration_since(job.submitted_at));
                 self.core_credit.record_placement(job.spec().cpus, late, self.properties.served_late);
                 self.large_gangs.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -86,13 +86,13 @@
     }
 
     /// The state of a job none of whose tasks was placed yet.
-    fn new_job_state(&self, record: Arc<JobRecord>, since: Instant, now: Instant) -> JobState {
+    fn new_job_state(&self, record: Arc<JobRecord>, submitted_at: Instant, now: Instant) -> JobState {
         let n = record.spec.tasks as usize;
         let agreement = self.agreement(&record.spec);
         let promises = promises_of(&self.settings.params.objectives, &record.spec, &agreement);
         JobState {
             agreement,
-            since,
+            submitted_at,
             tasks: vec![Task { attempt: 0, phase: Phase::Waiting, stored: true }; n],
             waiting: (0..n as u32).collect(),
             bound: BTreeSet::new(),
@@ -191,7 +191,7 @@
     pub fn representative_job(&self, arrivals: &Arrivals) -> Option<&JobState> {
         self.jobs.get(&arrivals.latest.spec.id).or_else(|| {
             let same = |j: &&JobState| j.record.spec.class == arrivals.latest.spec.class;
-            self.jobs.values().filter(same).max_by_key(|j| j.since)
+            self.jobs.values().filter(same).max_by_key(|j| j.submitted_at)
         })
     }
 
@@ -243,7 +243,7 @@
         }
         job.has_run = true;
         info!(job = %id, "job started");
-        let waited = now.saturating_duration_since(job.since);
+        let waited = now.saturating_duration_since(job.submitted_at);
         debug!(job = %id, wait_ms = waited.as_millis() as u64, "job wait measured");
         // A start by an earlier leader was counted by that leader; this one only learns of it late.
         let started_here = job.bound.iter().filter_map(|i| job.binding(*i)).all(|b| !b.inherited);
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -22,8 +22,16 @@
 }
 
 impl ClusterState {
-    /// Adds a machine that was rented or that the cloud lists, before it reports. `held`: the time since its rental.
-    pub fn expect_machine(&mut self, id: &str, kind: &MachineKind, addr: Option<&str>, held: Duration, now: Instant) {
+    /// Adds a machine that was rented or that the cloud lists, before it reports. `rented_for`: the time since its
+    /// rental.
+    pub fn expect_machine(
+        &mut self,
+        id: &str,
+        kind: &MachineKind,
+        addr: Option<&str>,
+        rented_for: Duration,
+        now: Instant,
+    ) {
         let id: MachineId = id.into();
         if self.returned_machine_ids.contains(&id) {
             return;
@@ -32,7 +40,7 @@
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
         // A new leader may learn of a machine before it is told when the machine was rented.
-        machine.since = machine.since.min(now.checked_sub(held).unwrap_or(now));
+        machine.rented_at = machine.rented_at.min(now.checked_sub(rented_for).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
             machine.zone = kind.zone.clone();
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -31,7 +31,7 @@
 pub use machines::TaskMove;
 pub use model::{
     Arrivals, Binding, CapacityIntent, Intents, JobState, Machine, MachineId, MachineState, Phase, Placement,
-    PriorityBoost, ReplicaIntent, Reservation, Task, TeamUsage, WindowPlace,
+    PriorityBoost, ReplicaIntent, Reservation, Task, TeamUsage, WindowPosition,
 };
 pub use storing::ShardWrite;
 use storing::UnstoredShards;
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -9,7 +9,7 @@
 
 /// A job's position in the order of its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WindowPlace {
+pub struct WindowPosition {
     /// The name of the window.
     pub window: String,
     /// The job's position in the window's order; lower ones go first.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Intents {
     /// Jobs whose turn in their window has come; within a window, lower positions go first.
-    pub window_turns: HashMap<JobId, WindowPlace>,
+    pub window_turns: HashMap<JobId, WindowPosition>,
     /// Jobs whose turn has not come: they are not placed, and no capacity is reserved or rented for them.
     pub deferred_jobs: HashSet<JobId>,
     /// Classes and teams that go ahead at present.
--- a/src/scheduling/cluster/model/job.rs
+++ b/src/scheduling/cluster/model/job.rs
@@ -27,7 +27,7 @@
     /// The grace period in seconds for saving a checkpoint, if the task is being stopped.
     pub halt_grace_s: Option<u64>,
     /// When the binding was made or read from the store.
-    pub since: Instant,
+    pub bound_at: Instant,
 }
 
 impl Binding {
@@ -39,7 +39,7 @@
             status: None,
             running_since: None,
             halt_grace_s: None,
-            since: now,
+            bound_at: now,
         }
     }
 
@@ -112,7 +112,7 @@
     /// Run time, deadline, budget and penalty rate, by which the job's tasks are admitted and ordered.
     pub agreement: Agreement,
     /// When its user first submitted the job, by this process's monotonic clock.
-    pub since: Instant,
+    pub submitted_at: Instant,
     /// All tasks, by number.
     pub tasks: Vec<Task>,
     /// Numbers of the tasks that wait for placement.
--- a/src/scheduling/cluster/model/mod.rs
+++ b/src/scheduling/cluster/model/mod.rs
@@ -9,7 +9,7 @@
 mod team_usage;
 
 pub use arrivals::Arrivals;
-pub use intents::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPlace};
+pub use intents::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPosition};
 pub use job::{Binding, JobState, Phase, Task};
 pub(super) use load::task_load;
 #[cfg(test)]
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -56,7 +56,7 @@
 /// Suspended jobs, by id.
 pub(super) type SuspendedJobs = BTreeMap<JobId, SuspendedJob>;
 
-/// The highest attempt number of a task whose shard was last changed at this revision.
+/// The highest attempt number that is possible for a task whose shard was last changed at this revision.
 fn last_hidden_attempt(version: u64) -> u64 {
     HIDDEN_ATTEMPT_BASE.saturating_add(version).min(MOST_ATTEMPTS)
 }
@@ -64,7 +64,7 @@
 /// Whether a machine may run tasks of an earlier leader that it has not reported to this leader yet.
 fn may_run_unknown_tasks(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
     machine.fencing_token < first_fencing_token
-        && (machine.reported() || machine.report_expected() || machine.since <= loaded_at)
+        && (machine.reported() || machine.report_expected() || machine.rented_at <= loaded_at)
 }
 
 impl ClusterState {
--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -41,7 +41,7 @@
     let mut due = DueJobCounts::default();
     for (id, job) in cluster.jobs().filter(|(_, job)| job.ended.is_none() && !job.is_complete()) {
         if let Some(within) = job.spec().due() {
-            let age = now.saturating_duration_since(job.since);
+            let age = now.saturating_duration_since(job.submitted_at);
             due.record(id, within, job.agreement.run_time, age, job.never_placed_fraction() < 1.0);
         }
     }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -288,7 +288,10 @@
         let (ends, shards) = self.cluster.next_writes(10_000, now);
         self.cluster.record_stored_shards(&shards, u64::from(t));
         for job in ends {
-            let age = self.cluster.job(&job.spec.id).map_or(Duration::ZERO, |j| now.saturating_duration_since(j.since));
+            let age = self
+                .cluster
+                .job(&job.spec.id)
+                .map_or(Duration::ZERO, |j| now.saturating_duration_since(j.submitted_at));
             self.accounting.record_end(&job, Some(End::Done), age, now);
             let promised_s = if job.spec.class == "small" { 100.0 } else { 200.0 };
             if age.as_secs_f64() <= promised_s {
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -44,7 +44,7 @@
         let capacity = ground.capacity(machine)?;
         let from = match machine.state {
             MachineState::Booting => Duration::from_secs_f64(capacity.machine_type.boot_s)
-                .saturating_sub(now.saturating_duration_since(machine.since)),
+                .saturating_sub(now.saturating_duration_since(machine.rented_at)),
             _ => Duration::ZERO,
         };
         let mut timeline = Self::new(capacity, from.as_secs_f64());
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use super::capacity::{AMOUNT_TOLERANCE, CapacityContext, FreeCapacity, JobZones, is_schedulable, suspect_timeout};
-pub use super::cluster::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPlace};
+pub use super::cluster::{CapacityIntent, Intents, PriorityBoost, ReplicaIntent, WindowPosition};
 use super::cluster::{ClusterState, MachineId, MachineState};
 use super::fairness::floor::Rank;
 use super::plan;
@@ -89,7 +89,7 @@
 
 /// Jobs of one window take the places that they have in the order of their turns. Where they stand
 /// apart for other reasons, as one that is below the floor, the later turn waits behind the earlier.
-fn order_by_window_turn(intended: &HashMap<JobId, WindowPlace>, queued_jobs: &mut [plan::QueuedJob]) {
+fn order_by_window_turn(intended: &HashMap<JobId, WindowPosition>, queued_jobs: &mut [plan::QueuedJob]) {
     let mut windows: BTreeMap<&str, Vec<(usize, u32)>> = BTreeMap::new();
     for (at, queued) in queued_jobs.iter().enumerate().filter(|(_, t)| !t.quarantined) {
         if let Some(intent) = intended.get(queued.id) {
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -60,7 +60,7 @@
 }
 
 fn queued<'a>(cluster: &ClusterState, id: &'a JobId, job: &'a JobState, now: Instant) -> QueuedJob<'a> {
-    let age = now.saturating_duration_since(job.since);
+    let age = now.saturating_duration_since(job.submitted_at);
     let late = job.is_too_late(age);
     let first = cluster.underserved.prioritized.contains_job(job.spec()) || cluster.intents.prioritizes_replicas(id);
     QueuedJob {
--- a/src/scheduling/service_report.rs
+++ b/src/scheduling/service_report.rs
@@ -14,7 +14,7 @@
 pub(super) fn update_accounting(account: &mut FairShareAccounting, cluster: &mut ClusterState, now: Instant) {
     for (id, event, at) in cluster.take_accounting_events() {
         if let Some(job) = cluster.job(&id) {
-            account.record_event(event, job.spec(), &job.promises, at.saturating_duration_since(job.since), at);
+            account.record_event(event, job.spec(), &job.promises, at.saturating_duration_since(job.submitted_at), at);
         }
     }
     // Not counted as unserved: quarantined jobs, jobs whose window has not come, and replicas that a rollout holds
@@ -27,7 +27,7 @@
     let open = open.map(|(_, job)| OpenJob {
         spec: job.spec(),
         promises: &job.promises,
-        age: now.saturating_duration_since(job.since),
+        age: now.saturating_duration_since(job.submitted_at),
         run_time: job.agreement.run_time,
         has_waiting_tasks: !job.waiting.is_empty(),
         unstarted_share: job.never_placed_fraction(),
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::fairness::Subject;
 use crate::scheduling::fairness::floor::{ClassTeamSet, Rank, Underserved};
-use crate::scheduling::intents::{CapacityIntent, Intents, PriorityBoost, WindowPlace};
+use crate::scheduling::intents::{CapacityIntent, Intents, PriorityBoost, WindowPosition};
 
 fn class_set(name: &str) -> ClassTeamSet {
     ClassTeamSet::from_subjects([(Subject::Class, name)].into_iter())
@@ -102,7 +102,7 @@
         let (mut without_intents, now) = random_cluster(seed, start);
         let (mut cluster, _) = random_cluster(seed, start);
         cluster.set_intents(Intents {
-            window_turns: [(job_id(900), WindowPlace { window: "w".into(), position: 1 })].into(),
+            window_turns: [(job_id(900), WindowPosition { window: "w".into(), position: 1 })].into(),
             deferred_jobs: [job_id(901)].into(),
             priority_boost: Some(PriorityBoost { names: class_set("nobody"), max_core_share: 0.5 }),
             capacity: vec![CapacityIntent { task_spec: spec(), tasks: 0, needed_in_s: 0.0 }],
@@ -129,7 +129,7 @@
         add_job(&mut cluster, 8, now, |j| (j.class, j.urgency, j.estimate_s) = ("x".into(), Urgency::High, 30.0));
         cluster
     };
-    let turn = |n: u32, window: &str, number| (job_id(n), WindowPlace { window: window.into(), position: number });
+    let turn = |n: u32, window: &str, number| (job_id(n), WindowPosition { window: window.into(), position: number });
     let boost = |max_core_share| Some(PriorityBoost { names: class_set("h"), max_core_share });
     let add_usage =
         |cluster: &mut ClusterState| cluster.team_usage.insert("blue".into(), TeamUsage { cpus: 100.0, gpus: 0.0 });
@@ -246,7 +246,7 @@
         }
         let mut rng = StdRng::seed_from_u64(seed);
         cluster.intents.window_turns = ids.iter().filter(|(n, _)| n % 3 > 0).map(|(n, id)| {
-            (id.clone(), WindowPlace { window: format!("w{}", n % 3), position: rng.random_range(1..20) })
+            (id.clone(), WindowPosition { window: format!("w{}", n % 3), position: rng.random_range(1..20) })
         }).collect();
         let queued_jobs = plan::queue(&cluster, now);
         prop_assert_eq!(queued_jobs.len(), order_without_intents.len());
