--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -10,51 +10,59 @@
 use crate::jobs::JobSpec;
 use crate::settings::Objective;
 
-/// Kinds of waiting work remembered in one plan: more say nothing new.
+/// Maximum distinct unplaced requests recorded in one plan; more would add no information.
 const MAX_UNPLACED_REQUESTS: usize = 12;
 
-/// A task that takes no more than this part of a machine is tiny, and waits this long for a better place.
+/// A task that takes at most this fraction of a machine is tiny.
 const TINY_TASK_FRACTION: f64 = 1.0 / 32.0;
+/// A tiny task waits this long for a better place before it takes any gap that no waiting work fits.
 const TINY_TASK_WAIT: Duration = Duration::from_secs(15);
-/// The part of a machine that idle work may take beside anything else.
+/// Idle work may take this fraction of a machine beside any other work.
 const SMALL_IDLE_FRACTION: f64 = 1.0 / 16.0;
-/// Idle tasks need about this long to be gone, saving and reports included: so much of the arrivals of
-/// classes whose users are promised a start sooner than machines boot finds room that is kept free.
+/// Approximate time until preempted idle tasks are gone, including saving and reports. For classes with a promised
+/// start sooner than machines boot, capacity is kept free for the arrivals expected in this time.
 const IDLE_EVICTION_TIME: Duration = Duration::from_secs(10);
 
-/// Tasks like the last of a class for which idle work leaves room, by how many come a second.
+/// Returns for how many tasks like `spec`, the latest of its class, idle work leaves capacity free, given how many
+/// arrive per second.
 pub fn tasks_kept_free_for(spec: &JobSpec, per_second: f64, objectives: &[Objective], boot_s: f64) -> u64 {
-    let prompt = objectives.iter().any(|o| o.kind == "wait" && o.class == spec.class && o.within_s < boot_s);
-    if spec.is_idle() || !prompt { 0 } else { (per_second * IDLE_EVICTION_TIME.as_secs_f64()).ceil() as u64 }
+    let promised_before_boot =
+        objectives.iter().any(|o| o.kind == "wait" && o.class == spec.class && o.within_s < boot_s);
+    if spec.is_idle() || !promised_before_boot {
+        0
+    } else {
+        (per_second * IDLE_EVICTION_TIME.as_secs_f64()).ceil() as u64
+    }
 }
 
-/// What idle work may cause at the cloud and to machines.
+/// Whether machines may be rented and kept for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IdlePermissions {
-    /// Machines of this kind may be rented for it.
+    /// Whether machines of this kind may be rented for the job.
     pub rent: bool,
-    /// A machine of this kind is kept for it, where it could be spared.
+    /// Whether a machine of this kind is kept for the job when scale-in could return it.
     pub keep: bool,
 }
 
-/// For work of any urgency: what it may cause of a kind of machine. `dearer`: what a task costs there,
-/// against the cheapest kind open to it; `most_dear`: how much dearer a kind idle work may take.
-/// `overdue`: it has waited for longer than it runs, and would for ever where the cheap kinds are refused.
+/// Returns whether machines of a kind may be rented and kept for a job of any urgency. `relative_price`: the price of a
+/// task there relative to the cheapest kind that the job allows; `max_relative_price`: the limit of that for idle work.
+/// `overdue`: the job has waited longer than it runs, so the limit no longer applies: where the cloud refuses the cheap
+/// kinds, it would wait forever.
 pub fn idle_permissions(
     spec: &JobSpec,
     offer: &CapacityOffer,
-    dearer: f64,
-    most_dear: f64,
+    relative_price: f64,
+    max_relative_price: f64,
     overdue: bool,
 ) -> IdlePermissions {
     if !spec.is_idle() {
         return IdlePermissions { rent: true, keep: true };
     }
-    let apt = offer.wastes_no_gpus(spec);
-    IdlePermissions { rent: apt && (dearer <= most_dear || overdue), keep: apt }
+    let wastes_no_gpus = offer.wastes_no_gpus(spec);
+    IdlePermissions { rent: wastes_no_gpus && (relative_price <= max_relative_price || overdue), keep: wastes_no_gpus }
 }
 
-/// A waiting task of other than idle work: what it asks of a machine, and where it may go.
+/// A request of work other than idle work that found no capacity, with the machine kinds it allows.
 #[derive(Debug, Clone)]
 struct UnplacedRequest {
     cpus: f64,
@@ -64,6 +72,7 @@
 }
 
 impl UnplacedRequest {
+    /// Whether the request fits into the free capacity.
     fn fits(&self, capacity: &FreeCapacity) -> bool {
         self.cpus <= capacity.cpus + AMOUNT_TOLERANCE
             && self.gpus <= capacity.gpus + AMOUNT_TOLERANCE
@@ -71,64 +80,68 @@
     }
 }
 
-/// What more urgent work found no room for in a plan.
+/// The requests of work more urgent than idle work that found no capacity in a plan, which idle work must not block.
 #[derive(Debug, Clone, Default)]
 pub struct Backfill {
     unplaced: Vec<UnplacedRequest>,
 }
 
 impl Backfill {
-    /// Work like this found no room. What fails everywhere keeps nobody out.
-    pub fn record_unplaced(&mut self, spec: &JobSpec, open: &[bool], quarantined: bool) {
+    /// Records that a job found no capacity. Quarantined jobs, which have failed everywhere, are left out, so that they
+    /// block no idle work.
+    pub fn record_unplaced(&mut self, spec: &JobSpec, allowed_kinds: &[bool], quarantined: bool) {
         if spec.is_idle() || quarantined || self.unplaced.len() >= MAX_UNPLACED_REQUESTS {
             return;
         }
-        let covered = |w: &UnplacedRequest| {
+        let is_covered_by = |w: &UnplacedRequest| {
             w.cpus <= spec.cpus
                 && w.gpus <= spec.gpus
                 && w.memory_gb <= spec.memory_gb
-                && open.iter().zip(&w.allowed_kinds).all(|(mine, theirs)| *theirs || !mine)
+                && allowed_kinds
+                    .iter()
+                    .zip(&w.allowed_kinds)
+                    .all(|(allowed, allowed_before)| *allowed_before || !allowed)
         };
-        if !self.unplaced.iter().any(covered) {
+        if !self.unplaced.iter().any(is_covered_by) {
             let (cpus, gpus, memory_gb) = (spec.cpus, spec.gpus, spec.memory_gb);
-            self.unplaced.push(UnplacedRequest { cpus, gpus, memory_gb, allowed_kinds: open.to_vec() });
+            self.unplaced.push(UnplacedRequest { cpus, gpus, memory_gb, allowed_kinds: allowed_kinds.to_vec() });
         }
     }
 
-    /// Whether an idle task may start in this room: not where it alone would keep a machine with
-    /// accelerators that it has no use for, and not where waiting work would fit once the idle work
-    /// there is stopped.
-    /// `waited`: how long it has waited for that.
+    /// Whether an idle task may start in this free capacity: not where idle work alone would keep a machine with
+    /// accelerators that it leaves unused, and not where waiting work would fit once the idle work there is preempted.
+    /// `waited`: how long the job has waited.
     pub fn allows_start(&self, spec: &JobSpec, capacity: &FreeCapacity, waited: Duration) -> bool {
-        let apt = capacity.wastes_no_gpus(spec);
-        let free = capacity.without_idle();
-        let alone = free.cpus >= capacity.machine_type.cpus - AMOUNT_TOLERANCE;
+        let wastes_no_gpus = capacity.wastes_no_gpus(spec);
+        let without_idle = capacity.without_idle();
+        let idle_only = without_idle.cpus >= capacity.machine_type.cpus - AMOUNT_TOLERANCE;
         if capacity.kept_for_arrivals {
             return false;
         }
-        // Of a machine that is being left it has what the rest leaves over, and saves when that is gone.
+        // On a draining machine idle work uses what other tasks leave over, and must save when those have ended.
         if capacity.draining && spec.checkpoint_s <= 0.0 {
             return false;
         }
-        // Machines that it uses as they are it has whole, so that whole ones come free when it gives way; of
-        // others it fills what is over. Of any it may have so little that hardly anything is kept out by it.
-        let little = |idle: f64, more: f64, all: f64| idle + more <= all * SMALL_IDLE_FRACTION + AMOUNT_TOLERANCE;
-        let little = little(capacity.idle_usage.0, spec.cpus, capacity.machine_type.cpus)
-            && little(capacity.idle_usage.2, spec.memory_gb, capacity.machine_type.memory_gb);
-        // What is tiny and has waited takes any hole that nobody waits for.
+        // Idle work takes machines without unused accelerators whole, so that whole machines come free when it is
+        // preempted; on other machines it fills what is left over. On any machine it may use so little that it blocks
+        // hardly anything.
+        let is_small = |idle: f64, more: f64, total: f64| idle + more <= total * SMALL_IDLE_FRACTION + AMOUNT_TOLERANCE;
+        let small = is_small(capacity.idle_usage.0, spec.cpus, capacity.machine_type.cpus)
+            && is_small(capacity.idle_usage.2, spec.memory_gb, capacity.machine_type.memory_gb);
+        // A tiny task that has waited takes any gap that no waiting work fits.
         let tiny = spec.cpus <= capacity.machine_type.cpus * TINY_TASK_FRACTION
             && spec.memory_gb <= capacity.machine_type.memory_gb * TINY_TASK_FRACTION;
-        let whole = apt && !capacity.draining;
-        if whole != alone && !(whole && (little || (tiny && waited >= TINY_TASK_WAIT))) {
+        let takes_whole_machine = wastes_no_gpus && !capacity.draining;
+        if takes_whole_machine != idle_only && !(takes_whole_machine && (small || (tiny && waited >= TINY_TASK_WAIT))) {
             return false;
         }
-        // What is free here but for idle work would be taken from who waits for it.
-        let mut after = *capacity;
-        after.allocate(spec);
+        // Waiting work that would fit here once idle work is preempted must fit still with this task placed.
+        let mut with_task = *capacity;
+        with_task.allocate(spec);
         !self
             .unplaced
             .iter()
-            .any(|w| w.allowed_kinds.get(capacity.kind) == Some(&true) && w.fits(&free) && !w.fits(&after))
+            .any(|w| w.allowed_kinds.get(capacity.kind) == Some(&true) && w.fits(&without_idle) && !w.fits(&with_task))
     }
 }
 
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -4,32 +4,40 @@
 use crate::machine_kinds::MachineType;
 use crate::machine_kinds::tests::machine_type;
 
-fn of(cpus: f64, gpus: f64) -> MachineType {
+fn type_of(cpus: f64, gpus: f64) -> MachineType {
     machine_type("t", cpus, gpus, 1.0)
 }
 
 #[test]
-fn what_idle_work_may_cause_by_cases() {
-    let (plain, dear) = (of(16.0, 0.0), of(16.0, 2.0));
-    for (name, urgency, gpus, of, dearer, overdue, want) in [
-        ("normal work, anything", Urgency::Normal, 0.0, &dear, 14.0, false, (true, true)),
-        ("idle work, the cheapest", Urgency::Idle, 0.0, &plain, 1.0, false, (true, true)),
-        ("idle work, three times as dear", Urgency::Idle, 0.0, &plain, 3.0, false, (true, true)),
-        ("idle work, too dear: kept where it is there", Urgency::Idle, 0.0, &plain, 5.0, false, (false, true)),
-        ("the same, waiting for longer than it runs", Urgency::Idle, 0.0, &plain, 5.0, true, (true, true)),
-        ("idle work, accelerators it has no use for", Urgency::Idle, 0.0, &dear, 1.0, true, (false, false)),
-        ("idle work that uses accelerators", Urgency::Idle, 1.0, &dear, 2.0, false, (true, true)),
+fn idle_work_may_rent_and_keep_only_cheap_machines_without_unused_gpus() {
+    let (plain, with_gpus) = (type_of(16.0, 0.0), type_of(16.0, 2.0));
+    for (name, urgency, gpus, machine_type, relative_price, overdue, want) in [
+        ("normal work, any machine", Urgency::Normal, 0.0, &with_gpus, 14.0, false, (true, true)),
+        ("idle work, cheapest kind", Urgency::Idle, 0.0, &plain, 1.0, false, (true, true)),
+        ("idle work, three times the cheapest price", Urgency::Idle, 0.0, &plain, 3.0, false, (true, true)),
+        ("idle work, too expensive: existing machines are kept", Urgency::Idle, 0.0, &plain, 5.0, false, (false, true)),
+        (
+            "idle work, too expensive, but waiting longer than it runs",
+            Urgency::Idle,
+            0.0,
+            &plain,
+            5.0,
+            true,
+            (true, true),
+        ),
+        ("idle work, accelerators unused", Urgency::Idle, 0.0, &with_gpus, 1.0, true, (false, false)),
+        ("idle work, accelerators used", Urgency::Idle, 1.0, &with_gpus, 2.0, false, (true, true)),
     ] {
         let job = JobSpec { urgency, gpus, ..spec() };
-        let offer = CapacityOffer { machine_type: of, zone: "a", spot: false };
-        let got = idle_permissions(&job, &offer, dearer, 3.0, overdue);
+        let offer = CapacityOffer { machine_type, zone: "a", spot: false };
+        let got = idle_permissions(&job, &offer, relative_price, 3.0, overdue);
         assert_eq!((got.rent, got.keep), want, "{name}");
     }
 }
 
 #[test]
-fn what_is_kept_free_by_cases() {
-    let asks = |class: &str, within_s| Objective {
+fn capacity_is_kept_free_only_for_classes_promised_a_start_before_boot() {
+    let wait_objective = |class: &str, within_s| Objective {
         kind: "wait".into(),
         class: class.into(),
         within_s,
@@ -37,40 +45,40 @@
         share: 0.8,
     };
     for (name, urgency, within_s, class, want) in [
-        ("promised sooner than a boot", Urgency::Normal, 15.0, "c", 25),
-        ("promised later than that", Urgency::Normal, 60.0, "c", 0),
-        ("promised to others", Urgency::Normal, 15.0, "d", 0),
-        ("idle itself", Urgency::Idle, 15.0, "c", 0),
+        ("start promised sooner than a boot", Urgency::Normal, 15.0, "c", 25),
+        ("start promised later than a boot", Urgency::Normal, 60.0, "c", 0),
+        ("start promised to another class", Urgency::Normal, 15.0, "d", 0),
+        ("idle job", Urgency::Idle, 15.0, "c", 0),
     ] {
         let job = JobSpec { urgency, class: "c".into(), ..spec() };
-        assert_eq!(tasks_kept_free_for(&job, 2.5, &[asks(class, within_s)], 30.0), want, "{name}");
+        assert_eq!(tasks_kept_free_for(&job, 2.5, &[wait_objective(class, within_s)], 30.0), want, "{name}");
     }
 }
 
 #[test]
-fn where_idle_work_may_start_by_cases() {
-    let (plain, dear) = (of(16.0, 0.0), of(16.0, 2.0));
-    let (gang, wide) = (JobSpec { cpus: 15.0, ..spec() }, of(17.0, 0.0));
-    // (name, machine, taken by others, taken by idle work, is being left, what waits, allowed)
-    for (name, of, others, idle, leaving, waits, want) in [
-        ("an empty machine", &plain, 0.0, 0.0, false, None, true),
-        ("an empty machine with accelerators", &dear, 0.0, 0.0, false, None, false),
-        ("one with nothing but idle work", &dear, 0.0, 4.0, false, None, false),
-        ("what others leave over of it", &dear, 6.0, 4.0, false, None, true),
-        ("a machine that a gang waits for", &plain, 0.0, 4.0, false, Some(&gang), false),
-        ("one that others use as well", &plain, 4.0, 4.0, false, None, false),
-        ("one that would still hold the gang", &wide, 0.0, 0.5, false, Some(&gang), true),
-        ("one that is being left, beside others", &plain, 4.0, 4.0, true, None, true),
-        ("one that the others have left", &plain, 0.0, 4.0, true, None, false),
+fn idle_work_starts_only_where_it_blocks_no_waiting_work() {
+    let (plain, with_gpus) = (type_of(16.0, 0.0), type_of(16.0, 2.0));
+    let (gang, wide) = (JobSpec { cpus: 15.0, ..spec() }, type_of(17.0, 0.0));
+    // (name, machine, cores used by other work, cores used by idle work, draining, waiting job, allowed)
+    for (name, machine_type, other_cpus, idle_cpus, draining, waiting, want) in [
+        ("empty machine", &plain, 0.0, 0.0, false, None, true),
+        ("empty machine with accelerators", &with_gpus, 0.0, 0.0, false, None, false),
+        ("machine with accelerators and idle work only", &with_gpus, 0.0, 4.0, false, None, false),
+        ("machine with accelerators that other work uses", &with_gpus, 6.0, 4.0, false, None, true),
+        ("machine on which a waiting gang would fit", &plain, 0.0, 4.0, false, Some(&gang), false),
+        ("machine without accelerators that other work uses", &plain, 4.0, 4.0, false, None, false),
+        ("machine on which the gang would fit still", &wide, 0.0, 0.5, false, Some(&gang), true),
+        ("draining machine that other work uses", &plain, 4.0, 4.0, true, None, true),
+        ("draining machine without other work", &plain, 0.0, 4.0, true, None, false),
     ] {
-        let mut capacity = FreeCapacity::empty(of, 0);
-        (capacity.idle_usage, capacity.draining) = ((idle, 0.0, 0.0), leaving);
-        capacity.add(-others - idle, 0.0, 0.0);
+        let mut capacity = FreeCapacity::empty(machine_type, 0);
+        (capacity.idle_usage, capacity.draining) = ((idle_cpus, 0.0, 0.0), draining);
+        capacity.add(-other_cpus - idle_cpus, 0.0, 0.0);
         let mut backfill = Backfill::default();
-        if let Some(spec) = waits {
+        if let Some(spec) = waiting {
             backfill.record_unplaced(spec, &[true], false);
             backfill.record_unplaced(spec, &[true], false);
-            assert_eq!(backfill.unplaced.len(), 1, "like asks are one");
+            assert_eq!(backfill.unplaced.len(), 1, "equal requests are recorded once");
         }
         let job = JobSpec { urgency: Urgency::Idle, checkpoint_s: 30.0, ..spec() };
         assert_eq!(backfill.allows_start(&job, &capacity, Duration::ZERO), want, "{name}");
@@ -78,14 +86,23 @@
     let mut shared = FreeCapacity::empty(&plain, 0);
     shared.add(-4.0, 0.0, -4.0);
     let tiny = JobSpec { urgency: Urgency::Idle, cpus: 0.25, ..spec() };
-    assert!(Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "a little of it is left to the tiny");
+    assert!(
+        Backfill::default().allows_start(&tiny, &shared, Duration::ZERO),
+        "a tiny task may use a small part beside other work"
+    );
     shared.idle_usage.0 = 1.0;
-    assert!(!Backfill::default().allows_start(&tiny, &shared, Duration::ZERO), "and no more than that");
-    assert!(Backfill::default().allows_start(&tiny, &shared, TINY_TASK_WAIT), "before it would wait for ever");
+    assert!(
+        !Backfill::default().allows_start(&tiny, &shared, Duration::ZERO),
+        "a tiny task may not exceed the small part"
+    );
+    assert!(
+        Backfill::default().allows_start(&tiny, &shared, TINY_TASK_WAIT),
+        "a tiny task that has waited may use any gap"
+    );
     let mut kept = FreeCapacity::empty(&plain, 0);
     kept.kept_for_arrivals = true;
-    assert!(!Backfill::default().allows_start(&spec(), &kept, TINY_TASK_WAIT), "kept for prompt arrivals");
+    assert!(!Backfill::default().allows_start(&spec(), &kept, TINY_TASK_WAIT), "capacity kept for arrivals is denied");
     let mut backfill = Backfill::default();
     backfill.record_unplaced(&gang, &[true], true);
-    assert!(backfill.unplaced.is_empty(), "what fails everywhere keeps nobody out");
+    assert!(backfill.unplaced.is_empty(), "quarantined jobs block no idle work");
 }
