--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -123,8 +123,8 @@
             return false;
         }
         // Idle work takes machines without unused accelerators whole, so that whole machines come free when it is
-        // preempted; on other machines it fills what is left over. On any machine it may use so little that it blocks
-        // hardly anything.
+        // preempted; on other machines it fills what is left over. A machine that other work uses it may share if it
+        // takes so little that it blocks hardly anything.
         let is_small = |idle: f64, more: f64, total: f64| idle + more <= total * SMALL_IDLE_FRACTION + AMOUNT_TOLERANCE;
         let small = is_small(capacity.idle_usage.0, spec.cpus, capacity.machine_type.cpus)
             && is_small(capacity.idle_usage.2, spec.memory_gb, capacity.machine_type.memory_gb);
