--- a/src/scheduling/failure_attribution/tests.rs
+++ b/src/scheduling/failure_attribution/tests.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn sequences_of_failures_convict_only_faulty_machines_and_jobs() {
+fn sequences_of_failures_identify_only_faulty_machines_and_jobs() {
     let none: &[&str] = &[];
     let cases: [(&str, &str, &[&str], &[&str]); 10] = [
         ("faulty job fails often on one machine, then on two more", "a0@m1 a1@m1 a2@m1 a3@m2 a4@m3", none, &["a"]),
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -1,10 +1,10 @@
 //! Detects machines with a one-way partition: their heartbeats arrive, so that they look alive, but answers and
-//! commands may not reach them. Judged by answers that had to show an effect in the next heartbeat and did not: a
+//! commands may not reach them. The evidence is answers that had to show an effect in the next heartbeat and did not: a
 //! higher fencing token to learn, a launch to report, a lease to renew (docs/operations.md, "Machines that do not
 //! hear").
 //!
-//! The leader keeps this in memory; a successor judges anew. There is no I/O here and no clock is read, and safety does
-//! not depend on the verdict: a task on such a machine stays bound until it is proven gone.
+//! The leader keeps this state in memory; a successor starts anew. There is no I/O here and no clock is read, and
+//! safety does not depend on the verdict: a task on such a machine stays bound until it is proven gone.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,95 +13,103 @@
 use crate::process_pause::ProcessPause;
 use crate::protocol::workers::{Heartbeat, TaskKey, WorkerCommand};
 
-/// So many answers in a row without effect are no chance: a lost one is made good by the next.
+/// This many unacknowledged answers in a row are no coincidence, because a lost answer is made good by the next one.
 const MIN_UNACKNOWLEDGED: u32 = 3;
-/// A machine that hears nothing is returned once so many leases have ended, or past the time of as many.
+/// A machine that receives nothing is returned once this many of its leases have ended, or after the time of as many.
 const MAX_EXPIRED_LEASES: u32 = 2;
-/// Past the end of a lease; covers a machine's clock's drift and the way of a heartbeat.
+/// Added to the duration of a lease; covers the drift of the machine's clock and the transit of a heartbeat.
 const LEASE_END_MARGIN: Duration = Duration::from_secs(2);
-/// Answers closer together than this count once when a lease has ended: reports that were held up come in
-/// a burst, and a worker that got no answer asks again 5 s later.
+/// Answers closer together than this count as one when a lease has ended: delayed heartbeats arrive in a burst, while a
+/// worker that got no answer sends the next one 5 s later.
 const MIN_ANSWER_SPACING: Duration = Duration::from_secs(4);
-/// Answers remembered of the last lease.
+/// Maximum answers kept of the last lease.
 const MAX_ANSWERS: usize = 16;
 
-/// What speaks against a machine, and what for it.
+/// The evidence for a one-way partition of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartitionEvidence {
-    /// Answers in a row that had no effect where one had to show.
+    /// Answers in a row that should have had a visible effect and had none.
     pub unacknowledged: u32,
-    /// Leases that ended although reports were answered, since one has lasted.
+    /// Leases that ended although heartbeats were answered, since a lease was last renewed in time.
     pub expired_leases: u32,
-    /// Since the first of the row.
+    /// Time since the first of the unacknowledged answers.
     pub unacknowledged_for: Duration,
-    /// Many machines hear nothing, which points at the way out and at none of them.
+    /// Whether many machines receive nothing, which points at the controller's outgoing network and not at the
+    /// machines.
     pub many_affected: bool,
 }
 
 /// Whether a machine receives what is sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InboundVerdict {
-    /// It does.
+    /// The machine receives what is sent to it.
     Reached,
-    /// Too little was seen to tell.
+    /// There is too little evidence to tell.
     Unclear,
-    /// No new work.
+    /// The machine receives nothing and gets no new work.
     InboundLost,
-    /// To be returned.
+    /// The machine has received nothing for so long that it is to be returned.
     GivenUp,
 }
 
-/// The whole judgement.
+/// Returns the verdict on a machine by the evidence.
 pub fn inbound_verdict(evidence: PartitionEvidence, lease: Duration) -> InboundVerdict {
-    let long = evidence.expired_leases >= MAX_EXPIRED_LEASES
+    let exceeds_limit = evidence.expired_leases >= MAX_EXPIRED_LEASES
         || evidence.unacknowledged_for > lease * MAX_EXPIRED_LEASES + LEASE_END_MARGIN;
     match evidence.unacknowledged {
         0 => InboundVerdict::Reached,
         n if n < MIN_UNACKNOWLEDGED => InboundVerdict::Unclear,
-        _ if long && !evidence.many_affected => InboundVerdict::GivenUp,
+        _ if exceeds_limit && !evidence.many_affected => InboundVerdict::GivenUp,
         _ => InboundVerdict::InboundLost,
     }
 }
 
-/// What the heartbeat after an answer has to show if the answer was heard.
+/// What the heartbeat after an answer must show if the worker received the answer. One of the two suffices.
 #[derive(Debug)]
 struct ExpectedEffect {
+    /// The fencing token that the worker did not know yet.
     fencing_token: Option<u64>,
+    /// The task and attempt that the answer told it to launch.
     launch: Option<(TaskKey, u64)>,
 }
 
 impl ExpectedEffect {
+    /// Whether the heartbeat shows the effect.
     fn is_shown_by(&self, heartbeat: &Heartbeat) -> bool {
-        let fencing_token = self.fencing_token.is_some_and(|fencing_token| heartbeat.fencing_token >= fencing_token);
-        let launch = |(task, attempt): &(TaskKey, u64)| {
+        let knows_token = self.fencing_token.is_some_and(|fencing_token| heartbeat.fencing_token >= fencing_token);
+        let reports_launch = |(task, attempt): &(TaskKey, u64)| {
             heartbeat
                 .attempts
                 .iter()
                 .any(|attempt_report| attempt_report.task == *task && attempt_report.attempt == *attempt)
         };
-        fencing_token || self.launch.as_ref().is_some_and(launch)
+        knows_token || self.launch.as_ref().is_some_and(reports_launch)
     }
 }
 
-/// The evidence on one machine.
+/// Collects the evidence on one machine.
 #[derive(Debug)]
 pub struct PartitionDetector {
+    /// Answers in a row without visible effect.
     unacknowledged: u32,
+    /// Leases that ended although heartbeats were answered.
     expired_leases: u32,
-    /// When the first of the row was found to have had no effect.
+    /// When the first of the unacknowledged answers was found to have had no effect.
     since: Option<Instant>,
+    /// The latest agent epoch of the worker.
     agent_epoch: u64,
-    /// When the agent epoch was first heard of here.
+    /// When this controller first received a message of the agent epoch.
     session_since: Instant,
-    /// Answers given in this agent epoch, within about a lease.
+    /// Times of the answers given in this agent epoch, within about a lease.
     answers: VecDeque<Instant>,
+    /// What the next heartbeat must show.
     expected_effect: Option<ExpectedEffect>,
-    /// The newest heartbeat waits for its answer: answers to old ones reach nobody.
+    /// Whether the newest heartbeat has not been answered yet. Answers to older ones reach nobody.
     unanswered: bool,
 }
 
 impl PartitionDetector {
-    /// Nothing seen yet.
+    /// Creates a detector without evidence.
     pub fn new(now: Instant) -> Self {
         Self {
             unacknowledged: 0,
@@ -115,23 +123,23 @@
         }
     }
 
-    /// A message newer than all before it.
+    /// Records a message that is newer than all before it.
     pub fn record_message(&mut self, heartbeat: &Heartbeat, kind: MessageKind, lease: Duration, now: Instant) {
-        let grown = heartbeat.agent_epoch > self.agent_epoch;
-        if grown {
+        let is_new_epoch = heartbeat.agent_epoch > self.agent_epoch;
+        if is_new_epoch {
             (self.agent_epoch, self.session_since) = (heartbeat.agent_epoch, now);
         }
         if kind == MessageKind::CommandReply {
-            // It was answered in time, so a command has reached it.
+            // The worker replied in time, so a command has reached it.
             self.record_acknowledged();
             return;
         }
         self.unanswered = true;
         let expected_effect = self.expected_effect.take();
-        if grown {
-            // An answer that was heard would have kept its lease for longer than this.
-            let kept = |at: &&Instant| now.saturating_duration_since(**at) + LEASE_END_MARGIN < lease;
-            let unacknowledged = self.answers.iter().filter(kept).count() as u32;
+        if is_new_epoch {
+            // If the worker had received one of these answers, its lease would have lasted until now.
+            let would_have_renewed = |at: &&Instant| now.saturating_duration_since(**at) + LEASE_END_MARGIN < lease;
+            let unacknowledged = self.answers.iter().filter(would_have_renewed).count() as u32;
             self.answers.clear();
             if unacknowledged > 0 {
                 self.expired_leases += 1;
@@ -144,16 +152,23 @@
                 self.record_unacknowledged(1, now);
             }
         }
-        // A agent epoch outlives a lease only by answers.
-        let began = self.since.map_or(self.session_since, |at| at.max(self.session_since));
-        if now.saturating_duration_since(began) > lease + LEASE_END_MARGIN {
+        // An agent epoch lasts longer than a lease only if answers renew the lease.
+        let evidence_since = self.since.map_or(self.session_since, |at| at.max(self.session_since));
+        if now.saturating_duration_since(evidence_since) > lease + LEASE_END_MARGIN {
             self.record_acknowledged();
             self.expired_leases = 0;
         }
     }
 
-    /// Its newest heartbeat is answered with this fencing token and these orders.
-    pub fn record_answer(&mut self, fencing_token: u64, knows: u64, orders: &[WorkerCommand], now: Instant) {
+    /// Records the answer to the newest heartbeat: its fencing token, the fencing token that the worker knows, and its
+    /// commands.
+    pub fn record_answer(
+        &mut self,
+        fencing_token: u64,
+        known_fencing_token: u64,
+        commands: &[WorkerCommand],
+        now: Instant,
+    ) {
         if !std::mem::take(&mut self.unanswered) {
             return;
         }
@@ -163,17 +178,18 @@
                 self.answers.pop_front();
             }
         }
-        let launch = orders.iter().find_map(|o| match o {
+        let launch = commands.iter().find_map(|command| match command {
             WorkerCommand::Launch { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         });
-        let fencing_token = Some(fencing_token).filter(|fencing_token| *fencing_token > knows);
+        let fencing_token = Some(fencing_token).filter(|fencing_token| *fencing_token > known_fencing_token);
         if fencing_token.is_some() || launch.is_some() {
             self.expected_effect = Some(ExpectedEffect { fencing_token, launch });
         }
     }
 
-    /// This controller was paused: what it reads and answers next was mostly given up meanwhile.
+    /// Discards time-based evidence after a pause of this controller: most workers have given up waiting for what it
+    /// reads and answers next.
     pub fn forgive_pause(&mut self, pause: ProcessPause) {
         self.since = self.since.map(|at| pause.forgive(at));
         self.session_since = pause.forgive(self.session_since);
@@ -181,24 +197,26 @@
         self.answers.clear();
     }
 
-    /// Leases that it has lost stay counted until one lasts: commands may reach it where answers don't.
+    /// Records that something has reached the machine. Expired leases stay counted until one lasts, because commands
+    /// may reach a machine that answers don't reach.
     fn record_acknowledged(&mut self) {
         (self.unacknowledged, self.since, self.expected_effect) = (0, None, None);
     }
 
+    /// Records that answers had no visible effect.
     fn record_unacknowledged(&mut self, answers: u32, now: Instant) {
         self.unacknowledged = self.unacknowledged.saturating_add(answers);
         self.since.get_or_insert(now);
     }
 
-    /// What was seen so far, as the judgement takes it. `many`: many machines show the same.
-    pub fn evidence(&self, many: bool, now: Instant) -> PartitionEvidence {
-        let for_ = self.since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+    /// Returns the evidence for the verdict. `many_affected`: many machines show the same.
+    pub fn evidence(&self, many_affected: bool, now: Instant) -> PartitionEvidence {
+        let unacknowledged_for = self.since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         PartitionEvidence {
             unacknowledged: self.unacknowledged,
             expired_leases: self.expired_leases,
-            unacknowledged_for: for_,
-            many_affected: many,
+            unacknowledged_for,
+            many_affected,
         }
     }
 }
--- a/src/scheduling/one_way_partition/tests.rs
+++ b/src/scheduling/one_way_partition/tests.rs
@@ -4,22 +4,29 @@
 const LEASE: Duration = Duration::from_secs(24);
 
 #[test]
-fn who_hears_by_cases() {
+fn verdict_follows_from_unacknowledged_answers_and_expired_leases() {
     let s = Duration::from_secs;
-    for (name, unacknowledged, expired_leases, for_, many, want) in [
-        ("nothing speaks against it", 0, 0, s(0), false, InboundVerdict::Reached),
-        ("a lease lost long ago, and well since", 0, 1, s(0), false, InboundVerdict::Reached),
-        ("a lost answer", 1, 0, s(3), false, InboundVerdict::Unclear),
-        ("two, and a lease, as after a short cut", 2, 1, s(30), false, InboundVerdict::Unclear),
-        ("three in a row", 3, 0, s(10), false, InboundVerdict::InboundLost),
-        ("a lease that ended while it was answered", 4, 1, s(0), false, InboundVerdict::InboundLost),
-        ("a second one", 8, 2, s(24), false, InboundVerdict::GivenUp),
-        ("too long, though its lease was not seen to end", 5, 0, s(51), false, InboundVerdict::GivenUp),
-        ("many, however long", 40, 9, s(600), true, InboundVerdict::InboundLost),
+    for (name, unacknowledged, expired_leases, unacknowledged_for, many_affected, want) in [
+        ("no evidence", 0, 0, s(0), false, InboundVerdict::Reached),
+        ("one expired lease, acknowledged since", 0, 1, s(0), false, InboundVerdict::Reached),
+        ("one unacknowledged answer", 1, 0, s(3), false, InboundVerdict::Unclear),
+        (
+            "two unacknowledged answers and an expired lease, as after a short outage",
+            2,
+            1,
+            s(30),
+            false,
+            InboundVerdict::Unclear,
+        ),
+        ("three unacknowledged answers in a row", 3, 0, s(10), false, InboundVerdict::InboundLost),
+        ("lease expired while heartbeats were answered", 4, 1, s(0), false, InboundVerdict::InboundLost),
+        ("second expired lease", 8, 2, s(24), false, InboundVerdict::GivenUp),
+        ("unacknowledged too long, no lease seen to expire", 5, 0, s(51), false, InboundVerdict::GivenUp),
+        ("many machines affected, however long", 40, 9, s(600), true, InboundVerdict::InboundLost),
     ] {
         assert_eq!(
             inbound_verdict(
-                PartitionEvidence { unacknowledged, expired_leases, unacknowledged_for: for_, many_affected: many },
+                PartitionEvidence { unacknowledged, expired_leases, unacknowledged_for, many_affected },
                 LEASE
             ),
             want,
@@ -28,17 +35,19 @@
     }
 }
 
-/// Feeds messages to and answers of one leader with fencing token 7, as (seconds, what): `r` a heartbeat, `R` one of
-/// the next agent epoch, `c` the reply to a command, `o` a copy that changes nothing; `+l` and `+t` answer it with a
-/// launch and to a worker that does not know the fencing token, `+` without either; `l` and `t` show them.
+/// Runs messages and answers of one leader with fencing token 7 through a detector, given as (seconds, step). `r` is a
+/// heartbeat, `R` one of the next agent epoch, `c` a reply to a command, `o` an old copy, which is not recorded. `+` is
+/// followed by the answer: `l` launches a task, `t` goes to a worker that does not know the fencing token. In a
+/// message, `l` reports the launch and `t` the fencing token. Returns the unacknowledged answers and the expired
+/// leases.
 fn simulate(steps: &[(f64, &str)]) -> (u32, u32) {
     let start = Instant::now();
-    let mut one_way_partition = PartitionDetector::new(start);
+    let mut detector = PartitionDetector::new(start);
     let task = TaskKey { job: "run-1".into(), index: 0 };
     let (mut agent_epoch, mut seq) = (1, 0);
-    for (at, what) in steps {
-        let now = start + Duration::from_secs_f64(*at);
-        let (message, answer) = what.split_once('+').map_or((*what, None), |(m, a)| (m, Some(a)));
+    for (at_s, step) in steps {
+        let now = start + Duration::from_secs_f64(*at_s);
+        let (message, answer) = step.split_once('+').map_or((*step, None), |(m, a)| (m, Some(a)));
         agent_epoch += u64::from(message.starts_with('R'));
         seq += 1;
         let attempt_report =
@@ -55,53 +64,53 @@
             notice_s: None,
             attempts: if message.contains('l') { vec![attempt_report] } else { Vec::new() },
         };
-        let via = if message.starts_with('c') { MessageKind::CommandReply } else { MessageKind::Heartbeat };
+        let kind = if message.starts_with('c') { MessageKind::CommandReply } else { MessageKind::Heartbeat };
         if !message.starts_with('o') {
-            one_way_partition.record_message(&heartbeat, via, LEASE, now);
+            detector.record_message(&heartbeat, kind, LEASE, now);
         }
         if let Some(answer) = answer {
             let launch = [WorkerCommand::Launch { task: task.clone(), attempt: 1 }];
-            let orders: &[WorkerCommand] = if answer.contains('l') { &launch } else { &[] };
-            one_way_partition.record_answer(7, if answer.contains('t') { 3 } else { 7 }, orders, now);
+            let commands: &[WorkerCommand] = if answer.contains('l') { &launch } else { &[] };
+            detector.record_answer(7, if answer.contains('t') { 3 } else { 7 }, commands, now);
         }
     }
-    let evidence = one_way_partition.evidence(false, start);
+    let evidence = detector.evidence(false, start);
     (evidence.unacknowledged, evidence.expired_leases)
 }
 
 #[test]
-fn what_speaks_against_a_machine_by_cases() {
+fn evidence_counts_answers_and_leases_that_had_no_effect() {
     type Case<'a> = (&'a str, &'a [(f64, &'a str)], (u32, u32));
     let cases: [Case; 13] = [
-        ("well", &[(0.0, "r+l"), (3.0, "rl+"), (6.0, "rl+")], (0, 0)),
-        ("nothing to show, nothing to tell", &[(0.0, "r+"), (5.0, "r+"), (10.0, "r+")], (0, 0)),
-        ("launches without effect", &[(0.0, "r+l"), (5.0, "r+l"), (10.0, "r+l"), (15.0, "r+l")], (3, 0)),
-        ("a token it never learns", &[(0.0, "r+t"), (5.0, "r+t"), (10.0, "r+t"), (15.0, "r+t")], (3, 0)),
-        ("it learns it after all", &[(0.0, "r+t"), (5.0, "r+t"), (10.0, "r+t"), (15.0, "rt+")], (0, 0)),
-        ("one of two is enough", &[(0.0, "r+lt"), (5.0, "r+lt"), (10.0, "rt+l")], (0, 0)),
+        ("launch reported", &[(0.0, "r+l"), (3.0, "rl+"), (6.0, "rl+")], (0, 0)),
+        ("answers without expected effect", &[(0.0, "r+"), (5.0, "r+"), (10.0, "r+")], (0, 0)),
+        ("launches never reported", &[(0.0, "r+l"), (5.0, "r+l"), (10.0, "r+l"), (15.0, "r+l")], (3, 0)),
+        ("fencing token never learned", &[(0.0, "r+t"), (5.0, "r+t"), (10.0, "r+t"), (15.0, "r+t")], (3, 0)),
+        ("fencing token learned at last", &[(0.0, "r+t"), (5.0, "r+t"), (10.0, "r+t"), (15.0, "rt+")], (0, 0)),
+        ("one of two expected effects suffices", &[(0.0, "r+lt"), (5.0, "r+lt"), (10.0, "rt+l")], (0, 0)),
         (
-            "a lease ends though it is answered",
+            "lease expires while heartbeats are answered",
             &[(0.0, "r+"), (5.0, "r+"), (10.0, "r+"), (15.0, "r+"), (20.0, "r+"), (25.0, "R+")],
             (4, 1),
         ),
-        ("a lease ends while it hangs", &[(0.0, "r+"), (3.0, "r+"), (28.0, "R+")], (0, 0)),
+        ("lease expires while the worker hangs", &[(0.0, "r+"), (3.0, "r+"), (28.0, "R+")], (0, 0)),
         (
-            "reports held back by a cut come in a burst, then the next session",
+            "heartbeats delayed by an outage arrive in a burst, then the next epoch",
             &[(0.0, "r+"), (35.0, "r+"), (35.0, "r+"), (35.1, "r+"), (35.9, "R+")],
             (1, 1),
         ),
         (
-            "a command reaches it",
+            "command reply received",
             &[(0.0, "r+l"), (5.0, "r+l"), (10.0, "r+l"), (15.0, "r+l"), (16.0, "c"), (17.0, "r+")],
             (0, 0),
         ),
         (
-            "its session lasts for more than a lease",
+            "epoch lasts longer than a lease",
             &[(0.0, "r+l"), (5.0, "r+l"), (10.0, "r+l"), (15.0, "r+"), (28.0, "r+"), (32.0, "r+")],
             (0, 0),
         ),
         (
-            "commands reach it, answers never",
+            "commands arrive, answers never do",
             &[
                 (0.0, "r+"),
                 (9.0, "r+"),
@@ -115,7 +124,7 @@
             ],
             (3, 2),
         ),
-        ("answers to old copies prove nothing", &[(0.0, "r+"), (1.0, "o+l"), (2.0, "o+l"), (9.0, "r+")], (0, 0)),
+        ("answers to old copies are no evidence", &[(0.0, "r+"), (1.0, "o+l"), (2.0, "o+l"), (9.0, "r+")], (0, 0)),
     ];
     for (name, steps, want) in cases {
         assert_eq!(simulate(steps), want, "{name}");
