--- a/src/membership/election/tests.rs
+++ b/src/membership/election/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the steps of the election.
+
 use hollylanding_emulator::world::store::Store;
 
 mod late;
--- a/src/membership/leadership_transfer/tests.rs
+++ b/src/membership/leadership_transfer/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of how often a leader releases its lease for takeover requests.
+
 use super::*;
 
 const LEASE: u64 = 7;
--- a/src/membership/lease_timing/tests.rs
+++ b/src/membership/lease_timing/tests.rs
@@ -1,3 +1,5 @@
+//! Tests that the lease is renewed in time while the leader record is written.
+
 use super::super::step::{ElectionObservations, next_step};
 use super::*;
 
--- a/src/membership/mesh/line/tests.rs
+++ b/src/membership/mesh/line/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the format of lines between controllers.
+
 use serde_json::json;
 
 use super::*;
--- a/src/membership/mesh/tests.rs
+++ b/src/membership/mesh/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of peer reports, of received lines and of the limit on connections.
+
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/src/membership/serving_state/tests.rs
+++ b/src/membership/serving_state/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the serving state, the health check and the searches for another leader.
+
 use super::*;
 
 const NOW: Duration = Duration::ZERO;
--- a/src/membership/unreachable_leader/tests.rs
+++ b/src/membership/unreachable_leader/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the detection of a leader that workers can't reach.
+
 use super::*;
 
 fn heartbeat(agent_epoch: u64, number: u64) -> MessageSequence {
--- a/src/membership/unreadable/tests.rs
+++ b/src/membership/unreadable/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the removal of a lease holder's key that can't be decoded.
+
 use super::*;
 
 #[test]
--- a/src/sla/tests.rs
+++ b/src/sla/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of utility, return, deadline shares and admission, by worked cases.
+
 use super::*;
 use crate::jobs::tests::spec;
 
