--- a/src/scheduling/due.rs
+++ b/src/scheduling/due.rs
@@ -11,8 +11,8 @@
 pub struct DueJobCounts {
     /// Open jobs with a due time.
     pub open: usize,
-    /// Jobs that are not past their due time yet, but can no longer meet it: they had not started at the latest
-    /// possible start.
+    /// Jobs that are not past their due time yet, but can no longer meet it: none of their tasks was placed by the
+    /// latest possible start.
     pub late: usize,
     /// Jobs past their due time.
     pub missed: usize,
--- a/src/scheduling/intents.rs
+++ b/src/scheduling/intents.rs
@@ -105,18 +105,22 @@
             windows.entry(&turn.window).or_default().push((index, turn.position));
         }
     }
-    // The sort key of each job: its own position, or directly behind the job at another position.
+    // The sort key of each job: its own position, or that of another job of the window and its turn, which puts it
+    // directly behind the job there.
     let mut sort_keys: Vec<(usize, u32)> = (0..queued_jobs.len()).map(|index| (index, 0)).collect();
     for mut jobs in windows.into_values() {
         let precedence = |index: usize| (queued_jobs[index].guaranteed, queued_jobs[index].rank);
         let positions: Vec<usize> = jobs.iter().map(|(index, _)| *index).collect();
         jobs.sort_by_key(|(index, turn)| (*turn, *index));
-        let mut free = positions.clone();
-        let mut last = 0;
+        let mut free_positions = positions.clone();
+        let mut last_position = 0;
         for (index, turn) in jobs {
-            let own = free.iter().position(|p| precedence(*p) == precedence(index)).map_or(index, |n| free.remove(n));
-            last = own.max(last);
-            sort_keys[index] = (last, turn);
+            let own_position = free_positions
+                .iter()
+                .position(|p| precedence(*p) == precedence(index))
+                .map_or(index, |n| free_positions.remove(n));
+            last_position = own_position.max(last_position);
+            sort_keys[index] = (last_position, turn);
         }
     }
     let before: Vec<plan::QueuedJob> = queued_jobs.to_vec();
@@ -157,9 +161,9 @@
 
 /// Returns the idle machines that are needed for declared capacity, in addition to machines that run something.
 pub fn idle_machines_to_keep(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> HashSet<MachineId> {
-    let mut kept = HashSet::new();
+    let mut machines_to_keep = HashSet::new();
     if cluster.intents.capacity.is_empty() {
-        return kept;
+        return machines_to_keep;
     }
     let context = CapacityContext::new(cluster, catalog);
     let suspect_timeout = suspect_timeout(cluster);
@@ -175,9 +179,9 @@
             capacity.add(-n * intent.task_spec.cpus, -n * intent.task_spec.gpus, -n * intent.task_spec.memory_gb);
             tasks_left -= fitting_tasks;
             if let Some(machine) = capacity.machine.filter(|m| fitting_tasks > 0 && m.bound.is_empty()) {
-                kept.insert(machine.id.clone());
+                machines_to_keep.insert(machine.id.clone());
             }
         }
     }
-    kept
+    machines_to_keep
 }
--- a/src/scheduling/plan.rs
+++ b/src/scheduling/plan.rs
@@ -8,7 +8,7 @@
 mod candidate;
 mod decide;
 mod demand;
-mod kept;
+mod kept_capacity;
 mod large_first;
 mod passed_over;
 mod queue;
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -101,7 +101,7 @@
         let tasks_wanted = if spec.is_gang() { tasks_needed } else { waiting.min(MAX_MACHINES as u64) };
         let Some(chosen) = choose_candidates(candidates, spec, &zones, tasks_needed, tasks_wanted) else { continue };
         let stops: Vec<(MachineId, Victims)> = chosen.into_iter().map(|p| (p.machine.id.clone(), p.victims)).collect();
-        // Nothing is left to stop: the job's room is being made already.
+        // There is nothing more to stop: all tasks in the way are being stopped already.
         if stops.iter().all(|(_, victims)| victims.is_empty()) {
             continue;
         }
@@ -219,7 +219,7 @@
     spec.is_idle() && spec.tasks > 1 && job.bound.len() == 1 && !job.has_run()
 }
 
-/// Returns how many attempts a task may have had to be preempted still.
+/// Returns the number of attempts from which on a task is not preempted any more.
 fn max_attempts(spec: &JobSpec) -> u64 {
     if spec.checkpoint_s > 0.0 { MAX_ATTEMPTS } else { MAX_ATTEMPTS_WITHOUT_CHECKPOINT }
 }
--- a/src/scheduling/promises.rs
+++ b/src/scheduling/promises.rs
@@ -38,15 +38,16 @@
 impl Promise {
     /// Returns the promise that an objective makes for a job; `None` if it is about other jobs or makes no such
     /// promise.
-    fn of(at: usize, objective: &Objective, spec: &JobSpec) -> Option<Self> {
-        let at = u16::try_from(at).ok().filter(|at| *at < LARGEST_GANGS && objective.class == spec.class)?;
-        let (what, within_s) = match (objective.kind.as_str(), spec.due_s) {
+    fn from_objective(number: usize, objective: &Objective, spec: &JobSpec) -> Option<Self> {
+        let number =
+            u16::try_from(number).ok().filter(|number| *number < LARGEST_GANGS && objective.class == spec.class)?;
+        let (kind, within_s) = match (objective.kind.as_str(), spec.due_s) {
             ("deadline", Some(due)) => (PromiseKind::Done, due * objective.times),
             ("finished", _) => (PromiseKind::Done, objective.within_s),
             ("wait", _) => (PromiseKind::Started, objective.within_s),
             _ => return None,
         };
-        (within_s > 0.0).then_some(Self { objective: at, kind: what, within_s })
+        (within_s > 0.0).then_some(Self { objective: number, kind, within_s })
     }
 
     /// Returns the start slack: within how many seconds from now the next task must start to keep the promise. It is
@@ -64,7 +65,7 @@
 /// the deadline that a soft job is given.
 pub fn promises_of(objectives: &[Objective], spec: &JobSpec, agreement: &Agreement) -> Vec<Promise> {
     let mut promises: Vec<Promise> =
-        objectives.iter().enumerate().filter_map(|(at, o)| Promise::of(at, o, spec)).collect();
+        objectives.iter().enumerate().filter_map(|(number, o)| Promise::from_objective(number, o, spec)).collect();
     let own_deadline = |within_s| Promise { objective: OWN_DEADLINE, kind: PromiseKind::Done, within_s };
     match spec.due_s {
         Some(due) => promises.push(own_deadline(due)),
