--- a/src/audit.rs
+++ b/src/audit.rs
@@ -207,7 +207,7 @@
 pub async fn run(auditor: Arc<Auditor>) {
     let most = auditor.settings.params.state.conditions();
     loop {
-        tokio::time::sleep(GAP.max(auditor.store.client.time_for(COST))).await;
+        tokio::time::sleep(GAP.max(auditor.store.client.refill_time(COST))).await;
         let batch = lock(&auditor.audit).next_batch(most, || writes_of_leader(&auditor));
         if batch.is_empty() || !auditor.store.watch_cache().is_ready() {
             continue;
@@ -222,7 +222,7 @@
             }
         };
         let lost = lock(&auditor.audit).find_lost(batch, &failed);
-        if lost.is_empty() || !auditor.store.read_barrier.wait().await {
+        if lost.is_empty() || !auditor.store.read_barrier.wait_for_proof().await {
             continue;
         }
         for held in lost {
--- a/src/declarations/context.rs
+++ b/src/declarations/context.rs
@@ -67,7 +67,7 @@
     }
 
     fn writable_changes(&self, priority: RequestPriority) -> usize {
-        self.store.client.writes_ready(priority)
+        self.store.client.available_writes(priority)
     }
 
     async fn compare_and_swap(
@@ -80,7 +80,7 @@
     }
 
     async fn refresh_after_conflict(&self) {
-        self.store.read_barrier.wait().await;
+        self.store.read_barrier.wait_for_proof().await;
         self.membership.check_deposed();
         self.wakeups.membership.notify_one();
     }
--- a/src/declarations/operator/client.rs
+++ b/src/declarations/operator/client.rs
@@ -13,7 +13,7 @@
 use crate::jobs::record::time_of_day_ms;
 use crate::protocol::Http;
 use crate::settings::Settings;
-use crate::store::budget::{Budget, RequestPriority};
+use crate::store::budget::{RequestPriority, TokenBucket};
 use crate::store::{CompareAndSwapOutcome, StateClient, StoreError};
 use crate::sync::jitter;
 
@@ -59,8 +59,8 @@
     /// Gives up on the store after `patience`.
     pub fn new(settings: Settings, patience: Duration) -> Self {
         let (now, limits, http) = (Instant::now(), &settings.params.state, Http::default());
-        let requests = Budget::new(limits.rps * BUDGET_SHARE, REQUEST_BURST, now);
-        let writes = Budget::new(limits.write_rps * BUDGET_SHARE, limits.txn_ops as f64, now);
+        let requests = TokenBucket::new(limits.rps * BUDGET_SHARE, REQUEST_BURST, now);
+        let writes = TokenBucket::new(limits.write_rps * BUDGET_SHARE, limits.txn_ops as f64, now);
         let endpoint = settings.endpoints.state.clone();
         let store = StateClient::new(http.clone(), endpoint, requests, writes, Default::default());
         Self { settings, store, http, patience }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -12,7 +12,7 @@
 use crate::protocol::cloud::{MachineNames, MachinePage};
 use crate::protocol::{self, DecodeError, Http};
 use crate::settings::Settings;
-use crate::store::budget::{Budget, RequestPriority};
+use crate::store::budget::{RequestPriority, TokenBucket};
 use crate::sync::lock;
 use crate::traffic::{CallKind, Traffic};
 
@@ -46,7 +46,7 @@
 pub struct CloudClient {
     http: Http,
     addr: String,
-    budget: Mutex<Budget>,
+    budget: Mutex<TokenBucket>,
     traffic: Arc<Traffic>,
 }
 
@@ -55,7 +55,7 @@
     pub fn new(http: Http, settings: &Settings, traffic: Arc<Traffic>, now: Instant) -> Self {
         // The leader calls nearly alone; the others only ask for the catalog now and then.
         let rps = settings.params.cloud.rps * 0.8;
-        let budget = Mutex::new(Budget::new(rps, rps, now));
+        let budget = Mutex::new(TokenBucket::new(rps, rps, now));
         Self { http, addr: settings.endpoints.cloud.clone(), budget, traffic }
     }
 
--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -85,7 +85,7 @@
                 StoreStep::Retry => {
                     debug!(?outcome, key = order.key, "cloud order write failed");
                     if matches!(outcome, Ok(CompareAndSwapOutcome::Failed(_))) {
-                        fleet.store.read_barrier.wait().await;
+                        fleet.store.read_barrier.wait_for_proof().await;
                         fleet.membership.check_deposed();
                     }
                     tokio::time::sleep(jitter(RETRY_PAUSE)).await;
@@ -100,7 +100,7 @@
         let client = &self.fleet.store.client;
         let many = self.operations().orders_to_clean_up(fencing_token).len() >= MANY_COMPLETED;
         let priority = if many { RequestPriority::Placement } else { RequestPriority::Background };
-        let most = client.writes_ready(priority).min(self.fleet.settings.params.state.txn_ops as usize);
+        let most = client.available_writes(priority).min(self.fleet.settings.params.state.txn_ops as usize);
         let (keys, clean_up) = {
             let mut operations = self.operations();
             let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(most).cloned().collect();
--- a/src/history/end_sweep_loop.rs
+++ b/src/history/end_sweep_loop.rs
@@ -31,7 +31,7 @@
             }
         };
         let page = store.key_versions(ENDED, since.as_deref(), PAGE_SIZE, RequestPriority::Placement);
-        let (page, ()) = tokio::join!(page, tokio::time::sleep(store.time_for(PAGE_COST)));
+        let (page, ()) = tokio::join!(page, tokio::time::sleep(store.refill_time(PAGE_COST)));
         match page {
             Ok(page) => {
                 let ends = page.items.iter().filter_map(|item| match locate_job(&item.path)? {
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -13,7 +13,7 @@
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::store::Change;
-use crate::store::budget::{Budget, RequestPriority};
+use crate::store::budget::{RequestPriority, TokenBucket};
 
 const MS: Duration = Duration::from_millis(1);
 const POLL_EVERY_MS: usize = 5000;
@@ -33,7 +33,7 @@
     let start = Instant::now();
     let ids: Vec<JobId> = (0..jobs).map(|n| format!("run-{n:06}").into()).collect();
     let (mut queries, mut sweep) = (QueryQueue::new(txn_ops), EndSweep::default());
-    let mut budget = Budget::new(per_second, per_second, start);
+    let mut budget = TokenBucket::new(per_second, per_second, start);
     let mut due: BTreeMap<u64, Vec<Due>> = BTreeMap::new();
     let (mut under_way, mut reading) = (0, false);
     // Proofs of freshness take a quarter of the share, the watch as much; the next one of each by its time.
@@ -129,7 +129,7 @@
 #[test]
 fn questions_are_not_starved_by_what_goes_first() {
     let start = Instant::now();
-    let mut budget = Budget::new(30.0, 30.0, start);
+    let mut budget = TokenBucket::new(30.0, 30.0, start);
     let (mut longest, mut since, mut look_at, mut sent) = (0, 0u64, 0, 0);
     for ms in 0..60_000u64 {
         let now = start + MS * ms as u32;
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -103,7 +103,7 @@
             warn!("leader unreachable for workers; releasing the election lease to another controller");
         }
         let Some(lease) = self.leadership_transfer.lease_to_release() else { return false };
-        match membership.store.client.release(lease).await {
+        match membership.store.client.revoke_lease(lease).await {
             Ok(()) => {
                 self.lease = None;
                 self.leadership_transfer.record_release(Instant::now());
@@ -167,7 +167,7 @@
 
     async fn renew(&mut self, membership: &Membership) -> Result<(), StoreError> {
         let Some(lease) = self.lease else { return Ok(()) };
-        let alive = membership.store.client.renew(lease).await?;
+        let alive = membership.store.client.renew_lease(lease).await?;
         self.renewed_at = Instant::now();
         if !alive {
             info!("election lease expired");
@@ -228,7 +228,7 @@
     let (condition, change) = lease_removal(version);
     let outcome = membership.store.client.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
     info!(?outcome, "stale election lease revoked");
-    membership.store.read_barrier.wait().await;
+    membership.store.read_barrier.wait_for_proof().await;
     Ok(())
 }
 
@@ -240,8 +240,8 @@
 
 async fn campaign(membership: &Membership, held_lease: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
     let lease = match *held_lease {
-        Some(lease) if membership.store.client.renew(lease).await? => lease,
-        _ => membership.store.client.grant(life).await?,
+        Some(lease) if membership.store.client.renew_lease(lease).await? => lease,
+        _ => membership.store.client.grant_lease(life).await?,
     };
     *held_lease = Some(lease);
     let me = LeaseHolder { node: membership.settings.node.clone(), incarnation: membership.incarnation.clone() };
@@ -253,7 +253,7 @@
             membership.wakeups.membership.notify_one();
         }
         CompareAndSwapOutcome::Failed(_) => {
-            membership.store.read_barrier.wait().await;
+            membership.store.read_barrier.wait_for_proof().await;
         }
         CompareAndSwapOutcome::LeaseExpired => *held_lease = None,
     }
@@ -294,7 +294,7 @@
         }
         outcome => {
             warn!(?outcome, "leader record write rejected; refreshing the watch cache and retrying");
-            membership.store.read_barrier.wait().await;
+            membership.store.read_barrier.wait_for_proof().await;
         }
     }
     Ok(())
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -18,7 +18,7 @@
     /// Collects what this controller can prove and what it hears of the other controllers.
     fn observations(&self, now: Instant) -> Observations {
         let (heard, answering) = lock(&self.peer_states).recent_peers(now);
-        let proof = self.store.read_barrier.age(now);
+        let proof = self.store.read_barrier.proof_age(now);
         let refused = self.store.client.health().failing_for(now);
         Observations { proof, refused, peers: self.settings.peers.len(), heard, answering }
     }
@@ -65,6 +65,6 @@
     /// of freshness must be stopped. This leader doesn't know these ends.
     pub fn leases_end_in_time(&self, now: Instant) -> bool {
         let spare = self.settings.params.workers.spare();
-        self.store.read_barrier.age(now).is_some_and(|age| age < spare)
+        self.store.read_barrier.proof_age(now).is_some_and(|age| age < spare)
     }
 }
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -27,13 +27,13 @@
         );
         if void.leadership {
             self.unproven.store(true, Ordering::Relaxed);
-            self.store.read_barrier.after_pause();
+            self.store.read_barrier.discard_proof();
         }
         if let Some(cluster) = self.leader.cluster().as_mut() {
             cluster.adjust_for_pause(pause);
         }
         *lock(&self.unreachable_leader) = UnreachableLeader::default();
-        self.store.client.after_pause(pause);
+        self.store.client.discount_pause(pause);
         self.store.read_barrier.request_proof();
         self.wakeups.membership.notify_one();
     }
--- a/src/membership/store_shares.rs
+++ b/src/membership/store_shares.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::state::Membership;
-use crate::store::budget::Budget;
+use crate::store::budget::TokenBucket;
 use crate::store::client::RequestRates;
 use crate::store::share::{FixedShares, LimitDemand, share_by_demand};
 use crate::sync::lock;
@@ -17,9 +17,9 @@
 pub(crate) const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Returns the initial budget of a controller, which doesn't lead and has no report of the others' demand.
-pub(crate) fn initial_budget(shares: FixedShares, limit: f64, others: usize, now: Instant) -> Budget {
-    let share = shares.fixed(limit, others, false);
-    Budget::new(share, share, now)
+pub(crate) fn initial_budget(shares: FixedShares, limit: f64, others: usize, now: Instant) -> TokenBucket {
+    let share = shares.fixed_share(limit, others, false);
+    TokenBucket::new(share, share, now)
 }
 
 impl Membership {
@@ -37,7 +37,7 @@
         let peer_demands = lock(&self.peer_states).store_demands(Instant::now());
         let share = |kind: usize, shares: FixedShares, limit: f64| {
             if peer_demands.len() < others {
-                return shares.fixed(limit, others, own_demand[kind].leader);
+                return shares.fixed_share(limit, others, own_demand[kind].leader);
             }
             let all: Vec<LimitDemand> =
                 std::iter::once(own_demand[kind]).chain(peer_demands.iter().map(|demand| demand[kind])).collect();
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -144,7 +144,7 @@
 fn next_batch(group_commit: &GroupCommit) -> Option<CommitBatch> {
     // Limited to the writes that the budget has ready: a full batch would wait until the budget allows a whole burst.
     let max_changes = (group_commit.settings.params.state.txn_ops as usize)
-        .min(group_commit.store.client.writes_ready(RequestPriority::Placement).max(1));
+        .min(group_commit.store.client.available_writes(RequestPriority::Placement).max(1));
     let mut guard = group_commit.leader.cluster();
     let cluster = guard.as_mut().filter(|cluster| cluster.loaded)?;
     let now = Instant::now();
@@ -187,7 +187,7 @@
                     }
                     // Wait until the watch cache shows the leader. It may be this controller itself, under a fencing
                     // token whose acquisition has not been answered yet.
-                    group_commit.store.read_barrier.wait().await;
+                    group_commit.store.read_barrier.wait_for_proof().await;
                     group_commit.membership.check_deposed();
                     group_commit.wakeups.membership.notify_one();
                     tokio::time::sleep(jitter(RETRY_DELAY)).await;
@@ -287,7 +287,7 @@
 /// Deletes shards of ended jobs, as many as the write budget allows.
 async fn drop_ended_shards(group_commit: &Arc<GroupCommit>, priority: RequestPriority) {
     let max_drops =
-        group_commit.store.client.writes_ready(priority).min(group_commit.settings.params.state.txn_ops as usize);
+        group_commit.store.client.available_writes(priority).min(group_commit.settings.params.state.txn_ops as usize);
     let (drops, fencing_token) = match group_commit.leader.cluster().as_mut() {
         Some(cluster) => (cluster.take_shard_drops(max_drops), cluster.fencing_token),
         None => return,
--- a/src/scheduling/scheduling_loop.rs
+++ b/src/scheduling/scheduling_loop.rs
@@ -44,7 +44,7 @@
 /// after it, since every placement is conditional on the leader record under which it was made.
 async fn load_until_done(scheduler: &Arc<Scheduler>) {
     loop {
-        if scheduler.store.read_barrier.wait().await {
+        if scheduler.store.read_barrier.wait_for_proof().await {
             match load::load_cluster_state(scheduler).await {
                 Ok(()) => return,
                 Err(error) => debug!(%error, "cluster state load failed"),
--- a/src/scheduling/tests/steady_load.rs
+++ b/src/scheduling/tests/steady_load.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{End, JobId};
 use crate::membership::WRITE_SHARES;
 use crate::protocol::workers::ExitCause;
-use crate::store::budget::{Budget, RequestPriority};
+use crate::store::budget::{RequestPriority, TokenBucket};
 
 /// The leader changes in the middle. All collections that could grow stay small at every step, and every job is served.
 #[test]
@@ -104,9 +104,10 @@
     let mut simulation = Simulation::new(&names.map(|m| (m, "a")), |j| j.estimate_s = 1.0);
     (simulation.places_tasks, simulation.store_available) = (true, false);
     let limits = simulation.cluster.settings.params.state.clone();
-    let leader_write_rate = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, true);
-    let others_write_rate = WRITE_SHARES.fixed(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
-    let mut budget = Budget::new(leader_write_rate, leader_write_rate, simulation.world.now);
+    let leader_write_rate = WRITE_SHARES.fixed_share(limits.write_rps, OTHER_CONTROLLERS, true);
+    let others_write_rate =
+        WRITE_SHARES.fixed_share(limits.write_rps, OTHER_CONTROLLERS, false) * OTHER_CONTROLLERS as f64;
+    let mut budget = TokenBucket::new(leader_write_rate, leader_write_rate, simulation.world.now);
     let mut periods: Vec<PeriodUsage> = (0..PERIODS).map(|_| PeriodUsage::default()).collect();
     let mut accepted: BTreeMap<JobId, Instant> = BTreeMap::new();
     let (mut started, mut exited): (BTreeMap<JobId, Instant>, BTreeMap<JobId, Instant>) = Default::default();
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -44,14 +44,14 @@
 /// A token bucket. Tokens are added at a constant rate up to the burst size. Their number falls below zero after an
 /// overdue query or a call larger than the burst.
 #[derive(Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     per_second: f64,
     burst: f64,
     tokens: f64,
     refilled_at: Instant,
 }
 
-impl Budget {
+impl TokenBucket {
     /// A full bucket that gains `per_second` tokens (at least 0.01) up to `burst` (at least 1).
     pub fn new(per_second: f64, burst: f64, now: Instant) -> Self {
         let burst = burst.max(1.0);
@@ -72,7 +72,7 @@
     }
 
     /// The time in which `n` tokens are added.
-    pub fn time_for(&self, n: f64) -> Duration {
+    pub fn refill_time(&self, n: f64) -> Duration {
         Duration::from_secs_f64(n / self.per_second)
     }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use super::budget::{Budget, RequestPriority};
+use super::budget::{RequestPriority, TokenBucket};
 use super::error::{StoreError, UndecodableAnswer};
 use super::share::RateMeter;
 use crate::process_pause::ProcessPause;
@@ -70,8 +70,8 @@
 pub struct StateClient {
     http: Http,
     addr: String,
-    requests: Mutex<Budget>,
-    writes: Mutex<Budget>,
+    requests: Mutex<TokenBucket>,
+    writes: Mutex<TokenBucket>,
     /// When the service last served this controller, and when it last failed to.
     health: Mutex<Health>,
     /// How many requests and changes this controller lately wanted, admitted or not.
@@ -143,7 +143,7 @@
 
 impl StateClient {
     /// A client of the service at `addr`, with what this controller may use of its limits.
-    pub fn new(http: Http, addr: String, requests: Budget, writes: Budget, traffic: Arc<Traffic>) -> Self {
+    pub fn new(http: Http, addr: String, requests: TokenBucket, writes: TokenBucket, traffic: Arc<Traffic>) -> Self {
         let (requests, writes) = (Mutex::new(requests), Mutex::new(writes));
         let now = Instant::now();
         let demand = Mutex::new(DemandMeters { requests: RateMeter::new(now), writes: RateMeter::new(now) });
@@ -163,7 +163,7 @@
     }
 
     /// Accounts for a pause of this process: during it the service was not failing, as far as this controller knows.
-    pub fn after_pause(&self, pause: ProcessPause) {
+    pub fn discount_pause(&self, pause: ProcessPause) {
         let mut health = crate::sync::lock(&self.health);
         health.served = health.served.map(|at| pause.forgive(at));
     }
@@ -175,23 +175,27 @@
     }
 
     /// The time in which this controller's share of the requests grows by `n`.
-    pub fn time_for(&self, n: f64) -> Duration {
-        crate::sync::lock(&self.requests).time_for(n)
+    pub fn refill_time(&self, n: f64) -> Duration {
+        crate::sync::lock(&self.requests).refill_time(n)
     }
 
     /// When `n` more changes of the highest priority could be written.
     pub fn estimate_write_delay(&self, n: f64) -> WriteDelay {
         let mut writes = crate::sync::lock(&self.writes);
         let short = n - writes.available(RequestPriority::Critical, Instant::now());
-        WriteDelay { wait: writes.time_for(short.max(0.0)), per_second: writes.per_second() }
+        WriteDelay { wait: writes.refill_time(short.max(0.0)), per_second: writes.per_second() }
     }
 
     /// How many changes of this priority could be written at once.
-    pub fn writes_ready(&self, priority: RequestPriority) -> usize {
+    pub fn available_writes(&self, priority: RequestPriority) -> usize {
         crate::sync::lock(&self.writes).available(priority, Instant::now()).max(0.0) as usize
     }
 
-    async fn take_from_budget(budget: &Mutex<Budget>, n: f64, priority: RequestPriority) -> Result<(), StoreError> {
+    async fn take_from_budget(
+        budget: &Mutex<TokenBucket>,
+        n: f64,
+        priority: RequestPriority,
+    ) -> Result<(), StoreError> {
         let begun = Instant::now();
         loop {
             let wait = match crate::sync::lock(budget).take(n, priority.after(begun.elapsed()), Instant::now()) {
@@ -336,14 +340,14 @@
         let within = wait + ANSWER_WITHIN;
         match self.call_reserved(Method::GET, &path, None, within).await? {
             (200, body) => parse(&body),
-            (410 | TOO_LARGE, _) => Err(StoreError::TooOld),
+            (410 | TOO_LARGE, _) => Err(StoreError::RevisionTooOld),
             (status, _) => Err(StoreError::UnexpectedStatus { status, request: "a watch" }),
         }
     }
 
     /// Creates a lease that ends after `life` unless it is renewed, and returns its number. Keys attached to it are
     /// dropped when it ends.
-    pub async fn grant(&self, life: Duration) -> Result<u64, StoreError> {
+    pub async fn grant_lease(&self, life: Duration) -> Result<u64, StoreError> {
         let body = protocol::encode(&serde_json::json!({"lifeMs": life.as_millis() as u64}));
         match self.call(Method::POST, "/grants", Some(body), ANSWER_WITHIN, RequestPriority::Critical).await? {
             (200, body) => Ok(parse::<GrantedLease>(&body)?.permit),
@@ -352,7 +356,7 @@
     }
 
     /// Ends a lease at once, with the keys attached to it.
-    pub async fn release(&self, permit: u64) -> Result<(), StoreError> {
+    pub async fn revoke_lease(&self, permit: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{permit}");
         match self.call(Method::DELETE, &path, None, ANSWER_WITHIN, RequestPriority::Critical).await? {
             (200..=299 | 404, _) => Ok(()),
@@ -361,7 +365,7 @@
     }
 
     /// Renews a lease. False if it does not exist any more.
-    pub async fn renew(&self, permit: u64) -> Result<bool, StoreError> {
+    pub async fn renew_lease(&self, permit: u64) -> Result<bool, StoreError> {
         let path = format!("/grants/{permit}/renew");
         match self
             .call(
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -26,7 +26,7 @@
     Undecodable(#[from] UndecodableAnswer),
     /// The watch begins before what the service still keeps, or has more to tell than can be read.
     #[error("the revision is too old to follow")]
-    TooOld,
+    RevisionTooOld,
 }
 
 impl StoreError {
--- a/src/store/read_barrier.rs
+++ b/src/store/read_barrier.rs
@@ -68,7 +68,7 @@
 
     /// Waits for a proof that began after this call. True once the watch cache holds everything stored before the call;
     /// false if the proof failed or took longer than the timeout.
-    pub async fn wait(&self) -> bool {
+    pub async fn wait_for_proof(&self) -> bool {
         let ticket = self.drawn.fetch_add(1, Ordering::Relaxed) + 1;
         self.request_proof();
         let (mut proven, mut failed) = (self.proven.subscribe(), self.failed.subscribe());
@@ -87,12 +87,12 @@
     }
 
     /// How old the state in the watch cache may be; none if nothing is proven.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
+    pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         lock(&self.proven_at).map(|at| now.saturating_duration_since(at))
     }
 
     /// Discards the last proof because this process was paused: until the next proof nothing is known to be current.
-    pub fn after_pause(&self) {
+    pub fn discard_proof(&self) {
         *lock(&self.proven_at) = None;
     }
 
@@ -110,7 +110,7 @@
     }
 
     fn interval(&self) -> Duration {
-        let recent = self.age(Instant::now()).is_some_and(|age| age < PROOF_INTERVAL * 2);
+        let recent = self.proof_age(Instant::now()).is_some_and(|age| age < PROOF_INTERVAL * 2);
         if recent { PROOF_INTERVAL } else { OVERDUE_PROOF_INTERVAL }
     }
 }
@@ -144,7 +144,7 @@
                     barrier.failed.send_replace(ticket);
                 }
             }
-            Err(StoreError::TooOld) => {
+            Err(StoreError::RevisionTooOld) => {
                 store.watch_cache().require_reload();
                 barrier.failed.send_replace(ticket);
             }
@@ -155,7 +155,7 @@
                 debug!(%error, "linearizable read failed");
             }
         }
-        tokio::time::sleep(PROOF_GAP.max(store.client.time_for(PROOF_COST))).await;
+        tokio::time::sleep(PROOF_GAP.max(store.client.refill_time(PROOF_COST))).await;
         if barrier.last_ticket() > ticket {
             barrier.request_proof();
         }
--- a/src/store/share.rs
+++ b/src/store/share.rs
@@ -30,7 +30,7 @@
 
 impl FixedShares {
     /// One controller's fixed share of a limit, per second.
-    pub fn fixed(&self, limit: f64, others: usize, leader: bool) -> f64 {
+    pub fn fixed_share(&self, limit: f64, others: usize, leader: bool) -> f64 {
         match (others, leader) {
             (0, _) => limit * ALLOCATED_PART,
             (_, true) => limit * self.leader,
@@ -57,7 +57,7 @@
     let others = wants.len() - leaders;
     let most = given * MAX_PART_OF_OTHERS / others.max(1) as f64;
     let of_other = |w: &LimitDemand| {
-        let fixed = parts.fixed(limit, others, false);
+        let fixed = parts.fixed_share(limit, others, false);
         (w.per_second * HEADROOM).clamp(fixed.min(most), most)
     };
     match wants.first() {
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -50,8 +50,8 @@
         match outcome {
             // The leader acts on what it learns; for the others some delay is enough.
             Ok(()) if observer.leads() => tokio::time::sleep(WATCH_GAP).await,
-            Ok(()) => tokio::time::sleep(WATCH_GAP.max(store.client.time_for(WATCH_COST))).await,
-            Err(StoreError::TooOld) => store.watch_cache().require_reload(),
+            Ok(()) => tokio::time::sleep(WATCH_GAP.max(store.client.refill_time(WATCH_COST))).await,
+            Err(StoreError::RevisionTooOld) => store.watch_cache().require_reload(),
             Err(error) => {
                 debug!(%error, "store watch failed");
                 tokio::time::sleep(jitter(WATCH_RETRY)).await;
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -25,7 +25,7 @@
     let id: JobId = id.into();
     // The store may have told of it before the watch cache has it.
     if open_task_count(service, &id).is_none() {
-        service.store.read_barrier.wait().await;
+        service.store.read_barrier.wait_for_proof().await;
     }
     let record = service.store.watch_cache().open_job(&id).cloned();
     if let Some(record) = record {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -73,7 +73,7 @@
         return UserResponse::retry_soon("the state service has not been read yet");
     }
     if open_task_count(service, &id).is_some() {
-        if !service.store.read_barrier.wait().await {
+        if !service.store.read_barrier.wait_for_proof().await {
             return UserResponse::retry_soon("the state service cannot be asked");
         }
         if let Some(tasks) = open_task_count(service, &id) {
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -15,7 +15,7 @@
 use hollylanding::protocol::state::KeyVersionPage;
 use hollylanding::protocol::{self, Http};
 use hollylanding::settings::Settings;
-use hollylanding::store::budget::{Budget, RequestPriority};
+use hollylanding::store::budget::{RequestPriority, TokenBucket};
 use hollylanding::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -131,7 +131,7 @@
 async fn the_state_service_is_asked_as_recorded_and_its_answers_are_understood() {
     const FILE: &str = "state-exchanges.json";
     let (left, addr) = scripted(FILE).await;
-    let ample = || Budget::new(1e6, 1e6, Instant::now());
+    let ample = || TokenBucket::new(1e6, 1e6, Instant::now());
     let client = StateClient::new(Http::default(), addr, ample(), ample(), Default::default());
     let first = RequestPriority::Critical;
     let conditions = [Condition::absent("a/b")];
@@ -157,11 +157,11 @@
     assert_eq!((names, more), (vec![("c/o/run-000412", 412), ("c/o/run-000413", 413)], true));
     let followed = client.watch("c/", 431, Duration::from_secs(10)).await.unwrap();
     assert_eq!(value(&followed), recorded(FILE, 9));
-    assert_eq!(client.watch("c/", 1, Duration::ZERO).await.unwrap_err(), StoreError::TooOld);
-    assert_eq!(client.grant(Duration::from_secs(5)).await, Ok(7));
-    assert_eq!(client.renew(7).await, Ok(true));
-    assert_eq!(client.renew(8).await, Ok(false));
-    assert_eq!(client.release(7).await, Ok(()));
+    assert_eq!(client.watch("c/", 1, Duration::ZERO).await.unwrap_err(), StoreError::RevisionTooOld);
+    assert_eq!(client.grant_lease(Duration::from_secs(5)).await, Ok(7));
+    assert_eq!(client.renew_lease(7).await, Ok(true));
+    assert_eq!(client.renew_lease(8).await, Ok(false));
+    assert_eq!(client.revoke_lease(7).await, Ok(()));
     assert_eq!(client.get("a", first).await, Err(StoreError::Unavailable(503)));
     assert!(left.lock().unwrap().is_empty());
 }
