--- a/src/audit.rs
+++ b/src/audit.rs
@@ -19,7 +19,9 @@
 use crate::store::{CompareAndSwapOutcome, Condition, StoreError};
 
 use crate::history::job_history::JobHistory;
-use crate::history::job_transactions::{JobTransaction, accept_job, end_changes, never_accepted, not_ended};
+use crate::history::job_transactions::{
+    JobTransaction, accept_job, end_changes, never_accepted_conditions, not_ended_conditions,
+};
 use crate::jobs::record::{JobRecord, ended_key, open_key, shard_key, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::scheduling::leader_state::LeaderState;
@@ -52,8 +54,8 @@
     /// The keys to compare: of all but a shard at least one must exist.
     fn conditions(&self) -> Vec<Condition> {
         match self {
-            Self::Accepted(record) => never_accepted(&record.spec.id, false).collect(),
-            Self::Open(id) => never_accepted(id, false).collect(),
+            Self::Accepted(record) => never_accepted_conditions(&record.spec.id, false).collect(),
+            Self::Open(id) => never_accepted_conditions(id, false).collect(),
             Self::Ended(record, end) => vec![Condition::absent(ended_key(&record.spec.id, *end))],
             Self::Shard(id, shard, version) => vec![Condition::at(shard_key(id, *shard), *version)],
         }
@@ -190,9 +192,9 @@
 /// Whether this is still to be expected: what a watch or an answer has told since counts.
 fn still_expected(auditor: &Auditor, held: &AcknowledgedWrite) -> bool {
     match held {
-        AcknowledgedWrite::Accepted(record) => auditor.history.ended(&record.spec.id).is_none(),
+        AcknowledgedWrite::Accepted(record) => auditor.history.known_end(&record.spec.id).is_none(),
         AcknowledgedWrite::Open(id) => {
-            auditor.store.watch_cache().open_job(id).is_some() && auditor.history.ended(id).is_none()
+            auditor.store.watch_cache().open_job(id).is_some() && auditor.history.known_end(id).is_none()
         }
         AcknowledgedWrite::Ended(..) => true,
         AcknowledgedWrite::Shard(id, shard, version) => {
@@ -241,7 +243,7 @@
 /// Writes an end again, on condition that the job has no end at all.
 pub(crate) fn restore_end(record: &JobRecord, end: End, now_ms: u64) -> JobTransaction {
     JobTransaction {
-        conditions: not_ended(&record.spec.id).collect(),
+        conditions: not_ended_conditions(&record.spec.id).collect(),
         changes: end_changes(record, end, now_ms).into(),
     }
 }
--- a/src/declarations/context.rs
+++ b/src/declarations/context.rs
@@ -39,7 +39,7 @@
             KINDS,
             cluster,
             watch_cache.registry(),
-            &|id| self.history.ended(id),
+            &|id| self.history.known_end(id),
             now,
             time_of_day_ms(),
         );
@@ -59,7 +59,7 @@
         }
         let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
         let cluster = held.as_mut()?;
-        Some(work(cluster, &mut watch_cache, &|id| self.history.ended(id)))
+        Some(work(cluster, &mut watch_cache, &|id| self.history.known_end(id)))
     }
 
     fn query_job_end(&self, id: &JobId) {
--- a/src/history/job_history.rs
+++ b/src/history/job_history.rs
@@ -55,8 +55,8 @@
     }
 
     /// How a job ended, if this controller has lately seen its end in the store.
-    pub fn ended(&self, id: &str) -> Option<End> {
-        lock(&self.queries).ended(id)
+    pub fn known_end(&self, id: &str) -> Option<End> {
+        lock(&self.queries).known_end(id)
     }
 
     /// Records an end that stands in the store, so that it is answered from memory.
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// The state service refused or did not answer.
-    pub async fn learn_version(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
+    pub async fn fetch_cancellation_version(&self, store: &StateClient, id: &JobId) -> Result<(), StoreError> {
         for key in [ended_key(id, End::Cancelled), old_end_key(id)] {
             if let Some(item) = store.get(&key, RequestPriority::Query).await? {
                 self.note_cancellation(id, item.version);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Queries the store about a job without waiting: once answered, [`ended`](Self::ended) knows its end for a while.
+    /// Queries the store about a job without waiting: once answered, [`known_end`](Self::known_end) knows its end for a while.
     pub fn prefetch_end(&self, id: &JobId) {
         let (waiter, _) = oneshot::channel();
         if lock(&self.queries).enqueue(id, waiter, Instant::now()).is_ok() {
--- a/src/history/job_transactions.rs
+++ b/src/history/job_transactions.rs
@@ -38,18 +38,18 @@
 }
 
 /// Conditions that hold if the job has not ended.
-pub fn not_ended(id: &str) -> impl Iterator<Item = Condition> {
+pub fn not_ended_conditions(id: &str) -> impl Iterator<Item = Condition> {
     ended_keys(id).into_iter().map(Condition::absent)
 }
 
 /// Conditions that hold if the job was never accepted. `old_jobs_kept`: the store may hold jobs of earlier builds.
-pub fn never_accepted(id: &str, old_jobs_kept: bool) -> impl Iterator<Item = Condition> {
+pub fn never_accepted_conditions(id: &str, old_jobs_kept: bool) -> impl Iterator<Item = Condition> {
     let old = old_jobs_kept.then(|| Condition::absent(old_job_key(id)));
-    std::iter::once(Condition::absent(open_key(id))).chain(not_ended(id)).chain(old)
+    std::iter::once(Condition::absent(open_key(id))).chain(not_ended_conditions(id)).chain(old)
 }
 
 /// The job that a key belongs to, and where the key shows it to be; none if the key is not a job's. The keys of failed
-/// conditions of [`never_accepted`] and [`not_ended`] exist.
+/// conditions of [`never_accepted_conditions`] and [`not_ended_conditions`] exist.
 pub fn locate_job(key: &str) -> Option<(&str, JobLocation)> {
     let locations = [
         (OPEN, JobLocation::Open),
@@ -72,7 +72,7 @@
 pub fn accept_job(record: &JobRecord, old_jobs_kept: bool) -> JobTransaction {
     let id = &record.spec.id;
     JobTransaction {
-        conditions: never_accepted(id, old_jobs_kept).collect(),
+        conditions: never_accepted_conditions(id, old_jobs_kept).collect(),
         changes: vec![Change::write(open_key(id), to_value(record))],
     }
 }
@@ -89,7 +89,7 @@
 pub fn cancel_job(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> JobTransaction {
     let under_leader = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
     JobTransaction {
-        conditions: not_ended(&record.spec.id).chain(under_leader).collect(),
+        conditions: not_ended_conditions(&record.spec.id).chain(under_leader).collect(),
         changes: end_changes(record, End::Cancelled, now_ms).into(),
     }
 }
@@ -100,7 +100,7 @@
     let (job, end) = (old_job_key(id), old_end_key(id));
     let old = [Condition::at(job.clone(), version), Condition::absent(end)];
     JobTransaction {
-        conditions: old.into_iter().chain(never_accepted(id, false)).collect(),
+        conditions: old.into_iter().chain(never_accepted_conditions(id, false)).collect(),
         changes: vec![Change::write(open_key(id), to_value(record)), Change::Drop { drop: job }],
     }
 }
--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -122,7 +122,7 @@
     }
 
     /// How a job ended, if that was learned lately.
-    pub fn ended(&self, id: &str) -> Option<End> {
+    pub fn known_end(&self, id: &str) -> Option<End> {
         self.ends.get(id)
     }
 
--- a/src/history/query_queue/tests.rs
+++ b/src/history/query_queue/tests.rs
@@ -30,7 +30,7 @@
         ]
     );
     assert!(old.is_empty(), "its own end goes before an earlier build's key");
-    assert_eq!((queries.ended("run-3"), queries.ended("run-1")), (Some(End::Done), None));
+    assert_eq!((queries.known_end("run-3"), queries.known_end("run-1")), (Some(End::Done), None));
     let NextBatch { due: second, expired: _ } = queries.next_batch(now);
     assert_eq!(second.ids().cloned().collect::<Vec<_>>(), [id(5), id(1)], "asked anew");
     assert_eq!(
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -8,7 +8,7 @@
 use tracing::{debug, warn};
 
 use super::job_history::{JobHistory, Waiter};
-use super::job_transactions::{adopt_job, never_accepted};
+use super::job_transactions::{adopt_job, never_accepted_conditions};
 use super::query_queue::{JobQueryAnswer, QueryBatch};
 use crate::jobs::JobId;
 use crate::jobs::record::{JobRecord, OldEnd, old_end_key, old_job_key};
@@ -66,7 +66,7 @@
 
 async fn send_batch(reader: &HistoryReader, batch: QueryBatch<Waiter>) {
     let may_hold_old_jobs = reader.store.watch_cache().may_hold_old_jobs();
-    let conditions: Vec<_> = batch.ids().flat_map(|id| never_accepted(id, may_hold_old_jobs)).collect();
+    let conditions: Vec<_> = batch.ids().flat_map(|id| never_accepted_conditions(id, may_hold_old_jobs)).collect();
     match reader.store.client.compare_reserved(&conditions).await {
         Ok(failed) => {
             let resolved = lock(&reader.history.queries).resolve(batch, &failed);
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -67,7 +67,7 @@
         // In an order that has nothing to do with that of the names.
         for n in (ms as usize % POLL_EVERY_MS..jobs).step_by(POLL_EVERY_MS) {
             let at = n * 7919 % jobs;
-            if queries.ended(&ids[at]).is_some() {
+            if queries.known_end(&ids[at]).is_some() {
                 waiting.remove(&at);
             } else {
                 let _ = queries.enqueue(&ids[at], at, now);
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -12,7 +12,9 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use crate::history::job_transactions::{self, JobTransaction, end_changes, locate_job, never_accepted, not_ended};
+use crate::history::job_transactions::{
+    self, JobTransaction, end_changes, locate_job, never_accepted_conditions, not_ended_conditions,
+};
 use crate::history::query_queue::{JobQueryAnswer, NextBatch, QueryBatch, QueryQueue, ResolvedBatch};
 use crate::jobs::record::{
     CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
@@ -255,7 +257,7 @@
         let Some((_, asked)) = self.questions.get_mut(&question) else { return };
         let (job, now) = (asked.id.clone(), self.step);
         let controller = &mut self.controllers[at];
-        if let Some(end) = controller.queries.ended(&job) {
+        if let Some(end) = controller.queries.known_end(&job) {
             return self.tell(question, Some(Told::Ended(end)));
         }
         if !controller.watch_cache.is_ready() {
@@ -307,7 +309,7 @@
         let asked = Question { id: job.clone(), intent, begun: self.step, proof_after: None };
         self.questions.insert(question, (at, asked));
         let controller = &mut self.controllers[at];
-        let known = controller.watch_cache.open_job(&job).is_some() || controller.queries.ended(&job).is_some();
+        let known = controller.watch_cache.open_job(&job).is_some() || controller.queries.known_end(&job).is_some();
         if intent == Intent::Submit && controller.watch_cache.is_ready() && !known {
             let old_kept = controller.watch_cache.may_hold_old_jobs();
             let record = self.record(&job);
@@ -331,7 +333,7 @@
         }
         let (job, record) = open.swap_remove(self.rng.random_range(0..open.len()));
         let end = JobTransaction {
-            conditions: not_ended(&job).collect(),
+            conditions: not_ended_conditions(&job).collect(),
             changes: end_changes(&record, End::Done, 9).into(),
         };
         self.send(at, end, Waiting::End(job));
@@ -397,7 +399,7 @@
         assert!(stale.is_empty());
         if !batch.is_empty() {
             let old_kept = self.controllers[at].watch_cache.may_hold_old_jobs();
-            let conditions: Vec<_> = batch.ids().flat_map(|id| never_accepted(id, old_kept)).collect();
+            let conditions: Vec<_> = batch.ids().flat_map(|id| never_accepted_conditions(id, old_kept)).collect();
             let failed = self.store.compare(&conditions);
             self.answer(at, Answer::Compared { batch, failed });
         }
--- a/src/membership/cache_changes.rs
+++ b/src/membership/cache_changes.rs
@@ -59,7 +59,7 @@
         for id in &changes.ended {
             self.history.note_end_seen(id, now);
             if let Some(record) = watch_cache.ended_record(id) {
-                accounting.record_end(&record, self.history.ended(id), record.age(now_ms), now);
+                accounting.record_end(&record, self.history.known_end(id), record.age(now_ms), now);
             }
         }
     }
@@ -76,7 +76,7 @@
             cluster.add_job(record.clone(), now);
         }
         for id in &changes.ended {
-            let end = self.history.ended(id);
+            let end = self.history.known_end(id);
             cluster.end_job(id, end, now);
             // Ends that this leader has stored as done need no confirmation; any other end may be a cancellation.
             if end != Some(End::Done) {
--- a/src/membership/reported_ends.rs
+++ b/src/membership/reported_ends.rs
@@ -37,7 +37,7 @@
             // Every job whose tasks were started before this leader record was also accepted before it, so a job that
             // is missing here has ended.
             let missing = through >= fencing_token && watch_cache.open_job(id).is_none();
-            missing || watch_cache.revision_with_end(id).is_some() || self.history.ended(id).is_some()
+            missing || watch_cache.revision_with_end(id).is_some() || self.history.known_end(id).is_some()
         };
         let jobs = heartbeat
             .attempts
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -15,7 +15,7 @@
 use super::leader_state::LeaderState;
 use crate::audit::{AcknowledgedWrite, Auditor};
 use crate::history::job_history::JobHistory;
-use crate::history::job_transactions::{end_changes, find_end, not_ended};
+use crate::history::job_transactions::{end_changes, find_end, not_ended_conditions};
 use crate::jobs::record::{
     ENDED_EXTRA, JobRecord, LEADER, decode_shard, encode_shard, open_key, shard_key, shard_size, time_of_day_ms,
 };
@@ -84,7 +84,7 @@
     pub fn conditions(&self, fencing_token: u64) -> Vec<Condition> {
         let shards = self.shards.iter().map(|s| Condition::at(shard_key(&s.job, s.shard), s.version));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
-        let ends = jobs.into_iter().flat_map(|id| not_ended(id));
+        let ends = jobs.into_iter().flat_map(|id| not_ended_conditions(id));
         std::iter::once(Condition::at(LEADER, fencing_token)).chain(shards).chain(ends).collect()
     }
 
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -113,7 +113,7 @@
         let stored = ended.stored_ends.get(id);
         let at = scheduler.history.end_seen_at(id).or(stored.map(|end| end.at));
         let earlier_revision = watch_cache.revision_before_end(id).or(stored.map(|end| end.earlier_revision));
-        cluster.end_job(id, scheduler.history.ended(id), at.unwrap_or(now).min(now));
+        cluster.end_job(id, scheduler.history.known_end(id), at.unwrap_or(now).min(now));
         cluster.set_ended_after(id, earlier_revision.unwrap_or(0));
     }
     let inherited = orders.len();
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -32,7 +32,7 @@
     let version = service.store.watch_cache().revision_with_end(id);
     if let Some(version) = version {
         service.history.note_cancellation(id, version);
-    } else if let Err(error) = service.history.learn_version(&service.store.client, id).await {
+    } else if let Err(error) = service.history.fetch_cancellation_version(&service.store.client, id).await {
         debug!(%error, job = %id, "cancellation revision lookup failed");
     }
 }
@@ -66,7 +66,7 @@
         return UserResponse::Rejected(RequestError::NoSuchJob);
     }
     let id: JobId = id.into();
-    if let Some(end) = service.history.ended(&id) {
+    if let Some(end) = service.history.known_end(&id) {
         return respond_with_end(service, &id, end).await;
     }
     if !service.store.watch_cache().is_ready() {
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -66,7 +66,7 @@
         return UserResponse::retry_soon("the state service has not been read yet");
     }
     let id = spec.id.clone();
-    if open_task_count(service, &id).is_some() || service.history.ended(&id).is_some() {
+    if open_task_count(service, &id).is_some() || service.history.known_end(&id).is_some() {
         return look_up_job(service, &id).await;
     }
     let Some(catalog) = service.catalog.get() else {
--- a/src/users/write_tracker.rs
+++ b/src/users/write_tracker.rs
@@ -172,7 +172,7 @@
 
 /// What this controller knows of a job without asking the store.
 fn known_job_state(service: &UserService, id: &JobId) -> KnownJobState {
-    if let Some(end) = service.history.ended(id) {
+    if let Some(end) = service.history.known_end(id) {
         return KnownJobState::Ended(end);
     }
     if open_task_count(service, id).is_some() {
