--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
-use crate::jobs::record::LEADER;
+use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::protocol::cloud::ProvisioningRequest;
 use crate::protocol::state::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
@@ -120,7 +120,7 @@
 
     /// Conditions of the write that stores the order: the leader record has this version, and the key is absent.
     pub fn conditions(&self, fencing_token: u64) -> [Condition; 2] {
-        [Condition::at(LEADER, fencing_token), Condition::absent(&self.key)]
+        [Condition::at(LEADER_RECORD_KEY, fencing_token), Condition::absent(&self.key)]
     }
 
     /// The change that stores the order; to be sent with [`Self::conditions`].
@@ -140,7 +140,9 @@
             (_, None) => StoreStep::Abandon,
             (Ok(CompareAndSwapOutcome::Applied(_)), _) => StoreStep::Execute,
             // An earlier attempt was applied, and the leader record has not changed since.
-            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => StoreStep::Execute,
+            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER_RECORD_KEY) => {
+                StoreStep::Execute
+            }
             // The leader record changed: this leader has a newer one, or another leader's is not known here yet.
             _ => StoreStep::Retry,
         }
@@ -243,7 +245,10 @@
                 Change::Drop { drop: key.clone() }
             }
         };
-        Self { conditions: [Condition::at(LEADER, fencing_token)], changes: keys.iter().map(change).collect() }
+        Self {
+            conditions: [Condition::at(LEADER_RECORD_KEY, fencing_token)],
+            changes: keys.iter().map(change).collect(),
+        }
     }
 }
 
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -22,9 +22,9 @@
         ("applied", Ok(CompareAndSwapOutcome::Applied(9)), Some(7), StoreStep::Execute),
         ("applied, and replaced since", Ok(CompareAndSwapOutcome::Applied(9)), None, StoreStep::Abandon),
         ("an earlier copy applied", failed(&["d/me-7-1"]), Some(7), StoreStep::Execute),
-        ("another assignment", failed(&[LEADER]), Some(7), StoreStep::Retry),
-        ("applied under another assignment", failed(&[LEADER, "d/me-7-1"]), Some(8), StoreStep::Retry),
-        ("another assignment, known", failed(&[LEADER]), None, StoreStep::Abandon),
+        ("another assignment", failed(&[LEADER_RECORD_KEY]), Some(7), StoreStep::Retry),
+        ("applied under another assignment", failed(&[LEADER_RECORD_KEY, "d/me-7-1"]), Some(8), StoreStep::Retry),
+        ("another assignment, known", failed(&[LEADER_RECORD_KEY]), None, StoreStep::Abandon),
         ("not answered", Err(StoreError::Unanswered), Some(7), StoreStep::Retry),
         ("refused", Err(StoreError::Unavailable(429)), Some(7), StoreStep::Retry),
     ];
@@ -77,7 +77,7 @@
     let (mut late, mut harm): (Vec<(CloudOrder, u64)>, usize) = (Vec::new(), 0);
     for step in 0..400 {
         if leaders.is_empty() || rng.random_ratio(1, 25) {
-            let write = [Change::write(LEADER, serde_json::json!(step))];
+            let write = [Change::write(LEADER_RECORD_KEY, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(ORDERS).map(|(path, value, version)| {
                 CloudOrder::from_item(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -15,7 +15,7 @@
 }
 
 fn write_leader_record(store: &mut Store) -> u64 {
-    store.apply_if(&[], &[Change::write(LEADER, serde_json::json!("me"))]).unwrap()
+    store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, serde_json::json!("me"))]).unwrap()
 }
 
 fn open(store: &Store) -> InheritedOrders {
@@ -66,7 +66,7 @@
     ];
     for (case, late, drops) in cases {
         let OrderCleanUp { conditions, changes } = OrderCleanUp::new(std::slice::from_ref(&key), &late, 7);
-        assert_eq!(conditions, [Condition::at(LEADER, 7)]);
+        assert_eq!(conditions, [Condition::at(LEADER_RECORD_KEY, 7)]);
         assert_eq!(changes == [Change::Drop { drop: key.clone() }], drops, "{case}");
         assert_eq!(changes.len(), 1, "{case}");
     }
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -17,7 +17,7 @@
 use super::records::{DeclarationId, DeclarationKind, MAX_VALUE_BYTES, spec_key, status_key};
 use super::registry::{DeclarationRegistry, OrphanedStatus, StatusChange};
 use super::table::{KindOperations, NextStatus, find_kind};
-use crate::jobs::record::LEADER;
+use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::jobs::{End, JobId};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
@@ -70,7 +70,7 @@
 
 /// The conditions of a transaction with these writes.
 pub fn conditions(writes: &[StatusWrite], fencing_token: u64) -> Vec<Condition> {
-    let leader_record = Condition::at(LEADER, fencing_token);
+    let leader_record = Condition::at(LEADER_RECORD_KEY, fencing_token);
     std::iter::once(leader_record).chain(writes.iter().flat_map(StatusWrite::conditions)).collect()
 }
 
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -24,7 +24,7 @@
 use super::table::KindOperations;
 use super::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NamedSpec, SpecError};
 use crate::jobs::JobId;
-use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
+use crate::jobs::record::{CACHED_PREFIX, CACHED_START_AFTER, LEADER_RECORD_KEY};
 use crate::scheduling::ClusterState;
 use crate::scheduling::intents::Intents;
 use crate::store::budget::RequestPriority;
@@ -169,7 +169,7 @@
         let without = self.without;
         let left_out = |c: &Condition| match without {
             Without::Nothing | Without::Operators => false,
-            Without::LeaderRecord => c.path == LEADER,
+            Without::LeaderRecord => c.path == LEADER_RECORD_KEY,
             Without::Spec => c.path.starts_with("c/s/"),
             Without::Status => c.path.starts_with("c/t/"),
         };
@@ -190,7 +190,7 @@
             return None;
         }
         let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(DeclarationKind::Heat, name))).into();
-        let fencing_token = self.stage.store.version(LEADER);
+        let fencing_token = self.stage.store.version(LEADER_RECORD_KEY);
         let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
             match change {
@@ -324,9 +324,9 @@
 
 /// As many as a controller reads.
 fn pages(store: &Store) -> usize {
-    let (mut page, mut pages) = (store.page(CACHED, CACHED_AFTER, 250), 1);
+    let (mut page, mut pages) = (store.page(CACHED_PREFIX, CACHED_START_AFTER, 250), 1);
     while page.more {
-        page = store.page(CACHED, &page.items[page.items.len() - 1].path, 250);
+        page = store.page(CACHED_PREFIX, &page.items[page.items.len() - 1].path, 250);
         pages += 1;
     }
     pages
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -11,7 +11,7 @@
 use crate::declarations::driver::{DeclarationDriver, DriverOutput, StatusWrite, changes, conditions};
 use crate::declarations::table::KindOperations;
 use crate::jobs::End;
-use crate::jobs::record::{CACHED, CACHED_AFTER, LEADER};
+use crate::jobs::record::{CACHED_PREFIX, CACHED_START_AFTER, LEADER_RECORD_KEY};
 use crate::scheduling::ClusterState;
 use crate::settings::Properties;
 use crate::settings::tests::example;
@@ -56,7 +56,7 @@
         let controller = &mut self.controllers[at];
         loop {
             if let Some((mut loading, since)) = controller.loading.take() {
-                let page = self.store.page(CACHED, &since, 3);
+                let page = self.store.page(CACHED_PREFIX, &since, 3);
                 controller.watch_cache.apply_page(&mut loading, &page);
                 if page.more {
                     let since = page.items.last().map_or(since, |i| i.path.clone());
@@ -65,7 +65,7 @@
                     controller.watch_cache.finish_reload(loading);
                 }
             } else if let Some(revision) = controller.watch_cache.watch_revision() {
-                match self.store.watch(CACHED, revision) {
+                match self.store.watch(CACHED_PREFIX, revision) {
                     Ok(followed) => drop(controller.watch_cache.apply_watch(&followed)),
                     Err(_) => controller.watch_cache.require_reload(),
                 }
@@ -73,7 +73,7 @@
                     return;
                 }
             } else {
-                controller.loading = Some((controller.watch_cache.begin_reload(), CACHED_AFTER.to_owned()));
+                controller.loading = Some((controller.watch_cache.begin_reload(), CACHED_START_AFTER.to_owned()));
             }
             if !whole {
                 return;
@@ -83,7 +83,7 @@
 
     /// Another leads, or the same one under a newer fencing token. Who led before goes on, unknowing.
     pub fn write_leader_record(&mut self, at: usize) {
-        let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER, json!(at))]).unwrap();
+        let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!(at))]).unwrap();
         // A new leader proves its watch cache fresh before it decides.
         self.follow(at, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
--- a/src/heat/tests/interleaved_simulation.rs
+++ b/src/heat/tests/interleaved_simulation.rs
@@ -8,7 +8,7 @@
 use crate::declarations::records::{spec_key, status_key};
 use crate::declarations::table::KINDS;
 use crate::declarations::tests::simulation::{Sent, Stage};
-use crate::jobs::record::LEADER;
+use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::store::Change;
 
 struct Simulation {
@@ -58,7 +58,7 @@
     }
 
     fn apply(&mut self, (conditions, changes): &Sent) {
-        let fencing_token = self.stage.store.version(LEADER);
+        let fencing_token = self.stage.store.version(LEADER_RECORD_KEY);
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
         }
--- a/src/history/job_transactions.rs
+++ b/src/history/job_transactions.rs
@@ -8,8 +8,8 @@
 
 use crate::jobs::End;
 use crate::jobs::record::{
-    CANCELLED, DONE, EndedRecord, JobRecord, LEADER, OLD_JOBS, OPEN, ended_key, ended_keys, old_end_key, old_job_key,
-    open_key,
+    CANCELLED_JOB_PREFIX, DONE_JOB_PREFIX, EndedRecord, JobRecord, LEADER_RECORD_KEY, OLD_JOB_PREFIX, OPEN_JOB_PREFIX,
+    ended_key, ended_keys, old_end_key, old_job_key, open_key,
 };
 use crate::store::{Change, Condition};
 
@@ -52,10 +52,10 @@
 /// conditions of [`never_accepted_conditions`] and [`not_ended_conditions`] exist.
 pub fn locate_job(key: &str) -> Option<(&str, JobLocation)> {
     let locations = [
-        (OPEN, JobLocation::Open),
-        (DONE, JobLocation::Ended(End::Done)),
-        (CANCELLED, JobLocation::Ended(End::Cancelled)),
-        (OLD_JOBS, JobLocation::EarlierBuild),
+        (OPEN_JOB_PREFIX, JobLocation::Open),
+        (DONE_JOB_PREFIX, JobLocation::Ended(End::Done)),
+        (CANCELLED_JOB_PREFIX, JobLocation::Ended(End::Cancelled)),
+        (OLD_JOB_PREFIX, JobLocation::EarlierBuild),
     ];
     locations.into_iter().find_map(|(prefix, location)| Some((key.strip_prefix(prefix)?, location)))
 }
@@ -87,7 +87,7 @@
 /// Cancels a job that was seen open: it can have left its open key only by ending. With a fencing token as `leader` the
 /// cancellation is applied only under this leader record, which a leader needs to report it at once.
 pub fn cancel_job(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> JobTransaction {
-    let under_leader = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
+    let under_leader = leader.map(|fencing_token| Condition::at(LEADER_RECORD_KEY, fencing_token));
     JobTransaction {
         conditions: not_ended_conditions(&record.spec.id).chain(under_leader).collect(),
         changes: end_changes(record, End::Cancelled, now_ms).into(),
--- a/src/history/job_transactions/tests.rs
+++ b/src/history/job_transactions/tests.rs
@@ -11,7 +11,7 @@
     };
     assert_eq!((write.as_str(), drop.as_str()), ("h/w/run-000001", "c/o/run-000001"));
     let open = serde_json::to_string(&job).unwrap().len();
-    assert!(value.to_string().len() <= open + crate::jobs::record::ENDED_EXTRA);
+    assert!(value.to_string().len() <= open + crate::jobs::record::ENDED_RECORD_EXTRA_BYTES);
     let read: JobRecord = serde_json::from_value(value).unwrap();
     assert_eq!(read.spec, job.spec);
 }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -11,7 +11,7 @@
 use super::job_transactions::{adopt_job, never_accepted_conditions};
 use super::query_queue::{JobQueryAnswer, QueryBatch};
 use crate::jobs::JobId;
-use crate::jobs::record::{JobRecord, OldEnd, old_end_key, old_job_key};
+use crate::jobs::record::{JobRecord, OldEndRecord, old_end_key, old_job_key};
 use crate::store::budget::RequestPriority;
 use crate::store::client::KeyValue;
 use crate::store::handle::StateStore;
@@ -102,7 +102,7 @@
 /// Decodes how a job of an earlier build ended. If that cannot be decoded, nobody knows the end, and users are told to
 /// come again.
 fn decode_old_end(item: &KeyValue, limit: &mut LogLimit) -> JobQueryAnswer {
-    match OldEnd::deserialize(&item.value) {
+    match OldEndRecord::deserialize(&item.value) {
         Ok(old) => JobQueryAnswer::Ended(old.end),
         Err(error) => {
             if limit.due(Instant::now()) {
--- a/src/history/tests/cancellation_visibility.rs
+++ b/src/history/tests/cancellation_visibility.rs
@@ -8,7 +8,7 @@
 use crate::history::job_transactions;
 use crate::history::query_queue::QueryQueue;
 use crate::history::visibility::{EndVisibility, HiddenCancellations, end_visibility};
-use crate::jobs::record::{JobRecord, LEADER};
+use crate::jobs::record::{JobRecord, LEADER_RECORD_KEY};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId};
 use crate::store::Change;
@@ -119,7 +119,7 @@
         ("a follower's, whoever leads", true, false, true),
     ] {
         let mut store = Store::default();
-        let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
+        let write_leader_record = [Change::write(LEADER_RECORD_KEY, serde_json::json!("a"))];
         let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
         let record = JobRecord { spec: spec(), at_ms: 5 };
         let accept = job_transactions::accept_job(&record, false);
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -17,8 +17,8 @@
 };
 use crate::history::query_queue::{JobQueryAnswer, NextBatch, QueryBatch, QueryQueue, ResolvedBatch};
 use crate::jobs::record::{
-    CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
-    open_key,
+    CACHED_PREFIX, CACHED_START_AFTER, ENDED_RECORD_EXTRA_BYTES, JobRecord, OLD_END_PREFIX, OLD_JOB_PREFIX,
+    UPGRADED_KEY, ended_key, old_end_key, old_job_key, open_key,
 };
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
@@ -343,7 +343,7 @@
         let version = self.store.apply_if(&sent.conditions, &sent.changes).map_err(|refused| refused.failed)?;
         for change in &sent.changes {
             let Change::Write { write, value, .. } = change else { continue };
-            assert!(value.to_string().len() < 1024 + ENDED_EXTRA);
+            assert!(value.to_string().len() < 1024 + ENDED_RECORD_EXTRA_BYTES);
             let Some((job, place)) = locate_job(write) else { continue };
             let ends = [End::Done, End::Cancelled].map(|end| self.store.has(&ended_key(job, end)));
             let keys = usize::from(self.store.has(&open_key(job))) + ends.iter().filter(|has| **has).count();
@@ -371,25 +371,25 @@
         match controller.watch_cache.watch_revision() {
             Some(revision) if !controller.asked_watch => {
                 controller.asked_watch = true;
-                let response = self.store.watch(CACHED, revision).unwrap();
+                let response = self.store.watch(CACHED_PREFIX, revision).unwrap();
                 self.answer(at, Answer::Watch { asked: now, response });
             }
             Some(revision) if self.rng.random_bool(0.3) => {
                 // A proof of freshness beside the watch; the two may answer in either order.
-                let response = self.store.watch(CACHED, revision).unwrap();
+                let response = self.store.watch(CACHED_PREFIX, revision).unwrap();
                 self.answer(at, Answer::Watch { asked: now, response });
             }
             None if controller.loading.is_none() => {
                 controller.epochs += 1;
                 let loading = controller.watch_cache.begin_reload();
-                controller.loading = Some((loading, CACHED_AFTER.to_owned(), controller.epochs));
+                controller.loading = Some((loading, CACHED_START_AFTER.to_owned(), controller.epochs));
                 controller.asked_page = false;
             }
             None if !controller.asked_page => {
                 let Some((_, since, epoch)) = &controller.loading else { return };
                 let (since, epoch) = (since.clone(), *epoch);
                 controller.asked_page = true;
-                let page = self.store.page(CACHED, &since, PAGE);
+                let page = self.store.page(CACHED_PREFIX, &since, PAGE);
                 self.answer(at, Answer::Page { epoch, page });
             }
             _ => {}
@@ -409,15 +409,15 @@
     fn upgrade(&mut self, at: usize) {
         let Some(mut up) = self.controllers[at].upgrade.take() else { return };
         if up.jobs.is_empty() && up.jobs_more {
-            let page = self.store.page(OLD_JOBS, &up.jobs_since, PAGE);
+            let page = self.store.page(OLD_JOB_PREFIX, &up.jobs_since, PAGE);
             up.jobs_more = page.more && !page.items.is_empty();
             up.jobs_since = page.items.last().map_or(up.jobs_since, |i| i.path.clone());
-            up.jobs.extend(page.items.into_iter().map(|i| (i.path[OLD_JOBS.len()..].to_owned(), i.version)));
+            up.jobs.extend(page.items.into_iter().map(|i| (i.path[OLD_JOB_PREFIX.len()..].to_owned(), i.version)));
         } else if up.ends.is_empty() && up.ends_more {
-            let page = self.store.page(OLD_ENDS, &up.ends_since, PAGE);
+            let page = self.store.page(OLD_END_PREFIX, &up.ends_since, PAGE);
             up.ends_more = page.more && !page.items.is_empty();
             up.ends_since = page.items.last().map_or(up.ends_since, |i| i.path.clone());
-            up.ends.extend(page.items.into_iter().map(|i| i.path[OLD_ENDS.len()..].to_owned()));
+            up.ends.extend(page.items.into_iter().map(|i| i.path[OLD_END_PREFIX.len()..].to_owned()));
         } else if let Some((job, version)) = up.jobs.front().cloned() {
             if up.ends.front().is_some_and(|e| *e < job) {
                 up.ends.pop_front();
@@ -430,7 +430,7 @@
             }
         } else {
             let value = json!({"old_kept": true});
-            let _ = self.store.apply_if(&[Condition::absent(UPGRADED)], &[Change::write(UPGRADED, value)]);
+            let _ = self.store.apply_if(&[Condition::absent(UPGRADED_KEY)], &[Change::write(UPGRADED_KEY, value)]);
             return;
         }
         self.controllers[at].upgrade = Some(up);
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -11,7 +11,7 @@
 use tracing::{error, info};
 
 use super::job_transactions::adopt_job;
-use crate::jobs::record::{JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, Upgraded};
+use crate::jobs::record::{JobRecord, OLD_END_PREFIX, OLD_JOB_PREFIX, UPGRADED_KEY, UpgradeRecord};
 use crate::store::budget::RequestPriority;
 use crate::store::client::{KeyValue, Pages};
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
@@ -51,8 +51,8 @@
 
 /// Marks the store as upgraded. The mark is written once, by whoever has first moved everything.
 pub(crate) fn mark_upgraded(old_kept: bool) -> (Condition, Change) {
-    let value = serde_json::to_value(Upgraded { old_jobs_kept: old_kept }).unwrap_or_default();
-    (Condition::absent(UPGRADED), Change::write(UPGRADED, value))
+    let value = serde_json::to_value(UpgradeRecord { old_jobs_kept: old_kept }).unwrap_or_default();
+    (Condition::absent(UPGRADED_KEY), Change::write(UPGRADED_KEY, value))
 }
 
 /// Moves all open jobs and marks the store as upgraded. To be run again after an error.
@@ -61,7 +61,7 @@
 ///
 /// The state service refused or did not answer.
 pub async fn run(store: &StateClient) -> Result<(), StoreError> {
-    let (mut jobs, mut ends) = (ListingCursor::new(store, OLD_JOBS), ListingCursor::new(store, OLD_ENDS));
+    let (mut jobs, mut ends) = (ListingCursor::new(store, OLD_JOB_PREFIX), ListingCursor::new(store, OLD_END_PREFIX));
     let (mut open, mut ended) = (0u64, 0u64);
     while let Some(id) = jobs.peek_id().await? {
         while ends.peek_id().await?.is_some_and(|e| e < id) {
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -21,7 +21,7 @@
 
 /// How many tasks of a job run and are done, for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Counts {
+pub struct TaskCounts {
     /// Tasks that run now.
     pub running: u64,
     /// Tasks that are done.
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -13,32 +13,32 @@
 use super::{End, JobSpec, well_formed_id};
 
 /// Prefix of what every controller mirrors.
-pub const CACHED: &str = "c/";
+pub const CACHED_PREFIX: &str = "c/";
 /// Listings of what is cached begin after this, past all that earlier builds have left.
-pub const CACHED_AFTER: &str = "c/k";
+pub const CACHED_START_AFTER: &str = "c/k";
 /// Prefix of the keys of open jobs; the job's id follows.
-pub const OPEN: &str = "c/o/";
+pub const OPEN_JOB_PREFIX: &str = "c/o/";
 /// Prefix of the keys of jobs that are done; the job's id follows.
-pub const DONE: &str = "h/d/";
+pub const DONE_JOB_PREFIX: &str = "h/d/";
 /// Prefix of the keys of cancelled jobs; the job's id follows.
-pub const CANCELLED: &str = "h/w/";
+pub const CANCELLED_JOB_PREFIX: &str = "h/w/";
 /// Jobs and ends as builds before 0.2 kept them; ended ones stay there and are read when asked for.
-pub const OLD_JOBS: &str = "c/j/";
+pub const OLD_JOB_PREFIX: &str = "c/j/";
 /// Prefix of the ends of jobs as builds before 0.2 kept them; the job's id follows.
-pub const OLD_ENDS: &str = "c/e/";
-/// Written once nothing open is left under `OLD_JOBS`.
-pub const UPGRADED: &str = "c/upgraded";
+pub const OLD_END_PREFIX: &str = "c/e/";
+/// Written once nothing open is left under `OLD_JOB_PREFIX`.
+pub const UPGRADED_KEY: &str = "c/upgraded";
 /// Key of the lease holder ([`LeaseHolder`](crate::records::leadership::LeaseHolder)), attached to the election lease.
-pub const LEASE_HOLDER: &str = "c/leader";
+pub const LEASE_HOLDER_KEY: &str = "c/leader";
 /// Key of the leader's record ([`LeaderRecord`](crate::records::leadership::LeaderRecord)). Its version is the leader's
 /// fencing token.
-pub const LEADER: &str = "c/owner/0";
+pub const LEADER_RECORD_KEY: &str = "c/owner/0";
 /// Written by a controller that workers turn to because they cannot reach the leader.
-pub const TAKEOVER_REQUEST: &str = "c/plea";
+pub const TAKEOVER_REQUEST_KEY: &str = "c/plea";
 /// The leader's watermark, stored where a controller does not hear it (`membership::watermark`).
-pub const WATERMARK: &str = "c/watermark";
+pub const WATERMARK_KEY: &str = "c/watermark";
 /// Prefix of shards of tasks; `ID/NUMBER` follows.
-pub const TASKS: &str = "t/";
+pub const TASK_SHARD_PREFIX: &str = "t/";
 
 /// Tasks of one shard: a full one takes about 4 KiB, half of the smallest usual value, which leaves
 /// room for longer names of machines. Larger shards mean fewer changes for jobs of hundreds.
@@ -46,13 +46,13 @@
 
 /// Key of an open job.
 pub fn open_key(id: &str) -> String {
-    format!("{OPEN}{id}")
+    format!("{OPEN_JOB_PREFIX}{id}")
 }
 /// Key of a job that ended so.
 pub fn ended_key(id: &str, end: End) -> String {
     match end {
-        End::Done => format!("{DONE}{id}"),
-        End::Cancelled => format!("{CANCELLED}{id}"),
+        End::Done => format!("{DONE_JOB_PREFIX}{id}"),
+        End::Cancelled => format!("{CANCELLED_JOB_PREFIX}{id}"),
     }
 }
 /// Both keys that a job may have ended under; none of them exists while it is open.
@@ -61,20 +61,20 @@
 }
 /// Key of a job, open or ended, in builds before 0.2.
 pub fn old_job_key(id: &str) -> String {
-    format!("{OLD_JOBS}{id}")
+    format!("{OLD_JOB_PREFIX}{id}")
 }
 /// Key of a job's end in builds before 0.2.
 pub fn old_end_key(id: &str) -> String {
-    format!("{OLD_ENDS}{id}")
+    format!("{OLD_END_PREFIX}{id}")
 }
 /// Key of one shard of a job's tasks: shard n holds the tasks from n × [`TASKS_PER_SHARD`] on.
 pub fn shard_key(id: &str, shard: u64) -> String {
-    format!("{TASKS}{id}/{shard:05}")
+    format!("{TASK_SHARD_PREFIX}{id}/{shard:05}")
 }
 
 /// Reads back what `shard_key` made of a job's id, and nothing else.
 pub fn parse_shard_key(key: &str) -> Option<(&str, u64)> {
-    let (id, number) = key.strip_prefix(TASKS)?.split_once('/')?;
+    let (id, number) = key.strip_prefix(TASK_SHARD_PREFIX)?.split_once('/')?;
     let shard = number.parse().ok()?;
     (well_formed_id(id) && shard_key(id, shard) == key).then_some((id, shard))
 }
@@ -106,19 +106,19 @@
 }
 
 /// Room that `ended_ms` takes beyond the job's own record, in bytes of JSON.
-pub const ENDED_EXTRA: usize = 40;
+pub const ENDED_RECORD_EXTRA_BYTES: usize = 40;
 
 /// The end of a job as builds before 0.2 kept it.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct OldEnd {
+pub struct OldEndRecord {
     /// How the job ended.
     pub end: End,
 }
 
 /// That a store holds no open job of an earlier build any more, and whether it holds ended ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Upgraded {
-    /// Whether ended jobs remain under [`OLD_JOBS`] and [`OLD_ENDS`].
+pub struct UpgradeRecord {
+    /// Whether ended jobs remain under [`OLD_JOB_PREFIX`] and [`OLD_END_PREFIX`].
     #[serde(rename = "old_kept")]
     pub old_jobs_kept: bool,
 }
@@ -159,15 +159,15 @@
 }
 
 /// At least as many bytes as an encoded shard takes, without encoding it.
-pub fn shard_size(tasks: &[StoredTask]) -> usize {
+pub fn max_shard_bytes(tasks: &[StoredTask]) -> usize {
     tasks.iter().map(|task| if let StoredTask::Bound(_, machine) = task { machine.len() + 26 } else { 22 }).sum()
 }
 
 /// Attempts beyond this are not believed: the next ones could not be numbered or stored.
-pub const MOST_ATTEMPTS: u64 = 1 << 62;
+pub const ATTEMPT_NUMBER_LIMIT: u64 = 1 << 62;
 
 fn decode_attempt(value: &Value) -> Option<u64> {
-    value.as_u64().filter(|attempt| *attempt < MOST_ATTEMPTS)
+    value.as_u64().filter(|attempt| *attempt < ATTEMPT_NUMBER_LIMIT)
 }
 
 /// Reads back what [`encode_shard`] made; none if any of its items cannot be read.
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -16,7 +16,7 @@
 use super::step::{ElectionObservations, Step, next_step};
 use super::unreadable::UnreadableLeaseHolder;
 use super::watermark::WatermarkStall;
-use crate::jobs::record::{LEADER, LEASE_HOLDER, WATERMARK};
+use crate::jobs::record::{LEADER_RECORD_KEY, LEASE_HOLDER_KEY, WATERMARK_KEY};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, Watermark};
 use crate::store::budget::RequestPriority;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
@@ -221,7 +221,7 @@
 /// the leader record stands until a new lease holder writes the next one, and the commands of its leader are judged by
 /// it.
 pub(crate) fn lease_removal(version: u64) -> (Condition, Change) {
-    (Condition::at(LEASE_HOLDER, version), Change::Drop { drop: LEASE_HOLDER.into() })
+    (Condition::at(LEASE_HOLDER_KEY, version), Change::Drop { drop: LEASE_HOLDER_KEY.into() })
 }
 
 async fn expire(membership: &Membership, version: u64) -> Result<(), StoreError> {
@@ -235,7 +235,7 @@
 /// Condition and change that take the election lease if nobody holds it.
 pub(crate) fn lease_acquisition(me: &LeaseHolder, lease: u64) -> (Condition, Change) {
     let value = serde_json::to_value(me).unwrap_or_default();
-    (Condition::absent(LEASE_HOLDER), Change::Write { write: LEASE_HOLDER.into(), value, permit: Some(lease) })
+    (Condition::absent(LEASE_HOLDER_KEY), Change::Write { write: LEASE_HOLDER_KEY.into(), value, permit: Some(lease) })
 }
 
 async fn campaign(membership: &Membership, held_lease: &mut Option<u64>, life: Duration) -> Result<(), StoreError> {
@@ -267,8 +267,8 @@
     lease_holder_version: u64,
     version: u64,
 ) -> ([Condition; 2], Change) {
-    let change = Change::write(LEADER, serde_json::to_value(leader).unwrap_or_default());
-    ([Condition::at(LEASE_HOLDER, lease_holder_version), Condition::at(LEADER, version)], change)
+    let change = Change::write(LEADER_RECORD_KEY, serde_json::to_value(leader).unwrap_or_default());
+    ([Condition::at(LEASE_HOLDER_KEY, lease_holder_version), Condition::at(LEADER_RECORD_KEY, version)], change)
 }
 
 /// Writes the leader record for this process. Writing it again raises the fencing token: commands under an older token
@@ -305,7 +305,7 @@
 /// one.
 pub(super) fn watermark_write(watermark: Watermark) -> (Condition, Change) {
     let value = serde_json::to_value(watermark).unwrap_or_default();
-    (Condition::at(LEADER, watermark.fencing_token), Change::write(WATERMARK, value))
+    (Condition::at(LEADER_RECORD_KEY, watermark.fencing_token), Change::write(WATERMARK_KEY, value))
 }
 
 /// Stores the watermark for controllers that don't receive this leader's lines.
--- a/src/membership/election/tests.rs
+++ b/src/membership/election/tests.rs
@@ -80,8 +80,9 @@
     let ms = Duration::from_millis;
     let lease_holder =
         |node: &str, incarnation: &str| LeaseHolder { node: node.into(), incarnation: incarnation.into() };
-    let stored_lease_holder =
-        |store: &Store| store.value(LEASE_HOLDER).map(|v| serde_json::from_value::<LeaseHolder>(v.clone()).unwrap());
+    let stored_lease_holder = |store: &Store| {
+        store.value(LEASE_HOLDER_KEY).map(|v| serde_json::from_value::<LeaseHolder>(v.clone()).unwrap())
+    };
     let mut store = Store::default();
     let lease = store.grant(LIFE, ms(0)).unwrap();
     let (condition, change) = lease_acquisition(&lease_holder("a", "a0"), lease);
@@ -106,7 +107,7 @@
                 renewal_due: false,
             }) {
                 Step::Expire => {
-                    removal = Some(lease_removal(store.version(LEASE_HOLDER)));
+                    removal = Some(lease_removal(store.version(LEASE_HOLDER_KEY)));
                     let (condition, change) = removal.clone().unwrap();
                     store.apply_if(&[condition], &[change]).unwrap();
                 }
--- a/src/membership/election/tests/late.rs
+++ b/src/membership/election/tests/late.rs
@@ -7,7 +7,7 @@
 use hollylanding_emulator::world::store::Store;
 
 use super::super::*;
-use crate::jobs::record::CACHED;
+use crate::jobs::record::CACHED_PREFIX;
 use crate::records::leadership::TakeoverRequest;
 use crate::store::watch_cache::WatchCache;
 
@@ -34,7 +34,8 @@
 }
 
 fn become_leader(store: &mut Store, me: &str) -> Option<u64> {
-    let (conditions, change) = leader_record_write(&leader(me), store.version(LEASE_HOLDER), store.version(LEADER));
+    let (conditions, change) =
+        leader_record_write(&leader(me), store.version(LEASE_HOLDER_KEY), store.version(LEADER_RECORD_KEY));
     send(store, &conditions, &[change])
 }
 
@@ -46,7 +47,7 @@
 }
 
 fn apply_watch(watch_cache: &mut WatchCache, store: &Store) {
-    watch_cache.apply_watch(&store.watch(CACHED, watch_cache.revision()).unwrap());
+    watch_cache.apply_watch(&store.watch(CACHED_PREFIX, watch_cache.revision()).unwrap());
 }
 
 /// Next step of `run` by the watch cache and by the fencing token of the cluster state, if there is one.
@@ -77,7 +78,7 @@
         apply_watch(&mut watch_cache, &store);
         // The write is applied, and is observed through the watch only.
         let (conditions, change) =
-            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
+            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER_KEY), store.version(LEADER_RECORD_KEY));
         let unanswered_token = send(&mut store, &conditions, std::slice::from_ref(&change)).unwrap();
         apply_watch(&mut watch_cache, &store);
         assert_eq!(next("a1", &watch_cache, held), Step::WriteLeaderRecord, "token held {held:?}");
@@ -109,7 +110,7 @@
     type Newer = fn(&mut Store);
     fn leader_record_now(store: &mut Store) -> Sent {
         let (conditions, change) =
-            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER), store.version(LEADER));
+            leader_record_write(&leader("a1"), store.version(LEASE_HOLDER_KEY), store.version(LEADER_RECORD_KEY));
         (conditions.into(), vec![change])
     }
     fn campaign_now(store: &mut Store) -> Sent {
@@ -118,11 +119,12 @@
         (vec![condition], vec![change])
     }
     fn revocation_now(store: &mut Store) -> Sent {
-        let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
+        let (condition, change) = lease_removal(store.version(LEASE_HOLDER_KEY));
         (vec![condition], vec![change])
     }
     fn takeover_request_now(store: &mut Store) -> Sent {
-        let takeover_request = TakeoverRequest { node: "b".into(), fencing_token: store.version(LEADER), machines: 3 };
+        let takeover_request =
+            TakeoverRequest { node: "b".into(), fencing_token: store.version(LEADER_RECORD_KEY), machines: 3 };
         let (conditions, changes) = takeover_request.transaction();
         (conditions.into(), changes.into())
     }
@@ -183,7 +185,7 @@
     let late_campaign = ([condition], [change]);
     send(&mut store, &late_campaign.0, &late_campaign.1).unwrap();
     let fencing_token = become_leader(&mut store, "a1").unwrap();
-    let (condition, change) = lease_removal(store.version(LEASE_HOLDER));
+    let (condition, change) = lease_removal(store.version(LEASE_HOLDER_KEY));
     send(&mut store, &[condition], &[change]).unwrap();
     assert!(send(&mut store, &late_campaign.0, &late_campaign.1).is_some());
     let mut watch_cache = watch_cache();
@@ -201,7 +203,7 @@
     );
     store.end_leases(Duration::from_millis(3100));
     apply_watch(&mut watch_cache, &store);
-    assert_eq!((next("a2", &watch_cache, None), store.version(LEADER)), (Step::Campaign, fencing_token));
+    assert_eq!((next("a2", &watch_cache, None), store.version(LEADER_RECORD_KEY)), (Step::Campaign, fencing_token));
 }
 
 /// A late renewal lengthens a lease by at most its life. A lease that has ended stays ended, and a late release or
@@ -213,15 +215,15 @@
     let (old, _) = take_lease(&mut store, "a1");
     store.renew(old, s(2)).unwrap();
     store.end_leases(s(4));
-    assert!(store.has(LEASE_HOLDER), "a late renewal lengthens the lease by its life");
+    assert!(store.has(LEASE_HOLDER_KEY), "a late renewal lengthens the lease by its life");
     store.end_leases(s(5));
-    assert!(!store.has(LEASE_HOLDER));
+    assert!(!store.has(LEASE_HOLDER_KEY));
     let lease = store.grant(3000, s(5)).unwrap();
     let (condition, change) = lease_acquisition(&lease_holder("b1"), lease);
     let version = send(&mut store, &[condition], &[change]).unwrap();
     assert!(store.renew(old, s(5)).is_err() && store.release(old).is_err());
     store.grant(3000, s(5)).unwrap();
-    assert_eq!(store.version(LEASE_HOLDER), version);
+    assert_eq!(store.version(LEASE_HOLDER_KEY), version);
 }
 
 /// The answer to a transaction may arrive after the watch has reported newer ones. If the answer replaced those in the
@@ -246,7 +248,7 @@
         Some(("b1", newer))
     );
     // An answer ahead of the watch counts, and an older watch response does not revert it.
-    let before = store.watch(CACHED, watch_cache.revision()).unwrap();
+    let before = store.watch(CACHED_PREFIX, watch_cache.revision()).unwrap();
     let fencing_token = become_leader(&mut store, "b1").unwrap();
     assert!(watch_cache.note_leader_record(leader("b1"), fencing_token));
     watch_cache.apply_watch(&before);
@@ -266,7 +268,7 @@
     let mut store = Store::default();
     take_lease(&mut store, "b1");
     let before = become_leader(&mut store, "b1").unwrap();
-    let old = store.page(CACHED, "", 100);
+    let old = store.page(CACHED_PREFIX, "", 100);
     store.drop_leases();
     take_lease(&mut store, "a1");
     let mut watch_cache = watch_cache();
--- a/src/membership/figures.rs
+++ b/src/membership/figures.rs
@@ -5,13 +5,13 @@
 
 use super::mesh;
 use super::state::Membership;
-use crate::jobs::{Counts, JobId};
+use crate::jobs::{JobId, TaskCounts};
 use crate::scheduling::fairness::ServiceLevel;
 use crate::sync::lock;
 
 impl Membership {
     /// Returns the counts of a job's running and done tasks, as far as known here.
-    pub fn counts(&self, id: &JobId) -> Counts {
+    pub fn counts(&self, id: &JobId) -> TaskCounts {
         if let Some(cluster) = self.leader.cluster().as_ref() {
             return cluster.task_counts(id);
         }
@@ -19,7 +19,7 @@
     }
 
     /// Returns at most `max` counts that differ from those last sent to a peer, and records them in `sent`.
-    pub fn changed_counts(&self, sent: &mut HashMap<JobId, Counts>, max: usize) -> Vec<(JobId, Counts)> {
+    pub fn changed_counts(&self, sent: &mut HashMap<JobId, TaskCounts>, max: usize) -> Vec<(JobId, TaskCounts)> {
         let held = self.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut changed = Vec::new();
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 
-use crate::jobs::{Counts, JobId, well_formed_id};
+use crate::jobs::{JobId, TaskCounts, well_formed_id};
 use crate::records::leadership::Watermark;
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
@@ -32,7 +32,7 @@
     pub store_demand: [LimitDemand; 2],
     /// Counts of jobs that have changed since the last line, from the leader.
     #[serde(default, deserialize_with = "decodable_entries")]
-    pub counts: Vec<(JobId, Counts)>,
+    pub counts: Vec<(JobId, TaskCounts)>,
     /// Service levels of the leader's fair-share accounting, in some of the lines.
     #[serde(rename = "served", default, deserialize_with = "decodable_entries")]
     pub service_levels: Vec<ServiceLevel>,
--- a/src/membership/mesh/peers.rs
+++ b/src/membership/mesh/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::jobs::{Counts, JobId};
+use crate::jobs::{JobId, TaskCounts};
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
 use crate::store::log_limit::LogLimit;
@@ -46,7 +46,7 @@
     /// Limit on log messages about refused connections.
     pub(super) refused_connections: LogLimit,
     /// Counts of running and done tasks of open jobs as last sent by the leader. For display only.
-    pub counts: HashMap<JobId, Counts>,
+    pub counts: HashMap<JobId, TaskCounts>,
     /// Service levels as last sent by the leader, and when they arrived.
     pub service_levels: Option<(Vec<ServiceLevel>, Instant)>,
 }
--- a/src/membership/mesh/send.rs
+++ b/src/membership/mesh/send.rs
@@ -9,7 +9,7 @@
 use tracing::debug;
 
 use super::line::{Line, MAX_COUNTS};
-use crate::jobs::{Counts, JobId};
+use crate::jobs::{JobId, TaskCounts};
 use crate::membership::state::Membership;
 use crate::settings::Peer;
 use crate::sync::lock;
@@ -39,7 +39,7 @@
 /// Sends lines over one connection until it breaks.
 async fn send_lines_over(membership: &Membership, peer: &str, mut stream: TcpStream) -> std::io::Result<()> {
     let connected_at = Instant::now();
-    let mut sent_counts: HashMap<JobId, Counts> = HashMap::new();
+    let mut sent_counts: HashMap<JobId, TaskCounts> = HashMap::new();
     let mut next_service_levels = Instant::now();
     let mut changes = membership.wakeups.mesh.subscribe();
     let mut next_full_line = Instant::now();
--- a/src/membership/watermark/tests.rs
+++ b/src/membership/watermark/tests.rs
@@ -7,7 +7,7 @@
 use super::super::election::watermark_write;
 use super::super::mesh::accepted_watermark;
 use super::{UnconfirmedCancellations, WatermarkStall, own_watermark};
-use crate::jobs::record::{LEADER, WATERMARK};
+use crate::jobs::record::{LEADER_RECORD_KEY, WATERMARK_KEY};
 use crate::records::leadership::{LeaderRecord, Watermark};
 use crate::store::Change;
 
@@ -96,11 +96,11 @@
 #[test]
 fn watermark_is_stored_only_under_its_leader_record() {
     let mut store = Store::default();
-    let write_leader_record = [Change::write(LEADER, serde_json::json!("a"))];
+    let write_leader_record = [Change::write(LEADER_RECORD_KEY, serde_json::json!("a"))];
     let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
     let (condition, change) = watermark_write(Watermark { fencing_token, revision: 3 });
     store.apply_if(std::slice::from_ref(&condition), std::slice::from_ref(&change)).unwrap();
-    let stored: Watermark = serde_json::from_value(store.value(WATERMARK).unwrap().clone()).unwrap();
+    let stored: Watermark = serde_json::from_value(store.value(WATERMARK_KEY).unwrap().clone()).unwrap();
     assert_eq!(stored, Watermark { fencing_token, revision: 3 });
     store.apply_if(&[], &write_leader_record).unwrap();
     assert!(store.apply_if(&[condition], &[change]).is_err(), "a late copy is refused");
--- a/src/records/leadership.rs
+++ b/src/records/leadership.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::record::{LEADER, TAKEOVER_REQUEST};
+use crate::jobs::record::{LEADER_RECORD_KEY, TAKEOVER_REQUEST_KEY};
 use crate::protocol::state::{Change, Condition};
 
 /// Value of the lease holder's key, which is attached to the election lease and exists as long as that.
@@ -55,6 +55,6 @@
     /// leader that was replaced is refused.
     pub fn transaction(&self) -> ([Condition; 1], [Change; 1]) {
         let value = serde_json::to_value(self).unwrap_or_default();
-        ([Condition::at(LEADER, self.fencing_token)], [Change::write(TAKEOVER_REQUEST, value)])
+        ([Condition::at(LEADER_RECORD_KEY, self.fencing_token)], [Change::write(TAKEOVER_REQUEST_KEY, value)])
     }
 }
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -8,7 +8,7 @@
 
 use super::model::image_digest;
 use super::{Arrivals, Binding, ClusterState, JobState, Machine, MachineId, Phase, Task};
-use crate::jobs::Counts;
+use crate::jobs::TaskCounts;
 use crate::jobs::record::{JobRecord, StoredTask, TASKS_PER_SHARD, time_of_day_ms};
 use crate::jobs::{End, JobId, JobSpec};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
@@ -41,12 +41,12 @@
     }
 
     /// Counts of running and done tasks of a job, for display.
-    pub fn task_counts(&self, id: &JobId) -> Counts {
-        self.jobs.get(id).map_or_else(Counts::default, count_tasks)
+    pub fn task_counts(&self, id: &JobId) -> TaskCounts {
+        self.jobs.get(id).map_or_else(TaskCounts::default, count_tasks)
     }
 
     /// Counts of running and done tasks of every job.
-    pub fn all_task_counts(&self) -> impl Iterator<Item = (&JobId, Counts)> {
+    pub fn all_task_counts(&self) -> impl Iterator<Item = (&JobId, TaskCounts)> {
         self.jobs.iter().map(|(id, job)| (id, count_tasks(job)))
     }
 
@@ -267,7 +267,7 @@
     }
 }
 
-fn count_tasks(job: &JobState) -> Counts {
+fn count_tasks(job: &JobState) -> TaskCounts {
     let running = job
         .bound
         .iter()
@@ -275,5 +275,5 @@
             matches!(job.binding(**i).and_then(|b| b.status), Some(AttemptStatus::Running | AttemptStatus::Saving))
         })
         .count();
-    Counts { running: running as u64, done: job.done }
+    TaskCounts { running: running as u64, done: job.done }
 }
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -22,7 +22,7 @@
 use tracing::{error, info};
 
 use super::{ClusterState, Machine, MachineId, Phase, TeamUsage};
-use crate::jobs::record::{MOST_ATTEMPTS, TASKS_PER_SHARD};
+use crate::jobs::record::{ATTEMPT_NUMBER_LIMIT, TASKS_PER_SHARD};
 use crate::jobs::{JobId, Shape};
 use crate::protocol::workers::{AttemptReport, AttemptStatus, ExitCause, TaskKey};
 
@@ -58,7 +58,7 @@
 
 /// The highest attempt number that is possible for a task whose shard was last changed at this revision.
 fn last_hidden_attempt(version: u64) -> u64 {
-    HIDDEN_ATTEMPT_BASE.saturating_add(version).min(MOST_ATTEMPTS)
+    HIDDEN_ATTEMPT_BASE.saturating_add(version).min(ATTEMPT_NUMBER_LIMIT)
 }
 
 /// Whether a machine may run tasks of an earlier leader that it has not reported to this leader yet.
--- a/src/scheduling/commit.rs
+++ b/src/scheduling/commit.rs
@@ -17,7 +17,8 @@
 use crate::history::job_history::JobHistory;
 use crate::history::job_transactions::{end_changes, find_end, not_ended_conditions};
 use crate::jobs::record::{
-    ENDED_EXTRA, JobRecord, LEADER, decode_shard, encode_shard, open_key, shard_key, shard_size, time_of_day_ms,
+    ENDED_RECORD_EXTRA_BYTES, JobRecord, LEADER_RECORD_KEY, decode_shard, encode_shard, max_shard_bytes, open_key,
+    shard_key, time_of_day_ms,
 };
 use crate::jobs::{End, JobId};
 use crate::membership::Membership;
@@ -85,7 +86,7 @@
         let shards = self.shards.iter().map(|s| Condition::at(shard_key(&s.job, s.shard), s.version));
         let jobs: BTreeSet<&JobId> = self.jobs().collect();
         let ends = jobs.into_iter().flat_map(|id| not_ended_conditions(id));
-        std::iter::once(Condition::at(LEADER, fencing_token)).chain(shards).chain(ends).collect()
+        std::iter::once(Condition::at(LEADER_RECORD_KEY, fencing_token)).chain(shards).chain(ends).collect()
     }
 
     /// Every job with an end or a shard in this batch.
@@ -153,11 +154,12 @@
     }
     let (mut ends, mut shards) = cluster.next_writes(max_changes, now);
     let mut bytes = 0;
-    let size =
-        |job: &Arc<JobRecord>| serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_EXTRA + CHANGE_OVERHEAD_BYTES;
+    let size = |job: &Arc<JobRecord>| {
+        serde_json::to_vec(&**job).map_or(0, |v| v.len()) + ENDED_RECORD_EXTRA_BYTES + CHANGE_OVERHEAD_BYTES
+    };
     let excess_ends = ends.split_off(count_fitting(&mut bytes, ends.iter().map(size)));
     let excess_shards = shards
-        .split_off(count_fitting(&mut bytes, shards.iter().map(|s| shard_size(&s.tasks) + CHANGE_OVERHEAD_BYTES)));
+        .split_off(count_fitting(&mut bytes, shards.iter().map(|s| max_shard_bytes(&s.tasks) + CHANGE_OVERHEAD_BYTES)));
     let excess_ends: Vec<JobId> = excess_ends.iter().map(|job| job.spec.id.clone()).collect();
     cluster.requeue_writes(&excess_ends, &excess_shards);
     let batch = CommitBatch { ends, shards, at_ms: time_of_day_ms() };
@@ -181,7 +183,7 @@
             Ok(CompareAndSwapOutcome::Failed(keys)) => {
                 debug!(?keys, unanswered, "transaction rejected");
                 let now_token = group_commit.leader.cluster().as_ref().map(|cluster| cluster.fencing_token);
-                if keys.iter().any(|k| k == LEADER) {
+                if keys.iter().any(|k| k == LEADER_RECORD_KEY) {
                     if now_token.is_some_and(|t| t > fencing_token) {
                         continue;
                     }
@@ -275,7 +277,7 @@
     let jobs: BTreeSet<&JobId> = drops.iter().map(|(id, _)| id).collect();
     let closed = jobs.into_iter().map(|id| Condition::absent(open_key(id)));
     let changes = drops.iter().map(|(id, shard)| Change::Drop { drop: shard_key(id, *shard) }).collect();
-    (std::iter::once(Condition::at(LEADER, fencing_token)).chain(closed).collect(), changes)
+    (std::iter::once(Condition::at(LEADER_RECORD_KEY, fencing_token)).chain(closed).collect(), changes)
 }
 
 /// The shards that are still to be deleted after a rejected deletion: those whose job is not open.
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -13,7 +13,7 @@
 
 use crate::cloud_orders::{CloudOrder, ORDERS};
 use crate::jobs::JobId;
-use crate::jobs::record::{JobRecord, TASKS};
+use crate::jobs::record::{JobRecord, TASK_SHARD_PREFIX};
 use crate::scheduling::scheduler::Scheduler;
 use crate::store::StoreError;
 use ended_jobs::{EndedJobs, find_done_jobs};
@@ -70,7 +70,7 @@
 
 async fn load_tasks(scheduler: &Arc<Scheduler>, ended: &mut EndedJobs) -> Result<LoadCounts, StoreError> {
     let mut counts = LoadCounts::default();
-    let mut pages = scheduler.store.client.pages(TASKS, None);
+    let mut pages = scheduler.store.client.pages(TASK_SHARD_PREFIX, None);
     while let Some(page) = pages.next().await? {
         counts.pages += 1;
         let shards: Vec<Shard> = page.items.into_iter().filter_map(Shard::from_item).collect();
--- a/src/scheduling/load/ended_jobs.rs
+++ b/src/scheduling/load/ended_jobs.rs
@@ -8,7 +8,9 @@
 use tokio::task::JoinSet;
 use tracing::error;
 
-use crate::jobs::record::{DONE, EndedRecord, JobRecord, ended_key, ended_keys, old_job_key, time_of_day_ms};
+use crate::jobs::record::{
+    DONE_JOB_PREFIX, EndedRecord, JobRecord, ended_key, ended_keys, old_job_key, time_of_day_ms,
+};
 use crate::jobs::{End, JobId};
 use crate::scheduling::scheduler::Scheduler;
 use crate::store::budget::RequestPriority;
@@ -84,7 +86,7 @@
         if let CompareAndSwapOutcome::Failed(keys) =
             scheduler.store.client.compare_and_swap(&absent, &[], RequestPriority::Critical).await?
         {
-            done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE)).map(JobId::from));
+            done.extend(keys.iter().filter_map(|key| key.strip_prefix(DONE_JOB_PREFIX)).map(JobId::from));
         }
     }
     Ok(done)
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -5,7 +5,7 @@
 use super::ended_jobs::decode_ended_job;
 use super::*;
 use crate::jobs::End;
-use crate::jobs::record::{EndedRecord, MOST_ATTEMPTS, StoredTask, decode_shard, encode_shard, ended_key};
+use crate::jobs::record::{ATTEMPT_NUMBER_LIMIT, EndedRecord, StoredTask, decode_shard, encode_shard, ended_key};
 use crate::jobs::tests::spec;
 use crate::store::client::KeyValue;
 
@@ -23,8 +23,8 @@
         ("one malformed task", "t/run-000001/00000", json!([0, ["m1", 1]]), Some(false)),
         ("the largest u64 as attempt number", "t/run-000001/00000", json!([[u64::MAX, "m1"]]), Some(false)),
         ("an attempt number too large to store", "t/run-000001/00000", json!([i64::MAX]), Some(false)),
-        ("the lowest rejected attempt number", "t/run-000001/00000", json!([MOST_ATTEMPTS]), Some(false)),
-        ("the highest accepted attempt number", "t/run-000001/00000", json!([MOST_ATTEMPTS - 1]), Some(true)),
+        ("the lowest rejected attempt number", "t/run-000001/00000", json!([ATTEMPT_NUMBER_LIMIT]), Some(false)),
+        ("the highest accepted attempt number", "t/run-000001/00000", json!([ATTEMPT_NUMBER_LIMIT - 1]), Some(true)),
         ("malformed job id", "t/a.b/00000", good.clone(), None),
         ("empty job id", "t//00000", good.clone(), None),
         ("shard number not a number", "t/run-000001/later", good.clone(), None),
@@ -40,7 +40,9 @@
 /// A task with the highest accepted attempt number can be started again, and its next attempt is accepted as well.
 #[test]
 fn next_attempt_after_highest_accepted_one_is_accepted() {
-    for value in [json!([[u64::MAX, "m1"]]), json!([[MOST_ATTEMPTS - 2, "m1"]]), json!([MOST_ATTEMPTS - 2])] {
+    for value in
+        [json!([[u64::MAX, "m1"]]), json!([[ATTEMPT_NUMBER_LIMIT - 2, "m1"]]), json!([ATTEMPT_NUMBER_LIMIT - 2])]
+    {
         for task in decode_shard(&value).into_iter().flatten() {
             let (StoredTask::Waiting(attempt) | StoredTask::Bound(attempt, _)) = task else { panic!("{value}") };
             let next = vec![StoredTask::Waiting(attempt + 1)];
--- a/src/scheduling/tests/interleaved_simulation/leaders.rs
+++ b/src/scheduling/tests/interleaved_simulation/leaders.rs
@@ -12,7 +12,9 @@
 use super::users::{LeaderMembership, MembershipOutcome};
 use super::world::World;
 use crate::history::job_transactions::find_end;
-use crate::jobs::record::{LEADER, TASKS, decode_shard, ended_key, open_key, parse_shard_key, shard_key};
+use crate::jobs::record::{
+    LEADER_RECORD_KEY, TASK_SHARD_PREFIX, decode_shard, ended_key, open_key, parse_shard_key, shard_key,
+};
 use crate::jobs::{End, JobId};
 use crate::process_pause::ProcessPause;
 use crate::scheduling::cluster::{ClusterState, MachineId, MachineState};
@@ -65,10 +67,13 @@
         if self.store_is_out() {
             return;
         }
-        let version = self.store.version(LEADER);
+        let version = self.store.version(LEADER_RECORD_KEY);
         let fencing_token = self
             .store
-            .apply_if(&[Condition::at(LEADER, version)], &[Change::write(LEADER, Value::from(self.leaders.len()))])
+            .apply_if(
+                &[Condition::at(LEADER_RECORD_KEY, version)],
+                &[Change::write(LEADER_RECORD_KEY, Value::from(self.leaders.len()))],
+            )
             .expect("the version of the leader record was just read");
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), self.now);
         self.trace(&format!("leader {} under {fencing_token}", self.leaders.len()));
@@ -99,7 +104,7 @@
     /// Loads the stored state into the cluster state of a successor.
     pub(super) fn load_stored_state(&self, cluster: &mut ClusterState) {
         let mut shards: HashMap<JobId, Vec<_>> = HashMap::new();
-        for (key, value, version) in self.store.under(TASKS) {
+        for (key, value, version) in self.store.under(TASK_SHARD_PREFIX) {
             let (id, shard) = parse_shard_key(key).expect("own keys");
             shards.entry(id.into()).or_default().push((shard, version, decode_shard(value).expect("own values")));
         }
@@ -301,7 +306,7 @@
                     leader.cluster.end_job(&job.spec.id, Some(End::Done), self.now);
                 }
             }
-            Err(keys) if keys.iter().any(|k| k == LEADER) => return true,
+            Err(keys) if keys.iter().any(|k| k == LEADER_RECORD_KEY) => return true,
             Err(keys) => self.handle_rejected_batch(leader, &batch, &keys),
         }
         false
--- a/src/scheduling/tests/interleaved_simulation/steps.rs
+++ b/src/scheduling/tests/interleaved_simulation/steps.rs
@@ -13,7 +13,7 @@
 use super::{CANCELLATION_DEADLINE, LEADER_LEASE, STEP};
 use crate::history::job_transactions;
 use crate::jobs::JobId;
-use crate::jobs::record::{LEADER, open_key};
+use crate::jobs::record::{LEADER_RECORD_KEY, open_key};
 use crate::protocol::workers::{AttemptStatus, TaskKey};
 use crate::store::{Change, Condition};
 
@@ -83,9 +83,9 @@
     /// Raises the leader's fencing token: the leader record is written again, as the real leader does.
     fn raise_fencing_token(&mut self) {
         let leader = self.leader;
-        let version = self.store.version(LEADER);
-        let change = Change::write(LEADER, Value::from(leader));
-        if let Ok(fencing_token) = self.store.apply_if(&[Condition::at(LEADER, version)], &[change])
+        let version = self.store.version(LEADER_RECORD_KEY);
+        let change = Change::write(LEADER_RECORD_KEY, Value::from(leader));
+        if let Ok(fencing_token) = self.store.apply_if(&[Condition::at(LEADER_RECORD_KEY, version)], &[change])
             && let Some(o) = self.leaders[leader].as_mut()
         {
             o.cluster.raise_fencing_token(fencing_token);
--- a/src/scheduling/tests/interleaved_simulation/store.rs
+++ b/src/scheduling/tests/interleaved_simulation/store.rs
@@ -7,7 +7,7 @@
 use super::leaders::WatchEvent;
 use super::world::World;
 use crate::history::job_transactions::{JobLocation, locate_job};
-use crate::jobs::record::{WATERMARK, ended_keys, open_key};
+use crate::jobs::record::{WATERMARK_KEY, ended_keys, open_key};
 use crate::jobs::{End, JobId};
 use crate::protocol::workers::TaskKey;
 use crate::records::leadership::Watermark;
@@ -29,7 +29,7 @@
         let version = self.store.apply_if(conditions, changes).map_err(|refused| refused.failed)?;
         for change in changes {
             let Change::Write { write, value, .. } = change else { continue };
-            if write == WATERMARK {
+            if write == WATERMARK_KEY {
                 let stored: Watermark = serde_json::from_value(value.clone()).expect("own values");
                 self.record_stored_watermark(version, stored.revision);
             }
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -14,7 +14,7 @@
 use super::{CANCELLATION_DEADLINE, LEADER_LEASE, WORKER_LEASE};
 use crate::history::job_transactions;
 use crate::history::visibility::{EndVisibility, end_visibility};
-use crate::jobs::record::{LEADER, WATERMARK, open_key};
+use crate::jobs::record::{LEADER_RECORD_KEY, WATERMARK_KEY, open_key};
 use crate::jobs::{End, JobId};
 use crate::membership::mesh::accepted_watermark;
 use crate::membership::serving_state::{FreshnessLimits, LeaderSearches, Observations};
@@ -364,13 +364,13 @@
         if !store_unreachable && leader.membership.unconfirmed_ends.take_store_due(now) {
             // As in `Membership::watermark_to_store` and `membership::election`.
             let value = serde_json::to_value(watermark).expect("a watermark is plain");
-            let conditions = [Condition::at(LEADER, watermark.fencing_token)];
+            let conditions = [Condition::at(LEADER_RECORD_KEY, watermark.fencing_token)];
             let unanswered = self.store_is_slow() && self.rng.random_bool(0.4);
             if unanswered {
                 let due = now + Duration::from_millis(self.rng.random_range(2000..12_000));
-                let changes = vec![Change::write(WATERMARK, value)];
+                let changes = vec![Change::write(WATERMARK_KEY, value)];
                 self.messages.push((due, Message::CompareAndSwap { conditions: conditions.into(), changes }));
-            } else if let Ok(version) = self.store.apply_if(&conditions, &[Change::write(WATERMARK, value)]) {
+            } else if let Ok(version) = self.store.apply_if(&conditions, &[Change::write(WATERMARK_KEY, value)]) {
                 self.record_stored_watermark(version, watermark.revision);
                 leader.membership.unconfirmed_ends.record_confirmed(watermark.revision, now);
             }
--- a/src/store/read_barrier.rs
+++ b/src/store/read_barrier.rs
@@ -15,7 +15,7 @@
 use super::client::WatchResponse;
 use super::handle::StateStore;
 use super::watch::WatchObserver;
-use crate::jobs::record::CACHED;
+use crate::jobs::record::CACHED_PREFIX;
 use crate::sync::lock;
 
 /// Pause between two proofs, at the least, so that callers share them.
@@ -166,13 +166,13 @@
 async fn changes_since(store: &StateStore, revision: u64) -> Result<WatchResponse, StoreError> {
     // The request is reserved first: waiting for the own share of the rate limit is no sign of a connection that hangs.
     store.client.reserve(RequestPriority::Critical).await?;
-    let first = store.client.watch_reserved(CACHED, revision, Duration::ZERO);
+    let first = store.client.watch_reserved(CACHED_PREFIX, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(SECOND_REQUEST_AFTER, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
+        outcome = store.client.watch(CACHED_PREFIX, revision, Duration::ZERO) => outcome,
     }
 }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -14,7 +14,9 @@
 use crate::declarations::records::{spec_key, status_key};
 use crate::history::job_transactions::{self, JobTransaction};
 use crate::history::upgrade::mark_upgraded;
-use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
+use crate::jobs::record::{
+    JobRecord, LEADER_RECORD_KEY, LEASE_HOLDER_KEY, StoredTask, old_job_key, open_key, shard_key,
+};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::membership::{leader_record_write, lease_acquisition, lease_removal};
@@ -89,7 +91,7 @@
     fn become_leader(&mut self, name: &'static str) -> u64 {
         let me = LeaderRecord { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
         let (conditions, change) =
-            leader_record_write(&me, self.store.version(LEASE_HOLDER), self.store.version(LEADER));
+            leader_record_write(&me, self.store.version(LEASE_HOLDER_KEY), self.store.version(LEADER_RECORD_KEY));
         self.send(name, conditions, [change])
     }
 
@@ -183,12 +185,12 @@
     let fencing_token = life.become_leader("a leads under a higher token");
     // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
     life.sent.retain(|(name, ..)| *name != "a holds the lease");
-    let (condition, change) = lease_removal(life.store.version(LEASE_HOLDER));
+    let (condition, change) = lease_removal(life.store.version(LEASE_HOLDER_KEY));
     life.send("expiry", [condition], [change]);
     life.take_lease("b holds the lease");
     life.become_leader("b leads");
     life.taken.clear();
-    let third = life.store.version(LEADER);
+    let third = life.store.version(LEADER_RECORD_KEY);
     assert!(third > fencing_token);
     life.batch("placement by b", third, vec![], vec![shard(&jobs[2], 0, 1)]);
     assert!(life.taken.is_empty(), "nothing of an earlier leader is taken any more: {:?}", life.taken);
@@ -200,7 +202,7 @@
 #[test]
 fn a_late_drop_of_shards_takes_nothing_of_a_job_that_was_put_back() {
     let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
-    store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
+    store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!("a"))]).unwrap();
     let accept = job_transactions::accept_job(&job, false);
     let place = |version| CommitBatch { ends: vec![], shards: vec![shard(&job, version, 1)], at_ms: 5 };
     let end = CommitBatch { ends: vec![job.clone()], shards: vec![], at_ms: 5 };
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -8,7 +8,7 @@
 use super::StoreError;
 use super::handle::StateStore;
 use super::watch_cache::CacheChanges;
-use crate::jobs::record::{CACHED, CACHED_AFTER};
+use crate::jobs::record::{CACHED_PREFIX, CACHED_START_AFTER};
 use crate::sync::jitter;
 
 /// How long the service may keep a watch waiting for the first change.
@@ -61,7 +61,7 @@
 }
 
 async fn watch_once(store: &StateStore, observer: &impl WatchObserver, revision: u64) -> Result<(), StoreError> {
-    let response = store.client.watch(CACHED, revision, WATCH_TIMEOUT).await?;
+    let response = store.client.watch(CACHED_PREFIX, revision, WATCH_TIMEOUT).await?;
     let changes = store.watch_cache().apply_watch(&response);
     observer.cache_changed(changes.unwrap_or_default());
     Ok(())
@@ -71,7 +71,7 @@
 /// caller has to reload again.
 async fn reload(store: &StateStore, observer: &impl WatchObserver) -> Result<(), StoreError> {
     let mut reload = store.watch_cache().begin_reload();
-    let mut pages = store.client.pages(CACHED, Some(CACHED_AFTER));
+    let mut pages = store.client.pages(CACHED_PREFIX, Some(CACHED_START_AFTER));
     let mut failures = 0;
     loop {
         let page = match pages.next().await {
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -22,7 +22,7 @@
 use crate::declarations::{DeclarationRegistry, records};
 use crate::jobs::JobId;
 use crate::jobs::limits::OpenWork;
-use crate::jobs::record::{JobRecord, OPEN};
+use crate::jobs::record::{JobRecord, OPEN_JOB_PREFIX};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
 /// Open jobs, the keys of the election lease and of leadership, and declarations, as of one revision of the store.
@@ -210,7 +210,7 @@
             changes.leadership = true;
         } else if records::is_declaration_key(key) {
             changes.declared |= self.registry.put_key(key, &event.value, event.version);
-        } else if let Some(id) = key.strip_prefix(OPEN) {
+        } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
             self.jobs.add(id, key, &event.value, changes);
         }
     }
@@ -220,7 +220,7 @@
             changes.leadership = true;
         } else if records::is_declaration_key(key) {
             changes.declared |= self.registry.remove_key(key, version);
-        } else if let Some(id) = key.strip_prefix(OPEN) {
+        } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
             self.jobs.end(id, version.saturating_sub(1), version, changes);
         }
     }
--- a/src/store/watch_cache/control_keys.rs
+++ b/src/store/watch_cache/control_keys.rs
@@ -5,7 +5,9 @@
 use tracing::warn;
 
 use super::decode;
-use crate::jobs::record::{LEADER, LEASE_HOLDER, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::jobs::record::{
+    LEADER_RECORD_KEY, LEASE_HOLDER_KEY, TAKEOVER_REQUEST_KEY, UPGRADED_KEY, UpgradeRecord, WATERMARK_KEY,
+};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
 /// The value of one key with the key's version. A value that cannot be decoded counts as present and is overwritten on
@@ -60,22 +62,22 @@
     pub(super) leader_record: VersionedKey<LeaderRecord>,
     pub(super) takeover_request: VersionedKey<TakeoverRequest>,
     pub(super) watermark: Option<Watermark>,
-    pub(super) upgraded: Option<Upgraded>,
+    pub(super) upgraded: Option<UpgradeRecord>,
 }
 
 impl ControlKeys {
     /// Sets one of these keys; false if the key is none of them.
     pub(super) fn set(&mut self, key: &str, value: &Value, version: u64) -> bool {
         match key {
-            LEASE_HOLDER => self.lease_holder = VersionedKey::decode(key, value, version),
-            LEADER => self.leader_record = VersionedKey::decode(key, value, version),
-            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::decode(key, value, version),
-            WATERMARK => {
+            LEASE_HOLDER_KEY => self.lease_holder = VersionedKey::decode(key, value, version),
+            LEADER_RECORD_KEY => self.leader_record = VersionedKey::decode(key, value, version),
+            TAKEOVER_REQUEST_KEY => self.takeover_request = VersionedKey::decode(key, value, version),
+            WATERMARK_KEY => {
                 self.watermark = decode(key, value).filter(|watermark| is_within_store(key, watermark, version));
             }
             // The mark is written once and never again: if an undecodable one did not count, every controller would wait
             // for a decodable one for ever.
-            UPGRADED => self.upgraded = Some(decode(key, value).unwrap_or(Upgraded { old_jobs_kept: true })),
+            UPGRADED_KEY => self.upgraded = Some(decode(key, value).unwrap_or(UpgradeRecord { old_jobs_kept: true })),
             _ => return false,
         }
         true
@@ -84,10 +86,10 @@
     /// Removes one of these keys; false if the key is none of them.
     pub(super) fn remove(&mut self, key: &str) -> bool {
         match key {
-            LEASE_HOLDER => self.lease_holder = VersionedKey::Absent,
-            LEADER => self.leader_record = VersionedKey::Absent,
-            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::Absent,
-            WATERMARK => self.watermark = None,
+            LEASE_HOLDER_KEY => self.lease_holder = VersionedKey::Absent,
+            LEADER_RECORD_KEY => self.leader_record = VersionedKey::Absent,
+            TAKEOVER_REQUEST_KEY => self.takeover_request = VersionedKey::Absent,
+            WATERMARK_KEY => self.watermark = None,
             _ => return false,
         }
         true
--- a/src/store/watch_cache/reload.rs
+++ b/src/store/watch_cache/reload.rs
@@ -6,7 +6,7 @@
 use super::{CacheChanges, WatchCache};
 use crate::declarations::{DeclarationRegistry, records};
 use crate::jobs::JobId;
-use crate::jobs::record::OPEN;
+use crate::jobs::record::OPEN_JOB_PREFIX;
 use crate::store::client::KeyValuePage;
 
 /// What the pages read so far contain.
@@ -51,7 +51,7 @@
                 reload.registry.put_key(&item.path, &item.value, item.version);
                 continue;
             }
-            let Some(id) = item.path.strip_prefix(OPEN) else { continue };
+            let Some(id) = item.path.strip_prefix(OPEN_JOB_PREFIX) else { continue };
             self.jobs.add(id, &item.path, &item.value, &mut changes);
             if let Some((id, _)) = self.jobs.open.get_key_value(id) {
                 reload.seen.insert(id.clone());
--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -10,7 +10,7 @@
 use super::write_tracker::{JobWrite, WriteTracker};
 use crate::audit::AcknowledgedWrite;
 use crate::history::job_transactions;
-use crate::jobs::record::{JobRecord, LEADER, time_of_day_ms};
+use crate::jobs::record::{JobRecord, LEADER_RECORD_KEY, time_of_day_ms};
 use crate::jobs::{End, JobId};
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::budget::RequestPriority;
@@ -66,7 +66,7 @@
         }
         Ok(CompareAndSwapOutcome::Failed(keys)) => {
             tracked.not_applied();
-            if keys != [LEADER] {
+            if keys != [LEADER_RECORD_KEY] {
                 return respond_after_conflict(service, &id, &keys).await;
             }
             // Another controller leads by now; the watch cache is about to receive its leader record.
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -15,7 +15,7 @@
 use crate::history::job_transactions;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::fits_in_memory;
-use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
+use crate::jobs::record::{ENDED_RECORD_EXTRA_BYTES, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::budget::RequestPriority;
@@ -116,7 +116,8 @@
 
 /// Whether the job's record, with what its end adds to it, stays within the store's limit on a value.
 fn fits_in_store(service: &UserService, record: &JobRecord) -> bool {
-    let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
+    let size =
+        serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_RECORD_EXTRA_BYTES));
     size as f64 <= service.settings.params.state.value_kb * 1024.0
 }
 
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -35,8 +35,8 @@
         "job" => stored::<record::JobRecord>,
         "ended job" => stored::<record::EndedRecord>,
         "tasks" => tasks,
-        "earlier end" => stored::<record::OldEnd>,
-        "upgraded" => stored::<record::Upgraded>,
+        "earlier end" => stored::<record::OldEndRecord>,
+        "upgraded" => stored::<record::UpgradeRecord>,
         "leader" => stored::<membership::LeaseHolder>,
         "assignment" => stored::<membership::LeaderRecord>,
         "watermark" => stored::<membership::Watermark>,
@@ -188,19 +188,19 @@
     let id = "run-000412";
     let declarations = DeclarationKind::ALL.map(|kind| json!([spec_key(kind, "name"), status_key(kind, "name")]));
     json!({
-        "mirrored": [record::CACHED, record::CACHED_AFTER],
-        "open job": [record::OPEN, record::open_key(id)],
-        "done job": [record::DONE, record::ended_key(id, End::Done)],
-        "withdrawn job": [record::CANCELLED, record::ended_key(id, End::Cancelled)],
+        "mirrored": [record::CACHED_PREFIX, record::CACHED_START_AFTER],
+        "open job": [record::OPEN_JOB_PREFIX, record::open_key(id)],
+        "done job": [record::DONE_JOB_PREFIX, record::ended_key(id, End::Done)],
+        "withdrawn job": [record::CANCELLED_JOB_PREFIX, record::ended_key(id, End::Cancelled)],
         "both ends": record::ended_keys(id),
-        "earlier job": [record::OLD_JOBS, record::old_job_key(id)],
-        "earlier end": [record::OLD_ENDS, record::old_end_key(id)],
-        "upgraded": record::UPGRADED,
-        "leader": record::LEASE_HOLDER,
-        "assignment": record::LEADER,
-        "takeover request": record::TAKEOVER_REQUEST,
-        "watermark": record::WATERMARK,
-        "tasks": [record::TASKS, record::shard_key(id, 7)],
+        "earlier job": [record::OLD_JOB_PREFIX, record::old_job_key(id)],
+        "earlier end": [record::OLD_END_PREFIX, record::old_end_key(id)],
+        "upgraded": record::UPGRADED_KEY,
+        "leader": record::LEASE_HOLDER_KEY,
+        "assignment": record::LEADER_RECORD_KEY,
+        "takeover request": record::TAKEOVER_REQUEST_KEY,
+        "watermark": record::WATERMARK_KEY,
+        "tasks": [record::TASK_SHARD_PREFIX, record::shard_key(id, 7)],
         "tasks of one chunk": record::TASKS_PER_SHARD,
         "cloud orders": ORDERS,
         "declared": [SPECS, STATUSES, OPERATORS],
@@ -284,7 +284,7 @@
             _ => {}
         }
     }
-    known.remove(record::CACHED);
+    known.remove(record::CACHED_PREFIX);
     for entry in fixtures::entries("stored.json").iter().chain(&fixtures::entries("declared.json")) {
         let key = entry["key"].as_str().unwrap();
         assert!(known.contains(key) || known.iter().any(|k| k.ends_with('/') && key.starts_with(k)), "{key}");
