--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A listing goes on after the last key of a page, whatever that key holds: an address that cannot be sent would
-/// end every reading of the store there.
+/// A listing continues after the last key of a page. If that key made the request's URI invalid, every listing would end
+/// there, so any key must be encodable.
 #[test]
-fn a_key_is_part_of_an_address_whatever_it_holds() {
-    for (key, want) in [
+fn every_key_is_encoded_into_a_valid_uri() {
+    for (key, expected) in [
         ("c/o/run-000001", "c/o/run-000001"),
         ("t/run-000001/00003", "t/run-000001/00003"),
         ("d/a b", "d/a%20b"),
@@ -12,8 +12,8 @@
         ("h/d/100%", "h/d/100%25"),
         ("c/o/\n\u{e9}", "c/o/%0A%C3%A9"),
     ] {
-        assert_eq!(escaped(key), want, "{key:?}");
-        let address = format!("http://127.0.0.1:1/keys?prefix=c/&most=1&since={}", escaped(key));
-        assert!(address.parse::<hyper::Uri>().is_ok(), "{address}");
+        assert_eq!(percent_encode(key), expected, "{key:?}");
+        let uri = format!("http://127.0.0.1:1/keys?prefix=c/&most=1&since={}", percent_encode(key));
+        assert!(uri.parse::<hyper::Uri>().is_ok(), "{uri}");
     }
 }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,43 +1,45 @@
-//! Errors of calls to the state service. Each says whether the call can still take effect.
+//! Errors of calls to the state service. Each variant says whether the call can still take effect.
 
 use std::sync::Arc;
 
 use crate::protocol::DecodeError;
 
-/// Why a call to the state service has no usable answer, and whether it can still take effect.
+/// Why a call to the state service has no usable response, and whether it can still take effect.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
 pub enum StoreError {
-    /// Refused with this status, or never sent (0): not executed, now or later.
-    #[error("the state service refused or could not be reached (status {0})")]
+    /// The request was refused with this HTTP status, or never sent (0): it is not executed, now or later.
+    #[error("the state service refused the request or could not be reached (status {0})")]
     Unavailable(u16),
-    /// No answer in time: executed, not executed, or executed later.
-    #[error("the state service did not answer")]
+    /// The response did not arrive in time: the request was executed, was not executed, or is executed later.
+    #[error("the state service did not answer in time")]
     Unanswered,
-    /// An answer with a status that its protocol does not allow for this request.
-    #[error("the state service answered {status} to {request}")]
+    /// The response has a status that the protocol does not allow for this request.
+    #[error("the state service answered {request} with unexpected status {status}")]
     UnexpectedStatus {
-        /// The HTTP status; 0 if the answer was too large to be read.
+        /// The HTTP status; 0 if the response was too large to be read.
         status: u16,
-        /// What was requested.
+        /// The kind of request, for the message.
         request: &'static str,
     },
-    /// An answer whose body cannot be decoded.
-    #[error("the state service answered {0}")]
+    /// The body of the response cannot be decoded.
+    #[error("undecodable response of the state service: {0}")]
     Undecodable(#[from] UndecodableAnswer),
-    /// The watch begins before what the service still keeps, or has more to tell than can be read.
-    #[error("the revision is too old to follow")]
+    /// The watch begins before the oldest revision that the service still keeps, or its response is too large to be
+    /// read.
+    #[error("the revision is too old to watch from")]
     RevisionTooOld,
 }
 
 impl StoreError {
-    /// Whether the service has answered, but not as its protocol says.
+    /// Returns whether the service answered in violation of its protocol.
     #[must_use]
     pub fn is_invalid_answer(&self) -> bool {
         matches!(self, Self::UnexpectedStatus { .. } | Self::Undecodable(_))
     }
 }
 
-/// Why the body of an answer could not be decoded. Comparable, as [`StoreError`] is: by the message.
+/// Why the body of a response could not be decoded. Two of them are equal if their messages are, so that [`StoreError`]
+/// is comparable.
 #[derive(Debug, thiserror::Error, Clone)]
 #[error(transparent)]
 pub struct UndecodableAnswer(Arc<DecodeError>);
--- a/src/store/handle.rs
+++ b/src/store/handle.rs
@@ -1,4 +1,4 @@
-//! What one controller shares of the state service: its client, the watch cache and the read barrier.
+//! The client, the watch cache and the read barrier that all parts of one controller share.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -7,23 +7,23 @@
 use super::watch_cache::WatchCache;
 use crate::sync::lock;
 
-/// The state service as one controller sees it.
+/// One controller's access to the state service.
 pub struct StateStore {
-    /// The client, which keeps to this controller's share of the service's limits.
+    /// Client that keeps to this controller's share of the service's rate limits.
     pub client: Arc<StateClient>,
-    /// Proofs that the watch cache is up to date.
+    /// Read barrier, which proves that the watch cache is up to date.
     pub read_barrier: ReadBarrier,
     watch_cache: Mutex<WatchCache>,
 }
 
 impl StateStore {
-    /// A state service of which nothing has been read yet.
+    /// Creates a store whose watch cache is empty.
     pub fn new(client: Arc<StateClient>) -> Self {
         Self { client, read_barrier: ReadBarrier::default(), watch_cache: Mutex::default() }
     }
 
-    /// Open jobs, leadership and declarations as the service has reported them. Locked before the cluster state where
-    /// both are held (`membership`), and never across an await.
+    /// Locks the watch cache: open jobs, leadership and declarations as the service has reported them. Where the cluster
+    /// state is locked as well, this lock is taken first (`membership`). It is never held across an await.
     pub fn watch_cache(&self) -> MutexGuard<'_, WatchCache> {
         lock(&self.watch_cache)
     }
--- a/src/store/log_limit.rs
+++ b/src/store/log_limit.rs
@@ -1,22 +1,22 @@
-//! Limits log lines that input from outside can cause to one per minute.
+//! A rate limit for log lines that external input can trigger: one per minute.
 
 use std::time::{Duration, Instant};
 
-/// Time between two log lines about the same thing.
+/// Minimum time between two log lines that share a [`LogLimit`].
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// When a line was last logged.
+/// Records when a log line was last written, and limits how often it is written.
 #[derive(Debug, Default)]
 pub struct LogLimit {
-    logged: Option<Instant>,
+    last_logged: Option<Instant>,
 }
 
 impl LogLimit {
-    /// Whether the line is to be logged now. If so, it counts as logged.
+    /// Returns whether the line is due, and if so counts it as logged at `now`.
     pub fn due(&mut self, now: Instant) -> bool {
-        let due = self.logged.is_none_or(|at| now.saturating_duration_since(at) >= LOG_INTERVAL);
+        let due = self.last_logged.is_none_or(|last| now.saturating_duration_since(last) >= LOG_INTERVAL);
         if due {
-            self.logged = Some(now);
+            self.last_logged = Some(now);
         }
         due
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state service: its client, this controller's share of its limits, and the watch cache of open jobs, leadership
-//! and declared things that every controller keeps.
+//! The state service: its client, this controller's share of its rate limits, and the watch cache of open jobs,
+//! leadership and declarations that every controller keeps.
 
 pub mod budget;
 pub mod client;
--- a/src/store/tests/mod.rs
+++ b/src/store/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of transactions of several modules together.
+//! Tests of transactions that come from several modules.
 
 mod late_transactions;
