--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -76,7 +76,8 @@
         Duration::from_secs_f64(n / self.per_second)
     }
 
-    /// Returns the number of tokens that a call of this priority could take at `now`; negative if it would have to wait.
+    /// Returns the number of tokens that a call of this priority could take at `now`; negative if it would have to
+    /// wait.
     pub fn available(&mut self, priority: RequestPriority, now: Instant) -> f64 {
         self.refill(now);
         self.tokens - priority.reserved_fraction() * self.burst
@@ -88,8 +89,8 @@
         self.refilled_at = now;
     }
 
-    /// Takes `n` tokens, or returns how long to wait before the next attempt. A call larger than the burst is admitted once
-    /// the bucket is full.
+    /// Takes `n` tokens, or returns how long to wait before the next attempt. A call larger than the burst is admitted
+    /// once the bucket is full.
     pub fn take(&mut self, n: f64, priority: RequestPriority, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         let needed = match priority {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -163,8 +163,8 @@
         crate::sync::lock(&self.writes).set_rate(shares.writes, shares.writes, now);
     }
 
-    /// Excludes a pause of this process from the time for which the service has been failing: this controller cannot know
-    /// whether it failed during the pause.
+    /// Excludes a pause of this process from the time for which the service has been failing: this controller cannot
+    /// know whether it failed during the pause.
     pub fn discount_pause(&self, pause: ProcessPause) {
         let mut health = crate::sync::lock(&self.health);
         health.last_served = health.last_served.map(|at| pause.forgive(at));
@@ -311,8 +311,8 @@
         Pages { client: self, prefix, after_key: after_key.map(str::to_owned), has_more: true }
     }
 
-    /// Reads one page of the keys under a prefix with their versions: at most `limit` keys, starting after `after_key` if
-    /// it is given. The values are skipped while the response is decoded.
+    /// Reads one page of the keys under a prefix with their versions: at most `limit` keys, starting after `after_key`
+    /// if it is given. The values are skipped while the response is decoded.
     pub async fn key_versions(
         &self,
         prefix: &str,
@@ -328,8 +328,8 @@
         }
     }
 
-    /// Reads the changes under a prefix after revision `since`. If there are none yet, the service waits up to `wait` for
-    /// the first.
+    /// Reads the changes under a prefix after revision `since`. If there are none yet, the service waits up to `wait`
+    /// for the first.
     pub async fn watch(&self, prefix: &str, since: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
         self.reserve(RequestPriority::Critical).await?;
         self.watch_reserved(prefix, since, wait).await
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A listing continues after the last key of a page. If that key made the request's URI invalid, every listing would end
-/// there, so any key must be encodable.
+/// A listing continues after the last key of a page. If that key made the request's URI invalid, every listing would
+/// end there, so any key must be encodable.
 #[test]
 fn every_key_is_encoded_into_a_valid_uri() {
     for (key, expected) in [
--- a/src/store/handle.rs
+++ b/src/store/handle.rs
@@ -22,8 +22,8 @@
         Self { client, read_barrier: ReadBarrier::default(), watch_cache: Mutex::default() }
     }
 
-    /// Locks the watch cache: open jobs, leadership and declarations as the service has reported them. Where the cluster
-    /// state is locked as well, this lock is taken first (`membership`). It is never held across an await.
+    /// Locks the watch cache: open jobs, leadership and declarations as the service has reported them. Where the
+    /// cluster state is locked as well, this lock is taken first (`membership`). It is never held across an await.
     pub fn watch_cache(&self) -> MutexGuard<'_, WatchCache> {
         lock(&self.watch_cache)
     }
--- a/src/store/share.rs
+++ b/src/store/share.rs
@@ -1,38 +1,39 @@
-//! Sharing of the state service's limits by demand: what one controller does not use, another may.
+//! Allocation of the state service's rate limits by demand: what one controller does not use, another may.
 //!
-//! Once a second each controller tells the others what it lately wanted (`membership::mesh`), and each computes its
-//! own share by the same function of what all have told. If any controller was not heard from lately, all use fixed
-//! shares. Correctness does not depend on it: calls beyond the limits are refused by the state service and tried
-//! again.
+//! Once a second each controller sends its recent demand to the others (`membership::mesh`), and each computes its own
+//! share by the same function of all reported demands. If any controller was not heard from lately, all use fixed
+//! shares. Correctness does not depend on the shares: calls beyond the limits are rejected by the state service and
+//! retried.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// The part of a limit that is allocated; the rest is for moments in which controllers compute from different data.
-const ALLOCATED_PART: f64 = 0.95;
-/// The part of the allocation that the other controllers may take from the leader: users wait for their acceptances and
-/// queries, while the leader's changes go many at a time.
-const MAX_PART_OF_OTHERS: f64 = 0.5;
-/// Factor from the recent demand to the share, so that single bursts do not wait.
-const HEADROOM: f64 = 3.0;
-/// Time constant with which recent demand fades.
-const DEMAND_FADE: Duration = Duration::from_secs(4);
+/// Fraction of a limit that is allocated; the rest absorbs moments in which controllers compute from different data.
+const ALLOCATED_FRACTION: f64 = 0.95;
+/// Maximum fraction of the allocation for all controllers but the leader together. They may take so much from the
+/// leader because users wait for their acceptances and queries, while the leader writes its changes in batches.
+const MAX_FRACTION_OF_OTHERS: f64 = 0.5;
+/// Ratio of a controller's share to its recent demand; above 1 so that single bursts do not wait.
+const SHARE_PER_DEMAND: f64 = 3.0;
+/// Time constant of the exponential decay of recent demand.
+const DEMAND_DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// Fixed shares: a part of a limit for the leader, and one that the others share.
+/// Shares of a limit that do not depend on demand: one for the leader, and one that the others split.
 #[derive(Debug, Clone, Copy)]
 pub struct FixedShares {
-    /// Part of the limit for the leader, from 0 to 1.
+    /// Fraction of the limit for the leader, from 0 to 1.
     pub leader: f64,
-    /// Part of the limit that all other controllers share evenly, from 0 to 1.
+    /// Fraction of the limit that all other controllers split evenly, from 0 to 1.
     pub others: f64,
 }
 
 impl FixedShares {
-    /// One controller's fixed share of a limit, per second.
+    /// Returns one controller's fixed share of a limit, per second. `others` is the number of controllers besides the
+    /// leader.
     pub fn fixed_share(&self, limit: f64, others: usize, leader: bool) -> f64 {
         match (others, leader) {
-            (0, _) => limit * ALLOCATED_PART,
+            (0, _) => limit * ALLOCATED_FRACTION,
             (_, true) => limit * self.leader,
             (n, false) => limit * self.others / n as f64,
         }
@@ -42,61 +43,63 @@
 /// The recent demand of one controller for a limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitDemand {
-    /// Whether this controller leads, by its own knowledge.
+    /// Whether the controller considers itself the leader.
     #[serde(rename = "owner")]
     pub leader: bool,
-    /// The demand, per second.
+    /// Demanded requests or changes per second.
     pub per_second: f64,
 }
 
-/// The share of the first of these controllers, by the demand of all of them: a controller that does not lead has its
-/// fixed share or what it needs, the leader the rest.
-pub fn share_by_demand(limit: f64, parts: FixedShares, wants: &[LimitDemand]) -> f64 {
-    let given = limit * ALLOCATED_PART;
-    let leaders = wants.iter().filter(|w| w.leader).count();
-    let others = wants.len() - leaders;
-    let most = given * MAX_PART_OF_OTHERS / others.max(1) as f64;
-    let of_other = |w: &LimitDemand| {
-        let fixed = parts.fixed_share(limit, others, false);
-        (w.per_second * HEADROOM).clamp(fixed.min(most), most)
+/// Returns the share of the first of these controllers, given the demands of all of them. A controller that does not
+/// lead gets at least its fixed share and more if it demands more, up to a maximum; the leader gets the rest.
+pub fn share_by_demand(limit: f64, fixed_shares: FixedShares, demands: &[LimitDemand]) -> f64 {
+    let allocated = limit * ALLOCATED_FRACTION;
+    let leaders = demands.iter().filter(|demand| demand.leader).count();
+    let others = demands.len() - leaders;
+    let max_share = allocated * MAX_FRACTION_OF_OTHERS / others.max(1) as f64;
+    let share_of_other = |demand: &LimitDemand| {
+        let fixed = fixed_shares.fixed_share(limit, others, false);
+        (demand.per_second * SHARE_PER_DEMAND).clamp(fixed.min(max_share), max_share)
     };
-    match wants.first() {
+    match demands.first() {
         Some(me) if me.leader => {
-            let theirs: f64 = wants.iter().filter(|w| !w.leader).map(of_other).sum();
-            // Several may believe that they lead.
-            (given - theirs).max(0.0) / leaders as f64
+            let shares_of_others: f64 = demands.iter().filter(|demand| !demand.leader).map(share_of_other).sum();
+            // Several controllers may consider themselves the leader.
+            (allocated - shares_of_others).max(0.0) / leaders as f64
         }
-        Some(me) => of_other(me),
-        None => given,
+        Some(me) => share_of_other(me),
+        None => allocated,
     }
 }
 
-/// Measures a rate that fades exponentially.
+/// Measures the recent rate of events as an exponentially decaying average.
 #[derive(Debug)]
 pub struct RateMeter {
-    faded: f64,
-    at: Instant,
+    /// Number of events counted, decayed up to `updated_at`.
+    decayed_count: f64,
+    updated_at: Instant,
 }
 
 impl RateMeter {
-    /// Nothing was counted yet.
+    /// Creates a meter that has counted nothing yet.
     pub fn new(now: Instant) -> Self {
-        Self { faded: 0.0, at: now }
+        Self { decayed_count: 0.0, updated_at: now }
     }
 
     /// Counts `n` more requests or changes.
     pub fn count(&mut self, n: f64, now: Instant) {
-        self.faded = self.faded(now) + n;
-        self.at = now;
+        self.decayed_count = self.decayed_count_at(now) + n;
+        self.updated_at = now;
     }
 
-    fn faded(&self, now: Instant) -> f64 {
-        self.faded * (-now.saturating_duration_since(self.at).as_secs_f64() / DEMAND_FADE.as_secs_f64()).exp()
+    fn decayed_count_at(&self, now: Instant) -> f64 {
+        self.decayed_count
+            * (-now.saturating_duration_since(self.updated_at).as_secs_f64() / DEMAND_DECAY_TIME.as_secs_f64()).exp()
     }
 
-    /// The rate of what was counted lately; older counts fade exponentially.
+    /// Returns the recent rate per second; older counts decay exponentially.
     pub fn per_second(&self, now: Instant) -> f64 {
-        self.faded(now) / DEMAND_FADE.as_secs_f64()
+        self.decayed_count_at(now) / DEMAND_DECAY_TIME.as_secs_f64()
     }
 }
 
--- a/src/store/share/tests.rs
+++ b/src/store/share/tests.rs
@@ -1,38 +1,45 @@
 use super::*;
 
-const PARTS: FixedShares = FixedShares { leader: 0.7, others: 0.25 };
+const FIXED_SHARES: FixedShares = FixedShares { leader: 0.7, others: 0.25 };
 
 #[test]
-fn shares_follow_demand_within_the_limit() {
-    // (name, wants of leader and two others, their shares of a limit of 20)
-    for (name, wants, want) in [
-        ("nobody wants anything", [0.0, 0.0, 0.0], [14.0, 2.5, 2.5]),
-        ("one that accepts many", [9.0, 1.5, 0.5], [12.0, 4.5, 2.5]),
-        ("all want more than there is", [20.0, 20.0, 20.0], [9.5, 4.75, 4.75]),
-        ("the leader alone", [30.0, 0.0, 0.0], [14.0, 2.5, 2.5]),
+fn shares_follow_demand_and_stay_within_the_limit() {
+    // (case, demands of the leader and two others, expected shares of a limit of 20)
+    for (case, demands, expected) in [
+        ("no demand", [0.0, 0.0, 0.0], [14.0, 2.5, 2.5]),
+        ("one controller accepts many jobs", [9.0, 1.5, 0.5], [12.0, 4.5, 2.5]),
+        ("all demand more than the limit", [20.0, 20.0, 20.0], [9.5, 4.75, 4.75]),
+        ("demand of the leader alone", [30.0, 0.0, 0.0], [14.0, 2.5, 2.5]),
     ] {
-        let of = |me: usize| {
-            let mut all: Vec<LimitDemand> =
-                wants.iter().enumerate().map(|(n, w)| LimitDemand { leader: n == 0, per_second: *w }).collect();
-            all.rotate_left(me);
-            share_by_demand(20.0, PARTS, &all)
+        let share_of = |controller: usize| {
+            let mut all: Vec<LimitDemand> = demands
+                .iter()
+                .enumerate()
+                .map(|(n, demand)| LimitDemand { leader: n == 0, per_second: *demand })
+                .collect();
+            all.rotate_left(controller);
+            share_by_demand(20.0, FIXED_SHARES, &all)
         };
-        let got = [of(0), of(1), of(2)];
-        for (got, want) in got.iter().zip(want) {
-            assert!((got - want).abs() < 0.06, "{name}: {got} and not {want}");
+        let shares = [share_of(0), share_of(1), share_of(2)];
+        for (share, expected) in shares.iter().zip(expected) {
+            assert!((share - expected).abs() < 0.06, "{case}: share {share}, expected {expected}");
         }
-        assert!(got.iter().sum::<f64>() <= 20.0 * ALLOCATED_PART + 1e-9, "{name}: more than there is");
+        assert!(shares.iter().sum::<f64>() <= 20.0 * ALLOCATED_FRACTION + 1e-9, "{case}: shares exceed the allocation");
     }
-    let both = [LimitDemand { leader: true, per_second: 9.0 }; 3];
+    let leaders = [LimitDemand { leader: true, per_second: 9.0 }; 3];
     assert!(
-        3.0 * share_by_demand(20.0, PARTS, &both) <= 20.0 * ALLOCATED_PART + 1e-9,
-        "several believe that they lead"
+        3.0 * share_by_demand(20.0, FIXED_SHARES, &leaders) <= 20.0 * ALLOCATED_FRACTION + 1e-9,
+        "several controllers consider themselves the leader"
+    );
+    assert_eq!(
+        share_by_demand(20.0, FIXED_SHARES, &[LimitDemand { leader: true, per_second: 1.0 }]),
+        19.0,
+        "single controller"
     );
-    assert_eq!(share_by_demand(20.0, PARTS, &[LimitDemand { leader: true, per_second: 1.0 }]), 19.0, "alone");
 }
 
 #[test]
-fn demand_fades() {
+fn measured_rate_decays_without_requests() {
     let now = Instant::now();
     let mut meter = RateMeter::new(now);
     (0..40).for_each(|n| meter.count(1.0, now + Duration::from_millis(n * 250)));
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -167,7 +167,8 @@
     }
 
     /// Records that this controller's own transaction has made `lease_holder` the holder at `version`, ahead of the
-    /// watch. It has no effect once the watch has passed that version: the cache then already has this or a newer state.
+    /// watch. It has no effect once the watch has passed that version: the cache then already has this or a newer
+    /// state.
     pub fn note_lease_holder(&mut self, lease_holder: LeaseHolder, version: u64) {
         if version > self.revision {
             self.control.lease_holder = VersionedKey::Decoded((lease_holder, version));
--- a/src/store/watch_cache/control_keys.rs
+++ b/src/store/watch_cache/control_keys.rs
@@ -73,8 +73,8 @@
             WATERMARK => {
                 self.watermark = decode(key, value).filter(|watermark| is_within_store(key, watermark, version));
             }
-            // The mark is written once and never again: if an undecodable one did not count, every controller would wait
-            // for a decodable one for ever.
+            // The mark is written once and never again: if an undecodable one did not count, every controller would
+            // wait for a decodable one for ever.
             UPGRADED => self.upgraded = Some(decode(key, value).unwrap_or(Upgraded { old_jobs_kept: true })),
             _ => return false,
         }
