--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -53,7 +53,7 @@
         watch_cache.is_ready().then(|| Self {
             lease_holder: watch_cache.lease_holder().map(|(lease_holder, _)| lease_holder.clone()),
             lease_holder_version: watch_cache.lease_holder_version(),
-            unreadable_lease_holder: watch_cache.unreadable_lease_holder(),
+            unreadable_lease_holder: watch_cache.undecodable_lease_holder_version(),
             leader_record: watch_cache.leader_record().cloned(),
             leader_record_version: watch_cache.leader_record_version(),
         })
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,9 +1,9 @@
 //! The watch cache: open jobs, leadership and declarations as of one revision of the store.
 //!
-//! Every controller keeps one. It changes only by listings and watch responses of the store. What this controller has
-//! itself seen stored ahead of its watch is kept elsewhere (`history`), so that no late response can restore an older
-//! state. Its size follows the open jobs. `control_keys` holds the keys of the election lease and of leadership,
-//! `cached_jobs` the jobs, and `reload` reads all of it anew.
+//! Every controller keeps a watch cache. It changes only by listings and watch responses of the store. What this
+//! controller has itself seen stored ahead of its watch is kept elsewhere (`history`), so that no delayed response can
+//! restore an older state. The size of the cache grows with the number of open jobs. `control_keys` holds the keys of
+//! the election lease and of leadership, `cached_jobs` the jobs, and `reload` reloads the whole cache.
 
 mod cached_jobs;
 mod control_keys;
@@ -38,136 +38,137 @@
 /// What an update of the watch cache has changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CacheChanges {
-    /// Jobs that are open now and were not known before.
+    /// Jobs that are now open and were not cached before.
     pub opened: Vec<JobId>,
     /// Jobs that were open and have ended.
     pub ended: Vec<JobId>,
-    /// Whether a key of the election lease or of leadership changed, or the cache was read anew.
+    /// Whether a key of the election lease or of leadership changed, or the cache was reloaded.
     pub leadership: bool,
     /// Whether a specification or a status of a declaration changed.
     pub declared: bool,
 }
 
 impl CacheChanges {
-    /// Whether nothing changed.
+    /// Returns whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
+/// Decodes the value of a stored key; logs a warning and returns none if that fails.
 fn decode<T: DeserializeOwned>(key: &str, value: &Value) -> Option<T> {
     T::deserialize(value).map_err(|error| warn!(key, %error, "stored value not decoded; ignoring it")).ok()
 }
 
 impl WatchCache {
-    /// The revision up to which everything stored is included; 0 before the cache was read for the first time.
+    /// Returns the revision up to which all stored changes are included; 0 before the cache was first loaded.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the cache is complete: false until it was read once, and while it is read anew.
+    /// Returns whether the cache is complete: false until it was first loaded, and during a reload.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Marks the cache as too far behind for a watch: it has to be read anew.
+    /// Marks the cache as too far behind for a watch, so that it is reloaded.
     pub fn require_reload(&mut self) {
         self.ready = false;
     }
 
-    /// The revision after which the next watch begins; none while the cache has to be read anew.
+    /// Returns the revision after which the next watch begins; none while the cache has to be reloaded.
     pub fn watch_revision(&self) -> Option<u64> {
         self.ready.then_some(self.revision)
     }
 
-    /// The description of an open job.
+    /// Returns the record of an open job.
     pub fn open_job(&self, id: &str) -> Option<&Arc<JobRecord>> {
         self.jobs.open.get(id)
     }
 
-    /// All open jobs, in no particular order.
+    /// Iterates over all open jobs, in no particular order.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&JobId, &Arc<JobRecord>)> {
         self.jobs.open.iter()
     }
 
-    /// Number of open jobs and of their tasks, all together.
+    /// Returns the total work of all open jobs: the number of jobs and of their tasks.
     pub fn open_work(&self) -> OpenWork {
         self.jobs.open_work
     }
 
-    /// The description of a job that ended lately.
+    /// Returns the record of a job that ended recently.
     pub fn ended_record(&self, id: &str) -> Option<Arc<JobRecord>> {
         self.jobs.ended.peek(id).map(|ended| ended.record.clone())
     }
 
-    /// A revision at which a job that ended lately had ended.
+    /// Returns a revision at which a recently ended job had ended.
     pub fn revision_with_end(&self, id: &str) -> Option<u64> {
         self.jobs.ended.peek(id).map(|ended| ended.revision_with_end)
     }
 
-    /// A revision at which a job that ended lately had not ended yet.
+    /// Returns a revision at which a recently ended job had not ended yet.
     pub fn revision_before_end(&self, id: &str) -> Option<u64> {
         self.jobs.ended.peek(id).map(|ended| ended.revision_before_end)
     }
 
-    /// Number of ended jobs whose descriptions are kept.
+    /// Returns the number of ended jobs whose records are kept.
     pub fn ended_count(&self) -> usize {
         self.jobs.ended.len()
     }
 
-    /// The lease holder and the version of its key; none if nobody holds the lease or the value cannot be decoded.
+    /// Returns the lease holder and the version of its key; none if there is no holder or the value cannot be decoded.
     pub fn lease_holder(&self) -> Option<&(LeaseHolder, u64)> {
         self.control.lease_holder.value()
     }
 
-    /// The version of the lease holder's key, decodable or not; 0 if nobody holds the lease.
+    /// Returns the version of the lease holder's key, decodable or not; 0 if there is no holder.
     pub fn lease_holder_version(&self) -> u64 {
         self.control.lease_holder.version()
     }
 
-    /// The version of a lease holder's key whose value cannot be decoded.
-    pub fn unreadable_lease_holder(&self) -> Option<u64> {
+    /// Returns the version of the lease holder's key if its value cannot be decoded.
+    pub fn undecodable_lease_holder_version(&self) -> Option<u64> {
         self.control.lease_holder.undecodable_version()
     }
 
-    /// The leader record and its version, which is the leader's fencing token; none if there is none or it cannot be
-    /// decoded.
+    /// Returns the leader record and its version, which is the leader's fencing token; none if the record does not
+    /// exist or cannot be decoded.
     pub fn leader_record(&self) -> Option<&(LeaderRecord, u64)> {
         self.control.leader_record.value()
     }
 
-    /// The version of the leader record, decodable or not; 0 if there is none.
+    /// Returns the version of the leader record, decodable or not; 0 if there is none.
     pub fn leader_record_version(&self) -> u64 {
         self.control.leader_record.version()
     }
 
-    /// The last takeover request, and its version.
+    /// Returns the last takeover request and its version.
     pub fn takeover_request(&self) -> Option<&(TakeoverRequest, u64)> {
         self.control.takeover_request.value()
     }
 
-    /// The watermark that a leader has stored for controllers that do not hear it.
+    /// Returns the watermark that a leader has stored for controllers that do not receive its messages.
     pub fn watermark(&self) -> Option<&Watermark> {
         self.control.watermark.as_ref()
     }
 
-    /// All declarations.
+    /// Returns all declarations.
     pub fn registry(&self) -> &DeclarationRegistry {
         &self.registry
     }
 
-    /// All declarations, mutable because values are decoded when they are first asked for.
+    /// Returns all declarations, mutable because values are decoded on first access.
     pub fn registry_mut(&mut self) -> &mut DeclarationRegistry {
         &mut self.registry
     }
 
-    /// Whether jobs may exist under the keys of an earlier build; true as long as that is not known.
+    /// Returns whether jobs may exist under the keys of an earlier build; true as long as that is unknown.
     pub fn may_hold_old_jobs(&self) -> bool {
         self.control.upgraded.is_none_or(|upgraded| upgraded.old_jobs_kept)
     }
 
-    /// Records that this controller's own transaction has made `lease_holder` the holder at `version`, ahead of the
-    /// watch. It has no effect once the watch has passed that version: the cache then already has this or a newer
+    /// Records, ahead of the watch, that this controller's own transaction has made `lease_holder` the holder at
+    /// `version`. This has no effect once the watch has passed that version: the cache then already has this or a newer
     /// state.
     pub fn note_lease_holder(&mut self, lease_holder: LeaseHolder, version: u64) {
         if version > self.revision {
@@ -175,7 +176,9 @@
         }
     }
 
-    /// Does the same for this controller's leader record. True if that record is still the newest one known.
+    /// Records, ahead of the watch, that this controller's own transaction has written `leader_record` at `version`.
+    /// Like [`note_lease_holder`](Self::note_lease_holder), it has no effect once the watch has passed that version.
+    /// Returns true if this record is still the newest one known.
     pub fn note_leader_record(&mut self, leader_record: LeaderRecord, version: u64) -> bool {
         if version > self.revision && version > self.leader_record_version() {
             self.control.leader_record = VersionedKey::Decoded((leader_record, version));
@@ -183,15 +186,15 @@
         self.leader_record_version() == version
     }
 
-    /// Applies a watch response; events that are already included are skipped. None while the cache is read anew. A
-    /// response requested before the reload may be applied after it: it begins no later than the reload.
+    /// Applies a watch response and skips events that are already included. Returns none during a reload. A response
+    /// requested before the reload may be applied after it: it begins no later than the reload.
     pub fn apply_watch(&mut self, response: &WatchResponse) -> Option<CacheChanges> {
         if !self.ready {
             return None;
         }
         let mut changes = CacheChanges::default();
-        let included = self.revision;
-        for event in response.log.iter().filter(|event| event.version > included) {
+        let included_revision = self.revision;
+        for event in response.log.iter().filter(|event| event.version > included_revision) {
             self.apply_event(event, &mut changes);
         }
         self.revision = self.revision.max(response.revision);
@@ -212,7 +215,7 @@
         } else if records::is_declaration_key(key) {
             changes.declared |= self.registry.put_key(key, &event.value, event.version);
         } else if let Some(id) = key.strip_prefix(OPEN) {
-            self.jobs.add(id, key, &event.value, changes);
+            self.jobs.add_open(id, key, &event.value, changes);
         }
     }
 
@@ -222,7 +225,7 @@
         } else if records::is_declaration_key(key) {
             changes.declared |= self.registry.remove_key(key, version);
         } else if let Some(id) = key.strip_prefix(OPEN) {
-            self.jobs.end(id, version.saturating_sub(1), version, changes);
+            self.jobs.move_to_ended(id, version.saturating_sub(1), version, changes);
         }
     }
 }
--- a/src/store/watch_cache/cached_jobs.rs
+++ b/src/store/watch_cache/cached_jobs.rs
@@ -1,4 +1,4 @@
-//! The cached jobs: all that are open, and the last of those that have ended.
+//! The cached jobs: all open jobs, and the most recently ended ones.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -13,10 +13,10 @@
 use crate::jobs::limits::OpenWork;
 use crate::jobs::record::JobRecord;
 
-/// Number of ended jobs whose descriptions are kept: about half a KiB each.
-const MAX_ENDED: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
+/// Maximum number of ended jobs whose records are kept, about half a KiB each.
+const MAX_ENDED_JOBS: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
 
-/// A job that has ended.
+/// The record of an ended job, and revisions between which it ended.
 #[derive(Debug)]
 pub(super) struct EndedJob {
     pub(super) record: Arc<JobRecord>,
@@ -26,26 +26,26 @@
     pub(super) revision_with_end: u64,
 }
 
-/// Open jobs and those that ended last.
+/// All open jobs and the most recently ended ones.
 #[derive(Debug)]
 pub(super) struct CachedJobs {
     pub(super) open: HashMap<JobId, Arc<JobRecord>>,
-    /// The sum over all open jobs.
+    /// Total work of all open jobs.
     pub(super) open_work: OpenWork,
-    /// Descriptions of the jobs that ended last. A new leader needs them for tasks that may still run; reading them one
-    /// by one from the store took it seconds.
+    /// Records of the jobs that ended last. A new leader needs them for tasks that may still run; reading them one by
+    /// one from the store takes seconds.
     pub(super) ended: LruCache<JobId, EndedJob>,
 }
 
 impl Default for CachedJobs {
     fn default() -> Self {
-        Self { open: HashMap::new(), open_work: OpenWork::default(), ended: LruCache::new(MAX_ENDED) }
+        Self { open: HashMap::new(), open_work: OpenWork::default(), ended: LruCache::new(MAX_ENDED_JOBS) }
     }
 }
 
 impl CachedJobs {
-    /// Adds an open job, unless it is known or cannot be scheduled.
-    pub(super) fn add(&mut self, id: &str, key: &str, value: &Value, changes: &mut CacheChanges) {
+    /// Adds an open job, unless it is already cached or its record is invalid.
+    pub(super) fn add_open(&mut self, id: &str, key: &str, value: &Value, changes: &mut CacheChanges) {
         if self.open.contains_key(id) {
             return;
         }
@@ -56,8 +56,9 @@
         self.open.insert(id, Arc::new(record));
     }
 
-    /// Removes an open job: a job leaves its open key only by ending. Its description is kept for a while.
-    pub(super) fn end(
+    /// Moves an open job to the ended ones, where its record is kept for a while. A job's open key is dropped only when
+    /// the job ends.
+    pub(super) fn move_to_ended(
         &mut self,
         id: &str,
         revision_before_end: u64,
@@ -72,8 +73,8 @@
     }
 }
 
-/// Decodes an open job and checks it. Values that no controller would have accepted overflow times and memory of
-/// whoever calculates with them.
+/// Decodes the record of an open job and validates it. Values that no controller would have accepted could overflow
+/// times and memory in later calculations.
 fn decode_job(id: &str, key: &str, value: &Value) -> Option<JobRecord> {
     let record = decode::<JobRecord>(key, value)?;
     if &*record.spec.id != id {
--- a/src/store/watch_cache/control_keys.rs
+++ b/src/store/watch_cache/control_keys.rs
@@ -1,4 +1,4 @@
-//! The cached keys of the election lease and of leadership, and the mark of an upgraded store.
+//! The cached keys of the election lease and of leadership, and the marker of an upgraded store.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -8,8 +8,8 @@
 use crate::jobs::record::{LEADER, LEASE_HOLDER, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
-/// The value of one key with the key's version. A value that cannot be decoded counts as present and is overwritten on
-/// condition of its version: if it counted as absent, no controller could ever take the lease or lead again.
+/// The value of one key and the key's version. A key whose value cannot be decoded counts as present and is overwritten
+/// on condition of its version: if it counted as absent, no controller could ever acquire the lease or lead again.
 #[derive(Debug, Default)]
 pub(super) enum VersionedKey<T> {
     /// The key does not exist.
@@ -22,13 +22,14 @@
 }
 
 impl<T: DeserializeOwned> VersionedKey<T> {
+    /// Decodes the value of a key that exists at `version`.
     fn decode(key: &str, value: &Value, version: u64) -> Self {
         decode(key, value).map_or(Self::Undecodable(version), |value| Self::Decoded((value, version)))
     }
 }
 
 impl<T> VersionedKey<T> {
-    /// The value with the version of the key; none if the key is absent or its value cannot be decoded.
+    /// Returns the value and the version of the key; none if the key is absent or its value cannot be decoded.
     pub(super) fn value(&self) -> Option<&(T, u64)> {
         match self {
             Self::Decoded(value) => Some(value),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The version of the key; 0 if it is absent.
+    /// Returns the version of the key; 0 if it is absent.
     pub(super) fn version(&self) -> u64 {
         match self {
             Self::Absent => 0,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The version of the key if its value cannot be decoded.
+    /// Returns the version of the key if its value cannot be decoded.
     pub(super) fn undecodable_version(&self) -> Option<u64> {
         match self {
             Self::Undecodable(version) => Some(*version),
@@ -64,7 +65,7 @@
 }
 
 impl ControlKeys {
-    /// Sets one of these keys; false if the key is none of them.
+    /// Sets one of these keys. Returns false if the key is none of them.
     pub(super) fn set(&mut self, key: &str, value: &Value, version: u64) -> bool {
         match key {
             LEASE_HOLDER => self.lease_holder = VersionedKey::decode(key, value, version),
@@ -73,15 +74,15 @@
             WATERMARK => {
                 self.watermark = decode(key, value).filter(|watermark| is_within_store(key, watermark, version));
             }
-            // The mark is written once and never again: if an undecodable one did not count, every controller would
-            // wait for a decodable one for ever.
+            // The marker is written once and never again: if an undecodable one did not count, every controller would
+            // wait forever for a decodable one.
             UPGRADED => self.upgraded = Some(decode(key, value).unwrap_or(Upgraded { old_jobs_kept: true })),
             _ => return false,
         }
         true
     }
 
-    /// Removes one of these keys; false if the key is none of them.
+    /// Removes one of these keys. Returns false if the key is none of them.
     pub(super) fn remove(&mut self, key: &str) -> bool {
         match key {
             LEASE_HOLDER => self.lease_holder = VersionedKey::Absent,
@@ -94,11 +95,11 @@
     }
 }
 
-/// Whether a stored watermark is possible: it cannot name a revision or a fencing token above its own version.
+/// Returns whether a stored watermark is valid: its revision and its fencing token cannot exceed its own version.
 fn is_within_store(key: &str, watermark: &Watermark, version: u64) -> bool {
-    let possible = watermark.revision <= version && watermark.fencing_token <= version;
-    if !possible {
+    let is_valid = watermark.revision <= version && watermark.fencing_token <= version;
+    if !is_valid {
         warn!(key, ?watermark, revision = version, "stored watermark ahead of the store; ignoring it");
     }
-    possible
+    is_valid
 }
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -6,12 +6,12 @@
 use crate::store::client::{KeyValue, KeyValuePage};
 use serde_json::json;
 
-fn opened(n: u64, version: u64) -> WatchEvent {
+fn open_event(n: u64, version: u64) -> WatchEvent {
     let id = format!("run-{n:06}");
     let record = JobRecord { spec: crate::jobs::JobSpec { id: id.as_str().into(), ..spec() }, at_ms: 5 };
     WatchEvent { write: Some(open_key(&id)), drop: None, value: serde_json::to_value(record).unwrap(), version }
 }
-fn ended(n: u64, version: u64) -> WatchEvent {
+fn end_event(n: u64, version: u64) -> WatchEvent {
     WatchEvent { write: None, drop: Some(open_key(&format!("run-{n:06}"))), value: Value::Null, version }
 }
 fn response(log: Vec<WatchEvent>, revision: u64) -> WatchResponse {
@@ -21,63 +21,65 @@
     let item = |e: WatchEvent| KeyValue { path: e.write.unwrap(), value: e.value, version: e.version };
     KeyValuePage { items: events.into_iter().map(item).collect(), more: false, revision }
 }
-fn read_whole(watch_cache: &mut WatchCache, pages: Vec<KeyValuePage>) -> CacheChanges {
-    let mut loading = watch_cache.begin_reload();
+fn reload(watch_cache: &mut WatchCache, pages: Vec<KeyValuePage>) -> CacheChanges {
+    let mut cache_reload = watch_cache.begin_reload();
     for page in &pages {
-        watch_cache.apply_page(&mut loading, page);
+        watch_cache.apply_page(&mut cache_reload, page);
     }
-    watch_cache.finish_reload(loading)
+    watch_cache.finish_reload(cache_reload)
 }
 
-/// Two watches answer in either order; an older one must not bring back an older state.
+/// Responses of two watches may arrive in any order; an older response must not restore an older state.
 #[test]
-fn answers_may_overlap_and_come_in_any_order() {
+fn stale_watch_response_restores_no_older_state() {
     let mut watch_cache = WatchCache::default();
-    read_whole(&mut watch_cache, vec![]);
-    watch_cache.apply_watch(&response(vec![opened(1, 1), ended(1, 2), opened(2, 2)], 2));
-    let news = watch_cache.apply_watch(&response(vec![opened(1, 1)], 1)).unwrap();
-    assert!(news.is_empty());
-    assert!(watch_cache.open_job("run-000001").is_none(), "ended");
+    reload(&mut watch_cache, vec![]);
+    watch_cache.apply_watch(&response(vec![open_event(1, 1), end_event(1, 2), open_event(2, 2)], 2));
+    let changes = watch_cache.apply_watch(&response(vec![open_event(1, 1)], 1)).unwrap();
+    assert!(changes.is_empty());
+    assert!(watch_cache.open_job("run-000001").is_none(), "the job has ended");
     assert_eq!((watch_cache.revision(), watch_cache.open_work().jobs), (2, 1));
-    assert!(watch_cache.ended_record("run-000001").is_some(), "a new leader needs no reading for it");
+    assert!(watch_cache.ended_record("run-000001").is_some(), "a new leader needs no read of its record");
 }
 
-/// A page that was read before an end must not outlive a watch that has told of the end: the
-/// job would stay open here for ever if the reading were response from any later revision.
+/// A job end that a watch reports during a reload must not be lost to a page that was read before the end: if the watch
+/// continued from any revision later than the first page's, the job would stay open in the cache forever.
 #[test]
-fn a_watch_answered_while_reading_anew_is_passed_over() {
+fn watch_response_during_reload_is_ignored() {
     let mut watch_cache = WatchCache::default();
-    read_whole(&mut watch_cache, vec![page(vec![opened(1, 1)], 1)]);
-    let mut loading = watch_cache.begin_reload();
-    let refused = watch_cache.apply_watch(&response(vec![ended(1, 5)], 5));
-    assert!(refused.is_none() && watch_cache.watch_revision().is_none());
-    watch_cache.apply_page(&mut loading, &page(vec![opened(1, 1)], 4));
-    watch_cache.finish_reload(loading);
-    assert_eq!(watch_cache.watch_revision(), Some(4), "response from the first page on");
+    reload(&mut watch_cache, vec![page(vec![open_event(1, 1)], 1)]);
+    let mut cache_reload = watch_cache.begin_reload();
+    let ignored = watch_cache.apply_watch(&response(vec![end_event(1, 5)], 5));
+    assert!(ignored.is_none() && watch_cache.watch_revision().is_none());
+    watch_cache.apply_page(&mut cache_reload, &page(vec![open_event(1, 1)], 4));
+    watch_cache.finish_reload(cache_reload);
+    assert_eq!(watch_cache.watch_revision(), Some(4), "the watch continues from the first page");
     assert!(watch_cache.open_job("run-000001").is_some());
-    let news = watch_cache.apply_watch(&response(vec![ended(1, 5)], 5)).unwrap();
-    assert!(news.ended.len() == 1 && watch_cache.open_job("run-000001").is_none());
+    let changes = watch_cache.apply_watch(&response(vec![end_event(1, 5)], 5)).unwrap();
+    assert!(changes.ended.len() == 1 && watch_cache.open_job("run-000001").is_none());
 }
 
 #[test]
-fn reading_anew_finds_what_has_ended_and_holds_no_more_than_is_open() {
+fn reload_detects_ended_jobs_and_keeps_only_open_ones() {
     let mut watch_cache = WatchCache::default();
-    read_whole(&mut watch_cache, vec![page((0..50).map(|n| opened(n, n + 1)).collect(), 50)]);
-    let news =
-        read_whole(&mut watch_cache, vec![page(vec![opened(7, 8)], 90), page(vec![opened(8, 9), opened(70, 95)], 96)]);
-    assert_eq!(news.ended.len(), 48);
+    reload(&mut watch_cache, vec![page((0..50).map(|n| open_event(n, n + 1)).collect(), 50)]);
+    let changes = reload(
+        &mut watch_cache,
+        vec![page(vec![open_event(7, 8)], 90), page(vec![open_event(8, 9), open_event(70, 95)], 96)],
+    );
+    assert_eq!(changes.ended.len(), 48);
     assert_eq!((watch_cache.open_jobs().count(), watch_cache.open_work().jobs, watch_cache.revision()), (3, 3, 90));
-    let control =
+    let marker =
         WatchEvent { write: Some("c/upgraded".into()), drop: None, value: json!({"old_kept": false}), version: 9 };
-    assert!(watch_cache.may_hold_old_jobs(), "not known yet");
-    read_whole(&mut watch_cache, vec![page(vec![control], 97)]);
+    assert!(watch_cache.may_hold_old_jobs(), "unknown before the marker is read");
+    reload(&mut watch_cache, vec![page(vec![marker], 97)]);
     assert!(!watch_cache.may_hold_old_jobs());
 }
 
-/// Specs and statuses come with the same pages and answers as jobs do, are no jobs, and nobody hears
-/// of them as long as there are none.
+/// Specs and statuses arrive in the same pages and watch responses as jobs. They do not count as jobs, and without any
+/// declaration no change of declarations is reported.
 #[test]
-fn what_is_declared_comes_with_the_rest() {
+fn specs_and_statuses_are_cached_from_pages_and_watch_responses() {
     let write = |path: &str, n: u64, version| WatchEvent {
         write: Some(path.into()),
         drop: None,
@@ -85,38 +87,39 @@
         version,
     };
     let mut watch_cache = WatchCache::default();
-    let news = read_whole(&mut watch_cache, vec![page(vec![opened(1, 1)], 1)]);
-    let want = CacheChanges { opened: vec![], ended: vec![], leadership: true, declared: false };
-    assert_eq!(news, want, "with nothing declared as ever");
-    let news = watch_cache.apply_watch(&response(vec![opened(2, 2), ended(1, 3)], 3)).unwrap();
-    assert!(!news.declared && news.opened.len() == 1 && news.ended.len() == 1);
+    let changes = reload(&mut watch_cache, vec![page(vec![open_event(1, 1)], 1)]);
+    let expected = CacheChanges { opened: vec![], ended: vec![], leadership: true, declared: false };
+    assert_eq!(changes, expected, "no declarations exist");
+    let changes = watch_cache.apply_watch(&response(vec![open_event(2, 2), end_event(1, 3)], 3)).unwrap();
+    assert!(!changes.declared && changes.opened.len() == 1 && changes.ended.len() == 1);
 
     let (spec, status) = ("c/s/window/w", "c/t/window/w");
-    let news = watch_cache.apply_watch(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5)).unwrap();
-    assert_eq!(news, CacheChanges { declared: true, ..CacheChanges::default() });
+    let changes = watch_cache.apply_watch(&response(vec![write(spec, 1, 4), write(status, 1, 5)], 5)).unwrap();
+    assert_eq!(changes, CacheChanges { declared: true, ..CacheChanges::default() });
     assert_eq!(
         watch_cache.registry().raw_status(DeclarationKind::Window, "w"),
         Some(Versioned { value: json!({"n": 1}), version: 5 })
     );
-    // Read anew, and response from its first page on: what a later page had already is passed over.
-    let pages = vec![page(vec![opened(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
-    assert!(read_whole(&mut watch_cache, pages).declared);
+    // After a reload the watch continues from the first page: an event that a later page already included is skipped.
+    let pages = vec![page(vec![open_event(2, 2)], 6), page(vec![write(spec, 1, 4), write(status, 3, 8)], 8)];
+    assert!(reload(&mut watch_cache, pages).declared);
     watch_cache.apply_watch(&response(vec![write(status, 2, 7), write(status, 3, 8)], 8));
     assert_eq!(
         watch_cache.registry().raw_status(DeclarationKind::Window, "w"),
         Some(Versioned { value: json!({"n": 3}), version: 8 })
     );
-    let told: Vec<_> = watch_cache.registry_mut().take_status_changes().into_iter().map(|c| c.after()).collect();
-    assert_eq!(told, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "once each");
+    let status_changes: Vec<_> =
+        watch_cache.registry_mut().take_status_changes().into_iter().map(|c| c.after()).collect();
+    assert_eq!(status_changes, [Some(json!({"n": 1})), Some(json!({"n": 3}))], "each change is reported once");
     let drop = WatchEvent { write: None, drop: Some(spec.into()), value: Value::Null, version: 9 };
     watch_cache.apply_watch(&response(vec![drop], 9));
-    assert_eq!(watch_cache.registry().orphaned_statuses().count(), 1, "a status whose spec is gone");
-    assert!(read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 10)]).declared, "nothing is declared any more");
+    assert_eq!(watch_cache.registry().orphaned_statuses().count(), 1, "a status without its spec");
+    assert!(reload(&mut watch_cache, vec![page(vec![open_event(2, 2)], 10)]).declared, "all declarations are gone");
     assert!(watch_cache.registry().is_empty());
-    assert!(!read_whole(&mut watch_cache, vec![page(vec![opened(2, 2)], 11)]).declared);
+    assert!(!reload(&mut watch_cache, vec![page(vec![open_event(2, 2)], 11)]).declared);
 }
 
-fn written(path: &str, value: Value, version: u64) -> WatchEvent {
+fn written_event(path: &str, value: Value, version: u64) -> WatchEvent {
     WatchEvent { write: Some(path.into()), drop: None, value, version }
 }
 
@@ -126,10 +129,10 @@
     serde_json::to_value(JobRecord { spec, at_ms: 5 }).unwrap()
 }
 
-/// Whatever stands under any of the cached keys, a controller reads the rest; told by a page or by a watch.
+/// An undecodable value under any of the cached keys is skipped, and the rest is read, from a page as from a watch.
 #[test]
-fn what_cannot_be_read_costs_nothing_but_itself() {
-    let nonsense = [json!(null), json!("x"), json!(["x", 2]), json!({}), json!({"node": 7}), json!(-1e300)];
+fn undecodable_values_do_not_affect_other_keys() {
+    let undecodable = [json!(null), json!("x"), json!(["x", 2]), json!({}), json!({"node": 7}), json!(-1e300)];
     let paths = [
         "c/o/run-000002",
         "c/o/",
@@ -144,16 +147,16 @@
         "c/zzz",
     ];
     for path in paths {
-        for value in &nonsense {
-            let all = [opened(1, 1), written(path, value.clone(), 2), opened(3, 3)];
+        for value in &undecodable {
+            let events = [open_event(1, 1), written_event(path, value.clone(), 2), open_event(3, 3)];
             let mut paged = WatchCache::default();
-            read_whole(&mut paged, vec![page(all.to_vec(), 3)]);
+            reload(&mut paged, vec![page(events.to_vec(), 3)]);
             let mut watched = WatchCache::default();
-            read_whole(&mut watched, vec![]);
-            watched.apply_watch(&response(all.to_vec(), 3));
+            reload(&mut watched, vec![]);
+            watched.apply_watch(&response(events.to_vec(), 3));
             for watch_cache in [&paged, &watched] {
-                let open = watch_cache.open_jobs().count();
-                assert!(watch_cache.is_ready() && open == 2, "{path} {value}: {open} jobs are read");
+                let open_jobs = watch_cache.open_jobs().count();
+                assert!(watch_cache.is_ready() && open_jobs == 2, "{path} {value}: {open_jobs} open jobs");
                 assert!(
                     watch_cache.lease_holder().is_none()
                         && watch_cache.leader_record().is_none()
@@ -165,76 +168,83 @@
     }
 }
 
-/// A key that cannot be read has a version all the same, by which it is written over: taken for absent, nobody
-/// take the lease or lead any more.
+/// A key with an undecodable value keeps its version, which is the condition for overwriting it: if it counted as
+/// absent, no controller could acquire the lease or lead again.
 #[test]
-fn unreadable_lease_holders_and_leaders_are_known_by_their_version() {
+fn undecodable_lease_holder_and_leader_record_keep_their_versions() {
     let mut watch_cache = WatchCache::default();
-    read_whole(&mut watch_cache, vec![]);
+    reload(&mut watch_cache, vec![]);
     assert_eq!(
         (
             watch_cache.lease_holder_version(),
             watch_cache.leader_record_version(),
-            watch_cache.unreadable_lease_holder()
+            watch_cache.undecodable_lease_holder_version()
         ),
         (0, 0, None)
     );
-    watch_cache.apply_watch(&response(vec![written("c/leader", json!(7), 3), written("c/owner/0", json!(7), 4)], 4));
+    watch_cache.apply_watch(&response(
+        vec![written_event("c/leader", json!(7), 3), written_event("c/owner/0", json!(7), 4)],
+        4,
+    ));
     assert_eq!(
         (
             watch_cache.lease_holder_version(),
             watch_cache.leader_record_version(),
-            watch_cache.unreadable_lease_holder()
+            watch_cache.undecodable_lease_holder_version()
         ),
         (3, 4, Some(3))
     );
     let lease_holder = json!({"node": "a", "incarnation": "1", "later": true});
-    watch_cache.apply_watch(&response(vec![written("c/leader", lease_holder, 5)], 5));
+    watch_cache.apply_watch(&response(vec![written_event("c/leader", lease_holder, 5)], 5));
     assert_eq!(
-        (watch_cache.lease_holder_version(), watch_cache.unreadable_lease_holder()),
+        (watch_cache.lease_holder_version(), watch_cache.undecodable_lease_holder_version()),
         (5, None),
-        "fields of a later build are passed over"
+        "fields of a later build are ignored"
     );
 }
 
-/// The mark of an upgrade is written once; unreadable, it was waited for without end.
+/// The upgrade marker is written only once: if an undecodable one did not count, controllers would wait for it
+/// forever.
 #[test]
-fn an_unreadable_mark_of_an_upgrade_is_a_mark() {
+fn undecodable_upgrade_marker_counts_as_upgraded() {
     let mut watch_cache = WatchCache::default();
-    let mut loading = watch_cache.begin_reload();
-    watch_cache.apply_page(&mut loading, &page(vec![written("c/upgraded", json!("x"), 2)], 2));
-    assert!(loading.store_is_upgraded());
-    watch_cache.finish_reload(loading);
-    assert!(watch_cache.may_hold_old_jobs(), "jobs may stand under the keys of an earlier build");
+    let mut cache_reload = watch_cache.begin_reload();
+    watch_cache.apply_page(&mut cache_reload, &page(vec![written_event("c/upgraded", json!("x"), 2)], 2));
+    assert!(cache_reload.store_is_upgraded());
+    watch_cache.finish_reload(cache_reload);
+    assert!(watch_cache.may_hold_old_jobs(), "jobs may exist under the keys of an earlier build");
 }
 
 #[test]
-fn jobs_that_nobody_could_have_accepted_are_passed_over_by_cases() {
+fn invalid_open_jobs_are_ignored() {
     type Change = fn(&mut crate::jobs::JobSpec);
     let cases: [(&str, Change, bool); 6] = [
-        ("as accepted", |_| {}, true),
-        ("another's id", |spec| spec.id = "run-000009".into(), false),
-        ("more tasks than memory", |spec| spec.tasks = u64::MAX, false),
-        ("no task", |spec| spec.tasks = 0, false),
-        ("a time that overflows", |spec| spec.estimate_s = 1e300, false),
-        ("a time before all times", |spec| spec.due_s = Some(-1.0), false),
+        ("valid job", |_| {}, true),
+        ("id of another job", |spec| spec.id = "run-000009".into(), false),
+        ("more tasks than fit into memory", |spec| spec.tasks = u64::MAX, false),
+        ("no tasks", |spec| spec.tasks = 0, false),
+        ("estimate that overflows", |spec| spec.estimate_s = 1e300, false),
+        ("negative due time", |spec| spec.due_s = Some(-1.0), false),
     ];
-    for (name, change, taken) in cases {
+    for (case, change, cached) in cases {
         let mut watch_cache = WatchCache::default();
-        read_whole(&mut watch_cache, vec![page(vec![written("c/o/run-000002", job_with("run-000002", change), 2)], 2)]);
-        assert_eq!(watch_cache.open_job("run-000002").is_some(), taken, "{name}");
+        reload(
+            &mut watch_cache,
+            vec![page(vec![written_event("c/o/run-000002", job_with("run-000002", change), 2)], 2)],
+        );
+        assert_eq!(watch_cache.open_job("run-000002").is_some(), cached, "{case}");
     }
 }
 
-/// A watermark ahead of the store would let users hear of cancellations that no leader knows.
+/// A watermark ahead of the store would confirm cancellations to users that no leader knows of.
 #[test]
-fn a_stored_watermark_ahead_of_the_store_is_not_believed() {
-    for (fencing_token, revision, believed) in
+fn stored_watermark_ahead_of_the_store_is_ignored() {
+    for (fencing_token, revision, valid) in
         [(3, 8, true), (3, 9, true), (3, 10, false), (10, 8, false), (3, u64::MAX, false)]
     {
         let mut watch_cache = WatchCache::default();
         let value = json!({"token": fencing_token, "revision": revision});
-        read_whole(&mut watch_cache, vec![page(vec![written("c/watermark", value, 9)], 9)]);
-        assert_eq!(watch_cache.watermark().is_some(), believed, "{fencing_token} {revision}");
+        reload(&mut watch_cache, vec![page(vec![written_event("c/watermark", value, 9)], 9)]);
+        assert_eq!(watch_cache.watermark().is_some(), valid, "{fencing_token} {revision}");
     }
 }
