--- a/src/history/end_cache/tests.rs
+++ b/src/history/end_cache/tests.rs
@@ -4,9 +4,10 @@
     format!("run-{n:06}")
 }
 
-/// Two ids that look alike are two jobs: telling one's end of the other would be a wrong answer for ever.
+/// Ids that differ only in leading zeros belong to different jobs. Packing them alike would report the end of one job
+/// for the other, for ever. Ids that do not fit into a slot are not cached.
 #[test]
-fn ids_are_told_apart() {
+fn ids_with_different_leading_zeros_have_separate_entries_and_unpackable_ids_none() {
     let mut ends = EndCache::default();
     for (id, end) in [("run-1", End::Done), ("run-01", End::Cancelled), ("run-00000000000000001", End::Done)] {
         assert_eq!(ends.get(id), None, "{id}");
@@ -19,17 +20,21 @@
     }
 }
 
-/// All jobs are asked about in turn, again and again: of what does not fit, a part has to stay.
+/// All jobs are polled in turn, again and again. A least-recently-used cache with fewer entries than jobs would never
+/// have the next one.
 #[test]
-fn rounds_longer_than_what_is_held_still_find_a_part() {
-    for (jobs, at_least) in [(100_000, 0.98), (2 * EndCache::capacity(), 0.15)] {
+fn polling_more_jobs_than_fit_in_turn_still_hits_the_cache_for_a_share() {
+    for (jobs, min_hit_ratio) in [(100_000, 0.98), (2 * EndCache::capacity(), 0.15)] {
         let mut ends = EndCache::default();
-        let mut found = 0;
+        let mut hits = 0;
         for n in (0..3 * jobs).map(|n| n % jobs) {
-            found = if n == 0 { 0 } else { found } + usize::from(ends.get(&id(n)).is_some());
+            hits = if n == 0 { 0 } else { hits } + usize::from(ends.get(&id(n)).is_some());
             ends.insert(&id(n), End::Done);
         }
-        let part = found as f64 / jobs as f64;
-        assert!(part >= at_least && ends.len() <= EndCache::capacity(), "{part} of {jobs}");
+        let hit_ratio = hits as f64 / jobs as f64;
+        assert!(
+            hit_ratio >= min_hit_ratio && ends.len() <= EndCache::capacity(),
+            "cache hit ratio {hit_ratio} with {jobs} jobs"
+        );
     }
 }
--- a/src/history/end_sweep_loop.rs
+++ b/src/history/end_sweep_loop.rs
@@ -13,25 +13,27 @@
 use crate::sync::jitter;
 
 /// Prefix of the keys of ended jobs.
-const ENDED: &str = "h/";
-/// Pause after a page that could not be read, before jitter.
-const PAGE_RETRY: Duration = Duration::from_millis(300);
-/// Between two pages the share of requests grows by this many, so that pages take at most half of it.
-pub const PAGE_COST: f64 = 2.0;
+const ENDED_PREFIX: &str = "h/";
+/// Back-off after a page that could not be read, before jitter.
+const PAGE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Number of requests that the controller's request budget gains between the starts of two pages, so that pages take at
+/// most half of the budget.
+pub const REQUESTS_PER_PAGE: f64 = 2.0;
 
-/// Reads pages whenever a sweep is requested, one at a time, at a higher priority than comparisons: a page answers more.
+/// Reads pages one at a time while a sweep is requested, at a higher priority than batches of queries, since a page
+/// answers more jobs.
 pub async fn run(history: Arc<JobHistory>, store: Arc<StateClient>) {
     loop {
-        let since = match history.with_sweep(|sweep| sweep.next_page(Instant::now()).map(|key| key.map(str::to_owned)))
-        {
-            Some(since) => since,
-            None => {
-                history.sweep_requested().await;
-                continue;
-            }
-        };
-        let page = store.key_versions(ENDED, since.as_deref(), PAGE_SIZE, RequestPriority::Placement);
-        let (page, ()) = tokio::join!(page, tokio::time::sleep(store.refill_time(PAGE_COST)));
+        let start_after =
+            match history.with_sweep(|sweep| sweep.next_page(Instant::now()).map(|key| key.map(str::to_owned))) {
+                Some(last_key) => last_key,
+                None => {
+                    history.sweep_requested().await;
+                    continue;
+                }
+            };
+        let page = store.key_versions(ENDED_PREFIX, start_after.as_deref(), PAGE_SIZE, RequestPriority::Placement);
+        let (page, ()) = tokio::join!(page, tokio::time::sleep(store.refill_time(REQUESTS_PER_PAGE)));
         match page {
             Ok(page) => {
                 let ends = page.items.iter().filter_map(|item| match locate_job(&item.path)? {
@@ -46,7 +48,7 @@
             }
             Err(error) => {
                 debug!(%error, "job end history read failed");
-                tokio::time::sleep(jitter(PAGE_RETRY)).await;
+                tokio::time::sleep(jitter(PAGE_RETRY_DELAY)).await;
             }
         }
     }
--- a/src/history/job_history.rs
+++ b/src/history/job_history.rs
@@ -21,28 +21,34 @@
 /// Delivers the answer to a query.
 pub(super) type Waiter = oneshot::Sender<JobQueryAnswer>;
 
-/// Number of ends whose time of arrival is kept: a new leader counts from there. As many as the watch cache keeps.
+/// Number of ends whose time of arrival in the watch cache is kept: a new leader takes it as the time of the end. As
+/// many as the watch cache keeps.
 const MAX_SEEN_ENDS: NonZeroUsize = NonZeroUsize::new(2000).unwrap();
-/// How long a query waits for its answer. Users wait for 2 s.
+/// How long a query waits for its answer: less than the 2 s for which users wait.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The ends that one controller has in memory, and its queries to the store.
 pub struct JobHistory {
+    /// Queries that wait to be sent, the ends in memory and the watermark.
     pub(super) queries: Mutex<QueryQueue<Waiter>>,
-    /// Wakes `reader`: a query was queued.
+    /// Wakes `reader` when a query is queued.
     pub(super) queued: Notify,
     sweep: Mutex<EndSweep>,
+    /// Wakes `end_sweep_loop` when a sweep is requested.
     sweep_requested: Notify,
     /// When the watch cache learned of the latest ends.
     seen_ends: Mutex<LruCache<JobId, Instant>>,
-    /// Limits the log lines about ends of earlier builds that cannot be decoded: their users ask again and again.
+    /// Limits the rate of log lines about ends of earlier builds that cannot be decoded, since users repeat their
+    /// queries.
     pub(super) undecodable: Mutex<LogLimit>,
 }
 
 impl JobHistory {
-    /// An empty history. The size of a batch of queries follows from the state service's limit for one compare-and-swap.
+    /// An empty history. The size of a batch of queries follows from the state service's limit for one
+    /// compare-and-swap.
     pub fn new(settings: &Settings) -> Self {
-        // The service takes four conditions for each change, and a job needs four at the most.
+        // The state service allows four conditions per change, and a query about a job has at most four. So a batch
+        // holds as many jobs as a compare-and-swap may have changes.
         let batch_size = settings.params.state.txn_ops as usize;
         Self {
             queries: Mutex::new(QueryQueue::new(batch_size)),
@@ -54,12 +60,12 @@
         }
     }
 
-    /// How a job ended, if this controller has lately seen its end in the store.
+    /// How a job ended, if this controller has the end in memory.
     pub fn known_end(&self, id: &str) -> Option<End> {
         lock(&self.queries).known_end(id)
     }
 
-    /// Records an end that stands in the store, so that it is answered from memory.
+    /// Records an end that is in the store, so that queries about the job are answered from memory.
     pub fn note_end(&self, id: &JobId, end: End) {
         lock(&self.queries).note_end(id, end);
     }
@@ -80,22 +86,22 @@
         lock(&self.seen_ends).put(id.clone(), now);
     }
 
-    /// When the watch cache learned of this end; none if that is long ago or has not happened.
+    /// When the watch cache learned of this job's end; none if it has not, or has learned of too many ends since.
     pub fn end_seen_at(&self, id: &str) -> Option<Instant> {
         lock(&self.seen_ends).peek(id).copied()
     }
 
-    /// Records that a cancellation was stored at this revision or before.
+    /// Records that a job's cancellation was stored at revision `version` or before.
     pub fn note_cancellation(&self, id: &JobId, version: u64) {
         lock(&self.queries).note_cancellation(id, version);
     }
 
-    /// Marks a cancellation that stands in this leader's loaded cluster state as visible to users.
+    /// Marks a cancellation that is in this leader's loaded cluster state as visible to users.
     pub fn mark_visible(&self, id: &JobId) {
         lock(&self.queries).mark_visible(id);
     }
 
-    /// A leader's loaded cluster state holds all ends up to this revision.
+    /// Records that a leader's loaded cluster state holds all ends up to this revision.
     pub fn advance_watermark(&self, watermark: u64) {
         lock(&self.queries).advance_watermark(watermark);
     }
@@ -110,7 +116,7 @@
         lock(&self.queries).end_visibility(id, end)
     }
 
-    /// Reads from the store at which revision a cancellation was stored, if that is not known.
+    /// Reads from the store at which revision a job's cancellation was stored, and records it.
     ///
     /// # Errors
     ///
@@ -130,7 +136,7 @@
         lock(&self.queries).hidden_cancellations()
     }
 
-    /// Calls a function with the progress of the end sweep.
+    /// Calls a function with the end sweep's progress, under its lock.
     pub(super) fn with_sweep<R>(&self, call: impl FnOnce(&mut EndSweep) -> R) -> R {
         call(&mut lock(&self.sweep))
     }
@@ -140,7 +146,7 @@
         self.sweep_requested.notified().await;
     }
 
-    /// Queries the store about a job. The answer holds as of some moment after this call.
+    /// Queries the store about a job. The answer is the state as of some moment after this call.
     pub async fn query_job(&self, id: &JobId) -> JobQueryAnswer {
         let (waiter, answer) = oneshot::channel();
         let now = Instant::now();
@@ -162,7 +168,8 @@
         }
     }
 
-    /// Queries the store about a job without waiting: once answered, [`known_end`](Self::known_end) knows its end for a while.
+    /// Queries the store about a job without waiting for the answer. If the job has ended,
+    /// [`known_end`](Self::known_end) returns the end once the answer has come, until it is evicted.
     pub fn prefetch_end(&self, id: &JobId) {
         let (waiter, _) = oneshot::channel();
         if lock(&self.queries).enqueue(id, waiter, Instant::now()).is_ok() {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Sizes for display.
+    /// Sizes of the queue and the cache, for display.
     pub fn counts(&self) -> QueryCounts {
         lock(&self.queries).counts()
     }
--- a/src/history/job_transactions.rs
+++ b/src/history/job_transactions.rs
@@ -1,7 +1,7 @@
 //! The compare-and-swaps that move a job from key to key: accepted, ended, adopted from an earlier build.
 //!
-//! Each is conditional on all keys that the job may have. So whichever is applied first decides, and a late copy of any
-//! of them finds the job under another key and fails.
+//! Each compare-and-swap is conditional on all keys that the job may have. So the one applied first decides, and a late
+//! copy of any other finds the job under another key and fails.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -13,23 +13,23 @@
 };
 use crate::store::{Change, Condition};
 
-/// A compare-and-swap about one job, before it is sent.
+/// The conditions and changes of a compare-and-swap about one job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobTransaction {
-    /// Key versions that must hold for the changes to be applied.
+    /// Versions that keys must have for the changes to be applied.
     pub conditions: Vec<Condition>,
-    /// Keys written and dropped if they do.
+    /// Keys written and dropped if all conditions hold.
     pub changes: Vec<Change>,
 }
 
 /// The key under which a job was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobLocation {
-    /// Its open key.
+    /// The key of open jobs.
     Open,
-    /// The key of its end.
+    /// The key of jobs with this end.
     Ended(End),
-    /// The key of an earlier build: ended, unless that build's acceptance was applied late.
+    /// The key of an earlier build. The job has ended, unless that build's acceptance was applied late.
     EarlierBuild,
 }
 
@@ -42,14 +42,15 @@
     ended_keys(id).into_iter().map(Condition::absent)
 }
 
-/// Conditions that hold if the job was never accepted. `old_jobs_kept`: the store may hold jobs of earlier builds.
+/// Conditions that hold if the job was never accepted. `old_jobs_kept` says whether the store may hold jobs of earlier
+/// builds.
 pub fn never_accepted_conditions(id: &str, old_jobs_kept: bool) -> impl Iterator<Item = Condition> {
-    let old = old_jobs_kept.then(|| Condition::absent(old_job_key(id)));
-    std::iter::once(Condition::absent(open_key(id))).chain(not_ended_conditions(id)).chain(old)
+    let earlier_build = old_jobs_kept.then(|| Condition::absent(old_job_key(id)));
+    std::iter::once(Condition::absent(open_key(id))).chain(not_ended_conditions(id)).chain(earlier_build)
 }
 
-/// The job that a key belongs to, and where the key shows it to be; none if the key is not a job's. The keys of failed
-/// conditions of [`never_accepted_conditions`] and [`not_ended_conditions`] exist.
+/// The job that a key belongs to and the location that the key stands for; none if the key is not a job's. A failed
+/// condition of [`never_accepted_conditions`] or [`not_ended_conditions`] shows that its key exists.
 pub fn locate_job(key: &str) -> Option<(&str, JobLocation)> {
     let locations = [
         (OPEN, JobLocation::Open),
@@ -60,7 +61,7 @@
     locations.into_iter().find_map(|(prefix, location)| Some((key.strip_prefix(prefix)?, location)))
 }
 
-/// The job's end, if one of these existing keys shows it.
+/// The job's end, if one of `keys`, which exist in the store, shows it.
 pub fn find_end<'a>(keys: impl IntoIterator<Item = &'a String>, id: &str) -> Option<End> {
     keys.into_iter().filter_map(|key| locate_job(key)).find_map(|(job, location)| match location {
         JobLocation::Ended(end) if job == id => Some(end),
@@ -68,7 +69,7 @@
     })
 }
 
-/// Accepts a job: it is open from then on, once.
+/// The transaction that accepts a job and stores it as open. It fails if the job was accepted before.
 pub fn accept_job(record: &JobRecord, old_jobs_kept: bool) -> JobTransaction {
     let id = &record.spec.id;
     JobTransaction {
@@ -77,31 +78,32 @@
     }
 }
 
-/// The two changes that end a job: its final key is written, its open key dropped.
+/// The two changes that end a job: the key of its end is written, its open key dropped.
 pub fn end_changes(record: &JobRecord, end: End, now_ms: u64) -> [Change; 2] {
     let id = &record.spec.id;
     let ended = EndedRecord { job: record.clone(), ended_ms: now_ms };
     [Change::write(ended_key(id, end), to_value(&ended)), Change::Drop { drop: open_key(id) }]
 }
 
-/// Cancels a job that was seen open: it can have left its open key only by ending. With a fencing token as `leader` the
-/// cancellation is applied only under this leader record, which a leader needs to report it at once.
+/// The transaction that cancels a job that was seen open, and so can have left its open key only by ending. With the
+/// fencing token of a leader as `leader`, the cancellation is applied only while the leader record has this token: a
+/// leader needs that to report the cancellation at once.
 pub fn cancel_job(record: &JobRecord, leader: Option<u64>, now_ms: u64) -> JobTransaction {
-    let under_leader = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
+    let leader_unchanged = leader.map(|fencing_token| Condition::at(LEADER, fencing_token));
     JobTransaction {
-        conditions: not_ended_conditions(&record.spec.id).chain(under_leader).collect(),
+        conditions: not_ended_conditions(&record.spec.id).chain(leader_unchanged).collect(),
         changes: end_changes(record, End::Cancelled, now_ms).into(),
     }
 }
 
-/// Moves an open job of an earlier build, found at this version, to its new key.
+/// The transaction that moves an open job of an earlier build, found at this version, to its new key.
 pub fn adopt_job(record: &JobRecord, version: u64) -> JobTransaction {
     let id = &record.spec.id;
-    let (job, end) = (old_job_key(id), old_end_key(id));
-    let old = [Condition::at(job.clone(), version), Condition::absent(end)];
+    let (old_key, old_end) = (old_job_key(id), old_end_key(id));
+    let still_open = [Condition::at(old_key.clone(), version), Condition::absent(old_end)];
     JobTransaction {
-        conditions: old.into_iter().chain(never_accepted_conditions(id, false)).collect(),
-        changes: vec![Change::write(open_key(id), to_value(record)), Change::Drop { drop: job }],
+        conditions: still_open.into_iter().chain(never_accepted_conditions(id, false)).collect(),
+        changes: vec![Change::write(open_key(id), to_value(record)), Change::Drop { drop: old_key }],
     }
 }
 
--- a/src/history/job_transactions/tests.rs
+++ b/src/history/job_transactions/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::jobs::tests::spec;
 
-/// What a job's end adds must never make a record too large to be stored.
+/// An ended record that outgrew the open one by more than the reserved size could be too large to be stored.
 #[test]
-fn an_ended_record_reads_back_and_is_hardly_larger() {
+fn ended_record_decodes_and_exceeds_the_open_one_by_at_most_the_reserved_size() {
     let job = JobRecord { spec: spec(), at_ms: 5 };
     let [Change::Write { write, value, .. }, Change::Drop { drop }] = end_changes(&job, End::Cancelled, u64::MAX)
     else {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn keys_tell_where_a_job_is() {
+fn job_location_is_derived_from_its_key() {
     for (key, want) in [
         ("c/o/run-1", Some(("run-1", JobLocation::Open))),
         ("h/d/run-1", Some(("run-1", JobLocation::Ended(End::Done)))),
--- a/src/history/mod.rs
+++ b/src/history/mod.rs
@@ -1,8 +1,16 @@
-//! Jobs that have ended: kept for ever in the store under one key each, and read only when somebody asks.
+//! Jobs that have ended. The store keeps each under a key of its own for ever, and it is read only when a user asks
+//! about the job.
 //!
-//! `job_history` is what one controller knows of them, `job_transactions` holds the compare-and-swaps that move a job from key to key, `query_queue` the queries about jobs
-//! that are not known to be open, `reader` sends them to the store in batches, `end_cache` keeps ends in memory,
-//! `visibility` decides which cancellations users may be told of, `end_sweep` and `end_sweep_loop` read many ends at once when many are asked about, and `upgrade` moves what earlier builds have stored. The reasons are in docs/history.md.
+//! - `job_history`: what one controller knows of ended jobs.
+//! - `job_transactions`: the compare-and-swaps that move a job from key to key.
+//! - `query_queue`: the queue of queries about jobs that are not known to be open.
+//! - `reader`: sends these queries to the store in batches.
+//! - `end_cache`: ends in memory.
+//! - `visibility`: which cancellations users may be told of.
+//! - `end_sweep` and `end_sweep_loop`: read ends in pages when many jobs are asked about.
+//! - `upgrade`: moves what earlier builds have stored.
+//!
+//! The reasons for this design are in docs/history.md.
 
 pub mod end_cache;
 pub mod end_sweep;
--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of queries about jobs that are not known to be open, and the cache of ends learned lately.
+//! The queue of queries about jobs that are not known to be open, with the cache of ends and the watermark.
 //!
-//! Pure: queries and answers of the store go in, batches and answers to the waiters come out. A query joins an earlier
-//! one about the same job only while that one has not been sent: what the store answered before a query arrived must not
-//! answer it, since the job may have been accepted in between.
+//! This module does no I/O: queries and the store's answers go in, batches and answers to the waiters come out. A query
+//! joins an earlier one about the same job only while the earlier one has not been sent: an answer that the store gave
+//! before a query arrived must not answer the query, since the job may have been accepted in between.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,36 +12,36 @@
 use super::visibility::{EndVisibility, HiddenCancellations, PendingCancellations, end_visibility};
 use crate::jobs::{End, JobId};
 
-/// Largest number of waiters for all jobs together; each also holds a connection.
+/// Largest number of waiters for all jobs together. Each waiter also holds a connection.
 const MAX_WAITERS: usize = 1024;
-/// Largest number of queued jobs, in batches: about what one controller's share of the request rate answers within a
-/// second.
-const MAX_BATCHES: usize = 8;
-/// A query that has waited longer is not sent any more: its user has given up or is about to.
+/// Largest number of queued jobs, in full batches: about as many as one controller's share of the request rate answers
+/// within a second.
+const MAX_QUEUED_BATCHES: usize = 8;
+/// Longest time for which a query is queued. It is not sent after that: its user has given up or is about to.
 const QUERY_EXPIRY: Duration = Duration::from_millis(1200);
 
-/// What the store said about a job, as of some moment after the query.
+/// The store's answer about a job, as of some moment after the query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobQueryAnswer {
     /// No key of the job exists: it was never accepted.
     NeverAccepted,
     /// The job is open.
     Open,
-    /// The job has ended, and how.
+    /// The job has ended in this way.
     Ended(End),
-    /// Not known now: the limits are used up, or the store did not answer.
+    /// No answer for now: a limit was reached, or the store did not answer.
     Unavailable,
 }
 
-/// More queries wait than can be answered in time.
+/// The error of a query that is refused because more queries wait than can be answered in time.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too many job queries wait")]
 pub struct QueueFull;
 
-/// A job with everybody who waits for an answer about it.
+/// A job with the waiters for an answer about it.
 type JobQuery<W> = (JobId, Vec<W>);
 
-/// Jobs that are queried together, each once.
+/// Jobs that are queried together, each once, with their waiters.
 pub struct QueryBatch<W> {
     queries: Vec<JobQuery<W>>,
 }
@@ -57,59 +57,61 @@
         self.queries.is_empty()
     }
 
-    /// The jobs with everybody who waits for each.
+    /// The jobs, each with its waiters.
     pub fn into_queries(self) -> Vec<JobQuery<W>> {
         self.queries
     }
 
-    /// Every waiter with the same answer.
+    /// Gives every waiter of the batch the same answer.
     pub fn answer_all(self, answer: JobQueryAnswer) -> Vec<(W, JobQueryAnswer)> {
         self.queries.into_iter().flat_map(|(_, waiters)| waiters).map(|waiter| (waiter, answer)).collect()
     }
 }
 
-/// The jobs taken from the queue.
+/// The jobs that [`QueryQueue::next_batch`] takes from the queue.
 pub struct NextBatch<W> {
     /// Jobs to query now.
     pub due: QueryBatch<W>,
-    /// Jobs whose waiters have waited for too long to be worth a query.
+    /// Jobs whose queries have waited too long to be sent.
     pub expired: QueryBatch<W>,
 }
 
-/// A batch after the store's answer.
+/// The result of a batch after the store's answer.
 pub struct ResolvedBatch<W> {
-    /// The waiters of all other jobs with their answers.
+    /// The waiters of all jobs but `old_jobs`, with their answers.
     pub answers: Vec<(W, JobQueryAnswer)>,
-    /// Jobs found under an earlier build's key, which have to be read one by one.
+    /// Jobs found only under an earlier build's key, which have to be read one by one.
     pub old_jobs: QueryBatch<W>,
 }
 
-/// Sizes for display.
+/// Sizes of the queue and the cache, for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueryCounts {
     /// Ends in the cache.
     pub cached_ends: usize,
     /// Jobs in the queue.
     pub queued_jobs: usize,
-    /// Waiters for all of these jobs.
+    /// Waiters for all queued jobs.
     pub waiters: usize,
 }
 
-/// Queries that wait to be sent to the store, and ends learned lately. `W` is whatever an answer is delivered through;
-/// this type never uses it.
+/// Queries that wait to be sent to the store, the ends in memory, and the cancellations above the watermark. `W` is the
+/// handle through which the caller delivers an answer; the queue only stores it.
 pub struct QueryQueue<W> {
     ends: EndCache,
     cancellations: PendingCancellations,
-    /// Jobs with the time of their first query, in this order.
+    /// Queued jobs with the time of their first query, oldest first.
     queue: VecDeque<(JobId, Instant)>,
-    /// Who waits for each job in the queue.
+    /// The waiters for each job in the queue.
     waiting: HashMap<JobId, Vec<W>>,
+    /// Number of all waiters in `waiting`.
     waiters: usize,
+    /// Largest number of jobs in a batch.
     batch_size: usize,
 }
 
 impl<W> QueryQueue<W> {
-    /// An empty queue. At most `batch_size` jobs are queried at once.
+    /// An empty queue that puts at most `batch_size` jobs into a batch.
     pub fn new(batch_size: usize) -> Self {
         Self {
             ends: EndCache::default(),
@@ -121,17 +123,17 @@
         }
     }
 
-    /// How a job ended, if that was learned lately.
+    /// How a job ended, if the end is in memory.
     pub fn known_end(&self, id: &str) -> Option<End> {
         self.ends.get(id)
     }
 
-    /// Records an end that stands in the store.
+    /// Records an end that is in the store.
     pub fn note_end(&mut self, id: &str, end: End) {
         self.ends.insert(id, end);
     }
 
-    /// Records that a cancellation was stored at this revision or before.
+    /// Records that a job's cancellation was stored at revision `version` or before.
     pub fn note_cancellation(&mut self, id: &JobId, version: u64) {
         self.ends.insert(id, End::Cancelled);
         if !self.ends.is_visible(id) {
@@ -139,17 +141,17 @@
         }
     }
 
-    /// Marks a cancellation that stands in the leader's loaded cluster state as visible.
+    /// Marks a cancellation that is in the leader's loaded cluster state as visible to users.
     pub fn mark_visible(&mut self, id: &JobId) {
         self.ends.insert(id, End::Cancelled);
         self.ends.mark_visible(id);
-        // An id that does not fit into the cache goes on being judged by its version.
+        // A cancellation whose id does not fit into the cache keeps its version, which decides its visibility.
         if self.ends.is_visible(id) {
             self.cancellations.forget(id);
         }
     }
 
-    /// A leader's loaded cluster state holds all ends up to this revision.
+    /// Records that a leader's loaded cluster state holds all ends up to this revision.
     pub fn advance_watermark(&mut self, watermark: u64) {
         self.cancellations.advance_watermark(watermark);
     }
@@ -159,14 +161,14 @@
         self.cancellations.watermark()
     }
 
-    /// Whether users may be told of this end. A cancellation found visible stays so.
+    /// Whether users may be told of this end. A cancellation that was found visible stays visible.
     pub fn end_visibility(&mut self, id: &JobId, end: End) -> EndVisibility {
         let (version, watermark) = (self.cancellations.version(id), self.cancellations.watermark());
-        let found = end_visibility(end, self.ends.is_visible(id), version, watermark);
-        if found == EndVisibility::Visible && end == End::Cancelled {
+        let visibility = end_visibility(end, self.ends.is_visible(id), version, watermark);
+        if visibility == EndVisibility::Visible && end == End::Cancelled {
             self.mark_visible(id);
         }
-        found
+        visibility
     }
 
     /// How many cancellations users may not be told of yet.
@@ -174,21 +176,21 @@
         self.cancellations.hidden_cancellations()
     }
 
-    /// Whether so many jobs are queued that some may be refused soon.
+    /// Whether the queue of jobs is at least half full, so that queries may be refused soon.
     pub fn is_half_full(&self) -> bool {
-        self.queue.len() >= self.batch_size * MAX_BATCHES / 2
+        self.queue.len() >= self.batch_size * MAX_QUEUED_BATCHES / 2
     }
 
-    /// Queues a query. It joins earlier ones about the same job that have not been sent.
+    /// Queues a query. It joins an earlier one about the same job that has not been sent.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`] if too many queries wait.
+    /// [`QueueFull`] if too many waiters or too many jobs are queued.
     pub fn enqueue(&mut self, id: &JobId, waiter: W, now: Instant) -> Result<(), QueueFull> {
         let full = self.waiters >= MAX_WAITERS;
         if let Some(others) = self.waiting.get_mut(id).filter(|_| !full) {
             others.push(waiter);
-        } else if full || self.queue.len() >= self.batch_size * MAX_BATCHES {
+        } else if full || self.queue.len() >= self.batch_size * MAX_QUEUED_BATCHES {
             return Err(QueueFull);
         } else {
             self.queue.push_back((id.clone(), now));
@@ -207,16 +209,16 @@
     pub fn next_batch(&mut self, now: Instant) -> NextBatch<W> {
         let (mut due, mut expired) = (Vec::new(), Vec::new());
         while due.len() < self.batch_size {
-            let Some((id, since)) = self.queue.pop_front() else { break };
+            let Some((id, queued_at)) = self.queue.pop_front() else { break };
             let waiters = self.waiting.remove(&id).unwrap_or_default();
             self.waiters -= waiters.len();
-            let worth_sending = now.saturating_duration_since(since) <= QUERY_EXPIRY;
+            let worth_sending = now.saturating_duration_since(queued_at) <= QUERY_EXPIRY;
             if worth_sending { &mut due } else { &mut expired }.push((id, waiters));
         }
         NextBatch { due: QueryBatch { queries: due }, expired: QueryBatch { queries: expired } }
     }
 
-    /// Answers the jobs of a batch by the keys whose conditions of absence have failed.
+    /// Answers the jobs of a batch, given the keys whose conditions of absence have failed (`failed`).
     pub fn resolve(&mut self, batch: QueryBatch<W>, failed: &[String]) -> ResolvedBatch<W> {
         let locations = locate_jobs(failed);
         let (mut answers, mut old_jobs) = (Vec::new(), Vec::new());
@@ -238,13 +240,14 @@
         ResolvedBatch { answers, old_jobs: QueryBatch { queries: old_jobs } }
     }
 
-    /// Sizes for display.
+    /// Sizes of the queue and the cache, for display.
     pub fn counts(&self) -> QueryCounts {
         QueryCounts { cached_ends: self.ends.len(), queued_jobs: self.queue.len(), waiters: self.waiters }
     }
 }
 
-/// The location of each job by its existing keys. A key of an earlier build counts only if there is no other.
+/// The location of each job that has one of these existing keys. An earlier build's key counts only if the job has no
+/// other key.
 fn locate_jobs(keys: &[String]) -> HashMap<&str, JobLocation> {
     let mut locations: HashMap<&str, JobLocation> = HashMap::new();
     for (id, location) in keys.iter().filter_map(|key| locate_job(key)) {
--- a/src/history/query_queue/tests.rs
+++ b/src/history/query_queue/tests.rs
@@ -5,19 +5,19 @@
 }
 
 #[test]
-fn like_questions_go_together_unless_already_sent() {
+fn queries_about_one_job_share_a_batch_unless_already_sent() {
     let now = Instant::now();
     let mut queries = QueryQueue::new(4);
     for (waiter, n) in [('a', 1), ('b', 1), ('c', 2), ('d', 3), ('e', 4), ('f', 5)] {
         queries.enqueue(&id(n), waiter, now).unwrap();
     }
-    let NextBatch { due: first, expired: stale } = queries.next_batch(now);
-    assert_eq!(first.ids().cloned().collect::<Vec<_>>(), [id(1), id(2), id(3), id(4)], "a batch, in order");
-    assert!(stale.is_empty());
-    // The store may have looked before this one asked.
+    let NextBatch { due: first, expired } = queries.next_batch(now);
+    assert_eq!(first.ids().cloned().collect::<Vec<_>>(), [id(1), id(2), id(3), id(4)], "a full batch, in queue order");
+    assert!(expired.is_empty());
+    // The store may have read the keys before this query arrived, so it must not join the batch already sent.
     queries.enqueue(&id(1), 'g', now).unwrap();
     let failed = ["c/o/run-2", "h/d/run-3", "h/w/run-4", "c/j/run-3"].map(str::to_owned);
-    let ResolvedBatch { answers, old_jobs: old } = queries.resolve(first, &failed);
+    let ResolvedBatch { answers, old_jobs } = queries.resolve(first, &failed);
     let ended = |end| JobQueryAnswer::Ended(end);
     assert_eq!(
         answers,
@@ -29,10 +29,10 @@
             ('e', ended(End::Cancelled)),
         ]
     );
-    assert!(old.is_empty(), "its own end goes before an earlier build's key");
+    assert!(old_jobs.is_empty(), "a current key takes precedence over an earlier build's key");
     assert_eq!((queries.known_end("run-3"), queries.known_end("run-1")), (Some(End::Done), None));
     let NextBatch { due: second, expired: _ } = queries.next_batch(now);
-    assert_eq!(second.ids().cloned().collect::<Vec<_>>(), [id(5), id(1)], "asked anew");
+    assert_eq!(second.ids().cloned().collect::<Vec<_>>(), [id(5), id(1)], "the late query is sent in the next batch");
     assert_eq!(
         second.answer_all(JobQueryAnswer::Unavailable),
         [('f', JobQueryAnswer::Unavailable), ('g', JobQueryAnswer::Unavailable)]
@@ -40,29 +40,28 @@
     assert_eq!(queries.counts(), QueryCounts { cached_ends: 2, queued_jobs: 0, waiters: 0 });
 }
 
-/// What cannot be answered in time is refused at once, and what nobody waits for any more
-/// costs no request.
+/// Queries that cannot be answered in time are refused at once, and expired ones cost no request.
 #[test]
-fn a_flood_is_bounded_and_the_stale_are_dropped() {
+fn full_queue_refuses_queries_and_expired_queries_are_not_sent() {
     let now = Instant::now();
     let mut queries = QueryQueue::new(10);
-    let taken = (0..10_000).filter(|n| queries.enqueue(&id(*n), (), now).is_ok()).count();
-    assert_eq!(taken, 10 * MAX_BATCHES);
+    let queued = (0..10_000).filter(|n| queries.enqueue(&id(*n), (), now).is_ok()).count();
+    assert_eq!(queued, 10 * MAX_QUEUED_BATCHES);
     let joined = (0..10_000).filter(|_| queries.enqueue(&id(3), (), now).is_ok()).count();
-    assert_eq!(joined, MAX_WAITERS - taken, "many may ask about one job, within the bound");
+    assert_eq!(joined, MAX_WAITERS - queued, "queries about a queued job join it up to the limit of waiters");
     let later = now + QUERY_EXPIRY + Duration::from_millis(1);
-    let NextBatch { due: fresh, expired: stale } = queries.next_batch(later);
-    assert!(fresh.is_empty() && stale.ids().count() == taken);
+    let NextBatch { due, expired } = queries.next_batch(later);
+    assert!(due.is_empty() && expired.ids().count() == queued);
     assert_eq!(queries.counts(), QueryCounts { cached_ends: 0, queued_jobs: 0, waiters: 0 });
 }
 
 #[test]
-fn what_an_earlier_build_left_is_looked_at_by_itself() {
+fn job_found_only_under_an_earlier_builds_key_is_returned_for_a_separate_read() {
     let now = Instant::now();
     let mut queries = QueryQueue::new(4);
     queries.enqueue(&id(1), 'a', now).unwrap();
     let NextBatch { due: batch, expired: _ } = queries.next_batch(now);
-    let ResolvedBatch { answers, old_jobs: old } = queries.resolve(batch, &["c/j/run-1".to_owned()]);
+    let ResolvedBatch { answers, old_jobs } = queries.resolve(batch, &["c/j/run-1".to_owned()]);
     assert!(answers.is_empty());
-    assert_eq!(old.ids().collect::<Vec<_>>(), [&id(1)]);
+    assert_eq!(old_jobs.ids().collect::<Vec<_>>(), [&id(1)]);
 }
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -1,4 +1,5 @@
-//! Sends the queries about jobs that are not known to be open to the store, many in one comparison.
+//! Sends the queries about jobs that are not known to be open to the store: one request compares the key versions of a
+//! batch of jobs.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,29 +20,29 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
-/// Pause before a batch is filled, so that simultaneous queries share it; hardly noticed by users.
+/// Pause before a batch is filled, so that queries that arrive together share a request. Users hardly notice it.
 const GATHER_TIME: Duration = Duration::from_millis(15);
-/// Comparisons sent at the same time: a slow answer does not delay the other queries.
+/// Largest number of requests in flight: with more than one, a slow answer does not delay the other queries.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// Sends the queries of one controller.
+/// What one controller's query loop works on.
 pub struct HistoryReader {
-    /// The queries, and the ends in memory.
+    /// The queued queries and the ends in memory.
     pub history: Arc<JobHistory>,
     /// The state service.
     pub store: Arc<StateStore>,
 }
 
-/// Sends queries for ever, as they come.
+/// Sends queued queries in batches. Returns only if the semaphore is closed, which never happens.
 pub async fn run(reader: Arc<HistoryReader>) {
-    let free = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+    let request_slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     loop {
         if !lock(&reader.history.queries).has_queued() {
             reader.history.queued.notified().await;
         }
         tokio::time::sleep(GATHER_TIME).await;
-        let Ok(permit) = free.clone().acquire_owned().await else { return };
-        // The batch is filled only once its request may be sent: until then more queries can join it.
+        let Ok(permit) = request_slots.clone().acquire_owned().await else { return };
+        // The batch is filled only once the request budget allows its request; until then more queries can join it.
         if let Err(error) = reader.store.client.reserve(RequestPriority::Query).await {
             debug!(%error, "job query batch delayed");
         }
@@ -59,7 +60,7 @@
 
 fn deliver(answers: Vec<(Waiter, JobQueryAnswer)>) {
     for (waiter, answer) in answers {
-        // A waiter that has given up is no error.
+        // Sending fails if the waiter has timed out, which is no error.
         let _ = waiter.send(answer);
     }
 }
@@ -82,7 +83,7 @@
     }
 }
 
-/// Queries the jobs that were found under an earlier build's key, one by one.
+/// Queries one by one the jobs that were found under an earlier build's key.
 async fn query_old_jobs(reader: &HistoryReader, batch: QueryBatch<Waiter>) {
     for (id, waiters) in batch.into_queries() {
         let answer = match query_old_job(reader, &id).await {
@@ -99,13 +100,12 @@
     }
 }
 
-/// Decodes how a job of an earlier build ended. If that cannot be decoded, nobody knows the end, and users are told to
-/// come again.
-fn decode_old_end(item: &KeyValue, limit: &mut LogLimit) -> JobQueryAnswer {
+/// Decodes how a job of an earlier build ended. An end that cannot be decoded is unknown, and users are told to retry.
+fn decode_old_end(item: &KeyValue, log_limit: &mut LogLimit) -> JobQueryAnswer {
     match OldEnd::deserialize(&item.value) {
         Ok(old) => JobQueryAnswer::Ended(old.end),
         Err(error) => {
-            if limit.due(Instant::now()) {
+            if log_limit.due(Instant::now()) {
                 warn!(
                     key = item.path,
                     %error,
@@ -121,11 +121,11 @@
     if let Some(item) = reader.store.client.get(&old_end_key(id), RequestPriority::Query).await? {
         return Ok(decode_old_end(&item, &mut lock(&reader.history.undecodable)));
     }
-    // An acceptance whose answer the earlier build never received, applied after the upgrade.
+    // Without an end the job was accepted by an earlier build in a transaction that was applied after the upgrade.
     let Some(item) = reader.store.client.get(&old_job_key(id), RequestPriority::Query).await? else {
         return Ok(JobQueryAnswer::Unavailable);
     };
-    // A record that cannot be decoded still shows that the job was accepted: it is never forgotten, though never run.
+    // A record that cannot be decoded still shows that the job was accepted: it is reported as open, though never run.
     let Ok(record) = JobRecord::deserialize(&item.value) else { return Ok(JobQueryAnswer::Open) };
     let adoption = adopt_job(&record, item.version);
     let outcome = reader
@@ -138,7 +138,7 @@
             warn!(job = %id, "late acceptance of an earlier build adopted; scheduling the job");
             Ok(JobQueryAnswer::Open)
         }
-        // Another controller was faster; the next query finds the job.
+        // Another controller has adopted the job meanwhile, or the job has ended; the next query finds it.
         CompareAndSwapOutcome::Failed(_) | CompareAndSwapOutcome::LeaseExpired => Ok(JobQueryAnswer::Unavailable),
     }
 }
--- a/src/history/reader/tests.rs
+++ b/src/history/reader/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::jobs::End;
 
-/// An end that cannot be read costs the questions about its own job, whose users come again.
+/// An end that cannot be decoded must only make queries about its own job fail; their users retry.
 #[test]
-fn ends_of_earlier_builds_by_cases() {
+fn earlier_builds_end_is_decoded_or_answered_as_unavailable() {
     let cases: [(Value, JobQueryAnswer); 6] = [
         (json!({"end": "done"}), JobQueryAnswer::Ended(End::Done)),
         (json!({"end": "withdrawn", "later": 1}), JobQueryAnswer::Ended(End::Cancelled)),
@@ -14,9 +14,9 @@
         (json!(null), JobQueryAnswer::Unavailable),
         (json!("done"), JobQueryAnswer::Unavailable),
     ];
-    let mut limit = LogLimit::default();
+    let mut log_limit = LogLimit::default();
     for (value, want) in cases {
         let item = KeyValue { path: old_end_key("run-000001"), value: value.clone(), version: 1 };
-        assert_eq!(decode_old_end(&item, &mut limit), want, "{value}");
+        assert_eq!(decode_old_end(&item, &mut log_limit), want, "{value}");
     }
 }
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::history::end_sweep::EndSweep;
-use crate::history::end_sweep_loop::PAGE_COST;
+use crate::history::end_sweep_loop::REQUESTS_PER_PAGE;
 use crate::history::job_transactions::end_changes;
 use crate::history::query_queue::{QueryBatch, QueryQueue};
 use crate::jobs::record::{JobRecord, time_of_day_ms};
@@ -39,7 +39,7 @@
     // Proofs of freshness take a quarter of the share, the watch as much; the next one of each by its time.
     let mut proofs: BinaryHeap<Reverse<u64>> = [Reverse(0), Reverse(50)].into();
     let proof_every = (4000.0 / per_second) as u64;
-    let page_every = (1000.0 * PAGE_COST / per_second) as u64;
+    let page_every = (1000.0 * REQUESTS_PER_PAGE / per_second) as u64;
     // When the next comparison began to wait for its turn, and when the next page may be asked for.
     let (mut asks, mut page_at) = (None, 0);
     let mut waiting: HashSet<usize> = (0..jobs).collect();
--- a/src/history/upgrade.rs
+++ b/src/history/upgrade.rs
@@ -1,9 +1,9 @@
-//! Upgrades what an earlier build has stored: its open jobs move to their new keys, its ended ones stay under the old keys
-//! and are read when somebody asks.
+//! Upgrades the data of an earlier build: its open jobs move to their new keys, its ended jobs stay under the old keys
+//! and are read when a user asks about them.
 //!
-//! Both listings are read side by side in the order of their keys, a page of each at a time. Every
-//! job moves in a transaction of its own, conditional on all its keys: an interrupted upgrade is
-//! begun again, and two controllers that upgrade at once delay each other but lose nothing.
+//! The listings of jobs and of ends are merged in key order, with a page of each in memory at a time. Every job moves
+//! in a compare-and-swap of its own, conditional on all its keys: an interrupted upgrade can be repeated, and two
+//! controllers that upgrade at once delay each other but lose nothing.
 
 use std::collections::VecDeque;
 
@@ -16,46 +16,50 @@
 use crate::store::client::{KeyValue, Pages};
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StateClient, StoreError};
 
-/// A listing, read item by item.
+/// A position in the listing of the keys under a prefix, which is read page by page.
 struct ListingCursor<'a> {
     pages: Pages<'a>,
-    held: VecDeque<KeyValue>,
+    /// Items of the current page that are still to be read.
+    buffered: VecDeque<KeyValue>,
     prefix: &'static str,
 }
 
 impl<'a> ListingCursor<'a> {
     fn new(store: &'a StateClient, prefix: &'static str) -> Self {
-        Self { pages: store.pages(prefix, None), held: VecDeque::new(), prefix }
+        Self { pages: store.pages(prefix, None), buffered: VecDeque::new(), prefix }
     }
 
+    /// The next item, if there is one.
     async fn peek(&mut self) -> Result<Option<&KeyValue>, StoreError> {
-        while self.held.is_empty() {
+        while self.buffered.is_empty() {
             match self.pages.next().await? {
-                Some(page) => self.held.extend(page.items),
+                Some(page) => self.buffered.extend(page.items),
                 None => return Ok(None),
             }
         }
-        Ok(self.held.front())
+        Ok(self.buffered.front())
     }
 
-    /// The next item's id, if there is one.
+    /// The job id in the next item's key, if there is a next item.
     async fn peek_id(&mut self) -> Result<Option<String>, StoreError> {
         let prefix = self.prefix;
         Ok(self.peek().await?.map(|item| item.path.trim_start_matches(prefix).to_owned()))
     }
 
+    /// Takes the next item from the current page, if it has one.
     fn advance(&mut self) -> Option<KeyValue> {
-        self.held.pop_front()
+        self.buffered.pop_front()
     }
 }
 
-/// Marks the store as upgraded. The mark is written once, by whoever has first moved everything.
-pub(crate) fn mark_upgraded(old_kept: bool) -> (Condition, Change) {
-    let value = serde_json::to_value(Upgraded { old_jobs_kept: old_kept }).unwrap_or_default();
+/// Condition and change that mark the store as upgraded. The mark is written once, by the first controller that has
+/// moved all open jobs. `old_jobs_kept` says whether the store may hold jobs of earlier builds.
+pub(crate) fn mark_upgraded(old_jobs_kept: bool) -> (Condition, Change) {
+    let value = serde_json::to_value(Upgraded { old_jobs_kept }).unwrap_or_default();
     (Condition::absent(UPGRADED), Change::write(UPGRADED, value))
 }
 
-/// Moves all open jobs and marks the store as upgraded. To be run again after an error.
+/// Moves all open jobs of an earlier build and marks the store as upgraded. After an error it must be run again.
 ///
 /// # Errors
 ///
@@ -64,21 +68,21 @@
     let (mut jobs, mut ends) = (ListingCursor::new(store, OLD_JOBS), ListingCursor::new(store, OLD_ENDS));
     let (mut open, mut ended) = (0u64, 0u64);
     while let Some(id) = jobs.peek_id().await? {
-        while ends.peek_id().await?.is_some_and(|e| e < id) {
+        while ends.peek_id().await?.is_some_and(|ended_id| ended_id < id) {
             ends.advance();
         }
-        let over = ends.peek_id().await?.is_some_and(|e| e == id);
+        let has_ended = ends.peek_id().await?.is_some_and(|ended_id| ended_id == id);
         let Some(item) = jobs.advance() else { break };
-        if over {
+        if has_ended {
             ended += 1;
             continue;
         }
         match JobRecord::deserialize(&item.value) {
             Ok(record) => {
-                let adopt = adopt_job(&record, item.version);
-                // Failed: another controller was faster, or it has ended meanwhile.
+                let adoption = adopt_job(&record, item.version);
+                // It fails if another controller has moved the job already, or the job has ended meanwhile.
                 let outcome =
-                    store.compare_and_swap(&adopt.conditions, &adopt.changes, RequestPriority::Critical).await?;
+                    store.compare_and_swap(&adoption.conditions, &adoption.changes, RequestPriority::Critical).await?;
                 open += u64::from(matches!(outcome, CompareAndSwapOutcome::Applied(_)));
             }
             Err(error) => {
@@ -86,10 +90,10 @@
             }
         }
     }
-    let old_kept = open + ended > 0;
-    let (condition, change) = mark_upgraded(old_kept);
+    let old_jobs_kept = open + ended > 0;
+    let (condition, change) = mark_upgraded(old_jobs_kept);
     store.compare_and_swap(&[condition], &[change], RequestPriority::Critical).await?;
-    if old_kept {
+    if old_jobs_kept {
         info!(open, ended, "store upgrade completed");
     }
     Ok(())
