--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -17,7 +17,7 @@
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// Key prefix of stored orders, one key each.
-pub const ORDERS: &str = "d/";
+pub const CLOUD_ORDERS: &str = "d/";
 
 /// Most machines in one provisioning request.
 pub const MOST_PER_PROVISIONING: u64 = 50;
@@ -71,7 +71,7 @@
 /// A cloud operation under a unique key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
-    /// Its key in the store: [`ORDERS`] followed by the order's [`unique_name`].
+    /// Its key in the store: [`CLOUD_ORDERS`] followed by the order's [`unique_name`].
     pub key: String,
     /// Version of the leader record (the leader's fencing token) under which the order was made.
     pub epoch: u64,
@@ -115,7 +115,7 @@
     /// An order under a name of its own. `number` must be new among the orders and requests of this incarnation and
     /// epoch.
     pub fn new(incarnation: &str, epoch: u64, number: u64, action: CloudAction) -> Self {
-        Self { key: format!("{ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
+        Self { key: format!("{CLOUD_ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
     }
 
     /// Conditions of the write that stores the order: the leader record has this version, and the key is absent.
@@ -148,7 +148,7 @@
 
     /// Decodes a stored order. `None`, with an error in the log, if it cannot be decoded or exceeds the limits of the
     /// cloud's calls.
-    pub fn from_item(item: &KeyValue) -> Option<Self> {
+    pub fn from_key_value(item: &KeyValue) -> Option<Self> {
         match StoredOrder::decode(&item.value) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, action: stored.action }),
             Err(error) => {
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -32,7 +32,7 @@
         assert_eq!(order.step_after(&outcome, fencing_token), want, "{name}");
     }
     let item = KeyValue { path: order.key.clone(), value: serde_json::json!({"epoch": 7}), version: 1 };
-    assert_eq!(CloudOrder::from_item(&item), None, "an order of which half is missing");
+    assert_eq!(CloudOrder::from_key_value(&item), None, "an order of which half is missing");
 }
 
 #[test]
@@ -79,8 +79,8 @@
         if leaders.is_empty() || rng.random_ratio(1, 25) {
             let write = [Change::write(LEADER, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
-            let items = store.under(ORDERS).map(|(path, value, version)| {
-                CloudOrder::from_item(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
+            let items = store.under(CLOUD_ORDERS).map(|(path, value, version)| {
+                CloudOrder::from_key_value(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| fenced).map(|o| (o, true)).collect();
             let leaving: BTreeSet<String> = orders.iter().flat_map(|(o, _)| returned(o)).collect();
@@ -204,6 +204,6 @@
         ("nothing", json!(null), false),
     ] {
         let item = KeyValue { path: "d/me-7-1".into(), value, version: 1 };
-        assert_eq!(CloudOrder::from_item(&item).is_some(), read, "{name}");
+        assert_eq!(CloudOrder::from_key_value(&item).is_some(), read, "{name}");
     }
 }
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -20,9 +20,9 @@
 
 fn open(store: &Store) -> InheritedOrders {
     let read = |(path, value, version): (&str, &serde_json::Value, u64)| {
-        CloudOrder::from_item(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
+        CloudOrder::from_key_value(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
     };
-    InheritedOrders::group(store.under(ORDERS).map(read).collect(), 100)
+    InheritedOrders::group(store.under(CLOUD_ORDERS).map(read).collect(), 100)
 }
 
 /// The key was free again once the order was carried out, and a copy that came late made it anew: a successor
@@ -50,7 +50,7 @@
         store.apply_if(&drops.conditions, &drops.changes).unwrap();
         assert!(store.apply_if(&conditions, &changes).is_err());
         assert!(store.apply_if(&cleans.conditions, &cleans.changes).is_err());
-        assert_eq!(store.under(ORDERS).count(), 0);
+        assert_eq!(store.under(CLOUD_ORDERS).count(), 0);
     }
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -98,7 +98,7 @@
             tokio::spawn(mesh::send_lines(self.membership.clone(), peer.clone()));
         }
         let controller = self.clone();
-        tokio::spawn(fleet::learn_catalog(self.fleet.clone(), move || controller.tell_held()));
+        tokio::spawn(fleet::poll_catalog(self.fleet.clone(), move || controller.tell_held()));
         let traffic = self.traffic.clone();
         tokio::spawn(async move { traffic.run().await });
         let membership = self.membership.clone();
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -13,7 +13,7 @@
 const CATALOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Reads the catalog at intervals, at every controller: submissions are checked against it. `after_each` is called after each answer of the cloud.
-pub async fn learn_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
+pub async fn poll_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
     loop {
         let pause = match fleet.cloud.fetch_catalog().await {
             Ok(catalog) => {
--- a/src/fleet/cloud_operations/tests.rs
+++ b/src/fleet/cloud_operations/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the clean-up of orders whose writes were not answered.
 
 use super::*;
-use crate::cloud_orders::{ORDERS, OrderCleanUp, unique_name};
+use crate::cloud_orders::{CLOUD_ORDERS, OrderCleanUp, unique_name};
 use crate::store::Change;
 
 /// What was marked as done waits for a later fencing token, and is then dropped once.
@@ -35,7 +35,7 @@
     let (mut fencing_token, mut raises, mut most) = (7, 0, 0);
     let mut operations = CloudOperations::default();
     for number in 1..=1000 {
-        let key = format!("{ORDERS}{}", unique_name("me", fencing_token, number));
+        let key = format!("{CLOUD_ORDERS}{}", unique_name("me", fencing_token, number));
         operations.unanswered.insert(key.clone(), fencing_token);
         operations.completed.push(key);
         let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(24).cloned().collect();
--- a/src/fleet/manager.rs
+++ b/src/fleet/manager.rs
@@ -22,7 +22,7 @@
     pub membership: Arc<Membership>,
     /// The cluster state, from which it is decided which machines to provision and to terminate.
     pub leader: Arc<LeaderState>,
-    /// The machine types, kept up to date by `learn_catalog`.
+    /// The machine types, kept up to date by `poll_catalog`.
     pub catalog: Arc<SharedCatalog>,
     /// Client of the cloud, which keeps to its rate limit.
     pub cloud: CloudClient,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub use catalog::learn_catalog;
+pub use catalog::poll_catalog;
 pub use manager::Fleet;
 use schedule::FleetLoop;
 
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -31,7 +31,7 @@
         let held = self.fleet.leader.cluster();
         let Some(cluster) = held.as_ref() else { return Vec::new() };
         let mut operations = self.operations();
-        operations.refusals.record_held(&machines_by_kind(cluster));
+        operations.refusals.record_held_machines(&machines_by_kind(cluster));
         let demands = plan_scale_out(cluster, &catalog, &operations.refusals, &operations.requested, now);
         let requests = |demand| self.split_into_requests(demand, cluster.fencing_token, &mut operations);
         demands.into_iter().map(requests).collect()
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -21,7 +21,7 @@
 }
 
 /// Machines that boot for too long or have been idle for too long.
-pub fn surplus_machines(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<SurplusMachine> {
+pub fn find_surplus_machines(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<SurplusMachine> {
     let kept = intents::idle_machines_to_keep(cluster, catalog, now);
     let mut surplus = Vec::new();
     for machine in cluster.machines.values() {
--- a/src/fleet/scale_out/capacity_refusals.rs
+++ b/src/fleet/scale_out/capacity_refusals.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records how many machines of each kind are held now.
-    pub fn record_held(&mut self, held: &HashMap<MachineKind, u64>) {
+    pub fn record_held_machines(&mut self, held: &HashMap<MachineKind, u64>) {
         for (kind, count) in held {
             if let Some(most) = self.most_held.get_mut(kind) {
                 *most = (*most).max(*count);
--- a/src/fleet/schedule.rs
+++ b/src/fleet/schedule.rs
@@ -10,7 +10,7 @@
 use super::drain::choose_drains;
 use super::inventory::{log_fleet_summary, record_listed_machines};
 use super::manager::Fleet;
-use super::scale_in::surplus_machines;
+use super::scale_in::find_surplus_machines;
 use crate::periodic::Periodic;
 
 /// Interval at which the cloud's list of machines is read.
@@ -120,7 +120,7 @@
     let Some(catalog) = fleet.catalog.get() else { return };
     let mut held = fleet.leader.cluster();
     let Some(cluster) = held.as_mut() else { return };
-    for machine in surplus_machines(cluster, &catalog, now) {
+    for machine in find_surplus_machines(cluster, &catalog, now) {
         cluster.schedule_termination(&machine.id, machine.reason);
     }
     let decisions = choose_drains(cluster, &catalog, now);
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -11,7 +11,7 @@
 
 use tracing::{error, info};
 
-use crate::cloud_orders::{CloudOrder, ORDERS};
+use crate::cloud_orders::{CLOUD_ORDERS, CloudOrder};
 use crate::jobs::JobId;
 use crate::jobs::record::{JobRecord, TASKS};
 use crate::scheduling::scheduler::Scheduler;
@@ -84,9 +84,9 @@
 /// leaders cannot add orders any more, since orders are conditional on the leader record.
 async fn read_cloud_orders(scheduler: &Scheduler) -> Result<Vec<CloudOrder>, StoreError> {
     let mut orders = Vec::new();
-    let mut pages = scheduler.store.client.pages(ORDERS, None);
+    let mut pages = scheduler.store.client.pages(CLOUD_ORDERS, None);
     while let Some(page) = pages.next().await? {
-        orders.extend(page.items.iter().filter_map(CloudOrder::from_item));
+        orders.extend(page.items.iter().filter_map(CloudOrder::from_key_value));
     }
     Ok(orders)
 }
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -87,7 +87,7 @@
         super::super::reservations::choose_reservations(cluster, &catalog, now).into_iter().collect();
     reservations.sort_by(|a, b| a.0.cmp(&b.0));
     let scale_out = plan_scale_out(cluster, &catalog, &CapacityRefusals::default(), &Default::default(), now);
-    let surplus = surplus_machines(cluster, &catalog, now);
+    let surplus = find_surplus_machines(cluster, &catalog, now);
     let drained = choose_drains(cluster, &catalog, now);
     let placed = plan::place(cluster, &catalog, now);
     let reservations: Vec<_> = reservations.into_iter().map(|(m, h)| (m, h.job)).collect();
@@ -295,7 +295,7 @@
             cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, None, later);
         }
         cluster.intents.capacity = capacity(tasks, in_s);
-        assert_eq!(surplus_machines(&cluster, &catalog(), later).len(), 5 - kept_machines, "{name}: surplus");
+        assert_eq!(find_surplus_machines(&cluster, &catalog(), later).len(), 5 - kept_machines, "{name}: surplus");
         // In a cluster of this size one machine is drained at a time.
         let drained = choose_drains(&cluster, &catalog(), later);
         assert_eq!(drained.len(), 1, "{name}");
--- a/src/scheduling/tests/scaling.rs
+++ b/src/scheduling/tests/scaling.rs
@@ -29,7 +29,7 @@
     // Regression case (seen on days of floods): machines were lost, and their kind was not requested again for two
     // minutes, since requests for it had been refused before the loss.
     let mut refusals = CapacityRefusals::default();
-    refusals.record_held(&HashMap::from([(kind("c8", true), 100)]));
+    refusals.record_held_machines(&HashMap::from([(kind("c8", true), 100)]));
     (0..4).for_each(|_| refusals.record_refusal(kind("c8", true), Duration::from_secs(15), now));
     for (rented, after_s, refused) in
         [(100, 16, true), (95, 16, true), (60, 14, true), (60, 16, false), (100, 121, false)]
--- a/src/scheduling/tests/silent_machines.rs
+++ b/src/scheduling/tests/silent_machines.rs
@@ -1,7 +1,7 @@
 //! Which silent machines are terminated, and which are kept because the leader itself may have been cut off or paused.
 
 use super::*;
-use crate::fleet::scale_in::surplus_machines;
+use crate::fleet::scale_in::find_surplus_machines;
 use crate::machine_kinds::MachineKind;
 use crate::process_pause::ProcessPause;
 
@@ -88,7 +88,7 @@
         cluster.expect_machine(name, &kind, None, secs(900), now);
     }
     cluster.record_listed_up("running", now);
-    let surplus: Vec<String> = surplus_machines(&cluster, &catalog(), now + secs(13))
+    let surplus: Vec<String> = find_surplus_machines(&cluster, &catalog(), now + secs(13))
         .into_iter()
         .map(|machine| machine.id.to_string())
         .collect();
@@ -126,11 +126,11 @@
     cluster.end_job(&"run-000001".into(), Some(crate::jobs::End::Cancelled), pause_start);
     let pause_end = pause_start + secs(30);
     // Before the adjustment for the pause: idle for 120 s, and 30 of 49 s since the cancellation.
-    assert_eq!(surplus_machines(&cluster, &catalog(), pause_end).len(), 1);
+    assert_eq!(find_surplus_machines(&cluster, &catalog(), pause_end).len(), 1);
     assert_eq!(cluster.overdue_machines(pause_end).len(), 1);
     cluster.adjust_for_pause(ProcessPause { began: pause_start, ended: pause_end });
     cluster.tick(pause_end);
-    assert!(surplus_machines(&cluster, &catalog(), pause_end).is_empty());
+    assert!(find_surplus_machines(&cluster, &catalog(), pause_end).is_empty());
     assert!(
         cluster.overdue_machines(pause_end).is_empty()
             && cluster.machines.values().all(|m| m.state == MachineState::Up)
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollylanding::cloud_orders::{CloudOrder, ORDERS};
+use hollylanding::cloud_orders::{CLOUD_ORDERS, CloudOrder};
 use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
 use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
@@ -85,8 +85,8 @@
 }
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
-    let item = state::KeyValue { path: format!("{ORDERS}x"), value: value.clone(), version: 1 };
-    match CloudOrder::from_item(&item).map(|order| order.change()) {
+    let item = state::KeyValue { path: format!("{CLOUD_ORDERS}x"), value: value.clone(), version: 1 };
+    match CloudOrder::from_key_value(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
     }
@@ -202,7 +202,7 @@
         "watermark": record::WATERMARK,
         "tasks": [record::TASKS, record::shard_key(id, 7)],
         "tasks of one chunk": record::TASKS_PER_SHARD,
-        "cloud orders": ORDERS,
+        "cloud orders": CLOUD_ORDERS,
         "declared": [SPECS, STATUSES, OPERATORS],
         "declared by kind": declarations,
     })
