--- a/src/calendar/tests/interleaved_simulation.rs
+++ b/src/calendar/tests/interleaved_simulation.rs
@@ -17,7 +17,7 @@
 use crate::declarations::driver::refresh_intents;
 use crate::declarations::records::{spec_key, status_key};
 use crate::declarations::table::KindOperations;
-use crate::declarations::tests::simulation::{Controller, Sent, Stage};
+use crate::declarations::tests::simulation::{Controller, SentTransaction, SimulationHarness};
 use crate::jobs::record::{JobRecord, StoredTask, open_key};
 use crate::jobs::{End, JobId};
 use crate::store::Change;
@@ -37,7 +37,7 @@
 
 struct Simulation {
     /// Each controller keeps what it knows of ends; lost with the process, asked for again.
-    stage: Stage<HashMap<JobId, End>>,
+    harness: SimulationHarness<HashMap<JobId, End>>,
     specs: BTreeMap<&'static str, WindowSpec>,
     leader: usize,
     without: Without,
@@ -58,10 +58,10 @@
             BTreeMap::from([("one", turns("06:40", json!(["roster", "plan"]))), ("two", turns("07:10", json!([])))]);
         let stored =
             specs.iter().map(|(name, s)| (spec_key(DeclarationKind::Window, name), serde_json::to_value(s).unwrap()));
-        let mut stage = Stage::new(seed, &KINDS, &stored.collect::<Vec<_>>());
-        (0..3).for_each(|n| stage.controllers[n].skew_ms = (n as i64 - 1) * 900);
+        let mut harness = SimulationHarness::new(seed, &KINDS, &stored.collect::<Vec<_>>());
+        (0..3).for_each(|n| harness.controllers[n].skew_ms = (n as i64 - 1) * 900);
         let mut simulation = Self {
-            stage,
+            harness,
             specs,
             leader: 0,
             without,
@@ -78,20 +78,20 @@
     }
 
     fn follow(&mut self, at: usize) {
-        self.stage.follow(at, true);
-        let Controller { watch_cache, leader, own, .. } = &mut self.stage.controllers[at];
+        self.harness.update_watch_cache(at, true);
+        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[at];
         let Some((cluster, _)) = leader.as_mut() else { return };
         let gone: Vec<JobId> =
             cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned().collect();
-        gone.iter().for_each(|id| cluster.end_job(id, own.get(id).copied(), Instant::now()));
+        gone.iter().for_each(|id| cluster.end_job(id, kind_state.get(id).copied(), Instant::now()));
         watch_cache.open_jobs().for_each(|(_, record)| cluster.add_job(record.clone(), Instant::now()));
     }
 
     /// Another leads, or the same process anew.
     fn write_leader_record(&mut self, at: usize) {
-        self.stage.write_leader_record(at);
-        let Controller { watch_cache, leader, own, .. } = &mut self.stage.controllers[at];
-        own.clear();
+        self.harness.write_leader_record(at);
+        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[at];
+        kind_state.clear();
         let (cluster, _) = leader.as_mut().unwrap();
         for (id, record) in watch_cache.open_jobs() {
             cluster.add_job(record.clone(), Instant::now());
@@ -103,32 +103,32 @@
     }
 
     fn evaluate(&mut self, at: usize) {
-        let Some(output) = self.stage.evaluate(at, self.now_ms, |ends, id| ends.get(id).copied()) else { return };
+        let Some(output) = self.harness.evaluate(at, self.now_ms, |ends, id| ends.get(id).copied()) else { return };
         for id in output.unknown_ends {
-            if let Some(end) = self.over.get(&id).filter(|_| self.stage.rng.random_ratio(1, 2)) {
-                self.stage.controllers[at].own.insert(id, *end);
+            if let Some(end) = self.over.get(&id).filter(|_| self.harness.rng.random_ratio(1, 2)) {
+                self.harness.controllers[at].kind_state.insert(id, *end);
             }
         }
     }
 
     fn send(&mut self, at: usize) {
         let without = self.without;
-        if let Some(sent) = self.stage.send(at, |c| without == Without::WindowStatus && c.path.starts_with("c/t/"))
+        if let Some(sent) = self.harness.send(at, |c| without == Without::WindowStatus && c.path.starts_with("c/t/"))
             && let Some(revision) = self.apply(&sent)
         {
-            self.stage.stored(at, revision);
+            self.harness.mark_stored(at, revision);
         }
     }
 
     fn status(&self, name: &str) -> WindowStatus {
-        let stored = self.stage.store.value(&status_key(DeclarationKind::Window, name));
+        let stored = self.harness.store.value(&status_key(DeclarationKind::Window, name));
         stored.map(|value| serde_json::from_value(value.clone()).unwrap()).unwrap_or_default()
     }
 
     /// Every rule that a stored change can break.
-    fn apply(&mut self, (conditions, changes): &Sent) -> Option<u64> {
+    fn apply(&mut self, (conditions, changes): &SentTransaction) -> Option<u64> {
         let before = NAMES.map(|name| self.status(name));
-        let revision = self.stage.store.apply_if(conditions, changes).ok()?;
+        let revision = self.harness.store.apply_if(conditions, changes).ok()?;
         for (name, before) in NAMES.into_iter().zip(before) {
             let after = self.status(name);
             for ended in after.missed.iter().chain(&after.last) {
@@ -157,17 +157,17 @@
 
     fn submit(&mut self) {
         if self.jobs < 16 {
-            let class = ["plan", "roster"][self.stage.rng.random_range(0..2)];
+            let class = ["plan", "roster"][self.harness.rng.random_range(0..2)];
             let record: JobRecord = JobRecord::clone(&job(self.jobs, class, self.now_ms));
             self.jobs += 1;
             let value = serde_json::to_value(&record).unwrap();
-            self.stage.store.apply_if(&[], &[Change::write(open_key(&record.spec.id), value)]).unwrap();
+            self.harness.store.apply_if(&[], &[Change::write(open_key(&record.spec.id), value)]).unwrap();
         }
     }
 
     /// The leader places a job that it may: the lesser turn first.
     fn begin(&mut self) {
-        let Controller { watch_cache, leader, own, skew_ms, .. } = &mut self.stage.controllers[self.leader];
+        let Controller { watch_cache, leader, kind_state, skew_ms, .. } = &mut self.harness.controllers[self.leader];
         let Some((cluster, _)) = leader.as_mut() else { return };
         if cluster.intents_outdated {
             let now_ms = self.now_ms.saturating_add_signed(*skew_ms);
@@ -175,7 +175,7 @@
                 &KINDS,
                 cluster,
                 watch_cache.registry(),
-                &|id| own.get(id).copied(),
+                &|id| kind_state.get(id).copied(),
                 Instant::now(),
                 now_ms,
             );
@@ -203,16 +203,16 @@
         if open.is_empty() {
             return;
         }
-        let id = open[self.stage.rng.random_range(0..open.len())].clone();
-        let end = if self.stage.rng.random_ratio(1, 6) { End::Cancelled } else { End::Done };
-        self.stage.store.apply_if(&[], &[Change::Drop { drop: open_key(&id) }]).unwrap();
-        self.stage.controllers[self.leader].own.insert(id.clone(), end);
+        let id = open[self.harness.rng.random_range(0..open.len())].clone();
+        let end = if self.harness.rng.random_ratio(1, 6) { End::Cancelled } else { End::Done };
+        self.harness.store.apply_if(&[], &[Change::Drop { drop: open_key(&id) }]).unwrap();
+        self.harness.controllers[self.leader].kind_state.insert(id.clone(), end);
         self.over.insert(id, end);
     }
 
     fn step(&mut self) {
-        let at = self.stage.rng.random_range(0..3);
-        match self.stage.rng.random_range(0..40) {
+        let at = self.harness.rng.random_range(0..3);
+        match self.harness.rng.random_range(0..40) {
             0 => self.write_leader_record(at),
             1..3 => self.submit(),
             3..7 => self.begin(),
@@ -222,13 +222,13 @@
             25 => self.evaluate(at),
             26..33 => self.send(self.leader),
             33 => self.send(at),
-            34 if !self.stage.late.is_empty() => {
-                let sent = self.stage.comes_late();
+            34 if !self.harness.delayed.is_empty() => {
+                let sent = self.harness.take_delayed();
                 self.apply(&sent);
             }
-            35 => self.now_ms -= self.stage.rng.random_range(0..20) * 1000,
-            36 if self.stage.rng.random_ratio(1, 12) => self.now_ms += self.stage.rng.random_range(1..30) * HOUR,
-            _ => self.now_ms += self.stage.rng.random_range(0..60) * 1000,
+            35 => self.now_ms -= self.harness.rng.random_range(0..20) * 1000,
+            36 if self.harness.rng.random_ratio(1, 12) => self.now_ms += self.harness.rng.random_range(1..30) * HOUR,
+            _ => self.now_ms += self.harness.rng.random_range(0..60) * 1000,
         }
     }
 
@@ -240,7 +240,7 @@
             self.follow(0);
             self.evaluate(0);
             self.send(0);
-            if let Some(sent) = self.stage.late.pop() {
+            if let Some(sent) = self.harness.delayed.pop() {
                 self.apply(&sent);
             }
         }
--- a/src/declarations/operator/client.rs
+++ b/src/declarations/operator/client.rs
@@ -8,7 +8,7 @@
 
 use super::error::{NoAnswer, OperatorError, Refusal};
 use super::stored::{SpecWrite, StoredDeclarations, Transaction};
-use crate::declarations::records::{DeclarationKind, OPERATORS, SPECS, STATUSES};
+use crate::declarations::records::{DeclarationKind, OPERATORS_KEY, SPEC_PREFIX, STATUS_PREFIX};
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
 use crate::protocol::Http;
@@ -84,7 +84,7 @@
                 return Ok(written);
             };
             if progress.elapsed() > self.patience {
-                let removed = keys.iter().any(|key| key.starts_with(STATUSES));
+                let removed = keys.iter().any(|key| key.starts_with(STATUS_PREFIX));
                 let why = if removed { NoAnswer::StillBeingRemoved(keys) } else { NoAnswer::Conflicts(keys) };
                 return Err(why.into());
             }
@@ -159,7 +159,7 @@
     /// been the one that changed the key.
     async fn find_marker(&self, marker: &Value) -> Result<Option<u64>, OperatorError> {
         let item =
-            self.retry_until_answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
+            self.retry_until_answered(async || self.store.get(OPERATORS_KEY, RequestPriority::Placement).await).await?;
         Ok(item.filter(|item| item.value == *marker).map(|item| item.version))
     }
 
@@ -169,10 +169,10 @@
     /// No definite answer for as long as its patience lasts.
     pub async fn read_declarations(&self, kind: Option<DeclarationKind>) -> Result<StoredDeclarations, OperatorError> {
         let item =
-            self.retry_until_answered(async || self.store.get(OPERATORS, RequestPriority::Placement).await).await?;
+            self.retry_until_answered(async || self.store.get(OPERATORS_KEY, RequestPriority::Placement).await).await?;
         let operators_version = item.map_or(0, |item| item.version);
         let mut stored = StoredDeclarations { operators_version, ..StoredDeclarations::default() };
-        for part in [SPECS, STATUSES] {
+        for part in [SPEC_PREFIX, STATUS_PREFIX] {
             let prefix = kind.map_or(part.to_owned(), |kind| format!("{part}{kind}/"));
             let pages = tokio::sync::Mutex::new(self.store.pages(&prefix, None));
             while let Some(page) = self.retry_until_answered(async || pages.lock().await.next().await).await? {
--- a/src/declarations/operator/stored.rs
+++ b/src/declarations/operator/stored.rs
@@ -6,7 +6,7 @@
 
 use super::error::Refusal;
 use crate::declarations::records::{
-    DeclarationId, DeclarationKey, DeclarationKind, DeclarationPart, OPERATORS, parse_key, spec_key, status_key,
+    DeclarationId, DeclarationKey, DeclarationKind, DeclarationPart, OPERATORS_KEY, parse_key, spec_key, status_key,
 };
 use crate::declarations::registry::Versioned;
 use crate::declarations::table::Declaration;
@@ -90,8 +90,8 @@
 impl Transaction {
     /// Writes specs over what was read. It also writes `marker` to the key common to all operators.
     pub fn new(kind: DeclarationKind, stored: &StoredDeclarations, writes: &[SpecWrite], marker: &Value) -> Self {
-        let mut conditions = vec![Condition::at(OPERATORS, stored.operators_version)];
-        let mut changes = vec![Change::write(OPERATORS, marker.clone())];
+        let mut conditions = vec![Condition::at(OPERATORS_KEY, stored.operators_version)];
+        let mut changes = vec![Change::write(OPERATORS_KEY, marker.clone())];
         for SpecWrite { name, spec } in writes {
             let version = stored.specs.get(&DeclarationId::new(kind, name)).map_or(0, |spec| spec.version);
             conditions.push(Condition::at(spec_key(kind, name), version));
--- a/src/declarations/records.rs
+++ b/src/declarations/records.rs
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of specs.
-pub const SPECS: &str = "c/s/";
+pub const SPEC_PREFIX: &str = "c/s/";
 /// Prefix of statuses.
-pub const STATUSES: &str = "c/t/";
+pub const STATUS_PREFIX: &str = "c/t/";
 /// Every write of an operator changes this key, so that a delayed copy of an earlier write fails its condition on the
 /// key's version. It sorts before the keys that controllers list.
-pub const OPERATORS: &str = "c/declared";
+pub const OPERATORS_KEY: &str = "c/declared";
 
 /// Largest spec and largest status, in bytes of JSON; less where the state service takes less.
 pub const MAX_VALUE_BYTES: usize = 8 * 1024;
@@ -108,24 +108,24 @@
 
 /// Key of a spec.
 pub fn spec_key(kind: DeclarationKind, name: &str) -> String {
-    format!("{SPECS}{kind}/{name}")
+    format!("{SPEC_PREFIX}{kind}/{name}")
 }
 
 /// Key of a status.
 pub fn status_key(kind: DeclarationKind, name: &str) -> String {
-    format!("{STATUSES}{kind}/{name}")
+    format!("{STATUS_PREFIX}{kind}/{name}")
 }
 
 /// Whether a key is one of a spec or a status, of whatever kind.
 pub fn is_declaration_key(path: &str) -> bool {
-    path.starts_with(SPECS) || path.starts_with(STATUSES)
+    path.starts_with(SPEC_PREFIX) || path.starts_with(STATUS_PREFIX)
 }
 
 /// Parses keys made by `spec_key` and `status_key`; none for kinds that only a later build knows.
 pub fn parse_key(path: &str) -> Option<DeclarationKey<'_>> {
-    let (part, rest) = match path.strip_prefix(SPECS) {
+    let (part, rest) = match path.strip_prefix(SPEC_PREFIX) {
         Some(rest) => (DeclarationPart::Spec, rest),
-        None => (DeclarationPart::Status, path.strip_prefix(STATUSES)?),
+        None => (DeclarationPart::Status, path.strip_prefix(STATUS_PREFIX)?),
     };
     let (kind, name) = rest.split_once('/')?;
     let key = DeclarationKey { part, kind: DeclarationKind::from_name(kind)?, name };
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use self::simulation::{Sent, Stage};
+use self::simulation::{SentTransaction, SimulationHarness};
 use super::driver::JobEnds;
 use super::events::{DeclarationEvent, NoEvent, StatusEvent};
 use super::operator::stored::{SpecWrite, StoredDeclarations, Transaction};
-use super::records::{OPERATORS, spec_key, status_key};
+use super::records::{OPERATORS_KEY, spec_key, status_key};
 use super::run::{DeclarationContext, run_declarations};
 use super::table::KindOperations;
 use super::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NamedSpec, SpecError};
@@ -129,7 +129,7 @@
 
 struct Simulation {
     /// Each controller keeps every line that it told, and how often.
-    stage: Stage<HashMap<String, usize>>,
+    harness: SimulationHarness<HashMap<String, usize>>,
     without: Without,
     /// How far each name has come in the store, and every line that is owed for it.
     stored: BTreeMap<String, u64>,
@@ -142,17 +142,17 @@
 impl Simulation {
     fn new(seed: u64, without: Without) -> Self {
         // Read whole before anything is declared: a first reading tells nothing.
-        let mut stage = Stage::new(seed, &TOYS, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
-        (0..3).for_each(|at| stage.follow(at, true));
-        stage.write_leader_record(0);
-        Self { stage, without, stored: BTreeMap::new(), lines: Vec::new(), broken: Vec::new() }
+        let mut harness = SimulationHarness::new(seed, &TOYS, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
+        (0..3).for_each(|at| harness.update_watch_cache(at, true));
+        harness.write_leader_record(0);
+        Self { harness, without, stored: BTreeMap::new(), lines: Vec::new(), broken: Vec::new() }
     }
 
     fn evaluate(&mut self, at: usize) {
-        let Some(output) = self.stage.evaluate(at, 0, |_, _| None) else { return };
-        let controller = &mut self.stage.controllers[at];
+        let Some(output) = self.harness.evaluate(at, 0, |_, _| None) else { return };
+        let controller = &mut self.harness.controllers[at];
         for event in output.events {
-            *controller.own.entry(line(&event)).or_default() += 1;
+            *controller.kind_state.entry(line(&event)).or_default() += 1;
         }
         // What is asked for is what this controller's watch cache has, never what is only decided.
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
@@ -173,25 +173,25 @@
             Without::Spec => c.path.starts_with("c/s/"),
             Without::Status => c.path.starts_with("c/t/"),
         };
-        if let Some(sent) = self.stage.send(at, left_out)
+        if let Some(sent) = self.harness.send(at, left_out)
             && let Some(revision) = self.apply(&sent)
-            && self.stage.rng.random_ratio(3, 4)
+            && self.harness.rng.random_ratio(3, 4)
         {
-            self.stage.stored(at, revision);
+            self.harness.mark_stored(at, revision);
         }
     }
 
     /// Every rule that the store can show broken.
-    fn apply(&mut self, sent: &Sent) -> Option<u64> {
-        if sent.1.iter().any(|change| matches!(change, Change::Write { write, .. } if write == OPERATORS)) {
-            if self.stage.store.apply_if(&sent.0, &sent.1).is_ok() {
+    fn apply(&mut self, sent: &SentTransaction) -> Option<u64> {
+        if sent.1.iter().any(|change| matches!(change, Change::Write { write, .. } if write == OPERATORS_KEY)) {
+            if self.harness.store.apply_if(&sent.0, &sent.1).is_ok() {
                 self.broken.push(format!("written again: {:?}", sent.1));
             }
             return None;
         }
-        let before: Vec<bool> = NAMES.map(|name| self.stage.store.has(&spec_key(DeclarationKind::Heat, name))).into();
-        let fencing_token = self.stage.store.version(LEADER_RECORD_KEY);
-        let revision = self.stage.store.apply_if(&sent.0, &sent.1).ok()?;
+        let before: Vec<bool> = NAMES.map(|name| self.harness.store.has(&spec_key(DeclarationKind::Heat, name))).into();
+        let fencing_token = self.harness.store.version(LEADER_RECORD_KEY);
+        let revision = self.harness.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
             match change {
                 Change::Write { write, value, .. } => {
@@ -223,56 +223,56 @@
 
     /// Operators write as the command line does; copies of what they wrote come late, too.
     fn operate(&mut self) {
-        let name = NAMES[self.stage.rng.random_range(0..NAMES.len())].to_owned();
+        let name = NAMES[self.harness.rng.random_range(0..NAMES.len())].to_owned();
         let mut stored = StoredDeclarations {
-            operators_version: self.stage.store.version(OPERATORS),
+            operators_version: self.harness.store.version(OPERATORS_KEY),
             ..StoredDeclarations::default()
         };
         for prefix in ["c/s/heat/", "c/t/heat/"] {
-            self.stage.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| stored.add_item(item));
+            self.harness.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| stored.add_item(item));
         }
-        let stands = self.stage.store.has(&spec_key(DeclarationKind::Heat, &name));
-        let goal = self.stored.get(&name).copied().unwrap_or(0) + self.stage.rng.random_range(1..4);
-        let spec = if stands && self.stage.rng.random_ratio(1, 3) { None } else { Some(json!({"goal": goal})) };
-        let marker = json!(self.stage.rng.random::<u64>());
+        let stands = self.harness.store.has(&spec_key(DeclarationKind::Heat, &name));
+        let goal = self.stored.get(&name).copied().unwrap_or(0) + self.harness.rng.random_range(1..4);
+        let spec = if stands && self.harness.rng.random_ratio(1, 3) { None } else { Some(json!({"goal": goal})) };
+        let marker = json!(self.harness.rng.random::<u64>());
         let write = SpecWrite { name, spec };
         let Transaction { mut conditions, changes } =
             Transaction::new(DeclarationKind::Heat, &stored, &[write], &marker);
-        conditions.retain(|c| self.without != Without::Operators || c.path != OPERATORS);
-        if self.stage.store.apply_if(&conditions, &changes).is_ok() && self.stage.rng.random_ratio(1, 3) {
-            self.stage.late.push((conditions, changes));
+        conditions.retain(|c| self.without != Without::Operators || c.path != OPERATORS_KEY);
+        if self.harness.store.apply_if(&conditions, &changes).is_ok() && self.harness.rng.random_ratio(1, 3) {
+            self.harness.delayed.push((conditions, changes));
         }
     }
 
     fn step(&mut self) {
-        let at = self.stage.rng.random_range(0..3);
-        match self.stage.rng.random_range(0..20) {
-            0 => self.stage.write_leader_record(at),
+        let at = self.harness.rng.random_range(0..3);
+        match self.harness.rng.random_range(0..20) {
+            0 => self.harness.write_leader_record(at),
             1..4 => self.operate(),
-            4..9 => self.stage.follow(at, false),
+            4..9 => self.harness.update_watch_cache(at, false),
             9..14 => self.evaluate(at),
             14..18 => self.send(at),
-            18 if !self.stage.late.is_empty() => {
-                let sent = self.stage.comes_late();
+            18 if !self.harness.delayed.is_empty() => {
+                let sent = self.harness.take_delayed();
                 self.apply(&sent);
             }
-            _ if self.stage.rng.random_ratio(1, 10) => self.stage.store.forget_log(),
+            _ if self.harness.rng.random_ratio(1, 10) => self.harness.store.forget_log(),
             _ => {}
         }
     }
 
     /// The last leader goes on alone, and late copies come all the same.
     fn settle(&mut self) {
-        self.stage.write_leader_record(0);
+        self.harness.write_leader_record(0);
         for _ in 0..60 {
-            self.stage.follow(0, true);
+            self.harness.update_watch_cache(0, true);
             self.evaluate(0);
             self.send(0);
-            if let Some(sent) = self.stage.late.pop() {
+            if let Some(sent) = self.harness.delayed.pop() {
                 self.apply(&sent);
             }
         }
-        self.stage.follow(0, true);
+        self.harness.update_watch_cache(0, true);
         self.evaluate(0);
     }
 }
@@ -295,19 +295,19 @@
         assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
         for name in NAMES {
             let (spec, status) = (spec_key(DeclarationKind::Heat, name), status_key(DeclarationKind::Heat, name));
-            let goal = simulation.stage.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
-            let at = simulation.stage.store.value(&status).map(|v| v["at"].as_u64().unwrap());
+            let goal = simulation.harness.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
+            let at = simulation.harness.store.value(&status).map(|v| v["at"].as_u64().unwrap());
             assert_eq!(goal, at, "seed {seed}: {name} is not where it is meant to be");
         }
-        for controller in &simulation.stage.controllers {
+        for controller in &simulation.harness.controllers {
             let often = |line: &String| simulation.lines.iter().filter(|l| *l == line).count();
             let twice: Vec<_> =
-                controller.own.iter().filter(|(l, n)| !l.ends_with("removed") && **n > often(l)).collect();
+                controller.kind_state.iter().filter(|(l, n)| !l.ends_with("removed") && **n > often(l)).collect();
             assert!(twice.is_empty(), "seed {seed}: told twice: {twice:?}");
         }
         // A change that was stored over before anybody who leads had heard of it is told by who reads
         // anew only as far as it still shows.
-        let told = |line: &String| simulation.stage.controllers.iter().any(|c| c.own.contains_key(line));
+        let told = |line: &String| simulation.harness.controllers.iter().any(|c| c.kind_state.contains_key(line));
         let untold: Vec<&String> = simulation.lines.iter().filter(|line| !told(line)).collect();
         assert!(untold.len() * 20 <= simulation.lines.len(), "seed {seed}: {untold:?} of {}", simulation.lines.len());
     }
@@ -332,19 +332,19 @@
     pages
 }
 
-fn leader(kinds: &'static [KindOperations], stored: &[(String, serde_json::Value)]) -> Stage<()> {
-    let mut stage = Stage::new(0, kinds, stored);
-    stage.write_leader_record(0);
-    stage
+fn leader(kinds: &'static [KindOperations], stored: &[(String, serde_json::Value)]) -> SimulationHarness<()> {
+    let mut harness = SimulationHarness::new(0, kinds, stored);
+    harness.write_leader_record(0);
+    harness
 }
 
 /// One second of a leader that nothing befalls: two changes are stored.
-fn second(stage: &mut Stage<()>, n: usize) {
-    let output = stage.evaluate(0, 0, |(), _| None).unwrap();
+fn second(harness: &mut SimulationHarness<()>, n: usize) {
+    let output = harness.evaluate(0, 0, |(), _| None).unwrap();
     assert_eq!(output.writes.len(), 2, "in second {n}");
-    let (conditions, changes) = stage.sent(0, |_| false).unwrap();
-    let revision = stage.store.apply_if(&conditions, &changes).unwrap();
-    stage.stored(0, revision);
+    let (conditions, changes) = harness.take_transaction(0, |_| false).unwrap();
+    let revision = harness.store.apply_if(&conditions, &changes).unwrap();
+    harness.mark_stored(0, revision);
 }
 
 /// Whatever wants a change each second keeps nothing else from its own.
@@ -354,14 +354,14 @@
         .map(|n| (spec_key(DeclarationKind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
         .chain((0..5).map(|n| (spec_key(DeclarationKind::Heat, &format!("h{n}")), json!({"goal": 2}))))
         .collect();
-    let mut stage = leader(&BOTH, &entries);
+    let mut harness = leader(&BOTH, &entries);
     for n in 0..40 {
-        second(&mut stage, n);
-        assert!(stage.evaluate(0, 0, |(), _| None).unwrap().writes.is_empty(), "not heard yet");
-        stage.follow(0, true);
+        second(&mut harness, n);
+        assert!(harness.evaluate(0, 0, |(), _| None).unwrap().writes.is_empty(), "not heard yet");
+        harness.update_watch_cache(0, true);
     }
     let at = |kind: DeclarationKind, name: &str| {
-        stage.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap())
+        harness.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap())
     };
     assert!((0..5).all(|n| at(DeclarationKind::Heat, &format!("h{n}")) == 2), "the few are through");
     let restless: Vec<u64> = (0..20).map(|n| at(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
@@ -381,14 +381,14 @@
         ("c/s/window/w", json!({"opens": "08:00"})),
         ("c/t/heat/odd", json!("status")),
     ];
-    let mut stage = leader(&TOYS, &entries.map(|(path, value)| (path.to_owned(), value)));
-    let output = stage.evaluate(0, 0, |(), _| None).unwrap();
+    let mut harness = leader(&TOYS, &entries.map(|(path, value)| (path.to_owned(), value)));
+    let output = harness.evaluate(0, 0, |(), _| None).unwrap();
     let names: Vec<&str> = output.writes.iter().map(|w| w.name.as_str()).collect();
     assert_eq!(names, ["good"]);
-    let registry = stage.controllers[0].watch_cache.registry();
+    let registry = harness.controllers[0].watch_cache.registry();
     assert_eq!(registry.entry_count(), 5, "the larger one and the unknown kind are not taken in");
     assert!(registry.raw_spec(DeclarationKind::Heat, "bad").is_some(), "what is unreadable is kept");
-    let (cluster, _) = stage.controllers[0].leader.as_ref().unwrap();
+    let (cluster, _) = harness.controllers[0].leader.as_ref().unwrap();
     assert_eq!(cluster.intents.deferred_jobs.len(), 1, "nothing is asked for by what cannot be read");
 }
 
@@ -464,11 +464,11 @@
         }
     }
     let bytes: usize = entries.iter().map(|(path, value)| path.len() + value.to_string().len()).sum();
-    let mut stage = leader(&ALL, &entries);
-    let pages = pages(&stage.store);
+    let mut harness = leader(&ALL, &entries);
+    let pages = pages(&harness.store);
     assert!(pages <= 11 && bytes < 1_500_000, "{pages} pages, {bytes} bytes");
     for n in 0..20 {
-        second(&mut stage, n);
-        stage.follow(0, true);
+        second(&mut harness, n);
+        harness.update_watch_cache(0, true);
     }
 }
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -18,7 +18,7 @@
 use crate::store::watch_cache::{CacheReload, WatchCache};
 use crate::store::{Change, Condition};
 
-pub type Sent = (Vec<Condition>, Vec<Change>);
+pub type SentTransaction = (Vec<Condition>, Vec<Change>);
 
 #[derive(Default)]
 pub struct Controller<T> {
@@ -30,29 +30,29 @@
     /// Its time of day is off by so much.
     pub skew_ms: i64,
     /// What else its kind's simulation keeps of it.
-    pub own: T,
+    pub kind_state: T,
 }
 
-pub struct Stage<T> {
+pub struct SimulationHarness<T> {
     pub rng: StdRng,
     pub store: Store,
     pub controllers: Vec<Controller<T>>,
-    pub late: Vec<Sent>,
+    pub delayed: Vec<SentTransaction>,
     kinds: &'static [KindOperations],
 }
 
-impl<T: Default> Stage<T> {
+impl<T: Default> SimulationHarness<T> {
     pub fn new(seed: u64, kinds: &'static [KindOperations], stored: &[(String, Value)]) -> Self {
         let mut store = Store::new(Limits::default());
         for (path, value) in stored {
             store.apply_if(&[], &[Change::write(path.clone(), value.clone())]).unwrap();
         }
         let controllers = (0..3).map(|_| Controller::default()).collect();
-        Self { rng: StdRng::seed_from_u64(seed), store, controllers, late: Vec::new(), kinds }
+        Self { rng: StdRng::seed_from_u64(seed), store, controllers, delayed: Vec::new(), kinds }
     }
 
     /// The watch cache follows, a page or an answer at a time, or is read anew.
-    pub fn follow(&mut self, at: usize, whole: bool) {
+    pub fn update_watch_cache(&mut self, at: usize, whole: bool) {
         let controller = &mut self.controllers[at];
         loop {
             if let Some((mut loading, since)) = controller.loading.take() {
@@ -85,7 +85,7 @@
     pub fn write_leader_record(&mut self, at: usize) {
         let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!(at))]).unwrap();
         // A new leader proves its watch cache fresh before it decides.
-        self.follow(at, true);
+        self.update_watch_cache(at, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
         self.controllers[at].leader = Some((cluster, DeclarationDriver::new(self.kinds)));
@@ -99,10 +99,10 @@
         now_ms: u64,
         ended: impl Fn(&T, &str) -> Option<End>,
     ) -> Option<DriverOutput> {
-        let Controller { watch_cache, leader, decided, skew_ms, own, .. } = &mut self.controllers[at];
+        let Controller { watch_cache, leader, decided, skew_ms, kind_state, .. } = &mut self.controllers[at];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
-        let output = driver.evaluate(cluster, watch_cache, &|id| ended(own, id), Instant::now(), now_ms);
+        let output = driver.evaluate(cluster, watch_cache, &|id| ended(kind_state, id), Instant::now(), now_ms);
         if !output.writes.is_empty() {
             driver.mark_sent(&output.writes);
             *decided = Some((output.writes.clone(), output.fencing_token));
@@ -111,7 +111,7 @@
     }
 
     /// What was decided, as it is sent.
-    pub fn sent(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<Sent> {
+    pub fn take_transaction(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
         let (writes, fencing_token) = self.controllers[at].decided.take()?;
         assert!(writes.len() <= 2);
         let conditions = conditions(&writes, fencing_token).into_iter().filter(|c| !left_out(c)).collect();
@@ -119,24 +119,24 @@
     }
 
     /// What of it arrives at once: a copy may come late, or that one only.
-    pub fn send(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<Sent> {
-        let sent = self.sent(at, left_out)?;
+    pub fn send(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
+        let sent = self.take_transaction(at, left_out)?;
         let (twice, lost) = (self.rng.random_ratio(1, 4), self.rng.random_ratio(1, 4));
         if twice || lost {
-            self.late.push(sent.clone());
+            self.delayed.push(sent.clone());
         }
         (!lost).then_some(sent)
     }
 
-    pub fn stored(&mut self, at: usize, revision: u64) {
+    pub fn mark_stored(&mut self, at: usize, revision: u64) {
         if let Some((_, driver)) = self.controllers[at].leader.as_mut() {
             driver.mark_stored(revision);
         }
     }
 
     /// Any of what is late, of which there is some.
-    pub fn comes_late(&mut self) -> Sent {
-        let n = self.rng.random_range(0..self.late.len());
-        self.late.swap_remove(n)
+    pub fn take_delayed(&mut self) -> SentTransaction {
+        let n = self.rng.random_range(0..self.delayed.len());
+        self.delayed.swap_remove(n)
     }
 }
--- a/src/heat/tests/interleaved_simulation.rs
+++ b/src/heat/tests/interleaved_simulation.rs
@@ -7,12 +7,12 @@
 use super::*;
 use crate::declarations::records::{spec_key, status_key};
 use crate::declarations::table::KINDS;
-use crate::declarations::tests::simulation::{Sent, Stage};
+use crate::declarations::tests::simulation::{SentTransaction, SimulationHarness};
 use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::store::Change;
 
 struct Simulation {
-    stage: Stage<()>,
+    stage: SimulationHarness<()>,
     now_ms: u64,
     /// Every status that was stored, in order.
     stored: Vec<HeatStatus>,
@@ -25,9 +25,9 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         let rules = [(spec_key(DeclarationKind::Heat, "vents"), to_value(rule()).unwrap())];
-        let mut stage = Stage::new(seed, KINDS, &rules);
+        let mut stage = SimulationHarness::new(seed, KINDS, &rules);
         for at in 0..3 {
-            stage.follow(at, true);
+            stage.update_watch_cache(at, true);
             stage.controllers[at].skew_ms = stage.rng.random_range(-30_000..30_000);
         }
         stage.write_leader_record(0);
@@ -57,7 +57,7 @@
         }
     }
 
-    fn apply(&mut self, (conditions, changes): &Sent) {
+    fn apply(&mut self, (conditions, changes): &SentTransaction) {
         let fencing_token = self.stage.store.version(LEADER_RECORD_KEY);
         if self.stage.store.apply_if(conditions, changes).is_err() {
             return;
@@ -83,11 +83,11 @@
                 let sensor = SENSORS[self.stage.rng.random_range(0..3)];
                 self.read(sensor, value);
             }
-            5..9 => self.stage.follow(at, true),
+            5..9 => self.stage.update_watch_cache(at, true),
             9..13 => self.evaluate(at),
             13..16 => self.send(at),
-            _ if !self.stage.late.is_empty() => {
-                let sent = self.stage.comes_late();
+            _ if !self.stage.delayed.is_empty() => {
+                let sent = self.stage.take_delayed();
                 self.apply(&sent);
             }
             // A clock steps, back as well.
@@ -100,12 +100,12 @@
         SENSORS.iter().for_each(|sensor| self.read(sensor, value));
         self.stage.write_leader_record(1);
         for _ in 0..6 {
-            self.stage.follow(1, true);
+            self.stage.update_watch_cache(1, true);
             self.evaluate(1);
-            if let Some(sent) = self.stage.sent(1, |_| false) {
+            if let Some(sent) = self.stage.take_transaction(1, |_| false) {
                 self.apply(&sent);
             }
-            let late: Vec<_> = self.stage.late.drain(..).collect();
+            let late: Vec<_> = self.stage.delayed.drain(..).collect();
             late.iter().for_each(|sent| self.apply(sent));
         }
         self.stored.last().cloned().unwrap()
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollylanding::cloud_orders::{CLOUD_ORDERS, CloudOrder};
-use hollylanding::declarations::records::{OPERATORS, SPECS, STATUSES, spec_key, status_key};
+use hollylanding::declarations::records::{OPERATORS_KEY, SPEC_PREFIX, STATUS_PREFIX, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
 use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
 use hollylanding::jobs::{End, record};
@@ -203,7 +203,7 @@
         "tasks": [record::TASK_SHARD_PREFIX, record::shard_key(id, 7)],
         "tasks of one chunk": record::TASKS_PER_SHARD,
         "cloud orders": CLOUD_ORDERS,
-        "declared": [SPECS, STATUSES, OPERATORS],
+        "declared": [SPEC_PREFIX, STATUS_PREFIX, OPERATORS_KEY],
         "declared by kind": declarations,
     })
 }
