--- a/src/controller.rs
+++ b/src/controller.rs
@@ -148,7 +148,7 @@
             ("hidden", self.history.hidden_cancellations().remembered),
         ]);
         held.push(("served", self.leader.accounting().entry_count()));
-        held.push(("in_admission", lock(&self.users.admission).waiting()));
+        held.push(("in_admission", lock(&self.users.admission).waiting_count()));
         held.extend(self.membership.entry_counts());
         if let Some(cluster) = self.leader.cluster().as_ref() {
             held.extend(cluster.entry_counts());
--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -1,95 +1,109 @@
-//! Admission control: which submissions may wait for their write when more changes are wanted than this controller may
-//! write.
+//! Admission control: decides which submissions may wait for their write when more changes are requested than this
+//! controller may write.
 //!
-//! Each controller has a limited rate of changes, and an acceptance is one change. A submission that would wait for
-//! long is refused at once, with a time after which to try again. Those refused first are of classes and teams that
-//! have more than an equal part of the waiting submissions, so that a flood of one class or team does not keep others
-//! from their answers. Nothing here delays anything.
+//! Each controller may write changes at a limited rate, and accepting a job is one change. A submission that would wait
+//! too long is refused at once, with a time after which to retry. Classes and teams that hold at least an equal share of
+//! the waiting submissions are refused first, so that a flood from one class or team does not keep others from their
+//! answers. Admission control itself delays nothing.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::JobSpec;
 
-/// Submissions that would be written within this time are admitted, whosever they are: users are
-/// promised answers within a second at the least.
-const SOON: Duration = Duration::from_millis(800);
-/// Past this nobody is admitted: the write itself would be given up.
-const LONGEST: Duration = Duration::from_millis(1800);
-/// The refused of this long are thought to come again.
-const REFUSED_FADE: Duration = Duration::from_secs(10);
-/// Latest time to come again, in seconds: users give up after 60 s.
-const LATEST_S: f64 = 12.0;
+/// Submissions that would be written within this time are admitted whatever the share of their class and team: users
+/// are promised an answer within a second at the least.
+const UNCONDITIONAL_WAIT: Duration = Duration::from_millis(800);
+/// Longest expected wait with which a submission is admitted: after a longer one the write itself would be abandoned.
+const MAX_WAIT: Duration = Duration::from_millis(1800);
+/// Time constant of the decaying count of refusals: users who were refused within this time are expected to retry.
+const REFUSAL_DECAY_TIME: Duration = Duration::from_secs(10);
+/// Longest time after which a refused user is told to retry, in seconds. Users give up after 60 s.
+const MAX_RETRY_AFTER_S: f64 = 12.0;
 
-/// What waits at one controller, by class and by team.
+/// Admission control of one controller: counts the waiting submissions by class and by team.
 #[derive(Debug)]
 pub struct Admission {
-    waiting: HashMap<String, usize>,
-    teams: HashMap<String, usize>,
-    all: usize,
-    refused: f64,
-    refused_at: Instant,
+    class_counts: HashMap<String, usize>,
+    team_counts: HashMap<String, usize>,
+    waiting: usize,
+    /// Number of refusals, decaying exponentially with [`REFUSAL_DECAY_TIME`], as of `last_refusal`.
+    recent_refusals: f64,
+    last_refusal: Instant,
 }
 
-/// Of the names that wait, this one included, whether it has more than its part of all.
-fn beyond_part(waiting: &HashMap<String, usize>, name: &str, all: usize) -> bool {
-    let mine = waiting.get(name).copied().unwrap_or(0);
-    let names = waiting.len() + usize::from(mine == 0);
-    mine * names >= all.max(1) && mine > 0
+/// Whether this name has submissions waiting and holds at least an equal share of all waiting ones. `counts` has the
+/// number of waiting submissions by name; the shares are equal parts among its names, including this one.
+fn has_full_share(counts: &HashMap<String, usize>, name: &str, waiting: usize) -> bool {
+    let own = counts.get(name).copied().unwrap_or(0);
+    let names = counts.len() + usize::from(own == 0);
+    own * names >= waiting.max(1) && own > 0
 }
 
-fn leave(waiting: &mut HashMap<String, usize>, name: &str) {
-    if let Some(n) = waiting.get_mut(name) {
-        *n -= 1;
-        if *n == 0 {
-            waiting.remove(name);
+/// Takes one submission from the count of this name, and removes a count that reaches zero.
+fn decrement(counts: &mut HashMap<String, usize>, name: &str) {
+    if let Some(count) = counts.get_mut(name) {
+        *count -= 1;
+        if *count == 0 {
+            counts.remove(name);
         }
     }
 }
 
 impl Admission {
-    /// Nothing waits yet, and nobody was refused.
+    /// Creates admission control without waiting submissions and without earlier refusals.
     pub fn new(now: Instant) -> Self {
-        Self { waiting: HashMap::new(), teams: HashMap::new(), all: 0, refused: 0.0, refused_at: now }
+        Self {
+            class_counts: HashMap::new(),
+            team_counts: HashMap::new(),
+            waiting: 0,
+            recent_refusals: 0.0,
+            last_refusal: now,
+        }
     }
 
-    /// Lets a submission in, to be written after about `wait`, or says after how many seconds to
-    /// come again. `per_second` is what can be written; `luck`, from 0 to 1, spreads the refused.
-    /// Whoever was admitted has to leave.
+    /// Admits a submission that would be written after about `wait`. Each admitted submission has to be released
+    /// ([`Admission::release`]).
+    ///
+    /// `per_second` is the number of changes that can be written per second; `jitter`, from 0 to 1, spreads the retries.
+    ///
+    /// # Errors
+    ///
+    /// The submission is refused; the error is the number of seconds after which to retry.
     pub fn admit(
         &mut self,
         spec: &JobSpec,
         wait: Duration,
         per_second: f64,
-        luck: f64,
+        jitter: f64,
         now: Instant,
     ) -> Result<(), u64> {
-        let beyond =
-            beyond_part(&self.waiting, &spec.class, self.all) || beyond_part(&self.teams, &spec.team, self.all);
-        if wait <= SOON || (wait <= LONGEST && !beyond) {
-            *self.waiting.entry(spec.class.clone()).or_default() += 1;
-            *self.teams.entry(spec.team.clone()).or_default() += 1;
-            self.all += 1;
+        let full_share = has_full_share(&self.class_counts, &spec.class, self.waiting)
+            || has_full_share(&self.team_counts, &spec.team, self.waiting);
+        if wait <= UNCONDITIONAL_WAIT || (wait <= MAX_WAIT && !full_share) {
+            *self.class_counts.entry(spec.class.clone()).or_default() += 1;
+            *self.team_counts.entry(spec.team.clone()).or_default() += 1;
+            self.waiting += 1;
             return Ok(());
         }
-        let passed = now.saturating_duration_since(self.refused_at).as_secs_f64();
-        self.refused = self.refused * (-passed / REFUSED_FADE.as_secs_f64()).exp() + 1.0;
-        self.refused_at = now;
-        // Those that were sent away lately need this long to be written; they come spread over it.
-        let over_s = (self.refused / per_second.max(0.1)).min(LATEST_S - 1.0);
-        Err(1 + (luck.clamp(0.0, 1.0) * over_s).round() as u64)
+        let elapsed_s = now.saturating_duration_since(self.last_refusal).as_secs_f64();
+        self.recent_refusals = self.recent_refusals * (-elapsed_s / REFUSAL_DECAY_TIME.as_secs_f64()).exp() + 1.0;
+        self.last_refusal = now;
+        // Writing all recently refused submissions takes this long, so their retries are spread over it.
+        let spread_s = (self.recent_refusals / per_second.max(0.1)).min(MAX_RETRY_AFTER_S - 1.0);
+        Err(1 + (jitter.clamp(0.0, 1.0) * spread_s).round() as u64)
     }
 
-    /// One that was admitted has its answer.
-    pub fn leave(&mut self, spec: &JobSpec) {
-        leave(&mut self.waiting, &spec.class);
-        leave(&mut self.teams, &spec.team);
-        self.all = self.all.saturating_sub(1);
+    /// Stops counting an admitted submission, once its request has ended.
+    pub fn release(&mut self, spec: &JobSpec) {
+        decrement(&mut self.class_counts, &spec.class);
+        decrement(&mut self.team_counts, &spec.team);
+        self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Number of submissions that were admitted and have no answer yet.
-    pub fn waiting(&self) -> usize {
-        self.all
+    /// Number of admitted submissions that are not answered yet.
+    pub fn waiting_count(&self) -> usize {
+        self.waiting
     }
 }
 
--- a/src/jobs/limits.rs
+++ b/src/jobs/limits.rs
@@ -1,39 +1,42 @@
-//! How many open jobs a controller can hold in memory: each one must be able to lead, and a leader holds all of them.
+//! Limits on the open jobs that a controller can hold in memory. Each controller must be able to lead, and a leader holds
+//! all open jobs.
 
 use std::ops::{AddAssign, SubAssign};
 
 use super::JobSpec;
 
-/// Bytes that a job takes in a leader's memory besides its tasks: description, sums, entries in maps.
+/// Estimated bytes that a job takes in a leader's memory besides its tasks: description, sums, map entries.
 const BYTES_PER_JOB: u64 = 4096;
-/// Bytes that a task takes: its state, its place in the queue, and its share of the buffers for loading and storing. A
-/// running task takes more, but the number of those is bounded by the machines. Three jobs of 100,000 tasks took about
-/// 37 MB on simulated machines.
+/// Estimated bytes that a task takes in a leader's memory: its state, its queue entry, and its share of the buffers for
+/// loading and storing. A running task takes more, but the number of machines bounds the number of running tasks. Three
+/// jobs of 100,000 tasks took about 37 MB on simulated machines.
 const BYTES_PER_TASK: u64 = 96;
-/// The part of the memory that open jobs may take. The rest is for the program, machines, connections and answers.
-const MEMORY_PART: f64 = 0.55;
-/// The part of the memory up to which large jobs are accepted. The difference leaves room for small jobs beside them, and
-/// for one large job that each controller accepts before it hears of the others'.
-const MEMORY_PART_FOR_LARGE_JOBS: f64 = 0.3;
-/// A job is large if it takes this part of the memory or more.
-const LARGE_JOB_PART: f64 = 0.02;
+/// Fraction of the controller's memory that open jobs may take. The rest is left to the program, the state of machines,
+/// connections and responses.
+const OPEN_JOBS_MEMORY_FRACTION: f64 = 0.55;
+/// Fraction of the controller's memory up to which open jobs may grow with a further large job. The difference from
+/// [`OPEN_JOBS_MEMORY_FRACTION`] is left to small jobs, and to the one large job that each controller may accept before
+/// it learns of those that other controllers accepted.
+const LARGE_JOB_MEMORY_FRACTION: f64 = 0.3;
+/// A job is large if it takes this fraction of the controller's memory or more.
+const LARGE_JOB_MIN_FRACTION: f64 = 0.02;
 
-/// Number of open jobs and of their tasks, from which their memory is estimated.
+/// Number of open jobs and of their tasks, from which the memory that they take is estimated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenWork {
-    /// Number of jobs.
+    /// Number of open jobs.
     pub jobs: u64,
-    /// Number of their tasks.
+    /// Number of tasks of the open jobs.
     pub tasks: u64,
 }
 
 impl OpenWork {
-    /// One job of this description.
+    /// Counts one job with the tasks of this description.
     pub fn of(spec: &JobSpec) -> Self {
         Self { jobs: 1, tasks: spec.tasks }
     }
 
-    /// Estimated bytes that they take in a leader's memory.
+    /// Estimated bytes that the jobs and their tasks take in a leader's memory.
     pub fn memory_bytes(self) -> u64 {
         self.jobs * BYTES_PER_JOB + self.tasks * BYTES_PER_TASK
     }
@@ -53,16 +56,17 @@
     }
 }
 
-/// Whether one more job fits beside the open ones into a controller with this much memory (none: unlimited). A refused
-/// job can be submitted again once others have ended. A job is always accepted while no other is open, since no end of
-/// another would ever make room for it.
+/// Whether one more job fits beside the open jobs into a controller with `memory_mb` of memory; none means unlimited. A
+/// refused job can be submitted again once other jobs have ended. A job always fits while no other is open, since no end
+/// of another job would ever make room for it.
 #[must_use]
 pub fn fits_in_memory(spec: &JobSpec, open: OpenWork, memory_mb: Option<f64>) -> bool {
     let Some(memory_mb) = memory_mb else { return true };
-    let memory = memory_mb * 1024.0 * 1024.0;
-    let added = OpenWork::of(spec).memory_bytes() as f64;
-    let part = if added >= memory * LARGE_JOB_PART { MEMORY_PART_FOR_LARGE_JOBS } else { MEMORY_PART };
-    open.jobs == 0 || open.memory_bytes() as f64 + added <= memory * part
+    let memory_bytes = memory_mb * 1024.0 * 1024.0;
+    let added_bytes = OpenWork::of(spec).memory_bytes() as f64;
+    let is_large = added_bytes >= memory_bytes * LARGE_JOB_MIN_FRACTION;
+    let fraction = if is_large { LARGE_JOB_MEMORY_FRACTION } else { OPEN_JOBS_MEMORY_FRACTION };
+    open.jobs == 0 || open.memory_bytes() as f64 + added_bytes <= memory_bytes * fraction
 }
 
 #[cfg(test)]
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,5 @@
-//! What a job is: its description as users send it, its checks, and its form in the store.
+//! Jobs: the description that users send and its checks, their form in the store, admission control, and the limits on
+//! open jobs.
 
 pub mod admission;
 pub mod limits;
@@ -8,23 +9,23 @@
 
 pub use crate::protocol::jobs::{JobId, JobSpec, MOST_TASKS, Shape, Urgency, well_formed_id};
 
-/// How a job ended. There is no way back from either.
+/// How a job ended. Both ends are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
-    /// All tasks finished.
+    /// All of the job's tasks finished.
     Done,
-    /// Its user cancelled it.
+    /// The job's user cancelled it.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// How many tasks of a job run and are done, for display.
+/// Numbers of running and done tasks of a job, for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Tasks that run now.
+    /// Number of tasks that run now.
     pub running: u64,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u64,
 }
 
--- a/src/jobs/record/tests.rs
+++ b/src/jobs/record/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the stored forms of jobs.
+
 use super::*;
 
 #[test]
-fn shards_and_keys_read_back() {
+fn shards_and_shard_keys_round_trip_and_invalid_ones_are_rejected() {
     let tasks = vec![
         StoredTask::Untouched,
         StoredTask::Waiting(3),
@@ -10,10 +12,10 @@
     ];
     assert_eq!(decode_shard(&encode_shard(&tasks)).unwrap(), tasks);
     assert_eq!(parse_shard_key(&shard_key("run-000012", 7)), Some(("run-000012", 7)));
-    for bad in ["c/j/run-1", "t/run-1", "t/run-1/x"] {
-        assert_eq!(parse_shard_key(bad), None, "{bad}");
+    for invalid in ["c/j/run-1", "t/run-1", "t/run-1/x"] {
+        assert_eq!(parse_shard_key(invalid), None, "{invalid}");
     }
-    for bad in [serde_json::json!({}), serde_json::json!([[1]]), serde_json::json!([-2])] {
-        assert_eq!(decode_shard(&bad), None, "{bad}");
+    for invalid in [serde_json::json!({}), serde_json::json!([[1]]), serde_json::json!([-2])] {
+        assert_eq!(decode_shard(&invalid), None, "{invalid}");
     }
 }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,8 +1,8 @@
-//! Checks of job descriptions, and a description that tests of other modules start from.
+//! Tests of the checks of job descriptions, and a valid description that tests of other modules start from.
 
 use super::*;
 
-/// An array of one task of class `c` and team `blue`: one core, 1 GB, 10 s, spot machines allowed.
+/// A valid job array of one task of class `c` and team `blue`: one core, 1 GB, 10 s, spot machines allowed.
 pub fn spec() -> JobSpec {
     JobSpec {
         id: "run-000001".into(),
@@ -29,30 +29,30 @@
 }
 
 #[test]
-fn checks_by_cases() {
+fn check_accepts_valid_and_refuses_invalid_descriptions() {
     type Change = fn(&mut JobSpec);
     let cases: [(&str, Change, bool); 9] = [
-        ("good", |_| (), true),
-        ("most tasks", |j| j.tasks = 100_000, true),
+        ("valid", |_| (), true),
+        ("the largest number of tasks", |j| j.tasks = 100_000, true),
         ("no task", |j| j.tasks = 0, false),
         ("too many tasks", |j| j.tasks = 100_001, false),
-        ("negative", |j| j.cpus = -1.0, false),
+        ("a negative number", |j| j.cpus = -1.0, false),
         ("not a number", |j| j.memory_gb = f64::NAN, false),
-        ("infinite", |j| j.due_s = Some(f64::INFINITY), false),
-        ("another form of id", |j| j.id = "job-1".into(), false),
+        ("an infinite number", |j| j.due_s = Some(f64::INFINITY), false),
+        ("an id of another form", |j| j.id = "job-1".into(), false),
         ("a path in the id", |j| j.id = "run-1/2".into(), false),
     ];
-    for (name, change, good) in cases {
+    for (name, change, valid) in cases {
         let mut job = spec();
         change(&mut job);
-        assert_eq!(job.check().is_ok(), good, "{name}");
+        assert_eq!(job.check().is_ok(), valid, "{name}");
     }
 }
 
 #[test]
-fn missing_and_nullable_fields() {
-    let whole = serde_json::to_value(spec()).unwrap();
-    for (field, needed) in [
+fn required_fields_must_be_present_and_nullable_ones_may_be_missing() {
+    let complete = serde_json::to_value(spec()).unwrap();
+    for (field, required) in [
         ("uid", true),
         ("legs", true),
         ("cpus", true),
@@ -62,9 +62,9 @@
         ("yard", false),
         ("dueS", false),
     ] {
-        let mut cut = whole.clone();
-        cut.as_object_mut().unwrap().remove(field);
-        let read = crate::protocol::decode::<JobSpec>(&crate::protocol::encode(&cut));
-        assert_eq!(read.is_err(), needed, "{field}");
+        let mut incomplete = complete.clone();
+        incomplete.as_object_mut().unwrap().remove(field);
+        let decoded = crate::protocol::decode::<JobSpec>(&crate::protocol::encode(&incomplete));
+        assert_eq!(decoded.is_err(), required, "{field}");
     }
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -129,7 +129,8 @@
 /// Passes admission control, or tells after how many seconds the user is to retry.
 fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
     let mut admission = lock(&service.admission);
-    let WriteDelay { wait, per_second } = service.store.client.estimate_write_delay(admission.waiting() as f64 + 1.0);
+    let WriteDelay { wait, per_second } =
+        service.store.client.estimate_write_delay(admission.waiting_count() as f64 + 1.0);
     admission
         .admit(spec, wait, per_second, rand::random(), Instant::now())
         .map_err(|retry_after_s| Busy { retry_after_s })?;
@@ -144,7 +145,7 @@
 
 impl Drop for AdmissionTicket<'_> {
     fn drop(&mut self) {
-        lock(&self.service.admission).leave(&self.spec);
+        lock(&self.service.admission).release(&self.spec);
     }
 }
 
