--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,13 +1,13 @@
 //! Checks that the state service still holds what it has acknowledged.
 //!
-//! The service's protocol promises that. Should it break the promise, whatever this controller still knows is written
-//! again: acceptances and ends that were reported to users, and, if it leads, every open job and the bindings of its
-//! tasks. Nothing is ever overwritten: a job is put back only while it has no key at all, an end only while there is
-//! none, and a shard by its leader on condition of the version found.
+//! The service's protocol guarantees that. If the guarantee is violated, each controller writes again what it still
+//! knows: acceptances and ends that were reported to users, and, if it leads, every open job and the bindings of its
+//! tasks. Nothing is ever overwritten: a job is restored only while it has no key at all, an end only while the job has
+//! none, and a shard only by the leader, on condition of the version found.
 //!
-//! Each controller compares at most one batch a second, at the lowest priority. A key counts as lost only if it was
-//! missing twice, with a proof of freshness in between, because the watch cache learns of keys that were dropped
-//! legitimately.
+//! Each controller compares at most one batch per second, at the lowest priority. A write is restored only if it was
+//! missing in two comparisons and is still expected after a proof that the watch cache is up to date, because the watch
+//! cache learns of keys that were dropped legitimately.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -30,28 +30,29 @@
 use crate::sync::lock;
 use crate::wakeups::Wakeups;
 
-/// Acceptances and ends remembered, the latest: about a KiB each.
-const MAX_REMEMBERED: usize = 512;
-/// Between two comparisons: at least this, and at least the time in which the share of requests
-/// grows by so many.
-const GAP: Duration = Duration::from_secs(1);
-const COST: f64 = 8.0;
+/// Maximum number of acceptances and ends that are remembered, the latest ones; about 1 KiB each.
+const MAX_REMEMBERED_WRITES: usize = 512;
+/// Minimum pause between two comparisons.
+const MIN_AUDIT_PAUSE: Duration = Duration::from_secs(1);
+/// The pause is also at least the time in which this controller's share admits this many requests.
+const MIN_AUDIT_PAUSE_REQUESTS: f64 = 8.0;
 
 /// A write that the store has acknowledged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AcknowledgedWrite {
     /// A job that this controller has accepted: open, or ended since.
     Accepted(Arc<JobRecord>),
-    /// A job that is open, by the leader's watch.
+    /// A job that is open according to the leader's cluster state.
     Open(JobId),
-    /// A job that has ended, and how, by this controller's own transaction.
+    /// A job that this controller's own transaction has ended, and how it ended.
     Ended(Arc<JobRecord>, End),
-    /// A shard of tasks at this version.
+    /// A shard of a job's tasks: the job, the shard's number and its version.
     Shard(JobId, u64, u64),
 }
 
 impl AcknowledgedWrite {
-    /// The keys to compare: of all but a shard at least one must exist.
+    /// Returns the conditions to compare. For a shard its condition must hold; for any other write at least one must
+    /// fail, because each says that a key is absent.
     fn conditions(&self) -> Vec<Condition> {
         match self {
             Self::Accepted(record) => never_accepted_conditions(&record.spec.id, false).collect(),
@@ -61,12 +62,13 @@
         }
     }
 
-    /// Whether the write is still stored, by the keys whose conditions failed.
+    /// Returns whether the write is still stored, given the keys whose conditions failed.
     fn is_stored(&self, failed: &HashSet<&str>) -> bool {
-        let any = self.conditions().iter().any(|c| failed.contains(c.path.as_str()));
-        if matches!(self, Self::Shard(..)) { !any } else { any }
+        let any_failed = self.conditions().iter().any(|c| failed.contains(c.path.as_str()));
+        if matches!(self, Self::Shard(..)) { !any_failed } else { any_failed }
     }
 
+    /// Returns the key that the write wrote.
     fn key(&self) -> String {
         match self {
             Self::Accepted(record) => open_key(&record.spec.id),
@@ -77,74 +79,82 @@
     }
 }
 
-/// The writes to compare with the store, in rounds. Pure.
+/// The writes to compare with the store, in rounds. It makes no calls itself.
 #[derive(Debug, Default)]
 pub struct Audit {
+    /// The latest writes that were acknowledged to this controller.
     remembered: VecDeque<AcknowledgedWrite>,
+    /// Writes that are still to be compared in the current round.
     round: VecDeque<AcknowledgedWrite>,
     /// Writes that were missing once, by key.
     suspects: HashMap<String, AcknowledgedWrite>,
 }
 
 impl Audit {
-    /// Remembers a write that was acknowledged just now.
-    pub fn remember(&mut self, held: AcknowledgedWrite) {
-        if self.remembered.len() >= MAX_REMEMBERED {
+    /// Remembers a write that was just acknowledged.
+    pub fn remember(&mut self, write: AcknowledgedWrite) {
+        if self.remembered.len() >= MAX_REMEMBERED_WRITES {
             self.remembered.pop_front();
         }
-        self.remembered.push_back(held);
+        self.remembered.push_back(write);
     }
 
-    /// The next to compare, with `most` conditions at the most: suspects first. `stored` gives what
-    /// the leader holds besides, once a turn.
-    fn next_batch(&mut self, most: usize, stored: impl FnOnce() -> Vec<AcknowledgedWrite>) -> Vec<AcknowledgedWrite> {
+    /// Returns the next writes to compare, with at most `max_conditions` conditions: suspects first. `leader_writes` is
+    /// called once per round and returns the writes that the leader knows of.
+    fn next_batch(
+        &mut self,
+        max_conditions: usize,
+        leader_writes: impl FnOnce() -> Vec<AcknowledgedWrite>,
+    ) -> Vec<AcknowledgedWrite> {
         if self.round.is_empty() {
             self.round.extend(self.remembered.iter().cloned());
-            self.round.extend(stored());
+            self.round.extend(leader_writes());
         }
-        let mut left = most;
-        let mut fits = |held: &AcknowledgedWrite| {
-            let rest = left.checked_sub(held.conditions().len());
-            left = rest.unwrap_or(0);
-            rest.is_some()
+        let mut free_conditions = max_conditions;
+        let mut fits = |write: &AcknowledgedWrite| {
+            let remaining = free_conditions.checked_sub(write.conditions().len());
+            free_conditions = remaining.unwrap_or(0);
+            remaining.is_some()
         };
-        let mut batch: Vec<AcknowledgedWrite> = self.suspects.values().take_while(|held| fits(held)).cloned().collect();
+        let mut batch: Vec<AcknowledgedWrite> =
+            self.suspects.values().take_while(|write| fits(write)).cloned().collect();
         while self.round.front().is_some_and(&mut fits) {
             batch.extend(self.round.pop_front());
         }
         batch
     }
 
-    /// The writes of a batch that are missing now and were missing before.
+    /// Returns the writes of a batch that are missing now and were missing in the comparison before. Writes that are
+    /// missing for the first time become suspects.
     fn find_lost(&mut self, batch: Vec<AcknowledgedWrite>, failed: &[String]) -> Vec<AcknowledgedWrite> {
         let failed: HashSet<&str> = failed.iter().map(String::as_str).collect();
         let mut lost = Vec::new();
-        for held in batch {
-            let before = self.suspects.remove(&held.key());
-            if held.is_stored(&failed) {
+        for write in batch {
+            let suspect = self.suspects.remove(&write.key());
+            if write.is_stored(&failed) {
                 continue;
             }
-            if before.as_ref() == Some(&held) {
-                lost.push(held);
+            if suspect.as_ref() == Some(&write) {
+                lost.push(write);
             } else {
-                self.suspects.insert(held.key(), held);
+                self.suspects.insert(write.key(), write);
             }
         }
         lost
     }
 
-    /// Forgets a write that is not lost after all: its job has moved on.
-    fn forget(&mut self, held: &AcknowledgedWrite) {
-        self.remembered.retain(|told| told != held);
+    /// Forgets a write that is no longer expected: the state of its job has changed since.
+    fn forget(&mut self, write: &AcknowledgedWrite) {
+        self.remembered.retain(|remembered| remembered != write);
     }
 
-    /// Number of entries held, of all sorts together, for display.
+    /// Returns the number of entries in all collections together, for display.
     pub fn remembered(&self) -> usize {
         self.remembered.len() + self.round.len() + self.suspects.len()
     }
 }
 
-/// Compares what the state service has acknowledged with what it holds.
+/// Compares the writes that the state service has acknowledged with what it has stored.
 pub struct Auditor {
     settings: Arc<Settings>,
     store: Arc<StateStore>,
@@ -155,7 +165,7 @@
 }
 
 impl Auditor {
-    /// An auditor that knows of nothing that was acknowledged.
+    /// Creates an auditor that knows of no acknowledged writes.
     pub fn new(
         settings: Arc<Settings>,
         store: Arc<StateStore>,
@@ -166,21 +176,22 @@
         Self { settings, store, history, leader, wakeups, audit: Mutex::default() }
     }
 
-    /// The state service has just acknowledged this.
-    pub fn remember(&self, held: AcknowledgedWrite) {
-        lock(&self.audit).remember(held);
+    /// Remembers a write that the state service has just acknowledged.
+    pub fn remember(&self, write: AcknowledgedWrite) {
+        lock(&self.audit).remember(write);
     }
 
-    /// Number of entries held, for display.
+    /// Returns the number of entries in all collections of the audit together, for display.
     pub fn remembered(&self) -> usize {
         lock(&self.audit).remembered()
     }
 }
 
-/// All writes that the leader knows to be stored.
+/// Returns all writes that the leader knows to be stored; none if this controller does not lead or has not loaded the
+/// cluster state.
 fn writes_of_leader(auditor: &Auditor) -> Vec<AcknowledgedWrite> {
-    let held = auditor.leader.cluster();
-    let Some(cluster) = held.as_ref().filter(|b| b.loaded) else { return Vec::new() };
+    let cluster = auditor.leader.cluster();
+    let Some(cluster) = cluster.as_ref().filter(|cluster| cluster.loaded) else { return Vec::new() };
     let open = cluster.jobs().filter(|(_, job)| job.ended.is_none());
     open.flat_map(|(id, job)| {
         let shards = job.stored_shards().map(|(shard, version)| AcknowledgedWrite::Shard(id.clone(), shard, version));
@@ -189,28 +200,28 @@
     .collect()
 }
 
-/// Whether this is still to be expected: what a watch or an answer has told since counts.
-fn still_expected(auditor: &Auditor, held: &AcknowledgedWrite) -> bool {
-    match held {
+/// Returns whether a write is still expected in the store, given the watch events and responses received since.
+fn is_still_expected(auditor: &Auditor, write: &AcknowledgedWrite) -> bool {
+    match write {
         AcknowledgedWrite::Accepted(record) => auditor.history.known_end(&record.spec.id).is_none(),
         AcknowledgedWrite::Open(id) => {
             auditor.store.watch_cache().open_job(id).is_some() && auditor.history.known_end(id).is_none()
         }
         AcknowledgedWrite::Ended(..) => true,
         AcknowledgedWrite::Shard(id, shard, version) => {
-            let held = auditor.leader.cluster();
-            let job = held.as_ref().and_then(|b| b.job(id)).filter(|j| j.ended.is_none());
-            job.is_some_and(|j| j.stored_shards().any(|settled| settled == (*shard, *version)))
+            let cluster = auditor.leader.cluster();
+            let job = cluster.as_ref().and_then(|cluster| cluster.job(id)).filter(|job| job.ended.is_none());
+            job.is_some_and(|job| job.stored_shards().any(|stored| stored == (*shard, *version)))
         }
     }
 }
 
-/// Compares what is remembered with the store and writes again what is missing, for ever.
+/// Compares acknowledged writes with the store and restores those that are lost, forever.
 pub async fn run(auditor: Arc<Auditor>) {
-    let most = auditor.settings.params.state.conditions();
+    let max_conditions = auditor.settings.params.state.conditions();
     loop {
-        tokio::time::sleep(GAP.max(auditor.store.client.refill_time(COST))).await;
-        let batch = lock(&auditor.audit).next_batch(most, || writes_of_leader(&auditor));
+        tokio::time::sleep(MIN_AUDIT_PAUSE.max(auditor.store.client.refill_time(MIN_AUDIT_PAUSE_REQUESTS))).await;
+        let batch = lock(&auditor.audit).next_batch(max_conditions, || writes_of_leader(&auditor));
         if batch.is_empty() || !auditor.store.watch_cache().is_ready() {
             continue;
         }
@@ -227,20 +238,20 @@
         if lost.is_empty() || !auditor.store.read_barrier.wait_for_proof().await {
             continue;
         }
-        for held in lost {
-            if still_expected(&auditor, &held) {
-                error!(key = held.key(), "acknowledged write lost; writing it again");
-                if let Err(error) = restore(&auditor, &held).await {
-                    debug!(%error, key = held.key(), "lost write not restored");
+        for write in lost {
+            if is_still_expected(&auditor, &write) {
+                error!(key = write.key(), "acknowledged write lost; writing it again");
+                if let Err(error) = restore(&auditor, &write).await {
+                    debug!(%error, key = write.key(), "lost write not restored");
                 }
             } else {
-                lock(&auditor.audit).forget(&held);
+                lock(&auditor.audit).forget(&write);
             }
         }
     }
 }
 
-/// Writes an end again, on condition that the job has no end at all.
+/// Builds the transaction that writes an end again, on condition that the job has no end at all.
 pub(crate) fn restore_end(record: &JobRecord, end: End, now_ms: u64) -> JobTransaction {
     JobTransaction {
         conditions: not_ended_conditions(&record.spec.id).collect(),
@@ -248,9 +259,9 @@
     }
 }
 
-/// Writes again what was lost, unless the job has other keys by now.
-async fn restore(auditor: &Auditor, held: &AcknowledgedWrite) -> Result<(), StoreError> {
-    match held {
+/// Writes a lost write again, unless the job has other keys by now.
+async fn restore(auditor: &Auditor, write: &AcknowledgedWrite) -> Result<(), StoreError> {
+    match write {
         AcknowledgedWrite::Accepted(record) => restore_acceptance(auditor, record).await,
         AcknowledgedWrite::Open(id) => {
             let record = auditor.store.watch_cache().open_job(id).cloned();
@@ -260,24 +271,24 @@
             }
         }
         AcknowledgedWrite::Ended(record, end) => {
-            let again = restore_end(record, *end, time_of_day_ms());
+            let transaction = restore_end(record, *end, time_of_day_ms());
             if let CompareAndSwapOutcome::Failed(keys) = auditor
                 .store
                 .client
-                .compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical)
+                .compare_and_swap(&transaction.conditions, &transaction.changes, RequestPriority::Critical)
                 .await?
             {
-                // Another end stands: what was told before cannot be made true any more.
+                // Another end is stored: the end that was reported before cannot be restored any more.
                 error!(?keys, job = %record.spec.id, "lost job end superseded; keeping the other end");
-                lock(&auditor.audit).forget(held);
+                lock(&auditor.audit).forget(write);
             }
             Ok(())
         }
         AcknowledgedWrite::Shard(id, shard, version) => {
             let item = auditor.store.client.get(&shard_key(id, *shard), RequestPriority::Critical).await?;
-            let found = item.map_or(0, |i| i.version);
+            let found_version = item.map_or(0, |item| item.version);
             if let Some(cluster) = auditor.leader.cluster().as_mut() {
-                cluster.rewrite_lost_shard(id, *shard, *version, found);
+                cluster.rewrite_lost_shard(id, *shard, *version, found_version);
             }
             auditor.wakeups.commit.notify_one();
             Ok(())
@@ -285,12 +296,13 @@
     }
 }
 
+/// Writes the open key of an accepted job again, unless the job has any key by now.
 async fn restore_acceptance(auditor: &Auditor, record: &JobRecord) -> Result<(), StoreError> {
-    let again = accept_job(record, auditor.store.watch_cache().may_hold_old_jobs());
+    let transaction = accept_job(record, auditor.store.watch_cache().may_hold_old_jobs());
     auditor
         .store
         .client
-        .compare_and_swap(&again.conditions, &again.changes, RequestPriority::Critical)
+        .compare_and_swap(&transaction.conditions, &transaction.changes, RequestPriority::Critical)
         .await
         .map(|_| ())
 }
