--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -1,5 +1,6 @@
-//! The life of a few jobs, orders and statuses, each transaction made by what makes it in a controller, and
-//! a copy of each of them that comes after every newer one: it is refused, or it changes nothing.
+//! Delayed copies of transactions. The tests run a few jobs, cloud orders and statuses through their whole lifecycle.
+//! Each transaction is built by the code that builds it in a controller, and a copy of each arrives again after every
+//! later one: the copy must be rejected, or must change nothing.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,24 +24,28 @@
 use crate::scheduling::commit::{CommitBatch, remaining_drops, shard_drops};
 use crate::store::{Change, Condition};
 
-/// Copies of these may be taken: what they write stands already, or whoever reads it judges for himself.
-const TAKEN: [&str; 4] = ["plea", "chunks dropped", "order cleaned up", "order marked as done"];
+/// Transactions of which late copies may be applied: what they write is stored already, or its readers check whether it
+/// still applies.
+const REPEATABLE: [&str; 4] = ["takeover request", "shards dropped", "order cleaned up", "order marked as done"];
 
 fn record(n: u64) -> Arc<JobRecord> {
     let id: JobId = format!("run-{n:06}").as_str().into();
     Arc::new(JobRecord { spec: JobSpec { id, ..spec() }, at_ms: 1 })
 }
 
+/// A store and the transactions sent to it, of which late copies are replayed.
 #[derive(Default)]
-struct Life {
+struct Lifecycle {
     store: Store,
     sent: Vec<(&'static str, Vec<Condition>, Vec<Change>)>,
-    compared: usize,
-    taken: Vec<&'static str>,
+    /// Number of late copies replayed.
+    replayed_copies: usize,
+    /// Names of the late copies that were applied.
+    applied_copies: Vec<&'static str>,
 }
 
-impl Life {
-    /// Sends one, and then a copy of each that was sent before it, and of itself.
+impl Lifecycle {
+    /// Sends a transaction, and then late copies of all transactions sent so far, including this one.
     fn send(
         &mut self,
         name: &'static str,
@@ -48,22 +53,28 @@
         changes: impl Into<Vec<Change>>,
     ) -> u64 {
         let (conditions, changes) = (conditions.into(), changes.into());
-        assert!(conditions.len() <= 4 * changes.len(), "{name}: the service takes four a change");
+        assert!(conditions.len() <= 4 * changes.len(), "{name}: the service allows four conditions per change");
         let version =
-            self.store.apply_if(&conditions, &changes).unwrap_or_else(|refused| panic!("{name}: {refused:?}"));
+            self.store.apply_if(&conditions, &changes).unwrap_or_else(|rejection| panic!("{name}: {rejection:?}"));
         self.sent.push((name, conditions, changes));
         for (late, conditions, changes) in &self.sent {
-            self.compared += 1;
+            self.replayed_copies += 1;
             if !self.store.compare(conditions).is_empty() {
                 continue;
             }
-            assert!(TAKEN.contains(late), "{late} is taken once more after {name}");
-            self.taken.push(*late);
+            assert!(REPEATABLE.contains(late), "late copy of {late:?} is applied after {name:?}");
+            self.applied_copies.push(*late);
             for change in changes {
                 match change {
-                    Change::Drop { drop } => assert!(!self.store.has(drop), "{late} after {name} takes {drop}"),
+                    Change::Drop { drop } => {
+                        assert!(!self.store.has(drop), "late copy of {late:?} after {name:?} drops {drop}")
+                    }
                     Change::Write { write, value, .. } => {
-                        assert_eq!(self.store.value(write), Some(value), "{late} after {name} changes {write}");
+                        assert_eq!(
+                            self.store.value(write),
+                            Some(value),
+                            "late copy of {late:?} after {name:?} changes {write}"
+                        );
                     }
                 }
             }
@@ -71,11 +82,11 @@
         version
     }
 
-    fn send_move(&mut self, name: &'static str, sent: JobTransaction) -> u64 {
-        self.send(name, sent.conditions, sent.changes)
+    fn send_job_transaction(&mut self, name: &'static str, transaction: JobTransaction) -> u64 {
+        self.send(name, transaction.conditions, transaction.changes)
     }
 
-    fn batch(
+    fn send_batch(
         &mut self,
         name: &'static str,
         fencing_token: u64,
@@ -93,14 +104,14 @@
         self.send(name, conditions, [change])
     }
 
-    fn take_lease(&mut self, name: &'static str) {
+    fn acquire_lease(&mut self, name: &'static str) {
         let lease = self.store.grant(3000, std::time::Duration::ZERO).unwrap();
         let me = LeaseHolder { node: "a".into(), incarnation: name.into() };
         let (condition, change) = lease_acquisition(&me, lease);
         self.send(name, [condition], [change]);
     }
 
-    fn status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
+    fn write_status(&mut self, name: &'static str, fencing_token: u64, value: Option<serde_json::Value>) -> u64 {
         let version = |key: String| self.store.version(&key);
         let (spec_version, status_version) =
             (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
@@ -109,7 +120,7 @@
         self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
     }
 
-    fn declare(&mut self, change: Change) {
+    fn change_declaration(&mut self, change: Change) {
         self.store.apply_if(&[], &[change]).unwrap();
     }
 }
@@ -120,85 +131,90 @@
 }
 
 #[test]
-fn every_late_copy_is_refused_or_changes_nothing() {
-    let mut life = Life::default();
+fn late_copies_are_rejected_or_change_nothing() {
+    let mut lifecycle = Lifecycle::default();
     let jobs: Vec<Arc<JobRecord>> = (1..=4).map(record).collect();
-    life.take_lease("a holds the lease");
-    let fencing_token = life.become_leader("a leads");
-    // An earlier build's job, taken over.
+    lifecycle.acquire_lease("a holds the lease");
+    let fencing_token = lifecycle.become_leader("a leads");
+    // A job of an earlier build is adopted.
     let old = serde_json::to_value(&*jobs[3]).unwrap();
-    let version = life.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
-    life.send_move("adoption", job_transactions::adopt_job(&jobs[3], version));
+    let version = lifecycle.store.apply_if(&[], &[Change::write(old_job_key(&jobs[3].spec.id), old)]).unwrap();
+    lifecycle.send_job_transaction("adoption", job_transactions::adopt_job(&jobs[3], version));
     let (condition, change) = mark_upgraded(true);
-    life.send("upgraded", [condition], [change]);
-
-    life.send_move("acceptance", job_transactions::accept_job(&jobs[0], true));
-    let placed = life.batch("first placement", fencing_token, vec![], vec![shard(&jobs[0], 0, 1)]);
-    let placed = life.batch("next placement", fencing_token, vec![], vec![shard(&jobs[0], placed, 2)]);
-    life.send_move("second acceptance", job_transactions::accept_job(&jobs[1], true));
-    life.batch("placement beside it", fencing_token, vec![], vec![shard(&jobs[1], 0, 1)]);
-    life.send_move("withdrawal", job_transactions::cancel_job(&jobs[1], None, 5));
-    life.batch("news of the first", fencing_token, vec![], vec![shard(&jobs[0], placed, 3)]);
-    life.batch("done", fencing_token, vec![jobs[0].clone()], vec![]);
+    lifecycle.send("upgraded", [condition], [change]);
+
+    lifecycle.send_job_transaction("acceptance", job_transactions::accept_job(&jobs[0], true));
+    let placed = lifecycle.send_batch("first placement", fencing_token, vec![], vec![shard(&jobs[0], 0, 1)]);
+    let placed = lifecycle.send_batch("next placement", fencing_token, vec![], vec![shard(&jobs[0], placed, 2)]);
+    lifecycle.send_job_transaction("second acceptance", job_transactions::accept_job(&jobs[1], true));
+    lifecycle.send_batch("placement of the second job", fencing_token, vec![], vec![shard(&jobs[1], 0, 1)]);
+    lifecycle.send_job_transaction("cancellation", job_transactions::cancel_job(&jobs[1], None, 5));
+    lifecycle.send_batch("update of the first job", fencing_token, vec![], vec![shard(&jobs[0], placed, 3)]);
+    lifecycle.send_batch("end", fencing_token, vec![jobs[0].clone()], vec![]);
     let drops = jobs[..2].iter().map(|job| (job.spec.id.clone(), 0)).collect::<Vec<_>>();
     let (conditions, changes) = shard_drops(&drops, fencing_token);
-    life.send("chunks dropped", conditions, changes);
-    life.send_move("third acceptance", job_transactions::accept_job(&jobs[2], true));
+    lifecycle.send("shards dropped", conditions, changes);
+    lifecycle.send_job_transaction("third acceptance", job_transactions::accept_job(&jobs[2], true));
 
-    // An order of which one try was not answered, and one of which all were.
-    for (n, name, cleaned, unsure) in
+    // One order with an unanswered attempt, and one whose attempts were all answered.
+    for (n, name, clean_up, unanswered) in
         [(1, "order", "order marked as done", true), (2, "next order", "order cleaned up", false)]
     {
         let order = CloudOrder::new("me", fencing_token, n, CloudAction::Terminate(vec![format!("m{n}")]));
-        life.send(name, order.conditions(fencing_token), [order.change()]);
-        let late: HashMap<String, u64> = unsure.then(|| (order.key.clone(), fencing_token)).into_iter().collect();
+        lifecycle.send(name, order.conditions(fencing_token), [order.change()]);
+        let late: HashMap<String, u64> = unanswered.then(|| (order.key.clone(), fencing_token)).into_iter().collect();
         let OrderCleanUp { conditions, changes } =
             OrderCleanUp::new(std::slice::from_ref(&order.key), &late, fencing_token);
-        if !unsure {
-            // Every try was answered, so none comes late.
-            life.sent.retain(|(sent, ..)| *sent != name);
+        if !unanswered {
+            // Every attempt was answered, so no copy arrives late.
+            lifecycle.sent.retain(|(sent, ..)| *sent != name);
         }
-        life.send(cleaned, conditions, changes);
+        lifecycle.send(clean_up, conditions, changes);
     }
 
-    // A status, and its spec written, removed and made anew under its name.
-    life.declare(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
-    life.status("first status", fencing_token, Some(json!(1)));
-    life.status("next status", fencing_token, Some(json!(2)));
-    life.declare(Change::Drop { drop: spec_key(DeclarationKind::Window, "w") });
-    life.status("status dropped", fencing_token, None);
-    life.declare(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
-    life.status("first status of the next", fencing_token, Some(json!(1)));
+    // A status whose spec is written, removed and created again under the same name.
+    lifecycle.change_declaration(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
+    lifecycle.write_status("first status", fencing_token, Some(json!(1)));
+    lifecycle.write_status("next status", fencing_token, Some(json!(2)));
+    lifecycle.change_declaration(Change::Drop { drop: spec_key(DeclarationKind::Window, "w") });
+    lifecycle.write_status("status dropped", fencing_token, None);
+    lifecycle.change_declaration(Change::write(spec_key(DeclarationKind::Window, "w"), json!(1)));
+    lifecycle.write_status("first status of the new spec", fencing_token, Some(json!(1)));
 
     let takeover_request = TakeoverRequest { node: "b".into(), fencing_token, machines: 2 };
     let (conditions, changes) = takeover_request.transaction();
-    life.send("plea", conditions, changes);
-
-    // What the store has lost is put back.
-    life.store.vanish("h/d/", 1);
-    life.send_move("end put back", restore_end(&jobs[0], End::Done, 9));
-    life.store.vanish(&open_key(&jobs[2].spec.id), 1);
-    life.send_move("job put back", job_transactions::accept_job(&jobs[2], true));
-
-    let fencing_token = life.become_leader("a leads under a higher token");
-    // A candidacy is refused once the lease that it hangs on is over (`membership::late`).
-    life.sent.retain(|(name, ..)| *name != "a holds the lease");
-    let (condition, change) = lease_removal(life.store.version(LEASE_HOLDER));
-    life.send("expiry", [condition], [change]);
-    life.take_lease("b holds the lease");
-    life.become_leader("b leads");
-    life.taken.clear();
-    let third = life.store.version(LEADER);
-    assert!(third > fencing_token);
-    life.batch("placement by b", third, vec![], vec![shard(&jobs[2], 0, 1)]);
-    assert!(life.taken.is_empty(), "nothing of an earlier leader is taken any more: {:?}", life.taken);
-    assert!(life.compared > 300, "{}", life.compared);
+    lifecycle.send("takeover request", conditions, changes);
+
+    // Data that the store has lost is restored.
+    lifecycle.store.vanish("h/d/", 1);
+    lifecycle.send_job_transaction("end restored", restore_end(&jobs[0], End::Done, 9));
+    lifecycle.store.vanish(&open_key(&jobs[2].spec.id), 1);
+    lifecycle.send_job_transaction("job restored", job_transactions::accept_job(&jobs[2], true));
+
+    let fencing_token = lifecycle.become_leader("a leads under a higher token");
+    // A late lease acquisition is rejected once the lease that it is attached to has ended
+    // (`membership::election::tests::late`).
+    lifecycle.sent.retain(|(name, ..)| *name != "a holds the lease");
+    let (condition, change) = lease_removal(lifecycle.store.version(LEASE_HOLDER));
+    lifecycle.send("expiry", [condition], [change]);
+    lifecycle.acquire_lease("b holds the lease");
+    lifecycle.become_leader("b leads");
+    lifecycle.applied_copies.clear();
+    let new_token = lifecycle.store.version(LEADER);
+    assert!(new_token > fencing_token);
+    lifecycle.send_batch("placement by b", new_token, vec![], vec![shard(&jobs[2], 0, 1)]);
+    assert!(
+        lifecycle.applied_copies.is_empty(),
+        "late copies of an earlier leader's transactions are applied: {:?}",
+        lifecycle.applied_copies
+    );
+    assert!(lifecycle.replayed_copies > 300, "{}", lifecycle.replayed_copies);
 }
 
-/// A job whose end the store has lost is put back and placed again: a copy of the drop from before took what
-/// was bound since, and a successor would have placed it a second time.
+/// A job whose end the store has lost is restored and placed again. A late copy of the earlier shard drop used to
+/// delete the new bindings, so that a succeeding leader would have placed the tasks a second time.
 #[test]
-fn a_late_drop_of_shards_takes_nothing_of_a_job_that_was_put_back() {
+fn late_shard_drop_deletes_no_bindings_of_a_restored_job() {
     let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
     store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
     let accept = job_transactions::accept_job(&job, false);
@@ -210,13 +226,13 @@
     let drops = vec![(job.spec.id.clone(), 0)];
     let (conditions, changes) = shard_drops(&drops, fencing_token);
     store.apply_if(&conditions, &changes).unwrap();
-    // Lost, and put back by whoever had accepted it and has not heard of its end.
+    // The end is lost, and the job is restored by the controller that accepted it and has not learned of its end.
     assert_eq!(store.vanish("h/d/", 1).len(), 1);
     store.apply_if(&accept.conditions, &accept.changes).unwrap();
     store.apply_if(&place(0).conditions(fencing_token), &place(0).changes()).unwrap();
-    let refused = store.apply_if(&conditions, &changes).unwrap_err();
-    assert!(store.has(&shard_key(&job.spec.id, 0)), "what is bound stands");
-    // And it is not tried for ever: the rest of what was refused together goes without it.
-    let rest = ("run-000002".into(), 3);
-    assert_eq!(remaining_drops(vec![drops[0].clone(), rest], &refused.failed), [("run-000002".into(), 3)]);
+    let rejection = store.apply_if(&conditions, &changes).unwrap_err();
+    assert!(store.has(&shard_key(&job.spec.id, 0)), "the new bindings are kept");
+    // The rejected drop is not retried forever: the others of the same batch are retried without it.
+    let other = ("run-000002".into(), 3);
+    assert_eq!(remaining_drops(vec![drops[0].clone(), other], &rejection.failed), [("run-000002".into(), 3)]);
 }
