--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
-use crate::jobs::record::LEADER;
+use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::protocol::cloud::ProvisioningRequest;
 use crate::protocol::state::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// Key prefix of stored orders, one key each.
-pub const ORDERS: &str = "d/";
+pub const CLOUD_ORDERS: &str = "d/";
 
 /// Most machines in one provisioning request.
 pub const MOST_PER_PROVISIONING: u64 = 50;
@@ -71,7 +71,7 @@
 /// A cloud operation under a unique key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
-    /// Its key in the store: [`ORDERS`] followed by the order's [`unique_name`].
+    /// Its key in the store: [`CLOUD_ORDERS`] followed by the order's [`unique_name`].
     pub key: String,
     /// Version of the leader record (the leader's fencing token) under which the order was made.
     pub epoch: u64,
@@ -115,12 +115,12 @@
     /// An order under a name of its own. `number` must be new among the orders and requests of this incarnation and
     /// epoch.
     pub fn new(incarnation: &str, epoch: u64, number: u64, action: CloudAction) -> Self {
-        Self { key: format!("{ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
+        Self { key: format!("{CLOUD_ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
     }
 
     /// Conditions of the write that stores the order: the leader record has this version, and the key is absent.
     pub fn conditions(&self, fencing_token: u64) -> [Condition; 2] {
-        [Condition::at(LEADER, fencing_token), Condition::absent(&self.key)]
+        [Condition::at(LEADER_RECORD_KEY, fencing_token), Condition::absent(&self.key)]
     }
 
     /// The change that stores the order; to be sent with [`Self::conditions`].
@@ -140,7 +140,9 @@
             (_, None) => StoreStep::Abandon,
             (Ok(CompareAndSwapOutcome::Applied(_)), _) => StoreStep::Execute,
             // An earlier attempt was applied, and the leader record has not changed since.
-            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => StoreStep::Execute,
+            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER_RECORD_KEY) => {
+                StoreStep::Execute
+            }
             // The leader record changed: this leader has a newer one, or another leader's is not known here yet.
             _ => StoreStep::Retry,
         }
@@ -148,7 +150,7 @@
 
     /// Decodes a stored order. `None`, with an error in the log, if it cannot be decoded or exceeds the limits of the
     /// cloud's calls.
-    pub fn from_item(item: &KeyValue) -> Option<Self> {
+    pub fn from_key_value(item: &KeyValue) -> Option<Self> {
         match StoredOrder::decode(&item.value) {
             Ok(stored) => Some(Self { key: item.path.clone(), epoch: stored.epoch, action: stored.action }),
             Err(error) => {
@@ -243,7 +245,10 @@
                 Change::Drop { drop: key.clone() }
             }
         };
-        Self { conditions: [Condition::at(LEADER, fencing_token)], changes: keys.iter().map(change).collect() }
+        Self {
+            conditions: [Condition::at(LEADER_RECORD_KEY, fencing_token)],
+            changes: keys.iter().map(change).collect(),
+        }
     }
 }
 
--- a/src/store/read_barrier.rs
+++ b/src/store/read_barrier.rs
@@ -15,7 +15,7 @@
 use super::client::WatchResponse;
 use super::handle::StateStore;
 use super::watch::WatchObserver;
-use crate::jobs::record::CACHED;
+use crate::jobs::record::CACHED_PREFIX;
 use crate::sync::lock;
 
 /// Minimum pause between two proofs, so that callers share them.
@@ -171,13 +171,13 @@
     // The request is reserved first: waiting for this controller's share of the rate limit is no sign of a connection
     // that hangs.
     store.client.reserve(RequestPriority::Critical).await?;
-    let first = store.client.watch_reserved(CACHED, revision, Duration::ZERO);
+    let first = store.client.watch_reserved(CACHED_PREFIX, revision, Duration::ZERO);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(SECOND_REQUEST_DELAY, &mut first).await {
         return outcome;
     }
     tokio::select! {
         outcome = &mut first => outcome,
-        outcome = store.client.watch(CACHED, revision, Duration::ZERO) => outcome,
+        outcome = store.client.watch(CACHED_PREFIX, revision, Duration::ZERO) => outcome,
     }
 }
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -15,7 +15,9 @@
 use crate::declarations::records::{spec_key, status_key};
 use crate::history::job_transactions::{self, JobTransaction};
 use crate::history::upgrade::mark_upgraded;
-use crate::jobs::record::{JobRecord, LEADER, LEASE_HOLDER, StoredTask, old_job_key, open_key, shard_key};
+use crate::jobs::record::{
+    JobRecord, LEADER_RECORD_KEY, LEASE_HOLDER_KEY, StoredTask, old_job_key, open_key, shard_key,
+};
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
 use crate::membership::{leader_record_write, lease_acquisition, lease_removal};
@@ -100,7 +102,7 @@
     fn become_leader(&mut self, name: &'static str) -> u64 {
         let me = LeaderRecord { node: "a".into(), incarnation: name.into(), teams: Vec::new() };
         let (conditions, change) =
-            leader_record_write(&me, self.store.version(LEASE_HOLDER), self.store.version(LEADER));
+            leader_record_write(&me, self.store.version(LEASE_HOLDER_KEY), self.store.version(LEADER_RECORD_KEY));
         self.send(name, conditions, [change])
     }
 
@@ -195,12 +197,12 @@
     // A late lease acquisition is rejected once the lease that it is attached to has ended
     // (`membership::election::tests::late`).
     lifecycle.sent.retain(|(name, ..)| *name != "a holds the lease");
-    let (condition, change) = lease_removal(lifecycle.store.version(LEASE_HOLDER));
+    let (condition, change) = lease_removal(lifecycle.store.version(LEASE_HOLDER_KEY));
     lifecycle.send("expiry", [condition], [change]);
     lifecycle.acquire_lease("b holds the lease");
     lifecycle.become_leader("b leads");
     lifecycle.applied_copies.clear();
-    let new_token = lifecycle.store.version(LEADER);
+    let new_token = lifecycle.store.version(LEADER_RECORD_KEY);
     assert!(new_token > fencing_token);
     lifecycle.send_batch("placement by b", new_token, vec![], vec![shard(&jobs[2], 0, 1)]);
     assert!(
@@ -216,7 +218,7 @@
 #[test]
 fn late_shard_drop_deletes_no_bindings_of_a_restored_job() {
     let (mut store, job, fencing_token) = (Store::default(), record(1), 1);
-    store.apply_if(&[], &[Change::write(LEADER, json!("a"))]).unwrap();
+    store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!("a"))]).unwrap();
     let accept = job_transactions::accept_job(&job, false);
     let place = |version| CommitBatch { ends: vec![], shards: vec![shard(&job, version, 1)], at_ms: 5 };
     let end = CommitBatch { ends: vec![job.clone()], shards: vec![], at_ms: 5 };
