--- a/src/declarations/context.rs
+++ b/src/declarations/context.rs
@@ -1,4 +1,5 @@
-//! What the driver of declarations may read and do at the leader, and what declarations ask of the cluster state.
+//! Connects the declaration controller loop to this controller's store, cluster state and membership, and the scheduler
+//! to the intents of declarations.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,17 +20,17 @@
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 use crate::wakeups::Wakeups;
 
-/// Declarations at one controller.
+/// The components of one controller that declarations use.
 pub struct DeclarationState {
-    /// The state service; its watch cache holds the declarations.
+    /// Access to the state service; its watch cache holds the declarations.
     pub store: Arc<StateStore>,
-    /// Ends of jobs.
+    /// How jobs ended.
     pub history: Arc<JobHistory>,
-    /// Whether this controller may act as the leader.
+    /// Tells whether this controller may act as the leader.
     pub membership: Arc<Membership>,
-    /// The cluster state, of which declarations ask something.
+    /// The leader's cluster state, which receives the intents of declarations.
     pub leader: Arc<LeaderState>,
-    /// Wakes the driver, and the election where another may lead.
+    /// Wakes the declaration loop, and the election when another controller may be the leader.
     pub wakeups: Arc<Wakeups>,
 }
 
@@ -49,17 +50,17 @@
 impl DeclarationContext for DeclarationState {
     fn is_idle(&self) -> bool {
         let watch_cache = self.store.watch_cache();
-        let nothing = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
-        nothing && self.leader.cluster().as_ref().is_none_or(|b| b.intents.is_empty())
+        let nothing_declared = watch_cache.registry().is_empty() && !watch_cache.registry().has_status_changes();
+        nothing_declared && self.leader.cluster().as_ref().is_none_or(|cluster| cluster.intents.is_empty())
     }
 
-    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
+    fn with_state<T>(&self, action: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
         if self.membership.unproven() {
             return None;
         }
-        let (mut watch_cache, mut held) = (self.store.watch_cache(), self.leader.cluster());
-        let cluster = held.as_mut()?;
-        Some(work(cluster, &mut watch_cache, &|id| self.history.known_end(id)))
+        let (mut watch_cache, mut cluster_guard) = (self.store.watch_cache(), self.leader.cluster());
+        let cluster = cluster_guard.as_mut()?;
+        Some(action(cluster, &mut watch_cache, &|id| self.history.known_end(id)))
     }
 
     fn query_job_end(&self, id: &JobId) {
--- a/src/declarations/events.rs
+++ b/src/declarations/events.rs
@@ -1,7 +1,7 @@
-//! Log events of declarations: each has a constant message, and its particulars are fields.
+//! Log events of declarations. Each has a constant message and carries its details in fields.
 //!
-//! Events follow from a status before and after a change. They are logged by the leader only once it has heard of the
-//! change from the store, so that nothing is logged that was not stored.
+//! Events are derived from the status before and after a change. The leader logs them only once it has observed the
+//! change in the store, so that nothing is logged that was not stored.
 
 use std::fmt::Debug;
 
@@ -9,13 +9,13 @@
 
 use super::records::DeclarationKind;
 
-/// An event of one kind of declaration.
+/// A change of status of one kind of declaration that can be logged.
 pub trait StatusEvent: Debug + Send {
-    /// Logs it for the declaration of this name.
+    /// Logs the event for the declaration named `name`.
     fn log(&self, name: &str);
 }
 
-/// The event type of kinds that log nothing.
+/// The uninhabited event type of kinds that log no status changes.
 #[derive(Debug)]
 pub enum NoEvent {}
 
@@ -25,30 +25,30 @@
     }
 }
 
-/// An event of any declaration.
+/// An event of a declaration of any kind.
 #[derive(Debug)]
 pub enum DeclarationEvent {
-    /// Its status was dropped after its spec.
+    /// The status was deleted after its specification.
     Removed {
         /// The declaration's kind.
         kind: DeclarationKind,
-        /// Its name.
+        /// The declaration's name.
         name: String,
     },
-    /// The next status is larger than the store takes.
+    /// The next status exceeds the size limit of a stored value.
     StatusTooLarge {
         /// The declaration's kind.
         kind: DeclarationKind,
-        /// Its name.
+        /// The declaration's name.
         name: String,
-        /// Size of the status as JSON.
+        /// Size of the status as JSON, in bytes.
         bytes: usize,
     },
-    /// Its status has changed in a way that its kind logs.
+    /// The status changed in a way that the kind logs.
     StatusChanged {
         /// The declaration's name.
         name: String,
-        /// What has changed.
+        /// The change.
         event: Box<dyn StatusEvent>,
     },
 }
--- a/src/declarations/mod.rs
+++ b/src/declarations/mod.rs
@@ -1,9 +1,10 @@
-//! Declarations: desired state that operators declare and controllers carry out.
+//! Declarations: desired state that operators declare and that the leader reconciles.
 //!
-//! A spec is written by operators only, a status by the leader only: conditional on its leader record, on the spec's
-//! version and on the status's own. A successor reads both and continues from there, at any point. Nothing acts on a
-//! status before it is stored: the intents that placement, provisioning and scale-in follow (`scheduling::intents`)
-//! derive from statuses as the watch cache has them, the cluster state and the time.
+//! Only operators write specifications and only the leader writes statuses. A status write is a compare-and-swap on the
+//! leader record, the version of the specification and the version of the status. A successor reads both and continues
+//! from there, at any point. Nothing acts on a status before it is stored: the intents that placement, provisioning and
+//! scale-in follow (`scheduling::intents`) are derived from the statuses in the watch cache, the cluster state and the
+//! time.
 
 pub mod context;
 pub mod driver;
@@ -33,42 +34,42 @@
 pub use records::DeclarationKind;
 pub use registry::{DeclarationRegistry, NamedSpec, Versioned};
 
-/// A field of a spec that cannot be used, and why. Shown as `FIELD: REASON`.
+/// Validation error of one field of a specification. Displayed as `FIELD: REASON`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SpecError {
-    /// The field's name.
+    /// The name of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value of the field is invalid.
     pub reason: String,
 }
 
 impl SpecError {
-    /// A field and what is wrong with it.
+    /// Creates the error for a field and a reason.
     pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { field: field.into(), reason: reason.into() }
     }
 
-    /// A verb that this kind does not have.
+    /// Creates the error for a verb that a kind does not support.
     pub fn unknown_verb(verb: &str, kind: DeclarationKind) -> Self {
         Self::new("verb", format!("{verb:?} is nothing that can be done with a {kind}"))
     }
 }
 
-/// The names in the settings that a spec may refer to, for checks without any I/O.
+/// The names in the settings that a specification may refer to, for validation without I/O.
 pub struct KnownNames<'a> {
-    /// The teams.
+    /// The configured teams.
     pub teams: &'a [Team],
-    /// The classes that the objectives name.
+    /// The job classes that the objectives name, sorted and without duplicates.
     pub classes: Vec<&'a str>,
-    /// The zones.
+    /// The configured zones.
     pub zones: &'a [String],
-    /// All parameters.
+    /// All parameters of the settings.
     pub params: &'a Params,
 }
 
 impl<'a> KnownNames<'a> {
-    /// The names in these settings.
+    /// Collects the names from the settings.
     pub fn from_settings(settings: &'a Settings) -> Self {
         let params = &settings.params;
         let mut classes: Vec<&str> = params.objectives.iter().map(|o| o.class.as_str()).collect();
@@ -79,33 +80,33 @@
     }
 }
 
-/// State and time: the whole input of a decision about a declaration.
+/// The whole input of a decision about a declaration: the state and the time.
 pub struct DeclarationView<'a> {
     /// The leader's cluster state.
     pub cluster: &'a ClusterState,
-    /// How jobs ended, as far as this controller knows.
+    /// Looks up how a job ended, as far as this controller knows.
     pub job_end: &'a dyn Fn(&str) -> Option<End>,
-    /// All specs and statuses.
+    /// All stored specifications and statuses.
     pub registry: &'a DeclarationRegistry,
-    /// The monotonic time.
+    /// The current monotonic time.
     pub now: Instant,
-    /// Time of day in ms since 1970. It may step, also backwards.
+    /// Wall-clock time in ms since the Unix epoch. It may step, also backwards.
     pub now_ms: u64,
     /// The leader's fencing token.
     pub fencing_token: u64,
-    /// The settings.
+    /// The leader's settings.
     pub settings: &'a Settings,
-    /// Which window each open job belongs to, computed when it is first used.
+    /// The planning window of each open job, computed on first use.
     pub jobs_by_window: OnceCell<JobsByWindow>,
-    /// Jobs that have ended in a way that is not known here: the store is queried for them.
+    /// Jobs that have ended but whose outcome this controller does not know; the store is queried for them.
     pub unknown_ends: RefCell<BTreeSet<JobId>>,
 }
 
-/// Jobs whose ends are queried at once.
+/// Maximum number of jobs whose ends one evaluation queries.
 const MAX_UNKNOWN_ENDS: usize = 64;
 
 impl DeclarationView<'_> {
-    /// Asks the store how a job ended; a later evaluation may know.
+    /// Requests a query of how a job ended; a later evaluation may have the answer.
     pub fn query_job_end(&self, id: &JobId) {
         let mut unknown_ends = self.unknown_ends.borrow_mut();
         if unknown_ends.len() < MAX_UNKNOWN_ENDS {
@@ -114,48 +115,48 @@
     }
 }
 
-/// What a verb makes of a spec.
+/// The result of applying an operator's verb to a specification.
 #[derive(Debug)]
 pub struct VerbOutcome<S> {
-    /// The spec to be written.
+    /// The specification to write.
     pub spec: S,
-    /// A job to be cancelled as its user would, before the spec is written.
+    /// A job to cancel, through the same request as its user's, before the specification is written.
     pub cancel: Option<JobId>,
 }
 
-/// The decisions of one kind of declaration. All of it is free of I/O.
+/// The logic of one kind of declaration. No method performs I/O.
 pub trait DeclarationLogic {
-    /// The kind, which names its keys.
+    /// The kind, which is part of the store keys.
     const KIND: DeclarationKind;
-    /// What operators declare.
+    /// The specification that operators declare.
     type Spec: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
-    /// What the leader stores of it.
+    /// The status that the leader stores.
     type Status: Serialize + DeserializeOwned + Clone + PartialEq + Default + Send + Sync + 'static;
-    /// What is logged of its changes.
+    /// The event that is logged for a change of status.
     type Event: StatusEvent + 'static;
 
-    /// Checks one spec.
+    /// Validates one specification.
     ///
     /// # Errors
-    /// Names the first field that cannot be used.
+    /// Returns the first invalid field.
     fn check_spec(spec: &Self::Spec, names: &KnownNames) -> Result<(), SpecError>;
 
-    /// Checks all specs of this kind together, as they would be after a write.
+    /// Validates all specifications of this kind together, as they would be after a write.
     ///
     /// # Errors
-    /// Names the first field that cannot be used.
+    /// Returns the first invalid field.
     fn check_all_specs(all: &BTreeMap<String, Self::Spec>) -> Result<(), SpecError> {
         let _ = all;
         Ok(())
     }
 
-    /// A checked spec as it is written over the present one, at a time of day in ms.
+    /// Returns the specification to store for a validated one that replaces `before`, at wall-clock time `now_ms`.
     fn spec_to_store(spec: Self::Spec, before: Option<&Self::Spec>, now_ms: u64) -> Self::Spec {
         let _ = (before, now_ms);
         spec
     }
 
-    /// The next status; none if it stays as it is. Called at least each second.
+    /// Returns the next status, or `None` if the status is unchanged. Called at least once per second.
     fn next_status(
         name: &str,
         spec: &Self::Spec,
@@ -163,19 +164,19 @@
         view: &DeclarationView,
     ) -> Option<Self::Status>;
 
-    /// Adds what follows from the stored status for placement, provisioning, holding back and scale-in.
+    /// Adds the intents for placement, provisioning, deferring jobs and scale-in that follow from the stored status.
     fn add_intents(name: &str, spec: &Self::Spec, status: &Self::Status, view: &DeclarationView, intents: &mut Intents);
 
-    /// Describes spec and status in lines for operators.
+    /// Describes the specification and the status in lines for operators.
     fn describe(name: &str, spec: &Self::Spec, status: &Self::Status, now_ms: u64) -> Vec<String>;
 
-    /// The events of a change of status, to be logged once it is stored.
+    /// Returns the events of a change of status, to be logged once the change is stored.
     fn status_events(before: &Self::Status, after: &Self::Status) -> Vec<Self::Event>;
 
-    /// Applies an operators' verb (`confirm`, `pause`, `resume`, `back`, `finish`) to a spec.
+    /// Applies an operator's verb (`confirm`, `pause`, `resume`, `back`, `finish`) to a specification.
     ///
     /// # Errors
-    /// Names why the verb cannot be applied.
+    /// Returns the reason why the verb cannot be applied.
     fn apply_verb(
         verb: &str,
         spec: &Self::Spec,
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -1,8 +1,8 @@
-//! Operators' verbs through the state service: read, compute, write on condition of the versions read, and start again
-//! if somebody else has written meanwhile.
+//! Operators' verbs. Each reads the declarations from the state service, computes the new specifications, writes them
+//! with a compare-and-swap on the versions read, and starts again after a conflicting write.
 //!
-//! Each write also changes one key common to all operators. So writes are serialized, the bounds on how much is
-//! declared hold exactly, and a delayed copy of a write changes nothing.
+//! Each write also changes one key common to all operators. This serializes the writes, so that the limits on the number
+//! and size of declarations hold exactly and a delayed copy of a write changes nothing.
 
 mod client;
 pub mod error;
@@ -17,54 +17,54 @@
 pub use self::error::{NoAnswer, OperatorError, Refusal};
 use self::stored::{SpecWrite, StoredDeclarations};
 use super::records::{DeclarationId, MAX_SPECS_BYTES, is_valid_name};
-use super::table::{Declaration, KindOperations, find_kind};
+use super::table::{Declaration, KindOperations, find_operations};
 use super::{DeclarationKind, KnownNames, SpecError};
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
 
-/// Reasons shown for one list.
+/// Maximum number of refusals reported for one list of specifications.
 const MAX_REFUSALS: usize = 20;
 
-/// A declaration as operators see it.
+/// A declaration as it is shown to operators.
 #[derive(Debug, serde::Serialize)]
 pub struct DeclarationReport {
-    /// Its kind.
+    /// The declaration's kind.
     pub kind: DeclarationKind,
-    /// Its name.
+    /// The declaration's name.
     pub name: String,
-    /// The stored spec.
+    /// The stored specification, unless it was removed.
     pub spec: Option<Value>,
-    /// The stored status.
+    /// The stored status, if there is one.
     pub status: Option<Value>,
-    /// Both, described in lines.
+    /// The description of specification and status, in lines.
     pub lines: Vec<String>,
 }
 
-/// The operators' side: reads and writes specs directly in the store.
+/// Executes operators' verbs by reading and writing specifications directly in the store.
 pub struct Operator {
     kinds: &'static [KindOperations],
     client: OperatorClient,
 }
 
 impl Operator {
-    /// Gives up on the store after `patience`.
-    pub fn new(settings: Settings, kinds: &'static [KindOperations], patience: Duration) -> Self {
-        Self { kinds, client: OperatorClient::new(settings, patience) }
+    /// Creates an operator that stops retrying requests to the store after `timeout`.
+    pub fn new(settings: Settings, kinds: &'static [KindOperations], timeout: Duration) -> Self {
+        Self { kinds, client: OperatorClient::new(settings, timeout) }
     }
 
     fn operations(&self, kind: DeclarationKind) -> Result<&'static KindOperations, Refusal> {
-        find_kind(self.kinds, kind).ok_or(Refusal::UnsupportedKind(kind))
+        find_operations(self.kinds, kind).ok_or(Refusal::UnsupportedKind(kind))
     }
 
-    /// Parses one object or a list of them, each with its name, and checks all without any request.
+    /// Parses one specification or a list of them, each with its name, and validates all without any request.
     ///
     /// # Errors
-    /// Names what is wrong with each entry.
+    /// Returns the reason for each invalid entry.
     pub fn parse_specs(&self, kind: DeclarationKind, text: &str) -> Result<BTreeMap<String, Value>, OperatorError> {
         let operations = self.operations(kind)?;
         let list = match serde_json::from_str(text).map_err(Refusal::Json)? {
             Value::Array(list) => list,
-            one => vec![one],
+            single => vec![single],
         };
         if list.len() > kind.max_count() {
             return Err(Refusal::TooMany { kind, count: list.len() }.into());
@@ -87,10 +87,10 @@
         if refusals.is_empty() { Ok(specs) } else { Err(OperatorError::Refused(refusals)) }
     }
 
-    /// Writes these specs, and gives the names of those that were not stored as given already.
+    /// Writes specifications and returns the names of those that differed from the stored ones.
     ///
     /// # Errors
-    /// There would be too much, or there is no answer.
+    /// Fails if a limit would be exceeded or the specifications conflict, or without a definite answer.
     pub async fn declare(
         &self,
         kind: DeclarationKind,
@@ -101,10 +101,10 @@
         self.client.read_and_write(kind, decide).await
     }
 
-    /// Removes a spec.
+    /// Removes a specification.
     ///
     /// # Errors
-    /// It is not declared, or there is no answer.
+    /// Fails if the name is not declared, or without a definite answer.
     pub async fn remove(&self, kind: DeclarationKind, name: &str) -> Result<(), OperatorError> {
         let decide = async |stored: &StoredDeclarations, attempt| match stored.declaration(kind, name) {
             Ok(_) => Ok(vec![SpecWrite::remove(name)]),
@@ -114,11 +114,11 @@
         self.client.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// Applies one of the kind's verbs. A job that is to be cancelled with it is cancelled first, at this controller,
-    /// as its user would.
+    /// Applies one of the kind's verbs. If the verb cancels a job, the job is cancelled first at the controller `node`,
+    /// through the same request as its user's.
     ///
     /// # Errors
-    /// The verb cannot be applied, or there is no answer.
+    /// Fails if the verb cannot be applied, or without a definite answer.
     pub async fn apply_verb(
         &self,
         kind: DeclarationKind,
@@ -137,10 +137,10 @@
         self.client.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// Stores a sensor's reading of a time of day. A reading of a later time is not replaced.
+    /// Stores a sensor's reading taken at a wall-clock time. A reading of a later time is not replaced.
     ///
     /// # Errors
-    /// The reading cannot be used, or there is no answer.
+    /// Fails if the reading is invalid or older than the stored one, or without a definite answer.
     pub async fn store_reading(&self, name: &str, value: f64, at_ms: u64) -> Result<(), OperatorError> {
         let kind = DeclarationKind::Reading;
         let operations = self.operations(kind)?;
@@ -166,10 +166,10 @@
         self.client.read_and_write(kind, decide).await.map(drop)
     }
 
-    /// Shows all declarations, or those of one kind, or one of them; and statuses that are still to be dropped.
+    /// Reports all declarations, those of one kind, or a single one, including statuses that are still to be deleted.
     ///
     /// # Errors
-    /// The name is not declared, or there is no answer.
+    /// Fails if the name is not declared, or without a definite answer.
     pub async fn show(
         &self,
         kind: Option<DeclarationKind>,
@@ -189,7 +189,7 @@
 
     fn report(&self, stored: &StoredDeclarations, id: &DeclarationId, now_ms: u64) -> DeclarationReport {
         let (spec, status) = (stored.spec(id), stored.statuses.get(id));
-        let lines = match (spec, find_kind(self.kinds, id.kind)) {
+        let lines = match (spec, find_operations(self.kinds, id.kind)) {
             (None, _) => vec!["removed; its status goes as soon as that is told".to_owned()],
             (Some(_), None) => vec!["this build does not carry it out".to_owned()],
             (Some(spec), Some(operations)) => {
@@ -205,7 +205,7 @@
     SpecError::new("name", format!("{name} is not 1 to 64 of a-z, 0-9, dot and dash"))
 }
 
-/// The name of an entry of a list.
+/// Validates the name of an entry of a list.
 fn check_name(name: Option<Value>) -> Result<String, SpecError> {
     match name {
         Some(Value::String(name)) if is_valid_name(&name) => Ok(name),
@@ -214,15 +214,17 @@
     }
 }
 
-/// Which of these specs have to be written, if all of them may stand together with those that are stored.
+/// Returns the writes for the specifications that differ from the stored ones, if all of them together with the stored
+/// ones are valid and within the limits.
 fn decide_declare(
     operations: &KindOperations,
     stored: &StoredDeclarations,
     specs: &BTreeMap<String, Value>,
 ) -> Result<Vec<SpecWrite>, OperatorError> {
     let kind = operations.kind;
-    let of_kind = stored.specs.iter().filter(|(id, _)| id.kind == kind);
-    let mut all: BTreeMap<String, Value> = of_kind.map(|(id, spec)| (id.name.clone(), spec.value.clone())).collect();
+    let specs_of_kind = stored.specs.iter().filter(|(id, _)| id.kind == kind);
+    let mut all: BTreeMap<String, Value> =
+        specs_of_kind.map(|(id, spec)| (id.name.clone(), spec.value.clone())).collect();
     let mut writes = Vec::new();
     for (name, spec) in specs {
         let before = all.get(name);
@@ -243,7 +245,7 @@
     Ok(writes)
 }
 
-/// The spec of a reading, unless one of a later time is stored.
+/// Returns the specification of a reading, unless a later reading is stored.
 fn decide_reading(stored: &StoredDeclarations, name: &str, value: f64, at_ms: u64) -> Result<Value, SpecError> {
     let present = stored.spec(&DeclarationId::new(DeclarationKind::Reading, name));
     let later = present.and_then(|spec| spec["at_ms"].as_u64()).filter(|present_ms| *present_ms > at_ms);
--- a/src/declarations/operator/error.rs
+++ b/src/declarations/operator/error.rs
@@ -1,17 +1,17 @@
-//! Why an operator's verb was not carried out.
+//! Errors of operators' verbs.
 
 use crate::declarations::SpecError;
 use crate::declarations::records::{DeclarationKind, MAX_SPECS_BYTES};
 use crate::jobs::JobId;
 use crate::store::StoreError;
 
-/// Why a verb was not carried out. What was refused has left nothing behind.
+/// Why a verb was not carried out. A refused verb has changed nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The request is refused, for these reasons.
+    /// The request was refused for these reasons.
     #[error("{}", join_lines(.0))]
     Refused(Vec<Refusal>),
-    /// There was no definite answer for as long as the operator waits.
+    /// There was no definite answer within the operator's timeout.
     #[error(transparent)]
     NoAnswer(#[from] NoAnswer),
 }
@@ -32,83 +32,83 @@
     }
 }
 
-/// A reason to refuse a verb.
+/// A reason why a verb was refused.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
-    /// The kind is known to another build.
+    /// This build does not support the kind.
     #[error("kind: this build carries out no {0}")]
     UnsupportedKind(DeclarationKind),
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field cannot be used.
+    /// A field is invalid.
     #[error(transparent)]
     Field(#[from] SpecError),
-    /// A field of an entry of a list cannot be used.
+    /// A field of an entry of a list is invalid.
     #[error("{entry}: {source}")]
     Entry {
         /// The entry's name, or its index in brackets.
         entry: String,
-        /// What is wrong.
+        /// The invalid field and the reason.
         source: SpecError,
     },
-    /// There is no declaration of this name.
+    /// No declaration has this name.
     #[error("name: no {kind} {name:?} is declared")]
     NotDeclared {
-        /// The kind asked for.
+        /// The requested kind.
         kind: DeclarationKind,
-        /// The name asked for.
+        /// The requested name.
         name: String,
     },
-    /// There would be too many of a kind.
+    /// The write would exceed the maximum number of declarations of a kind.
     #[error("{kind}: {count} are more than the {} that can be declared", kind.max_count())]
     TooMany {
         /// The kind.
         kind: DeclarationKind,
-        /// How many there would be.
+        /// The number of declarations after the write.
         count: usize,
     },
-    /// All specs of the kind would be too large together.
+    /// The write would exceed the maximum total size of the specifications of a kind.
     #[error("{kind}: {bytes} bytes are more than the {MAX_SPECS_BYTES} together")]
     TooLarge {
         /// The kind.
         kind: DeclarationKind,
-        /// Their size as JSON.
+        /// The total size as JSON, in bytes.
         bytes: usize,
     },
     /// A controller refused to cancel the old job of a rollout.
     #[error("{job}: {node} answered {status} to its withdrawal")]
     CancellationRefused {
-        /// The job.
+        /// The job to cancel.
         job: JobId,
         /// The controller's address.
         node: String,
-        /// The HTTP status that it answered.
+        /// The HTTP status of the answer.
         status: u16,
     },
 }
 
-/// What did not answer in time.
+/// Why there was no definite answer in time.
 #[derive(Debug, thiserror::Error)]
 pub enum NoAnswer {
-    /// The status of a removed declaration of the same name is still there.
+    /// The status of a removed declaration of the same name has not been deleted yet.
     #[error("still being removed: {}", .0.join(" "))]
     StillBeingRemoved(Vec<String>),
-    /// Each attempt found that these keys had been written meanwhile.
+    /// Every attempt found that others had written these keys in the meantime.
     #[error("written by others again and again: {}", .0.join(" "))]
     Conflicts(Vec<String>),
-    /// A controller does not answer to the cancellation of a job.
+    /// A controller did not confirm the cancellation of a job.
     #[error("{node} does not withdraw {job}")]
     Cancellation {
         /// The controller's address.
         node: String,
-        /// The job.
+        /// The job to cancel.
         job: JobId,
     },
-    /// The state service has no usable answer.
+    /// The state service gave no usable answer.
     #[error("{endpoint}: {source}")]
     StateService {
-        /// Its address.
+        /// The address of the state service.
         endpoint: String,
         /// The last error.
         source: StoreError,
--- a/src/declarations/operator/stored.rs
+++ b/src/declarations/operator/stored.rs
@@ -1,4 +1,4 @@
-//! What is stored of declarations when an operator's verb begins, and the transaction that writes over it.
+//! The stored declarations that an operator's verb reads, and the transaction that it writes.
 
 use std::collections::BTreeMap;
 
@@ -13,40 +13,40 @@
 use crate::store::client::KeyValue;
 use crate::store::{Change, Condition};
 
-/// The write of one spec.
+/// A write or removal of one specification.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpecWrite {
     /// The declaration's name.
     pub name: String,
-    /// None where it is dropped.
+    /// The new specification, or `None` to remove it.
     pub spec: Option<Value>,
 }
 
 impl SpecWrite {
-    /// Writes a spec.
+    /// Creates the write of a specification.
     pub fn put(name: impl Into<String>, spec: Value) -> Self {
         Self { name: name.into(), spec: Some(spec) }
     }
 
-    /// Drops a spec.
+    /// Creates the removal of a specification.
     pub fn remove(name: impl Into<String>) -> Self {
         Self { name: name.into(), spec: None }
     }
 }
 
-/// The declarations of one kind, or of all, as they were read.
+/// The declarations of one kind or of all kinds, as read from the store.
 #[derive(Debug, Default)]
 pub struct StoredDeclarations {
-    /// The version of the key common to all operators.
+    /// The version of the key that every operator write changes.
     pub operators_version: u64,
-    /// The specs.
+    /// The specifications, with their versions.
     pub specs: BTreeMap<DeclarationId, Versioned<Value>>,
-    /// The statuses.
+    /// The statuses by declaration.
     pub statuses: BTreeMap<DeclarationId, Value>,
 }
 
 impl StoredDeclarations {
-    /// Takes in an item that was read; items that are no declarations are ignored.
+    /// Adds an item read from the store; items that are not declarations are ignored.
     pub fn add_item(&mut self, item: KeyValue) {
         let Some(DeclarationKey { part, kind, name }) = parse_key(&item.path) else { return };
         let id = DeclarationId::new(kind, name);
@@ -60,15 +60,15 @@
         }
     }
 
-    /// The spec of this id, if it is declared.
+    /// Returns the specification with this identifier, if it is declared.
     pub fn spec(&self, id: &DeclarationId) -> Option<&Value> {
         self.specs.get(id).map(|spec| &spec.value)
     }
 
-    /// The declaration of a kind and name.
+    /// Returns the declaration of a kind and name.
     ///
     /// # Errors
-    /// Refuses a name that is not declared.
+    /// Fails if the name is not declared.
     pub fn declaration<'a>(&'a self, kind: DeclarationKind, name: &'a str) -> Result<Declaration<'a>, Refusal> {
         let id = DeclarationId::new(kind, name);
         match self.spec(&id) {
@@ -78,24 +78,25 @@
     }
 }
 
-/// A conditional transaction.
+/// A conditional transaction on the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transaction {
-    /// What has to hold.
+    /// The conditions under which the changes are applied.
     pub conditions: Vec<Condition>,
-    /// What is then changed.
+    /// The changes, applied all together or not at all.
     pub changes: Vec<Change>,
 }
 
 impl Transaction {
-    /// Writes specs over what was read. It also writes `marker` to the key common to all operators.
+    /// Creates the transaction that writes specifications on condition of the versions read. It also writes `marker` to
+    /// the key that every operator write changes.
     pub fn new(kind: DeclarationKind, stored: &StoredDeclarations, writes: &[SpecWrite], marker: &Value) -> Self {
         let mut conditions = vec![Condition::at(OPERATORS_KEY, stored.operators_version)];
         let mut changes = vec![Change::write(OPERATORS_KEY, marker.clone())];
         for SpecWrite { name, spec } in writes {
             let version = stored.specs.get(&DeclarationId::new(kind, name)).map_or(0, |spec| spec.version);
             conditions.push(Condition::at(spec_key(kind, name), version));
-            // A removal is final: a name is free again once its status is gone.
+            // A name can be declared again only once the status of its removed declaration has been deleted.
             if version == 0 {
                 conditions.push(Condition::absent(status_key(kind, name)));
             }
--- a/src/declarations/records.rs
+++ b/src/declarations/records.rs
@@ -1,24 +1,26 @@
-//! Keys of declarations, and how many of them there may be.
+//! Store keys of declarations, and limits on their number and size.
 //!
-//! They lie below the prefix that every controller watches already, so that no further request or watch is needed:
-//! `c/s/KIND/NAME` is a spec, which only operators write, and `c/t/KIND/NAME` its status, which only the leader writes.
+//! The keys lie below the prefix that every controller watches already, so that no further request or watch is needed:
+//! `c/s/KIND/NAME` holds a specification, which only operators write, and `c/t/KIND/NAME` its status, which only the
+//! leader writes.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of specs.
+/// Key prefix of specifications.
 pub const SPEC_PREFIX: &str = "c/s/";
-/// Prefix of statuses.
+/// Key prefix of statuses.
 pub const STATUS_PREFIX: &str = "c/t/";
-/// Every write of an operator changes this key, so that a delayed copy of an earlier write fails its condition on the
-/// key's version. It sorts before the keys that controllers list.
+/// Key that every operator write changes, so that a delayed copy of an earlier write fails its condition on the key's
+/// version. It sorts before the keys that controllers list.
 pub const OPERATORS_KEY: &str = "c/declared";
 
-/// Largest spec and largest status, in bytes of JSON; less where the state service takes less.
+/// Maximum size of a specification or a status, in bytes of JSON; the state service's value limit applies if lower.
 pub const MAX_VALUE_BYTES: usize = 8 * 1024;
-/// Largest total of all specs of a kind, in bytes of JSON: every controller keeps them in memory.
+/// Maximum total size of all specifications of a kind, in bytes of JSON: every controller keeps them in memory.
 pub const MAX_SPECS_BYTES: usize = 2 * 1024 * 1024;
+/// Maximum length of a declaration's name, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
 
 /// The kinds of declarations.
@@ -36,10 +38,10 @@
 }
 
 impl DeclarationKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 4] = [Self::Window, Self::Heat, Self::Reading, Self::Rollout];
 
-    /// The kind's name in keys and commands.
+    /// Returns the kind's name in keys and commands.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Window => "window",
@@ -49,12 +51,12 @@
         }
     }
 
-    /// The kind of this name.
+    /// Returns the kind with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// How many of this kind can be declared.
+    /// Returns the maximum number of declarations of this kind.
     pub fn max_count(self) -> usize {
         match self {
             Self::Window => 1000,
@@ -70,58 +72,58 @@
     }
 }
 
-/// Which half of a declaration a key holds.
+/// The part of a declaration that a key holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeclarationPart {
-    /// What an operator wrote.
+    /// The specification, written by operators.
     Spec,
-    /// What the leader wrote.
+    /// The status, written by the leader.
     Status,
 }
 
-/// Identifies a declaration.
+/// Identifies a declaration by kind and name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeclarationId {
-    /// Its kind.
+    /// The declaration's kind.
     pub kind: DeclarationKind,
-    /// Its name, unique among those of the kind.
+    /// The declaration's name, unique within its kind.
     pub name: String,
 }
 
 impl DeclarationId {
-    /// The id of the declaration of a kind and name.
+    /// Creates the identifier of the declaration with this kind and name.
     pub fn new(kind: DeclarationKind, name: impl Into<String>) -> Self {
         Self { kind, name: name.into() }
     }
 }
 
-/// A parsed key.
+/// A parsed store key of a declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeclarationKey<'a> {
-    /// Spec or status.
+    /// Whether the key holds the specification or the status.
     pub part: DeclarationPart,
     /// The declaration's kind.
     pub kind: DeclarationKind,
-    /// Its name.
+    /// The declaration's name.
     pub name: &'a str,
 }
 
-/// Key of a spec.
+/// Returns the key of a specification.
 pub fn spec_key(kind: DeclarationKind, name: &str) -> String {
     format!("{SPEC_PREFIX}{kind}/{name}")
 }
 
-/// Key of a status.
+/// Returns the key of a status.
 pub fn status_key(kind: DeclarationKind, name: &str) -> String {
     format!("{STATUS_PREFIX}{kind}/{name}")
 }
 
-/// Whether a key is one of a spec or a status, of whatever kind.
+/// Returns whether a key belongs to a specification or a status, of a known or an unknown kind.
 pub fn is_declaration_key(path: &str) -> bool {
     path.starts_with(SPEC_PREFIX) || path.starts_with(STATUS_PREFIX)
 }
 
-/// Parses keys made by `spec_key` and `status_key`; none for kinds that only a later build knows.
+/// Parses a key made by `spec_key` or `status_key`. Returns `None` for kinds that only a later build knows.
 pub fn parse_key(path: &str) -> Option<DeclarationKey<'_>> {
     let (part, rest) = match path.strip_prefix(SPEC_PREFIX) {
         Some(rest) => (DeclarationPart::Spec, rest),
@@ -132,10 +134,13 @@
     Some(key).filter(|key| is_valid_name(key.name))
 }
 
-/// 1 to 64 of small letters, digits, dots and dashes, beginning with a letter or a digit.
+/// Returns whether a name consists of 1 to 64 lowercase ASCII letters, digits, dots and dashes and begins with a letter
+/// or a digit.
 pub fn is_valid_name(name: &str) -> bool {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    name.len() <= MAX_NAME_LENGTH && name.starts_with(plain) && name.chars().all(|c| plain(c) || matches!(c, '.' | '-'))
+    let is_alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
+    name.len() <= MAX_NAME_LENGTH
+        && name.starts_with(is_alphanumeric)
+        && name.chars().all(|c| is_alphanumeric(c) || matches!(c, '.' | '-'))
 }
 
 #[cfg(test)]
--- a/src/declarations/records/tests.rs
+++ b/src/declarations/records/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A name becomes a part of a key and of a path in a request.
+/// Names become part of store keys and request paths, so keys have to parse back and invalid names have to be rejected.
 #[test]
-fn keys_are_parsed_back_and_names_checked() {
+fn keys_parse_back_and_invalid_names_are_rejected() {
     for kind in DeclarationKind::ALL {
         assert_eq!(
             parse_key(&spec_key(kind, "a.b-1")),
--- a/src/declarations/registry.rs
+++ b/src/declarations/registry.rs
@@ -1,7 +1,7 @@
-//! All declarations in the watch cache: specs, statuses, and which statuses changed last.
+//! The declarations in the watch cache: specifications, statuses and recent status changes.
 //!
-//! A value is kept as text and decoded as its kind's type when it is first used, which only leaders do. A value that
-//! cannot be decoded is kept as it is and logged once; it does not affect the reading of others.
+//! A value is kept as JSON text and decoded into its kind's type on first use, which only leaders do. A value that
+//! cannot be decoded is kept unchanged and logged once; it does not affect other declarations.
 
 use std::any::Any;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,41 +15,41 @@
 use super::DeclarationLogic;
 use super::records::{DeclarationKey, DeclarationKind, DeclarationPart, MAX_VALUE_BYTES, parse_key};
 
-/// Changes of statuses kept until they are logged; older ones are dropped.
+/// Maximum number of status changes that wait to be logged; the oldest are dropped beyond it.
 const MAX_PENDING_CHANGES: usize = 256;
 
-/// A value with the version of its key.
+/// A value with the version of its store key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
-    /// The value.
+    /// The stored value.
     pub value: T,
-    /// Its key's version in the store.
+    /// The version of the key in the store.
     pub version: u64,
 }
 
-/// A spec with its name and version.
+/// A specification with its name and version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NamedSpec<'a, S> {
     /// The declaration's name.
     pub name: &'a str,
-    /// The spec.
+    /// The decoded specification.
     pub spec: S,
-    /// Its key's version in the store.
+    /// The version of the specification's key in the store.
     pub version: u64,
 }
 
-/// A status that has no spec any more.
+/// A status whose specification was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrphanedStatus<'a> {
     /// The declaration's kind.
     pub kind: DeclarationKind,
-    /// Its name.
+    /// The declaration's name.
     pub name: &'a str,
-    /// The status key's version in the store.
+    /// The version of the status's key in the store.
     pub version: u64,
 }
 
-/// One value as text, and as it was decoded when it was first used.
+/// A stored value as JSON text, with the decoded value once it has been used.
 #[derive(Debug, Clone)]
 struct StoredValue {
     json: Box<str>,
@@ -85,26 +85,26 @@
     serde_json::from_str(json).unwrap_or_default()
 }
 
-/// A status that was stored over another, or dropped after its spec.
+/// A change of a stored status, or its removal after its specification.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StatusChange {
     /// The declaration's kind.
     pub kind: DeclarationKind,
-    /// Its name.
+    /// The declaration's name.
     pub name: String,
     before: Option<Box<str>>,
     after: Option<Box<str>>,
-    /// When this controller heard of it.
-    pub heard: Instant,
+    /// When this controller observed the change.
+    pub observed_at: Instant,
 }
 
 impl StatusChange {
-    /// The value before the change.
+    /// Returns the status before the change, if there was one.
     pub fn before(&self) -> Option<Value> {
         self.before.as_deref().map(parse_json)
     }
 
-    /// The value after the change.
+    /// Returns the status after the change, or `None` if it was removed.
     pub fn after(&self) -> Option<Value> {
         self.after.as_deref().map(parse_json)
     }
@@ -113,7 +113,7 @@
 type ValuesByName = BTreeMap<String, StoredValue>;
 type ValuesByKind = BTreeMap<DeclarationKind, ValuesByName>;
 
-/// All declarations, as this controller has read them from the store.
+/// All declarations that this controller has read from the store.
 #[derive(Debug, Default)]
 pub struct DeclarationRegistry {
     specs: ValuesByKind,
@@ -122,18 +122,18 @@
 }
 
 impl DeclarationRegistry {
-    /// Whether nothing is declared.
+    /// Returns whether there are neither specifications nor statuses.
     pub fn is_empty(&self) -> bool {
         self.entry_count() == 0
     }
 
-    /// Number of specs and statuses.
+    /// Returns the number of specifications and statuses.
     pub fn entry_count(&self) -> usize {
         self.specs.values().chain(self.statuses.values()).map(BTreeMap::len).sum()
     }
 
-    /// The specs of a kind that can be decoded, by name. Where there are more than may be, only the first ones by name
-    /// count, which every controller decides alike.
+    /// Iterates over the decodable specifications of a kind in order of name. Beyond the kind's maximum count, only the
+    /// first by name are used, so that every controller selects the same ones.
     pub fn specs<D: DeclarationLogic>(&self) -> impl Iterator<Item = NamedSpec<'_, D::Spec>> {
         self.specs.get(&D::KIND).into_iter().flatten().take(D::KIND.max_count()).filter_map(|(name, stored)| {
             let Versioned { value, version } = stored.decode(D::KIND, name)?;
@@ -141,37 +141,37 @@
         })
     }
 
-    /// A spec; none if it cannot be decoded.
+    /// Returns a specification, or `None` if it does not exist or cannot be decoded.
     pub fn spec<D: DeclarationLogic>(&self, name: &str) -> Option<Versioned<D::Spec>> {
         self.specs.get(&D::KIND)?.get(name)?.decode(D::KIND, name)
     }
 
-    /// A status; none if it cannot be decoded.
+    /// Returns a status, or `None` if it does not exist or cannot be decoded.
     pub fn status<D: DeclarationLogic>(&self, name: &str) -> Option<Versioned<D::Status>> {
         self.statuses.get(&D::KIND)?.get(name)?.decode(D::KIND, name)
     }
 
-    /// A spec as it is stored.
+    /// Returns a specification as stored JSON.
     pub fn raw_spec(&self, kind: DeclarationKind, name: &str) -> Option<Versioned<Value>> {
         self.specs.get(&kind)?.get(name).map(StoredValue::raw)
     }
 
-    /// A status as it is stored.
+    /// Returns a status as stored JSON.
     pub fn raw_status(&self, kind: DeclarationKind, name: &str) -> Option<Versioned<Value>> {
         self.statuses.get(&kind)?.get(name).map(StoredValue::raw)
     }
 
-    /// Whether there is a status, decodable or not.
+    /// Returns whether a status exists, decodable or not.
     pub fn has_status(&self, kind: DeclarationKind, name: &str) -> bool {
         self.statuses.get(&kind).is_some_and(|statuses| statuses.contains_key(name))
     }
 
-    /// Names of the specs of a kind, decodable or not, as many as may be declared.
+    /// Iterates over the names of the specifications of a kind, decodable or not, up to the kind's maximum count.
     pub fn names_of_kind(&self, kind: DeclarationKind) -> impl Iterator<Item = &str> {
         self.specs.get(&kind).into_iter().flatten().take(kind.max_count()).map(|(name, _)| name.as_str())
     }
 
-    /// Statuses whose spec is gone.
+    /// Iterates over the statuses whose specification was removed.
     pub fn orphaned_statuses(&self) -> impl Iterator<Item = OrphanedStatus<'_>> {
         let all = self.statuses.iter().flat_map(|(kind, statuses)| {
             statuses.iter().map(|(name, stored)| OrphanedStatus { kind: *kind, name, version: stored.version })
@@ -179,8 +179,8 @@
         all.filter(|status| !self.specs.get(&status.kind).is_some_and(|specs| specs.contains_key(status.name)))
     }
 
-    /// Takes in what the store holds under a key. A version older than the known one, as after a reload, is ignored.
-    /// False if the key is none of a declaration.
+    /// Stores the value of a key. A version that is not newer than the known one, as after a reload, is ignored.
+    /// Returns false if the key does not belong to a declaration.
     pub fn put_key(&mut self, path: &str, value: &Value, version: u64) -> bool {
         let Some(DeclarationKey { part, kind, name }) = parse_key(path) else { return false };
         let json = value.to_string().into_boxed_str();
@@ -192,7 +192,7 @@
         if values.get(name).is_some_and(|stored| stored.version >= version) {
             return true;
         }
-        // Operators' writes keep to half of this; a foreign writer's may take no more.
+        // Operators' writes stay within half of this limit; it bounds what any other writer can add.
         if !values.contains_key(name) && values.len() >= 2 * kind.max_count() {
             error!(key = path, "declaration limit exceeded; ignoring the new entry");
             return true;
@@ -205,7 +205,7 @@
         true
     }
 
-    /// Takes in that a key was dropped at a revision. False if the key is none of a declaration.
+    /// Removes a key that was deleted at a revision. Returns false if the key does not belong to a declaration.
     pub fn remove_key(&mut self, path: &str, revision: u64) -> bool {
         let Some(DeclarationKey { part, kind, name }) = parse_key(path) else { return false };
         let is_older = |stored: &StoredValue| stored.version <= revision;
@@ -217,14 +217,14 @@
         true
     }
 
-    /// Takes in a reload of all keys. Statuses that changed meanwhile are recorded as changes, but none of the first
-    /// load. False if nothing is declared and nothing was.
-    pub fn replace_with(&mut self, loaded: Self, first: bool) -> bool {
+    /// Replaces the contents after a reload of all keys. Statuses that changed in the meantime are recorded as changes,
+    /// except on the first load. Returns false if the registry was empty and still is.
+    pub fn replace_with(&mut self, loaded: Self, is_first_load: bool) -> bool {
         let before = std::mem::replace(self, loaded);
-        let any = !before.is_empty() || !self.is_empty();
+        let has_or_had_entries = !before.is_empty() || !self.is_empty();
         self.status_changes = before.status_changes;
-        if first {
-            return any;
+        if is_first_load {
+            return has_or_had_entries;
         }
         let (none, after) = (ValuesByName::new(), std::mem::take(&mut self.statuses));
         for kind in DeclarationKind::ALL {
@@ -232,7 +232,7 @@
             self.record_differences(kind, before, after.get(&kind).unwrap_or(&none));
         }
         self.statuses = after;
-        any
+        has_or_had_entries
     }
 
     fn record_differences(&mut self, kind: DeclarationKind, before: &ValuesByName, after: &ValuesByName) {
@@ -248,12 +248,12 @@
         }
     }
 
-    /// Whether there are changes that nobody has taken yet.
+    /// Returns whether there are status changes that have not been taken yet.
     pub fn has_status_changes(&self) -> bool {
         !self.status_changes.is_empty()
     }
 
-    /// Statuses that changed since the last call, oldest first.
+    /// Removes and returns the status changes since the last call, oldest first.
     pub fn take_status_changes(&mut self) -> Vec<StatusChange> {
         self.status_changes.drain(..).collect()
     }
@@ -269,7 +269,7 @@
         if self.status_changes.len() >= MAX_PENDING_CHANGES {
             self.status_changes.pop_front();
         }
-        let heard = Instant::now();
-        self.status_changes.push_back(StatusChange { kind, name: name.to_owned(), before, after, heard });
+        let observed_at = Instant::now();
+        self.status_changes.push_back(StatusChange { kind, name: name.to_owned(), before, after, observed_at });
     }
 }
--- a/src/declarations/run.rs
+++ b/src/declarations/run.rs
@@ -1,4 +1,4 @@
-//! The leader's task for declarations: evaluates them, stores the next statuses, and logs what was stored.
+//! The leader's controller loop for declarations: evaluates them, stores the next statuses and logs stored changes.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -6,7 +6,9 @@
 
 use tracing::debug;
 
-use super::driver::{DeclarationDriver, DriverOutput, JobEnds, StatusWrite, changes, conditions};
+use super::driver::{
+    DeclarationDriver, DriverOutput, JobEnds, StatusWrite, transaction_changes, transaction_conditions,
+};
 use super::table::KINDS;
 use crate::jobs::JobId;
 use crate::jobs::record::time_of_day_ms;
@@ -15,72 +17,75 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
-/// As long as anything is declared it is evaluated at least this often, and at most one transaction goes.
+/// Declarations are evaluated at least this often, and at most one transaction is sent per interval.
 const EVALUATION_INTERVAL: Duration = Duration::from_secs(1);
-/// Least pause between two evaluations, so that a burst of changes is evaluated at once.
-const MIN_PAUSE: Duration = Duration::from_millis(250);
-/// The pause after an evaluation is at least this many times as long as it took.
-const PAUSE_PER_EVALUATION: u32 = 8;
-/// Writes go after acceptances, placements and ends, but do not starve: what has waited for so long goes with
-/// placements, which its two changes a second hardly slow down.
+/// Minimum pause between two evaluations, so that a burst of changes is evaluated once.
+const MIN_EVALUATION_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum ratio of the pause after an evaluation to the duration of the evaluation.
+const PAUSE_TO_EVALUATION_RATIO: u32 = 8;
+/// Status writes have a lower priority than acceptances, placements and ends. To prevent starvation, writes that have
+/// waited for this long are sent with the priority of placements, which two changes per second hardly slow down.
 const ESCALATE_AFTER: Duration = Duration::from_secs(5);
+/// Timeout of one transaction.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the task needs of its controller.
+/// The operations of the controller that the declaration loop uses.
 pub trait DeclarationContext: Send + Sync + 'static {
-    /// Nothing is declared, nothing was, and nothing of it is left to be logged or asked for.
+    /// Returns whether nothing is declared, no status change is left to be logged and no intent is in effect.
     fn is_idle(&self) -> bool;
-    /// Runs this on the present state; none if nothing may be decided at the moment.
-    fn with_state<T>(&self, work: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T>;
-    /// Asks the store how a job ended; `with_state` shows it once the store has answered.
+    /// Runs `action` on the current state. Returns `None` if no decision may be made at the moment.
+    fn with_state<T>(&self, action: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T>;
+    /// Queries the store for how a job ended; `with_state` provides the answer once the store has replied.
     fn query_job_end(&self, id: &JobId);
-    /// How many changes of this urgency could be stored at once.
+    /// Returns the number of changes that the request budget admits now at this priority.
     fn writable_changes(&self, priority: RequestPriority) -> usize;
-    /// Sends one transaction to the state service, within the controller's budget for calls of this urgency.
+    /// Sends one transaction to the state service, within the controller's request budget for this priority.
     fn compare_and_swap(
         &self,
         conditions: &[Condition],
         changes: &[Change],
         priority: RequestPriority,
     ) -> impl Future<Output = Result<CompareAndSwapOutcome, StoreError>> + Send;
-    /// A transaction was refused: waits until the watch cache is proven up to date, and checks who leads.
+    /// Handles a rejected transaction: waits until the watch cache is proven up to date, and checks who is the leader.
     fn refresh_after_conflict(&self) -> impl Future<Output = ()> + Send;
     /// Waits until a declaration changes.
     fn wait_for_change(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// Decides when a transaction may go, and with which urgency.
+/// Decides when a transaction may be sent, and with which priority.
 struct WritePacer {
-    next: Instant,
-    /// Since when something has been waiting to be stored.
+    /// Earliest time of the next transaction.
+    next_write_at: Instant,
+    /// Since when a write has been waiting.
     waiting_since: Option<Instant>,
-    /// It has waited for so long that it goes with placements, until nothing waits any more.
+    /// Whether writes have waited so long that they are sent with the priority of placements, until none is waiting.
     escalated: bool,
 }
 
 impl WritePacer {
     fn new(now: Instant) -> Self {
-        Self { next: now, waiting_since: None, escalated: false }
+        Self { next_write_at: now, waiting_since: None, escalated: false }
     }
 
+    /// Records that no write is waiting any more.
     fn mark_settled(&mut self) {
         self.waiting_since = None;
         self.escalated = false;
     }
 
-    /// How many changes may go now, if `any` wait.
+    /// Returns the number of changes that may be sent now.
     fn allowed_writes(
         &mut self,
-        any: bool,
+        has_writes: bool,
         now: Instant,
         writable_changes: impl Fn(RequestPriority) -> usize,
     ) -> usize {
-        if !any || now < self.next {
+        if !has_writes || now < self.next_write_at {
             return 0;
         }
-        let since = *self.waiting_since.get_or_insert(now);
-        self.escalated |= now.saturating_duration_since(since) >= ESCALATE_AFTER;
-        // The smallest budget holds less than one change and its reserve.
+        let waiting_since = *self.waiting_since.get_or_insert(now);
+        self.escalated |= now.saturating_duration_since(waiting_since) >= ESCALATE_AFTER;
+        // At least 1: the smallest budget is less than one change plus the reserve.
         if self.escalated {
             writable_changes(RequestPriority::Placement).max(1)
         } else {
@@ -88,8 +93,9 @@
         }
     }
 
+    /// Records that a transaction is being sent and returns its priority.
     fn mark_sent(&mut self, now: Instant) -> RequestPriority {
-        self.next = now + EVALUATION_INTERVAL;
+        self.next_write_at = now + EVALUATION_INTERVAL;
         if self.escalated {
             return RequestPriority::Placement;
         }
@@ -98,7 +104,7 @@
     }
 }
 
-/// Runs for as long as this controller leads.
+/// Runs the declaration loop for as long as this controller is the leader.
 pub async fn run_declarations<C: DeclarationContext>(context: Arc<C>) {
     let mut driver = DeclarationDriver::new(KINDS);
     let mut pacer = WritePacer::new(Instant::now());
@@ -108,15 +114,16 @@
         let output = context.with_state(|cluster, watch_cache, job_end| {
             driver.evaluate(cluster, watch_cache, job_end, now, time_of_day_ms())
         });
-        let pause = MIN_PAUSE.max(now.elapsed() * PAUSE_PER_EVALUATION);
+        let pause = MIN_EVALUATION_PAUSE.max(now.elapsed() * PAUSE_TO_EVALUATION_RATIO);
         let DriverOutput { mut writes, settled, fencing_token, events, unknown_ends } = output.unwrap_or_default();
         unknown_ends.iter().for_each(|id| context.query_job_end(id));
         events.iter().for_each(|event| event.log());
         if settled {
             pacer.mark_settled();
         }
-        let allowed = pacer.allowed_writes(!writes.is_empty(), now, |priority| context.writable_changes(priority));
-        writes.truncate(allowed);
+        let allowed_writes =
+            pacer.allowed_writes(!writes.is_empty(), now, |priority| context.writable_changes(priority));
+        writes.truncate(allowed_writes);
         if !writes.is_empty() {
             driver.mark_sent(&writes);
             let priority = pacer.mark_sent(now);
@@ -136,16 +143,16 @@
     }
 }
 
-/// The revision at which the writes were applied, if that is known.
+/// Sends the writes in one transaction. Returns the revision at which they were applied, if it is known.
 async fn store_writes<C: DeclarationContext>(
     context: &C,
     writes: &[StatusWrite],
     fencing_token: u64,
     priority: RequestPriority,
 ) -> Option<u64> {
-    let (conditions, changes) = (conditions(writes, fencing_token), changes(writes));
-    let sent = context.compare_and_swap(&conditions, &changes, priority);
-    match tokio::time::timeout(WRITE_TIMEOUT, sent).await {
+    let (conditions, changes) = (transaction_conditions(writes, fencing_token), transaction_changes(writes));
+    let transaction = context.compare_and_swap(&conditions, &changes, priority);
+    match tokio::time::timeout(WRITE_TIMEOUT, transaction).await {
         Ok(Ok(CompareAndSwapOutcome::Applied(revision))) => return Some(revision),
         Ok(Ok(outcome)) => {
             debug!(?outcome, "declaration status write rejected");
--- a/src/declarations/table.rs
+++ b/src/declarations/table.rs
@@ -1,4 +1,4 @@
-//! The table of all kinds of declarations: one entry each, which works on JSON and hides the kind's types.
+//! The table of declaration kinds. Each entry operates on JSON and hides the types of its kind.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::scheduling::intents::Intents;
 use crate::{calendar, heat, rollouts};
 
-/// All kinds that this build carries out.
+/// The operations of all kinds that this build supports.
 pub const KINDS: &[KindOperations] = &[
     KindOperations::of::<calendar::Window>(),
     KindOperations::of::<heat::HeatRule>(),
@@ -19,52 +19,52 @@
     KindOperations::of::<rollouts::Rollout>(),
 ];
 
-/// A status to be stored, with the versions that it was decided from.
+/// A status to store, with the versions of the specification and the status that it was computed from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NextStatus {
-    /// The spec's version.
+    /// The version of the specification.
     pub spec_version: u64,
-    /// The version of the status that it replaces; 0 if there is none.
+    /// The version of the status that is replaced; 0 if there is none.
     pub status_version: u64,
-    /// The status.
+    /// The new status.
     pub value: Value,
 }
 
-/// A declaration as it is stored.
+/// A stored declaration.
 #[derive(Debug, Clone, Copy)]
 pub struct Declaration<'a> {
-    /// Its name.
+    /// The declaration's name.
     pub name: &'a str,
-    /// The stored spec.
+    /// The stored specification.
     pub spec: &'a Value,
-    /// The stored status.
+    /// The stored status, if there is one.
     pub status: Option<&'a Value>,
 }
 
-/// The operations of a kind, on JSON.
+/// The operations of one kind of declaration, on JSON values.
 pub struct KindOperations {
-    /// The kind that these serve.
+    /// The kind that the operations apply to.
     pub kind: DeclarationKind,
-    /// Decodes and checks a spec.
+    /// Decodes and validates a specification.
     pub check_spec: fn(&Value, &KnownNames) -> Result<(), SpecError>,
-    /// Checks all specs of the kind together, ignoring those that cannot be decoded.
+    /// Validates all specifications of the kind together, ignoring those that cannot be decoded.
     pub check_all_specs: fn(&BTreeMap<String, Value>) -> Result<(), SpecError>,
-    /// The spec to be written for one declared over another, at a time of day in ms.
+    /// Returns the specification to store for one that replaces another, at a wall-clock time in ms.
     pub spec_to_store: fn(&Value, Option<&Value>, u64) -> Result<Value, SpecError>,
-    /// The next status of a declaration, by name.
+    /// Returns the next status of the declaration with this name, or `None` if the status is unchanged.
     pub next_status: fn(&str, &DeclarationView) -> Option<NextStatus>,
     /// Adds the intents of all declarations of the kind.
     pub add_intents: fn(&DeclarationView, &mut Intents),
-    /// Lines for operators at a time of day in ms.
+    /// Describes a declaration in lines for operators, at a wall-clock time in ms.
     pub describe: fn(Declaration, u64) -> Result<Vec<String>, SpecError>,
-    /// Events of a change of status, by the declaration's name.
+    /// Returns the events of a change of status of the declaration with this name.
     pub status_events: fn(&str, Option<&Value>, &Value) -> Vec<DeclarationEvent>,
-    /// Applies a verb to a spec at a time of day in ms.
+    /// Applies a verb to a specification, at a wall-clock time in ms.
     pub apply_verb: fn(&str, Declaration, u64) -> Result<VerbOutcome<Value>, SpecError>,
 }
 
 impl KindOperations {
-    /// The operations of a kind.
+    /// Returns the operations of the kind that `D` implements.
     pub const fn of<D: DeclarationLogic>() -> Self {
         Self {
             kind: D::KIND,
@@ -80,12 +80,12 @@
     }
 }
 
-/// The operations of a kind among these, if it is carried out at all.
-pub fn find_kind(kinds: &[KindOperations], kind: DeclarationKind) -> Option<&KindOperations> {
+/// Finds the operations of a kind, if it is supported.
+pub fn find_operations(kinds: &[KindOperations], kind: DeclarationKind) -> Option<&KindOperations> {
     kinds.iter().find(|operations| operations.kind == kind)
 }
 
-/// Decodes a value; the error names the field that cannot be decoded.
+/// Decodes a JSON value. The error names the field that cannot be decoded.
 fn decode<T: DeserializeOwned>(value: &Value) -> Result<T, SpecError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let field = match error.path().to_string() {
@@ -119,14 +119,14 @@
 }
 
 fn spec_to_store<D: DeclarationLogic>(spec: &Value, before: Option<&Value>, now_ms: u64) -> Result<Value, SpecError> {
-    // One that a later build wrote and this one cannot decode is written over.
+    // A stored specification that a later build wrote and this build cannot decode is overwritten.
     let before = before.and_then(|before| decode::<D::Spec>(before).ok());
     encode(&D::spec_to_store(decode(spec)?, before.as_ref(), now_ms))
 }
 
 fn next_status<D: DeclarationLogic>(name: &str, view: &DeclarationView) -> Option<NextStatus> {
     let Versioned { value: spec, version: spec_version } = view.registry.spec::<D>(name)?;
-    // One that cannot be decoded stays as it is: starting afresh could do again what was done.
+    // A status that cannot be decoded is left unchanged: starting from an empty one could repeat completed steps.
     let stored = if view.registry.has_status(D::KIND, name) { Some(view.registry.status::<D>(name)?) } else { None };
     let before = stored.as_ref().map(|status| status.value.clone()).unwrap_or_default();
     let next = D::next_status(name, &spec, &before, view)?;
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Three controllers and their store, as the seeded simulations of every kind have them: the real watch cache, registry
-//! and driver. Each kind adds what it declares, what happens meanwhile, and what must never be.
+//! Harness of the seeded simulations of every kind: three controllers with the real watch cache, registry and driver,
+//! and their store. Each kind adds its specifications, the events of the simulation and the invariants to check.
 
 use std::time::Instant;
 
@@ -8,7 +8,9 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::declarations::driver::{DeclarationDriver, DriverOutput, StatusWrite, changes, conditions};
+use crate::declarations::driver::{
+    DeclarationDriver, DriverOutput, StatusWrite, transaction_changes, transaction_conditions,
+};
 use crate::declarations::table::KindOperations;
 use crate::jobs::End;
 use crate::jobs::record::{CACHED_PREFIX, CACHED_START_AFTER, LEADER_RECORD_KEY};
@@ -18,30 +20,35 @@
 use crate::store::watch_cache::{CacheReload, WatchCache};
 use crate::store::{Change, Condition};
 
+/// The conditions and changes of a transaction as it is sent to the store.
 pub type SentTransaction = (Vec<Condition>, Vec<Change>);
 
+/// One simulated controller.
 #[derive(Default)]
 pub struct Controller<T> {
     pub watch_cache: WatchCache,
     loading: Option<(CacheReload, String)>,
     pub leader: Option<(ClusterState, DeclarationDriver)>,
-    /// Decided, and not sent yet.
-    decided: Option<(Vec<StatusWrite>, u64)>,
-    /// Its time of day is off by so much.
+    /// Writes that were computed and not sent yet, with the fencing token.
+    pending_writes: Option<(Vec<StatusWrite>, u64)>,
+    /// Offset of the controller's wall clock.
     pub skew_ms: i64,
-    /// What else its kind's simulation keeps of it.
+    /// State of the controller that the simulation of a kind adds.
     pub kind_state: T,
 }
 
+/// The simulated controllers, the store and the transactions in flight.
 pub struct SimulationHarness<T> {
     pub rng: StdRng,
     pub store: Store,
     pub controllers: Vec<Controller<T>>,
+    /// Transactions that arrive at the store late.
     pub delayed: Vec<SentTransaction>,
     kinds: &'static [KindOperations],
 }
 
 impl<T: Default> SimulationHarness<T> {
+    /// Creates the controllers and a store with the given values.
     pub fn new(seed: u64, kinds: &'static [KindOperations], stored: &[(String, Value)]) -> Self {
         let mut store = Store::new(Limits::default());
         for (path, value) in stored {
@@ -51,22 +58,22 @@
         Self { rng: StdRng::seed_from_u64(seed), store, controllers, delayed: Vec::new(), kinds }
     }
 
-    /// The watch cache follows, a page or an answer at a time, or is read anew.
+    /// Updates a controller's watch cache by one page or one watch answer, or completely if `whole` is set.
     pub fn update_watch_cache(&mut self, at: usize, whole: bool) {
         let controller = &mut self.controllers[at];
         loop {
-            if let Some((mut loading, since)) = controller.loading.take() {
-                let page = self.store.page(CACHED_PREFIX, &since, 3);
+            if let Some((mut loading, start_after)) = controller.loading.take() {
+                let page = self.store.page(CACHED_PREFIX, &start_after, 3);
                 controller.watch_cache.apply_page(&mut loading, &page);
                 if page.more {
-                    let since = page.items.last().map_or(since, |i| i.path.clone());
-                    controller.loading = Some((loading, since));
+                    let start_after = page.items.last().map_or(start_after, |i| i.path.clone());
+                    controller.loading = Some((loading, start_after));
                 } else {
                     controller.watch_cache.finish_reload(loading);
                 }
             } else if let Some(revision) = controller.watch_cache.watch_revision() {
                 match self.store.watch(CACHED_PREFIX, revision) {
-                    Ok(followed) => drop(controller.watch_cache.apply_watch(&followed)),
+                    Ok(changes) => drop(controller.watch_cache.apply_watch(&changes)),
                     Err(_) => controller.watch_cache.require_reload(),
                 }
                 if controller.watch_cache.is_ready() {
@@ -81,60 +88,65 @@
         }
     }
 
-    /// Another leads, or the same one under a newer fencing token. Who led before goes on, unknowing.
+    /// Makes a controller the leader, under a new fencing token even if it was the leader before. The previous leader
+    /// continues without knowing that it was deposed.
     pub fn write_leader_record(&mut self, at: usize) {
         let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!(at))]).unwrap();
-        // A new leader proves its watch cache fresh before it decides.
+        // A new leader proves that its watch cache is up to date before it makes decisions.
         self.update_watch_cache(at, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
         self.controllers[at].leader = Some((cluster, DeclarationDriver::new(self.kinds)));
-        self.controllers[at].decided = None;
+        self.controllers[at].pending_writes = None;
     }
 
-    /// None where it never led. What is to be stored waits to be sent.
+    /// Evaluates the declarations at a controller and keeps the writes until they are sent. Returns `None` if the
+    /// controller was never the leader.
     pub fn evaluate(
         &mut self,
         at: usize,
         now_ms: u64,
-        ended: impl Fn(&T, &str) -> Option<End>,
+        job_end: impl Fn(&T, &str) -> Option<End>,
     ) -> Option<DriverOutput> {
-        let Controller { watch_cache, leader, decided, skew_ms, kind_state, .. } = &mut self.controllers[at];
+        let Controller { watch_cache, leader, pending_writes, skew_ms, kind_state, .. } = &mut self.controllers[at];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
-        let output = driver.evaluate(cluster, watch_cache, &|id| ended(kind_state, id), Instant::now(), now_ms);
+        let output = driver.evaluate(cluster, watch_cache, &|id| job_end(kind_state, id), Instant::now(), now_ms);
         if !output.writes.is_empty() {
             driver.mark_sent(&output.writes);
-            *decided = Some((output.writes.clone(), output.fencing_token));
+            *pending_writes = Some((output.writes.clone(), output.fencing_token));
         }
         Some(output)
     }
 
-    /// What was decided, as it is sent.
-    pub fn take_transaction(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
-        let (writes, fencing_token) = self.controllers[at].decided.take()?;
+    /// Takes the pending writes as a transaction, without the conditions that `is_omitted` selects.
+    pub fn take_transaction(&mut self, at: usize, is_omitted: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
+        let (writes, fencing_token) = self.controllers[at].pending_writes.take()?;
         assert!(writes.len() <= 2);
-        let conditions = conditions(&writes, fencing_token).into_iter().filter(|c| !left_out(c)).collect();
-        Some((conditions, changes(&writes)))
+        let conditions =
+            transaction_conditions(&writes, fencing_token).into_iter().filter(|c| !is_omitted(c)).collect();
+        Some((conditions, transaction_changes(&writes)))
     }
 
-    /// What of it arrives at once: a copy may come late, or that one only.
-    pub fn send(&mut self, at: usize, left_out: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
-        let sent = self.take_transaction(at, left_out)?;
-        let (twice, lost) = (self.rng.random_ratio(1, 4), self.rng.random_ratio(1, 4));
-        if twice || lost {
+    /// Sends the pending writes. Returns the transaction if it arrives at once; a copy may arrive late in addition, or
+    /// instead.
+    pub fn send(&mut self, at: usize, is_omitted: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
+        let sent = self.take_transaction(at, is_omitted)?;
+        let (is_duplicated, is_delayed) = (self.rng.random_ratio(1, 4), self.rng.random_ratio(1, 4));
+        if is_duplicated || is_delayed {
             self.delayed.push(sent.clone());
         }
-        (!lost).then_some(sent)
+        (!is_delayed).then_some(sent)
     }
 
+    /// Tells a controller's driver the revision of its applied transaction.
     pub fn mark_stored(&mut self, at: usize, revision: u64) {
         if let Some((_, driver)) = self.controllers[at].leader.as_mut() {
             driver.mark_stored(revision);
         }
     }
 
-    /// Any of what is late, of which there is some.
+    /// Removes and returns a random delayed transaction. Panics if there is none.
     pub fn take_delayed(&mut self) -> SentTransaction {
         let n = self.rng.random_range(0..self.delayed.len());
         self.delayed.swap_remove(n)
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -119,7 +119,7 @@
             (version(spec_key(DeclarationKind::Window, "w")), version(status_key(DeclarationKind::Window, "w")));
         let write =
             [StatusWrite { kind: DeclarationKind::Window, name: "w".into(), spec_version, status_version, value }];
-        self.send(name, driver::conditions(&write, fencing_token), driver::changes(&write))
+        self.send(name, driver::transaction_conditions(&write, fencing_token), driver::transaction_changes(&write))
     }
 
     fn change_declaration(&mut self, change: Change) {
