--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 
 #[cfg(doc)]
-use crate::cloud_orders::MOST_PER_TERMINATION;
+use crate::cloud_orders::MAX_MACHINES_PER_TERMINATION;
 use crate::machine_kinds::Catalog;
 pub use crate::protocol::cloud::{CloudMachine, ProvisioningRequest};
 use crate::protocol::cloud::{MachineNames, MachinePage};
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Terminates machines, at most [`MOST_PER_TERMINATION`] in one call. May be repeated when it was not answered.
+    /// Terminates machines, at most [`MAX_MACHINES_PER_TERMINATION`] in one call. May be repeated when it was not answered.
     pub async fn terminate(&self, machines: Vec<String>) -> Result<(), CloudError> {
         match self
             .call_cloud(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines })))
--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -7,7 +7,9 @@
 use super::RETRY_PAUSE;
 use super::cloud_operations::CloudOperator;
 use super::provisioning::requested_kind;
-use crate::cloud_orders::{CloudAction, CloudOrder, InheritedOrders, MOST_PER_TERMINATION, OrderCleanUp, StoreStep};
+use crate::cloud_orders::{
+    CloudAction, CloudOrder, InheritedOrders, MAX_MACHINES_PER_TERMINATION, OrderCleanUp, StoreStep,
+};
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::jitter;
@@ -36,7 +38,7 @@
             let mut held = self.fleet.leader.cluster();
             held.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited_orders)).unwrap_or_default()
         };
-        let inherited = InheritedOrders::group(orders, MOST_PER_TERMINATION);
+        let inherited = InheritedOrders::group(orders, MAX_MACHINES_PER_TERMINATION);
         let mut operations = self.operations();
         for order in &inherited.provisioning {
             info!(key = order.key, count = order.requests.len(), "inherited scale-out order resumed");
@@ -75,7 +77,7 @@
             if outcome == Err(StoreError::Unanswered) {
                 self.operations().unanswered.insert(order.key.clone(), fencing_token);
             }
-            match order.step_after(&outcome, self.fencing_token()) {
+            match order.next_step(&outcome, self.fencing_token()) {
                 StoreStep::Execute => return Ok(order.key),
                 StoreStep::Abandon => return Err(NotStored::Deposed),
                 StoreStep::Retry if gives_up() => {
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -8,11 +8,11 @@
 use super::cloud::{CloudError, ProvisioningRequest};
 use super::cloud_operations::{CloudOperations, CloudOperator};
 use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
-use crate::cloud_orders::{CloudAction, MOST_PER_PROVISIONING, ProvisioningOrder};
+use crate::cloud_orders::{CloudAction, MAX_MACHINES_PER_PROVISIONING, ProvisioningOrder};
 use crate::machine_kinds::MachineKind;
 use crate::sync::jitter;
 
-/// Most requests for one kind at a time, each for up to `MOST_PER_PROVISIONING` machines.
+/// Most requests for one kind at a time, each for up to `MAX_MACHINES_PER_PROVISIONING` machines.
 const MOST_REQUESTS: u64 = 8;
 /// An unanswered request is repeated under its own name this often before it is abandoned. Machines that it may still
 /// bring are adopted when they report.
@@ -44,11 +44,11 @@
         operations: &mut CloudOperations,
     ) -> Vec<ProvisioningRequest> {
         let MachineDemand { kind, count } = demand;
-        let mut left = count.min(MOST_REQUESTS * MOST_PER_PROVISIONING);
+        let mut left = count.min(MOST_REQUESTS * MAX_MACHINES_PER_PROVISIONING);
         operations.add_requested(kind.clone(), left);
         let mut requests = Vec::new();
         while left > 0 {
-            let count = left.min(MOST_PER_PROVISIONING);
+            let count = left.min(MAX_MACHINES_PER_PROVISIONING);
             left -= count;
             requests.push(ProvisioningRequest {
                 request: self.unique_request_name(fencing_token, operations),
--- a/src/fleet/terminations.rs
+++ b/src/fleet/terminations.rs
@@ -7,7 +7,7 @@
 use super::RETRY_PAUSE;
 use super::cloud_operations::CloudOperator;
 use super::order_storage::NotStored;
-use crate::cloud_orders::{CloudAction, MOST_PER_TERMINATION, TerminationCall};
+use crate::cloud_orders::{CloudAction, MAX_MACHINES_PER_TERMINATION, TerminationCall};
 use crate::scheduling::cluster::MachineState;
 use crate::sync::jitter;
 
@@ -30,8 +30,8 @@
         let (overdue, others): (Vec<String>, Vec<String>) =
             machines.into_iter().partition(|machine| overdue.contains(machine.as_str()));
         overdue
-            .chunks(MOST_PER_TERMINATION)
-            .chain(others.chunks(MOST_PER_TERMINATION))
+            .chunks(MAX_MACHINES_PER_TERMINATION)
+            .chain(others.chunks(MAX_MACHINES_PER_TERMINATION))
             .map(<[String]>::to_vec)
             .collect()
     }
--- a/src/machine_kinds.rs
+++ b/src/machine_kinds.rs
@@ -1,4 +1,5 @@
-//! Kinds of machines: what the cloud offers, and what machines are told apart by.
+//! Machine kinds, by which the scheduler distinguishes machines, and the catalog of machine types that the cloud
+//! offers.
 
 use std::fmt;
 use std::sync::{Arc, Mutex};
@@ -7,14 +8,14 @@
 
 pub use crate::protocol::cloud::{Catalog, MachineType};
 
-/// What can be rented: a type, in a zone, ordinary or spot.
+/// Kind of machine that can be provisioned: a machine type in a zone, on demand or as a spot machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineKind {
-    /// The cloud's name of the machine type.
+    /// Name of the machine type in the catalog.
     pub type_name: String,
-    /// The zone in which such machines are offered.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether the machine is a spot machine, which the cloud may take back.
+    /// Whether the machine is a spot machine, which the cloud may recall.
     pub spot: bool,
 }
 
@@ -24,22 +25,22 @@
     }
 }
 
-/// The machine types that the cloud offers, as it has named them last. Every controller keeps them.
+/// Latest catalog of the machine types that the cloud offers. Every controller holds it.
 #[derive(Debug, Default)]
 pub struct SharedCatalog(Mutex<Option<Arc<Catalog>>>);
 
 impl SharedCatalog {
-    /// The types of machines, once the cloud has named them.
+    /// Returns the catalog, or `None` before the first one was read.
     pub fn get(&self) -> Option<Arc<Catalog>> {
         lock(&self.0).clone()
     }
 
-    /// Keeps what the cloud has named now. True if it differs from what was kept.
+    /// Replaces the catalog. Returns whether the new one differs from the previous one.
     pub fn replace(&self, catalog: Catalog) -> bool {
-        let mut kept = lock(&self.0);
-        let changed = kept.as_deref() != Some(&catalog);
+        let mut current = lock(&self.0);
+        let changed = current.as_deref() != Some(&catalog);
         if changed {
-            *kept = Some(Arc::new(catalog));
+            *current = Some(Arc::new(catalog));
         }
         changed
     }
--- a/src/machine_kinds/tests.rs
+++ b/src/machine_kinds/tests.rs
@@ -1,8 +1,8 @@
-//! A machine type that tests of other modules start from.
+//! Machine types for the tests of other modules.
 
 use super::*;
 
-/// A machine type in zone `a`; cheap ones at half the price.
+/// Returns a machine type in zone `a`, whose spot price is half its on-demand price.
 pub fn machine_type(name: &str, cpus: f64, gpus: f64, price: f64) -> MachineType {
     MachineType {
         name: name.into(),
