--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
-use crate::jobs::record::LEADER;
+use crate::jobs::record::LEADER_RECORD_KEY;
 use crate::protocol::cloud::ProvisioningRequest;
 use crate::protocol::state::KeyValue;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
@@ -125,7 +125,7 @@
     /// Returns the conditions of the write that stores the order: the version of the leader record is `fencing_token`,
     /// and the order's key is absent.
     pub fn conditions(&self, fencing_token: u64) -> [Condition; 2] {
-        [Condition::at(LEADER, fencing_token), Condition::absent(&self.key)]
+        [Condition::at(LEADER_RECORD_KEY, fencing_token), Condition::absent(&self.key)]
     }
 
     /// Returns the change that stores the order, to be sent with [`Self::conditions`].
@@ -146,7 +146,9 @@
             (Ok(CompareAndSwapOutcome::Applied(_)), _) => StoreStep::Execute,
             // Only the order's own key is present already: an earlier attempt was applied, and the leader record has
             // not changed since.
-            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER) => StoreStep::Execute,
+            (Ok(CompareAndSwapOutcome::Failed(keys)), _) if !keys.iter().any(|k| k == LEADER_RECORD_KEY) => {
+                StoreStep::Execute
+            }
             // The leader record changed: this leader has a newer fencing token, or it does not know yet that another
             // controller leads. An unanswered or refused write is repeated as well.
             _ => StoreStep::Retry,
@@ -254,7 +256,10 @@
                 Change::Drop { drop: key.clone() }
             }
         };
-        Self { conditions: [Condition::at(LEADER, fencing_token)], changes: keys.iter().map(change).collect() }
+        Self {
+            conditions: [Condition::at(LEADER_RECORD_KEY, fencing_token)],
+            changes: keys.iter().map(change).collect(),
+        }
     }
 }
 
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -23,9 +23,14 @@
         ("applied", Ok(CompareAndSwapOutcome::Applied(9)), Some(7), StoreStep::Execute),
         ("applied, leader deposed since", Ok(CompareAndSwapOutcome::Applied(9)), None, StoreStep::Abandon),
         ("an earlier attempt applied", failed(&["d/me-7-1"]), Some(7), StoreStep::Execute),
-        ("leader record changed", failed(&[LEADER]), Some(7), StoreStep::Retry),
-        ("an earlier attempt applied, leader record changed", failed(&[LEADER, "d/me-7-1"]), Some(8), StoreStep::Retry),
-        ("leader record changed, leader deposed", failed(&[LEADER]), None, StoreStep::Abandon),
+        ("leader record changed", failed(&[LEADER_RECORD_KEY]), Some(7), StoreStep::Retry),
+        (
+            "an earlier attempt applied, leader record changed",
+            failed(&[LEADER_RECORD_KEY, "d/me-7-1"]),
+            Some(8),
+            StoreStep::Retry,
+        ),
+        ("leader record changed, leader deposed", failed(&[LEADER_RECORD_KEY]), None, StoreStep::Abandon),
         ("unanswered", Err(StoreError::Unanswered), Some(7), StoreStep::Retry),
         ("refused", Err(StoreError::Unavailable(429)), Some(7), StoreStep::Retry),
     ];
@@ -80,7 +85,7 @@
     let (mut late_writes, mut harmful): (Vec<(CloudOrder, u64)>, usize) = (Vec::new(), 0);
     for step in 0..400 {
         if leaders.is_empty() || rng.random_ratio(1, 25) {
-            let write = [Change::write(LEADER, serde_json::json!(step))];
+            let write = [Change::write(LEADER_RECORD_KEY, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
             let items = store.under(CLOUD_ORDERS).map(|(path, value, version)| {
                 CloudOrder::from_key_value(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
--- a/src/cloud_orders/tests/late.rs
+++ b/src/cloud_orders/tests/late.rs
@@ -15,7 +15,7 @@
 }
 
 fn write_leader_record(store: &mut Store) -> u64 {
-    store.apply_if(&[], &[Change::write(LEADER, serde_json::json!("me"))]).unwrap()
+    store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, serde_json::json!("me"))]).unwrap()
 }
 
 fn read_inherited_orders(store: &Store) -> InheritedOrders {
@@ -69,7 +69,7 @@
     ];
     for (case, unanswered, is_deleted) in cases {
         let OrderCleanUp { conditions, changes } = OrderCleanUp::new(std::slice::from_ref(&key), &unanswered, 7);
-        assert_eq!(conditions, [Condition::at(LEADER, 7)]);
+        assert_eq!(conditions, [Condition::at(LEADER_RECORD_KEY, 7)]);
         assert_eq!(changes == [Change::Drop { drop: key.clone() }], is_deleted, "{case}");
         assert_eq!(changes.len(), 1, "{case}");
     }
