--- a/src/cloud_orders.rs
+++ b/src/cloud_orders.rs
@@ -18,7 +18,7 @@
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
 /// Key prefix of stored orders. Each order has a key of its own.
-pub const CLOUD_ORDERS: &str = "d/";
+pub const CLOUD_ORDER_PREFIX: &str = "d/";
 
 /// Maximum number of machines in one provisioning request.
 pub const MAX_MACHINES_PER_PROVISIONING: u64 = 50;
@@ -73,7 +73,7 @@
 /// Order for a cloud operation, stored under a unique key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudOrder {
-    /// Key of the order in the store: [`CLOUD_ORDERS`] followed by the order's [`unique_name`].
+    /// Key of the order in the store: [`CLOUD_ORDER_PREFIX`] followed by the order's [`unique_name`].
     pub key: String,
     /// Fencing token (version of the leader record) of the leader that created the order.
     pub epoch: u64,
@@ -119,7 +119,7 @@
     /// Creates an order with a unique key. `number` must differ from that of every other order and request of this
     /// incarnation and epoch.
     pub fn new(incarnation: &str, epoch: u64, number: u64, action: CloudAction) -> Self {
-        Self { key: format!("{CLOUD_ORDERS}{}", unique_name(incarnation, epoch, number)), epoch, action }
+        Self { key: format!("{CLOUD_ORDER_PREFIX}{}", unique_name(incarnation, epoch, number)), epoch, action }
     }
 
     /// Returns the conditions of the write that stores the order: the version of the leader record is `fencing_token`,
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -1,21 +1,22 @@
-//! Keeps the catalog up to date: the machine types that the cloud offers.
+//! Periodic reads of the catalog of machine types that the cloud offers.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use tracing::debug;
 
-use super::RETRY_PAUSE;
+use super::RETRY_DELAY;
 use super::manager::Fleet;
 use crate::sync::jitter;
 
-/// Interval at which the catalog is read.
+/// Interval between reads of the catalog.
 const CATALOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Reads the catalog at intervals, at every controller: submissions are checked against it. `after_each` is called after each answer of the cloud.
+/// Reads the catalog periodically. Every controller does, since submissions are checked against it. `after_each` is
+/// called after each read, whether it succeeded or not.
 pub async fn poll_catalog(fleet: Arc<Fleet>, after_each: impl Fn() + Send + 'static) {
     loop {
-        let pause = match fleet.cloud.fetch_catalog().await {
+        let delay = match fleet.cloud.fetch_catalog().await {
             Ok(catalog) => {
                 let count = catalog.types.len();
                 if fleet.catalog.replace(catalog) {
@@ -26,11 +27,11 @@
             }
             Err(error) => {
                 debug!(%error, "machine catalog request failed");
-                RETRY_PAUSE
+                RETRY_DELAY
             }
         };
         fleet.membership.drop_counts_of_ended_jobs();
         after_each();
-        tokio::time::sleep(jitter(pause)).await;
+        tokio::time::sleep(jitter(delay)).await;
     }
 }
--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud's API: the catalog, provisioning, termination and the list of machines.
+//! Client of the cloud's API for the catalog, provisioning, termination and the list of machines.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -16,32 +16,32 @@
 use crate::sync::lock;
 use crate::traffic::{CallKind, Traffic};
 
-/// A call that is not answered within this may still be carried out.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most machines in one page of the list.
-const MOST_LISTED: u64 = 500;
+/// Timeout of a call. A call that timed out may still be carried out.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of machines in one page of the list.
+const MAX_MACHINES_PER_PAGE: u64 = 500;
 
-/// Why a call to the cloud has no usable answer.
+/// Failure of a call to the cloud.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// The cloud has no machine of the kind now. Nothing was provisioned.
+    /// The cloud has no capacity of this machine kind now. Nothing was provisioned.
     #[error("no capacity")]
     NoCapacity,
-    /// Refused for now: not carried out.
-    #[error("the cloud answered {0}")]
+    /// The call was rejected with this HTTP status, or not sent (0). It was not carried out.
+    #[error("the cloud answered with status {0}")]
     Refused(u16),
-    /// May have been, or may yet be, carried out.
+    /// No answer was received. The call may have been carried out, or may be carried out later.
     #[error("the cloud did not answer")]
     Unanswered,
-    /// The call was answered, so it may have been carried out, but the body cannot be decoded.
-    #[error("the cloud answered what cannot be read: {0}")]
+    /// The body of the answer cannot be decoded. The call may have been carried out.
+    #[error("the cloud's answer cannot be decoded: {0}")]
     Malformed(#[from] DecodeError),
-    /// The catalog has no machine types.
-    #[error("the cloud answered what cannot be read: a catalog without types")]
+    /// The catalog lists no machine type.
+    #[error("the cloud's catalog lists no machine type")]
     EmptyCatalog,
 }
 
-/// Client of the cloud's API. Calls wait until the rate limit allows them, and each waits a few seconds for its
+/// Client of the cloud's API. Calls wait until the rate limit allows them, and time out after a few seconds without an
 /// answer.
 pub struct CloudClient {
     http: Http,
@@ -51,14 +51,16 @@
 }
 
 impl CloudClient {
-    /// A client that keeps to 0.8 of the cloud's request rate, since the other controllers read the catalog as well.
+    /// Creates a client that uses at most 0.8 of the cloud's request rate, since the other controllers read the catalog
+    /// as well.
     pub fn new(http: Http, settings: &Settings, traffic: Arc<Traffic>, now: Instant) -> Self {
-        // The leader calls nearly alone; the others only ask for the catalog now and then.
+        // Nearly all calls are the leader's: the other controllers only read the catalog at intervals.
         let rps = settings.params.cloud.rps * 0.8;
         let budget = Mutex::new(TokenBucket::new(rps, rps, now));
         Self { http, addr: settings.endpoints.cloud.clone(), budget, traffic }
     }
 
+    /// Sends a call once the rate limit allows it, and returns the status and body of the answer.
     async fn call_cloud(
         &self,
         method: Method,
@@ -73,14 +75,14 @@
             tokio::time::sleep(wait).await;
         }
         self.traffic.count(CallKind::CloudCall);
-        match self.http.call(method, &self.addr, path, body, ANSWER_TIMEOUT).await {
+        match self.http.call(method, &self.addr, path, body, CALL_TIMEOUT).await {
             Ok(answer) => Ok(answer),
             Err(protocol::CallError::NotSent) => Err(CloudError::Refused(0)),
             Err(protocol::CallError::Unanswered | protocol::CallError::TooLarge) => Err(CloudError::Unanswered),
         }
     }
 
-    /// The machine types on offer. A catalog without types is an error.
+    /// Reads the catalog of machine types. A catalog without types is an error.
     pub async fn fetch_catalog(&self) -> Result<Catalog, CloudError> {
         match self.call_cloud(Method::GET, "/catalog", None).await? {
             (200, body) => {
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Provisions machines and returns their names, which may be fewer than asked for. The cloud answers a request name
-    /// (`ProvisioningRequest`) alike however often it is sent, so an unanswered call can be repeated.
+    /// Provisions machines and returns their names, which may be fewer than requested. Requests are idempotent by their
+    /// name ([`ProvisioningRequest::request`]), so an unanswered call can be repeated.
     pub async fn provision(&self, request: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
         match self.call_cloud(Method::POST, "/rentals", Some(protocol::encode(request))).await? {
             (200, body) => Ok(decode_body::<MachineNames>(&body)?.machines),
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Terminates machines, at most [`MAX_MACHINES_PER_TERMINATION`] in one call. May be repeated when it was not answered.
+    /// Terminates machines, at most [`MAX_MACHINES_PER_TERMINATION`] in one call. An unanswered call can be repeated.
     pub async fn terminate(&self, machines: Vec<String>) -> Result<(), CloudError> {
         match self
             .call_cloud(Method::POST, "/rentals/return", Some(protocol::encode(&MachineNames { machines })))
@@ -117,12 +119,13 @@
         }
     }
 
-    /// All machines that are held now, read page by page; machines that change meanwhile may or may not be included.
+    /// Lists all machines that are held now, page by page. Machines that are added or removed meanwhile may or may not
+    /// be included.
     pub async fn list_machines(&self) -> Result<Vec<CloudMachine>, CloudError> {
         let mut all: Vec<CloudMachine> = Vec::new();
         loop {
             let since = all.last().map(|m| format!("&since={}", m.id)).unwrap_or_default();
-            let path = format!("/rentals?most={MOST_LISTED}{since}");
+            let path = format!("/rentals?most={MAX_MACHINES_PER_PAGE}{since}");
             match self.call_cloud(Method::GET, &path, None).await? {
                 (200, body) => {
                     let page: MachinePage = decode_body(&body)?;
@@ -138,6 +141,7 @@
     }
 }
 
+/// Decodes the body of an answer.
 fn decode_body<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
     Ok(protocol::decode(body)?)
 }
--- a/src/fleet/cloud_operations/tests.rs
+++ b/src/fleet/cloud_operations/tests.rs
@@ -1,26 +1,26 @@
 //! Tests of the clean-up of orders whose writes were not answered.
 
 use super::*;
-use crate::cloud_orders::{CLOUD_ORDERS, OrderCleanUp, unique_name};
+use crate::cloud_orders::{CLOUD_ORDER_PREFIX, OrderCleanUp, unique_name};
 use crate::store::Change;
 
-/// What was marked as done waits for a later fencing token, and is then dropped once.
+/// An order that was marked as completed is deleted under a later fencing token, and only once.
 #[test]
 fn marked_orders_are_deleted_under_the_next_fencing_token() {
-    let (unsure, sure) = ("d/me-7-1".to_owned(), "d/me-7-2".to_owned());
+    let (unanswered, answered) = ("d/me-7-1".to_owned(), "d/me-7-2".to_owned());
     let mut operations =
-        CloudOperations { completed: vec![unsure.clone(), sure.clone()], ..CloudOperations::default() };
-    operations.unanswered.insert(unsure.clone(), 7);
+        CloudOperations { completed: vec![unanswered.clone(), answered.clone()], ..CloudOperations::default() };
+    operations.unanswered.insert(unanswered.clone(), 7);
     let keys = operations.orders_to_clean_up(7).to_vec();
-    assert_eq!(keys, [unsure.clone(), sure]);
+    assert_eq!(keys, [unanswered.clone(), answered]);
     operations.record_clean_up(&keys, 7);
-    assert!(operations.orders_to_clean_up(7).is_empty(), "nothing more under this token");
-    assert_eq!(operations.orders_to_clean_up(9), std::slice::from_ref(&unsure));
+    assert!(operations.orders_to_clean_up(7).is_empty(), "no order is left to clean up under this token");
+    assert_eq!(operations.orders_to_clean_up(9), std::slice::from_ref(&unanswered));
     assert_eq!(
-        OrderCleanUp::new(std::slice::from_ref(&unsure), &operations.unanswered, 9).changes,
-        [Change::Drop { drop: unsure.clone() }]
+        OrderCleanUp::new(std::slice::from_ref(&unanswered), &operations.unanswered, 9).changes,
+        [Change::Drop { drop: unanswered.clone() }]
     );
-    operations.record_clean_up(&[unsure], 9);
+    operations.record_clean_up(&[unanswered], 9);
     assert!(
         operations.orders_to_clean_up(10).is_empty()
             && operations.unanswered.is_empty()
@@ -28,25 +28,29 @@
     );
 }
 
-/// Every try of every order goes unanswered, for as long as one leader stays: the marks are as many as one fencing
-/// token may leave, and not one for each order.
+/// If all writes of all orders are unanswered during a long term, the number of marked orders is bounded by what one
+/// fencing token may leave, and does not grow with the number of orders.
 #[test]
 fn marked_orders_stay_bounded_in_a_long_term() {
-    let (mut fencing_token, mut raises, mut most) = (7, 0, 0);
+    let (mut fencing_token, mut token_raises, mut max_marked) = (7, 0, 0);
     let mut operations = CloudOperations::default();
     for number in 1..=1000 {
-        let key = format!("{CLOUD_ORDERS}{}", unique_name("me", fencing_token, number));
+        let key = format!("{CLOUD_ORDER_PREFIX}{}", unique_name("me", fencing_token, number));
         operations.unanswered.insert(key.clone(), fencing_token);
         operations.completed.push(key);
         let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(24).cloned().collect();
         operations.record_clean_up(&keys, fencing_token);
-        most = most.max(operations.marked.len());
+        max_marked = max_marked.max(operations.marked.len());
         if operations.needs_higher_fencing_token() {
             fencing_token += 1;
-            raises += 1;
+            token_raises += 1;
         }
     }
-    assert!(most <= MOST_MARKED + 24, "{most} marks");
-    assert!(operations.unanswered.len() <= MOST_MARKED * 2 + 24, "{} orders in mind", operations.unanswered.len());
-    assert!(raises <= 1000 / MOST_MARKED + 1, "{raises} tokens");
+    assert!(max_marked <= MAX_MARKED_ORDERS + 24, "{max_marked} marked orders");
+    assert!(
+        operations.unanswered.len() <= MAX_MARKED_ORDERS * 2 + 24,
+        "{} unanswered orders",
+        operations.unanswered.len()
+    );
+    assert!(token_raises <= 1000 / MAX_MARKED_ORDERS + 1, "{token_raises} higher tokens");
 }
--- a/src/fleet/manager.rs
+++ b/src/fleet/manager.rs
@@ -1,4 +1,4 @@
-//! Handles to the state and the services that the fleet's loops use.
+//! Handles to the state and the services that fleet management uses.
 
 use std::sync::Arc;
 
@@ -10,22 +10,23 @@
 use crate::store::handle::StateStore;
 use crate::wakeups::Wakeups;
 
-/// Provisions and terminates machines while this controller leads, and reads the catalog whether it leads or not.
+/// State and services for fleet management. Machines are provisioned and terminated while this controller leads; the
+/// catalog is read whether it leads or not.
 pub struct Fleet {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub settings: Arc<Settings>,
-    /// The operators' properties.
+    /// Properties that operators set.
     pub properties: Arc<Properties>,
-    /// The state service, where orders to the cloud are stored before they are carried out.
+    /// Store, where orders to the cloud are written before they are carried out.
     pub store: Arc<StateStore>,
-    /// Whether this controller may act as the leader, and the incarnation after which orders are named.
+    /// Tells whether this controller may act as the leader, and holds the incarnation, which is part of order names.
     pub membership: Arc<Membership>,
-    /// The cluster state, from which it is decided which machines to provision and to terminate.
+    /// Cluster state while this controller leads, from which provisioning and termination are decided.
     pub leader: Arc<LeaderState>,
-    /// The machine types, kept up to date by `poll_catalog`.
+    /// Catalog of machine types, kept up to date by [`poll_catalog`](super::poll_catalog).
     pub catalog: Arc<SharedCatalog>,
-    /// Client of the cloud, which keeps to its rate limit.
+    /// Client of the cloud's API, which respects the rate limit.
     pub cloud: CloudClient,
-    /// Wakes placement and the commands to workers.
+    /// Notifications that wake this loop, placement and the dispatch of commands to workers.
     pub wakeups: Arc<Wakeups>,
 }
--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -1,10 +1,11 @@
-//! Orders in the store: written before they are carried out, deleted afterwards, and inherited from earlier leaders.
+//! Storage of orders: writes them before they are carried out, deletes them afterwards, and takes over those of earlier
+//! leaders.
 
 use std::time::Duration;
 
 use tracing::{debug, info};
 
-use super::RETRY_PAUSE;
+use super::RETRY_DELAY;
 use super::cloud_operations::CloudOperator;
 use super::provisioning::requested_kind;
 use crate::cloud_orders::{
@@ -14,29 +15,29 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::jitter;
 
-/// From so many completed orders on, the clean-up does not wait for an idle moment: a new leader would carry them all
-/// out once more.
-const MANY_COMPLETED: usize = 12;
-/// The clean-up is given up after this.
+/// Number of completed orders from which on the clean-up gets a higher priority than background requests: a new leader
+/// would carry all of them out again.
+const URGENT_CLEAN_UP_ORDERS: usize = 12;
+/// Timeout of a clean-up write.
 const CLEAN_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why an order was not stored.
+/// Reason why an order was not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum NotStored {
-    /// This controller leads no longer.
+    /// This controller is no longer the leader.
     #[error("another controller leads")]
     Deposed,
-    /// The caller gave up waiting. The write may still be applied; the order is cleaned up like a completed one.
+    /// The caller gave up. The write may still be applied, so the order is cleaned up like a completed one.
     #[error("the store did not answer in time")]
     GivenUp,
 }
 
 impl CloudOperator {
-    /// Takes over the orders of earlier leaders, once. From then on they are this leader's.
+    /// Takes the orders of earlier leaders out of the cluster state. From then on they are operations of this leader.
     pub(super) fn take_inherited_orders(&self) -> InheritedOrders {
         let orders = {
-            let mut held = self.fleet.leader.cluster();
-            held.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited_orders)).unwrap_or_default()
+            let mut guard = self.fleet.leader.cluster();
+            guard.as_mut().map(|cluster| std::mem::take(&mut cluster.inherited_orders)).unwrap_or_default()
         };
         let inherited = InheritedOrders::group(orders, MAX_MACHINES_PER_TERMINATION);
         let mut operations = self.operations();
@@ -54,12 +55,13 @@
         inherited
     }
 
+    /// Returns the fencing token of this controller, or `None` if it does not lead.
     fn fencing_token(&self) -> Option<u64> {
         self.fleet.leader.cluster().as_ref().map(|cluster| cluster.fencing_token)
     }
 
-    /// Stores an order on condition of this leader's leader record, and returns its key. Repeats the write until it is
-    /// answered, another controller leads, or `gives_up` is true after an attempt.
+    /// Stores an order on condition that the leader record is this leader's, and returns the order's key. Repeats the
+    /// write until the order is stored, another controller leads, or `gives_up` returns true after a failed attempt.
     pub(super) async fn store_order(
         &self,
         action: CloudAction,
@@ -90,22 +92,23 @@
                         fleet.store.read_barrier.wait_for_proof().await;
                         fleet.membership.check_deposed();
                     }
-                    tokio::time::sleep(jitter(RETRY_PAUSE)).await;
+                    tokio::time::sleep(jitter(RETRY_DELAY)).await;
                 }
             }
         }
     }
 
-    /// Deletes completed orders together, with a lower priority than everything else unless there are many.
+    /// Cleans up completed orders in one write, as background work unless there are [`URGENT_CLEAN_UP_ORDERS`].
     pub(super) async fn clean_up_orders(&self) {
         let Some(fencing_token) = self.fencing_token() else { return };
         let client = &self.fleet.store.client;
-        let many = self.operations().orders_to_clean_up(fencing_token).len() >= MANY_COMPLETED;
-        let priority = if many { RequestPriority::Placement } else { RequestPriority::Background };
-        let most = client.available_writes(priority).min(self.fleet.settings.params.state.txn_ops as usize);
+        let is_urgent = self.operations().orders_to_clean_up(fencing_token).len() >= URGENT_CLEAN_UP_ORDERS;
+        let priority = if is_urgent { RequestPriority::Placement } else { RequestPriority::Background };
+        let max_orders = client.available_writes(priority).min(self.fleet.settings.params.state.txn_ops as usize);
         let (keys, clean_up) = {
             let mut operations = self.operations();
-            let keys: Vec<String> = operations.orders_to_clean_up(fencing_token).iter().take(most).cloned().collect();
+            let keys: Vec<String> =
+                operations.orders_to_clean_up(fencing_token).iter().take(max_orders).cloned().collect();
             let clean_up = OrderCleanUp::new(&keys, &operations.unanswered, fencing_token);
             (keys, clean_up)
         };
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -1,10 +1,10 @@
-//! Provisioning of machines at the cloud, under a stored order.
+//! Provisioning of machines at the cloud, each time under a stored order.
 
 use std::time::{Duration, Instant};
 
 use tracing::{debug, info, warn};
 
-use super::RETRY_PAUSE;
+use super::RETRY_DELAY;
 use super::cloud::{CloudError, ProvisioningRequest};
 use super::cloud_operations::{CloudOperations, CloudOperator};
 use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
@@ -12,31 +12,33 @@
 use crate::machine_kinds::MachineKind;
 use crate::sync::jitter;
 
-/// Most requests for one kind at a time, each for up to `MAX_MACHINES_PER_PROVISIONING` machines.
-const MOST_REQUESTS: u64 = 8;
-/// An unanswered request is repeated under its own name this often before it is abandoned. Machines that it may still
-/// bring are adopted when they report.
-const REQUEST_ATTEMPTS: u32 = 6;
+/// Maximum number of requests in one order, each for up to [`MAX_MACHINES_PER_PROVISIONING`] machines.
+const MAX_REQUESTS_PER_ORDER: u64 = 8;
+/// Maximum number of times that a request is sent, under the same name, before it is abandoned. Machines that it may
+/// still provision are adopted when they report.
+const MAX_REQUEST_ATTEMPTS: u32 = 6;
 
-/// The kind of machine that a request asks for.
+/// Returns the kind of machine that a request asks for.
 pub(super) fn requested_kind(request: &ProvisioningRequest) -> MachineKind {
     MachineKind { type_name: request.type_name.clone(), zone: request.zone.clone(), spot: request.spot }
 }
 
 impl CloudOperator {
-    /// Decides which machines to provision, as the requests of each kind. The machines count as requested from here on.
+    /// Decides which machines to provision, and returns the requests for each kind. The machines count as requested
+    /// from here on.
     pub(super) fn take_provisioning_requests(&self) -> Vec<Vec<ProvisioningRequest>> {
         let now = Instant::now();
         let Some(catalog) = self.fleet.catalog.get() else { return Vec::new() };
-        let held = self.fleet.leader.cluster();
-        let Some(cluster) = held.as_ref() else { return Vec::new() };
+        let guard = self.fleet.leader.cluster();
+        let Some(cluster) = guard.as_ref() else { return Vec::new() };
         let mut operations = self.operations();
         operations.refusals.record_held_machines(&machines_by_kind(cluster));
         let demands = plan_scale_out(cluster, &catalog, &operations.refusals, &operations.requested, now);
-        let requests = |demand| self.split_into_requests(demand, cluster.fencing_token, &mut operations);
-        demands.into_iter().map(requests).collect()
+        let to_requests = |demand| self.split_into_requests(demand, cluster.fencing_token, &mut operations);
+        demands.into_iter().map(to_requests).collect()
     }
 
+    /// Splits the demand for one kind into requests that the cloud accepts, and counts their machines as requested.
     fn split_into_requests(
         &self,
         demand: MachineDemand,
@@ -44,12 +46,12 @@
         operations: &mut CloudOperations,
     ) -> Vec<ProvisioningRequest> {
         let MachineDemand { kind, count } = demand;
-        let mut left = count.min(MOST_REQUESTS * MAX_MACHINES_PER_PROVISIONING);
-        operations.add_requested(kind.clone(), left);
+        let mut remaining = count.min(MAX_REQUESTS_PER_ORDER * MAX_MACHINES_PER_PROVISIONING);
+        operations.add_requested(kind.clone(), remaining);
         let mut requests = Vec::new();
-        while left > 0 {
-            let count = left.min(MAX_MACHINES_PER_PROVISIONING);
-            left -= count;
+        while remaining > 0 {
+            let count = remaining.min(MAX_MACHINES_PER_PROVISIONING);
+            remaining -= count;
             requests.push(ProvisioningRequest {
                 request: self.unique_request_name(fencing_token, operations),
                 type_name: kind.type_name.clone(),
@@ -61,7 +63,7 @@
         requests
     }
 
-    /// Provisions machines of one kind, once the order for it is stored.
+    /// Provisions machines of one kind once the order for it is stored.
     pub(super) async fn provision(self, requests: Vec<ProvisioningRequest>) {
         match self.store_order(CloudAction::Provision(requests.clone()), || false).await {
             Ok(key) => self.complete_provisioning(ProvisioningOrder { key, requests }).await,
@@ -72,12 +74,12 @@
         }
     }
 
-    /// Sends the requests of an order one after another. After one that was not filled, the others would only use up
-    /// the cloud's rate limit.
+    /// Sends the requests of an order one after another, and stops after one that was not filled: the others would
+    /// probably find no capacity either, and use up the cloud's rate limit.
     pub(super) async fn complete_provisioning(self, order: ProvisioningOrder) {
         let mut requests = order.requests.into_iter();
         for request in requests.by_ref() {
-            if !self.send_request(request).await {
+            if !self.provision_request(request).await {
                 break;
             }
         }
@@ -85,6 +87,7 @@
         self.operations().completed.push(order.key);
     }
 
+    /// Counts the machines of these requests as requested no longer.
     fn remove_requested(&self, requests: impl IntoIterator<Item = ProvisioningRequest>) {
         let mut operations = self.operations();
         for request in requests {
@@ -92,8 +95,9 @@
         }
     }
 
-    /// Sends one request until it is answered, and records the machines. True if all were provisioned.
-    async fn send_request(&self, request: ProvisioningRequest) -> bool {
+    /// Sends one request until it is answered or abandoned, and records the provisioned machines and a refusal. Returns
+    /// whether all machines were provisioned.
+    async fn provision_request(&self, request: ProvisioningRequest) -> bool {
         let kind = requested_kind(&request);
         let outcome = self.request_until_answered(&request).await;
         let now = Instant::now();
@@ -124,19 +128,21 @@
         filled
     }
 
+    /// Sends one request, repeating it after errors other than missing capacity.
     async fn request_until_answered(&self, request: &ProvisioningRequest) -> Result<Vec<String>, CloudError> {
         let mut outcome = Err(CloudError::Unanswered);
-        for _ in 0..REQUEST_ATTEMPTS {
+        for _ in 0..MAX_REQUEST_ATTEMPTS {
             outcome = self.fleet.cloud.provision(request).await;
             match &outcome {
                 Ok(_) | Err(CloudError::NoCapacity) => break,
                 Err(error) => debug!(%error, request = request.request, "scale-out request failed"),
             }
-            tokio::time::sleep(jitter(RETRY_PAUSE)).await;
+            tokio::time::sleep(jitter(RETRY_DELAY)).await;
         }
         outcome
     }
 
+    /// Records provisioned machines in the cluster state, as booting until they report.
     fn expect_machines(&self, machines: &[String], kind: &MachineKind, now: Instant) {
         if let Some(cluster) = self.fleet.leader.cluster().as_mut() {
             for machine in machines {
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -1,4 +1,5 @@
-//! Which machines to terminate because they never came up or are idle: a pure function of the cluster state and the time.
+//! Which machines to terminate because they never came up or are idle: a pure function of the cluster state and the
+//! time.
 
 use std::time::{Duration, Instant};
 
--- a/src/fleet/terminations.rs
+++ b/src/fleet/terminations.rs
@@ -1,10 +1,10 @@
-//! Termination of machines at the cloud, under a stored order.
+//! Termination of machines at the cloud, each under a stored order.
 
 use std::time::Instant;
 
 use tracing::debug;
 
-use super::RETRY_PAUSE;
+use super::RETRY_DELAY;
 use super::cloud_operations::CloudOperator;
 use super::order_storage::NotStored;
 use crate::cloud_orders::{CloudAction, MAX_MACHINES_PER_TERMINATION, TerminationCall};
@@ -12,11 +12,11 @@
 use crate::sync::jitter;
 
 impl CloudOperator {
-    /// Machines to terminate now, in groups of as many as the cloud takes in one call. They count as being terminated
-    /// from here on.
+    /// Takes the machines whose termination is scheduled and not yet in progress, in groups for one call each. They
+    /// count as being terminated from here on.
     pub(super) fn take_machines_to_terminate(&self) -> Vec<Vec<String>> {
-        let held = self.fleet.leader.cluster();
-        let Some(cluster) = held.as_ref() else { return Vec::new() };
+        let guard = self.fleet.leader.cluster();
+        let Some(cluster) = guard.as_ref() else { return Vec::new() };
         let mut operations = self.operations();
         let machines: Vec<String> = cluster
             .machines
@@ -25,7 +25,7 @@
             .map(|m| m.id.to_string())
             .collect();
         operations.terminating.extend(machines.iter().cloned());
-        // Overdue ones get calls of their own, so that the others still wait for their order to be stored.
+        // Overdue machines get calls of their own: these calls may go out without a stored order, the others may not.
         let overdue = cluster.overdue_machines(Instant::now());
         let (overdue, others): (Vec<String>, Vec<String>) =
             machines.into_iter().partition(|machine| overdue.contains(machine.as_str()));
@@ -37,14 +37,15 @@
     }
 
     /// Terminates machines once the order for it is stored. A controller that was deposed without knowing, as after a
-    /// process pause, cannot store one; one that is paused between the two terminates what its successor has read to be
-    /// terminated. Only machines whose termination is overdue because of a cancellation are terminated without an order
-    /// where the store does not answer, since too late would be worse than too much.
+    /// process pause, cannot store an order. If it is paused between storing the order and the call, it terminates only
+    /// machines whose termination its successor has read from the store. Machines whose termination is overdue because
+    /// of a cancellation are terminated without an order if the store does not answer, since a late cancellation is
+    /// worse than a termination that was not needed.
     pub(super) async fn terminate(self, machines: Vec<String>) {
         let is_overdue = || {
             let overdue = {
-                let held = self.fleet.leader.cluster();
-                held.as_ref().map(|cluster| cluster.overdue_machines(Instant::now())).unwrap_or_default()
+                let guard = self.fleet.leader.cluster();
+                guard.as_ref().map(|cluster| cluster.overdue_machines(Instant::now())).unwrap_or_default()
             };
             machines.iter().any(|machine| overdue.contains(machine.as_str()))
         };
@@ -56,7 +57,8 @@
         self.complete_termination(TerminationCall { keys, machines }).await;
     }
 
-    /// Calls the cloud until it answers: only the answer proves that the machines and all tasks on them are gone.
+    /// Repeats the termination call until it succeeds: only the cloud's answer proves that the machines and all tasks
+    /// on them are gone. Then removes the machines from the cluster state.
     pub(super) async fn complete_termination(self, call: TerminationCall) {
         let fleet = &self.fleet;
         if fleet.leader.cluster().is_none() {
@@ -64,7 +66,7 @@
         }
         while let Err(error) = fleet.cloud.terminate(call.machines.clone()).await {
             debug!(%error, count = call.machines.len(), "scale-in request failed");
-            tokio::time::sleep(jitter(RETRY_PAUSE)).await;
+            tokio::time::sleep(jitter(RETRY_DELAY)).await;
         }
         let now = Instant::now();
         if let Some(cluster) = fleet.leader.cluster().as_mut() {
--- a/src/scheduling/load.rs
+++ b/src/scheduling/load.rs
@@ -11,7 +11,7 @@
 
 use tracing::{error, info};
 
-use crate::cloud_orders::{CLOUD_ORDERS, CloudOrder};
+use crate::cloud_orders::{CLOUD_ORDER_PREFIX, CloudOrder};
 use crate::jobs::JobId;
 use crate::jobs::record::{JobRecord, TASK_SHARD_PREFIX};
 use crate::scheduling::scheduler::Scheduler;
@@ -84,7 +84,7 @@
 /// leaders cannot add orders any more, since orders are conditional on the leader record.
 async fn read_cloud_orders(scheduler: &Scheduler) -> Result<Vec<CloudOrder>, StoreError> {
     let mut orders = Vec::new();
-    let mut pages = scheduler.store.client.pages(CLOUD_ORDERS, None);
+    let mut pages = scheduler.store.client.pages(CLOUD_ORDER_PREFIX, None);
     while let Some(page) = pages.next().await? {
         orders.extend(page.items.iter().filter_map(CloudOrder::from_key_value));
     }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollylanding::cloud_orders::{CLOUD_ORDERS, CloudOrder};
+use hollylanding::cloud_orders::{CLOUD_ORDER_PREFIX, CloudOrder};
 use hollylanding::declarations::records::{OPERATORS_KEY, SPEC_PREFIX, STATUS_PREFIX, spec_key, status_key};
 use hollylanding::declarations::table::KINDS;
 use hollylanding::declarations::{DeclarationKind, DeclarationLogic};
@@ -85,7 +85,7 @@
 }
 
 fn cloud_order(value: &Value) -> Result<Value, String> {
-    let item = state::KeyValue { path: format!("{CLOUD_ORDERS}x"), value: value.clone(), version: 1 };
+    let item = state::KeyValue { path: format!("{CLOUD_ORDER_PREFIX}x"), value: value.clone(), version: 1 };
     match CloudOrder::from_key_value(&item).map(|order| order.change()) {
         Some(Change::Write { write, value, .. }) if write == item.path => Ok(value),
         other => Err(format!("{other:?}")),
@@ -202,7 +202,7 @@
         "watermark": record::WATERMARK_KEY,
         "tasks": [record::TASK_SHARD_PREFIX, record::shard_key(id, 7)],
         "tasks of one chunk": record::TASKS_PER_SHARD,
-        "cloud orders": CLOUD_ORDERS,
+        "cloud orders": CLOUD_ORDER_PREFIX,
         "declared": [SPEC_PREFIX, STATUS_PREFIX, OPERATORS_KEY],
         "declared by kind": declarations,
     })
