--- a/src/users/cancellation.rs
+++ b/src/users/cancellation.rs
@@ -16,14 +16,14 @@
 use crate::store::budget::RequestPriority;
 use crate::store::{CompareAndSwapOutcome, StoreError};
 
-/// Cancels a job on behalf of its user.
+/// Handles a user's request to cancel a job, which may be a repeated request.
 pub(super) async fn cancel_job(service: &UserService, write_tracker: &Arc<WriteTracker>, id: &str) -> UserResponse {
-    let found = look_up_job(service, id).await;
-    if !is_open(&found) {
-        return found;
+    let response = look_up_job(service, id).await;
+    if !is_open(&response) {
+        return response;
     }
     let id: JobId = id.into();
-    // The store may have told of it before the watch cache has it.
+    // A read from the store may show the job before the watch cache has it.
     if open_task_count(service, &id).is_none() {
         service.store.read_barrier.wait_for_proof().await;
     }
@@ -31,15 +31,16 @@
     if let Some(record) = record {
         return write_cancellation(service, write_tracker, record).await;
     }
-    let found = look_up_job(service, &id).await;
-    if is_open(&found) { UserResponse::retry_soon("the job has not been read yet") } else { found }
+    let response = look_up_job(service, &id).await;
+    if is_open(&response) { UserResponse::retry_soon("the job has not been read yet") } else { response }
 }
 
-fn is_open(found: &UserResponse) -> bool {
-    matches!(found, UserResponse::Found(JobAnswer { status: Status::Pending | Status::Running, .. }))
+/// Whether the response reports an open job.
+fn is_open(response: &UserResponse) -> bool {
+    matches!(response, UserResponse::Found(JobAnswer { status: Status::Pending | Status::Running, .. }))
 }
 
-/// Writes the end of an open job, and responds once the cancellation may be reported.
+/// Writes the cancellation of an open job, and reports it to the user if it is already visible.
 async fn write_cancellation(
     service: &UserService,
     write_tracker: &Arc<WriteTracker>,
@@ -69,7 +70,7 @@
             if keys != [LEADER_RECORD_KEY] {
                 return respond_after_conflict(service, &id, &keys).await;
             }
-            // Another controller leads by now; the watch cache is about to receive its leader record.
+            // Another controller has become the leader; the watch cache is about to receive its leader record.
             service.store.read_barrier.request_proof();
             UserResponse::retry_soon("who owns has just changed")
         }
--- a/src/users/feasibility.rs
+++ b/src/users/feasibility.rs
@@ -1,9 +1,9 @@
-//! Whether a job could ever run, by the settings and by what the cloud offers. Pure.
+//! Checks whether a job could ever run, by the settings and the machine catalog. Pure functions without side effects.
 //!
-//! An array can run one task at a time. A gang needs all of its tasks at once, and a service is complete only with all
-//! of its replicas: the protocol compares both with the team's limit with all tasks, and so does this module with
-//! everything else. Whether the cloud has ordinary or spot machines of a type is not known in advance: it names a
-//! price for both, and capacity shows only when machines are requested.
+//! A job array can run one task at a time. A gang needs all of its tasks at once, and a service is complete only with
+//! all of its replicas: the protocol compares the sum of all their tasks with the team's limits, and this module's other
+//! checks also consider all their tasks at once. Whether the cloud has on-demand or spot machines of a type is not known
+//! in advance: the catalog has a price for both, and capacity shows only when machines are requested.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
 use crate::machine_kinds::{Catalog, MachineType};
 use crate::settings::Settings;
 
-/// Tolerance for rounding in sums of resources.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of resources.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Why a job can never run.
+/// Why a job can never run. The texts are part of the API.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum InfeasibleJob {
     #[error("desk: {0:?} is no known team")]
@@ -24,12 +24,13 @@
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     #[error("scatter: the tasks must be in one zone by samePlace, and only half of them may be")]
-    TogetherAndApart,
+    SameZoneAndSpread,
     #[error("scatter: only half of the tasks may be in one zone, and no other has a machine that fits")]
-    ApartInOneZone,
+    SpreadInOneZone,
 }
 
-/// Checks whether the job could ever run: its team, its limits, some type that holds a task, and zones for all tasks.
+/// Checks whether the job could ever run: its team is known, its team's limits allow it, some machine type fits a task,
+/// and there are enough zones for all tasks.
 pub(super) fn check_feasible(spec: &JobSpec, settings: &Settings, catalog: &Catalog) -> Result<(), InfeasibleJob> {
     check_team(spec, settings)?;
     let zones = zones_with_capacity(spec, catalog);
@@ -39,54 +40,61 @@
     check_zones(spec, zones.len())
 }
 
-/// How many tasks must run at the same time.
-fn tasks_at_once(spec: &JobSpec) -> u64 {
+/// Number of tasks that must be able to run at the same time.
+fn concurrent_tasks(spec: &JobSpec) -> u64 {
     match spec.shape {
         Shape::Array => 1,
         Shape::Gang | Shape::Service => spec.tasks,
     }
 }
 
+/// Checks that the team is known and that its limits allow the tasks that must run at the same time.
 fn check_team(spec: &JobSpec, settings: &Settings) -> Result<(), InfeasibleJob> {
     let Some(team) = settings.team(&spec.team) else {
         return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
     };
-    let tasks = tasks_at_once(spec) as f64;
-    for (field, limit, each) in [("cpus", team.cpus_max, spec.cpus), ("accelerators", team.gpus_max, spec.gpus)] {
-        let needed = tasks * each;
-        // A limit of zero is none.
-        if limit > 0.0 && needed > limit + ROUNDING {
+    let tasks = concurrent_tasks(spec) as f64;
+    for (field, limit, per_task) in [("cpus", team.cpus_max, spec.cpus), ("accelerators", team.gpus_max, spec.gpus)] {
+        let needed = tasks * per_task;
+        // A limit of zero means unlimited.
+        if limit > 0.0 && needed > limit + ROUNDING_TOLERANCE {
             return Err(InfeasibleJob::AboveTeamLimit { field, needed, limit });
         }
     }
     Ok(())
 }
 
-/// The allowed zones in which some allowed type holds a task.
+/// The allowed zones in which some allowed machine type fits a task.
 fn zones_with_capacity<'a>(spec: &JobSpec, catalog: &'a Catalog) -> BTreeSet<&'a str> {
-    let types = catalog.types.iter().filter(|of| allows_type(spec, of) && holds_a_task(spec, of));
-    let zones = types.flat_map(|of| of.zones.iter().map(String::as_str));
+    let types =
+        catalog.types.iter().filter(|machine_type| allows_type(spec, machine_type) && fits_task(spec, machine_type));
+    let zones = types.flat_map(|machine_type| machine_type.zones.iter().map(String::as_str));
     zones.filter(|zone| spec.zone.as_deref().is_none_or(|only| only == *zone)).collect()
 }
 
-fn allows_type(spec: &JobSpec, of: &MachineType) -> bool {
-    spec.types.as_ref().is_none_or(|names| names.contains(&of.name))
+/// Whether the job allows this machine type.
+fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
 }
 
-fn holds_a_task(spec: &JobSpec, of: &MachineType) -> bool {
-    spec.cpus <= of.cpus + ROUNDING && spec.gpus <= of.gpus + ROUNDING && spec.memory_gb <= of.memory_gb + ROUNDING
+/// Whether one task of the job fits on an empty machine of this type.
+fn fits_task(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+        && spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+        && spec.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
 }
 
-/// At most half of a scattered job's tasks, rounded up, may be in one zone: two zones always do.
+/// Checks that the zones suffice for a job whose tasks must be spread over zones. At most half of its tasks, rounded up,
+/// may be in one zone, so two zones always suffice.
 fn check_zones(spec: &JobSpec, zones: usize) -> Result<(), InfeasibleJob> {
-    if !spec.spread || tasks_at_once(spec) < 2 {
+    if !spec.spread || concurrent_tasks(spec) < 2 {
         return Ok(());
     }
     if spec.same_zone {
-        return Err(InfeasibleJob::TogetherAndApart);
+        return Err(InfeasibleJob::SameZoneAndSpread);
     }
     if zones < 2 {
-        return Err(InfeasibleJob::ApartInOneZone);
+        return Err(InfeasibleJob::SpreadInOneZone);
     }
     Ok(())
 }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -1,4 +1,4 @@
-//! Status of a job, as far as it may be reported to users.
+//! Looks up the status of a job, as far as it may be reported to users.
 
 use tracing::debug;
 
@@ -10,25 +10,27 @@
 use crate::jobs::{End, JobId, well_formed_id};
 use crate::protocol::users::{JobAnswer, Status};
 
-/// The cancellation is stored, and hidden until the leader is known to have it (`history::visibility`).
-const UNCONFIRMED: &str = "the job is being withdrawn: its owner has not confirmed that yet";
+/// Reason of the response for a stored cancellation that is hidden until the leader is known to have it
+/// (`history::visibility`).
+const UNCONFIRMED_CANCELLATION: &str = "the job is being withdrawn: its owner has not confirmed that yet";
 
-/// Reports an end: a cancellation only once the leader has it. Every path that reports an end goes through here.
+/// Responds with a job's end; a cancellation is reported only once the leader has it. Every response with an end that
+/// may still be hidden goes through this function.
 pub(super) async fn respond_with_end(service: &UserService, id: &JobId, end: End) -> UserResponse {
     service.membership.watermark();
-    let mut visible = service.history.end_visibility(id, end);
-    if visible == EndVisibility::Unknown {
-        learn_cancellation_version(service, id).await;
-        visible = service.history.end_visibility(id, end);
+    let mut visibility = service.history.end_visibility(id, end);
+    if visibility == EndVisibility::Unknown {
+        look_up_cancellation_version(service, id).await;
+        visibility = service.history.end_visibility(id, end);
     }
-    match visible {
+    match visibility {
         EndVisibility::Visible => end_response(id, end),
-        EndVisibility::NotYet | EndVisibility::Unknown => UserResponse::retry_soon(UNCONFIRMED),
+        EndVisibility::NotYet | EndVisibility::Unknown => UserResponse::retry_soon(UNCONFIRMED_CANCELLATION),
     }
 }
 
-/// Finds out at which revision the job was cancelled: from the watch cache, or else from the store.
-async fn learn_cancellation_version(service: &UserService, id: &JobId) {
+/// Finds out at which version the job was cancelled, from the watch cache or else from the store.
+async fn look_up_cancellation_version(service: &UserService, id: &JobId) {
     let version = service.store.watch_cache().revision_with_end(id);
     if let Some(version) = version {
         service.history.note_cancellation(id, version);
@@ -37,7 +39,7 @@
     }
 }
 
-/// The response for an end that may be reported.
+/// The response with an end that may be reported.
 pub(super) fn end_response(id: &str, end: End) -> UserResponse {
     let status = match end {
         End::Done => Status::Done,
@@ -46,21 +48,21 @@
     UserResponse::Found(JobAnswer { id: id.to_owned(), status, done: 0, running: 0 })
 }
 
-/// The response for an open job. Its counts are for display and may be ahead of what is stored.
+/// The response with an open job. Its task counts are for display and may be ahead of the store.
 fn open_response(service: &UserService, id: &JobId, tasks: u64) -> UserResponse {
     let counts = service.membership.counts(id);
     let status = if counts.running > 0 { Status::Running } else { Status::Pending };
     UserResponse::Found(JobAnswer { id: id.to_string(), status, done: counts.done.min(tasks), running: counts.running })
 }
 
-/// The number of tasks of an open job, if the watch cache has it.
+/// Number of tasks of an open job, if the watch cache has the job.
 pub(super) fn open_task_count(service: &UserService, id: &str) -> Option<u64> {
     service.store.watch_cache().open_job(id).map(|record| record.spec.tasks)
 }
 
-/// The status of a job, no older than the request. Ends are final and reported from memory; an open job is reported
-/// from the watch cache after a read barrier. For everything else the store is asked, in one read of every key that the
-/// job may have.
+/// Looks up the status of a job, no older than the request. Ends are final and reported from memory; an open job is
+/// reported from the watch cache after a read barrier. Any other job is looked up in the store, with one read of every
+/// key that the job may have.
 pub(super) async fn look_up_job(service: &UserService, id: &str) -> UserResponse {
     if !well_formed_id(id) {
         return UserResponse::Rejected(RequestError::NoSuchJob);
@@ -79,12 +81,12 @@
         if let Some(tasks) = open_task_count(service, &id) {
             return open_response(service, &id, tasks);
         }
-        // It has ended meanwhile; the store tells how.
+        // The job has ended meanwhile; the store shows how.
     }
     match service.history.query_job(&id).await {
         JobQueryAnswer::Ended(end) => respond_with_end(service, &id, end).await,
         JobQueryAnswer::NeverAccepted => UserResponse::Rejected(RequestError::NoSuchJob),
-        // Accepted so recently that the watch cache does not have it.
+        // The job was accepted so recently that the watch cache does not have it.
         JobQueryAnswer::Open => open_response(service, &id, u64::MAX),
         JobQueryAnswer::Unavailable => {
             UserResponse::retry_soon("the state service cannot be asked, or too much is asked at once")
@@ -92,8 +94,8 @@
     }
 }
 
-/// The status of a job after a compare-and-swap found it changed. If the failed keys show an end, that is recorded and
-/// the store need not be asked.
+/// Responds with the status of a job after a compare-and-swap failed on these keys. If the keys show an end, the end is
+/// recorded and the store need not be read.
 pub(super) async fn respond_after_conflict(service: &UserService, id: &JobId, keys: &[String]) -> UserResponse {
     if let Some(end) = find_end(keys, id) {
         service.history.note_end(id, end);
--- a/src/users/response.rs
+++ b/src/users/response.rs
@@ -1,30 +1,30 @@
-//! Responses to users, independent of the web framework.
+//! Responses to users' requests, independent of the web framework.
 
 use super::feasibility::InfeasibleJob;
 use crate::protocol::DecodeError;
 use crate::protocol::jobs::InvalidField;
 use crate::protocol::users::JobAnswer;
 
-/// `Retry-After` where the reason should soon be over, in seconds.
+/// `Retry-After` of a refusal whose reason should end soon, in seconds.
 pub(super) const RETRY_SOON_S: u64 = 1;
-/// `Retry-After` where jobs have to end first, in seconds.
+/// `Retry-After` of a refusal that lasts until jobs end, in seconds.
 pub(super) const RETRY_WHEN_JOBS_END_S: u64 = 15;
 
-/// A response to a user.
+/// A response to a user's request.
 #[derive(Debug)]
 pub(super) enum UserResponse {
     /// 200: the job's status.
     Found(JobAnswer),
     /// 201: the job was accepted.
     Created(JobAnswer),
-    /// The request is refused for good.
+    /// 400, 404 or 422: the request is refused for good.
     Rejected(RequestError),
-    /// 503: it cannot be answered now; the user is to repeat it after so many seconds.
+    /// 503: the request cannot be answered now; the user is to retry it after `after_s` seconds.
     RetryLater { reason: &'static str, after_s: u64 },
 }
 
 impl UserResponse {
-    /// 503, where the reason should soon be over.
+    /// 503 with a reason that should end soon.
     pub(super) fn retry_soon(reason: &'static str) -> Self {
         Self::RetryLater { reason, after_s: RETRY_SOON_S }
     }
@@ -48,7 +48,7 @@
 }
 
 impl RequestError {
-    /// The HTTP status that the protocol gives it.
+    /// The HTTP status that the protocol defines for this error.
     pub(super) fn status(&self) -> u16 {
         match self {
             Self::NoSuchJob => 404,
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that users, workers and health checks call, on the web framework.
+//! HTTP routes for users, workers and health checks, on the web framework.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 use crate::traffic::CallKind;
 use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
-/// Handles the requests of one endpoint.
+/// Handles the requests to one endpoint.
 struct RequestHandler {
     service: Arc<UserService>,
     write_tracker: Arc<WriteTracker>,
-    path: Endpoint,
+    endpoint: Endpoint,
 }
 
 /// The endpoints of the API.
@@ -34,10 +34,12 @@
     Heartbeat,
 }
 
+/// Sets the `Retry-After` header.
 fn set_retry_after(res: &mut Response, after_s: u64) {
     let _ = res.add_header("retry-after", after_s.to_string(), true);
 }
 
+/// Writes a response with a MessagePack body, if there is one; a 503 gets a `Retry-After` header.
 fn write_response(res: &mut Response, status: u16, body: Vec<u8>) {
     res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     if status == 503 {
@@ -51,8 +53,8 @@
 
 /// Writes a response to a user.
 fn write_user_response(service: &UserService, res: &mut Response, response: UserResponse) {
-    let later = matches!(response, UserResponse::RetryLater { .. });
-    service.traffic.count(if later { CallKind::Later } else { CallKind::Answered });
+    let retry_later = matches!(response, UserResponse::RetryLater { .. });
+    service.traffic.count(if retry_later { CallKind::Later } else { CallKind::Answered });
     match response {
         UserResponse::Found(job) => write_response(res, 200, protocol::encode(&job)),
         UserResponse::Created(job) => write_response(res, 201, protocol::encode(&job)),
@@ -91,7 +93,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let service = &self.service;
         let id = req.param::<String>("id").unwrap_or_default();
-        let body = match self.path {
+        let body = match self.endpoint {
             Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
@@ -104,11 +106,11 @@
             },
             _ => Default::default(),
         };
-        match self.path {
+        match self.endpoint {
             Endpoint::Submit => {
                 write_user_response(service, res, submit_job(service, &self.write_tracker, &body).await)
             }
-            // The user has given up waiting and asks again, so that this request is not looked up.
+            // Its user has most likely given up waiting during a process pause and retries, so it is not looked up.
             Endpoint::LookUp if service.membership.is_stale_request() => {
                 write_user_response(service, res, UserResponse::retry_soon("this controller was paused"))
             }
@@ -120,10 +122,10 @@
     }
 }
 
-/// All routes of one controller.
+/// Creates the router with all routes of one controller.
 pub fn router(service: &Arc<UserService>) -> Router {
     let write_tracker = WriteTracker::new(service.clone());
-    let handle = |path| RequestHandler { service: service.clone(), write_tracker: write_tracker.clone(), path };
+    let handle = |endpoint| RequestHandler { service: service.clone(), write_tracker: write_tracker.clone(), endpoint };
     Router::new()
         .push(
             Router::with_path("work").post(handle(Endpoint::Submit)).push(
@@ -136,12 +138,16 @@
         .push(Router::with_path("v1/report").post(handle(Endpoint::Heartbeat)))
 }
 
-/// Binds the address, which no other process has from then on.
+/// Binds the API listener's address, which no other process can bind while the listener is open.
+///
+/// # Errors
+///
+/// The address cannot be bound.
 pub async fn bind(service: &UserService) -> std::io::Result<TcpAcceptor> {
     TcpListener::new(service.settings.listen.clone()).try_bind().await.map_err(std::io::Error::other)
 }
 
-/// Serves until the process is killed.
+/// Serves requests until the process is killed.
 pub async fn serve(service: Arc<UserService>, acceptor: TcpAcceptor) -> std::io::Result<()> {
     let router = router(&service);
     info!(address = service.settings.listen, "API listener started");
--- a/src/users/service.rs
+++ b/src/users/service.rs
@@ -1,4 +1,4 @@
-//! Handles to the state and the services that the API for users uses.
+//! Handles to the state and the services that the API for users depends on.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,24 +12,24 @@
 use crate::traffic::Traffic;
 use crate::workers::WorkerService;
 
-/// Answers users at one controller, whether it leads or not.
+/// Serves users' requests at one controller, whether it is the leader or not.
 pub struct UserService {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub settings: Arc<Settings>,
     /// The state service and its watch cache.
     pub store: Arc<StateStore>,
-    /// Ends of jobs.
+    /// The ends of jobs.
     pub history: Arc<JobHistory>,
-    /// What this controller may tell users.
+    /// Leadership and the state of the other controllers, which decide what this controller may report to users.
     pub membership: Arc<Membership>,
-    /// The machine types, by which it is judged whether a job can ever run.
+    /// The machine catalog, by which jobs are checked for feasibility.
     pub catalog: Arc<SharedCatalog>,
     /// Records each write that the state service has acknowledged.
     pub audit: Arc<Auditor>,
-    /// Counts of answers.
+    /// Counts of responses.
     pub traffic: Arc<Traffic>,
-    /// Answers heartbeats, which come to the same listener.
+    /// Serves workers' heartbeats, which arrive at the same listener.
     pub workers: Arc<WorkerService>,
-    /// Submissions that wait to be written.
+    /// Admission control of the submissions that wait for their write.
     pub admission: Mutex<Admission>,
 }
