--- a/src/history/end_cache.rs
+++ b/src/history/end_cache.rs
@@ -2,7 +2,7 @@
 //!
 //! Eviction is round-robin and does not depend on an entry's last use. Users may poll all their jobs in turn, again and
 //! again: a least-recently-used cache with fewer entries than jobs would always have evicted the jobs polled next,
-//! while this cache still has about a fifth of twice as many jobs as its entries.
+//! while this cache still has about a fifth of the ends if there are twice as many jobs as slots.
 
 use crate::jobs::End;
 
