--- a/src/controller.rs
+++ b/src/controller.rs
@@ -98,7 +98,7 @@
             tokio::spawn(mesh::send_lines(self.membership.clone(), peer.clone()));
         }
         let controller = self.clone();
-        tokio::spawn(fleet::learn_catalog(self.fleet.clone(), move || controller.tell_held()));
+        tokio::spawn(fleet::poll_catalog(self.fleet.clone(), move || controller.tell_held()));
         let traffic = self.traffic.clone();
         tokio::spawn(async move { traffic.run().await });
         let membership = self.membership.clone();
@@ -148,7 +148,7 @@
             ("hidden", self.history.hidden_cancellations().remembered),
         ]);
         held.push(("served", self.leader.accounting().entry_count()));
-        held.push(("in_admission", lock(&self.users.admission).waiting()));
+        held.push(("in_admission", lock(&self.users.admission).waiting_count()));
         held.extend(self.membership.entry_counts());
         if let Some(cluster) = self.leader.cluster().as_ref() {
             held.extend(cluster.entry_counts());
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -18,8 +18,8 @@
 };
 use crate::history::query_queue::{JobQueryAnswer, NextBatch, QueryBatch, QueryQueue, ResolvedBatch};
 use crate::jobs::record::{
-    CACHED, CACHED_AFTER, ENDED_EXTRA, JobRecord, OLD_ENDS, OLD_JOBS, UPGRADED, ended_key, old_end_key, old_job_key,
-    open_key,
+    CACHED_PREFIX, CACHED_START_AFTER, ENDED_RECORD_EXTRA_BYTES, JobRecord, OLD_END_PREFIX, OLD_JOB_PREFIX,
+    UPGRADED_KEY, ended_key, old_end_key, old_job_key, open_key,
 };
 use crate::jobs::tests::spec;
 use crate::jobs::{End, JobId, JobSpec};
@@ -379,7 +379,7 @@
             self.store.apply_if(&transaction.conditions, &transaction.changes).map_err(|refused| refused.failed)?;
         for change in &transaction.changes {
             let Change::Write { write, value, .. } = change else { continue };
-            assert!(value.to_string().len() < 1024 + ENDED_EXTRA);
+            assert!(value.to_string().len() < 1024 + ENDED_RECORD_EXTRA_BYTES);
             let Some((job, location)) = locate_job(write) else { continue };
             let ends = [End::Done, End::Cancelled].map(|end| self.store.has(&ended_key(job, end)));
             let keys = usize::from(self.store.has(&open_key(job))) + ends.iter().filter(|has| **has).count();
@@ -407,25 +407,25 @@
         match controller.watch_cache.watch_revision() {
             Some(revision) if !controller.watch_requested => {
                 controller.watch_requested = true;
-                let response = self.store.watch(CACHED, revision).unwrap();
+                let response = self.store.watch(CACHED_PREFIX, revision).unwrap();
                 self.respond(index, StoreResponse::Watch { requested_step: now, response });
             }
             Some(revision) if self.rng.random_bool(0.3) => {
                 // A proof of freshness beside the watch; the two responses may arrive in either order.
-                let response = self.store.watch(CACHED, revision).unwrap();
+                let response = self.store.watch(CACHED_PREFIX, revision).unwrap();
                 self.respond(index, StoreResponse::Watch { requested_step: now, response });
             }
             None if controller.reload.is_none() => {
                 controller.reload_count += 1;
                 let reload = controller.watch_cache.begin_reload();
-                controller.reload = Some((reload, CACHED_AFTER.to_owned(), controller.reload_count));
+                controller.reload = Some((reload, CACHED_START_AFTER.to_owned(), controller.reload_count));
                 controller.page_requested = false;
             }
             None if !controller.page_requested => {
                 let Some((_, last_key, reload_number)) = &controller.reload else { return };
                 let (last_key, reload_number) = (last_key.clone(), *reload_number);
                 controller.page_requested = true;
-                let page = self.store.page(CACHED, &last_key, PAGE_SIZE);
+                let page = self.store.page(CACHED_PREFIX, &last_key, PAGE_SIZE);
                 self.respond(index, StoreResponse::Page { reload_number, page });
             }
             _ => {}
@@ -444,15 +444,17 @@
     fn run_upgrade_step(&mut self, index: usize) {
         let Some(mut progress) = self.controllers[index].upgrade.take() else { return };
         if progress.jobs.is_empty() && progress.more_jobs {
-            let page = self.store.page(OLD_JOBS, &progress.last_job_key, PAGE_SIZE);
+            let page = self.store.page(OLD_JOB_PREFIX, &progress.last_job_key, PAGE_SIZE);
             progress.more_jobs = page.more && !page.items.is_empty();
             progress.last_job_key = page.items.last().map_or(progress.last_job_key, |i| i.path.clone());
-            progress.jobs.extend(page.items.into_iter().map(|i| (i.path[OLD_JOBS.len()..].to_owned(), i.version)));
+            progress
+                .jobs
+                .extend(page.items.into_iter().map(|i| (i.path[OLD_JOB_PREFIX.len()..].to_owned(), i.version)));
         } else if progress.ends.is_empty() && progress.more_ends {
-            let page = self.store.page(OLD_ENDS, &progress.last_end_key, PAGE_SIZE);
+            let page = self.store.page(OLD_END_PREFIX, &progress.last_end_key, PAGE_SIZE);
             progress.more_ends = page.more && !page.items.is_empty();
             progress.last_end_key = page.items.last().map_or(progress.last_end_key, |i| i.path.clone());
-            progress.ends.extend(page.items.into_iter().map(|i| i.path[OLD_ENDS.len()..].to_owned()));
+            progress.ends.extend(page.items.into_iter().map(|i| i.path[OLD_END_PREFIX.len()..].to_owned()));
         } else if let Some((job, version)) = progress.jobs.front().cloned() {
             if progress.ends.front().is_some_and(|e| *e < job) {
                 progress.ends.pop_front();
@@ -465,7 +467,7 @@
             }
         } else {
             let value = json!({"old_kept": true});
-            let _ = self.store.apply_if(&[Condition::absent(UPGRADED)], &[Change::write(UPGRADED, value)]);
+            let _ = self.store.apply_if(&[Condition::absent(UPGRADED_KEY)], &[Change::write(UPGRADED_KEY, value)]);
             return;
         }
         self.controllers[index].upgrade = Some(progress);
--- a/src/store/watch_cache/control_keys.rs
+++ b/src/store/watch_cache/control_keys.rs
@@ -1,15 +1,17 @@
-//! The cached keys of the election lease and of leadership, and the mark of an upgraded store.
+//! The cached keys of the election lease and of leadership, and the marker of an upgraded store.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use tracing::warn;
 
 use super::decode;
-use crate::jobs::record::{LEADER, LEASE_HOLDER, TAKEOVER_REQUEST, UPGRADED, Upgraded, WATERMARK};
+use crate::jobs::record::{
+    LEADER_RECORD_KEY, LEASE_HOLDER_KEY, TAKEOVER_REQUEST_KEY, UPGRADED_KEY, UpgradeRecord, WATERMARK_KEY,
+};
 use crate::records::leadership::{LeaderRecord, LeaseHolder, TakeoverRequest, Watermark};
 
-/// The value of one key with the key's version. A value that cannot be decoded counts as present and is overwritten on
-/// condition of its version: if it counted as absent, no controller could ever take the lease or lead again.
+/// The value of one key and the key's version. A key whose value cannot be decoded counts as present and is overwritten
+/// on condition of its version: if it counted as absent, no controller could ever acquire the lease or lead again.
 #[derive(Debug, Default)]
 pub(super) enum VersionedKey<T> {
     /// The key does not exist.
@@ -22,13 +24,14 @@
 }
 
 impl<T: DeserializeOwned> VersionedKey<T> {
+    /// Decodes the value of a key that exists at `version`.
     fn decode(key: &str, value: &Value, version: u64) -> Self {
         decode(key, value).map_or(Self::Undecodable(version), |value| Self::Decoded((value, version)))
     }
 }
 
 impl<T> VersionedKey<T> {
-    /// The value with the version of the key; none if the key is absent or its value cannot be decoded.
+    /// Returns the value and the version of the key; none if the key is absent or its value cannot be decoded.
     pub(super) fn value(&self) -> Option<&(T, u64)> {
         match self {
             Self::Decoded(value) => Some(value),
@@ -36,7 +39,7 @@
         }
     }
 
-    /// The version of the key; 0 if it is absent.
+    /// Returns the version of the key; 0 if it is absent.
     pub(super) fn version(&self) -> u64 {
         match self {
             Self::Absent => 0,
@@ -44,7 +47,7 @@
         }
     }
 
-    /// The version of the key if its value cannot be decoded.
+    /// Returns the version of the key if its value cannot be decoded.
     pub(super) fn undecodable_version(&self) -> Option<u64> {
         match self {
             Self::Undecodable(version) => Some(*version),
@@ -60,45 +63,45 @@
     pub(super) leader_record: VersionedKey<LeaderRecord>,
     pub(super) takeover_request: VersionedKey<TakeoverRequest>,
     pub(super) watermark: Option<Watermark>,
-    pub(super) upgraded: Option<Upgraded>,
+    pub(super) upgraded: Option<UpgradeRecord>,
 }
 
 impl ControlKeys {
-    /// Sets one of these keys; false if the key is none of them.
+    /// Sets one of these keys. Returns false if the key is none of them.
     pub(super) fn set(&mut self, key: &str, value: &Value, version: u64) -> bool {
         match key {
-            LEASE_HOLDER => self.lease_holder = VersionedKey::decode(key, value, version),
-            LEADER => self.leader_record = VersionedKey::decode(key, value, version),
-            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::decode(key, value, version),
-            WATERMARK => {
+            LEASE_HOLDER_KEY => self.lease_holder = VersionedKey::decode(key, value, version),
+            LEADER_RECORD_KEY => self.leader_record = VersionedKey::decode(key, value, version),
+            TAKEOVER_REQUEST_KEY => self.takeover_request = VersionedKey::decode(key, value, version),
+            WATERMARK_KEY => {
                 self.watermark = decode(key, value).filter(|watermark| is_within_store(key, watermark, version));
             }
-            // The mark is written once and never again: if an undecodable one did not count, every controller would
-            // wait for a decodable one for ever.
-            UPGRADED => self.upgraded = Some(decode(key, value).unwrap_or(Upgraded { old_jobs_kept: true })),
+            // The marker is written once and never again: if an undecodable one did not count, every controller would
+            // wait forever for a decodable one.
+            UPGRADED_KEY => self.upgraded = Some(decode(key, value).unwrap_or(UpgradeRecord { old_jobs_kept: true })),
             _ => return false,
         }
         true
     }
 
-    /// Removes one of these keys; false if the key is none of them.
+    /// Removes one of these keys. Returns false if the key is none of them.
     pub(super) fn remove(&mut self, key: &str) -> bool {
         match key {
-            LEASE_HOLDER => self.lease_holder = VersionedKey::Absent,
-            LEADER => self.leader_record = VersionedKey::Absent,
-            TAKEOVER_REQUEST => self.takeover_request = VersionedKey::Absent,
-            WATERMARK => self.watermark = None,
+            LEASE_HOLDER_KEY => self.lease_holder = VersionedKey::Absent,
+            LEADER_RECORD_KEY => self.leader_record = VersionedKey::Absent,
+            TAKEOVER_REQUEST_KEY => self.takeover_request = VersionedKey::Absent,
+            WATERMARK_KEY => self.watermark = None,
             _ => return false,
         }
         true
     }
 }
 
-/// Whether a stored watermark is possible: it cannot name a revision or a fencing token above its own version.
+/// Returns whether a stored watermark is valid: its revision and its fencing token cannot exceed its own version.
 fn is_within_store(key: &str, watermark: &Watermark, version: u64) -> bool {
-    let possible = watermark.revision <= version && watermark.fencing_token <= version;
-    if !possible {
+    let is_valid = watermark.revision <= version && watermark.fencing_token <= version;
+    if !is_valid {
         warn!(key, ?watermark, revision = version, "stored watermark ahead of the store; ignoring it");
     }
-    possible
+    is_valid
 }
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -15,7 +15,7 @@
 use crate::history::job_transactions;
 use crate::jobs::JobSpec;
 use crate::jobs::limits::fits_in_memory;
-use crate::jobs::record::{ENDED_EXTRA, JobRecord, time_of_day_ms};
+use crate::jobs::record::{ENDED_RECORD_EXTRA_BYTES, JobRecord, time_of_day_ms};
 use crate::protocol;
 use crate::protocol::users::{JobAnswer, Status};
 use crate::store::budget::RequestPriority;
@@ -116,7 +116,8 @@
 
 /// Whether the job's record, with what its end adds to it, stays within the store's limit on a value.
 fn fits_in_store(service: &UserService, record: &JobRecord) -> bool {
-    let size = serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_EXTRA));
+    let size =
+        serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_RECORD_EXTRA_BYTES));
     size as f64 <= service.settings.params.state.value_kb * 1024.0
 }
 
@@ -128,7 +129,8 @@
 /// Passes admission control, or tells after how many seconds the user is to retry.
 fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
     let mut admission = lock(&service.admission);
-    let WriteDelay { wait, per_second } = service.store.client.estimate_write_delay(admission.waiting() as f64 + 1.0);
+    let WriteDelay { wait, per_second } =
+        service.store.client.estimate_write_delay(admission.waiting_count() as f64 + 1.0);
     admission
         .admit(spec, wait, per_second, rand::random(), Instant::now())
         .map_err(|retry_after_s| Busy { retry_after_s })?;
@@ -143,7 +145,7 @@
 
 impl Drop for AdmissionTicket<'_> {
     fn drop(&mut self) {
-        lock(&self.service.admission).leave(&self.spec);
+        lock(&self.service.admission).release(&self.spec);
     }
 }
 
