--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -1,6 +1,6 @@
-//! Seeded interleavings of operators, leaders and the store: the real watch cache, registry and driver, with a
-//! kind that only counts up to what its spec says. Transactions come late, twice or unanswered, leaders
-//! are replaced and go on without knowing, and are paused between any two of output, sent and answered.
+//! Seeded interleavings of operators, leaders and the store, with the real watch cache, registry and driver and a kind
+//! whose status counts up to the goal in its specification. Transactions arrive late, arrive twice or stay unanswered;
+//! leaders are replaced and continue without knowing, and are paused between evaluating, sending and being answered.
 
 pub mod simulation;
 
@@ -31,12 +31,13 @@
 use crate::store::watch_cache::WatchCache;
 use crate::store::{Change, CompareAndSwapOutcome, Condition, StoreError};
 
+/// Specification of the counting kinds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Goal {
     pub goal: u64,
 }
 
-/// How far it has come, and under which fencing token.
+/// Status of the counting kinds: the count, and the fencing token of the leader that wrote it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counted {
     pub at: u64,
@@ -47,8 +48,8 @@
     fn log(&self, _: &str) {}
 }
 
-/// An event as one line: a declaration's name, and what has happened to it.
-fn line(event: &DeclarationEvent) -> String {
+/// Formats an event as one line: the declaration's name and the change.
+fn event_line(event: &DeclarationEvent) -> String {
     match event {
         DeclarationEvent::Removed { name, .. } => format!("{name} removed"),
         DeclarationEvent::StatusTooLarge { name, .. } => format!("{name} too large"),
@@ -56,17 +57,17 @@
     }
 }
 
-/// Counts up to its goal, and asks for as much as is stored: jobs named after it are not to be placed.
-pub struct Toy<const OF: usize>;
+/// A kind whose status counts up to its goal. Its intent defers a job named after the declaration and the stored count.
+pub struct CounterKind<const KIND_INDEX: usize>;
 
-impl<const OF: usize> DeclarationLogic for Toy<OF> {
-    const KIND: DeclarationKind = DeclarationKind::ALL[OF];
+impl<const KIND_INDEX: usize> DeclarationLogic for CounterKind<KIND_INDEX> {
+    const KIND: DeclarationKind = DeclarationKind::ALL[KIND_INDEX];
     type Spec = Goal;
     type Status = Counted;
     type Event = Counted;
 
     fn check_spec(spec: &Goal, _: &KnownNames) -> Result<(), SpecError> {
-        if spec.goal > 0 { Ok(()) } else { Err(SpecError::new("goal", "0 is nothing to count to")) }
+        if spec.goal > 0 { Ok(()) } else { Err(SpecError::new("goal", "0 is not a positive number")) }
     }
     fn next_status(_: &str, spec: &Goal, status: &Counted, view: &DeclarationView) -> Option<Counted> {
         (status.at < spec.goal).then_some(Counted { at: status.at + 1, by: view.fencing_token })
@@ -82,10 +83,10 @@
     }
 }
 
-/// Another kind by the same rules, which wants a change each time it is asked.
-pub struct Restless;
+/// A kind whose status changes at each evaluation.
+pub struct AlwaysChanging;
 
-impl DeclarationLogic for Restless {
+impl DeclarationLogic for AlwaysChanging {
     const KIND: DeclarationKind = DeclarationKind::Rollout;
     type Spec = Goal;
     type Status = Counted;
@@ -106,20 +107,21 @@
     }
 }
 
-type Heat = Toy<1>;
+type HeatCounter = CounterKind<1>;
 
-static TOYS: [KindOperations; 1] = [KindOperations::of::<Heat>()];
-static BOTH: [KindOperations; 2] = [KindOperations::of::<Restless>(), KindOperations::of::<Heat>()];
-static ALL: [KindOperations; 4] = [
-    KindOperations::of::<Toy<0>>(),
-    KindOperations::of::<Heat>(),
-    KindOperations::of::<Toy<2>>(),
-    KindOperations::of::<Toy<3>>(),
+static COUNTER: [KindOperations; 1] = [KindOperations::of::<HeatCounter>()];
+static CHANGING_AND_COUNTER: [KindOperations; 2] =
+    [KindOperations::of::<AlwaysChanging>(), KindOperations::of::<HeatCounter>()];
+static COUNTERS_OF_ALL_KINDS: [KindOperations; 4] = [
+    KindOperations::of::<CounterKind<0>>(),
+    KindOperations::of::<HeatCounter>(),
+    KindOperations::of::<CounterKind<2>>(),
+    KindOperations::of::<CounterKind<3>>(),
 ];
 
-/// What the simulation leaves out of each transaction's conditions.
+/// The condition that the simulation omits from each transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Without {
+enum OmittedCondition {
     Nothing,
     LeaderRecord,
     Spec,
@@ -128,52 +130,54 @@
 }
 
 struct Simulation {
-    /// Each controller keeps every line that it told, and how often.
+    /// Each controller counts the event lines that it logged.
     harness: SimulationHarness<HashMap<String, usize>>,
-    without: Without,
-    /// How far each name has come in the store, and every line that is owed for it.
+    omitted: OmittedCondition,
+    /// The stored count by name.
     stored: BTreeMap<String, u64>,
-    lines: Vec<String>,
-    broken: Vec<String>,
+    /// The event line of every stored change, each of which has to be logged.
+    expected_lines: Vec<String>,
+    violations: Vec<String>,
 }
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 impl Simulation {
-    fn new(seed: u64, without: Without) -> Self {
-        // Read whole before anything is declared: a first reading tells nothing.
-        let mut harness = SimulationHarness::new(seed, &TOYS, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
+    fn new(seed: u64, omitted: OmittedCondition) -> Self {
+        // Loads the watch caches before anything is declared: the first load records no changes.
+        let mut harness =
+            SimulationHarness::new(seed, &COUNTER, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
         (0..3).for_each(|at| harness.update_watch_cache(at, true));
         harness.write_leader_record(0);
-        Self { harness, without, stored: BTreeMap::new(), lines: Vec::new(), broken: Vec::new() }
+        Self { harness, omitted, stored: BTreeMap::new(), expected_lines: Vec::new(), violations: Vec::new() }
     }
 
     fn evaluate(&mut self, at: usize) {
         let Some(output) = self.harness.evaluate(at, 0, |_, _| None) else { return };
         let controller = &mut self.harness.controllers[at];
         for event in output.events {
-            *controller.kind_state.entry(line(&event)).or_default() += 1;
+            *controller.kind_state.entry(event_line(&event)).or_default() += 1;
         }
-        // What is asked for is what this controller's watch cache has, never what is only decided.
+        // Intents follow from the statuses in this controller's watch cache, never from writes that are not stored.
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
-        for NamedSpec { name, .. } in registry.specs::<Heat>().filter(|_| controller.watch_cache.is_ready()) {
-            let at = registry.status::<Heat>(name).map_or(0, |status| status.value.at);
+        for NamedSpec { name, .. } in registry.specs::<HeatCounter>().filter(|_| controller.watch_cache.is_ready()) {
+            let at = registry.status::<HeatCounter>(name).map_or(0, |status| status.value.at);
             assert!(
                 cluster.intents.deferred_jobs.contains(format!("{name}-{at}").as_str()),
-                "asks for what is not stored"
+                "intent of a status that is not stored"
             );
         }
     }
 
     fn send(&mut self, at: usize) {
-        let without = self.without;
-        let left_out = |c: &Condition| match without {
-            Without::Nothing | Without::Operators => false,
-            Without::LeaderRecord => c.path == LEADER_RECORD_KEY,
-            Without::Spec => c.path.starts_with("c/s/"),
-            Without::Status => c.path.starts_with("c/t/"),
+        let omitted = self.omitted;
+        let is_omitted = |c: &Condition| match omitted {
+            OmittedCondition::Nothing | OmittedCondition::Operators => false,
+            OmittedCondition::LeaderRecord => c.path == LEADER_RECORD_KEY,
+            OmittedCondition::Spec => c.path.starts_with("c/s/"),
+            OmittedCondition::Status => c.path.starts_with("c/t/"),
         };
-        if let Some(sent) = self.harness.send(at, left_out)
+        if let Some(sent) = self.harness.send(at, is_omitted)
             && let Some(revision) = self.apply(&sent)
             && self.harness.rng.random_ratio(3, 4)
         {
@@ -181,15 +185,16 @@
         }
     }
 
-    /// Every rule that the store can show broken.
+    /// Applies a transaction at the store and records every violated invariant.
     fn apply(&mut self, sent: &SentTransaction) -> Option<u64> {
         if sent.1.iter().any(|change| matches!(change, Change::Write { write, .. } if write == OPERATORS_KEY)) {
             if self.harness.store.apply_if(&sent.0, &sent.1).is_ok() {
-                self.broken.push(format!("written again: {:?}", sent.1));
+                self.violations.push(format!("operators' write applied twice: {:?}", sent.1));
             }
             return None;
         }
-        let before: Vec<bool> = NAMES.map(|name| self.harness.store.has(&spec_key(DeclarationKind::Heat, name))).into();
+        let has_spec: Vec<bool> =
+            NAMES.map(|name| self.harness.store.has(&spec_key(DeclarationKind::Heat, name))).into();
         let fencing_token = self.harness.store.version(LEADER_RECORD_KEY);
         let revision = self.harness.store.apply_if(&sent.0, &sent.1).ok()?;
         for change in &sent.1 {
@@ -198,21 +203,21 @@
                     let name = write.rsplit('/').next().unwrap();
                     let status: Counted = serde_json::from_value(value.clone()).unwrap();
                     if status.by != fencing_token {
-                        self.broken.push(format!("{name}: by {} and not {fencing_token}", status.by));
+                        self.violations.push(format!("{name}: written with token {}, not {fencing_token}", status.by));
                     }
-                    if !before[NAMES.iter().position(|n| *n == name).unwrap()] {
-                        self.broken.push(format!("{name}: no spec"));
+                    if !has_spec[NAMES.iter().position(|n| *n == name).unwrap()] {
+                        self.violations.push(format!("{name}: written without a specification"));
                     }
-                    let was = self.stored.insert(name.to_owned(), status.at).unwrap_or(0);
-                    if status.at != was + 1 {
-                        self.broken.push(format!("{name}: {} after {was}", status.at));
+                    let previous = self.stored.insert(name.to_owned(), status.at).unwrap_or(0);
+                    if status.at != previous + 1 {
+                        self.violations.push(format!("{name}: count {} after {previous}", status.at));
                     }
-                    self.lines.push(format!("{name} {status:?}"));
+                    self.expected_lines.push(format!("{name} {status:?}"));
                 }
                 Change::Drop { drop } => {
                     let name = drop.rsplit('/').next().unwrap();
-                    if before[NAMES.iter().position(|n| *n == name).unwrap()] {
-                        self.broken.push(format!("{name}: dropped while declared"));
+                    if has_spec[NAMES.iter().position(|n| *n == name).unwrap()] {
+                        self.violations.push(format!("{name}: status deleted while declared"));
                     }
                     self.stored.remove(name);
                 }
@@ -221,8 +226,8 @@
         Some(revision)
     }
 
-    /// Operators write as the command line does; copies of what they wrote come late, too.
-    fn operate(&mut self) {
+    /// Writes a specification as an operator's verb does; copies of applied writes may arrive late.
+    fn write_spec(&mut self) {
         let name = NAMES[self.harness.rng.random_range(0..NAMES.len())].to_owned();
         let mut stored = StoredDeclarations {
             operators_version: self.harness.store.version(OPERATORS_KEY),
@@ -231,14 +236,14 @@
         for prefix in ["c/s/heat/", "c/t/heat/"] {
             self.harness.store.page(prefix, "", usize::MAX).items.into_iter().for_each(|item| stored.add_item(item));
         }
-        let stands = self.harness.store.has(&spec_key(DeclarationKind::Heat, &name));
+        let is_declared = self.harness.store.has(&spec_key(DeclarationKind::Heat, &name));
         let goal = self.stored.get(&name).copied().unwrap_or(0) + self.harness.rng.random_range(1..4);
-        let spec = if stands && self.harness.rng.random_ratio(1, 3) { None } else { Some(json!({"goal": goal})) };
+        let spec = if is_declared && self.harness.rng.random_ratio(1, 3) { None } else { Some(json!({"goal": goal})) };
         let marker = json!(self.harness.rng.random::<u64>());
         let write = SpecWrite { name, spec };
         let Transaction { mut conditions, changes } =
             Transaction::new(DeclarationKind::Heat, &stored, &[write], &marker);
-        conditions.retain(|c| self.without != Without::Operators || c.path != OPERATORS_KEY);
+        conditions.retain(|c| self.omitted != OmittedCondition::Operators || c.path != OPERATORS_KEY);
         if self.harness.store.apply_if(&conditions, &changes).is_ok() && self.harness.rng.random_ratio(1, 3) {
             self.harness.delayed.push((conditions, changes));
         }
@@ -248,7 +253,7 @@
         let at = self.harness.rng.random_range(0..3);
         match self.harness.rng.random_range(0..20) {
             0 => self.harness.write_leader_record(at),
-            1..4 => self.operate(),
+            1..4 => self.write_spec(),
             4..9 => self.harness.update_watch_cache(at, false),
             9..14 => self.evaluate(at),
             14..18 => self.send(at),
@@ -261,7 +266,7 @@
         }
     }
 
-    /// The last leader goes on alone, and late copies come all the same.
+    /// Lets the last leader finish alone while delayed copies still arrive.
     fn settle(&mut self) {
         self.harness.write_leader_record(0);
         for _ in 0..60 {
@@ -277,8 +282,8 @@
     }
 }
 
-fn simulate(seed: u64, without: Without) -> Simulation {
-    let mut simulation = Simulation::new(seed, without);
+fn simulate(seed: u64, omitted: OmittedCondition) -> Simulation {
+    let mut simulation = Simulation::new(seed, omitted);
     for _ in 0..250 {
         simulation.step();
     }
@@ -286,44 +291,53 @@
     simulation
 }
 
-/// A status is written by who leads, from the spec and the status as they stand, and counts on by one
-/// each time; every change is told, and by nobody twice; all of it goes on to its end.
+/// Only the leader writes a status, based on the stored specification and status, and each write advances it by one.
+/// Every change is logged, by no controller twice, and every declaration reaches its goal.
 #[test]
-fn statuses_advance_once_each_while_leaders_change() {
+fn statuses_advance_one_step_per_write_while_leaders_change() {
     for seed in 0..150 {
-        let simulation = simulate(seed, Without::Nothing);
-        assert!(simulation.broken.is_empty(), "seed {seed}: {:?}", simulation.broken);
+        let simulation = simulate(seed, OmittedCondition::Nothing);
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
         for name in NAMES {
             let (spec, status) = (spec_key(DeclarationKind::Heat, name), status_key(DeclarationKind::Heat, name));
             let goal = simulation.harness.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
             let at = simulation.harness.store.value(&status).map(|v| v["at"].as_u64().unwrap());
-            assert_eq!(goal, at, "seed {seed}: {name} is not where it is meant to be");
+            assert_eq!(goal, at, "seed {seed}: {name} has not reached its goal");
         }
         for controller in &simulation.harness.controllers {
-            let often = |line: &String| simulation.lines.iter().filter(|l| *l == line).count();
-            let twice: Vec<_> =
-                controller.kind_state.iter().filter(|(l, n)| !l.ends_with("removed") && **n > often(l)).collect();
-            assert!(twice.is_empty(), "seed {seed}: told twice: {twice:?}");
+            let expected_count = |line: &String| simulation.expected_lines.iter().filter(|l| *l == line).count();
+            let repeated: Vec<_> = controller
+                .kind_state
+                .iter()
+                .filter(|(l, n)| !l.ends_with("removed") && **n > expected_count(l))
+                .collect();
+            assert!(repeated.is_empty(), "seed {seed}: logged twice: {repeated:?}");
         }
-        // A change that was stored over before anybody who leads had heard of it is told by who reads
-        // anew only as far as it still shows.
-        let told = |line: &String| simulation.harness.controllers.iter().any(|c| c.kind_state.contains_key(line));
-        let untold: Vec<&String> = simulation.lines.iter().filter(|line| !told(line)).collect();
-        assert!(untold.len() * 20 <= simulation.lines.len(), "seed {seed}: {untold:?} of {}", simulation.lines.len());
+        // A change that was overwritten before any leader observed it is not logged: after a reload a controller records
+        // only the difference that remains.
+        let is_logged = |line: &String| simulation.harness.controllers.iter().any(|c| c.kind_state.contains_key(line));
+        let unlogged: Vec<&String> = simulation.expected_lines.iter().filter(|line| !is_logged(line)).collect();
+        assert!(
+            unlogged.len() * 20 <= simulation.expected_lines.len(),
+            "seed {seed}: {unlogged:?} of {}",
+            simulation.expected_lines.len()
+        );
     }
 }
 
-/// Each condition is there for a reason, which the same simulations show.
+/// Each condition of a transaction is necessary: without it the same simulations violate an invariant.
 #[test]
-fn simulation_breaks_without_any_of_the_conditions() {
-    for without in [Without::LeaderRecord, Without::Spec, Without::Status, Without::Operators] {
-        let found = (0..60).find(|seed| !simulate(*seed, without).broken.is_empty());
-        assert!(found.is_some(), "{without:?}");
+fn simulation_violates_invariants_without_any_of_the_conditions() {
+    for omitted in
+        [OmittedCondition::LeaderRecord, OmittedCondition::Spec, OmittedCondition::Status, OmittedCondition::Operators]
+    {
+        let failing_seed = (0..60).find(|seed| !simulate(*seed, omitted).violations.is_empty());
+        assert!(failing_seed.is_some(), "{omitted:?}");
     }
 }
 
-/// As many as a controller reads.
-fn pages(store: &Store) -> usize {
+/// Counts the pages that a controller reads to load its watch cache.
+fn count_pages(store: &Store) -> usize {
     let (mut page, mut pages) = (store.page(CACHED_PREFIX, CACHED_START_AFTER, 250), 1);
     while page.more {
         page = store.page(CACHED_PREFIX, &page.items[page.items.len() - 1].path, 250);
@@ -332,14 +346,18 @@
     pages
 }
 
-fn leader(kinds: &'static [KindOperations], stored: &[(String, serde_json::Value)]) -> SimulationHarness<()> {
+/// Creates a harness in which controller 0 is the leader.
+fn harness_with_leader(
+    kinds: &'static [KindOperations],
+    stored: &[(String, serde_json::Value)],
+) -> SimulationHarness<()> {
     let mut harness = SimulationHarness::new(0, kinds, stored);
     harness.write_leader_record(0);
     harness
 }
 
-/// One second of a leader that nothing befalls: two changes are stored.
-fn second(harness: &mut SimulationHarness<()>, n: usize) {
+/// Runs one second of a leader without faults, in which two statuses are stored.
+fn run_second(harness: &mut SimulationHarness<()>, n: usize) {
     let output = harness.evaluate(0, 0, |(), _| None).unwrap();
     assert_eq!(output.writes.len(), 2, "in second {n}");
     let (conditions, changes) = harness.take_transaction(0, |_| false).unwrap();
@@ -347,28 +365,31 @@
     harness.mark_stored(0, revision);
 }
 
-/// Whatever wants a change each second keeps nothing else from its own.
+/// Declarations that change at each evaluation must not starve others: the writes are round-robin.
 #[test]
 fn declarations_that_change_each_second_delay_no_other() {
     let entries: Vec<(String, serde_json::Value)> = (0..20)
         .map(|n| (spec_key(DeclarationKind::Rollout, &format!("r{n:02}")), json!({"goal": 1})))
         .chain((0..5).map(|n| (spec_key(DeclarationKind::Heat, &format!("h{n}")), json!({"goal": 2}))))
         .collect();
-    let mut harness = leader(&BOTH, &entries);
+    let mut harness = harness_with_leader(&CHANGING_AND_COUNTER, &entries);
     for n in 0..40 {
-        second(&mut harness, n);
-        assert!(harness.evaluate(0, 0, |(), _| None).unwrap().writes.is_empty(), "not heard yet");
+        run_second(&mut harness, n);
+        assert!(
+            harness.evaluate(0, 0, |(), _| None).unwrap().writes.is_empty(),
+            "the last write is not in the watch cache yet"
+        );
         harness.update_watch_cache(0, true);
     }
     let at = |kind: DeclarationKind, name: &str| {
         harness.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap())
     };
-    assert!((0..5).all(|n| at(DeclarationKind::Heat, &format!("h{n}")) == 2), "the few are through");
-    let restless: Vec<u64> = (0..20).map(|n| at(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
-    assert!(restless.iter().all(|n| (3..=4).contains(n)), "and the many in turn: {restless:?}");
+    assert!((0..5).all(|n| at(DeclarationKind::Heat, &format!("h{n}")) == 2), "all counters have reached their goal");
+    let always_changing: Vec<u64> = (0..20).map(|n| at(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
+    assert!(always_changing.iter().all(|n| (3..=4).contains(n)), "the others are written in turn: {always_changing:?}");
 }
 
-/// What strangers put there stops nothing, is told, and is never written over.
+/// Undecodable entries written by other clients are logged, block no other declaration and are never overwritten.
 #[test]
 fn undecodable_declarations_are_left_as_they_are() {
     let large = "x".repeat(9000);
@@ -381,20 +402,21 @@
         ("c/s/window/w", json!({"opens": "08:00"})),
         ("c/t/heat/odd", json!("status")),
     ];
-    let mut harness = leader(&TOYS, &entries.map(|(path, value)| (path.to_owned(), value)));
+    let mut harness = harness_with_leader(&COUNTER, &entries.map(|(path, value)| (path.to_owned(), value)));
     let output = harness.evaluate(0, 0, |(), _| None).unwrap();
     let names: Vec<&str> = output.writes.iter().map(|w| w.name.as_str()).collect();
     assert_eq!(names, ["good"]);
     let registry = harness.controllers[0].watch_cache.registry();
-    assert_eq!(registry.entry_count(), 5, "the larger one and the unknown kind are not taken in");
-    assert!(registry.raw_spec(DeclarationKind::Heat, "bad").is_some(), "what is unreadable is kept");
+    assert_eq!(registry.entry_count(), 5, "the oversized value and the unknown kind are not registered");
+    assert!(registry.raw_spec(DeclarationKind::Heat, "bad").is_some(), "undecodable values are kept");
     let (cluster, _) = harness.controllers[0].leader.as_ref().unwrap();
-    assert_eq!(cluster.intents.deferred_jobs.len(), 1, "nothing is asked for by what cannot be read");
+    assert_eq!(cluster.intents.deferred_jobs.len(), 1, "undecodable declarations add no intents");
 }
 
-/// Strangers may write as much as they like: what is kept is bounded, and what is followed more so.
+/// Other clients may write any number of keys: the registry bounds the entries that it keeps, the specifications that it
+/// uses and the changes that it records.
 #[test]
-fn registry_is_bounded() {
+fn registry_bounds_entries_used_specs_and_changes() {
     let mut registry = super::DeclarationRegistry::default();
     for n in (0..1000).rev() {
         registry.put_key(&spec_key(DeclarationKind::Heat, &format!("h{n:04}")), &json!({"goal": 1}), 1);
@@ -407,23 +429,23 @@
     assert_eq!(registry.take_status_changes().len(), 256);
 }
 
-/// A controller that is never asked for anything but whether there is something to do.
+/// A context with nothing declared. It counts every call that the loop must not make while idle.
 #[derive(Default)]
-struct Idle {
-    touched: AtomicUsize,
+struct IdleContext {
+    calls: AtomicUsize,
 }
 
-impl DeclarationContext for Idle {
+impl DeclarationContext for IdleContext {
     fn is_idle(&self) -> bool {
         true
     }
     fn with_state<T>(&self, _: impl FnOnce(&mut ClusterState, &mut WatchCache, JobEnds) -> T) -> Option<T> {
-        self.touched.fetch_add(1, Ordering::Relaxed);
+        self.calls.fetch_add(1, Ordering::Relaxed);
         None
     }
     fn query_job_end(&self, _: &JobId) {}
     fn writable_changes(&self, _: RequestPriority) -> usize {
-        self.touched.fetch_add(1, Ordering::Relaxed)
+        self.calls.fetch_add(1, Ordering::Relaxed)
     }
     async fn compare_and_swap(
         &self,
@@ -431,29 +453,30 @@
         _: &[Change],
         _: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
-        self.touched.fetch_add(1, Ordering::Relaxed);
+        self.calls.fetch_add(1, Ordering::Relaxed);
         Err(StoreError::Unanswered)
     }
     async fn refresh_after_conflict(&self) {
-        self.touched.fetch_add(1, Ordering::Relaxed);
+        self.calls.fetch_add(1, Ordering::Relaxed);
     }
     async fn wait_for_change(&self) {
         std::future::pending().await
     }
 }
 
-/// Nothing declared: no look, no request, and no timer, which would need a runtime that is not there.
+/// While nothing is declared the loop makes no evaluation, no request and sets no timer. A timer would panic here, as
+/// the test has no runtime.
 #[test]
-fn task_sleeps_while_nothing_is_declared() {
-    let context = Arc::new(Idle::default());
+fn declaration_loop_sleeps_while_nothing_is_declared() {
+    let context = Arc::new(IdleContext::default());
     let mut task = std::pin::pin!(run_declarations(context.clone()));
     assert!(task.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_pending());
-    assert_eq!(context.touched.load(Ordering::Relaxed), 0);
+    assert_eq!(context.calls.load(Ordering::Relaxed), 0);
 }
 
-/// 1,000 windows, 50 rules, 200 readings and 20 rollouts, each of half a KiB with its status: what they
-/// add to a controller's start, and what is stored a second. A takeover reads none of it: every
-/// controller has it.
+/// Bounds what 1,000 windows, 50 rules, 200 readings and 20 rollouts, with specifications and statuses of half a KiB
+/// each, add to a controller's start, and checks the writes per second. A takeover reads none of them, as every
+/// controller has them in memory.
 #[test]
 fn full_registry_is_loaded_and_written_within_bounds() {
     let mut entries = Vec::new();
@@ -464,11 +487,11 @@
         }
     }
     let bytes: usize = entries.iter().map(|(path, value)| path.len() + value.to_string().len()).sum();
-    let mut harness = leader(&ALL, &entries);
-    let pages = pages(&harness.store);
+    let mut harness = harness_with_leader(&COUNTERS_OF_ALL_KINDS, &entries);
+    let pages = count_pages(&harness.store);
     assert!(pages <= 11 && bytes < 1_500_000, "{pages} pages, {bytes} bytes");
     for n in 0..20 {
-        second(&mut harness, n);
+        run_second(&mut harness, n);
         harness.update_watch_cache(0, true);
     }
 }
