--- a/src/calendar/describe.rs
+++ b/src/calendar/describe.rs
@@ -1,8 +1,9 @@
-//! Descriptions of windows in lines for operators.
+//! Descriptions of planning windows, in lines for operators.
 
 use super::spec::{WindowSpec, format_day};
 use super::status::{ClaimEnd, ClosedInstance, InstanceOutcome, TurnClaim, WindowInstance, WindowStatus};
 
+/// Formats a duration in seconds, minutes or hours.
 fn format_duration(ms: u64) -> String {
     let s = ms / 1000;
     match s {
@@ -12,7 +13,7 @@
     }
 }
 
-/// One line about an instance that has ended.
+/// Describes a closed instance in one line.
 pub fn describe_closed(closed: &ClosedInstance) -> String {
     let outcome = match closed.outcome {
         InstanceOutcome::Met => "met".to_owned(),
@@ -23,7 +24,7 @@
     format!("{} {outcome} ({counts}{})", format_day(closed.day), late.unwrap_or_default())
 }
 
-/// The schedule, the next instance, what ended last, and what is to be confirmed.
+/// Describes the schedule, the next instance, the last closed instance and the missed instances to confirm.
 pub fn describe(spec: &WindowSpec, status: &WindowStatus, now_ms: u64) -> Vec<String> {
     let cores = if spec.cores > 0.0 { format!(", cores {}", spec.cores) } else { String::new() };
     let mut lines = vec![format!("{}, team {}, jobs {}{cores}", spec.describe_schedule(), spec.team, spec.jobs)];
@@ -31,8 +32,8 @@
         None => lines.push("  nothing more to come".into()),
         Some(instance) => lines.extend(describe_instance(&instance, now_ms)),
     }
-    let unconfirmed = |closed: &&ClosedInstance| status.missed.iter().all(|missed| missed.day != closed.day);
-    lines.extend(status.last.iter().filter(unconfirmed).map(|closed| format!("  {}", describe_closed(closed))));
+    let is_not_missed = |closed: &&ClosedInstance| status.missed.iter().all(|missed| missed.day != closed.day);
+    lines.extend(status.last.iter().filter(is_not_missed).map(|closed| format!("  {}", describe_closed(closed))));
     let missed = status.missed.iter().rev();
     lines.extend(missed.map(|closed| format!("  {}, not confirmed", describe_closed(closed))));
     if let Some(dropped) = status.dropped {
@@ -42,6 +43,7 @@
     lines
 }
 
+/// Describes the instance that closes next.
 fn describe_instance(instance: &WindowInstance, now_ms: u64) -> Vec<String> {
     let next = if now_ms < instance.opens_ms {
         format!("opens in {}", format_duration(instance.opens_ms - now_ms))
@@ -64,9 +66,10 @@
     lines
 }
 
+/// Describes the state of a claim.
 fn claim_state(claim: &TurnClaim, instance: &WindowInstance) -> &'static str {
     match claim.end {
-        Some(ClaimEnd::Done(at)) if at > instance.closes_ms => "done late",
+        Some(ClaimEnd::Done(ended_ms)) if ended_ms > instance.closes_ms => "done late",
         Some(ClaimEnd::Done(_)) => "done",
         Some(ClaimEnd::Cancelled) => "withdrawn",
         None if claim.turn <= instance.turn => "its turn has come",
--- a/src/calendar/events.rs
+++ b/src/calendar/events.rs
@@ -1,4 +1,4 @@
-//! What is logged of a window: each stage once, when its status is stored.
+//! Log events of planning windows: each stage is logged once, when its status is stored.
 
 use tracing::{info, warn};
 
@@ -7,7 +7,7 @@
 use crate::declarations::StatusEvent;
 use crate::jobs::JobId;
 
-/// A stage of a window that operators are told of.
+/// A stage of a window that is logged for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WindowEvent {
     /// A job has claimed a turn.
@@ -16,23 +16,23 @@
         day: Day,
         /// The turn, from 1.
         turn: u32,
-        /// The job.
+        /// The job that claimed the turn.
         job: JobId,
     },
-    /// Turns up to this one may be placed.
+    /// Jobs with a turn up to this one may be placed.
     TurnStarted {
         /// The instance's day.
         day: Day,
         /// The turn, from 1.
         turn: u32,
     },
-    /// At its latest start there are turns that nobody has claimed.
+    /// The latest start passed with unclaimed turns.
     Unclaimed(Day),
-    /// A claimed job has not begun at its latest start.
+    /// A claimed job was not placed by its latest start.
     Late(Day),
-    /// The instance has ended.
+    /// The outcome of the instance was decided.
     Closed(ClosedInstance),
-    /// So many missed instances were dropped unconfirmed by now.
+    /// Missed instances were dropped unconfirmed; the value is their total number.
     MissesDropped(u64),
 }
 
@@ -59,6 +59,7 @@
     }
 }
 
+/// Logs the outcome of an instance.
 fn log_closed(name: &str, closed: &ClosedInstance) {
     let date = format_day(closed.day);
     let ClosedInstance { jobs: count, claimed, done, .. } = closed;
@@ -81,39 +82,41 @@
     }
 }
 
-/// The events of a change of status.
+/// Returns the events of a change of status.
 pub fn status_events(before: &WindowStatus, after: &WindowStatus) -> Vec<WindowEvent> {
     let mut events = Vec::new();
-    if let Some(now) = &after.current {
-        debug_assert!(after.last_day().is_none_or(|last| now.day > last), "a closed instance is current again");
-        events.extend(instance_events(before.current.as_ref().filter(|was| was.day == now.day), now));
+    if let Some(current) = &after.current {
+        debug_assert!(after.last_day().is_none_or(|last| current.day > last), "a closed instance is current again");
+        let previous = before.current.as_ref().filter(|previous| previous.day == current.day);
+        events.extend(instance_events(previous, current));
     }
-    let last = before.last_day();
-    let is_new = |closed: &&ClosedInstance| last.is_none_or(|last| closed.day > last);
+    let last_day = before.last_day();
+    let is_new = |closed: &&ClosedInstance| last_day.is_none_or(|last| closed.day > last);
     let met = after.last.iter().filter(|closed| closed.outcome == InstanceOutcome::Met);
     events.extend(after.missed.iter().chain(met).filter(is_new).cloned().map(WindowEvent::Closed));
-    let dropped = |status: &WindowStatus| status.dropped.map_or(0, |dropped| dropped.count);
-    if dropped(after) > dropped(before) {
-        events.push(WindowEvent::MissesDropped(dropped(after)));
+    let dropped_count = |status: &WindowStatus| status.dropped.map_or(0, |dropped| dropped.count);
+    if dropped_count(after) > dropped_count(before) {
+        events.push(WindowEvent::MissesDropped(dropped_count(after)));
     }
     events
 }
 
-fn instance_events(was: Option<&WindowInstance>, now: &WindowInstance) -> Vec<WindowEvent> {
-    let day = now.day;
-    let new_claims = now.claims.get(was.map_or(0, |was| was.claims.len())..).unwrap_or_default();
-    let claimed = |claim: &TurnClaim| {
+/// Returns the events of a change of an instance, from its previous state if there is one.
+fn instance_events(previous: Option<&WindowInstance>, current: &WindowInstance) -> Vec<WindowEvent> {
+    let day = current.day;
+    let new_claims = current.claims.get(previous.map_or(0, |previous| previous.claims.len())..).unwrap_or_default();
+    let claim_event = |claim: &TurnClaim| {
         let (turn, job) = (claim.turn, claim.job.clone());
         WindowEvent::TurnClaimed { day, turn, job }
     };
-    let mut events: Vec<WindowEvent> = new_claims.iter().map(claimed).collect();
-    if now.turn > was.map_or(0, |was| was.turn) {
-        events.push(WindowEvent::TurnStarted { day, turn: now.turn });
+    let mut events: Vec<WindowEvent> = new_claims.iter().map(claim_event).collect();
+    if current.turn > previous.map_or(0, |previous| previous.turn) {
+        events.push(WindowEvent::TurnStarted { day, turn: current.turn });
     }
-    if now.unclaimed && !was.is_some_and(|was| was.unclaimed) {
+    if current.unclaimed && !previous.is_some_and(|previous| previous.unclaimed) {
         events.push(WindowEvent::Unclaimed(day));
     }
-    if now.late && !was.is_some_and(|was| was.late) {
+    if current.late && !previous.is_some_and(|previous| previous.late) {
         events.push(WindowEvent::Late(day));
     }
     events
--- a/src/calendar/mod.rs
+++ b/src/calendar/mod.rs
@@ -1,7 +1,7 @@
-//! Planning windows: when they open and close, which job's turn it is, and reports of each instance that closes
-//! unclaimed (docs/calendar.md).
+//! Planning windows: when their instances open and close, the order in which jobs take their turns, and reports of each
+//! instance that closes unclaimed (docs/calendar.md).
 //!
-//! Jobs come from users only: nothing here submits, cancels or ends one.
+//! Only users submit jobs: nothing in this module submits, cancels or ends one.
 
 mod describe;
 mod events;
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -58,7 +58,7 @@
 
     pub fn submit(&mut self, n: usize, class: &str) {
         self.jobs.push(job(n, class, self.now_ms));
-        self.set(n, JobProgress::Open { begun: false, at_ms: self.now_ms, expected_s: EXPECTED_S });
+        self.set(n, JobProgress::Open { begun: false, accepted_ms: self.now_ms, expected_s: EXPECTED_S });
     }
 
     pub fn set(&mut self, n: usize, progress: JobProgress) {
@@ -249,7 +249,7 @@
         let last = status.last.clone().unwrap();
         assert_eq!((last.outcome, last.claimed, last.done, last.day), (want, claimed, done, DAY), "{name}");
         assert_eq!(status.missed.len(), usize::from(want != InstanceOutcome::Met), "{name}");
-        let asked_s = (last.at_ms - last.closes_ms.min(last.at_ms)) / 1000;
+        let asked_s = (last.decided_ms - last.closes_ms.min(last.decided_ms)) / 1000;
         assert_eq!(asked_s > 60, name.starts_with("over"), "{name}: the store is asked first");
         // A time of day that steps back opens nothing again, not even for jobs that come now.
         world.now_ms = MIDNIGHT + 7 * HOUR;
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -68,7 +68,7 @@
 }
 
 fn same(ended: &ClosedInstance) -> ClosedInstance {
-    ClosedInstance { at_ms: 0, ..ended.clone() }
+    ClosedInstance { decided_ms: 0, ..ended.clone() }
 }
 
 /// Whether a job may begin is asked of what is stored, as placing does.
@@ -223,6 +223,6 @@
         prop_assert_eq!(each.missed.iter().map(same).collect::<Vec<_>>(), successor.missed.iter().map(same).collect::<Vec<_>>());
         prop_assert_eq!(each.last.as_ref().map(same), successor.last.as_ref().map(same));
         prop_assert_eq!(&each.current, &successor.current);
-        prop_assert_eq!(each.used, successor.used);
+        prop_assert_eq!(each.past_usage, successor.past_usage);
     }
 }
--- a/src/calendar/window.rs
+++ b/src/calendar/window.rs
@@ -1,4 +1,4 @@
-//! Planning windows as a kind of declaration.
+//! Implements planning windows as a kind of declaration.
 
 use super::describe::describe;
 use super::events::{WindowEvent, status_events};
@@ -14,23 +14,24 @@
 use crate::scheduling::cluster::TeamUsage;
 use crate::scheduling::intents::Intents;
 
-/// The logic of planning windows.
+/// The declaration logic of planning windows.
 pub struct Window;
 
-/// What is known of an accepted job: one that is neither open nor known to have ended has ended in an unknown way.
+/// Returns the progress of an accepted job. A job that is neither open nor has a known end has ended in an unknown way;
+/// its end is queried.
 fn job_progress(view: &DeclarationView, id: &JobId) -> JobProgress {
     match ((view.job_end)(id), view.cluster.job(id)) {
         (Some(End::Done), _) => JobProgress::Done {
-            // When it ended, not when the status of its window comes to be stored.
-            at_ms: view.cluster.ended_at(id).map(|at| {
-                let ago = view.now.saturating_duration_since(at).as_millis();
-                view.now_ms.saturating_sub(u64::try_from(ago).unwrap_or(u64::MAX))
+            // The time at which the job ended, not the time at which the window's status is stored.
+            at_ms: view.cluster.ended_at(id).map(|ended_at| {
+                let age_ms = view.now.saturating_duration_since(ended_at).as_millis();
+                view.now_ms.saturating_sub(u64::try_from(age_ms).unwrap_or(u64::MAX))
             }),
         },
         (Some(End::Cancelled), _) => JobProgress::Cancelled,
         (None, Some(job)) if job.ended.is_none() => JobProgress::Open {
             begun: job.never_placed_fraction() < 1.0,
-            at_ms: job.record.at_ms,
+            accepted_ms: job.record.at_ms,
             expected_s: expected_s(job.agreement.run_time.as_secs_f64(), job.spec().image_gb),
         },
         (None, _) => {
@@ -40,6 +41,7 @@
     }
 }
 
+/// Returns the open jobs by window, computed on first use.
 fn jobs_by_window<'v>(view: &'v DeclarationView) -> &'v JobsByWindow {
     view.jobs_by_window.get_or_init(|| {
         let declared_window = |NamedSpec { name, spec, .. }: NamedSpec<WindowSpec>| {
@@ -47,18 +49,18 @@
             DeclaredWindow::new(name, spec, status)
         };
         let windows: Vec<DeclaredWindow> = view.registry.specs::<Window>().map(declared_window).collect();
-        let open = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
-        JobsByWindow::new(&windows, open.map(|(_, job)| &job.record))
+        let open_jobs = view.cluster.jobs().filter(|(_, job)| job.ended.is_none());
+        JobsByWindow::new(&windows, open_jobs.map(|(_, job)| &job.record))
     })
 }
 
-/// What the team's limits leave, in cores and in accelerators.
+/// Returns the cores and accelerators that remain within the limits of the window's team.
 fn remaining_quota(spec: &WindowSpec, view: &DeclarationView) -> RemainingQuota {
     let TeamUsage { cpus, gpus } = view.cluster.team_usage.get(&spec.team).copied().unwrap_or_default();
-    let below = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
+    let remaining = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
     view.settings.team(&spec.team).map_or(RemainingQuota { cpus: 0.0, gpus: 0.0 }, |team| RemainingQuota {
-        cpus: below(team.cpus_max, cpus),
-        gpus: below(team.gpus_max, gpus),
+        cpus: remaining(team.cpus_max, cpus),
+        gpus: remaining(team.gpus_max, gpus),
     })
 }
 
@@ -72,7 +74,8 @@
         spec.check(names)
     }
 
-    /// Keeps what was confirmed. New times count from now on: instances that closed before are not this spec's.
+    /// Keeps the confirmed date. A changed schedule applies from now on: instances that closed earlier do not belong to
+    /// the new specification.
     fn spec_to_store(spec: WindowSpec, before: Option<&WindowSpec>, now_ms: u64) -> WindowSpec {
         let confirmed = before.and_then(|before| before.confirmed.clone());
         let same_times = before.filter(|before| before.describe_schedule() == spec.describe_schedule());
