--- a/src/fleet/fleet_loop.rs
+++ b/src/fleet/fleet_loop.rs
@@ -1,4 +1,4 @@
-//! The steps of the fleet's loop, some of them at intervals of their own.
+//! Steps of the fleet management loop, some of which have intervals of their own.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,41 +13,42 @@
 use super::scale_in::find_surplus_machines;
 use crate::periodic::Periodic;
 
-/// Interval at which the cloud's list of machines is read.
+/// Interval between reads of the cloud's list of machines.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval at which machines to drain are chosen.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(3000);
-/// Interval at which the fleet is summarized in the log.
+/// Interval between scale-in decisions: which machines to terminate or drain.
+const SCALE_IN_INTERVAL: Duration = Duration::from_millis(3000);
+/// Interval between summaries of the fleet in the log.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(15);
 
-/// The state of the loop: its periodic steps, and the tasks that it has started. These end with it.
+/// State of the fleet management loop: its periodic steps and the tasks that it has started. Dropping it aborts these
+/// tasks.
 pub(super) struct FleetLoop {
     fleet: Arc<Fleet>,
     operator: CloudOperator,
     list: Periodic,
-    drain: Periodic,
+    scale_in: Periodic,
     summary: Periodic,
-    /// Calls to the cloud.
-    calls: JoinSet<()>,
-    /// The clean-up of completed orders, at most one at a time.
+    /// Cloud operations in progress, each in a task of its own.
+    cloud_calls: JoinSet<()>,
+    /// Clean-up of completed orders, at most one at a time.
     clean_up: JoinSet<()>,
 }
 
 impl FleetLoop {
-    /// A loop that lists the machines at once.
+    /// Creates a loop whose first list of machines is due at once.
     pub(super) fn new(fleet: Arc<Fleet>, now: Instant) -> Self {
         Self {
             operator: CloudOperator::new(fleet.clone()),
             fleet,
             list: Periodic::due_at_once(LIST_INTERVAL, now),
-            drain: Periodic::due_after_interval(DRAIN_INTERVAL, now),
+            scale_in: Periodic::due_after_interval(SCALE_IN_INTERVAL, now),
             summary: Periodic::due_at_once(SUMMARY_INTERVAL, now),
-            calls: JoinSet::new(),
+            cloud_calls: JoinSet::new(),
             clean_up: JoinSet::new(),
         }
     }
 
-    /// Reads the cloud's list of machines into the cluster state, if that is due.
+    /// Reads the cloud's list of machines into the cluster state if that is due.
     pub(super) async fn list_machines_if_due(&mut self) {
         if !self.list.take_due(Instant::now()) {
             return;
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Drains machines if that is due, and starts the calls that are needed now.
+    /// Schedules terminations and drains if that is due, and starts the cloud operations that are needed now.
     pub(super) fn run_round(&mut self) {
-        reap_finished(&mut self.calls);
-        if self.drain.is_due(Instant::now()) {
+        reap_finished(&mut self.cloud_calls);
+        if self.scale_in.is_due(Instant::now()) {
             terminate_and_drain(&self.fleet);
-            self.drain.restart(Instant::now());
+            self.scale_in.restart(Instant::now());
             self.log_summary_if_due();
         }
         self.resume_inherited_orders();
@@ -71,31 +72,35 @@
         self.start_clean_up();
     }
 
+    /// Logs a summary of the fleet if that is due and debug messages are logged.
     fn log_summary_if_due(&mut self) {
         if tracing::enabled!(tracing::Level::DEBUG) && self.summary.take_due(Instant::now()) {
             log_fleet_summary(&self.fleet);
         }
     }
 
+    /// Carries out the open orders of earlier leaders.
     fn resume_inherited_orders(&mut self) {
         let inherited = self.operator.take_inherited_orders();
         for order in inherited.provisioning {
-            self.calls.spawn(self.operator.clone().complete_provisioning(order));
+            self.cloud_calls.spawn(self.operator.clone().complete_provisioning(order));
         }
         for call in inherited.terminations {
-            self.calls.spawn(self.operator.clone().complete_termination(call));
+            self.cloud_calls.spawn(self.operator.clone().complete_termination(call));
         }
     }
 
+    /// Starts the provisioning and the terminations that are decided now.
     fn start_cloud_calls(&mut self) {
         for requests in self.operator.take_provisioning_requests() {
-            self.calls.spawn(self.operator.clone().provision(requests));
+            self.cloud_calls.spawn(self.operator.clone().provision(requests));
         }
         for machines in self.operator.take_machines_to_terminate() {
-            self.calls.spawn(self.operator.clone().terminate(machines));
+            self.cloud_calls.spawn(self.operator.clone().terminate(machines));
         }
     }
 
+    /// Starts a clean-up of completed orders unless one is in progress.
     fn start_clean_up(&mut self) {
         reap_finished(&mut self.clean_up);
         if self.clean_up.is_empty() {
@@ -105,7 +110,7 @@
     }
 }
 
-/// Removes the tasks that have ended.
+/// Removes the tasks that have ended, and logs those that panicked.
 fn reap_finished(tasks: &mut JoinSet<()>) {
     while let Some(outcome) = tasks.try_join_next() {
         if let Some(error) = outcome.err().filter(JoinError::is_panic) {
@@ -114,12 +119,12 @@
     }
 }
 
-/// Terminates machines that never came up or are idle, and drains those that are not needed.
+/// Schedules the termination of machines that never came up or are idle, and drains those that are not needed.
 fn terminate_and_drain(fleet: &Fleet) {
     let now = Instant::now();
     let Some(catalog) = fleet.catalog.get() else { return };
-    let mut held = fleet.leader.cluster();
-    let Some(cluster) = held.as_mut() else { return };
+    let mut guard = fleet.leader.cluster();
+    let Some(cluster) = guard.as_mut() else { return };
     for machine in find_surplus_machines(cluster, &catalog, now) {
         cluster.schedule_termination(&machine.id, machine.reason);
     }
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -7,7 +7,7 @@
 use super::RETRY_DELAY;
 use super::cloud::{CloudError, ProvisioningRequest};
 use super::cloud_operations::{CloudOperations, CloudOperator};
-use super::scale_out::{MachineDemand, machines_by_kind, plan_scale_out};
+use super::scale_out::{MachineDemand, count_machines_by_kind, plan_scale_out};
 use crate::cloud_orders::{CloudAction, MAX_MACHINES_PER_PROVISIONING, ProvisioningOrder};
 use crate::machine_kinds::MachineKind;
 use crate::sync::jitter;
@@ -32,7 +32,7 @@
         let guard = self.fleet.leader.cluster();
         let Some(cluster) = guard.as_ref() else { return Vec::new() };
         let mut operations = self.operations();
-        operations.refusals.record_held_machines(&machines_by_kind(cluster));
+        operations.refusals.record_held_machines(&count_machines_by_kind(cluster));
         let demands = plan_scale_out(cluster, &catalog, &operations.refusals, &operations.requested, now);
         let to_requests = |demand| self.split_into_requests(demand, cluster.fencing_token, &mut operations);
         demands.into_iter().map(to_requests).collect()
--- a/src/fleet/scale_out.rs
+++ b/src/fleet/scale_out.rs
@@ -1,4 +1,5 @@
-//! Which machines to provision so that waiting work starts in time: pure functions of the cluster state and the time.
+//! Choice of the machines to provision so that waiting work starts in time: pure functions of the cluster state and the
+//! time.
 
 mod capacity_refusals;
 mod cheapest_offer;
@@ -15,20 +16,20 @@
 use crate::scheduling::cluster::ClusterState;
 use crate::scheduling::plan::{QueuedJob, queue};
 
-/// Work that has waited no longer than this is placed before expected arrivals.
-const FRESH: Duration = Duration::from_secs(20);
+/// Jobs that have waited for less than this are placed before expected arrivals.
+const FRESH_JOB_AGE: Duration = Duration::from_secs(20);
 
-/// How many machines of one kind to provision.
+/// Number of machines of one kind to provision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineDemand {
-    /// Kind of the machines.
+    /// Kind of the machines to provision.
     pub kind: MachineKind,
-    /// How many of them.
+    /// Number of machines.
     pub count: u64,
 }
 
-/// How many machines of each kind there are, in whatever state.
-pub fn machines_by_kind(cluster: &ClusterState) -> HashMap<MachineKind, u64> {
+/// Counts the machines of each kind, in any state.
+pub fn count_machines_by_kind(cluster: &ClusterState) -> HashMap<MachineKind, u64> {
     let mut counts = vec![0u64; cluster.kinds().len()];
     for kind in cluster.machines.values().filter_map(|machine| machine.kind_index) {
         if let Some(count) = counts.get_mut(kind) {
@@ -38,8 +39,9 @@
     cluster.kinds().iter().cloned().zip(counts).filter(|(_, count)| *count > 0).collect()
 }
 
-/// Which machines to provision: cheap kinds soon, dear ones only when the slack of the work asks for it. `requested`
-/// counts machines that the cloud was asked for and has not named yet. Kinds are in ascending order.
+/// Decides which machines to provision: cheap kinds early, more expensive kinds only when the slack of the waiting work
+/// runs short. `requested` counts machines that were requested and that the cloud has not named yet. The result is in
+/// ascending order of the kinds.
 pub fn plan_scale_out(
     cluster: &ClusterState,
     catalog: &Catalog,
@@ -47,30 +49,31 @@
     requested: &HashMap<MachineKind, u64>,
     now: Instant,
 ) -> Vec<MachineDemand> {
-    // Nothing is provisioned for jobs that fail everywhere.
-    let turns = queue(cluster, now).into_iter().filter(|turn| !turn.quarantined);
-    let (idle, urgent): (Vec<QueuedJob>, Vec<QueuedJob>) = turns.partition(|turn| turn.job.spec().is_idle());
+    // Nothing is provisioned for quarantined jobs, which have failed everywhere.
+    let queued_jobs = queue(cluster, now).into_iter().filter(|queued| !queued.quarantined);
+    let (idle, urgent): (Vec<QueuedJob>, Vec<QueuedJob>) = queued_jobs.partition(|queued| queued.job.spec().is_idle());
     let capacity_declared = !cluster.intents.capacity.is_empty();
     if idle.is_empty() && urgent.is_empty() && !capacity_declared {
         return Vec::new();
     }
-    let ground = CapacityContext::with_all_offers(cluster, catalog);
-    let mut planner = ScaleOutPlanner::new(cluster, &ground, refusals, requested, now);
-    // Idle tasks give way, so that their capacity counts for others. What they wait for themselves is planned after
-    // that, on the machines as they are.
+    let context = CapacityContext::with_all_offers(cluster, catalog);
+    let mut planner = ScaleOutPlanner::new(cluster, &context, refusals, requested, now);
+    // Idle tasks are preempted for other work, so their capacity counts as free for it. Waiting idle work is planned
+    // afterwards, on the capacity that is really free.
     if !urgent.is_empty() || capacity_declared {
-        let mut timelines = planner.timelines(true);
-        // Work that has waited for long competes with expected arrivals as well: fresh work has the higher return.
-        let (fresh, waited): (Vec<QueuedJob>, Vec<QueuedJob>) = urgent.into_iter().partition(|turn| turn.age < FRESH);
+        let mut timelines = planner.create_timelines(true);
+        // Work that has waited for longer competes with expected arrivals as well: starting fresh work pays more.
+        let (fresh, older): (Vec<QueuedJob>, Vec<QueuedJob>) =
+            urgent.into_iter().partition(|queued| queued.age < FRESH_JOB_AGE);
         planner.plan_jobs(fresh, &mut timelines);
         planner.plan_declared_capacity(&mut timelines);
-        if !waited.is_empty() {
-            place_expected_arrivals(cluster, &ground, &mut timelines, now);
+        if !older.is_empty() {
+            place_expected_arrivals(cluster, &context, &mut timelines, now);
         }
-        planner.plan_jobs(waited, &mut timelines);
+        planner.plan_jobs(older, &mut timelines);
     }
     if !idle.is_empty() {
-        let mut timelines = planner.timelines(false);
+        let mut timelines = planner.create_timelines(false);
         planner.plan_jobs(idle, &mut timelines);
     }
     planner.into_demand()
