--- a/src/scheduling/tests/interleaved_simulation/deliveries.rs
+++ b/src/scheduling/tests/interleaved_simulation/deliveries.rs
@@ -30,7 +30,7 @@
         let id = self.workers[w].id.clone();
         let mut commands = Vec::new();
         let mut renews_lease = false;
-        if !policy.stays_silent() {
+        if !policy.refuses_heartbeat() {
             let ended_jobs = self.reported_ends(&leader, &heartbeat);
             leader.cluster.take_heartbeat(heartbeat, MessageKind::Heartbeat, Some(&self.catalog), now);
             commands = if policy.sends_all_commands() {
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: decoded, checked and written.
+//! Handles submissions: decodes, checks and writes them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,22 +23,22 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::lock;
 
-/// Attempts at a write that the store's rate limit refuses, before the user is told to retry.
+/// Attempts at a write that the store refuses because of its rate limit, before the user is told to retry.
 const WRITE_ATTEMPTS: u32 = 2;
-/// Pause between two of them.
-const RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// The status of a request that the store refuses because of its rate limit.
+/// Pause after an attempt that the store refused because of its rate limit.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(120);
+/// HTTP status with which the store refuses a request because of its rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// The job that a submission names, whatever else is wrong with it.
+/// The id of the submitted job, which can be decoded whatever else is wrong with the submission.
 #[derive(Deserialize)]
 struct SubmittedId {
     #[serde(rename = "uid")]
     id: String,
 }
 
-/// Refuses a submission for good, unless its job was accepted before: that is final, whichever controller accepted it
-/// and whatever a repeated request says.
+/// Refuses a submission for good, unless its job was accepted before; then it responds with the job's status. An
+/// acceptance is final, whichever controller accepted the job and whatever a repeated request contains.
 async fn refuse_unless_accepted(service: &UserService, id: &str, error: RequestError) -> UserResponse {
     match look_up_job(service, id).await {
         UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::Rejected(error),
@@ -46,14 +46,14 @@
     }
 }
 
-/// Decodes a job and checks what does not depend on machines and teams.
+/// Decodes a submission and makes the checks that do not depend on machines and teams.
 fn decode_submission(body: &[u8]) -> Result<JobSpec, RequestError> {
     let spec: JobSpec = protocol::decode_whole(body)?;
     spec.check()?;
     Ok(spec)
 }
 
-/// Handles a submission, which may be a repeated request.
+/// Handles a submission, which may be a retry: submissions are idempotent by the job's id.
 pub(super) async fn submit_job(service: &UserService, write_tracker: &Arc<WriteTracker>, body: &[u8]) -> UserResponse {
     let spec = match decode_submission(body) {
         Ok(spec) => spec,
@@ -78,7 +78,7 @@
     accept_job(service, write_tracker, spec).await
 }
 
-/// Accepts a feasible job, if there is capacity for one more open job and admission control lets it in.
+/// Accepts a feasible job, if there is room for one more open job and admission control admits it.
 async fn accept_job(service: &UserService, write_tracker: &Arc<WriteTracker>, spec: JobSpec) -> UserResponse {
     let id = spec.id.clone();
     let (open_work, may_hold_old_jobs) = {
@@ -90,7 +90,7 @@
         return refuse_unless_accepted(service, &id, RequestError::JobTooLarge).await;
     }
     if !fits_in_memory(&record.spec, open_work, service.settings.params.limits.memory_mb) {
-        // A repeated request for a job that was accepted gets its status instead.
+        // A retry for a job that was accepted gets the job's status instead.
         return match look_up_job(service, &id).await {
             UserResponse::Rejected(RequestError::NoSuchJob) => UserResponse::RetryLater {
                 reason: "more work is open than can be held",
@@ -101,11 +101,11 @@
     }
     let ticket = match admit_submission(service, &record.spec) {
         Ok(ticket) => ticket,
-        // At once, without asking the store; a repeated request for a job that was accepted has to retry as well.
-        Err(busy) => {
+        // Refused at once, without a request to the store; a retry for a job that was accepted has to retry again.
+        Err(refused) => {
             return UserResponse::RetryLater {
                 reason: "too many jobs are submitted at once",
-                after_s: busy.retry_after_s,
+                after_s: refused.retry_after_s,
             };
         }
     };
@@ -114,30 +114,30 @@
     response
 }
 
-/// Whether the job's record, with what its end adds to it, stays within the store's limit on a value.
+/// Whether the job's record, with the bytes that its end adds, stays within the store's size limit for a value.
 fn fits_in_store(service: &UserService, record: &JobRecord) -> bool {
     let size =
         serde_json::to_vec(record).map_or(usize::MAX, |bytes| bytes.len().saturating_add(ENDED_RECORD_EXTRA_BYTES));
     size as f64 <= service.settings.params.state.value_kb * 1024.0
 }
 
-/// Admission control does not let a submission in now.
-struct Busy {
+/// A refusal by admission control.
+struct AdmissionRefused {
     retry_after_s: u64,
 }
 
-/// Passes admission control, or tells after how many seconds the user is to retry.
-fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, Busy> {
+/// Passes a submission through admission control.
+fn admit_submission<'a>(service: &'a UserService, spec: &JobSpec) -> Result<AdmissionTicket<'a>, AdmissionRefused> {
     let mut admission = lock(&service.admission);
     let WriteDelay { wait, per_second } =
         service.store.client.estimate_write_delay(admission.waiting_count() as f64 + 1.0);
     admission
         .admit(spec, wait, per_second, rand::random(), Instant::now())
-        .map_err(|retry_after_s| Busy { retry_after_s })?;
+        .map_err(|retry_after_s| AdmissionRefused { retry_after_s })?;
     Ok(AdmissionTicket { service, spec: spec.clone() })
 }
 
-/// A submission that was admitted. Leaves admission control when dropped, whatever becomes of the request.
+/// An admitted submission. It is released from admission control when dropped, however the request ends.
 struct AdmissionTicket<'a> {
     service: &'a UserService,
     spec: JobSpec,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Writes a job unless it exists, and responds.
+/// Writes a job unless it exists, and responds to the user.
 async fn write_acceptance(
     service: &UserService,
     write_tracker: &Arc<WriteTracker>,
@@ -157,13 +157,13 @@
     may_hold_old_jobs: bool,
 ) -> UserResponse {
     let id = record.spec.id.clone();
-    let accept = job_transactions::accept_job(&record, may_hold_old_jobs);
+    let acceptance = job_transactions::accept_job(&record, may_hold_old_jobs);
     for _ in 0..WRITE_ATTEMPTS {
         let tracked = write_tracker.track(JobWrite::Acceptance, &record);
         match service
             .store
             .client
-            .compare_and_swap(&accept.conditions, &accept.changes, RequestPriority::Critical)
+            .compare_and_swap(&acceptance.conditions, &acceptance.changes, RequestPriority::Critical)
             .await
         {
             Ok(CompareAndSwapOutcome::Applied(_)) => {
@@ -178,7 +178,7 @@
             }
             Err(StoreError::Unavailable(TOO_MANY_REQUESTS)) => {
                 tracked.not_applied();
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(WRITE_RETRY_PAUSE).await;
             }
             Err(StoreError::Unavailable(status)) => {
                 tracked.not_applied();
--- a/src/users/write_tracker.rs
+++ b/src/users/write_tracker.rs
@@ -1,10 +1,10 @@
 //! Tracks the writes of users' requests until their outcome is known, so that the log agrees with the store.
 //!
-//! The state service may apply a write whose answer is lost, or apply it later. The user repeats the request and is told
-//! what is stored. Operators count served jobs by the log, so that a cancellation without its line would count as a job
-//! that was never served. Each write is therefore tracked from before it is sent until its answer, or the store, tells
-//! the outcome. For an acceptance the watch cache is enough, which costs nothing; for a job that has ended the store is
-//! asked once how it ended.
+//! The state service may apply a write whose response is lost, or apply it later. The user retries the request and gets
+//! the stored result. Operators count served jobs by the log, so a cancellation without its line would count as a job
+//! that was never served. Each write is therefore tracked from before it is sent until its response, or the store, shows
+//! the outcome. For an acceptance the watch cache is enough, which costs no request; for a cancellation
+//! the store is queried, once the job has ended, for how it ended.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -20,47 +20,50 @@
 use crate::jobs::{End, JobId, JobSpec};
 use crate::sync::lock;
 
-/// Most unanswered writes tracked at a time; the outcome of further ones is not logged.
-const MOST_TRACKED: usize = 512;
-/// Pause between two checks of a job.
+/// Maximum number of unanswered writes tracked at a time; the outcome of further ones is not logged.
+const MAX_TRACKED_WRITES: usize = 512;
+/// Pause between two checks of a job's state.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Messages may be minutes late; after this a write counts as never applied.
-const TRACKED_FOR: Duration = Duration::from_secs(600);
+/// Time after which an unanswered write counts as never applied. Messages may arrive minutes late.
+const TRACKING_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A write on behalf of a user.
+/// The kind of a write on behalf of a user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum JobWrite {
     Acceptance,
     Cancellation,
 }
 
-/// What this controller knows of a job whose write was not answered.
+/// The state of a job as far as this controller knows it without a request to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum KnownJobState {
-    /// The watch cache has it neither open nor recently ended.
+    /// The watch cache has the job neither as open nor as recently ended.
     Unknown,
+    /// The job is open.
     Open,
-    /// Ended, but not known how.
+    /// The job has ended, but it is not known how.
     EndUnknown,
+    /// The job has ended this way.
     Ended(End),
 }
 
-/// What to do next about a tracked write.
+/// The next step for a tracked write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TrackingStep {
+    /// Check again later.
     Wait,
-    /// Ask the store how the job ended.
+    /// Query the store for how the job ended.
     QueryStore,
-    /// It was applied: log it.
+    /// The write was applied: log it.
     Log,
-    /// It was not applied, and never will be.
+    /// The write was not applied and never will be: stop tracking it.
     Discard,
 }
 
-/// What follows from what is known of the job. A stored cancellation may come from another request at another
-/// controller; it is logged all the same, since the line tells what became of the job.
-fn next_step(write: JobWrite, known: KnownJobState) -> TrackingStep {
-    match (write, known) {
+/// Decides the next step for a write from the known state of its job. A stored cancellation may come from another
+/// request at another controller; it is logged all the same, since the line records what happened to the job.
+fn next_step(write: JobWrite, state: KnownJobState) -> TrackingStep {
+    match (write, state) {
         (_, KnownJobState::Unknown) => TrackingStep::Wait,
         (JobWrite::Acceptance, _) => TrackingStep::Log,
         (JobWrite::Cancellation, KnownJobState::Open) => TrackingStep::Wait,
@@ -70,13 +73,14 @@
     }
 }
 
-/// The unanswered writes of one controller.
+/// Tracks the unanswered writes of one controller.
 pub(super) struct WriteTracker {
     service: Arc<UserService>,
     unanswered: Mutex<HashSet<(JobWrite, JobId)>>,
 }
 
 impl WriteTracker {
+    /// Creates a tracker without unanswered writes.
     pub(super) fn new(service: Arc<UserService>) -> Arc<Self> {
         Arc::new(Self { service, unanswered: Mutex::default() })
     }
@@ -86,20 +90,20 @@
         TrackedWrite { write_tracker: self.clone(), write, record: record.clone(), answered: false }
     }
 
-    /// Adds an unanswered write. False if it is there already, or if there are too many.
+    /// Adds an unanswered write. Returns false if it is already tracked or if too many writes are tracked.
     fn add(&self, write: JobWrite, id: &JobId) -> bool {
         let mut unanswered = lock(&self.unanswered);
-        unanswered.len() < MOST_TRACKED && unanswered.insert((write, id.clone()))
+        unanswered.len() < MAX_TRACKED_WRITES && unanswered.insert((write, id.clone()))
     }
 
-    /// Removes a write. False if it is not there.
+    /// Removes a write. Returns false if it is not tracked.
     fn remove(&self, write: JobWrite, id: &JobId) -> bool {
         lock(&self.unanswered).remove(&(write, id.clone()))
     }
 }
 
-/// A write from before it is sent until it is answered. If it is dropped before, because no answer came or because the
-/// user's connection was closed, its outcome is found out in the background.
+/// A write, from before it is sent until it is answered. If it is dropped without an answer, because none came or because
+/// the user's connection was closed, its outcome is found out in the background.
 pub(super) struct TrackedWrite {
     write_tracker: Arc<WriteTracker>,
     write: JobWrite,
@@ -108,14 +112,14 @@
 }
 
 impl TrackedWrite {
-    /// The write was applied.
+    /// Records that the write was applied, and logs it.
     pub(super) fn applied(mut self) {
         self.answered = true;
         self.write_tracker.remove(self.write, &self.record.spec.id);
         log_applied(self.write, &self.record.spec);
     }
 
-    /// The write was not applied, and will not be.
+    /// Records that the write was not applied and never will be.
     pub(super) fn not_applied(mut self) {
         self.answered = true;
     }
@@ -126,14 +130,14 @@
         if self.answered || !self.write_tracker.add(self.write, &self.record.spec.id) {
             return;
         }
-        // Without a runtime the process is ending.
+        // There is no runtime only while the process is ending.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(await_outcome(self.write_tracker.clone(), self.write, self.record.clone()));
         }
     }
 }
 
-/// Logs the lines by which operators count served jobs.
+/// Logs an applied write; operators count served jobs by these lines.
 fn log_applied(write: JobWrite, spec: &JobSpec) {
     match write {
         JobWrite::Acceptance => {
@@ -146,14 +150,14 @@
 /// Finds out whether an unanswered write was applied, and logs it if so.
 async fn await_outcome(write_tracker: Arc<WriteTracker>, write: JobWrite, record: Arc<JobRecord>) {
     let id = &record.spec.id;
-    let applied = tokio::time::timeout(TRACKED_FOR, was_applied(&write_tracker.service, write, id)).await;
-    // Another attempt may have been answered, and logged, meanwhile.
+    let applied = tokio::time::timeout(TRACKING_TIMEOUT, was_applied(&write_tracker.service, write, id)).await;
+    // Another attempt at this write may have been answered and logged meanwhile.
     if write_tracker.remove(write, id) && applied == Ok(true) {
         log_applied(write, &record.spec);
     }
 }
 
-/// Whether the write was applied, once that is certain.
+/// Waits until it is certain whether the write was applied, and returns that.
 async fn was_applied(service: &UserService, write: JobWrite, id: &JobId) -> bool {
     loop {
         match next_step(write, known_job_state(service, id)) {
@@ -170,7 +174,7 @@
     }
 }
 
-/// What this controller knows of a job without asking the store.
+/// The state of a job as far as it is known without a request to the store.
 fn known_job_state(service: &UserService, id: &JobId) -> KnownJobState {
     if let Some(end) = service.history.known_end(id) {
         return KnownJobState::Ended(end);
--- a/src/users/write_tracker/tests.rs
+++ b/src/users/write_tracker/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of how unanswered writes are tracked.
+
 use super::*;
 
-/// Every write with all that can be known of its job.
+/// Covers each kind of write with every known state of its job.
 #[test]
-fn next_step_of_an_unanswered_write_by_cases() {
+fn next_step_follows_from_kind_of_write_and_known_job_state() {
     let (done, cancelled) = (KnownJobState::Ended(End::Done), KnownJobState::Ended(End::Cancelled));
-    for (write, known, want) in [
+    for (write, state, want) in [
         (JobWrite::Acceptance, KnownJobState::Unknown, TrackingStep::Wait),
         (JobWrite::Acceptance, KnownJobState::Open, TrackingStep::Log),
         (JobWrite::Acceptance, KnownJobState::EndUnknown, TrackingStep::Log),
@@ -16,6 +18,6 @@
         (JobWrite::Cancellation, done, TrackingStep::Discard),
         (JobWrite::Cancellation, cancelled, TrackingStep::Log),
     ] {
-        assert_eq!(next_step(write, known), want, "{write:?} of {known:?}");
+        assert_eq!(next_step(write, state), want, "{write:?} of {state:?}");
     }
 }
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends due commands to workers directly, so that they need not wait for the answer to their next heartbeat.
+//! Sends due commands to workers directly, so that the commands need not wait for the response to the next heartbeat.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,8 +14,8 @@
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::CallKind;
 
-/// A command that is not answered within this counts as one that may still arrive.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time limit for the reply to a command. A command that is not answered in time may still arrive.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Longest pause between two checks for due commands.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
@@ -26,26 +26,27 @@
         if service.membership.unproven() {
             continue;
         }
-        let due = match service.leader.cluster().as_mut() {
+        let due_commands = match service.leader.cluster().as_mut() {
             Some(cluster) => cluster.direct_commands(Instant::now()),
             None => Vec::new(),
         };
-        // At most one command per machine is in flight, which bounds the number of these tasks.
-        for direct in due {
-            tokio::spawn(send_command(service.clone(), direct));
+        // At most one direct command per machine is in flight, which bounds the number of these tasks.
+        for command in due_commands {
+            tokio::spawn(send_command(service.clone(), command));
         }
     }
 }
 
-async fn send_command(service: Arc<WorkerService>, direct: DirectCommand) {
-    let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = direct;
+/// Sends one direct command to its worker and records the reply.
+async fn send_command(service: Arc<WorkerService>, command: DirectCommand) {
+    let DirectCommand { machine, addr, fencing_token, agent_epoch, commands } = command;
     let body = protocol::encode(&WorkerCommands { fencing_token, agent_epoch: Some(agent_epoch), orders: commands });
     service.traffic.count(CallKind::Command);
-    let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), ANSWER_TIMEOUT).await;
+    let outcome = service.http.call(Method::POST, &addr, "/do", Some(body), REPLY_TIMEOUT).await;
     record_reply(&service, &machine, fencing_token, outcome);
 }
 
-/// Records the reply to a command in the cluster state.
+/// Records the reply to a direct command, or its failure, in the cluster state.
 fn record_reply(
     service: &WorkerService,
     machine: &MachineId,
@@ -55,13 +56,13 @@
     let now = Instant::now();
     let catalog = service.catalog.get();
     {
-        let mut held = service.leader.cluster();
-        let Some(cluster) = held.as_mut() else { return };
+        let mut cluster_guard = service.leader.cluster();
+        let Some(cluster) = cluster_guard.as_mut() else { return };
         let heartbeat = match &outcome {
             Ok((200 | 409, body)) => protocol::decode::<Heartbeat>(body).ok().filter(Heartbeat::check),
             _ => None,
         };
-        // Only a definite answer, or a connection that never was, settles what was sent.
+        // Only a definite reply, or a command that was never sent, shows that the command cannot arrive later.
         let settled = heartbeat.is_some() || matches!(outcome, Err(CallError::NotSent) | Ok((400, _)));
         if let Err(error) = &outcome {
             debug!(%machine, %error, "worker command failed");
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,5 +1,4 @@
-//! Communication with workers: their heartbeats, which are answered with commands, and commands sent to them
-//! directly.
+//! Communication with workers: heartbeats, which are answered with commands, and commands that are sent directly.
 
 pub mod dispatch;
 pub mod response_policy;
@@ -21,35 +20,36 @@
 
 /// The response to a heartbeat.
 pub enum HeartbeatResponse {
-    /// 200: the heartbeat was recorded; what the worker is to do.
+    /// 200: the heartbeat was recorded; the commands for the worker.
     Commands(WorkerCommands),
-    /// 421, with the name of the leader.
+    /// 421: another controller, with this name, is the leader.
     Redirect(String),
-    /// 503: nobody known here may answer for the controllers.
+    /// 503: this controller may not answer, and it knows no leader that could.
     Unavailable,
-    /// 400: the heartbeat cannot be decoded, or breaks a rule of the protocol.
+    /// 400: the heartbeat cannot be decoded or violates the protocol.
     Malformed,
 }
 
-/// Which heartbeat of which machine.
+/// Identifies one heartbeat of one machine.
 struct HeartbeatId {
     machine: String,
     sequence: MessageSequence,
 }
 
-/// What became of a valid heartbeat.
-enum Recorded {
-    /// Recorded in the cluster state. Commands for the worker, if its lease may be renewed.
+/// The outcome of recording a valid heartbeat.
+enum RecordOutcome {
+    /// This leader recorded the heartbeat in its cluster state. The commands are for the worker, if its lease may be
+    /// renewed.
     ByLeader(WorkerCommands),
-    /// The worker has seen a higher fencing token than this leader's: it leads no longer.
+    /// The worker has seen a higher fencing token than this leader's, so this controller is no longer the leader.
     Deposed,
-    /// This controller does not lead.
+    /// This controller is not the leader.
     NotLeader,
 }
 
-/// Handles one heartbeat: validates it, fences off leaders that were replaced, reconciles and records it in the cluster
-/// state, and answers. Only the leader records it. A fencing token higher than its own tells it that it is no longer
-/// the leader; a 200 would then only renew the worker's lease without a leader.
+/// Handles one heartbeat: validates it, fences off leaders that were replaced, reconciles it with the cluster state and
+/// records it there, and responds. Only the leader records heartbeats. A heartbeat with a fencing token higher than its
+/// own shows that it is no longer the leader; a 200 would then only renew the worker's lease without a leader.
 pub fn handle_heartbeat(service: &WorkerService, body: &[u8]) -> HeartbeatResponse {
     let Some(heartbeat) = decode_valid_heartbeat(body) else { return HeartbeatResponse::Malformed };
     let unproven = service.membership.unproven();
@@ -59,26 +59,26 @@
         unproven_since_pause: unproven,
         store_answers: unproven && service.membership.state_service_answers(),
     };
-    if policy.stays_silent() {
+    if policy.refuses_heartbeat() {
         return HeartbeatResponse::Unavailable;
     }
     let now = Instant::now();
     let sequence = MessageSequence { agent_epoch: heartbeat.agent_epoch, number: heartbeat.seq };
     let id = HeartbeatId { machine: heartbeat.machine.clone(), sequence };
     policy.leader_known = service.membership.knows_leader(now);
-    // A leader stops tasks of jobs that have ended by the watch cache, whatever else it may do.
+    // A leader stops tasks of jobs that have ended according to the watch cache, whatever other commands it may send.
     let ended = service.membership.reported_ends(&heartbeat, policy.may_command());
     match record_heartbeat(service, heartbeat, &mut policy, &ended, now) {
-        Recorded::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
-        Recorded::Deposed => {
+        RecordOutcome::ByLeader(commands) => answer_as_leader(service, &id.machine, commands, policy, &ended, now),
+        RecordOutcome::Deposed => {
             service.membership.step_down("higher fencing token reported by a worker");
             HeartbeatResponse::Unavailable
         }
-        Recorded::NotLeader => redirect_to_leader(service, &id, now),
+        RecordOutcome::NotLeader => redirect_to_leader(service, &id, now),
     }
 }
 
-/// Decodes a heartbeat. `None` if it breaks a rule of the protocol.
+/// Decodes a heartbeat. Returns `None` if it cannot be decoded or violates the protocol.
 fn decode_valid_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     match crate::protocol::decode::<Heartbeat>(body) {
         Ok(heartbeat) => heartbeat.check().then_some(heartbeat),
@@ -96,11 +96,11 @@
     policy: &mut ResponsePolicy,
     ended: &ReportedEnds,
     now: Instant,
-) -> Recorded {
-    let mut held = service.leader.cluster();
-    let Some(cluster) = held.as_mut() else { return Recorded::NotLeader };
+) -> RecordOutcome {
+    let mut cluster_guard = service.leader.cluster();
+    let Some(cluster) = cluster_guard.as_mut() else { return RecordOutcome::NotLeader };
     if heartbeat.fencing_token > cluster.fencing_token {
-        return Recorded::Deposed;
+        return RecordOutcome::Deposed;
     }
     let catalog = service.catalog.get();
     let machine = heartbeat.machine.clone();
@@ -111,10 +111,10 @@
     } else {
         cluster.halts_of_ended_jobs(&machine, &ended.jobs)
     };
-    Recorded::ByLeader(WorkerCommands { fencing_token: cluster.fencing_token, agent_epoch: None, orders })
+    RecordOutcome::ByLeader(WorkerCommands { fencing_token: cluster.fencing_token, agent_epoch: None, orders })
 }
 
-/// Answers with the commands, if the worker's lease may be renewed.
+/// Responds with the commands if the worker's lease may be renewed.
 fn answer_as_leader(
     service: &WorkerService,
     machine: &str,
@@ -134,8 +134,8 @@
     }
 }
 
-/// Sends the worker to the leader, as far as that is known for certain: sent to a leader of long ago, workers would
-/// only come and go.
+/// Redirects the worker to the leader if what is known of the leader is recent enough. Redirected to a former leader,
+/// workers would only be sent from controller to controller.
 fn redirect_to_leader(service: &WorkerService, id: &HeartbeatId, now: Instant) -> HeartbeatResponse {
     let leader = service.membership.leader_node();
     debug!(machine = id.machine, leader, "heartbeat redirected");
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -1,4 +1,4 @@
-//! Handles to the state and the services that communication with workers uses.
+//! Handles to the state and the services that communication with workers depends on.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 use crate::traffic::Traffic;
 use crate::wakeups::Wakeups;
 
-/// Answers heartbeats at one controller, and sends commands while it leads.
+/// Responds to heartbeats at one controller, and sends commands while that controller is the leader.
 pub struct WorkerService {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub settings: Arc<Settings>,
-    /// Whether this controller may answer, and who leads otherwise.
+    /// Whether this controller may respond, and otherwise which one is the leader.
     pub membership: Arc<Membership>,
-    /// The cluster state that heartbeats are compared with.
+    /// The cluster state that heartbeats are reconciled with, while this controller is the leader.
     pub leader: Arc<LeaderState>,
-    /// The machine types.
+    /// The machine catalog.
     pub catalog: Arc<SharedCatalog>,
-    /// Wakes placement and the group commit.
+    /// Signals that wake placement, the group commit and the dispatch of commands.
     pub wakeups: Arc<Wakeups>,
-    /// Connections to workers.
+    /// HTTP client for commands to workers.
     pub http: Http,
     /// Counts of heartbeats and commands.
     pub traffic: Arc<Traffic>,
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,47 +1,58 @@
-//! Tests of what a heartbeat may be answered with.
+//! Tests of the response to a heartbeat.
 
 use super::response_policy::ResponsePolicy;
 
-/// By what the leader knows of itself: all orders, stops only, or nothing at all.
+/// Covers what a leader can prove: all commands, only those that stop tasks of ended jobs, or no response.
 #[test]
-fn heartbeat_response_by_cases() {
-    let sound = ResponsePolicy {
+fn heartbeat_response_follows_from_what_the_leader_can_prove() {
+    let proven = ResponsePolicy {
         cluster_state_loaded: true,
         leader_known: true,
         unproven_since_pause: false,
         store_answers: true,
     };
-    let paused = ResponsePolicy { unproven_since_pause: true, ..sound };
-    let unread = ResponsePolicy { cluster_state_loaded: false, ..sound };
-    let lone = ResponsePolicy { leader_known: false, ..sound };
-    // (name, policy, its watch cache is past its leader record, leases still end in time, it holds this machine;
-    //  silent, all orders, answered)
-    for (name, policy, through, spare, kept, want) in [
-        ("the leader", sound, true, false, false, (false, true, true)),
-        ("back from a pause", paused, true, false, false, (true, false, true)),
+    let paused = ResponsePolicy { unproven_since_pause: true, ..proven };
+    let not_loaded = ResponsePolicy { cluster_state_loaded: false, ..proven };
+    let leader_unknown = ResponsePolicy { leader_known: false, ..proven };
+    // (name, policy, the watch cache covers the term, leases still expire in time, the machine is held;
+    //  refused, all commands, lease renewed)
+    for (name, policy, cache_covers_term, leases_expire_in_time, holds_machine, want) in [
+        ("a proven leader", proven, true, false, false, (false, true, true)),
+        ("after a process pause", paused, true, false, false, (true, false, true)),
         (
-            "back from a pause into an outage",
+            "after a process pause, during a store outage",
             ResponsePolicy { store_answers: false, ..paused },
             true,
             false,
             false,
             (false, false, true),
         ),
-        ("may be leader no more", lone, true, false, false, (false, false, false)),
-        ("may be leader no more, the machine found nobody", lone, true, false, true, (false, false, true)),
-        ("has not read its cluster state, knows every end", unread, true, false, false, (false, false, true)),
-        ("has read nothing", unread, false, true, false, (false, false, true)),
-        ("has read nothing, for too long", unread, false, false, false, (false, false, false)),
+        ("a leader that may have been replaced", leader_unknown, true, false, false, (false, false, false)),
         (
-            "the same, whoever it would hold",
-            ResponsePolicy { leader_known: false, ..unread },
+            "a leader that may have been replaced, for a machine that found no other",
+            leader_unknown,
+            true,
+            false,
+            true,
+            (false, false, true),
+        ),
+        ("cluster state not loaded, every end known", not_loaded, true, false, false, (false, false, true)),
+        ("neither cluster state nor watch cache loaded", not_loaded, false, true, false, (false, false, true)),
+        ("neither loaded, and leases would expire too late", not_loaded, false, false, false, (false, false, false)),
+        (
+            "neither loaded, leases would expire too late, and the machine found no other leader",
+            ResponsePolicy { leader_known: false, ..not_loaded },
             false,
             false,
             true,
             (false, false, false),
         ),
     ] {
-        let got = (policy.stays_silent(), policy.sends_all_commands(), policy.renews_lease(through, || spare, || kept));
+        let got = (
+            policy.refuses_heartbeat(),
+            policy.sends_all_commands(),
+            policy.renews_lease(cache_covers_term, || leases_expire_in_time, || holds_machine),
+        );
         assert_eq!(got, want, "{name}");
     }
 }
