--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -1,5 +1,5 @@
-//! Which machines to drain, because what they run, and the work expected meanwhile, fits on the others. Tasks that can
-//! save a checkpoint are moved; the others run to their end.
+//! Choice of the machines to drain, because their tasks, and the work expected meanwhile, fit on the other machines.
+//! Tasks that can save a checkpoint are moved; the others run to their end.
 
 mod capacity_pool;
 
@@ -16,40 +16,43 @@
 use crate::scheduling::plan::queue;
 use crate::sla;
 
-/// A task stopped sooner after its start does not count as started, and has hardly worked.
-const RUN_BEFORE_MOVE: Duration = Duration::from_secs(32);
-/// Moving costs a checkpoint, fetching and a new start; a task with less than this left is not worth it.
-const WORTH_MOVING: Duration = Duration::from_secs(30);
-/// A task that was started this often stays where it is: each move costs its user time.
-const MOST_ATTEMPTS: u64 = 3;
-/// One in so many machines is drained at once at the most: a peak passes within a minute, and a wrong guess costs
-/// little.
-const DRAINED_PART: usize = 10;
-/// Most machines for whose tasks another place is searched at a time.
-const MOST_SEARCHED: usize = 60;
+/// Minimum time that a task has run before it is moved: stopped sooner it does not count as started, and has done
+/// hardly any work.
+const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(32);
+/// Minimum remaining run time of a task that is moved: a move costs a checkpoint, the fetch of the image and a new
+/// start, which is too much for the end of a task.
+const MIN_REMAINING_TO_MOVE: Duration = Duration::from_secs(30);
+/// Number of attempts of a task from which on it is not moved, since each move costs its user time.
+const ATTEMPTS_TO_STAY: u64 = 3;
+/// At most one in this many machines is drained per decision. This keeps the cost of a wrong decision low: a peak of
+/// load passes within a minute.
+const MACHINES_PER_DRAIN: usize = 10;
+/// Maximum number of machines with tasks that are examined per decision.
+const MAX_EXAMINED_MACHINES: usize = 60;
 
-/// A machine to drain, and the tasks of it to move.
+/// Machine to drain, with the tasks to move away from it.
 #[derive(Debug)]
 pub struct DrainDecision {
-    /// The machine that is no longer needed.
+    /// Id of the machine, which is no longer needed.
     pub machine: MachineId,
-    /// Tasks to stop there so that they continue elsewhere.
+    /// Tasks to stop on the machine, so that they continue elsewhere.
     pub moves: Vec<TaskMove>,
 }
 
-/// The dearest machines that are not needed, emptier ones first among equals.
+/// Chooses machines to drain: the most expensive ones that are not needed, and of equally expensive ones those with the
+/// fewest tasks.
 pub fn choose_drains(cluster: &ClusterState, catalog: &Catalog, now: Instant) -> Vec<DrainDecision> {
     let mut pool = CapacityPool::new(cluster, catalog, now);
     keep_needed_capacity(cluster, &mut pool, now);
-    let most = (pool.len() / DRAINED_PART).max(1);
+    let max_drains = (pool.len() / MACHINES_PER_DRAIN).max(1);
     let mut chosen = Vec::new();
-    let mut searched = 0;
+    let mut examined = 0;
     for index in pool.scale_in_order() {
-        if chosen.len() >= most || searched >= MOST_SEARCHED {
+        if chosen.len() >= max_drains || examined >= MAX_EXAMINED_MACHINES {
             break;
         }
         let Some(candidate) = pool.candidate(index, now) else { continue };
-        searched += usize::from(!candidate.machine.bound.is_empty());
+        examined += usize::from(!candidate.machine.bound.is_empty());
         if let Some(moves) = plan_moves(cluster, &mut pool, candidate, now) {
             pool.close_machine(index);
             chosen.push(DrainDecision { machine: candidate.machine.id.clone(), moves });
@@ -58,15 +61,15 @@
     chosen
 }
 
-/// Packs all work that keeps machines: waiting work, declared capacity and expected arrivals first, then idle work,
-/// running or not, into what is left.
+/// Packs all work for which machines are kept: first waiting work, declared capacity and expected arrivals, then idle
+/// work, running or not, into the remaining capacity.
 fn keep_needed_capacity(cluster: &ClusterState, pool: &mut CapacityPool, now: Instant) {
-    for turn in queue(cluster, now).into_iter().filter(|turn| !turn.quarantined && !turn.job.spec().is_idle()) {
-        let (job, waiting) = (turn.job, cluster.intents.placeable_tasks(turn.id, turn.job) as u64);
-        let overdue = turn.prioritized || turn.age > job.agreement.run_time;
+    for queued in queue(cluster, now).into_iter().filter(|queued| !queued.quarantined && !queued.job.spec().is_idle()) {
+        let (job, waiting) = (queued.job, cluster.intents.placeable_tasks(queued.id, queued.job) as u64);
+        let overdue = queued.prioritized || queued.age > job.agreement.run_time;
         pool.keep_capacity(job.spec(), &JobZones::new(cluster, job), waiting, overdue);
     }
-    for (intent, _) in intents::due_capacity_intents(cluster, &pool.ground) {
+    for (intent, _) in intents::due_capacity_intents(cluster, &pool.context) {
         pool.keep_capacity(&intent.task_spec, &JobZones::without_tasks(&intent.task_spec), intent.tasks, false);
     }
     pool.keep_for_arrivals(cluster, now);
@@ -78,19 +81,20 @@
     }
 }
 
-/// What draining its machine means for a task.
+/// Effect on a task of draining its machine.
 enum TaskDrain {
-    /// It runs to its end there.
-    RunsOut,
-    /// It is stopped, and needs no place elsewhere at once.
+    /// The task runs to its end on the machine.
+    RunsToEnd,
+    /// The task is stopped, without capacity for it elsewhere at once.
     Stops,
-    /// It continues elsewhere.
+    /// The task is moved to other capacity.
     Moves,
-    /// It keeps the machine.
-    Stays,
+    /// The task keeps the machine from being drained.
+    PreventsDrain,
 }
 
-/// The moves by which a machine is drained, if all tasks that have to move fit elsewhere.
+/// Returns the tasks to stop so that the machine drains, or `None` if one of its tasks prevents that or the tasks to
+/// move do not all fit elsewhere.
 fn plan_moves(
     cluster: &ClusterState,
     pool: &mut CapacityPool,
@@ -104,14 +108,14 @@
         if job.ended.is_some() || binding.halt_grace_s.is_some() {
             continue;
         }
-        match judge_task(cluster, job, key, binding, candidate.accelerated, now) {
-            TaskDrain::RunsOut => {}
+        match decide_task_drain(cluster, job, key, binding, candidate.accelerated, now) {
+            TaskDrain::RunsToEnd => {}
             TaskDrain::Stops => stops.push(task_move(key, job.spec())),
             TaskDrain::Moves => {
                 moves.push(task_move(key, job.spec()));
                 moved_specs.push(job.spec());
             }
-            TaskDrain::Stays => return None,
+            TaskDrain::PreventsDrain => return None,
         }
     }
     if !pool.repack_tasks(&moved_specs, candidate.index) {
@@ -121,11 +125,13 @@
     Some(moves)
 }
 
+/// Creates the move of a task, with enough grace to save its checkpoint.
 fn task_move(key: &TaskKey, spec: &JobSpec) -> TaskMove {
     TaskMove { task: key.clone(), grace_s: spec.save_s.ceil() as u64 + 1 }
 }
 
-fn judge_task(
+/// Decides what draining its machine means for one task.
+fn decide_task_drain(
     cluster: &ClusterState,
     job: &JobState,
     key: &TaskKey,
@@ -135,29 +141,29 @@
 ) -> TaskDrain {
     let spec = job.spec();
     if cluster.intents.keeps_in_place(&key.job)
-        || cluster.intents.priority_boost.as_ref().is_some_and(|ahead| ahead.names.contains_job(spec))
+        || cluster.intents.priority_boost.as_ref().is_some_and(|boost| boost.names.contains_job(spec))
     {
-        return TaskDrain::Stays;
+        return TaskDrain::PreventsDrain;
     }
     let running_since = binding.running_since.filter(|_| binding.status == Some(AttemptStatus::Running));
-    let ran = running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    let remaining = sla::remaining_run_time(job.agreement.run_time, ran);
+    let run_time = running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+    let remaining = sla::remaining_run_time(job.agreement.run_time, run_time);
     let attempts = job.tasks.get(key.index as usize).map_or(0, |task| task.attempt);
-    let can_move = spec.checkpoint_s > 0.0 && !(spec.is_gang() && spec.tasks > 1) && attempts < MOST_ATTEMPTS;
+    let can_move = spec.checkpoint_s > 0.0 && !(spec.is_gang() && spec.tasks > 1) && attempts < ATTEMPTS_TO_STAY;
     let wastes_accelerators = accelerated && spec.gpus <= 0.0;
-    if can_move && remaining > WORTH_MOVING {
-        // A task on its way, or just started, is not stopped again.
-        if ran < RUN_BEFORE_MOVE {
-            TaskDrain::Stays
+    if can_move && remaining > MIN_REMAINING_TO_MOVE {
+        // A task that is being started, or has just started, is not stopped again.
+        if run_time < MIN_RUN_BEFORE_MOVE {
+            TaskDrain::PreventsDrain
         } else if spec.is_idle() && wastes_accelerators {
             TaskDrain::Stops
         } else {
             TaskDrain::Moves
         }
-    } else if remaining > WORTH_MOVING * 2 && !wastes_accelerators {
-        // It would hold the machine for long anyway.
-        TaskDrain::Stays
+    } else if remaining > MIN_REMAINING_TO_MOVE * 2 && !wastes_accelerators {
+        // The task would keep the draining machine for long, and it wastes no accelerators.
+        TaskDrain::PreventsDrain
     } else {
-        TaskDrain::RunsOut
+        TaskDrain::RunsToEnd
     }
 }
