--- a/src/fleet/cloud.rs
+++ b/src/fleet/cloud.rs
@@ -27,7 +27,7 @@
     /// The cloud has no capacity of this machine kind now. Nothing was provisioned.
     #[error("no capacity")]
     NoCapacity,
-    /// The call was rejected with this HTTP status, or not sent (0). It was not carried out.
+    /// The call was rejected for now with this HTTP status, or not sent (status 0). It was not carried out.
     #[error("the cloud answered with status {0}")]
     Refused(u16),
     /// No answer was received. The call may have been carried out, or may be carried out later.
--- a/src/fleet/cloud_operations.rs
+++ b/src/fleet/cloud_operations.rs
@@ -10,8 +10,8 @@
 use crate::machine_kinds::MachineKind;
 use crate::sync::lock;
 
-/// Number of orders marked as completed from which on a higher fencing token is needed, under which they can be
-/// deleted. The last clean-up before that may exceed it.
+/// Maximum number of orders marked as completed under one fencing token, not counting those of one more clean-up. Once
+/// it is reached, a higher fencing token is needed, under which the marked orders can be deleted.
 pub(super) const MAX_MARKED_ORDERS: usize = 64;
 
 /// State of the leader's cloud operations.
@@ -45,8 +45,7 @@
         *self.requested.entry(kind).or_default() += count;
     }
 
-    /// Counts machines of a kind as requested no longer, once the cloud has named them or their request has ended
-    /// without.
+    /// Counts machines of a kind as requested no longer, because the cloud has named them or will not.
     pub(super) fn remove_requested(&mut self, kind: &MachineKind, count: u64) {
         if let Some(requested) = self.requested.get_mut(kind) {
             *requested = requested.saturating_sub(count);
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -22,8 +22,8 @@
 /// Minimum remaining run time of a task that is moved: a move costs a checkpoint, the fetch of the image and a new
 /// start, which is too much for the end of a task.
 const MIN_REMAINING_TO_MOVE: Duration = Duration::from_secs(30);
-/// Number of attempts of a task from which on it is not moved, since each move costs its user time.
-const ATTEMPTS_TO_STAY: u64 = 3;
+/// Number of attempts at which a task is no longer moved, since each move costs its user time.
+const MAX_ATTEMPTS_TO_MOVE: u64 = 3;
 /// At most one in this many machines is drained per decision. This keeps the cost of a wrong decision low: a peak of
 /// load passes within a minute.
 const MACHINES_PER_DRAIN: usize = 10;
@@ -149,7 +149,7 @@
     let run_time = running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
     let remaining = sla::remaining_run_time(job.agreement.run_time, run_time);
     let attempts = job.tasks.get(key.index as usize).map_or(0, |task| task.attempt);
-    let can_move = spec.checkpoint_s > 0.0 && !(spec.is_gang() && spec.tasks > 1) && attempts < ATTEMPTS_TO_STAY;
+    let can_move = spec.checkpoint_s > 0.0 && !(spec.is_gang() && spec.tasks > 1) && attempts < MAX_ATTEMPTS_TO_MOVE;
     let wastes_accelerators = accelerated && spec.gpus <= 0.0;
     if can_move && remaining > MIN_REMAINING_TO_MOVE {
         // A task that is being started, or has just started, is not stopped again.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -28,8 +28,8 @@
 /// Minimum pause between two rounds.
 const MIN_ROUND_PAUSE: Duration = Duration::from_millis(1000);
 /// Ratio of the pause after a round to the duration of the round. It limits the loop's share of processing time, so
-/// that heartbeats and user requests are not delayed.
-const PAUSE_PER_ROUND_DURATION: u32 = 8;
+/// that heartbeats and user requests are not kept waiting.
+const PAUSE_TO_ROUND_RATIO: u32 = 8;
 
 /// Lists, drains, provisions and terminates machines for as long as this controller leads. Skips rounds while the
 /// leadership is unproven or the cluster state is not loaded.
@@ -43,7 +43,7 @@
         fleet_loop.list_machines_if_due().await;
         let started_at = Instant::now();
         fleet_loop.run_round();
-        tokio::time::sleep(MIN_ROUND_PAUSE.max(started_at.elapsed() * PAUSE_PER_ROUND_DURATION)).await;
+        tokio::time::sleep(MIN_ROUND_PAUSE.max(started_at.elapsed() * PAUSE_TO_ROUND_RATIO)).await;
     }
 }
 
--- a/src/fleet/order_storage.rs
+++ b/src/fleet/order_storage.rs
@@ -15,8 +15,8 @@
 use crate::store::{CompareAndSwapOutcome, StoreError};
 use crate::sync::jitter;
 
-/// Number of completed orders from which on the clean-up gets a higher priority than background requests: a new leader
-/// would carry all of them out again.
+/// Number of completed orders at which the clean-up gets a higher priority than background requests and no longer waits
+/// for an idle moment: a new leader would carry all of them out again.
 const URGENT_CLEAN_UP_ORDERS: usize = 12;
 /// Timeout of a clean-up write.
 const CLEAN_UP_TIMEOUT: Duration = Duration::from_millis(400);
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Cleans up completed orders in one write, as background work unless there are [`URGENT_CLEAN_UP_ORDERS`].
+    /// Cleans up completed orders in one write, with a lower priority than everything else unless there are
+    /// [`URGENT_CLEAN_UP_ORDERS`] or more.
     pub(super) async fn clean_up_orders(&self) {
         let Some(fencing_token) = self.fencing_token() else { return };
         let client = &self.fleet.store.client;
--- a/src/fleet/terminations.rs
+++ b/src/fleet/terminations.rs
@@ -25,7 +25,8 @@
             .map(|m| m.id.to_string())
             .collect();
         operations.terminating.extend(machines.iter().cloned());
-        // Overdue machines get calls of their own: these calls may go out without a stored order, the others may not.
+        // Overdue machines get calls of their own, since these may go out without a stored order. The others still wait
+        // for their order to be stored.
         let overdue = cluster.overdue_machines(Instant::now());
         let (overdue, others): (Vec<String>, Vec<String>) =
             machines.into_iter().partition(|machine| overdue.contains(machine.as_str()));
