--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -4,7 +4,7 @@
 fn record(n: u64) -> Arc<JobRecord> {
     let mut spec = spec();
     spec.id = format!("run-{n}").into();
-    Arc::new(JobRecord { spec, at_ms: 5 })
+    Arc::new(JobRecord { spec, accepted_ms: 5 })
 }
 
 #[test]
--- a/src/calendar/jobs_by_window.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -64,7 +64,7 @@
             }
             let Some(of_class) = by_class.get(&(job.team.as_str(), job.class.as_str())) else { continue };
             let instance_for_job =
-                of_class.iter().filter_map(|window| Some((*window, window.instance_for_job(record.at_ms)?)));
+                of_class.iter().filter_map(|window| Some((*window, window.instance_for_job(record.accepted_ms)?)));
             let first = instance_for_job.min_by_key(|(window, span)| {
                 let named = window.spec.turns.iter().any(|turn| **turn == *job.id);
                 (!named, span.closes_ms, window.name.as_str())
@@ -78,7 +78,9 @@
             }
         }
         for of_window in window_jobs.values_mut() {
-            of_window.sort_by(|a, b| (a.record.at_ms, &a.record.spec.id).cmp(&(b.record.at_ms, &b.record.spec.id)));
+            of_window.sort_by(|a, b| {
+                (a.record.accepted_ms, &a.record.spec.id).cmp(&(b.record.accepted_ms, &b.record.spec.id))
+            });
         }
         Self { by_window: window_jobs }
     }
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -37,7 +37,7 @@
     let mut spec = crate::jobs::tests::spec();
     (spec.id, spec.class, spec.team) = (format!("run-{n}").into(), class.into(), "red".into());
     spec.image_gb = 0.0;
-    Arc::new(JobRecord { spec, at_ms })
+    Arc::new(JobRecord { spec, accepted_ms: at_ms })
 }
 
 /// Jobs as users and workers make them, and the time of day.
@@ -390,7 +390,7 @@
         let mut gang = JobSpec::clone(&job(1, "plan", 0).spec);
         (gang.shape, gang.tasks) = (Shape::Gang, 8);
         world.submit(1, "plan");
-        world.jobs[0] = Arc::new(JobRecord { spec: gang, at_ms: world.now_ms });
+        world.jobs[0] = Arc::new(JobRecord { spec: gang, accepted_ms: world.now_ms });
         let status = world.step(&spec, &WindowStatus::default());
         let capacity = world.intents(&spec, &status, PLENTY).capacity;
         assert_eq!(capacity.iter().map(|r| r.tasks).sum::<u64>(), want, "{cores}");
@@ -421,7 +421,7 @@
     assert_eq!(of(&windows, &job(1, "plan", at + 5 * HOUR)), [""; 0]);
     let mut service = JobSpec::clone(&job(1, "plan", at).spec);
     service.shape = Shape::Service;
-    assert_eq!(of(&windows, &Arc::new(JobRecord { spec: service, at_ms: at })), [""; 0]);
+    assert_eq!(of(&windows, &Arc::new(JobRecord { spec: service, accepted_ms: at })), [""; 0]);
     // The window that it belongs to has ended: it goes to no other.
     let mut world = World::at(MIDNIGHT + 8 * HOUR + GRACE_MS);
     windows[1].status = world.step(&windows[1].spec, &WindowStatus::default());
--- a/src/calendar/window.rs
+++ b/src/calendar/window.rs
@@ -30,7 +30,7 @@
         (Some(End::Cancelled), _) => JobProgress::Cancelled,
         (None, Some(job)) if job.ended.is_none() => JobProgress::Open {
             begun: job.never_placed_fraction() < 1.0,
-            at_ms: job.record.at_ms,
+            at_ms: job.record.accepted_ms,
             expected_s: expected_s(job.agreement.run_time.as_secs_f64(), job.spec().image_gb),
         },
         (None, _) => {
--- a/src/history/job_transactions/tests.rs
+++ b/src/history/job_transactions/tests.rs
@@ -4,7 +4,7 @@
 /// An ended record that outgrew the open one by more than the reserved size could be too large to be stored.
 #[test]
 fn ended_record_decodes_and_exceeds_the_open_one_by_at_most_the_reserved_size() {
-    let job = JobRecord { spec: spec(), at_ms: 5 };
+    let job = JobRecord { spec: spec(), accepted_ms: 5 };
     let [Change::Write { write, value, .. }, Change::Drop { drop }] = end_changes(&job, End::Cancelled, u64::MAX)
     else {
         panic!("a write and a drop");
--- a/src/history/tests/cancellation_visibility.rs
+++ b/src/history/tests/cancellation_visibility.rs
@@ -122,7 +122,7 @@
         let mut store = Store::default();
         let write_leader_record = [Change::write(LEADER_RECORD_KEY, serde_json::json!("a"))];
         let fencing_token = store.apply_if(&[], &write_leader_record).unwrap();
-        let record = JobRecord { spec: spec(), at_ms: 5 };
+        let record = JobRecord { spec: spec(), accepted_ms: 5 };
         let accept = job_transactions::accept_job(&record, false);
         store.apply_if(&accept.conditions, &accept.changes).unwrap();
         if replaced {
--- a/src/history/tests/simulation.rs
+++ b/src/history/tests/simulation.rs
@@ -172,7 +172,7 @@
 
     /// The record with which a job is submitted, the same one each time.
     fn record(&mut self, id: &JobId) -> JobRecord {
-        let record = || JobRecord { spec: JobSpec { id: id.clone(), ..spec() }, at_ms: 1 };
+        let record = || JobRecord { spec: JobSpec { id: id.clone(), ..spec() }, accepted_ms: 1 };
         self.submitted.entry(id.clone()).or_insert_with(record).clone()
     }
 
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -89,13 +89,14 @@
     /// The job as its user described it.
     pub spec: JobSpec,
     /// When the job was accepted, in milliseconds since 1970 by the accepting controller's wall clock.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_ms: u64,
 }
 
 impl JobRecord {
     /// Age of the job by wall clock. It only orders and weighs work: no safety property depends on it.
     pub fn age(&self, now_ms: u64) -> Duration {
-        Duration::from_millis(now_ms.saturating_sub(self.at_ms))
+        Duration::from_millis(now_ms.saturating_sub(self.accepted_ms))
     }
 }
 
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -58,7 +58,7 @@
             JobSpec { id: format!("run-{n}").into(), shape: Shape::Service, tasks: 4, cpus: 2.0, ..job_spec() };
         (job.estimate_s, job.checkpoint_s, job.team) = (5000.0, 10.0, "blue".into());
         change(&mut job);
-        self.cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), self.now);
+        self.cluster.add_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), self.now);
     }
 
     fn put(&mut self, path: &str, value: Value) {
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -82,7 +82,7 @@
     /// A job of one task with this specification, without adding it to the cluster state.
     pub fn hypothetical_job(&self, spec: &JobSpec, now: Instant) -> JobState {
         let spec = JobSpec { tasks: 1, ..spec.clone() };
-        self.new_job_state(Arc::new(JobRecord { spec, at_ms: 0 }), now, now)
+        self.new_job_state(Arc::new(JobRecord { spec, accepted_ms: 0 }), now, now)
     }
 
     /// The state of a job none of whose tasks was placed yet.
--- a/src/scheduling/fairness/tests/ahead.rs
+++ b/src/scheduling/fairness/tests/ahead.rs
@@ -143,7 +143,7 @@
         cluster.bind_placements(placed, now);
         let mut hot = job(2, "hot", "blue");
         hot.cpus = 8.0;
-        cluster.add_job(Arc::new(JobRecord { spec: hot, at_ms: time_of_day_ms() - 60_000 }), now);
+        cluster.add_job(Arc::new(JobRecord { spec: hot, accepted_ms: time_of_day_ms() - 60_000 }), now);
         if prioritized {
             cluster.set_intents(priority_boost_intents(&["hot"], 0.9));
         }
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -55,7 +55,7 @@
 }
 
 fn record(spec: JobSpec) -> Arc<JobRecord> {
-    Arc::new(JobRecord { spec, at_ms: time_of_day_ms() })
+    Arc::new(JobRecord { spec, accepted_ms: time_of_day_ms() })
 }
 
 fn heartbeat(machine: &str, spot: bool, seq: u64, attempts: Vec<AttemptReport>) -> Heartbeat {
@@ -116,7 +116,7 @@
         let mut job = job(n, class, team);
         job.estimate_s = *estimate_s;
         let at_ms = time_of_day_ms() - (*age_s * 1000.0) as u64;
-        cluster.add_job(Arc::new(JobRecord { spec: job, at_ms }), now);
+        cluster.add_job(Arc::new(JobRecord { spec: job, accepted_ms: at_ms }), now);
     }
     cluster
 }
--- a/src/scheduling/load/tests.rs
+++ b/src/scheduling/load/tests.rs
@@ -63,7 +63,7 @@
         ("estimate out of range", |r| r.spec.estimate_s = f64::MAX, false),
     ];
     for (name, change, good) in cases {
-        let mut job = JobRecord { spec: spec(), at_ms: 5 };
+        let mut job = JobRecord { spec: spec(), accepted_ms: 5 };
         change(&mut job);
         let id = job.spec.id.clone();
         let key_of = if name == "another job's id" { "run-000001" } else { &*id };
--- a/src/scheduling/tests.rs
+++ b/src/scheduling/tests.rs
@@ -101,7 +101,7 @@
     let mut job = spec();
     job.id = format!("run-{n:06}").into();
     change(&mut job);
-    cluster.add_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), now);
+    cluster.add_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), now);
 }
 
 /// Plans placements without binding them, and returns them as (task index, machine), sorted.
--- a/src/scheduling/tests/intents.rs
+++ b/src/scheduling/tests/intents.rs
@@ -58,7 +58,7 @@
         j.due_s = rng.random_ratio(1, 3).then(|| f64::from(rng.random_range(10..900)));
         j.checkpoint_s = f64::from(rng.random_range(0..3)) * 10.0;
         // A submission time in the future gives the job no age, so a seed always gives the same cluster.
-        let record = JobRecord { spec: j, at_ms: u64::MAX };
+        let record = JobRecord { spec: j, accepted_ms: u64::MAX };
         cluster.add_job(Arc::new(record), if n < 8 { start } else { now });
     }
     if rng.random() {
--- a/src/scheduling/tests/interleaved_simulation/jobs.rs
+++ b/src/scheduling/tests/interleaved_simulation/jobs.rs
@@ -26,7 +26,7 @@
         job.tasks = if job.is_gang() { 2 } else { [1, 3, TASKS_PER_SHARD + 2][n as usize % 3] };
         job.estimate_s = 5.0;
         // A submission time in the future gives the job no age, so each run of a seed is the same.
-        let record = Arc::new(JobRecord { spec: job, at_ms: u64::MAX });
+        let record = Arc::new(JobRecord { spec: job, accepted_ms: u64::MAX });
         self.records.insert(record.spec.id.clone(), record.clone());
         self.send_transaction(job_transactions::accept_job(&record, false));
     }
--- a/src/scheduling/tests/one_way_partition.rs
+++ b/src/scheduling/tests/one_way_partition.rs
@@ -129,7 +129,7 @@
     let mut job = spec();
     (job.tasks, job.team) = (2, "blue".into());
     let bound = (0..2).map(|i| StoredTask::Bound(1, format!("m{i}"))).collect();
-    cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], start);
+    cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), vec![(0, 5, bound)], start);
     cluster.finish_load(start);
     let kind = MachineKind { type_name: "c8".into(), zone: "a".into(), spot: false };
     for t in 0..70u64 {
--- a/src/scheduling/tests/scaling.rs
+++ b/src/scheduling/tests/scaling.rs
@@ -167,7 +167,7 @@
         let mut job = spec();
         (job.id, job.tasks) = (format!("run-{n:06}").into(), 60);
         let at_ms = time_of_day_ms() - age_s * 1000;
-        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms }), Vec::new(), now);
+        cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: at_ms }), Vec::new(), now);
         let seen = cluster.arrivals["c"].tasks_per_second(now);
         assert!((at_least..=at_least + 0.1).contains(&seen), "{age_s} s ago: {seen}");
     }
--- a/src/scheduling/tests/silent_machines.rs
+++ b/src/scheduling/tests/silent_machines.rs
@@ -54,7 +54,7 @@
         let mut job = spec();
         (job.tasks, job.team) = (6, "blue".into());
         let bound = (0..6).map(|i| StoredTask::Bound(1, format!("m{i}"))).collect();
-        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, bound)], now);
+        cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), vec![(0, 5, bound)], now);
         cluster.finish_load(now);
         let lease = cluster.settings.params.workers.lease();
         assert_eq!(lease, secs(24));
--- a/src/scheduling/tests/stored_tasks.rs
+++ b/src/scheduling/tests/stored_tasks.rs
@@ -55,7 +55,7 @@
             (shard, 5, bound.collect())
         };
         let shards = (0..600u64.div_ceil(TASKS_PER_SHARD)).map(shard).collect();
-        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), shards, now);
+        cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), shards, now);
     }
     cluster.loaded = true;
     assert_eq!((cluster.machines.len(), cluster.team_usage["blue"].cpus), (1000, 6000.0));
--- a/src/scheduling/tests/successors.rs
+++ b/src/scheduling/tests/successors.rs
@@ -118,7 +118,7 @@
         (job.tasks, job.spread) = (4, true);
         let stored =
             (0..4).map(|i| if i < 2 { StoredTask::Bound(1, "m1".into()) } else { StoredTask::Untouched }).collect();
-        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() }), vec![(0, 5, stored)], now);
+        cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), vec![(0, 5, stored)], now);
         cluster.finish_load(now);
         cluster.take_heartbeat(heartbeat("m2", "c8", "a", false, 1, vec![]), MessageKind::Heartbeat, None, now);
         cluster.take_heartbeat(heartbeat("m3", "c8", "b", false, 1, vec![]), MessageKind::Heartbeat, None, now);
--- a/src/scheduling/tests/unreadable_shards.rs
+++ b/src/scheduling/tests/unreadable_shards.rs
@@ -230,7 +230,7 @@
         let job = JobSpec { id: JOB.into(), shape, tasks: 193, ..spec() };
         let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
         let bound = vec![StoredTask::Bound(1, "m1".into()); 192];
-        cluster.load_job(Arc::new(JobRecord { spec: job, at_ms: u64::MAX }), vec![(0, 5, bound)], now);
+        cluster.load_job(Arc::new(JobRecord { spec: job, accepted_ms: u64::MAX }), vec![(0, 5, bound)], now);
         cluster.load_unreadable_shard(&JOB.into(), 1, 5, now);
         cluster.finish_load(now);
         let job = cluster.job(&JOB.into()).unwrap();
--- a/src/scheduling/tests/watermark.rs
+++ b/src/scheduling/tests/watermark.rs
@@ -13,7 +13,7 @@
     let mut cluster = ClusterState::new(FENCING_TOKEN, example(), Properties::default(), now);
     let mut job = spec();
     job.id = "run-000001".into();
-    let record = Arc::new(JobRecord { spec: job, at_ms: time_of_day_ms() });
+    let record = Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() });
     cluster.load_job(record, vec![(0, 30, vec![StoredTask::Bound(1, "m1".into())])], now);
     if ended.is_some() {
         cluster.end_job(&"run-000001".into(), ended, now);
--- a/src/scheduling/tests/world.rs
+++ b/src/scheduling/tests/world.rs
@@ -102,7 +102,7 @@
             now: Instant::now() + secs(3600.0),
             version: 10,
             // In the future, so that the job has no age by the time of day.
-            record: Arc::new(JobRecord { spec: job, at_ms: u64::MAX }),
+            record: Arc::new(JobRecord { spec: job, accepted_ms: u64::MAX }),
             shard: None,
             ended: None,
             ended_at: None,
@@ -124,7 +124,7 @@
         let mut job = spec();
         job.id = format!("run-{n:06}").into();
         change(&mut job);
-        let (id, record) = (job.id.clone(), Arc::new(JobRecord { spec: job, at_ms: u64::MAX }));
+        let (id, record) = (job.id.clone(), Arc::new(JobRecord { spec: job, accepted_ms: u64::MAX }));
         cluster.add_job(record.clone(), self.now);
         self.other_jobs.insert(id.clone(), StoredJob { record, shard: None, ended: None, ended_at: None });
         id
--- a/src/store/tests/late_transactions.rs
+++ b/src/store/tests/late_transactions.rs
@@ -32,7 +32,7 @@
 
 fn record(n: u64) -> Arc<JobRecord> {
     let id: JobId = format!("run-{n:06}").as_str().into();
-    Arc::new(JobRecord { spec: JobSpec { id, ..spec() }, at_ms: 1 })
+    Arc::new(JobRecord { spec: JobSpec { id, ..spec() }, accepted_ms: 1 })
 }
 
 /// A store and the transactions sent to it, of which late copies are replayed.
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -8,7 +8,7 @@
 
 fn open_event(n: u64, version: u64) -> WatchEvent {
     let id = format!("run-{n:06}");
-    let record = JobRecord { spec: crate::jobs::JobSpec { id: id.as_str().into(), ..spec() }, at_ms: 5 };
+    let record = JobRecord { spec: crate::jobs::JobSpec { id: id.as_str().into(), ..spec() }, accepted_ms: 5 };
     WatchEvent { write: Some(open_key(&id)), drop: None, value: serde_json::to_value(record).unwrap(), version }
 }
 fn end_event(n: u64, version: u64) -> WatchEvent {
@@ -126,7 +126,7 @@
 fn job_with(id: &str, change: impl FnOnce(&mut crate::jobs::JobSpec)) -> Value {
     let mut spec = crate::jobs::JobSpec { id: id.into(), ..spec() };
     change(&mut spec);
-    serde_json::to_value(JobRecord { spec, at_ms: 5 }).unwrap()
+    serde_json::to_value(JobRecord { spec, accepted_ms: 5 }).unwrap()
 }
 
 /// An undecodable value under any of the cached keys is skipped, and the rest is read, from a page as from a watch.
--- a/src/users/submission.rs
+++ b/src/users/submission.rs
@@ -85,7 +85,7 @@
         let watch_cache = service.store.watch_cache();
         (watch_cache.open_work(), watch_cache.may_hold_old_jobs())
     };
-    let record = JobRecord { spec, at_ms: time_of_day_ms() };
+    let record = JobRecord { spec, accepted_ms: time_of_day_ms() };
     if !fits_in_store(service, &record) {
         return refuse_unless_accepted(service, &id, RequestError::JobTooLarge).await;
     }
