--- a/src/declarations/operator/client.rs
+++ b/src/declarations/operator/client.rs
@@ -209,7 +209,7 @@
         loop {
             match call().await {
                 Ok(answer) => return Ok(answer),
-                Err(source) if begun.elapsed() > self.patience || source.is_invalid_answer() => {
+                Err(source) if begun.elapsed() > self.patience || source.is_invalid_response() => {
                     return Err(NoAnswer::StateService { endpoint: self.settings.endpoints.state.clone(), source });
                 }
                 Err(_) => tokio::time::sleep(jitter(RETRY_INTERVAL)).await,
--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -77,7 +77,7 @@
             sweep.request(now);
         }
         if under_way < 4 && queries.has_queued() {
-            let right = RequestPriority::Query.after(MS * (ms - *asks.get_or_insert(ms)) as u32);
+            let right = RequestPriority::Query.after_waiting(MS * (ms - *asks.get_or_insert(ms)) as u32);
             if budget.take(1.0, right, now).is_ok() {
                 (asks, under_way) = (None, under_way + 1);
                 due.entry(ms + ANSWER_MS).or_default().push(Due::Compared(queries.next_batch(now).due));
@@ -137,7 +137,7 @@
         while budget.take(1.0, RequestPriority::Critical, now).is_ok() {}
         if ms >= look_at {
             let waited = ms - since;
-            match budget.take(1.0, RequestPriority::Query.after(MS * waited as u32), now) {
+            match budget.take(1.0, RequestPriority::Query.after_waiting(MS * waited as u32), now) {
                 Ok(()) => (longest, since, look_at, sent) = (longest.max(waited), ms, ms, sent + 1),
                 Err(wait) => look_at = ms + (wait.as_millis() as u64).clamp(2, 200),
             }
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -26,7 +26,7 @@
 impl RequestPriority {
     /// Returns the priority of a call that has waited for `waited`.
     #[must_use]
-    pub fn after(self, waited: Duration) -> Self {
+    pub fn after_waiting(self, waited: Duration) -> Self {
         if self == Self::Query && waited >= OVERDUE_QUERY_AGE { Self::OverdueQuery } else { self }
     }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::budget::{RequestPriority, TokenBucket};
-use super::error::{StoreError, UndecodableAnswer};
+use super::error::{StoreError, UndecodableResponse};
 use super::share::RateMeter;
 use crate::process_pause::ProcessPause;
 pub use crate::protocol::state::{Change, Condition, KeyValue, KeyValuePage, WatchEvent, WatchResponse};
@@ -124,7 +124,7 @@
 }
 
 fn decode_response<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    protocol::decode(body).map_err(|error| UndecodableAnswer::from(error).into())
+    protocol::decode(body).map_err(|error| UndecodableResponse::from(error).into())
 }
 
 /// Percent-encodes a key for a URI. Without it, a key with a character that no URI may contain would end every listing
@@ -197,10 +197,11 @@
     async fn take_tokens(bucket: &Mutex<TokenBucket>, n: f64, priority: RequestPriority) -> Result<(), StoreError> {
         let started = Instant::now();
         loop {
-            let wait = match crate::sync::lock(bucket).take(n, priority.after(started.elapsed()), Instant::now()) {
-                Ok(()) => return Ok(()),
-                Err(wait) => wait,
-            };
+            let wait =
+                match crate::sync::lock(bucket).take(n, priority.after_waiting(started.elapsed()), Instant::now()) {
+                    Ok(()) => return Ok(()),
+                    Err(wait) => wait,
+                };
             if started.elapsed() + wait > MAX_TOKEN_WAIT && priority == RequestPriority::Critical {
                 return Err(StoreError::Unavailable(429));
             }
@@ -244,7 +245,7 @@
         self.record_health(served);
         match outcome {
             Ok((status @ (429 | 503), _)) => Err(StoreError::Unavailable(status)),
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(CallError::NotSent) => Err(StoreError::Unavailable(0)),
             Err(CallError::TooLarge) => Ok((OVERSIZED_RESPONSE_STATUS, bytes::Bytes::new())),
             Err(CallError::Unanswered) => Err(StoreError::Unanswered),
@@ -265,20 +266,20 @@
     pub async fn compare_and_swap(
         &self,
         conditions: &[Condition],
-        apply: &[Change],
+        changes: &[Change],
         priority: RequestPriority,
     ) -> Result<CompareAndSwapOutcome, StoreError> {
-        if !apply.is_empty() {
-            crate::sync::lock(&self.demand).writes.count(apply.len() as f64, Instant::now());
-            Self::take_tokens(&self.writes, apply.len() as f64, priority).await?;
-            self.traffic.add(CallKind::StoreChange, apply.len() as u64);
+        if !changes.is_empty() {
+            crate::sync::lock(&self.demand).writes.count(changes.len() as f64, Instant::now());
+            Self::take_tokens(&self.writes, changes.len() as f64, priority).await?;
+            self.traffic.add(CallKind::StoreChange, changes.len() as u64);
         }
-        let body = protocol::encode(&CompareAndSwap::new(conditions, apply));
+        let body = protocol::encode(&CompareAndSwap::new(conditions, changes));
         let (status, body) = self.call(Method::POST, "/txn", Some(body), REQUEST_TIMEOUT, priority).await?;
         match status {
             200 => Ok(CompareAndSwapOutcome::Applied(decode_response::<StoreRevision>(&body)?.revision)),
             409 => Ok(CompareAndSwapOutcome::Failed(decode_response::<FailedConditions>(&body)?.failed)),
-            400 if apply.iter().any(|c| matches!(c, Change::Write { permit: Some(_), .. })) => {
+            400 if changes.iter().any(|change| matches!(change, Change::Write { permit: Some(_), .. })) => {
                 Ok(CompareAndSwapOutcome::LeaseExpired)
             }
             status => Err(StoreError::UnexpectedStatus { status, request: "a transaction" }),
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -23,7 +23,7 @@
     },
     /// The body of the response cannot be decoded.
     #[error("undecodable response of the state service: {0}")]
-    Undecodable(#[from] UndecodableAnswer),
+    Undecodable(#[from] UndecodableResponse),
     /// The watch begins before the oldest revision that the service still keeps, or its response is too large to be
     /// read.
     #[error("the revision is too old to watch from")]
@@ -33,7 +33,7 @@
 impl StoreError {
     /// Returns whether the service answered in violation of its protocol.
     #[must_use]
-    pub fn is_invalid_answer(&self) -> bool {
+    pub fn is_invalid_response(&self) -> bool {
         matches!(self, Self::UnexpectedStatus { .. } | Self::Undecodable(_))
     }
 }
@@ -42,18 +42,18 @@
 /// is comparable.
 #[derive(Debug, thiserror::Error, Clone)]
 #[error(transparent)]
-pub struct UndecodableAnswer(Arc<DecodeError>);
+pub struct UndecodableResponse(Arc<DecodeError>);
 
-impl From<DecodeError> for UndecodableAnswer {
+impl From<DecodeError> for UndecodableResponse {
     fn from(error: DecodeError) -> Self {
         Self(Arc::new(error))
     }
 }
 
-impl PartialEq for UndecodableAnswer {
+impl PartialEq for UndecodableResponse {
     fn eq(&self, other: &Self) -> bool {
         self.0.to_string() == other.0.to_string()
     }
 }
 
-impl Eq for UndecodableAnswer {}
+impl Eq for UndecodableResponse {}
