--- a/src/history/query_queue.rs
+++ b/src/history/query_queue.rs
@@ -35,7 +35,7 @@
 
 /// The error of a query that is refused because more queries wait than can be answered in time.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("too many job queries wait")]
+#[error("job query refused: too many queries are queued")]
 pub struct QueueFull;
 
 /// A job with the waiters for an answer about it.
--- a/src/history/reader.rs
+++ b/src/history/reader.rs
@@ -121,7 +121,8 @@
     if let Some(item) = reader.store.client.get(&old_end_key(id), RequestPriority::Query).await? {
         return Ok(decode_old_end(&item, &mut lock(&reader.history.undecodable)));
     }
-    // Without an end the job was accepted by an earlier build in a transaction that was applied after the upgrade.
+    // Without an end, the job was accepted in a transaction that was applied after the upgrade and whose result the
+    // earlier build never received.
     let Some(item) = reader.store.client.get(&old_job_key(id), RequestPriority::Query).await? else {
         return Ok(JobQueryAnswer::Unavailable);
     };
