--- a/src/history/tests/answer_time.rs
+++ b/src/history/tests/answer_time.rs
@@ -89,7 +89,7 @@
         }
         if batches_in_flight < 4 && queries.has_queued() {
             let priority =
-                RequestPriority::Query.after(MILLISECOND * (ms - *batch_waits_since.get_or_insert(ms)) as u32);
+                RequestPriority::Query.after_waiting(MILLISECOND * (ms - *batch_waits_since.get_or_insert(ms)) as u32);
             if budget.take(1.0, priority, now).is_ok() {
                 (batch_waits_since, batches_in_flight) = (None, batches_in_flight + 1);
                 responses.entry(ms + RESPONSE_MS).or_default().push(Response::Batch(queries.next_batch(now).due));
@@ -151,7 +151,7 @@
         while budget.take(1.0, RequestPriority::Critical, now).is_ok() {}
         if ms >= next_try {
             let waited = ms - waits_since;
-            match budget.take(1.0, RequestPriority::Query.after(MILLISECOND * waited as u32), now) {
+            match budget.take(1.0, RequestPriority::Query.after_waiting(MILLISECOND * waited as u32), now) {
                 Ok(()) => {
                     (longest_wait_ms, waits_since, next_try, sent) = (longest_wait_ms.max(waited), ms, ms, sent + 1)
                 }
