--- a/src/calendar/jobs_by_window.rs
+++ b/src/calendar/jobs_by_window.rs
@@ -67,8 +67,9 @@
                 continue;
             }
             let Some(windows_of_class) = by_class.get(&(job.team.as_str(), job.class.as_str())) else { continue };
-            let candidates =
-                windows_of_class.iter().filter_map(|window| Some((*window, window.instance_for_job(record.at_ms)?)));
+            let candidates = windows_of_class
+                .iter()
+                .filter_map(|window| Some((*window, window.instance_for_job(record.accepted_ms)?)));
             let first = candidates.min_by_key(|(window, span)| {
                 let is_named = window.spec.turns.iter().any(|turn| **turn == *job.id);
                 (!is_named, span.closes_ms, window.name.as_str())
@@ -82,8 +83,9 @@
             }
         }
         for jobs_of_window in window_jobs.values_mut() {
-            jobs_of_window
-                .sort_by(|a, b| (a.record.at_ms, &a.record.spec.id).cmp(&(b.record.at_ms, &b.record.spec.id)));
+            jobs_of_window.sort_by(|a, b| {
+                (a.record.accepted_ms, &a.record.spec.id).cmp(&(b.record.accepted_ms, &b.record.spec.id))
+            });
         }
         Self { by_window: window_jobs }
     }
