--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -1,3 +1,5 @@
+//! Tests of planning windows by cases: validation, times, outcomes, turns, intents and events.
+
 mod interleaved_simulation;
 mod properties;
 
@@ -18,29 +20,33 @@
 use crate::jobs::{JobId, JobSpec, Shape};
 use crate::scheduling::intents::Intents;
 
-const HOUR: u64 = 3_600_000;
+/// One hour in ms.
+const HOUR_MS: u64 = 3_600_000;
 /// 2026-12-02, a Wednesday.
 const DAY: Day = 20_789;
-const MIDNIGHT: u64 = DAY as u64 * 24 * HOUR;
+/// Midnight UTC of `DAY`, in ms since the Unix epoch.
+const MIDNIGHT_MS: u64 = DAY as u64 * 24 * HOUR_MS;
 
-/// Daily from 06:00 to 08:00 UTC, two jobs of class `plan`; with these fields instead.
+/// Returns a window open daily from 06:00 to 08:00 UTC for two jobs of class `plan` or `roster`, with some fields
+/// replaced.
 pub fn window(fields: Value) -> WindowSpec {
     let mut spec = json!({"team": "red", "classes": ["plan", "roster"], "opens": "06:00", "closes": "08:00",
-                          "jobs": 2, "estimate_s": 600.0, "declared_ms": MIDNIGHT});
+                          "jobs": 2, "estimate_s": 600.0, "declared_ms": MIDNIGHT_MS});
     for (field, value) in fields.as_object().unwrap() {
         spec[field] = value.clone();
     }
     serde_json::from_value(spec).unwrap()
 }
 
-pub fn job(n: usize, class: &str, at_ms: u64) -> Arc<JobRecord> {
+/// Returns the record of job `run-N` of team `red`.
+pub fn job(n: usize, class: &str, accepted_ms: u64) -> Arc<JobRecord> {
     let mut spec = crate::jobs::tests::spec();
     (spec.id, spec.class, spec.team) = (format!("run-{n}").into(), class.into(), "red".into());
     spec.image_gb = 0.0;
-    Arc::new(JobRecord { spec, accepted_ms: at_ms })
+    Arc::new(JobRecord { spec, accepted_ms })
 }
 
-/// Jobs as users and workers make them, and the time of day.
+/// The jobs with their progress, and the wall-clock time.
 #[derive(Default)]
 pub struct World {
     pub now_ms: u64,
@@ -48,7 +54,7 @@
     pub progress_by_job: HashMap<JobId, JobProgress>,
 }
 
-/// What an open job needs from its start to its end, here.
+/// Seconds that every open job is expected to take from its start to its end.
 pub const EXPECTED_S: f64 = 600.0;
 
 impl World {
@@ -82,17 +88,17 @@
         next_status(spec, status, &self.context(&window_jobs, &|id| self.progress(id)))
     }
 
-    pub fn intents(&self, spec: &WindowSpec, status: &WindowStatus, left: RemainingQuota) -> Intents {
+    pub fn intents(&self, spec: &WindowSpec, status: &WindowStatus, quota: RemainingQuota) -> Intents {
         let window_jobs = self.window_jobs("w", spec, status);
-        let shape = |id: &JobId| self.jobs.iter().find(|r| r.spec.id == *id).map(|r| r.spec.clone());
+        let job_spec = |id: &JobId| self.jobs.iter().find(|r| r.spec.id == *id).map(|r| r.spec.clone());
         let mut intents = Intents::default();
         add_intents(
             "w",
             spec,
             status,
             &self.context(&window_jobs, &|id| self.progress(id)),
-            &shape,
-            left,
+            &job_spec,
+            quota,
             &mut intents,
         );
         intents
@@ -111,17 +117,18 @@
     }
 }
 
-const PLENTY: RemainingQuota = RemainingQuota { cpus: 1e6, gpus: 1e6 };
+/// A quota that no test exhausts.
+const AMPLE_QUOTA: RemainingQuota = RemainingQuota { cpus: 1e6, gpus: 1e6 };
 
-/// A bad spec is refused by field and value, before it is written.
+/// An invalid specification is refused before it is written, with the field and its value.
 #[test]
-fn bad_specs_are_refused_by_field_and_value() {
+fn invalid_specs_are_refused_with_field_and_value() {
     let mut settings = crate::settings::tests::example();
     let objective = |class: &str| json!({"kind": "deadline", "class": class});
     settings.params.objectives = serde_json::from_value(json!([objective("plan"), objective("roster")])).unwrap();
     let names = KnownNames::from_settings(&settings);
     assert_eq!(window(json!({})).check(&names), Ok(()));
-    let many: Vec<String> = (0..3).map(|n| format!("run-{n}")).collect();
+    let three_ids: Vec<String> = (0..3).map(|n| format!("run-{n}")).collect();
     for (fields, want) in [
         (json!({"team": "mauve"}), "team: \"mauve\""),
         (json!({"classes": []}), "classes: 0 are not"),
@@ -140,7 +147,7 @@
         (json!({"jobs": 33}), "jobs: 33"),
         (json!({"cores": 21.0}), "cores: 21 is not between 0 and 20"),
         (json!({"estimate_s": -1.0}), "estimate_s: -1"),
-        (json!({"turns": many}), "turns: 3 are more than the 2"),
+        (json!({"turns": three_ids}), "turns: 3 are more than the 2"),
         (json!({"turns": ["plan", "other"]}), "turns[1]: \"other\""),
         (json!({"turns": ["run-1", "run-1"]}), "turns[1]: \"run-1\" has a turn already"),
         (json!({"early_s": 43_201}), "early_s: 43201"),
@@ -152,50 +159,61 @@
     assert_eq!(window(json!({"closes": "05:00", "closes_next_day": true})).check(&names), Ok(()));
 }
 
-/// Which instance a moment belongs to and which one comes next, by offsets, days and dates.
+/// Offsets, weekdays and dates decide which instance a time belongs to and which instance is next.
 #[test]
-fn instances_by_cases() {
+fn instance_of_a_time_and_next_instance_follow_the_schedule() {
     for (day, date) in [(0, "1970-01-01"), (DAY, "2026-12-02"), (DAY + 1, "2026-12-03"), (11_016, "2000-02-29")] {
         assert_eq!((parse_day(date), format_day(day)), (Some(day), date.to_owned()));
     }
     let overnight = json!({"opens": "22:00", "closes": "05:00", "closes_next_day": true});
-    // (name, fields, hours after midnight UTC, the day it belongs to, the day of the first to close after)
+    // (name, fields, hours after midnight UTC, day of its instance, day of the next instance to close)
     let cases = [
-        ("inside", json!({}), 7.0, Some(0), 0),
-        ("before", json!({}), 5.0, None, 0),
-        ("at its closing", json!({}), 8.0, None, 1),
-        ("early", json!({"early_s": 7200}), 5.0, Some(0), 0),
+        ("during the instance", json!({}), 7.0, Some(0), 0),
+        ("before the opening", json!({}), 5.0, None, 0),
+        ("at the closing", json!({}), 8.0, None, 1),
+        ("early acceptance", json!({"early_s": 7200}), 5.0, Some(0), 0),
         ("an hour ahead of UTC", json!({"utc_offset_min": 60}), 5.0, Some(0), 0),
         ("far ahead of UTC", json!({"utc_offset_min": 840}), 16.5, Some(1), 1),
-        ("over midnight, before", overnight.clone(), 23.0, Some(0), 0),
-        ("over midnight, after", overnight, 2.0, Some(-1), -1),
-        ("on other days", json!({"days": ["tue", "thu"]}), 7.0, None, 1),
-        ("on this day", json!({"days": ["wed"]}), 7.0, Some(0), 0),
-        ("on this day, past", json!({"days": ["wed"]}), 9.0, None, 7),
-        ("once", json!({"date": "2026-12-02"}), 7.0, Some(0), 0),
-        ("once, past already", json!({"date": "2026-12-01"}), 7.0, None, -1),
-        ("the next one early, this one open", json!({"closes": "23:00", "early_s": 43_200}), 22.0, Some(0), 0),
+        ("over midnight, before midnight", overnight.clone(), 23.0, Some(0), 0),
+        ("over midnight, after midnight", overnight, 2.0, Some(-1), -1),
+        ("weekday not listed", json!({"days": ["tue", "thu"]}), 7.0, None, 1),
+        ("weekday listed", json!({"days": ["wed"]}), 7.0, Some(0), 0),
+        ("weekday listed, closed", json!({"days": ["wed"]}), 9.0, None, 7),
+        ("date", json!({"date": "2026-12-02"}), 7.0, Some(0), 0),
+        ("date that has passed", json!({"date": "2026-12-01"}), 7.0, None, -1),
+        (
+            "open instance before early acceptance of the next",
+            json!({"closes": "23:00", "early_s": 43_200}),
+            22.0,
+            Some(0),
+            0,
+        ),
     ];
-    for (name, fields, hours, belongs, first) in cases {
-        let (spec, at) = (window(fields), MIDNIGHT + (hours * HOUR as f64) as u64);
-        assert_eq!(spec.times().unwrap().instance_for_job(at).map(|span| span.day - DAY), belongs, "{name}");
-        assert_eq!(spec.next_instance(None, at).map(|span| span.day - DAY), Some(first), "{name}");
+    for (name, fields, hours, instance_day, next_day) in cases {
+        let (spec, at_ms) = (window(fields), MIDNIGHT_MS + (hours * HOUR_MS as f64) as u64);
+        assert_eq!(spec.times().unwrap().instance_for_job(at_ms).map(|span| span.day - DAY), instance_day, "{name}");
+        assert_eq!(spec.next_instance(None, at_ms).map(|span| span.day - DAY), Some(next_day), "{name}");
     }
-    assert_eq!(window(json!({"date": "2026-12-02"})).next_instance(Some(DAY), 0), None, "once, and over");
+    assert_eq!(
+        window(json!({"date": "2026-12-02"})).next_instance(Some(DAY), 0),
+        None,
+        "a date has no further instance"
+    );
 }
 
-/// How one instance ends, by what its jobs did.
+/// The outcome of an instance follows from the claims and the ends of its jobs. Once decided it is final, even if the
+/// wall clock steps back.
 #[test]
-fn ends_by_cases() {
-    type Do = fn(&mut World);
-    let done_in_time: Do = |w| (1..=2).for_each(|n| w.set(n, JobProgress::Done { at_ms: None }));
+fn outcome_follows_from_claims_and_job_ends() {
+    type Action = fn(&mut World);
+    let done_in_time: Action = |w| (1..=2).for_each(|n| w.set(n, JobProgress::Done { at_ms: None }));
     let missed = InstanceOutcome::Missed;
-    // (name, jobs submitted, at this many minutes, what becomes of them, the end, claimed and done)
-    let cases: [(&str, usize, u64, Do, InstanceOutcome, u32, u32); 10] = [
+    // (name, submitted jobs, minutes after the opening, action on the jobs, outcome, claimed, done)
+    let cases: [(&str, usize, u64, Action, InstanceOutcome, u32, u32); 10] = [
         ("met", 2, 0, done_in_time, InstanceOutcome::Met, 2, 2),
-        ("nobody came", 0, 0, |_| (), missed(MissedReason::Unclaimed), 0, 0),
+        ("no job submitted", 0, 0, |_| (), missed(MissedReason::Unclaimed), 0, 0),
         (
-            "one of two came",
+            "one of two jobs submitted",
             1,
             0,
             |w| w.set(1, JobProgress::Done { at_ms: None }),
@@ -203,9 +221,9 @@
             1,
             1,
         ),
-        ("never a place", 2, 0, |w| w.set(1, JobProgress::Done { at_ms: None }), missed(MissedReason::NoRoom), 2, 1),
-        ("still runs", 2, 0, |w| (1..=2).for_each(|n| w.begin(n)), missed(MissedReason::Late), 2, 0),
-        ("came past the latest start", 2, 115, |_| (), missed(MissedReason::Late), 2, 0),
+        ("never placed", 2, 0, |w| w.set(1, JobProgress::Done { at_ms: None }), missed(MissedReason::NoRoom), 2, 1),
+        ("still running", 2, 0, |w| (1..=2).for_each(|n| w.begin(n)), missed(MissedReason::Late), 2, 0),
+        ("submitted after the latest start", 2, 115, |_| (), missed(MissedReason::Late), 2, 0),
         (
             "done after the closing",
             2,
@@ -216,7 +234,7 @@
             0,
         ),
         (
-            "withdrawn",
+            "cancelled",
             2,
             0,
             |w| (1..=2).for_each(|n| w.set(n, JobProgress::Cancelled)),
@@ -225,7 +243,7 @@
             0,
         ),
         (
-            "over, nobody knows how",
+            "unknown end",
             2,
             0,
             |w| (1..=2).for_each(|n| w.set(n, JobProgress::Unknown)),
@@ -233,177 +251,190 @@
             2,
             0,
         ),
-        ("more than expected", 3, 0, done_in_time, InstanceOutcome::Met, 2, 2),
+        ("more jobs than expected", 3, 0, done_in_time, InstanceOutcome::Met, 2, 2),
     ];
     let spec = window(json!({}));
-    for (name, jobs, minute, act, want, claimed, done) in cases {
-        let mut world = World::at(MIDNIGHT + 6 * HOUR + minute * 60_000);
+    for (name, jobs, minute, action, want, claimed, done) in cases {
+        let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS + minute * 60_000);
         (1..=jobs).for_each(|n| world.submit(n, "plan"));
         let mut status = world.step(&spec, &WindowStatus::default());
-        act(&mut world);
+        action(&mut world);
         status = world.step(&spec, &status);
         for after_s in [0, 2, 4, 62, 65] {
-            world.now_ms = MIDNIGHT + 8 * HOUR + after_s * 1000;
+            world.now_ms = MIDNIGHT_MS + 8 * HOUR_MS + after_s * 1000;
             status = world.step(&spec, &status);
         }
         let last = status.last.clone().unwrap();
         assert_eq!((last.outcome, last.claimed, last.done, last.day), (want, claimed, done, DAY), "{name}");
         assert_eq!(status.missed.len(), usize::from(want != InstanceOutcome::Met), "{name}");
-        let asked_s = (last.decided_ms - last.closes_ms.min(last.decided_ms)) / 1000;
-        assert_eq!(asked_s > 60, name.starts_with("over"), "{name}: the store is asked first");
-        // A time of day that steps back opens nothing again, not even for jobs that come now.
-        world.now_ms = MIDNIGHT + 7 * HOUR;
+        let decision_delay_s = (last.decided_ms - last.closes_ms.min(last.decided_ms)) / 1000;
+        assert_eq!(decision_delay_s > 60, name == "unknown end", "{name}: the end is queried first");
+        // A wall clock that steps back reopens nothing, not even for jobs submitted now.
+        world.now_ms = MIDNIGHT_MS + 7 * HOUR_MS;
         world.submit(9, "plan");
         assert_eq!(world.step(&spec, &status), status, "{name}");
     }
 }
 
-/// Turns go as listed, then as accepted; none is given twice, and whoever comes for one that was
-/// cancelled has the last.
+/// Turns are assigned as listed, then in the order of acceptance. No turn is assigned twice, and a job that replaces a
+/// cancelled one gets the last turn.
 #[test]
-fn turns_by_cases() {
-    // (name, turns, jobs, who comes in this order, who has which turn)
+fn turns_follow_the_list_then_acceptance() {
+    // (name, turns, jobs, submitted jobs in order, the turn of each job)
     type Case = (&'static str, Value, u32, &'static [(usize, &'static str)], &'static [(usize, u32)]);
     let cases: [Case; 6] = [
-        ("as accepted", json!([]), 3, &[(5, "plan"), (3, "roster")], &[(5, 1), (3, 2)]),
+        ("in order of acceptance", json!([]), 3, &[(5, "plan"), (3, "roster")], &[(5, 1), (3, 2)]),
         ("by class", json!(["roster", "plan"]), 3, &[(5, "plan"), (3, "roster")], &[(5, 2), (3, 1)]),
         ("by id before class", json!(["plan", "run-5"]), 2, &[(5, "plan"), (3, "plan")], &[(5, 2), (3, 1)]),
         ("beyond the list", json!(["roster"]), 3, &[(5, "plan"), (3, "plan")], &[(5, 2), (3, 3)]),
-        ("no more than expected", json!(["roster"]), 2, &[(5, "plan"), (3, "plan")], &[(5, 2)]),
-        ("another class", json!([]), 3, &[(5, "other"), (3, "plan")], &[(3, 1)]),
+        ("not more than the expected jobs", json!(["roster"]), 2, &[(5, "plan"), (3, "plan")], &[(5, 2)]),
+        ("class of another window", json!([]), 3, &[(5, "other"), (3, "plan")], &[(3, 1)]),
     ];
-    for (name, turns, jobs, window_jobs, want) in cases {
+    for (name, turns, jobs, submitted, want) in cases {
         let spec = window(json!({"turns": turns, "jobs": jobs}));
-        let mut world = World::at(MIDNIGHT + 6 * HOUR);
+        let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS);
         let mut status = WindowStatus::default();
-        for (n, class) in window_jobs {
+        for (n, class) in submitted {
             world.submit(*n, class);
             world.now_ms += 1000;
             status = world.step(&spec, &status);
         }
         let claims = status.current.clone().map_or(Vec::new(), |i| i.claims);
-        let mut has: Vec<(usize, u32)> =
+        let mut assigned: Vec<(usize, u32)> =
             claims.iter().map(|c| (c.job["run-".len()..].parse().unwrap(), c.turn)).collect();
         let mut want = want.to_vec();
-        has.sort_unstable();
+        assigned.sort_unstable();
         want.sort_unstable();
-        assert_eq!(has, want, "{name}");
+        assert_eq!(assigned, want, "{name}");
     }
     let spec = window(json!({}));
-    let mut world = World::at(MIDNIGHT + 6 * HOUR);
+    let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS);
     (1..=2).for_each(|n| world.submit(n, "plan"));
     let status = world.step(&spec, &WindowStatus::default());
     world.set(1, JobProgress::Cancelled);
     world.submit(3, "plan");
     let claims = world.step(&spec, &status).current.unwrap().claims;
-    assert_eq!(claims.iter().map(|c| c.turn).collect::<Vec<_>>(), [1, 2, 3], "turn 1 stays that of the withdrawn");
+    assert_eq!(claims.iter().map(|c| c.turn).collect::<Vec<_>>(), [1, 2, 3], "turn 1 stays with the cancelled job");
     assert_eq!(claims[0].end, Some(ClaimEnd::Cancelled));
 }
 
-/// Whose turn it is: the one before has begun or is over, or waiting on would cost a window.
+/// The turn advances once the job of the previous turn has begun or ended, or when further waiting would make a job
+/// miss the closing.
 #[test]
-fn turn_advances_by_cases() {
+fn turn_advances_when_the_previous_job_began_or_waiting_is_too_late() {
     let spec = window(json!({"turns": ["roster", "plan"], "early_s": 600}));
-    let mut world = World::at(MIDNIGHT + 6 * HOUR - 60_000);
+    let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS - 60_000);
     let turn = |status: &WindowStatus| status.current.as_ref().map_or(0, |i| i.turn);
     world.submit(2, "plan");
     let mut status = world.step(&spec, &WindowStatus::default());
-    assert_eq!((turn(&status), world.intents(&spec, &status, PLENTY).deferred_jobs.len()), (0, 1), "not open yet");
+    assert_eq!(
+        (turn(&status), world.intents(&spec, &status, AMPLE_QUOTA).deferred_jobs.len()),
+        (0, 1),
+        "before the opening"
+    );
     world.now_ms += 60_000;
     status = world.step(&spec, &status);
-    assert_eq!(turn(&status), 1, "turn 1 is awaited");
-    let mut awaited = status.clone();
-    world.now_ms = MIDNIGHT + 8 * HOUR - (EXPECTED_S * 1000.0 * 1.2) as u64 - 1;
-    awaited = world.step(&spec, &awaited);
-    assert_eq!((turn(&awaited), awaited.current.as_ref().unwrap().unclaimed), (1, false));
+    assert_eq!(turn(&status), 1, "turn 1 is reserved for its listed class");
+    let mut unclaimed = status.clone();
+    world.now_ms = MIDNIGHT_MS + 8 * HOUR_MS - (EXPECTED_S * 1000.0 * 1.2) as u64 - 1;
+    unclaimed = world.step(&spec, &unclaimed);
+    assert_eq!((turn(&unclaimed), unclaimed.current.as_ref().unwrap().unclaimed), (1, false));
     world.now_ms += 1;
-    awaited = world.step(&spec, &awaited);
-    assert_eq!((turn(&awaited), awaited.current.as_ref().unwrap().unclaimed), (2, true), "nobody claimed it in time");
+    unclaimed = world.step(&spec, &unclaimed);
+    assert_eq!(
+        (turn(&unclaimed), unclaimed.current.as_ref().unwrap().unclaimed),
+        (2, true),
+        "no job claimed turn 1 in time"
+    );
 
-    world.now_ms = MIDNIGHT + 6 * HOUR + 60_000;
+    world.now_ms = MIDNIGHT_MS + 6 * HOUR_MS + 60_000;
     world.submit(1, "roster");
     status = world.step(&spec, &status);
-    let intents = world.intents(&spec, &status, PLENTY);
+    let intents = world.intents(&spec, &status, AMPLE_QUOTA);
     assert_eq!((turn(&status), intents.window_turns.len(), intents.deferred_jobs.len()), (1, 1, 1));
-    // It waits for room: the other goes once it would be too late itself.
-    let mut waits = status.clone();
-    world.now_ms = MIDNIGHT + 8 * HOUR - (EXPECTED_S * 1000.0) as u64;
-    waits = world.step(&spec, &waits);
-    assert_eq!((turn(&waits), waits.current.as_ref().unwrap().late), (2, true));
+    // Job 1 is never placed: job 2 may be placed once it would be too late itself.
+    let mut waiting = status.clone();
+    world.now_ms = MIDNIGHT_MS + 8 * HOUR_MS - (EXPECTED_S * 1000.0) as u64;
+    waiting = world.step(&spec, &waiting);
+    assert_eq!((turn(&waiting), waiting.current.as_ref().unwrap().late), (2, true));
     assert_eq!(
-        world.intents(&spec, &waits, PLENTY).window_turns[&JobId::from("run-1")].position,
+        world.intents(&spec, &waiting, AMPLE_QUOTA).window_turns[&JobId::from("run-1")].position,
         1,
-        "it stays the first"
+        "job 1 keeps the first turn"
     );
 
-    world.now_ms = MIDNIGHT + 6 * HOUR + 61_000;
+    world.now_ms = MIDNIGHT_MS + 6 * HOUR_MS + 61_000;
     world.begin(1);
     let after = world.step(&spec, &status);
     assert_eq!(turn(&after), 2);
-    assert_eq!(world.intents(&spec, &status, PLENTY).deferred_jobs.len(), 1, "not before it is stored");
-    assert_eq!(world.intents(&spec, &after, PLENTY).deferred_jobs.len(), 0);
-    world.now_ms = MIDNIGHT;
-    assert_eq!(turn(&world.step(&spec, &after)), 2, "a clock that steps back takes no turn back");
+    assert_eq!(
+        world.intents(&spec, &status, AMPLE_QUOTA).deferred_jobs.len(),
+        1,
+        "deferred until the new turn is stored"
+    );
+    assert_eq!(world.intents(&spec, &after, AMPLE_QUOTA).deferred_jobs.len(), 0);
+    world.now_ms = MIDNIGHT_MS;
+    assert_eq!(turn(&world.step(&spec, &after)), 2, "a wall clock that steps back revokes no turn");
 }
 
-/// Room is asked for ahead of the opening, within what is expected and what the team may take, and
-/// given back where nobody claims.
+/// Capacity is requested ahead of the opening, within the expected cores and the team's quota, and released if no job
+/// claims it.
 #[test]
-fn reserved_capacity_by_cases() {
-    let tasks = |fields: Value, hours: f64, left: RemainingQuota| {
-        let world = World::at(MIDNIGHT + (hours * HOUR as f64) as u64);
-        let intents = world.intents(&window(fields), &WindowStatus::default(), left);
+fn capacity_is_requested_before_the_opening_and_released_unclaimed() {
+    let tasks = |fields: Value, hours: f64, quota: RemainingQuota| {
+        let world = World::at(MIDNIGHT_MS + (hours * HOUR_MS as f64) as u64);
+        let intents = world.intents(&window(fields), &WindowStatus::default(), quota);
         intents.capacity.iter().map(|capacity| (capacity.tasks, capacity.needed_in_s)).collect::<Vec<_>>()
     };
-    let some = |cpus| RemainingQuota { cpus, gpus: 0.0 };
-    for (name, fields, hours, left, want) in [
-        ("nothing declared, never used", json!({}), 6.0, PLENTY, vec![]),
-        ("long before", json!({"cores": 12.0}), 5.5, PLENTY, vec![]),
-        ("soon", json!({"cores": 12.0}), 5.9, PLENTY, vec![(12, 360.0)]),
-        ("open", json!({"cores": 12.0}), 6.1, PLENTY, vec![(12, 0.0)]),
-        ("a while after", json!({"cores": 12.0}), 6.2, PLENTY, vec![]),
-        ("kept for longer", json!({"cores": 12.0, "room_s": 7200}), 7.7, PLENTY, vec![(12, 0.0)]),
-        ("past the latest start", json!({"cores": 12.0, "room_s": 7200}), 7.81, PLENTY, vec![]),
-        ("all that its team has left", json!({"cores": 12.0}), 6.0, some(5.5), vec![(5, 0.0)]),
-        ("its team has nothing left", json!({"cores": 12.0}), 6.0, some(-3.0), vec![]),
+    let quota_of = |cpus| RemainingQuota { cpus, gpus: 0.0 };
+    for (name, fields, hours, quota, want) in [
+        ("no cores declared, no past usage", json!({}), 6.0, AMPLE_QUOTA, vec![]),
+        ("long before the opening", json!({"cores": 12.0}), 5.5, AMPLE_QUOTA, vec![]),
+        ("shortly before the opening", json!({"cores": 12.0}), 5.9, AMPLE_QUOTA, vec![(12, 360.0)]),
+        ("after the opening", json!({"cores": 12.0}), 6.1, AMPLE_QUOTA, vec![(12, 0.0)]),
+        ("after the reservation", json!({"cores": 12.0}), 6.2, AMPLE_QUOTA, vec![]),
+        ("longer reservation", json!({"cores": 12.0, "room_s": 7200}), 7.7, AMPLE_QUOTA, vec![(12, 0.0)]),
+        ("after the latest start", json!({"cores": 12.0, "room_s": 7200}), 7.81, AMPLE_QUOTA, vec![]),
+        ("limited by the quota of its team", json!({"cores": 12.0}), 6.0, quota_of(5.5), vec![(5, 0.0)]),
+        ("no quota left for its team", json!({"cores": 12.0}), 6.0, quota_of(-3.0), vec![]),
     ] {
-        assert_eq!(tasks(fields, hours, left), want, "{name}");
+        assert_eq!(tasks(fields, hours, quota), want, "{name}");
     }
 
-    // What was used is remembered, and half of it is asked for once one of two has claimed.
+    // Past usage is recorded, and half of it is requested once one of two jobs has claimed a turn.
     let spec = window(json!({}));
-    let mut world = World::at(MIDNIGHT + 6 * HOUR);
+    let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS);
     (1..=2).for_each(|n| world.submit(n, "plan"));
     let mut status = world.step(&spec, &WindowStatus::default());
     (1..=2).for_each(|n| world.set(n, JobProgress::Done { at_ms: None }));
     status = world.step(&spec, &status);
-    world.now_ms += 24 * HOUR;
-    assert_eq!(world.intents(&spec, &status, PLENTY).capacity.iter().map(|r| r.tasks).sum::<u64>(), 2);
+    world.now_ms += 24 * HOUR_MS;
+    assert_eq!(world.intents(&spec, &status, AMPLE_QUOTA).capacity.iter().map(|r| r.tasks).sum::<u64>(), 2);
     world.submit(3, "plan");
     status = world.step(&spec, &status);
-    assert_eq!(world.intents(&spec, &status, PLENTY).capacity.iter().map(|r| r.tasks).sum::<u64>(), 1);
+    assert_eq!(world.intents(&spec, &status, AMPLE_QUOTA).capacity.iter().map(|r| r.tasks).sum::<u64>(), 1);
 
-    // A gang whose turn has not come has whole room or none.
+    // For a gang whose turn has not started, capacity is requested for all of its tasks or none.
     for (cores, want) in [(7.0, 0), (8.0, 8)] {
         let spec = window(json!({"turns": ["roster", "plan"], "cores": cores, "room_s": 0}));
-        let mut world = World::at(MIDNIGHT + 6 * HOUR);
+        let mut world = World::at(MIDNIGHT_MS + 6 * HOUR_MS);
         let mut gang = JobSpec::clone(&job(1, "plan", 0).spec);
         (gang.shape, gang.tasks) = (Shape::Gang, 8);
         world.submit(1, "plan");
         world.jobs[0] = Arc::new(JobRecord { spec: gang, accepted_ms: world.now_ms });
         let status = world.step(&spec, &WindowStatus::default());
-        let capacity = world.intents(&spec, &status, PLENTY).capacity;
+        let capacity = world.intents(&spec, &status, AMPLE_QUOTA).capacity;
         assert_eq!(capacity.iter().map(|r| r.tasks).sum::<u64>(), want, "{cores}");
     }
 }
 
-/// A job has a turn in one window at the most, and a claim that is stored stays.
+/// A job belongs to at most one window, and a stored claim stays with its window.
 #[test]
-fn jobs_belong_to_one_window() {
+fn job_belongs_to_at_most_one_window() {
     let declared_window =
         |name: &str, fields: Value| DeclaredWindow::new(name, window(fields), WindowStatus::default());
-    let at = MIDNIGHT + 7 * HOUR;
-    let of = |windows: &[DeclaredWindow], record: &Arc<JobRecord>| -> Vec<String> {
+    let accepted_ms = MIDNIGHT_MS + 7 * HOUR_MS;
+    let windows_of = |windows: &[DeclaredWindow], record: &Arc<JobRecord>| -> Vec<String> {
         let jobs = JobsByWindow::new(windows, std::iter::once(record));
         let names = windows.iter().filter(|w| !jobs.of_window(&w.name).is_empty());
         names.map(|w| w.name.clone()).collect()
@@ -415,53 +446,54 @@
         declared_window("d", json!({"closes": "10:00", "turns": ["run-7"]})),
         declared_window("e", json!({"team": "blue"})),
     ];
-    assert_eq!(of(&windows, &job(1, "plan", at)), ["b"], "the first to close, then by name");
-    assert_eq!(of(&windows, &job(7, "plan", at)), ["d"], "who names it");
-    assert_eq!(of(&windows, &job(1, "plan", at + 2 * HOUR + HOUR / 2)), ["d"]);
-    assert_eq!(of(&windows, &job(1, "plan", at + 5 * HOUR)), [""; 0]);
-    let mut service = JobSpec::clone(&job(1, "plan", at).spec);
+    assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms)), ["b"], "the first window to close, then by name");
+    assert_eq!(windows_of(&windows, &job(7, "plan", accepted_ms)), ["d"], "the window that names it");
+    assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms + 2 * HOUR_MS + HOUR_MS / 2)), ["d"]);
+    assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms + 5 * HOUR_MS)), [""; 0]);
+    let mut service = JobSpec::clone(&job(1, "plan", accepted_ms).spec);
     service.shape = Shape::Service;
-    assert_eq!(of(&windows, &Arc::new(JobRecord { spec: service, accepted_ms: at })), [""; 0]);
-    // The window that it belongs to has ended: it goes to no other.
-    let mut world = World::at(MIDNIGHT + 8 * HOUR + GRACE_MS);
+    assert_eq!(windows_of(&windows, &Arc::new(JobRecord { spec: service, accepted_ms })), [""; 0]);
+    // The instance that it belongs to has closed: it is not assigned to another window.
+    let mut world = World::at(MIDNIGHT_MS + 8 * HOUR_MS + GRACE_MS);
     windows[1].status = world.step(&windows[1].spec, &WindowStatus::default());
-    assert_eq!(of(&windows, &job(1, "plan", at)), [""; 0]);
-    // Claimed by one: no other takes it, whatever is declared later.
-    world.now_ms = at;
+    assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms)), [""; 0]);
+    // A job with a stored claim is not assigned to another window, whatever is declared later.
+    world.now_ms = accepted_ms;
     world.submit(1, "plan");
     windows[2].status = world.step(&windows[2].spec, &WindowStatus::default());
     windows[1].status = WindowStatus::default();
-    assert_eq!(of(&windows, &job(1, "plan", at)), [""; 0]);
+    assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms)), [""; 0]);
 }
 
-/// Missed ones are told once a stage, kept until confirmed, and bounded; what is dropped is told.
+/// Each stage is reported once. Missed instances are kept until they are confirmed, up to a limit; dropped ones are
+/// reported.
 #[test]
-fn stages_are_reported_once_and_missed_instances_kept() {
+fn stages_are_reported_once_and_missed_instances_kept_until_confirmed() {
     let mut spec = window(json!({}));
-    let mut world = World::at(MIDNIGHT + 5 * HOUR);
+    let mut world = World::at(MIDNIGHT_MS + 5 * HOUR_MS);
     let mut status = world.step(&spec, &WindowStatus::default());
     let mut events = Vec::new();
     for minutes in [180, 181, 183, 184, 200] {
-        world.now_ms = MIDNIGHT + (5 * 60 + minutes) * 60_000;
+        world.now_ms = MIDNIGHT_MS + (5 * 60 + minutes) * 60_000;
         let after = world.step(&spec, &status);
         events.extend(status_events(&status, &after));
         status = after;
     }
     let [WindowEvent::Unclaimed(day), WindowEvent::Closed(closed)] = events.as_slice() else {
-        panic!("not each once: {events:?}")
+        panic!("expected each stage once: {events:?}")
     };
     assert_eq!(format_day(*day), "2026-12-02");
     assert_eq!(describe_closed(closed), "2026-12-02 missed: unclaimed (0 of 2 claimed, 0 done in time)");
     assert!(describe(&spec, &status, world.now_ms).iter().any(|l| l.contains("2026-12-02 missed: unclaimed")));
 
-    // Twenty days on, and nobody looked: all are told in order, with how late.
-    world.now_ms += 20 * 24 * HOUR;
+    // After twenty days without an evaluation all missed instances are reported in order, with their delays.
+    world.now_ms += 20 * 24 * HOUR_MS;
     let after = world.step(&spec, &status);
     let days: Vec<Day> = after.missed.iter().map(|e| e.day).collect();
     assert_eq!(days, ((DAY + 5)..=(DAY + 20)).collect::<Vec<_>>());
     assert_eq!(after.dropped.unwrap().count, 5);
     let events = status_events(&status, &after);
-    assert_eq!(events.len(), 17, "each that is kept, and how many are not: {events:?}");
+    assert_eq!(events.len(), 17, "one per kept instance, and one with the dropped count: {events:?}");
     let WindowEvent::Closed(first) = &events[0] else { panic!("{events:?}") };
     let line = describe_closed(first);
     assert!(line.ends_with("0 done in time, told 360 h after its closing)"), "{line}");
@@ -473,18 +505,18 @@
     assert_eq!(status_events(&after, &confirmed), []);
 }
 
-/// A status has to fit what a value may take, whatever a day brings.
+/// The largest possible status has to fit within the size limit of a stored value.
 #[test]
-fn the_largest_status_fits() {
+fn largest_status_fits_the_value_limit() {
     let spec = window(json!({"jobs": 32}));
-    let mut world = World::at(MIDNIGHT + 7 * HOUR);
+    let mut world = World::at(MIDNIGHT_MS + 7 * HOUR_MS);
     let mut status = WindowStatus::default();
     for day in 0..20 {
-        world.now_ms = MIDNIGHT + day * 24 * HOUR + 7 * HOUR;
+        world.now_ms = MIDNIGHT_MS + day * 24 * HOUR_MS + 7 * HOUR_MS;
         (0..32).for_each(|n| world.submit(10_000_000_000_000_000 + (day * 32) as usize + n, "plan"));
         status = world.step(&spec, &status);
         for (_, progress) in world.progress_by_job.iter_mut() {
-            *progress = JobProgress::Done { at_ms: Some(world.now_ms + 3 * HOUR) };
+            *progress = JobProgress::Done { at_ms: Some(world.now_ms + 3 * HOUR_MS) };
         }
         status = world.step(&spec, &status);
     }
