--- a/src/users/write_tracker.rs
+++ b/src/users/write_tracker.rs
@@ -3,8 +3,8 @@
 //! The state service may apply a write whose response is lost, or apply it later. The user retries the request and gets
 //! the stored result. Operators count served jobs by the log, so a cancellation without its line would count as a job
 //! that was never served. Each write is therefore tracked from before it is sent until its response, or the store, shows
-//! the outcome. For an acceptance the watch cache is enough, which costs no request; for a cancellation
-//! the store is queried, once the job has ended, for how it ended.
+//! the outcome. For an acceptance the watch cache is enough, which costs no request; for a cancellation the store has to
+//! answer one query for how the job ended, after it has ended.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
--- a/src/workers/dispatch.rs
+++ b/src/workers/dispatch.rs
@@ -14,7 +14,8 @@
 use crate::scheduling::messages::MessageKind;
 use crate::traffic::CallKind;
 
-/// Time limit for the reply to a command. A command that is not answered in time may still arrive.
+/// Time limit for the reply to a command. A command without a reply by then counts as one that may
+/// still arrive.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Longest pause between two checks for due commands.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
