--- a/src/history/job_transactions/tests.rs
+++ b/src/history/job_transactions/tests.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn job_location_is_derived_from_its_key() {
-    for (key, want) in [
+    for (key, expected) in [
         ("c/o/run-1", Some(("run-1", JobLocation::Open))),
         ("h/d/run-1", Some(("run-1", JobLocation::Ended(End::Done)))),
         ("h/w/run-1", Some(("run-1", JobLocation::Ended(End::Cancelled)))),
@@ -26,7 +26,7 @@
         ("t/run-1/00000", None),
         ("c/owner/0", None),
     ] {
-        assert_eq!(locate_job(key), want, "{key}");
+        assert_eq!(locate_job(key), expected, "{key}");
     }
     let keys = ["c/owner/0".to_owned(), "h/w/run-1".to_owned()];
     assert_eq!(find_end(&keys, "run-1"), Some(End::Cancelled));
--- a/src/history/reader/tests.rs
+++ b/src/history/reader/tests.rs
@@ -15,8 +15,8 @@
         (json!("done"), JobQueryAnswer::Unavailable),
     ];
     let mut log_limit = LogLimit::default();
-    for (value, want) in cases {
+    for (value, expected) in cases {
         let item = KeyValue { path: old_end_key("run-000001"), value: value.clone(), version: 1 };
-        assert_eq!(decode_old_end(&item, &mut log_limit), want, "{value}");
+        assert_eq!(decode_old_end(&item, &mut log_limit), expected, "{value}");
     }
 }
