--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -265,8 +265,8 @@
         self.times()?.instance_on(day)
     }
 
-    /// Returns the first instance after the day `after`, if given, that closes after `from_ms`. The instance of a window
-    /// with a date is returned even if it has already closed, so that it is reported as missed.
+    /// Returns the first instance after the day `after`, if given, that closes after `from_ms`. The instance of a
+    /// window with a date is returned even if it has already closed, so that it is reported as missed.
     pub fn next_instance(&self, after: Option<Day>, from_ms: u64) -> Option<InstanceSpan> {
         self.times()?.next_instance(after, from_ms)
     }
@@ -341,8 +341,8 @@
             .find(|span| span.closes_ms > from_ms)
     }
 
-    /// Returns the instance that a job accepted at this time belongs to. An open instance takes precedence over the next
-    /// one, which may accept jobs early.
+    /// Returns the instance that a job accepted at this time belongs to. An open instance takes precedence over the
+    /// next one, which may accept jobs early.
     pub fn instance_for_job(&self, accepted_ms: u64) -> Option<InstanceSpan> {
         let last_day = self.local_day(accepted_ms.saturating_add(self.early_ms));
         let mut spans = (last_day.saturating_sub(1)..=last_day).filter_map(|day| self.instance_on(day));
--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -19,7 +19,7 @@
 const QUERY_TIMEOUT_MS: u64 = 60_000;
 /// Maximum number of instances of a window that close in one step; after a longer absence the next step continues.
 const MAX_CLOSED_PER_STEP: usize = 64;
-/// Factor on the estimated run time when a latest start is computed, the same as for start promises.
+/// Factor on the estimated run time when a latest start is computed, the same as for promises (`scheduling::promises`).
 const ESTIMATE_MARGIN: f64 = 1.2;
 /// Image fetch rate assumed for a latest start: one that machines still have while they share the bandwidth.
 const SLOW_FETCH_GB_PER_S: f64 = 0.5;
@@ -87,8 +87,8 @@
     latest_start_ms(instance.closes_ms, expected_s(run_s, image_gb)).max(instance.opens_ms)
 }
 
-/// Returns the turn that a job of this class would claim, if there is one. A turn is assigned only once, even if its job
-/// is cancelled; a job that replaces a cancelled one gets a turn after all others.
+/// Returns the turn that a job of this class would claim, if there is one. A turn is assigned only once, even if its
+/// job is cancelled; a job that replaces a cancelled one gets a turn after all others.
 fn find_turn(spec: &WindowSpec, instance: &WindowInstance, job: &JobId, class: &str) -> Option<u32> {
     if instance.claims.iter().any(|claim| claim.job == *job) || instance.claims.len() >= MAX_TURNS as usize {
         return None;
--- a/src/calendar/tests/interleaved_simulation.rs
+++ b/src/calendar/tests/interleaved_simulation.rs
@@ -1,6 +1,6 @@
 //! Seeded interleavings of three controllers, users and the store, with two windows and the real watch cache, registry
-//! and driver. Leaders are lost between evaluating, sending and being answered, copies of transactions arrive late, wall
-//! clocks differ and step back, and at times no leader evaluates for longer than a window lasts.
+//! and driver. Leaders are lost between evaluating, sending and being answered, copies of transactions arrive late,
+//! wall clocks differ and step back, and at times no leader evaluates for longer than a window lasts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Instant;
@@ -80,9 +80,9 @@
     }
 
     /// Updates a controller's watch cache and, if it was ever the leader, its cluster state.
-    fn update_cluster_state(&mut self, at: usize) {
-        self.harness.update_watch_cache(at, true);
-        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[at];
+    fn update_cluster_state(&mut self, index: usize) {
+        self.harness.update_watch_cache(index, true);
+        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[index];
         let Some((cluster, _)) = leader.as_mut() else { return };
         let ended_jobs: Vec<JobId> =
             cluster.jobs().map(|(id, _)| id).filter(|id| watch_cache.open_job(id).is_none()).cloned().collect();
@@ -91,9 +91,9 @@
     }
 
     /// Makes a controller the leader, after a restart even if it was the leader before.
-    fn write_leader_record(&mut self, at: usize) {
-        self.harness.write_leader_record(at);
-        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[at];
+    fn write_leader_record(&mut self, index: usize) {
+        self.harness.write_leader_record(index);
+        let Controller { watch_cache, leader, kind_state, .. } = &mut self.harness.controllers[index];
         kind_state.clear();
         let (cluster, _) = leader.as_mut().unwrap();
         for (id, record) in watch_cache.open_jobs() {
@@ -102,24 +102,24 @@
                 cluster.load_shard(id, 0, 1, vec![StoredTask::Bound(1, "host-1".into())], Instant::now());
             }
         }
-        self.leader = at;
+        self.leader = index;
     }
 
-    fn evaluate(&mut self, at: usize) {
-        let Some(output) = self.harness.evaluate(at, self.now_ms, |ends, id| ends.get(id).copied()) else { return };
+    fn evaluate(&mut self, index: usize) {
+        let Some(output) = self.harness.evaluate(index, self.now_ms, |ends, id| ends.get(id).copied()) else { return };
         for id in output.unknown_ends {
             if let Some(end) = self.job_ends.get(&id).filter(|_| self.harness.rng.random_ratio(1, 2)) {
-                self.harness.controllers[at].kind_state.insert(id, *end);
+                self.harness.controllers[index].kind_state.insert(id, *end);
             }
         }
     }
 
-    fn send(&mut self, at: usize) {
+    fn send(&mut self, index: usize) {
         let omitted = self.omitted;
-        if let Some(sent) = self.harness.send(at, |c| omitted == Omitted::WindowStatus && c.path.starts_with("c/t/"))
+        if let Some(sent) = self.harness.send(index, |c| omitted == Omitted::WindowStatus && c.path.starts_with("c/t/"))
             && let Some(revision) = self.apply(&sent)
         {
-            self.harness.mark_stored(at, revision);
+            self.harness.mark_stored(index, revision);
         }
     }
 
@@ -223,17 +223,17 @@
     }
 
     fn step(&mut self) {
-        let at = self.harness.rng.random_range(0..3);
+        let index = self.harness.rng.random_range(0..3);
         match self.harness.rng.random_range(0..40) {
-            0 => self.write_leader_record(at),
+            0 => self.write_leader_record(index),
             1..3 => self.submit_job(),
             3..7 => self.place_job(),
             7..9 => self.end_job(),
             9..18 => self.update_cluster_state(self.leader),
             18..25 => self.evaluate(self.leader),
-            25 => self.evaluate(at),
+            25 => self.evaluate(index),
             26..33 => self.send(self.leader),
-            33 => self.send(at),
+            33 => self.send(index),
             34 if !self.harness.delayed.is_empty() => {
                 let sent = self.harness.take_delayed();
                 self.apply(&sent);
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -191,8 +191,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// A successor that evaluates only once arrives at the same status as a leader that evaluated every second, whatever
-    /// users submitted in the meantime.
+    /// A successor that evaluates only once arrives at the same status as a leader that evaluated every second,
+    /// whatever users submitted in the meantime.
     #[test]
     fn catching_up_equals_stepping_each_second(
         spec in any_window(),
--- a/src/declarations/driver.rs
+++ b/src/declarations/driver.rs
@@ -128,8 +128,8 @@
         self.stored_revision = self.stored_revision.max(revision);
     }
 
-    /// Refreshes the intents and computes the next writes and events. Does nothing while the cluster state is not loaded
-    /// or the watch cache is being reloaded: jobs missing from them would appear to have ended.
+    /// Refreshes the intents and computes the next writes and events. Does nothing while the cluster state is not
+    /// loaded or the watch cache is being reloaded: jobs missing from them would appear to have ended.
     pub fn evaluate(
         &mut self,
         cluster: &mut ClusterState,
--- a/src/declarations/operator.rs
+++ b/src/declarations/operator.rs
@@ -1,8 +1,8 @@
 //! Operators' verbs. Each reads the declarations from the state service, computes the new specifications, writes them
 //! with a compare-and-swap on the versions read, and starts again after a conflicting write.
 //!
-//! Each write also changes one key common to all operators. This serializes the writes, so that the limits on the number
-//! and size of declarations hold exactly and a delayed copy of a write changes nothing.
+//! Each write also changes one key common to all operators. This serializes the writes, so that the limits on the
+//! number and size of declarations hold exactly and a delayed copy of a write changes nothing.
 
 mod client;
 pub mod error;
--- a/src/declarations/operator/client.rs
+++ b/src/declarations/operator/client.rs
@@ -69,12 +69,12 @@
         Self { settings, store, http, timeout }
     }
 
-    /// Reads the declarations, lets `decide` choose the writes, and stores them; starts again after a conflicting write.
-    /// Returns the names that were written.
+    /// Reads the declarations, lets `decide` choose the writes, and stores them; starts again after a conflicting
+    /// write. Returns the names that were written.
     ///
     /// # Errors
-    /// Returns the errors of `decide`, and fails after the timeout without a definite answer or without progress because
-    /// of conflicts.
+    /// Returns the errors of `decide`, and fails after the timeout without a definite answer or without progress
+    /// because of conflicts.
     pub async fn read_and_write(
         &self,
         kind: DeclarationKind,
@@ -170,7 +170,8 @@
         Ok(item.filter(|item| item.value == *marker).map(|item| item.version))
     }
 
-    /// Reads the declarations of a kind, or of all kinds. None is older than the returned version of the operators' key.
+    /// Reads the declarations of a kind, or of all kinds. None is older than the returned version of the operators'
+    /// key.
     ///
     /// # Errors
     /// Fails after the timeout without a definite answer.
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -40,8 +40,10 @@
 /// Status of the counting kinds: the count, and the fencing token of the leader that wrote it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counted {
-    pub at: u64,
-    pub by: u64,
+    #[serde(rename = "at")]
+    pub count: u64,
+    #[serde(rename = "by")]
+    pub fencing_token: u64,
 }
 
 impl StatusEvent for Counted {
@@ -70,13 +72,13 @@
         if spec.goal > 0 { Ok(()) } else { Err(SpecError::new("goal", "0 is not a positive number")) }
     }
     fn next_status(_: &str, spec: &Goal, status: &Counted, view: &DeclarationView) -> Option<Counted> {
-        (status.at < spec.goal).then_some(Counted { at: status.at + 1, by: view.fencing_token })
+        (status.count < spec.goal).then_some(Counted { count: status.count + 1, fencing_token: view.fencing_token })
     }
     fn add_intents(name: &str, _: &Goal, status: &Counted, _: &DeclarationView, intents: &mut Intents) {
-        intents.deferred_jobs.insert(format!("{name}-{}", status.at).as_str().into());
+        intents.deferred_jobs.insert(format!("{name}-{}", status.count).as_str().into());
     }
     fn describe(_: &str, spec: &Goal, status: &Counted, _: u64) -> Vec<String> {
-        vec![format!("{} of {}", status.at, spec.goal)]
+        vec![format!("{} of {}", status.count, spec.goal)]
     }
     fn status_events(_: &Counted, after: &Counted) -> Vec<Counted> {
         vec![after.clone()]
@@ -96,7 +98,7 @@
         Ok(())
     }
     fn next_status(_: &str, _: &Goal, status: &Counted, view: &DeclarationView) -> Option<Counted> {
-        Some(Counted { at: status.at + 1, by: view.fencing_token })
+        Some(Counted { count: status.count + 1, fencing_token: view.fencing_token })
     }
     fn add_intents(_: &str, _: &Goal, _: &Counted, _: &DeclarationView, _: &mut Intents) {}
     fn describe(_: &str, _: &Goal, _: &Counted, _: u64) -> Vec<String> {
@@ -147,29 +149,29 @@
         // Loads the watch caches before anything is declared: the first load records no changes.
         let mut harness =
             SimulationHarness::new(seed, &COUNTER, &[("c/upgraded".to_owned(), json!({"old_kept": false}))]);
-        (0..3).for_each(|at| harness.update_watch_cache(at, true));
+        (0..3).for_each(|index| harness.update_watch_cache(index, true));
         harness.write_leader_record(0);
         Self { harness, omitted, stored: BTreeMap::new(), expected_lines: Vec::new(), violations: Vec::new() }
     }
 
-    fn evaluate(&mut self, at: usize) {
-        let Some(output) = self.harness.evaluate(at, 0, |_, _| None) else { return };
-        let controller = &mut self.harness.controllers[at];
+    fn evaluate(&mut self, index: usize) {
+        let Some(output) = self.harness.evaluate(index, 0, |_, _| None) else { return };
+        let controller = &mut self.harness.controllers[index];
         for event in output.events {
             *controller.kind_state.entry(event_line(&event)).or_default() += 1;
         }
         // Intents follow from the statuses in this controller's watch cache, never from writes that are not stored.
         let (registry, (cluster, _)) = (controller.watch_cache.registry(), controller.leader.as_ref().unwrap());
         for NamedSpec { name, .. } in registry.specs::<HeatCounter>().filter(|_| controller.watch_cache.is_ready()) {
-            let at = registry.status::<HeatCounter>(name).map_or(0, |status| status.value.at);
+            let count = registry.status::<HeatCounter>(name).map_or(0, |status| status.value.count);
             assert!(
-                cluster.intents.deferred_jobs.contains(format!("{name}-{at}").as_str()),
+                cluster.intents.deferred_jobs.contains(format!("{name}-{count}").as_str()),
                 "intent of a status that is not stored"
             );
         }
     }
 
-    fn send(&mut self, at: usize) {
+    fn send(&mut self, index: usize) {
         let omitted = self.omitted;
         let is_omitted = |c: &Condition| match omitted {
             OmittedCondition::Nothing | OmittedCondition::Operators => false,
@@ -177,11 +179,11 @@
             OmittedCondition::Spec => c.path.starts_with("c/s/"),
             OmittedCondition::Status => c.path.starts_with("c/t/"),
         };
-        if let Some(sent) = self.harness.send(at, is_omitted)
+        if let Some(sent) = self.harness.send(index, is_omitted)
             && let Some(revision) = self.apply(&sent)
             && self.harness.rng.random_ratio(3, 4)
         {
-            self.harness.mark_stored(at, revision);
+            self.harness.mark_stored(index, revision);
         }
     }
 
@@ -202,15 +204,16 @@
                 Change::Write { write, value, .. } => {
                     let name = write.rsplit('/').next().unwrap();
                     let status: Counted = serde_json::from_value(value.clone()).unwrap();
-                    if status.by != fencing_token {
-                        self.violations.push(format!("{name}: written with token {}, not {fencing_token}", status.by));
+                    if status.fencing_token != fencing_token {
+                        self.violations
+                            .push(format!("{name}: written with token {}, not {fencing_token}", status.fencing_token));
                     }
                     if !has_spec[NAMES.iter().position(|n| *n == name).unwrap()] {
                         self.violations.push(format!("{name}: written without a specification"));
                     }
-                    let previous = self.stored.insert(name.to_owned(), status.at).unwrap_or(0);
-                    if status.at != previous + 1 {
-                        self.violations.push(format!("{name}: count {} after {previous}", status.at));
+                    let previous = self.stored.insert(name.to_owned(), status.count).unwrap_or(0);
+                    if status.count != previous + 1 {
+                        self.violations.push(format!("{name}: count {} after {previous}", status.count));
                     }
                     self.expected_lines.push(format!("{name} {status:?}"));
                 }
@@ -250,13 +253,13 @@
     }
 
     fn step(&mut self) {
-        let at = self.harness.rng.random_range(0..3);
+        let index = self.harness.rng.random_range(0..3);
         match self.harness.rng.random_range(0..20) {
-            0 => self.harness.write_leader_record(at),
+            0 => self.harness.write_leader_record(index),
             1..4 => self.write_spec(),
-            4..9 => self.harness.update_watch_cache(at, false),
-            9..14 => self.evaluate(at),
-            14..18 => self.send(at),
+            4..9 => self.harness.update_watch_cache(index, false),
+            9..14 => self.evaluate(index),
+            14..18 => self.send(index),
             18 if !self.harness.delayed.is_empty() => {
                 let sent = self.harness.take_delayed();
                 self.apply(&sent);
@@ -301,8 +304,8 @@
         for name in NAMES {
             let (spec, status) = (spec_key(DeclarationKind::Heat, name), status_key(DeclarationKind::Heat, name));
             let goal = simulation.harness.store.value(&spec).map(|v| v["goal"].as_u64().unwrap());
-            let at = simulation.harness.store.value(&status).map(|v| v["at"].as_u64().unwrap());
-            assert_eq!(goal, at, "seed {seed}: {name} has not reached its goal");
+            let count = simulation.harness.store.value(&status).map(|v| v["at"].as_u64().unwrap());
+            assert_eq!(goal, count, "seed {seed}: {name} has not reached its goal");
         }
         for controller in &simulation.harness.controllers {
             let expected_count = |line: &String| simulation.expected_lines.iter().filter(|l| *l == line).count();
@@ -313,8 +316,8 @@
                 .collect();
             assert!(repeated.is_empty(), "seed {seed}: logged twice: {repeated:?}");
         }
-        // A change that was overwritten before any leader observed it is not logged: after a reload a controller records
-        // only the difference that remains.
+        // A change that was overwritten before any leader observed it is not logged: after a reload a controller
+        // records only the difference that remains.
         let is_logged = |line: &String| simulation.harness.controllers.iter().any(|c| c.kind_state.contains_key(line));
         let unlogged: Vec<&String> = simulation.expected_lines.iter().filter(|line| !is_logged(line)).collect();
         assert!(
@@ -381,11 +384,15 @@
         );
         harness.update_watch_cache(0, true);
     }
-    let at = |kind: DeclarationKind, name: &str| {
+    let stored_count = |kind: DeclarationKind, name: &str| {
         harness.store.value(&status_key(kind, name)).map_or(0, |v| v["at"].as_u64().unwrap())
     };
-    assert!((0..5).all(|n| at(DeclarationKind::Heat, &format!("h{n}")) == 2), "all counters have reached their goal");
-    let always_changing: Vec<u64> = (0..20).map(|n| at(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
+    assert!(
+        (0..5).all(|n| stored_count(DeclarationKind::Heat, &format!("h{n}")) == 2),
+        "all counters have reached their goal"
+    );
+    let always_changing: Vec<u64> =
+        (0..20).map(|n| stored_count(DeclarationKind::Rollout, &format!("r{n:02}"))).collect();
     assert!(always_changing.iter().all(|n| (3..=4).contains(n)), "the others are written in turn: {always_changing:?}");
 }
 
@@ -413,8 +420,8 @@
     assert_eq!(cluster.intents.deferred_jobs.len(), 1, "undecodable declarations add no intents");
 }
 
-/// Other clients may write any number of keys: the registry bounds the entries that it keeps, the specifications that it
-/// uses and the changes that it records.
+/// Other clients may write any number of keys: the registry bounds the entries that it keeps, the specifications that
+/// it uses and the changes that it records.
 #[test]
 fn registry_bounds_entries_used_specs_and_changes() {
     let mut registry = super::DeclarationRegistry::default();
--- a/src/declarations/tests/simulation.rs
+++ b/src/declarations/tests/simulation.rs
@@ -59,8 +59,8 @@
     }
 
     /// Updates a controller's watch cache by one page or one watch answer, or completely if `whole` is set.
-    pub fn update_watch_cache(&mut self, at: usize, whole: bool) {
-        let controller = &mut self.controllers[at];
+    pub fn update_watch_cache(&mut self, index: usize, whole: bool) {
+        let controller = &mut self.controllers[index];
         loop {
             if let Some((mut loading, start_after)) = controller.loading.take() {
                 let page = self.store.page(CACHED_PREFIX, &start_after, 3);
@@ -90,25 +90,25 @@
 
     /// Makes a controller the leader, under a new fencing token even if it was the leader before. The previous leader
     /// continues without knowing that it was deposed.
-    pub fn write_leader_record(&mut self, at: usize) {
-        let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!(at))]).unwrap();
+    pub fn write_leader_record(&mut self, index: usize) {
+        let fencing_token = self.store.apply_if(&[], &[Change::write(LEADER_RECORD_KEY, json!(index))]).unwrap();
         // A new leader proves that its watch cache is up to date before it makes decisions.
-        self.update_watch_cache(at, true);
+        self.update_watch_cache(index, true);
         let mut cluster = ClusterState::new(fencing_token, example(), Properties::default(), Instant::now());
         cluster.loaded = true;
-        self.controllers[at].leader = Some((cluster, DeclarationDriver::new(self.kinds)));
-        self.controllers[at].pending_writes = None;
+        self.controllers[index].leader = Some((cluster, DeclarationDriver::new(self.kinds)));
+        self.controllers[index].pending_writes = None;
     }
 
     /// Evaluates the declarations at a controller and keeps the writes until they are sent. Returns `None` if the
     /// controller was never the leader.
     pub fn evaluate(
         &mut self,
-        at: usize,
+        index: usize,
         now_ms: u64,
         job_end: impl Fn(&T, &str) -> Option<End>,
     ) -> Option<DriverOutput> {
-        let Controller { watch_cache, leader, pending_writes, skew_ms, kind_state, .. } = &mut self.controllers[at];
+        let Controller { watch_cache, leader, pending_writes, skew_ms, kind_state, .. } = &mut self.controllers[index];
         let (cluster, driver) = leader.as_mut()?;
         let now_ms = now_ms.saturating_add_signed(*skew_ms);
         let output = driver.evaluate(cluster, watch_cache, &|id| job_end(kind_state, id), Instant::now(), now_ms);
@@ -120,8 +120,12 @@
     }
 
     /// Takes the pending writes as a transaction, without the conditions that `is_omitted` selects.
-    pub fn take_transaction(&mut self, at: usize, is_omitted: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
-        let (writes, fencing_token) = self.controllers[at].pending_writes.take()?;
+    pub fn take_transaction(
+        &mut self,
+        index: usize,
+        is_omitted: impl Fn(&Condition) -> bool,
+    ) -> Option<SentTransaction> {
+        let (writes, fencing_token) = self.controllers[index].pending_writes.take()?;
         assert!(writes.len() <= 2);
         let conditions =
             transaction_conditions(&writes, fencing_token).into_iter().filter(|c| !is_omitted(c)).collect();
@@ -130,8 +134,8 @@
 
     /// Sends the pending writes. Returns the transaction if it arrives at once; a copy may arrive late in addition, or
     /// instead.
-    pub fn send(&mut self, at: usize, is_omitted: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
-        let sent = self.take_transaction(at, is_omitted)?;
+    pub fn send(&mut self, index: usize, is_omitted: impl Fn(&Condition) -> bool) -> Option<SentTransaction> {
+        let sent = self.take_transaction(index, is_omitted)?;
         let (is_duplicated, is_delayed) = (self.rng.random_ratio(1, 4), self.rng.random_ratio(1, 4));
         if is_duplicated || is_delayed {
             self.delayed.push(sent.clone());
@@ -140,8 +144,8 @@
     }
 
     /// Tells a controller's driver the revision of its applied transaction.
-    pub fn mark_stored(&mut self, at: usize, revision: u64) {
-        if let Some((_, driver)) = self.controllers[at].leader.as_mut() {
+    pub fn mark_stored(&mut self, index: usize, revision: u64) {
+        if let Some((_, driver)) = self.controllers[index].leader.as_mut() {
             driver.mark_stored(revision);
         }
     }
