--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -236,8 +236,8 @@
     instance.unclaimed |= context.now_ms >= unclaimed_ms && instance.active_claims() < spec.jobs as usize;
     instance.late |= instance.claims.iter().filter(|claim| claim.end.is_none()).any(|claim| {
         let progress = (context.progress)(&claim.job);
-        let latest_start = |expected_s| latest_start_ms(instance.closes_ms, expected_s);
-        matches!(progress, JobProgress::Open { begun: false, expected_s, .. } if context.now_ms >= latest_start(expected_s))
+        let latest_ms = |expected_s| latest_start_ms(instance.closes_ms, expected_s);
+        matches!(progress, JobProgress::Open { begun: false, expected_s, .. } if context.now_ms >= latest_ms(expected_s))
     });
 }
 
