--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -1,8 +1,8 @@
-//! Whether a rule is on: decided by the leader, stored, and read by every controller.
+//! Decision whether a heat rule applies: made by the leader, stored, and read by every controller.
 //!
-//! The decision is a function of the rule, of what was stored last, of the readings and of the time of day. The stored
-//! time only grows from one change to the next: a clock that steps back by less than a minute undoes nothing, and a
-//! change with a time further ahead than that was made by a wrong clock and is ignored.
+//! The decision is a function of the rule, the stored status, the readings and the wall clock. The stored time never
+//! decreases from one change to the next, so a clock that steps back by less than a minute undoes no decision. A change
+//! with a time further in the future than that was made with a wrong clock and is ignored.
 
 use std::fmt;
 
@@ -12,31 +12,31 @@
 use super::readings::{MAX_CLOCK_SKEW_MS, Reading};
 use super::rule::{AssumedHeat, HeatRule, HeatSignal};
 
-/// Changes that are remembered.
+/// Maximum number of changes kept in the status.
 const MAX_HISTORY: usize = 8;
 
 /// Why a rule is on or off.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HeatReason {
-    /// Nothing has been decided yet.
+    /// No decision has been made yet.
     #[default]
     Undecided,
-    /// The settled value went above the upper threshold, or is between the two and was above before.
+    /// The median rose above the upper threshold, or lies between the thresholds while the rule was already on.
     Hot(f64),
-    /// The settled value went below the lower one, or is between them and was not above.
+    /// The median fell below the lower threshold, or lies between the thresholds while the rule was off.
     Over(f64),
-    /// The day is declared hot.
+    /// The day is listed in the rule's `hot_days`.
     HotDay,
-    /// No fresh reading, and the rule says that this is hot.
+    /// There is no fresh reading, and the rule assumes heat in that case.
     AssumedHot,
-    /// No fresh reading, and the rule says that this is not hot.
+    /// There is no fresh reading, and the rule assumes no heat in that case.
     NoReading,
-    /// Out of its hours.
+    /// The time is outside the rule's active hours.
     Hours,
-    /// It was on for as long as it may be by itself.
+    /// The rule was on for its maximum duration (`longest_s`).
     RanOut,
-    /// The time that was stored is further ahead than clocks can be apart.
+    /// The stored time is further in the future than `MAX_CLOCK_SKEW_MS`.
     Clock,
 }
 
@@ -56,70 +56,76 @@
     }
 }
 
-/// A past change.
+/// Past change of a rule's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeatChange {
-    /// Whether the rule applies.
+    /// Whether the rule was switched on or off.
     pub on: bool,
-    /// Why it does, or does not.
+    /// Reason for the change.
     #[serde(rename = "why")]
     pub reason: HeatReason,
-    /// The leader that decided.
+    /// Fencing token of the leader that made the decision.
     #[serde(rename = "epoch")]
     pub fencing_token: u64,
-    /// When it was decided, by time of day.
+    /// Time of the decision, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// What the leader stores of a rule.
+/// Status of a heat rule, as stored by the leader.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HeatStatus {
-    /// Whether the rule applies.
+    /// Whether the rule is switched on. Use `applies_at` to take its end into account.
     pub on: bool,
-    /// Why.
+    /// Reason for the last change.
     #[serde(rename = "why")]
     pub reason: HeatReason,
-    /// Of the leader that decided.
+    /// Fencing token of the leader that made the last change.
     #[serde(rename = "epoch")]
     pub fencing_token: u64,
-    /// Times of day in milliseconds since 1970: the last change, and when what is on ends by itself.
+    /// Time of the last change, in Unix milliseconds.
     pub since_ms: u64,
-    /// When it ends by itself, if it applies.
+    /// Time at which a rule that is on switches off by itself, in Unix milliseconds; 0 while it is off.
     pub until_ms: u64,
-    /// When it began to apply that time that it ran out: it stays off for the rest of those hours.
+    /// Start of the period that ended with `RanOut`, in Unix milliseconds. The rule stays off for the rest of those
+    /// active hours.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ran_out_of_ms: Option<u64>,
-    /// The last changes, the newest last.
+    /// Most recent changes, oldest first.
     pub history: Vec<HeatChange>,
-    /// Its jobs that wait while it applies, as last reported.
+    /// Last reported backlog of the rule's jobs since it was switched on.
     #[serde(rename = "waits", skip_serializing_if = "Option::is_none")]
     pub backlog: Option<Backlog>,
 }
 
 impl HeatStatus {
-    /// Whether the rule applies at a time of day. It ends in time also if no leader can write that.
+    /// Returns whether the rule applies at the given time. The rule ends on time even if no leader can store the change.
     pub fn applies_at(&self, now_ms: u64) -> bool {
         self.on && now_ms < self.until_ms && self.since_ms <= now_ms.saturating_add(MAX_CLOCK_SKEW_MS)
     }
 
     fn change_to(&self, on: bool, reason: HeatReason, fencing_token: u64, at_ms: u64, until_ms: u64) -> Self {
         let mut next = Self { on, reason, fencing_token, since_ms: at_ms, until_ms, backlog: None, ..self.clone() };
-        let before = next.history.len().saturating_sub(MAX_HISTORY - 1);
-        next.history.drain(..before);
+        let excess = next.history.len().saturating_sub(MAX_HISTORY - 1);
+        next.history.drain(..excess);
         next.history.push(HeatChange { on, reason, fencing_token, at_ms });
         next
     }
 
-    /// When a rule that applies ends by itself, with its hours or after the longest time allowed, and why.
-    fn natural_end(rule: &HeatRule, since_ms: u64) -> Option<(u64, HeatReason)> {
+    /// Returns when and why a rule that is on switches off by itself: at the end of its active hours or after its maximum
+    /// duration, whichever comes first.
+    fn scheduled_end(rule: &HeatRule, since_ms: u64) -> Option<(u64, HeatReason)> {
         let hours = rule.hours_at(since_ms)?;
-        let out_ms = since_ms.saturating_add(rule.longest_ms());
-        Some(if out_ms < hours.end_ms { (out_ms, HeatReason::RanOut) } else { (hours.end_ms, HeatReason::Hours) })
+        let max_duration_end_ms = since_ms.saturating_add(rule.longest_ms());
+        Some(if max_duration_end_ms < hours.end_ms {
+            (max_duration_end_ms, HeatReason::RanOut)
+        } else {
+            (hours.end_ms, HeatReason::Hours)
+        })
     }
 }
 
-/// The next status; none where it stays as it is.
+/// Returns the next status of a rule, or `None` if the status stays as it is.
 pub fn decide_heat<'a>(
     rule: &HeatRule,
     status: &HeatStatus,
@@ -133,8 +139,8 @@
     }
     let at_ms = now_ms.max(status.since_ms);
     if status.on {
-        // The operator may have changed the rule since; the end follows the present rule.
-        let (until_ms, reason) = HeatStatus::natural_end(rule, status.since_ms).unwrap_or((at_ms, HeatReason::Hours));
+        // The end is computed from the current specification, which may have changed since the rule was switched on.
+        let (until_ms, reason) = HeatStatus::scheduled_end(rule, status.since_ms).unwrap_or((at_ms, HeatReason::Hours));
         if at_ms >= until_ms {
             let mut ended = status.change_to(false, reason, fencing_token, at_ms, 0);
             ended.ran_out_of_ms = (reason == HeatReason::RanOut).then_some(status.since_ms);
@@ -144,14 +150,14 @@
             return Some(HeatStatus { until_ms, ..status.clone() });
         }
     }
-    let switch_to = |on: bool, reason: HeatReason, until_ms: u64| {
+    let switch_if_changed = |on: bool, reason: HeatReason, until_ms: u64| {
         (on != status.on || (!on && status.reason == HeatReason::Undecided))
             .then(|| status.change_to(on, reason, fencing_token, at_ms, until_ms))
     };
-    let Some(hours) = rule.hours_at(at_ms) else { return switch_to(false, HeatReason::Hours, 0) };
-    let out = status.ran_out_of_ms.filter(|since| (hours.begin_ms..=at_ms).contains(since));
-    if out.is_some_and(|since| since.saturating_add(rule.longest_ms()) <= at_ms) {
-        return switch_to(false, HeatReason::RanOut, 0);
+    let Some(hours) = rule.hours_at(at_ms) else { return switch_if_changed(false, HeatReason::Hours, 0) };
+    let ran_out_since_ms = status.ran_out_of_ms.filter(|since| (hours.begin_ms..=at_ms).contains(since));
+    if ran_out_since_ms.is_some_and(|since| since.saturating_add(rule.longest_ms()) <= at_ms) {
+        return switch_if_changed(false, HeatReason::RanOut, 0);
     }
     let (on, reason) = match rule.assess(&hours, readings, now_ms) {
         HeatSignal::HotDay => (true, HeatReason::HotDay),
@@ -161,7 +167,7 @@
         HeatSignal::Unknown if rule.assume == AssumedHeat::Hot => (true, HeatReason::AssumedHot),
         HeatSignal::Unknown => (false, HeatReason::NoReading),
     };
-    let since_ms = out.unwrap_or(at_ms);
-    let (until_ms, _) = HeatStatus::natural_end(rule, since_ms)?;
-    switch_to(on, reason, if on { until_ms } else { 0 })
+    let since_ms = ran_out_since_ms.unwrap_or(at_ms);
+    let (until_ms, _) = HeatStatus::scheduled_end(rule, since_ms)?;
+    switch_if_changed(on, reason, if on { until_ms } else { 0 })
 }
--- a/src/heat/describe.rs
+++ b/src/heat/describe.rs
@@ -1,4 +1,4 @@
-//! Descriptions of heat rules and readings in lines for operators.
+//! Human-readable descriptions of heat rules and readings for operators.
 
 use chrono::{DateTime, FixedOffset};
 
@@ -7,7 +7,7 @@
 use super::readings::Reading;
 use super::rule::HeatRule;
 
-/// A stored time in the rule's offset from UTC.
+/// Formats a stored Unix time in the rule's offset from UTC.
 fn format_time(rule: &HeatRule, at_ms: u64) -> String {
     let offset = rule.offset_min.checked_mul(60).and_then(FixedOffset::east_opt);
     let at = i64::try_from(at_ms).ok().and_then(DateTime::from_timestamp_millis);
@@ -17,13 +17,13 @@
     }
 }
 
-/// Whether the rule applies and why, its waiting jobs, and its last changes.
+/// Describes a rule's state with its reason, its backlog and its most recent changes, newest first.
 pub fn describe_rule(rule: &HeatRule, status: &HeatStatus, now_ms: u64) -> Vec<String> {
     let mut lines = vec![describe_state(rule, status, now_ms)];
     lines.extend(status.backlog.as_ref().map(|backlog| describe_backlog(rule, backlog)));
     lines.extend(status.history.iter().rev().map(|change| {
-        let to = if change.on { "on" } else { "off" };
-        format!("{} {to}: {} (epoch {})", format_time(rule, change.at_ms), change.reason, change.fencing_token)
+        let state = if change.on { "on" } else { "off" };
+        format!("{} {state}: {} (epoch {})", format_time(rule, change.at_ms), change.reason, change.fencing_token)
     }));
     lines
 }
@@ -33,9 +33,9 @@
     let since = || format_time(rule, status.since_ms);
     let until = || format_time(rule, status.until_ms);
     if status.applies_at(now_ms) {
-        let part = rule.most_part;
+        let max_core_share = rule.most_part;
         return format!(
-            "on: {reason}; since {}, until {} at the latest; before others up to {part} of the cores",
+            "on: {reason}; since {}, until {} at the latest; before others up to {max_core_share} of the cores",
             since(),
             until()
         );
@@ -52,7 +52,7 @@
     format!("waiting as of {as_of}: {} jobs{}", backlog.jobs, oldest.unwrap_or_default())
 }
 
-/// The value and its age.
+/// Describes a reading by its value and age.
 pub fn describe_reading(reading: &Reading, now_ms: u64) -> String {
     let age = match reading.age_ms(now_ms) {
         Some(age_ms) => format!("{} s ago", age_ms / 1000),
--- a/src/heat/events.rs
+++ b/src/heat/events.rs
@@ -1,4 +1,4 @@
-//! What is logged of a heat rule.
+//! Log events of heat rules.
 
 use tracing::{info, warn};
 
@@ -6,21 +6,21 @@
 use super::decide::{HeatReason, HeatStatus};
 use crate::declarations::StatusEvent;
 
-/// A change of a heat rule that operators are told of.
+/// Change of a heat rule's status that is logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeatEvent {
-    /// The rule applies from now on, or does not any more.
+    /// The rule was switched on or off.
     Switched {
-        /// Whether it applies.
+        /// Whether the rule is on now.
         on: bool,
-        /// Why.
+        /// Reason for the change.
         reason: HeatReason,
     },
-    /// The rule goes on applying, until another time of day in ms.
+    /// The rule stays on, and its end moved to this Unix time in milliseconds.
     EndMoved(u64),
-    /// Its jobs that wait were counted.
+    /// A new backlog was reported.
     BacklogReported(Backlog),
-    /// The oldest of its jobs that wait has waited for longer than another stage.
+    /// The waiting time of the oldest job reached a further stage of `BACKLOG_STAGES_S`.
     BacklogGrown(Backlog),
 }
 
@@ -33,11 +33,11 @@
             Self::Switched { on, reason } => info!(name, on, %reason, "heat rule switched"),
             Self::EndMoved(until_ms) => info!(name, until_ms, "heat rule end moved"),
             Self::BacklogReported(backlog) => {
-                let (count, job, for_s) = (backlog.jobs, backlog.oldest_name(), backlog.oldest_waited_s());
+                let (count, job, for_s) = (backlog.jobs, backlog.oldest_job(), backlog.oldest_wait_s());
                 info!(name, count, job, for_s, "heat rule backlog reported");
             }
             Self::BacklogGrown(backlog) => {
-                let (count, job, for_s) = (backlog.jobs, backlog.oldest_name(), backlog.oldest_waited_s());
+                let (count, job, for_s) = (backlog.jobs, backlog.oldest_job(), backlog.oldest_wait_s());
                 warn!(
                     name,
                     count, job, for_s, "heat rule backlog grown; keeping its jobs ahead of equally urgent work"
@@ -47,7 +47,7 @@
     }
 }
 
-/// The events of a change of status.
+/// Returns the events to log for a change of status.
 pub fn status_events(before: &HeatStatus, after: &HeatStatus) -> Vec<HeatEvent> {
     let mut events = Vec::new();
     if after.on != before.on {
@@ -55,9 +55,9 @@
     } else if after.until_ms != before.until_ms {
         events.push(HeatEvent::EndMoved(after.until_ms));
     }
-    let stage = |status: &HeatStatus| status.backlog.as_ref().map_or(0, |backlog| backlog.stage);
+    let reached_stage = |status: &HeatStatus| status.backlog.as_ref().map_or(0, |backlog| backlog.stage);
     if let Some(backlog) = after.backlog.clone().filter(|backlog| before.backlog.as_ref() != Some(backlog)) {
-        let grown = stage(after) > stage(before);
+        let grown = reached_stage(after) > reached_stage(before);
         events.push(if grown { HeatEvent::BacklogGrown(backlog) } else { HeatEvent::BacklogReported(backlog) });
     }
     events
--- a/src/heat/logic.rs
+++ b/src/heat/logic.rs
@@ -1,11 +1,11 @@
-//! Heat rules and readings as kinds of declarations.
+//! Implementation of the declaration logic for heat rules and sensor readings.
 
 use super::backlog::Backlog;
 use super::decide::{HeatStatus, decide_heat};
 use super::describe::{describe_reading, describe_rule};
 use super::events::{HeatEvent, status_events};
 use super::readings::Reading;
-use super::rule::{HeatRule, MAX_PART};
+use super::rule::{HeatRule, MAX_CORE_SHARE};
 use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, NoEvent, SpecError};
 use crate::scheduling::intents::{Intents, PriorityBoost};
 
@@ -27,17 +27,18 @@
             .or_else(|| report_backlog(spec, status, view))
     }
 
-    /// Of several rules that apply, all work that any of them names goes ahead, up to the largest part that one of them
-    /// states, so that no rule takes more from others than they have been told of.
+    /// Merges the priority boosts of all rules that apply: the jobs named by any of them are boosted, up to the largest
+    /// core share of a single rule rather than the sum, so that other jobs lose no more cores than one rule declares.
     fn add_intents(_: &str, spec: &HeatRule, status: &HeatStatus, view: &DeclarationView, intents: &mut Intents) {
         if !status.applies_at(view.now_ms) {
             return;
         }
         let before = intents.priority_boost.take();
-        let most_part = before.as_ref().map_or(0.0, |ahead| ahead.max_core_share).max(spec.most_part.min(MAX_PART));
-        let mut names = before.map(|ahead| ahead.names).unwrap_or_default();
+        let max_core_share =
+            before.as_ref().map_or(0.0, |boost| boost.max_core_share).max(spec.most_part.min(MAX_CORE_SHARE));
+        let mut names = before.map(|boost| boost.names).unwrap_or_default();
         names.extend(spec.named_work());
-        intents.priority_boost = Some(PriorityBoost { names, max_core_share: most_part });
+        intents.priority_boost = Some(PriorityBoost { names, max_core_share });
     }
 
     fn describe(_: &str, spec: &HeatRule, status: &HeatStatus, now_ms: u64) -> Vec<String> {
@@ -49,17 +50,17 @@
     }
 }
 
-/// The status with a new report of its waiting jobs, if one is due.
+/// Returns the status with an updated backlog, if a backlog report is due.
 fn report_backlog(spec: &HeatRule, status: &HeatStatus, view: &DeclarationView) -> Option<HeatStatus> {
     if !status.applies_at(view.now_ms) || !view.cluster.loaded {
         return None;
     }
     let backlog = Backlog::count(view.cluster, &spec.named_work(), view.now, view.now_ms);
-    let next = Backlog::next(status.backlog.as_ref(), backlog)?;
+    let next = Backlog::next_report(status.backlog.as_ref(), backlog)?;
     Some(HeatStatus { backlog: Some(next), ..status.clone() })
 }
 
-/// A reading has no status: rules use the specs.
+/// Readings have no status: rules evaluate their specifications directly.
 impl DeclarationLogic for Reading {
     const KIND: DeclarationKind = DeclarationKind::Reading;
     type Spec = Reading;
--- a/src/heat/mod.rs
+++ b/src/heat/mod.rs
@@ -1,7 +1,8 @@
-//! Heat rules: while one applies, the work that it names goes ahead of others of the same urgency.
+//! Heat rules: while a rule applies, the jobs it names are scheduled before other jobs of the same urgency.
 //!
-//! Operators declare rules and hand in readings. The leader decides whether a rule applies and stores that; all
-//! controllers act on what is stored, so a successor acts as its predecessor did (docs/heat.md). All of it is free of I/O.
+//! Operators declare rules and submit sensor readings. The leader decides whether a rule applies and stores the
+//! decision as the rule's status. All controllers act on the stored status, so a new leader acts as the previous one
+//! did (docs/heat.md). This module performs no I/O.
 
 pub mod backlog;
 pub mod decide;
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -1,4 +1,4 @@
-//! Heat rules as operators declare them: their checks, and the hours in which they may apply.
+//! Specification of heat rules: validation, active hours and the evaluation of sensor readings.
 
 use chrono::{DateTime, FixedOffset, NaiveDate, NaiveTime};
 use serde::{Deserialize, Serialize};
@@ -7,60 +7,67 @@
 use crate::declarations::SpecError;
 use crate::scheduling::fairness::{Subject, floor};
 
-const MAX_NAMED: usize = 32;
+/// Maximum number of names in `classes` and in `teams`.
+const MAX_NAMED_SUBJECTS: usize = 32;
+/// Maximum number of sensors of a rule.
 const MAX_SENSORS: usize = 16;
-const MAX_DAYS: usize = 200;
-const MAX_OFFSET_MIN: i32 = 14 * 60;
-const DAY_S: f64 = 86_400.0;
-/// Of the cores a rule takes at most this part before others, so that something is left whatever is declared.
-pub const MAX_PART: f64 = 0.9;
-
-/// What a rule believes while it has no fresh reading.
+/// Maximum number of days in `hot_days`.
+const MAX_HOT_DAYS: usize = 200;
+/// Maximum distance from UTC in either direction, in minutes.
+const MAX_UTC_OFFSET_MIN: i32 = 14 * 60;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Maximum share of all cores that a rule's jobs may take before other jobs. Below 1, so that other jobs always keep
+/// some cores.
+pub const MAX_CORE_SHARE: f64 = 0.9;
+
+/// State that a rule assumes while no sensor has a fresh reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AssumedHeat {
-    /// Hot.
+    /// Assume that it is hot.
     Hot,
-    /// Not hot.
+    /// Assume that it is not hot.
     Not,
 }
 
-/// Which work goes ahead, when it may, and what is hot.
+/// Specification of a heat rule: which jobs are prioritized, in which hours, and at which readings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeatRule {
-    /// Classes of jobs that go ahead.
+    /// Job classes that are prioritized.
     #[serde(default)]
     pub classes: Vec<String>,
-    /// Teams whose jobs go ahead.
+    /// Teams whose jobs are prioritized.
     #[serde(default)]
     pub teams: Vec<String>,
-    /// Time of day, by `offset_min`. Where `to` is not later than `from` the hours end the next day.
+    /// Start of the active hours, as a local time of day (see `offset_min`). If `to` is not later than `from`, the hours
+    /// end on the next day.
     pub from: NaiveTime,
-    /// Until this time of day.
+    /// End of the active hours, exclusive, as a local time of day.
     pub to: NaiveTime,
-    /// Minutes ahead of UTC.
+    /// Offset of local time from UTC in minutes, positive east of Greenwich.
     #[serde(default)]
     pub offset_min: i32,
-    /// Names of readings. Hot when the settled value is above `hot_above`, over when it is below
-    /// `over_below`; between them it stays as it is.
+    /// Names of the readings to evaluate. The rule switches on when their median is above `hot_above` and off when it is
+    /// below `over_below`; between the two thresholds it keeps its state (hysteresis).
     #[serde(default)]
     pub sensors: Vec<String>,
-    /// A reading above this is hot.
+    /// Upper threshold: a median above this value is hot.
     pub hot_above: Option<f64>,
-    /// A reading below this ends the heat.
+    /// Lower threshold: a median below this value switches the rule off.
     pub over_below: Option<f64>,
-    /// Days whose hours are hot whatever is read; hours past midnight are of the day they began on.
+    /// Local days on which the active hours are hot regardless of readings. Hours that pass midnight belong to the day on
+    /// which they begin.
     #[serde(default)]
     pub hot_days: Vec<NaiveDate>,
-    /// Older readings do not count, in seconds.
+    /// Maximum age of a reading in seconds; older readings are ignored.
     #[serde(default = "default_fresh_s")]
     pub fresh_s: f64,
-    /// What holds with no fresh reading of any sensor.
+    /// State to assume while no sensor has a fresh reading.
     pub assume: AssumedHeat,
-    /// Longest time that it stays on by itself, in seconds.
+    /// Maximum duration in seconds for which the rule stays on before it switches off by itself.
     pub longest_s: f64,
-    /// Of all cores, the part that its work may take before others.
+    /// Maximum share of all cores that the named jobs may take before other jobs.
     pub most_part: f64,
 }
 
@@ -68,55 +75,55 @@
     1800.0
 }
 
-/// The hours of one day, as times of day in milliseconds since 1970: from the first to before the second.
+/// Active hours of a rule on one local day, as a half-open interval of Unix times in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RuleHours {
-    /// The local day.
+    /// Local day on which the hours begin.
     pub day: NaiveDate,
-    /// Its begin, by time of day.
+    /// Start, inclusive, in Unix milliseconds.
     pub begin_ms: u64,
-    /// Its end, by time of day.
+    /// End, exclusive, in Unix milliseconds.
     pub end_ms: u64,
 }
 
-/// What the readings and the calendar say of one moment within the hours.
+/// Result of evaluating the declared hot days and the readings at one time within the active hours.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum HeatSignal {
-    /// The day is declared hot.
+    /// The day is listed in `hot_days`.
     HotDay,
-    /// A reading is above the threshold.
+    /// The median is above the upper threshold.
     Hot(f64),
-    /// Between the two thresholds.
+    /// The median lies between the two thresholds, or on one of them.
     Between(f64),
-    /// A reading is below the threshold that ends the heat.
+    /// The median is below the lower threshold.
     Over(f64),
-    /// There is no reading that counts.
+    /// No sensor has a fresh reading.
     Unknown,
 }
 
-fn refuse(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
+fn reject_field(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
     Err(SpecError::new(field, reason))
 }
 
 impl HeatRule {
-    /// Checks all fields.
+    /// Validates all fields against the configured classes and teams.
     ///
     /// # Errors
-    /// Names the first field that cannot be used, with its value.
+    /// Returns an error that names the first invalid field and its value.
     pub fn check(&self, classes: &[&str], teams: &[&str]) -> Result<(), SpecError> {
         self.check_named_work(classes, teams)?;
         self.check_hours_and_lists()?;
         self.check_thresholds()?;
         if self.sensors.is_empty() && self.hot_days.is_empty() && self.assume == AssumedHeat::Not {
-            return refuse("assume", "\"not\", with no sensors and no hot_days: it would never hold");
+            return reject_field("assume", "\"not\", with no sensors and no hot_days: it would never hold");
         }
         for (field, value, low, high) in [
-            ("fresh_s", self.fresh_s, 1.0, DAY_S),
-            ("longest_s", self.longest_s, 60.0, DAY_S),
-            ("most_part", self.most_part, 0.01, MAX_PART),
+            ("fresh_s", self.fresh_s, 1.0, SECONDS_PER_DAY),
+            ("longest_s", self.longest_s, 60.0, SECONDS_PER_DAY),
+            ("most_part", self.most_part, 0.01, MAX_CORE_SHARE),
         ] {
             if !(low..=high).contains(&value) {
-                return refuse(field, format!("{value} is not between {low} and {high}"));
+                return reject_field(field, format!("{value} is not between {low} and {high}"));
             }
         }
         Ok(())
@@ -124,14 +131,14 @@
 
     fn check_named_work(&self, classes: &[&str], teams: &[&str]) -> Result<(), SpecError> {
         if self.classes.is_empty() && self.teams.is_empty() {
-            return refuse("classes", "[] and no teams: it names no work");
+            return reject_field("classes", "[] and no teams: it names no work");
         }
         for (field, named, known) in [("classes", &self.classes, classes), ("teams", &self.teams, teams)] {
-            if named.len() > MAX_NAMED {
-                return refuse(field, format!("{} names are more than {MAX_NAMED}", named.len()));
+            if named.len() > MAX_NAMED_SUBJECTS {
+                return reject_field(field, format!("{} names are more than {MAX_NAMED_SUBJECTS}", named.len()));
             }
             if let Some(name) = named.iter().find(|name| !known.contains(&name.as_str())) {
-                return refuse(field, format!("{name:?} is not in the settings"));
+                return reject_field(field, format!("{name:?} is not in the settings"));
             }
         }
         Ok(())
@@ -139,16 +146,16 @@
 
     fn check_hours_and_lists(&self) -> Result<(), SpecError> {
         if self.from == self.to {
-            return refuse("to", format!("{} is where it begins", self.to));
+            return reject_field("to", format!("{} is where it begins", self.to));
         }
-        if self.offset_min.abs() > MAX_OFFSET_MIN {
-            return refuse("offset_min", format!("{} is more than {MAX_OFFSET_MIN}", self.offset_min));
+        if self.offset_min.abs() > MAX_UTC_OFFSET_MIN {
+            return reject_field("offset_min", format!("{} is more than {MAX_UTC_OFFSET_MIN}", self.offset_min));
         }
         if self.sensors.len() > MAX_SENSORS {
-            return refuse("sensors", format!("{} are more than {MAX_SENSORS}", self.sensors.len()));
+            return reject_field("sensors", format!("{} are more than {MAX_SENSORS}", self.sensors.len()));
         }
-        if self.hot_days.len() > MAX_DAYS {
-            return refuse("hot_days", format!("{} are more than {MAX_DAYS}", self.hot_days.len()));
+        if self.hot_days.len() > MAX_HOT_DAYS {
+            return reject_field("hot_days", format!("{} are more than {MAX_HOT_DAYS}", self.hot_days.len()));
         }
         Ok(())
     }
@@ -156,45 +163,47 @@
     fn check_thresholds(&self) -> Result<(), SpecError> {
         for (field, value) in [("hot_above", self.hot_above), ("over_below", self.over_below)] {
             match value {
-                None if !self.sensors.is_empty() => return refuse(field, "is needed where sensors are named"),
-                Some(value) if !value.is_finite() => return refuse(field, format!("{value} is no number")),
+                None if !self.sensors.is_empty() => return reject_field(field, "is needed where sensors are named"),
+                Some(value) if !value.is_finite() => return reject_field(field, format!("{value} is no number")),
                 _ => {}
             }
         }
         match (self.hot_above, self.over_below) {
-            (Some(hot), Some(over)) if over > hot => refuse("over_below", format!("{over} is above hot_above, {hot}")),
+            (Some(hot), Some(over)) if over > hot => {
+                reject_field("over_below", format!("{over} is above hot_above, {hot}"))
+            }
             _ => Ok(()),
         }
     }
 
-    /// The classes and teams whose jobs go ahead.
+    /// Returns the classes and teams whose jobs are prioritized.
     pub fn named_work(&self) -> floor::ClassTeamSet {
         let classes = self.classes.iter().map(|name| (Subject::Class, name.as_str()));
         floor::ClassTeamSet::from_subjects(classes.chain(self.teams.iter().map(|name| (Subject::Team, name.as_str()))))
     }
 
-    /// The hours in which a moment lies.
+    /// Returns the active hours that contain the given time, if any.
     pub fn hours_at(&self, at_ms: u64) -> Option<RuleHours> {
         let offset = FixedOffset::east_opt(self.offset_min.checked_mul(60)?)?;
-        let at = DateTime::from_timestamp_millis(i64::try_from(at_ms).ok()?)?.with_timezone(&offset);
-        let ms = |day: NaiveDate, time| {
-            let at = day.and_time(time).and_local_timezone(offset).single()?;
-            u64::try_from(at.timestamp_millis()).ok()
+        let local_time = DateTime::from_timestamp_millis(i64::try_from(at_ms).ok()?)?.with_timezone(&offset);
+        let unix_ms = |day: NaiveDate, time| {
+            let local_time = day.and_time(time).and_local_timezone(offset).single()?;
+            u64::try_from(local_time.timestamp_millis()).ok()
         };
-        let today = at.date_naive();
+        let today = local_time.date_naive();
         [today, today.pred_opt()?].into_iter().find_map(|day| {
-            let last = if self.to <= self.from { day.succ_opt()? } else { day };
-            let (begin_ms, end_ms) = (ms(day, self.from)?, ms(last, self.to)?);
+            let last_day = if self.to <= self.from { day.succ_opt()? } else { day };
+            let (begin_ms, end_ms) = (unix_ms(day, self.from)?, unix_ms(last_day, self.to)?);
             (begin_ms..end_ms).contains(&at_ms).then_some(RuleHours { day, begin_ms, end_ms })
         })
     }
 
-    /// The longest time for which it may apply in a day.
+    /// Returns the maximum duration for which the rule stays on, in milliseconds.
     pub fn longest_ms(&self) -> u64 {
         (self.longest_s * 1000.0) as u64
     }
 
-    /// What the readings and the declared hot days say of a moment in these hours.
+    /// Evaluates the declared hot days and the fresh readings at a time within the given active hours.
     pub fn assess<'a>(
         &self,
         hours: &RuleHours,
@@ -204,10 +213,10 @@
         if self.hot_days.contains(&hours.day) {
             return HeatSignal::HotDay;
         }
-        let most_ms = (self.fresh_s * 1000.0) as u64;
-        let fresh = readings.filter(|r| r.age_ms(now_ms).is_some_and(|age| age <= most_ms));
-        let settled = median_reading(fresh.map(|r| r.value));
-        let (Some(value), Some(hot), Some(over)) = (settled, self.hot_above, self.over_below) else {
+        let max_age_ms = (self.fresh_s * 1000.0) as u64;
+        let fresh = readings.filter(|r| r.age_ms(now_ms).is_some_and(|age| age <= max_age_ms));
+        let median = median_reading(fresh.map(|r| r.value));
+        let (Some(value), Some(hot), Some(over)) = (median, self.hot_above, self.over_below) else {
             return HeatSignal::Unknown;
         };
         if value > hot {
--- a/src/heat/tests/mod.rs
+++ b/src/heat/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Rules by cases: what is refused, the hours, what is hot, on and off through time; then several controllers.
+//! Tests of heat rules: validation, active hours, evaluation of readings, switching over time, and backlog reports.
+//! `interleaved_simulation` covers several controllers.
 
 mod interleaved_simulation;
 
@@ -9,12 +10,12 @@
 use super::*;
 use crate::declarations::DeclarationKind;
 
-const MINUTE: u64 = 60_000;
-const HOUR: u64 = 60 * MINUTE;
-/// Midnight before the 14th of July 2026 in UTC, in ms since 1970.
-const DAY: u64 = 1_783_987_200_000;
+const MINUTE_MS: u64 = 60_000;
+const HOUR_MS: u64 = 60 * MINUTE_MS;
+/// 2026-07-14 00:00 UTC, in Unix milliseconds.
+const MIDNIGHT_MS: u64 = 1_783_987_200_000;
 
-/// From 11:00 to 15:00 an hour ahead of UTC: 10:00 to 14:00 in UTC.
+/// Rule active from 11:00 to 15:00 at UTC+1, which is 10:00 to 14:00 UTC.
 fn rule() -> HeatRule {
     serde_json::from_value(serde_json::json!({
         "classes": ["vents"], "from": "11:00", "to": "15:00", "offset_min": 60,
@@ -24,13 +25,14 @@
     .unwrap()
 }
 
-fn read(value: f64, at_ms: u64) -> Reading {
+fn reading(value: f64, at_ms: u64) -> Reading {
     Reading { value, at_ms }
 }
 
-/// A mistake in a spec must not be found at noon: each is named by field and value.
+/// An invalid specification must be rejected when it is declared, not found when the rule is due to apply. The error
+/// names the field and its value.
 #[test]
-fn bad_rules_are_refused_by_field_and_value() {
+fn invalid_rules_are_rejected_with_field_and_value() {
     type Change = fn(&mut HeatRule);
     let cases: [(&str, Change); 16] = [
         ("", |_| ()),
@@ -67,9 +69,9 @@
     }
 }
 
-/// What operators copy must be well formed.
+/// Operators copy the example file, so it must be valid.
 #[test]
-fn the_example_can_be_declared() {
+fn example_rules_are_valid() {
     let mut rules: Vec<serde_json::Value> =
         serde_json::from_str(include_str!("../../../deploy/example-heat.json")).unwrap();
     for rule in &mut rules {
@@ -80,8 +82,9 @@
 }
 
 #[test]
-fn hours_by_cases() {
-    // (name, from, to, offset, moment, day and when they began and end in hours since the 14th in UTC)
+fn hours_at_returns_the_active_hours_containing_a_time() {
+    // (name, from, to, offset in minutes, minutes since MIDNIGHT_MS, expected local day with begin and end in hours since
+    // MIDNIGHT_MS)
     type Case = (&'static str, &'static str, &'static str, i32, i64, Option<(&'static str, i64, i64)>);
     let h = 60;
     let cases: [Case; 9] = [
@@ -97,7 +100,7 @@
     ];
     for (name, from, to, offset_min, minute, want) in cases {
         let rule = HeatRule { from: from.parse().unwrap(), to: to.parse().unwrap(), offset_min, ..rule() };
-        let ms = |minutes: i64| (DAY as i64 + minutes * MINUTE as i64) as u64;
+        let ms = |minutes: i64| (MIDNIGHT_MS as i64 + minutes * MINUTE_MS as i64) as u64;
         let want = want.map(|(day, begin, end)| rule::RuleHours {
             day: day.parse().unwrap(),
             begin_ms: ms(begin * h),
@@ -107,46 +110,46 @@
     }
 }
 
-/// Contradictory readings are settled by a stated rule, and old or future ones do not count.
+/// Contradictory readings are resolved by their median; stale readings and readings from the future are ignored.
 #[test]
-fn heat_signal_by_cases() {
-    let now = DAY + 11 * HOUR;
+fn assess_uses_the_median_of_fresh_readings() {
+    let now = MIDNIGHT_MS + 11 * HOUR_MS;
     let hours = rule().hours_at(now).unwrap();
-    // (name, readings as (value, minutes ago), what is thought)
+    // (name, readings as (value, age in minutes), expected signal)
     type Case = (&'static str, &'static [(f64, i64)], HeatSignal);
     let cases: [Case; 10] = [
-        ("nothing read", &[], HeatSignal::Unknown),
-        ("one is hot", &[(33.0, 1)], HeatSignal::Hot(33.0)),
-        ("at the threshold", &[(32.0, 1)], HeatSignal::Between(32.0)),
-        ("at the other", &[(29.0, 1)], HeatSignal::Between(29.0)),
-        ("over", &[(28.9, 1)], HeatSignal::Over(28.9)),
-        ("one wrong sensor of three", &[(33.0, 1), (34.0, 2), (-40.0, 1)], HeatSignal::Hot(33.0)),
-        ("one wrong sensor the other way", &[(20.0, 1), (90.0, 2), (21.0, 1)], HeatSignal::Over(21.0)),
-        ("a tie is hot", &[(33.0, 1), (20.0, 1)], HeatSignal::Hot(33.0)),
-        ("the old one does not count", &[(33.0, 16), (20.0, 15)], HeatSignal::Over(20.0)),
-        ("nor the one of tomorrow", &[(33.0, -2), (20.0, -1)], HeatSignal::Over(20.0)),
+        ("no reading", &[], HeatSignal::Unknown),
+        ("one hot reading", &[(33.0, 1)], HeatSignal::Hot(33.0)),
+        ("at the upper threshold", &[(32.0, 1)], HeatSignal::Between(32.0)),
+        ("at the lower threshold", &[(29.0, 1)], HeatSignal::Between(29.0)),
+        ("below the lower threshold", &[(28.9, 1)], HeatSignal::Over(28.9)),
+        ("one of three sensors too low", &[(33.0, 1), (34.0, 2), (-40.0, 1)], HeatSignal::Hot(33.0)),
+        ("one of three sensors too high", &[(20.0, 1), (90.0, 2), (21.0, 1)], HeatSignal::Over(21.0)),
+        ("a tie counts as hot", &[(33.0, 1), (20.0, 1)], HeatSignal::Hot(33.0)),
+        ("a stale reading is ignored", &[(33.0, 16), (20.0, 15)], HeatSignal::Over(20.0)),
+        ("a reading too far in the future is ignored", &[(33.0, -2), (20.0, -1)], HeatSignal::Over(20.0)),
     ];
     for (name, readings, want) in cases {
-        let at = |ago: i64| (now as i64 - ago * MINUTE as i64) as u64;
-        let readings: Vec<Reading> = readings.iter().map(|(value, ago)| read(*value, at(*ago))).collect();
+        let at = |ago: i64| (now as i64 - ago * MINUTE_MS as i64) as u64;
+        let readings: Vec<Reading> = readings.iter().map(|(value, ago)| reading(*value, at(*ago))).collect();
         assert_eq!(rule().assess(&hours, readings.iter(), now), want, "{name}");
     }
     let hot_day = HeatRule { hot_days: vec![hours.day], ..rule() };
-    assert_eq!(hot_day.assess(&hours, [read(1.0, now)].iter(), now), HeatSignal::HotDay);
+    assert_eq!(hot_day.assess(&hours, [reading(1.0, now)].iter(), now), HeatSignal::HotDay);
     assert_eq!(median_reading([f64::NAN].into_iter()), None);
 }
 
-/// On and off as time goes on: minutes since 10:00 in UTC, what is read then, and what holds after it.
+/// Each step states the minutes since 10:00 UTC, the reading at that time, and the expected state and reason.
 #[test]
 fn rule_switches_on_and_off_through_time() {
     let hot_assumed = HeatRule { assume: rule::AssumedHeat::Hot, ..rule() };
-    let nights =
+    let overnight =
         HeatRule { from: "23:00".parse().unwrap(), to: "01:00".parse().unwrap(), offset_min: 0, ..hot_assumed.clone() };
-    let tenth = |days: u64| (days * 24 * 60) as i64;
+    let ten_oclock = |days: u64| (days * 24 * 60) as i64;
     type Step = (i64, Option<f64>, bool, HeatReason);
     let cases: [(&str, HeatRule, Vec<Step>); 7] = [
         (
-            "hysteresis: between the thresholds it stays as it is",
+            "hysteresis: between the thresholds the state is kept",
             rule(),
             vec![
                 (-1, Some(40.0), false, HeatReason::Hours),
@@ -159,17 +162,17 @@
             ],
         ),
         (
-            "without readings what the rule says: not hot",
+            "without readings, assume \"not\" switches off",
             rule(),
             vec![(1, Some(33.0), true, HeatReason::Hot(33.0)), (20, None, false, HeatReason::NoReading)],
         ),
         (
-            "without readings what the rule says: hot, until one tells",
+            "without readings, assume \"hot\" switches on until a reading arrives",
             hot_assumed.clone(),
             vec![(0, None, true, HeatReason::AssumedHot), (20, Some(20.0), false, HeatReason::Over(20.0))],
         ),
         (
-            "runs out by itself, and not on again in these hours; the next day it is new",
+            "switches off after its maximum duration, stays off for these hours, and may apply again the next day",
             rule(),
             vec![
                 (5, Some(33.0), true, HeatReason::Hot(33.0)),
@@ -177,27 +180,30 @@
                 (125, Some(33.0), false, HeatReason::RanOut),
                 (200, Some(20.0), false, HeatReason::RanOut),
                 (239, Some(40.0), false, HeatReason::RanOut),
-                (tenth(1) + 1, Some(33.0), true, HeatReason::Hot(33.0)),
+                (ten_oclock(1) + 1, Some(33.0), true, HeatReason::Hot(33.0)),
             ],
         ),
         (
-            "nobody was there at the end: what was on ends first",
+            "no leader at the scheduled end: the rule is switched off before it can be switched on again",
             rule(),
             vec![
                 (200, Some(33.0), true, HeatReason::Hot(33.0)),
-                (tenth(1) + 2, Some(30.0), false, HeatReason::Hours),
-                (tenth(1) + 3, Some(30.0), false, HeatReason::Hours),
-                (tenth(1) + 4, Some(33.0), true, HeatReason::Hot(33.0)),
+                (ten_oclock(1) + 2, Some(30.0), false, HeatReason::Hours),
+                (ten_oclock(1) + 3, Some(30.0), false, HeatReason::Hours),
+                (ten_oclock(1) + 4, Some(33.0), true, HeatReason::Hot(33.0)),
             ],
         ),
         (
-            "a declared day, whatever is read",
+            "a declared hot day applies regardless of readings",
             rule(),
-            vec![(tenth(6), Some(10.0), true, HeatReason::HotDay), (tenth(6) + 119, None, true, HeatReason::HotDay)],
+            vec![
+                (ten_oclock(6), Some(10.0), true, HeatReason::HotDay),
+                (ten_oclock(6) + 119, None, true, HeatReason::HotDay),
+            ],
         ),
         (
-            "over midnight it is one stretch",
-            nights,
+            "hours that pass midnight are one period",
+            overnight,
             vec![
                 (780, None, true, HeatReason::AssumedHot),
                 (899, None, true, HeatReason::AssumedHot),
@@ -208,8 +214,8 @@
     for (name, rule, steps) in cases {
         let mut status = HeatStatus::default();
         for (minute, value, on, reason) in steps {
-            let now = (DAY as i64 + 10 * HOUR as i64 + minute * MINUTE as i64) as u64;
-            let readings: Vec<Reading> = value.into_iter().map(|v| read(v, now)).collect();
+            let now = (MIDNIGHT_MS as i64 + 10 * HOUR_MS as i64 + minute * MINUTE_MS as i64) as u64;
+            let readings: Vec<Reading> = value.into_iter().map(|v| reading(v, now)).collect();
             let next = decide_heat(&rule, &status, readings.iter(), 7, now);
             let changed = next.is_some();
             status = next.unwrap_or(status);
@@ -218,84 +224,94 @@
             assert_eq!(
                 decide_heat(&rule, &status, readings.iter(), 8, now),
                 None,
-                "{name}: once is enough, minute {minute}"
+                "{name}: decided again at minute {minute}"
             );
             assert!(!changed || status.fencing_token == 7 && status.history.len() <= 8);
         }
     }
 }
 
-/// What is stored holds no longer than it says, whoever is there to end it, and clocks that step.
+/// A stored status applies no longer than its end, even if no leader writes the change, and decisions tolerate clock
+/// steps and changed rules.
 #[test]
-fn ends_and_clocks_by_cases() {
-    let (rule, at) = (rule(), DAY + 11 * HOUR);
-    let decided = |status: &HeatStatus, value: f64, now| decide_heat(&rule, status, [read(value, now)].iter(), 9, now);
-    let on = decided(&HeatStatus::default(), 33.0, at).unwrap();
-    assert_eq!((on.until_ms, on.fencing_token), (at + 2 * HOUR, 9));
-    assert!(on.applies_at(at + 2 * HOUR - 1) && !on.applies_at(at + 2 * HOUR), "without anybody who writes");
-    // A successor whose clock is behind undoes nothing, though it is before the hours by its own.
-    let early = decided(&HeatStatus::default(), 33.0, DAY + 10 * HOUR).unwrap();
-    assert_eq!(decided(&early, 31.0, DAY + 10 * HOUR - 20_000), None);
-    assert!(early.applies_at(DAY + 10 * HOUR - 20_000));
-    // What a clock that was far ahead has decided does not hold, and is decided anew.
-    let wrong = decided(&HeatStatus::default(), 33.0, at + 24 * HOUR).unwrap();
-    assert!(!wrong.applies_at(at));
-    let mended = decided(&wrong, 33.0, at).unwrap();
-    assert_eq!((mended.on, mended.reason), (false, HeatReason::Clock));
-    assert!(decided(&mended, 33.0, at).unwrap().on);
-    assert!(wrong.since_ms > at + MAX_CLOCK_SKEW_MS);
-    // The operator changes the rule: what is on ends by what it says now.
+fn status_ends_on_time_despite_clock_steps_and_rule_changes() {
+    let (rule, at_ms) = (rule(), MIDNIGHT_MS + 11 * HOUR_MS);
+    let decide =
+        |status: &HeatStatus, value: f64, now| decide_heat(&rule, status, [reading(value, now)].iter(), 9, now);
+    let on = decide(&HeatStatus::default(), 33.0, at_ms).unwrap();
+    assert_eq!((on.until_ms, on.fencing_token), (at_ms + 2 * HOUR_MS, 9));
+    assert!(
+        on.applies_at(at_ms + 2 * HOUR_MS - 1) && !on.applies_at(at_ms + 2 * HOUR_MS),
+        "the rule must end even if no leader writes the change"
+    );
+    // A new leader whose clock is behind undoes no decision, although the hours have not begun by its own clock.
+    let early = decide(&HeatStatus::default(), 33.0, MIDNIGHT_MS + 10 * HOUR_MS).unwrap();
+    assert_eq!(decide(&early, 31.0, MIDNIGHT_MS + 10 * HOUR_MS - 20_000), None);
+    assert!(early.applies_at(MIDNIGHT_MS + 10 * HOUR_MS - 20_000));
+    // A decision made with a clock far in the future does not apply, and is made again.
+    let wrong = decide(&HeatStatus::default(), 33.0, at_ms + 24 * HOUR_MS).unwrap();
+    assert!(!wrong.applies_at(at_ms));
+    let corrected = decide(&wrong, 33.0, at_ms).unwrap();
+    assert_eq!((corrected.on, corrected.reason), (false, HeatReason::Clock));
+    assert!(decide(&corrected, 33.0, at_ms).unwrap().on);
+    assert!(wrong.since_ms > at_ms + MAX_CLOCK_SKEW_MS);
+    // After the operator changes the rule, the end follows the changed rule.
     let shorter = HeatRule { longest_s: 3600.0, ..rule.clone() };
-    let next = decide_heat(&shorter, &on, [read(33.0, at)].iter(), 9, at).unwrap();
-    assert_eq!((next.on, next.until_ms, next.history.len()), (true, at + HOUR, 1));
-    let out = decide_heat(&shorter, &on, [read(33.0, at)].iter(), 9, at + HOUR).unwrap();
-    assert_eq!((out.on, out.reason, out.ran_out_of_ms), (false, HeatReason::RanOut, Some(at)));
-    // And longer again: the rest of the longer time is left.
-    let again = decide_heat(&rule, &out, [read(33.0, at + HOUR)].iter(), 9, at + HOUR).unwrap();
-    assert_eq!((again.on, again.until_ms), (true, at + 2 * HOUR));
+    let next = decide_heat(&shorter, &on, [reading(33.0, at_ms)].iter(), 9, at_ms).unwrap();
+    assert_eq!((next.on, next.until_ms, next.history.len()), (true, at_ms + HOUR_MS, 1));
+    let out = decide_heat(&shorter, &on, [reading(33.0, at_ms)].iter(), 9, at_ms + HOUR_MS).unwrap();
+    assert_eq!((out.on, out.reason, out.ran_out_of_ms), (false, HeatReason::RanOut, Some(at_ms)));
+    // When the duration is extended again, the rest of the longer duration remains.
+    let again = decide_heat(&rule, &out, [reading(33.0, at_ms + HOUR_MS)].iter(), 9, at_ms + HOUR_MS).unwrap();
+    assert_eq!((again.on, again.until_ms), (true, at_ms + 2 * HOUR_MS));
     let moved = HeatRule { from: "13:00".parse().unwrap(), ..rule.clone() };
     assert_eq!(
-        decide_heat(&moved, &on, [].iter(), 9, at + 1000).map(|s| (s.on, s.reason)),
+        decide_heat(&moved, &on, [].iter(), 9, at_ms + 1000).map(|s| (s.on, s.reason)),
         Some((false, HeatReason::Hours))
     );
 }
 
 #[test]
-fn history_is_bounded() {
+fn status_keeps_the_last_eight_changes() {
     let mut status = HeatStatus::default();
     for n in 0..40u64 {
-        let now = DAY + 10 * HOUR + n * 1000;
+        let now = MIDNIGHT_MS + 10 * HOUR_MS + n * 1000;
         let value = if n % 2 == 0 { 33.0 } else { 20.0 };
-        status = decide_heat(&rule(), &status, [read(value, now)].iter(), n, now).unwrap();
+        status = decide_heat(&rule(), &status, [reading(value, now)].iter(), n, now).unwrap();
     }
-    let epochs: Vec<u64> = status.history.iter().map(|change: &HeatChange| change.fencing_token).collect();
-    assert_eq!(epochs, (32..40).collect::<Vec<u64>>());
+    let fencing_tokens: Vec<u64> = status.history.iter().map(|change: &HeatChange| change.fencing_token).collect();
+    assert_eq!(fencing_tokens, (32..40).collect::<Vec<u64>>());
     assert!(serde_json::to_string(&status).unwrap().len() < 1024);
 }
 
-/// Each stage is told once, what waits is told each minute, and the end of it too.
+/// The backlog is reported once at each stage, then every minute, and once when it is empty again.
 #[test]
-fn backlog_is_reported_by_cases() {
-    let waits = |jobs, oldest_s: u64, minute: u64| Backlog {
+fn backlog_is_reported_at_stages_at_intervals_and_when_empty() {
+    let backlog = |jobs, oldest_s: u64, minute: u64| Backlog {
         jobs,
         oldest_s,
         oldest: (jobs > 0).then(|| "run-000001".into()),
-        as_of_ms: DAY + minute * MINUTE,
+        as_of_ms: MIDNIGHT_MS + minute * MINUTE_MS,
         stage: BACKLOG_STAGES_S.iter().filter(|s| oldest_s >= **s).count(),
     };
-    // (name, what was told, what is, told and the stage)
+    // (name, last report, current backlog, stage of the expected report)
     type Case = (&'static str, Option<Backlog>, Backlog, Option<usize>);
     let cases: [Case; 8] = [
-        ("waits a little", None, waits(3, 59, 1), None),
-        ("the first stage", None, waits(3, 60, 1), Some(1)),
-        ("the same stage, at once", Some(waits(3, 60, 1)), waits(4, 80, 1), None),
-        ("the same stage, a minute later", Some(waits(3, 60, 1)), waits(4, 120, 2), Some(1)),
-        ("the next stage, at once", Some(waits(3, 60, 1)), waits(4, 240, 1), Some(2)),
-        ("no longer", Some(waits(3, 240, 1)), waits(0, 0, 1), Some(2)),
-        ("still nothing", Some(waits(0, 0, 1)), waits(0, 0, 9), None),
-        ("again, and a stage that was told", Some(Backlog { stage: 2, ..waits(0, 0, 1) }), waits(1, 70, 3), Some(2)),
+        ("below the first stage", None, backlog(3, 59, 1), None),
+        ("first stage reached", None, backlog(3, 60, 1), Some(1)),
+        ("same stage, within the interval", Some(backlog(3, 60, 1)), backlog(4, 80, 1), None),
+        ("same stage, after the interval", Some(backlog(3, 60, 1)), backlog(4, 120, 2), Some(1)),
+        ("next stage reached, within the interval", Some(backlog(3, 60, 1)), backlog(4, 240, 1), Some(2)),
+        ("backlog empty", Some(backlog(3, 240, 1)), backlog(0, 0, 1), Some(2)),
+        ("backlog still empty", Some(backlog(0, 0, 1)), backlog(0, 0, 9), None),
+        (
+            "jobs wait again, at a stage already reported",
+            Some(Backlog { stage: 2, ..backlog(0, 0, 1) }),
+            backlog(1, 70, 3),
+            Some(2),
+        ),
     ];
     for (name, before, now, want) in cases {
-        assert_eq!(Backlog::next(before.as_ref(), now).map(|w| w.stage), want, "{name}");
+        assert_eq!(Backlog::next_report(before.as_ref(), now).map(|report| report.stage), want, "{name}");
     }
 }
