--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -8,7 +8,7 @@
 use crate::text::Text;
 
 /// The limit for request bodies and for answers to workers and users.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Levels of nested lists and maps accepted in a body: more than any message has, and far fewer than would overflow
 /// the stack of a thread.
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -7,7 +7,7 @@
 use crate::text;
 
 /// The largest number of tasks that one job may have.
-pub const MOST_TASKS: u64 = 100_000;
+pub const MAX_TASKS: u64 = 100_000;
 
 /// The id of a job, `run-` and digits. It is reference-counted because many maps are keyed by it.
 pub type JobId = std::sync::Arc<str>;
@@ -61,7 +61,7 @@
     /// Its priority.
     #[serde(deserialize_with = "text::variant")]
     pub urgency: Urgency,
-    /// Number of tasks, from 1 to [`MOST_TASKS`].
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "legs")]
     pub tasks: u64,
     /// Cores that one task needs.
@@ -125,11 +125,11 @@
     pub fn check(&self) -> Result<(), InvalidField> {
         let invalid =
             |field, value: String, wanted: &str| Err(InvalidField { field, value, wanted: wanted.to_owned() });
-        if !well_formed_id(&self.id) {
+        if !is_valid_job_id(&self.id) {
             return invalid("uid", format!("{:?}", self.id), "in its form");
         }
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return invalid("legs", self.tasks.to_string(), &format!("between 1 and {MOST_TASKS}"));
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
+            return invalid("legs", self.tasks.to_string(), &format!("between 1 and {MAX_TASKS}"));
         }
         let amounts = [
             ("cpus", self.cpus),
@@ -173,7 +173,7 @@
 
 /// Whether an id is `run-` and one to twenty digits: bounded, and free of characters that are special in a key or a
 /// path.
-pub fn well_formed_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("run-")
         .is_some_and(|digits| (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit()))
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,5 +15,5 @@
 pub mod users;
 pub mod workers;
 
-pub use codec::{BODY_LIMIT, DecodeError, decode, decode_whole, encode};
+pub use codec::{DecodeError, MAX_BODY_BYTES, decode, decode_whole, encode};
 pub use http::{CallError, Http};
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -218,7 +218,7 @@
 
 /// Compares acknowledged writes with the store and restores those that are lost, forever.
 pub async fn run(auditor: Arc<Auditor>) {
-    let max_conditions = auditor.settings.params.state.conditions();
+    let max_conditions = auditor.settings.params.state.max_conditions();
     loop {
         tokio::time::sleep(MIN_AUDIT_PAUSE.max(auditor.store.client.refill_time(MIN_AUDIT_PAUSE_REQUESTS))).await;
         let batch = lock(&auditor.audit).next_batch(max_conditions, || writes_of_leader(&auditor));
--- a/src/calendar/spec.rs
+++ b/src/calendar/spec.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::declarations::{KnownNames, SpecError};
-use crate::jobs::well_formed_id;
+use crate::jobs::is_valid_job_id;
 
 /// Days since 1970-01-01, in the window's offset from UTC.
 pub type Day = i32;
@@ -232,11 +232,11 @@
             return refuse("turns", format!("{} are more than the {} of jobs", self.turns.len(), self.jobs));
         }
         for (index, turn) in self.turns.iter().enumerate() {
-            if turn.len() > MAX_TURN_LENGTH || !(well_formed_id(turn) || self.classes.contains(turn)) {
+            if turn.len() > MAX_TURN_LENGTH || !(is_valid_job_id(turn) || self.classes.contains(turn)) {
                 let reason = format!("{turn:?} is neither a job id nor one of its classes");
                 return refuse(format!("turns[{index}]"), reason);
             }
-            if well_formed_id(turn) && self.turns.iter().take(index).any(|other| other == turn) {
+            if is_valid_job_id(turn) && self.turns.iter().take(index).any(|other| other == turn) {
                 return refuse(format!("turns[{index}]"), format!("{turn:?} has a turn already"));
             }
         }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -109,7 +109,7 @@
         None => Properties::default(),
     };
     let file = files.properties.as_deref().unwrap_or(config);
-    let checked = settings.check_with(&properties);
+    let checked = settings.check_properties(&properties);
     checked.map_err(|source| SettingsError::Settings { file: file.to_owned(), source })?;
     Ok((settings, properties))
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -18,7 +18,7 @@
 use crate::history::reader::{self, HistoryReader};
 use crate::machine_kinds::SharedCatalog;
 use crate::membership::{self, Membership, SHARE_INTERVAL, mesh};
-use crate::process_pause::BEAT;
+use crate::process_pause::CHECK_INTERVAL;
 use crate::scheduling::commit::{self, GroupCommit};
 use crate::scheduling::leader_state::LeaderState;
 use crate::scheduling::scheduler::Scheduler;
@@ -98,7 +98,7 @@
             tokio::spawn(mesh::send_lines(self.membership.clone(), peer.clone()));
         }
         let controller = self.clone();
-        tokio::spawn(fleet::poll_catalog(self.fleet.clone(), move || controller.tell_held()));
+        tokio::spawn(fleet::poll_catalog(self.fleet.clone(), move || controller.log_entry_counts()));
         let traffic = self.traffic.clone();
         tokio::spawn(async move { traffic.run().await });
         let membership = self.membership.clone();
@@ -111,7 +111,7 @@
         let membership = self.membership.clone();
         tokio::spawn(async move {
             loop {
-                tokio::time::sleep(BEAT).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
                 membership.detect_pause(Instant::now());
             }
         });
@@ -130,7 +130,7 @@
 
     /// Entries of everything held that could grow, for operators and for tests: each follows open
     /// work, machines or a fixed bound (docs/history.md).
-    pub fn held(&self) -> Vec<(&'static str, usize)> {
+    pub fn entry_counts(&self) -> Vec<(&'static str, usize)> {
         let mut held = Vec::new();
         {
             let watch_cache = self.store.watch_cache();
@@ -157,9 +157,9 @@
     }
 
     /// Tells at `debug` what `held` gives.
-    pub fn tell_held(&self) {
+    pub fn log_entry_counts(&self) {
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let held: Vec<String> = self.held().iter().map(|(what, n)| format!("{what}={n}")).collect();
+            let held: Vec<String> = self.entry_counts().iter().map(|(what, n)| format!("{what}={n}")).collect();
             debug!(entries = held.join(" "), "entry counts reported");
         }
     }
--- a/src/fleet/provisioning.rs
+++ b/src/fleet/provisioning.rs
@@ -122,7 +122,7 @@
         if filled {
             operations.refusals.forget_refusals(&kind);
         } else {
-            operations.refusals.record_refusal(kind, self.fleet.properties.refusal, now);
+            operations.refusals.record_refusal(kind, self.fleet.properties.refusal_backoff, now);
         }
         self.fleet.wakeups.fleet.notify_one();
         filled
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -44,14 +44,14 @@
 fn never_came_up(cluster: &ClusterState, catalog: &Catalog, machine: &Machine, now: Instant) -> bool {
     let age = now.saturating_duration_since(machine.rented_at);
     let usual_s = catalog.get(&machine.type_name).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
-    let boot_timeout = Duration::from_secs_f64(usual_s * cluster.properties.boot_patience) + BOOT_GRACE;
+    let boot_timeout = Duration::from_secs_f64(usual_s * cluster.properties.max_boot_ratio) + BOOT_GRACE;
     // A new leader may not have received a heartbeat yet from a machine that was up before its term.
     let known_for = now.saturating_duration_since(machine.last_seen);
-    age > boot_timeout && known_for > cluster.properties.silence
+    age > boot_timeout && known_for > cluster.properties.silence_timeout
 }
 
 /// Whether a machine has had no bound task for longer than idle machines are kept.
 fn is_idle_for_too_long(cluster: &ClusterState, machine: &Machine, now: Instant) -> bool {
     let idle_for = machine.idle_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    machine.bound.is_empty() && idle_for > cluster.properties.idle
+    machine.bound.is_empty() && idle_for > cluster.properties.idle_timeout
 }
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -251,7 +251,7 @@
 
     /// Whether the fleet is smaller than the limit that operators set.
     fn fleet_may_grow(&self) -> bool {
-        self.total_machines < self.cluster.properties.most_machines as u64
+        self.total_machines < self.cluster.properties.max_machines as u64
     }
 
     /// Whether a new machine would start the job's next task so much earlier than the existing ones that it is worth
@@ -261,7 +261,7 @@
         let boot_s = priced.offer.machine_type.boot_s;
         let relative_cost = priced.cost_per_task / waiting.min_cost_per_task;
         let overdue = waiting.queued.age > waiting.queued.job.agreement.run_time;
-        let max_relative_cost = self.cluster.properties.idle_dearer;
+        let max_relative_cost = self.cluster.properties.max_idle_price_ratio;
         self.fleet_may_grow()
             && start_s > waiting.acceptable_wait_s(boot_s, priced.cost_per_task)
             && boot_s + MIN_START_GAIN_S < start_s
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use crate::protocol::jobs::{JobId, JobSpec, MOST_TASKS, Shape, Urgency, well_formed_id};
+pub use crate::protocol::jobs::{JobId, JobSpec, MAX_TASKS, Shape, Urgency, is_valid_job_id};
 
 /// How a job ended. Both ends are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/jobs/record.rs
+++ b/src/jobs/record.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::{End, JobSpec, well_formed_id};
+use super::{End, JobSpec, is_valid_job_id};
 
 /// Prefix of the keys that every controller caches.
 pub const CACHED_PREFIX: &str = "c/";
@@ -80,7 +80,7 @@
 pub fn parse_shard_key(key: &str) -> Option<(&str, u64)> {
     let (id, number) = key.strip_prefix(TASK_SHARD_PREFIX)?.split_once('/')?;
     let shard = number.parse().ok()?;
-    (well_formed_id(id) && shard_key(id, shard) == key).then_some((id, shard))
+    (is_valid_job_id(id) && shard_key(id, shard) == key).then_some((id, shard))
 }
 
 /// A stored job: its description, and when it was accepted.
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -64,7 +64,7 @@
     /// Returns whether worker leases that are renewed now end before the tasks of jobs that ended after the last proof
     /// of freshness must be stopped. This leader doesn't know these ends.
     pub fn leases_end_in_time(&self, now: Instant) -> bool {
-        let spare = self.settings.params.workers.spare();
+        let spare = self.settings.params.workers.cancellation_slack();
         self.store.read_barrier.proof_age(now).is_some_and(|age| age < spare)
     }
 }
--- a/src/membership/mesh/line.rs
+++ b/src/membership/mesh/line.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 
-use crate::jobs::{JobId, TaskCounts, well_formed_id};
+use crate::jobs::{JobId, TaskCounts, is_valid_job_id};
 use crate::records::leadership::Watermark;
 use crate::scheduling::fairness::ServiceLevel;
 use crate::settings::Peer;
@@ -75,7 +75,7 @@
         if !peers.iter().any(|peer| peer.node == line.node) {
             return Err(LineError::UnknownPeer(line.node));
         }
-        line.counts.retain(|(id, _)| well_formed_id(id));
+        line.counts.retain(|(id, _)| is_valid_job_id(id));
         line.counts.truncate(MAX_COUNTS);
         line.service_levels.truncate(MAX_SERVICE_LEVELS);
         Ok(line)
--- a/src/membership/pauses.rs
+++ b/src/membership/pauses.rs
@@ -14,18 +14,18 @@
     /// reports a pause to the components that measure silences, idle times and ages of proofs, which discard those from
     /// before the pause.
     pub fn detect_pause(&self, now: Instant) {
-        let pause = lock(&self.pause_detector).beat(now);
+        let pause = lock(&self.pause_detector).detect(now);
         if self.unproven.load(Ordering::Relaxed) {
             self.store.read_barrier.request_proof();
         }
         let Some(pause) = pause else { return };
-        let void = pause.void(self.properties.election_lease);
+        let invalidated = pause.invalidated(self.properties.election_lease);
         warn!(
             pause_s = pause.length().as_secs_f64(),
-            leadership_unproven = void.leadership,
+            leadership_unproven = invalidated.leadership,
             "process pause detected; discarding time-based observations"
         );
-        if void.leadership {
+        if invalidated.leadership {
             self.unproven.store(true, Ordering::Relaxed);
             self.store.read_barrier.discard_proof();
         }
@@ -64,6 +64,6 @@
     pub fn is_stale_request(&self) -> bool {
         let now = Instant::now();
         self.detect_pause(now);
-        lock(&self.pause_detector).last().is_some_and(|pause| pause.stale_question(now))
+        lock(&self.pause_detector).last().is_some_and(|pause| pause.is_stale_request(now))
     }
 }
--- a/src/process_pause/tests.rs
+++ b/src/process_pause/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn what_is_void_by_cases() {
     let lease = s(3.0);
-    for (name, length, pause, leadership, questions) in [
+    for (name, length, pause, leadership, requests) in [
         ("a busy turn", 0.9, false, false, false),
         ("just noticed", 2.1, true, false, true),
         ("most of the lease", 2.4, true, true, true),
@@ -16,12 +16,16 @@
     ] {
         let start = Instant::now();
         let mut pause_detector = PauseDetector::new(start);
-        assert_eq!(pause_detector.beat(start + BEAT), None);
-        let got = pause_detector.beat(start + BEAT + s(length));
+        assert_eq!(pause_detector.detect(start + CHECK_INTERVAL), None);
+        let got = pause_detector.detect(start + CHECK_INTERVAL + s(length));
         assert_eq!((got.is_some(), pause_detector.pauses()), (pause, u64::from(pause)), "{name}");
-        assert_eq!(pause_detector.beat(start + BEAT + s(length) + BEAT), None, "{name}: told once");
+        assert_eq!(
+            pause_detector.detect(start + CHECK_INTERVAL + s(length) + CHECK_INTERVAL),
+            None,
+            "{name}: told once"
+        );
         if let Some(got) = got {
-            assert_eq!(got.void(lease), Void { leadership, questions }, "{name}");
+            assert_eq!(got.invalidated(lease), Invalidated { leadership, requests }, "{name}");
         }
     }
 }
@@ -36,7 +40,7 @@
         ("heard since", 141.0, 141.0),
         ("heard within, as the clock has it", 120.0, 140.0),
     ] {
-        assert_eq!(pause.forgive(start + s(at)), start + s(as_of), "{name}");
+        assert_eq!(pause.shift_instant(start + s(at)), start + s(as_of), "{name}");
     }
     // A cancellation has 49 s; without a pause its proof is asked for after 22.
     for (name, at, now, due) in [
@@ -46,7 +50,7 @@
         ("the same, with hardly any time left", 103.0, 141.0, true),
         ("withdrawn since", 141.0, 142.0, true),
     ] {
-        assert_eq!(pause.proof_due(start + s(at), s(49.0), start + s(now)), due, "{name}");
+        assert_eq!(pause.is_proof_due(start + s(at), s(49.0), start + s(now)), due, "{name}");
     }
-    assert!(pause.stale_question(start + s(140.1)) && !pause.stale_question(start + s(140.5)));
+    assert!(pause.is_stale_request(start + s(140.1)) && !pause.is_stale_request(start + s(140.5)));
 }
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::declarations::SpecError;
-use crate::jobs::{JobId, well_formed_id};
+use crate::jobs::{JobId, is_valid_job_id};
 
 /// Replicas of one rollout, and tasks of a job that takes part: which of them are to go is kept one by
 /// one in a status, which has to fit a value of the store.
@@ -117,7 +117,7 @@
 
     fn check_jobs(&self) -> Result<(), SpecError> {
         for (field, id) in [("old", &self.old), ("new", &self.new)] {
-            if !well_formed_id(id) {
+            if !is_valid_job_id(id) {
                 return refuse(field, format!("{id:?} is no id of a job"));
             }
         }
--- a/src/scheduling/cluster/accounting.rs
+++ b/src/scheduling/cluster/accounting.rs
@@ -37,7 +37,7 @@
         self.core_credit.cap(cores_needed);
         let waiting = self.jobs.iter().filter(|(id, _)| !self.attribution.is_job_quarantined(id)).map(|(_, job)| job);
         let waiting = waiting.filter(has_waiting_tasks);
-        let start_target = self.properties.large_begin;
+        let start_target = self.properties.gang_start_limit;
         let may_go_first = |job: &&JobState| {
             self.large_gangs.may_take_precedence(
                 job.spec(),
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -17,7 +17,7 @@
         for placement in placements {
             if let Some(job) = self.jobs.get_mut(&placement.task.job) {
                 let late = job.is_too_late(now.saturating_duration_since(job.submitted_at));
-                self.core_credit.record_placement(job.spec().cpus, late, self.properties.served_late);
+                self.core_credit.record_placement(job.spec().cpus, late, self.properties.late_core_share);
                 self.large_gangs.record_placement(job.spec());
                 if job.tasks.get(placement.task.index as usize).is_some_and(|t| t.attempt == 0) {
                     job.placed_tasks += 1;
--- a/src/scheduling/cluster/failures.rs
+++ b/src/scheduling/cluster/failures.rs
@@ -24,7 +24,7 @@
 impl ClusterState {
     /// Failures after which a machine is considered faulty.
     fn machine_failure_threshold(&self) -> usize {
-        self.properties.machine_failures.ceil() as usize
+        self.properties.max_consecutive_failures.ceil() as usize
     }
 
     /// Attributes a task's failure, and quarantines its job or its machine accordingly.
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -196,7 +196,7 @@
     }
 
     fn agreement(&self, spec: &JobSpec) -> Agreement {
-        Agreement::of(spec, self.estimated_run_time(spec), self.properties.soft_deadline)
+        Agreement::of(spec, self.estimated_run_time(spec), self.properties.soft_deadline_factor)
     }
 
     /// The user's run-time estimate, corrected by the mean error of its class so far. The uncorrected estimate weighs
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::{ClusterState, Machine, MachineId, MachineState};
-use crate::process_pause::{PROOF_PART, ProcessPause};
+use crate::process_pause::{MAX_PROOF_WAIT_RATIO, ProcessPause};
 use crate::protocol::workers::TaskKey;
 
 /// A machine that has not proven a cancelled task gone is returned after this fraction of the cancellation deadline.
@@ -26,9 +26,9 @@
     /// time: messages from that time may still be on their way.
     pub fn adjust_for_pause(&mut self, pause: ProcessPause) {
         for machine in self.machines.values_mut() {
-            machine.last_seen = pause.forgive(machine.last_seen);
-            machine.last_heartbeat = pause.forgive(machine.last_heartbeat);
-            machine.idle_since = machine.idle_since.map(|at| pause.forgive(at));
+            machine.last_seen = pause.shift_instant(machine.last_seen);
+            machine.last_heartbeat = pause.shift_instant(machine.last_heartbeat);
+            machine.idle_since = machine.idle_since.map(|at| pause.shift_instant(at));
             machine.partition.forgive_pause(pause);
         }
         self.last_pause = Some(pause);
@@ -64,8 +64,8 @@
         let due = |at: Instant| {
             let age = now.saturating_duration_since(at);
             age > proof_time
-                && self.last_pause.is_none_or(|pause| pause.proof_due(at, allowed, now))
-                && (at >= self.loaded_at || !just_loaded || age >= allowed.mul_f64(PROOF_PART))
+                && self.last_pause.is_none_or(|pause| pause.is_proof_due(at, allowed, now))
+                && (at >= self.loaded_at || !just_loaded || age >= allowed.mul_f64(MAX_PROOF_WAIT_RATIO))
         };
         let late = self.ending_jobs.iter().filter_map(|id| self.jobs.get(id));
         let late = late.filter(|job| !job.ended_done && job.ended.is_some_and(due));
@@ -88,7 +88,8 @@
 
     /// How long a machine may be silent while many are silent at once: at least as long as a single one.
     fn max_correlated_silence(&self) -> Duration {
-        (self.settings.params.workers.lease() * CORRELATED_SILENCE_LEASES + LEASE_MARGIN).max(self.properties.silence)
+        (self.settings.params.workers.lease() * CORRELATED_SILENCE_LEASES + LEASE_MARGIN)
+            .max(self.properties.silence_timeout)
     }
 
     /// How long a machine may be silent now.
@@ -97,13 +98,13 @@
     /// the tasks that they run and, after their leases, still the machines, in whose place others would have to boot.
     /// Dead machines are known from the list of the cloud.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
-        if self.many_silent(self.properties.silence, CORRELATED_FRACTION_DIVISOR, now) {
+        if self.many_silent(self.properties.silence_timeout, CORRELATED_FRACTION_DIVISOR, now) {
             self.many_silent_seen_at = Some(now);
         }
         // Machines that are back do not all report at the same moment, so the last ones to do so get more time as well.
         let recovery_time = self.settings.params.workers.heartbeat_interval() * RECOVERY_HEARTBEATS;
         let many = self.many_silent_seen_at.is_some_and(|at| now.saturating_duration_since(at) < recovery_time);
-        if many { self.max_correlated_silence() } else { self.properties.silence }
+        if many { self.max_correlated_silence() } else { self.properties.silence_timeout }
     }
 
     /// Machines to be returned, each with the reason.
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -129,9 +129,9 @@
             // Ages of jobs reach into the past; a submission before the start of the window is not counted.
             origin: now.checked_sub(window).unwrap_or(now),
             slice_width: (window / WINDOW_SLICES as u32).max(Duration::from_millis(1)),
-            served_floor: properties.served_floor,
-            soft_deadline_factor: properties.soft_deadline,
-            large_gang_start_limit: properties.large_begin,
+            served_floor: properties.min_served_ratio,
+            soft_deadline_factor: properties.soft_deadline_factor,
+            large_gang_start_limit: properties.gang_start_limit,
             objectives: settings.params.objectives.clone(),
             slices: VecDeque::new(),
             starts_as_of: None,
--- a/src/scheduling/fairness/tests/large.rs
+++ b/src/scheduling/fairness/tests/large.rs
@@ -12,10 +12,11 @@
 
 /// Simulates a steady overload by gangs of two tasks and occasional gangs of twelve, on twenty machines that take two
 /// tasks each.
-fn simulate_overload(large_begin: f64, seed: u64) -> StartShares {
+fn simulate_overload(gang_start_limit: f64, seed: u64) -> StartShares {
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut rng = StdRng::seed_from_u64(seed);
-    let properties = Properties { large_begin: s(large_begin), served_window: s(120.0), ..Properties::default() };
+    let properties =
+        Properties { gang_start_limit: s(gang_start_limit), served_window: s(120.0), ..Properties::default() };
     let mut world = World::new(20, properties);
     let (mut submitted, mut started): (BTreeMap<JobId, (u32, bool)>, BTreeMap<JobId, u32>) = Default::default();
     for t in 0..600u32 {
@@ -49,8 +50,8 @@
 /// gangs of their class started at once.
 #[test]
 fn largest_gangs_start_in_time_under_steady_overload() {
-    let mean = |large_begin: f64| {
-        let shares: Vec<StartShares> = (0..5).map(|seed| simulate_overload(large_begin, seed)).collect();
+    let mean = |gang_start_limit: f64| {
+        let shares: Vec<StartShares> = (0..5).map(|seed| simulate_overload(gang_start_limit, seed)).collect();
         let n = shares.len() as f64;
         StartShares {
             largest: shares.iter().map(|s| s.largest).sum::<f64>() / n,
@@ -96,8 +97,8 @@
 /// minutes because all free capacity went to the first two and to other work. One task of each array takes little.
 #[test]
 fn largest_idle_arrays_start_with_one_task_each_under_overload() {
-    let started_tasks = |large_begin: f64| {
-        let mut world = World::new(2, Properties { large_begin: s(large_begin), ..Properties::default() });
+    let started_tasks = |gang_start_limit: f64| {
+        let mut world = World::new(2, Properties { gang_start_limit: s(gang_start_limit), ..Properties::default() });
         let idle = |n: u32| JobSpec { urgency: Urgency::Idle, tasks: 5, cpus: 4.0, ..job(n, "guests", "blue") };
         (900..903).for_each(|n| world.cluster.add_job(record(idle(n)), world.now()));
         world.run_times_s.insert("guests".into(), 20);
--- a/src/scheduling/fairness/tests/mod.rs
+++ b/src/scheduling/fairness/tests/mod.rs
@@ -350,7 +350,7 @@
     use rand::{Rng, SeedableRng, rngs::StdRng};
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world =
-        World::new(10, Properties { served_floor: floor, served_window: s(120.0), ..Properties::default() });
+        World::new(10, Properties { min_served_ratio: floor, served_window: s(120.0), ..Properties::default() });
     world.cluster.set_intents(intents);
     for t in 0..1500u32 {
         if t >= 300 && world.cluster.job_count() == 0 {
@@ -414,7 +414,7 @@
 fn late_job_starts_by_core_credit_under_lasting_overload() {
     let started_after = |credit_share: f64| {
         let mut world =
-            World::new(2, Properties { served_late: credit_share, served_floor: 0.0, ..Properties::default() });
+            World::new(2, Properties { late_core_share: credit_share, min_served_ratio: 0.0, ..Properties::default() });
         world.submit("big", 8.0, 1);
         let late = JobId::from("run-000001");
         world.cluster.machines.values_mut().for_each(|m| m.state = crate::scheduling::cluster::MachineState::Draining);
--- a/src/scheduling/load/ended_jobs.rs
+++ b/src/scheduling/load/ended_jobs.rs
@@ -79,7 +79,7 @@
 /// Finds which of these jobs, none of them open, are done: the condition that their done key is absent fails.
 pub(super) async fn find_done_jobs(scheduler: &Scheduler, ids: BTreeSet<JobId>) -> Result<HashSet<JobId>, StoreError> {
     let ids: Vec<JobId> = ids.into_iter().collect();
-    let max_conditions = scheduler.settings.params.state.conditions().max(1);
+    let max_conditions = scheduler.settings.params.state.max_conditions().max(1);
     let mut done = HashSet::new();
     for ids in ids.chunks(max_conditions) {
         let absent: Vec<Condition> = ids.iter().map(|id| Condition::absent(ended_key(id, End::Done))).collect();
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -191,8 +191,8 @@
     /// Discards time-based evidence after a pause of this controller: most workers have given up waiting for what it
     /// reads and answers next.
     pub fn forgive_pause(&mut self, pause: ProcessPause) {
-        self.since = self.since.map(|at| pause.forgive(at));
-        self.session_since = pause.forgive(self.session_since);
+        self.since = self.since.map(|at| pause.shift_instant(at));
+        self.session_since = pause.shift_instant(self.session_since);
         self.expected_effect = None;
         self.answers.clear();
     }
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -87,8 +87,8 @@
 
 /// Marks the large gang for which capacity is kept, and the large job that is to begin with its first task.
 fn mark_large(cluster: &ClusterState, queued_jobs: &mut [QueuedJob]) {
-    let credited_gang = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
-    let first_task_job = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.large_begin);
+    let credited_gang = credited_gang(&cluster.large_gangs, queued_jobs, cluster.properties.gang_start_limit);
+    let first_task_job = first_task_job(&cluster.large_gangs, queued_jobs, cluster.properties.gang_start_limit);
     for queued in queued_jobs {
         queued.credited = credited_gang == Some(queued.id);
         if first_task_job == Some(queued.id) {
--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -57,8 +57,8 @@
                 let name = format!("report_s {report_s}, lease_s {lease_s}, cancel_s {cancel_s}");
                 let unstopped_s = on_slowest_clock(workers.lease());
                 assert!(unstopped_s + ANSWER_TIMEOUT_S <= cancel_s, "{name}: the lease ends after {unstopped_s} s");
-                let held_s = on_slowest_clock(workers.spare())
-                    + if workers.spare().is_zero() { 0.0 } else { on_slowest_clock(workers.lease()) };
+                let held_s = on_slowest_clock(workers.cancellation_slack())
+                    + if workers.cancellation_slack().is_zero() { 0.0 } else { on_slowest_clock(workers.lease()) };
                 assert!(
                     held_s + ANSWER_TIMEOUT_S <= cancel_s + 1e-6,
                     "{name}: a leader without cluster state keeps the lease for {held_s} s"
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -436,7 +436,7 @@
     /// Whether this leader answers the machine and so renews its lease.
     pub(super) fn renews_lease(&self, leader: &mut Leader, policy: ResponsePolicy, machine: &str) -> bool {
         let now = self.now;
-        let spare = example().params.workers.spare();
+        let spare = example().params.workers.cancellation_slack();
         let fresh = leader.membership.proven_at.is_some_and(|at| now - at < spare);
         if policy.leader_known {
             leader.membership.leader_searches.clear();
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -38,7 +38,7 @@
 
     /// Whether the operators' own settings keep the times that the platform sets: where the end of a lease holder
     /// outlasts the leases of workers, it costs all that runs.
-    pub fn check_with(&self, properties: &Properties) -> Result<(), InvalidSettings> {
+    pub fn check_properties(&self, properties: &Properties) -> Result<(), InvalidSettings> {
         let workers = &self.params.workers;
         let election_lease = properties.election_lease.as_secs_f64();
         let most = workers.lease_s - workers.report_s * MAX_HEARTBEAT_FACTOR;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -177,7 +177,7 @@
 
 impl StateParams {
     /// Conditions that a transaction may have: four for each change that it may have.
-    pub fn conditions(&self) -> usize {
+    pub fn max_conditions(&self) -> usize {
         (self.txn_ops as usize).saturating_mul(4)
     }
 }
@@ -204,7 +204,7 @@
 
     /// Of the time in which a cancelled task must be gone, what is left where only the end of its machine's
     /// lease ends it: a report may have been answered last so long after the cancellation was told.
-    pub fn spare(&self) -> Duration {
+    pub fn cancellation_slack(&self) -> Duration {
         Duration::try_from_secs_f64(self.cancel_s - self.lease_s - self.lease_margin_s()).unwrap_or_default()
     }
 }
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -55,30 +55,30 @@
     /// Seconds after which an unrenewed election lease ends and another controller takes over.
     election_lease: seconds = 3.0, "leader.lease.seconds", 0.5, 600.0;
     /// Deadline of a job without one, in estimates.
-    soft_deadline: number = 4.0, "sla.soft.deadline.estimates", 1.0, 100.0;
+    soft_deadline_factor: number = 4.0, "sla.soft.deadline.estimates", 1.0, 100.0;
     /// Seconds without a report after which a machine is given up and returned.
-    silence: seconds = 12.0, "machines.silence.seconds", 2.0, 3600.0;
+    silence_timeout: seconds = 12.0, "machines.silence.seconds", 2.0, 3600.0;
     /// Seconds a machine may stand idle before it is returned.
-    idle: seconds = 120.0, "machines.idle.seconds", 0.0, 86400.0;
+    idle_timeout: seconds = 120.0, "machines.idle.seconds", 0.0, 86400.0;
     /// Machine boots longer than this many times the type's usual time are given up.
-    boot_patience: number = 4.0, "machines.boot.patience", 1.0, 100.0;
+    max_boot_ratio: number = 4.0, "machines.boot.patience", 1.0, 100.0;
     /// Idle work rents only machines at most this many times as dear for it as the cheapest kind open to it.
-    idle_dearer: number = 3.0, "idle.machines.dearer", 1.0, 1000.0;
+    max_idle_price_ratio: number = 3.0, "idle.machines.dearer", 1.0, 1000.0;
     /// Machines held at the most, booting ones included.
-    most_machines: number = 5000.0, "machines.most", 1.0, 100000.0;
+    max_machines: number = 5000.0, "machines.most", 1.0, 100000.0;
     /// Seconds to keep from asking again for machines of a type, zone and kind that were refused.
-    refusal: seconds = 15.0, "machines.refusal.seconds", 1.0, 3600.0;
+    refusal_backoff: seconds = 15.0, "machines.refusal.seconds", 1.0, 3600.0;
     /// Seconds over which it is counted who is served.
     served_window: seconds = 300.0, "served.window.seconds", 10.0, 86400.0;
     /// Who gets less than this part of what was promised is rented for at once; who gets less than this
     /// part of what it would by its offered work goes first.
-    served_floor: number = 0.75, "served.floor", 0.0, 1.0;
+    min_served_ratio: number = 0.75, "served.floor", 0.0, 1.0;
     /// Of the cores that are given out, work too late for all promises gets this part.
-    served_late: number = 0.05, "served.late.part", 0.0, 1.0;
+    late_core_share: number = 0.05, "served.late.part", 0.0, 1.0;
     /// Seconds within which work that needs several tasks at once is to begin, whatever else comes.
-    large_begin: seconds = 240.0, "large.begin.seconds", 1.0, 86400.0;
+    gang_start_limit: seconds = 240.0, "large.begin.seconds", 1.0, 86400.0;
     /// Task failures in a row after which a machine is taken out.
-    machine_failures: number = 2.0, "machines.failures", 1.0, 1000.0;
+    max_consecutive_failures: number = 2.0, "machines.failures", 1.0, 1000.0;
 }
 
 impl Properties {
--- a/src/settings/properties/tests.rs
+++ b/src/settings/properties/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn properties_by_cases() {
     let read = Properties::parse(b"# ours\nmachines.idle.seconds = 7.5\nmachines.silence.seconds:9\n").unwrap();
-    assert_eq!(read.idle, Duration::from_millis(7500));
-    assert_eq!(read.silence, Duration::from_secs(9));
+    assert_eq!(read.idle_timeout, Duration::from_millis(7500));
+    assert_eq!(read.silence_timeout, Duration::from_secs(9));
     for (text, want) in [
         ("machines.idel.seconds=3", "machines.idel.seconds: unknown property"),
         ("machines.idle.seconds=soon", "machines.idle.seconds: \"soon\""),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -26,8 +26,11 @@
 fn what_is_spared_of_a_cancellation_by_cases() {
     for (cancel_s, lease_s, want) in [(49.0, 24.0, 20.0), (56.0, 36.0, 15.0), (20.0, 8.0, 7.0), (30.0, 29.0, 0.0)] {
         let workers = WorkerParams { report_s: 3.0, lease_s, cancel_s };
-        assert_eq!(workers.spare(), Duration::from_secs_f64(want), "{cancel_s} and {lease_s}");
-        assert!(workers.spare().is_zero() || workers.spare() + workers.lease() < workers.cancellation_deadline());
+        assert_eq!(workers.cancellation_slack(), Duration::from_secs_f64(want), "{cancel_s} and {lease_s}");
+        assert!(
+            workers.cancellation_slack().is_zero()
+                || workers.cancellation_slack() + workers.lease() < workers.cancellation_deadline()
+        );
     }
 }
 
@@ -102,7 +105,7 @@
         ("leader.lease.seconds=20.5", true),
         ("leader.lease.seconds=600", true),
     ] {
-        let outcome = example().check_with(&Properties::parse(text.as_bytes()).unwrap());
+        let outcome = example().check_properties(&Properties::parse(text.as_bytes()).unwrap());
         assert_eq!(outcome.is_err(), refused, "{text}: {outcome:?}");
         let named = outcome.err().is_none_or(|problem| problem.to_string().contains(&text.replace('=', ": ")));
         assert!(named, "{text}");
@@ -130,10 +133,13 @@
                 }
                 accepted += 1;
                 let margin = Duration::from_secs_f64(LEASE_MARGIN_S);
-                let over = workers.spare() + workers.lease() + margin;
+                let over = workers.cancellation_slack() + workers.lease() + margin;
                 assert!(over <= workers.cancellation_deadline(), "{workers:?}: gone after {over:?} only");
                 let pause = workers.heartbeat_interval();
-                assert!(workers.spare() >= pause, "{workers:?}: every leader that reads nothing lets all machines go");
+                assert!(
+                    workers.cancellation_slack() >= pause,
+                    "{workers:?}: every leader that reads nothing lets all machines go"
+                );
             }
         }
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -167,7 +167,7 @@
     /// know whether it failed during the pause.
     pub fn discount_pause(&self, pause: ProcessPause) {
         let mut health = crate::sync::lock(&self.health);
-        health.last_served = health.last_served.map(|at| pause.forgive(at));
+        health.last_served = health.last_served.map(|at| pause.shift_instant(at));
     }
 
     /// Returns this controller's recent demand.
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -7,7 +7,7 @@
 use crate::history::job_transactions::find_end;
 use crate::history::query_queue::JobQueryAnswer;
 use crate::history::visibility::EndVisibility;
-use crate::jobs::{End, JobId, well_formed_id};
+use crate::jobs::{End, JobId, is_valid_job_id};
 use crate::protocol::users::{JobAnswer, Status};
 
 /// Reason of the response for a stored cancellation that is hidden until the leader is known to have it
@@ -64,7 +64,7 @@
 /// reported from the watch cache after a read barrier. Any other job is looked up in the store, with one read of every
 /// key that the job may have.
 pub(super) async fn look_up_job(service: &UserService, id: &str) -> UserResponse {
-    if !well_formed_id(id) {
+    if !is_valid_job_id(id) {
         return UserResponse::Rejected(RequestError::NoSuchJob);
     }
     let id: JobId = id.into();
--- a/src/users/routes.rs
+++ b/src/users/routes.rs
@@ -13,7 +13,7 @@
 use super::service::UserService;
 use super::submission::submit_job;
 use super::write_tracker::WriteTracker;
-use crate::protocol::{self, BODY_LIMIT};
+use crate::protocol::{self, MAX_BODY_BYTES};
 use crate::traffic::CallKind;
 use crate::workers::{HeartbeatResponse, handle_heartbeat};
 
@@ -94,7 +94,7 @@
         let service = &self.service;
         let id = req.param::<String>("id").unwrap_or_default();
         let body = match self.endpoint {
-            Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(BODY_LIMIT).await {
+            Endpoint::Submit | Endpoint::Heartbeat => match req.payload_with_max_size(MAX_BODY_BYTES).await {
                 Ok(body) => body.clone(),
                 Err(error) => {
                     return write_user_response(
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -231,7 +231,7 @@
         println!("{requests} requests for it, {refused} refused by the state service");
         assert_eq!(refused, 0, "the limits are kept whatever is asked");
         for controller in [&a, &b] {
-            println!("held: {:?}", controller.controller.held());
+            println!("held: {:?}", controller.controller.entry_counts());
             assert!(controller.held("ends") <= EndCache::capacity() && controller.held("descriptions") <= 2000);
             until("it knows what is open", || async { controller.held("open_jobs") as u64 == open }).await;
             until("nobody waits", || async { (controller.held("asked"), controller.held("waiting")) == (0, 0) }).await;
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -112,7 +112,7 @@
 
     /// What it holds of one thing that could grow; 0 if it holds none.
     pub fn held(&self, what: &str) -> usize {
-        self.controller.held().into_iter().find(|(name, _)| *name == what).map_or(0, |(_, n)| n)
+        self.controller.entry_counts().into_iter().find(|(name, _)| *name == what).map_or(0, |(_, n)| n)
     }
 }
 
