--- a/src/rollouts/describe.rs
+++ b/src/rollouts/describe.rs
@@ -1,10 +1,10 @@
-//! Descriptions of rollouts in lines for operators.
+//! Human-readable descriptions of rollouts for operators.
 
 use super::spec::RolloutSpec;
 use super::status::RolloutStatus;
 
-/// The phase and why, the step, which replicas may run, and the failures of the new version.
-pub fn describe(name: &str, spec: &RolloutSpec, status: &RolloutStatus, now_ms: u64) -> Vec<String> {
+/// Describes a rollout's phase with its reason, its step, the replicas that may run, and the failures counted.
+pub fn describe_rollout(name: &str, spec: &RolloutSpec, status: &RolloutStatus, now_ms: u64) -> Vec<String> {
     let phase = status.phase.as_str();
     let reason = if status.reason.is_empty() { String::new() } else { format!(": {}", status.reason) };
     let mut lines = vec![format!("{name}: {phase}{reason}")];
@@ -14,22 +14,22 @@
     }
     let counts = &status.failure_counts;
     if counts.new > 0 {
-        let (sound, most) = (counts.failed_on.iter().filter(|f| !f.faulty).count(), spec.bad.failures);
+        let (sound_machines, max_failures) = (counts.failed_on.iter().filter(|f| !f.faulty).count(), spec.bad.failures);
         let (new, restarts, old) = (counts.new, spec.bad.restarts, counts.old);
         lines.push(format!(
-            "  against it: {sound} of {most} machines, {new} of {restarts} failures; the old one's {old}"
+            "  against it: {sound_machines} of {max_failures} machines, {new} of {restarts} failures; the old one's {old}"
         ));
     }
-    if status.phase.begun() && [&spec.old, &spec.new] != status.jobs(spec) {
+    if status.phase.has_begun() && [&spec.old, &spec.new] != status.jobs(spec) {
         lines.push(format!("  the spec names {} and {} by now: remove it first", spec.old, spec.new));
     }
     lines
 }
 
 fn describe_progress(spec: &RolloutSpec, status: &RolloutStatus, now_ms: u64) -> Vec<String> {
-    let targets = spec.targets();
+    let targets = spec.step_targets();
     let [old, new] = status.jobs(spec);
-    if !status.phase.begun() {
+    if !status.phase.has_begun() {
         let (replicas, surge) = (spec.replicas, spec.surge);
         return vec![format!("  {old} to {new}, {replicas} replicas, steps {targets:?}, surge {surge}")];
     }
--- a/src/rollouts/events.rs
+++ b/src/rollouts/events.rs
@@ -1,20 +1,20 @@
-//! What is logged of a rollout.
+//! Log events of rollouts.
 
 use tracing::{info, warn};
 
 use super::status::{RolloutPhase, RolloutStatus};
 use crate::declarations::StatusEvent;
 
-/// A rollout has come to another phase or step, or for another reason.
+/// Change of a rollout's phase, step or reason.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutEvent {
-    /// The phase before.
+    /// Previous phase.
     pub phase_before: RolloutPhase,
-    /// The phase now.
+    /// New phase.
     pub phase: RolloutPhase,
-    /// The step, from 1.
+    /// Current step, from 1.
     pub step: u32,
-    /// Why it is so; empty where it goes as declared.
+    /// Reason for the phase; empty while the rollout proceeds as declared.
     pub reason: String,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The event of a change of status, if anything has changed that operators are told of.
+/// Returns the event to log for a change of status, if the phase, step or reason has changed.
 pub fn status_events(before: &RolloutStatus, after: &RolloutStatus) -> Vec<RolloutEvent> {
     if (before.phase, before.step) == (after.phase, after.step) && before.reason == after.reason {
         return Vec::new();
--- a/src/rollouts/logic.rs
+++ b/src/rollouts/logic.rs
@@ -1,16 +1,16 @@
-//! Rollouts as a kind of declaration.
+//! Implementation of the declaration logic for rollouts.
 
-use super::describe::describe;
+use super::describe::describe_rollout;
 use super::events::{RolloutEvent, status_events};
 use super::intents::replica_intents;
 use super::observe::observe_rollout;
 use super::spec::{RolloutGoal, RolloutSpec};
 use super::status::{RolloutPhase, RolloutStatus};
-use super::step::decide;
+use super::step::decide_rollout;
 use crate::declarations::{DeclarationKind, DeclarationLogic, DeclarationView, KnownNames, SpecError, VerbOutcome};
 use crate::scheduling::intents::Intents;
 
-/// The logic of rollouts.
+/// Declaration logic of rollouts.
 pub struct Rollout;
 
 impl DeclarationLogic for Rollout {
@@ -32,7 +32,7 @@
         if !view.cluster.loaded {
             return None;
         }
-        decide(spec, status, &observe_rollout(name, spec, status, view))
+        decide_rollout(spec, status, &observe_rollout(name, spec, status, view))
     }
 
     fn add_intents(
@@ -42,9 +42,9 @@
         view: &DeclarationView,
         intents: &mut Intents,
     ) {
-        let seen = observe_rollout(name, spec, status, view);
+        let observed = observe_rollout(name, spec, status, view);
         let jobs = status.jobs(spec);
-        for (job, replicas) in jobs.into_iter().zip(replica_intents(spec, status, &seen)) {
+        for (job, replicas) in jobs.into_iter().zip(replica_intents(spec, status, &observed)) {
             if let Some(replicas) = replicas {
                 intents.replicas.insert(job.clone(), replicas);
             }
@@ -52,7 +52,7 @@
     }
 
     fn describe(name: &str, spec: &RolloutSpec, status: &RolloutStatus, now_ms: u64) -> Vec<String> {
-        describe(name, spec, status, now_ms)
+        describe_rollout(name, spec, status, now_ms)
     }
 
     fn status_events(before: &RolloutStatus, after: &RolloutStatus) -> Vec<RolloutEvent> {
@@ -73,7 +73,7 @@
                 Err(SpecError::new("wanted", "finished: its old job is withdrawn"))
             }
             "back" => with_goal(RolloutGoal::Back),
-            // One that was told to go back may have begun to.
+            // A rollout with the goal `Back` may already have begun its rollback.
             "finish" if status.phase == RolloutPhase::Done && spec.goal != RolloutGoal::Back => {
                 Ok(VerbOutcome { spec: spec.with_goal(RolloutGoal::Finish), cancel: status.old.clone() })
             }
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,8 +1,8 @@
-//! Rollouts: a new version of a service replaces the old one in steps, without a gap (docs/rollouts.md).
+//! Rollouts: replace the old version of a service with a new one in steps, without a capacity gap (docs/rollouts.md).
 //!
-//! `spec` is what an operator declares, `status` what the leader stores; `observe` reads both jobs from the cluster
-//! state, `version_verdict` judges the new version, `step` decides the next status and `intents` what placement and
-//! preemption follow. All of it is free of I/O; the service never submits or cancels a job.
+//! `spec` holds the declared specification and `status` the status stored by the leader. `observe` reads both jobs from
+//! the cluster state, `version_verdict` evaluates the new version, `step` decides the next status, and `intents` derives
+//! the constraints that placement and preemption follow. This module performs no I/O and never submits or cancels a job.
 
 mod describe;
 pub mod events;
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -1,117 +1,125 @@
-//! The input of a rollout's decisions: both jobs as the leader sees them.
+//! Input of a rollout's decisions: both jobs as observed by the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::status::FailedMachine;
 
-/// What is known of a job.
+/// Whether the leader knows a job, and whether it is open.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum JobPresence {
-    /// Never heard of.
+    /// The leader has never seen the job.
     #[default]
     Unknown,
     /// The job is open.
     Open,
-    /// It is done, cancelled, or was forgotten.
+    /// The job is done, cancelled, or its record was dropped.
     Ended,
 }
 
-/// A replica that has a machine.
+/// Replica that is bound to a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ObservedReplica {
-    /// Where it is bound.
+    /// Machine to which the replica is bound.
     pub machine: String,
     /// The machine's type.
     pub type_name: String,
     /// The machine's zone.
     pub zone: String,
-    /// By the last heartbeat.
+    /// Whether the replica was running at the last heartbeat.
     pub running: bool,
-    /// Was told to stop by this leader.
+    /// Whether this leader has ordered the replica to stop.
     pub stopping: bool,
-    /// Its machine was heard of lately.
-    pub heard: bool,
-    /// Its machine is to be taken or returned.
-    pub leaving: bool,
-    /// Runs and will go on, for all that is known: its machine was heard of lately, is not to be taken
-    /// or returned, and has seen a fencing token of this leader, so that no earlier leader's stop can arrive any more.
-    pub sure: bool,
-    /// Seconds for which this leader has known it running, and for which it has had its machine.
-    pub ran_s: f64,
-    /// Seconds for which it has had its machine.
+    /// Whether the machine has sent a heartbeat recently.
+    pub machine_responsive: bool,
+    /// Whether the machine is about to be reclaimed or returned.
+    pub machine_leaving: bool,
+    /// Whether the replica is running and expected to keep running: its machine has sent a heartbeat recently, is not
+    /// about to be reclaimed or returned, and has seen a fencing token of this leader, so that a stop order of an earlier
+    /// leader can no longer take effect.
+    pub confirmed_running: bool,
+    /// Time in seconds for which this leader has known the replica to be running.
+    pub running_s: f64,
+    /// Time in seconds for which the replica has been bound to its machine.
     pub bound_s: f64,
 }
 
 impl ObservedReplica {
-    /// Whether it may be running: a new leader has received no heartbeats yet.
-    pub fn may_run(&self) -> bool {
-        !self.stopping && !self.leaving && (self.running || !self.heard)
+    /// Returns whether the replica may be running. Replicas without a recent heartbeat are included, since a new leader
+    /// has not received any yet.
+    pub fn may_be_running(&self) -> bool {
+        !self.stopping && !self.machine_leaving && (self.running || !self.machine_responsive)
     }
 }
 
-/// One of the two jobs of a rollout.
+/// Observation of one of the two jobs of a rollout.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ObservedJob {
-    /// What is known of the job.
-    pub known: JobPresence,
-    /// Replicas that it was submitted with.
+    /// Whether the job is known and open.
+    pub presence: JobPresence,
+    /// Number of replicas with which the job was submitted.
     pub tasks: u32,
-    /// Bound replicas, by number.
+    /// Bound replicas by index.
     pub replicas: BTreeMap<u32, ObservedReplica>,
-    /// Failures of its replicas that this leader has heard of.
+    /// Number of replica failures reported to this leader.
     pub failures: u64,
-    /// Machines of the latest failures, the latest last.
-    pub failed_lately: Vec<FailedMachine>,
-    /// Fails wherever it is tried (`scheduling::failure_attribution`).
+    /// Machines of the most recent failures, oldest first.
+    pub recent_failures: Vec<FailedMachine>,
+    /// Whether the job is quarantined because it fails on every machine (`scheduling::failure_attribution`).
     pub quarantined: bool,
 }
 
 impl ObservedJob {
-    /// The allowed replicas that count as capacity.
-    pub fn serving(&self, may: &BTreeSet<u32>) -> BTreeSet<u32> {
-        self.running_for(may, 0.0)
+    /// Returns the allowed replicas that count as capacity.
+    pub fn serving(&self, allowed: &BTreeSet<u32>) -> BTreeSet<u32> {
+        self.running_for(allowed, 0.0)
     }
 
-    /// How many of the allowed replicas are not known to be lost.
-    pub fn count_not_lost(&self, may: &BTreeSet<u32>) -> usize {
-        self.replicas.iter().filter(|(i, r)| may.contains(i) && r.may_run()).count()
+    /// Counts the allowed replicas that are not known to be lost.
+    pub fn count_not_lost(&self, allowed: &BTreeSet<u32>) -> usize {
+        self.replicas.iter().filter(|(i, r)| allowed.contains(i) && r.may_be_running()).count()
     }
 
-    /// The allowed replicas that have counted as capacity for so many seconds.
-    pub fn running_for(&self, may: &BTreeSet<u32>, seconds: f64) -> BTreeSet<u32> {
-        if self.known == JobPresence::Ended {
+    /// Returns the allowed replicas that have counted as capacity for at least the given time.
+    pub fn running_for(&self, allowed: &BTreeSet<u32>, seconds: f64) -> BTreeSet<u32> {
+        if self.presence == JobPresence::Ended {
             return BTreeSet::new();
         }
-        let counts = |(_, r): &(&u32, &ObservedReplica)| r.sure && r.running && !r.stopping && r.ran_s >= seconds;
-        self.replicas.iter().filter(counts).map(|(i, _)| *i).filter(|i| may.contains(i)).collect()
+        let counts = |(_, r): &(&u32, &ObservedReplica)| {
+            r.confirmed_running && r.running && !r.stopping && r.running_s >= seconds
+        };
+        self.replicas.iter().filter(counts).map(|(i, _)| *i).filter(|i| allowed.contains(i)).collect()
     }
 
-    /// How many replicas beyond the allowed ones still have a machine.
-    pub fn count_leaving(&self, may: &BTreeSet<u32>) -> usize {
-        if self.known == JobPresence::Ended { 0 } else { self.replicas.keys().filter(|i| !may.contains(i)).count() }
+    /// Counts the bound replicas that are not among the allowed ones.
+    pub fn count_bound_not_allowed(&self, allowed: &BTreeSet<u32>) -> usize {
+        if self.presence == JobPresence::Ended {
+            0
+        } else {
+            self.replicas.keys().filter(|i| !allowed.contains(i)).count()
+        }
     }
 
-    /// The zone of a replica; empty if it is not bound.
+    /// Returns the zone of a replica, or an empty string if it is not bound.
     pub fn zone(&self, index: u32) -> &str {
         self.replicas.get(&index).map_or("", |r| r.zone.as_str())
     }
 }
 
-/// The input of one decision.
+/// Input of one rollout decision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RolloutObservation {
-    /// The version that is replaced.
+    /// Job of the old version.
     pub old: ObservedJob,
-    /// The version that replaces it.
+    /// Job of the new version.
     pub new: ObservedJob,
-    /// Why these jobs can have no rollout as declared.
+    /// Reason to refuse the rollout, if its jobs are unsuitable or held by another rollout.
     pub conflict: Option<String>,
-    /// Why the team's limits do not let it begin.
+    /// Reason why the team's limits prevent the rollout from beginning.
     pub quota_shortage: Option<String>,
-    /// Quarantined machines.
+    /// IDs of the quarantined machines.
     pub quarantined: BTreeSet<String>,
-    /// Time of day, in ms since 1970.
+    /// Current time, in Unix milliseconds.
     pub now_ms: u64,
-    /// The fencing token under which this leader began.
+    /// Fencing token with which this leader began.
     pub fencing_token: u64,
 }
--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -1,43 +1,45 @@
-//! What an operator declares of a rollout, and which field of it cannot be used.
+//! Specification of a rollout and its validation.
 
 use serde::{Deserialize, Serialize};
 
 use crate::declarations::SpecError;
 use crate::jobs::{JobId, well_formed_id};
 
-/// Replicas of one rollout, and tasks of a job that takes part: which of them are to go is kept one by
-/// one in a status, which has to fit a value of the store.
+/// Maximum number of replicas of a rollout, and of tasks of each of its jobs. The status lists individual replicas and
+/// must fit into one value of the store.
 pub const MAX_REPLICAS: u32 = 512;
+/// Maximum number of declared steps.
 const MAX_STEPS: usize = 20;
-/// A week, in seconds: longer than anybody watches a step.
-const MAX_SECONDS: f64 = 604_800.0;
-/// Machines on which a version failed that are remembered: more than this never has to be waited for.
-pub const MAX_MACHINES: u32 = 8;
+/// Maximum of all declared durations, in seconds: one week, longer than any step is watched.
+const MAX_DURATION_S: f64 = 604_800.0;
+/// Maximum number of machines recorded as having failed the new version. `bad.failures` may not exceed it, so the
+/// criterion never needs more.
+pub const MAX_FAILED_MACHINES: u32 = 8;
 
-/// What the operator wants of it, by the last verb.
+/// Goal of a rollout, set by the operator's last request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RolloutGoal {
-    /// Go on.
+    /// Continue the rollout.
     #[default]
     Forward,
-    /// Stay as it is.
+    /// Pause the rollout.
     Paused,
-    /// Go back to the old version.
+    /// Roll back to the old version.
     Back,
-    /// The old job is cancelled; there is no way back.
+    /// Finish the rollout: the old job is cancelled, and a rollback is no longer possible.
     Finish,
 }
 
-/// What speaks against the new version, as far as machines do not explain it.
+/// Criteria by which the new version counts as bad, apart from failures explained by faulty machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailureCriteria {
-    /// Different machines on which replicas of it failed within one step.
+    /// Number of distinct machines on which new replicas failed within one step.
     pub failures: u32,
-    /// Failures of its replicas within one step, on two machines at least.
+    /// Number of failures of new replicas within one step, on at least two machines.
     pub restarts: u32,
-    /// Seconds within which a replica has to run once it has a machine, fetch included.
+    /// Time in seconds within which a replica must be running once it is bound to a machine, including image fetching.
     pub not_running_s: f64,
 }
 
@@ -47,58 +49,59 @@
     }
 }
 
-/// A rollout as operators declare it.
+/// Specification of a rollout, as declared by an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
-    /// The service that is replaced.
+    /// Job of the old version, which is replaced.
     pub old: JobId,
-    /// The service that replaces it.
+    /// Job of the new version, which replaces `old`.
     pub new: JobId,
-    /// Replicas of both together that have to run at every moment.
+    /// Number of replicas of both versions together that must be running at any time.
     pub replicas: u32,
-    /// Replicas of the new version after each step: below 1 a part of all, else a number. All of them is
-    /// the last step, said or not.
+    /// Replicas of the new version after each step: a value below 1 is a share of `replicas`, other values are counts.
+    /// A last step with all replicas is added if it is not listed.
     #[serde(default)]
     pub steps: Vec<f64>,
-    /// Seconds for which a step has to hold once it is whole.
+    /// Time in seconds for which a completed step must hold before the next one begins.
     pub hold_s: f64,
-    /// Seconds for which a replica has to run before it counts in place of another; none: `hold_s`.
+    /// Time in seconds for which a replica must run before it may replace another; defaults to `hold_s`.
     #[serde(default)]
     pub ready_s: Option<f64>,
-    /// How many more than asked may run meanwhile. 0: in place, one fewer than asked runs at times.
+    /// Number of replicas that may run in addition to `replicas` during the rollout. With 0 replicas are replaced in
+    /// place, and at times one fewer than `replicas` is running.
     #[serde(default)]
     pub surge: u32,
-    /// The gap of a rollout in place is accepted.
+    /// Accepts the capacity gap of a rollout in place (`surge` 0).
     #[serde(default)]
     pub allow_gap: bool,
-    /// When the new version counts as bad.
+    /// Criteria by which the new version counts as bad.
     #[serde(default)]
     pub bad: FailureCriteria,
-    /// Where it is to go.
+    /// Goal of the rollout.
     #[serde(default, rename = "wanted")]
     pub goal: RolloutGoal,
-    /// Counts the operator's requests, so that the same request made again is a new one.
+    /// Counter of the operator's requests, so that a repeated request is recognized as a new one.
     #[serde(default, rename = "word")]
     pub request_no: u64,
 }
 
-fn refuse(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
+fn reject_field(field: &str, reason: impl Into<String>) -> Result<(), SpecError> {
     Err(SpecError::new(field, reason))
 }
 
-fn check_count(field: &str, count: u32, least: u32, most: u32) -> Result<(), SpecError> {
-    if (least..=most).contains(&count) {
+fn check_count(field: &str, count: u32, min: u32, max: u32) -> Result<(), SpecError> {
+    if (min..=max).contains(&count) {
         return Ok(());
     }
-    refuse(field, format!("{count} is not from {least} to {most}"))
+    reject_field(field, format!("{count} is not from {min} to {max}"))
 }
 
 impl RolloutSpec {
-    /// Refuses what could never be carried out.
+    /// Validates the specification.
     ///
     /// # Errors
-    /// Names the first field that cannot be used.
+    /// Returns an error that names the first invalid field.
     pub fn check(&self) -> Result<(), SpecError> {
         self.check_jobs()?;
         self.check_counts()?;
@@ -107,9 +110,9 @@
             ("ready_s", self.ready_s(), 0.0),
             ("bad.not_running_s", self.bad.not_running_s, 1.0),
         ];
-        for (field, value, least) in seconds {
-            if !(least..=MAX_SECONDS).contains(&value) {
-                return refuse(field, format!("{value} is not from {least} to {MAX_SECONDS} seconds"));
+        for (field, value, min) in seconds {
+            if !(min..=MAX_DURATION_S).contains(&value) {
+                return reject_field(field, format!("{value} is not from {min} to {MAX_DURATION_S} seconds"));
             }
         }
         self.check_steps()
@@ -118,11 +121,11 @@
     fn check_jobs(&self) -> Result<(), SpecError> {
         for (field, id) in [("old", &self.old), ("new", &self.new)] {
             if !well_formed_id(id) {
-                return refuse(field, format!("{id:?} is no id of a job"));
+                return reject_field(field, format!("{id:?} is no id of a job"));
             }
         }
         if self.old == self.new {
-            return refuse("new", format!("{:?} is the old job", self.new));
+            return reject_field("new", format!("{:?} is the old job", self.new));
         }
         Ok(())
     }
@@ -130,65 +133,65 @@
     fn check_counts(&self) -> Result<(), SpecError> {
         check_count("replicas", self.replicas, 1, MAX_REPLICAS)?;
         check_count("surge", self.surge, 0, self.replicas)?;
-        check_count("bad.failures", self.bad.failures, 2, MAX_MACHINES)?;
+        check_count("bad.failures", self.bad.failures, 2, MAX_FAILED_MACHINES)?;
         check_count("bad.restarts", self.bad.restarts, 2, 1_000_000)?;
         if self.surge == 0 && !self.allow_gap {
             let reason = "0 changes replicas in place: each time one fewer than asked runs until a new one does; \
                        say how many more may run, or allow_gap";
-            return refuse("surge", reason);
+            return reject_field("surge", reason);
         }
         Ok(())
     }
 
     fn check_steps(&self) -> Result<(), SpecError> {
         if self.steps.len() > MAX_STEPS {
-            return refuse("steps", format!("{} are more than {MAX_STEPS}", self.steps.len()));
+            return reject_field("steps", format!("{} are more than {MAX_STEPS}", self.steps.len()));
         }
-        let mut before = 0;
+        let mut previous = 0;
         for step in &self.steps {
-            let Some(n) = self.replicas_of(*step) else {
-                let most = self.replicas;
-                let reason = format!("{step} is neither a part below 1 nor a number of replicas up to {most}");
-                return refuse("steps", reason);
+            let Some(count) = self.resolve_step(*step) else {
+                let max = self.replicas;
+                let reason = format!("{step} is neither a part below 1 nor a number of replicas up to {max}");
+                return reject_field("steps", reason);
             };
-            if n <= before {
-                let reason = format!("{step} is {n} replicas, which is not more than the {before} before it");
-                return refuse("steps", reason);
+            if count <= previous {
+                let reason = format!("{step} is {count} replicas, which is not more than the {previous} before it");
+                return reject_field("steps", reason);
             }
-            before = n;
+            previous = count;
         }
         Ok(())
     }
 
-    /// The number of replicas that a step stands for.
-    fn replicas_of(&self, step: f64) -> Option<u32> {
-        let all = f64::from(self.replicas);
+    /// Returns the number of new replicas that a declared step stands for, or `None` if the step is invalid.
+    fn resolve_step(&self, step: f64) -> Option<u32> {
+        let replicas = f64::from(self.replicas);
         if step > 0.0 && step < 1.0 {
-            return Some((step * all).ceil() as u32);
+            return Some((step * replicas).ceil() as u32);
         }
-        (step >= 1.0 && step <= all && step.fract() == 0.0).then_some(step as u32)
+        (step >= 1.0 && step <= replicas && step.fract() == 0.0).then_some(step as u32)
     }
 
-    /// Replicas of the new version after each step, growing, all of them at last.
-    pub fn targets(&self) -> Vec<u32> {
-        let mut targets: Vec<u32> = self.steps.iter().filter_map(|s| self.replicas_of(*s)).collect();
+    /// Returns the number of new replicas after each step, in ascending order and ending with all replicas.
+    pub fn step_targets(&self) -> Vec<u32> {
+        let mut targets: Vec<u32> = self.steps.iter().filter_map(|step| self.resolve_step(*step)).collect();
         if targets.last() != Some(&self.replicas) {
             targets.push(self.replicas);
         }
         targets
     }
 
-    /// In seconds.
+    /// Returns the time in seconds for which a replica must run before it may replace another.
     pub fn ready_s(&self) -> f64 {
         self.ready_s.unwrap_or(self.hold_s)
     }
 
-    /// Replicas that have to run at every moment: in place, one fewer than asked.
+    /// Returns the number of replicas that must be running at any time: `replicas`, or one fewer in place.
     pub fn min_available(&self) -> u32 {
         if self.surge == 0 { self.replicas - 1 } else { self.replicas }
     }
 
-    /// The spec with the operator's next request in it.
+    /// Returns the specification with a new goal, counted as the operator's next request.
     pub fn with_goal(&self, goal: RolloutGoal) -> Self {
         Self { goal, request_no: self.request_no.wrapping_add(1), ..self.clone() }
     }
--- a/src/rollouts/status.rs
+++ b/src/rollouts/status.rs
@@ -1,4 +1,4 @@
-//! What a leader stores of a rollout: all that a successor needs to go on with it.
+//! Stored status of a rollout: everything a new leader needs to continue it.
 
 use std::collections::BTreeSet;
 
@@ -7,42 +7,42 @@
 use super::spec::RolloutSpec;
 use crate::jobs::JobId;
 
-/// Where a rollout stands.
+/// Phase of a rollout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
-    /// Not begun; the reason says what is missing. Of the new version nothing is placed.
+    /// Not begun; the reason says what is missing. No replica of the new version is placed.
     #[default]
     Planned,
-    /// Replicas of the step have machines, and none of those that are missing runs yet.
+    /// Some missing replicas of the step are bound to machines, and none of those is running yet.
     Fetching,
-    /// Replicas of the step come, and old ones go for them.
+    /// New replicas are started up to the step's target, and old ones are stopped as new ones become ready.
     Growing,
-    /// All replicas of the step run; old ones go.
+    /// All new replicas of the step are running; surplus old ones are being stopped.
     Shrinking,
-    /// The step is whole, and has to stay so for its time.
+    /// The step is complete and must stay so for the hold time.
     Holding,
-    /// An operator has paused it.
+    /// Paused by an operator, or because both versions fail.
     Paused,
-    /// The old version takes its place again.
+    /// The rollback is in progress.
     GoingBack,
-    /// The old version serves, the new one is held at no replicas.
+    /// Rolled back: the old version serves, and the new one is held at zero replicas.
     Back,
-    /// The new version serves, the old one is held at no replicas.
+    /// Completed: the new version serves, and the old one is held at zero replicas.
     Done,
-    /// Both jobs are over.
+    /// Both jobs have ended.
     Ended,
-    /// It cannot be carried out.
+    /// The rollout cannot be carried out.
     Refused,
 }
 
 impl RolloutPhase {
-    /// The rollout decides over its jobs.
-    pub fn begun(self) -> bool {
+    /// Returns whether the rollout has begun and controls its jobs.
+    pub fn has_begun(self) -> bool {
         !matches!(self, Self::Planned | Self::Ended | Self::Refused)
     }
 
-    /// The phase's name, as told to operators.
+    /// Returns the phase's name as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Planned => "planned",
@@ -60,16 +60,16 @@
     }
 }
 
-/// Numbers of replicas, stored as ranges: `[[0,11],[14,14]]`.
+/// Set of replica indexes, stored as inclusive ranges: `[[0,11],[14,14]]`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u32, u32)>", into = "Vec<(u32, u32)>")]
 pub struct ReplicaIndexes(pub BTreeSet<u32>);
 
 impl From<Vec<(u32, u32)>> for ReplicaIndexes {
-    /// What no rollout stores is cut off, so that a bad value cannot fill the memory.
+    /// Drops indexes beyond `MAX_REPLICAS`, which no rollout stores, so that a bad value cannot exhaust the memory.
     fn from(ranges: Vec<(u32, u32)>) -> Self {
-        let most = super::spec::MAX_REPLICAS - 1;
-        Self(ranges.into_iter().flat_map(|(from, to)| from.min(most + 1)..=to.min(most)).collect())
+        let max_index = super::spec::MAX_REPLICAS - 1;
+        Self(ranges.into_iter().flat_map(|(from, to)| from.min(max_index + 1)..=to.min(max_index)).collect())
     }
 }
 
@@ -96,77 +96,76 @@
     }
 }
 
-/// A machine on which the new version failed.
+/// Machine on which the new version failed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FailedMachine {
-    /// Where it failed.
+    /// Machine ID.
     pub machine: String,
     /// The machine's type.
     #[serde(rename = "type")]
     pub type_name: String,
-    /// It came quarantined: other work fails on it as well.
+    /// Whether the machine was quarantined since, because other jobs fail on it as well.
     pub faulty: bool,
 }
 
-/// What was seen against the new version in this step.
+/// Failures counted in the current step.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FailureCounts {
-    /// Different machines on which replicas of the new version failed.
+    /// Distinct machines on which replicas of the new version failed.
     pub failed_on: Vec<FailedMachine>,
-    /// Failures of replicas of the new and of the old version.
+    /// Failures of replicas of the new version.
     pub new: u64,
     /// Failures of replicas of the old version.
     pub old: u64,
-    /// The leader that counted, and how far it had counted each job's failures. Another leader's own
-    /// count begins at none.
+    /// Fencing token of the leader that counted. Another leader's own count of each job's failures starts at zero.
     #[serde(rename = "epoch")]
     pub fencing_token: u64,
-    /// How far that leader had counted the new job's failures.
+    /// That leader's total of the new job's failures when they were last added.
     pub counted_new: u64,
-    /// How far it had counted the old job's failures.
+    /// That leader's total of the old job's failures when they were last added.
     pub counted_old: u64,
 }
 
-/// What the leader has stored of a rollout.
+/// Status of a rollout, as stored by the leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RolloutStatus {
-    /// Where it stands.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// Why it is so, where that is not what was asked for.
+    /// Reason for the phase, where it deviates from the goal.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The jobs it has begun with. A spec that names others later does not change them.
+    /// Old job with which the rollout began. A specification that names other jobs later does not change it.
     pub old: Option<JobId>,
-    /// The new version that it was begun with.
+    /// New job with which the rollout began, likewise unaffected by later specifications.
     pub new: Option<JobId>,
-    /// From 0.
+    /// Index of the current step, from 0.
     pub step: u32,
-    /// The leader that decided this.
+    /// Fencing token of the leader that decided this status.
     #[serde(rename = "epoch")]
     pub fencing_token: u64,
-    /// When the phase began, in ms since 1970.
+    /// Time at which the phase or step began, in Unix milliseconds.
     pub since_ms: u64,
-    /// The operator's word that this answers.
+    /// Number of the operator's last request that was taken into account.
     #[serde(rename = "word")]
     pub request_no: u64,
-    /// Replicas of the old job that are meant to go, or have gone.
+    /// Replicas of the old job that are to stop or have stopped.
     #[serde(rename = "go_old")]
     pub stopping_old: ReplicaIndexes,
-    /// Replicas of the new job that may run; all others are meant to go.
+    /// Replicas of the new job that may run; all others are to stop.
     #[serde(rename = "may_new")]
     pub allowed_new: ReplicaIndexes,
-    /// What speaks against the new version.
+    /// Failures counted in the current step.
     #[serde(rename = "against")]
     pub failure_counts: FailureCounts,
 }
 
 impl RolloutStatus {
-    /// The old and the new job: those it has begun with, else those declared.
+    /// Returns the old and the new job: those with which the rollout began, or the declared ones if it has not begun.
     pub fn jobs<'a>(&'a self, spec: &'a RolloutSpec) -> [&'a JobId; 2] {
-        let begun = self.phase.begun();
-        let of = |id: &'a Option<JobId>, declared: &'a JobId| id.as_ref().filter(|_| begun).unwrap_or(declared);
+        let has_begun = self.phase.has_begun();
+        let of = |id: &'a Option<JobId>, declared: &'a JobId| id.as_ref().filter(|_| has_begun).unwrap_or(declared);
         [of(&self.old, &spec.old), of(&self.new, &spec.new)]
     }
 }
--- a/src/rollouts/status/tests.rs
+++ b/src/rollouts/status/tests.rs
@@ -1,17 +1,19 @@
+//! Tests of the stored rollout status.
+
 use super::*;
 use crate::rollouts::spec::MAX_REPLICAS;
 
-/// A status has to fit the smallest value that stores take (8 KiB), however its replicas lie.
+/// A status must fit the smallest value limit of supported stores (8 KiB), also with the longest list of replica ranges.
 #[test]
-fn status_is_decoded_again_and_fits_a_value() {
-    let odd = ReplicaIndexes((0..MAX_REPLICAS).filter(|n| n % 2 == 1).collect());
-    let on =
+fn status_round_trips_and_fits_a_store_value() {
+    let odd_indexes = ReplicaIndexes((0..MAX_REPLICAS).filter(|n| n % 2 == 1).collect());
+    let failed_machine =
         |n| FailedMachine { machine: format!("host-{n:012}"), type_name: "g8-of-a-long-name".into(), faulty: false };
-    let failed_on = (0..8).map(on).collect();
+    let failed_on = (0..8).map(failed_machine).collect();
     let failure_counts = FailureCounts { failed_on, ..FailureCounts::default() };
     let status = RolloutStatus {
-        stopping_old: odd.clone(),
-        allowed_new: odd,
+        stopping_old: odd_indexes.clone(),
+        allowed_new: odd_indexes,
         failure_counts,
         reason: "x".repeat(400),
         ..RolloutStatus::default()
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A rollout on the real cluster state: what its intents change of placing, renting, stopping and sparing.
+//! Tests of rollouts on the real cluster state: effect of the intents on placement, scale-out, stops and drains.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,7 +25,8 @@
 use crate::settings::Properties;
 use crate::settings::tests::example;
 
-struct Bench {
+/// A cluster state with declared rollouts, driven without a leader task.
+struct TestCluster {
     cluster: ClusterState,
     registry: DeclarationRegistry,
     catalog: Catalog,
@@ -34,14 +35,14 @@
     version: u64,
 }
 
-impl Bench {
-    /// Machines of 8 cores, m0 to m3, in two zones; services of 4 replicas that take 2 cores each.
+impl TestCluster {
+    /// Creates four machines with 8 cores each, m0 to m3, in two zones.
     fn new() -> Self {
         let of = MachineType { zones: vec!["a".into(), "b".into()], ..machine_type("c8", 8.0, 0.0, 1.0) };
         let now = Instant::now();
         let mut cluster = ClusterState::new(7, example(), Properties::default(), now);
         cluster.loaded = true;
-        let mut bench = Self {
+        let mut test_cluster = Self {
             cluster,
             registry: DeclarationRegistry::default(),
             catalog: Catalog { types: vec![of] },
@@ -49,11 +50,12 @@
             seq: 0,
             version: 0,
         };
-        bench.heartbeat();
-        bench
+        test_cluster.heartbeat();
+        test_cluster
     }
 
-    fn add(&mut self, n: u32, change: impl FnOnce(&mut JobSpec)) {
+    /// Submits a service with 4 replicas of 2 cores each, as changed by `change`.
+    fn add_service(&mut self, n: u32, change: impl FnOnce(&mut JobSpec)) {
         let mut job =
             JobSpec { id: format!("run-{n}").into(), shape: Shape::Service, tasks: 4, cpus: 2.0, ..job_spec() };
         (job.estimate_s, job.checkpoint_s, job.team) = (5000.0, 10.0, "blue".into());
@@ -61,7 +63,7 @@
         self.cluster.add_job(Arc::new(JobRecord { spec: job, accepted_ms: time_of_day_ms() }), self.now);
     }
 
-    fn put(&mut self, path: &str, value: Value) {
+    fn put_record(&mut self, path: &str, value: Value) {
         self.version += 1;
         assert!(self.registry.put_key(path, &value, self.version));
     }
@@ -69,10 +71,10 @@
     fn declare(&mut self, name: &str, change: Value) {
         let mut spec = json!({"old": "run-1", "new": "run-2", "replicas": 4, "hold_s": 5, "surge": 1});
         spec.as_object_mut().unwrap().extend(change.as_object().unwrap().clone());
-        self.put(&spec_key(DeclarationKind::Rollout, name), spec);
+        self.put_record(&spec_key(DeclarationKind::Rollout, name), spec);
     }
 
-    /// All machines say that what is bound to them runs, but what was told to stop, which is gone.
+    /// Sends a heartbeat from every machine: all bound replicas are running, except those ordered to stop, which are gone.
     fn heartbeat(&mut self) {
         self.seq += 1;
         for n in 0..4 {
@@ -123,8 +125,9 @@
         })
     }
 
-    /// Intents by what is stored, then the next statuses, as the leader's task does; then a plan.
-    fn turn(&mut self) -> Vec<String> {
+    /// Runs one round like the leader's task: intents from the stored statuses, next statuses, then placement. Returns the
+    /// placed tasks.
+    fn run_round(&mut self) -> Vec<String> {
         let names: Vec<String> = self.registry.names_of_kind(DeclarationKind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
         let next: Vec<(String, Option<RolloutStatus>)> = self.with_view(|view| {
@@ -139,7 +142,7 @@
         self.cluster.set_intents(intents);
         for (name, status) in next {
             if let Some(status) = status {
-                self.put(&status_key(DeclarationKind::Rollout, &name), serde_json::to_value(status).unwrap());
+                self.put_record(&status_key(DeclarationKind::Rollout, &name), serde_json::to_value(status).unwrap());
             }
         }
         let placed = plan::place(&mut self.cluster, &self.catalog, self.now);
@@ -156,145 +159,178 @@
         self.cluster.task_counts(&format!("run-{n}").as_str().into()).running
     }
 
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         self.now += Duration::from_secs(seconds);
         self.heartbeat();
     }
 }
 
-/// From nothing of the new version to nothing of the old one, with no fewer than four at any moment.
+/// All old replicas are replaced, with no fewer than four running at any time.
 #[test]
-fn a_rollout_on_the_cluster_state() {
-    let mut bench = Bench::new();
-    bench.add(1, |_| ());
-    assert_eq!(bench.turn().len(), 4);
-    bench.declare("r", json!({"steps": [1, 0.5]}));
-    // Submitted after it was declared: nothing of it is placed, and nothing rented, before its step.
-    bench.add(2, |_| ());
-    assert!(bench.turn().is_empty());
+fn rollout_replaces_all_replicas_without_capacity_gap() {
+    let mut test_cluster = TestCluster::new();
+    test_cluster.add_service(1, |_| ());
+    assert_eq!(test_cluster.run_round().len(), 4);
+    test_cluster.declare("r", json!({"steps": [1, 0.5]}));
+    // The new job is submitted after the declaration: before its step no replica is placed and no machine rented.
+    test_cluster.add_service(2, |_| ());
+    assert!(test_cluster.run_round().is_empty());
     let refusals = CapacityRefusals::default();
-    assert!(plan_scale_out(&bench.cluster, &bench.catalog, &refusals, &HashMap::new(), bench.now).is_empty());
+    assert!(
+        plan_scale_out(&test_cluster.cluster, &test_cluster.catalog, &refusals, &HashMap::new(), test_cluster.now)
+            .is_empty()
+    );
     let mut phases = Vec::new();
     for _ in 0..120 {
-        bench.pass(1);
-        bench.turn();
-        let phase = bench.status("r").phase;
+        test_cluster.advance(1);
+        test_cluster.run_round();
+        let phase = test_cluster.status("r").phase;
         if phases.last() != Some(&phase) {
             phases.push(phase);
         }
-        let (old, new) = (bench.running(1), bench.running(2));
+        let (old, new) = (test_cluster.running(1), test_cluster.running(2));
         assert!(old + new >= 4 && old + new <= 5, "{old} and {new} run, {phase:?}");
-        // What a rollout moves is not moved to spare a machine as well.
-        let moved = choose_drains(&bench.cluster, &bench.catalog, bench.now);
-        assert!(phase == RolloutPhase::Done || moved.iter().all(|d| d.moves.is_empty()), "{moved:?}");
+        // Replicas of a rollout in progress are not moved to drain a machine.
+        let drains = choose_drains(&test_cluster.cluster, &test_cluster.catalog, test_cluster.now);
+        assert!(phase == RolloutPhase::Done || drains.iter().all(|d| d.moves.is_empty()), "{drains:?}");
     }
-    assert_eq!((bench.running(1), bench.running(2)), (0, 4), "{phases:?}");
+    assert_eq!((test_cluster.running(1), test_cluster.running(2)), (0, 4), "{phases:?}");
     assert_eq!(phases.last(), Some(&RolloutPhase::Done));
-    assert!(bench.cluster.has_job(&"run-1".into()), "held at no replicas, and known");
-    // Cancelled as its user would, and removed: the new job is as any other.
-    bench.cluster.end_job(&"run-1".into(), None, bench.now);
-    bench.pass(1);
-    assert!(bench.turn().is_empty());
-    bench.registry.remove_key(&spec_key(DeclarationKind::Rollout, "r"), 1000);
-    assert!(bench.turn().is_empty() && bench.cluster.intents.is_empty());
+    assert!(test_cluster.cluster.has_job(&"run-1".into()), "the old job must stay open, held at zero replicas");
+    // After the old job is cancelled and the rollout removed, the new job is treated like any other.
+    test_cluster.cluster.end_job(&"run-1".into(), None, test_cluster.now);
+    test_cluster.advance(1);
+    assert!(test_cluster.run_round().is_empty());
+    test_cluster.registry.remove_key(&spec_key(DeclarationKind::Rollout, "r"), 1000);
+    assert!(test_cluster.run_round().is_empty() && test_cluster.cluster.intents.is_empty());
 }
 
-/// Refused, or kept from beginning, by what the cluster state says of the jobs and the team.
+/// A rollout is refused or stays planned if its jobs or the team's limits do not permit it.
 #[test]
-fn rollouts_that_may_not_begin_by_cases() {
+fn unsuitable_rollouts_are_refused_or_stay_planned() {
     type Change = fn(&mut JobSpec);
-    let blue: fn(&mut Bench) = |_| ();
+    let no_setup: fn(&mut TestCluster) = |_| ();
     // The team's limit is 20 cores.
-    let red: Change = |j| j.team = "red".into();
-    type Case = (&'static str, Change, Value, fn(&mut Bench), RolloutPhase, &'static str);
+    let in_team_red: Change = |j| j.team = "red".into();
+    type Case = (&'static str, Change, Value, fn(&mut TestCluster), RolloutPhase, &'static str);
     let cases: [Case; 8] = [
-        ("good", |_| (), json!({}), blue, RolloutPhase::Growing, ""),
-        ("no service", |j| j.shape = Shape::Array, json!({}), blue, RolloutPhase::Refused, "new: run-2 is no service"),
-        ("too few", |j| j.tasks = 3, json!({}), blue, RolloutPhase::Refused, "replicas: 4 are asked, and run-2 has 3"),
-        ("too many", |j| j.tasks = 600, json!({}), blue, RolloutPhase::Refused, "new: run-2 has 600 replicas"),
-        ("room in the limit", red, json!({"surge": 2}), blue, RolloutPhase::Growing, ""),
+        ("suitable", |_| (), json!({}), no_setup, RolloutPhase::Growing, ""),
         (
-            "larger ones",
+            "not a service",
+            |j| j.shape = Shape::Array,
+            json!({}),
+            no_setup,
+            RolloutPhase::Refused,
+            "new: run-2 is no service",
+        ),
+        (
+            "too few replicas",
+            |j| j.tasks = 3,
+            json!({}),
+            no_setup,
+            RolloutPhase::Refused,
+            "replicas: 4 are asked, and run-2 has 3",
+        ),
+        (
+            "too many replicas",
+            |j| j.tasks = 600,
+            json!({}),
+            no_setup,
+            RolloutPhase::Refused,
+            "new: run-2 has 600 replicas",
+        ),
+        ("surge within the limit", in_team_red, json!({"surge": 2}), no_setup, RolloutPhase::Growing, ""),
+        (
+            "replicas too large for the limit",
             |j| (j.team, j.cpus) = ("red".into(), 5.0),
             json!({}),
-            blue,
+            no_setup,
             RolloutPhase::Planned,
             "surge: 1 more than 4",
         ),
-        ("not there", |_| (), json!({"new": "run-9"}), blue, RolloutPhase::Planned, "waits for run-9"),
+        ("unknown new job", |_| (), json!({"new": "run-9"}), no_setup, RolloutPhase::Planned, "waits for run-9"),
         (
-            "a job of another's",
+            "job held by another rollout",
             |_| (),
             json!({}),
-            |bench| bench.declare("a", json!({"old": "run-2", "new": "run-3"})),
+            |test_cluster| test_cluster.declare("a", json!({"old": "run-2", "new": "run-3"})),
             RolloutPhase::Refused,
             "rollout a has one of its jobs",
         ),
     ];
-    for (name, change, with, before, want, reason) in cases {
-        let mut bench = Bench::new();
-        bench.add(1, |job| job.team = "red".into());
-        bench.add(2, change);
-        before(&mut bench);
-        bench.declare("r", with);
-        bench.turn();
-        let status = bench.status("r");
+    for (name, change, spec_change, setup, want, reason) in cases {
+        let mut test_cluster = TestCluster::new();
+        test_cluster.add_service(1, |job| job.team = "red".into());
+        test_cluster.add_service(2, change);
+        setup(&mut test_cluster);
+        test_cluster.declare("r", spec_change);
+        test_cluster.run_round();
+        let status = test_cluster.status("r");
         assert!(status.phase == want && status.reason.contains(reason), "{name}: {:?} {}", status.phase, status.reason);
     }
 }
 
-/// Whatever order they are heard of in, one of two that share a job goes on; who has begun keeps it.
+/// Of two rollouts that share a job exactly one proceeds, regardless of the order in which they become known. One that
+/// has begun keeps the job.
 #[test]
-fn two_rollouts_that_share_a_job() {
-    let mut bench = Bench::new();
-    (1..4).for_each(|n| bench.add(n, |_| ()));
-    bench.declare("b", json!({}));
-    bench.turn();
-    bench.declare("a", json!({"old": "run-2", "new": "run-3"}));
-    // The operator's word makes the one that has begun the later one to be written.
-    bench.declare("b", json!({"wanted": "paused", "word": 1}));
-    bench.turn();
-    bench.turn();
-    assert_eq!((bench.status("a").phase, bench.status("b").phase), (RolloutPhase::Refused, RolloutPhase::Paused));
-    // Both begun, each before the other was heard of.
-    let begun = json!({"phase": "growing", "old": "run-2", "new": "run-3"});
-    bench.put(&status_key(DeclarationKind::Rollout, "a"), begun);
-    bench.turn();
-    assert_eq!((bench.status("a").phase, bench.status("b").phase), (RolloutPhase::Growing, RolloutPhase::Refused));
+fn only_one_of_two_rollouts_sharing_a_job_proceeds() {
+    let mut test_cluster = TestCluster::new();
+    (1..4).for_each(|n| test_cluster.add_service(n, |_| ()));
+    test_cluster.declare("b", json!({}));
+    test_cluster.run_round();
+    test_cluster.declare("a", json!({"old": "run-2", "new": "run-3"}));
+    // The operator's request makes the rollout that has begun the one written last.
+    test_cluster.declare("b", json!({"wanted": "paused", "word": 1}));
+    test_cluster.run_round();
+    test_cluster.run_round();
+    assert_eq!(
+        (test_cluster.status("a").phase, test_cluster.status("b").phase),
+        (RolloutPhase::Refused, RolloutPhase::Paused)
+    );
+    // Both have begun, each before the other was known.
+    let begun_status = json!({"phase": "growing", "old": "run-2", "new": "run-3"});
+    test_cluster.put_record(&status_key(DeclarationKind::Rollout, "a"), begun_status);
+    test_cluster.run_round();
+    assert_eq!(
+        (test_cluster.status("a").phase, test_cluster.status("b").phase),
+        (RolloutPhase::Growing, RolloutPhase::Refused)
+    );
 }
 
-/// What is asked of one job's replicas, each by itself.
+/// Each part of a replica intent takes effect: stopping, keeping in place, and blocking placement.
 #[test]
-fn replicas_stop_stay_and_are_not_placed() {
-    let mut bench = Bench::new();
-    bench.add(1, |job| (job.tasks, job.cpus) = (3, 3.0));
-    // Two fill the first machine.
-    assert_eq!(bench.turn().len(), 3);
-    for gone in ["m2", "m3"] {
-        bench.cluster.remove_machine(&gone.into(), bench.now);
+fn replica_intents_stop_keep_and_block_replicas() {
+    let mut test_cluster = TestCluster::new();
+    test_cluster.add_service(1, |job| (job.tasks, job.cpus) = (3, 3.0));
+    // Two of the replicas fill the first machine.
+    assert_eq!(test_cluster.run_round().len(), 3);
+    for removed in ["m2", "m3"] {
+        test_cluster.cluster.remove_machine(&removed.into(), test_cluster.now);
     }
-    bench.pass(1);
-    let ask = |stop: &[u32], stay| {
-        let of = ReplicaIntent {
-            max_bound: 3,
-            stop: stop.iter().copied().collect(),
-            keep_in_place: stay,
-            prioritized: false,
-        };
-        Intents { replicas: [("run-1".into(), of)].into(), ..Intents::default() }
+    test_cluster.advance(1);
+    let intents = |stop: &[u32], keep_in_place| {
+        let intent =
+            ReplicaIntent { max_bound: 3, stop: stop.iter().copied().collect(), keep_in_place, prioritized: false };
+        Intents { replicas: [("run-1".into(), intent)].into(), ..Intents::default() }
+    };
+    test_cluster.cluster.set_intents(intents(&[0], false));
+    test_cluster.advance(100);
+    assert_eq!(test_cluster.running(1), 2, "only the replica named in `stop` must stop");
+    assert!(
+        plan::place(&mut test_cluster.cluster, &test_cluster.catalog, test_cluster.now).is_empty(),
+        "the stopped replica must not be placed again"
+    );
+    let moves_tasks = |test_cluster: &TestCluster| {
+        choose_drains(&test_cluster.cluster, &test_cluster.catalog, test_cluster.now)
+            .iter()
+            .any(|d| !d.moves.is_empty())
     };
-    bench.cluster.set_intents(ask(&[0], false));
-    bench.pass(100);
-    assert_eq!(bench.running(1), 2, "stopped, and only that one");
-    assert!(plan::place(&mut bench.cluster, &bench.catalog, bench.now).is_empty(), "and not placed again");
-    let moved =
-        |bench: &Bench| choose_drains(&bench.cluster, &bench.catalog, bench.now).iter().any(|d| !d.moves.is_empty());
-    assert!(moved(&bench), "the two others fit on one machine");
-    bench.cluster.set_intents(ask(&[0], true));
-    assert!(!moved(&bench));
-    bench.cluster.set_intents(ask(&[0, 1], true));
-    bench.pass(1);
-    bench.cluster.set_intents(ask(&[0], true));
-    let placed = plan::place(&mut bench.cluster, &bench.catalog, bench.now);
-    assert_eq!(placed.iter().map(|p| p.task.index).collect::<Vec<_>>(), [1], "only the one that may");
+    assert!(moves_tasks(&test_cluster), "the other two replicas fit on one machine");
+    test_cluster.cluster.set_intents(intents(&[0], true));
+    assert!(!moves_tasks(&test_cluster));
+    test_cluster.cluster.set_intents(intents(&[0, 1], true));
+    test_cluster.advance(1);
+    test_cluster.cluster.set_intents(intents(&[0], true));
+    let placed = plan::place(&mut test_cluster.cluster, &test_cluster.catalog, test_cluster.now);
+    assert_eq!(placed.iter().map(|p| p.task.index).collect::<Vec<_>>(), [1], "only the allowed replica must be placed");
 }
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A rollout by cases; `model` simulates them with failing controllers.
+//! Tests of rollout decisions. `cluster` runs them on the cluster state, `model` simulates failing controllers.
 
 mod cluster;
 mod model;
@@ -10,32 +10,33 @@
 use super::spec::tests::spec;
 use super::spec::{RolloutGoal, RolloutSpec};
 use super::status::{FailedMachine, FailureCounts, ReplicaIndexes, RolloutPhase, RolloutStatus};
-use super::step::decide;
+use super::step::decide_rollout;
 
 fn failed_on(machine: String, type_name: &str) -> FailedMachine {
     FailedMachine { machine, type_name: type_name.to_owned(), faulty: false }
 }
 
-fn running(ran_s: f64, zone: &str) -> ObservedReplica {
-    let heard = ObservedReplica {
-        machine: format!("m-{zone}-{ran_s}"),
+fn running(running_s: f64, zone: &str) -> ObservedReplica {
+    let responsive = ObservedReplica {
+        machine: format!("m-{zone}-{running_s}"),
         zone: zone.into(),
-        heard: true,
+        machine_responsive: true,
         ..ObservedReplica::default()
     };
-    ObservedReplica { running: true, sure: true, ran_s, bound_s: ran_s, ..heard }
+    ObservedReplica { running: true, confirmed_running: true, running_s, bound_s: running_s, ..responsive }
 }
 
-/// Replicas by number, each `zone` and seconds run; 0: it has a machine and does not run.
-fn side(tasks: u32, replicas: &[(u32, &str, f64)]) -> ObservedJob {
+/// Returns an open job with the given replicas as (index, zone, seconds running). With 0 seconds the replica is bound but
+/// not running.
+fn observed_job(tasks: u32, replicas: &[(u32, &str, f64)]) -> ObservedJob {
     let replica = |(index, zone, ran): &(u32, &str, f64)| {
         let mut replica = running(*ran, zone);
         replica.machine = format!("m-{zone}-{index}");
-        (replica.running, replica.sure) = (*ran > 0.0, *ran > 0.0);
+        (replica.running, replica.confirmed_running) = (*ran > 0.0, *ran > 0.0);
         (*index, replica)
     };
     ObservedJob {
-        known: JobPresence::Open,
+        presence: JobPresence::Open,
         tasks,
         replicas: replicas.iter().map(replica).collect(),
         ..ObservedJob::default()
@@ -44,10 +45,10 @@
 
 const OLD: [(u32, &str, f64); 4] = [(0, "a", 900.0), (1, "b", 900.0), (2, "a", 900.0), (3, "b", 900.0)];
 
-fn seen(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> RolloutObservation {
+fn observed(old: &[(u32, &str, f64)], new: &[(u32, &str, f64)]) -> RolloutObservation {
     RolloutObservation {
-        old: side(4, old),
-        new: side(4, new),
+        old: observed_job(4, old),
+        new: observed_job(4, new),
         now_ms: 1_000_000,
         fencing_token: 7,
         ..RolloutObservation::default()
@@ -70,16 +71,17 @@
     }
 }
 
-fn sets(status: &RolloutStatus) -> (Vec<u32>, Vec<u32>) {
+fn replica_sets(status: &RolloutStatus) -> (Vec<u32>, Vec<u32>) {
     (status.stopping_old.0.iter().copied().collect(), status.allowed_new.0.iter().copied().collect())
 }
 
 #[test]
-fn next_status_by_cases() {
+fn decide_rollout_returns_the_next_status() {
     use RolloutPhase::*;
     type Change = fn(&mut RolloutSpec, &mut RolloutObservation, &mut RolloutStatus);
     type Replicas = &'static [(u32, &'static str, f64)];
-    // (name, phase, step, meant to go, may run, old, new, change, then: phase, meant to go, may run)
+    // (name, (phase, step, old replicas to stop, new replicas allowed), (bound old replicas, bound new replicas), change,
+    // expected (phase, old replicas to stop, new replicas allowed))
     type Case = (
         &'static str,
         (RolloutPhase, u32, &'static [u32], &'static [u32]),
@@ -91,137 +93,158 @@
     const THREE: Replicas = &[(0, "a", 900.0), (1, "b", 900.0), (2, "a", 900.0)];
     const TWO: Replicas = &[(0, "a", 900.0), (1, "b", 900.0)];
     let cases: [Case; 37] = [
-        ("it begins", (Planned, 0, &[], &[]), (&OLD, NONE), |_, _, _| (), (Growing, &[], &[])),
+        ("the rollout begins", (Planned, 0, &[], &[]), (&OLD, NONE), |_, _, _| (), (Growing, &[], &[])),
         (
-            "the new job is not there",
+            "the new job is unknown",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.new.known = JobPresence::Unknown,
+            |_, s, _| s.new.presence = JobPresence::Unknown,
             (Planned, &[], &[]),
         ),
         (
-            "the old job is over",
+            "the old job has ended",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
-            |_, s, _| s.old.known = JobPresence::Ended,
+            |_, s, _| s.old.presence = JobPresence::Ended,
             (Refused, &[], &[]),
         ),
         (
-            "another has one of its jobs",
+            "another rollout holds one of the jobs",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
             |_, s, _| s.conflict = Some("x".into()),
             (Refused, &[], &[]),
         ),
         (
-            "the surge has no room",
+            "the quota is too low for the surge",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
             |_, s, _| s.quota_shortage = Some("x".into()),
             (Planned, &[], &[]),
         ),
         (
-            "paused before it begins",
+            "paused before the rollout begins",
             (Planned, 0, &[], &[]),
             (&OLD, NONE),
             |p, _, _| p.goal = RolloutGoal::Paused,
             (Planned, &[], &[]),
         ),
-        ("a first one may run", (Growing, 0, &[], &[]), (&OLD, NONE), |_, _, _| (), (Growing, &[], &[0])),
-        ("it fetches", (Growing, 0, &[], &[0]), (&OLD, &[(0, "a", 0.0)]), |_, _, _| (), (Fetching, &[], &[0])),
+        ("the first new replica is allowed", (Growing, 0, &[], &[]), (&OLD, NONE), |_, _, _| (), (Growing, &[], &[0])),
         (
-            "it has not run for long enough",
+            "the new replica is fetching",
+            (Growing, 0, &[], &[0]),
+            (&OLD, &[(0, "a", 0.0)]),
+            |_, _, _| (),
+            (Fetching, &[], &[0]),
+        ),
+        (
+            "the new replica has not run for ready_s",
             (Fetching, 0, &[], &[0]),
             (&OLD, &[(0, "a", 9.0)]),
             |_, _, _| (),
             (Growing, &[], &[0]),
         ),
         (
-            "an old one is meant to go",
+            "an old replica is chosen to stop",
             (Growing, 0, &[], &[0]),
             (&OLD, &[(0, "a", 10.0)]),
             |_, _, _| (),
             (Shrinking, &[3], &[0]),
         ),
         (
-            "more old ones than asked, that without a machine first",
+            "surplus old replicas: unbound ones stop first",
             (Growing, 0, &[], &[0]),
             (THREE, &[(0, "a", 10.0)]),
             |p, _, _| p.replicas = 3,
             (Shrinking, &[2, 3], &[0]),
         ),
         (
-            "not the last of its zone",
+            "the last replica of a zone is kept",
             (Growing, 0, &[], &[0]),
             (&[(0, "a", 9.0), (1, "a", 9.0), (2, "a", 9.0), (3, "b", 9.0)], &[(0, "a", 10.0)]),
             |_, _, _| (),
             (Shrinking, &[2], &[0]),
         ),
         (
-            "it is still there",
+            "the stopping old replica is still bound",
             (Shrinking, 0, &[3], &[0]),
             (&OLD, &[(0, "a", 20.0)]),
             |_, _, _| (),
             (Shrinking, &[3], &[0]),
         ),
         (
-            "the step is whole",
+            "the step is complete",
             (Shrinking, 0, &[3], &[0]),
             (THREE, &[(0, "a", 20.0)]),
             |_, _, _| (),
             (Holding, &[3], &[0]),
         ),
-        ("it holds", (Holding, 0, &[3], &[0]), (THREE, &[(0, "a", 20.0)]), |_, _, _| (), (Holding, &[3], &[0])),
         (
-            "it has held",
+            "the hold time has not elapsed",
+            (Holding, 0, &[3], &[0]),
+            (THREE, &[(0, "a", 20.0)]),
+            |_, _, _| (),
+            (Holding, &[3], &[0]),
+        ),
+        (
+            "the hold time has elapsed",
             (Holding, 0, &[3], &[0]),
             (THREE, &[(0, "a", 20.0)]),
             |_, s, _| s.now_ms += 10_000,
             (Growing, &[3], &[0]),
         ),
         (
-            "it holds on under a new leader, which has heard of nothing yet",
+            "a new leader without heartbeats keeps holding",
             (Holding, 0, &[3], &[0]),
             (THREE, &[(0, "a", 20.0)]),
             |_, s, _| {
                 let new = s.new.replicas.get_mut(&0).unwrap();
-                (new.heard, new.running, new.sure) = (false, false, false);
-                s.old.replicas.values_mut().for_each(|r| (r.heard, r.running, r.sure) = (false, false, false));
+                (new.machine_responsive, new.running, new.confirmed_running) = (false, false, false);
+                s.old
+                    .replicas
+                    .values_mut()
+                    .for_each(|r| (r.machine_responsive, r.running, r.confirmed_running) = (false, false, false));
                 s.now_ms += 10_000;
             },
             (Holding, &[3], &[0]),
         ),
         (
-            "a clock was set back",
+            "the clock was set back",
             (Holding, 0, &[3], &[0]),
             (THREE, &[(0, "a", 20.0)]),
             |_, s, _| s.now_ms = 5,
             (Holding, &[3], &[0]),
         ),
-        ("the next one", (Growing, 1, &[3], &[0]), (THREE, &[(0, "a", 50.0)]), |_, _, _| (), (Growing, &[3], &[0, 1])),
         (
-            "a new one is lost: an old one comes back",
+            "the next step allows another new replica",
+            (Growing, 1, &[3], &[0]),
+            (THREE, &[(0, "a", 50.0)]),
+            |_, _, _| (),
+            (Growing, &[3], &[0, 1]),
+        ),
+        (
+            "a new replica is lost: an old one is restored",
             (Growing, 1, &[3], &[0, 1]),
             (THREE, NONE),
             |_, _, _| (),
             (Growing, &[], &[0, 1]),
         ),
         (
-            "one that still runs comes back first",
+            "a running old replica is restored first",
             (Growing, 1, &[2, 3], &[0, 1]),
             (THREE, &[(0, "a", 50.0)]),
             |_, _, _| (),
             (Growing, &[3], &[0, 1]),
         ),
         (
-            "the last step has held",
+            "the hold time of the last step has elapsed",
             (Holding, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]),
             (NONE, &OLD),
             |_, s, _| s.now_ms += 10_000,
             (Done, &[0, 1, 2, 3], &[0, 1, 2, 3]),
         ),
         (
-            "paused: nothing more goes",
+            "paused: no further replica stops",
             (Growing, 0, &[], &[0]),
             (&OLD, &[(0, "a", 10.0)]),
             |p, _, _| p.goal = RolloutGoal::Paused,
@@ -235,128 +258,142 @@
             (Shrinking, &[3], &[0]),
         ),
         (
-            "back by hand",
+            "rollback requested by the operator",
             (Growing, 1, &[3], &[0, 1]),
             (THREE, &[(0, "a", 50.0)]),
             |p, _, _| p.goal = RolloutGoal::Back,
             (GoingBack, &[], &[0]),
         ),
         (
-            "a new one goes once the old one has run",
+            "rollback: the new replica stops once the old ones are ready",
             (GoingBack, 1, &[], &[0]),
             (&OLD, &[(0, "a", 50.0)]),
             |_, _, _| (),
             (Back, &[], &[]),
         ),
         (
-            "but not before",
+            "rollback: the new replica stays until the old ones are ready",
             (GoingBack, 1, &[], &[0]),
             (&[(0, "a", 9.0), (1, "b", 90.0), (2, "a", 90.0), (3, "b", 90.0)], &[(0, "a", 50.0)]),
             |_, _, _| (),
             (GoingBack, &[], &[0]),
         ),
         (
-            "what does not run is not waited for",
+            "rollback: new replicas that are not running are dropped",
             (GoingBack, 1, &[2, 3], &[0, 1]),
             (TWO, &[(0, "a", 0.0)]),
             |_, _, _| (),
             (GoingBack, &[], &[]),
         ),
-        ("it stays back", (Back, 1, &[], &[]), (&OLD, NONE), |_, _, _| (), (Back, &[], &[])),
+        ("a rolled-back rollout stays so", (Back, 1, &[], &[]), (&OLD, NONE), |_, _, _| (), (Back, &[], &[])),
         (
-            "until it is resumed, from the first step",
+            "resumed after a rollback: starts at the first step",
             (Back, 1, &[], &[]),
             (&OLD, NONE),
             |p, _, _| p.request_no = 2,
             (Growing, &[], &[0]),
         ),
         (
-            "resumed half-way back, where it has come to",
+            "resumed during a rollback: continues at the matching step",
             (GoingBack, 2, &[1, 2, 3], &[0, 1]),
             (&[(0, "a", 90.0)], &[(0, "a", 90.0), (1, "b", 90.0)]),
             |p, _, _| p.request_no = 2,
             (Holding, &[2, 3], &[0, 1]),
         ),
         (
-            "more of it runs than the step has: old ones come back first",
+            "more new replicas than the step's target: old ones are restored first",
             (Growing, 0, &[1, 2, 3], &[0, 1, 2]),
             (&[(0, "a", 90.0)], &[(0, "a", 90.0), (1, "b", 90.0), (2, "b", 90.0)]),
             |_, _, _| (),
             (Growing, &[2, 3], &[0, 1, 2]),
         ),
         (
-            "back from done",
+            "rollback after completion",
             (Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]),
             (NONE, &OLD),
             |p, _, _| p.goal = RolloutGoal::Back,
             (GoingBack, &[1, 2, 3], &[0, 1, 2, 3]),
         ),
         (
-            "the new job is withdrawn",
+            "the new job is cancelled",
             (Growing, 1, &[3], &[0]),
             (THREE, NONE),
-            |_, s, _| s.new = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
+            |_, s, _| s.new = ObservedJob { presence: JobPresence::Ended, ..ObservedJob::default() },
             (GoingBack, &[], &[]),
         ),
         (
-            "the old job is withdrawn",
+            "the old job is cancelled",
             (Growing, 1, &[3], &[0]),
             (THREE, &[(0, "a", 50.0)]),
-            |_, s, _| s.old = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
+            |_, s, _| s.old = ObservedJob { presence: JobPresence::Ended, ..ObservedJob::default() },
             (Growing, &[3], &[0, 1, 2, 3]),
         ),
         (
-            "both are",
+            "both jobs have ended",
             (Growing, 1, &[3], &[0]),
             (THREE, NONE),
-            |_, s, _| (s.old.known, s.new.known) = (JobPresence::Ended, JobPresence::Ended),
+            |_, s, _| (s.old.presence, s.new.presence) = (JobPresence::Ended, JobPresence::Ended),
             (Ended, &[3], &[0]),
         ),
         (
-            "the old job is withdrawn once it is done",
+            "the old job is cancelled after completion",
             (Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]),
             (NONE, &OLD),
-            |_, s, _| s.old = ObservedJob { known: JobPresence::Ended, ..ObservedJob::default() },
+            |_, s, _| s.old = ObservedJob { presence: JobPresence::Ended, ..ObservedJob::default() },
             (Done, &[0, 1, 2, 3], &[0, 1, 2, 3]),
         ),
     ];
-    for (name, (phase, step, go, may), (old, new), change, (then, then_go, then_may)) in cases {
-        let (mut spec, mut seen, mut status) = (spec(), seen(old, new), status(phase, step, go, may));
-        change(&mut spec, &mut seen, &mut status);
-        let next = decide(&spec, &status, &seen).unwrap_or(status);
-        assert_eq!((next.phase, sets(&next)), (then, (then_go.to_vec(), then_may.to_vec())), "{name}: {}", next.reason);
+    for (
+        name,
+        (phase, step, stopping_old, allowed_new),
+        (old, new),
+        change,
+        (want_phase, want_stopping, want_allowed),
+    ) in cases
+    {
+        let (mut spec, mut observed, mut status) =
+            (spec(), observed(old, new), status(phase, step, stopping_old, allowed_new));
+        change(&mut spec, &mut observed, &mut status);
+        let next = decide_rollout(&spec, &status, &observed).unwrap_or(status);
+        assert_eq!(
+            (next.phase, replica_sets(&next)),
+            (want_phase, (want_stopping.to_vec(), want_allowed.to_vec())),
+            "{name}: {}",
+            next.reason
+        );
     }
 }
 
-/// What speaks against the version, against machines, or against both versions.
+/// Failures are attributed to the new version, to machines, or to both versions.
 #[test]
-fn version_verdict_by_cases() {
+fn failures_are_attributed_to_version_machines_or_both() {
     use RolloutPhase::{GoingBack, Growing, Paused};
-    let on = |n: u32, t: &str| failed_on(format!("m{n}"), t);
-    // (name, failures of new and old, on these, suspected machines, change, phase, in the reason)
+    let failed_machine = |n: u32, t: &str| failed_on(format!("m{n}"), t);
+    // (name, (new failures, old failures), machines with types, quarantined machines, change, expected phase, text expected
+    // in the reason)
     type Case<'a> =
         (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut RolloutObservation), RolloutPhase, &'a str);
     let three: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g4")];
     let one_type: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g8")];
     let cases: [Case; 12] = [
-        ("nothing failed", (0, 0), &[], &[], |_| (), Growing, ""),
-        ("on two machines", (2, 0), &three[..2], &[], |_| (), Growing, ""),
-        ("on three", (3, 0), three, &[], |_| (), GoingBack, "3 different machines"),
-        ("on three of one type", (3, 0), one_type, &[], |_| (), GoingBack, "all of type g8"),
-        ("on three, one of them faulty", (3, 0), three, &[2], |_| (), Growing, ""),
-        ("again and again on one machine", (40, 0), &three[..1], &[], |_| (), Growing, ""),
-        ("again and again on two", (10, 0), &three[..2], &[], |_| (), GoingBack, "10 times"),
-        ("the old one fails as well", (4, 2), three, &[], |_| (), Paused, "both versions"),
-        ("the old one fails now and then", (9, 2), three, &[], |_| (), GoingBack, "3 different"),
-        ("wherever it was tried", (2, 0), &three[..2], &[], |s| s.new.quarantined = true, GoingBack, "wherever"),
-        ("never runs", (0, 0), &[], &[], |s| s.new = side(4, &[(0, "a", 0.0)]), Growing, ""),
-        (
-            "never runs within its time",
+        ("no failures", (0, 0), &[], &[], |_| (), Growing, ""),
+        ("failures on two machines", (2, 0), &three[..2], &[], |_| (), Growing, ""),
+        ("failures on three machines", (3, 0), three, &[], |_| (), GoingBack, "3 different machines"),
+        ("failures on three machines of one type", (3, 0), one_type, &[], |_| (), GoingBack, "all of type g8"),
+        ("failures on three machines, one of them faulty", (3, 0), three, &[2], |_| (), Growing, ""),
+        ("repeated failures on one machine", (40, 0), &three[..1], &[], |_| (), Growing, ""),
+        ("repeated failures on two machines", (10, 0), &three[..2], &[], |_| (), GoingBack, "10 times"),
+        ("the old version fails as well", (4, 2), three, &[], |_| (), Paused, "both versions"),
+        ("the old version fails occasionally", (9, 2), three, &[], |_| (), GoingBack, "3 different"),
+        ("fails on every machine", (2, 0), &three[..2], &[], |s| s.new.quarantined = true, GoingBack, "wherever"),
+        ("not running yet", (0, 0), &[], &[], |s| s.new = observed_job(4, &[(0, "a", 0.0)]), Growing, ""),
+        (
+            "not running within the time limit",
             (0, 0),
             &[],
             &[],
             |s| {
-                s.new = side(4, &[(0, "a", 0.0)]);
+                s.new = observed_job(4, &[(0, "a", 0.0)]);
                 s.new.replicas.get_mut(&0).unwrap().bound_s = 1800.0;
             },
             GoingBack,
@@ -364,58 +401,62 @@
         ),
     ];
     for (name, (failures, old), machines, quarantined, change, want, reason) in cases {
-        let mut seen = seen(&OLD, &[(0, "a", 5.0)]);
-        (seen.new.failures, seen.old.failures) = (failures, old);
-        let lately = machines.iter().map(|(n, t)| on(*n, t));
-        // The same few machines again, as the latest failures are listed.
-        seen.new.failed_lately = lately.cycle().take((failures as usize).min(16)).collect();
-        seen.quarantined = quarantined.iter().map(|n| format!("m{n}")).collect();
-        change(&mut seen);
+        let mut observed = observed(&OLD, &[(0, "a", 5.0)]);
+        (observed.new.failures, observed.old.failures) = (failures, old);
+        let recent_failures = machines.iter().map(|(n, t)| failed_machine(*n, t));
+        // The machines repeat, as in the list of recent failures.
+        observed.new.recent_failures = recent_failures.cycle().take((failures as usize).min(16)).collect();
+        observed.quarantined = quarantined.iter().map(|n| format!("m{n}")).collect();
+        change(&mut observed);
         let before = status(Growing, 0, &[], &[0]);
-        let next = decide(&spec(), &before, &seen).unwrap_or(before);
-        let alike = |phase| if phase == RolloutPhase::Fetching { Growing } else { phase };
-        // The old version is whole: it is back at once.
-        let fits = alike(next.phase) == want || (want, next.phase) == (GoingBack, RolloutPhase::Back);
-        assert!(fits && next.reason.contains(reason), "{name}: {:?} {}", next.phase, next.reason);
+        let next = decide_rollout(&spec(), &before, &observed).unwrap_or(before);
+        let without_fetching = |phase| if phase == RolloutPhase::Fetching { Growing } else { phase };
+        // All old replicas are running, so a rollback may complete at once.
+        let is_expected = without_fetching(next.phase) == want || (want, next.phase) == (GoingBack, RolloutPhase::Back);
+        assert!(is_expected && next.reason.contains(reason), "{name}: {:?} {}", next.phase, next.reason);
     }
 }
 
-/// A successor counts from none and must not count twice what was stored, nor again on each look.
+/// A new leader's count starts at zero. It must not count stored failures twice, nor the same failures at each evaluation.
 #[test]
-fn failures_are_counted_once() {
-    let mut seen = seen(&OLD, &[]);
-    seen.new.failures = 3;
-    let mut failure_counts = FailureCounts::start_counting(&seen);
-    failure_counts.add_failures(&seen);
-    assert_eq!(failure_counts.new, 0, "failures of before the step");
-    seen.new.failures = 5;
-    (0..2).for_each(|_| failure_counts.add_failures(&seen));
+fn failures_are_counted_once_across_leaders() {
+    let mut observed = observed(&OLD, &[]);
+    observed.new.failures = 3;
+    let mut failure_counts = FailureCounts::start_counting(&observed);
+    failure_counts.add_failures(&observed);
+    assert_eq!(failure_counts.new, 0, "failures before the step must not count");
+    observed.new.failures = 5;
+    (0..2).for_each(|_| failure_counts.add_failures(&observed));
     assert_eq!(failure_counts.new, 2);
-    (seen.fencing_token, seen.new.failures) = (8, 1);
-    (0..2).for_each(|_| failure_counts.add_failures(&seen));
-    assert_eq!(failure_counts.new, 3, "another leader's own");
+    (observed.fencing_token, observed.new.failures) = (8, 1);
+    (0..2).for_each(|_| failure_counts.add_failures(&observed));
+    assert_eq!(failure_counts.new, 3, "a new leader's failures must be added");
 }
 
 #[test]
-fn replica_intents_by_cases() {
-    let stop = |status: &RolloutStatus, seen: &RolloutObservation| {
-        replica_intents(&spec(), status, seen).map(|a| a.map(|a| (a.max_bound, a.stop)))
+fn replica_intents_follow_status_and_observation() {
+    let intents = |status: &RolloutStatus, observed: &RolloutObservation| {
+        replica_intents(&spec(), status, observed).map(|intent| intent.map(|intent| (intent.max_bound, intent.stop)))
     };
     let set = |of: &[u32]| of.iter().copied().collect::<BTreeSet<u32>>();
     let new = [(0, "a", 50.0)];
     let growing = status(RolloutPhase::Growing, 0, &[3], &[0]);
-    assert_eq!(stop(&growing, &seen(&OLD, &new)), [Some((3, set(&[3]))), Some((1, set(&[1, 2, 3])))]);
-    // Lost after it was decided: what still runs is left alone, what does not is not placed again.
-    assert_eq!(stop(&growing, &seen(&OLD, &[]))[0], Some((4, set(&[]))));
-    assert_eq!(stop(&growing, &seen(&OLD[..3], &[]))[0], Some((3, set(&[3]))));
-    assert_eq!(stop(&status(RolloutPhase::Paused, 0, &[3], &[0]), &seen(&OLD, &new))[0], Some((4, set(&[]))));
+    assert_eq!(intents(&growing, &observed(&OLD, &new)), [Some((3, set(&[3]))), Some((1, set(&[1, 2, 3])))]);
+    // Replicas were lost after the decision: those to stop keep running if they still do, and are not placed again if not.
+    assert_eq!(intents(&growing, &observed(&OLD, &[]))[0], Some((4, set(&[]))));
+    assert_eq!(intents(&growing, &observed(&OLD[..3], &[]))[0], Some((3, set(&[3]))));
+    assert_eq!(intents(&status(RolloutPhase::Paused, 0, &[3], &[0]), &observed(&OLD, &new))[0], Some((4, set(&[]))));
     let planned = status(RolloutPhase::Planned, 0, &[], &[]);
-    assert_eq!(stop(&planned, &seen(&OLD, &[])), [None, Some((0, set(&[])))], "nothing of it is placed yet");
-    assert_eq!(stop(&status(RolloutPhase::Refused, 0, &[], &[]), &seen(&OLD, &[])), [None, None]);
+    assert_eq!(
+        intents(&planned, &observed(&OLD, &[])),
+        [None, Some((0, set(&[])))],
+        "no new replica may be placed before the rollout begins"
+    );
+    assert_eq!(intents(&status(RolloutPhase::Refused, 0, &[], &[]), &observed(&OLD, &[])), [None, None]);
     let done = status(RolloutPhase::Done, 2, &[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let asked = replica_intents(&spec(), &done, &seen(&[], &OLD));
+    let done_intents = replica_intents(&spec(), &done, &observed(&[], &OLD));
     assert!(
-        asked.into_iter().flatten().all(|a| !a.keep_in_place && !a.prioritized),
-        "over: its machines can be spared as any"
+        done_intents.into_iter().flatten().all(|intent| !intent.keep_in_place && !intent.prioritized),
+        "after completion the replicas must be treated like any other"
     );
 }
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -1,88 +1,96 @@
-//! Whether failures of new replicas are due to the new version, to machines, or to something by which old replicas
-//! fail as often.
+//! Attribution of replica failures during a rollout: to the new version, to machines, or to a cause that affects the old
+//! version as well.
 
 use super::observation::RolloutObservation;
-use super::spec::{MAX_MACHINES, RolloutSpec};
+use super::spec::{MAX_FAILED_MACHINES, RolloutSpec};
 use super::status::{FailedMachine, FailureCounts};
 
-/// The old version fails alike if it fails at least half as often as the new one, and so often.
-const OLD_FAILS_TOO: u64 = 2;
+/// Minimum number of failures of the old version for both versions to count as failing. The old version must also have
+/// failed at least half as often as the new one.
+const MIN_OLD_FAILURES: u64 = 2;
 
-/// Why a step of a rollout is not to go on.
+/// Reason why a step of a rollout must not continue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VersionVerdict {
-    /// The new version is bad, and why.
-    Version(String),
-    /// Old and new fail alike: neither a reason to go back nor one to go on.
-    Both(String),
+    /// The new version is bad, for the given reason.
+    NewVersionBad(String),
+    /// Both versions fail, for the given reason, which justifies neither a rollback nor continuing.
+    BothVersionsFail(String),
 }
 
 impl FailureCounts {
-    /// Nothing is held against a step that begins now.
-    pub fn start_counting(seen: &RolloutObservation) -> Self {
-        let (counted_new, counted_old) = (seen.new.failures, seen.old.failures);
-        Self { fencing_token: seen.fencing_token, counted_new, counted_old, ..Self::default() }
+    /// Returns the counts of a step that begins now: failures reported so far do not count against it.
+    pub fn start_counting(observed: &RolloutObservation) -> Self {
+        let (counted_new, counted_old) = (observed.new.failures, observed.old.failures);
+        Self { fencing_token: observed.fencing_token, counted_new, counted_old, ..Self::default() }
     }
 
-    /// Adds what has failed since the last evaluation. A leader counts from none, so that nothing is counted
-    /// twice, and what an earlier leader heard and did not store is lost.
-    pub fn add_failures(&mut self, seen: &RolloutObservation) {
-        let same = self.fencing_token == seen.fencing_token;
-        let since = |all: u64, counted: u64| if same { all.saturating_sub(counted) } else { all };
-        let new = since(seen.new.failures, self.counted_new);
-        let old = since(seen.old.failures, self.counted_old);
+    /// Adds the failures since the last evaluation. A new leader's own count starts at zero, so no failure is counted
+    /// twice; failures that an earlier leader received but did not store are lost.
+    pub fn add_failures(&mut self, observed: &RolloutObservation) {
+        let same_leader = self.fencing_token == observed.fencing_token;
+        let uncounted = |all: u64, counted: u64| if same_leader { all.saturating_sub(counted) } else { all };
+        let new = uncounted(observed.new.failures, self.counted_new);
+        let old = uncounted(observed.old.failures, self.counted_old);
         if new + old > 0 {
             (self.new, self.old) = (self.new + new, self.old + old);
             (self.fencing_token, self.counted_new, self.counted_old) =
-                (seen.fencing_token, seen.new.failures, seen.old.failures);
+                (observed.fencing_token, observed.new.failures, observed.old.failures);
         }
-        for failed in seen.new.failed_lately.iter().rev().take(new as usize) {
+        for failed in observed.new.recent_failures.iter().rev().take(new as usize) {
             let is_new = self.failed_on.iter().all(|other| other.machine != failed.machine);
-            if self.failed_on.len() < MAX_MACHINES as usize && is_new {
+            if self.failed_on.len() < MAX_FAILED_MACHINES as usize && is_new {
                 self.failed_on.push(failed.clone());
             }
         }
-        // Where other work fails as well, the machine explains it, also once it is given up.
-        for on in &mut self.failed_on {
-            on.faulty |= seen.quarantined.contains(&on.machine);
+        // On a machine where other jobs fail as well, the failure is attributed to the machine. The mark is kept after the
+        // machine is returned.
+        for failed in &mut self.failed_on {
+            failed.faulty |= observed.quarantined.contains(&failed.machine);
         }
     }
 
-    /// What has failed so far in this step.
-    pub fn judge_version(
+    /// Evaluates the new version by the failures so far in this step. Returns `None` if the step may continue.
+    pub fn evaluate_version(
         &self,
         spec: &RolloutSpec,
-        seen: &RolloutObservation,
+        observed: &RolloutObservation,
         allowed_new: &std::collections::BTreeSet<u32>,
     ) -> Option<VersionVerdict> {
-        let sound: Vec<&FailedMachine> = self.failed_on.iter().filter(|f| !f.faulty).collect();
-        let bad = &spec.bad;
-        let late = seen.new.replicas.iter().filter(|(i, r)| {
-            allowed_new.contains(i) && r.heard && !r.running && !r.stopping && r.bound_s >= bad.not_running_s
+        let on_sound_machines: Vec<&FailedMachine> = self.failed_on.iter().filter(|f| !f.faulty).collect();
+        let criteria = &spec.bad;
+        let overdue = observed.new.replicas.iter().filter(|(i, r)| {
+            allowed_new.contains(i)
+                && r.machine_responsive
+                && !r.running
+                && !r.stopping
+                && r.bound_s >= criteria.not_running_s
         });
-        let late: std::collections::BTreeSet<&str> = late.map(|(_, r)| r.machine.as_str()).collect();
-        // One machine may be the reason, unless there is no other to compare it with.
-        if !late.is_empty() && late.len() >= allowed_new.len().min(2) {
-            let reason = format!("{} of its replicas did not run within {} s", late.len(), bad.not_running_s);
-            return Some(VersionVerdict::Version(reason));
+        let overdue: std::collections::BTreeSet<&str> = overdue.map(|(_, r)| r.machine.as_str()).collect();
+        // A single machine may be the cause, unless only one replica is allowed and there is none to compare it with.
+        if !overdue.is_empty() && overdue.len() >= allowed_new.len().min(2) {
+            let reason = format!("{} of its replicas did not run within {} s", overdue.len(), criteria.not_running_s);
+            return Some(VersionVerdict::NewVersionBad(reason));
         }
-        let reason = if sound.len() >= bad.failures as usize {
-            let types: std::collections::BTreeSet<&str> = sound.iter().map(|f| f.type_name.as_str()).collect();
-            let one = types.first().filter(|_| types.len() == 1).map(|t| format!(", all of type {t}"));
-            format!("failed on {} different machines{}", sound.len(), one.unwrap_or_default())
-        } else if self.new >= u64::from(bad.restarts) && self.failed_on.len() >= 2 {
+        let reason = if on_sound_machines.len() >= criteria.failures as usize {
+            let machine_types: std::collections::BTreeSet<&str> =
+                on_sound_machines.iter().map(|f| f.type_name.as_str()).collect();
+            let common_type =
+                machine_types.first().filter(|_| machine_types.len() == 1).map(|t| format!(", all of type {t}"));
+            format!("failed on {} different machines{}", on_sound_machines.len(), common_type.unwrap_or_default())
+        } else if self.new >= u64::from(criteria.restarts) && self.failed_on.len() >= 2 {
             format!("its replicas failed {} times", self.new)
-        } else if seen.new.quarantined && self.new > 0 {
+        } else if observed.new.quarantined && self.new > 0 {
             "failed wherever it was tried".to_owned()
         } else {
             return None;
         };
-        if self.old >= OLD_FAILS_TOO && self.old * 2 >= self.new {
-            return Some(VersionVerdict::Both(format!(
+        if self.old >= MIN_OLD_FAILURES && self.old * 2 >= self.new {
+            return Some(VersionVerdict::BothVersionsFail(format!(
                 "{reason}, and the old one failed {} times meanwhile",
                 self.old
             )));
         }
-        Some(VersionVerdict::Version(reason))
+        Some(VersionVerdict::NewVersionBad(reason))
     }
 }
