--- a/crates/emulator/src/driver/machines.rs
+++ b/crates/emulator/src/driver/machines.rs
@@ -43,12 +43,12 @@
 
     /// The cloud gives notice to a machine's worker that it will be taken away after `left`.
     pub fn notice(&self, machine: &str, left: Duration) {
-        self.with_fleet(|fleet, now| fleet.recall(machine, now + left));
+        self.with_fleet(|fleet, now| fleet.notify_interruption(machine, now + left));
     }
 
     /// A machine fails with everything on it; the cloud's list shows that only after a while.
     pub fn kill(&self, machine: &str) {
-        self.with_fleet(|fleet, now| fleet.gone(machine, now));
+        self.with_fleet(|fleet, now| fleet.remove_machine(machine, now));
         lock(&self.cloud).kill(machine, self.now());
     }
 
@@ -60,8 +60,8 @@
         lock(&self.addrs).insert(name.to_owned(), addrs);
         lock(&self.cloud).set_addr(name, addr.clone());
         self.note(Event::Up { machine: name.to_owned(), type_name: of.name.clone(), zone: zone.clone(), spot });
-        let machine = fleet::Machine { addr, of, zone, spot, speed: 1.0 };
-        self.with_fleet(|fleet, now| fleet.up(name, machine, now));
+        let machine = fleet::Machine { addr, machine_type: of, zone, spot, speed: 1.0 };
+        self.with_fleet(|fleet, now| fleet.add_machine(name, machine, now));
         tokio::spawn(Reporter::new(self.clone(), name).run());
     }
 
@@ -116,7 +116,7 @@
 
     async fn run(mut self) {
         loop {
-            let digest = lock(&self.world.fleet).digest(&self.name);
+            let digest = lock(&self.world.fleet).report_digest(&self.name);
             let Some(digest) = digest else { return };
             let sent = self.world.now();
             if sent < self.earliest || (sent < self.due && self.reported == Some(digest)) {
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::judge::{Entry, Event};
 use crate::world::cloud::{self, BootMode, Cloud};
-use crate::world::fleet::{self, Fleet, Happening, Upload};
+use crate::world::fleet::{self, AttemptEvent, Fleet, Upload};
 use crate::world::store::Limits;
 use relay::Gate;
 pub use server::listen;
@@ -150,8 +150,8 @@
         let now = STEP * u32::try_from(steps).unwrap_or(u32::MAX);
         let mut fleet = lock(&self.fleet);
         let outcome = act(&mut fleet, now);
-        for happening in fleet.happened() {
-            if let Happening::Started { task, .. } = &happening {
+        for happening in fleet.drain_events() {
+            if let AttemptEvent::Started { task, .. } = &happening {
                 lock(&self.starts).push(format!("{}/{}", task.job, task.index));
             }
             self.note(Event::Machine(happening));
@@ -202,7 +202,7 @@
                 match event {
                     cloud::Event::Up(name) => self.up(&name).await,
                     cloud::Event::Notice(name, left) => self.notice(&name, left),
-                    cloud::Event::Taken(name) => self.with_fleet(|fleet, now| fleet.gone(&name, now)),
+                    cloud::Event::Interrupted(name) => self.with_fleet(|fleet, now| fleet.remove_machine(&name, now)),
                 }
             }
             let copies = self.with_fleet(|fleet, now| {
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -179,7 +179,7 @@
                 let names: MachineNames = serde_json::from_value(body).map_err(malformed)?;
                 let held = cloud.terminate(&names.machines, now)?;
                 drop(cloud);
-                world.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.gone(name, now)));
+                world.with_fleet(|fleet, now| held.iter().for_each(|name| fleet.remove_machine(name, now)));
                 serde_json::to_value(MachineNames { machines: held })
             }
             _ => {
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -17,7 +17,7 @@
 use hollylanding_protocol::users::Status;
 use serde_json::Value;
 
-use crate::world::fleet::Happening;
+use crate::world::fleet::AttemptEvent;
 pub use answers::SILENT;
 pub use rule::Rule;
 use state::Judge;
@@ -64,7 +64,7 @@
         spot: bool,
     },
     /// Something happened to a task on a machine.
-    Machine(Happening),
+    Machine(AttemptEvent),
     /// The controllers stored the status of a declared object.
     Declared {
         /// Kind of the object, such as `window` or `heat`.
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -12,7 +12,7 @@
 use super::verdict::{JobResult, summarize_largest};
 use super::{BEGIN_WITHIN, Break, Entry, Event, Rule, Terms, Verdict};
 use crate::declarations::DeclarationRules;
-use crate::world::fleet::Happening;
+use crate::world::fleet::AttemptEvent;
 
 /// The most lines of a job's history that are kept.
 const HISTORY: usize = 40;
@@ -149,10 +149,10 @@
     }
 
     /// Something happened to a task on a machine.
-    fn machine(&mut self, at: Duration, happening: &Happening) {
+    fn machine(&mut self, at: Duration, happening: &AttemptEvent) {
         match happening {
-            Happening::Started { task, attempt, machine } => self.start(at, task, *attempt, machine),
-            Happening::Ended { task, attempt, machine, cause } => {
+            AttemptEvent::Started { task, attempt, machine } => self.start(at, task, *attempt, machine),
+            AttemptEvent::Ended { task, attempt, machine, cause } => {
                 self.write(at, &task.job, format!("{}/{} ended on {machine}: {cause:?}", task.index, attempt));
                 self.leave(at, task, *attempt, machine);
                 match cause {
@@ -161,7 +161,7 @@
                     _ => {}
                 }
             }
-            Happening::Lost { task, attempt, machine } => {
+            AttemptEvent::Lost { task, attempt, machine } => {
                 self.write(at, &task.job, format!("{}/{} lost with {machine}", task.index, attempt));
                 self.leave(at, task, *attempt, machine);
             }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -42,16 +42,16 @@
 }
 
 fn started(at: f64, job: &str, index: u32, attempt: u64, machine: &str) -> Entry {
-    entry(at, Event::Machine(Happening::Started { task: task(job, index), attempt, machine: machine.into() }))
+    entry(at, Event::Machine(AttemptEvent::Started { task: task(job, index), attempt, machine: machine.into() }))
 }
 
 fn ended(at: f64, job: &str, index: u32, attempt: u64, machine: &str, cause: ExitCause) -> Entry {
     let task = task(job, index);
-    entry(at, Event::Machine(Happening::Ended { task, attempt, machine: machine.into(), cause }))
+    entry(at, Event::Machine(AttemptEvent::Ended { task, attempt, machine: machine.into(), cause }))
 }
 
 fn lost(at: f64, index: u32, machine: &str) -> Entry {
-    entry(at, Event::Machine(Happening::Lost { task: task("run-1", index), attempt: 1, machine: machine.into() }))
+    entry(at, Event::Machine(AttemptEvent::Lost { task: task("run-1", index), attempt: 1, machine: machine.into() }))
 }
 
 fn up(machine: &str, type_name: &str, zone: &str, spot: bool) -> Entry {
@@ -223,7 +223,7 @@
 #[test]
 fn a_result_that_never_came_is_missed() {
     let mut history = good();
-    history.retain(|e| !matches!(&e.event, Event::Machine(Happening::Ended { attempt: 2, .. })));
+    history.retain(|e| !matches!(&e.event, Event::Machine(AttemptEvent::Ended { attempt: 2, .. })));
     history.retain(|e| !matches!(&e.event, Event::Answered { status: Some(Status::Done), .. }));
     let verdict = judge(&history, &terms());
     assert_eq!((verdict.delivered, verdict.expected), (1, 2));
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -277,7 +277,7 @@
         }
         self.collect_commands();
         let record = std::mem::take(&mut *lock(&self.world.record));
-        let (refused, spent) = (lock(&self.world.state).refused, lock(&self.world.cloud).spent());
+        let (refused, spent) = (lock(&self.world.state).refused, lock(&self.world.cloud).total_cost());
         let capacity = setup.plan.capacity.clone();
         let terms = Terms { capacity, begun_ms: self.begun_ms, ..setup.sizes.terms() };
         Outcome {
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -79,7 +79,7 @@
     /// Whether a condition holds that a fault waits for.
     pub(super) fn holds(&self, condition: Condition) -> bool {
         match condition {
-            Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.holders().next().is_some()),
+            Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.machines_with_results().next().is_some()),
             Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
             Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost > 0,
             // Somebody led, and now nobody or another does; or who holds the lease does not lead yet.
@@ -151,11 +151,12 @@
                 machines.iter().for_each(|machine| self.world.kill(machine));
             }
             Fault::LoseZone(zone) => {
-                let lost: Vec<String> = self.world.with_fleet(|fleet, _| fleet.in_zone(zone).cloned().collect());
+                let lost: Vec<String> =
+                    self.world.with_fleet(|fleet, _| fleet.machines_in_zone(zone).cloned().collect());
                 lost.iter().for_each(|machine| self.world.kill(machine));
             }
             Fault::LoseHolder => {
-                let holder = self.world.with_fleet(|fleet, _| fleet.holders().next().cloned());
+                let holder = self.world.with_fleet(|fleet, _| fleet.machines_with_results().next().cloned());
                 holder.iter().for_each(|machine| self.world.kill(machine));
             }
             Fault::TakeSpot(part) => self.take_spot(*part),
@@ -166,7 +167,7 @@
     }
 
     fn take_spot(&mut self, part: f64) {
-        let events = lock(&self.world.cloud).take_spot(part, self.world.now());
+        let events = lock(&self.world.cloud).interrupt_spot_machines(part, self.world.now());
         for event in events {
             if let cloud::Event::Notice(machine, left) = event {
                 self.world.notice(&machine, left);
@@ -184,12 +185,12 @@
             }
             Fault::InboundLost(many, time) => {
                 let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.cut_off(machine, now + *time));
+                self.on_fleet(&machines, |fleet, machine, now| fleet.partition_inbound(machine, now + *time));
                 self.later(*time, Undo::Nothing);
             }
             Fault::LateCopies(many, from, to, time) => {
                 let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.copy_reports(machine, now + *time, *from, *to));
+                self.on_fleet(&machines, |fleet, machine, now| fleet.copy_heartbeats(machine, now + *time, *from, *to));
                 self.later(*time + *to, Undo::Nothing);
             }
             Fault::Sick(many, time) => {
@@ -203,7 +204,7 @@
             }
             Fault::Drift(many, by) => {
                 let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, _| fleet.set_clock(machine, *by));
+                self.on_fleet(&machines, |fleet, machine, _| fleet.set_clock_rate(machine, *by));
             }
             _ => {}
         }
--- a/crates/emulator/src/rehearsal/samples.rs
+++ b/crates/emulator/src/rehearsal/samples.rs
@@ -68,7 +68,7 @@
         let before = std::mem::replace(&mut self.totals, totals);
         let rate = |now: u64, then: u64| (now - then) as f64 / passed.as_secs_f64();
         let MachineCounts { booting, up, spot } = lock(&world.cloud).count_machines();
-        let (running, done) = world.with_fleet(|fleet, _| (fleet.live_all(), fleet.results().len()));
+        let (running, done) = world.with_fleet(|fleet, _| (fleet.count_all_live_tasks(), fleet.results().len()));
         let sample = Sample {
             at_s: world.now().as_secs_f64(),
             running,
--- a/crates/emulator/src/world/bucket.rs
+++ b/crates/emulator/src/world/bucket.rs
@@ -1,34 +1,34 @@
-//! A limit per second that allows bursts.
+//! A rate limiter that allows bursts.
 
 use std::time::Duration;
 
-/// Holds up to `burst`, and grows by `per_second`.
+/// A token bucket that holds up to `burst` tokens and gains `per_second` tokens per second.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_second: f64,
     burst: f64,
-    held: f64,
-    at: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
-impl Bucket {
-    /// Full at the beginning. A limit of infinity refuses nothing.
+impl TokenBucket {
+    /// Creates a full bucket that holds `burst_s` seconds' worth of tokens. An infinite rate refuses nothing.
     pub fn new(per_second: f64, burst_s: f64) -> Self {
         let burst = per_second * burst_s;
-        Self { per_second, burst, held: burst, at: Duration::ZERO }
+        Self { per_second, burst, tokens: burst, refilled_at: Duration::ZERO }
     }
 
-    /// Takes `n` if it holds as much at this time; otherwise nothing.
-    pub fn take(&mut self, n: f64, now: Duration) -> bool {
+    /// Takes `n` tokens if the bucket holds that many at `now`; otherwise takes none and returns false.
+    pub fn try_take(&mut self, n: f64, now: Duration) -> bool {
         if self.per_second.is_infinite() {
             return true;
         }
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.held = (self.held + passed * self.per_second).min(self.burst);
-        self.at = self.at.max(now);
-        let enough = self.held + 1e-9 >= n;
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.per_second).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+        let enough = self.tokens + 1e-9 >= n;
         if enough {
-            self.held -= n;
+            self.tokens -= n;
         }
         enough
     }
--- a/crates/emulator/src/world/cloud/types.rs
+++ b/crates/emulator/src/world/cloud/types.rs
@@ -1,4 +1,4 @@
-//! Parameters of the cloud, its events, and its reasons to refuse a request.
+//! Parameters of the cloud, its events, and the reasons for which it refuses a request.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 pub struct Capacity {
     /// Name of the machine type.
     pub type_name: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
     /// Number of on-demand machines.
     pub on_demand: u64,
@@ -20,19 +20,19 @@
 /// The parameters of the cloud.
 #[derive(Debug, Clone)]
 pub struct Params {
-    /// The machine types of its catalog, with nominal prices.
+    /// The machine types of the catalog, with nominal prices.
     pub types: Vec<MachineType>,
-    /// The machines available, by type and zone; none where there is no entry.
+    /// The machines available by type and zone. A type has no machines in a zone without an entry.
     pub capacity: Vec<Capacity>,
-    /// Limit of requests per second.
+    /// Maximum number of requests per second.
     pub requests_per_second: f64,
-    /// Usual age of the list of machines.
+    /// Mean age of the list of machines.
     pub list_lag: Duration,
-    /// Usual time from the notice to a spot machine until it is taken.
+    /// Mean time from an interruption notice until the spot machine is interrupted.
     pub notice: Duration,
-    /// Fraction of taken spot machines that receive no notice.
+    /// Fraction of interrupted spot machines that receive no interruption notice.
     pub silent: f64,
-    /// Fraction of machines that never come up.
+    /// Fraction of machines that never finish booting.
     pub never_up: f64,
     /// Fraction of machines that take several times as long to boot.
     pub slow_up: f64,
@@ -57,30 +57,30 @@
 /// How new machines boot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BootMode {
-    /// As the parameters say: some late, some never.
+    /// After the boot time of the type, with the fractions of slow and failing boots of [`Params`].
     #[default]
     Usual,
-    /// Within one to two seconds.
+    /// After one to two seconds.
     AtOnce,
-    /// They stay booting.
+    /// Never: the machines stay booting.
     Never,
 }
 
-/// Why a request was not carried out.
+/// Why a request was refused. A refused request changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// Status 400: the request is invalid.
     Malformed(&'static str),
     /// Status 429: the rate limit is exceeded.
     TooMany,
-    /// Status 503: no machine of this type, zone and kind is left.
+    /// Status 503: no machine of this type and zone is left, of the requested kind (spot or on-demand).
     NoCapacity,
-    /// Status 503: an outage.
+    /// Status 503: an outage of the cloud.
     Trouble,
 }
 
 impl Refusal {
-    /// The HTTP status, and the text of the answer's `error` field.
+    /// The HTTP status and the text of the response's `error` field.
     pub fn status_and_text(&self) -> (u16, &'static str) {
         match self {
             Self::Malformed(why) => (400, why),
@@ -91,32 +91,32 @@
     }
 }
 
-/// A change of a machine's state that its worker has to follow.
+/// A change of a machine's state that affects its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The machine of this name came up.
+    /// The machine of this name finished booting.
     Up(String),
-    /// The machine of this name will be taken after this time.
+    /// The spot machine of this name will be interrupted after this time.
     Notice(String, Duration),
-    /// The machine of this name was taken.
-    Taken(String),
+    /// The spot machine of this name was interrupted.
+    Interrupted(String),
 }
 
-/// A machine's type and place.
+/// A machine's type, zone and kind.
 #[derive(Debug, Clone)]
 pub struct MachineInfo {
-    /// Its type.
+    /// The machine's type.
     pub machine_type: MachineType,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
 }
 
-/// Numbers of machines.
+/// Numbers of machines by state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MachineCounts {
-    /// Machines that boot.
+    /// Machines that are booting.
     pub booting: usize,
     /// Machines that are up.
     pub up: usize,
--- a/crates/emulator/src/world/fleet/faults.rs
+++ b/crates/emulator/src/world/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of workers and their machines, injected on command.
+//! Fault injection for workers and their machines.
 
 use std::time::Duration;
 
@@ -8,67 +8,68 @@
 use super::heartbeats::CopyWindow;
 use super::worker::{TaskState, Worker};
 
-/// Added to the number of an attempt that is started a second time, so that it differs from any real one.
-const SECOND_ATTEMPT: u64 = 1000;
+/// Added to the number of an attempt that is started a second time, so that the number differs from any real one.
+const SECOND_ATTEMPT_OFFSET: u64 = 1000;
 
 impl Fleet {
-    /// Changes a worker, if its machine is there.
-    fn on_worker(&mut self, name: &str, change: impl FnOnce(&mut Worker)) {
+    /// Changes a worker, if its machine exists.
+    fn change_worker(&mut self, name: &str, change: impl FnOnce(&mut Worker)) {
         if let Some(worker) = self.workers.get_mut(name) {
             change(worker);
         }
     }
 
-    /// The worker does nothing until then, and continues afterwards.
+    /// Makes a worker do nothing until a time; it continues afterwards.
     pub fn hang(&mut self, name: &str, until: Duration) {
-        self.on_worker(name, |worker| worker.hangs_until = until);
+        self.change_worker(name, |worker| worker.hangs_until = until);
     }
 
-    /// A one-way partition until then: the worker's messages arrive, messages to it do not.
-    pub fn cut_off(&mut self, name: &str, until: Duration) {
-        self.on_worker(name, |worker| worker.unreachable_until = until);
+    /// Begins a one-way partition until a time: the worker's messages arrive, messages to the worker do not.
+    pub fn partition_inbound(&mut self, name: &str, until: Duration) {
+        self.change_worker(name, |worker| worker.unreachable_until = until);
     }
 
-    /// Whether answers and commands reach the worker.
+    /// Whether no one-way partition keeps responses and commands from the worker.
     pub fn is_reachable(&self, name: &str, now: Duration) -> bool {
         self.workers.get(name).is_some_and(|w| w.unreachable_until <= now)
     }
 
-    /// A copy of each of its heartbeats until then comes between `from` and `to` later, in whatever order.
-    pub fn copy_reports(&mut self, name: &str, until: Duration, from: Duration, to: Duration) {
-        self.on_worker(name, |worker| {
-            worker.copied = CopyWindow { until, least_delay: from, most_delay: to.max(from) }
+    /// Copies each of the worker's heartbeats until a time. Each copy is delivered between `from` and `to` after its
+    /// heartbeat, in any order.
+    pub fn copy_heartbeats(&mut self, name: &str, until: Duration, from: Duration, to: Duration) {
+        self.change_worker(name, |worker| {
+            worker.copy_window = CopyWindow { until, min_delay: from, max_delay: to.max(from) }
         });
     }
 
     /// Sets whether the worker fails every task that it runs.
     pub fn set_sick(&mut self, name: &str, sick: bool) {
-        self.on_worker(name, |worker| worker.sick = sick);
+        self.change_worker(name, |worker| worker.sick = sick);
     }
 
     /// Sets the rate of the worker's monotonic clock, by which it measures its lease; 1 is exact.
-    pub fn set_clock(&mut self, name: &str, clock: f64) {
-        self.on_worker(name, |worker| worker.clock = clock);
+    pub fn set_clock_rate(&mut self, name: &str, clock_rate: f64) {
+        self.change_worker(name, |worker| worker.clock_rate = clock_rate);
     }
 
-    /// Runs this many times as fast as an ordinary machine.
+    /// Sets the speed at which the machine runs tasks; 1 for an ordinary machine.
     pub fn set_speed(&mut self, name: &str, speed: f64) {
-        self.on_worker(name, |worker| worker.machine.speed = speed);
+        self.change_worker(name, |worker| worker.machine.speed = speed);
     }
 
-    /// Starts a running task on a second machine too: a rule broken on purpose. False if nothing runs, or no other
-    /// machine has room.
+    /// Starts a running task on a second machine as well, which deliberately violates an invariant. Returns false if no
+    /// task runs or no other machine has room.
     pub fn start_twice(&mut self, now: Duration) -> bool {
         self.tick(now);
         let running = self.running_attempts();
         let names: Vec<String> = self.workers.keys().cloned().collect();
         running.iter().any(|(machine, key, attempt)| {
             let mut others = names.iter().filter(|name| *name != machine);
-            others.any(|other| self.start_second(other, key, attempt + SECOND_ATTEMPT))
+            others.any(|other| self.try_launch(other, key, attempt + SECOND_ATTEMPT_OFFSET))
         })
     }
 
-    /// Machine, task and attempt of everything that runs.
+    /// The machine, task and attempt number of each running attempt.
     fn running_attempts(&self) -> Vec<(String, TaskKey, u64)> {
         let tasks = self.workers.iter().flat_map(|(name, worker)| worker.tasks.iter().map(move |task| (name, task)));
         tasks
@@ -77,14 +78,14 @@
             .collect()
     }
 
-    /// Whether a machine took the attempt; a refused one leaves no trace.
-    fn start_second(&mut self, machine: &str, key: &TaskKey, attempt: u64) -> bool {
+    /// Starts an attempt on a machine. Returns false, without a trace in the worker's reports, if it is refused.
+    fn try_launch(&mut self, machine: &str, key: &TaskKey, attempt: u64) -> bool {
         self.launch(machine, key, attempt);
         let Some(worker) = self.workers.get_mut(machine) else { return false };
         if worker.live_index(key, attempt).is_some() {
             return true;
         }
-        worker.tasks.retain(|task| !task.holds(key, attempt));
+        worker.tasks.retain(|task| !task.is_attempt(key, attempt));
         false
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated services as pure state machines: time and requests in, answers and events out.
+//! The emulated services as pure state machines: time and requests are inputs, answers and events are outputs.
 
 pub mod bucket;
 pub mod cloud;
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -1,5 +1,4 @@
-//! The state service: keys with versions, transactions, leases, watches and limits, as its protocol
-//! has them.
+//! The state service: versioned keys, transactions, leases, watches and limits, as its protocol defines them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -13,53 +12,58 @@
 mod types;
 
 pub use self::types::{Limits, Refusal};
-use super::bucket::Bucket;
+use super::bucket::TokenBucket;
 
-/// Number of changes kept for watches; an older watch has to list again.
+/// Maximum number of changes in the log for watches; a watch that starts before them has to list again.
 pub const MAX_LOG_LENGTH: usize = 10_000;
-/// The most items on one page of a listing.
+/// Maximum number of items on one page of a listing.
 pub const MAX_PAGE_ITEMS: usize = 1000;
-/// The most bytes on one page of a listing.
+/// Maximum number of bytes on one page of a listing.
 pub const MAX_PAGE_BYTES: usize = 512 * 1024;
-/// The most bytes of a transaction.
+/// Maximum size of a transaction in bytes.
 pub const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// The most bytes of a key.
+/// Maximum size of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 200;
-/// Conditions of a transaction for each change that it may have.
-const CONDITIONS: usize = 4;
-/// A lease's life, in milliseconds.
-const LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
+/// Maximum number of conditions of a transaction for each change that it may have.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
+/// Permitted time to live of a lease, in milliseconds.
+const LEASE_TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
+/// The value of a key.
 #[derive(Debug)]
 struct StoredValue {
     value: Value,
     version: u64,
+    /// The lease to which the key is attached.
     permit: Option<u64>,
 }
 
+/// A lease. Its keys are deleted when it expires.
 #[derive(Debug)]
 struct Lease {
-    life: Duration,
-    ends: Duration,
+    ttl: Duration,
+    expires_at: Duration,
     keys: BTreeSet<String>,
 }
 
-/// The state service's whole state. Times are since the world began.
+/// The whole state of the state service. Times are durations since the start of the world.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
-    requests: Bucket,
-    changes: Bucket,
+    request_budget: TokenBucket,
+    change_budget: TokenBucket,
     keys: BTreeMap<String, StoredValue>,
     /// The revision of the last change.
     revision: u64,
     log: VecDeque<WatchEvent>,
-    /// The last revision of which a change is no longer kept.
-    forgotten: u64,
+    /// The last revision of which a change is no longer in the log.
+    discarded_revision: u64,
     leases: BTreeMap<u64, Lease>,
     next_permit: u64,
-    out: bool,
-    refused: BTreeSet<String>,
+    /// Whether an outage is in effect.
+    outage: bool,
+    /// The nodes whose requests are refused.
+    refused_nodes: BTreeSet<String>,
 }
 
 impl Default for Store {
@@ -68,79 +72,82 @@
     }
 }
 
-/// As the protocol counts sizes.
+/// The size of a value in bytes of JSON text, as the protocol counts it.
 fn json_size(value: &Value) -> usize {
     value.to_string().len()
 }
 
+/// Checks that a key has a permitted size and contains no space.
 fn check_key(key: &str) -> Result<(), Refusal> {
-    let good = (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ');
-    if good { Ok(()) } else { Err(Refusal::Malformed("a key of 1 to 200 bytes without spaces")) }
+    let valid = (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ');
+    if valid { Ok(()) } else { Err(Refusal::Malformed("a key of 1 to 200 bytes without spaces")) }
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: Limits) -> Self {
         Self {
-            requests: Bucket::new(limits.requests_per_second, 1.0),
-            changes: Bucket::new(limits.changes_per_second, 1.0),
+            request_budget: TokenBucket::new(limits.requests_per_second, 1.0),
+            change_budget: TokenBucket::new(limits.changes_per_second, 1.0),
             limits,
             keys: BTreeMap::new(),
             revision: 0,
             log: VecDeque::new(),
-            forgotten: 0,
+            discarded_revision: 0,
             leases: BTreeMap::new(),
             next_permit: 1,
-            out: false,
-            refused: BTreeSet::new(),
+            outage: false,
+            refused_nodes: BTreeSet::new(),
         }
     }
 
-    /// An outage begins or ends. After one every lease has its full time again.
-    pub fn set_outage(&mut self, out: bool, now: Duration) {
-        if self.out && !out {
+    /// Begins or ends an outage. When an outage ends, every lease gets its full time to live again.
+    pub fn set_outage(&mut self, outage: bool, now: Duration) {
+        if self.outage && !outage {
             for lease in self.leases.values_mut() {
-                lease.ends = now + lease.life;
+                lease.expires_at = now + lease.ttl;
             }
         }
-        self.out = out;
+        self.outage = outage;
     }
 
-    /// One node alone is refused, or served again; its leases run out meanwhile.
+    /// Begins or stops refusing the requests of one node. Its leases expire as usual meanwhile.
     pub fn set_refused(&mut self, node: &str, refused: bool) {
         if refused {
-            self.refused.insert(node.to_owned());
+            self.refused_nodes.insert(node.to_owned());
         } else {
-            self.refused.remove(node);
+            self.refused_nodes.remove(node);
         }
     }
 
-    /// Whether a node's request is served at all; counts it against the limit if so. What time
-    /// brings about is done first.
+    /// Admits or refuses a request of a node, after expiring the leases that are over. An admitted request counts
+    /// against the limit.
     pub fn admit(&mut self, node: &str, now: Duration) -> Result<(), Refusal> {
         self.expire_leases(now);
-        if self.out || self.refused.contains(node) {
+        if self.outage || self.refused_nodes.contains(node) {
             return Err(Refusal::Unavailable);
         }
-        if self.requests.take(1.0, now) { Ok(()) } else { Err(Refusal::TooMany) }
+        if self.request_budget.try_take(1.0, now) { Ok(()) } else { Err(Refusal::TooMany) }
     }
 
-    /// Whether a node is served at all at the moment.
+    /// Whether requests of a node are served: there is no outage, and the node is not refused.
     pub fn serves(&self, node: &str) -> bool {
-        !self.out && !self.refused.contains(node)
+        !self.outage && !self.refused_nodes.contains(node)
     }
 
-    /// Ends the leases that have expired. None expires during an outage.
+    /// Removes the leases that have expired. No lease expires during an outage.
     pub fn expire_leases(&mut self, now: Duration) {
-        if self.out {
+        if self.outage {
             return;
         }
-        let over: Vec<u64> = self.leases.iter().filter(|(_, l)| l.ends <= now).map(|(permit, _)| *permit).collect();
-        for permit in over {
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, l)| l.expires_at <= now).map(|(permit, _)| *permit).collect();
+        for permit in expired {
             self.end_lease(permit);
         }
     }
 
+    /// Removes a lease with its keys, all at one revision. Returns false if the lease does not exist.
     fn end_lease(&mut self, permit: u64) -> bool {
         let Some(lease) = self.leases.remove(&permit) else { return false };
         if !lease.keys.is_empty() {
@@ -153,12 +160,13 @@
         true
     }
 
+    /// Appends a change to the log, and discards the oldest one if the log is full.
     fn append(&mut self, event: WatchEvent) {
         self.log.push_back(event);
         if self.log.len() > MAX_LOG_LENGTH
             && let Some(oldest) = self.log.pop_front()
         {
-            self.forgotten = oldest.version;
+            self.discarded_revision = oldest.version;
         }
     }
 
@@ -174,25 +182,26 @@
 
     /// The version of a key; 0 if it does not exist.
     pub fn version(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |kept| kept.version)
+        self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
     /// The value of a key, if it exists.
     pub fn value(&self, key: &str) -> Option<&Value> {
-        self.keys.get(key).map(|kept| &kept.value)
+        self.keys.get(key).map(|stored| &stored.value)
     }
 
-    /// Keys under a prefix with value and version, in order.
+    /// The keys with a prefix, each with its value and version, in the order of the keys.
     pub fn entries_with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&str, &Value, u64)> {
         let from = Bound::Included(prefix.to_owned());
         let later = self.keys.range::<String, _>((from, Bound::Unbounded));
         let prefix = prefix.to_owned();
         later
             .take_while(move |(key, _)| key.starts_with(&prefix))
-            .map(|(key, kept)| (key.as_str(), &kept.value, kept.version))
+            .map(|(key, stored)| (key.as_str(), &stored.value, stored.version))
     }
 
-    /// Breaks the service's guarantees: the newest keys under a prefix vanish, and no watch reports it.
+    /// Deletes the `n` newest keys with a prefix and returns them. This fault breaks the service's guarantees: no watch
+    /// reports the deletion, and the revision stays the same.
     pub fn lose_newest_keys(&mut self, prefix: &str, n: usize) -> Vec<String> {
         let mut found: Vec<(u64, String)> =
             self.entries_with_prefix(prefix).map(|(key, _, version)| (version, key.to_owned())).collect();
@@ -204,58 +213,61 @@
         lost
     }
 
-    /// Every lease ends at once.
+    /// Ends every lease at once.
     pub fn drop_leases(&mut self) {
         for permit in self.leases.keys().copied().collect::<Vec<_>>() {
             self.end_lease(permit);
         }
     }
 
-    /// Discards the log of changes: every watch has to list again.
+    /// Discards the log of changes, so that every watch of an earlier revision has to list again.
     pub fn discard_log(&mut self) {
         self.log.clear();
-        self.forgotten = self.revision;
+        self.discarded_revision = self.revision;
     }
 
-    /// `GET /keys/{key}`
+    /// Returns one key: `GET /keys/{key}`.
     pub fn get(&self, key: &str) -> Result<KeyValue, Refusal> {
         check_key(key)?;
-        let kept = self.keys.get(key).ok_or(Refusal::Absent)?;
-        Ok(KeyValue { path: key.to_owned(), value: kept.value.clone(), version: kept.version })
+        let stored = self.keys.get(key).ok_or(Refusal::Absent)?;
+        Ok(KeyValue { path: key.to_owned(), value: stored.value.clone(), version: stored.version })
     }
 
-    /// `GET /keys?prefix=&since=&most=`
+    /// Returns a page of the keys with a prefix: `GET /keys?prefix=&since=&most=`.
     pub fn page(&self, prefix: &str, since: &str, most: usize) -> KeyValuePage {
         let after = Bound::Excluded(since.max(prefix).to_owned());
-        // A key that is the prefix itself comes first of all.
+        // A key that equals the prefix comes before all others.
         let first = self.keys.get_key_value(prefix).filter(|_| since < prefix);
         let later = self.keys.range::<String, _>((after, Bound::Unbounded));
         let mut all = first.into_iter().chain(later.take_while(|(key, _)| key.starts_with(prefix))).peekable();
         let (mut items, mut bytes) = (Vec::new(), 0);
-        while let Some((key, kept)) = all.peek() {
-            bytes += key.len() + json_size(&kept.value) + 40;
+        while let Some((key, stored)) = all.peek() {
+            bytes += key.len() + json_size(&stored.value) + 40;
             if items.len() >= most.clamp(1, MAX_PAGE_ITEMS) || (bytes > MAX_PAGE_BYTES && !items.is_empty()) {
                 break;
             }
-            items.push(KeyValue { path: (*key).clone(), value: kept.value.clone(), version: kept.version });
+            items.push(KeyValue { path: (*key).clone(), value: stored.value.clone(), version: stored.version });
             all.next();
         }
         KeyValuePage { items, more: all.peek().is_some(), revision: self.revision }
     }
 
-    /// Which of these do not hold.
+    /// The keys of the conditions that do not hold.
     pub fn failed_conditions(&self, conditions: &[Condition]) -> Vec<String> {
         conditions.iter().filter(|c| self.version(&c.path) != c.version).map(|c| c.path.clone()).collect()
     }
 
-    /// `POST /compare_and_swap`: the revision it was applied at, or the keys that had other versions.
+    /// Executes a transaction: `POST /txn`. Returns the revision at which it was applied, or the keys that had other
+    /// versions.
     pub fn compare_and_swap(
         &mut self,
         compare_and_swap: &CompareAndSwap,
         now: Duration,
     ) -> Result<Result<u64, FailedConditions>, Refusal> {
         let n = compare_and_swap.apply.len();
-        if n > self.limits.txn_ops || compare_and_swap.conditions.len() > self.limits.txn_ops * CONDITIONS {
+        if n > self.limits.txn_ops
+            || compare_and_swap.conditions.len() > self.limits.txn_ops * MAX_CONDITIONS_PER_CHANGE
+        {
             return Err(Refusal::Malformed("too many changes or conditions"));
         }
         let mut bytes = 0;
@@ -277,19 +289,20 @@
         if bytes > MAX_TRANSACTION_BYTES && self.limits.value_kb.is_finite() {
             return Err(Refusal::Malformed("a transaction above 64 KiB"));
         }
-        // Counted whether or not its conditions hold.
-        if n > 0 && !self.changes.take(n as f64, now) {
+        // The changes count against the limit whether or not the conditions hold.
+        if n > 0 && !self.change_budget.try_take(n as f64, now) {
             return Err(Refusal::TooMany);
         }
-        // Whatever the conditions.
-        let dead = |c: &Change| matches!(c, Change::Write { permit: Some(p), .. } if !self.leases.contains_key(p));
-        if compare_and_swap.apply.iter().any(dead) {
+        // An expired lease refuses the transaction whether or not the conditions hold.
+        let names_expired_lease =
+            |c: &Change| matches!(c, Change::Write { permit: Some(p), .. } if !self.leases.contains_key(p));
+        if compare_and_swap.apply.iter().any(names_expired_lease) {
             return Err(Refusal::LeaseExpired);
         }
         Ok(self.apply_if(&compare_and_swap.conditions, &compare_and_swap.apply))
     }
 
-    /// The bare act, without limits: what the service does with a request that it has admitted.
+    /// Applies changes if the conditions hold, without checking limits: what the service does with an admitted request.
     pub fn apply_if(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<u64, FailedConditions> {
         let failed = self.failed_conditions(conditions);
         if failed.is_empty() {
@@ -299,14 +312,14 @@
         }
     }
 
-    /// All at one revision.
+    /// Applies changes, all at one revision, which is returned.
     fn apply(&mut self, changes: &[Change]) -> u64 {
         self.revision += u64::from(!changes.is_empty());
         let version = self.revision;
         for change in changes {
             let (Change::Write { write: key, .. } | Change::Drop { drop: key }) = change;
-            // A write that names no lease detaches its key, and a dropped key hangs on none.
-            if let Some(permit) = self.keys.get(key).and_then(|kept| kept.permit)
+            // Every change detaches the key from its lease; a write that names a lease attaches the key to that one.
+            if let Some(permit) = self.keys.get(key).and_then(|stored| stored.permit)
                 && let Some(lease) = self.leases.get_mut(&permit)
             {
                 lease.keys.remove(key);
@@ -329,33 +342,33 @@
         version
     }
 
-    /// `POST /grants`
-    pub fn grant(&mut self, life_ms: u64, now: Duration) -> Result<u64, Refusal> {
-        if !LIFE_MS.contains(&life_ms) {
+    /// Creates a lease: `POST /grants`.
+    pub fn grant(&mut self, ttl_ms: u64, now: Duration) -> Result<u64, Refusal> {
+        if !LEASE_TTL_MS.contains(&ttl_ms) {
             return Err(Refusal::Malformed("a life of 100 to 600,000 ms"));
         }
         let permit = self.next_permit;
         self.next_permit += 1;
-        let life = Duration::from_millis(life_ms);
-        self.leases.insert(permit, Lease { life, ends: now + life, keys: BTreeSet::new() });
+        let ttl = Duration::from_millis(ttl_ms);
+        self.leases.insert(permit, Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() });
         Ok(permit)
     }
 
-    /// `POST /grants/{id}/renew`
+    /// Renews a lease for its full time to live: `POST /grants/{id}/renew`.
     pub fn renew(&mut self, permit: u64, now: Duration) -> Result<(), Refusal> {
         let lease = self.leases.get_mut(&permit).ok_or(Refusal::Absent)?;
-        lease.ends = now + lease.life;
+        lease.expires_at = now + lease.ttl;
         Ok(())
     }
 
-    /// `DELETE /grants/{id}`
+    /// Releases a lease with its keys: `DELETE /grants/{id}`.
     pub fn release(&mut self, permit: u64) -> Result<(), Refusal> {
         if self.end_lease(permit) { Ok(()) } else { Err(Refusal::Absent) }
     }
 
-    /// `GET /follow`: what has changed since, which may be nothing yet.
+    /// Returns the changes of keys with a prefix after the revision `since`, possibly none: `GET /follow`.
     pub fn watch(&self, prefix: &str, since: u64) -> Result<WatchResponse, Refusal> {
-        if since < self.forgotten {
+        if since < self.discarded_revision {
             return Err(Refusal::TooOld);
         }
         let later = self.log.iter().skip(self.log.partition_point(|e| e.version <= since));
--- a/crates/emulator/src/world/store/tests.rs
+++ b/crates/emulator/src/world/store/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-const T: Duration = Duration::ZERO;
+const START: Duration = Duration::ZERO;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -15,41 +15,46 @@
     Store::new(Limits { requests_per_second: 10.0, changes_per_second: 4.0, value_kb: 1.0, txn_ops: 3 })
 }
 
-fn put(store: &mut Store, changes: &[Change], now: Duration) -> Result<Result<u64, FailedConditions>, Refusal> {
+fn transact(store: &mut Store, changes: &[Change], now: Duration) -> Result<Result<u64, FailedConditions>, Refusal> {
     store.compare_and_swap(&CompareAndSwap::new(&[], changes), now)
 }
 
-/// What the protocol says of transactions, a line a row.
+/// Transactions by the rules of the protocol, one case per row.
 #[test]
-fn transactions_by_cases() {
+fn transaction_applies_or_fails_by_case() {
     let big = Change::write("a", json!("x".repeat(1100)));
     let at = |version| Condition::at("a", version);
     type Row<'a> = (&'a str, Vec<Condition>, Vec<Change>, Result<Result<u64, &'a [&'a str]>, u16>);
     let rows: Vec<Row> = vec![
-        ("a key as it is", vec![at(1)], vec![write("b", None)], Ok(Ok(2))),
-        ("changed since", vec![at(9)], vec![write("b", None)], Ok(Err(&["a"]))),
-        ("absent asked, there", vec![at(0), Condition::absent("z")], vec![write("b", None)], Ok(Err(&["a"]))),
-        ("compares only", vec![at(1)], vec![], Ok(Ok(1))),
-        ("all at one revision", vec![], vec![write("b", None), write("c", None)], Ok(Ok(2))),
+        ("condition holds", vec![at(1)], vec![write("b", None)], Ok(Ok(2))),
+        ("key changed since", vec![at(9)], vec![write("b", None)], Ok(Err(&["a"]))),
+        (
+            "key exists that must be absent",
+            vec![at(0), Condition::absent("z")],
+            vec![write("b", None)],
+            Ok(Err(&["a"])),
+        ),
+        ("conditions without changes", vec![at(1)], vec![], Ok(Ok(1))),
+        ("all changes at one revision", vec![], vec![write("b", None), write("c", None)], Ok(Ok(2))),
         ("too many changes", vec![], vec![write("b", None); 4], Err(400)),
         ("too many conditions", vec![at(1); 13], vec![], Err(400)),
-        ("as many as may be", vec![at(1); 12], vec![write("b", None); 3], Ok(Ok(2))),
-        ("a value above the limit", vec![], vec![big], Err(400)),
-        ("a key with a space", vec![], vec![write("b c", None)], Err(400)),
-        ("a key too long", vec![], vec![write(&"k".repeat(201), None)], Err(400)),
-        ("no key", vec![Condition::absent("")], vec![], Err(400)),
-        ("a lease that is over, whatever the conditions", vec![at(9)], vec![write("b", Some(7))], Err(400)),
+        ("as many as permitted", vec![at(1); 12], vec![write("b", None); 3], Ok(Ok(2))),
+        ("value above the limit", vec![], vec![big], Err(400)),
+        ("key with a space", vec![], vec![write("b c", None)], Err(400)),
+        ("key too long", vec![], vec![write(&"k".repeat(201), None)], Err(400)),
+        ("empty key", vec![Condition::absent("")], vec![], Err(400)),
+        ("unknown lease, although a condition fails", vec![at(9)], vec![write("b", Some(7))], Err(400)),
     ];
     for (name, conditions, changes, want) in rows {
         let mut store = limited();
-        put(&mut store, &[write("a", None)], T).unwrap().unwrap();
-        let got = store.compare_and_swap(&CompareAndSwap::new(&conditions, &changes), T + s(1.0));
+        transact(&mut store, &[write("a", None)], START).unwrap().unwrap();
+        let got = store.compare_and_swap(&CompareAndSwap::new(&conditions, &changes), START + s(1.0));
         let got = got.as_ref().map(|r| r.as_ref().map(|n| *n).map_err(|f| f.failed.as_slice()));
         match (&got, &want) {
             (Ok(Err(failed)), Ok(Err(keys))) => assert_eq!(failed, keys, "{name}"),
             (Ok(Ok(at)), Ok(Ok(version))) => {
                 assert_eq!(at, version, "{name}");
-                assert!(changes.iter().all(|_| store.version("b") == *version), "{name}: one stamp");
+                assert!(changes.iter().all(|_| store.version("b") == *version), "{name}: one version for all changes");
             }
             (Err(refusal), Err(status)) => assert_eq!(refusal.status(), *status, "{name}"),
             _ => panic!("{name}: {got:?}"),
@@ -58,37 +63,37 @@
 }
 
 #[test]
-fn limits_count_requests_and_changes_with_bursts_of_a_second() {
+fn rate_limits_of_requests_and_changes_allow_bursts_of_one_second() {
     let mut store = limited();
-    let served = (0..20).filter(|_| store.admit("n", T).is_ok()).count();
-    assert_eq!((served, store.admit("n", T)), (10, Err(Refusal::TooMany)));
-    assert!(store.admit("n", T + s(0.1)).is_ok(), "one more after a tenth of a second");
-    assert!(put(&mut store, &[write("a", None), write("b", None)], T).is_ok());
-    // A transaction whose conditions fail counts as well.
+    let served = (0..20).filter(|_| store.admit("n", START).is_ok()).count();
+    assert_eq!((served, store.admit("n", START)), (10, Err(Refusal::TooMany)));
+    assert!(store.admit("n", START + s(0.1)).is_ok(), "one more request after 0.1 s");
+    assert!(transact(&mut store, &[write("a", None), write("b", None)], START).is_ok());
+    // A transaction whose conditions fail counts against the limit of changes as well.
     let wrong = [Condition::at("a", 99)];
     assert!(
         store
-            .compare_and_swap(&CompareAndSwap::new(&wrong, &[write("c", None), write("d", None)]), T)
+            .compare_and_swap(&CompareAndSwap::new(&wrong, &[write("c", None), write("d", None)]), START)
             .unwrap()
             .is_err()
     );
-    assert_eq!(put(&mut store, &[write("c", None)], T).unwrap_err(), Refusal::TooMany);
+    assert_eq!(transact(&mut store, &[write("c", None)], START).unwrap_err(), Refusal::TooMany);
     assert!(
-        store.compare_and_swap(&CompareAndSwap::new(&wrong, &[]), T).unwrap().is_err(),
-        "a comparison costs no change"
+        store.compare_and_swap(&CompareAndSwap::new(&wrong, &[]), START).unwrap().is_err(),
+        "a transaction without changes does not count against the limit of changes"
     );
-    assert!(put(&mut store, &[write("c", None)], T + s(0.25)).is_ok());
+    assert!(transact(&mut store, &[write("c", None)], START + s(0.25)).is_ok());
 }
 
 #[test]
-fn leases_hold_keys_and_have_their_time_again_after_an_outage() {
+fn lease_expiry_deletes_keys_and_an_outage_restarts_the_lease_time() {
     let mut store = Store::default();
-    assert_eq!([99, 600_001].map(|ms| store.grant(ms, T).is_err()), [true; 2]);
-    let permit = store.grant(1000, T).unwrap();
-    put(&mut store, &[write("kept", Some(permit)), write("freed", Some(permit)), write("other", None)], T)
+    assert_eq!([99, 600_001].map(|ms| store.grant(ms, START).is_err()), [true; 2]);
+    let permit = store.grant(1000, START).unwrap();
+    transact(&mut store, &[write("kept", Some(permit)), write("freed", Some(permit)), write("other", None)], START)
         .unwrap()
         .unwrap();
-    put(&mut store, &[write("freed", None)], T).unwrap().unwrap();
+    transact(&mut store, &[write("freed", None)], START).unwrap().unwrap();
     store.renew(permit, s(0.9)).unwrap();
     store.expire_leases(s(1.8));
     assert!(store.has("kept"), "renewed");
@@ -96,40 +101,44 @@
     assert_eq!(store.admit("n", s(30.0)), Err(Refusal::Unavailable));
     store.set_outage(false, s(60.0));
     store.expire_leases(s(60.9));
-    assert!(store.has("kept"), "its full time again");
+    assert!(store.has("kept"), "the outage restarted the full time to live");
     store.expire_leases(s(61.0));
     assert!(!store.has("kept") && store.has("freed") && store.has("other"));
     assert_eq!(store.renew(permit, s(61.0)), Err(Refusal::Absent));
-    assert_eq!(put(&mut store, &[write("late", Some(permit))], s(61.0)), Err(Refusal::LeaseExpired));
-    let told = store.watch("kept", 1).unwrap();
-    assert_eq!(told.log.last().and_then(|e| e.drop.as_deref()), Some("kept"), "watches hear of it");
+    assert_eq!(transact(&mut store, &[write("late", Some(permit))], s(61.0)), Err(Refusal::LeaseExpired));
+    let changes = store.watch("kept", 1).unwrap();
+    assert_eq!(
+        changes.log.last().and_then(|e| e.drop.as_deref()),
+        Some("kept"),
+        "watches must report the deletion by lease expiry"
+    );
     let next = store.grant(1000, s(61.0)).unwrap();
-    put(&mut store, &[write("short", Some(next))], s(61.0)).unwrap().unwrap();
+    transact(&mut store, &[write("short", Some(next))], s(61.0)).unwrap().unwrap();
     store.release(next).unwrap();
     assert!(!store.has("short") && store.release(next) == Err(Refusal::Absent));
 }
 
 #[test]
-fn watches_tell_what_is_kept_and_say_when_it_is_not() {
+fn watch_returns_logged_changes_and_fails_before_the_log() {
     let mut store = Store::default();
     for n in 0..MAX_LOG_LENGTH + 5 {
         let key = format!("{}/{n}", if n.is_multiple_of(2) { "even" } else { "odd" });
-        put(&mut store, &[Change::write(key, json!(n))], T).unwrap().unwrap();
+        transact(&mut store, &[Change::write(key, json!(n))], START).unwrap().unwrap();
     }
     assert_eq!(store.watch("even/", 4).unwrap_err(), Refusal::TooOld);
-    let told = store.watch("even/", 5).unwrap();
-    assert_eq!((told.log.len(), told.revision), (MAX_LOG_LENGTH / 2, store.revision()));
-    assert!(told.log.iter().all(|e| e.path().starts_with("even/")));
+    let changes = store.watch("even/", 5).unwrap();
+    assert_eq!((changes.log.len(), changes.revision), (MAX_LOG_LENGTH / 2, store.revision()));
+    assert!(changes.log.iter().all(|e| e.path().starts_with("even/")));
     assert!(store.watch("", store.revision()).unwrap().log.is_empty());
 }
 
 #[test]
-fn listings_are_ordered_and_bounded() {
+fn listing_pages_are_ordered_and_bounded() {
     let mut store = Store::default();
     let large = json!("x".repeat(4000));
     for n in 0..1500 {
         let value = if n < 200 { large.clone() } else { json!(n) };
-        put(&mut store, &[Change::write(format!("k/{n:04}"), value)], T).unwrap().unwrap();
+        transact(&mut store, &[Change::write(format!("k/{n:04}"), value)], START).unwrap().unwrap();
     }
     let (mut since, mut seen, mut pages) = (String::new(), Vec::new(), 0);
     loop {
@@ -151,14 +160,14 @@
 }
 
 #[test]
-fn one_node_alone_may_be_refused() {
+fn refused_node_is_unavailable_while_others_are_served_and_its_leases_expire() {
     let mut store = Store::default();
-    let permit = store.grant(500, T).unwrap();
-    put(&mut store, &[write("lead", Some(permit))], T).unwrap().unwrap();
+    let permit = store.grant(500, START).unwrap();
+    transact(&mut store, &[write("lead", Some(permit))], START).unwrap().unwrap();
     store.set_refused("a", true);
     assert_eq!((store.admit("a", s(0.1)), store.admit("b", s(0.1))), (Err(Refusal::Unavailable), Ok(())));
     assert!(store.admit("b", s(0.6)).is_ok());
-    assert!(!store.has("lead"), "its leases run out meanwhile");
+    assert!(!store.has("lead"), "leases of a refused node must expire");
     store.set_refused("a", false);
     assert!(store.admit("a", s(0.7)).is_ok());
 }
--- a/crates/emulator/src/world/store/types.rs
+++ b/crates/emulator/src/world/store/types.rs
@@ -1,45 +1,46 @@
-//! Limits of the state service, and its reasons to refuse a request.
+//! Limits of the state service and the reasons for which it refuses a request.
 
-use super::CONDITIONS;
+use super::MAX_CONDITIONS_PER_CHANGE;
 
-/// Limits of the state service; infinite where nothing is limited.
+/// Limits of the state service. An infinite value means no limit.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub requests_per_second: f64,
-    /// Changes of keys per second.
+    /// Maximum number of key changes per second.
     pub changes_per_second: f64,
-    /// Largest value, in kB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// The most changes in one transaction.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
 }
 
 impl Default for Limits {
+    /// No limits.
     fn default() -> Self {
         Self {
             requests_per_second: f64::INFINITY,
             changes_per_second: f64::INFINITY,
             value_kb: f64::INFINITY,
-            txn_ops: usize::MAX / CONDITIONS,
+            txn_ops: usize::MAX / MAX_CONDITIONS_PER_CHANGE,
         }
     }
 }
 
-/// Why a request was refused. None of these was carried out.
+/// Why a request was refused. A refused request changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// Status 400: the request is invalid.
     Malformed(&'static str),
-    /// Status 400: the lease named has ended.
+    /// Status 400: the lease that a write names has expired.
     LeaseExpired,
     /// Status 404: the key does not exist.
     Absent,
-    /// Status 410: the watch starts before the changes that are kept.
+    /// Status 410: the watch starts before the oldest change in the log.
     TooOld,
     /// Status 429: a rate limit is exceeded.
     TooMany,
-    /// Status 503: an outage, or this node alone is refused.
+    /// Status 503: an outage of the service, or a fault that refuses this node alone.
     Unavailable,
 }
 
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollylanding_emulator::judge::{Ask, Entry, Event, Rule, Terms, judge};
-use hollylanding_emulator::world::fleet::Happening;
+use hollylanding_emulator::world::fleet::AttemptEvent;
 use hollylanding_protocol::jobs::JobSpec;
 use hollylanding_protocol::users::Status;
 use hollylanding_protocol::workers::{ExitCause, TaskKey};
@@ -29,9 +29,12 @@
     let mut history = vec![
         (0, Event::Submitted(Arc::new(spec()))),
         (1, answer(Ask::Submit, Some(Status::Pending))),
-        (2, Event::Machine(Happening::Started { task: task.clone(), attempt: 1, machine: "m".into() })),
+        (2, Event::Machine(AttemptEvent::Started { task: task.clone(), attempt: 1, machine: "m".into() })),
         (5, Event::CancellationAsked("run-1".into())),
-        (gone, Event::Machine(Happening::Ended { task, attempt: 1, machine: "m".into(), cause: ExitCause::Stopped })),
+        (
+            gone,
+            Event::Machine(AttemptEvent::Ended { task, attempt: 1, machine: "m".into(), cause: ExitCause::Stopped }),
+        ),
     ];
     history.extend(answers.iter().map(|(at, ask, status)| (*at, answer(*ask, *status))));
     history.sort_by_key(|(at, _)| *at);
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -44,8 +44,9 @@
     let mut fleet = Fleet::new(Params { lease: s(24), gang_wait: s(30), gang_peer: s(5) });
     fleet.upload(Upload { spec: spec(), run: s(10), broken: false });
     for name in ["m1", "m2"] {
-        let machine = Machine { addr: "127.0.0.1:1".into(), of: of(), zone: "a".into(), spot: true, speed: 1.0 };
-        fleet.up(name, machine, s(0));
+        let machine =
+            Machine { addr: "127.0.0.1:1".into(), machine_type: of(), zone: "a".into(), spot: true, speed: 1.0 };
+        fleet.add_machine(name, machine, s(0));
     }
     launch(&mut fleet, "m1", 1, 1);
     for at in 2..=20 {
@@ -70,7 +71,7 @@
         if at == 8 && fleet.heartbeat("m1", s(at)).is_none() {
             launch(fleet, "m2", 2, at);
         }
-        record.extend(fleet.happened().into_iter().map(|h| Entry { at: s(at), event: Event::Machine(h) }));
+        record.extend(fleet.drain_events().into_iter().map(|h| Entry { at: s(at), event: Event::Machine(h) }));
     });
     judge(&record, &Terms::default()).first(Rule::RanTwice).is_none()
 }
@@ -110,14 +111,14 @@
         ("what was started ends", |f| {
             done_with(|fleet, at| {
                 if f && at == 5 {
-                    fleet.gone("m1", s(at));
+                    fleet.remove_machine("m1", s(at));
                 }
             })
         }),
         ("a result can be learned from its machine", |f| {
             let mut simulated = fleet(|fleet, at| {
                 if f && at == 15 {
-                    fleet.gone("m1", s(at));
+                    fleet.remove_machine("m1", s(at));
                 }
             });
             simulated.heartbeat("m1", s(20)).is_some()
@@ -133,7 +134,7 @@
             done_with(|fleet, _| fleet.set_speed("m1", if f { 0.25 } else { 1.0 }))
         }),
         ("a lease lasts as long on every clock", |f| {
-            done_with(|fleet, _| fleet.set_clock("m1", if f { 4.0 } else { 1.0 }))
+            done_with(|fleet, _| fleet.set_clock_rate("m1", if f { 4.0 } else { 1.0 }))
         }),
         ("a task is only where it was started", |f| {
             let mut doubled = false;
@@ -144,7 +145,7 @@
             let mut heard = false;
             fleet(|fleet, at| {
                 if f {
-                    fleet.cut_off("m1", s(30));
+                    fleet.partition_inbound("m1", s(30));
                 }
                 heard |= fleet
                     .command("m1", &WorkerCommands { fencing_token: 1, agent_epoch: Some(1), orders: vec![] }, s(at))
@@ -155,11 +156,11 @@
         ("a report is of a machine that is there", |f| {
             let mut simulated = fleet(|fleet, at| {
                 if f {
-                    fleet.copy_reports("m1", s(9), s(5), s(30));
+                    fleet.copy_heartbeats("m1", s(9), s(5), s(30));
                 }
                 fleet.heartbeat("m1", s(at));
             });
-            simulated.gone("m1", s(20));
+            simulated.remove_machine("m1", s(20));
             simulated.copies_due(s(30)).is_empty()
         }),
         ("what is rented comes up", |f| {
@@ -169,7 +170,7 @@
         ("what is rented stays", |f| {
             let mut cloud = rented(|_| (), true);
             if f {
-                cloud.take_spot(1.0, s(10));
+                cloud.interrupt_spot_machines(1.0, s(10));
             }
             cloud.tick(s(60));
             cloud.count_held(s(60)) == 3
