--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -111,7 +111,7 @@
 
 /// Listens on a port of its own, and forwards to `to` what the link lets pass.
 async fn relayed(world: &World, to: String, i: usize, link: Link) -> Result<String, ControllerError> {
-    relay(to, world.gate(i, link)).await.map_err(io("a link"))
+    relay(to, world.link_switch(i, link)).await.map_err(io("a link"))
 }
 
 /// Addresses and common settings of all controllers.
@@ -145,7 +145,7 @@
 
     /// A controller's settings, in which everything else is behind links.
     async fn settings(&self, world: &Arc<World>, i: usize) -> Result<Value, ControllerError> {
-        let services = world.door(i).await;
+        let services = world.serve_controller(i).await;
         let state = relayed(world, services.clone(), i, Link::Store).await?;
         let cloud = relayed(world, services, i, Link::Cloud).await?;
         let mut peers = Vec::new();
@@ -187,7 +187,7 @@
             let config = folder.join(format!("{}.json", name(i)));
             write_json(&config, &settings)?;
             if i == 0 {
-                let direct = world.door(sizes.controllers).await;
+                let direct = world.serve_controller(sizes.controllers).await;
                 write_json(&all.operators, &with_endpoints(settings, &direct, &direct))?;
             }
             let workers = cluster.link(world, i, Link::Workers).await?;
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! Drives the world in real time and serves it over HTTP on the loopback interface, on whatever ports the system gives:
-//! the state service and the cloud to each controller by itself, and a listener for each worker.
+//! Runs the emulated world in real time and serves it over HTTP on free ports of the loopback interface. Each
+//! controller has a listener of its own for the state service and the cloud, and each worker has one.
 
 mod machines;
 pub mod relay;
@@ -17,14 +17,14 @@
 use crate::world::cloud::{self, BootMode, Cloud};
 use crate::world::fleet::{self, AttemptEvent, Fleet, Upload};
 use crate::world::store::Limits;
-use relay::Gate;
+use relay::LinkSwitch;
 pub use server::listen;
 use state::State;
 
 /// Interval at which the world advances.
 const STEP: Duration = Duration::from_millis(20);
-/// Prefix of the keys under which the controllers store jobs.
-const JOBS: &str = "c/o/";
+/// Prefix of the keys under which the controllers store open jobs.
+const OPEN_JOB_PREFIX: &str = "c/o/";
 
 /// Locks a mutex. A poisoned lock means a panic elsewhere; the state itself is consistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -33,7 +33,7 @@
 
 /// The parameters of an emulated world.
 pub struct Params {
-    /// Limits of the state service.
+    /// Rate and size limits of the state service.
     pub limits: Limits,
     /// Types, capacity and behaviour of the cloud.
     pub cloud: cloud::Params,
@@ -41,11 +41,11 @@
     pub fleet: fleet::Params,
     /// How new machines boot.
     pub boots: BootMode,
-    /// Interval between two heartbeats of a worker; each one varies by up to a quarter.
+    /// Mean interval between two heartbeats of a worker; each interval varies by up to a quarter.
     pub heartbeat: Duration,
-    /// The most keys or machines on one page of a listing, whatever the request asks for.
+    /// Maximum number of keys or machines on one page of a listing, whatever the request asks for.
     pub page_most: usize,
-    /// Seed of all randomness.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Whether events are recorded for the judge.
     pub judged: bool,
@@ -54,15 +54,15 @@
 /// One of a controller's network links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Link {
-    /// To the state service.
+    /// The link to the state service.
     Store,
-    /// To the cloud.
+    /// The link to the cloud.
     Cloud,
-    /// To and from the workers.
+    /// The link to and from the workers.
     Workers,
-    /// From the users.
+    /// The link from the users.
     Users,
-    /// To the controller of this number.
+    /// The link to the controller of this number.
     Peer(usize),
 }
 
@@ -89,17 +89,17 @@
     pub starts: Mutex<Vec<String>>,
     /// Events for the judge; empty unless [`Params::judged`].
     pub record: Mutex<Vec<Entry>>,
-    /// Where each machine's worker listens, by controller; once for all where there are no gates.
-    addrs: Mutex<HashMap<String, Vec<String>>>,
-    gates: Mutex<HashMap<(usize, Link), Arc<Gate>>>,
-    calls: Mutex<u64>,
+    /// The addresses of each machine's worker, by controller; a single address if no controller's link has a switch.
+    worker_addrs: Mutex<HashMap<String, Vec<String>>>,
+    link_switches: Mutex<HashMap<(usize, Link), Arc<LinkSwitch>>>,
+    cloud_calls: Mutex<u64>,
     params: Params,
-    begun: Instant,
+    started: Instant,
     http: Http,
 }
 
 impl World {
-    /// Starts a world whose time runs from now on. It must be called within a Tokio runtime.
+    /// Starts a world whose time runs from now on. Must be called within a Tokio runtime.
     pub fn open(params: Params) -> Arc<Self> {
         let mut cloud = Cloud::new(params.cloud.clone(), params.seed);
         cloud.set_boots(params.boots);
@@ -110,51 +110,51 @@
             nodes: Mutex::default(),
             starts: Mutex::default(),
             record: Mutex::default(),
-            addrs: Mutex::default(),
-            gates: Mutex::default(),
-            calls: Mutex::default(),
+            worker_addrs: Mutex::default(),
+            link_switches: Mutex::default(),
+            cloud_calls: Mutex::default(),
             params,
-            begun: Instant::now(),
+            started: Instant::now(),
             http: Http::default(),
         });
         tokio::spawn(world.clone().run());
         world
     }
 
-    /// Time since the world began.
+    /// Time since the start of the world.
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
     /// Number of requests that the cloud has received so far.
     pub fn cloud_calls(&self) -> u64 {
-        *lock(&self.calls)
+        *lock(&self.cloud_calls)
     }
 
     /// The switch of one link of a controller.
-    pub fn gate(&self, controller: usize, link: Link) -> Arc<Gate> {
-        lock(&self.gates).entry((controller, link)).or_default().clone()
+    pub fn link_switch(&self, controller: usize, link: Link) -> Arc<LinkSwitch> {
+        lock(&self.link_switches).entry((controller, link)).or_default().clone()
     }
 
-    /// Records an event, if anybody judges.
-    pub fn note(&self, event: Event) {
+    /// Records an event for the judge, if [`Params::judged`] is set.
+    pub fn record_event(&self, event: Event) {
         if self.params.judged {
             lock(&self.record).push(Entry { at: self.now(), event });
         }
     }
 
-    /// Runs an action on the workers, and records what it brought about before anybody else sees it.
-    pub fn with_fleet<T>(&self, act: impl FnOnce(&mut Fleet, Duration) -> T) -> T {
-        // In whole steps, so that what comes within one is one moment to the workers.
+    /// Runs an action on the workers, and records the events that it caused before the lock is released.
+    pub fn with_fleet<T>(&self, action: impl FnOnce(&mut Fleet, Duration) -> T) -> T {
+        // Time is rounded down to whole steps, so that for the workers all actions within a step are simultaneous.
         let steps = self.now().as_millis() / STEP.as_millis();
         let now = STEP * u32::try_from(steps).unwrap_or(u32::MAX);
         let mut fleet = lock(&self.fleet);
-        let outcome = act(&mut fleet, now);
-        for happening in fleet.drain_events() {
-            if let AttemptEvent::Started { task, .. } = &happening {
+        let outcome = action(&mut fleet, now);
+        for event in fleet.drain_events() {
+            if let AttemptEvent::Started { task, .. } = &event {
                 lock(&self.starts).push(format!("{}/{}", task.job, task.index));
             }
-            self.note(Event::Machine(happening));
+            self.record_event(Event::Machine(event));
         }
         outcome
     }
@@ -164,44 +164,45 @@
         self.with_fleet(|fleet, _| fleet.upload(upload));
     }
 
-    /// Workers fetch a job's description by themselves. Where nobody uploads it, it is taken from what the controllers
-    /// store, and each task then runs for as long as its user estimates, or for `usual`.
-    pub fn learn_uploads(self: &Arc<Self>, usual: Duration) {
+    /// Uploads the descriptions of jobs that the controllers store, for worlds in which users do not upload them. Each
+    /// task runs for as long as its user estimates, or for `default_run` without an estimate.
+    pub fn upload_stored_jobs(self: &Arc<Self>, default_run: Duration) {
         let world = self.clone();
         tokio::spawn(async move {
             let mut revision = 0;
             loop {
-                revision = world.learn_since(revision, usual);
+                revision = world.upload_jobs_since(revision, default_run);
                 tokio::time::sleep(STEP).await;
             }
         });
     }
 
-    /// Uploads the jobs stored after a revision. Returns the revision up to which they are known.
-    fn learn_since(&self, revision: u64, usual: Duration) -> u64 {
-        let changes = lock(&self.state).store.watch(JOBS, revision);
+    /// Uploads the jobs stored after a revision. Returns the revision up to which all jobs are uploaded.
+    fn upload_jobs_since(&self, revision: u64, default_run: Duration) -> u64 {
+        let changes = lock(&self.state).store.watch(OPEN_JOB_PREFIX, revision);
         let Ok(changes) = changes else { return revision };
         for event in changes.log.into_iter().filter(|event| event.write.is_some()) {
             let Ok(spec) = serde_json::from_value::<JobSpec>(event.value["spec"].clone()) else { continue };
             let run = match spec.shape {
                 Shape::Service => Duration::ZERO,
                 _ if spec.estimate_s > 0.0 => spec.estimate(),
-                _ => usual,
+                _ => default_run,
             };
             self.upload(Upload { spec, run, broken: false });
         }
         changes.revision
     }
 
-    /// Advances the world: machines come up, receive notice that they will be taken, and are taken.
+    /// Advances the world: machines boot, receive interruption notices and are interrupted, and heartbeat copies are
+    /// delivered.
     async fn run(self: Arc<Self>) {
         loop {
             let now = self.now();
             let events = lock(&self.cloud).tick(now);
             for event in events {
                 match event {
-                    cloud::Event::Up(name) => self.up(&name).await,
-                    cloud::Event::Notice(name, left) => self.notice(&name, left),
+                    cloud::Event::Up(name) => self.start_machine(&name).await,
+                    cloud::Event::Notice(name, left) => self.notify_interruption(&name, left),
                     cloud::Event::Interrupted(name) => self.with_fleet(|fleet, now| fleet.remove_machine(&name, now)),
                 }
             }
--- a/crates/emulator/src/driver/relay.rs
+++ b/crates/emulator/src/driver/relay.rs
@@ -1,7 +1,7 @@
-//! Links between parts, as relays on loopback that can hold, delay, reset and refuse what passes.
+//! Network links as relays on the loopback interface, which can hold, delay and reset connections.
 //!
-//! What is held is delivered in order once the link is open again, even if the sender has given up
-//! and closed meanwhile: that is how late requests come about.
+//! Held data is delivered in order once the link is open again, even if the sender has given up and closed the
+//! connection meanwhile. That is how late requests come about.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,84 +10,88 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes read at once, and so held at the most for each direction of a connection.
-const CHUNK: usize = 64 * 1024;
+/// Number of bytes read at once, which is also the maximum that a relay holds per direction of a connection.
+const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
-/// What a link does with what passes.
+/// How a link treats the data and connections on it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Passing {
-    /// Everything passes at once.
+pub enum LinkState {
+    /// Data is forwarded at once.
     #[default]
     Open,
-    /// Nothing passes; it is delivered once the link is open again.
+    /// Data is held, and delivered once the link is open again.
     Held,
-    /// Each chunk takes this much longer, connection by connection.
+    /// Each chunk is delayed by this time; the connections are independent of each other.
     Delayed(Duration),
-    /// Connections are closed, and new ones are closed at once.
+    /// Open connections are closed, and new ones are closed at once.
     Reset,
 }
 
-/// The switch of one link.
+/// The switch that sets the state of one link.
 #[derive(Debug)]
-pub struct Gate(watch::Sender<Passing>);
+pub struct LinkSwitch(watch::Sender<LinkState>);
 
-impl Default for Gate {
+impl Default for LinkSwitch {
     fn default() -> Self {
-        Self(watch::channel(Passing::Open).0)
+        Self(watch::channel(LinkState::Open).0)
     }
 }
 
-impl Gate {
-    /// Sets what the link does from now on, for open connections too.
-    pub fn set(&self, passing: Passing) {
-        self.0.send_replace(passing);
+impl LinkSwitch {
+    /// Sets the state of the link, for open connections as well.
+    pub fn set(&self, state: LinkState) {
+        self.0.send_replace(state);
     }
 
-    /// Waits until something may pass; false if the connection is to be closed instead.
-    pub async fn pass(&self) -> bool {
-        let mut state = self.0.subscribe();
-        let passing = state.wait_for(|p| *p != Passing::Held).await.map_or(Passing::Reset, |p| *p);
-        if let Passing::Delayed(by) = passing {
-            tokio::time::sleep(by).await;
+    /// Waits until data may be forwarded; returns false if the connection must be closed instead.
+    pub async fn wait_to_forward(&self) -> bool {
+        let mut states = self.0.subscribe();
+        let state = states.wait_for(|p| *p != LinkState::Held).await.map_or(LinkState::Reset, |p| *p);
+        if let LinkState::Delayed(delay) = state {
+            tokio::time::sleep(delay).await;
         }
-        passing != Passing::Reset
+        state != LinkState::Reset
     }
 
-    async fn closed(&self) {
-        let _ = self.0.subscribe().wait_for(|p| *p == Passing::Reset).await;
+    /// Waits until the link is reset.
+    async fn wait_for_reset(&self) {
+        let _ = self.0.subscribe().wait_for(|p| *p == LinkState::Reset).await;
     }
 }
 
-/// Listens on a free port of the loopback interface and forwards connections to `to`. Returns the address.
-pub async fn relay(to: String, gate: Arc<Gate>) -> std::io::Result<String> {
+/// Listens on a free port of the loopback interface and forwards connections to the address `to`. Returns the
+/// listener's address.
+pub async fn relay(to: String, switch: Arc<LinkSwitch>) -> std::io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     tokio::spawn(async move {
         while let Ok((from, _)) = listener.accept().await {
-            tokio::spawn(connect(from, to.clone(), gate.clone()));
+            tokio::spawn(forward_connection(from, to.clone(), switch.clone()));
         }
     });
     Ok(addr)
 }
 
-async fn connect(from: TcpStream, to: String, gate: Arc<Gate>) {
-    if !gate.pass().await {
+/// Forwards one connection, both ways.
+async fn forward_connection(from: TcpStream, to: String, switch: Arc<LinkSwitch>) {
+    if !switch.wait_to_forward().await {
         return;
     }
     let Ok(to) = TcpStream::connect(&to).await else { return };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_read, from_write), (to_read, to_write)) = (from.into_split(), to.into_split());
-    tokio::join!(pump(from_read, to_write, &gate), pump(to_read, from_write, &gate));
+    tokio::join!(forward_data(from_read, to_write, &switch), forward_data(to_read, from_write, &switch));
 }
 
-async fn pump(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, gate: &Gate) {
-    let mut chunk = vec![0; CHUNK];
+/// Forwards data in one direction until the connection ends or the link is reset.
+async fn forward_data(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, switch: &LinkSwitch) {
+    let mut chunk = vec![0; MAX_CHUNK_BYTES];
     loop {
         let read = tokio::select! {
             read = from.read(&mut chunk) => read.unwrap_or(0),
-            () = gate.closed() => return,
+            () = switch.wait_for_reset() => return,
         };
-        if !gate.pass().await {
+        if !switch.wait_to_forward().await {
             return;
         }
         if read == 0 || to.write_all(&chunk[..read]).await.is_err() {
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP listeners: of each worker, and of the state service and the cloud for each controller.
+//! The HTTP listeners: one per worker, and one per controller for the state service and the cloud.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,12 +16,12 @@
 use crate::world::cloud;
 use crate::world::store::Refusal;
 
-/// A request that is never answered is held for this long, which is longer than any client waits.
-const UNANSWERED_FOR: Duration = Duration::from_secs(20);
-/// Interval at which an open watch looks for changes.
-const WATCH_STEP: Duration = Duration::from_millis(5);
+/// Time for which an unanswered request is kept open, which is longer than any client waits.
+const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which an open watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The status and the body of an answer.
+/// The status and the body of a response.
 struct Answer {
     status: u16,
     body: Value,
@@ -32,6 +32,7 @@
         Self { status, body }
     }
 
+    /// A response without a body.
     fn empty(status: u16) -> Self {
         Self::new(status, Value::Null)
     }
@@ -50,6 +51,7 @@
     }
 }
 
+/// A query parameter of a request; empty if it is missing.
 fn param(req: &Request, name: &str) -> String {
     req.query::<String>(name).unwrap_or_default()
 }
@@ -62,8 +64,8 @@
     }
 }
 
-/// How soon an answer that was held back goes on once it may.
-const HELD_BACK_STEP: Duration = Duration::from_millis(5);
+/// Interval at which a delayed response checks whether its delay was ended.
+const DELAY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves a router on a free port of the loopback interface, and returns its address.
 pub async fn listen(router: Router) -> String {
@@ -73,6 +75,7 @@
     addr
 }
 
+/// A router that passes all requests to one handler.
 fn router(handler: impl Handler) -> Router {
     Router::with_path("{**rest}").goal(handler)
 }
@@ -83,14 +86,15 @@
 }
 
 impl World {
-    /// Starts a listener that is the state service and the cloud for the controller of this number, and returns its
+    /// Starts a listener that serves the state service and the cloud to the controller of this number, and returns its
     /// address.
-    pub async fn door(self: &Arc<Self>, controller: usize) -> String {
+    pub async fn serve_controller(self: &Arc<Self>, controller: usize) -> String {
         listen(router(ControllerEndpoint { world: self.clone(), controller, node: controller.to_string() })).await
     }
 }
 
-fn write_answer(res: &mut Response, status: u16, body: Vec<u8>) {
+/// Writes the status and the body of a response.
+fn write_response(res: &mut Response, status: u16, body: Vec<u8>) {
     res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     let _ = res.write_body(body);
 }
@@ -102,17 +106,18 @@
 }
 
 impl WorkerEndpoint {
+    /// Answers direct commands of a controller.
     async fn answer(&self, req: &mut Request) -> Answer {
         let Ok(orders) = serde_json::from_value::<WorkerCommands>(body(req).await) else { return Answer::empty(400) };
         let outcome = self.world.with_fleet(|fleet, now| fleet.command(&self.machine, &orders, now));
         match outcome {
-            Some((taken, heartbeat)) => {
-                let status = if taken { 200 } else { 409 };
+            Some((accepted, heartbeat)) => {
+                let status = if accepted { 200 } else { 409 };
                 Answer::new(status, serde_json::to_value(heartbeat).unwrap_or_default())
             }
             None => {
-                // It hangs, or it is gone: either way it does not answer.
-                tokio::time::sleep(UNANSWERED_FOR).await;
+                // A worker that hangs, is partitioned or is gone does not answer.
+                tokio::time::sleep(UNANSWERED_TIMEOUT).await;
                 Answer::empty(503)
             }
         }
@@ -123,7 +128,7 @@
 impl Handler for WorkerEndpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = self.answer(req).await;
-        write_answer(res, answer.status, protocol::encode(&answer.body));
+        write_response(res, answer.status, protocol::encode(&answer.body));
     }
 }
 
@@ -136,6 +141,7 @@
 }
 
 impl ControllerEndpoint {
+    /// Answers a request to the cloud or to the state service.
     async fn answer(&self, req: &mut Request) -> Answer {
         let path = req.uri().path().to_owned();
         let body = body(req).await;
@@ -146,26 +152,26 @@
             };
         }
         let answer = self.state(&path, req, body).await;
-        let slow = lock(&self.world.state).faults.slow;
-        tokio::time::sleep(slow).await;
-        self.hold_back(&path).await;
+        let delay = lock(&self.world.state).faults.response_delay;
+        tokio::time::sleep(delay).await;
+        self.delay_response(&path).await;
         answer
     }
 
-    /// Waits for as long as this answer is held back.
-    async fn hold_back(&self, path: &str) {
-        let Some(by) = lock(&self.world.state).faults.hold_back(&self.node, path) else { return };
-        let until = Instant::now() + by;
-        while Instant::now() < until && lock(&self.world.state).faults.holds_back(&self.node, path) {
-            tokio::time::sleep(HELD_BACK_STEP).await;
+    /// Waits for as long as the response is delayed by an injected fault.
+    async fn delay_response(&self, path: &str) {
+        let Some(max_delay) = lock(&self.world.state).faults.delay_response(&self.node, path) else { return };
+        let until = Instant::now() + max_delay;
+        while Instant::now() < until && lock(&self.world.state).faults.is_delayed(&self.node, path) {
+            tokio::time::sleep(DELAY_POLL_INTERVAL).await;
         }
     }
 
-    /// A request to the cloud.
+    /// Handles a request to the cloud.
     fn cloud(&self, path: &str, req: &Request, body: Value) -> Result<Value, cloud::Refusal> {
         let world = &self.world;
         let now = world.now();
-        *lock(&world.calls) += 1;
+        *lock(&world.cloud_calls) += 1;
         let mut cloud = lock(&world.cloud);
         cloud.admit(now)?;
         let malformed = |_| cloud::Refusal::Malformed("not in its form");
@@ -195,7 +201,7 @@
         answer.map_err(malformed)
     }
 
-    /// A request to the state service.
+    /// Handles a request to the state service.
     async fn state(&self, path: &str, req: &Request, body: Value) -> Answer {
         let admitted = lock(&self.world.state).admit(&self.node);
         if let Err(refusal) = admitted {
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Answers a watch when there are changes, or when its time is over.
+    /// Answers a watch when there are changes or when its wait is over.
     async fn watch(&self, req: &Request) -> Answer {
         let wait: u64 = param(req, "waitMs").parse().unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(wait);
@@ -225,39 +231,39 @@
         loop {
             {
                 let mut state = lock(&self.world.state);
-                // During an outage open watches wait; a refused node receives nothing.
+                // During an outage open watches wait. A refused node receives no changes.
                 let quiet = state.faults.quiet_watches && Instant::now() < until;
                 if state.store.serves(&self.node) && !quiet {
                     match state.follow(&prefix, since) {
-                        Some(Ok(told)) => return Answer::new(200, told),
+                        Some(Ok(changes)) => return Answer::new(200, changes),
                         Some(Err(refusal)) => return Answer::empty(refusal.status()),
                         None => {}
                     }
                     if Instant::now() >= until {
-                        return Answer::new(200, state.nothing_new());
+                        return Answer::new(200, state.empty_watch_response());
                     }
                 }
             }
-            tokio::time::sleep(WATCH_STEP).await;
+            tokio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 
-    /// A transaction, with whatever fault it meets.
+    /// Handles a transaction, subject to the injected faults.
     async fn transact(&self, body: Value) -> Result<Value, Refusal> {
-        // Taken apart from the waiting: no lock is held over it.
+        // A separate statement, so that the lock is not held during the waits below.
         let outcome = lock(&self.world.state).compare_and_swap(&body);
         match outcome {
             Outcome::Answer(answer) => return answer,
             Outcome::Silence => {}
-            Outcome::Later(after) => {
+            Outcome::Later(delay) => {
                 let world = self.world.clone();
                 tokio::spawn(async move {
-                    tokio::time::sleep(after).await;
+                    tokio::time::sleep(delay).await;
                     lock(&world.state).apply_late(&body);
                 });
             }
         }
-        tokio::time::sleep(UNANSWERED_FOR).await;
+        tokio::time::sleep(UNANSWERED_TIMEOUT).await;
         Err(Refusal::Unavailable)
     }
 }
@@ -270,6 +276,6 @@
         let mut state = lock(&self.world.state);
         state.largest = state.largest.max(body.len());
         drop(state);
-        write_answer(res, answer.status, body);
+        write_response(res, answer.status, body);
     }
 }
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -1,5 +1,4 @@
-//! The state service behind its listeners: requests to the pure store, and the faults it can be
-//! commanded to have.
+//! The state service behind its listeners: requests to the store, and injected faults.
 
 use std::time::{Duration, Instant};
 
@@ -8,64 +7,64 @@
 
 use crate::world::store::{Limits, Refusal, Store};
 
-/// Answers to one controller that are held back on their way: they say what stood when they were made.
+/// Delayed responses to one controller. A response has the content that was current before the delay.
 #[derive(Debug, Clone)]
-pub struct HeldBack {
-    /// The controller's number, as its listener has it.
+pub struct HeldResponses {
+    /// The controller's number, as its listener knows it.
     pub controller: String,
-    /// The path that is asked, in full.
+    /// The full path of the requests.
     pub path: &'static str,
-    /// So many answers still pass at once.
-    pub passing: u32,
-    /// For how long at the most.
-    pub by: Duration,
+    /// Number of responses that are still sent without delay.
+    pub undelayed: u32,
+    /// Maximum delay.
+    pub max_delay: Duration,
 }
 
-/// Faults of the state service that are injected on command.
+/// Injected faults of the state service.
 #[derive(Debug, Default)]
 pub struct Faults {
     /// All transactions are refused as unavailable.
     pub refuse_writes: bool,
-    /// Transactions are answered with a value of the wrong form, and not applied.
+    /// Transactions are answered with a malformed value and not applied.
     pub garble_writes: bool,
     /// Number of writes that are still served; all later ones are refused.
     pub writes_left: Option<u64>,
     /// Number of writes still to be acknowledged without being applied.
-    pub lose: u32,
+    pub writes_to_lose: u32,
     /// Number of writes that were acknowledged without being applied.
-    pub lost: u32,
+    pub lost_writes: u32,
     /// Number of writes still to be applied without an answer.
-    pub unanswered: u32,
-    /// Number of writes still to be applied with this delay and without an answer.
-    pub late: (u32, Duration),
-    /// If set, only writes of keys with this prefix are `unanswered` or `late`.
-    pub only: Option<&'static str>,
-    /// Number of late writes whose delay has passed, whether they were applied or refused then.
-    pub late_over: u32,
-    /// Watches that wait receive nothing before their time is over; those that do not wait do.
+    pub unanswered_writes: u32,
+    /// Number of writes still to be applied after a delay and without an answer, and the delay.
+    pub late_writes: (u32, Duration),
+    /// If set, only writes of keys with this prefix are unanswered or late.
+    pub key_prefix: Option<&'static str>,
+    /// Number of late writes whose delay has passed, whether they were then applied or refused.
+    pub finished_late_writes: u32,
+    /// Watches that wait receive nothing before their wait is over; watches without a wait receive changes.
     pub quiet_watches: bool,
-    /// Delay of every answer.
-    pub slow: Duration,
-    /// Until then, watches receive no changes.
-    pub stalled_until: Option<Instant>,
-    /// An answer goes on as soon as what holds it back is taken from here.
-    pub held_back: Vec<HeldBack>,
+    /// Delay of every response.
+    pub response_delay: Duration,
+    /// Until this time, watches receive no changes.
+    pub watches_stalled_until: Option<Instant>,
+    /// Responses that are delayed. Removing an entry also releases the responses that it delays already.
+    pub held_responses: Vec<HeldResponses>,
 }
 
 impl Faults {
-    /// An answer is on its way: for how long at the most it is held back, if it is.
-    pub fn hold_back(&mut self, controller: &str, path: &str) -> Option<Duration> {
-        let held = self.held_back.iter_mut().find(|held| held.controller == controller && held.path == path)?;
-        if held.passing > 0 {
-            held.passing -= 1;
+    /// The maximum delay of a response that is about to be sent; none if it is not delayed.
+    pub fn delay_response(&mut self, controller: &str, path: &str) -> Option<Duration> {
+        let held = self.held_responses.iter_mut().find(|held| held.controller == controller && held.path == path)?;
+        if held.undelayed > 0 {
+            held.undelayed -= 1;
             return None;
         }
-        Some(held.by)
+        Some(held.max_delay)
     }
 
-    /// Whether this controller's answers of this path are still held back.
-    pub fn holds_back(&self, controller: &str, path: &str) -> bool {
-        self.held_back.iter().any(|held| held.controller == controller && held.path == path)
+    /// Whether the responses to this controller's requests of this path are still delayed.
+    pub fn is_delayed(&self, controller: &str, path: &str) -> bool {
+        self.held_responses.iter().any(|held| held.controller == controller && held.path == path)
     }
 }
 
@@ -75,7 +74,7 @@
     Answer(Result<Value, Refusal>),
     /// Never answered, though it may have been applied.
     Silence,
-    /// Never answered, and applied only after this delay.
+    /// Never answered, and applied after this delay.
     Later(Duration),
 }
 
@@ -85,26 +84,26 @@
     pub store: Store,
     /// The faults in effect.
     pub faults: Faults,
-    begun: Instant,
-    /// The most keys on one page, whatever the request asks for.
+    started: Instant,
+    /// Maximum number of keys on one page, whatever the request asks for.
     pub page_most: usize,
     /// Number of requests received.
     pub requests: u64,
-    /// Number of requests refused for being beyond the limits.
+    /// Number of requests that were refused because of the rate limit.
     pub refused: u64,
     /// Number of keys written or deleted by requests.
     pub changes: u64,
-    /// Size of the largest answer, in bytes.
+    /// Size of the largest response, in bytes.
     pub largest: usize,
 }
 
 impl State {
-    /// An empty state service.
+    /// Creates a state service with an empty store and no faults.
     pub fn new(limits: Limits, page_most: usize) -> Self {
         Self {
             store: Store::new(limits),
             faults: Faults::default(),
-            begun: Instant::now(),
+            started: Instant::now(),
             page_most,
             requests: 0,
             refused: 0,
@@ -113,12 +112,12 @@
         }
     }
 
-    /// Starts again with an empty store under these limits.
+    /// Replaces the store by an empty one with these limits.
     pub fn limit(&mut self, limits: Limits) {
         self.store = Store::new(limits);
     }
 
-    /// Writes a key without a request; watches report it.
+    /// Writes a key without a request. Watches report the change.
     pub fn put(&mut self, key: String, value: &Value) {
         let _ = self.store.apply_if(&[], &[Change::write(key, value.clone())]);
     }
@@ -130,10 +129,10 @@
 
     /// Time since the state service was started.
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// Counts a request, and says whether it is served.
+    /// Counts a request, and admits or refuses it.
     pub fn admit(&mut self, node: &str) -> Result<(), Refusal> {
         let now = self.now();
         self.requests += 1;
@@ -142,17 +141,17 @@
         admitted
     }
 
-    /// A transaction, whatever is commanded to go wrong with it.
+    /// Executes a transaction, subject to the injected faults.
     pub fn compare_and_swap(&mut self, body: &Value) -> Outcome {
         let Ok(compare_and_swap) = serde_json::from_value::<CompareAndSwap>(body.clone()) else {
             return Outcome::Answer(Err(Refusal::Malformed("no transaction")));
         };
         let writes = !compare_and_swap.apply.is_empty();
-        let only = self.faults.only;
-        let among = |c: &Change| {
-            only.is_none_or(|prefix| matches!(c, Change::Write { write, .. } if write.starts_with(prefix)))
+        let key_prefix = self.faults.key_prefix;
+        let is_selected = |c: &Change| {
+            key_prefix.is_none_or(|prefix| matches!(c, Change::Write { write, .. } if write.starts_with(prefix)))
         };
-        let meant = compare_and_swap.apply.iter().any(among);
+        let selected = compare_and_swap.apply.iter().any(is_selected);
         let faults = &mut self.faults;
         if faults.garble_writes {
             return Outcome::Answer(Ok(json!("what is this")));
@@ -166,33 +165,34 @@
             }
             self.changes += compare_and_swap.apply.len() as u64;
             if self.store.failed_conditions(&compare_and_swap.conditions).is_empty() {
-                if faults.lose > 0 {
-                    (faults.lose, faults.lost) = (faults.lose - 1, faults.lost + 1);
+                if faults.writes_to_lose > 0 {
+                    (faults.writes_to_lose, faults.lost_writes) = (faults.writes_to_lose - 1, faults.lost_writes + 1);
                     return Outcome::Answer(Ok(json!({"ledgerRev": self.store.revision() + 1})));
                 }
-                if meant && faults.late.0 > 0 {
-                    faults.late.0 -= 1;
-                    return Outcome::Later(faults.late.1);
+                if selected && faults.late_writes.0 > 0 {
+                    faults.late_writes.0 -= 1;
+                    return Outcome::Later(faults.late_writes.1);
                 }
             }
         }
-        let silent = meant && self.faults.unanswered > 0;
+        let unanswered = selected && self.faults.unanswered_writes > 0;
         let answer = self.apply(&compare_and_swap);
-        if silent && answer.as_ref().is_ok_and(|a| a.get("failed").is_none()) {
-            self.faults.unanswered -= 1;
+        if unanswered && answer.as_ref().is_ok_and(|a| a.get("failed").is_none()) {
+            self.faults.unanswered_writes -= 1;
             return Outcome::Silence;
         }
         Outcome::Answer(answer)
     }
 
-    /// A transaction that is carried out late: whatever it says now.
+    /// Executes a late transaction against the state of now; its conditions may no longer hold.
     pub fn apply_late(&mut self, body: &Value) {
         if let Ok(compare_and_swap) = serde_json::from_value::<CompareAndSwap>(body.clone()) {
             let _ = self.apply(&compare_and_swap);
         }
-        self.faults.late_over += 1;
+        self.faults.finished_late_writes += 1;
     }
 
+    /// Executes a transaction without faults.
     fn apply(&mut self, compare_and_swap: &CompareAndSwap) -> Result<Value, Refusal> {
         let now = self.now();
         self.store.compare_and_swap(compare_and_swap, now).map(|done| match done {
@@ -201,7 +201,7 @@
         })
     }
 
-    /// One request but for watches and transactions. `query` gives its parameters.
+    /// Answers a request other than a watch or a transaction. `query` returns a parameter of the request by name.
     pub fn answer(
         &mut self,
         path: &str,
@@ -231,22 +231,22 @@
         }
     }
 
-    /// What a watch has to tell, or nothing yet.
+    /// The response to a watch; none while there are no changes to report or watches are stalled.
     pub fn follow(&mut self, prefix: &str, since: u64) -> Option<Result<Value, Refusal>> {
         let now = self.now();
         self.store.expire_leases(now);
-        if self.faults.stalled_until.is_some_and(|until| Instant::now() < until) {
+        if self.faults.watches_stalled_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
         match self.store.watch(prefix, since) {
-            Ok(told) if told.log.is_empty() => None,
-            Ok(told) => Some(serde_json::to_value(told).map_err(|_| Refusal::Malformed("not to be told"))),
+            Ok(changes) if changes.log.is_empty() => None,
+            Ok(changes) => Some(serde_json::to_value(changes).map_err(|_| Refusal::Malformed("not to be told"))),
             Err(refusal) => Some(Err(refusal)),
         }
     }
 
-    /// The answer of a watch that heartbeats no change.
-    pub fn nothing_new(&self) -> Value {
+    /// The response to a watch that reports no change.
+    pub fn empty_watch_response(&self) -> Value {
         json!({"ledgerRev": self.store.revision(), "log": []})
     }
 }
--- a/crates/emulator/src/program/run.rs
+++ b/crates/emulator/src/program/run.rs
@@ -27,7 +27,7 @@
     runtime.block_on(async {
         let world = World::open(sizes.world(1, false));
         // Descriptions reach the workers by the jobs that are submitted.
-        world.learn_uploads(Duration::from_secs(5));
+        world.upload_stored_jobs(Duration::from_secs(5));
         let mut controllers = Controllers::start(&world, sizes, binary.clone(), folder).await?;
         let job = folder.join("job.json");
         let example = sizes.work.first().map(|w| w.spec("run-000001"));
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -114,7 +114,7 @@
         if self.since.is_none() {
             self.since = Some(now);
             self.accepted = users.accepted();
-            world.note(Event::Quiet);
+            world.record_event(Event::Quiet);
             users.forget_answers();
             self.poll_tasks = (0..users.controllers()).map(|n| users.clone().ask_repeatedly(n)).collect();
         }
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom;
 
 use super::{Rehearsal, STEP};
-use crate::driver::relay::Passing;
+use crate::driver::relay::LinkState;
 use crate::driver::{Link, lock};
 use crate::judge::Event;
 use crate::scenario::{Condition, ControllerSelector, Fault, MachineAmount};
@@ -81,7 +81,7 @@
         match condition {
             Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.machines_with_results().next().is_some()),
             Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
-            Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost > 0,
+            Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost_writes > 0,
             // Somebody led, and now nobody or another does; or who holds the lease does not lead yet.
             Condition::Election => {
                 !self.election_records[0].is_empty() && self.election_records() != self.election_records
@@ -106,13 +106,13 @@
 
     async fn undo(&mut self, undo: Undo) {
         match undo {
-            Undo::Open(of, link) => self.world.gate(of, link).set(Passing::Open),
+            Undo::Open(of, link) => self.world.link_switch(of, link).set(LinkState::Open),
             Undo::EndStoreOutage => {
                 let mut state = lock(&self.world.state);
                 let now = state.now();
                 state.store.set_outage(false, now);
             }
-            Undo::EndStoreDelay => lock(&self.world.state).faults.slow = Duration::ZERO,
+            Undo::EndStoreDelay => lock(&self.world.state).faults.response_delay = Duration::ZERO,
             Undo::EndCloudOutage => lock(&self.world.cloud).set_outage(false),
             Undo::Serve(of) => lock(&self.world.state).store.set_refused(&of.to_string(), false),
             Undo::Heal(machines) => self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, false)),
@@ -123,13 +123,13 @@
     }
 
     /// Disturbs one link of a controller.
-    fn link(&mut self, of: usize, link: Link, passing: Passing, time: Duration) {
-        self.world.gate(of, link).set(passing);
+    fn link(&mut self, of: usize, link: Link, passing: LinkState, time: Duration) {
+        self.world.link_switch(of, link).set(passing);
         self.later(time, Undo::Open(of, link));
     }
 
     /// All links to the other controllers, both ways.
-    fn peers(&mut self, of: usize, passing: Passing, time: Duration) {
+    fn peers(&mut self, of: usize, passing: LinkState, time: Duration) {
         for other in (0..self.controllers.count()).filter(|n| *n != of) {
             self.link(of, Link::Peer(other), passing, time);
             self.link(other, Link::Peer(of), passing, time);
@@ -170,7 +170,7 @@
         let events = lock(&self.world.cloud).interrupt_spot_machines(part, self.world.now());
         for event in events {
             if let cloud::Event::Notice(machine, left) = event {
-                self.world.notice(&machine, left);
+                self.world.notify_interruption(&machine, left);
             }
         }
     }
@@ -225,17 +225,17 @@
                 state.store.set_outage(true, now);
                 self.later(*time, Undo::EndStoreOutage);
             }
-            Fault::LoseWrites(n) => state.faults.lose += n,
+            Fault::LoseWrites(n) => state.faults.writes_to_lose += n,
             Fault::Vanish(prefix, n) => {
                 let lost = state.store.lose_newest_keys(prefix, *n);
                 self.add_note(format!("vanished: {}", lost.join(", ")));
             }
-            Fault::Unanswered(n) => state.faults.unanswered += n,
-            Fault::LateWrites(n, by) => state.faults.late = (*n, *by),
+            Fault::Unanswered(n) => state.faults.unanswered_writes += n,
+            Fault::LateWrites(n, by) => state.faults.late_writes = (*n, *by),
             Fault::DropLeases => state.store.drop_leases(),
-            Fault::StallWatches(time) => state.faults.stalled_until = Some(Instant::now() + *time),
+            Fault::StallWatches(time) => state.faults.watches_stalled_until = Some(Instant::now() + *time),
             Fault::SlowStore(by, time) => {
-                state.faults.slow = *by;
+                state.faults.response_delay = *by;
                 self.later(*time, Undo::EndStoreDelay);
             }
             Fault::ForgetLog => state.store.discard_log(),
@@ -256,8 +256,8 @@
             }
             Fault::Lone(who, time) => {
                 for of in self.controllers_meant(*who) {
-                    self.link(of, Link::Store, Passing::Held, *time);
-                    self.peers(of, Passing::Held, *time);
+                    self.link(of, Link::Store, LinkState::Held, *time);
+                    self.peers(of, LinkState::Held, *time);
                 }
             }
             _ => {}
@@ -294,7 +294,7 @@
                 }
             }
             Fault::Operator(command) => self.operators.operate(command, &self.controllers, self.notes.len()),
-            Fault::WillCancel(job) => self.world.note(Event::CancellationAsked(job.clone())),
+            Fault::WillCancel(job) => self.world.record_event(Event::CancellationAsked(job.clone())),
             Fault::CancelShare(part) => {
                 let n = self.users.cancel_share(*part);
                 self.add_note(format!("{n} users withdraw their jobs"));
--- a/crates/emulator/src/rehearsal/operators.rs
+++ b/crates/emulator/src/rehearsal/operators.rs
@@ -164,7 +164,7 @@
             let Some((kind, name)) = key else { continue };
             let spec = state.store.value(&format!("{SPECS}{kind}/{name}")).cloned().unwrap_or_default();
             let (kind, name, status) = (kind.to_owned(), name.to_owned(), event.value.clone());
-            world.note(Event::Declared { kind, name, spec, status });
+            world.record_event(Event::Declared { kind, name, spec, status });
         }
     }
 }
--- a/crates/emulator/src/rehearsal/users.rs
+++ b/crates/emulator/src/rehearsal/users.rs
@@ -135,7 +135,7 @@
             Ok((code, _)) => (Some(code), None),
             Err(_) => (None, None),
         };
-        self.world.note(Event::Answered { job: job.clone(), ask, code, status });
+        self.world.record_event(Event::Answered { job: job.clone(), ask, code, status });
         if is_final(status) {
             lock(&self.over).insert(job.clone());
         }
@@ -168,7 +168,7 @@
     async fn submit(&self, spec: JobSpec) -> JobId {
         let (job, begun) = (spec.id.clone(), Instant::now());
         let body = protocol::encode(&spec);
-        self.world.note(Event::Submitted(Arc::new(spec)));
+        self.world.record_event(Event::Submitted(Arc::new(spec)));
         while self.ask(&self.any(), &job, Ask::Submit, Some(body.clone())).await.is_none() {
             tokio::time::sleep(RETRY_AFTER).await;
         }
@@ -180,7 +180,7 @@
 
     /// Cancels a job through any controller, retrying until a final status is answered.
     async fn cancel(&self, job: &JobId) {
-        self.world.note(Event::CancellationAsked(job.clone()));
+        self.world.record_event(Event::CancellationAsked(job.clone()));
         while !is_final(self.ask(&self.any(), job, Ask::Cancel, None).await) {
             tokio::time::sleep(RETRY_AFTER).await;
         }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -9,7 +9,7 @@
 
 pub use self::script::read;
 use crate::driver::Link;
-use crate::driver::relay::Passing;
+use crate::driver::relay::LinkState;
 use crate::world::cloud::BootMode;
 
 /// The controllers that a fault affects.
@@ -64,9 +64,9 @@
     /// How machines rented from now on boot.
     Boots(BootMode),
     /// One link of controllers is disturbed for this long.
-    Link(ControllerSelector, Link, Passing, Duration),
+    Link(ControllerSelector, Link, LinkState, Duration),
     /// All links to and from the other controllers are disturbed for this long.
-    Peers(ControllerSelector, Passing, Duration),
+    Peers(ControllerSelector, LinkState, Duration),
     /// The state service is unavailable for this long.
     Outage(Duration),
     /// The cloud is unavailable for this long.
--- a/crates/emulator/src/scenario/arguments.rs
+++ b/crates/emulator/src/scenario/arguments.rs
@@ -6,7 +6,7 @@
 
 use super::{Condition, ControllerSelector, Fault, MachineAmount};
 use crate::driver::Link;
-use crate::driver::relay::Passing;
+use crate::driver::relay::LinkState;
 use crate::world::cloud::BootMode;
 
 /// The longest time in a scenario, in seconds.
@@ -112,7 +112,7 @@
     }
 }
 
-pub(super) fn link_fault(of: &Dynamic, link: &str, passing: Passing, time: &Dynamic) -> Result<Fault, ArgumentError> {
+pub(super) fn link_fault(of: &Dynamic, link: &str, passing: LinkState, time: &Dynamic) -> Result<Fault, ArgumentError> {
     let (of, time) = (controllers(of)?, seconds(time)?);
     let link = match link {
         "store" => Link::Store,
--- a/crates/emulator/src/scenario/script.rs
+++ b/crates/emulator/src/scenario/script.rs
@@ -12,7 +12,7 @@
 };
 use super::{Fault, OperatorCommand, Plan, ScriptError, Trigger};
 use crate::driver::lock;
-use crate::driver::relay::Passing;
+use crate::driver::relay::LinkState;
 
 type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
@@ -93,13 +93,13 @@
 fn controller_faults(engine: &mut Engine) {
     engine
         .register_fn("cut", |of: Dynamic, link: &str, s: Dynamic| {
-            ScriptResult::Ok(link_fault(&of, link, Passing::Held, &s)?)
+            ScriptResult::Ok(link_fault(&of, link, LinkState::Held, &s)?)
         })
         .register_fn("reset", |of: Dynamic, link: &str, s: Dynamic| {
-            ScriptResult::Ok(link_fault(&of, link, Passing::Reset, &s)?)
+            ScriptResult::Ok(link_fault(&of, link, LinkState::Reset, &s)?)
         })
         .register_fn("delay", |of: Dynamic, link: &str, by: Dynamic, s: Dynamic| {
-            ScriptResult::Ok(link_fault(&of, link, Passing::Delayed(seconds(&by)?), &s)?)
+            ScriptResult::Ok(link_fault(&of, link, LinkState::Delayed(seconds(&by)?), &s)?)
         })
         .register_fn("lone", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::Lone(controllers(&of)?, seconds(&s)?)))
         .register_fn("end", |of: Dynamic, s: Dynamic| ScriptResult::Ok(Fault::End(controllers(&of)?, seconds(&s)?)))
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -16,7 +16,7 @@
             "when(\"the owner has just placed\", lose_machines(0.5));\nat(2, cut(\"owner\", \"store\", 9.0));",
             Ok(vec![
                 (Trigger::When(Condition::JustPlaced, s(0)), Fault::LoseMachines(MachineAmount::Part(0.5))),
-                (Trigger::At(s(2)), Fault::Link(ControllerSelector::Leader, Link::Store, Passing::Held, s(9))),
+                (Trigger::At(s(2)), Fault::Link(ControllerSelector::Leader, Link::Store, LinkState::Held, s(9))),
             ]),
         ),
         (
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Ends the agent epoch and all its attempts if the worker's lease has expired. A hanging worker does so afterwards.
+    /// Ends the agent epoch and all its attempts if the worker's lease has expired; a hanging worker does so later.
     fn expire_lease(&mut self, name: &str, now: Duration) {
         let lease = self.params.lease;
         let Some(worker) = self.workers.get_mut(name) else { return };
--- a/crates/emulator/tests/naive.rs
+++ b/crates/emulator/tests/naive.rs
@@ -177,15 +177,15 @@
         }),
         ("the cloud answers", |f| rented(|cloud| cloud.set_outage(f), false).admit(s(1)).is_ok()),
         ("what is acknowledged is stored", |f| {
-            let mut state = store(|state| state.faults.lose = u32::from(f));
+            let mut state = store(|state| state.faults.writes_to_lose = u32::from(f));
             write(&mut state, 1).0 && state.store.has("k")
         }),
         ("what is not answered was not done", |f| {
-            let mut state = store(|state| state.faults.unanswered = u32::from(f));
+            let mut state = store(|state| state.faults.unanswered_writes = u32::from(f));
             write(&mut state, 1).0 == state.store.has("k")
         }),
         ("the last write stands", |f| {
-            let mut state = store(|state| state.faults.late = (u32::from(f), s(9)));
+            let mut state = store(|state| state.faults.late_writes = (u32::from(f), s(9)));
             let (answered, first) = write(&mut state, 1);
             write(&mut state, 2);
             if !answered {
@@ -208,7 +208,7 @@
         }),
         ("a watch tells of every change", |f| {
             let later = Instant::now() + s(600);
-            store(|state| state.faults.stalled_until = f.then_some(later)).follow("old", 0).is_some()
+            store(|state| state.faults.watches_stalled_until = f.then_some(later)).follow("old", 0).is_some()
         }),
         ("a watch can always be gone on with", |f| {
             let mut state = store(|_| ());
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -30,13 +30,13 @@
 async fn answers_come_late_and_what_they_tell_of_is_done_at_once() {
     let slow = Duration::from_millis(400);
     let world = World::open(params());
-    let (addr, http) = (world.door(0).await, Http::default());
+    let (addr, http) = (world.serve_controller(0).await, Http::default());
     let body = protocol::encode(&json!({"if": [], "apply": [{"write": "k", "value": 1}]}));
     let write = |within| http.call(Method::POST, &addr, "/txn", Some(body.clone()), within);
     assert_eq!(write(Duration::from_secs(10)).await.unwrap().0, 200);
     let first = lock(&world.state).store.revision();
 
-    lock(&world.state).faults.slow = slow;
+    lock(&world.state).faults.response_delay = slow;
     let begun = Instant::now();
     assert_eq!(write(Duration::from_secs(10)).await.unwrap().0, 200);
     assert!(begun.elapsed() >= slow, "{:?}", begun.elapsed());
--- a/tests/close_looks.rs
+++ b/tests/close_looks.rs
@@ -30,7 +30,7 @@
         for (n, at) in [(1, &a), (2, &b)] {
             upload(&deployment.world, &small(n), ENDLESS);
             let key = format!("c/o/{}", id(n));
-            deployment.faults(|faults| (faults.unanswered, faults.only) = (1, Some("c/o/")));
+            deployment.faults(|faults| (faults.unanswered_writes, faults.key_prefix) = (1, Some("c/o/")));
             let others = async {
                 until("stored", || async { deployment.has(&key) }).await;
                 deployment.request_in_turn([&b, &a], n, &REPEATABLE_REQUESTS, 5).await
@@ -59,7 +59,7 @@
             deployment.submit_until_accepted(&b, n, ENDLESS).await;
             deployment.wait_until_running(n).await;
             deployment.quiet_watches();
-            deployment.faults(|faults| (faults.unanswered, faults.only) = (1, Some("h/w/")));
+            deployment.faults(|faults| (faults.unanswered_writes, faults.key_prefix) = (1, Some("h/w/")));
             let others = async {
                 until("stored", || async { deployment.stored_status(n) == StoredStatus::Cancelled }).await;
                 deployment.request_in_turn([&b, &a], n, &ALL_REQUESTS, 5).await
@@ -82,7 +82,7 @@
         deployment.quiet_watches();
         for n in 1..=3 {
             let key = format!("h/d/{}", id(n));
-            deployment.faults(|faults| (faults.unanswered, faults.only) = (1, Some("h/d/")));
+            deployment.faults(|faults| (faults.unanswered_writes, faults.key_prefix) = (1, Some("h/d/")));
             deployment.submit_until_accepted(&b, n, SHORT).await;
             until("stored", || async { deployment.has(&key) }).await;
             let version = deployment.version(&key);
@@ -142,12 +142,13 @@
         for (n, at) in [(1, &a), (2, &b)] {
             deployment.submit_until_accepted(&b, n, Duration::from_secs(2)).await;
             deployment.wait_until_running(n).await;
-            deployment.faults(|faults| (faults.late, faults.only) = ((1, Duration::from_secs(4)), Some("h/w/")));
+            deployment
+                .faults(|faults| (faults.late_writes, faults.key_prefix) = ((1, Duration::from_secs(4)), Some("h/w/")));
             let (code, answer) = deployment.ask(at, n, UserRequest::Cancel).await;
             if code == 200 {
                 // A machine so busy that two seconds were over before this was sent: there is nothing late.
                 assert_eq!(answer["status"], "done");
-                deployment.faults(|faults| faults.late.0 = 0);
+                deployment.faults(|faults| faults.late_writes.0 = 0);
             } else {
                 assert_eq!(code, 503, "it is not answered: {answer}");
                 late += 1;
@@ -155,23 +156,31 @@
             until("ended", || async { deployment.stored_status(n) > StoredStatus::Open }).await;
             let first = deployment.stored_status(n);
             deployment.request_in_turn([&a, &b], n, &ALL_REQUESTS, 2).await;
-            until("carried out late", || async { deployment.world.state.lock().unwrap().faults.late_over == late })
-                .await;
+            until("carried out late", || async {
+                deployment.world.state.lock().unwrap().faults.finished_late_writes == late
+            })
+            .await;
             assert_eq!(deployment.stored_status(n), first);
             let want = if first == StoredStatus::Done { "done" } else { "withdrawn" };
             deployment.all_report([&a, &b], n, want).await;
         }
         for (n, at) in [(3, &a), (4, &b)] {
-            deployment.faults(|faults| (faults.late, faults.only) = ((1, Duration::from_secs(4)), Some("h/d/")));
+            deployment
+                .faults(|faults| (faults.late_writes, faults.key_prefix) = ((1, Duration::from_secs(4)), Some("h/d/")));
             deployment.submit_until_accepted(&b, n, SHORT).await;
-            until("the end is under way", || async { deployment.world.state.lock().unwrap().faults.late.0 == 0 }).await;
+            until("the end is under way", || async {
+                deployment.world.state.lock().unwrap().faults.late_writes.0 == 0
+            })
+            .await;
             late += 1;
             until("told", || async { deployment.request_and_check(at, n, UserRequest::Cancel).await.is_some() }).await;
             let first = deployment.stored_status(n);
             assert!(first > StoredStatus::Open);
             deployment.request_in_turn([&a, &b], n, &ALL_REQUESTS, 2).await;
-            until("carried out late", || async { deployment.world.state.lock().unwrap().faults.late_over == late })
-                .await;
+            until("carried out late", || async {
+                deployment.world.state.lock().unwrap().faults.finished_late_writes == late
+            })
+            .await;
             assert_eq!(deployment.stored_status(n), first);
             let want = if first == StoredStatus::Done { "done" } else { "withdrawn" };
             deployment.all_report([&a, &b], n, want).await;
@@ -247,7 +256,7 @@
             deployment.wait_until_running(n).await;
         }
         // A reading takes its time: many pages, of two keys each.
-        deployment.faults(|faults| faults.slow = Duration::from_millis(150));
+        deployment.faults(|faults| faults.response_delay = Duration::from_millis(150));
     });
     drop(a);
     deployment.outside.block_on(async {
@@ -312,7 +321,8 @@
     let start = |at: usize| {
         let others: Vec<usize> = (0..3).filter(|other| *other != at).collect();
         let peers: Vec<&str> = others.iter().map(|other| names[*other]).collect();
-        let mut settings = settings(names[at], &peers, &deployment.outside.block_on(deployment.world.door(at)));
+        let mut settings =
+            settings(names[at], &peers, &deployment.outside.block_on(deployment.world.serve_controller(at)));
         if hear {
             settings["mesh_addr"] = json!(meshes[at]);
             for (slot, other) in others.iter().enumerate() {
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -126,7 +126,7 @@
         let two = r#"[{"name":"v","team":"blue"},{"name":"w","team":"blue"}]"#;
         let specs = operator.parse_specs(DeclarationKind::Window, two).unwrap();
         // Carried out and not answered: it is found to stand, and is not written again.
-        world.state.lock().unwrap().faults.unanswered = 1;
+        world.state.lock().unwrap().faults.unanswered_writes = 1;
         assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), ["v", "w"]);
         let once = changes(&world);
         assert_eq!(operator.declare(DeclarationKind::Window, &specs).await.unwrap(), [""; 0], "is so already");
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -235,7 +235,7 @@
     params.cloud.capacity.clear();
     outside.block_on(async {
         let world = World::open(params);
-        let door = world.door(0).await;
+        let door = world.serve_controller(0).await;
         (world, door)
     })
 }
--- a/tests/half_the_fleet.rs
+++ b/tests/half_the_fleet.rs
@@ -32,7 +32,7 @@
     };
     let status = serde_json::from_value(answer["status"].clone()).ok();
     let code = Some(code).filter(|c| *c > 0);
-    world.note(Event::Answered { job: id.into(), ask: how, code, status });
+    world.record_event(Event::Answered { job: id.into(), ask: how, code, status });
     answer["status"].as_str().map(str::to_owned)
 }
 
@@ -42,7 +42,7 @@
     (params.seed, params.judged, params.fleet.lease, params.boots) = (seed, true, LEASE, BootMode::Usual);
     let (world, door) = outside.block_on(async {
         let world = World::open(params);
-        let door = world.door(0).await;
+        let door = world.serve_controller(0).await;
         (world, door)
     });
     let gangs = |n: u64| {
@@ -66,7 +66,7 @@
     outside.block_on(async {
         for job in &jobs {
             let spec: JobSpec = serde_json::from_value(job.clone()).unwrap();
-            world.note(Event::Submitted(Arc::new(spec)));
+            world.record_event(Event::Submitted(Arc::new(spec)));
             until("accepted", || async { user(&world, &http, &b.addr, job, Ask::Submit).await.is_some() }).await;
         }
         until("in mid-run", || async { world.with_fleet(|fleet, _| fleet.results().len() >= 20) }).await;
--- a/tests/late_transactions.rs
+++ b/tests/late_transactions.rs
@@ -18,13 +18,13 @@
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     upload(&world, &job(1, 3), ENDLESS);
-    world.state.lock().unwrap().faults.unanswered = 3;
+    world.state.lock().unwrap().faults.unanswered_writes = 3;
     // Its lease outlives an answer that is waited for.
     let a = ControllerProcess::start_with(&world, &settings("node-a", &[], &door), "leader.lease.seconds=6\n");
     outside.block_on(async {
         let http = Http::default();
         until("it is assigned", || async { world.state.lock().unwrap().store.has("c/owner/0") }).await;
-        assert_eq!(world.state.lock().unwrap().faults.unanswered, 0, "and was not told so");
+        assert_eq!(world.state.lock().unwrap().faults.unanswered_writes, 0, "and was not told so");
         until("accepted", || async {
             ask(&http, Method::POST, &a.addr, "/work", Some(protocol::encode(&job(1, 3)))).await.0 / 100 == 2
         })
--- a/tests/lone.rs
+++ b/tests/lone.rs
@@ -8,7 +8,7 @@
 
 use hollylanding::protocol::{self, Http};
 use hollylanding_emulator::driver::Link;
-use hollylanding_emulator::driver::relay::Passing;
+use hollylanding_emulator::driver::relay::LinkState;
 use hyper::Method;
 use serde_json::json;
 use stand_in::{ControllerProcess, ENDLESS, ask, job, open_world, settings, until, upload};
@@ -18,9 +18,9 @@
 fn workers_of_a_lone_leader_find_its_successor() {
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
-    let other_door = outside.block_on(world.door(1));
+    let other_door = outside.block_on(world.serve_controller(1));
     // The successor cannot turn to workers by itself: they have to find it.
-    world.gate(1, Link::Workers).set(Passing::Reset);
+    world.link_switch(1, Link::Workers).set(LinkState::Reset);
     upload(&world, &job(1, 3), ENDLESS);
     let http = Http::default();
     let healthy = |addr: String| {
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -33,11 +33,11 @@
 impl TestDeployment {
     /// The next transaction that writes such a key is carried out and not answered.
     fn lose_an_answer(&self, of: &'static str) {
-        self.faults(|faults| (faults.unanswered, faults.only) = (1, Some(of)));
+        self.faults(|faults| (faults.unanswered_writes, faults.key_prefix) = (1, Some(of)));
     }
 
     fn answers_to_lose(&self) -> u32 {
-        self.world.state.lock().unwrap().faults.unanswered
+        self.world.state.lock().unwrap().faults.unanswered_writes
     }
 
     fn machines(&self) -> usize {
--- a/tests/lost_writes.rs
+++ b/tests/lost_writes.rs
@@ -44,11 +44,11 @@
 
         // An acceptance that is acknowledged and never carried out: only who has told it knows.
         state(&|s| {
-            s.faults.lose = 1;
+            s.faults.writes_to_lose = 1;
             true
         });
         assert_eq!(submit(4).await, 201);
-        assert!(state(&|s| s.faults.lost == 1 && !s.store.has("c/o/run-000004")));
+        assert!(state(&|s| s.faults.lost_writes == 1 && !s.store.has("c/o/run-000004")));
         // What stood and was told of vanishes: an open job, what is bound, two ends.
         for prefix in ["c/o/run-000001", "t/run-000001/", "h/d/run-000002", "h/w/run-000003"] {
             assert!(state(&|s| !s.store.lose_newest_keys(prefix, 1).is_empty()), "{prefix}");
--- a/tests/odd_requests.rs
+++ b/tests/odd_requests.rs
@@ -115,7 +115,7 @@
         deployment.all_report([&b, &b], 3, "withdrawn").await;
         until("gone", || async { deployment.live(3) == 0 }).await;
     });
-    let door = deployment.outside.block_on(deployment.world.door(2));
+    let door = deployment.outside.block_on(deployment.world.serve_controller(2));
     let mut blind = settings("node-c", &["node-a", "node-b"], &door);
     // Nobody listens there.
     blind["endpoints"]["cloud"] = json!("127.0.0.1:1");
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -65,7 +65,7 @@
 /// The world, and the address of the state service and the cloud.
 pub async fn open_world() -> (Arc<World>, String) {
     let world = World::open(params());
-    let door = world.door(0).await;
+    let door = world.serve_controller(0).await;
     (world, door)
 }
 
--- a/tests/stand_in/observer.rs
+++ b/tests/stand_in/observer.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hollylanding::protocol::{self, Http};
-use hollylanding_emulator::driver::state::{Faults, HeldBack};
+use hollylanding_emulator::driver::state::{Faults, HeldResponses};
 use hyper::Method;
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
@@ -77,7 +77,7 @@
     /// Starts the controller with this index among these.
     pub fn start_controller(&self, names: &[&str], at: usize, lease_s: u64) -> ControllerProcess {
         let others: Vec<&str> = names.iter().copied().filter(|name| *name != names[at]).collect();
-        let door = self.outside.block_on(self.world.door(at));
+        let door = self.outside.block_on(self.world.serve_controller(at));
         let lease = format!("leader.lease.seconds={lease_s}");
         ControllerProcess::start_with(&self.world, &settings(names[at], &others, &door), &lease)
     }
@@ -196,21 +196,22 @@
 
     /// Delays the answers of this path to the controller with this number, except for the next `passing` ones.
     pub fn hold_back(&self, controller: usize, path: &'static str, passing: u32, by: Duration) {
-        let held = HeldBack { controller: controller.to_string(), path, passing, by };
-        self.faults(|faults| faults.held_back.push(held));
+        let held = HeldResponses { controller: controller.to_string(), path, undelayed: passing, max_delay: by };
+        self.faults(|faults| faults.held_responses.push(held));
     }
 
     /// Ends the delay, also for answers in flight.
     pub fn let_go(&self, controller: usize, path: &str) {
         let controller = controller.to_string();
-        self.faults(|faults| faults.held_back.retain(|held| held.controller != controller || held.path != path));
+        self.faults(|faults| faults.held_responses.retain(|held| held.controller != controller || held.path != path));
     }
 
     /// How many of the answers that are not delayed have not been requested yet.
     pub fn still_passing(&self, controller: usize, path: &str) -> u32 {
         let (state, controller) = (self.world.state.lock().unwrap(), controller.to_string());
-        let mut of = state.faults.held_back.iter().filter(|held| held.controller == controller && held.path == path);
-        of.next().map_or(0, |held| held.passing)
+        let mut of =
+            state.faults.held_responses.iter().filter(|held| held.controller == controller && held.path == path);
+        of.next().map_or(0, |held| held.undelayed)
     }
 
     /// Whether the loaded cluster state of one of these controllers has the cancellation of this job.
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -333,7 +333,7 @@
     fn start(&self, at: usize, change: impl FnOnce(&mut Value)) -> ControllerProcess {
         let names = ["node-a", "node-b", "node-c"];
         let others: Vec<&str> = names.into_iter().filter(|name| *name != names[at]).collect();
-        let door = self.outside.block_on(self.world.door(at));
+        let door = self.outside.block_on(self.world.serve_controller(at));
         let mut settings = settings(names[at], &others, &door);
         settings["params"]["zones"] = json!(["a", "b"]);
         settings["params"]["teams"] = json!([{"name": "blue"}, {"name": "red", "cpus_max": 20.0, "gpus_max": 1.0}]);
@@ -539,18 +539,20 @@
 
     /// The next write under this prefix is carried out and not answered.
     fn lose_an_answer(&self, prefix: &'static str) {
-        self.faults(|faults| (faults.unanswered, faults.only) = (1, Some(prefix)));
+        self.faults(|faults| (faults.unanswered_writes, faults.key_prefix) = (1, Some(prefix)));
     }
 
     /// The next write under this prefix is carried out only after `LATE`, and not answered.
     fn delay_a_write(&self, prefix: &'static str) {
-        self.faults(|faults| (faults.late, faults.only) = ((1, LATE), Some(prefix)));
+        self.faults(|faults| (faults.late_writes, faults.key_prefix) = ((1, LATE), Some(prefix)));
     }
 
     /// So many late writes have had their time.
     async fn late_over(&self, count: u32) {
-        until("a late write has had its time", || async { self.world.state.lock().unwrap().faults.late_over == count })
-            .await;
+        until("a late write has had its time", || async {
+            self.world.state.lock().unwrap().faults.finished_late_writes == count
+        })
+        .await;
     }
 
     async fn cancel(&self, at: &ControllerProcess, n: u64) -> (u16, Value) {
--- a/tests/unheard_cancellations.rs
+++ b/tests/unheard_cancellations.rs
@@ -30,10 +30,10 @@
     params.fleet.lease = Duration::from_secs(3600);
     let (world, door) = outside.block_on(async {
         let world = World::open(params);
-        let door = world.door(0).await;
+        let door = world.serve_controller(0).await;
         (world, door)
     });
-    let other_door = outside.block_on(world.door(1));
+    let other_door = outside.block_on(world.serve_controller(1));
     upload(&world, &job(1, 3), ENDLESS);
     let http = Http::default();
     let lease = "leader.lease.seconds=10";
