--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -1,6 +1,6 @@
 //! A transaction of the leader is carried out at once and only its answer is lost, while other nodes read what it
 //! wrote: placements, leader records and rental orders. Nothing runs twice, nothing is rented twice, nobody leads twice
-//! under one fencing token, and work goes on. Acceptances, cancellations and ends are in `close_looks.rs`.
+//! under one fencing token, and work goes on. Acceptances, cancellations and ends are in `response_consistency.rs`.
 
 // A stand-in that panics fails its test, as it should.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
--- a/tests/close_looks.rs
+++ b/tests/response_consistency.rs
@@ -392,7 +392,7 @@
 
 /// How long it takes until a cancellation is confirmed, from the user's first request on, by a user who stays with
 /// one node and comes again after each second.
-/// `cargo test --test close_looks -- --ignored --nocapture --test-threads=1`
+/// `cargo test --test response_consistency -- --ignored --nocapture --test-threads=1`
 #[test]
 #[ignore = "a measurement"]
 fn until_a_cancellation_is_confirmed() {
