--- a/tests/late_transactions.rs
+++ b/tests/late_transactions.rs
@@ -18,13 +18,13 @@
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     upload(&world, &job(1, 3), ENDLESS);
-    world.state.lock().unwrap().faults.unanswered = 3;
+    world.state.lock().unwrap().faults.unanswered_writes = 3;
     // The election lease outlasts the wait for a missing answer.
     let a = ControllerProcess::start_with(&world, &settings("node-a", &[], &door), "leader.lease.seconds=6\n");
     outside.block_on(async {
         let http = Http::default();
         until("assigned as leader", || async { world.state.lock().unwrap().store.has("c/owner/0") }).await;
-        assert_eq!(world.state.lock().unwrap().faults.unanswered, 0, "all three answers must be lost");
+        assert_eq!(world.state.lock().unwrap().faults.unanswered_writes, 0, "all three answers must be lost");
         until("accepted", || async {
             ask(&http, Method::POST, &a.addr, "/work", Some(protocol::encode(&job(1, 3)))).await.0 / 100 == 2
         })
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -68,7 +68,7 @@
 /// Opens a world, and returns it with the address at which the first controller reaches the state service and the cloud.
 pub async fn open_world() -> (Arc<World>, String) {
     let world = World::open(params());
-    let door = world.door(0).await;
+    let door = world.serve_controller(0).await;
     (world, door)
 }
 
