--- a/tests/close_looks.rs
+++ b/tests/response_consistency.rs
@@ -2,7 +2,7 @@
 //! and a cancellation meet, or the work changes hands. What any node says is held against what is stored: it may say
 //! nothing older than what stood when it was asked.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
@@ -402,7 +402,7 @@
 
 /// How long it takes until a cancellation is confirmed, from the user's first request on, by a user who stays with
 /// one node and comes again after each second.
-/// `cargo test --test close_looks -- --ignored --nocapture --test-threads=1`
+/// `cargo test --test response_consistency -- --ignored --nocapture --test-threads=1`
 #[test]
 #[ignore = "a measurement"]
 fn until_a_cancellation_is_confirmed() {
