--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,25 +1,25 @@
-//! Checks of the settings. Refused are values out of range and combinations with which a promised time could not be
-//! kept; every refusal names the field and its value.
+//! Validation of the settings. Values out of range and combinations that would break a guaranteed time are rejected;
+//! every error names the field and its value.
 
 use std::net::SocketAddr;
 
 use super::{InvalidSettings, Params, Properties, Settings, WorkerParams};
 
-/// Largest plausible rate, duration in seconds, or size.
+/// Maximum rate, duration in seconds, or size; larger values are implausible.
 const MAX_VALUE: f64 = 1e6;
-/// Largest memory in megabytes, and largest difference of clocks in milliseconds.
-const MAX_WIDE: f64 = 1e9;
-/// Shorter durations could not be kept by a timer.
-const MIN_SECONDS: f64 = 0.001;
-/// A worker sends a heartbeat every `report_s`, plus or minus a quarter.
+/// Maximum memory in megabytes, clock difference in milliseconds, and time limit of an objective in seconds.
+const MAX_LARGE_VALUE: f64 = 1e9;
+/// Minimum duration: timers cannot keep shorter ones.
+const MIN_DURATION_S: f64 = 0.001;
+/// Ratio of the longest pause between two heartbeats to `report_s`, which a worker varies by plus or minus a quarter.
 const MAX_HEARTBEAT_FACTOR: f64 = 1.25;
-/// An acceptance and an end take two changes each.
+/// Minimum of `txn_ops`: accepting and ending a job take two changes each.
 const MIN_TXN_OPS: u64 = 2;
-/// Connections to the store, the cloud, workers, users and other controllers.
+/// Minimum of `max_sockets`: connections to the store, the cloud, workers, users and other controllers.
 const MIN_SOCKETS: u64 = 16;
 
 impl Settings {
-    /// Names the first field whose value cannot be used.
+    /// Validates all fields; the error names the first invalid one.
     pub(super) fn check(&self) -> Result<(), InvalidSettings> {
         self.check_addresses()?;
         self.check_peers()?;
@@ -36,8 +36,11 @@
         check_teams(params)
     }
 
-    /// Whether the operators' own settings keep the times that the platform sets: where the end of a lease holder
-    /// outlasts the leases of workers, it costs all that runs.
+    /// Checks the properties against the platform's settings. If the election lease of a dead leader outlasted the
+    /// leases of the workers, all running tasks would be lost.
+    ///
+    /// # Errors
+    /// Names the property whose value is too large.
     pub fn check_properties(&self, properties: &Properties) -> Result<(), InvalidSettings> {
         let workers = &self.params.workers;
         let election_lease = properties.election_lease.as_secs_f64();
@@ -81,7 +84,7 @@
     }
 }
 
-/// Limits of the platform's services and of this controller.
+/// Checks the limits of the platform's services and of this controller.
 fn check_limits(params: &Params) -> Result<(), InvalidSettings> {
     let positive = [
         ("params.state.rps", params.state.rps),
@@ -94,16 +97,16 @@
             return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
-    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MAX_WIDE)) {
+    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MAX_LARGE_VALUE)) {
         return Err(InvalidSettings::field(
             "params.resources.memory_mb",
-            format!("{mb} is not above 0 and at most {MAX_WIDE}"),
+            format!("{mb} is not above 0 and at most {MAX_LARGE_VALUE}"),
         ));
     }
-    if !(0.0..=MAX_WIDE).contains(&params.skew_ms) {
+    if !(0.0..=MAX_LARGE_VALUE).contains(&params.skew_ms) {
         return Err(InvalidSettings::field(
             "params.skew_ms",
-            format!("{} is not between 0 and {MAX_WIDE}", params.skew_ms),
+            format!("{} is not between 0 and {MAX_LARGE_VALUE}", params.skew_ms),
         ));
     }
     if params.state.txn_ops < MIN_TXN_OPS {
@@ -121,7 +124,7 @@
     Ok(())
 }
 
-/// Times between workers and controllers, one by one and against each other.
+/// Checks the durations between workers and controllers, each by itself and against each other.
 fn check_times(workers: &WorkerParams) -> Result<(), InvalidSettings> {
     let durations = [
         ("params.workers.report_s", workers.report_s),
@@ -129,7 +132,7 @@
         ("params.workers.cancel_s", workers.cancel_s),
     ];
     for (field, value) in durations {
-        if !(MIN_SECONDS..=MAX_VALUE).contains(&value) {
+        if !(MIN_DURATION_S..=MAX_VALUE).contains(&value) {
             return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
@@ -144,7 +147,7 @@
             ),
         ));
     }
-    // What a machine that is told nothing any more still runs is gone with its lease.
+    // The tasks of a machine that receives no commands any more stop at the end of its lease.
     let margin = workers.lease_margin_s();
     let least = workers.lease_s + workers.report_s + margin;
     if workers.cancel_s < least {
@@ -160,11 +163,11 @@
     Ok(())
 }
 
-/// What is promised to classes of jobs.
+/// Checks the service level objectives.
 fn check_objectives(params: &Params) -> Result<(), InvalidSettings> {
     for (number, objective) in params.objectives.iter().enumerate() {
         let amounts = [
-            ("within_s", objective.within_s, MAX_WIDE),
+            ("within_s", objective.within_s, MAX_LARGE_VALUE),
             ("times", objective.times, MAX_VALUE),
             ("share", objective.share, 1.0),
         ];
@@ -180,7 +183,7 @@
     Ok(())
 }
 
-/// Guarantees and limits of the teams.
+/// Checks the guarantees and limits of the teams.
 fn check_teams(params: &Params) -> Result<(), InvalidSettings> {
     for team in &params.teams {
         let amounts =
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Why settings or properties are refused.
+//! Errors of loading settings and properties.
 
 use std::path::PathBuf;
 
-/// Why the configuration of a controller was refused.
+/// Error of loading the configuration of a controller.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// No settings file is named.
+    /// No settings file was given.
     #[error("--config: no settings file is given")]
     NoFile,
     /// A file cannot be read.
@@ -16,82 +16,82 @@
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error("{}: {source}", file.display())]
     Settings {
         /// Path of the file, as it was given.
         file: PathBuf,
-        /// What is wrong.
+        /// The reason.
         source: InvalidSettings,
     },
-    /// The properties cannot be used.
+    /// The properties are invalid.
     #[error("{}: {source}", file.display())]
     Properties {
         /// Path of the file, as it was given.
         file: PathBuf,
-        /// What is wrong.
+        /// The reason.
         source: InvalidProperties,
     },
 }
 
-/// What is wrong with settings.
+/// Reason why settings are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSettings {
     /// A field is missing or of the wrong type; the error names it.
     #[error(transparent)]
     Decode(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// There is more text after the settings.
+    /// Further text follows the settings.
     #[error(transparent)]
     Trailing(#[from] serde_json::Error),
-    /// The value of a field cannot be used.
+    /// The value of a field is not allowed.
     #[error("{field}: {reason}")]
     Field {
         /// Path of the field.
         field: String,
-        /// Its value, and the bound that it breaks.
+        /// Value of the field and the bound that it violates.
         reason: String,
     },
 }
 
 impl InvalidSettings {
-    /// A field, and its value with the bound that it breaks.
+    /// Creates the error of a field; `reason` gives its value and the bound that it violates.
     pub(super) fn field(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self::Field { field: field.into(), reason: reason.into() }
     }
 }
 
-/// What is wrong with properties.
+/// Reason why properties are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidProperties {
-    /// The text is no properties file.
+    /// The text is not a properties file.
     #[error(transparent)]
     Parse(#[from] java_properties::PropertiesError),
-    /// A value is no number.
+    /// A value is not a number.
     #[error("{name}: {text:?} is not a number")]
     NotANumber {
-        /// The property.
+        /// Name of the property.
         name: &'static str,
-        /// Its value.
+        /// Value of the property.
         text: String,
     },
     /// A value is out of its range.
     #[error("{name}: {text} is not between {low} and {high}")]
     OutOfRange {
-        /// The property.
+        /// Name of the property.
         name: &'static str,
-        /// Its value.
+        /// Value of the property.
         text: String,
-        /// The least value.
+        /// Minimum value.
         low: f64,
-        /// The largest value.
+        /// Maximum value.
         high: f64,
     },
-    /// There is no such property.
+    /// No property has this name.
     #[error("{name}: unknown property (value {text:?})")]
     Unknown {
-        /// Its name.
+        /// Name in the file.
         name: String,
-        /// Its value.
+        /// Value of the property.
         text: String,
     },
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The two configuration files of a controller: settings, which the platform writes (JSON), and properties, which
-//! operators set.
+//! The two configuration files of a controller: the settings (JSON), which the platform writes, and the properties,
+//! which operators set.
 
 mod check;
 mod error;
@@ -17,34 +17,34 @@
 /// values that passed every check of this module; unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// Name of this controller (`host_name`), unique among the controllers and never empty. Workers and controllers
-    /// are referred to it by this name.
+    /// Name of this controller (`host_name`), unique among the controllers and never empty. Workers and other
+    /// controllers identify it by this name.
     #[serde(rename = "host_name")]
     pub node: String,
     /// Zone in which this controller runs (`area`). No decision depends on it.
     #[serde(rename = "area")]
     pub zone: String,
-    /// IP address and port on which users and workers are served (`api_addr`).
+    /// IP address and port of the listener for users and workers (`api_addr`).
     #[serde(rename = "api_addr")]
     pub listen: String,
-    /// IP address and port on which the other controllers are listened to (`mesh_addr`).
+    /// IP address and port of the listener for the other controllers (`mesh_addr`).
     #[serde(rename = "mesh_addr")]
     pub mesh_listen: String,
-    /// The other controllers, without this one; empty where there is only one.
+    /// The other controllers, without this one; empty if there is only one.
     pub peers: Vec<Peer>,
-    /// Addresses of the services that a controller calls.
+    /// Addresses of the platform services that a controller calls.
     pub endpoints: Endpoints,
     /// Parameters of the deployment, the same for all controllers.
     pub params: Params,
 }
 
-/// Another controller, as this one reaches it.
+/// Name and address of another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name (`host_name`), as in its own settings.
+    /// Name of the controller (`host_name`), as in its own settings.
     #[serde(rename = "host_name")]
     pub node: String,
-    /// IP address and port of its `mesh_addr`, to which this controller connects (`endpoint`).
+    /// IP address and port of the peer's `mesh_addr`, to which this controller connects (`endpoint`).
     #[serde(rename = "endpoint")]
     pub addr: String,
 }
@@ -52,26 +52,26 @@
 /// IP addresses and ports of the platform's services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud, where machines are rented and returned.
+    /// The cloud, which provisions and terminates machines.
     pub cloud: String,
-    /// The state service, where everything durable is stored.
+    /// The state service, which holds all durable state.
     pub state: String,
 }
 
 /// Parameters of the deployment, the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
-    /// How many controllers there are; builds of the platform that do not say are taken at their `peers`.
+    /// Number of controllers. Some builds of the platform leave it out; the number then follows from `peers`.
     #[serde(default)]
     pub size: Option<u64>,
-    /// Names of the zones in which machines can be rented; at least one.
+    /// Names of the zones in which machines can be provisioned; at least one.
     pub zones: Vec<String>,
     /// The teams whose members submit jobs. Jobs of a team that is not listed cannot be placed.
     pub teams: Vec<Team>,
-    /// Service level objectives: what the users of each class of jobs were promised. May be empty.
+    /// Service level objectives of each class of jobs. May be empty.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Reports and leases of workers, and how soon cancelled work must be gone.
+    /// Heartbeat interval and lease of workers, and the deadline for stopping cancelled work.
     pub workers: WorkerParams,
     /// Limits of the state service.
     pub state: StateParams,
@@ -80,26 +80,26 @@
     /// Limits of this controller's process (`resources`).
     #[serde(rename = "resources")]
     pub limits: Limits,
-    /// How far two clocks may differ in the time of day, in milliseconds.
+    /// Maximum difference between the times of day of two clocks, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
 }
 
-/// Zero means none, for guarantees and for limits alike.
+/// A team, its guaranteed resources and its quota. A guarantee or limit of zero means that there is none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team, as jobs give it (`desk` in the protocol).
     pub name: String,
-    /// Guaranteed cores: while the team uses less than this, its jobs are placed before those of others.
+    /// Guaranteed cores: while the team uses fewer, its jobs are placed before those of other teams.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of the cores that the team's bound tasks use together.
+    /// Maximum number of cores that the team's bound tasks use in total.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed accelerators, by the same rule as `cpus`.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of the accelerators that the team's bound tasks use together.
+    /// Maximum number of accelerators that the team's bound tasks use in total.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -107,76 +107,76 @@
 /// A service level objective for the jobs of one class.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is promised: `wait` (the job's tasks start within `within_s`), `finished` (it is done within `within_s`)
-    /// or `deadline` (it is done within `times` its own deadline). Other kinds are ignored.
+    /// Kind of objective: `wait` (the job's tasks start within `within_s`), `finished` (the job is done within
+    /// `within_s`) or `deadline` (the job is done within `times` its own deadline). Other kinds are ignored.
     pub kind: String,
-    /// The class of jobs that it applies to.
+    /// Class of jobs that the objective applies to.
     #[serde(default)]
     pub class: String,
-    /// Seconds from the submission, for the kinds `wait` and `finished`; 0 promises nothing.
+    /// Seconds from the submission, for the kinds `wait` and `finished`; 0 disables the objective.
     #[serde(default)]
     pub within_s: f64,
-    /// Multiples of a job's own deadline.
+    /// Factor on a job's own deadline, for the kind `deadline`.
     #[serde(default)]
     pub times: f64,
-    /// The part of the jobs, or of their tasks, of which it is asked.
+    /// Fraction of the jobs, or of their tasks, that must meet the objective.
     #[serde(default)]
     pub share: f64,
 }
 
-/// Times by which workers and controllers agree. Checked together, so that a lease, a report and a margin fit into
-/// `cancel_s`.
+/// Durations that workers and controllers agree on. They are checked together, so that a lease, a heartbeat interval
+/// and a margin fit into `cancel_s`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerParams {
-    /// Seconds between two reports of a worker; it varies them by a quarter either way.
+    /// Seconds between two heartbeats of a worker, which varies them by plus or minus a quarter.
     pub report_s: f64,
-    /// Seconds from the sending of a report that was answered until the worker stops everything it runs, unless a
-    /// later report is answered meanwhile.
+    /// Seconds from the sending of an answered heartbeat until the worker stops everything it runs, unless a later
+    /// heartbeat is answered in the meantime.
     pub lease_s: f64,
-    /// Seconds from the moment at which users are told of a cancellation until no task of the job may run any more.
+    /// Seconds from the confirmation of a cancellation to its user until no task of the job may run any more.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service. The rates apply to all controllers together; `store::share` divides them.
+/// Limits of the state service. The rates apply to all controllers in total; `store::share` divides them.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateParams {
     /// Requests per second.
     pub rps: f64,
-    /// Changes (keys written or dropped) per second.
+    /// Changes (keys written or deleted) per second.
     pub write_rps: f64,
-    /// Largest value of one key, in KiB.
+    /// Maximum size of the value of one key, in KiB.
     pub value_kb: f64,
-    /// Most changes in one transaction, at least 2. It may have four times as many conditions.
+    /// Maximum number of changes in one transaction, at least 2. It may have four times as many conditions.
     pub txn_ops: u64,
 }
 
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudParams {
-    /// Requests per second, of all controllers together.
+    /// Requests per second of all controllers in total.
     pub rps: f64,
 }
 
 /// Limits of one controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Megabytes a controller may take; none: open work is not limited by it.
+    /// Memory that a controller may use, in megabytes; if absent, memory does not limit open work.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Most connections that the process may have open, at least 16. Direct commands under way are bounded by a part
-    /// of it.
+    /// Maximum number of open connections of the process, at least 16. A fraction of it bounds the direct commands in
+    /// flight.
     pub max_sockets: u64,
 }
 
-/// A worker's clock that runs slow, and the way of a report and its answer: at least this much.
-const LEASE_MARGIN_S: f64 = 5.0;
-/// The way of a report and its answer: a worker takes no later one.
-const ANSWER_TAKEN_S: f64 = 4.0;
-/// How far the steady clocks of two machines drift apart, as a part of the time that passes.
-const CLOCK_DRIFT: f64 = 0.0005;
+/// Minimum margin for a worker's slow clock and for the transit of a heartbeat and its answer.
+const MIN_LEASE_MARGIN_S: f64 = 5.0;
+/// Maximum round trip of a heartbeat and its answer: a worker ignores later answers.
+const MAX_HEARTBEAT_ROUND_TRIP_S: f64 = 4.0;
+/// Maximum drift between the monotonic clocks of two machines, as a fraction of the elapsed time.
+const MAX_CLOCK_DRIFT_RATIO: f64 = 0.0005;
 
 impl StateParams {
-    /// Conditions that a transaction may have: four for each change that it may have.
+    /// Maximum number of conditions in one transaction: four times the maximum number of changes.
     pub fn max_conditions(&self) -> usize {
         (self.txn_ops as usize).saturating_mul(4)
     }
@@ -196,34 +196,35 @@
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// What lies between the end of a worker's lease as it is known here and the moment at which its tasks are gone.
-    /// Over long times the drift of its clock is what counts.
+    /// Maximum delay, in seconds, between the end of a worker's lease as computed by a controller and the moment at
+    /// which the worker's tasks are gone. Over long times the drift of the worker's clock dominates it.
     fn lease_margin_s(&self) -> f64 {
-        LEASE_MARGIN_S.max(ANSWER_TAKEN_S + self.cancel_s * CLOCK_DRIFT)
+        MIN_LEASE_MARGIN_S.max(MAX_HEARTBEAT_ROUND_TRIP_S + self.cancel_s * MAX_CLOCK_DRIFT_RATIO)
     }
 
-    /// Of the time in which a cancelled task must be gone, what is left where only the end of its machine's
-    /// lease ends it: a report may have been answered last so long after the cancellation was told.
+    /// Slack in [`Self::cancel_s`] when only the end of the machine's lease stops a cancelled task: `cancel_s` minus
+    /// the lease and its margin. The last heartbeat of the machine may be answered this long after the cancellation
+    /// was confirmed to its user.
     pub fn cancellation_slack(&self) -> Duration {
         Duration::try_from_secs_f64(self.cancel_s - self.lease_s - self.lease_margin_s()).unwrap_or_default()
     }
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Names the file and the first field that cannot be used.
+    /// Names the file and the first invalid field.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let read = std::fs::read_to_string(path);
         let text = read.map_err(|source| SettingsError::Read { file: path.to_owned(), source })?;
         Self::parse(&text).map_err(|source| SettingsError::Settings { file: path.to_owned(), source })
     }
 
-    /// Reads and checks settings from JSON text.
+    /// Parses and validates settings from JSON text.
     ///
     /// # Errors
-    /// Names the first field that cannot be used.
+    /// Names the first invalid field.
     pub fn parse(text: &str) -> Result<Self, InvalidSettings> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let settings: Self = serde_path_to_error::deserialize(&mut reader)?;
@@ -232,7 +233,7 @@
         Ok(settings)
     }
 
-    /// The team of this name; none if the settings do not list it.
+    /// Returns the team with this name; `None` if the settings do not list it.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.params.teams.iter().find(|t| t.name == name)
     }
--- a/src/settings/properties.rs
+++ b/src/settings/properties.rs
@@ -1,5 +1,5 @@
-//! The operators' settings, a Java-style properties file: one name, default and range for each value that the platform
-//! does not give.
+//! Properties that operators set in a Java-style properties file: a name, a default and a range for each value that the
+//! platform's settings do not contain.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -9,8 +9,8 @@
 
 macro_rules! properties {
     ($($(#[doc = $doc:literal])+ $field:ident: $kind:ident = $default:expr, $name:literal, $low:expr, $high:expr;)+) => {
-        /// Settings that operators may override, with a default and an allowed range each; durations are given in
-        /// seconds. [`Properties::lines`] names them as the properties file does.
+        /// Values that operators may override, each with a default and an allowed range; the file gives durations in
+        /// seconds. [`Properties::lines`] uses the names of the properties file.
         #[derive(Debug, Clone, PartialEq)]
         pub struct Properties { $($(#[doc = $doc])+ pub $field: properties!(@type $kind),)+ }
 
@@ -21,7 +21,7 @@
         }
 
         impl Properties {
-            /// Name, effective value, as `check` prints them.
+            /// Returns the name and effective value of each property, as `check` prints them.
             pub fn lines(&self) -> Vec<(&'static str, String)> {
                 vec![$(($name, properties!(@show $kind, self.$field)),)+]
             }
@@ -52,50 +52,50 @@
 }
 
 properties! {
-    /// Seconds after which an unrenewed election lease ends and another controller takes over.
+    /// Time after which an unrenewed election lease expires and another controller takes over.
     election_lease: seconds = 3.0, "leader.lease.seconds", 0.5, 600.0;
-    /// Deadline of a job without one, in estimates.
+    /// Deadline of a job that has none, as a multiple of its estimated run time.
     soft_deadline_factor: number = 4.0, "sla.soft.deadline.estimates", 1.0, 100.0;
-    /// Seconds without a report after which a machine is given up and returned.
+    /// Time without a heartbeat after which a machine is considered lost and is terminated.
     silence_timeout: seconds = 12.0, "machines.silence.seconds", 2.0, 3600.0;
-    /// Seconds a machine may stand idle before it is returned.
+    /// Time for which a machine may be idle before it is terminated.
     idle_timeout: seconds = 120.0, "machines.idle.seconds", 0.0, 86400.0;
-    /// Machine boots longer than this many times the type's usual time are given up.
+    /// Maximum boot time of a machine, as a multiple of its type's usual boot time; slower boots are abandoned.
     max_boot_ratio: number = 4.0, "machines.boot.patience", 1.0, 100.0;
-    /// Idle work rents only machines at most this many times as dear for it as the cheapest kind open to it.
+    /// Maximum price of machines provisioned for idle work, as a multiple of that of the cheapest eligible kind.
     max_idle_price_ratio: number = 3.0, "idle.machines.dearer", 1.0, 1000.0;
-    /// Machines held at the most, booting ones included.
+    /// Maximum number of machines, including those that boot.
     max_machines: number = 5000.0, "machines.most", 1.0, 100000.0;
-    /// Seconds to keep from asking again for machines of a type, zone and kind that were refused.
+    /// Time before machines of a type, zone and kind are requested again after a refusal.
     refusal_backoff: seconds = 15.0, "machines.refusal.seconds", 1.0, 3600.0;
-    /// Seconds over which it is counted who is served.
+    /// Window over which the service received by each group of work is measured.
     served_window: seconds = 300.0, "served.window.seconds", 10.0, 86400.0;
-    /// Who gets less than this part of what was promised is rented for at once; who gets less than this
-    /// part of what it would by its offered work goes first.
+    /// Minimum fraction of the promised service: below it, machines are provisioned at once. Work that receives less
+    /// than this fraction of the share due to its offered work is placed first.
     min_served_ratio: number = 0.75, "served.floor", 0.0, 1.0;
-    /// Of the cores that are given out, work too late for all promises gets this part.
+    /// Fraction of the allocated cores that goes to work too late to meet any objective.
     late_core_share: number = 0.05, "served.late.part", 0.0, 1.0;
-    /// Seconds within which work that needs several tasks at once is to begin, whatever else comes.
+    /// Time within which work that needs several tasks at once is to start, regardless of other work that arrives.
     gang_start_limit: seconds = 240.0, "large.begin.seconds", 1.0, 86400.0;
-    /// Task failures in a row after which a machine is taken out.
+    /// Number of consecutive task failures after which a machine is quarantined.
     max_consecutive_failures: number = 2.0, "machines.failures", 1.0, 1000.0;
 }
 
 impl Properties {
-    /// Reads a properties file. What it does not mention keeps its default; an unknown name or a value out of range is
-    /// an error that names the file.
+    /// Reads a properties file. Properties that it does not contain keep their defaults; an unknown name or a value out
+    /// of range is an error that names the file.
     ///
     /// # Errors
-    /// Names the file and the first property that cannot be used.
+    /// Names the file and the first invalid property.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read(path).map_err(|source| SettingsError::Read { file: path.to_owned(), source })?;
         Self::parse(&text).map_err(|source| SettingsError::Properties { file: path.to_owned(), source })
     }
 
-    /// Reads properties from the text of a file, by the same rules as [`Self::load`].
+    /// Parses properties from the text of a file, by the same rules as [`Self::load`].
     ///
     /// # Errors
-    /// Names the first property that cannot be used.
+    /// Names the first invalid property.
     pub fn parse(text: &[u8]) -> Result<Self, InvalidProperties> {
         let entries: HashMap<String, String> = java_properties::read(text)?;
         let mut properties = Self::default();
--- a/src/settings/properties/tests.rs
+++ b/src/settings/properties/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn properties_by_cases() {
+fn valid_properties_are_parsed_and_invalid_ones_rejected_by_name() {
     let read = Properties::parse(b"# ours\nmachines.idle.seconds = 7.5\nmachines.silence.seconds:9\n").unwrap();
     assert_eq!(read.idle_timeout, Duration::from_millis(7500));
     assert_eq!(read.silence_timeout, Duration::from_secs(9));
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Checks of the platform's settings, and settings that tests of other modules start from.
+//! Tests of the validation of settings, and example settings for the tests of other modules.
 
 use super::*;
 
@@ -16,14 +16,15 @@
           "cloud":{"rps":8,"list_lag_s":8},
           "resources":{"cores":0.1,"memory_mb":100,"max_sockets":700},"skew_ms":25,"new":1}}"#;
 
-/// [`EXAMPLE`], read and checked.
+/// Returns [`EXAMPLE`], parsed and validated.
 pub fn example() -> Settings {
     Settings::parse(EXAMPLE).unwrap()
 }
 
-/// For how long a machine may be held by a leader that has read nothing, so that its lease is over in time.
+/// The cancellation slack is how long a leader that has read nothing may still answer a machine's heartbeats, so that
+/// the machine's lease ends before the cancellation deadline.
 #[test]
-fn what_is_spared_of_a_cancellation_by_cases() {
+fn lease_granted_within_cancellation_slack_ends_before_the_deadline() {
     for (cancel_s, lease_s, want) in [(49.0, 24.0, 20.0), (56.0, 36.0, 15.0), (20.0, 8.0, 7.0), (30.0, 29.0, 0.0)] {
         let workers = WorkerParams { report_s: 3.0, lease_s, cancel_s };
         assert_eq!(workers.cancellation_slack(), Duration::from_secs_f64(want), "{cancel_s} and {lease_s}");
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn errors_name_the_field_and_the_value() {
+fn invalid_setting_is_reported_with_its_field_and_value() {
     assert_eq!(example().params.teams.len(), 2);
     for (from, to, want) in [
         ("127.0.0.1:4", "cloud.example:4", "endpoints.cloud: \"cloud.example:4\""),
@@ -53,9 +54,9 @@
     }
 }
 
-/// What could not keep the times is refused by name; the replacement is made in the example, which is accepted.
+/// Each case replaces one text of the example, which is valid; the error must name the field.
 #[test]
-fn settings_that_cannot_keep_the_times_are_refused_by_cases() {
+fn settings_that_break_guaranteed_times_or_ranges_are_rejected() {
     for (from, to, want) in [
         ("\"lease_s\":24", "\"lease_s\":3.75", "params.workers.lease_s: 3.75 is not above 3.75"),
         ("\"lease_s\":24", "\"lease_s\":41.5", "params.workers.cancel_s: 49 is below 49.5"),
@@ -92,13 +93,13 @@
         let problem = Settings::parse(&text).unwrap_err().to_string();
         assert!(problem.contains(want), "{to}: {problem}");
     }
-    let alone = EXAMPLE.replacen("\"size\":3,", "", 1);
-    assert_eq!(Settings::parse(&alone).unwrap().params.size, None, "a platform that does not say");
+    let without_size = EXAMPLE.replacen("\"size\":3,", "", 1);
+    assert_eq!(Settings::parse(&without_size).unwrap().params.size, None, "settings without a size");
 }
 
-/// An end of the lease holder that outlasts the leases of workers costs all that runs.
+/// If the election lease of a dead leader outlasts the leases of the workers, all running tasks are lost.
 #[test]
-fn the_election_lease_is_held_against_that_of_workers() {
+fn election_lease_longer_than_worker_lease_allows_is_rejected() {
     for (text, refused) in [
         ("", false),
         ("leader.lease.seconds=20.25", false),
@@ -112,14 +113,14 @@
     }
 }
 
-/// A machine that hangs and is returned by nobody, since no controller has a loaded cluster state: the last answer that
-/// held it without naming a cancellation was given `spare` after that was told at the latest
-/// (`Membership::leases_end_in_time`), to a report that was sent before. So by the worker's clock its lease is over `spare` and
-/// `lease_s` after the cancellation, and what it goes on with after that is nothing (protocol: it kills and forgets its
-/// tasks). By a clock that is right this is within `cancel_s`, with the margin left over for one that runs slow and for
-/// an answer on its way.
+/// Guards against a cancelled task that outlives `cancel_s` on a machine that hangs and that nobody terminates, because
+/// no controller has loaded the cluster state. The last answer that extends the machine's lease without naming the
+/// cancellation is given at most `cancellation_slack` after the cancellation was confirmed
+/// (`Membership::leases_end_in_time`), to a heartbeat sent earlier. By the worker's clock its lease therefore ends at
+/// most `cancellation_slack` plus `lease_s` after the cancellation; the worker then kills and forgets its tasks
+/// (protocol). By an accurate clock this is within `cancel_s`; the margin covers a slow clock and an answer in transit.
 #[test]
-fn a_lease_ends_what_was_cancelled_on_a_hung_machine_by_all_settings_that_are_accepted() {
+fn cancelled_task_on_hung_machine_ends_in_time_under_all_valid_settings() {
     let (mut accepted, mut refused) = (0, 0);
     for report_s in [0.1, 1.0, 3.0, 5.0, 10.0] {
         for lease_s in [0.5, 2.0, 8.0, 12.0, 24.0, 36.0, 60.0, 600.0] {
@@ -132,13 +133,13 @@
                     continue;
                 }
                 accepted += 1;
-                let margin = Duration::from_secs_f64(LEASE_MARGIN_S);
-                let over = workers.cancellation_slack() + workers.lease() + margin;
-                assert!(over <= workers.cancellation_deadline(), "{workers:?}: gone after {over:?} only");
+                let margin = Duration::from_secs_f64(MIN_LEASE_MARGIN_S);
+                let gone_after = workers.cancellation_slack() + workers.lease() + margin;
+                assert!(gone_after <= workers.cancellation_deadline(), "{workers:?}: gone only after {gone_after:?}");
                 let pause = workers.heartbeat_interval();
                 assert!(
                     workers.cancellation_slack() >= pause,
-                    "{workers:?}: every leader that reads nothing lets all machines go"
+                    "{workers:?}: a leader that reads nothing loses all machines between two heartbeats"
                 );
             }
         }
