--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// What the cloud offers.
+/// Catalog of the machine types that the cloud offers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// All machine types, each name once.
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -7,19 +7,19 @@
 
 use crate::text::Text;
 
-/// The limit for request bodies and for answers to workers and users.
+/// Maximum size of request bodies and of answers to workers and users.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Levels of nested lists and maps accepted in a body: more than any message has, and far fewer than would overflow
-/// the stack of a thread.
+/// Maximum depth of nested lists and maps in a body: more than any message has, and far fewer than would overflow the
+/// stack of a thread.
 const MAX_NESTING: usize = 64;
 
-/// Encodes as a map keyed by text, as every interface asks.
+/// Encodes a value as a map keyed by text, as every interface requires.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Why a body was not decoded.
+/// Reason why a body was not decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
     /// The body is empty or its outermost value is not a map.
@@ -33,8 +33,8 @@
     TrailingBytes(usize),
 }
 
-/// Decodes a body that is a map. A list is an error: serde would decode it as a struct, which no interface allows. Bytes
-/// after the map and keys other than text are not detected; see [`decode_whole`].
+/// Decodes a body that is a map. A list is an error: serde would decode it as a struct, which no interface allows.
+/// Bytes after the map and keys other than text are not detected; see [`decode_whole`].
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     check_map(body)?;
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(body);
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -9,15 +9,15 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// The largest answer accepted, in bytes. Watch answers have no limit of their own, and decoded into values an answer
-/// takes some ten times its size in memory. Pages of listings stay below half of this limit.
-const ANSWER_LIMIT: usize = 1024 * 1024;
-/// Limit for opening a connection; part of the deadline of a call.
+/// Maximum size of an answer. Watch answers have no limit of their own, and a decoded answer takes about ten times its
+/// size in memory. Pages of listings stay below half of this limit.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// Time limit for opening a connection; it counts towards the deadline of the call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Idle connections kept per host.
-const IDLE_PER_HOST: usize = 4;
-/// Time after which an idle connection is closed: there is a connection for each machine, too many to keep.
-const IDLE_FOR: Duration = Duration::from_secs(10);
+/// Maximum number of idle connections kept per host.
+const MAX_IDLE_PER_HOST: usize = 4;
+/// Time after which an idle connection is closed: with one connection per machine there would be too many to keep.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call has no answer. After [`NotSent`](CallError::NotSent) alone it is certain that the request was not carried
 /// out.
@@ -47,23 +47,23 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_FOR)
-            .pool_max_idle_per_host(IDLE_PER_HOST)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             .build(connector);
         Self { client }
     }
 }
 
 impl Http {
-    /// Sends one request and returns status and body of the answer. `within` is the deadline for connecting, sending and
-    /// receiving the whole answer together.
+    /// Sends one request and returns status and body of the answer. `timeout` covers connecting, sending and receiving
+    /// the whole answer.
     pub async fn call(
         &self,
         method: Method,
         addr: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(u16, Bytes), CallError> {
         let mut request = Request::builder().method(method).uri(format!("http://{addr}{path}"));
         if body.is_some() {
@@ -77,13 +77,13 @@
                 .await
                 .map_err(|e| if e.is_connect() { CallError::NotSent } else { CallError::Unanswered })?;
             let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), ANSWER_LIMIT).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
             let body =
                 body.map_err(|e| if e.is::<LengthLimitError>() { CallError::TooLarge } else { CallError::Unanswered })?;
             let body = body.to_bytes();
             Ok((status, body))
         };
-        match tokio::time::timeout(within, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(outcome) => outcome,
             Err(_) => Err(CallError::Unanswered),
         }
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -6,7 +6,7 @@
 
 use crate::text;
 
-/// The largest number of tasks that one job may have.
+/// Maximum number of tasks of one job.
 pub const MAX_TASKS: u64 = 100_000;
 
 /// The id of a job, `run-` and digits. It is reference-counted because many maps are keyed by it.
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// The deadline, counted from the submission.
+    /// Deadline, counted from the submission.
     pub fn due(&self) -> Option<Duration> {
         self.due_s.map(Duration::from_secs_f64)
     }
@@ -160,12 +160,12 @@
         Duration::from_secs_f64(self.estimate_s)
     }
 
-    /// Whether it only fills capacity that other jobs leave unused.
+    /// Whether the job runs only on capacity that other jobs leave unused.
     pub fn is_idle(&self) -> bool {
         self.urgency == Urgency::Idle
     }
 
-    /// Whether its tasks start and fail together.
+    /// Whether the tasks of the job start and fail together.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -16,11 +16,11 @@
 }
 
 impl Condition {
-    /// The key must have this version.
+    /// Requires the key to have this version.
     pub fn at(path: impl Into<String>, version: u64) -> Self {
         Self { path: path.into(), version }
     }
-    /// The key must not exist.
+    /// Requires the key not to exist.
     pub fn absent(path: impl Into<String>) -> Self {
         Self::at(path, 0)
     }
@@ -57,7 +57,7 @@
 /// A compare-and-swap: all changes are applied atomically if every condition holds. Without changes it only compares.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompareAndSwap<'a> {
-    /// All of these must hold.
+    /// The conditions, all of which must hold.
     #[serde(default, rename = "if")]
     pub conditions: Cow<'a, [Condition]>,
     /// The changes, applied in this order.
@@ -66,7 +66,7 @@
 }
 
 impl<'a> CompareAndSwap<'a> {
-    /// A compare-and-swap that borrows its parts.
+    /// Creates a compare-and-swap that borrows its parts.
     pub fn new(conditions: &'a [Condition], apply: &'a [Change]) -> Self {
         Self { conditions: conditions.into(), apply: apply.into() }
     }
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -13,11 +13,11 @@
     /// The attempt has its image and waits for the rest of its gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// It runs.
+    /// The attempt runs.
     Running,
-    /// It was told to stop and saves its progress.
+    /// The attempt was told to stop and saves its progress.
     Saving,
-    /// It has ended; its [`ExitCause`] says why.
+    /// The attempt has ended; its [`ExitCause`] gives the reason.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -25,19 +25,19 @@
 /// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// It finished with a result.
+    /// The attempt finished with a result.
     #[serde(rename = "done")]
     Done,
-    /// It was told to stop.
+    /// The attempt was told to stop.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another member of its gang was lost.
+    /// Another member of the attempt's gang was lost.
     #[serde(rename = "peers")]
     Peers,
-    /// Its gang was not complete in time.
+    /// The attempt's gang was not complete in time.
     #[serde(rename = "alone")]
     Alone,
-    /// It failed.
+    /// The attempt failed.
     #[serde(rename = "error")]
     Error,
     /// The machine has too little free capacity for it.
@@ -86,7 +86,7 @@
     pub attempt: u64,
     /// The attempt's state.
     pub status: AttemptStatus,
-    /// Why it ended; present exactly if it has.
+    /// Why the attempt ended; present only for an attempt that ended.
     #[serde(default, rename = "cause")]
     pub cause: Option<ExitCause>,
     /// Whether its progress was saved, for an attempt that ended.
@@ -138,7 +138,7 @@
             && !self.machine.is_empty()
             && self.addr.parse::<std::net::SocketAddr>().is_ok()
             && self.notice_s.is_none_or(|s| (-1e6..=1e6).contains(&s))
-            && self.attempts.iter().all(|l| (l.status == AttemptStatus::Exited) == l.cause.is_some())
+            && self.attempts.iter().all(|a| (a.status == AttemptStatus::Exited) == a.cause.is_some())
     }
 }
 
@@ -163,7 +163,7 @@
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it has to save its progress; 0: none.
+        /// Seconds that the attempt has to save its progress; 0: none.
         #[serde(rename = "windDownS")]
         grace_s: u64,
     },
--- a/crates/protocol/src/workers/tests.rs
+++ b/crates/protocol/src/workers/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn heartbeats_are_decoded_and_checked() {
+fn inconsistent_or_malformed_heartbeat_is_rejected() {
     let good = json!({"berth":"host-1","endpoint":"127.0.0.1:9","fleet":"g","yard":"a","borrowed":true,
         "shift":1,"tally":8,"baton":0,"recallS":null,"legs":[
           {"leg":"run-1/3","try":2,"status":"ended","cause":"done"}]});
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn commands_have_their_form_on_the_wire() {
+fn halt_command_is_encoded_with_its_wire_names() {
     let task = TaskKey { job: "run-7".into(), index: 1 };
-    let order = WorkerCommand::Halt { task, attempt: 3, grace_s: 10 };
-    assert_eq!(serde_json::to_value(&order).unwrap(), json!({"verb":"halt","leg":"run-7/1","try":3,"windDownS":10}));
+    let command = WorkerCommand::Halt { task, attempt: 3, grace_s: 10 };
+    assert_eq!(serde_json::to_value(&command).unwrap(), json!({"verb":"halt","leg":"run-7/1","try":3,"windDownS":10}));
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and with which exit status.
+//! Errors of commands and their exit statuses.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,88 +8,88 @@
 use crate::protocol::jobs::InvalidField;
 use crate::settings::SettingsError;
 
-/// Exit status of refused settings, arguments and requests.
-const REFUSED: u8 = 2;
+/// Exit status for rejected settings, arguments and requests.
+const EXIT_REFUSED: u8 = 2;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The settings or properties cannot be used.
+    /// The settings or properties are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A file cannot be read.
     #[error("{}: {source}", file.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// A file holds no description of a job.
+    /// A file does not contain a job description.
     #[error("{}: {source}", file.display())]
     DecodeJob {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Where the text is no description of a job.
+        /// The position and the reason of the decoding error.
         source: serde_json::Error,
     },
-    /// The described job cannot be submitted.
+    /// The job description is invalid.
     #[error("{}: {reason}", file.display())]
     InvalidJob {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The field that cannot be used, and why.
+        /// The invalid field, its value and the values allowed.
         reason: InvalidField,
     },
-    /// `--node` names no address.
+    /// The value of `--node` is not an address.
     #[error("--node: {0:?} is not an IP address with a port")]
     InvalidAddress(String),
     /// The asynchronous runtime cannot be started.
     #[error(transparent)]
     Runtime(std::io::Error),
-    /// A controller gives no answer.
+    /// A request to a controller got no usable answer.
     #[error("{node}: {source}")]
     Call {
-        /// Its address.
+        /// Address of the controller.
         node: String,
-        /// What happened instead.
+        /// Reason why there is no answer.
         source: CallError,
     },
-    /// A controller answers with an error.
+    /// A controller answered with an error.
     #[error("{node} answered {status} {body}")]
     Answer {
-        /// Its address.
+        /// Address of the controller.
         node: String,
         /// The HTTP status.
         status: u16,
-        /// The answer as JSON.
+        /// Body of the answer as JSON.
         body: String,
     },
-    /// Specs of a file are refused.
-    #[error("{}", with_file(file, refusals).join("\n"))]
+    /// Specs of a file were rejected.
+    #[error("{}", prefix_with_file(file, refusals).join("\n"))]
     RefusedSpecs {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why, one reason an entry.
+        /// The reasons, one per entry.
         refusals: Vec<Refusal>,
     },
-    /// An operator's verb was not carried out.
+    /// An operator command was not executed.
     #[error(transparent)]
     Operator(#[from] OperatorError),
 }
 
-fn with_file(file: &Path, refusals: &[Refusal]) -> Vec<String> {
+fn prefix_with_file(file: &Path, refusals: &[Refusal]) -> Vec<String> {
     refusals.iter().map(|refusal| format!("{}: {refusal}", file.display())).collect()
 }
 
 impl CliError {
-    /// Prints the error, one reason a line, and gives the exit status that goes with it.
+    /// Prints the error, one reason per line, and returns its exit status.
     pub fn report(&self) -> ExitCode {
         self.to_string().lines().for_each(|line| eprintln!("hollylanding: {line}"));
-        if self.is_refusal() { ExitCode::from(REFUSED) } else { ExitCode::FAILURE }
+        if self.is_refusal() { ExitCode::from(EXIT_REFUSED) } else { ExitCode::FAILURE }
     }
 
-    /// Whether trying again would not help.
+    /// Whether the input was rejected, so that a retry would not help.
     fn is_refusal(&self) -> bool {
         match self {
             Self::Settings(_)
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line: its commands and their arguments.
+//! The command line interface: commands and their arguments. The doc comments of arguments and commands are the texts
+//! of `--help`.
 
 mod error;
 mod verbs;
@@ -17,6 +18,7 @@
 use crate::protocol::{self, Http};
 use crate::settings::{Properties, Settings, SettingsError};
 
+/// Deadline of a request to a controller.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// hollylanding, a cluster scheduler that admits work by deadline share and return.
@@ -34,50 +36,50 @@
 
 #[derive(Args, Clone)]
 struct ConfigFiles {
-    /// Settings file (JSON) that the platform hands over
+    /// Settings file (JSON) written by the platform
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Operators' own settings (Java-style properties)
+    /// Properties file (Java-style) of the operators
     #[arg(long, value_name = "FILE")]
     properties: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller until it is killed (the same as giving --config alone)
+    /// Run a controller until it is killed (the same as giving --config alone)
     Serve(ConfigFiles),
-    /// Checks settings and properties and prints the properties in effect
+    /// Validate settings and properties and print the effective properties
     Check(ConfigFiles),
-    /// Submits a job described in a JSON file
+    /// Submit a job described in a JSON file
     Submit {
-        /// A controller's address, such as 127.0.0.1:8080
+        /// Address of a controller, such as 127.0.0.1:8080
         #[arg(long)]
         node: String,
-        /// The job as JSON, with the fields of POST /work
+        /// File with the job as JSON, with the fields of POST /work
         file: PathBuf,
     },
-    /// Prints the state of a job
+    /// Print the state of a job
     Status {
-        /// A controller's address, such as 127.0.0.1:8080
+        /// Address of a controller, such as 127.0.0.1:8080
         #[arg(long)]
         node: String,
-        /// The job's id, such as run-000412
+        /// Id of the job, such as run-000412
         id: String,
     },
-    /// Withdraws a job
+    /// Cancel a job
     #[command(name = "withdraw")]
     Cancel {
-        /// A controller's address, such as 127.0.0.1:8080
+        /// Address of a controller, such as 127.0.0.1:8080
         #[arg(long)]
         node: String,
-        /// The job's id, such as run-000412
+        /// Id of the job, such as run-000412
         id: String,
     },
     #[command(flatten)]
     Declarations(verbs::Verb),
 }
 
-/// Runs the command line; the exit status is the README's.
+/// Runs the command line and returns the exit status, which the README documents.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match run_command(cli) {
@@ -117,12 +119,12 @@
 fn serve(files: &ConfigFiles) -> Result<ExitCode, CliError> {
     let (settings, properties) = load_config(files)?;
     start_logging();
-    // The controller has logged the error.
+    // The controller has already logged the error.
     let outcome = crate::controller::serve(settings, properties);
     Ok(if outcome.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Logs to standard error, at the level that `LOG_LEVEL` names.
+/// Starts logging to standard error, at the level given by the environment variable `LOG_LEVEL`.
 fn start_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let filter = EnvFilter::try_new(format!("error,hollylanding={level}"))
@@ -145,11 +147,11 @@
 }
 
 fn submit(node: &str, file: &Path) -> Result<(), CliError> {
-    let named = || file.to_owned();
-    let text = std::fs::read_to_string(file).map_err(|source| CliError::ReadFile { file: named(), source })?;
+    let file_path = || file.to_owned();
+    let text = std::fs::read_to_string(file).map_err(|source| CliError::ReadFile { file: file_path(), source })?;
     let decoded = serde_json::from_str(&text);
-    let spec: JobSpec = decoded.map_err(|source| CliError::DecodeJob { file: named(), source })?;
-    spec.check().map_err(|reason| CliError::InvalidJob { file: named(), reason })?;
+    let spec: JobSpec = decoded.map_err(|source| CliError::DecodeJob { file: file_path(), source })?;
+    spec.check().map_err(|reason| CliError::InvalidJob { file: file_path(), reason })?;
     call_controller(node, Method::POST, "/work", Some(protocol::encode(&spec)))
 }
 
@@ -157,7 +159,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)
 }
 
-/// Calls a controller and prints its answer as JSON.
+/// Sends a request to a controller and prints the answer as JSON.
 fn call_controller(node: &str, method: Method, path: &str, body: Option<Vec<u8>>) -> Result<(), CliError> {
     if node.parse::<std::net::SocketAddr>().is_err() {
         return Err(CliError::InvalidAddress(node.to_owned()));
--- a/src/cli/verbs.rs
+++ b/src/cli/verbs.rs
@@ -1,4 +1,4 @@
-//! Commands for operators: they read and write what is declared, through the state service.
+//! Operator commands: they read and change declarations through the state service.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -15,15 +15,16 @@
 use crate::jobs::record::time_of_day_ms;
 use crate::settings::Settings;
 
-/// A verb gives up after this time without an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time without an answer after which a command fails.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
+// The doc comments of the arguments below are the texts of `--help`.
 #[derive(Args, Clone)]
 pub struct CommonOptions {
-    /// Settings file (JSON) that the platform hands over; it names the state service
+    /// Settings file (JSON) written by the platform; it contains the address of the state service
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Prints JSON
+    /// Print the output as JSON
     #[arg(long)]
     json: bool,
 }
@@ -38,20 +39,20 @@
 
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Declares windows, heat rules, readings or rollouts: all of a file, or nothing where any is wrong
+    /// Declare the windows, heat rules, readings or rollouts of a file: all of them, or none if any is invalid
     Declare {
-        /// window, heat, reading or rollout
+        /// Kind of declaration: window, heat, reading or rollout
         #[arg(value_parser = parse_kind)]
         kind: DeclarationKind,
-        /// One JSON object with its name, or a list of them
+        /// File with one JSON object, including its name, or a list of such objects
         file: PathBuf,
-        /// Checks only, and asks nobody
+        /// Only validate the file, without contacting the state service
         #[arg(long)]
         check: bool,
         #[command(flatten)]
         common: CommonOptions,
     },
-    /// Shows what is declared and how it stands
+    /// Show declarations and their status
     Show {
         #[arg(value_parser = parse_kind)]
         kind: Option<DeclarationKind>,
@@ -59,7 +60,7 @@
         #[command(flatten)]
         common: CommonOptions,
     },
-    /// Takes back what was declared; its owner tells that and forgets it
+    /// Remove a declaration; its owner reports the removal and discards its state
     Remove {
         #[arg(value_parser = parse_kind)]
         kind: DeclarationKind,
@@ -67,7 +68,7 @@
         #[command(flatten)]
         common: CommonOptions,
     },
-    /// Confirms that somebody has seen what is shown, such as a window that was missed
+    /// Acknowledge a reported condition, such as a missed window
     Confirm {
         #[arg(value_parser = parse_kind)]
         kind: DeclarationKind,
@@ -75,23 +76,23 @@
         #[command(flatten)]
         common: CommonOptions,
     },
-    /// Hands in what a sensor reads
+    /// Store a sensor reading
     Reading {
-        /// The sensor
+        /// Name of the sensor
         name: String,
         #[arg(allow_negative_numbers = true)]
         value: f64,
-        /// When it was read, such as 2026-07-01T12:30:00+02:00; now, if not given
+        /// Time of the reading, such as 2026-07-01T12:30:00+02:00; defaults to the current time
         #[arg(long, value_parser = parse_time_ms)]
         at: Option<u64>,
         #[command(flatten)]
         common: CommonOptions,
     },
-    /// Pauses or resumes a rollout, takes it back, or finishes it by cancelling the old job
+    /// Pause or resume a rollout, roll it back, or finish it by cancelling the old job
     Rollout {
         step: RolloutVerb,
         name: String,
-        /// The controller that cancels the old job; if not given, the one whose settings these are
+        /// Address of the controller that cancels the old job; defaults to the controller of the settings file
         #[arg(long)]
         node: Option<String>,
         #[command(flatten)]
@@ -99,7 +100,7 @@
     },
 }
 
-/// Why an argument cannot be used.
+/// Error of parsing an argument.
 #[derive(Debug, thiserror::Error)]
 enum ArgumentError {
     #[error("none of {}", DeclarationKind::ALL.map(DeclarationKind::as_str).join(", "))]
@@ -114,7 +115,7 @@
     DeclarationKind::from_name(name).ok_or(ArgumentError::UnknownKind)
 }
 
-/// The time in ms since 1970.
+/// Parses an RFC 3339 time into milliseconds since 1970.
 fn parse_time_ms(text: &str) -> Result<u64, ArgumentError> {
     let time = DateTime::parse_from_rfc3339(text)?;
     u64::try_from(time.timestamp_millis()).map_err(|_| ArgumentError::TooEarly)
@@ -133,31 +134,31 @@
     }
 }
 
-/// What a verb prints.
+/// Output of a command.
 struct VerbOutput {
-    /// Without `--json`.
+    /// Lines printed without `--json`.
     lines: Vec<String>,
-    /// With `--json`.
+    /// Value printed with `--json`.
     json: Value,
 }
 
 impl VerbOutput {
-    fn done(what: &str, kind: DeclarationKind, name: &str) -> Self {
-        let json = json!({"kind": kind, "name": name, "done": what});
-        Self { lines: vec![format!("{kind} {name}: {what}")], json }
+    fn completed(outcome: &str, kind: DeclarationKind, name: &str) -> Self {
+        let json = json!({"kind": kind, "name": name, "done": outcome});
+        Self { lines: vec![format!("{kind} {name}: {outcome}")], json }
     }
 }
 
-/// Carries out a verb and prints its output.
+/// Executes an operator command and prints its output.
 ///
 /// # Errors
-/// The settings cannot be used, the verb is refused, or there is no answer.
+/// The settings are invalid, the command is rejected, or there is no answer.
 pub fn run_verb(verb: &Verb) -> Result<(), CliError> {
     let settings = Settings::load(&verb.common().config)?;
     let runtime = start_runtime()?;
     let listen = settings.listen.clone();
-    let operator = Operator::new(settings, KINDS, PATIENCE);
-    let output = runtime.block_on(carry_out(verb, &operator, &listen))?;
+    let operator = Operator::new(settings, KINDS, ANSWER_TIMEOUT);
+    let output = runtime.block_on(execute_verb(verb, &operator, &listen))?;
     if verb.common().json {
         println!("{}", output.json);
     } else {
@@ -166,24 +167,24 @@
     Ok(())
 }
 
-async fn carry_out(verb: &Verb, operator: &Operator, listen: &str) -> Result<VerbOutput, CliError> {
+async fn execute_verb(verb: &Verb, operator: &Operator, listen: &str) -> Result<VerbOutput, CliError> {
     match verb {
         Verb::Declare { kind, file, check, .. } => declare(operator, *kind, file, *check).await,
         Verb::Show { kind, name, .. } => show(operator, *kind, name.as_deref()).await,
         Verb::Remove { kind, name, .. } => {
             operator.remove(*kind, name).await?;
-            Ok(VerbOutput::done("removed", *kind, name))
+            Ok(VerbOutput::completed("removed", *kind, name))
         }
         Verb::Confirm { kind, name, .. } => {
             operator.apply_verb(*kind, "confirm", name, listen).await?;
-            Ok(VerbOutput::done("confirmed", *kind, name))
+            Ok(VerbOutput::completed("confirmed", *kind, name))
         }
         Verb::Reading { name, value, at, .. } => {
             operator.store_reading(name, *value, at.unwrap_or_else(time_of_day_ms)).await?;
-            Ok(VerbOutput::done("read", DeclarationKind::Reading, name))
+            Ok(VerbOutput::completed("read", DeclarationKind::Reading, name))
         }
         Verb::Rollout { step, name, node, .. } => {
-            let (verb, what) = match step {
+            let (verb, outcome) = match step {
                 RolloutVerb::Pause => ("pause", "paused"),
                 RolloutVerb::Resume => ("resume", "resumed"),
                 RolloutVerb::Back => ("back", "goes back"),
@@ -191,12 +192,12 @@
             };
             let node = node.as_deref().unwrap_or(listen);
             operator.apply_verb(DeclarationKind::Rollout, verb, name, node).await?;
-            Ok(VerbOutput::done(what, DeclarationKind::Rollout, name))
+            Ok(VerbOutput::completed(outcome, DeclarationKind::Rollout, name))
         }
     }
 }
 
-/// Declares the specs of a file, or only checks them.
+/// Declares the specs of a file, or only validates them.
 async fn declare(
     operator: &Operator,
     kind: DeclarationKind,
@@ -215,8 +216,8 @@
     }
     let written = operator.declare(kind, &specs).await?;
     let describe = |name: &String| {
-        let what = if written.contains(name) { "declared" } else { "is so already" };
-        format!("{kind} {name}: {what}")
+        let outcome = if written.contains(name) { "declared" } else { "is so already" };
+        format!("{kind} {name}: {outcome}")
     };
     Ok(VerbOutput { lines: specs.keys().map(describe).collect(), json: json!({"kind": kind, "declared": written}) })
 }
@@ -224,8 +225,8 @@
 async fn show(operator: &Operator, kind: Option<DeclarationKind>, name: Option<&str>) -> Result<VerbOutput, CliError> {
     let reports = operator.show(kind, name).await?;
     let describe = |report: &DeclarationReport| {
-        let head = format!("{} {}", report.kind, report.name);
-        std::iter::once(head).chain(report.lines.iter().map(|line| format!("  {line}"))).collect::<Vec<_>>()
+        let heading = format!("{} {}", report.kind, report.name);
+        std::iter::once(heading).chain(report.lines.iter().map(|line| format!("  {line}"))).collect::<Vec<_>>()
     };
     Ok(VerbOutput { lines: reports.iter().flat_map(describe).collect(), json: json!(reports) })
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,6 +1,7 @@
-//! One controller: builds the owners of its state, hands them to those who need them, and starts their loops.
+//! One controller: creates the owners of its state, passes them to their users, and starts their loops.
 //!
-//! Nothing below knows of this module. Which locks may be held together, and in which order, stands at `membership`.
+//! No other module of the controller depends on this one. `membership` documents which locks may be held together and
+//! in which order.
 
 mod state_owners;
 
@@ -32,15 +33,15 @@
 use crate::workers::{WorkerService, dispatch};
 use state_owners::StateOwners;
 
-/// One controller, whole.
+/// One controller with all its components.
 pub struct Controller {
-    /// The platform's settings, as checked at the start.
+    /// The platform's settings, validated at the start.
     pub settings: Arc<Settings>,
     /// The state service: its client, the watch cache and the read barrier.
     pub store: Arc<StateStore>,
     /// The machine types that the cloud offers.
     pub catalog: Arc<SharedCatalog>,
-    /// The election, and what this controller can prove.
+    /// The leader election, and proofs of leadership and freshness.
     pub membership: Arc<Membership>,
     /// The API for users.
     pub users: Arc<UserService>,
@@ -56,7 +57,7 @@
 }
 
 impl Controller {
-    /// A controller that does nothing before `start`.
+    /// Creates a controller that is inactive until [`Self::start`].
     pub fn new(settings: Settings, properties: Properties) -> Arc<Self> {
         let owners = StateOwners::new(settings, properties, Instant::now());
         let declarations = Arc::new(owners.declarations());
@@ -77,14 +78,14 @@
             leader: owners.leader,
             audit: owners.audit,
         });
-        // Weak, since the controller owns the membership that keeps this.
+        // A weak reference, since the controller owns the membership that holds this closure.
         let weak = Arc::downgrade(&controller);
         let start = move || Weak::upgrade(&weak).map(|this| this.start_leader_loops()).unwrap_or_default();
         controller.membership.set_leader_loops(start);
         controller
     }
 
-    /// Starts everything but the listener for users and workers.
+    /// Starts everything except the listener for users and workers.
     pub fn start(self: &Arc<Self>) {
         tokio::spawn(watch::run(self.store.clone(), self.membership.clone()));
         tokio::spawn(read_barrier::run(self.store.clone(), self.membership.clone()));
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Starts the loops that run while this controller leads.
+    /// Starts the loops that run while this controller is the leader.
     fn start_leader_loops(&self) -> Vec<AbortHandle> {
         vec![
             tokio::spawn(scheduling_loop::run(self.scheduler.clone())).abort_handle(),
@@ -128,44 +129,48 @@
         ]
     }
 
-    /// Entries of everything held that could grow, for operators and for tests: each follows open
-    /// work, machines or a fixed bound (docs/history.md).
+    /// Returns the number of entries in each collection that can grow, for operators and tests. Each is bounded by open
+    /// work, the number of machines or a constant (docs/history.md).
     pub fn entry_counts(&self) -> Vec<(&'static str, usize)> {
-        let mut held = Vec::new();
+        let mut counts = Vec::new();
         {
             let watch_cache = self.store.watch_cache();
-            held.push(("open_jobs", watch_cache.open_jobs().count()));
-            held.push(("open_tasks", watch_cache.open_work().tasks as usize));
-            held.push(("descriptions", watch_cache.ended_count()));
-            held.push(("declared", watch_cache.registry().entry_count()));
+            counts.push(("open_jobs", watch_cache.open_jobs().count()));
+            counts.push(("open_tasks", watch_cache.open_work().tasks as usize));
+            counts.push(("descriptions", watch_cache.ended_count()));
+            counts.push(("declared", watch_cache.registry().entry_count()));
         }
         let history = self.history.counts();
-        held.push(("audited", self.audit.remembered()));
-        held.extend([
+        counts.push(("audited", self.audit.remembered()));
+        counts.extend([
             ("ends", history.cached_ends),
             ("asked", history.queued_jobs),
             ("waiting", history.waiters),
             ("hidden", self.history.hidden_cancellations().remembered),
         ]);
-        held.push(("served", self.leader.accounting().entry_count()));
-        held.push(("in_admission", lock(&self.users.admission).waiting_count()));
-        held.extend(self.membership.entry_counts());
+        counts.push(("served", self.leader.accounting().entry_count()));
+        counts.push(("in_admission", lock(&self.users.admission).waiting_count()));
+        counts.extend(self.membership.entry_counts());
         if let Some(cluster) = self.leader.cluster().as_ref() {
-            held.extend(cluster.entry_counts());
+            counts.extend(cluster.entry_counts());
         }
-        held
+        counts
     }
 
-    /// Tells at `debug` what `held` gives.
+    /// Logs [`Self::entry_counts`] at `debug`.
     pub fn log_entry_counts(&self) {
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let held: Vec<String> = self.entry_counts().iter().map(|(what, n)| format!("{what}={n}")).collect();
-            debug!(entries = held.join(" "), "entry counts reported");
+            let counts: Vec<String> =
+                self.entry_counts().iter().map(|(name, count)| format!("{name}={count}")).collect();
+            debug!(entries = counts.join(" "), "entry counts reported");
         }
     }
 }
 
-/// The whole controller on the current thread, until it is killed.
+/// Runs a controller on the current thread until it is killed.
+///
+/// # Errors
+/// The runtime cannot be started or the API listener fails.
 pub fn serve(settings: Settings, properties: Properties) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -175,7 +180,8 @@
             incarnation = controller.membership.incarnation,
             "controller started"
         );
-        // The address first: whoever had it under this name is gone, which membership goes by.
+        // Binds the address first: success proves that an earlier process of this name is gone, which membership relies
+        // on.
         let outcome = async {
             let acceptor = crate::users::bind(&controller.users).await?;
             controller.start();
--- a/src/controller/state_owners.rs
+++ b/src/controller/state_owners.rs
@@ -1,4 +1,4 @@
-//! The owners of the state of one controller, and the handles that each slice gets of them.
+//! The owners of the state of one controller, and the handles to them that each component gets.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -23,7 +23,7 @@
 use crate::wakeups::Wakeups;
 use crate::workers::WorkerService;
 
-/// Every owner of state, once.
+/// All owners of state of one controller.
 pub(super) struct StateOwners {
     pub settings: Arc<Settings>,
     pub properties: Arc<Properties>,
@@ -39,7 +39,7 @@
 }
 
 impl StateOwners {
-    /// Nothing is read, heard or led yet.
+    /// Creates the owners in their initial state, before anything is read or received and without leadership.
     pub(super) fn new(settings: Settings, properties: Properties, now: Instant) -> Self {
         let (settings, properties) = (Arc::new(settings), Arc::new(properties));
         let http = Http::default();
@@ -63,7 +63,7 @@
         Self { settings, properties, http, traffic, wakeups, catalog, store, history, leader, membership, audit }
     }
 
-    /// What the driver of declarations works with.
+    /// Creates the state of the declarations loop.
     pub(super) fn declarations(&self) -> DeclarationState {
         DeclarationState {
             store: self.store.clone(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What the scheduling loop works with.
+    /// Creates the state of the scheduling loop.
     pub(super) fn scheduler(&self, intents: Arc<DeclarationState>) -> Scheduler {
         Scheduler {
             settings: self.settings.clone(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What the group commit works with.
+    /// Creates the state of the group commit.
     pub(super) fn group_commit(&self) -> GroupCommit {
         GroupCommit {
             settings: self.settings.clone(),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What the communication with workers works with.
+    /// Creates the service that communicates with workers.
     pub(super) fn workers(&self) -> WorkerService {
         WorkerService {
             settings: self.settings.clone(),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What the fleet's loops work with.
+    /// Creates the state of the fleet's loops.
     pub(super) fn fleet(&self) -> Fleet {
         Fleet {
             settings: self.settings.clone(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What the API for users works with.
+    /// Creates the service behind the API for users.
     pub(super) fn users(&self, workers: Arc<WorkerService>) -> UserService {
         UserService {
             settings: self.settings.clone(),
@@ -144,7 +144,7 @@
     }
 }
 
-/// The state service, with what a controller begins with of its limits.
+/// Creates the handle of the state service, with a controller's initial share of the service's rate limits.
 fn state_store(settings: &Settings, http: Http, traffic: Arc<Traffic>, now: Instant) -> StateStore {
     let (limits, others) = (&settings.params.state, settings.peers.len());
     let requests = initial_budget(REQUEST_SHARES, limits.rps, others, now);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon and its command line: everything of substance lives in the library.
+//! Entry point of the daemon and its command line; the library contains the implementation.
 
 use std::process::ExitCode;
 
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -1,25 +1,26 @@
-//! Steps of a loop that are due at intervals. The loop passes the time in, so that a schedule is a function of it.
+//! Steps of a loop that are due at intervals. The loop passes the current time in, so that a schedule depends on
+//! nothing else.
 
 use std::time::{Duration, Instant};
 
-/// One periodic step: how often it is taken, and when it is due next.
+/// Schedule of one periodic step: its interval and when it is due next.
 #[derive(Debug, Clone, Copy)]
 pub struct Periodic {
-    every: Duration,
+    interval: Duration,
     due_at: Instant,
 }
 
 impl Periodic {
-    /// A step that is due at once, and from then on at intervals of `every`.
+    /// Creates a step that is due at once, and from then on at intervals of `interval`.
     #[must_use]
-    pub fn due_at_once(every: Duration, now: Instant) -> Self {
-        Self { every, due_at: now }
+    pub fn due_at_once(interval: Duration, now: Instant) -> Self {
+        Self { interval, due_at: now }
     }
 
-    /// A step that is first due after one interval.
+    /// Creates a step that is first due after one interval.
     #[must_use]
-    pub fn due_after_interval(every: Duration, now: Instant) -> Self {
-        Self { every, due_at: now + every }
+    pub fn due_after_interval(interval: Duration, now: Instant) -> Self {
+        Self { interval, due_at: now + interval }
     }
 
     /// Whether the step is due.
@@ -28,17 +29,17 @@
         now >= self.due_at
     }
 
-    /// The step is taken now: it is due again after one interval.
+    /// Records that the step is taken now: it is due again after one interval.
     pub fn restart(&mut self, now: Instant) {
         self.restart_after(now, Duration::ZERO);
     }
 
-    /// The step is taken now: it is due again after one interval, or after `least` if that is longer.
-    pub fn restart_after(&mut self, now: Instant, least: Duration) {
-        self.due_at = now + self.every.max(least);
+    /// Records that the step is taken now: it is due again after one interval, or after `min_pause` if that is longer.
+    pub fn restart_after(&mut self, now: Instant, min_pause: Duration) {
+        self.due_at = now + self.interval.max(min_pause);
     }
 
-    /// Whether the step is due; if so it counts as taken now.
+    /// Returns whether the step is due; if so, records that it is taken now.
     #[must_use]
     pub fn take_due(&mut self, now: Instant) -> bool {
         let due = self.is_due(now);
--- a/src/process_pause.rs
+++ b/src/process_pause.rs
@@ -1,79 +1,82 @@
-//! Detects pauses of this process, in one place, for everything that judges by time.
+//! Detects pauses of this process, in one place, for all decisions that are based on time.
 //!
-//! A process that was stopped while its clocks ran on finds every timer due at once, every lease and every silence too
-//! long, and old answers in its sockets. None of that is evidence against anybody else, since it was this process that
-//! was absent; and what was begun before the pause proves nothing after it.
+//! After a process was stopped while its clocks ran on, all its timers are due at once, every lease and every silence
+//! seems too long, and old answers wait in its sockets. None of that is evidence that another process failed, since
+//! this one was absent; and a proof that was begun before the pause is not valid after it.
 
 use std::time::{Duration, Instant};
 
-/// Beats come this often; any judge by time beats as well, so none judges before the pause is known.
+/// Interval of the checks for a pause. Every decision based on time checks as well, so that none is made before the
+/// pause is known.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Without a beat for this long the process was paused. A share of a slice of a core holds single turns
-/// up for a second at the most (docs/measurements.md).
+/// Minimum time between two checks that counts as a pause. On a fraction of a core a single turn of the event loop is
+/// delayed by one second at most (docs/measurements.md).
 pub const MIN_PAUSE: Duration = Duration::from_millis(2000);
-/// Workers need about this long to tell a controller that was absent what has happened.
+/// Time that workers need after a pause to report their state to this controller.
 const CONFIRMATION_TIME: Duration = Duration::from_secs(5);
-/// Of the time a cancelled task has to be gone in: past this part nothing is waited for any more.
+/// Fraction of the cancellation deadline after which the controller waits no longer for proof that a cancelled task has
+/// stopped.
 pub const MAX_PROOF_WAIT_RATIO: f64 = 0.75;
-/// Questions read so soon after a pause were mostly asked within it.
+/// Time after a pause within which most of the requests read were sent during the pause.
 const STALE_REQUEST_WINDOW: Duration = Duration::from_millis(300);
-/// A question is given up by its user after this long.
+/// Time after which users abandon a request.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A time in which this process did not run.
+/// An interval in which this process did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessPause {
-    /// The last moment at which it is known to have run before.
+    /// Last moment before the pause at which the process is known to have run.
     pub began: Instant,
-    /// The first moment at which it ran again.
+    /// First moment at which the process ran again.
     pub ended: Instant,
 }
 
-/// What of all that was judged before a pause is void after it.
+/// The assumptions from before a pause that its length invalidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Invalidated {
-    /// Whether this controller still holds the lease and leads has to be proven before it acts or answers.
+    /// Whether this controller must prove again that it holds the lease and leads, before it acts or answers.
     pub leadership: bool,
-    /// Questions that lie in the sockets were given up by those who asked.
+    /// Whether the requests waiting in the sockets were abandoned by their users.
     pub requests: bool,
 }
 
 impl ProcessPause {
-    /// How long it lasted.
+    /// Length of the pause.
     pub fn length(&self) -> Duration {
         self.ended.saturating_duration_since(self.began)
     }
 
-    /// Proofs of freshness, silence and idleness of machines are void after any pause; this is what
-    /// depends on its length.
+    /// Returns the assumptions that this pause invalidates because of its length. Proofs of freshness, and the silence
+    /// and idle times of machines, are invalidated by any pause.
     pub fn invalidated(&self, election_lease: Duration) -> Invalidated {
-        // The lease was renewed up to a quarter of it before the pause began.
+        // The last renewal may precede the pause by up to a quarter of the lease.
         Invalidated {
             leadership: self.length() >= election_lease.mul_f64(0.75),
             requests: self.length() >= USER_TIMEOUT,
         }
     }
 
-    /// A moment before the pause, as one judges by how long ago it was for a process that was there.
+    /// Shifts a moment before the pause by the pause's length, up to its end, so that the time elapsed since then does
+    /// not include the pause.
     pub fn shift_instant(&self, at: Instant) -> Instant {
         if at >= self.ended { at } else { (at + self.length()).min(self.ended) }
     }
 
-    /// Whether a machine that has not proven a cancelled task gone may be judged by that now. `at`: when
-    /// the cancellation was heard of; `allowed`: the time in which the task must be gone.
-    pub fn is_proof_due(&self, at: Instant, allowed: Duration, now: Instant) -> bool {
-        at >= self.ended
+    /// Whether a missing proof that a cancelled task has stopped may now count against its machine. `cancelled_at` is
+    /// when the cancellation became known; `allowed` is the time within which the task must have stopped.
+    pub fn is_proof_due(&self, cancelled_at: Instant, allowed: Duration, now: Instant) -> bool {
+        cancelled_at >= self.ended
             || now >= self.ended + CONFIRMATION_TIME
-            || now.saturating_duration_since(at) >= allowed.mul_f64(MAX_PROOF_WAIT_RATIO)
+            || now.saturating_duration_since(cancelled_at) >= allowed.mul_f64(MAX_PROOF_WAIT_RATIO)
     }
 
-    /// Whether a question read now was most likely asked within the pause.
+    /// Whether a request read now was most likely sent during the pause.
     pub fn is_stale_request(&self, now: Instant) -> bool {
         self.length() >= USER_TIMEOUT && now.saturating_duration_since(self.ended) <= STALE_REQUEST_WINDOW
     }
 }
 
-/// Notices pauses.
+/// Detects pauses by the time between two checks.
 #[derive(Debug)]
 pub struct PauseDetector {
     last_check: Instant,
@@ -82,12 +85,13 @@
 }
 
 impl PauseDetector {
-    /// A process that runs at this moment.
+    /// Creates a detector for a process that runs at this moment.
     pub fn new(now: Instant) -> Self {
         Self { last_check: now, last: None, pauses: 0 }
     }
 
-    /// To be called every `CHECK_INTERVAL` and before anything is judged by time: the pause, if one has just ended.
+    /// Returns the pause that has just ended, if any. Must be called every `CHECK_INTERVAL` and before any decision
+    /// based on time.
     pub fn detect(&mut self, now: Instant) -> Option<ProcessPause> {
         let pause = ProcessPause { began: self.last_check, ended: now };
         self.last_check = self.last_check.max(now);
@@ -99,12 +103,12 @@
         Some(pause)
     }
 
-    /// The latest pause, if there was any.
+    /// Returns the latest pause, if any.
     pub fn last(&self) -> Option<ProcessPause> {
         self.last
     }
 
-    /// How often the process was paused: what spans a change of this proves nothing.
+    /// Returns the number of pauses so far. A proof is not valid if this number changed while it was obtained.
     pub fn pauses(&self) -> u64 {
         self.pauses
     }
--- a/src/process_pause/tests.rs
+++ b/src/process_pause/tests.rs
@@ -5,11 +5,11 @@
 }
 
 #[test]
-fn what_is_void_by_cases() {
+fn longer_pauses_invalidate_leadership_and_requests() {
     let lease = s(3.0);
     for (name, length, pause, leadership, requests) in [
-        ("a busy turn", 0.9, false, false, false),
-        ("just noticed", 2.1, true, false, true),
+        ("a slow turn of the event loop", 0.9, false, false, false),
+        ("just long enough", 2.1, true, false, true),
         ("most of the lease", 2.4, true, true, true),
         ("past the lease", 5.0, true, true, true),
         ("a minute", 60.0, true, true, true),
@@ -22,7 +22,7 @@
         assert_eq!(
             pause_detector.detect(start + CHECK_INTERVAL + s(length) + CHECK_INTERVAL),
             None,
-            "{name}: told once"
+            "{name}: reported once"
         );
         if let Some(got) = got {
             assert_eq!(got.invalidated(lease), Invalidated { leadership, requests }, "{name}");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn absence_is_no_evidence_by_cases() {
+fn time_paused_does_not_count_as_silence_or_missing_proof() {
     let start = Instant::now();
     let pause = ProcessPause { began: start + s(100.0), ended: start + s(140.0) };
     for (name, at, as_of) in [
@@ -42,13 +42,13 @@
     ] {
         assert_eq!(pause.shift_instant(start + s(at)), start + s(as_of), "{name}");
     }
-    // A cancellation has 49 s; without a pause its proof is asked for after 22.
+    // The cancellation deadline is 49 s; without a pause the proof is required after 22 s.
     for (name, at, now, due) in [
-        ("withdrawn before, just back", 95.0, 141.0, true),
-        ("withdrawn shortly before, workers have not been heard", 120.0, 141.0, false),
+        ("cancelled before, just resumed", 95.0, 141.0, true),
+        ("cancelled shortly before, no heartbeats since", 120.0, 141.0, false),
         ("the same, 5 s later", 120.0, 145.0, true),
         ("the same, with hardly any time left", 103.0, 141.0, true),
-        ("withdrawn since", 141.0, 142.0, true),
+        ("cancelled since", 141.0, 142.0, true),
     ] {
         assert_eq!(pause.is_proof_due(start + s(at), s(49.0), start + s(now)), due, "{name}");
     }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,12 +1,13 @@
-//! Counts of requests and messages of this controller, logged once a second at `debug`: after an incident operators
-//! see whether clients, workers or controllers came back all at once.
+//! Counts of requests and messages of this controller, logged once a second at `debug`. After an incident they show
+//! operators whether clients, workers or controllers reconnected all at once.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use tracing::debug;
 
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between two log lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 macro_rules! call_kinds {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal,)+) => {
@@ -14,7 +15,8 @@
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum CallKind { $($(#[doc = $doc])+ $variant,)+ }
 
-        const NAMES: &[&str] = &[$($name,)+];
+        /// Names of the kinds in the log.
+        const CALL_KIND_NAMES: &[&str] = &[$($name,)+];
     };
 }
 
@@ -27,21 +29,21 @@
     StoreRefused = "store_refused",
     /// Requests sent to the cloud.
     CloudCall = "cloud_calls",
-    /// Commands sent straight to workers.
+    /// Commands sent directly to workers.
     Command = "commands",
-    /// Workers' reports that were taken in.
+    /// Heartbeats of workers that were accepted.
     Heartbeat = "reports",
-    /// Heartbeats sent on to another controller, or away.
+    /// Heartbeats redirected to another controller, or rejected.
     HeartbeatElsewhere = "reports_elsewhere",
-    /// Users' requests that got what they asked for.
+    /// Users' requests that were answered.
     Answered = "answered",
-    /// Users' requests told to come again.
+    /// Users' requests that were told to retry later.
     Later = "later",
 }
 
-/// Counts since they were last told.
+/// Counts of calls by kind since they were last logged.
 #[derive(Debug)]
-pub struct Traffic([AtomicU64; NAMES.len()]);
+pub struct Traffic([AtomicU64; CALL_KIND_NAMES.len()]);
 
 impl Default for Traffic {
     fn default() -> Self {
@@ -50,29 +52,30 @@
 }
 
 impl Traffic {
-    /// Counts one.
+    /// Counts one call.
     pub fn count(&self, kind: CallKind) {
         self.add(kind, 1);
     }
 
-    /// Counts several.
+    /// Counts `n` calls.
     pub fn add(&self, kind: CallKind, n: u64) {
         self.0[kind as usize].fetch_add(n, Ordering::Relaxed);
     }
 
-    /// What has passed since the last call, by name; what has not is left out.
-    pub fn take(&self) -> Vec<(&'static str, u64)> {
+    /// Returns the counts by name and resets them; kinds without calls are left out.
+    pub fn take_counts(&self) -> Vec<(&'static str, u64)> {
         let counts = self.0.iter().map(|count| count.swap(0, Ordering::Relaxed));
-        NAMES.iter().copied().zip(counts).filter(|(_, n)| *n > 0).collect()
+        CALL_KIND_NAMES.iter().copied().zip(counts).filter(|(_, n)| *n > 0).collect()
     }
 
-    /// Tells for ever, if anybody listens.
+    /// Logs the counts at intervals for as long as the level `debug` is enabled.
     pub async fn run(&self) {
         while tracing::enabled!(tracing::Level::DEBUG) {
-            tokio::time::sleep(EVERY).await;
-            let passed: Vec<String> = self.take().iter().map(|(what, n)| format!("{what}={n}")).collect();
-            if !passed.is_empty() {
-                debug!(traffic = passed.join(" "), "traffic reported");
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            let counts: Vec<String> =
+                self.take_counts().iter().map(|(name, count)| format!("{name}={count}")).collect();
+            if !counts.is_empty() {
+                debug!(traffic = counts.join(" "), "traffic reported");
             }
         }
     }
--- a/src/traffic/tests.rs
+++ b/src/traffic/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn what_passed_is_told_once() {
+fn taking_counts_returns_and_resets_them() {
     let traffic = Traffic::default();
     traffic.count(CallKind::Later);
     traffic.add(CallKind::StoreChange, 24);
     traffic.count(CallKind::Later);
-    assert_eq!(traffic.take(), [("store_changes", 24), ("later", 2)]);
-    assert_eq!(traffic.take(), []);
+    assert_eq!(traffic.take_counts(), [("store_changes", 24), ("later", 2)]);
+    assert_eq!(traffic.take_counts(), []);
 }
--- a/src/wakeups.rs
+++ b/src/wakeups.rs
@@ -1,24 +1,25 @@
-//! Notifications between the tasks of one controller: whoever changes something wakes the loops that act on it.
+//! Notifications between the tasks of one controller: code that changes shared state wakes the loops that act on it.
 
 use tokio::sync::{Notify, watch};
 
-/// One notification for each loop that waits for changes. A loop also looks again by itself after a while, so that a
-/// missed notification costs time and nothing else.
+/// One notification for each loop that waits for changes. Every loop also runs again after a timeout, so that a missed
+/// notification only causes a delay.
 #[derive(Default)]
 pub struct Wakeups {
     /// Wakes the election (`membership::run`): the leader, the lease holder or this process's own proofs may have
     /// changed.
     pub membership: Notify,
-    /// Wakes placement (`scheduling::run`): heartbeats, jobs or what is stored changed.
+    /// Wakes placement (`scheduling::run`): heartbeats, jobs or stored state changed.
     pub plan: Notify,
-    /// Wakes the group commit: the cluster state has something to store.
+    /// Wakes the group commit: the cluster state has unsaved changes.
     pub commit: Notify,
     /// Wakes `workers::dispatch`: commands may be due.
     pub dispatch: Notify,
-    /// Wakes `fleet`: what to scale out or in may have changed.
+    /// Wakes `fleet`: the machines to scale out or in may have changed.
     pub fleet: Notify,
-    /// Wakes the driver of declarations (`declarations::run`): a specification or a status changed.
+    /// Wakes the declarations loop (`declarations::run`): a specification or a status changed.
     pub declarations: Notify,
-    /// The cancellation watermark is to be sent to the other controllers at once (`membership::mesh`).
+    /// Wakes the connections to the other controllers (`membership::mesh`): the cancellation watermark is to be sent at
+    /// once.
     pub mesh: watch::Sender<()>,
 }
