--- a/src/heat/backlog.rs
+++ b/src/heat/backlog.rs
@@ -30,8 +30,8 @@
 }
 
 impl Backlog {
-    /// Counts the named jobs that are waiting. A job whose tasks were lost with their machine counts as waiting from that
-    /// time on. Quarantined jobs, which fail on every machine, are left out: failure attribution reports them.
+    /// Counts the named jobs that are waiting. A job whose tasks were lost with their machine counts as waiting from
+    /// that time on. Quarantined jobs, which fail on every machine, are left out: failure attribution reports them.
     pub fn count(cluster: &ClusterState, named_work: &ClassTeamSet, now: Instant, now_ms: u64) -> Self {
         let mut backlog = Self { as_of_ms: now_ms, ..Self::default() };
         let mut longest: Option<(Duration, &JobId)> = None;
@@ -66,7 +66,8 @@
     /// Returns the backlog to store as the next report, or `None` while no report is due.
     pub fn next_report(before: Option<&Self>, now: Self) -> Option<Self> {
         let Some(before) = before else { return (now.stage > 0).then_some(now) };
-        // Report immediately when a further stage is reached and when the backlog is empty again; otherwise at intervals.
+        // Report immediately when a further stage is reached and when the backlog is empty again; otherwise at
+        // intervals.
         let interval_passed = now.as_of_ms.abs_diff(before.as_of_ms) >= REPORT_INTERVAL_MS;
         let is_due = now.stage > before.stage
             || (before.jobs > 0 && (now.jobs == 0 || interval_passed))
--- a/src/heat/decide.rs
+++ b/src/heat/decide.rs
@@ -99,7 +99,8 @@
 }
 
 impl HeatStatus {
-    /// Returns whether the rule applies at the given time. The rule ends on time even if no leader can store the change.
+    /// Returns whether the rule applies at the given time. The rule ends on time even if no leader can store the
+    /// change.
     pub fn applies_at(&self, now_ms: u64) -> bool {
         self.on && now_ms < self.until_ms && self.since_ms <= now_ms.saturating_add(MAX_CLOCK_SKEW_MS)
     }
@@ -112,8 +113,8 @@
         next
     }
 
-    /// Returns when and why a rule that is on switches off by itself: at the end of its active hours or after its maximum
-    /// duration, whichever comes first.
+    /// Returns when and why a rule that is on switches off by itself: at the end of its active hours or after its
+    /// maximum duration, whichever comes first.
     fn scheduled_end(rule: &HeatRule, since_ms: u64) -> Option<(u64, HeatReason)> {
         let hours = rule.hours_at(since_ms)?;
         let max_duration_end_ms = since_ms.saturating_add(rule.longest_ms());
--- a/src/heat/rule.rs
+++ b/src/heat/rule.rs
@@ -40,24 +40,24 @@
     /// Teams whose jobs are prioritized.
     #[serde(default)]
     pub teams: Vec<String>,
-    /// Start of the active hours, as a local time of day (see `offset_min`). If `to` is not later than `from`, the hours
-    /// end on the next day.
+    /// Start of the active hours, as a local time of day (see `offset_min`). If `to` is not later than `from`, the
+    /// hours end on the next day.
     pub from: NaiveTime,
     /// End of the active hours, exclusive, as a local time of day.
     pub to: NaiveTime,
     /// Offset of local time from UTC in minutes, positive east of Greenwich.
     #[serde(default)]
     pub offset_min: i32,
-    /// Names of the readings to evaluate. The rule switches on when their median is above `hot_above` and off when it is
-    /// below `over_below`; between the two thresholds it keeps its state (hysteresis).
+    /// Names of the readings to evaluate. The rule switches on when their median is above `hot_above` and off when it
+    /// is below `over_below`; between the two thresholds it keeps its state (hysteresis).
     #[serde(default)]
     pub sensors: Vec<String>,
     /// Upper threshold: a median above this value is hot.
     pub hot_above: Option<f64>,
     /// Lower threshold: a median below this value switches the rule off.
     pub over_below: Option<f64>,
-    /// Local days on which the active hours are hot regardless of readings. Hours that pass midnight belong to the day on
-    /// which they begin.
+    /// Local days on which the active hours are hot regardless of readings. Hours that pass midnight belong to the day
+    /// on which they begin.
     #[serde(default)]
     pub hot_days: Vec<NaiveDate>,
     /// Maximum age of a reading in seconds; older readings are ignored.
--- a/src/heat/tests/interleaved_simulation.rs
+++ b/src/heat/tests/interleaved_simulation.rs
@@ -1,5 +1,6 @@
-//! Simulation of three controllers with differing clocks and changing leadership, one store, and contradictory readings.
-//! Transactions are delayed, duplicated or lost. Every stored change must be decided once, and decisions must continue.
+//! Simulation of three controllers with differing clocks and changing leadership, one store, and contradictory
+//! readings. Transactions are delayed, duplicated or lost. Every stored change must be decided once, and decisions must
+//! continue.
 
 use rand::Rng;
 use serde_json::to_value;
--- a/src/heat/tests/mod.rs
+++ b/src/heat/tests/mod.rs
@@ -83,8 +83,8 @@
 
 #[test]
 fn hours_at_returns_the_active_hours_containing_a_time() {
-    // (name, from, to, offset in minutes, minutes since MIDNIGHT_MS, expected local day with begin and end in hours since
-    // MIDNIGHT_MS)
+    // (name, from, to, offset in minutes, minutes since MIDNIGHT_MS, expected local day with begin and end in hours
+    // since MIDNIGHT_MS)
     type Case = (&'static str, &'static str, &'static str, i32, i64, Option<(&'static str, i64, i64)>);
     let h = 60;
     let cases: [Case; 9] = [
--- a/src/rollouts/describe.rs
+++ b/src/rollouts/describe.rs
@@ -14,10 +14,10 @@
     }
     let counts = &status.failure_counts;
     if counts.new > 0 {
-        let (sound_machines, max_failures) = (counts.failed_on.iter().filter(|f| !f.faulty).count(), spec.bad.failures);
+        let (on_sound, max_machines) = (counts.failed_on.iter().filter(|f| !f.faulty).count(), spec.bad.failures);
         let (new, restarts, old) = (counts.new, spec.bad.restarts, counts.old);
         lines.push(format!(
-            "  against it: {sound_machines} of {max_failures} machines, {new} of {restarts} failures; the old one's {old}"
+            "  against it: {on_sound} of {max_machines} machines, {new} of {restarts} failures; the old one's {old}"
         ));
     }
     if status.phase.has_begun() && [&spec.old, &spec.new] != status.jobs(spec) {
--- a/src/rollouts/feasibility.rs
+++ b/src/rollouts/feasibility.rs
@@ -1,5 +1,5 @@
-//! Checks whether a rollout can begin or continue as declared. It cannot if another rollout holds one of its jobs, a job
-//! is unsuitable, or the team's limits are too low.
+//! Checks whether a rollout can begin or continue as declared. It cannot if another rollout holds one of its jobs, a
+//! job is unsuitable, or the team's limits are too low.
 
 use std::collections::BTreeSet;
 
@@ -16,9 +16,9 @@
     if status.phase.has_begun() { conflicting } else { conflicting.or_else(|| find_unsuitable_job(spec, view)) }
 }
 
-/// Finds another rollout that takes precedence and holds one of the jobs. A rollout that has begun keeps its jobs. Among
-/// those that have not, the one declared first takes precedence, so that every leader decides alike. If two have begun
-/// before either was known to the leader, neither has stopped a replica yet, and the first by name continues.
+/// Finds another rollout that takes precedence and holds one of the jobs. A rollout that has begun keeps its jobs.
+/// Among those that have not, the one declared first takes precedence, so that every leader decides alike. If two have
+/// begun before either was known to the leader, neither has stopped a replica yet, and the first by name continues.
 fn find_conflicting_rollout(
     name: &str,
     spec: &RolloutSpec,
--- a/src/rollouts/observation.rs
+++ b/src/rollouts/observation.rs
@@ -34,8 +34,8 @@
     /// Whether the machine is about to be reclaimed or returned.
     pub machine_leaving: bool,
     /// Whether the replica is running and expected to keep running: its machine has sent a heartbeat recently, is not
-    /// about to be reclaimed or returned, and has seen a fencing token of this leader, so that a stop order of an earlier
-    /// leader can no longer take effect.
+    /// about to be reclaimed or returned, and has seen a fencing token of this leader, so that a stop order of an
+    /// earlier leader can no longer take effect.
     pub confirmed_running: bool,
     /// Time in seconds for which this leader has known the replica to be running.
     pub running_s: f64,
--- a/src/rollouts/status/tests.rs
+++ b/src/rollouts/status/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::rollouts::spec::MAX_REPLICAS;
 
-/// A status must fit the smallest value limit of supported stores (8 KiB), also with the longest list of replica ranges.
+/// A status must fit the smallest value limit of supported stores (8 KiB), also with the longest list of replica
+/// ranges.
 #[test]
 fn status_round_trips_and_fits_a_store_value() {
     let odd_indexes = ReplicaIndexes((0..MAX_REPLICAS).filter(|n| n % 2 == 1).collect());
--- a/src/rollouts/step.rs
+++ b/src/rollouts/step.rs
@@ -1,8 +1,8 @@
 //! Decides the next status of a rollout: a pure function of the specification, the stored status and the observation.
 //!
-//! A replica that is to stop never counts as capacity, whether or not it has stopped yet, so it does not matter when, or
-//! by which leader, the stop is carried out. A replica is chosen to stop only while enough others, which are not to stop,
-//! are confirmed to be running.
+//! A replica that is to stop never counts as capacity, whether or not it has stopped yet, so it does not matter when,
+//! or by which leader, the stop is carried out. A replica is chosen to stop only while enough others, which are not to
+//! stop, are confirmed to be running.
 
 use std::collections::BTreeSet;
 
@@ -48,8 +48,8 @@
     observed.old.serving(&allowed_old(status, observed)).len() + observed.new.serving(&status.allowed_new.0).len()
 }
 
-/// Returns the number of replicas that must be running at any time; during and after a rollback, no more than the old job
-/// has.
+/// Returns the number of replicas that must be running at any time; during and after a rollback, no more than the old
+/// job has.
 pub fn min_available(spec: &RolloutSpec, status: &RolloutStatus, observed: &RolloutObservation) -> usize {
     let min_available = spec.min_available();
     let back = matches!(status.phase, RolloutPhase::GoingBack | RolloutPhase::Back);
@@ -85,13 +85,13 @@
             return self.roll_forward("the old version's job is over");
         }
         let phase = self.status.phase;
-        let is_rolled_back = matches!(phase, RolloutPhase::GoingBack | RolloutPhase::Back);
+        let is_rollback = matches!(phase, RolloutPhase::GoingBack | RolloutPhase::Back);
         match self.spec.goal {
             RolloutGoal::Back => self.roll_back("the operator wants it"),
-            RolloutGoal::Paused if is_rolled_back && phase == RolloutPhase::Back || phase == RolloutPhase::Done => {}
+            RolloutGoal::Paused if is_rollback && phase == RolloutPhase::Back || phase == RolloutPhase::Done => {}
             RolloutGoal::Paused => self.pause("the operator wants it"),
             // An automatic rollback or pause stands until the operator makes a new request.
-            RolloutGoal::Forward | RolloutGoal::Finish if is_rolled_back && !new_request => {
+            RolloutGoal::Forward | RolloutGoal::Finish if is_rollback && !new_request => {
                 let reason = self.status.reason.clone();
                 self.roll_back(&reason);
             }
@@ -174,8 +174,8 @@
             return serving < min_available;
         }
         let (allowed, old, new) = (self.allowed_old(), &self.observed.old, &self.observed.new);
-        // Only replicas known to be lost are replaced: a new leader, which has no heartbeats yet, would otherwise restore
-        // old replicas each time.
+        // Only replicas known to be lost are replaced: a new leader, which has no heartbeats yet, would otherwise
+        // restore old replicas each time.
         let remaining = old.count_not_lost(&allowed);
         let pending = allowed.len() - remaining;
         for _ in pending..min_available.saturating_sub(remaining + new.count_not_lost(&self.status.allowed_new.0)) {
@@ -288,8 +288,8 @@
         }
     }
 
-    /// Stops old replicas that are replaced by ready new ones: first those that do not serve, then those whose zone keeps
-    /// another replica.
+    /// Stops old replicas that are replaced by ready new ones: first those that do not serve, then those whose zone
+    /// keeps another replica.
     fn shrink_old(&mut self, target: u32) {
         let (spec, observed) = (self.spec, self.observed);
         let ready = self.ready_new();
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -74,7 +74,8 @@
         self.put_record(&spec_key(DeclarationKind::Rollout, name), spec);
     }
 
-    /// Sends a heartbeat from every machine: all bound replicas are running, except those ordered to stop, which are gone.
+    /// Sends a heartbeat from every machine: all bound replicas are running, except those ordered to stop, which are
+    /// gone.
     fn heartbeat(&mut self) {
         self.seq += 1;
         for n in 0..4 {
@@ -125,8 +126,8 @@
         })
     }
 
-    /// Runs one round like the leader's task: intents from the stored statuses, next statuses, then placement. Returns the
-    /// placed tasks.
+    /// Runs one round like the leader's task: intents from the stored statuses, next statuses, then placement. Returns
+    /// the placed tasks.
     fn run_round(&mut self) -> Vec<String> {
         let names: Vec<String> = self.registry.names_of_kind(DeclarationKind::Rollout).map(str::to_owned).collect();
         let mut intents = Intents::default();
--- a/src/rollouts/tests/mod.rs
+++ b/src/rollouts/tests/mod.rs
@@ -26,8 +26,8 @@
     ObservedReplica { running: true, confirmed_running: true, running_s, bound_s: running_s, ..responsive }
 }
 
-/// Returns an open job with the given replicas as (index, zone, seconds running). With 0 seconds the replica is bound but
-/// not running.
+/// Returns an open job with the given replicas as (index, zone, seconds running). With 0 seconds the replica is bound
+/// but not running.
 fn observed_job(tasks: u32, replicas: &[(u32, &str, f64)]) -> ObservedJob {
     let replica = |(index, zone, ran): &(u32, &str, f64)| {
         let mut replica = running(*ran, zone);
@@ -80,8 +80,8 @@
     use RolloutPhase::*;
     type Change = fn(&mut RolloutSpec, &mut RolloutObservation, &mut RolloutStatus);
     type Replicas = &'static [(u32, &'static str, f64)];
-    // (name, (phase, step, old replicas to stop, new replicas allowed), (bound old replicas, bound new replicas), change,
-    // expected (phase, old replicas to stop, new replicas allowed))
+    // (name, (phase, step, old replicas to stop, new replicas allowed), (bound old replicas, bound new replicas),
+    // change, expected (phase, old replicas to stop, new replicas allowed))
     type Case = (
         &'static str,
         (RolloutPhase, u32, &'static [u32], &'static [u32]),
@@ -369,8 +369,8 @@
 fn failures_are_attributed_to_version_machines_or_both() {
     use RolloutPhase::{GoingBack, Growing, Paused};
     let failed_machine = |n: u32, t: &str| failed_on(format!("m{n}"), t);
-    // (name, (new failures, old failures), machines with types, quarantined machines, change, expected phase, text expected
-    // in the reason)
+    // (name, (new failures, old failures), machines with types, quarantined machines, change, expected phase, text
+    // expected in the reason)
     type Case<'a> =
         (&'a str, (u64, u64), &'a [(u32, &'a str)], &'a [u32], fn(&mut RolloutObservation), RolloutPhase, &'a str);
     let three: &[(u32, &str)] = &[(1, "g8"), (2, "g8"), (3, "g4")];
@@ -417,7 +417,8 @@
     }
 }
 
-/// A new leader's count starts at zero. It must not count stored failures twice, nor the same failures at each evaluation.
+/// A new leader's count starts at zero. It must not count stored failures twice, nor the same failures at each
+/// evaluation.
 #[test]
 fn failures_are_counted_once_across_leaders() {
     let mut observed = observed(&OLD, &[]);
@@ -442,7 +443,8 @@
     let new = [(0, "a", 50.0)];
     let growing = status(RolloutPhase::Growing, 0, &[3], &[0]);
     assert_eq!(intents(&growing, &observed(&OLD, &new)), [Some((3, set(&[3]))), Some((1, set(&[1, 2, 3])))]);
-    // Replicas were lost after the decision: those to stop keep running if they still do, and are not placed again if not.
+    // Replicas were lost after the decision: those to stop keep running if they still do, and are not placed again if
+    // not.
     assert_eq!(intents(&growing, &observed(&OLD, &[]))[0], Some((4, set(&[]))));
     assert_eq!(intents(&growing, &observed(&OLD[..3], &[]))[0], Some((3, set(&[3]))));
     assert_eq!(intents(&status(RolloutPhase::Paused, 0, &[3], &[0]), &observed(&OLD, &new))[0], Some((4, set(&[]))));
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -1,5 +1,5 @@
-//! Simulation of rollouts in discrete seconds. Controllers are paused, end and are replaced between deciding, storing and
-//! acting, and continue without knowing that they were replaced. Stops, heartbeats and transactions are delayed.
+//! Simulation of rollouts in discrete seconds. Controllers are paused, end and are replaced between deciding, storing
+//! and acting, and continue without knowing that they were replaced. Stops, heartbeats and transactions are delayed.
 //! Every order to stop a running replica is checked against the number of replicas that actually run at that time.
 
 use std::collections::{BTreeMap, HashMap};
@@ -294,8 +294,8 @@
             if gone || (now + actual.machine).is_multiple_of(3) {
                 self.seq += 1;
                 let (seq, fencing_token) = (self.seq, self.fencing_tokens.get(&actual.machine).copied().unwrap_or(0));
-                // Some machines still know only the previous leader. The end of a replica is reported to the current leader
-                // as well.
+                // Some machines still know only the previous leader. The end of a replica is reported to the current
+                // leader as well.
                 let last = self.leaders.len() - 1;
                 let to = if !self.faults_off && self.rng.random_bool(0.1) { last.saturating_sub(1) } else { last };
                 let (attempt, machine) = (actual.attempt, actual.machine);
@@ -584,7 +584,8 @@
         );
     }
 
-    /// Runs with faults for the given number of seconds, then without faults until the rollout ends. Returns the last phase.
+    /// Runs with faults for the given number of seconds, then without faults until the rollout ends. Returns the last
+    /// phase.
     fn simulate(&mut self, faulty_s: u64) -> RolloutPhase {
         for _ in 0..faulty_s {
             self.inject_faults();
@@ -628,8 +629,8 @@
     Scenario { seed, replicas: 4, old: 4, steps, surge: 1, zones: 2, losses: false, defect: Defect::None, requests }
 }
 
-/// Without machine losses, capacity must never fall below the minimum, whichever controller leads and whichever messages
-/// are delayed.
+/// Without machine losses, capacity must never fall below the minimum, whichever controller leads and whichever
+/// messages are delayed.
 #[test]
 fn failing_controllers_cause_no_capacity_gap() {
     let (mut stops, mut leaders) = (0, 0);
--- a/src/rollouts/version_verdict.rs
+++ b/src/rollouts/version_verdict.rs
@@ -1,5 +1,5 @@
-//! Attribution of replica failures during a rollout: to the new version, to machines, or to a cause that affects the old
-//! version as well.
+//! Attribution of replica failures during a rollout: to the new version, to machines, or to a cause that affects the
+//! old version as well.
 
 use super::observation::RolloutObservation;
 use super::spec::{MAX_FAILED_MACHINES, RolloutSpec};
@@ -43,8 +43,8 @@
                 self.failed_on.push(failed.clone());
             }
         }
-        // On a machine where other jobs fail as well, the failure is attributed to the machine. The mark is kept after the
-        // machine is returned.
+        // On a machine where other jobs fail as well, the failure is attributed to the machine. The mark is kept after
+        // the machine is returned.
         for failed in &mut self.failed_on {
             failed.faulty |= observed.quarantined.contains(&failed.machine);
         }
