--- a/src/rollouts/spec.rs
+++ b/src/rollouts/spec.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::declarations::SpecError;
-use crate::jobs::{JobId, well_formed_id};
+use crate::jobs::{JobId, is_valid_job_id};
 
 /// Maximum number of replicas of a rollout, and of tasks of each of its jobs. The status lists individual replicas and
 /// must fit into one value of the store.
@@ -120,7 +120,7 @@
 
     fn check_jobs(&self) -> Result<(), SpecError> {
         for (field, id) in [("old", &self.old), ("new", &self.new)] {
-            if !well_formed_id(id) {
+            if !is_valid_job_id(id) {
                 return reject_field(field, format!("{id:?} is no id of a job"));
             }
         }
