--- a/tests/history.rs
+++ b/tests/history.rs
@@ -235,7 +235,7 @@
         println!("{requests} requests for it, {refused} refused by the state service");
         assert_eq!(refused, 0, "the limits are kept whatever is asked");
         for controller in [&a, &b] {
-            println!("held: {:?}", controller.controller.held());
+            println!("held: {:?}", controller.controller.entry_counts());
             assert!(
                 controller.count_held("ends") <= EndCache::capacity() && controller.count_held("descriptions") <= 2000
             );
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -113,9 +113,9 @@
         Self { world: world.clone(), addr, controller, runtime: Some(runtime) }
     }
 
-    /// Returns how many entries the controller holds in the collection named `what`, or 0 if it reports no such collection.
-    pub fn count_held(&self, what: &str) -> usize {
-        self.controller.held().into_iter().find(|(name, _)| *name == what).map_or(0, |(_, n)| n)
+    /// Returns how many entries the controller holds in the collection `collection`, or 0 if it reports no such collection.
+    pub fn count_held(&self, collection: &str) -> usize {
+        self.controller.entry_counts().into_iter().find(|(name, _)| *name == collection).map_or(0, |(_, n)| n)
     }
 }
 
