--- a/crates/emulator/src/program/run.rs
+++ b/crates/emulator/src/program/run.rs
@@ -94,16 +94,16 @@
     let path = folder.join("report.html");
     std::fs::write(&path, report::page(title, sizes, &outcome)?).map_err(ProgramError::file(&path))?;
     print_outcome(&outcome, &path);
-    Ok(outcome.verdict.is_clean() && outcome.own_ends == 0 && outcome.failed.is_empty())
+    Ok(outcome.verdict.is_clean() && outcome.unexpected_exits == 0 && outcome.failed_commands.is_empty())
 }
 
 fn print_outcome(outcome: &Outcome, report: &Path) {
     for broken in &outcome.verdict.violations {
         println!("{:.1} s: {}: {}", broken.at.as_secs_f64(), broken.rule.name(), broken.what);
     }
-    outcome.failed.iter().for_each(|error| println!("an operator's verb failed: {error}"));
+    outcome.failed_commands.iter().for_each(|error| println!("an operator's verb failed: {error}"));
     println!("report: {}", report.display());
-    if let Some(took) = outcome.settled {
+    if let Some(took) = outcome.recovery_time {
         println!(
             "once all was well, every job accepted by then was answered by every controller after {:.1} s",
             took.as_secs_f64()
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: injected into the world and the controllers, and ended again.
+//! Fault injection: faults of the world and the controllers are injected and ended.
 
 use std::time::{Duration, Instant};
 
@@ -12,10 +12,11 @@
 use crate::world::cloud;
 use crate::world::fleet::Fleet;
 
-/// Time until a controller that is ended by a rolling restart is started again.
-const RESTART_AFTER: Duration = Duration::from_secs(1);
-/// Keys of the lease holder, and of the leader of the only partition.
+/// Delay before a controller that a rolling restart killed is started again.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
+/// Key of the record of the lease holder.
 const LEASE_HOLDER: &str = "c/leader";
+/// Key of the record of the leader of the only partition.
 const LEADER: &str = "c/owner/0";
 
 /// The end of a fault, or the later part of one.
@@ -24,30 +25,30 @@
     Open(usize, Link),
     /// Ends an outage of the state service.
     EndStoreOutage,
-    /// Ends the delay of the state service's answers.
+    /// Ends the delay of the state service's responses.
     EndStoreDelay,
     /// Ends an outage of the cloud.
     EndCloudOutage,
-    /// The state service serves a controller again.
+    /// Lets the state service serve a controller again.
     Serve(usize),
-    /// Workers no longer fail their tasks.
+    /// Ends the failure of all tasks on these machines.
     Heal(Vec<String>),
     /// Restarts a controller.
     End(usize),
     /// Retries to start a task twice.
     StartTwice,
-    /// Nothing is to be done: the fault ends by itself.
+    /// No action: the fault ends by itself, and counts as active until then.
     Nothing,
 }
 
 /// An [`Undo`] with its time.
-pub(super) struct Planned {
+pub(super) struct PlannedUndo {
     at: Instant,
     undo: Undo,
 }
 
 impl Rehearsal {
-    /// Number of the controller that schedules.
+    /// Number of the controller that leads.
     fn leader(&self) -> usize {
         let state = lock(&self.world.state);
         let leader = state.store.value(LEADER).and_then(|v| v["node"].as_str()).unwrap_or_default();
@@ -60,37 +61,39 @@
         [LEASE_HOLDER, LEADER].map(|key| state.store.value(key).map_or_else(String::new, |v| v.to_string()))
     }
 
-    /// Numbers of the controllers meant.
-    fn controllers_meant(&self, who: ControllerSelector) -> Vec<usize> {
-        match who {
+    /// Numbers of the selected controllers.
+    fn select_controllers(&self, selector: ControllerSelector) -> Vec<usize> {
+        match selector {
             ControllerSelector::All => (0..self.controllers.count()).collect(),
             ControllerSelector::Leader => vec![self.leader()],
             ControllerSelector::Number(n) => vec![n].into_iter().filter(|n| *n < self.controllers.count()).collect(),
         }
     }
 
-    /// Randomly chosen machines.
-    fn some_machines(&mut self, many: MachineAmount) -> Vec<String> {
+    /// Names of randomly chosen machines.
+    fn choose_machines(&mut self, amount: MachineAmount) -> Vec<String> {
         let names: Vec<String> = self.world.with_fleet(|fleet, _| fleet.machine_names().cloned().collect());
-        let n = many.of(names.len());
+        let n = amount.of(names.len());
         names.choose_multiple(&mut self.rng, n).cloned().collect()
     }
 
-    /// Whether a condition holds that a fault waits for.
+    /// Whether the condition of a trigger holds.
     pub(super) fn holds(&self, condition: Condition) -> bool {
         match condition {
             Condition::HoldsResult => self.world.with_fleet(|fleet, _| fleet.machines_with_results().next().is_some()),
             Condition::JustPlaced => lock(&self.world.starts).len() > self.starts_seen,
             Condition::AcknowledgedOnly => lock(&self.world.state).faults.lost_writes > 0,
-            // Somebody led, and now nobody or another does; or who holds the lease does not lead yet.
+            // There was a lease holder, and its record or the leader's has changed since: either the leader is missing
+            // or replaced, or a new lease holder does not lead yet.
             Condition::Election => {
                 !self.election_records[0].is_empty() && self.election_records() != self.election_records
             }
         }
     }
 
-    fn later(&mut self, after: Duration, undo: Undo) {
-        self.undo.push(Planned { at: Instant::now() + after, undo });
+    /// Plans the end of a fault after a delay.
+    fn plan_undo(&mut self, delay: Duration, undo: Undo) {
+        self.undo.push(PlannedUndo { at: Instant::now() + delay, undo });
     }
 
     /// Ends the faults whose time is over.
@@ -98,12 +101,13 @@
         let now = Instant::now();
         let (due, rest) = std::mem::take(&mut self.undo).into_iter().partition(|planned| planned.at <= now);
         self.undo = rest;
-        let due: Vec<Planned> = due;
+        let due: Vec<PlannedUndo> = due;
         for planned in due {
             self.undo(planned.undo).await;
         }
     }
 
+    /// Ends a fault, or executes the later part of one.
     async fn undo(&mut self, undo: Undo) {
         match undo {
             Undo::Open(of, link) => self.world.link_switch(of, link).set(LinkState::Open),
@@ -115,39 +119,41 @@
             Undo::EndStoreDelay => lock(&self.world.state).faults.response_delay = Duration::ZERO,
             Undo::EndCloudOutage => lock(&self.world.cloud).set_outage(false),
             Undo::Serve(of) => lock(&self.world.state).store.set_refused(&of.to_string(), false),
-            Undo::Heal(machines) => self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, false)),
+            Undo::Heal(machines) => {
+                self.for_each_machine(&machines, |fleet, machine, _| fleet.set_sick(machine, false))
+            }
             Undo::StartTwice => self.start_twice(),
             Undo::Nothing => {}
-            Undo::End(of) => self.controllers.end(of, RESTART_AFTER).await,
+            Undo::End(of) => self.controllers.end(of, RESTART_DELAY).await,
         }
     }
 
-    /// Disturbs one link of a controller.
-    fn link(&mut self, of: usize, link: Link, passing: LinkState, time: Duration) {
-        self.world.link_switch(of, link).set(passing);
-        self.later(time, Undo::Open(of, link));
+    /// Sets the state of one link of a controller for a time.
+    fn disturb_link(&mut self, of: usize, link: Link, state: LinkState, time: Duration) {
+        self.world.link_switch(of, link).set(state);
+        self.plan_undo(time, Undo::Open(of, link));
     }
 
-    /// All links to the other controllers, both ways.
-    fn peers(&mut self, of: usize, passing: LinkState, time: Duration) {
+    /// Sets the state of all links to and from the other controllers for a time.
+    fn disturb_peer_links(&mut self, of: usize, state: LinkState, time: Duration) {
         for other in (0..self.controllers.count()).filter(|n| *n != of) {
-            self.link(of, Link::Peer(other), passing, time);
-            self.link(other, Link::Peer(of), passing, time);
+            self.disturb_link(of, Link::Peer(other), state, time);
+            self.disturb_link(other, Link::Peer(of), state, time);
         }
     }
 
-    /// Retried until something runs that another machine has room for.
+    /// Starts a running task on a second machine. Retried until a task runs for which another machine has room.
     fn start_twice(&mut self) {
         if !self.world.with_fleet(|fleet, now| fleet.start_twice(now)) {
-            self.later(STEP, Undo::StartTwice);
+            self.plan_undo(STEP, Undo::StartTwice);
         }
     }
 
-    /// Faults of machines and their workers.
-    fn on_machines(&mut self, fault: &Fault) {
+    /// Injects a fault of machines or their workers.
+    fn inject_machine_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::LoseMachines(many) => {
-                let machines = self.some_machines(*many);
+            Fault::LoseMachines(amount) => {
+                let machines = self.choose_machines(*amount);
                 machines.iter().for_each(|machine| self.world.kill(machine));
             }
             Fault::LoseZone(zone) => {
@@ -159,71 +165,74 @@
                 let holder = self.world.with_fleet(|fleet, _| fleet.machines_with_results().next().cloned());
                 holder.iter().for_each(|machine| self.world.kill(machine));
             }
-            Fault::TakeSpot(part) => self.take_spot(*part),
+            Fault::TakeSpot(fraction) => self.interrupt_spot_machines(*fraction),
             Fault::Boots(boots) => lock(&self.world.cloud).set_boots(*boots),
             Fault::StartTwice => self.start_twice(),
-            other => self.on_workers(other),
+            other => self.inject_worker_fault(other),
         }
     }
 
-    fn take_spot(&mut self, part: f64) {
-        let events = lock(&self.world.cloud).interrupt_spot_machines(part, self.world.now());
+    /// Interrupts a fraction of the spot machines, and delivers the interruption notices to their workers.
+    fn interrupt_spot_machines(&mut self, fraction: f64) {
+        let events = lock(&self.world.cloud).interrupt_spot_machines(fraction, self.world.now());
         for event in events {
-            if let cloud::Event::Notice(machine, left) = event {
-                self.world.notify_interruption(&machine, left);
+            if let cloud::Event::Notice(machine, delay) = event {
+                self.world.notify_interruption(&machine, delay);
             }
         }
     }
 
-    /// Faults of workers whose machines stay.
-    fn on_workers(&mut self, fault: &Fault) {
+    /// Injects a fault of workers whose machines do not fail.
+    fn inject_worker_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Hang(many, time) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.hang(machine, now + *time));
-                self.later(*time, Undo::Nothing);
+            Fault::Hang(amount, time) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, now| fleet.hang(machine, now + *time));
+                self.plan_undo(*time, Undo::Nothing);
             }
-            Fault::InboundLost(many, time) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.partition_inbound(machine, now + *time));
-                self.later(*time, Undo::Nothing);
+            Fault::InboundLost(amount, time) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, now| fleet.partition_inbound(machine, now + *time));
+                self.plan_undo(*time, Undo::Nothing);
             }
-            Fault::LateCopies(many, from, to, time) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, now| fleet.copy_heartbeats(machine, now + *time, *from, *to));
-                self.later(*time + *to, Undo::Nothing);
+            Fault::LateCopies(amount, from, to, time) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, now| {
+                    fleet.copy_heartbeats(machine, now + *time, *from, *to)
+                });
+                self.plan_undo(*time + *to, Undo::Nothing);
             }
-            Fault::Sick(many, time) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, true));
-                self.later(*time, Undo::Heal(machines));
+            Fault::Sick(amount, time) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, _| fleet.set_sick(machine, true));
+                self.plan_undo(*time, Undo::Heal(machines));
             }
-            Fault::Slow(many, by) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, _| fleet.set_speed(machine, 1.0 / by));
+            Fault::Slow(amount, by) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, _| fleet.set_speed(machine, 1.0 / by));
             }
-            Fault::Drift(many, by) => {
-                let machines = self.some_machines(*many);
-                self.on_fleet(&machines, |fleet, machine, _| fleet.set_clock_rate(machine, *by));
+            Fault::Drift(amount, by) => {
+                let machines = self.choose_machines(*amount);
+                self.for_each_machine(&machines, |fleet, machine, _| fleet.set_clock_rate(machine, *by));
             }
             _ => {}
         }
     }
 
-    /// Does the same to each of these machines at one moment.
-    fn on_fleet(&self, machines: &[String], act: impl Fn(&mut Fleet, &str, Duration)) {
-        self.world.with_fleet(|fleet, now| machines.iter().for_each(|machine| act(fleet, machine, now)));
+    /// Executes an action on each of these machines at one moment.
+    fn for_each_machine(&self, machines: &[String], action: impl Fn(&mut Fleet, &str, Duration)) {
+        self.world.with_fleet(|fleet, now| machines.iter().for_each(|machine| action(fleet, machine, now)));
     }
 
-    /// Faults of the state service.
-    fn on_store(&mut self, fault: &Fault) {
+    /// Injects a fault of the state service.
+    fn inject_store_fault(&mut self, fault: &Fault) {
         let world = self.world.clone();
         let mut state = lock(&world.state);
         let now = state.now();
         match fault {
             Fault::Outage(time) => {
                 state.store.set_outage(true, now);
-                self.later(*time, Undo::EndStoreOutage);
+                self.plan_undo(*time, Undo::EndStoreOutage);
             }
             Fault::LoseWrites(n) => state.faults.writes_to_lose += n,
             Fault::Vanish(prefix, n) => {
@@ -236,28 +245,30 @@
             Fault::StallWatches(time) => state.faults.watches_stalled_until = Some(Instant::now() + *time),
             Fault::SlowStore(by, time) => {
                 state.faults.response_delay = *by;
-                self.later(*time, Undo::EndStoreDelay);
+                self.plan_undo(*time, Undo::EndStoreDelay);
             }
             Fault::ForgetLog => state.store.discard_log(),
             _ => {}
         }
     }
 
-    /// Disturbances of links of controllers.
-    fn on_links(&mut self, fault: &Fault) {
+    /// Injects a fault of controllers' links.
+    fn inject_link_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Link(who, link, passing, time) => {
-                for of in self.controllers_meant(*who) {
-                    self.link(of, *link, *passing, *time);
+            Fault::Link(selector, link, state, time) => {
+                for of in self.select_controllers(*selector) {
+                    self.disturb_link(of, *link, *state, *time);
                 }
             }
-            Fault::Peers(who, passing, time) => {
-                self.controllers_meant(*who).into_iter().for_each(|of| self.peers(of, *passing, *time));
+            Fault::Peers(selector, state, time) => {
+                self.select_controllers(*selector)
+                    .into_iter()
+                    .for_each(|of| self.disturb_peer_links(of, *state, *time));
             }
-            Fault::Lone(who, time) => {
-                for of in self.controllers_meant(*who) {
-                    self.link(of, Link::Store, LinkState::Held, *time);
-                    self.peers(of, LinkState::Held, *time);
+            Fault::Lone(selector, time) => {
+                for of in self.select_controllers(*selector) {
+                    self.disturb_link(of, Link::Store, LinkState::Held, *time);
+                    self.disturb_peer_links(of, LinkState::Held, *time);
                 }
             }
             _ => {}
@@ -265,44 +276,44 @@
     }
 
     /// Injects a fault, and plans its end.
-    pub(super) async fn apply(&mut self, fault: &Fault) {
+    pub(super) async fn inject(&mut self, fault: &Fault) {
         self.add_note(format!("{fault:?}"));
         match fault {
-            Fault::Refuse(who, time) => {
-                for of in self.controllers_meant(*who) {
+            Fault::Refuse(selector, time) => {
+                for of in self.select_controllers(*selector) {
                     lock(&self.world.state).store.set_refused(&of.to_string(), true);
-                    self.later(*time, Undo::Serve(of));
+                    self.plan_undo(*time, Undo::Serve(of));
                 }
             }
             Fault::CloudOutage(time) => {
                 lock(&self.world.cloud).set_outage(true);
-                self.later(*time, Undo::EndCloudOutage);
+                self.plan_undo(*time, Undo::EndCloudOutage);
             }
-            Fault::End(who, again) => {
-                for of in self.controllers_meant(*who) {
+            Fault::End(selector, again) => {
+                for of in self.select_controllers(*selector) {
                     self.controllers.end(of, *again).await;
                 }
             }
-            Fault::Pause(who, time) => {
-                for of in self.controllers_meant(*who) {
+            Fault::Pause(selector, time) => {
+                for of in self.select_controllers(*selector) {
                     self.controllers.pause(of, *time);
                 }
             }
             Fault::Roll(every) => {
                 for of in 0..self.controllers.count() {
-                    self.later(every.mul_f64(of as f64), Undo::End(of));
+                    self.plan_undo(every.mul_f64(of as f64), Undo::End(of));
                 }
             }
-            Fault::Operator(command) => self.operators.operate(command, &self.controllers, self.notes.len()),
+            Fault::Operator(command) => self.operators.start_command(command, &self.controllers, self.notes.len()),
             Fault::WillCancel(job) => self.world.record_event(Event::CancellationAsked(job.clone())),
-            Fault::CancelShare(part) => {
-                let n = self.users.cancel_share(*part);
+            Fault::CancelShare(fraction) => {
+                let n = self.users.cancel_fraction(*fraction);
                 self.add_note(format!("{n} users withdraw their jobs"));
             }
             other => {
-                self.on_links(other);
-                self.on_machines(other);
-                self.on_store(other);
+                self.inject_link_fault(other);
+                self.inject_machine_fault(other);
+                self.inject_store_fault(other);
             }
         }
     }
--- a/crates/emulator/src/rehearsal/samples.rs
+++ b/crates/emulator/src/rehearsal/samples.rs
@@ -6,24 +6,24 @@
 use crate::world::cloud::MachineCounts;
 
 /// Interval between two samples.
-const SAMPLE: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Counters of the world at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sample {
-    /// Seconds since the world began.
+    /// Time since the start of the world, in seconds.
     pub at_s: f64,
-    /// Tasks on machines that have not ended.
+    /// Number of tasks on machines that have not ended.
     pub running: usize,
-    /// Submitted tasks that are neither on a machine nor done.
+    /// Number of submitted tasks that are neither on a machine nor done.
     pub waiting: usize,
-    /// Tasks with a result.
+    /// Number of tasks with a result.
     pub done: usize,
-    /// Machines that are booting.
+    /// Number of machines that are booting.
     pub booting: usize,
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub up: usize,
-    /// Spot machines that are up.
+    /// Number of spot machines that are up.
     pub spot: usize,
     /// Requests to the state service per second since the previous sample.
     pub store_requests: f64,
@@ -33,7 +33,7 @@
     pub cloud_calls: f64,
 }
 
-/// Counters that only grow.
+/// Cumulative counters.
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     requests: u64,
@@ -42,6 +42,7 @@
 }
 
 impl Totals {
+    /// The present counters of a world.
     fn of(world: &World) -> Self {
         let cloud_calls = world.cloud_calls();
         let state = lock(&world.state);
@@ -53,20 +54,21 @@
 #[derive(Debug, Default)]
 pub(super) struct Sampler {
     pub(super) samples: Vec<Sample>,
-    at: Duration,
+    /// Time of the last sample.
+    sampled_at: Duration,
     totals: Totals,
 }
 
 impl Sampler {
     /// Takes a sample if one is due. `submitted` is the number of tasks submitted so far.
     pub(super) fn sample(&mut self, world: &World, now: Duration, submitted: usize) -> Option<Sample> {
-        let passed = now.saturating_sub(self.at);
-        if passed < SAMPLE {
+        let elapsed = now.saturating_sub(self.sampled_at);
+        if elapsed < SAMPLE_INTERVAL {
             return None;
         }
         let totals = Totals::of(world);
         let before = std::mem::replace(&mut self.totals, totals);
-        let rate = |now: u64, then: u64| (now - then) as f64 / passed.as_secs_f64();
+        let rate = |now: u64, then: u64| (now - then) as f64 / elapsed.as_secs_f64();
         let MachineCounts { booting, up, spot } = lock(&world.cloud).count_machines();
         let (running, done) = world.with_fleet(|fleet, _| (fleet.count_all_live_tasks(), fleet.results().len()));
         let sample = Sample {
@@ -82,7 +84,7 @@
             cloud_calls: rate(totals.cloud_calls, before.cloud_calls),
         };
         self.samples.push(sample);
-        self.at = now;
+        self.sampled_at = now;
         Some(sample)
     }
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -65,7 +65,7 @@
     let s = &outcome.samples;
     let (blue, green, red, grey) =
         (RGBColor(30, 90, 200), RGBColor(30, 140, 70), RGBColor(200, 60, 30), RGBColor(120, 120, 120));
-    let limit = |most: f64| vec![(0.0, most), (outcome.seconds, most)];
+    let limit = |most: f64| vec![(0.0, most), (outcome.duration_s, most)];
     let rows: [(&str, Vec<Line>); 4] = [
         (
             "Tasks",
@@ -100,7 +100,7 @@
             ],
         ),
     ];
-    let seconds = outcome.seconds;
+    let seconds = outcome.duration_s;
     rows.into_iter().map(|(title, lines)| Ok((title, plot(&lines, &outcome.faults, seconds)?))).collect()
 }
 
@@ -121,16 +121,16 @@
         .collect();
     let ms = |q: f64| format!("{} ms", outcome.accepted_ms.value_at_quantile(q));
     let facts = [
-        ("played", format!("{:.1} s", outcome.seconds)),
+        ("played", format!("{:.1} s", outcome.duration_s)),
         ("jobs, tasks with a result", format!("{}, {} of {}", outcome.jobs, verdict.delivered, verdict.expected)),
         ("submissions accepted after (p50, p95, p99)", [ms(0.5), ms(0.95), ms(0.99)].join(", ")),
-        ("controllers ended by themselves", outcome.own_ends.to_string()),
-        ("requests beyond the state service's limits", outcome.refused.to_string()),
+        ("controllers ended by themselves", outcome.unexpected_exits.to_string()),
+        ("requests beyond the state service's limits", outcome.rate_limited_requests.to_string()),
         (
             "verbs of operators that failed",
-            outcome.failed.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
+            outcome.failed_commands.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
         ),
-        ("money spent", format!("{:.3}", outcome.spent)),
+        ("money spent", format!("{:.3}", outcome.machine_cost)),
     ];
     let lost: Vec<String> =
         verdict.lost.iter().take(MAX_LOST_SHOWN).map(|t| format!("{}/{}", t.job, t.index)).collect();
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -17,12 +17,12 @@
         faults: vec![Note { at_s: 2.0, what: "DropLeases".into() }],
         accepted_ms: hdrhistogram::Histogram::new(3).unwrap(),
         jobs: 2,
-        own_ends: 0,
-        settled: None,
-        failed: vec![],
-        refused: 0,
-        spent: 0.5,
-        seconds: 9.0,
+        unexpected_exits: 0,
+        recovery_time: None,
+        failed_commands: vec![],
+        rate_limited_requests: 0,
+        machine_cost: 0.5,
+        duration_s: 9.0,
     };
     let page = page("half", &sizes, &outcome).unwrap();
     for part in ["rules: broken: ran_twice", "a &lt;b&gt; &amp; c", "first", "DropLeases"] {
