--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -1,8 +1,8 @@
-//! Rules for idle work (urgency `idle`), which runs on capacity that nobody else needs (docs/fairness.md).
+//! Rules for idle work (urgency `idle`), which runs on capacity that no other work needs (docs/fairness.md).
 //!
 //! It is placed after all other work and may be preempted by it. So that it is not preempted as soon as it has begun,
-//! it gets no room that waiting work could use. Machines are rented for it only if they have nothing expensive, such
-//! as accelerators, that it has no use for.
+//! it gets no capacity that waiting work could use. Machines are provisioned for it only if they have nothing
+//! expensive, such as accelerators, that it has no use for.
 
 use std::time::Duration;
 
@@ -35,19 +35,19 @@
     }
 }
 
-/// Whether machines may be rented and kept for a job.
+/// Whether machines may be provisioned and kept for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IdlePermissions {
-    /// Whether machines of this kind may be rented for the job.
+    /// Whether machines of this kind may be provisioned for the job.
     pub rent: bool,
     /// Whether a machine of this kind is kept for the job when scale-in could return it.
     pub keep: bool,
 }
 
-/// Returns whether machines of a kind may be rented and kept for a job of any urgency. `relative_price`: the price of a
-/// task there relative to the cheapest kind that the job allows; `max_relative_price`: the limit of that for idle work.
-/// `overdue`: the job has waited longer than it runs, so the limit no longer applies: where the cloud refuses the cheap
-/// kinds, it would wait forever.
+/// Returns whether machines of a kind may be provisioned and kept for a job of any urgency. `relative_price`: the price
+/// of a task there relative to the cheapest kind that the job allows; `max_relative_price`: the limit of that for idle
+/// work. `overdue`: the job has waited longer than it runs, so the limit no longer applies: where the cloud refuses the
+/// kinds with a low price, it would wait forever.
 pub fn idle_permissions(
     spec: &JobSpec,
     offer: &CapacityOffer,
--- a/src/scheduling/capacity.rs
+++ b/src/scheduling/capacity.rs
@@ -131,7 +131,7 @@
 /// The free capacity of a machine, and the load on it in the paper's terms.
 #[derive(Debug, Clone, Copy)]
 pub struct FreeCapacity<'a> {
-    /// The machine; `None` for one that could be rented.
+    /// The machine; `None` for one that could be provisioned.
     pub machine: Option<&'a Machine>,
     /// The machine's type.
     pub machine_type: &'a MachineType,
@@ -158,7 +158,8 @@
 }
 
 impl<'a> FreeCapacity<'a> {
-    /// Returns an empty machine of a type that could be rented; `kind` is its index in [`CapacityContext::offers`].
+    /// Returns an empty machine of a type that could be provisioned; `kind` is its index in
+    /// [`CapacityContext::offers`].
     pub fn empty(machine_type: &'a MachineType, kind: usize) -> Self {
         Self {
             machine: None,
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Returns the price per hour of the machine; one that could be rented counts as on-demand.
+    /// Returns the price per hour of the machine; one that could be provisioned counts as on-demand.
     pub fn price(&self) -> f64 {
         self.machine_type.price(self.machine.is_some_and(|m| m.spot))
     }
--- a/src/scheduling/cluster/bindings.rs
+++ b/src/scheduling/cluster/bindings.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Stops all bound tasks of a job, with `grace_s` seconds to save a checkpoint. Bindings that no worker was told of
-    /// are removed at once.
+    /// Stops all bound tasks of a job, with `grace_s` seconds to save a checkpoint. Bindings that were never announced
+    /// to a worker are removed at once.
     pub fn halt_job(&mut self, id: &JobId, grace_s: u64, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let bound: Vec<u32> = job.bound.iter().copied().collect();
--- a/src/scheduling/cluster/commands.rs
+++ b/src/scheduling/cluster/commands.rs
@@ -15,7 +15,7 @@
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 /// Machines with a one-way partition that are probed at once.
 const MAX_PROBES: usize = 8;
-/// Sockets of this controller for each direct command that may be under way.
+/// Sockets of this controller for each direct command that may be in flight.
 const SOCKETS_PER_COMMAND: u64 = 8;
 /// Minimum time between two raises of the fencing token.
 const MIN_TOKEN_RAISE_INTERVAL: Duration = Duration::from_secs(5);
@@ -39,9 +39,9 @@
     /// The commands in the response to a machine's heartbeat.
     pub fn heartbeat_response_commands(&mut self, machine: &str, now: Instant) -> Vec<WorkerCommand> {
         let Some(m) = self.machines.get(machine) else { return Vec::new() };
-        // While a direct command is under way, its effect is not known yet. Halting tasks of ended jobs is always safe,
+        // While a direct command is in flight, its effect is not known yet. Halting tasks of ended jobs is always safe,
         // and needed: this response renews the lease, whose expiry would otherwise end them.
-        let commands = if m.command_under_way {
+        let commands = if m.direct_command_in_flight {
             self.halts_of_ended_jobs(machine, &HashSet::new())
         } else {
             self.commands_for_machine(m)
@@ -123,7 +123,7 @@
         });
         if report.status == AttemptStatus::Exited {
             // A completion is stored before its attempt may be reaped, and no attempt is reaped that a command still
-            // under way could start again.
+            // in flight could start again.
             let unstored =
                 matches!(known, Some((j, t)) if matches!(t.phase, Phase::Done) && !t.stored && j.ended.is_none());
             // Exited attempts of a suspended job are evaluated when the job is resumed.
@@ -166,7 +166,7 @@
         // Machines with a one-way partition: a reply to a command shows at once that it has healed.
         let mut probes = Vec::new();
         for m in self.machines.values() {
-            if m.command_under_way {
+            if m.direct_command_in_flight {
                 under_way += 1;
             } else if m.state != MachineState::Terminating && m.command_due {
                 with_new_commands.push(m.id.clone());
@@ -186,7 +186,7 @@
         with_new_commands.into_iter().chain(unaware).chain(probes).take(limit).collect()
     }
 
-    /// The direct command for one machine, which counts as under way from now on; None if there is nothing to send.
+    /// The direct command for one machine, which counts as in flight from now on; None if there is nothing to send.
     fn direct_command(&mut self, id: MachineId, now: Instant) -> Option<DirectCommand> {
         let m = self.machines.get(&id)?;
         let addr = m.addr.clone()?;
@@ -203,8 +203,8 @@
         self.record_launches(&commands, &id);
         let fencing_token = self.fencing_token;
         let m = self.machines.get_mut(&id)?;
-        m.command_under_way = true;
-        m.launch_under_way = commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
+        m.direct_command_in_flight = true;
+        m.direct_launch_in_flight = commands.iter().any(|o| matches!(o, WorkerCommand::Launch { .. }));
         m.command_due = false;
         m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
         Some(DirectCommand { machine: id, addr, fencing_token, agent_epoch: m.agent_epoch.max(1), commands })
@@ -213,15 +213,15 @@
     /// Records that the reply to a direct command is no longer awaited. Unless `settled`, it may still be executed.
     pub fn finish_direct_command(&mut self, machine: &MachineId, fencing_token: u64, settled: bool, now: Instant) {
         // The command was sent from an earlier cluster state, before this process lost leadership and regained it; the
-        // command that is under way now is another one.
+        // command that is in flight now is another one.
         if fencing_token < self.first_fencing_token {
             return;
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.command_under_way = false;
+        m.direct_command_in_flight = false;
         m.next_command_at = now + if m.inbound_lost { MIN_PROBE_INTERVAL } else { MIN_COMMAND_INTERVAL };
         // A late halt or reap only does what was meant to last; a late launch would start a task again.
-        if !settled && std::mem::take(&mut m.launch_under_way) {
+        if !settled && std::mem::take(&mut m.direct_launch_in_flight) {
             m.unsettled_token = Some(m.unsettled_token.map_or(fencing_token, |t| t.max(fencing_token)));
             self.higher_token_wanted = true;
         }
--- a/src/scheduling/cluster/jobs.rs
+++ b/src/scheduling/cluster/jobs.rs
@@ -172,7 +172,7 @@
     }
 
     /// Counts a job towards the arrival rate of its class; one that a new leader loads counts as of its age. The class
-    /// without arrivals for longest makes room for a new one.
+    /// without arrivals for longest is replaced by a new one.
     fn record_arrival(&mut self, record: &Arc<JobRecord>, age: Duration, now: Instant) {
         let class = &record.spec.class;
         if !self.arrivals.contains_key(class)
@@ -225,7 +225,7 @@
         for index in bound {
             let key = TaskKey { job: id.clone(), index };
             let Some(binding) = self.jobs.get(id).and_then(|j| j.binding(index)) else { continue };
-            // No worker was ever told of it, so no launch can arrive.
+            // It was never announced to a worker, so no launch can arrive.
             if binding.announced_epoch.is_none() && !binding.inherited {
                 self.unbind_task(&key, now);
             } else if let Some(machine) = self.machines.get_mut(&binding.machine) {
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! Machines in the cluster state, from their rental to their return.
+//! Machines in the cluster state, from their provisioning to their return.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,8 @@
 use crate::machine_kinds::MachineKind;
 use crate::protocol::workers::TaskKey;
 
-/// Returned machines whose ids are kept, so that their late heartbeats don't add them again.
+/// Maximum ids of returned machines that are kept, so that a late heartbeat does not add such a machine again. Beyond
+/// that, the oldest id is dropped.
 const MAX_RETURNED_MACHINES: usize = 20_000;
 
 /// A task that is stopped on its machine so that it continues elsewhere.
@@ -22,8 +23,8 @@
 }
 
 impl ClusterState {
-    /// Adds a machine that was rented or that the cloud lists, before it reports. `rented_for`: the time since its
-    /// rental.
+    /// Adds a machine that was provisioned or that the cloud lists, before it reports. `rented_for`: the time since
+    /// it was provisioned.
     pub fn expect_machine(
         &mut self,
         id: &str,
@@ -39,7 +40,7 @@
         let kind_index = self.kind_index(&kind.type_name, &kind.zone, kind.spot);
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
-        // A new leader may learn of a machine before it is told when the machine was rented.
+        // A new leader may learn of a machine before it learns when the machine was provisioned.
         machine.rented_at = machine.rented_at.min(now.checked_sub(rented_for).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
--- a/src/scheduling/cluster/mod.rs
+++ b/src/scheduling/cluster/mod.rs
@@ -89,7 +89,7 @@
     machine_kinds: Vec<MachineKind>,
     /// Whether anything that placement depends on has changed since the last plan.
     pub(super) replan_needed: bool,
-    /// Every machine that is rented or has reported, by id.
+    /// Every machine that is provisioned or has reported, by id.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Returned machines, the latest last, so that their late heartbeats don't add them again.
     returned_machines: VecDeque<MachineId>,
@@ -123,9 +123,9 @@
     pub reservations: HashMap<MachineId, Reservation>,
     /// Machines on which tasks were preempted for a job, reserved until the job is placed there.
     pub preemption_reservations: HashMap<MachineId, Reservation>,
-    /// Since when plans have held room for a gang.
+    /// Since when plans have reserved capacity for a gang.
     pub(super) gang_room_held_since: Option<Instant>,
-    /// Jobs that wait although machines have room for them.
+    /// Jobs that wait although machines have capacity for them.
     pub(super) passed_over: PassedOverJobs,
     /// Classes and teams that were served less than the floor, by fair-share accounting.
     pub underserved: Underserved,
--- a/src/scheduling/cluster/model/intents.rs
+++ b/src/scheduling/cluster/model/intents.rs
@@ -54,7 +54,7 @@
 pub struct Intents {
     /// Jobs whose turn in their window has come; within a window, lower positions go first.
     pub window_turns: HashMap<JobId, WindowPosition>,
-    /// Jobs whose turn has not come: they are not placed, and no capacity is reserved or rented for them.
+    /// Jobs whose turn has not come: they are not placed, and no capacity is reserved or provisioned for them.
     pub deferred_jobs: HashSet<JobId>,
     /// Classes and teams that go ahead at present.
     pub priority_boost: Option<PriorityBoost>,
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -44,10 +44,10 @@
     }
 }
 
-/// The state of a machine between its rental and its return.
+/// The state of a machine between its provisioning and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// The machine is rented and its worker has not reported yet.
+    /// The machine is provisioned and its worker has not reported yet.
     Booting,
     /// The worker has reported, and the machine takes work.
     Up,
@@ -70,7 +70,7 @@
     pub zone: String,
     /// Whether the cloud may take the machine back.
     pub spot: bool,
-    /// The machine's state between its rental and its return.
+    /// The machine's state between its provisioning and its return.
     pub state: MachineState,
     /// The highest agent epoch that the worker has reported.
     pub(in crate::scheduling::cluster) agent_epoch: u64,
@@ -84,7 +84,7 @@
     pub last_seen: Instant,
     /// When the last heartbeat arrived, or else the machine became known: replies to commands don't renew the lease.
     pub last_heartbeat: Instant,
-    /// When the machine was rented, as far as is known.
+    /// When the machine was provisioned, as far as is known.
     pub rented_at: Instant,
     /// When the cloud takes the machine back, if it has given notice.
     pub recall_at: Option<Instant>,
@@ -92,10 +92,10 @@
     pub bound: BTreeSet<TaskKey>,
     /// The attempts in the worker's last report.
     pub(in crate::scheduling::cluster) attempts: Vec<AttemptReport>,
-    /// Whether a direct command is under way.
-    pub(in crate::scheduling::cluster) command_under_way: bool,
-    /// Whether the direct command under way carries a launch.
-    pub(in crate::scheduling::cluster) launch_under_way: bool,
+    /// Whether a direct command is in flight.
+    pub(in crate::scheduling::cluster) direct_command_in_flight: bool,
+    /// Whether the direct command in flight carries a launch.
+    pub(in crate::scheduling::cluster) direct_launch_in_flight: bool,
     /// The fencing token of a launch that may still arrive.
     pub(in crate::scheduling::cluster) unsettled_token: Option<u64>,
     /// The heartbeat whose response carried a launch.
@@ -116,8 +116,9 @@
     pub inbound_lost: bool,
     /// Evidence of a one-way partition.
     pub(in crate::scheduling::cluster) partition: PartitionDetector,
-    /// Whether this leader has rented the machine, learned of it from the cloud or the store, or was heard by its
-    /// worker. Otherwise all its messages may be delayed copies from a machine that is gone, so it takes no work yet.
+    /// Whether this leader has provisioned the machine, learned of it from the cloud or the store, or was heard by
+    /// its worker. Otherwise all its messages may be delayed copies from a machine that is gone, so it takes no
+    /// work yet.
     pub confirmed: bool,
     /// Images that the machine is expected to hold, the most recently used last, as (digest, size in GB).
     pub(in crate::scheduling::cluster) expected_images: VecDeque<(u64, f64)>,
@@ -158,8 +159,8 @@
             recall_at: None,
             bound: BTreeSet::new(),
             attempts: Vec::new(),
-            command_under_way: false,
-            launch_under_way: false,
+            direct_command_in_flight: false,
+            direct_launch_in_flight: false,
             unsettled_token: None,
             launch_heartbeat: None,
             next_command_at: now,
@@ -183,10 +184,10 @@
         }
     }
 
-    /// Whether no launch to the machine is under way, so that tasks missing from its report are not there and a reaped
+    /// Whether no launch to the machine is in flight, so that tasks missing from its report are not there and a reaped
     /// task cannot be started again.
     pub(in crate::scheduling::cluster) fn is_settled(&self) -> bool {
-        !self.command_under_way
+        !self.direct_command_in_flight
             && self.unsettled_token.is_none()
             && self.launch_heartbeat.is_none_or(|l| self.newest_heartbeat > l)
     }
@@ -201,7 +202,7 @@
         self.attempts.iter().find(matches)
     }
 
-    /// Whether live tasks that are not bound to the machine take room on it.
+    /// Whether live tasks that are not bound to the machine take capacity on it.
     pub fn has_unbound_tasks(&self) -> bool {
         self.unbound_tasks
     }
--- a/src/scheduling/cluster/one_way_partition.rs
+++ b/src/scheduling/cluster/one_way_partition.rs
@@ -6,7 +6,7 @@
 
 use tracing::{info, warn};
 
-use super::tick::{CORRELATED_FRACTION_DIVISOR, MOST_FRACTION_DIVISOR};
+use super::tick::{CORRELATED_LOSS_ONE_IN_MACHINES, WIDESPREAD_LOSS_ONE_IN_MACHINES};
 use super::{ClusterState, Machine, MachineId};
 use crate::scheduling::one_way_partition::{InboundVerdict, inbound_verdict};
 
@@ -61,10 +61,12 @@
             return Vec::new();
         }
         let lease = self.settings.params.workers.lease();
-        let all = self.many_inbound_lost(CORRELATED_FRACTION_DIVISOR, None);
+        let all = self.many_inbound_lost(CORRELATED_LOSS_ONE_IN_MACHINES, None);
         let zones: BTreeSet<&str> = inbound_lost.iter().map(|m| m.zone.as_str()).collect();
-        let zones: BTreeSet<&str> =
-            zones.into_iter().filter(|zone| self.many_inbound_lost(MOST_FRACTION_DIVISOR, Some(zone))).collect();
+        let zones: BTreeSet<&str> = zones
+            .into_iter()
+            .filter(|zone| self.many_inbound_lost(WIDESPREAD_LOSS_ONE_IN_MACHINES, Some(zone)))
+            .collect();
         // An unconfirmed machine is no evidence of a fault of the network. A machine that still has bound tasks after
         // this long is judged alone as well: only its return proves them gone, for instance where an earlier leader may
         // still launch them.
--- a/src/scheduling/cluster/storing.rs
+++ b/src/scheduling/cluster/storing.rs
@@ -107,7 +107,7 @@
     }
 
     /// The next job ends and task shards to store: ends first, then shards with starts, then other shards. They make at
-    /// most `max_changes` changes, but always room for one end.
+    /// most `max_changes` changes, but always allow for one end.
     pub fn next_writes(&mut self, max_changes: usize, now: Instant) -> (Vec<Arc<JobRecord>>, Vec<ShardWrite>) {
         let mut ends = Vec::new();
         while (ends.len() + 1) * CHANGES_PER_END <= max_changes.max(CHANGES_PER_END) {
--- a/src/scheduling/cluster/tick.rs
+++ b/src/scheduling/cluster/tick.rs
@@ -11,9 +11,10 @@
 /// A machine that has not proven a cancelled task gone is returned after this fraction of the cancellation deadline.
 const CANCELLATION_PROOF_FRACTION: f64 = 0.45;
 /// If one in this many machines is silent or partitioned at once, the machines did not fail independently.
-pub(super) const CORRELATED_FRACTION_DIVISOR: usize = 12;
-/// One in this many machines lost counts as most of them: the leader hands over, or the network of a zone is at fault.
-pub(super) const MOST_FRACTION_DIVISOR: usize = 3;
+pub(super) const CORRELATED_LOSS_ONE_IN_MACHINES: usize = 12;
+/// If contact with one in this many machines is lost, the loss is widespread: the leader hands over, or the network of
+/// a zone is at fault.
+pub(super) const WIDESPREAD_LOSS_ONE_IN_MACHINES: usize = 3;
 /// How many leases a machine may be silent while many are silent at once.
 const CORRELATED_SILENCE_LEASES: u32 = 2;
 /// Time added to these leases for the drift of a machine's clock and the delay of a heartbeat.
@@ -45,11 +46,12 @@
         silent >= 3 && silent * divisor >= all
     }
 
-    /// Whether many machines (see `MOST_FRACTION_DIVISOR`) have missed two heartbeats or have a one-way partition, so
-    /// that this controller has lost contact with them.
+    /// Whether many machines (see `WIDESPREAD_LOSS_ONE_IN_MACHINES`) have missed two heartbeats or have a one-way
+    /// partition, so that this controller has lost contact with them.
     pub fn most_machines_lost(&self, now: Instant) -> bool {
         let missed = self.settings.params.workers.heartbeat_interval().mul_f64(2.0);
-        self.many_silent(missed, MOST_FRACTION_DIVISOR, now) || self.many_inbound_lost(MOST_FRACTION_DIVISOR, None)
+        self.many_silent(missed, WIDESPREAD_LOSS_ONE_IN_MACHINES, now)
+            || self.many_inbound_lost(WIDESPREAD_LOSS_ONE_IN_MACHINES, None)
     }
 
     /// Machines that have not proven a bound task of a cancelled job gone in time. The remaining tasks of a job that is
@@ -94,11 +96,11 @@
 
     /// How long a machine may be silent now.
     ///
-    /// Many machines that fall silent at once point to the network or to this controller. Returning them all would lose
-    /// the tasks that they run and, after their leases, still the machines, in whose place others would have to boot.
-    /// Dead machines are known from the list of the cloud.
+    /// Many machines that fall silent at once point to the network or to this controller. Returning them all
+    /// before their leases expire would lose the tasks that they run; later it would still lose the machines, and their
+    /// replacements would have to boot. Dead machines are recognized by their absence from the cloud's list.
     fn tolerated_silence(&mut self, now: Instant) -> Duration {
-        if self.many_silent(self.properties.silence_timeout, CORRELATED_FRACTION_DIVISOR, now) {
+        if self.many_silent(self.properties.silence_timeout, CORRELATED_LOSS_ONE_IN_MACHINES, now) {
             self.many_silent_seen_at = Some(now);
         }
         // Machines that are back do not all report at the same moment, so the last ones to do so get more time as well.
--- a/src/scheduling/failure_attribution.rs
+++ b/src/scheduling/failure_attribution.rs
@@ -345,7 +345,7 @@
     }
 
     /// Whether the job is quarantined because it has failed everywhere so far: it is tried again after everything else,
-    /// and no machine is rented or reserved and no task preempted for it.
+    /// and no machine is provisioned or reserved and no task preempted for it.
     pub fn is_job_quarantined(&self, id: &JobId) -> bool {
         !self.jobs.is_empty() && self.jobs.get(id).is_some_and(|t| t.quarantined)
     }
--- a/src/scheduling/fairness/mod.rs
+++ b/src/scheduling/fairness/mod.rs
@@ -88,7 +88,7 @@
     /// Minimum over the objectives of the kept share divided by the share that the objective asks for; at most 1, and
     /// 1 if too few promises were judged.
     pub served: f64,
-    /// Whether `served` is below the floor: machines are then rented for the subject without delay.
+    /// Whether `served` is below the floor: machines are then provisioned for the subject without delay.
     #[serde(rename = "below")]
     pub below_floor: bool,
     /// Whether the subject also receives less than the floor's share of what its offered work entitles it to: its jobs
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -23,7 +23,7 @@
 /// Time between placement and start: heartbeats, the start command and the image fetch.
 const START_MARGIN: Duration = Duration::from_secs(15);
 /// The largest jobs are one in this many of their class, and all that are as large.
-const LARGEST_DIVISOR: usize = 10;
+const LARGEST_ONE_IN_JOBS: usize = 10;
 /// Maximum latest job sizes kept per class, which determine its largest jobs.
 const MAX_SIZES: usize = 200;
 
@@ -43,7 +43,7 @@
         self.latest.push_back(tasks);
         let mut sorted: Vec<u64> = self.latest.iter().copied().collect();
         sorted.sort_unstable();
-        self.largest_threshold = sorted[sorted.len() * (LARGEST_DIVISOR - 1) / LARGEST_DIVISOR];
+        self.largest_threshold = sorted[sorted.len() * (LARGEST_ONE_IN_JOBS - 1) / LARGEST_ONE_IN_JOBS];
     }
 }
 
--- a/src/scheduling/one_way_partition.rs
+++ b/src/scheduling/one_way_partition.rs
@@ -69,7 +69,7 @@
 struct ExpectedEffect {
     /// The fencing token that the worker did not know yet.
     fencing_token: Option<u64>,
-    /// The task and attempt that the answer told it to launch.
+    /// The task and attempt that the answer instructed it to launch.
     launch: Option<(TaskKey, u64)>,
 }
 
@@ -104,7 +104,7 @@
     answers: VecDeque<Instant>,
     /// What the next heartbeat must show.
     expected_effect: Option<ExpectedEffect>,
-    /// Whether the newest heartbeat has not been answered yet. Answers to older ones reach nobody.
+    /// Whether the newest heartbeat has not been answered yet. Answers to older ones reach no worker.
     unanswered: bool,
 }
 
--- a/src/scheduling/passed_over.rs
+++ b/src/scheduling/passed_over.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait although a machine has room for them. Reservations, capacity kept for gangs or arrivals, soft
+//! Jobs that wait although a machine has capacity for them. Reservations, capacity kept for gangs or arrivals, soft
 //! admission and the rules for idle work each deny capacity to a job for a good reason, but any of them may do so
 //! forever, alone or in turns. One timer per job bounds them together.
 
--- a/src/scheduling/plan/decide.rs
+++ b/src/scheduling/plan/decide.rs
@@ -26,7 +26,7 @@
     pub(super) machines_examined: u64,
     /// Whether any capacity was kept for a gang.
     pub(super) kept_for_gang: bool,
-    /// Jobs that keep waiting although a machine has room for them.
+    /// Jobs that keep waiting although a machine has capacity for them.
     pub(super) passed_over: HashSet<JobId>,
 }
 
--- a/src/scheduling/plan/passed_over.rs
+++ b/src/scheduling/plan/passed_over.rs
@@ -1,4 +1,4 @@
-//! Decides whether a plan passes a job over: the job has waiting tasks that some machine has room for
+//! Decides whether a plan passes a job over: the job has waiting tasks that some machine has capacity for
 //! (`scheduling::passed_over`).
 
 use std::collections::HashMap;
--- a/src/scheduling/plan/queue.rs
+++ b/src/scheduling/plan/queue.rs
@@ -27,7 +27,7 @@
     /// kept for it.
     pub credited: bool,
     /// Whether the job is quarantined because it has failed everywhere so far: it is placed after everything else, and
-    /// no machine is rented or reserved and no task preempted for it.
+    /// no machine is provisioned or reserved and no task preempted for it.
     pub quarantined: bool,
     /// The return of a task that starts now.
     task_return: f64,
--- a/src/scheduling/preempt.rs
+++ b/src/scheduling/preempt.rs
@@ -1,8 +1,8 @@
-//! Preemption: stops running tasks to make room for work of higher urgency, or for a team that is short of its
+//! Preemption: stops running tasks to free capacity for work of higher urgency, or for a team that is short of its
 //! guarantee.
 //!
-//! Tasks are stopped only if that makes room for everything the job needs at once. Those that lose least are chosen,
-//! and their machines are reserved for the job until the tasks have ended and the job is placed.
+//! Tasks are stopped only if that frees capacity for everything the job needs at once. Those that lose least are
+//! chosen, and their machines are reserved for the job until the tasks have ended and the job is placed.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 /// Tasks to stop on one machine, each with the time it has to save, in seconds.
 type Victims = Vec<(TaskKey, u64)>;
 
-/// A machine on which tasks could be stopped to make room for tasks of a job.
+/// A machine on which tasks could be stopped to free capacity for tasks of a job.
 struct PreemptionCandidate<'a> {
     machine: &'a Machine,
     zone: &'a str,
@@ -141,7 +141,7 @@
     }
     let (mut chosen, mut fitting_tasks) = (Vec::new(), 0);
     for candidate in candidates.into_iter().filter(|p| zone.is_none_or(|z| z == p.zone)) {
-        // `tasks_wanted` may be above `tasks_needed`: the job then gets room for more of its waiting tasks.
+        // `tasks_wanted` may be above `tasks_needed`: the job then gets capacity for more of its waiting tasks.
         if fitting_tasks >= tasks_wanted || chosen.len() >= MAX_MACHINES {
             break;
         }
@@ -151,8 +151,8 @@
     (fitting_tasks >= tasks_needed).then_some(chosen)
 }
 
-/// Returns what would have to be stopped on a machine to make room for tasks of the job, the least loss first; `None`
-/// if no task of the job would fit even then.
+/// Returns what would have to be stopped on a machine to free capacity for tasks of the job, the least loss first;
+/// `None` if no task of the job would fit even then.
 fn preemption_candidate<'a>(
     cluster: &'a ClusterState,
     context: &CapacityContext<'a>,
--- a/src/scheduling/reservations.rs
+++ b/src/scheduling/reservations.rs
@@ -19,7 +19,7 @@
 /// Machines are reserved only for gangs that are expected to fit within this many seconds.
 const MAX_START_S: f64 = 60.0;
 /// At most one in this many machines is reserved.
-const RESERVED_FRACTION_DIVISOR: usize = 6;
+const RESERVED_ONE_IN_MACHINES: usize = 6;
 /// Maximum gangs considered for reservations at once, the longest waiting first.
 const MAX_RESERVING_GANGS: usize = 40;
 
@@ -41,7 +41,7 @@
     let schedulable = cluster.machines.values().filter(|m| is_schedulable(m, suspect_timeout, now));
     let mut timelines: Vec<Timeline> =
         schedulable.filter_map(|m| Timeline::from_machine(cluster, &context, m, false, now)).collect();
-    let max_reserved = timelines.len() / RESERVED_FRACTION_DIVISOR;
+    let max_reserved = timelines.len() / RESERVED_ONE_IN_MACHINES;
     let quotas = Quotas::new(cluster);
     for queued in queued_jobs {
         if reservations.len() >= max_reserved {
--- a/src/scheduling/schedule.rs
+++ b/src/scheduling/schedule.rs
@@ -11,7 +11,7 @@
 
 /// A plan is followed by a pause of this many times its duration, so that heartbeats and users' requests are not
 /// delayed however much there is to plan.
-pub(super) const PAUSE_FACTOR: u32 = 4;
+pub(super) const PAUSE_TO_PLAN_TIME_RATIO: u32 = 4;
 /// Interval of the checks for what follows from the passage of time, such as the silence of a machine.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time between two plans, even if nothing has changed.
@@ -65,7 +65,7 @@
         }
         if self.reserve.is_due(now) {
             cluster.reservations = reservations::choose_reservations(cluster, catalog, now);
-            self.reserve.restart_after(now, now.elapsed() * PAUSE_FACTOR * 2);
+            self.reserve.restart_after(now, now.elapsed() * PAUSE_TO_PLAN_TIME_RATIO * 2);
         }
         // Nothing that placement depends on has changed, so a plan would give the same result.
         if !cluster.take_replan_needed() && !self.plan.is_due(now) {
--- a/src/scheduling/scheduling_loop.rs
+++ b/src/scheduling/scheduling_loop.rs
@@ -6,7 +6,7 @@
 use tracing::debug;
 
 use super::load;
-use super::schedule::{PAUSE_FACTOR, Schedule, TICK_INTERVAL};
+use super::schedule::{PAUSE_TO_PLAN_TIME_RATIO, Schedule, TICK_INTERVAL};
 use super::scheduler::Scheduler;
 
 /// Minimum pause between two plans, so that a burst of events leads to a single plan.
@@ -36,7 +36,7 @@
             }
             scheduler.wakeups.fleet.notify_one();
         }
-        tokio::time::sleep(MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_FACTOR)).await;
+        tokio::time::sleep(MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_TO_PLAN_TIME_RATIO)).await;
     }
 }
 
