--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -131,7 +131,7 @@
             apis.push(free_addr().map_err(io("a free port"))?);
             meshes.push(free_addr().map_err(io("a free port"))?);
         }
-        Ok(Self { zones: sizes.zones(), params: sizes.settings(), apis, meshes })
+        Ok(Self { zones: sizes.zones(), params: sizes.controller_settings(), apis, meshes })
     }
 
     fn zone(&self, i: usize) -> &str {
--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -44,7 +44,7 @@
     /// Mean interval between two heartbeats of a worker; each interval varies by up to a quarter.
     pub heartbeat: Duration,
     /// Maximum number of keys or machines on one page of a listing, whatever the request asks for.
-    pub page_most: usize,
+    pub max_page_items: usize,
     /// Seed of all random draws.
     pub seed: u64,
     /// Whether events are recorded for the judge.
@@ -104,7 +104,7 @@
         let mut cloud = Cloud::new(params.cloud.clone(), params.seed);
         cloud.set_boots(params.boots);
         let world = Arc::new(Self {
-            state: Mutex::new(State::new(params.limits, params.page_most)),
+            state: Mutex::new(State::new(params.limits, params.max_page_items)),
             cloud: Mutex::new(cloud),
             fleet: Mutex::new(Fleet::new(params.fleet)),
             nodes: Mutex::default(),
--- a/crates/emulator/src/driver/server.rs
+++ b/crates/emulator/src/driver/server.rs
@@ -189,7 +189,7 @@
                 serde_json::to_value(MachineNames { machines: held })
             }
             _ => {
-                let most = param(req, "most").parse().unwrap_or(usize::MAX).min(world.params.page_most);
+                let most = param(req, "most").parse().unwrap_or(usize::MAX).min(world.params.max_page_items);
                 let mut page = cloud.list(&param(req, "since"), most, now);
                 drop(cloud);
                 for machine in &mut page.machines {
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -86,7 +86,7 @@
     pub faults: Faults,
     started: Instant,
     /// Maximum number of keys on one page, whatever the request asks for.
-    pub page_most: usize,
+    pub max_page_items: usize,
     /// Number of requests received.
     pub requests: u64,
     /// Number of requests that were refused because of the rate limit.
@@ -99,12 +99,12 @@
 
 impl State {
     /// Creates a state service with an empty store and no faults.
-    pub fn new(limits: Limits, page_most: usize) -> Self {
+    pub fn new(limits: Limits, max_page_items: usize) -> Self {
         Self {
             store: Store::new(limits),
             faults: Faults::default(),
             started: Instant::now(),
-            page_most,
+            max_page_items,
             requests: 0,
             refused: 0,
             changes: 0,
@@ -214,7 +214,7 @@
         match path {
             "/grants" => Ok(json!({"permit": self.store.grant(body["lifeMs"].as_u64().unwrap_or(0), now)?})),
             "/keys" => {
-                let most = query("most").parse().unwrap_or(usize::MAX).min(self.page_most);
+                let most = query("most").parse().unwrap_or(usize::MAX).min(self.max_page_items);
                 let page = self.store.page(&query("prefix"), &query("since"), most);
                 serde_json::to_value(page).map_err(malformed)
             }
--- a/crates/emulator/src/program/run.rs
+++ b/crates/emulator/src/program/run.rs
@@ -25,7 +25,7 @@
     let binary = daemon()?;
     let runtime = Runtime::new().map_err(ProgramError::Runtime)?;
     runtime.block_on(async {
-        let world = World::open(sizes.world(1, false));
+        let world = World::open(sizes.world_params(1, false));
         // Descriptions reach the workers by the jobs that are submitted.
         world.upload_stored_jobs(Duration::from_secs(5));
         let mut controllers = Controllers::start(&world, sizes, binary.clone(), folder).await?;
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -172,13 +172,13 @@
     /// Starts the world and the controllers, and draws the jobs.
     async fn start(setup: &Setup<'_>) -> Result<Self, ControllerError> {
         let Setup { sizes, plan, seed, .. } = *setup;
-        let world = World::open(sizes.world(seed, true));
+        let world = World::open(sizes.world_params(seed, true));
         let start_ms = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as u64;
         let controllers = Controllers::start(&world, sizes, setup.binary.to_owned(), setup.folder).await?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let pending = draw_jobs(sizes, &mut rng);
         let all: Vec<&PendingJob> = pending.iter().collect();
-        let users = Users::new(world.clone(), controllers.for_users.clone(), &all, plan.often, seed ^ 1);
+        let users = Users::new(world.clone(), controllers.for_users.clone(), &all, plan.poll_rate_factor, seed ^ 1);
         Ok(Self {
             users: Arc::new(users),
             controllers,
@@ -283,7 +283,7 @@
         let (rate_limited_requests, machine_cost) =
             (lock(&self.world.state).refused, lock(&self.world.cloud).total_cost());
         let capacity = setup.plan.capacity.clone();
-        let params = RuleParams { capacity, start_ms: self.start_ms, ..setup.sizes.terms() };
+        let params = RuleParams { capacity, start_ms: self.start_ms, ..setup.sizes.rule_params() };
         Outcome {
             verdict: judge(&record, &params),
             recovery_time: self.quiet_period.recovery_time(),
@@ -305,7 +305,7 @@
 pub async fn run(setup: &Setup<'_>, progress: impl Fn(usize, usize)) -> Result<Outcome, ControllerError> {
     let mut rehearsal = Rehearsal::start(setup).await?;
     let limit = Duration::from_secs_f64(setup.sizes.seconds);
-    while rehearsal.world.now() < limit && !rehearsal.step(setup.plan.quiet, &progress).await? {
+    while rehearsal.world.now() < limit && !rehearsal.step(setup.plan.min_quiet_period, &progress).await? {
         tokio::time::sleep(STEP).await;
     }
     Ok(rehearsal.finish(setup).await)
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: which faults are injected when, read from a script whose run is bounded.
+//! Scenarios: faults and their triggers, read from a script whose execution is bounded.
 
 mod arguments;
 mod script;
@@ -17,7 +17,7 @@
 pub enum ControllerSelector {
     /// The controller of this number, from 0.
     Number(usize),
-    /// The controller that schedules at the moment of the fault.
+    /// The controller that leads at the time of the fault.
     Leader,
     /// All controllers.
     All,
@@ -33,7 +33,7 @@
 }
 
 impl MachineAmount {
-    /// The number of machines out of `all`.
+    /// The number of machines if there are `all` machines.
     pub fn of(self, all: usize) -> usize {
         match self {
             Self::Part(part) => (all as f64 * part).round() as usize,
@@ -49,9 +49,9 @@
     LoseMachines(MachineAmount),
     /// All machines of a zone fail.
     LoseZone(String),
-    /// A machine fails that holds a finished result not yet collected.
+    /// A machine with a finished result that is not yet collected fails.
     LoseHolder,
-    /// The cloud takes back this fraction of the spot machines.
+    /// The cloud interrupts this fraction of the spot machines.
     TakeSpot(f64),
     /// Workers do nothing for this long, and continue afterwards.
     Hang(MachineAmount, Duration),
@@ -61,7 +61,7 @@
     Slow(MachineAmount, f64),
     /// The workers' monotonic clocks run this many times as fast.
     Drift(MachineAmount, f64),
-    /// How machines rented from now on boot.
+    /// Sets how machines that are provisioned from now on boot.
     Boots(BootMode),
     /// One link of controllers is disturbed for this long.
     Link(ControllerSelector, Link, LinkState, Duration),
@@ -75,25 +75,25 @@
     Refuse(ControllerSelector, Duration),
     /// This many writes are acknowledged and never applied.
     LoseWrites(u32),
-    /// This many of the newest keys under a prefix vanish.
+    /// This many of the newest keys with a prefix are lost without a change reported to watches.
     Vanish(String, usize),
     /// This many writes are applied and not answered.
     Unanswered(u32),
-    /// This many writes are applied only after this delay, and not answered.
+    /// This many writes are applied after this delay, and not answered.
     LateWrites(u32, Duration),
     /// All leases of the state service end at once.
     DropLeases,
     /// Watches receive no changes for this long.
     StallWatches(Duration),
-    /// The state service applies requests at once, and answers with the first duration's delay, for the second
+    /// The state service applies requests at once and delays its responses by the first duration, for the second
     /// duration.
     SlowStore(Duration, Duration),
     /// The state service discards its log of changes, so that watches have to list again.
     ForgetLog,
-    /// A one-way partition of workers: their reports arrive, answers and commands do not.
+    /// A one-way partition of workers for this long: their heartbeats arrive, responses and commands to them do not.
     InboundLost(MachineAmount, Duration),
-    /// Reports of workers within the last duration are delivered again, between the first and the second duration
-    /// later.
+    /// Heartbeats that workers send within the last duration are delivered again, between the first and the second
+    /// duration later.
     LateCopies(MachineAmount, Duration, Duration, Duration),
     /// Controllers are partitioned from the state service and the other controllers; workers and users still reach
     /// them.
@@ -106,20 +106,20 @@
     Roll(Duration),
     /// An operator runs a command.
     Operator(OperatorCommand),
-    /// Announces that somebody other than the rehearsal's users is about to cancel a job.
+    /// Announces that someone other than the rehearsal's users is about to cancel a job.
     WillCancel(JobId),
-    /// This fraction of the users whose jobs are accepted and not over cancel them now.
+    /// Users cancel this fraction of the jobs that are accepted and have not ended.
     CancelShare(f64),
-    /// Breaks a rule on purpose: a running task is started on a second machine.
+    /// Starts a running task on a second machine, which deliberately violates an invariant.
     StartTwice,
 }
 
-/// A state of the system on which a fault can wait.
+/// A condition that a trigger can wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     /// A machine holds a finished result that is not yet collected.
     HoldsResult,
-    /// A task has started since the last look.
+    /// A task has started since the rehearsal's previous step.
     JustPlaced,
     /// A write was acknowledged and not applied.
     AcknowledgedOnly,
@@ -130,39 +130,39 @@
 /// When a fault is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trigger {
-    /// At this time since the world began.
+    /// At this time since the start of the world.
     At(Duration),
-    /// The first time that the condition holds, from this time on.
+    /// As soon as the condition holds, but not before this time.
     When(Condition, Duration),
 }
 
-/// A scenario that was read: its faults in the order in which they were written, and its settings.
+/// A parsed scenario: its faults in the order of the script, and its settings.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
     /// The faults with their triggers.
     pub steps: Vec<(Trigger, Fault)>,
-    /// Name of the file of sizes that the script asks for, in the scenario's folder.
+    /// Name of the sizes file that the script requires, in the scenario's folder.
     pub sizes: Option<String>,
-    /// Factor by which users ask more often than usual.
-    pub often: f64,
-    /// Least time for which users ask about every job once all faults are over.
-    pub quiet: Duration,
+    /// Factor by which the rate of users' polls exceeds the default.
+    pub poll_rate_factor: f64,
+    /// Minimum time for which users poll every job after all faults are over.
+    pub min_quiet_period: Duration,
     /// Sets of services with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
 }
 
-/// A command of the daemon's command line, as an operator runs it, with the result expected.
+/// A command of the daemon's command line that an operator runs, with the expected result.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorCommand {
-    /// `{config}` stands for a settings file, `{spec}` for the file that `spec` is written to, `{file:NAME}` for a file
-    /// beside the scenario.
+    /// The arguments. `{config}` stands for a settings file, `{spec}` for the file that `spec` is written to, and
+    /// `{file:NAME}` for a file in the scenario's folder.
     pub args: Vec<String>,
-    /// JSON; `{clock:S}` in it stands for the time of day S seconds after the beginning, `"{offset}"` for the UTC
-    /// offset.
+    /// A JSON specification. `{clock:S}` in it stands for the time of day S seconds after the start of the world, and
+    /// `"{offset}"` for the UTC offset.
     pub spec: Option<String>,
-    /// Exit status expected; the command is retried for a while.
+    /// The expected exit status. The command is retried for a while until it has the expected result.
     pub exit: i32,
-    /// Text that the output has to contain.
+    /// Text that the output must contain.
     pub says: String,
 }
 
--- a/crates/emulator/src/scenario/script.rs
+++ b/crates/emulator/src/scenario/script.rs
@@ -1,4 +1,4 @@
-//! The script language of scenarios: functions of a rhai engine whose run is bounded.
+//! The script language of scenarios: functions of a rhai engine whose execution is bounded.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -8,29 +8,31 @@
 use rhai::{Dynamic, Engine, EvalAltResult};
 
 use super::arguments::{
-    ArgumentError, boots, condition, controllers, count, link_fault, machine_amount, number, number_within, seconds,
+    ArgumentError, boot_mode, condition, controllers, count, link_fault, machine_amount, number, number_within, seconds,
 };
 use super::{Fault, OperatorCommand, Plan, ScriptError, Trigger};
 use crate::driver::lock;
 use crate::driver::relay::LinkState;
 
+/// The result of a script function.
 type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
-/// The most faults of a scenario.
-const MAX_STEPS: usize = 1000;
-/// The slowest answer of the state service, in ms: longer than any client waits for it.
-const MAX_ANSWER_MS: f64 = 20_000.0;
+/// Maximum number of faults in a scenario.
+const MAX_FAULTS: usize = 1000;
+/// Maximum delay of the state service's responses, in ms. It is longer than any client waits.
+const MAX_RESPONSE_DELAY_MS: f64 = 20_000.0;
 
-fn add(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> ScriptResult<()> {
+/// Adds a fault to a plan.
+fn add_fault(plan: &Mutex<Plan>, trigger: Trigger, fault: Fault) -> ScriptResult<()> {
     let mut plan = lock(plan);
-    if plan.steps.len() >= MAX_STEPS {
-        return Err(ArgumentError::TooManyFaults(MAX_STEPS).into());
+    if plan.steps.len() >= MAX_FAULTS {
+        return Err(ArgumentError::TooManyFaults(MAX_FAULTS).into());
     }
     plan.steps.push((trigger, fault));
     Ok(())
 }
 
-/// An engine with bounds, so that a wrong script ends with an error and does not exhaust the machine.
+/// Creates an engine with limits, so that a faulty script ends with an error and does not exhaust the machine.
 fn bounded_engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(200_000);
@@ -43,7 +45,8 @@
     engine
 }
 
-fn machine_faults(engine: &mut Engine) {
+/// Registers the faults of machines and workers.
+fn register_machine_faults(engine: &mut Engine) {
     engine
         .register_type_with_name::<Fault>("Fault")
         .register_fn("lose_machines", |n: Dynamic| ScriptResult::Ok(Fault::LoseMachines(machine_amount(&n)?)))
@@ -65,10 +68,11 @@
             ScriptResult::Ok(Fault::Drift(machine_amount(&n)?, number(&by)?))
         })
         .register_fn("start_twice", || Fault::StartTwice)
-        .register_fn("boots", |how: &str| ScriptResult::Ok(Fault::Boots(boots(how)?)));
+        .register_fn("boots", |how: &str| ScriptResult::Ok(Fault::Boots(boot_mode(how)?)));
 }
 
-fn store_faults(engine: &mut Engine) {
+/// Registers the faults of the state service and the cloud.
+fn register_store_faults(engine: &mut Engine) {
     engine
         .register_fn("outage", |s: Dynamic| ScriptResult::Ok(Fault::Outage(seconds(&s)?)))
         .register_fn("cloud_outage", |s: Dynamic| ScriptResult::Ok(Fault::CloudOutage(seconds(&s)?)))
@@ -84,13 +88,14 @@
         .register_fn("drop_leases", || Fault::DropLeases)
         .register_fn("stall_watches", |s: Dynamic| ScriptResult::Ok(Fault::StallWatches(seconds(&s)?)))
         .register_fn("slow_store", |ms: Dynamic, s: Dynamic| {
-            let ms = number_within("slow_store", &ms, 1.0, MAX_ANSWER_MS)?;
+            let ms = number_within("slow_store", &ms, 1.0, MAX_RESPONSE_DELAY_MS)?;
             ScriptResult::Ok(Fault::SlowStore(Duration::from_secs_f64(ms / 1000.0), seconds(&s)?))
         })
         .register_fn("forget_log", || Fault::ForgetLog);
 }
 
-fn controller_faults(engine: &mut Engine) {
+/// Registers the faults of controllers and their links.
+fn register_controller_faults(engine: &mut Engine) {
     engine
         .register_fn("cut", |of: Dynamic, link: &str, s: Dynamic| {
             ScriptResult::Ok(link_fault(&of, link, LinkState::Held, &s)?)
@@ -107,6 +112,7 @@
         .register_fn("roll", |every: Dynamic| ScriptResult::Ok(Fault::Roll(seconds(&every)?)));
 }
 
+/// Creates an operator's command that expects exit status 0 and any output.
 fn operator_command(args: rhai::Array, spec: Option<String>) -> ScriptResult<Fault> {
     let mut texts = Vec::new();
     for arg in args {
@@ -115,7 +121,8 @@
     Ok(Fault::Operator(OperatorCommand { args: texts, spec, exit: 0, says: String::new() }))
 }
 
-fn operators(engine: &mut Engine) {
+/// Registers the actions of operators and users.
+fn register_operator_actions(engine: &mut Engine) {
     engine
         .register_fn("operator", |args: rhai::Array| operator_command(args, None))
         .register_fn("operator", |args: rhai::Array, spec: rhai::Map| {
@@ -125,7 +132,7 @@
             Fault::Operator(command) => {
                 ScriptResult::Ok(Fault::Operator(OperatorCommand { says: words.into(), ..command }))
             }
-            other => Err(ArgumentError::SaysNothing(other).into()),
+            other => Err(ArgumentError::HasNoOutput(other).into()),
         })
         .register_fn("exits", |status: i64, fault: Fault| match fault {
             Fault::Operator(command) => {
@@ -139,35 +146,35 @@
         .register_fn("will_withdraw", |job: &str| Fault::WillCancel(job.into()));
 }
 
-/// What the script sets for the whole plan.
-fn plan_settings(engine: &mut Engine, plan: &Arc<Mutex<Plan>>) {
+/// Registers the settings of the whole plan.
+fn register_settings(engine: &mut Engine, plan: &Arc<Mutex<Plan>>) {
     let (often, quiet, capacity, sizes) = (plan.clone(), plan.clone(), plan.clone(), plan.clone());
     engine
         .register_fn("ask_often", move |times: Dynamic| {
-            lock(&often).often = number(&times)?;
+            lock(&often).poll_rate_factor = number(&times)?;
             ScriptResult::Ok(())
         })
         .register_fn("quiet", move |s: Dynamic| {
-            lock(&quiet).quiet = seconds(&s)?;
+            lock(&quiet).min_quiet_period = seconds(&s)?;
             ScriptResult::Ok(())
         })
-        .register_fn("capacity", move |old: &str, new: &str, least: i64| {
-            lock(&capacity).capacity.push((vec![old.into(), new.into()], usize::try_from(least).unwrap_or(0)));
+        .register_fn("capacity", move |old: &str, new: &str, replicas: i64| {
+            lock(&capacity).capacity.push((vec![old.into(), new.into()], usize::try_from(replicas).unwrap_or(0)));
         })
         .register_fn("sizes", move |file: &str| lock(&sizes).sizes = Some(file.to_owned()));
 }
 
-/// When faults are injected.
-fn triggers(engine: &mut Engine, plan: &Arc<Mutex<Plan>>, seed: u64) {
+/// Registers the triggers of faults.
+fn register_triggers(engine: &mut Engine, plan: &Arc<Mutex<Plan>>, seed: u64) {
     let (at, when, when_from, at_random) = (plan.clone(), plan.clone(), plan.clone(), plan.clone());
     let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed));
     engine
-        .register_fn("at", move |s: Dynamic, fault: Fault| add(&at, Trigger::At(seconds(&s)?), fault))
-        .register_fn("when", move |so: &str, fault: Fault| {
-            add(&when, Trigger::When(condition(so)?, Duration::ZERO), fault)
+        .register_fn("at", move |s: Dynamic, fault: Fault| add_fault(&at, Trigger::At(seconds(&s)?), fault))
+        .register_fn("when", move |text: &str, fault: Fault| {
+            add_fault(&when, Trigger::When(condition(text)?, Duration::ZERO), fault)
         })
-        .register_fn("when", move |so: &str, from: Dynamic, fault: Fault| {
-            add(&when_from, Trigger::When(condition(so)?, seconds(&from)?), fault)
+        .register_fn("when", move |text: &str, from: Dynamic, fault: Fault| {
+            add_fault(&when_from, Trigger::When(condition(text)?, seconds(&from)?), fault)
         })
         .register_fn("at_random", move |from: Dynamic, to: Dynamic, fault: Fault| {
             let (from, to) = (number(&from)?, number(&to)?);
@@ -175,23 +182,23 @@
                 return Err(ArgumentError::Reversed { from, to }.into());
             }
             let drawn = lock(&rng).random_range(from..=to);
-            add(&at_random, Trigger::At(Duration::from_secs_f64(drawn)), fault)
+            add_fault(&at_random, Trigger::At(Duration::from_secs_f64(drawn)), fault)
         });
 }
 
-/// Runs a script and collects its plan. `seed` determines what it draws at random.
+/// Executes a script and returns its plan. `seed` determines all random draws.
 ///
 /// # Errors
-/// The line at which the script is wrong.
+/// The line of the script at which an error occurred, with its description.
 pub fn read(script: &str, seed: u64) -> Result<Plan, ScriptError> {
     let plan = Arc::new(Mutex::new(Plan::default()));
     let mut engine = bounded_engine();
-    machine_faults(&mut engine);
-    store_faults(&mut engine);
-    controller_faults(&mut engine);
-    operators(&mut engine);
-    plan_settings(&mut engine, &plan);
-    triggers(&mut engine, &plan, seed);
+    register_machine_faults(&mut engine);
+    register_store_faults(&mut engine);
+    register_controller_faults(&mut engine);
+    register_operator_actions(&mut engine);
+    register_settings(&mut engine, &plan);
+    register_triggers(&mut engine, &plan, seed);
     engine
         .run(script)
         .map_err(|error| ScriptError { line: error.position().line().unwrap_or(1), why: error.to_string() })?;
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn scripts_by_cases() {
+fn script_yields_its_plan_or_an_error_by_case() {
     let s = Duration::from_secs;
     type Steps = Vec<(Trigger, Fault)>;
     let rows: [(&str, Result<Steps, &str>); 12] = [
@@ -42,11 +42,11 @@
                 }),
             )]),
         ),
-        ("at(1, says(\"met\", drop_leases()))", Err("says nothing")),
+        ("at(1, says(\"met\", drop_leases()))", Err("has no output: `says` applies only to operator commands")),
         ("\n\nat(1, hang(2, ))", Err("line 3")),
-        ("at(1, cut(\"owner\", \"moon\", 9))", Err("\"moon\" is no link")),
+        ("at(1, cut(\"owner\", \"moon\", 9))", Err("unknown link \"moon\"")),
         ("at(-1, drop_leases())", Err("is not between")),
-        ("when(\"it rains\", drop_leases())", Err("is none of")),
+        ("when(\"it rains\", drop_leases())", Err("unknown condition \"it rains\": expected one of")),
         ("at(1, take_spots(1))", Err("Function not found")),
         ("loop { }", Err("Too many operations")),
         ("loop { at(1, drop_leases()) }", Err("more than 1000 faults")),
@@ -59,12 +59,12 @@
         }
     }
     let drawn = |seed| read("for n in 0..5 { at_random(1, 9, lose_machines(1)) }", seed).unwrap();
-    assert_eq!(drawn(7), drawn(7), "the same for the same seed");
+    assert_eq!(drawn(7), drawn(7), "equal seeds must draw equal plans");
     assert_ne!(drawn(7), drawn(8));
 }
 
 #[test]
-fn leader_is_another_word_for_owner() {
+fn leader_and_owner_select_the_same_controller() {
     let read_both = ["leader", "owner"].map(|word| read(&format!("at(1, end(\"{word}\", 2))"), 1).unwrap());
     assert_eq!(read_both[0], read_both[1]);
     assert_eq!(read_both[0].steps[0].1, Fault::End(ControllerSelector::Leader, Duration::from_secs(2)));
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes of a rehearsal: controllers, limits, machines, teams and work, from a checked TOML file.
+//! The sizes of a rehearsal: controllers, limits, machines, teams and work, from a validated TOML file.
 
 use hollylanding_protocol::jobs::{JobSpec, Shape, Urgency};
 use serde::Deserialize;
@@ -9,7 +9,7 @@
 /// The sizes used if no file is given.
 pub const DEFAULT: &str = include_str!("../../../scenarios/default.toml");
 
-/// Why sizes were not accepted.
+/// Why sizes were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SizesError {
     /// The text is not TOML of the expected form; the message contains line and column.
@@ -20,18 +20,18 @@
     Value {
         /// Path of the field.
         field: String,
-        /// What is wrong with its value.
+        /// Description of the problem with the field's value.
         problem: String,
     },
 }
 
-/// The sizes of a rehearsal. Times are in seconds, amounts as in a job's description.
+/// The sizes of a rehearsal. Times are in seconds, and resource amounts in the units of a job's description.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
     /// Number of controllers, from 1 to 9.
     pub controllers: usize,
-    /// Longest duration of the rehearsal; what is not done by then counts as lost.
+    /// Maximum duration of the rehearsal. Tasks that are not done at its end count as lost.
     pub seconds: f64,
     /// Limits of the state service.
     pub state: State,
@@ -39,12 +39,12 @@
     pub cloud: Cloud,
     /// Timeouts of the workers.
     pub workers: Workers,
-    /// Machine types; at least one.
+    /// Machine types, at least one.
     pub machines: Vec<Machine>,
-    /// Teams with their shares; if empty, the teams are those that the work names.
+    /// Teams with their shares. If there are none, the teams are those named by the work.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Kinds of work; at least one.
+    /// Kinds of work, at least one.
     pub work: Vec<Work>,
 }
 
@@ -52,13 +52,13 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub requests_per_second: f64,
-    /// Changes of keys per second.
+    /// Maximum number of key changes per second.
     pub changes_per_second: f64,
-    /// Largest value, in kB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// The most changes in one transaction.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -66,16 +66,16 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cloud {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub requests_per_second: f64,
-    /// Usual age of the list of machines, in seconds.
+    /// Mean age of the list of machines, in seconds.
     pub list_lag_s: f64,
-    /// Usual time from the notice to a spot machine until it is taken, in seconds.
+    /// Mean time from an interruption notice until the spot machine is interrupted, in seconds.
     pub notice_s: f64,
-    /// Fraction of taken spot machines that receive no notice.
+    /// Fraction of interrupted spot machines that receive no interruption notice.
     #[serde(default)]
     pub silent: f64,
-    /// Fraction of machines that never come up.
+    /// Fraction of machines that never finish booting.
     #[serde(default)]
     pub never_up: f64,
     /// Fraction of machines that take several times as long to boot.
@@ -87,15 +87,15 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    /// Interval between two reports.
+    /// Mean interval between two heartbeats of a worker.
     pub report_s: f64,
-    /// A worker ends its agent epoch and its tasks if no report was answered for this long.
+    /// A worker ends its agent epoch and its tasks if no heartbeat was answered for this long.
     pub lease_s: f64,
-    /// How long a member of a gang waits for the others before it gives up.
+    /// Maximum time for which a member of a gang waits for the others to start.
     pub gang_wait_s: f64,
-    /// How long the members of a gang take to notice that one is missing.
+    /// Time that the members of a gang take to detect that one is missing.
     pub gang_peer_s: f64,
-    /// Time within which all tasks of a cancelled job have to be gone.
+    /// Time within which all tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
@@ -105,9 +105,9 @@
 pub struct Machine {
     /// The type's name.
     pub name: String,
-    /// Cores of one machine.
+    /// Number of cores of one machine.
     pub cpus: f64,
-    /// Accelerators of one machine.
+    /// Number of accelerators of one machine.
     #[serde(default)]
     pub accelerators: f64,
     /// Memory of one machine, in GB.
@@ -116,7 +116,7 @@
     pub price: f64,
     /// Nominal price of a spot machine per hour.
     pub spot_price: f64,
-    /// Usual time to boot, in seconds.
+    /// Nominal time to boot, in seconds; the real time varies.
     pub boot_s: f64,
     /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
@@ -127,11 +127,11 @@
     pub zones: Vec<ZoneSupply>,
 }
 
-/// The machines of a type that a zone has; `[zone, on demand, spot]` in TOML.
+/// The number of machines of a type in a zone; `[zone, on demand, spot]` in TOML.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, u64, u64)")]
 pub struct ZoneSupply {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
     /// Number of on-demand machines.
     pub on_demand: u64,
@@ -151,16 +151,16 @@
 pub struct Team {
     /// The team's name.
     pub name: String,
-    /// Cores that the team is entitled to.
+    /// Number of cores to which the team is entitled.
     #[serde(default)]
     pub cpus: f64,
-    /// The most cores that it may use; 0: unlimited.
+    /// Maximum number of cores that the team may use; 0 means unlimited.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Accelerators that the team is entitled to.
+    /// Number of accelerators to which the team is entitled.
     #[serde(default)]
     pub accelerators: f64,
-    /// The most accelerators that it may use; 0: unlimited.
+    /// Maximum number of accelerators that the team may use; 0 means unlimited.
     #[serde(default)]
     pub accelerators_max: f64,
 }
@@ -179,7 +179,7 @@
 pub struct Work {
     /// The kind's name.
     pub name: String,
-    /// Class of its jobs, if it differs from the name.
+    /// Class of the jobs, if it differs from the name.
     #[serde(default)]
     pub class: Option<String>,
     /// Team that submits the jobs.
@@ -189,11 +189,11 @@
     /// Priority of the jobs.
     #[serde(default = "default_urgency")]
     pub urgency: Urgency,
-    /// Tasks of each job.
+    /// Number of tasks of each job.
     pub tasks: u64,
-    /// Cores of one task.
+    /// Number of cores of one task.
     pub cpus: f64,
-    /// Accelerators of one task.
+    /// Number of accelerators of one task.
     #[serde(default)]
     pub accelerators: f64,
     /// Memory of one task, in GB.
@@ -201,15 +201,15 @@
     /// Size of the image, in GB.
     #[serde(default)]
     pub image_gb: f64,
-    /// Usual run time of a task, in seconds; the real one varies.
+    /// Nominal run time of a task, in seconds; the real run time varies.
     pub run_s: f64,
     /// The user's estimate as a multiple of `run_s`.
     #[serde(default = "default_estimate")]
     pub estimate: f64,
-    /// Interval of checkpoints in seconds; 0: none.
+    /// Interval of periodic checkpoints in seconds; 0 means none.
     #[serde(default)]
     pub checkpoint_s: f64,
-    /// Time that saving takes when a task is stopped, in seconds.
+    /// Time that a task takes to save its progress when it is stopped, in seconds.
     #[serde(default)]
     pub save_s: f64,
     /// Deadline in seconds after the submission, if there is one.
@@ -233,13 +233,13 @@
     /// Duration of these submissions, in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Time of the first submission, in seconds since the world began.
+    /// Time of the first submission, in seconds since the start of the world.
     #[serde(default)]
     pub from_s: f64,
-    /// Whether the jobs are faulty: they fail everywhere, and are cancelled at the end, as services are.
+    /// Whether the jobs are faulty: they fail on every machine, and are cancelled at the end, as services are.
     #[serde(default)]
     pub broken: bool,
-    /// Fraction of the jobs that their users cancel a few seconds after the acceptance.
+    /// Fraction of the jobs that users cancel a few seconds after the acceptance.
     #[serde(default)]
     #[serde(rename = "withdrawn")]
     pub cancelled: f64,
@@ -272,11 +272,14 @@
         }
     }
 
-    /// Times of submission of all its jobs, in seconds since the world began.
+    /// The submission times of all jobs of this kind, in seconds since the start of the world.
     pub fn arrivals(&self) -> impl Iterator<Item = f64> {
-        let later = (self.per_second * self.for_s) as u64;
-        let every = 1.0 / self.per_second.max(1e-9);
-        (0..self.jobs).map(|_| 0.0).chain((1..=later).map(move |n| n as f64 * every)).map(|at| at + self.from_s)
+        let later_jobs = (self.per_second * self.for_s) as u64;
+        let interval_s = 1.0 / self.per_second.max(1e-9);
+        (0..self.jobs)
+            .map(|_| 0.0)
+            .chain((1..=later_jobs).map(move |n| n as f64 * interval_s))
+            .map(|at| at + self.from_s)
     }
 }
 
@@ -284,13 +287,14 @@
     /// Parses sizes from TOML and checks them.
     ///
     /// # Errors
-    /// Where the text is not of the expected form, or which value is out of its bounds.
+    /// The position at which the text is malformed, or the field whose value is out of bounds.
     pub fn parse(text: &str) -> Result<Self, SizesError> {
         let sizes: Self = toml::from_str(text)?;
         sizes.check()?;
         Ok(sizes)
     }
 
+    /// Names of all teams, each once, in alphabetical order.
     fn team_names(&self) -> Vec<String> {
         let named = self.teams.iter().map(|t| t.name.clone());
         let of_work = self.work.iter().map(|w| w.team.clone());
@@ -300,7 +304,7 @@
         names
     }
 
-    /// All zones, each once, in order.
+    /// Names of all zones, each once, in alphabetical order.
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> =
             self.machines.iter().flat_map(|m| m.zones.iter().map(|supply| supply.zone.clone())).collect();
--- a/crates/emulator/src/sizes/check.rs
+++ b/crates/emulator/src/sizes/check.rs
@@ -1,49 +1,52 @@
-//! Checks of the sizes: every value within its bounds, and work that fits the machines.
+//! Validation of sizes: every value must be within its bounds, and work must fit the machines.
 
 use super::{Machine, Sizes, SizesError, Work};
 
-/// The most jobs of one kind of work.
+/// Maximum number of jobs of one kind of work.
 const MAX_JOBS: f64 = 100_000.0;
-/// The largest amount of anything that has no bound of its own.
+/// Maximum of amounts that have no specific bound.
 const MAX_AMOUNT: f64 = 1e6;
-/// Seconds of an hour, and of a day.
+/// Seconds in an hour.
 const HOUR_S: f64 = 3600.0;
+/// Seconds in a day.
 const DAY_S: f64 = 86_400.0;
 
+/// The error for an invalid value.
 fn invalid(field: impl Into<String>, problem: impl Into<String>) -> SizesError {
     SizesError::Value { field: field.into(), problem: problem.into() }
 }
 
-/// A value with the bounds that it has to keep.
+/// A value and its permitted bounds.
 struct Bound {
     field: String,
     value: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl Bound {
-    fn new(field: impl Into<String>, value: f64, least: f64, most: f64) -> Self {
-        Self { field: field.into(), value, least, most }
+    fn new(field: impl Into<String>, value: f64, min: f64, max: f64) -> Self {
+        Self { field: field.into(), value, min, max }
     }
 
     fn check(&self) -> Result<(), SizesError> {
-        let Self { value, least, most, .. } = *self;
-        if (least..=most).contains(&value) {
+        let Self { value, min, max, .. } = *self;
+        if (min..=max).contains(&value) {
             Ok(())
         } else {
-            Err(invalid(self.field.clone(), format!("{value} is not between {least} and {most}")))
+            Err(invalid(self.field.clone(), format!("{value} is not between {min} and {max}")))
         }
     }
 }
 
 impl Machine {
+    /// Path of a field of this machine type, for errors.
     fn field(&self, name: &str) -> String {
         format!("machines.{}.{name}", self.name)
     }
 
     fn check(&self) -> Result<(), SizesError> {
-        if self.zones.is_empty() { Err(invalid(self.field("zones"), "none is given")) } else { Ok(()) }
+        if self.zones.is_empty() { Err(invalid(self.field("zones"), "at least one zone is required")) } else { Ok(()) }
     }
 
     /// Whether a task of this work fits on an empty machine.
@@ -62,6 +65,7 @@
 }
 
 impl Work {
+    /// Path of a field of this kind of work, for errors.
     fn field(&self, name: &str) -> String {
         format!("work.{}.{name}", self.name)
     }
@@ -78,7 +82,7 @@
 }
 
 impl Sizes {
-    /// Names the first value that cannot be used.
+    /// Checks all values; the error names the first invalid one.
     pub(super) fn check(&self) -> Result<(), SizesError> {
         for machine in &self.machines {
             machine.check()?;
@@ -88,21 +92,21 @@
         }
         self.bounds().iter().try_for_each(Bound::check)?;
         if self.machines.is_empty() || self.work.is_empty() {
-            return Err(invalid("machines, work", "at least one of each is needed"));
+            return Err(invalid("machines, work", "at least one of each is required"));
         }
         Ok(())
     }
 
-    /// A kind of work has a valid job and a known team, and fits on a machine.
+    /// Checks that a kind of work has a valid job description and a known team, and that a task fits on some machine.
     fn check_work(&self, work: &Work) -> Result<(), SizesError> {
         if let Err(problem) = work.spec("run-1").check() {
             return Err(invalid(format!("work.{}", work.name), problem.to_string()));
         }
         if !self.teams.is_empty() && !self.teams.iter().any(|team| team.name == work.team) {
-            return Err(invalid(work.field("team"), format!("{:?} is no team", work.team)));
+            return Err(invalid(work.field("team"), format!("unknown team {:?}", work.team)));
         }
         if !self.machines.iter().any(|machine| machine.fits(work)) {
-            return Err(invalid(work.field("cpus"), "a task fits no machine"));
+            return Err(invalid(work.field("cpus"), "a task is too large for every machine type"));
         }
         Ok(())
     }
--- a/crates/emulator/src/sizes/convert.rs
+++ b/crates/emulator/src/sizes/convert.rs
@@ -1,4 +1,4 @@
-//! Sizes as parameters of the emulated world, of the judge, and of a controller's settings file.
+//! Conversion of sizes to the parameters of the emulated world and the judge, and to a controller's settings file.
 
 use std::time::Duration;
 
@@ -13,6 +13,7 @@
 use crate::world::store::Limits;
 
 impl Machine {
+    /// The machine type in the cloud's catalog.
     fn machine_type(&self) -> MachineType {
         MachineType {
             name: self.name.clone(),
@@ -28,6 +29,7 @@
         }
     }
 
+    /// The capacity of each zone.
     fn capacity(&self) -> impl Iterator<Item = Capacity> {
         self.zones.iter().map(|ZoneSupply { zone, on_demand, spot }| Capacity {
             type_name: self.name.clone(),
@@ -40,7 +42,7 @@
 
 impl Sizes {
     /// The parameters of the emulated world.
-    pub fn world(&self, seed: u64, judged: bool) -> driver::Params {
+    pub fn world_params(&self, seed: u64, judged: bool) -> driver::Params {
         let seconds = Duration::from_secs_f64;
         driver::Params {
             limits: Limits {
@@ -66,14 +68,14 @@
             },
             boots: BootMode::Usual,
             heartbeat: seconds(self.workers.report_s),
-            page_most: usize::MAX,
+            max_page_items: usize::MAX,
             seed,
             judged,
         }
     }
 
     /// The parameters of the judge's rules.
-    pub fn terms(&self) -> RuleParams {
+    pub fn rule_params(&self) -> RuleParams {
         let quotas = self.teams.iter().map(|t| (t.name.clone(), (t.cpus_max, t.accelerators_max)));
         RuleParams {
             quotas: quotas.collect(),
@@ -83,18 +85,18 @@
     }
 
     /// The `params` of a controller's settings file.
-    pub fn settings(&self) -> Value {
+    pub fn controller_settings(&self) -> Value {
         let team = |name: String| {
             let Team { cpus, cpus_max, accelerators, accelerators_max, .. } =
                 self.teams.iter().find(|team| team.name == name).cloned().unwrap_or_default();
             json!({"name": name, "cpus": cpus, "cpus_max": cpus_max, "gpus": accelerators, "gpus_max": accelerators_max})
         };
-        let w = &self.workers;
+        let workers = &self.workers;
         json!({
             "size": self.controllers, "zones": self.zones(),
             "teams": self.team_names().into_iter().map(team).collect::<Vec<_>>(), "objectives": [],
-            "workers": {"report_s": w.report_s, "lease_s": w.lease_s, "gang_wait_s": w.gang_wait_s,
-                "gang_peer_s": w.gang_peer_s, "cancel_s": w.cancel_s},
+            "workers": {"report_s": workers.report_s, "lease_s": workers.lease_s, "gang_wait_s": workers.gang_wait_s,
+                "gang_peer_s": workers.gang_peer_s, "cancel_s": workers.cancel_s},
             "state": {"rps": self.state.requests_per_second, "write_rps": self.state.changes_per_second,
                 "value_kb": self.state.value_kb, "txn_ops": self.state.txn_ops},
             "cloud": {"rps": self.cloud.requests_per_second, "list_lag_s": self.cloud.list_lag_s},
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -20,7 +20,7 @@
         fleet: fleet::Params { lease: s(24), gang_wait: s(30), gang_peer: s(5) },
         boots: BootMode::Usual,
         heartbeat: s(1),
-        page_most: 100,
+        max_page_items: 100,
         seed: 1,
         judged: false,
     }
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -105,7 +105,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 100.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 24 });
         for n in 0..ended {
             let key = if end_of(n) == "done" { "h/d/" } else { "h/w/" };
@@ -261,7 +261,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 80.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 16 });
         for n in 0..ENDED {
             let key = if end_of(n) == "done" { "h/d/" } else { "h/w/" };
@@ -306,7 +306,7 @@
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     let http = Http::default();
-    world.state.lock().unwrap().page_most = 1000;
+    world.state.lock().unwrap().max_page_items = 1000;
     let follower = ControllerProcess::start(&world, &settings("node-a", &["node-b"], &door));
     outside.block_on(async {
         until("healthy", || async { ask(&http, Method::GET, &follower.addr, "/healthz", None).await.0 == 200 }).await;
@@ -333,7 +333,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 6.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 24 });
         (OPEN..OPEN + 5000).for_each(|n| state.put(format!("c/o/{}", id(n)), &open_record(n)));
         state.put("c/upgraded".into(), &json!({"old_kept": false}));
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -59,7 +59,7 @@
         fleet: fleet::Params { lease: LEASE, gang_wait: Duration::from_secs(35), gang_peer: Duration::from_secs(8) },
         boots: BootMode::AtOnce,
         heartbeat: Duration::from_millis(60),
-        page_most: 2,
+        max_page_items: 2,
         seed: 1,
         judged: false,
     }
