--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes: their settings, their links, their ends and starts.
+//! Controllers as real processes: their settings, network links, starts and ends.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -14,29 +14,30 @@
 use crate::driver::{Link, Node, World, lock};
 use crate::sizes::Sizes;
 
-/// Shorter than in service, where machines take longer to boot than here.
+/// Properties of the controllers. The times are shorter than in production, where machines take longer to boot.
 const PROPERTIES: &str = "leader.lease.seconds=1\nmachines.silence.seconds=4\nmachines.idle.seconds=30\n\
                           machines.refusal.seconds=3\n";
 
-/// How long a verb of the command line may take.
-const VERB_WITHIN: Duration = Duration::from_secs(10);
+/// Maximum run time of a command of the daemon's command line.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why controllers could not be started.
+/// Why controllers could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
     /// A file, a port or a process failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was being done, or the path concerned.
+        /// The operation or the path concerned.
         what: String,
         /// The operating system's error.
         error: std::io::Error,
     },
-    /// The daemon's program does not exist at this path.
+    /// The daemon's executable does not exist at this path.
     #[error("{0} is not built: run `cargo build --release` first")]
     NotBuilt(String),
 }
 
+/// Converts an error of the operating system, with the operation or the path concerned.
 fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ControllerError {
     let what = what.into();
     move |error| ControllerError::Io { what, error }
@@ -44,50 +45,53 @@
 
 type BoxFuture<T> = std::pin::Pin<Box<dyn Future<Output = T> + Send>>;
 
+/// A controller and its process.
 struct Controller {
     config: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// To be started again, or to go on after a pause.
-    starts: Option<Instant>,
-    resumes: Option<Instant>,
+    /// When the process is started again; none if no start is planned.
+    starts_at: Option<Instant>,
+    /// When the process is resumed; none if it is not paused.
+    resumes_at: Option<Instant>,
 }
 
-/// All controllers of a rehearsal. Dropped, they end.
+/// All controllers of a rehearsal. Their processes are killed when this is dropped.
 pub struct Controllers {
     binary: PathBuf,
     properties: PathBuf,
-    /// Settings for operators, whose way to the state service is never cut.
-    operators: PathBuf,
+    /// File with the settings for operators, whose connection to the state service is never disturbed.
+    operator_config: PathBuf,
     list: Vec<Controller>,
-    /// Addresses for users, by controller; they pass through the links that a scenario may cut.
-    pub for_users: Vec<String>,
-    /// Addresses on which the controllers listen themselves, by controller.
-    pub direct: Vec<String>,
+    /// Addresses for users, by controller; their connections pass through links that a scenario can disturb.
+    pub user_addrs: Vec<String>,
+    /// Addresses on which the controllers listen, by controller.
+    pub direct_addrs: Vec<String>,
     /// Number of times that a controller's process exited without being stopped by the scenario.
-    pub own_ends: usize,
+    pub unexpected_exits: usize,
 }
 
-/// A port that was free a moment ago.
+/// An address on the loopback interface with a port that was free at the time of the call.
 fn free_addr() -> std::io::Result<String> {
     Ok(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?.to_string())
 }
 
-/// The daemon, built beside this program; by cargo now, if that is what runs this.
-pub fn daemon() -> Result<PathBuf, ControllerError> {
-    let this = std::env::current_exe().map_err(io("this program's own path"))?;
+/// The path of the daemon's executable, in the folder of this program. If cargo runs this program, the daemon is built
+/// first.
+pub fn daemon_path() -> Result<PathBuf, ControllerError> {
+    let own_path = std::env::current_exe().map_err(io("this program's own path"))?;
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = std::process::Command::new(cargo);
         build.args(["build", "--locked", "--package", "hollylanding"]);
-        if this.parent().is_some_and(|folder| folder.ends_with("release")) {
+        if own_path.parent().is_some_and(|folder| folder.ends_with("release")) {
             build.arg("--release");
         }
         if !build.status().map_err(io("cargo build"))?.success() {
             return Err(ControllerError::NotBuilt("hollylanding".into()));
         }
     }
-    let beside = this.with_file_name(format!("hollylanding{}", std::env::consts::EXE_SUFFIX));
-    if beside.is_file() { Ok(beside) } else { Err(ControllerError::NotBuilt(beside.display().to_string())) }
+    let daemon = own_path.with_file_name(format!("hollylanding{}", std::env::consts::EXE_SUFFIX));
+    if daemon.is_file() { Ok(daemon) } else { Err(ControllerError::NotBuilt(daemon.display().to_string())) }
 }
 
 /// The name of the controller of this number.
@@ -103,14 +107,14 @@
     write(path, &serde_json::to_string_pretty(value).unwrap_or_default())
 }
 
-/// Settings with other endpoints of the cloud and the state service.
+/// Sets the endpoints of the cloud and the state service in a controller's settings.
 fn with_endpoints(mut settings: Value, cloud: &str, state: &str) -> Value {
     settings["endpoints"] = json!({"cloud": cloud, "state": state});
     settings
 }
 
-/// Listens on a port of its own, and forwards to `to` what the link lets pass.
-async fn relayed(world: &World, to: String, i: usize, link: Link) -> Result<String, ControllerError> {
+/// Starts a relay to the address `to` for a link of a controller, and returns the relay's address.
+async fn start_relay(world: &World, to: String, i: usize, link: Link) -> Result<String, ControllerError> {
     relay(to, world.link_switch(i, link)).await.map_err(io("a link"))
 }
 
@@ -118,43 +122,45 @@
 struct Cluster {
     zones: Vec<String>,
     params: Value,
-    /// Where each listens to users and workers.
-    apis: Vec<String>,
-    /// Where each listens to the other controllers.
-    meshes: Vec<String>,
+    /// Address of each controller's listener for users and workers.
+    api_addrs: Vec<String>,
+    /// Address of each controller's listener for the other controllers.
+    mesh_addrs: Vec<String>,
 }
 
 impl Cluster {
+    /// Chooses the addresses of all controllers.
     fn new(sizes: &Sizes) -> Result<Self, ControllerError> {
-        let (mut apis, mut meshes) = (Vec::new(), Vec::new());
+        let (mut api_addrs, mut mesh_addrs) = (Vec::new(), Vec::new());
         for _ in 0..sizes.controllers {
-            apis.push(free_addr().map_err(io("a free port"))?);
-            meshes.push(free_addr().map_err(io("a free port"))?);
+            api_addrs.push(free_addr().map_err(io("a free port"))?);
+            mesh_addrs.push(free_addr().map_err(io("a free port"))?);
         }
-        Ok(Self { zones: sizes.zones(), params: sizes.controller_settings(), apis, meshes })
+        Ok(Self { zones: sizes.zones(), params: sizes.controller_settings(), api_addrs, mesh_addrs })
     }
 
+    /// The zone of a controller.
     fn zone(&self, i: usize) -> &str {
         &self.zones[i % self.zones.len()]
     }
 
-    /// The address of a controller behind one of its links.
-    async fn link(&self, world: &World, i: usize, link: Link) -> Result<String, ControllerError> {
-        relayed(world, self.apis[i].clone(), i, link).await
+    /// Starts a relay to a controller for one of its links, and returns the relay's address.
+    async fn start_link(&self, world: &World, i: usize, link: Link) -> Result<String, ControllerError> {
+        start_relay(world, self.api_addrs[i].clone(), i, link).await
     }
 
-    /// A controller's settings, in which everything else is behind links.
+    /// A controller's settings. The addresses of the other controllers, the cloud and the state service are relays.
     async fn settings(&self, world: &Arc<World>, i: usize) -> Result<Value, ControllerError> {
         let services = world.serve_controller(i).await;
-        let state = relayed(world, services.clone(), i, Link::Store).await?;
-        let cloud = relayed(world, services, i, Link::Cloud).await?;
+        let state = start_relay(world, services.clone(), i, Link::Store).await?;
+        let cloud = start_relay(world, services, i, Link::Cloud).await?;
         let mut peers = Vec::new();
-        for j in (0..self.meshes.len()).filter(|j| *j != i) {
-            let endpoint = relayed(world, self.meshes[j].clone(), i, Link::Peer(j)).await?;
+        for j in (0..self.mesh_addrs.len()).filter(|j| *j != i) {
+            let endpoint = start_relay(world, self.mesh_addrs[j].clone(), i, Link::Peer(j)).await?;
             peers.push(json!({"host_name": name(j), "area": self.zone(j), "endpoint": endpoint}));
         }
         let settings = json!({
-            "host_name": name(i), "area": self.zone(i), "api_addr": self.apis[i], "mesh_addr": self.meshes[i],
+            "host_name": name(i), "area": self.zone(i), "api_addr": self.api_addrs[i], "mesh_addr": self.mesh_addrs[i],
             "peers": peers, "params": self.params,
         });
         Ok(with_endpoints(settings, &cloud, &state))
@@ -162,7 +168,7 @@
 }
 
 impl Controllers {
-    /// Writes their settings into a folder and starts them, each behind links of its own.
+    /// Writes the controllers' settings into a folder and starts the controllers, each with links of its own.
     pub async fn start(
         world: &Arc<World>,
         sizes: &Sizes,
@@ -176,11 +182,11 @@
         let mut all = Self {
             binary,
             properties,
-            operators: folder.join("operator.json"),
+            operator_config: folder.join("operator.json"),
             list: vec![],
-            for_users: vec![],
-            direct: cluster.apis.clone(),
-            own_ends: 0,
+            user_addrs: vec![],
+            direct_addrs: cluster.api_addrs.clone(),
+            unexpected_exits: 0,
         };
         for i in 0..sizes.controllers {
             let settings = cluster.settings(world, i).await?;
@@ -188,19 +194,20 @@
             write_json(&config, &settings)?;
             if i == 0 {
                 let direct = world.serve_controller(sizes.controllers).await;
-                write_json(&all.operators, &with_endpoints(settings, &direct, &direct))?;
+                write_json(&all.operator_config, &with_endpoints(settings, &direct, &direct))?;
             }
-            let workers = cluster.link(world, i, Link::Workers).await?;
+            let workers = cluster.start_link(world, i, Link::Workers).await?;
             lock(&world.nodes).push(Node { name: name(i), addr: workers });
-            all.for_users.push(cluster.link(world, i, Link::Users).await?);
+            all.user_addrs.push(cluster.start_link(world, i, Link::Users).await?);
             let log = folder.join(format!("{}.log", name(i)));
             let _ = std::fs::remove_file(&log);
-            all.list.push(Controller { config, log, child: None, starts: None, resumes: None });
+            all.list.push(Controller { config, log, child: None, starts_at: None, resumes_at: None });
             all.spawn(i)?;
         }
         Ok(all)
     }
 
+    /// Starts a controller's process.
     fn spawn(&mut self, i: usize) -> Result<(), ControllerError> {
         let controller = &mut self.list[i];
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&controller.log);
@@ -217,31 +224,31 @@
             .kill_on_drop(true)
             .spawn();
         controller.child = Some(child.map_err(io(self.binary.display().to_string()))?);
-        controller.starts = None;
+        controller.starts_at = None;
         Ok(())
     }
 
     /// Whether every controller runs and none is paused.
-    pub fn all_well(&self) -> bool {
-        self.list.iter().all(|c| c.starts.is_none() && c.resumes.is_none())
+    pub fn all_running(&self) -> bool {
+        self.list.iter().all(|c| c.starts_at.is_none() && c.resumes_at.is_none())
     }
 
-    /// A command that runs the daemon's command line with these arguments each time it is called, and returns the
-    /// exit status and the output.
-    pub fn verbs(&self, args: Vec<String>) -> impl Fn() -> BoxFuture<(Option<i32>, String)> + Send + use<> {
-        let (binary, config) = (self.binary.clone(), self.operators.display().to_string());
+    /// Returns a function that executes the daemon's command line with these arguments each time it is called, and
+    /// returns the exit status and the output.
+    pub fn command_runner(&self, args: Vec<String>) -> impl Fn() -> BoxFuture<(Option<i32>, String)> + Send + use<> {
+        let (binary, config) = (self.binary.clone(), self.operator_config.display().to_string());
         let args: Vec<String> = args.iter().map(|arg| arg.replace("{config}", &config)).collect();
         move || {
             let mut command = Command::new(&binary);
             command.args(&args).stdin(Stdio::null()).kill_on_drop(true);
             Box::pin(async move {
-                match tokio::time::timeout(VERB_WITHIN, command.output()).await {
+                match tokio::time::timeout(COMMAND_TIMEOUT, command.output()).await {
                     Ok(Ok(out)) => {
-                        let said = [out.stdout, out.stderr].concat();
-                        (out.status.code(), String::from_utf8_lossy(&said).into_owned())
+                        let output = [out.stdout, out.stderr].concat();
+                        (out.status.code(), String::from_utf8_lossy(&output).into_owned())
                     }
                     Ok(Err(error)) => (None, error.to_string()),
-                    Err(_) => (None, format!("nothing within {VERB_WITHIN:?}")),
+                    Err(_) => (None, format!("nothing within {COMMAND_TIMEOUT:?}")),
                 }
             })
         }
@@ -252,15 +259,16 @@
         self.list.len()
     }
 
-    /// Kills one without warning, and restarts it after `again`.
-    pub async fn end(&mut self, i: usize, again: Duration) {
+    /// Kills a controller without warning, and restarts it after a delay.
+    pub async fn kill_and_restart(&mut self, i: usize, restart_delay: Duration) {
         let Some(controller) = self.list.get_mut(i) else { return };
         if let Some(mut child) = controller.child.take() {
             let _ = child.kill().await;
         }
-        (controller.starts, controller.resumes) = (Some(Instant::now() + again), None);
+        (controller.starts_at, controller.resumes_at) = (Some(Instant::now() + restart_delay), None);
     }
 
+    /// Sends a signal to a controller's process.
     fn signal(&self, i: usize, signal: Signal) {
         let pid = self.list.get(i).and_then(|c| c.child.as_ref()).and_then(Child::id);
         if let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) {
@@ -268,15 +276,16 @@
         }
     }
 
-    /// Pauses one controller's process (SIGSTOP) for a while; its clocks run on.
+    /// Pauses a controller's process (SIGSTOP) for a time. Its clocks continue.
     pub fn pause(&mut self, i: usize, time: Duration) {
         self.signal(i, Signal::SIGSTOP);
         if let Some(controller) = self.list.get_mut(i) {
-            controller.resumes = Some(Instant::now() + time);
+            controller.resumes_at = Some(Instant::now() + time);
         }
     }
 
-    /// Restarts and resumes the controllers that are due, and counts those that have exited by themselves.
+    /// Restarts and resumes the controllers that are due. Counts those that have exited unexpectedly and plans their
+    /// restart.
     pub fn tick(&mut self) -> Result<(), ControllerError> {
         for i in 0..self.list.len() {
             let controller = &mut self.list[i];
@@ -284,17 +293,17 @@
                 && matches!(child.try_wait(), Ok(Some(_)))
             {
                 controller.child = None;
-                controller.starts = Some(Instant::now() + Duration::from_secs(1));
-                self.own_ends += 1;
+                controller.starts_at = Some(Instant::now() + Duration::from_secs(1));
+                self.unexpected_exits += 1;
             }
             let now = Instant::now();
             let due = |at: Option<Instant>| at.is_some_and(|at| at <= now);
-            let (starts, resumes) = (self.list[i].starts, self.list[i].resumes);
-            if due(resumes) {
+            let (starts_at, resumes_at) = (self.list[i].starts_at, self.list[i].resumes_at);
+            if due(resumes_at) {
                 self.signal(i, Signal::SIGCONT);
-                self.list[i].resumes = None;
+                self.list[i].resumes_at = None;
             }
-            if due(starts) {
+            if due(starts_at) {
                 self.spawn(i)?;
             }
         }
--- a/crates/emulator/src/judge/state.rs
+++ b/crates/emulator/src/judge/state.rs
@@ -138,7 +138,7 @@
             }
             Event::Machine(event) => self.process_attempt_event(at, event),
             Event::Declared { kind, name, spec, status } => {
-                for what in self.declared.stored(at, kind, name, spec, status) {
+                for what in self.declared.check_status(at, kind, name, spec, status) {
                     self.report(Rule::Window, at, &name.as_str().into(), what);
                 }
             }
@@ -179,7 +179,7 @@
             self.report_at_end(Rule::NothingRan, end, "no task started".into());
         }
         let end_ms = self.params.start_ms + end.as_millis() as u64;
-        for what in self.declared.close(end_ms, |job| self.jobs.get(job)?.begun) {
+        for what in self.declared.check_end(end_ms, |job| self.jobs.get(job)?.begun) {
             self.report_at_end(Rule::Window, end, what);
         }
         let mut verdict = Verdict { repeated: self.repeated, ..Verdict::default() };
--- a/crates/emulator/src/judge/tasks.rs
+++ b/crates/emulator/src/judge/tasks.rs
@@ -91,7 +91,7 @@
         let is_waiting =
             |j: &&Job| j.accepted.is_some_and(is_long_ago) && j.begun.is_none() && j.final_status.is_none();
         let waiting = self.jobs.values().filter(is_waiting).filter_map(|j| j.spec.as_deref());
-        for job in self.declared.begins(spec, waiting) {
+        for job in self.declared.check_start(spec, waiting) {
             let what = format!("{job} waits while it is hot, and {} is one of many that begin ahead", spec.id);
             self.report(Rule::Vents, at, &job, what);
         }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The emulator's program: run the whole service on one machine, rehearse failures, check scenarios.
+//! The emulator's command line: runs the whole service on one machine, rehearses failures and checks scenarios.
 
 mod program;
 
@@ -12,10 +12,10 @@
 use program::run::{Rehearsal, rehearse, up};
 use program::soak::soak;
 
-/// A rule was broken or a result was lost.
-const BROKEN: u8 = 1;
-/// Wrong arguments or files.
-const UNUSABLE: u8 = 2;
+/// Exit status if a rule was violated, a result was lost, or the command could not be run.
+const EXIT_FAILED: u8 = 1;
+/// Exit status for invalid arguments or files.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 /// An emulated cloud, state service and fleet on loopback, with hollylanding's controllers as real processes.
 ///
@@ -61,21 +61,22 @@
     },
 }
 
-/// Prints an error and gives the exit status.
+/// Prints an error and returns the exit status.
 fn fail(error: &ProgramError, status: u8) -> ExitCode {
     eprintln!("hollylanding-emulator: {error}");
     ExitCode::from(status)
 }
 
+/// The exit status for the outcome of a command.
 fn report_outcome(outcome: Result<bool, ProgramError>) -> ExitCode {
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
-        Err(error) => fail(&error, BROKEN),
+        Ok(false) => ExitCode::from(EXIT_FAILED),
+        Err(error) => fail(&error, EXIT_FAILED),
     }
 }
 
-/// Runs a command; the error is one of wrong files.
+/// Runs a command. Errors of invalid files are returned; all other errors determine the exit status.
 fn run_command(command: Command) -> Result<ExitCode, ProgramError> {
     match command {
         Command::Check { file } => {
@@ -105,5 +106,5 @@
 }
 
 fn main() -> ExitCode {
-    run_command(Cli::parse().command).unwrap_or_else(|error| fail(&error, UNUSABLE))
+    run_command(Cli::parse().command).unwrap_or_else(|error| fail(&error, EXIT_INVALID_INPUT))
 }
--- a/crates/emulator/src/program/error.rs
+++ b/crates/emulator/src/program/error.rs
@@ -1,4 +1,4 @@
-//! Why the program failed, and with which exit status.
+//! The errors of the program.
 
 use std::path::{Path, PathBuf};
 
@@ -18,20 +18,20 @@
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// Sizes are wrong.
+    /// Sizes are invalid.
     #[error("{}{source}", prefix(file.as_deref()))]
     Sizes {
-        /// Their file; none for the default sizes.
+        /// The sizes file; none for the default sizes.
         file: Option<PathBuf>,
-        /// What is wrong.
+        /// The error.
         source: SizesError,
     },
-    /// A scenario is wrong.
+    /// A scenario is invalid.
     #[error("{}{source}", prefix(file.as_deref()))]
     Script {
-        /// Its file; none for a script that was drawn by a seed.
+        /// The scenario's file; none for a script that was drawn at random.
         file: Option<PathBuf>,
-        /// What is wrong.
+        /// The error.
         source: ScriptError,
     },
     /// The asynchronous runtime cannot be started.
@@ -56,6 +56,7 @@
     }
 }
 
+/// The path of a file as a prefix of an error message.
 fn prefix(file: Option<&Path>) -> String {
     file.map(|file| format!("{}: ", file.display())).unwrap_or_default()
 }
--- a/crates/emulator/src/program/mod.rs
+++ b/crates/emulator/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the emulator's program.
+//! The commands of the emulator's command line.
 
 pub mod error;
 pub mod files;
--- a/crates/emulator/src/program/soak.rs
+++ b/crates/emulator/src/program/soak.rs
@@ -1,4 +1,4 @@
-//! Rehearsals of drawn pairs of faults.
+//! Soak tests: rehearsals of randomly drawn pairs of faults.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use super::error::ProgramError;
 use super::run::{Rehearsal, rehearse};
 
-/// Faults that a soak draws pairs of, in the words of scenarios.
+/// The faults of which a soak test draws pairs, in the script language of scenarios.
 const SOAK_FAULTS: [&str; 25] = [
     "lose_machines(0.5)",
     "lose_holder()",
@@ -40,14 +40,15 @@
     "end(\"all\", 0.3)",
 ];
 
-/// Pairs of faults by seed until the time is over; a failure can be reproduced by its own seed.
+/// Runs rehearsals with consecutive seeds, each with a pair of faults drawn by its seed, until the time is over or a
+/// rehearsal fails. A failure can be reproduced with its seed.
 ///
 /// # Errors
 /// A rehearsal cannot be run.
 pub fn soak(minutes: f64, seed: u64, sizes: &Sizes, folder: &Path) -> Result<bool, ProgramError> {
-    let until = Instant::now() + Duration::from_secs_f64(minutes.clamp(0.0, 1440.0) * 60.0);
+    let deadline = Instant::now() + Duration::from_secs_f64(minutes.clamp(0.0, 1440.0) * 60.0);
     let mut seed = seed;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut draw = || (rng.random_range(3.0..14.0_f64), SOAK_FAULTS[rng.random_range(0..SOAK_FAULTS.len())]);
         let ((first_at, first), (second_at, second)) = (draw(), draw());
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -178,7 +178,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let pending = draw_jobs(sizes, &mut rng);
         let all: Vec<&PendingJob> = pending.iter().collect();
-        let users = Users::new(world.clone(), controllers.for_users.clone(), &all, plan.poll_rate_factor, seed ^ 1);
+        let users = Users::new(world.clone(), controllers.user_addrs.clone(), &all, plan.poll_rate_factor, seed ^ 1);
         Ok(Self {
             users: Arc::new(users),
             controllers,
@@ -241,7 +241,7 @@
     /// Whether a fault is active, or a fault with a fixed time has yet to be injected.
     fn has_faults(&self) -> bool {
         let is_planned = self.steps.iter().any(|(trigger, _)| matches!(trigger, Trigger::At(_)));
-        is_planned || !self.undo.is_empty() || !self.controllers.all_well()
+        is_planned || !self.undo.is_empty() || !self.controllers.all_running()
     }
 
     /// Whether the rehearsal is over. When nothing else is left, users cancel the jobs that never end by themselves.
@@ -292,7 +292,7 @@
             faults: self.notes,
             accepted_ms: self.users.accepted_ms(),
             jobs: self.ids.len(),
-            unexpected_exits: self.controllers.own_ends,
+            unexpected_exits: self.controllers.unexpected_exits,
             rate_limited_requests,
             machine_cost,
             duration_s: self.world.now().as_secs_f64(),
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -124,7 +124,7 @@
             }
             Undo::StartTwice => self.start_twice(),
             Undo::Nothing => {}
-            Undo::End(of) => self.controllers.end(of, RESTART_DELAY).await,
+            Undo::End(of) => self.controllers.kill_and_restart(of, RESTART_DELAY).await,
         }
     }
 
@@ -291,7 +291,7 @@
             }
             Fault::End(selector, again) => {
                 for of in self.select_controllers(*selector) {
-                    self.controllers.end(of, *again).await;
+                    self.controllers.kill_and_restart(of, *again).await;
                 }
             }
             Fault::Pause(selector, time) => {
--- a/crates/emulator/src/rehearsal/operators.rs
+++ b/crates/emulator/src/rehearsal/operators.rs
@@ -92,7 +92,7 @@
             return self.failed.push(CommandError::WriteFile { file, source });
         }
         let args = command.args.iter().map(|arg| self.argument(arg, &file)).collect();
-        let run_command = controllers.verbs(args);
+        let run_command = controllers.command_runner(args);
         let (command, until) = (command.clone(), Instant::now() + COMMAND_RETRY_TIMEOUT);
         self.running.spawn(async move {
             loop {
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a rehearsal: one self-contained HTML page with verdicts, faults and SVG plots.
+//! The report of a rehearsal: a self-contained HTML page with the verdict, the faults and SVG plots.
 
 use minijinja::{Environment, context};
 use plotters::prelude::*;
@@ -7,13 +7,15 @@
 use crate::rehearsal::{Note, Outcome, Sample};
 use crate::sizes::Sizes;
 
-const SIZE: (u32, u32) = (920, 260);
-/// The most tasks without a result that are listed by name.
-const MAX_LOST_SHOWN: usize = 200;
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (920, 260);
+/// Maximum number of tasks without a result that are listed by name.
+const MAX_LISTED_LOST_TASKS: usize = 200;
 
+/// The label, the colour and the points of a line in a plot.
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
-/// Why a report could not be made.
+/// Why a report could not be rendered.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// The page's template failed.
@@ -24,27 +26,28 @@
     Plot(String),
 }
 
-fn over_time(samples: &[Sample], of: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
-    samples.iter().map(|s| (s.at_s, of(s))).collect()
+/// The points of a value of the samples over time.
+fn over_time(samples: &[Sample], value: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
+    samples.iter().map(|s| (s.at_s, value(s))).collect()
 }
 
-/// Lines over time, each fault as a mark.
-fn plot(lines: &[Line], faults: &[Note], seconds: f64) -> Result<String, ReportError> {
+/// Plots lines over time as SVG, with a vertical mark for each fault.
+fn plot(lines: &[Line], faults: &[Note], duration_s: f64) -> Result<String, ReportError> {
     let fail = |error: &dyn std::fmt::Display| ReportError::Plot(error.to_string());
-    let most = lines.iter().flat_map(|(.., points)| points).map(|(_, y)| *y).fold(1.0, f64::max);
+    let max_value = lines.iter().flat_map(|(.., points)| points).map(|(_, y)| *y).fold(1.0, f64::max);
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|e| fail(&e))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..seconds.max(1.0), 0.0..most * 1.08)
+            .build_cartesian_2d(0.0..duration_s.max(1.0), 0.0..max_value * 1.08)
             .map_err(|e| fail(&e))?;
         chart.configure_mesh().x_desc("s").light_line_style(WHITE).draw().map_err(|e| fail(&e))?;
         for Note { at_s, .. } in faults {
-            let mark = [(*at_s, 0.0), (*at_s, most * 1.08)];
+            let mark = [(*at_s, 0.0), (*at_s, max_value * 1.08)];
             chart.draw_series(LineSeries::new(mark, RGBColor(220, 150, 150))).map_err(|e| fail(&e))?;
         }
         for (name, colour, points) in lines {
@@ -61,11 +64,12 @@
     Ok(svg)
 }
 
+/// All plots of the report, with their titles.
 fn charts(sizes: &Sizes, outcome: &Outcome) -> Result<Vec<(&'static str, String)>, ReportError> {
     let s = &outcome.samples;
     let (blue, green, red, grey) =
         (RGBColor(30, 90, 200), RGBColor(30, 140, 70), RGBColor(200, 60, 30), RGBColor(120, 120, 120));
-    let limit = |most: f64| vec![(0.0, most), (outcome.duration_s, most)];
+    let limit = |value: f64| vec![(0.0, value), (outcome.duration_s, value)];
     let rows: [(&str, Vec<Line>); 4] = [
         (
             "Tasks",
@@ -100,11 +104,11 @@
             ],
         ),
     ];
-    let seconds = outcome.duration_s;
-    rows.into_iter().map(|(title, lines)| Ok((title, plot(&lines, &outcome.faults, seconds)?))).collect()
+    let duration_s = outcome.duration_s;
+    rows.into_iter().map(|(title, lines)| Ok((title, plot(&lines, &outcome.faults, duration_s)?))).collect()
 }
 
-/// Renders the whole page as HTML.
+/// Renders the report as an HTML page.
 pub fn page(title: &str, sizes: &Sizes, outcome: &Outcome) -> Result<String, ReportError> {
     let verdict = &outcome.verdict;
     let rules: Vec<_> = Rule::ALL
@@ -119,11 +123,14 @@
             }
         })
         .collect();
-    let ms = |q: f64| format!("{} ms", outcome.accepted_ms.value_at_quantile(q));
+    let quantile_ms = |q: f64| format!("{} ms", outcome.accepted_ms.value_at_quantile(q));
     let facts = [
         ("played", format!("{:.1} s", outcome.duration_s)),
         ("jobs, tasks with a result", format!("{}, {} of {}", outcome.jobs, verdict.delivered, verdict.expected)),
-        ("submissions accepted after (p50, p95, p99)", [ms(0.5), ms(0.95), ms(0.99)].join(", ")),
+        (
+            "submissions accepted after (p50, p95, p99)",
+            [quantile_ms(0.5), quantile_ms(0.95), quantile_ms(0.99)].join(", "),
+        ),
         ("controllers ended by themselves", outcome.unexpected_exits.to_string()),
         ("requests beyond the state service's limits", outcome.rate_limited_requests.to_string()),
         (
@@ -133,7 +140,7 @@
         ("money spent", format!("{:.3}", outcome.machine_cost)),
     ];
     let lost: Vec<String> =
-        verdict.lost.iter().take(MAX_LOST_SHOWN).map(|t| format!("{}/{}", t.job, t.index)).collect();
+        verdict.lost.iter().take(MAX_LISTED_LOST_TASKS).map(|t| format!("{}/{}", t.job, t.index)).collect();
     let faults: Vec<(String, &String)> =
         outcome.faults.iter().map(|note| (format!("{:.1}", note.at_s), &note.what)).collect();
     let mut environment = Environment::new();
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 #[test]
-fn a_page_tells_the_verdict_and_escapes_what_it_is_told() {
+fn page_contains_the_verdict_escapes_texts_and_is_self_contained() {
     let sizes = Sizes::parse(crate::sizes::DEFAULT).unwrap();
-    let broken = Violation {
+    let violation = Violation {
         rule: Rule::RanTwice,
         at: Duration::from_secs(3),
         what: "a <b> & c".into(),
         history: vec!["first".into()],
     };
     let outcome = Outcome {
-        verdict: Verdict { violations: vec![broken], expected: 4, delivered: 4, ..Verdict::default() },
+        verdict: Verdict { violations: vec![violation], expected: 4, delivered: 4, ..Verdict::default() },
         samples: (0..9).map(|n| Sample { at_s: f64::from(n), running: 3, ..Sample::default() }).collect(),
         faults: vec![Note { at_s: 2.0, what: "DropLeases".into() }],
         accepted_ms: hdrhistogram::Histogram::new(3).unwrap(),
@@ -28,6 +28,6 @@
     for part in ["rules: broken: ran_twice", "a &lt;b&gt; &amp; c", "first", "DropLeases"] {
         assert!(page.contains(part), "{part}");
     }
-    assert_eq!(page.matches("<svg").count(), 4, "four plots, inside the page");
-    assert!(!page.contains("<script") && !page.contains("href="), "and nothing from elsewhere");
+    assert_eq!(page.matches("<svg").count(), 4, "the page must contain four inline plots");
+    assert!(!page.contains("<script") && !page.contains("href="), "the page must not load external content");
 }
--- a/crates/emulator/tests/slow_store.rs
+++ b/crates/emulator/tests/slow_store.rs
@@ -1,4 +1,4 @@
-//! A slow state service carries out what it is asked at once, and answers later.
+//! A slow state service applies writes at once and delays its responses.
 
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
@@ -27,19 +27,19 @@
 }
 
 #[tokio::test]
-async fn answers_come_late_and_what_they_tell_of_is_done_at_once() {
-    let slow = Duration::from_millis(400);
+async fn slow_store_delays_responses_and_applies_writes_at_once() {
+    let delay = Duration::from_millis(400);
     let world = World::open(params());
     let (addr, http) = (world.serve_controller(0).await, Http::default());
     let body = protocol::encode(&json!({"if": [], "apply": [{"write": "k", "value": 1}]}));
-    let write = |within| http.call(Method::POST, &addr, "/txn", Some(body.clone()), within);
+    let write = |timeout| http.call(Method::POST, &addr, "/txn", Some(body.clone()), timeout);
     assert_eq!(write(Duration::from_secs(10)).await.unwrap().0, 200);
     let first = lock(&world.state).store.revision();
 
-    lock(&world.state).faults.response_delay = slow;
-    let begun = Instant::now();
+    lock(&world.state).faults.response_delay = delay;
+    let started = Instant::now();
     assert_eq!(write(Duration::from_secs(10)).await.unwrap().0, 200);
-    assert!(begun.elapsed() >= slow, "{:?}", begun.elapsed());
-    assert!(write(slow / 2).await.is_err(), "who waits for less hears nothing");
-    assert_eq!(lock(&world.state).store.revision(), first + 2, "and it is carried out");
+    assert!(started.elapsed() >= delay, "{:?}", started.elapsed());
+    assert!(write(delay / 2).await.is_err(), "a client with a shorter timeout must get no response");
+    assert_eq!(lock(&world.state).store.revision(), first + 2, "both writes must be applied");
 }
