--- a/tests/history.rs
+++ b/tests/history.rs
@@ -107,7 +107,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 100.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 24 });
         for n in 0..ended {
             let key = if end_of(n) == "done" { "h/d/" } else { "h/w/" };
@@ -285,7 +285,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 80.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 16 });
         for n in 0..ENDED {
             let key = if end_of(n) == "done" { "h/d/" } else { "h/w/" };
@@ -331,7 +331,7 @@
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     let http = Http::default();
-    world.state.lock().unwrap().page_most = 1000;
+    world.state.lock().unwrap().max_page_items = 1000;
     let follower = ControllerProcess::start(&world, &settings("node-a", &["node-b"], &door));
     outside.block_on(async {
         wait_until("healthy", || async {
@@ -361,7 +361,7 @@
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
-        state.page_most = 1000;
+        state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 6.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 24 });
         (OPEN..OPEN + 5000).for_each(|n| state.put(format!("c/o/{}", id(n)), &open_record(n)));
         state.put("c/upgraded".into(), &json!({"old_kept": false}));
