--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -44,12 +44,12 @@
     pub fn check_properties(&self, properties: &Properties) -> Result<(), InvalidSettings> {
         let workers = &self.params.workers;
         let election_lease = properties.election_lease.as_secs_f64();
-        let most = workers.lease_s - workers.report_s * MAX_HEARTBEAT_FACTOR;
-        if election_lease > most {
+        let max_election_lease = workers.lease_s - workers.report_s * MAX_HEARTBEAT_FACTOR;
+        if election_lease > max_election_lease {
             return Err(InvalidSettings::field(
                 "leader.lease.seconds",
                 format!(
-                    "{election_lease} is above {most}, which is lease_s without the longest pause \
+                    "{election_lease} is above {max_election_lease}, which is lease_s without the longest pause \
                  between two reports: workers would lose their work before another controller leads"
                 ),
             ));
@@ -136,25 +136,25 @@
             return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
-    let longest_pause = workers.report_s * MAX_HEARTBEAT_FACTOR;
-    if workers.lease_s <= longest_pause {
+    let longest_pause_s = workers.report_s * MAX_HEARTBEAT_FACTOR;
+    if workers.lease_s <= longest_pause_s {
         return Err(InvalidSettings::field(
             "params.workers.lease_s",
             format!(
-                "{} is not above {longest_pause}, the longest pause between two reports: \
+                "{} is not above {longest_pause_s}, the longest pause between two reports: \
              no lease would last until it is renewed",
                 workers.lease_s
             ),
         ));
     }
     // The tasks of a machine that receives no commands any more stop at the end of its lease.
-    let margin = workers.lease_margin_s();
-    let least = workers.lease_s + workers.report_s + margin;
-    if workers.cancel_s < least {
+    let margin_s = workers.lease_margin_s();
+    let min_cancel_s = workers.lease_s + workers.report_s + margin_s;
+    if workers.cancel_s < min_cancel_s {
         return Err(InvalidSettings::field(
             "params.workers.cancel_s",
             format!(
-                "{} is below {least}, which is lease_s, report_s and {margin} s together: \
+                "{} is below {min_cancel_s}, which is lease_s, report_s and {margin_s} s together: \
              withdrawn work could not be gone in time",
                 workers.cancel_s
             ),
@@ -171,11 +171,11 @@
             ("times", objective.times, MAX_VALUE),
             ("share", objective.share, 1.0),
         ];
-        for (field, value, most) in amounts {
-            if !(0.0..=most).contains(&value) {
+        for (field, value, max) in amounts {
+            if !(0.0..=max).contains(&value) {
                 return Err(InvalidSettings::field(
                     format!("params.objectives.{number}.{field}"),
-                    format!("{value} is not between 0 and {most}"),
+                    format!("{value} is not between 0 and {max}"),
                 ));
             }
         }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -35,7 +35,7 @@
     Heartbeat = "reports",
     /// Heartbeats redirected to another controller, or rejected.
     HeartbeatElsewhere = "reports_elsewhere",
-    /// Users' requests that were answered.
+    /// Users' requests that were fulfilled.
     Answered = "answered",
     /// Users' requests that were told to retry later.
     Later = "later",
