--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -79,14 +79,14 @@
 /// The path of the daemon's executable, in the folder of this program. If cargo runs this program, the daemon is built
 /// first.
 pub fn daemon_path() -> Result<PathBuf, ControllerError> {
-    let own_path = std::env::current_exe().map_err(io("this program's own path"))?;
+    let own_path = std::env::current_exe().map_err(io("cannot find the path of this program"))?;
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = std::process::Command::new(cargo);
         build.args(["build", "--locked", "--package", "hollylanding"]);
         if own_path.parent().is_some_and(|folder| folder.ends_with("release")) {
             build.arg("--release");
         }
-        if !build.status().map_err(io("cargo build"))?.success() {
+        if !build.status().map_err(io("cannot run cargo build"))?.success() {
             return Err(ControllerError::NotBuilt("hollylanding".into()));
         }
     }
@@ -115,7 +115,7 @@
 
 /// Starts a relay to the address `to` for a link of a controller, and returns the relay's address.
 async fn start_relay(world: &World, to: String, i: usize, link: Link) -> Result<String, ControllerError> {
-    relay(to, world.link_switch(i, link)).await.map_err(io("a link"))
+    relay(to, world.link_switch(i, link)).await.map_err(io("cannot start the relay of a link"))
 }
 
 /// Addresses and common settings of all controllers.
@@ -133,8 +133,8 @@
     fn new(sizes: &Sizes) -> Result<Self, ControllerError> {
         let (mut api_addrs, mut mesh_addrs) = (Vec::new(), Vec::new());
         for _ in 0..sizes.controllers {
-            api_addrs.push(free_addr().map_err(io("a free port"))?);
-            mesh_addrs.push(free_addr().map_err(io("a free port"))?);
+            api_addrs.push(free_addr().map_err(io("cannot find a free port"))?);
+            mesh_addrs.push(free_addr().map_err(io("cannot find a free port"))?);
         }
         Ok(Self { zones: sizes.zones(), params: sizes.controller_settings(), api_addrs, mesh_addrs })
     }
--- a/crates/emulator/src/declarations.rs
+++ b/crates/emulator/src/declarations.rs
@@ -10,9 +10,8 @@
 const MAX_END_DELAY_MS: u64 = 30_000;
 /// Maximum time from the storing of a turn until it is observed.
 const MAX_OBSERVATION_DELAY: Duration = Duration::from_millis(500);
-/// Number of starts of other jobs' tasks after which a waiting prioritized job counts as passed over. A heat rule
-/// covers only a part of all cores, and a large prioritized job needs contiguous room, so that some starts are
-/// permitted.
+/// Number of starts of other jobs' tasks after which a waiting prioritized job counts as passed over. Some starts are
+/// permitted, since a heat rule takes only a part of all cores, and a large prioritized job needs its room all at once.
 const MAX_STARTS_AHEAD: u32 = 24;
 
 /// A window on one day.
@@ -90,7 +89,7 @@
         violations
     }
 
-    /// Processes the start of a job's task while other jobs wait. Returns the jobs that count as passed over from now on.
+    /// Processes the start of a job's task while other jobs wait. Returns the jobs that count as passed over now.
     pub fn check_start<'a>(&mut self, spec: &JobSpec, waiting: impl Iterator<Item = &'a JobSpec>) -> Vec<JobId> {
         let is_prioritized = |s: &JobSpec| {
             self.active_rules
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -19,7 +19,8 @@
 
 /// An emulated cloud, state service and fleet on loopback, with hollylanding's controllers as real processes.
 ///
-/// Exit status: 0 done; 1 a rule was broken, a result was lost, or it could not be run; 2 a wrong file.
+/// Exit status: 0 success; 1 a rule was violated, a result was lost, or the command could not be run; 2 an invalid
+/// argument or file.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Cli {
@@ -29,34 +30,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs everything until Ctrl-C, and prints what to try
+    /// Runs the deployment until Ctrl-C, and prints commands to try
     Up {
-        /// Sizes (TOML); without it the ones of scenarios/default.toml
+        /// Sizes file (TOML); without it the sizes of scenarios/default.toml
         #[arg(long, value_name = "FILE")]
         sizes: Option<PathBuf>,
-        /// Where settings and logs go
+        /// Folder for settings and logs
         #[arg(long, value_name = "DIR", default_value = "target/rehearsal/up")]
         folder: PathBuf,
     },
-    /// Runs a scenario and judges what happened
+    /// Runs a scenario and checks the recorded history
     Rehearse {
-        /// The scenario (rhai); without it nothing goes wrong
+        /// Scenario file (rhai); without it no faults are injected
         file: Option<PathBuf>,
-        /// Sizes (TOML), in place of what the scenario asks for
+        /// Sizes file (TOML), instead of the one that the scenario names
         #[arg(long, value_name = "FILE")]
         sizes: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Draws pairs of faults by the seed instead, for this long
+        /// Runs rehearsals with pairs of faults drawn by the seed instead, for this many minutes
         #[arg(long, value_name = "MINUTES", conflicts_with = "file")]
         soak: Option<f64>,
-        /// Where settings, logs and the report go
+        /// Folder for settings, logs and the report
         #[arg(long, value_name = "DIR", default_value = "target/rehearsal")]
         folder: PathBuf,
     },
-    /// Says whether a scenario and its sizes are well-formed
+    /// Checks whether a scenario and its sizes are well-formed
     Check {
-        /// The scenario (rhai) or sizes (TOML)
+        /// Scenario file (rhai) or sizes file (TOML)
         file: PathBuf,
     },
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -19,10 +19,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// The page's template failed.
-    #[error("the page: {0}")]
+    #[error("cannot render the page: {0}")]
     Page(#[from] minijinja::Error),
     /// A plot could not be drawn.
-    #[error("a plot: {0}")]
+    #[error("cannot draw a plot: {0}")]
     Plot(String),
 }
 
