--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The emulator's program: run the whole service on one machine, rehearse failures, check scenarios.
+//! The emulator's command line: runs the whole service on one machine, rehearses failures and checks scenarios.
 
 mod program;
 
@@ -12,14 +12,15 @@
 use program::run::{Rehearsal, rehearse, up};
 use program::soak::soak;
 
-/// A rule was broken or a result was lost.
-const BROKEN: u8 = 1;
-/// Wrong arguments or files.
-const UNUSABLE: u8 = 2;
+/// Exit status if a rule was violated, a result was lost, or the command could not be run.
+const EXIT_FAILED: u8 = 1;
+/// Exit status for invalid arguments or files.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 /// An emulated cloud, state service and fleet on loopback, with hollylanding's controllers as real processes.
 ///
-/// Exit status: 0 done; 1 a rule was broken, a result was lost, or it could not be run; 2 a wrong file.
+/// Exit status: 0 success; 1 a rule was violated, a result was lost, or the command could not be run; 2 an invalid
+/// argument or file.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Cli {
@@ -29,53 +30,54 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs everything until Ctrl-C, and prints what to try
+    /// Runs the deployment until Ctrl-C, and prints commands to try
     Up {
-        /// Sizes (TOML); without it the ones of scenarios/default.toml
+        /// Sizes file (TOML); without it the sizes of scenarios/default.toml
         #[arg(long, value_name = "FILE")]
         sizes: Option<PathBuf>,
-        /// Where settings and logs go
+        /// Folder for settings and logs
         #[arg(long, value_name = "DIR", default_value = "target/rehearsal/up")]
         folder: PathBuf,
     },
-    /// Runs a scenario and judges what happened
+    /// Runs a scenario and checks the recorded history
     Rehearse {
-        /// The scenario (rhai); without it nothing goes wrong
+        /// Scenario file (rhai); without it no faults are injected
         file: Option<PathBuf>,
-        /// Sizes (TOML), in place of what the scenario asks for
+        /// Sizes file (TOML), instead of the one that the scenario names
         #[arg(long, value_name = "FILE")]
         sizes: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Draws pairs of faults by the seed instead, for this long
+        /// Runs rehearsals with pairs of faults drawn by the seed instead, for this many minutes
         #[arg(long, value_name = "MINUTES", conflicts_with = "file")]
         soak: Option<f64>,
-        /// Where settings, logs and the report go
+        /// Folder for settings, logs and the report
         #[arg(long, value_name = "DIR", default_value = "target/rehearsal")]
         folder: PathBuf,
     },
-    /// Says whether a scenario and its sizes are well-formed
+    /// Checks whether a scenario and its sizes are well-formed
     Check {
-        /// The scenario (rhai) or sizes (TOML)
+        /// Scenario file (rhai) or sizes file (TOML)
         file: PathBuf,
     },
 }
 
-/// Prints an error and gives the exit status.
+/// Prints an error and returns the exit status.
 fn fail(error: &ProgramError, status: u8) -> ExitCode {
     eprintln!("hollylanding-emulator: {error}");
     ExitCode::from(status)
 }
 
+/// The exit status for the outcome of a command.
 fn report_outcome(outcome: Result<bool, ProgramError>) -> ExitCode {
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
-        Err(error) => fail(&error, BROKEN),
+        Ok(false) => ExitCode::from(EXIT_FAILED),
+        Err(error) => fail(&error, EXIT_FAILED),
     }
 }
 
-/// Runs a command; the error is one of wrong files.
+/// Runs a command. Errors of invalid files are returned; all other errors determine the exit status.
 fn run_command(command: Command) -> Result<ExitCode, ProgramError> {
     match command {
         Command::Check { file } => {
@@ -105,5 +107,5 @@
 }
 
 fn main() -> ExitCode {
-    run_command(Cli::parse().command).unwrap_or_else(|error| fail(&error, UNUSABLE))
+    run_command(Cli::parse().command).unwrap_or_else(|error| fail(&error, EXIT_INVALID_INPUT))
 }
