--- a/src/scheduling/tests/confirmed_cancellations.rs
+++ b/src/scheduling/tests/confirmed_cancellations.rs
@@ -42,9 +42,9 @@
 }
 
 /// No controller has a loaded cluster state. The last heartbeat that is answered without a stop command was sent at the
-/// cancellation, or up to `cancellation_slack` after it if a leader that has read nothing yet answers. The worker's clock
-/// is the slowest that the protocol allows, and the machine hangs from then on. Covers many accepted settings, among them
-/// the least accepted `cancel_s` for each pair of heartbeat interval and lease.
+/// cancellation, or up to `cancellation_slack` after it if a leader that has read nothing yet answers. The worker's
+/// clock is the slowest that the protocol allows, and the machine hangs from then on. Covers many accepted settings,
+/// among them the least accepted `cancel_s` for each pair of heartbeat interval and lease.
 #[test]
 fn lease_ends_unstopped_tasks_within_the_cancellation_deadline_under_all_accepted_settings() {
     let mut checked_settings = 0;
