--- a/crates/emulator/src/judge/verdict.rs
+++ b/crates/emulator/src/judge/verdict.rs
@@ -10,7 +10,7 @@
 /// Maximum time from the acceptance of a job to its start, for the largest jobs.
 pub const MAX_START_DELAY: Duration = Duration::from_secs(240);
 /// The largest jobs of a class are one in this many of its jobs.
-const LARGEST_DIVISOR: usize = 10;
+const LARGEST_ONE_IN_JOBS: usize = 10;
 
 /// A violation of a rule.
 #[derive(Debug, Clone)]
@@ -61,7 +61,7 @@
 /// Summarizes the largest jobs of a class.
 pub(super) fn summarize_largest(class: &str, mut jobs: Vec<JobResult>) -> LargestJobs {
     jobs.sort_unstable_by_key(|job| std::cmp::Reverse(job.tasks));
-    let last = jobs.len().div_ceil(LARGEST_DIVISOR).saturating_sub(1);
+    let last = jobs.len().div_ceil(LARGEST_ONE_IN_JOBS).saturating_sub(1);
     let least_tasks = jobs.get(last).map_or(0, |job| job.tasks);
     let mut sum = LargestJobs { class: class.to_owned(), ..LargestJobs::default() };
     for job in jobs.iter().filter(|job| job.tasks >= least_tasks) {
--- a/src/calendar/intents.rs
+++ b/src/calendar/intents.rs
@@ -125,7 +125,8 @@
         }
         let Some(claimed_job) = job_spec(&claim.job).filter(|_| !begun && is_opening_soon) else { continue };
         if has_started {
-            // Its capacity is provisioned as for all waiting jobs; it only takes precedence on the quota.
+            // Scale-out provisions capacity for this job as for any waiting job, so no intent is added. Its quota is
+            // reserved so that the claims and turns that follow don't request capacity that the quota forbids.
             quota.reserve(&claimed_job, claimed_job.tasks, f64::INFINITY);
         } else if let Some(tasks) = reserve_for_claim(&mut quota, &claimed_job, remaining_cores) {
             remaining_cores -= tasks as f64 * claimed_job.cpus;
--- a/src/calendar/step.rs
+++ b/src/calendar/step.rs
@@ -14,7 +14,7 @@
 use crate::jobs::record::JobRecord;
 
 /// Delay from the closing of an instance to its outcome: ends of jobs are observed up to 3 s late, and clocks differ.
-pub const GRACE_MS: u64 = 3000;
+pub const CLOSE_GRACE_MS: u64 = 3000;
 /// How long the unknown end of a claimed job is queried before the job counts as late.
 const QUERY_TIMEOUT_MS: u64 = 60_000;
 /// Maximum number of instances of a window that close in one step; after a longer absence the next step continues.
@@ -161,7 +161,7 @@
 
 /// Returns the outcome of the instance if it can be decided by now.
 fn decide_outcome(spec: &WindowSpec, instance: &mut WindowInstance, context: &StepContext) -> Option<InstanceOutcome> {
-    let until_ms = instance.closes_ms.saturating_add(GRACE_MS);
+    let until_ms = instance.closes_ms.saturating_add(CLOSE_GRACE_MS);
     if instance.done_in_time(until_ms) >= spec.jobs as usize {
         return Some(InstanceOutcome::Met);
     }
@@ -258,7 +258,7 @@
             next.current = Some(instance).filter(|instance| !instance.is_blank());
             break;
         };
-        let until_ms = instance.closes_ms.saturating_add(GRACE_MS);
+        let until_ms = instance.closes_ms.saturating_add(CLOSE_GRACE_MS);
         next.current = None;
         next.close_instance(ClosedInstance {
             day: instance.day,
--- a/src/calendar/tests/interleaved_simulation.rs
+++ b/src/calendar/tests/interleaved_simulation.rs
@@ -12,7 +12,7 @@
 use crate::calendar::Window;
 use crate::calendar::spec::{Day, WindowSpec};
 use crate::calendar::status::{ClaimEnd, InstanceOutcome, WindowStatus};
-use crate::calendar::step::{GRACE_MS, latest_start_ms};
+use crate::calendar::step::{CLOSE_GRACE_MS, latest_start_ms};
 use crate::declarations::DeclarationKind;
 use crate::declarations::driver::refresh_intents;
 use crate::declarations::records::{spec_key, status_key};
@@ -258,7 +258,8 @@
         }
         for (name, spec) in &self.specs {
             let mut next = spec.next_instance(None, spec.declared_ms.unwrap());
-            while let Some(span) = next.filter(|s| latest_start_ms(self.now_ms, 120.0) >= s.closes_ms + GRACE_MS) {
+            while let Some(span) = next.filter(|s| latest_start_ms(self.now_ms, 120.0) >= s.closes_ms + CLOSE_GRACE_MS)
+            {
                 if !self.outcomes.contains_key(&((*name).to_owned(), span.day)) {
                     self.violations.push(format!("{name} {} was skipped", span.day));
                 }
--- a/src/calendar/tests/mod.rs
+++ b/src/calendar/tests/mod.rs
@@ -14,7 +14,7 @@
 use super::jobs_by_window::{DeclaredWindow, JobsByWindow};
 use super::spec::{Day, WindowSpec, format_day, parse_day};
 use super::status::{ClaimEnd, InstanceOutcome, MissedReason, WindowStatus};
-use super::step::{GRACE_MS, JobProgress, StepContext, WindowJob, next_status};
+use super::step::{CLOSE_GRACE_MS, JobProgress, StepContext, WindowJob, next_status};
 use crate::declarations::KnownNames;
 use crate::jobs::record::JobRecord;
 use crate::jobs::{JobId, JobSpec, Shape};
@@ -454,7 +454,7 @@
     service.shape = Shape::Service;
     assert_eq!(windows_of(&windows, &Arc::new(JobRecord { spec: service, accepted_ms })), [""; 0]);
     // The instance that it belongs to has closed: it is not assigned to another window.
-    let mut world = World::at(MIDNIGHT_MS + 8 * HOUR_MS + GRACE_MS);
+    let mut world = World::at(MIDNIGHT_MS + 8 * HOUR_MS + CLOSE_GRACE_MS);
     windows[1].status = world.step(&windows[1].spec, &WindowStatus::default());
     assert_eq!(windows_of(&windows, &job(1, "plan", accepted_ms)), [""; 0]);
     // A job with a stored claim is not assigned to another window, whatever is declared later.
--- a/src/calendar/tests/properties.rs
+++ b/src/calendar/tests/properties.rs
@@ -8,7 +8,7 @@
 use super::{AMPLE_QUOTA, HOUR_MS, MIDNIGHT_MS, World, window};
 use crate::calendar::spec::WindowSpec;
 use crate::calendar::status::{ClosedInstance, WindowStatus};
-use crate::calendar::step::{GRACE_MS, JobProgress, latest_start_ms};
+use crate::calendar::step::{CLOSE_GRACE_MS, JobProgress, latest_start_ms};
 
 /// Generates windows of 20 minutes per day; jobs need 10 minutes.
 fn any_window() -> impl Strategy<Value = WindowSpec> {
@@ -180,7 +180,7 @@
         // Every instance that closed since the declaration has an outcome, up to one whose job ends are still queried.
         let declared = spec.declared_ms.unwrap_or_default();
         let mut next = spec.next_instance(None, declared);
-        while let Some(span) = next.filter(|span| span.closes_ms + GRACE_MS <= world.now_ms) {
+        while let Some(span) = next.filter(|span| span.closes_ms + CLOSE_GRACE_MS <= world.now_ms) {
             prop_assert!(outcomes.contains_key(&span.day), "{} was skipped", span.day);
             next = spec.next_instance(Some(span.day), declared);
         }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
 //! One controller: creates the owners of its state, passes them to their users, and starts their loops.
 //!
-//! No other module of the controller depends on this one. `membership` documents which locks may be held together and
-//! in which order.
+//! Only the command line (`cli`) depends on this module. `membership` documents which locks may be held together and in
+//! which order.
 
 mod state_owners;
 
--- a/src/fleet/drain/capacity_pool.rs
+++ b/src/fleet/drain/capacity_pool.rs
@@ -152,7 +152,7 @@
     pub(super) fn candidate(&self, index: usize, now: Instant) -> Option<Candidate<'a>> {
         let capacity = &self.capacities[index];
         let machine = capacity.machine?;
-        let past_min_billing = now.saturating_duration_since(machine.rented_at) >= MIN_BILLED_TIME;
+        let past_min_billing = now.saturating_duration_since(machine.provisioned_at) >= MIN_BILLED_TIME;
         let is_needed = self.needed[index] || self.short_of_capacity[capacity.kind];
         let is_candidate = !is_needed && machine.state == MachineState::Up && past_min_billing;
         is_candidate.then_some(Candidate { index, machine, accelerated: capacity.machine_type.gpus > 0.0 })
--- a/src/fleet/scale_in.rs
+++ b/src/fleet/scale_in.rs
@@ -42,7 +42,7 @@
 
 /// Whether a machine has not reported within the time that its type may take to boot.
 fn never_came_up(cluster: &ClusterState, catalog: &Catalog, machine: &Machine, now: Instant) -> bool {
-    let age = now.saturating_duration_since(machine.rented_at);
+    let age = now.saturating_duration_since(machine.provisioned_at);
     let usual_s = catalog.get(&machine.type_name).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
     let boot_timeout = Duration::from_secs_f64(usual_s * cluster.properties.max_boot_ratio) + BOOT_GRACE;
     // A new leader may not have received a heartbeat yet from a machine that was up before its term.
--- a/src/fleet/scale_out/planner.rs
+++ b/src/fleet/scale_out/planner.rs
@@ -265,7 +265,8 @@
         self.fleet_may_grow()
             && start_s > waiting.acceptable_wait_s(boot_s, priced.cost_per_task)
             && boot_s + MIN_START_GAIN_S < start_s
-            && backfill::idle_permissions(waiting.spec, &priced.offer, relative_cost, max_relative_cost, overdue).rent
+            && backfill::idle_permissions(waiting.spec, &priced.offer, relative_cost, max_relative_cost, overdue)
+                .provision
     }
 
     /// Whether a machine has to be requested now to be ready when the declared capacity is needed.
--- a/src/membership/unreadable.rs
+++ b/src/membership/unreadable.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Tracks since when a lease holder's key that can't be decoded has stood.
+/// Tracks how long a lease holder's key that can't be decoded has existed at the same version.
 #[derive(Debug, Default)]
 pub struct UnreadableLeaseHolder {
     /// Version of the key, and when it was first observed.
--- a/src/membership/watermark.rs
+++ b/src/membership/watermark.rs
@@ -110,7 +110,7 @@
 }
 
 /// Time without an advance of the watermark after which waiting cancellations are logged.
-const LOG_AFTER: Duration = Duration::from_secs(10);
+const STALL_LOG_DELAY: Duration = Duration::from_secs(10);
 /// Minimum time between two such log messages.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
@@ -130,7 +130,7 @@
         self.stalled = (waiting > 0).then(|| Unchanged::update(self.stalled, watermark, now));
         let stalled_for = now.saturating_duration_since(self.stalled?.since);
         let interval_passed = self.logged_at.is_none_or(|at| now.saturating_duration_since(at) >= LOG_INTERVAL);
-        if stalled_for < LOG_AFTER || !interval_passed {
+        if stalled_for < STALL_LOG_DELAY || !interval_passed {
             return None;
         }
         self.logged_at = Some(now);
--- a/src/rollouts/tests/cluster.rs
+++ b/src/rollouts/tests/cluster.rs
@@ -112,7 +112,7 @@
 
     fn with_view<T>(&self, f: impl FnOnce(&DeclarationView) -> T) -> T {
         let (cluster, registry, now) = (&self.cluster, &self.registry, self.now);
-        let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].rented_at).as_millis() as u64;
+        let now_ms = 1_000_000 + (now - self.cluster.machines["m0"].provisioned_at).as_millis() as u64;
         f(&DeclarationView {
             cluster,
             job_end: &|_| None,
--- a/src/rollouts/tests/model.rs
+++ b/src/rollouts/tests/model.rs
@@ -18,7 +18,7 @@
 /// Seconds without a heartbeat after which a machine's replicas no longer count as capacity.
 const SUSPECT_AFTER_S: u64 = 8;
 /// Seconds without a heartbeat after which a machine is returned.
-const RETURN_AFTER_S: u64 = 25;
+const RETURN_AFTER_SILENCE_S: u64 = 25;
 
 /// Defect of the new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -484,7 +484,7 @@
         let silent_replicas: Vec<Key> = self.leaders[i]
             .replicas
             .iter()
-            .filter(|(_, h)| now >= h.last_heartbeat.unwrap_or(h.bound_at) + RETURN_AFTER_S)
+            .filter(|(_, h)| now >= h.last_heartbeat.unwrap_or(h.bound_at) + RETURN_AFTER_SILENCE_S)
             .map(|(k, _)| *k)
             .collect();
         for key in silent_replicas.into_iter().filter(|_| current) {
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IdlePermissions {
     /// Whether machines of this kind may be provisioned for the job.
-    pub rent: bool,
+    pub provision: bool,
     /// Whether a machine of this kind is kept for the job when scale-in could return it.
     pub keep: bool,
 }
@@ -56,10 +56,13 @@
     overdue: bool,
 ) -> IdlePermissions {
     if !spec.is_idle() {
-        return IdlePermissions { rent: true, keep: true };
+        return IdlePermissions { provision: true, keep: true };
     }
     let wastes_no_gpus = offer.wastes_no_gpus(spec);
-    IdlePermissions { rent: wastes_no_gpus && (relative_price <= max_relative_price || overdue), keep: wastes_no_gpus }
+    IdlePermissions {
+        provision: wastes_no_gpus && (relative_price <= max_relative_price || overdue),
+        keep: wastes_no_gpus,
+    }
 }
 
 /// A request of work other than idle work that found no capacity, with the machine kinds it allows.
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -31,7 +31,7 @@
         let job = JobSpec { urgency, gpus, ..spec() };
         let offer = CapacityOffer { machine_type, zone: "a", spot: false };
         let got = idle_permissions(&job, &offer, relative_price, 3.0, overdue);
-        assert_eq!((got.rent, got.keep), want, "{name}");
+        assert_eq!((got.provision, got.keep), want, "{name}");
     }
 }
 
--- a/src/scheduling/cluster/heartbeats.rs
+++ b/src/scheduling/cluster/heartbeats.rs
@@ -31,7 +31,11 @@
         self.state = MachineState::Up;
         self.last_heartbeat = now;
         self.idle_since = self.bound.is_empty().then_some(now);
-        info!(machine = %self.id, boot_s = now.saturating_duration_since(self.rented_at).as_secs(), "machine joined");
+        info!(
+            machine = %self.id,
+            boot_s = now.saturating_duration_since(self.provisioned_at).as_secs(),
+            "machine joined"
+        );
         true
     }
 
--- a/src/scheduling/cluster/machines.rs
+++ b/src/scheduling/cluster/machines.rs
@@ -23,14 +23,14 @@
 }
 
 impl ClusterState {
-    /// Adds a machine that was provisioned or that the cloud lists, before it reports. `rented_for`: the time since
-    /// it was provisioned.
+    /// Adds a machine that was provisioned or that the cloud lists, before it reports. `provisioned_for`: the time
+    /// since it was provisioned.
     pub fn expect_machine(
         &mut self,
         id: &str,
         kind: &MachineKind,
         addr: Option<&str>,
-        rented_for: Duration,
+        provisioned_for: Duration,
         now: Instant,
     ) {
         let id: MachineId = id.into();
@@ -41,7 +41,7 @@
         let machine = self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id, now));
         self.replan_needed |= !std::mem::replace(&mut machine.confirmed, true) && machine.reported();
         // A new leader may learn of a machine before it learns when the machine was provisioned.
-        machine.rented_at = machine.rented_at.min(now.checked_sub(rented_for).unwrap_or(now));
+        machine.provisioned_at = machine.provisioned_at.min(now.checked_sub(provisioned_for).unwrap_or(now));
         if !machine.reported() {
             machine.type_name = kind.type_name.clone();
             machine.zone = kind.zone.clone();
--- a/src/scheduling/cluster/model/machine.rs
+++ b/src/scheduling/cluster/model/machine.rs
@@ -85,7 +85,7 @@
     /// When the last heartbeat arrived, or else the machine became known: replies to commands don't renew the lease.
     pub last_heartbeat: Instant,
     /// When the machine was provisioned, as far as is known.
-    pub rented_at: Instant,
+    pub provisioned_at: Instant,
     /// When the cloud takes the machine back, if it has given notice.
     pub recall_at: Option<Instant>,
     /// The tasks that are bound to the machine.
@@ -155,7 +155,7 @@
             fencing_token: 0,
             last_seen: now,
             last_heartbeat: now,
-            rented_at: now,
+            provisioned_at: now,
             recall_at: None,
             bound: BTreeSet::new(),
             attempts: Vec::new(),
--- a/src/scheduling/cluster/unreadable.rs
+++ b/src/scheduling/cluster/unreadable.rs
@@ -64,7 +64,7 @@
 /// Whether a machine may run tasks of an earlier leader that it has not reported to this leader yet.
 fn may_run_unknown_tasks(machine: &Machine, first_fencing_token: u64, loaded_at: Instant) -> bool {
     machine.fencing_token < first_fencing_token
-        && (machine.reported() || machine.report_expected() || machine.rented_at <= loaded_at)
+        && (machine.reported() || machine.report_expected() || machine.provisioned_at <= loaded_at)
 }
 
 impl ClusterState {
--- a/src/scheduling/forecast.rs
+++ b/src/scheduling/forecast.rs
@@ -46,7 +46,7 @@
         let capacity = context.capacity(machine)?;
         let boot_remaining = match machine.state {
             MachineState::Booting => Duration::from_secs_f64(capacity.machine_type.boot_s)
-                .saturating_sub(now.saturating_duration_since(machine.rented_at)),
+                .saturating_sub(now.saturating_duration_since(machine.provisioned_at)),
             _ => Duration::ZERO,
         };
         let mut timeline = Self::new(capacity, boot_remaining.as_secs_f64());
--- a/src/scheduling/large.rs
+++ b/src/scheduling/large.rs
@@ -119,8 +119,9 @@
         }
     }
 
-    /// Whether a waiting gang of this age may take precedence. It may not once it is too late to begin in time: gangs
-    /// that still can are served then, and this one has its part of what is given to late work.
+    /// Whether a waiting gang of this age may take precedence. It may not once it is too late to begin in time:
+    /// precedence then goes to gangs that still can, and this one receives a share of the cores through the credit of
+    /// late work (`fairness::floor`).
     pub fn may_take_precedence(&self, spec: &JobSpec, age: Duration, begin_within: Duration) -> bool {
         let patience = begin_within.mul_f64(PRECEDENCE_AGE_FRACTION);
         self.is_large_gang(spec) && age >= patience && age + START_MARGIN.min(patience) <= begin_within
--- a/src/scheduling/tests/interleaved_simulation/users.rs
+++ b/src/scheduling/tests/interleaved_simulation/users.rs
@@ -232,8 +232,8 @@
         self.users.store_slow_until > self.now
     }
 
-    /// Returns for how long a leader that is paused or partitioned since then has been without the store, not counting
-    /// outages for all controllers: within one it is zero, and after one the time starts anew.
+    /// Returns for how long a leader whose pause or partition began at `began` has been without the store. Outages of
+    /// the store for all controllers don't count: during one the result is zero, and after one the time starts anew.
     pub(super) fn unreachable_for(&self, began: Instant) -> Duration {
         if self.store_is_out() { Duration::ZERO } else { self.now - began.max(self.users.store_back_at) }
     }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -7,8 +7,12 @@
 
 /// Maximum rate, duration in seconds, or size; larger values are implausible.
 const MAX_VALUE: f64 = 1e6;
-/// Maximum memory in megabytes, clock difference in milliseconds, and time limit of an objective in seconds.
-const MAX_LARGE_VALUE: f64 = 1e9;
+/// Maximum of `memory_mb`; larger values are implausible.
+const MAX_MEMORY_MB: f64 = 1e9;
+/// Maximum clock difference; larger values are implausible.
+const MAX_SKEW_MS: f64 = 1e9;
+/// Maximum time limit of an objective; larger values are implausible.
+const MAX_OBJECTIVE_S: f64 = 1e9;
 /// Minimum duration: timers cannot keep shorter ones.
 const MIN_DURATION_S: f64 = 0.001;
 /// Ratio of the longest pause between two heartbeats to `report_s`, which a worker varies by plus or minus a quarter.
@@ -97,16 +101,16 @@
             return Err(InvalidSettings::field(field, format!("{value} is not above 0 and at most {MAX_VALUE}")));
         }
     }
-    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MAX_LARGE_VALUE)) {
+    if let Some(mb) = params.limits.memory_mb.filter(|mb| !(*mb > 0.0 && *mb <= MAX_MEMORY_MB)) {
         return Err(InvalidSettings::field(
             "params.resources.memory_mb",
-            format!("{mb} is not above 0 and at most {MAX_LARGE_VALUE}"),
+            format!("{mb} is not above 0 and at most {MAX_MEMORY_MB}"),
         ));
     }
-    if !(0.0..=MAX_LARGE_VALUE).contains(&params.skew_ms) {
+    if !(0.0..=MAX_SKEW_MS).contains(&params.skew_ms) {
         return Err(InvalidSettings::field(
             "params.skew_ms",
-            format!("{} is not between 0 and {MAX_LARGE_VALUE}", params.skew_ms),
+            format!("{} is not between 0 and {MAX_SKEW_MS}", params.skew_ms),
         ));
     }
     if params.state.txn_ops < MIN_TXN_OPS {
@@ -167,7 +171,7 @@
 fn check_objectives(params: &Params) -> Result<(), InvalidSettings> {
     for (number, objective) in params.objectives.iter().enumerate() {
         let amounts = [
-            ("within_s", objective.within_s, MAX_LARGE_VALUE),
+            ("within_s", objective.within_s, MAX_OBJECTIVE_S),
             ("times", objective.times, MAX_VALUE),
             ("share", objective.share, 1.0),
         ];
--- a/tests/half_the_fleet.rs
+++ b/tests/half_the_fleet.rs
@@ -22,9 +22,9 @@
 /// The number of jobs.
 const JOBS: u64 = 12;
 /// The number of tasks of a job that is not a gang.
-const TASKS: u64 = 10;
+const TASKS_PER_JOB: u64 = 10;
 /// The lease of a worker's tasks, short so that lost tasks are started again soon.
-const LEASE: Duration = Duration::from_secs(3);
+const WORKER_LEASE: Duration = Duration::from_secs(3);
 
 /// Sends a user's request, records its answer for the checks, and returns the reported status.
 async fn request_and_record(world: &World, http: &Http, addr: &str, job: &Value, how: RequestKind) -> Option<String> {
@@ -43,14 +43,14 @@
 fn simulate(seed: u64) -> Verdict {
     let outside = Runtime::new().unwrap();
     let mut params = params();
-    (params.seed, params.judged, params.fleet.lease, params.boots) = (seed, true, LEASE, BootMode::Usual);
+    (params.seed, params.judged, params.fleet.lease, params.boots) = (seed, true, WORKER_LEASE, BootMode::Usual);
     let (world, door) = outside.block_on(async {
         let world = World::open(params);
         let door = world.serve_controller(0).await;
         (world, door)
     });
     let job_or_gang = |n: u64| {
-        let mut job = job(n, TASKS);
+        let mut job = job(n, TASKS_PER_JOB);
         if n.is_multiple_of(4) {
             (job["shape"], job["legs"], job["milestoneS"]) = (json!("group"), json!(3), json!(0.5));
         }
@@ -62,7 +62,7 @@
     }
     let start = |me: &str, other: &str| {
         let mut settings = settings(me, &[other], &door);
-        settings["params"]["workers"]["lease_s"] = json!(LEASE.as_secs());
+        settings["params"]["workers"]["lease_s"] = json!(WORKER_LEASE.as_secs());
         ControllerProcess::start_with(&world, &settings, "machines.silence.seconds=3\n")
     };
     let (a, b) = (start("node-a", "node-b"), start("node-b", "node-a"));
@@ -109,7 +109,7 @@
             verdict.violations,
             verdict.lost
         );
-        assert_eq!(verdict.expected as u64, JOBS * TASKS - JOBS / 4 * (TASKS - 3), "seed {seed}");
+        assert_eq!(verdict.expected as u64, JOBS * TASKS_PER_JOB - JOBS / 4 * (TASKS_PER_JOB - 3), "seed {seed}");
     }
 }
 
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -280,14 +280,14 @@
 /// these jobs.
 #[test]
 fn all_ended_jobs_are_answered_soon_after_all_controllers_restart() {
-    const ENDED: u64 = 8000;
+    const ENDED_JOBS: u64 = 8000;
     let outside = Runtime::new().unwrap();
     let (world, door) = outside.block_on(open_world());
     {
         let mut state = world.state.lock().unwrap();
         state.max_page_items = 1000;
         state.limit(Limits { requests_per_second: 80.0, changes_per_second: 40.0, value_kb: 8.0, txn_ops: 16 });
-        for n in 0..ENDED {
+        for n in 0..ENDED_JOBS {
             let key = if end_of(n) == "done" { "h/d/" } else { "h/w/" };
             state.put(format!("{key}{}", id(n)), &ended_record(n));
         }
@@ -301,7 +301,7 @@
         wait_until("healthy", || async { send_request(&http, Method::GET, &a.addr, "/healthz", None).await.0 == 200 })
             .await;
         let started_at = Instant::now();
-        let mut left: Vec<u64> = (0..ENDED).collect();
+        let mut left: Vec<u64> = (0..ENDED_JOBS).collect();
         while !left.is_empty() {
             let round = Instant::now();
             let mut asked = JoinSet::new();
@@ -320,7 +320,7 @@
             tokio::time::sleep_until((round + Duration::from_secs(1)).into()).await;
         }
         assert!(started_at.elapsed() < Duration::from_secs(11), "{:?}", started_at.elapsed());
-        assert!(a.count_held("ends") as u64 > ENDED * 9 / 10, "the ends must be cached from then on");
+        assert!(a.count_held("ends") as u64 > ENDED_JOBS * 9 / 10, "the ends must be cached from then on");
     });
 }
 
