--- a/crates/emulator/src/driver/mod.rs
+++ b/crates/emulator/src/driver/mod.rs
@@ -14,7 +14,7 @@
 use hollylanding_protocol::jobs::{JobSpec, Shape};
 
 use crate::judge::{Entry, Event};
-use crate::world::cloud::{self, Boots, Cloud};
+use crate::world::cloud::{self, BootMode, Cloud};
 use crate::world::fleet::{self, Fleet, Happening, Upload};
 use crate::world::store::Limits;
 use relay::Gate;
@@ -40,7 +40,7 @@
     /// Timeouts of the workers.
     pub fleet: fleet::Params,
     /// How new machines boot.
-    pub boots: Boots,
+    pub boots: BootMode,
     /// Interval between two heartbeats of a worker; each one varies by up to a quarter.
     pub heartbeat: Duration,
     /// The most keys or machines on one page of a listing, whatever the request asks for.
--- a/crates/emulator/src/driver/state.rs
+++ b/crates/emulator/src/driver/state.rs
@@ -125,7 +125,7 @@
 
     /// Number of keys under a prefix.
     pub fn count(&self, prefix: &str) -> usize {
-        self.store.under(prefix).count()
+        self.store.entries_with_prefix(prefix).count()
     }
 
     /// Time since the state service was started.
@@ -165,7 +165,7 @@
                 *left -= 1;
             }
             self.changes += compare_and_swap.apply.len() as u64;
-            if self.store.compare(&compare_and_swap.conditions).is_empty() {
+            if self.store.failed_conditions(&compare_and_swap.conditions).is_empty() {
                 if faults.lose > 0 {
                     (faults.lose, faults.lost) = (faults.lose - 1, faults.lost + 1);
                     return Outcome::Answer(Ok(json!({"ledgerRev": self.store.revision() + 1})));
@@ -234,7 +234,7 @@
     /// What a watch has to tell, or nothing yet.
     pub fn follow(&mut self, prefix: &str, since: u64) -> Option<Result<Value, Refusal>> {
         let now = self.now();
-        self.store.end_leases(now);
+        self.store.expire_leases(now);
         if self.faults.stalled_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
--- a/crates/emulator/src/rehearsal/faults.rs
+++ b/crates/emulator/src/rehearsal/faults.rs
@@ -71,7 +71,7 @@
 
     /// Randomly chosen machines.
     fn some_machines(&mut self, many: MachineAmount) -> Vec<String> {
-        let names: Vec<String> = self.world.with_fleet(|fleet, _| fleet.names().cloned().collect());
+        let names: Vec<String> = self.world.with_fleet(|fleet, _| fleet.machine_names().cloned().collect());
         let n = many.of(names.len());
         names.choose_multiple(&mut self.rng, n).cloned().collect()
     }
@@ -110,10 +110,10 @@
             Undo::EndStoreOutage => {
                 let mut state = lock(&self.world.state);
                 let now = state.now();
-                state.store.set_out(false, now);
+                state.store.set_outage(false, now);
             }
             Undo::EndStoreDelay => lock(&self.world.state).faults.slow = Duration::ZERO,
-            Undo::EndCloudOutage => lock(&self.world.cloud).set_out(false),
+            Undo::EndCloudOutage => lock(&self.world.cloud).set_outage(false),
             Undo::Serve(of) => lock(&self.world.state).store.set_refused(&of.to_string(), false),
             Undo::Heal(machines) => self.on_fleet(&machines, |fleet, machine, _| fleet.set_sick(machine, false)),
             Undo::StartTwice => self.start_twice(),
@@ -221,12 +221,12 @@
         let now = state.now();
         match fault {
             Fault::Outage(time) => {
-                state.store.set_out(true, now);
+                state.store.set_outage(true, now);
                 self.later(*time, Undo::EndStoreOutage);
             }
             Fault::LoseWrites(n) => state.faults.lose += n,
             Fault::Vanish(prefix, n) => {
-                let lost = state.store.vanish(prefix, *n);
+                let lost = state.store.lose_newest_keys(prefix, *n);
                 self.add_note(format!("vanished: {}", lost.join(", ")));
             }
             Fault::Unanswered(n) => state.faults.unanswered += n,
@@ -237,7 +237,7 @@
                 state.faults.slow = *by;
                 self.later(*time, Undo::EndStoreDelay);
             }
-            Fault::ForgetLog => state.store.forget_log(),
+            Fault::ForgetLog => state.store.discard_log(),
             _ => {}
         }
     }
@@ -274,7 +274,7 @@
                 }
             }
             Fault::CloudOutage(time) => {
-                lock(&self.world.cloud).set_out(true);
+                lock(&self.world.cloud).set_outage(true);
                 self.later(*time, Undo::EndCloudOutage);
             }
             Fault::End(who, again) => {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -10,7 +10,7 @@
 pub use self::script::read;
 use crate::driver::Link;
 use crate::driver::relay::Passing;
-use crate::world::cloud::Boots;
+use crate::world::cloud::BootMode;
 
 /// The controllers that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     /// The workers' monotonic clocks run this many times as fast.
     Drift(MachineAmount, f64),
     /// How machines rented from now on boot.
-    Boots(Boots),
+    Boots(BootMode),
     /// One link of controllers is disturbed for this long.
     Link(ControllerSelector, Link, Passing, Duration),
     /// All links to and from the other controllers are disturbed for this long.
--- a/crates/emulator/src/scenario/arguments.rs
+++ b/crates/emulator/src/scenario/arguments.rs
@@ -7,7 +7,7 @@
 use super::{Condition, ControllerSelector, Fault, MachineAmount};
 use crate::driver::Link;
 use crate::driver::relay::Passing;
-use crate::world::cloud::Boots;
+use crate::world::cloud::BootMode;
 
 /// The longest time in a scenario, in seconds.
 const MAX_SECONDS: f64 = 86_400.0;
@@ -125,11 +125,11 @@
     Ok(Fault::Link(of, link, passing, time))
 }
 
-pub(super) fn boots(how: &str) -> Result<Boots, ArgumentError> {
+pub(super) fn boots(how: &str) -> Result<BootMode, ArgumentError> {
     match how {
-        "usual" => Ok(Boots::Usual),
-        "at once" => Ok(Boots::AtOnce),
-        "never" => Ok(Boots::Never),
+        "usual" => Ok(BootMode::Usual),
+        "at once" => Ok(BootMode::AtOnce),
+        "never" => Ok(BootMode::Never),
         other => Err(ArgumentError::UnknownBoots(other.to_owned())),
     }
 }
--- a/crates/emulator/src/sizes/convert.rs
+++ b/crates/emulator/src/sizes/convert.rs
@@ -8,7 +8,7 @@
 use super::{Machine, Sizes, Team, ZoneSupply};
 use crate::driver;
 use crate::judge::Terms;
-use crate::world::cloud::{self, Boots, Capacity};
+use crate::world::cloud::{self, BootMode, Capacity};
 use crate::world::fleet;
 use crate::world::store::Limits;
 
@@ -32,7 +32,7 @@
         self.zones.iter().map(|ZoneSupply { zone, on_demand, spot }| Capacity {
             type_name: self.name.clone(),
             zone: zone.clone(),
-            ordinary: *on_demand,
+            on_demand: *on_demand,
             spot: *spot,
         })
     }
@@ -64,7 +64,7 @@
                 gang_wait: seconds(self.workers.gang_wait_s),
                 gang_peer: seconds(self.workers.gang_peer_s),
             },
-            boots: Boots::Usual,
+            boots: BootMode::Usual,
             heartbeat: seconds(self.workers.report_s),
             page_most: usize::MAX,
             seed,
--- a/crates/emulator/src/world/cloud/types.rs
+++ b/crates/emulator/src/world/cloud/types.rs
@@ -12,7 +12,7 @@
     /// The zone.
     pub zone: String,
     /// Number of on-demand machines.
-    pub ordinary: u64,
+    pub on_demand: u64,
     /// Number of spot machines.
     pub spot: u64,
 }
@@ -56,7 +56,7 @@
 
 /// How new machines boot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Boots {
+pub enum BootMode {
     /// As the parameters say: some late, some never.
     #[default]
     Usual,
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -183,12 +183,12 @@
     }
 
     /// Names of all machines that are up.
-    pub fn names(&self) -> impl Iterator<Item = &String> {
+    pub fn machine_names(&self) -> impl Iterator<Item = &String> {
         self.workers.keys()
     }
 
     /// Tasks of a job that are on some machine and have not ended.
-    pub fn live(&self, job: &str) -> usize {
+    pub fn count_live_tasks(&self, job: &str) -> usize {
         self.workers.values().flat_map(|w| &w.tasks).filter(|t| t.live() && *t.key.job == *job).count()
     }
 
--- a/crates/emulator/src/world/store.rs
+++ b/crates/emulator/src/world/store.rs
@@ -97,7 +97,7 @@
     }
 
     /// An outage begins or ends. After one every lease has its full time again.
-    pub fn set_out(&mut self, out: bool, now: Duration) {
+    pub fn set_outage(&mut self, out: bool, now: Duration) {
         if self.out && !out {
             for lease in self.leases.values_mut() {
                 lease.ends = now + lease.life;
@@ -118,7 +118,7 @@
     /// Whether a node's request is served at all; counts it against the limit if so. What time
     /// brings about is done first.
     pub fn admit(&mut self, node: &str, now: Duration) -> Result<(), Refusal> {
-        self.end_leases(now);
+        self.expire_leases(now);
         if self.out || self.refused.contains(node) {
             return Err(Refusal::Unavailable);
         }
@@ -131,7 +131,7 @@
     }
 
     /// Ends the leases that have expired. None expires during an outage.
-    pub fn end_leases(&mut self, now: Duration) {
+    pub fn expire_leases(&mut self, now: Duration) {
         if self.out {
             return;
         }
@@ -183,7 +183,7 @@
     }
 
     /// Keys under a prefix with value and version, in order.
-    pub fn under(&self, prefix: &str) -> impl Iterator<Item = (&str, &Value, u64)> {
+    pub fn entries_with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&str, &Value, u64)> {
         let from = Bound::Included(prefix.to_owned());
         let later = self.keys.range::<String, _>((from, Bound::Unbounded));
         let prefix = prefix.to_owned();
@@ -193,9 +193,9 @@
     }
 
     /// Breaks the service's guarantees: the newest keys under a prefix vanish, and no watch reports it.
-    pub fn vanish(&mut self, prefix: &str, n: usize) -> Vec<String> {
+    pub fn lose_newest_keys(&mut self, prefix: &str, n: usize) -> Vec<String> {
         let mut found: Vec<(u64, String)> =
-            self.under(prefix).map(|(key, _, version)| (version, key.to_owned())).collect();
+            self.entries_with_prefix(prefix).map(|(key, _, version)| (version, key.to_owned())).collect();
         found.sort_unstable();
         let lost: Vec<String> = found.into_iter().rev().take(n).map(|(_, key)| key).collect();
         for key in &lost {
@@ -212,7 +212,7 @@
     }
 
     /// Discards the log of changes: every watch has to list again.
-    pub fn forget_log(&mut self) {
+    pub fn discard_log(&mut self) {
         self.log.clear();
         self.forgotten = self.revision;
     }
@@ -244,7 +244,7 @@
     }
 
     /// Which of these do not hold.
-    pub fn compare(&self, conditions: &[Condition]) -> Vec<String> {
+    pub fn failed_conditions(&self, conditions: &[Condition]) -> Vec<String> {
         conditions.iter().filter(|c| self.version(&c.path) != c.version).map(|c| c.path.clone()).collect()
     }
 
@@ -291,7 +291,7 @@
 
     /// The bare act, without limits: what the service does with a request that it has admitted.
     pub fn apply_if(&mut self, conditions: &[Condition], changes: &[Change]) -> Result<u64, FailedConditions> {
-        let failed = self.compare(conditions);
+        let failed = self.failed_conditions(conditions);
         if failed.is_empty() {
             Ok(self.apply(changes))
         } else {
--- a/src/cloud_orders/tests.rs
+++ b/src/cloud_orders/tests.rs
@@ -87,7 +87,7 @@
         if leaders.is_empty() || rng.random_ratio(1, 25) {
             let write = [Change::write(LEADER_RECORD_KEY, serde_json::json!(step))];
             let fencing_token = store.apply_if(&[], &write).unwrap();
-            let items = store.under(CLOUD_ORDER_PREFIX).map(|(path, value, version)| {
+            let items = store.entries_with_prefix(CLOUD_ORDER_PREFIX).map(|(path, value, version)| {
                 CloudOrder::from_key_value(&KeyValue { path: path.into(), value: value.clone(), version }).unwrap()
             });
             let orders: Vec<(CloudOrder, bool)> = items.filter(|_| with_stored_orders).map(|o| (o, true)).collect();
--- a/src/declarations/tests.rs
+++ b/src/declarations/tests.rs
@@ -256,7 +256,7 @@
                 let sent = self.harness.take_delayed();
                 self.apply(&sent);
             }
-            _ if self.harness.rng.random_ratio(1, 10) => self.harness.store.forget_log(),
+            _ if self.harness.rng.random_ratio(1, 10) => self.harness.store.discard_log(),
             _ => {}
         }
     }
--- a/src/membership/election/tests.rs
+++ b/src/membership/election/tests.rs
@@ -90,7 +90,7 @@
     let restarted_at = since_renewal + away + 150;
     let mut removal = None;
     for now in (since_renewal..10_000).step_by(20) {
-        store.end_leases(ms(now));
+        store.expire_leases(ms(now));
         for me in [lease_holder("b", "b0"), lease_holder("a", "a1")] {
             if me.node == "a" && now < restarted_at {
                 continue;
