--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -1,7 +1,7 @@
 //! Operators' verbs against the state service: what is refused leaves nothing behind, and what is not
 //! answered is written once.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,6 +1,6 @@
 //! End to end over HTTP: two real controllers against stand-ins. Waits on conditions only.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/format_exchanges.rs
+++ b/tests/format_exchanges.rs
@@ -1,7 +1,7 @@
 //! Requests and answers as the fixtures have them: those that a controller sends to the state service and to the cloud,
 //! those that users and workers send to it, and what the command line says.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod fixtures;
--- a/tests/half_the_fleet.rs
+++ b/tests/half_the_fleet.rs
@@ -1,7 +1,7 @@
 //! Half of the machines are lost in mid-run, and in the same second the leader ends: every result
 //! arrives exactly once, by the judge's word.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -1,7 +1,7 @@
 //! Ended jobs over HTTP: a store that holds very many, floods of questions, a store that an earlier
 //! build has left, and what users are told at each moment of a job's life by whom.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -2,7 +2,7 @@
 //! wrote: placements, leader records and rental orders. Nothing runs twice, nothing is rented twice, nobody leads twice
 //! under one fencing token, and work goes on. Acceptances, cancellations and ends are in `response_consistency.rs`.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/lost_writes.rs
+++ b/tests/lost_writes.rs
@@ -1,7 +1,7 @@
 //! A state service that breaks its promise: writes that it has acknowledged are gone. What a
 //! controller still knows is written again, and no user hears of it.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/response_consistency.rs
+++ b/tests/response_consistency.rs
@@ -2,7 +2,7 @@
 //! and a cancellation meet, or the work changes hands. What any node says is held against what is stored: it may say
 //! nothing older than what stood when it was asked.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions over HTTP: what can never run or lacks a field is never accepted, what can run is not refused, and
 //! what becomes of a write whose answer is late or lost.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -3,7 +3,7 @@
 //! right after a job was accepted, has ended or was confirmed as cancelled, and its submission is repeated at each.
 //! Every answer is held against what is stored before and after it (`stand_in::observer`).
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
--- a/tests/unconfirmed_cancellations.rs
+++ b/tests/unconfirmed_cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that the leader has not heard of: no user is told by any path, and nothing told runs on.
 
-// A stand-in that panics fails its test, as it should.
+// A panic in the test harness fails its test, as intended.
 #![allow(clippy::unwrap_used, clippy::too_many_lines)]
 
 mod stand_in;
