--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -1,7 +1,7 @@
-//! The judge: from requests, answers and what ran where, and from nothing else, it tells whether a rule of the protocol
-//! was broken, and whether every accepted task has its result.
+//! The judge: a checker that decides from a history of requests, responses and attempts on machines alone whether an
+//! invariant of the protocol was violated, and whether every accepted task has its result.
 //!
-//! It is pure, and independent of the world and of whoever drives it.
+//! The checker is a pure function of the history, independent of the emulated world and its driver.
 
 mod answers;
 mod rule;
@@ -18,14 +18,14 @@
 use serde_json::Value;
 
 use crate::world::fleet::AttemptEvent;
-pub use answers::SILENT;
+pub use answers::UNANSWERED_AFTER;
 pub use rule::Rule;
 use state::Judge;
-pub use verdict::{BEGIN_WITHIN, Break, LargestJobs, Verdict};
+pub use verdict::{LargestJobs, MAX_START_DELAY, Verdict, Violation};
 
 /// The kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ask {
+pub enum RequestKind {
     /// Submits a job, or repeats the submission.
     Submit,
     /// Asks for a job's status.
@@ -34,36 +34,36 @@
     Cancel,
 }
 
-/// Something that happened, as the judge sees it.
+/// An event of a history that the judge checks.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A user is about to submit a job for the first time.
     Submitted(Arc<JobSpec>),
-    /// A user is about to ask for the first time that a job be cancelled.
+    /// A user is about to request the cancellation of a job for the first time.
     CancellationAsked(JobId),
-    /// The answer to a user's request.
+    /// A user's request was answered, or failed without a response.
     Answered {
         /// The job that the request is about.
         job: JobId,
         /// The kind of the request.
-        ask: Ask,
-        /// HTTP status code; none if there was no answer.
+        ask: RequestKind,
+        /// HTTP status code; none if there was no response.
         code: Option<u16>,
-        /// The job's status, if the answer contains one.
+        /// The job's status, if the response contains one.
         status: Option<Status>,
     },
-    /// A machine came up.
+    /// A machine finished booting.
     Up {
         /// The cloud's name of the machine.
         machine: String,
-        /// Name of its type.
+        /// Name of the machine's type.
         type_name: String,
-        /// Its zone.
+        /// The machine's zone.
         zone: String,
-        /// Whether it is a spot machine.
+        /// Whether the machine is a spot machine.
         spot: bool,
     },
-    /// Something happened to a task on a machine.
+    /// An attempt of a task changed on a machine.
     Machine(AttemptEvent),
     /// The controllers stored the status of a declared object.
     Declared {
@@ -76,37 +76,37 @@
         /// The status stored.
         status: Value,
     },
-    /// All faults are over: from now on every request about a job has to be answered.
-    Quiet,
+    /// All faults are over. From now on requests about jobs must be answered.
+    FaultsOver,
 }
 
 /// An event with its time.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Time since the world began.
+    /// Time since the start of the world.
     pub at: Duration,
     /// What happened.
     pub event: Event,
 }
 
-/// The parameters of the rules.
+/// The parameters of the judge's rules.
 #[derive(Debug, Clone, Default)]
-pub struct Terms {
-    /// The most cores and accelerators that each team's tasks may use; 0: unlimited.
+pub struct RuleParams {
+    /// Maximum numbers of cores and accelerators that each team's tasks may use; 0 means unlimited.
     pub quotas: HashMap<String, (f64, f64)>,
-    /// Time from the report that a job is cancelled until none of its tasks may run.
+    /// Time from the first response that reports a job as cancelled until none of its tasks may run.
     pub cancellation_deadline: Duration,
     /// Sets of services that replace one another, with the number of replicas that must run in total.
     pub capacity: Vec<(Vec<JobId>, usize)>,
-    /// Wall-clock time at which the world began, in ms since 1970.
-    pub begun_ms: u64,
+    /// Wall-clock time of the start of the world, in ms since 1970.
+    pub start_ms: u64,
 }
 
-/// Judges a whole history, whose entries must be ordered by time.
-pub fn judge(history: &[Entry], terms: &Terms) -> Verdict {
-    let mut judge = Judge::new(terms.clone());
+/// Checks a whole history, whose entries must be ordered by time.
+pub fn judge(history: &[Entry], params: &RuleParams) -> Verdict {
+    let mut judge = Judge::new(params.clone());
     for entry in history {
-        judge.take(entry);
+        judge.process(entry);
     }
     let end = history.last().map_or(Duration::ZERO, |entry| entry.at);
     judge.close(end)
--- a/crates/emulator/src/judge/rule.rs
+++ b/crates/emulator/src/judge/rule.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked.
+//! The rules that the judge checks.
 
 /// A rule of the protocol that the judge checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -9,25 +9,26 @@
     Quota,
     /// A task started on a machine that its job does not allow.
     WrongPlace,
-    /// A task ran too long after its job was reported cancelled.
+    /// A task ran after the cancellation deadline of a job that was reported as cancelled.
     RanCancelled,
-    /// An accepted job was answered as unknown, was refused, or was not answered while others were.
+    /// A request about an accepted job was answered as unknown, was refused, or stayed unanswered while others were
+    /// answered.
     Forgotten,
-    /// A job that nobody submitted was answered as known.
+    /// A request about a job that was never submitted was answered as for an existing job.
     Invented,
     /// A job was reported done before all its tasks were.
     NotDone,
-    /// A final status changed, or a job was reported cancelled although nobody asked.
+    /// A final status changed, or a job was reported as cancelled although no cancellation was requested.
     WentBack,
     /// No task started at all.
     NothingRan,
-    /// With all faults over, no request about a job was answered for `SILENT`.
+    /// After all faults were over, no poll of a job was answered for [`UNANSWERED_AFTER`](super::UNANSWERED_AFTER).
     Unanswered,
     /// Replicas of a service were stopped until fewer than required were left.
     Gap,
     /// The stored status of a window contradicts itself, or the window never ended.
     Window,
-    /// Jobs that a heat rule puts first waited while many others started.
+    /// Jobs that a heat rule prioritizes waited while many others started.
     Vents,
 }
 
--- a/crates/emulator/src/program/run.rs
+++ b/crates/emulator/src/program/run.rs
@@ -94,11 +94,11 @@
     let path = folder.join("report.html");
     std::fs::write(&path, report::page(title, sizes, &outcome)?).map_err(ProgramError::file(&path))?;
     print_outcome(&outcome, &path);
-    Ok(outcome.verdict.clean() && outcome.own_ends == 0 && outcome.failed.is_empty())
+    Ok(outcome.verdict.is_clean() && outcome.own_ends == 0 && outcome.failed.is_empty())
 }
 
 fn print_outcome(outcome: &Outcome, report: &Path) {
-    for broken in &outcome.verdict.breaks {
+    for broken in &outcome.verdict.violations {
         println!("{:.1} s: {}: {}", broken.at.as_secs_f64(), broken.rule.name(), broken.what);
     }
     outcome.failed.iter().for_each(|error| println!("an operator's verb failed: {error}"));
@@ -109,5 +109,5 @@
             took.as_secs_f64()
         );
     }
-    println!("{}", outcome.verdict.line());
+    println!("{}", outcome.verdict.summary_line());
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -110,10 +110,10 @@
     let rules: Vec<_> = Rule::ALL
         .iter()
         .map(|rule| {
-            let first = verdict.first(*rule);
+            let first = verdict.first_violation(*rule);
             context! {
                 name => rule.name(),
-                count => verdict.breaks.iter().filter(|b| b.rule == *rule).count(),
+                count => verdict.violations.iter().filter(|b| b.rule == *rule).count(),
                 what => first.map_or(String::new(), |b| format!("{:.1} s: {}", b.at.as_secs_f64(), b.what)),
                 history => first.map_or_else(Vec::new, |b| b.history.clone()),
             }
@@ -140,8 +140,8 @@
     environment.add_template("report.html", include_str!("report.html"))?;
     let page = environment.get_template("report.html")?.render(context! {
         title, rules, facts, faults,
-        clean => verdict.clean(),
-        line => verdict.line(),
+        clean => verdict.is_clean(),
+        line => verdict.summary_line(),
         lost => lost.join(" "),
         charts => charts(sizes, outcome)?,
     })?;
--- a/crates/emulator/src/report/tests.rs
+++ b/crates/emulator/src/report/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::judge::{Break, Verdict};
+use crate::judge::{Verdict, Violation};
 use std::time::Duration;
 
 #[test]
 fn a_page_tells_the_verdict_and_escapes_what_it_is_told() {
     let sizes = Sizes::parse(crate::sizes::DEFAULT).unwrap();
-    let broken = Break {
+    let broken = Violation {
         rule: Rule::RanTwice,
         at: Duration::from_secs(3),
         what: "a <b> & c".into(),
         history: vec!["first".into()],
     };
     let outcome = Outcome {
-        verdict: Verdict { breaks: vec![broken], expected: 4, delivered: 4, ..Verdict::default() },
+        verdict: Verdict { violations: vec![broken], expected: 4, delivered: 4, ..Verdict::default() },
         samples: (0..9).map(|n| Sample { at_s: f64::from(n), running: 3, ..Sample::default() }).collect(),
         faults: vec![Note { at_s: 2.0, what: "DropLeases".into() }],
         accepted_ms: hdrhistogram::Histogram::new(3).unwrap(),
--- a/crates/emulator/src/sizes/convert.rs
+++ b/crates/emulator/src/sizes/convert.rs
@@ -7,7 +7,7 @@
 
 use super::{Machine, Sizes, Team, ZoneSupply};
 use crate::driver;
-use crate::judge::Terms;
+use crate::judge::RuleParams;
 use crate::world::cloud::{self, BootMode, Capacity};
 use crate::world::fleet;
 use crate::world::store::Limits;
@@ -73,12 +73,12 @@
     }
 
     /// The parameters of the judge's rules.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> RuleParams {
         let quotas = self.teams.iter().map(|t| (t.name.clone(), (t.cpus_max, t.accelerators_max)));
-        Terms {
+        RuleParams {
             quotas: quotas.collect(),
             cancellation_deadline: Duration::from_secs_f64(self.workers.cancel_s),
-            ..Terms::default()
+            ..RuleParams::default()
         }
     }
 
