--- a/tests/outward_names.rs
+++ b/tests/outward_names.rs
@@ -1,16 +1,18 @@
-//! Every name that leaves the process is still written by the code or held by a format fixture: fields and values of
-//! messages, keys in the state service, settings, properties, flags, routes, scenario functions and log lines.
+//! Every name that leaves the process is still present in the code or in a format fixture: fields and values of messages,
+//! keys in the state service, settings, properties, flags, routes, scenario functions and log lines.
 //!
-//! The format fixtures hold the structure; this list also has what they do not show, such as log messages and scenarios.
+//! The format fixtures cover the structure; the list also has the names that they do not contain, such as log messages and
+//! scenario functions.
 
-// A file that cannot be read fails its test, as it should.
+// A file that cannot be read fails its test, as intended.
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
 
+/// The list of outward names, one a line.
 const NAMES: &str = include_str!("fixtures/outward-names.txt");
 
-/// All files with one of these extensions in a directory and below it.
+/// Returns all files with one of these extensions in a directory and its subdirectories.
 fn files(directory: &Path, extensions: &[&str]) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(directory).unwrap() {
@@ -24,7 +26,7 @@
     found
 }
 
-/// The code without its comment lines, the format fixtures and the deploy file.
+/// Returns the text of the code without its comment lines, of the format fixtures and of the deploy file.
 fn searched_text() -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut paths = files(&root.join("src"), &["rs"]);
@@ -40,7 +42,7 @@
     c.is_alphanumeric() || c == '_'
 }
 
-/// Whether the name occurs in the text and is not part of a longer word.
+/// Returns whether the name occurs in the text and is not part of a longer word.
 fn contains_name(text: &str, name: &str) -> bool {
     let (first, last) = (name.chars().next().unwrap(), name.chars().next_back().unwrap());
     text.match_indices(name).any(|(start, _)| {
